--- a/src/entry/decide/behaviour.rs
+++ b/src/entry/decide/behaviour.rs
@@ -15,7 +15,7 @@
 
 /// A server's recent behaviour.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Behaviour {
+pub struct AttemptStats {
     /// Average time of requests that found a free slot; 0 if unknown.
     run_ms: f64,
     /// Share of attempts that failed or were shed.
@@ -28,7 +28,7 @@
     paused_until_ms: u64,
 }
 
-impl Behaviour {
+impl AttemptStats {
     /// Average run time; 0 if unknown. After long silence the evidence is worth nothing.
     pub fn run_ms(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -11,7 +11,7 @@
     crashes::{break_offs::BreakOffs, reports::Suspects},
     decide::{
         Candidate, Policy,
-        behaviour::Behaviour,
+        behaviour::AttemptStats,
         notices::{Learned, Notices},
         pace::Pace,
         warmup::{self, Turns},
@@ -50,7 +50,7 @@
     shared_run_us: AtomicU64,
     answered_ms: AtomicU64,
     paces: Mutex<Paces>,
-    behaviour: Mutex<Behaviour>,
+    behaviour: Mutex<AttemptStats>,
     runs: Mutex<Runs>,
     /// Rate that it takes from all hosts together, and this host's part.
     pub rate: SharedRate,
@@ -413,7 +413,7 @@
         self.runs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn behaviour(&self) -> MutexGuard<'_, Behaviour> {
+    fn behaviour(&self) -> MutexGuard<'_, AttemptStats> {
         self.behaviour
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -8,7 +8,7 @@
 use ashroad::entry::{
     decide::{
         Candidate, Demand, Policy, admission,
-        behaviour::Behaviour,
+        behaviour::AttemptStats,
         choice::{self, HostCount},
         hold::{self, Hold, MoveRest, MoveWait},
         key_loads::KeyLoads,
@@ -47,7 +47,7 @@
     // The only server of some keys: requests took 900 ms for a moment, and take 120 ms since. What
     // this host remembers of it can only be corrected by requests that get there.
     let policy = Policy::default();
-    let mut behaviour = Behaviour::default();
+    let mut behaviour = AttemptStats::default();
     let mut now_ms = 1_000_000;
     for _ in 0..20 {
         now_ms += 50;
@@ -100,7 +100,7 @@
         deadline_ms: 800,
         ..DEMAND
     };
-    let mut behaviour = Behaviour::default();
+    let mut behaviour = AttemptStats::default();
     let mut now_ms = 10_000;
     behaviour.answered(820.0, true, now_ms);
     let mut refused = 0;
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -8,7 +8,7 @@
         bounds::Bounds,
         decide::{
             Candidate, Demand, Policy, admission,
-            behaviour::Behaviour,
+            behaviour::AttemptStats,
             budget::RetryBudget,
             choice::{self, HostCount},
             first::{self, FirstWait},
@@ -915,8 +915,8 @@
 }
 
 /// A server's failures and pause by its latest attempts.
-fn after(attempts: fn(&mut Behaviour)) -> Candidate {
-    let mut behaviour = Behaviour::default();
+fn after(attempts: fn(&mut AttemptStats)) -> Candidate {
+    let mut behaviour = AttemptStats::default();
     attempts(&mut behaviour);
     Candidate {
         failures: behaviour.failures(10),
@@ -977,7 +977,7 @@
 
 #[test]
 fn what_a_server_did_long_ago_is_forgotten() {
-    let mut behaviour = Behaviour::default();
+    let mut behaviour = AttemptStats::default();
     behaviour.answered(50.0, true, 1_000);
     behaviour.failed(1_000);
     behaviour.not_connected(1_000);
