--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -8,7 +8,7 @@
 //! | module | load that it answers |
 //! |---|---|
 //! | [`pace`] | servers that run slower for a moment |
-//! | [`behaviour`] | servers that are slow, fail or cannot be reached |
+//! | [`attempt_stats`] | servers that are slow, fail or cannot be reached |
 //! | [`notices`] | servers that say in their answers that they leave, or want a rest |
 //! | [`rate_limit`], [`rate_meter`], [`rate_parts`] | servers that name a rate which all hosts share |
 //! | [`quota`] | workspaces that ask for more than their quota |
@@ -29,7 +29,7 @@
 //! The thresholds stand in [`Policy`], each with its unit and reason.
 
 pub mod admission;
-pub mod behaviour;
+pub mod attempt_stats;
 pub mod budget;
 pub mod choice;
 pub mod crash_tally;
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -11,7 +11,7 @@
     crashes::{break_offs::BreakOffs, reports::Suspects},
     decide::{
         Candidate, Policy,
-        behaviour::AttemptStats,
+        attempt_stats::AttemptStats,
         notices::{Learned, Notices},
         pace::Pace,
         warmup::{self, Turns},
@@ -50,7 +50,7 @@
     shared_run_us: AtomicU64,
     answered_ms: AtomicU64,
     paces: Mutex<Paces>,
-    behaviour: Mutex<AttemptStats>,
+    attempt_stats: Mutex<AttemptStats>,
     runs: Mutex<Runs>,
     /// Rate that it takes from all hosts together, and this host's part.
     pub rate: SharedRate,
@@ -111,7 +111,7 @@
             shared_run_us: AtomicU64::new(0),
             answered_ms: AtomicU64::new(0),
             paces: Mutex::default(),
-            behaviour: Mutex::default(),
+            attempt_stats: Mutex::default(),
             runs: Mutex::default(),
             break_offs: BreakOffs::default(),
             entry,
@@ -331,7 +331,7 @@
 
     /// Average run time by this host's evidence; 0 if unknown.
     pub fn own_run_ms(&self) -> f64 {
-        self.behaviour().run_ms(clock::now_ms())
+        self.attempt_stats().run_ms(clock::now_ms())
     }
 
     /// The server as decisions of a host in `availability_zone` see it now.
@@ -342,15 +342,15 @@
         policy: &Policy,
     ) -> Candidate {
         let now_ms = clock::now_ms();
-        let behaviour = *self.behaviour();
+        let attempt_stats = *self.attempt_stats();
         Candidate {
             slots: self.entry.slots,
             load: self.load(),
             run_ms: self.run_ms(),
-            unheard_ms: behaviour.unheard_ms(now_ms),
+            unheard_ms: attempt_stats.unheard_ms(now_ms),
             pace: self.paces().known.relative(now_ms, policy.pace_memory_ms),
-            failures: behaviour.failures(now_ms),
-            is_paused: behaviour.is_paused(now_ms) || self.is_barred(rule),
+            failures: attempt_stats.failures(now_ms),
+            is_paused: attempt_stats.is_paused(now_ms) || self.is_barred(rule),
             is_far: false,
             is_near: *self.entry.availability_zone == *availability_zone,
             has_idle_connection: self.pool.has_idle(),
@@ -361,7 +361,7 @@
     pub fn answered(&self, run_ms: f64, found_free_slot: bool) {
         let now_ms = clock::now_ms();
         self.answered_ms.store(now_ms, Ordering::Relaxed);
-        self.behaviour().answered(run_ms, found_free_slot, now_ms);
+        self.attempt_stats().answered(run_ms, found_free_slot, now_ms);
     }
 
     /// Notes the pace that the server told another host at a time.
@@ -389,12 +389,12 @@
 
     /// Notes an attempt that was shed, broke off or timed out.
     pub fn failed(&self) {
-        self.behaviour().failed(clock::now_ms());
+        self.attempt_stats().failed(clock::now_ms());
     }
 
     /// Notes a connection that did not come up.
     pub fn not_connected(&self) {
-        self.behaviour().not_connected(clock::now_ms());
+        self.attempt_stats().not_connected(clock::now_ms());
     }
 
     fn paces(&self) -> MutexGuard<'_, Paces> {
@@ -413,8 +413,8 @@
         self.runs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn behaviour(&self) -> MutexGuard<'_, AttemptStats> {
-        self.behaviour
+    fn attempt_stats(&self) -> MutexGuard<'_, AttemptStats> {
+        self.attempt_stats
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -8,7 +8,7 @@
 use ashroad::entry::{
     decide::{
         Candidate, Demand, Policy, admission,
-        behaviour::AttemptStats,
+        attempt_stats::AttemptStats,
         choice::{self, HostCount},
         hold::{self, Hold, MoveRest, MoveWait},
         key_loads::KeyLoads,
@@ -47,17 +47,17 @@
     // The only server of some keys: requests took 900 ms for a moment, and take 120 ms since. What
     // this host remembers of it can only be corrected by requests that get there.
     let policy = Policy::default();
-    let mut behaviour = AttemptStats::default();
+    let mut attempt_stats = AttemptStats::default();
     let mut now_ms = 1_000_000;
     for _ in 0..20 {
         now_ms += 50;
-        behaviour.answered(900.0, true, now_ms);
+        attempt_stats.answered(900.0, true, now_ms);
     }
     let (mut asked, mut refused) = (0, 0);
     for _ in 0..200 {
         now_ms += 20;
         let seen = Candidate {
-            run_ms: behaviour.run_ms(now_ms),
+            run_ms: attempt_stats.run_ms(now_ms),
             ..SERVER
         };
         let demand = Demand {
@@ -67,7 +67,7 @@
         };
         asked += 1;
         if admission::has_room(&seen, 120.0, demand, &policy) {
-            behaviour.answered(120.0, true, now_ms);
+            attempt_stats.answered(120.0, true, now_ms);
         } else {
             refused += 1;
         }
@@ -100,20 +100,20 @@
         deadline_ms: 800,
         ..DEMAND
     };
-    let mut behaviour = AttemptStats::default();
+    let mut attempt_stats = AttemptStats::default();
     let mut now_ms = 10_000;
-    behaviour.answered(820.0, true, now_ms);
+    attempt_stats.answered(820.0, true, now_ms);
     let mut refused = 0;
     for _ in 0..200 {
         now_ms += 50;
         let seen = Candidate {
-            run_ms: behaviour.run_ms(now_ms),
-            unheard_ms: behaviour.unheard_ms(now_ms),
+            run_ms: attempt_stats.run_ms(now_ms),
+            unheard_ms: attempt_stats.unheard_ms(now_ms),
             load: 0,
             ..SERVER
         };
         if admission::has_room(&seen, 60.0, demand, &policy) {
-            behaviour.answered(5.0, true, now_ms);
+            attempt_stats.answered(5.0, true, now_ms);
         } else {
             refused += 1;
         }
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -8,7 +8,7 @@
         bounds::Bounds,
         decide::{
             Candidate, Demand, Policy, admission,
-            behaviour::AttemptStats,
+            attempt_stats::AttemptStats,
             budget::RetryBudget,
             choice::{self, HostCount},
             first::{self, FirstWait},
@@ -916,11 +916,11 @@
 
 /// A server's failures and pause by its latest attempts.
 fn after(attempts: fn(&mut AttemptStats)) -> Candidate {
-    let mut behaviour = AttemptStats::default();
-    attempts(&mut behaviour);
+    let mut attempt_stats = AttemptStats::default();
+    attempts(&mut attempt_stats);
     Candidate {
-        failures: behaviour.failures(10),
-        is_paused: behaviour.is_paused(10),
+        failures: attempt_stats.failures(10),
+        is_paused: attempt_stats.is_paused(10),
         ..GOOD
     }
 }
@@ -977,15 +977,15 @@
 
 #[test]
 fn what_a_server_did_long_ago_is_forgotten() {
-    let mut behaviour = AttemptStats::default();
-    behaviour.answered(50.0, true, 1_000);
-    behaviour.failed(1_000);
-    behaviour.not_connected(1_000);
-    assert_eq!(behaviour.run_ms(2_000), 50.0);
-    assert!(behaviour.is_paused(1_100) && !behaviour.is_paused(1_300));
-    assert!(behaviour.failures(1_000) > 0.2);
-    assert!(behaviour.failures(10_000) < 0.05);
-    assert_eq!(behaviour.run_ms(10_000), 0.0);
+    let mut attempt_stats = AttemptStats::default();
+    attempt_stats.answered(50.0, true, 1_000);
+    attempt_stats.failed(1_000);
+    attempt_stats.not_connected(1_000);
+    assert_eq!(attempt_stats.run_ms(2_000), 50.0);
+    assert!(attempt_stats.is_paused(1_100) && !attempt_stats.is_paused(1_300));
+    assert!(attempt_stats.failures(1_000) > 0.2);
+    assert!(attempt_stats.failures(10_000) < 0.05);
+    assert_eq!(attempt_stats.run_ms(10_000), 0.0);
 }
 
 #[test]
