--- a/src/entry/decide/kinds.rs
+++ b/src/entry/decide/kinds.rs
@@ -27,11 +27,11 @@
 
 /// Shares by service and route.
 #[derive(Debug, Default)]
-pub struct Kinds {
+pub struct RunShares {
     shares: Mutex<HashMap<KindKey, Kind>>,
 }
 
-impl Kinds {
+impl RunShares {
     /// Notes a run of a route's request at a server whose requests take `average_ms`; 0 if that is
     /// unknown.
     pub fn note(&self, service: &Arc<str>, route: &Arc<str>, run_ms: f64, average_ms: f64) {
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -361,7 +361,8 @@
     pub fn answered(&self, run_ms: f64, found_free_slot: bool) {
         let now_ms = clock::now_ms();
         self.answered_ms.store(now_ms, Ordering::Relaxed);
-        self.attempt_stats().answered(run_ms, found_free_slot, now_ms);
+        self.attempt_stats()
+            .answered(run_ms, found_free_slot, now_ms);
     }
 
     /// Notes the pace that the server told another host at a time.
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -12,7 +12,7 @@
         choice::{self, HostCount},
         hold::{self, Hold, MoveRest, MoveWait},
         key_loads::KeyLoads,
-        kinds::Kinds,
+        kinds::RunShares,
         pace::Pace,
         plan::{self, PlanServer, Question},
     },
@@ -677,7 +677,7 @@
     const SHORT_EVERY_MS: f64 = 700.0;
     const LONG_EVERY_MS: f64 = 500.0 / (0.85 * SLOTS as f64);
     let mut rng = StdRng::seed_from_u64(11);
-    let kinds = Kinds::default();
+    let kinds = RunShares::default();
     let (service, short): (Arc<str>, Arc<str>) = ("s".into(), "short".into());
     for _ in 0..20 {
         kinds.note(&service, &short, 90.0, 460.0);
