--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -13,7 +13,7 @@
 //! | [`rate_limit`], [`rate_meter`], [`rate_parts`] | servers that name a rate which all hosts share |
 //! | [`quota`] | workspaces that ask for more than their quota |
 //! | [`trust`] | API keys that are added and revoked while hosts are cut off |
-//! | [`kinds`] | services that serve short and long requests |
+//! | [`run_shares`] | services that serve short and long requests |
 //! | [`admission`] | more requests for a server than it can answer in time |
 //! | [`choice`] | requests that any server of a service may run |
 //! | [`hot_keys`] | one key with more requests than any server can run |
@@ -37,7 +37,7 @@
 pub mod hold;
 pub mod hot_keys;
 pub mod key_loads;
-pub mod kinds;
+pub mod run_shares;
 pub mod notices;
 pub mod pace;
 pub mod path_tally;
--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -168,7 +168,7 @@
         if found_free_slot {
             let average_ms = server.run_ms();
             let (service, route) = (&self.service, &self.route.name);
-            entry.kinds.note(service, route, run_ms, average_ms);
+            entry.run_shares.note(service, route, run_ms, average_ms);
         }
         server.answered(run_ms, found_free_slot);
     }
--- a/src/entry/forward/passage.rs
+++ b/src/entry/forward/passage.rs
@@ -80,7 +80,7 @@
     pub(super) fn demand(&self, entry: &Entry) -> Demand {
         let objective_ms = self.times.objective_ms.saturating_sub(clock::now_ms());
         let run_share = if entry.settings.policy.runs_by_route {
-            entry.kinds.run_share(&self.service, &self.route.name)
+            entry.run_shares.run_share(&self.service, &self.route.name)
         } else {
             1.0
         };
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -57,7 +57,7 @@
 use self::{
     crashes::Crashes,
     decide::{
-        budget::RetryBudget, hot_keys::HotKeys, kinds::RunShares, rate_parts::AskedByHost,
+        budget::RetryBudget, hot_keys::HotKeys, run_shares::RunShares, rate_parts::AskedByHost,
         rests::Rests,
     },
     duty::Duty,
@@ -117,7 +117,7 @@
     /// What is asked of servers that name a limit, while this host has the duty.
     asked_by_host: Mutex<AskedByHost>,
     /// Run times by route.
-    pub kinds: RunShares,
+    pub run_shares: RunShares,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// This process stands in its host's row.
@@ -159,7 +159,7 @@
             noticed: Notify::new(),
             rests: Rests::default(),
             asked_by_host: Mutex::default(),
-            kinds: RunShares::default(),
+            run_shares: RunShares::default(),
             metrics: Metrics::default(),
             registered: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -12,9 +12,9 @@
         choice::{self, HostCount},
         hold::{self, Hold, MoveRest, MoveWait},
         key_loads::KeyLoads,
-        kinds::RunShares,
         pace::Pace,
         plan::{self, PlanServer, Question},
+        run_shares::RunShares,
     },
     keys::{Assignment, Holding, KeyRange},
 };
@@ -677,10 +677,10 @@
     const SHORT_EVERY_MS: f64 = 700.0;
     const LONG_EVERY_MS: f64 = 500.0 / (0.85 * SLOTS as f64);
     let mut rng = StdRng::seed_from_u64(11);
-    let kinds = RunShares::default();
+    let run_shares = RunShares::default();
     let (service, short): (Arc<str>, Arc<str>) = ("s".into(), "short".into());
     for _ in 0..20 {
-        kinds.note(&service, &short, 90.0, 460.0);
+        run_shares.note(&service, &short, 90.0, 460.0);
     }
     let mut ends_ms: Vec<f64> = Vec::new();
     let (mut earned, mut asked) = (Earned::default(), Earned::default());
@@ -706,7 +706,7 @@
                 objective_ms: 250,
                 deadline_ms: 600,
                 run_share: if policy.runs_by_route {
-                    kinds.run_share(&service, &short)
+                    run_shares.run_share(&service, &short)
                 } else {
                     1.0
                 },
