--- a/src/entry/decide/run_shares.rs
+++ b/src/entry/decide/run_shares.rs
@@ -23,12 +23,12 @@
 }
 
 /// Service and route.
-type KindKey = (Arc<str>, Arc<str>);
+type RouteKey = (Arc<str>, Arc<str>);
 
 /// Shares by service and route.
 #[derive(Debug, Default)]
 pub struct RunShares {
-    shares: Mutex<HashMap<KindKey, Kind>>,
+    shares: Mutex<HashMap<RouteKey, Kind>>,
 }
 
 impl RunShares {
@@ -55,7 +55,7 @@
             .map_or(1.0, |kind| kind.run_share)
     }
 
-    fn shares(&self) -> MutexGuard<'_, HashMap<KindKey, Kind>> {
+    fn shares(&self) -> MutexGuard<'_, HashMap<RouteKey, Kind>> {
         self.shares.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -57,8 +57,8 @@
 use self::{
     crashes::Crashes,
     decide::{
-        budget::RetryBudget, hot_keys::HotKeys, run_shares::RunShares, rate_parts::AskedByHost,
-        rests::Rests,
+        budget::RetryBudget, hot_keys::HotKeys, rate_parts::AskedByHost, rests::Rests,
+        run_shares::RunShares,
     },
     duty::Duty,
     forward::body::BodyMemory,
