--- a/src/entry/decide/run_shares.rs
+++ b/src/entry/decide/run_shares.rs
@@ -17,7 +17,7 @@
 
 /// What is known of one route's requests at one service.
 #[derive(Clone, Copy, Debug, Default)]
-struct Kind {
+struct RouteRunShare {
     run_share: f64,
     samples: u32,
 }
@@ -28,7 +28,7 @@
 /// Shares by service and route.
 #[derive(Debug, Default)]
 pub struct RunShares {
-    shares: Mutex<HashMap<RouteKey, Kind>>,
+    shares: Mutex<HashMap<RouteKey, RouteRunShare>>,
 }
 
 impl RunShares {
@@ -55,7 +55,7 @@
             .map_or(1.0, |kind| kind.run_share)
     }
 
-    fn shares(&self) -> MutexGuard<'_, HashMap<RouteKey, Kind>> {
+    fn shares(&self) -> MutexGuard<'_, HashMap<RouteKey, RouteRunShare>> {
         self.shares.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
