--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -18,7 +18,7 @@
 //! | [`choice`] | requests that any server of a service may run |
 //! | [`hot_keys`] | one key with more requests than any server can run |
 //! | [`hold`] | requests for keys that are on their way between servers |
-//! | [`return_time`] | when refused callers should come back |
+//! | [`retry_after`] | when refused callers should come back |
 //! | [`budget`] | repeats that would feed an overload |
 //! | [`crash_tally`], [`path_tally`], [`quarantine`], [`trials`] | a request that ends each server which runs it |
 //! | [`warmup`] | servers that have just started and bear little |
@@ -48,7 +48,7 @@
 pub mod rate_meter;
 pub mod rate_parts;
 pub mod rests;
-pub mod return_time;
+pub mod retry_after;
 pub mod run_shares;
 pub mod trials;
 pub mod trust;
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -15,7 +15,7 @@
             choice::{self, Question},
             hold::{self, Hold, MoveRest, MoveWait},
             rate_parts,
-            return_time::Refused,
+            retry_after::Refused,
         },
         news::followed::Followed,
         owners::Owner,
--- a/src/entry/forward/head.rs
+++ b/src/entry/forward/head.rs
@@ -4,7 +4,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode, Uri, header, response};
 
 use crate::{
-    entry::decide::return_time::Refused,
+    entry::decide::retry_after::Refused,
     platform::headers,
     transport::{AnswerBody, whole},
 };
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -20,7 +20,7 @@
 use super::{
     Entry,
     callers::Denied,
-    decide::{Policy, return_time::Refused},
+    decide::{Policy, retry_after::Refused},
     digest::RequestDigests,
     events::Event,
     model::{Configuration, Part, Route},
--- a/src/entry/forward/passage.rs
+++ b/src/entry/forward/passage.rs
@@ -14,7 +14,7 @@
     clock,
     entry::{
         Entry,
-        decide::{Candidate, Demand, return_time::Refused},
+        decide::{Candidate, Demand, retry_after::Refused},
         digest::RequestDigests,
         events::Event,
         model::{Configuration, Route},
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -5,7 +5,7 @@
 use ashroad::entry::decide::{
     Policy,
     rests::{Rests, awake},
-    return_time::Refused,
+    retry_after::Refused,
 };
 
 const SERVER: u32 = 7;
