--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -25,7 +25,7 @@
     /// Reason, for the caller and the log.
     pub reason: &'static str,
     /// Time after which the caller should come back.
-    pub return_ms: u64,
+    pub retry_after_ms: u64,
 }
 
 impl Refused {
@@ -38,7 +38,7 @@
     pub fn after(reason: &'static str, after_ms: u64, policy: &Policy) -> Self {
         Self {
             reason,
-            return_ms: after_ms.clamp(policy.return_min_ms, RETURN_MAX_MS),
+            retry_after_ms: after_ms.clamp(policy.return_min_ms, RETURN_MAX_MS),
         }
     }
 
@@ -47,7 +47,7 @@
     pub fn quarantined(rest_ms: u64) -> Self {
         Self {
             reason: "several servers have ended under the request",
-            return_ms: rest_ms,
+            retry_after_ms: rest_ms,
         }
     }
 
@@ -69,7 +69,7 @@
     pub fn over_quota() -> Self {
         Self {
             reason: "the workspace is over its quota",
-            return_ms: QUOTA_RETURN_MS,
+            retry_after_ms: QUOTA_RETURN_MS,
         }
     }
 
@@ -77,7 +77,7 @@
     pub fn starting(reason: &'static str) -> Self {
         Self {
             reason,
-            return_ms: START_MS,
+            retry_after_ms: START_MS,
         }
     }
 
@@ -96,7 +96,7 @@
         if server.load < server.slots {
             return Self {
                 reason,
-                return_ms: policy.return_shed_ms,
+                retry_after_ms: policy.return_shed_ms,
             };
         }
         Self::after(reason, typical_ms as u64, policy)
--- a/src/entry/forward/head.rs
+++ b/src/entry/forward/head.rs
@@ -84,7 +84,7 @@
 
 fn come_back(status: StatusCode, refused: &Refused) -> Response<AnswerBody> {
     let mut response = plain(status, refused.reason);
-    let seconds = refused.return_ms as f64 / 1000.0;
+    let seconds = refused.retry_after_ms as f64 / 1000.0;
     match HeaderValue::from_str(&format!("{seconds:.2}")) {
         Ok(after) => {
             response.headers_mut().insert(header::RETRY_AFTER, after);
