--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -4,7 +4,7 @@
 use super::{Candidate, Policy, hot_keys::HotKey};
 
 /// Longest time after which a caller should come back.
-const RETURN_MAX_MS: u64 = 5_000;
+const RETRY_AFTER_MAX_MS: u64 = 5_000;
 /// Time after which a host that has just started knows what it needs.
 const START_MS: u64 = 500;
 
@@ -38,7 +38,7 @@
     pub fn after(reason: &'static str, after_ms: u64, policy: &Policy) -> Self {
         Self {
             reason,
-            retry_after_ms: after_ms.clamp(policy.return_min_ms, RETURN_MAX_MS),
+            retry_after_ms: after_ms.clamp(policy.return_min_ms, RETRY_AFTER_MAX_MS),
         }
     }
 
