--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -6,7 +6,7 @@
 /// Longest time after which a caller should come back.
 const RETRY_AFTER_MAX_MS: u64 = 5_000;
 /// Time after which a host that has just started knows what it needs.
-const START_MS: u64 = 500;
+const START_RETRY_MS: u64 = 500;
 
 /// Time after which the keys of a server that wants a rest are at another one, if it wants it of many hosts: 33 to 112
 /// ms after the first answer in 36 of 40 moves, with three hosts on one machine.
@@ -77,7 +77,7 @@
     pub fn starting(reason: &'static str) -> Self {
         Self {
             reason,
-            retry_after_ms: START_MS,
+            retry_after_ms: START_RETRY_MS,
         }
     }
 
