--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -17,7 +17,7 @@
 const LIMIT_MOVE_MS: u64 = 300;
 
 /// Time after which a workspace that is over its quota may send again.
-const QUOTA_RETURN_MS: u64 = 1_000;
+const QUOTA_RETRY_MS: u64 = 1_000;
 
 /// Why a request is refused. It has not run.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -69,7 +69,7 @@
     pub fn over_quota() -> Self {
         Self {
             reason: "the workspace is over its quota",
-            retry_after_ms: QUOTA_RETURN_MS,
+            retry_after_ms: QUOTA_RETRY_MS,
         }
     }
 
