--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -17,7 +17,7 @@
 
 /// What a server said of its rate, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitWord {
+pub struct AdvertisedLimit {
     /// Requests a second from all hosts together; `None` if it takes any rate.
     pub per_s: Option<f64>,
     /// When its answer came, by this host's clock.
@@ -28,9 +28,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RateLimit {
     /// Its latest word to any host.
-    latest: Option<LimitWord>,
+    latest: Option<AdvertisedLimit>,
     /// Its latest word to this host.
-    own: Option<LimitWord>,
+    own: Option<AdvertisedLimit>,
     /// When it first took any rate again after it had named a limit. A server that gets little says so long after its last
     /// word of the limit.
     ended_ms: Option<u64>,
@@ -40,13 +40,13 @@
 
 impl RateLimit {
     /// Takes in what the server said to this host.
-    pub fn note_own(&mut self, word: LimitWord) {
+    pub fn note_own(&mut self, word: AdvertisedLimit) {
         self.own = Some(word);
         self.note(word);
     }
 
     /// Takes in what the server said to any host; an earlier word than the latest one is no news.
-    pub fn note(&mut self, word: LimitWord) {
+    pub fn note(&mut self, word: AdvertisedLimit) {
         if self.latest.is_some_and(|latest| word.at_ms < latest.at_ms) {
             return;
         }
@@ -93,13 +93,13 @@
     }
 
     /// Its latest word to any host.
-    pub fn latest(&self) -> Option<LimitWord> {
+    pub fn latest(&self) -> Option<AdvertisedLimit> {
         self.latest
     }
 
     /// Its latest word to this host, which is all that a host reports. A word that came from others would go round
     /// between the hosts, a little younger each time, and outlive the end of the limit.
-    pub fn own(&self) -> Option<LimitWord> {
+    pub fn own(&self) -> Option<AdvertisedLimit> {
         self.own
     }
 
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -8,7 +8,7 @@
 
 use super::{
     Entry,
-    decide::rate_limit::LimitWord,
+    decide::rate_limit::AdvertisedLimit,
     events::Event,
     model::ToldLimit,
     peers::message::{Message, RATES_MAX, ServerRate, ToldRate},
@@ -30,7 +30,7 @@
             ToldLimit::Unknown => return,
         };
         let at_ms = clock::now_ms();
-        let is_change = server.rate.note_own_word(LimitWord { per_s, at_ms });
+        let is_change = server.rate.note_own_word(AdvertisedLimit { per_s, at_ms });
         log_change(server, is_change, "its answer");
     }
 
@@ -120,7 +120,7 @@
         let registry = self.view.registry();
         for rate in rates {
             let Some(told) = rate.told else { continue };
-            let word = LimitWord {
+            let word = AdvertisedLimit {
                 per_s: told.limit_per_s,
                 at_ms: now_ms.saturating_sub(u64::from(told.age_ms)),
             };
@@ -131,7 +131,7 @@
     }
 }
 
-fn told(word: Option<LimitWord>, now_ms: u64) -> Option<ToldRate> {
+fn told(word: Option<AdvertisedLimit>, now_ms: u64) -> Option<ToldRate> {
     let word = word?;
     Some(ToldRate {
         limit_per_s: word.per_s,
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -4,7 +4,7 @@
 
 use super::decide::{
     notices::Notices,
-    rate_limit::LimitWord,
+    rate_limit::AdvertisedLimit,
     rate_meter::RateMeter,
     rate_parts::{Asked, AskedRates, Bucket, Part},
 };
@@ -37,14 +37,14 @@
     }
 
     /// Takes in the rate that an answer to this host named; true if that is worth a log line.
-    pub fn note_own_word(&self, word: LimitWord) -> bool {
+    pub fn note_own_word(&self, word: AdvertisedLimit) -> bool {
         let mut notices = self.notices();
         notices.rate_limit.note_own(word);
         notices.rate_limit.take_change()
     }
 
     /// The same of an answer to another host.
-    pub fn note_word(&self, word: LimitWord) -> bool {
+    pub fn note_word(&self, word: AdvertisedLimit) -> bool {
         let mut notices = self.notices();
         notices.rate_limit.note(word);
         notices.rate_limit.take_change()
@@ -71,12 +71,12 @@
     }
 
     /// Its latest word of a rate to any host.
-    pub fn latest(&self) -> Option<LimitWord> {
+    pub fn latest(&self) -> Option<AdvertisedLimit> {
         self.notices().rate_limit.latest()
     }
 
     /// Its latest word of a rate to this host.
-    pub fn own(&self) -> Option<LimitWord> {
+    pub fn own(&self) -> Option<AdvertisedLimit> {
         self.notices().rate_limit.own()
     }
 
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -7,7 +7,7 @@
 };
 
 use ashroad::entry::decide::{
-    rate_limit::{LimitWord, RateLimit},
+    rate_limit::{AdvertisedLimit, RateLimit},
     rate_meter::RateMeter,
     rate_parts::{self, Asked, AskedByHost, AskedRates, Bucket},
 };
@@ -339,7 +339,7 @@
 
 #[test]
 fn the_latest_word_counts_and_silence_ends_nothing_at_once() {
-    let word = |per_s, at_ms| LimitWord { per_s, at_ms };
+    let word = |per_s, at_ms| AdvertisedLimit { per_s, at_ms };
     let mut limit = RateLimit::default();
     limit.note(word(None, 1_000));
     assert_eq!((limit.per_s(), limit.is_news(1_000)), (None, false));
@@ -368,13 +368,13 @@
     const ENDED_MS: u64 = 20_000;
     for tells in [RateLimit::note_own, RateLimit::note] {
         let mut limit = RateLimit::default();
-        limit.note(LimitWord {
+        limit.note(AdvertisedLimit {
             per_s: Some(20.0),
             at_ms: 1_000,
         });
         tells(
             &mut limit,
-            LimitWord {
+            AdvertisedLimit {
                 per_s: None,
                 at_ms: ENDED_MS,
             },
@@ -432,7 +432,7 @@
 #[test]
 fn a_server_that_takes_nothing_is_tried_now_and_then() {
     let mut limit = RateLimit::default();
-    limit.note(LimitWord {
+    limit.note(AdvertisedLimit {
         per_s: Some(0.0),
         at_ms: 10_000,
     });
