--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -40,20 +40,23 @@
 
 impl RateLimit {
     /// Takes in what the server said to this host.
-    pub fn note_own(&mut self, word: AdvertisedLimit) {
-        self.own = Some(word);
-        self.note(word);
+    pub fn note_own(&mut self, advertised: AdvertisedLimit) {
+        self.own = Some(advertised);
+        self.note(advertised);
     }
 
     /// Takes in what the server said to any host; an earlier word than the latest one is no news.
-    pub fn note(&mut self, word: AdvertisedLimit) {
-        if self.latest.is_some_and(|latest| word.at_ms < latest.at_ms) {
+    pub fn note(&mut self, advertised: AdvertisedLimit) {
+        if self
+            .latest
+            .is_some_and(|latest| advertised.at_ms < latest.at_ms)
+        {
             return;
         }
-        if word.per_s.is_none() && self.per_s().is_some() {
-            self.ended_ms = Some(word.at_ms);
+        if advertised.per_s.is_none() && self.per_s().is_some() {
+            self.ended_ms = Some(advertised.at_ms);
         }
-        self.latest = Some(word);
+        self.latest = Some(advertised);
     }
 
     /// Requests a second that it takes; `None` if it takes any rate.
@@ -64,7 +67,7 @@
     /// True if nothing was heard of its limit for a while.
     pub fn is_unheard(&self, now_ms: u64) -> bool {
         let latest = self.latest;
-        latest.is_some_and(|word| now_ms >= word.at_ms + TRIED_AFTER_MS)
+        latest.is_some_and(|advertised| now_ms >= advertised.at_ms + TRIED_AFTER_MS)
     }
 
     /// Requests a second that hosts share; `None` if it takes any rate.
