--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -65,7 +65,7 @@
     }
 
     /// True if nothing was heard of its limit for a while.
-    pub fn is_unheard(&self, now_ms: u64) -> bool {
+    pub fn is_stale(&self, now_ms: u64) -> bool {
         let latest = self.latest;
         latest.is_some_and(|advertised| now_ms >= advertised.at_ms + TRIED_AFTER_MS)
     }
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -67,7 +67,7 @@
 
 /// True if a limited server was not heard for a while, so that a request which may go there should.
 fn is_due(server: &Server) -> bool {
-    server.rate.limit_per_s().is_some() && server.rate.is_unheard()
+    server.rate.limit_per_s().is_some() && server.rate.is_stale()
 }
 
 /// True if a request that only one server may serve can go there by the rate that it takes.
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -56,8 +56,8 @@
     }
 
     /// True if nothing was heard of its limit for a while.
-    pub fn is_unheard(&self) -> bool {
-        self.notices().rate_limit.is_unheard(clock::now_ms())
+    pub fn is_stale(&self) -> bool {
+        self.notices().rate_limit.is_stale(clock::now_ms())
     }
 
     /// Requests a second that it takes, for the planner.
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -436,9 +436,9 @@
         per_s: Some(0.0),
         at_ms: 10_000,
     });
-    assert!(!limit.is_unheard(11_000));
+    assert!(!limit.is_stale(11_000));
     assert_eq!(limit.shared_per_s(11_000), Some(0.25));
-    assert!(limit.is_unheard(12_000));
+    assert!(limit.is_stale(12_000));
     assert_eq!(limit.shared_per_s(12_000), Some(0.5));
     assert_eq!(limit.shared_per_s(600_000), Some(1.0));
 }
