--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -90,7 +90,7 @@
     }
 
     /// True if other hosts should hear of it: it names a limit, or has done so lately.
-    pub fn is_news(&self, now_ms: u64) -> bool {
+    pub fn should_announce(&self, now_ms: u64) -> bool {
         let is_fresh = |ended_ms| now_ms < ended_ms + END_TOLD_MS;
         self.per_s().is_some() || self.ended_ms.is_some_and(is_fresh)
     }
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -53,7 +53,9 @@
     fn own_rates(&self) -> Vec<ServerRate> {
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
-        let limited = registry.servers().filter(|s| s.rate.is_news(now_ms));
+        let limited = registry
+            .servers()
+            .filter(|s| s.rate.should_announce(now_ms));
         let rates = limited.map(|server| ServerRate {
             server_tag: server.tag,
             told: told(server.rate.own(), now_ms),
@@ -88,7 +90,9 @@
         let now_ms = clock::now_ms();
         let rates: Vec<ServerRate> = {
             let registry = self.view.registry();
-            let limited = registry.servers().filter(|s| s.rate.is_news(now_ms));
+            let limited = registry
+                .servers()
+                .filter(|s| s.rate.should_announce(now_ms));
             let mut asked = self.asked_by_host();
             let rates = limited.map(|server| ServerRate {
                 server_tag: server.tag,
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -66,8 +66,8 @@
     }
 
     /// True if other hosts should hear of the rate that it takes.
-    pub fn is_news(&self, now_ms: u64) -> bool {
-        self.notices().rate_limit.is_news(now_ms)
+    pub fn should_announce(&self, now_ms: u64) -> bool {
+        self.notices().rate_limit.should_announce(now_ms)
     }
 
     /// Its latest word of a rate to any host.
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -342,7 +342,7 @@
     let word = |per_s, at_ms| AdvertisedLimit { per_s, at_ms };
     let mut limit = RateLimit::default();
     limit.note(word(None, 1_000));
-    assert_eq!((limit.per_s(), limit.is_news(1_000)), (None, false));
+    assert_eq!((limit.per_s(), limit.should_announce(1_000)), (None, false));
     limit.note(word(Some(8.0), 2_000));
     limit.note(word(None, 1_500));
     assert_eq!(limit.per_s(), Some(8.0), "an earlier answer is no news");
@@ -355,8 +355,8 @@
     assert_eq!(limit.per_s(), None);
     assert_eq!(limit.planned_per_s(24_000), None);
     assert!(limit.take_change());
-    assert!(limit.is_news(28_999), "its end is told");
-    assert!(!limit.is_news(29_000));
+    assert!(limit.should_announce(28_999), "its end is told");
+    assert!(!limit.should_announce(29_000));
     assert_eq!(limit.own(), None, "other hosts said all that");
     limit.note_own(word(Some(3.0), 25_000));
     assert_eq!(limit.own(), limit.latest());
@@ -379,8 +379,11 @@
                 at_ms: ENDED_MS,
             },
         );
-        assert!(limit.is_news(ENDED_MS + 1_000), "others are not told");
-        assert!(!limit.is_news(ENDED_MS + 10_000), "told for good");
+        assert!(
+            limit.should_announce(ENDED_MS + 1_000),
+            "others are not told"
+        );
+        assert!(!limit.should_announce(ENDED_MS + 10_000), "told for good");
     }
 }
 
