--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -11,7 +11,7 @@
 /// else a server that is chosen for nothing would keep its limit for good.
 const TRIED_AFTER_MS: u64 = 2_000;
 /// Time without a word after which the planner lets a server try more.
-const UNHEARD_MS: u64 = 10_000;
+const PLAN_PROBE_AFTER_MS: u64 = 10_000;
 /// Change of a rate that is worth a log line, as a share.
 const CHANGE_LOGGED: f64 = 0.1;
 
@@ -84,7 +84,7 @@
     pub fn planned_per_s(&self, now_ms: u64) -> Option<f64> {
         let latest = self.latest?;
         let silent_ms = now_ms.saturating_sub(latest.at_ms);
-        let doubled = (silent_ms / UNHEARD_MS).min(32);
+        let doubled = (silent_ms / PLAN_PROBE_AFTER_MS).min(32);
         let tried_per_s = latest.per_s?.max(TRIED_PER_S);
         Some(tried_per_s * (1u64 << doubled) as f64)
     }
