--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -4,7 +4,7 @@
 /// Least rate that is tried, so that the end of a rate of 0 is heard. It doubles with each [`TRIED_AFTER_MS`] without a word,
 /// up to the most, which the users' bound leaves room for in any case.
 const PROBE_MIN_PER_S: f64 = 0.25;
-const TRIED_MOST_PER_S: f64 = 1.0;
+const PROBE_MAX_PER_S: f64 = 1.0;
 /// Time for which the end of a limit is told.
 const END_TOLD_MS: u64 = 5_000;
 /// Time without a word after which a request that may go to the server does so, whichever other one would suit it better:
@@ -75,7 +75,7 @@
         let latest = self.latest?;
         let silent_ms = now_ms.saturating_sub(latest.at_ms);
         let doubled = (silent_ms / TRIED_AFTER_MS) as f64;
-        let tried_per_s = (PROBE_MIN_PER_S * doubled.exp2()).min(TRIED_MOST_PER_S);
+        let tried_per_s = (PROBE_MIN_PER_S * doubled.exp2()).min(PROBE_MAX_PER_S);
         Some(latest.per_s?.max(tried_per_s))
     }
 
