--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -1,7 +1,7 @@
 //! Servers that name a rate in their answers: the requests a second that they take from all hosts together, for as
 //! long as they say so.
 
-/// Least rate that is tried, so that the end of a rate of 0 is heard. It doubles with each [`TRIED_AFTER_MS`] without a word,
+/// Least rate that is tried, so that the end of a rate of 0 is heard. It doubles with each [`PROBE_AFTER_MS`] without a word,
 /// up to the most, which the users' bound leaves room for in any case.
 const PROBE_MIN_PER_S: f64 = 0.25;
 const PROBE_MAX_PER_S: f64 = 1.0;
@@ -9,7 +9,7 @@
 const END_TOLD_MS: u64 = 5_000;
 /// Time without a word after which a request that may go to the server does so, whichever other one would suit it better:
 /// else a server that is chosen for nothing would keep its limit for good.
-const TRIED_AFTER_MS: u64 = 2_000;
+const PROBE_AFTER_MS: u64 = 2_000;
 /// Time without a word after which the planner lets a server try more.
 const PLAN_PROBE_AFTER_MS: u64 = 10_000;
 /// Change of a rate that is worth a log line, as a share.
@@ -67,14 +67,14 @@
     /// True if nothing was heard of its limit for a while.
     pub fn is_stale(&self, now_ms: u64) -> bool {
         let latest = self.latest;
-        latest.is_some_and(|advertised| now_ms >= advertised.at_ms + TRIED_AFTER_MS)
+        latest.is_some_and(|advertised| now_ms >= advertised.at_ms + PROBE_AFTER_MS)
     }
 
     /// Requests a second that hosts share; `None` if it takes any rate.
     pub fn shared_per_s(&self, now_ms: u64) -> Option<f64> {
         let latest = self.latest?;
         let silent_ms = now_ms.saturating_sub(latest.at_ms);
-        let doubled = (silent_ms / TRIED_AFTER_MS) as f64;
+        let doubled = (silent_ms / PROBE_AFTER_MS) as f64;
         let tried_per_s = (PROBE_MIN_PER_S * doubled.exp2()).min(PROBE_MAX_PER_S);
         Some(latest.per_s?.max(tried_per_s))
     }
