--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -75,8 +75,8 @@
         let latest = self.latest?;
         let silent_ms = now_ms.saturating_sub(latest.at_ms);
         let doubled = (silent_ms / PROBE_AFTER_MS) as f64;
-        let tried_per_s = (PROBE_MIN_PER_S * doubled.exp2()).min(PROBE_MAX_PER_S);
-        Some(latest.per_s?.max(tried_per_s))
+        let probe_per_s = (PROBE_MIN_PER_S * doubled.exp2()).min(PROBE_MAX_PER_S);
+        Some(latest.per_s?.max(probe_per_s))
     }
 
     /// Requests a second that it takes, for the planner. A server without a word for long may have no keys that would bring one: what it is
@@ -85,8 +85,8 @@
         let latest = self.latest?;
         let silent_ms = now_ms.saturating_sub(latest.at_ms);
         let doubled = (silent_ms / PLAN_PROBE_AFTER_MS).min(32);
-        let tried_per_s = latest.per_s?.max(PROBE_MIN_PER_S);
-        Some(tried_per_s * (1u64 << doubled) as f64)
+        let probe_per_s = latest.per_s?.max(PROBE_MIN_PER_S);
+        Some(probe_per_s * (1u64 << doubled) as f64)
     }
 
     /// True if other hosts should hear of it: it names a limit, or has done so lately.
