--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -6,7 +6,7 @@
 const PROBE_MIN_PER_S: f64 = 0.25;
 const PROBE_MAX_PER_S: f64 = 1.0;
 /// Time for which the end of a limit is told.
-const END_TOLD_MS: u64 = 5_000;
+const END_ANNOUNCED_MS: u64 = 5_000;
 /// Time without a word after which a request that may go to the server does so, whichever other one would suit it better:
 /// else a server that is chosen for nothing would keep its limit for good.
 const PROBE_AFTER_MS: u64 = 2_000;
@@ -91,7 +91,7 @@
 
     /// True if other hosts should hear of it: it names a limit, or has done so lately.
     pub fn should_announce(&self, now_ms: u64) -> bool {
-        let is_fresh = |ended_ms| now_ms < ended_ms + END_TOLD_MS;
+        let is_fresh = |ended_ms| now_ms < ended_ms + END_ANNOUNCED_MS;
         self.per_s().is_some() || self.ended_ms.is_some_and(is_fresh)
     }
 
