--- a/src/entry/decide/warmup.rs
+++ b/src/entry/decide/warmup.rs
@@ -23,12 +23,12 @@
 
 /// Turns of one host at one cold server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Turns {
+pub struct WarmupWindows {
     /// When the next turn begins; `None` before the first is drawn.
     next_ms: Option<u64>,
 }
 
-impl Turns {
+impl WarmupWindows {
     /// True while a request may be sent. `phase` from 0 to 1 is the part of the interval after which
     /// the first turn begins.
     pub fn is_open(&mut self, every_ms: u64, phase: f64, now_ms: u64) -> bool {
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -14,7 +14,7 @@
         attempt_stats::AttemptStats,
         notices::{Learned, Notices},
         pace::Pace,
-        warmup::{self, Turns},
+        warmup::{self, WarmupWindows},
     },
     digest::RequestDigests,
     events::Event,
@@ -44,7 +44,7 @@
     told_cold_ms: AtomicU64,
     /// Shared with what is kept of it while its entry is gone.
     notices: Arc<Mutex<Notices>>,
-    turns: Mutex<Turns>,
+    turns: Mutex<WarmupWindows>,
     own: AtomicU32,
     others: AtomicU32,
     shared_run_us: AtomicU64,
@@ -406,7 +406,7 @@
         self.notices.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn turns(&self) -> MutexGuard<'_, Turns> {
+    fn turns(&self) -> MutexGuard<'_, WarmupWindows> {
         self.turns.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -7,7 +7,7 @@
     entry::{
         decide::{
             notices::Notices,
-            warmup::{Turns, turn_every_ms},
+            warmup::{WarmupWindows, turn_every_ms},
         },
         digest::{RequestDigest, RequestDigests},
         model::{Notice, ServerEntry, Warmup, incarnation_id},
@@ -328,10 +328,10 @@
 /// are about as many hosts as there are.
 fn most_in_a_second(hosts: usize, per_s: f64, asked_per_s: f64, rng: &mut StdRng) -> usize {
     const LENGTH_MS: f64 = 10_000.0;
-    let mut turns: Vec<(Turns, u64)> = (0..hosts)
+    let mut turns: Vec<(WarmupWindows, u64)> = (0..hosts)
         .map(|_| {
             let known = (hosts as f64 * rng.random_range(0.8..1.1)).ceil() as usize;
-            (Turns::default(), turn_every_ms(per_s, known))
+            (WarmupWindows::default(), turn_every_ms(per_s, known))
         })
         .collect();
     for (turns, every_ms) in &mut turns {
