--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -44,7 +44,7 @@
     told_cold_ms: AtomicU64,
     /// Shared with what is kept of it while its entry is gone.
     notices: Arc<Mutex<Notices>>,
-    turns: Mutex<WarmupWindows>,
+    warmup_windows: Mutex<WarmupWindows>,
     own: AtomicU32,
     others: AtomicU32,
     shared_run_us: AtomicU64,
@@ -105,7 +105,7 @@
             told_cold_ms: AtomicU64::new(entry.cold_ms),
             rate: SharedRate::new(notices.clone()),
             notices,
-            turns: Mutex::default(),
+            warmup_windows: Mutex::default(),
             own: AtomicU32::new(0),
             others: AtomicU32::new(0),
             shared_run_us: AtomicU64::new(0),
@@ -213,14 +213,14 @@
         let Some(rule) = rule.filter(|_| self.cold_rest_ms() > 0) else {
             return false;
         };
-        let mut turns = self.turns();
-        !turns.is_open(rule.turn_every_ms, rand::random(), clock::now_ms())
+        let mut warmup_windows = self.warmup_windows();
+        !warmup_windows.is_open(rule.turn_every_ms, rand::random(), clock::now_ms())
     }
 
     /// Notes that a request is about to be sent, which uses a turn if it is cold.
     pub fn take_turn(&self, rule: Option<ColdRule>) {
         if let Some(rule) = rule.filter(|_| self.cold_rest_ms() > 0) {
-            self.turns().take(rule.turn_every_ms);
+            self.warmup_windows().take(rule.turn_every_ms);
         }
     }
 
@@ -406,8 +406,10 @@
         self.notices.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn turns(&self) -> MutexGuard<'_, WarmupWindows> {
-        self.turns.lock().unwrap_or_else(PoisonError::into_inner)
+    fn warmup_windows(&self) -> MutexGuard<'_, WarmupWindows> {
+        self.warmup_windows
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn runs(&self) -> MutexGuard<'_, Runs> {
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -328,14 +328,14 @@
 /// are about as many hosts as there are.
 fn most_in_a_second(hosts: usize, per_s: f64, asked_per_s: f64, rng: &mut StdRng) -> usize {
     const LENGTH_MS: f64 = 10_000.0;
-    let mut turns: Vec<(WarmupWindows, u64)> = (0..hosts)
+    let mut warmup_windows: Vec<(WarmupWindows, u64)> = (0..hosts)
         .map(|_| {
             let known = (hosts as f64 * rng.random_range(0.8..1.1)).ceil() as usize;
             (WarmupWindows::default(), turn_every_ms(per_s, known))
         })
         .collect();
-    for (turns, every_ms) in &mut turns {
-        turns.is_open(*every_ms, rng.random(), 0);
+    for (warmup_windows, every_ms) in &mut warmup_windows {
+        warmup_windows.is_open(*every_ms, rng.random(), 0);
     }
     let mut sent_ms = Vec::new();
     // The demand begins at some moment, when turns may have gone unused.
@@ -349,9 +349,9 @@
         } else {
             rng.random_range(0..hosts)
         };
-        let (turns, every_ms) = &mut turns[host];
-        if turns.is_open(*every_ms, 0.0, now_ms) {
-            turns.take(*every_ms);
+        let (warmup_windows, every_ms) = &mut warmup_windows[host];
+        if warmup_windows.is_open(*every_ms, 0.0, now_ms) {
+            warmup_windows.take(*every_ms);
             sent_ms.push(now_ms);
         }
     }
