--- a/src/entry/decide/warmup.rs
+++ b/src/entry/decide/warmup.rs
@@ -16,7 +16,7 @@
 const TURN_MS: u64 = 300;
 
 /// Time from one turn of a host at a cold server to the next.
-pub fn turn_every_ms(per_s: f64, hosts: usize) -> u64 {
+pub fn window_every_ms(per_s: f64, hosts: usize) -> u64 {
     let per_s = (per_s * SHARE_USED).max(0.001);
     (1_000.0 * hosts.max(1) as f64 / per_s) as u64
 }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -70,14 +70,14 @@
 /// What the servers of a service bear while they are cold, and how many hosts share that.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdRule {
-    turn_every_ms: u64,
+    window_every_ms: u64,
 }
 
 impl ColdRule {
     /// The rule for a host that knows so many hosts, itself included.
     pub fn new(warmup: Warmup, hosts: usize) -> Self {
         Self {
-            turn_every_ms: warmup::turn_every_ms(warmup.per_s, hosts),
+            window_every_ms: warmup::window_every_ms(warmup.per_s, hosts),
         }
     }
 }
@@ -214,13 +214,13 @@
             return false;
         };
         let mut warmup_windows = self.warmup_windows();
-        !warmup_windows.is_open(rule.turn_every_ms, rand::random(), clock::now_ms())
+        !warmup_windows.is_open(rule.window_every_ms, rand::random(), clock::now_ms())
     }
 
     /// Notes that a request is about to be sent, which uses a turn if it is cold.
     pub fn take_turn(&self, rule: Option<ColdRule>) {
         if let Some(rule) = rule.filter(|_| self.cold_rest_ms() > 0) {
-            self.warmup_windows().take(rule.turn_every_ms);
+            self.warmup_windows().take(rule.window_every_ms);
         }
     }
 
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -7,7 +7,7 @@
     entry::{
         decide::{
             notices::Notices,
-            warmup::{WarmupWindows, turn_every_ms},
+            warmup::{WarmupWindows, window_every_ms},
         },
         digest::{RequestDigest, RequestDigests},
         model::{Notice, ServerEntry, Warmup, incarnation_id},
@@ -331,7 +331,7 @@
     let mut warmup_windows: Vec<(WarmupWindows, u64)> = (0..hosts)
         .map(|_| {
             let known = (hosts as f64 * rng.random_range(0.8..1.1)).ceil() as usize;
-            (WarmupWindows::default(), turn_every_ms(per_s, known))
+            (WarmupWindows::default(), window_every_ms(per_s, known))
         })
         .collect();
     for (warmup_windows, every_ms) in &mut warmup_windows {
