--- a/src/entry/decide/warmup.rs
+++ b/src/entry/decide/warmup.rs
@@ -13,7 +13,7 @@
 const SHARE_USED: f64 = 0.7;
 /// Length of a turn. A host with 10 requests a second for a service uses nearly all of its turns, and
 /// what a sudden demand can find unused of 74 hosts is one or two turns.
-const TURN_MS: u64 = 300;
+const WINDOW_MS: u64 = 300;
 
 /// Time from one turn of a host at a cold server to the next.
 pub fn window_every_ms(per_s: f64, hosts: usize) -> u64 {
@@ -35,8 +35,8 @@
         let every_ms = every_ms.max(1);
         let first_ms = now_ms + (phase * every_ms as f64) as u64;
         let mut next_ms = *self.next_ms.get_or_insert(first_ms);
-        if now_ms >= next_ms + TURN_MS {
-            let missed = (now_ms - next_ms - TURN_MS) / every_ms + 1;
+        if now_ms >= next_ms + WINDOW_MS {
+            let missed = (now_ms - next_ms - WINDOW_MS) / every_ms + 1;
             next_ms += missed * every_ms;
             self.next_ms = Some(next_ms);
         }
