--- a/src/entry/decide/rate_parts.rs
+++ b/src/entry/decide/rate_parts.rs
@@ -57,7 +57,7 @@
 
 /// A host's part of a rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Part {
+pub struct RateShare {
     /// Rate of its bucket.
     pub bucket_per_s: f64,
     /// Probability of a ticket.
@@ -126,11 +126,11 @@
     }
 
     /// The part for a request of a host that shares a rate with `hosts`, itself included.
-    pub fn part(&self, shared_per_s: f64, hosts: usize, is_urgent: bool, now_ms: u64) -> Part {
+    pub fn part(&self, shared_per_s: f64, hosts: usize, is_urgent: bool, now_ms: u64) -> RateShare {
         let own = self.own(now_ms);
         let all = self.all(own, hosts, now_ms);
         let share = own.all_per_s / all.all_per_s.max(f64::MIN_POSITIVE);
-        Part {
+        RateShare {
             bucket_per_s: shared_per_s * BUCKET_SHARE * share,
             ticket: all.ticket(shared_per_s * TICKET_SHARE, is_urgent),
         }
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -6,7 +6,7 @@
     notices::Notices,
     rate_limit::AdvertisedLimit,
     rate_meter::RateMeter,
-    rate_parts::{Asked, AskedRates, Bucket, Part},
+    rate_parts::{Asked, AskedRates, Bucket, RateShare},
 };
 use crate::clock;
 
@@ -96,7 +96,7 @@
     }
 
     /// This host's part for a request of the rate that it takes, shared with so many hosts; `None` if it takes any rate.
-    pub fn part(&self, hosts: usize, is_urgent: bool) -> Option<Part> {
+    pub fn part(&self, hosts: usize, is_urgent: bool) -> Option<RateShare> {
         let now_ms = clock::now_ms();
         let shared_per_s = self.notices().rate_limit.shared_per_s(now_ms)?;
         let share = self.share();
@@ -104,7 +104,7 @@
     }
 
     /// True if this host's part leaves room for a request now.
-    pub fn has_token(&self, part: Part) -> bool {
+    pub fn has_token(&self, part: RateShare) -> bool {
         let bucket = &mut self.share().bucket;
         bucket.has_token(part.bucket_per_s, clock::now_ms())
     }
