--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -10,7 +10,7 @@
 //! | [`pace`] | servers that run slower for a moment |
 //! | [`attempt_stats`] | servers that are slow, fail or cannot be reached |
 //! | [`notices`] | servers that say in their answers that they leave, or want a rest |
-//! | [`rate_limit`], [`rate_meter`], [`rate_parts`] | servers that name a rate which all hosts share |
+//! | [`rate_limit`], [`rate_meter`], [`rate_shares`] | servers that name a rate which all hosts share |
 //! | [`quota`] | workspaces that ask for more than their quota |
 //! | [`trust`] | API keys that are added and revoked while hosts are cut off |
 //! | [`run_shares`] | services that serve short and long requests |
@@ -46,7 +46,7 @@
 pub mod quota;
 pub mod rate_limit;
 pub mod rate_meter;
-pub mod rate_parts;
+pub mod rate_shares;
 pub mod rests;
 pub mod retry_after;
 pub mod run_shares;
--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{rate_meter::RateMeter, rate_parts::Bucket};
+use super::{rate_meter::RateMeter, rate_shares::Bucket};
 
 /// Requests that a workspace may send.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -14,7 +14,7 @@
             admission,
             choice::{self, Question},
             hold::{self, Hold, MoveRest, MoveWait},
-            rate_parts,
+            rate_shares,
             retry_after::Refused,
         },
         news::followed::Followed,
@@ -58,7 +58,7 @@
             return true;
         };
         server.rate.note_asked(is_urgent);
-        let has_ticket = rate_parts::has_ticket(point, before, part.ticket);
+        let has_ticket = rate_shares::has_ticket(point, before, part.ticket);
         before += part.ticket;
         has_ticket && server.rate.has_token(part)
     };
@@ -75,7 +75,7 @@
     let Some(part) = server.rate.part(hosts, is_urgent) else {
         return true;
     };
-    rate_parts::has_ticket(rand::random(), 0.0, part.ticket) && server.rate.has_token(part)
+    rate_shares::has_ticket(rand::random(), 0.0, part.ticket) && server.rate.has_token(part)
 }
 
 impl Passage<'_> {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -57,7 +57,7 @@
 use self::{
     crashes::Crashes,
     decide::{
-        budget::RetryBudget, hot_keys::HotKeys, rate_parts::AskedByHost, rests::Rests,
+        budget::RetryBudget, hot_keys::HotKeys, rate_shares::AskedByHost, rests::Rests,
         run_shares::RunShares,
     },
     duty::Duty,
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -9,7 +9,7 @@
         hot_keys::HotKey,
         path_tally::SharedSuspect,
         quota::{Admitted, Use},
-        rate_parts::AskedRates,
+        rate_shares::AskedRates,
         trials::Claimed,
     },
     digest::RequestDigest,
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -6,7 +6,7 @@
     notices::Notices,
     rate_limit::AdvertisedLimit,
     rate_meter::RateMeter,
-    rate_parts::{Asked, AskedRates, Bucket, RateShare},
+    rate_shares::{Asked, AskedRates, Bucket, RateShare},
 };
 use crate::clock;
 
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -5,7 +5,7 @@
 use ashroad::entry::{
     decide::{
         path_tally::{SharedSuspect, Width},
-        rate_parts::AskedRates,
+        rate_shares::AskedRates,
     },
     digest::RequestDigest,
     news::configuration_pieces::{Assembly, Piece, cut},
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -9,7 +9,7 @@
 use ashroad::entry::decide::{
     rate_limit::{AdvertisedLimit, RateLimit},
     rate_meter::RateMeter,
-    rate_parts::{self, Asked, AskedByHost, AskedRates, Bucket},
+    rate_shares::{self, Asked, AskedByHost, AskedRates, Bucket},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -129,7 +129,7 @@
     let part = host
         .asked
         .part(case.limit_per_s, counted, is_urgent, now_ms);
-    let has_ticket = rate_parts::has_ticket(rng.random(), 0.0, part.ticket);
+    let has_ticket = rate_shares::has_ticket(rng.random(), 0.0, part.ticket);
     let is_sent = has_ticket && host.bucket.has_token(part.bucket_per_s, now_ms);
     if is_sent {
         host.bucket.take();
