--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -169,7 +169,7 @@
 
 /// True if a request that drew `point` from 0 to 1 has a ticket of a server. `before` is what the tickets of the
 /// servers before it add up to: where all servers are limited, one request has one ticket as far as they suffice.
-pub fn has_ticket(point: f64, before: f64, ticket: f64) -> bool {
+pub fn is_admitted(point: f64, before: f64, ticket: f64) -> bool {
     (point - before).rem_euclid(1.0) < ticket
 }
 
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -58,9 +58,9 @@
             return true;
         };
         server.rate.note_asked(is_urgent);
-        let has_ticket = rate_shares::has_ticket(point, before, part.ticket);
+        let is_admitted = rate_shares::is_admitted(point, before, part.ticket);
         before += part.ticket;
-        has_ticket && server.rate.has_token(part)
+        is_admitted && server.rate.has_token(part)
     };
     servers.into_iter().filter(may_go).collect()
 }
@@ -75,7 +75,7 @@
     let Some(part) = server.rate.part(hosts, is_urgent) else {
         return true;
     };
-    rate_shares::has_ticket(rand::random(), 0.0, part.ticket) && server.rate.has_token(part)
+    rate_shares::is_admitted(rand::random(), 0.0, part.ticket) && server.rate.has_token(part)
 }
 
 impl Passage<'_> {
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -129,8 +129,8 @@
     let part = host
         .asked
         .part(case.limit_per_s, counted, is_urgent, now_ms);
-    let has_ticket = rate_shares::has_ticket(rng.random(), 0.0, part.ticket);
-    let is_sent = has_ticket && host.bucket.has_token(part.bucket_per_s, now_ms);
+    let is_admitted = rate_shares::is_admitted(rng.random(), 0.0, part.ticket);
+    let is_sent = is_admitted && host.bucket.has_token(part.bucket_per_s, now_ms);
     if is_sent {
         host.bucket.take();
     }
