--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -61,7 +61,7 @@
     /// Rate of its bucket.
     pub bucket_per_s: f64,
     /// Probability of a ticket.
-    pub ticket: f64,
+    pub admit_probability: f64,
 }
 
 /// Requests a second that callers ask of a server: those that only it may serve, or for a service of which it is one.
@@ -80,7 +80,7 @@
     }
 
     /// Share of the requests of one urgency for which there are tickets of a rate: urgent ones come first.
-    fn ticket(self, rate_per_s: f64, is_urgent: bool) -> f64 {
+    fn admit_probability(self, rate_per_s: f64, is_urgent: bool) -> f64 {
         let for_urgent_per_s = self.urgent_per_s.min(rate_per_s * (1.0 - REST_SHARE_MIN));
         if is_urgent {
             // Where others do not use what is theirs, urgent ones do.
@@ -132,7 +132,7 @@
         let share = own.all_per_s / all.all_per_s.max(f64::MIN_POSITIVE);
         RateShare {
             bucket_per_s: shared_per_s * BUCKET_SHARE * share,
-            ticket: all.ticket(shared_per_s * TICKET_SHARE, is_urgent),
+            admit_probability: all.admit_probability(shared_per_s * TICKET_SHARE, is_urgent),
         }
     }
 
@@ -169,8 +169,8 @@
 
 /// True if a request that drew `point` from 0 to 1 has a ticket of a server. `before` is what the tickets of the
 /// servers before it add up to: where all servers are limited, one request has one ticket as far as they suffice.
-pub fn is_admitted(point: f64, before: f64, ticket: f64) -> bool {
-    (point - before).rem_euclid(1.0) < ticket
+pub fn is_admitted(point: f64, before: f64, admit_probability: f64) -> bool {
+    (point - before).rem_euclid(1.0) < admit_probability
 }
 
 /// What hosts reported that their callers ask of servers, as the holder of the duty knows it.
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -58,8 +58,8 @@
             return true;
         };
         server.rate.note_asked(is_urgent);
-        let is_admitted = rate_shares::is_admitted(point, before, part.ticket);
-        before += part.ticket;
+        let is_admitted = rate_shares::is_admitted(point, before, part.admit_probability);
+        before += part.admit_probability;
         is_admitted && server.rate.has_token(part)
     };
     servers.into_iter().filter(may_go).collect()
@@ -75,7 +75,8 @@
     let Some(part) = server.rate.part(hosts, is_urgent) else {
         return true;
     };
-    rate_shares::is_admitted(rand::random(), 0.0, part.ticket) && server.rate.has_token(part)
+    rate_shares::is_admitted(rand::random(), 0.0, part.admit_probability)
+        && server.rate.has_token(part)
 }
 
 impl Passage<'_> {
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -129,7 +129,7 @@
     let part = host
         .asked
         .part(case.limit_per_s, counted, is_urgent, now_ms);
-    let is_admitted = rate_shares::is_admitted(rng.random(), 0.0, part.ticket);
+    let is_admitted = rate_shares::is_admitted(rng.random(), 0.0, part.admit_probability);
     let is_sent = is_admitted && host.bucket.has_token(part.bucket_per_s, now_ms);
     if is_sent {
         host.bucket.take();
@@ -412,10 +412,15 @@
             urgent_per_s,
         };
         asked.note_sum(sum, 1_000);
-        let ticket = |is_urgent| asked.part(10.0, 8, is_urgent, 1_000).ticket.min(1.0);
+        let admit_probability = |is_urgent| {
+            asked
+                .part(10.0, 8, is_urgent, 1_000)
+                .admit_probability
+                .min(1.0)
+        };
         Served {
-            urgent_per_s: urgent_per_s * ticket(true),
-            rest_per_s: rest_per_s * ticket(false),
+            urgent_per_s: urgent_per_s * admit_probability(true),
+            rest_per_s: rest_per_s * admit_probability(false),
         }
     };
     let few = served(4.0, 30.0);
