--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -18,7 +18,7 @@
 /// Share of a rate that buckets hand out: more than tickets are drawn for, so that chance does not empty them.
 const BUCKET_SHARE: f64 = 1.1;
 /// Share of a rate that tickets are drawn for. The rest is for chance: a sum that is too low draws too many.
-const TICKET_SHARE: f64 = 0.88;
+const ADMIT_SHARE: f64 = 0.88;
 /// Tokens of a full bucket: this many, and what comes in within a time.
 const BURST_TOKENS: f64 = 2.0;
 const BURST_S: f64 = 0.4;
@@ -132,7 +132,7 @@
         let share = own.all_per_s / all.all_per_s.max(f64::MIN_POSITIVE);
         RateShare {
             bucket_per_s: shared_per_s * BUCKET_SHARE * share,
-            admit_probability: all.admit_probability(shared_per_s * TICKET_SHARE, is_urgent),
+            admit_probability: all.admit_probability(shared_per_s * ADMIT_SHARE, is_urgent),
         }
     }
 
