--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -27,7 +27,7 @@
 /// Time for which what a host reported counts in a sum.
 const REPORT_KEPT_MS: u64 = 2_000;
 /// Least share of a rate that is left to requests that are not urgent.
-const REST_SHARE_MIN: f64 = 0.25;
+const NON_URGENT_SHARE_MIN: f64 = 0.25;
 
 /// Tokens for requests, which come in at a rate.
 #[derive(Clone, Copy, Debug, Default)]
@@ -81,7 +81,9 @@
 
     /// Share of the requests of one urgency for which there are tickets of a rate: urgent ones come first.
     fn admit_probability(self, rate_per_s: f64, is_urgent: bool) -> f64 {
-        let for_urgent_per_s = self.urgent_per_s.min(rate_per_s * (1.0 - REST_SHARE_MIN));
+        let for_urgent_per_s = self
+            .urgent_per_s
+            .min(rate_per_s * (1.0 - NON_URGENT_SHARE_MIN));
         if is_urgent {
             // Where others do not use what is theirs, urgent ones do.
             let rest_per_s = self.all_per_s - self.urgent_per_s;
