--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -86,12 +86,12 @@
             .min(rate_per_s * (1.0 - NON_URGENT_SHARE_MIN));
         if is_urgent {
             // Where others do not use what is theirs, urgent ones do.
-            let rest_per_s = self.all_per_s - self.urgent_per_s;
-            let unused_per_s = (rate_per_s - for_urgent_per_s - rest_per_s).max(0.0);
+            let non_urgent_per_s = self.all_per_s - self.urgent_per_s;
+            let unused_per_s = (rate_per_s - for_urgent_per_s - non_urgent_per_s).max(0.0);
             return (for_urgent_per_s + unused_per_s) / self.urgent_per_s.max(f64::MIN_POSITIVE);
         }
-        let rest_per_s = self.all_per_s - self.urgent_per_s;
-        (rate_per_s - for_urgent_per_s) / rest_per_s.max(f64::MIN_POSITIVE)
+        let non_urgent_per_s = self.all_per_s - self.urgent_per_s;
+        (rate_per_s - for_urgent_per_s) / non_urgent_per_s.max(f64::MIN_POSITIVE)
     }
 }
 
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -402,13 +402,13 @@
 fn urgent_requests_come_first_and_the_others_keep_a_part() {
     struct Served {
         urgent_per_s: f64,
-        rest_per_s: f64,
+        non_urgent_per_s: f64,
     }
     // Requests a second that are urgent, and others, at a server that takes ten.
-    let served = |urgent_per_s: f64, rest_per_s: f64| {
+    let served = |urgent_per_s: f64, non_urgent_per_s: f64| {
         let mut asked = Asked::default();
         let sum = AskedRates {
-            all_per_s: urgent_per_s + rest_per_s,
+            all_per_s: urgent_per_s + non_urgent_per_s,
             urgent_per_s,
         };
         asked.note_sum(sum, 1_000);
@@ -420,19 +420,19 @@
         };
         Served {
             urgent_per_s: urgent_per_s * admit_probability(true),
-            rest_per_s: rest_per_s * admit_probability(false),
+            non_urgent_per_s: non_urgent_per_s * admit_probability(false),
         }
     };
     let few = served(4.0, 30.0);
     assert!((few.urgent_per_s - 4.0).abs() < 0.01, "all of them");
-    assert!(few.rest_per_s > 4.0);
+    assert!(few.non_urgent_per_s > 4.0);
     let many = served(40.0, 30.0);
-    assert!(many.urgent_per_s > 6.0 && many.rest_per_s > 2.0);
+    assert!(many.urgent_per_s > 6.0 && many.non_urgent_per_s > 2.0);
     let alone = served(40.0, 0.0);
     assert!(alone.urgent_per_s > 8.0);
-    for (urgent_per_s, rest_per_s) in [(4.0, 30.0), (40.0, 30.0), (40.0, 0.0), (0.0, 40.0)] {
-        let served = served(urgent_per_s, rest_per_s);
-        let all_per_s = served.urgent_per_s + served.rest_per_s;
+    for (urgent_per_s, non_urgent_per_s) in [(4.0, 30.0), (40.0, 30.0), (40.0, 0.0), (0.0, 40.0)] {
+        let served = served(urgent_per_s, non_urgent_per_s);
+        let all_per_s = served.urgent_per_s + served.non_urgent_per_s;
         assert!((8.0..10.0).contains(&all_per_s), "{all_per_s}");
     }
 }
