--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -21,7 +21,7 @@
 
 /// What hosts were asked for on behalf of a workspace, and what they sent to servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Use {
+pub struct QuotaUsage {
     /// Requests of its callers.
     pub asked: u32,
     /// Requests that went to a server.
@@ -75,7 +75,7 @@
     }
 
     /// Notes what a host reported.
-    pub fn note(&mut self, quota: Quota, reported: Use, now_ms: u64) {
+    pub fn note(&mut self, quota: Quota, reported: QuotaUsage, now_ms: u64) {
         self.take_in(quota, now_ms);
         self.asked_weight += f64::from(reported.asked);
         let least = -OVERDRAWN_MAX_S * quota.per_s;
@@ -128,7 +128,7 @@
     part: Option<f64>,
     /// What this host may send while no holder confirms its share.
     unheard: Bucket,
-    since_report: Use,
+    since_report: QuotaUsage,
     /// What this host was asked for lately.
     own: RateMeter,
 }
@@ -194,7 +194,7 @@
     }
 
     /// What has come since the last report.
-    pub fn take_report(&mut self) -> Use {
+    pub fn take_report(&mut self) -> QuotaUsage {
         std::mem::take(&mut self.since_report)
     }
 }
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -8,7 +8,7 @@
     decide::{
         hot_keys::HotKey,
         path_tally::SharedSuspect,
-        quota::{Admitted, Use},
+        quota::{Admitted, QuotaUsage},
         rate_shares::AskedRates,
         trials::Claimed,
     },
@@ -110,7 +110,7 @@
     /// Short name of the workspace.
     pub workspace_tag: u32,
     /// Requests since the last report.
-    pub used: Use,
+    pub used: QuotaUsage,
 }
 
 /// What each host may admit of a workspace's requests.
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -11,7 +11,7 @@
 
 use super::{
     Entry,
-    decide::quota::{Admitted, HostShare, Ledger, Quota, Sharing, Use},
+    decide::quota::{Admitted, HostShare, Ledger, Quota, QuotaUsage, Sharing},
     events::Event,
     peers::message::{Message, QUOTAS_MAX, WorkspaceAdmitted, WorkspaceUse},
     workspaces::{Workspace, Workspaces},
@@ -82,7 +82,7 @@
             used: share.take_report(),
         });
         reports
-            .filter(|report| report.used != Use::default())
+            .filter(|report| report.used != QuotaUsage::default())
             .collect()
     }
 
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -1,7 +1,7 @@
 //! Quotas of workspaces over all hosts, played in virtual time on the code that decides: never more than the users'
 //! bound, and no less than what is allowed.
 
-use ashroad::entry::decide::quota::{Admitted, HostShare, Ledger, Quota, Sharing, Use};
+use ashroad::entry::decide::quota::{Admitted, HostShare, Ledger, Quota, QuotaUsage, Sharing};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 /// Window over which the users count, and what they allow on top of a quota.
@@ -127,7 +127,7 @@
     fn report(&self, shares: &mut [HostShare], ledger: &mut Ledger, now_ms: u64, rng: &mut StdRng) {
         for share in shares {
             let used = share.take_report();
-            if used != Use::default() && rng.random::<f64>() >= LOST {
+            if used != QuotaUsage::default() && rng.random::<f64>() >= LOST {
                 ledger.note(self.quota, used, now_ms);
             }
         }
