--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -30,14 +30,14 @@
 
 /// Share of a workspace's requests that each host may admit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Admitted {
+pub struct AdmittedShare {
     /// From 0 to 1.
     pub share: f32,
     /// Requests a second that callers of all hosts ask for.
     pub asked_per_s: f32,
 }
 
-impl Admitted {
+impl AdmittedShare {
     /// True if some requests are to be refused.
     pub fn binds(self) -> bool {
         self.share < 1.0
@@ -83,7 +83,7 @@
     }
 
     /// What each host may admit from now on.
-    pub fn admitted(&mut self, quota: Quota, now_ms: u64) -> Admitted {
+    pub fn admitted(&mut self, quota: Quota, now_ms: u64) -> AdmittedShare {
         self.take_in(quota, now_ms);
         let asked_per_s = self.asked_per_s();
         let left_per_s = (quota.per_s * TAKEN_IN + self.left / SPEND_S).max(0.0);
@@ -92,7 +92,7 @@
         } else {
             1.0
         };
-        Admitted {
+        AdmittedShare {
             share: share as f32,
             asked_per_s: asked_per_s as f32,
         }
@@ -123,7 +123,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HostShare {
     /// The holder's word, and when it came.
-    told: Option<(Admitted, u64)>,
+    told: Option<(AdmittedShare, u64)>,
     /// This host's part of what all hosts were asked for, when that was last told.
     part: Option<f64>,
     /// What this host may send while no holder confirms its share.
@@ -175,7 +175,7 @@
     }
 
     /// Notes what the holder has told.
-    pub fn note_told(&mut self, told: Admitted, now_ms: u64) {
+    pub fn note_told(&mut self, told: AdmittedShare, now_ms: u64) {
         let own_per_s = self.own.per_s(now_ms);
         if told.asked_per_s > 0.0 {
             self.part = Some((own_per_s / f64::from(told.asked_per_s)).min(1.0));
@@ -184,13 +184,13 @@
     }
 
     /// The holder's latest word.
-    pub fn told(&self) -> Option<Admitted> {
+    pub fn told(&self) -> Option<AdmittedShare> {
         self.told.map(|(told, _)| told)
     }
 
     /// True if the holder's latest word lets some requests be refused.
     pub fn is_bound(&self) -> bool {
-        self.told().is_some_and(Admitted::binds)
+        self.told().is_some_and(AdmittedShare::binds)
     }
 
     /// What has come since the last report.
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -8,7 +8,7 @@
     decide::{
         hot_keys::HotKey,
         path_tally::SharedSuspect,
-        quota::{Admitted, QuotaUsage},
+        quota::{AdmittedShare, QuotaUsage},
         rate_shares::AskedRates,
         trials::Claimed,
     },
@@ -119,7 +119,7 @@
     /// Short name of the workspace.
     pub workspace_tag: u32,
     /// Share of its requests.
-    pub admitted: Admitted,
+    pub admitted: AdmittedShare,
 }
 
 /// Requests for one key since the last report.
@@ -250,7 +250,7 @@
     /// What workspaces have used at the sender. For the holder of the duty.
     Used(Vec<WorkspaceUse>),
     /// What hosts may admit of workspaces' requests, from the holder of the duty.
-    Admitted(Vec<WorkspaceAdmitted>),
+    AdmittedShare(Vec<WorkspaceAdmitted>),
     /// Asks a relay how fresh its view of the store is.
     AskWord {
         /// Returned in the answer.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -160,7 +160,7 @@
             Message::Asked(rates) => self.take_rates(from, &rates),
             Message::Rates(rates) => self.take_sums(&rates),
             Message::Used(reports) => self.take_used(&reports),
-            Message::Admitted(told) => self.quotas.note_told(&told),
+            Message::AdmittedShare(told) => self.quotas.note_told(&told),
             Message::AskWord { nonce, .. } => {
                 if let Some(word) = self.word_for(nonce) {
                     self.peers.send(&word, &[from]);
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -11,7 +11,7 @@
 
 use super::{
     Entry,
-    decide::quota::{Admitted, HostShare, Ledger, Quota, QuotaUsage, Sharing},
+    decide::quota::{AdmittedShare, HostShare, Ledger, Quota, QuotaUsage, Sharing},
     events::Event,
     peers::message::{Message, QUOTAS_MAX, WorkspaceAdmitted, WorkspaceUse},
     workspaces::{Workspace, Workspaces},
@@ -141,7 +141,7 @@
     }
 
     /// What may be admitted of a workspace's requests by the holder's latest word.
-    pub fn told(&self, workspace_tag: u32) -> Option<Admitted> {
+    pub fn told(&self, workspace_tag: u32) -> Option<AdmittedShare> {
         self.known().shares.get(&workspace_tag)?.told()
     }
 
@@ -158,7 +158,7 @@
     workspaces.by_tag(tag)?.quota
 }
 
-fn log_change(workspaces: &Workspaces, tag: u32, quota: Quota, admitted: Admitted) {
+fn log_change(workspaces: &Workspaces, tag: u32, quota: Quota, admitted: AdmittedShare) {
     let Some(workspace) = workspaces.by_tag(tag) else {
         return;
     };
@@ -210,10 +210,11 @@
     fn tell_quotas(&self, told: &[WorkspaceAdmitted]) {
         self.quotas.note_told(told);
         if told.is_empty() {
-            self.peers.send_to_all(Message::Admitted(Vec::new()));
+            self.peers.send_to_all(Message::AdmittedShare(Vec::new()));
         }
         for told in told.chunks(QUOTAS_MAX) {
-            self.peers.send_to_all(Message::Admitted(told.to_vec()));
+            self.peers
+                .send_to_all(Message::AdmittedShare(told.to_vec()));
         }
     }
 
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -1,7 +1,7 @@
 //! Quotas of workspaces over all hosts, played in virtual time on the code that decides: never more than the users'
 //! bound, and no less than what is allowed.
 
-use ashroad::entry::decide::quota::{Admitted, HostShare, Ledger, Quota, QuotaUsage, Sharing};
+use ashroad::entry::decide::quota::{AdmittedShare, HostShare, Ledger, Quota, QuotaUsage, Sharing};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 /// Window over which the users count, and what they allow on top of a quota.
@@ -134,7 +134,7 @@
     }
 }
 
-fn tell(shares: &mut [HostShare], told: Admitted, now_ms: u64, rng: &mut StdRng) {
+fn tell(shares: &mut [HostShare], told: AdmittedShare, now_ms: u64, rng: &mut StdRng) {
     for share in shares {
         if rng.random::<f64>() >= LOST {
             share.note_told(told, now_ms);
