--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -138,7 +138,7 @@
 
 /// What a host goes by besides its share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sharing {
+pub struct QuotaContext {
     /// Hosts that share quotas, the own one included.
     pub hosts: usize,
     /// True if the holder's word was heard lately.
@@ -147,7 +147,7 @@
 
 impl HostShare {
     /// True if a request that drew `point` from 0 to 1 is within the quota.
-    pub fn admits(&mut self, quota: Quota, sharing: Sharing, point: f64, now_ms: u64) -> bool {
+    pub fn admits(&mut self, quota: Quota, sharing: QuotaContext, point: f64, now_ms: u64) -> bool {
         self.since_report.asked += 1;
         self.own.note(now_ms);
         let kept = self
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -11,7 +11,7 @@
 
 use super::{
     Entry,
-    decide::quota::{AdmittedShare, HostShare, Ledger, Quota, QuotaUsage, Sharing},
+    decide::quota::{AdmittedShare, HostShare, Ledger, Quota, QuotaContext, QuotaUsage},
     events::Event,
     peers::message::{Message, QUOTAS_MAX, WorkspaceAdmitted, WorkspaceUse},
     workspaces::{Workspace, Workspaces},
@@ -58,7 +58,7 @@
         let mut known = self.known();
         let kept_ms = MISSED_WORDS * tell_every_ms(hosts);
         let heard_ms = known.heard_ms;
-        let sharing = Sharing {
+        let sharing = QuotaContext {
             hosts,
             is_told: heard_ms.is_some_and(|heard_ms| now_ms <= heard_ms + kept_ms),
         };
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -1,7 +1,9 @@
 //! Quotas of workspaces over all hosts, played in virtual time on the code that decides: never more than the users'
 //! bound, and no less than what is allowed.
 
-use ashroad::entry::decide::quota::{AdmittedShare, HostShare, Ledger, Quota, QuotaUsage, Sharing};
+use ashroad::entry::decide::quota::{
+    AdmittedShare, HostShare, Ledger, Quota, QuotaContext, QuotaUsage,
+};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 /// Window over which the users count, and what they allow on top of a quota.
@@ -107,7 +109,7 @@
                 repeated + expected as usize + usize::from(rng.random::<f64>() < expected.fract());
             for _ in 0..arrivals {
                 let kept = heard_ms.is_some_and(|at_ms| now_ms <= at_ms + 4 * every_ms);
-                let sharing = Sharing {
+                let sharing = QuotaContext {
                     hosts: self.hosts,
                     is_told: kept,
                 };
