--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -147,21 +147,21 @@
 
 impl HostShare {
     /// True if a request that drew `point` from 0 to 1 is within the quota.
-    pub fn admits(&mut self, quota: Quota, sharing: QuotaContext, point: f64, now_ms: u64) -> bool {
+    pub fn admits(&mut self, quota: Quota, context: QuotaContext, point: f64, now_ms: u64) -> bool {
         self.since_report.asked += 1;
         self.own.note(now_ms);
         let kept = self
             .told
             .filter(|(_, at_ms)| now_ms < at_ms + SHARE_KEPT_MS);
         let share = kept.map_or(1.0, |(told, _)| f64::from(told.share));
-        if sharing.is_told {
+        if context.is_told {
             return point < share;
         }
         // A part of next to nothing says little: the host was asked for little just then.
         let part = self
             .part
             .unwrap_or(0.0)
-            .max(1.0 / sharing.hosts.max(1) as f64);
+            .max(1.0 / context.hosts.max(1) as f64);
         if point >= share || !self.unheard.has_token(quota.per_s * part, now_ms) {
             return false;
         }
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -58,12 +58,12 @@
         let mut known = self.known();
         let kept_ms = MISSED_WORDS * tell_every_ms(hosts);
         let heard_ms = known.heard_ms;
-        let sharing = QuotaContext {
+        let context = QuotaContext {
             hosts,
             is_told: heard_ms.is_some_and(|heard_ms| now_ms <= heard_ms + kept_ms),
         };
         let share = known.shares.entry(workspace.tag).or_default();
-        share.admits(quota, sharing, rand::random(), now_ms)
+        share.admits(quota, context, rand::random(), now_ms)
     }
 
     /// Notes that a request of a workspace goes to a server.
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -109,13 +109,13 @@
                 repeated + expected as usize + usize::from(rng.random::<f64>() < expected.fract());
             for _ in 0..arrivals {
                 let kept = heard_ms.is_some_and(|at_ms| now_ms <= at_ms + 4 * every_ms);
-                let sharing = QuotaContext {
+                let context = QuotaContext {
                     hosts: self.hosts,
                     is_told: kept,
                 };
                 let share = &mut shares[self.host(&mut rng)];
                 played.asked.push(now_ms);
-                if share.admits(self.quota, sharing, rng.random(), now_ms) {
+                if share.admits(self.quota, context, rng.random(), now_ms) {
                     share.note_sent();
                     played.admitted.push(now_ms);
                 } else if self.asks_again {
