--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -142,7 +142,7 @@
     /// Hosts that share quotas, the own one included.
     pub hosts: usize,
     /// True if the holder's word was heard lately.
-    pub is_told: bool,
+    pub is_confirmed: bool,
 }
 
 impl HostShare {
@@ -154,7 +154,7 @@
             .told
             .filter(|(_, at_ms)| now_ms < at_ms + SHARE_KEPT_MS);
         let share = kept.map_or(1.0, |(told, _)| f64::from(told.share));
-        if context.is_told {
+        if context.is_confirmed {
             return point < share;
         }
         // A part of next to nothing says little: the host was asked for little just then.
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -60,7 +60,7 @@
         let heard_ms = known.heard_ms;
         let context = QuotaContext {
             hosts,
-            is_told: heard_ms.is_some_and(|heard_ms| now_ms <= heard_ms + kept_ms),
+            is_confirmed: heard_ms.is_some_and(|heard_ms| now_ms <= heard_ms + kept_ms),
         };
         let share = known.shares.entry(workspace.tag).or_default();
         share.admits(quota, context, rand::random(), now_ms)
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -111,7 +111,7 @@
                 let kept = heard_ms.is_some_and(|at_ms| now_ms <= at_ms + 4 * every_ms);
                 let context = QuotaContext {
                     hosts: self.hosts,
-                    is_told: kept,
+                    is_confirmed: kept,
                 };
                 let share = &mut shares[self.host(&mut rng)];
                 played.asked.push(now_ms);
