--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -189,7 +189,7 @@
     }
 
     /// True if the holder's latest word lets some requests be refused.
-    pub fn is_bound(&self) -> bool {
+    pub fn is_limited(&self) -> bool {
         self.told().is_some_and(AdmittedShare::binds)
     }
 
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -114,7 +114,7 @@
                 continue;
             };
             let admitted = ledger.admitted(quota, now_ms);
-            let bound = shares.get(tag).is_some_and(HostShare::is_bound);
+            let bound = shares.get(tag).is_some_and(HostShare::is_limited);
             if admitted.binds() != bound {
                 log_change(workspaces, *tag, quota, admitted);
             }
