--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -39,7 +39,7 @@
 
 impl AdmittedShare {
     /// True if some requests are to be refused.
-    pub fn binds(self) -> bool {
+    pub fn is_limiting(self) -> bool {
         self.share < 1.0
     }
 }
@@ -190,7 +190,7 @@
 
     /// True if the holder's latest word lets some requests be refused.
     pub fn is_limited(&self) -> bool {
-        self.told().is_some_and(AdmittedShare::binds)
+        self.told().is_some_and(AdmittedShare::is_limiting)
     }
 
     /// What has come since the last report.
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -115,10 +115,10 @@
             };
             let admitted = ledger.admitted(quota, now_ms);
             let bound = shares.get(tag).is_some_and(HostShare::is_limited);
-            if admitted.binds() != bound {
+            if admitted.is_limiting() != bound {
                 log_change(workspaces, *tag, quota, admitted);
             }
-            if admitted.binds() || bound || is_for_all {
+            if admitted.is_limiting() || bound || is_for_all {
                 told.push(WorkspaceAdmitted {
                     workspace_tag: *tag,
                     admitted,
