--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -76,7 +76,7 @@
 
     /// Notes what a host reported.
     pub fn note(&mut self, quota: Quota, reported: QuotaUsage, now_ms: u64) {
-        self.take_in(quota, now_ms);
+        self.accrue(quota, now_ms);
         self.asked_weight += f64::from(reported.asked);
         let least = -OVERDRAWN_MAX_S * quota.per_s;
         self.left = (self.left - f64::from(reported.sent)).max(least);
@@ -84,7 +84,7 @@
 
     /// What each host may admit from now on.
     pub fn admitted(&mut self, quota: Quota, now_ms: u64) -> AdmittedShare {
-        self.take_in(quota, now_ms);
+        self.accrue(quota, now_ms);
         let asked_per_s = self.asked_per_s();
         let left_per_s = (quota.per_s * TAKEN_IN + self.left / SPEND_S).max(0.0);
         let share = if asked_per_s > left_per_s {
@@ -103,7 +103,7 @@
         self.asked_weight < 1e-6
     }
 
-    fn take_in(&mut self, quota: Quota, now_ms: u64) {
+    fn accrue(&mut self, quota: Quota, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.at_ms) as f64;
         let taken_in = quota.per_s * TAKEN_IN * elapsed_ms / 1_000.0;
         self.left = (self.left + taken_in).min(quota.burst);
