--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -105,8 +105,8 @@
 
     fn accrue(&mut self, quota: Quota, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.at_ms) as f64;
-        let taken_in = quota.per_s * TAKEN_IN * elapsed_ms / 1_000.0;
-        self.left = (self.left + taken_in).min(quota.burst);
+        let accrued = quota.per_s * TAKEN_IN * elapsed_ms / 1_000.0;
+        self.left = (self.left + accrued).min(quota.burst);
         self.asked_weight *= (-elapsed_ms / ASKED_MEMORY_MS).exp();
         self.at_ms = now_ms;
     }
