--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -49,7 +49,7 @@
 /// Time in which what is left in a ledger is handed out, or what was sent too much is made up for.
 const SPEND_S: f64 = 1.0;
 /// Share of a quota that ledgers take in: reports are lost now and then, and what they told is never heard of.
-const TAKEN_IN: f64 = 0.98;
+const ACCRUED_SHARE: f64 = 0.98;
 /// Seconds of a quota that a ledger may be overdrawn by. More would refuse for long what is allowed.
 const OVERDRAWN_MAX_S: f64 = 2.0;
 
@@ -86,7 +86,7 @@
     pub fn admitted(&mut self, quota: Quota, now_ms: u64) -> AdmittedShare {
         self.accrue(quota, now_ms);
         let asked_per_s = self.asked_per_s();
-        let left_per_s = (quota.per_s * TAKEN_IN + self.left / SPEND_S).max(0.0);
+        let left_per_s = (quota.per_s * ACCRUED_SHARE + self.left / SPEND_S).max(0.0);
         let share = if asked_per_s > left_per_s {
             left_per_s / asked_per_s
         } else {
@@ -105,7 +105,7 @@
 
     fn accrue(&mut self, quota: Quota, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.at_ms) as f64;
-        let accrued = quota.per_s * TAKEN_IN * elapsed_ms / 1_000.0;
+        let accrued = quota.per_s * ACCRUED_SHARE * elapsed_ms / 1_000.0;
         self.left = (self.left + accrued).min(quota.burst);
         self.asked_weight *= (-elapsed_ms / ASKED_MEMORY_MS).exp();
         self.at_ms = now_ms;
