--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -127,7 +127,7 @@
     /// This host's part of what all hosts were asked for, when that was last told.
     part: Option<f64>,
     /// What this host may send while no holder confirms its share.
-    unheard: Bucket,
+    fallback_bucket: Bucket,
     since_report: QuotaUsage,
     /// What this host was asked for lately.
     own: RateMeter,
@@ -162,10 +162,10 @@
             .part
             .unwrap_or(0.0)
             .max(1.0 / context.hosts.max(1) as f64);
-        if point >= share || !self.unheard.has_token(quota.per_s * part, now_ms) {
+        if point >= share || !self.fallback_bucket.has_token(quota.per_s * part, now_ms) {
             return false;
         }
-        self.unheard.take();
+        self.fallback_bucket.take();
         true
     }
 
