--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -31,7 +31,7 @@
 
 /// What tells requests of all callers apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Width {
+pub enum DigestScope {
     /// Method, host, path, query and body.
     Content,
     /// Method, host and path.
@@ -44,7 +44,7 @@
     /// What is asked for.
     pub digest: RequestDigest,
     /// What of the request the digest goes by.
-    pub width: Width,
+    pub width: DigestScope,
     /// Short name of the caller.
     pub caller_tag: u32,
     /// True if it was tried there as a suspect, without another one.
@@ -159,7 +159,7 @@
     }
 }
 
-fn is_enough(width: Width, evidence: &[Evidence]) -> bool {
+fn is_enough(width: DigestScope, evidence: &[Evidence]) -> bool {
     let distinct = |of: fn(&Evidence) -> u32| {
         let mut tags: Vec<u32> = evidence.iter().map(of).collect();
         tags.sort_unstable();
@@ -171,8 +171,10 @@
     }
     let servers = distinct(|end| end.server_tag);
     match width {
-        Width::Content => servers >= SERVERS_NEEDED && evidence.iter().any(|end| end.is_trial),
-        Width::Path => {
+        DigestScope::Content => {
+            servers >= SERVERS_NEEDED && evidence.iter().any(|end| end.is_trial)
+        }
+        DigestScope::Path => {
             let times = || evidence.iter().map(|end| end.at_ms);
             let span_ms = times()
                 .max()
--- a/src/entry/runs.rs
+++ b/src/entry/runs.rs
@@ -1,7 +1,7 @@
 //! Requests of this host at one server: those that would be in flight if it ended now.
 
 use crate::entry::{
-    decide::path_tally::{SharedSuspect, Width},
+    decide::path_tally::{DigestScope, SharedSuspect},
     digest::{RequestDigest, RequestDigests},
 };
 
@@ -79,8 +79,8 @@
         let suspects = self.latest(now_ms).flat_map(|digests| {
             let is_trial = self.trials.contains(&digests);
             let widths = [
-                (digests.content, Width::Content),
-                (digests.any_path, Width::Path),
+                (digests.content, DigestScope::Content),
+                (digests.any_path, DigestScope::Path),
             ];
             widths.map(|(digest, width)| SharedSuspect {
                 digest,
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -6,7 +6,7 @@
     crashes::reports::Reports,
     decide::{
         crash_tally::{CrashTally, SERVERS_NEEDED},
-        path_tally::{PathTally, SharedSuspect, Width},
+        path_tally::{DigestScope, PathTally, SharedSuspect},
         quarantine::{ANY_CALLER_QUARANTINE_MS, QUARANTINE_MS, Quarantine},
         trials::{CLAIM_MS, Claimed, Trials},
     },
@@ -267,7 +267,7 @@
 }
 
 /// A request of a caller for what many ask for.
-fn shared(caller_tag: u32, width: Width, is_trial: bool) -> SharedSuspect {
+fn shared(caller_tag: u32, width: DigestScope, is_trial: bool) -> SharedSuspect {
     SharedSuspect {
         digest: DEADLY,
         width,
@@ -280,12 +280,12 @@
 fn what_many_callers_ask_for_is_the_cause_only_by_more_than_one_caller_and_a_trial() {
     struct Case {
         what: &'static str,
-        width: Width,
+        width: DigestScope,
         /// Server, caller, whether it was a trial, and time in ms.
         ends: &'static [(u32, u32, bool, u64)],
         reached: bool,
     }
-    use Width::{Content, Path};
+    use DigestScope::{Content, Path};
     let cases = [
         Case {
             what: "two servers under one caller",
@@ -356,12 +356,12 @@
 #[test]
 fn a_good_end_of_a_later_request_clears_a_path_and_one_in_flight_before_does_not() {
     let mut tally = PathTally::default();
-    tally.note(1, &[shared(7, Width::Content, false)], false, 1_000);
+    tally.note(1, &[shared(7, DigestScope::Content, false)], false, 1_000);
     assert!(!tally.clear(DEADLY, 990), "sent before the end");
     assert!(tally.is_suspect(DEADLY, 1_100));
     assert!(tally.clear(DEADLY, 1_010));
     assert!(tally.is_empty());
-    let reached = tally.note(2, &[shared(8, Width::Content, true)], false, 2_000);
+    let reached = tally.note(2, &[shared(8, DigestScope::Content, true)], false, 2_000);
     assert_eq!(reached, [], "the first end no longer counts");
 }
 
@@ -369,7 +369,7 @@
 fn the_loss_of_many_servers_speaks_against_no_path() {
     let mut tally = PathTally::default();
     for server_tag in 0..12 {
-        let suspects = [7, 8].map(|caller_tag| shared(caller_tag, Width::Path, false));
+        let suspects = [7, 8].map(|caller_tag| shared(caller_tag, DigestScope::Path, false));
         let at_ms = u64::from(server_tag) * 400;
         assert_eq!(tally.note(server_tag, &suspects, true, at_ms), []);
     }
@@ -379,13 +379,13 @@
 #[test]
 fn suspected_paths_are_bounded() {
     let mut tally = PathTally::default();
-    tally.note(1, &[shared(7, Width::Content, false)], false, 0);
-    tally.note(2, &[shared(7, Width::Content, true)], false, 1);
+    tally.note(1, &[shared(7, DigestScope::Content, false)], false, 0);
+    tally.note(2, &[shared(7, DigestScope::Content, true)], false, 1);
     for end in 0..1_000u32 {
         let suspects: Vec<SharedSuspect> = (0..12)
             .map(|number| SharedSuspect {
                 digest: RequestDigest(1_000 + u64::from(end * 12 + number)),
-                ..shared(7, Width::Content, false)
+                ..shared(7, DigestScope::Content, false)
             })
             .collect();
         tally.note(10 + end, &suspects, false, 2);
@@ -411,7 +411,7 @@
     );
     // Its evidence is there still, so that one host at a time tries it.
     let mut tally = PathTally::default();
-    tally.note(1, &[shared(7, Width::Content, false)], false, 0);
+    tally.note(1, &[shared(7, DigestScope::Content, false)], false, 0);
     assert!(tally.is_suspect(DEADLY, ANY_CALLER_QUARANTINE_MS));
 }
 
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -4,7 +4,7 @@
 
 use ashroad::entry::{
     decide::{
-        path_tally::{SharedSuspect, Width},
+        path_tally::{DigestScope, SharedSuspect},
         rate_shares::AskedRates,
     },
     digest::RequestDigest,
@@ -290,7 +290,7 @@
     };
     let suspect = SharedSuspect {
         digest: RequestDigest(u64::MAX),
-        width: Width::Path,
+        width: DigestScope::Path,
         caller_tag: u32::MAX,
         is_trial: true,
     };
