--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -44,7 +44,7 @@
     /// What is asked for.
     pub digest: RequestDigest,
     /// What of the request the digest goes by.
-    pub width: DigestScope,
+    pub scope: DigestScope,
     /// Short name of the caller.
     pub caller_tag: u32,
     /// True if it was tried there as a suspect, without another one.
@@ -94,7 +94,7 @@
                     at_ms: now_ms,
                 });
             }
-            if is_enough(suspect.width, evidence) {
+            if is_enough(suspect.scope, evidence) {
                 reached.push(suspect.digest);
             }
         }
@@ -159,7 +159,7 @@
     }
 }
 
-fn is_enough(width: DigestScope, evidence: &[Evidence]) -> bool {
+fn is_enough(scope: DigestScope, evidence: &[Evidence]) -> bool {
     let distinct = |of: fn(&Evidence) -> u32| {
         let mut tags: Vec<u32> = evidence.iter().map(of).collect();
         tags.sort_unstable();
@@ -170,7 +170,7 @@
         return false;
     }
     let servers = distinct(|end| end.server_tag);
-    match width {
+    match scope {
         DigestScope::Content => {
             servers >= SERVERS_NEEDED && evidence.iter().any(|end| end.is_trial)
         }
--- a/src/entry/runs.rs
+++ b/src/entry/runs.rs
@@ -82,9 +82,9 @@
                 (digests.content, DigestScope::Content),
                 (digests.any_path, DigestScope::Path),
             ];
-            widths.map(|(digest, width)| SharedSuspect {
+            widths.map(|(digest, scope)| SharedSuspect {
                 digest,
-                width,
+                scope,
                 caller_tag: digests.caller_tag,
                 is_trial,
             })
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -267,10 +267,10 @@
 }
 
 /// A request of a caller for what many ask for.
-fn shared(caller_tag: u32, width: DigestScope, is_trial: bool) -> SharedSuspect {
+fn shared(caller_tag: u32, scope: DigestScope, is_trial: bool) -> SharedSuspect {
     SharedSuspect {
         digest: DEADLY,
-        width,
+        scope,
         caller_tag,
         is_trial,
     }
@@ -280,7 +280,7 @@
 fn what_many_callers_ask_for_is_the_cause_only_by_more_than_one_caller_and_a_trial() {
     struct Case {
         what: &'static str,
-        width: DigestScope,
+        scope: DigestScope,
         /// Server, caller, whether it was a trial, and time in ms.
         ends: &'static [(u32, u32, bool, u64)],
         reached: bool,
@@ -289,55 +289,55 @@
     let cases = [
         Case {
             what: "two servers under one caller",
-            width: Content,
+            scope: Content,
             ends: &[(1, 7, false, 0), (2, 7, true, 3_500), (3, 7, true, 7_000)],
             reached: false,
         },
         Case {
             what: "a trial of another caller",
-            width: Content,
+            scope: Content,
             ends: &[(1, 7, false, 0), (2, 8, true, 3_500)],
             reached: true,
         },
         Case {
             what: "two callers at the first server, a trial of one of them",
-            width: Content,
+            scope: Content,
             ends: &[(1, 7, false, 0), (1, 8, false, 0), (2, 7, true, 3_500)],
             reached: true,
         },
         Case {
             what: "two callers at one server",
-            width: Content,
+            scope: Content,
             ends: &[(1, 7, false, 0), (1, 8, false, 0)],
             reached: false,
         },
         Case {
             what: "two callers, no trial: another request may have ended the servers",
-            width: Content,
+            scope: Content,
             ends: &[(1, 7, false, 0), (2, 8, false, 40), (3, 9, false, 80)],
             reached: false,
         },
         Case {
             what: "a trial 16 minutes later",
-            width: Content,
+            scope: Content,
             ends: &[(1, 7, false, 0), (2, 8, true, 16 * MINUTE_MS)],
             reached: false,
         },
         Case {
             what: "three servers under different requests for a path",
-            width: Path,
+            scope: Path,
             ends: &[(1, 7, false, 0), (2, 8, false, 600), (3, 9, false, 1_200)],
             reached: true,
         },
         Case {
             what: "the same at once",
-            width: Path,
+            scope: Path,
             ends: &[(1, 7, false, 0), (2, 8, false, 60), (3, 9, false, 120)],
             reached: false,
         },
         Case {
             what: "two servers under different requests for a path",
-            width: Path,
+            scope: Path,
             ends: &[(1, 7, false, 0), (2, 8, false, 3_500)],
             reached: false,
         },
@@ -346,7 +346,7 @@
         let mut tally = PathTally::default();
         let mut reached = Vec::new();
         for (server_tag, caller_tag, is_trial, at_ms) in case.ends {
-            let suspect = shared(*caller_tag, case.width, *is_trial);
+            let suspect = shared(*caller_tag, case.scope, *is_trial);
             reached.extend(tally.note(*server_tag, &[suspect], false, *at_ms));
         }
         assert_eq!(reached.contains(&DEADLY), case.reached, "{}", case.what);
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -290,7 +290,7 @@
     };
     let suspect = SharedSuspect {
         digest: RequestDigest(u64::MAX),
-        width: DigestScope::Path,
+        scope: DigestScope::Path,
         caller_tag: u32::MAX,
         is_trial: true,
     };
