--- a/src/entry/decide/first.rs
+++ b/src/entry/decide/first.rs
@@ -14,13 +14,13 @@
 /// Waits for the servers of a service to have started before its keys are distributed: keys that a
 /// few early ones got would have to be moved again.
 #[derive(Clone, Copy, Debug)]
-pub struct FirstWait {
+pub struct FirstAssignmentWait {
     servers: usize,
     first_ms: u64,
     changed_ms: u64,
 }
 
-impl FirstWait {
+impl FirstAssignmentWait {
     /// A wait that begins now.
     pub fn new(now_ms: u64) -> Self {
         Self {
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -21,7 +21,7 @@
     Entry,
     decide::{
         admission,
-        first::{self, FirstWait},
+        first::{self, FirstAssignmentWait},
         hot_keys,
         key_loads::KeyCounts,
         plan::{self, PlanServer, Question},
@@ -105,7 +105,7 @@
     renewals: HashMap<(Arc<str>, u64), Renewal>,
     moving: Vec<Moving>,
     counts: HashMap<Arc<str>, KeyCounts>,
-    first_waits: HashMap<Arc<str>, FirstWait>,
+    first_waits: HashMap<Arc<str>, FirstAssignmentWait>,
     /// Fences of finished moves whose record still names the former server, by service.
     finished: HashMap<Arc<str>, Vec<u64>>,
     /// When finished moves were last recorded.
@@ -371,7 +371,7 @@
             let mut work = self.work();
             let requested = work.counts.contains_key(service);
             let wait = work.first_waits.entry(service.clone());
-            let wait = wait.or_insert_with(|| FirstWait::new(now_ms));
+            let wait = wait.or_insert_with(|| FirstAssignmentWait::new(now_ms));
             wait.is_over(servers.len(), requested, now_ms)
         };
         if !is_over || !self.mark_moving(service, KeyRange::ALL) {
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -11,7 +11,7 @@
             attempt_stats::AttemptStats,
             budget::RetryBudget,
             choice::{self, HostCount},
-            first::{self, FirstWait},
+            first::{self, FirstAssignmentWait},
             hold::{MoveRest, MoveWait},
             hot_keys::{self, HotKey, HotKeys},
             key_loads::{KeyCounts, KeyLoads},
@@ -463,7 +463,7 @@
         },
     ];
     for case in cases {
-        let mut wait = FirstWait::new(0);
+        let mut wait = FirstAssignmentWait::new(0);
         let started = |now_ms| case.starts_ms.iter().filter(|at| **at <= now_ms).count();
         let mut times = (0..).step_by(100).map(|now_ms| (now_ms, started(now_ms)));
         let requested = |now_ms| now_ms >= case.requested_ms;
