--- a/src/entry/decide/hold.rs
+++ b/src/entry/decide/hold.rs
@@ -18,7 +18,7 @@
 
 /// How long a move may still take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MoveRest {
+pub struct MoveTimeLeft {
     /// What ends it.
     pub wait: MoveWait,
     /// Time left.
@@ -35,7 +35,13 @@
 }
 
 /// Decides for a request that has been here for `held_ms` and must be answered within `left_ms`.
-pub fn decide(rest: MoveRest, held_ms: u64, left_ms: u64, aim_ms: u64, policy: &Policy) -> Hold {
+pub fn decide(
+    rest: MoveTimeLeft,
+    held_ms: u64,
+    left_ms: u64,
+    aim_ms: u64,
+    policy: &Policy,
+) -> Hold {
     let share_ms = (aim_ms as f64 * policy.hold_share) as u64;
     let most_ms = policy.hold_ms.max(share_ms);
     let room_ms = most_ms.saturating_sub(held_ms).min(left_ms);
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -13,7 +13,7 @@
         decide::{
             admission,
             choice::{self, Question},
-            hold::{self, Hold, MoveRest, MoveWait},
+            hold::{self, Hold, MoveTimeLeft, MoveWait},
             rate_shares,
             retry_after::Refused,
         },
@@ -211,7 +211,7 @@
     }
 
     /// Time for which the request may wait here for its key.
-    fn hold(&self, entry: &Entry, rest: MoveRest) -> Result<u64, Refused> {
+    fn hold(&self, entry: &Entry, rest: MoveTimeLeft) -> Result<u64, Refused> {
         let policy = &entry.settings.policy;
         let aim_ms = self.route.aim_ms;
         match hold::decide(rest, self.held_ms(), self.left_ms(), aim_ms, policy) {
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -9,7 +9,7 @@
     clock,
     entry::{
         decide::{
-            hold::{MoveRest, MoveWait},
+            hold::{MoveTimeLeft, MoveWait},
             plan::Move,
         },
         duty::{Change, Reassignment},
@@ -170,12 +170,12 @@
         };
         let answers = registry.server(from).is_some() && !is_silent;
         let rest = if answers {
-            MoveRest {
+            MoveTimeLeft {
                 wait: MoveWait::Work,
                 rest_ms: RELEASE_TIMEOUT_MS,
             }
         } else {
-            MoveRest {
+            MoveTimeLeft {
                 wait: MoveWait::Lease,
                 rest_ms: self.lease_end_ms(from).saturating_sub(clock::now_ms()),
             }
@@ -188,7 +188,7 @@
         service: &Arc<str>,
         holding: &Holding,
         above_fence: u64,
-        rest: MoveRest,
+        rest: MoveTimeLeft,
     ) {
         let move_ahead = Announcement {
             range: holding.range,
@@ -311,7 +311,7 @@
                     self.entry.metrics.order("release", "failed");
                     log::debug!("{id} did not release keys: {error}");
                     if self.note_waiting(range) {
-                        let rest = MoveRest {
+                        let rest = MoveTimeLeft {
                             wait: MoveWait::Lease,
                             rest_ms: self.lease_end_ms(id).saturating_sub(clock::now_ms()),
                         };
--- a/src/entry/news/announcement.rs
+++ b/src/entry/news/announcement.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::entry::{decide::hold::MoveRest, keys::KeyRange};
+use crate::entry::{decide::hold::MoveTimeLeft, keys::KeyRange};
 
 /// What the holder tells of keys that are on their way to another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -12,5 +12,5 @@
     /// They are there once a grant under a higher fence is announced.
     pub above_fence: u64,
     /// Time after which this no longer counts, whatever was heard.
-    pub rest: MoveRest,
+    pub rest: MoveTimeLeft,
 }
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -8,7 +8,7 @@
 
 use super::{
     decide::{
-        hold::{MoveRest, MoveWait},
+        hold::{MoveTimeLeft, MoveWait},
         key_loads::KEYS,
     },
     keys::{Assignment, Holding, KeyPart, KeyRange},
@@ -115,7 +115,7 @@
     /// To this server, under this fence.
     Server(Arc<str>, u64),
     /// The keys are on their way: ask again when the view changes or a moment has passed.
-    Moving(MoveRest),
+    Moving(MoveTimeLeft),
     /// No server holds the key.
     Nobody,
 }
@@ -263,7 +263,7 @@
             concerns && now_ms < m.until_ms && granted_fence <= m.above_fence
         });
         if let Some(longest) = waits.max_by_key(|m| m.until_ms) {
-            return Owner::Moving(MoveRest {
+            return Owner::Moving(MoveTimeLeft {
                 wait: longest.wait,
                 rest_ms: longest.until_ms - now_ms,
             });
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -10,7 +10,7 @@
         Candidate, Demand, Policy, admission,
         attempt_stats::AttemptStats,
         choice::{self, HostCount},
-        hold::{self, Hold, MoveRest, MoveWait},
+        hold::{self, Hold, MoveTimeLeft, MoveWait},
         key_loads::KeyLoads,
         pace::Pace,
         plan::{self, PlanServer, Question},
@@ -186,7 +186,7 @@
         },
     ];
     for case in cases {
-        let rest = MoveRest {
+        let rest = MoveTimeLeft {
             wait: case.wait,
             rest_ms: case.rest_ms,
         };
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -12,7 +12,7 @@
             budget::RetryBudget,
             choice::{self, HostCount},
             first::{self, FirstAssignmentWait},
-            hold::{MoveRest, MoveWait},
+            hold::{MoveTimeLeft, MoveWait},
             hot_keys::{self, HotKey, HotKeys},
             key_loads::{KeyCounts, KeyLoads},
             plan::{self, Move, PlanServer, Question},
@@ -754,7 +754,7 @@
         let announcement = Announcement {
             range: range(number, number),
             above_fence: 1,
-            rest: MoveRest {
+            rest: MoveTimeLeft {
                 wait: MoveWait::Work,
                 rest_ms: 2_500,
             },
