--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -29,7 +29,7 @@
         crash_tally::CrashTally,
         path_tally::{PathTally, SharedSuspect},
         quarantine::Quarantine,
-        trials::{CLAIM_WAIT_MS, Claimed, Trials},
+        trials::{CLAIM_WAIT_MS, Claimed, TrialClaims},
     },
     digest::{RequestDigest, RequestDigests},
     events::Event,
@@ -48,7 +48,7 @@
     tally: Mutex<CrashTally>,
     path_tally: Mutex<PathTally>,
     quarantine: Mutex<Quarantine>,
-    trials: Mutex<Trials>,
+    trials: Mutex<TrialClaims>,
     reports: Mutex<Reports>,
     stored: Mutex<Stored>,
     /// A server has ended.
--- a/src/entry/decide/trials.rs
+++ b/src/entry/decide/trials.rs
@@ -45,9 +45,9 @@
 
 /// Claims of tries.
 #[derive(Debug, Default)]
-pub struct Trials(HashMap<Claimed, Claim>);
+pub struct TrialClaims(HashMap<Claimed, Claim>);
 
-impl Trials {
+impl TrialClaims {
     /// Claims a try for a host. `Err` holds the rest of the time for which another try is under way.
     pub fn claim(
         &mut self,
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -8,7 +8,7 @@
         crash_tally::{CrashTally, SERVERS_NEEDED},
         path_tally::{DigestScope, PathTally, SharedSuspect},
         quarantine::{ANY_CALLER_QUARANTINE_MS, QUARANTINE_MS, Quarantine},
-        trials::{CLAIM_MS, Claimed, Trials},
+        trials::{CLAIM_MS, Claimed, TrialClaims},
     },
     digest::{RequestDigest, RequestDigests},
     explain::{Source, explain},
@@ -246,7 +246,7 @@
 fn one_host_at_a_time_tries_a_suspect() {
     let [first, second] = [1, 2].map(|last| SocketAddr::from(([10, 0, 0, last], 7_620)));
     // Both claim before they hear each other.
-    let (mut of_first, mut of_second) = (Trials::default(), Trials::default());
+    let (mut of_first, mut of_second) = (TrialClaims::default(), TrialClaims::default());
     assert_eq!(of_first.claim(DEADLY, first, 0), Ok(()));
     assert_eq!(of_second.claim(DEADLY, second, 1), Ok(()));
     of_first.note(DEADLY, second, 3);
@@ -441,7 +441,7 @@
 #[test]
 fn one_suspect_at_a_time_is_tried_at_a_server() {
     let [first, second] = [1, 2].map(|last| SocketAddr::from(([10, 0, 0, last], 7_620)));
-    let mut trials = Trials::default();
+    let mut trials = TrialClaims::default();
     assert_eq!(trials.claim(Claimed::Server(9), first, 0), Ok(()));
     trials.note(Claimed::Server(8), second, 0);
     assert!(trials.claim(Claimed::Server(9), first, 10).is_err());
