--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -31,7 +31,7 @@
     /// Its key is missing or not known.
     Unauthorized,
     /// This host cannot tell now whether its key is good.
-    Unproved,
+    Unverified,
 }
 
 impl Entry {
@@ -54,7 +54,7 @@
         match trust::judge(workspace.is_some(), self.configuration_age_ms(), limits) {
             Verdict::Honoured => Ok(workspace),
             Verdict::Unknown => Err(Denied::Unauthorized),
-            Verdict::Unproved => Err(Denied::Unproved),
+            Verdict::Unverified => Err(Denied::Unverified),
         }
     }
 
--- a/src/entry/decide/trust.rs
+++ b/src/entry/decide/trust.rs
@@ -24,7 +24,7 @@
     /// Its key is surely not good.
     Unknown,
     /// This host cannot tell now.
-    Unproved,
+    Unverified,
 }
 
 /// Judges a key that the configuration knows or not, which is proved to have been the latest one `proof_age_ms` ago.
@@ -34,12 +34,12 @@
         return if is_proved_within(limits.configuration_ms) {
             Verdict::Unknown
         } else {
-            Verdict::Unproved
+            Verdict::Unverified
         };
     }
     match limits.revocation_ms {
         Some(bound_ms) if !is_proved_within(bound_ms.saturating_sub(REVOCATION_MARGIN_MS)) => {
-            Verdict::Unproved
+            Verdict::Unverified
         }
         _ => Verdict::Honoured,
     }
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -144,7 +144,7 @@
             log_denied(head, route, reason);
             unauthorized(reason)
         }
-        Denied::Unproved => {
+        Denied::Unverified => {
             let reason = "this host cannot tell now whether the API key is good";
             log_denied(head, route, reason);
             refusal(&Refused::soon(reason, policy))
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -222,7 +222,7 @@
                     ));
                 }
             }
-            Verdict::Unproved => {}
+            Verdict::Unverified => {}
         }
         Ok(())
     }
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -276,13 +276,13 @@
     let cases = [
         case(true, Some(0), strict, Verdict::Honoured),
         case(true, Some(4_800), strict, Verdict::Honoured),
-        case(true, Some(5_000), strict, Verdict::Unproved),
-        case(true, None, strict, Verdict::Unproved),
+        case(true, Some(5_000), strict, Verdict::Unverified),
+        case(true, None, strict, Verdict::Unverified),
         case(true, None, None, Verdict::Honoured),
         case(false, Some(1_000), strict, Verdict::Unknown),
         case(false, Some(1_000), None, Verdict::Unknown),
-        case(false, Some(3_000), strict, Verdict::Unproved),
-        case(false, None, None, Verdict::Unproved),
+        case(false, Some(3_000), strict, Verdict::Unverified),
+        case(false, None, None, Verdict::Unverified),
     ];
     for case in cases {
         let limits = TrustLimits {
