--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -8,7 +8,7 @@
 
 use super::{
     Entry,
-    decide::trust::{self, TrustLimits, Verdict},
+    decide::trust::{self, KeyVerdict, TrustLimits},
     model::{Configuration, Route},
     news::followed::Followed,
     peers::message::Message,
@@ -52,9 +52,9 @@
             configuration_ms: self.settings.bounds.configuration_ms,
         };
         match trust::judge(workspace.is_some(), self.configuration_age_ms(), limits) {
-            Verdict::Honoured => Ok(workspace),
-            Verdict::Unknown => Err(Denied::Unauthorized),
-            Verdict::Unverified => Err(Denied::Unverified),
+            KeyVerdict::Honoured => Ok(workspace),
+            KeyVerdict::Unknown => Err(Denied::Unauthorized),
+            KeyVerdict::Unverified => Err(Denied::Unverified),
         }
     }
 
--- a/src/entry/decide/trust.rs
+++ b/src/entry/decide/trust.rs
@@ -18,7 +18,7 @@
 
 /// What is done with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum KeyVerdict {
     /// Its key is good.
     Honoured,
     /// Its key is surely not good.
@@ -28,19 +28,19 @@
 }
 
 /// Judges a key that the configuration knows or not, which is proved to have been the latest one `proof_age_ms` ago.
-pub fn judge(is_known: bool, proof_age_ms: Option<u64>, limits: TrustLimits) -> Verdict {
+pub fn judge(is_known: bool, proof_age_ms: Option<u64>, limits: TrustLimits) -> KeyVerdict {
     let is_proved_within = |bound_ms| proof_age_ms.is_some_and(|age_ms| age_ms <= bound_ms);
     if !is_known {
         return if is_proved_within(limits.configuration_ms) {
-            Verdict::Unknown
+            KeyVerdict::Unknown
         } else {
-            Verdict::Unverified
+            KeyVerdict::Unverified
         };
     }
     match limits.revocation_ms {
         Some(bound_ms) if !is_proved_within(bound_ms.saturating_sub(REVOCATION_MARGIN_MS)) => {
-            Verdict::Unverified
+            KeyVerdict::Unverified
         }
-        _ => Verdict::Honoured,
+        _ => KeyVerdict::Honoured,
     }
 }
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -2,7 +2,7 @@
 //! virtual time on the deciding code, over drawn orders of events.
 
 use ashroad::entry::{
-    decide::trust::{TrustLimits, Verdict, judge},
+    decide::trust::{KeyVerdict, TrustLimits, judge},
     news::proof::ConfigurationProof,
 };
 use quickcheck::quickcheck;
@@ -207,7 +207,7 @@
         let outdated_ms = self.operators.written_ms(host.version + 1);
         let is_outdated = latest > host.version;
         match verdict {
-            Verdict::Honoured => {
+            KeyVerdict::Honoured => {
                 self.honoured += 1;
                 if is_outdated && now_ms > outdated_ms + REVOCATION_MS {
                     return Err(format!(
@@ -215,14 +215,14 @@
                     ));
                 }
             }
-            Verdict::Unknown => {
+            KeyVerdict::Unknown => {
                 if is_outdated && now_ms > outdated_ms + CONFIGURATION_MS {
                     return Err(format!(
                         "a key added at {outdated_ms} is unknown at {now_ms}"
                     ));
                 }
             }
-            Verdict::Unverified => {}
+            KeyVerdict::Unverified => {}
         }
         Ok(())
     }
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use ashroad::entry::decide::trust::{TrustLimits, Verdict, judge};
+use ashroad::entry::decide::trust::{KeyVerdict, TrustLimits, judge};
 use http::StatusCode;
 use serde_json::{Value, json};
 use tokio::time;
@@ -264,7 +264,7 @@
         known: bool,
         age_ms: Option<u64>,
         revocation_ms: Option<u64>,
-        verdict: Verdict,
+        verdict: KeyVerdict,
     }
     let strict = Some(5_000);
     let case = |known, age_ms, revocation_ms, verdict| Case {
@@ -274,15 +274,15 @@
         verdict,
     };
     let cases = [
-        case(true, Some(0), strict, Verdict::Honoured),
-        case(true, Some(4_800), strict, Verdict::Honoured),
-        case(true, Some(5_000), strict, Verdict::Unverified),
-        case(true, None, strict, Verdict::Unverified),
-        case(true, None, None, Verdict::Honoured),
-        case(false, Some(1_000), strict, Verdict::Unknown),
-        case(false, Some(1_000), None, Verdict::Unknown),
-        case(false, Some(3_000), strict, Verdict::Unverified),
-        case(false, None, None, Verdict::Unverified),
+        case(true, Some(0), strict, KeyVerdict::Honoured),
+        case(true, Some(4_800), strict, KeyVerdict::Honoured),
+        case(true, Some(5_000), strict, KeyVerdict::Unverified),
+        case(true, None, strict, KeyVerdict::Unverified),
+        case(true, None, None, KeyVerdict::Honoured),
+        case(false, Some(1_000), strict, KeyVerdict::Unknown),
+        case(false, Some(1_000), None, KeyVerdict::Unknown),
+        case(false, Some(3_000), strict, KeyVerdict::Unverified),
+        case(false, None, None, KeyVerdict::Unverified),
     ];
     for case in cases {
         let limits = TrustLimits {
