--- a/src/entry/decide/rests.rs
+++ b/src/entry/decide/rests.rs
@@ -40,7 +40,7 @@
     }
 
     /// True if a server wants a rest of so many hosts that its keys should go to others.
-    pub fn is_wide(&self, server_tag: u32, hosts: usize, now_ms: u64) -> bool {
+    pub fn is_widespread(&self, server_tag: u32, hosts: usize, now_ms: u64) -> bool {
         let rests = self.rests();
         let Some(resting) = rests.get(&server_tag) else {
             return false;
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -270,7 +270,7 @@
         let now_ms = clock::now_ms();
         rests::awake(servers, |planned| {
             let server = registry.server(&planned.id);
-            server.is_some_and(|server| self.entry.rests.is_wide(server.tag, hosts, now_ms))
+            server.is_some_and(|server| self.entry.rests.is_widespread(server.tag, hosts, now_ms))
         })
     }
 
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -87,9 +87,9 @@
         for (number, now_ms, rest_ms) in case.turned_away {
             rests.note(SERVER, host(*number), *rest_ms, *now_ms);
         }
-        let wide = rests.is_wide(SERVER, case.hosts, case.at_ms);
+        let wide = rests.is_widespread(SERVER, case.hosts, case.at_ms);
         assert_eq!(wide, case.wide, "{}", case.name);
-        assert!(!rests.is_wide(SERVER + 1, case.hosts, case.at_ms));
+        assert!(!rests.is_widespread(SERVER + 1, case.hosts, case.at_ms));
     }
 }
 
