--- a/src/entry/decide/rests.rs
+++ b/src/entry/decide/rests.rs
@@ -57,7 +57,7 @@
 }
 
 /// The servers that are awake, or all if too few are.
-pub fn awake<T>(mut servers: Vec<T>, rests: impl Fn(&T) -> bool) -> Vec<T> {
+pub fn not_resting<T>(mut servers: Vec<T>, rests: impl Fn(&T) -> bool) -> Vec<T> {
     let resting = servers.iter().filter(|server| rests(server)).count();
     let least_awake = servers.len() as f64 * AWAKE_MIN;
     if (servers.len() - resting) as f64 >= least_awake {
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -264,11 +264,11 @@
     }
 
     /// Those of a service's servers that should hold keys now: without the ones that many hosts must let rest.
-    fn awake(&self, servers: Vec<PlanServer>) -> Vec<PlanServer> {
+    fn not_resting(&self, servers: Vec<PlanServer>) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
         let hosts = self.entry.peers.hosts();
         let now_ms = clock::now_ms();
-        rests::awake(servers, |planned| {
+        rests::not_resting(servers, |planned| {
             let server = registry.server(&planned.id);
             server.is_some_and(|server| self.entry.rests.is_widespread(server.tag, hosts, now_ms))
         })
@@ -285,7 +285,7 @@
 
     fn plan(self: &Arc<Self>, service: &Arc<str>, round: u64, tasks: &mut JoinSet<()>) {
         self.revive_silent(service);
-        let servers = self.awake(self.usable(service));
+        let servers = self.not_resting(self.usable(service));
         if servers.is_empty() {
             return;
         }
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -4,7 +4,7 @@
 
 use ashroad::entry::decide::{
     Policy,
-    rests::{Rests, awake},
+    rests::{Rests, not_resting},
     retry_after::Refused,
 };
 
@@ -98,12 +98,12 @@
     struct Case {
         servers: u32,
         resting: u32,
-        awake: u32,
+        not_resting: u32,
     }
-    let case = |servers, resting, awake| Case {
+    let case = |servers, resting, not_resting| Case {
         servers,
         resting,
-        awake,
+        not_resting,
     };
     let cases = [
         case(9, 0, 9),
@@ -118,8 +118,8 @@
     ];
     for case in cases {
         let servers: Vec<u32> = (0..case.servers).collect();
-        let left = awake(servers, |server| *server < case.resting);
-        assert_eq!(left.len() as u32, case.awake, "{} rest", case.resting);
+        let left = not_resting(servers, |server| *server < case.resting);
+        assert_eq!(left.len() as u32, case.not_resting, "{} rest", case.resting);
     }
 }
 
