--- a/src/entry/decide/notices.rs
+++ b/src/entry/decide/notices.rs
@@ -11,7 +11,7 @@
 
 /// What changed by a notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Learned {
+pub struct NoticeEffect {
     /// The server was not known to leave by its own answers.
     pub leaves: bool,
     /// A rest has begun.
@@ -33,8 +33,8 @@
 
 impl Notices {
     /// Takes in what an answer said.
-    pub fn note(&mut self, notice: Notice, now_ms: u64) -> Learned {
-        let learned = Learned {
+    pub fn note(&mut self, notice: Notice, now_ms: u64) -> NoticeEffect {
+        let learned = NoticeEffect {
             leaves: notice.leaves && self.leaves_since_ms.is_none(),
             rests: notice.rest_ms.is_some() && self.rest_ms(now_ms) == 0,
         };
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -12,7 +12,7 @@
     decide::{
         Candidate, Policy,
         attempt_stats::AttemptStats,
-        notices::{Learned, Notices},
+        notices::{NoticeEffect, Notices},
         pace::Pace,
         warmup::{self, WarmupWindows},
     },
@@ -235,7 +235,7 @@
     }
 
     /// Takes in what an answer said of the wish for further requests.
-    pub fn note_notice(&self, notice: Notice) -> Learned {
+    pub fn note_notice(&self, notice: Notice) -> NoticeEffect {
         self.notices().note(notice, clock::now_ms())
     }
 
