--- a/src/entry/decide/notices.rs
+++ b/src/entry/decide/notices.rs
@@ -68,7 +68,7 @@
     }
 
     /// True if it has told this host that it leaves.
-    pub fn has_told_leaving(&self) -> bool {
+    pub fn has_announced_leaving(&self) -> bool {
         self.leaves_since_ms.is_some()
     }
 
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -246,7 +246,7 @@
 
     /// True if it has told this host that it leaves, and its entry does not say so.
     pub fn leaves_by_notice_only(&self) -> bool {
-        !self.leaving() && self.notices().has_told_leaving()
+        !self.leaving() && self.notices().has_announced_leaving()
     }
 
     /// Time since this host first knew from notices that it leaves.
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -411,7 +411,7 @@
     // Others say so first: it gets no new work, and serves what only it can.
     assert!(notices.note_leaving_elsewhere(1_000));
     assert!(!notices.note_leaving_elsewhere(1_100));
-    assert!(notices.leaves() && !notices.has_told_leaving());
+    assert!(notices.leaves() && !notices.has_announced_leaving());
     assert!(!notices.is_closed_to(900_000, hold_ms));
     // Then its own answers do, again and again: the first counts.
     assert!(notices.note(LEAVES, 5_000).leaves);
