--- a/src/entry/decide/admission.rs
+++ b/src/entry/decide/admission.rs
@@ -66,7 +66,7 @@
 /// whether that still holds. One answer slower than the deadline would else keep all requests from an idle server
 /// until the evidence is forgotten, 6 s later; with it for as long as that answer took.
 fn is_due_for_probe(server: &Candidate) -> bool {
-    server.load == 0 && server.unheard_ms as f64 >= server.run_ms
+    server.load == 0 && server.since_outcome_ms as f64 >= server.run_ms
 }
 
 /// Requests a second that a server can serve. One of which nothing is known counts as typical, and
--- a/src/entry/decide/attempt_stats.rs
+++ b/src/entry/decide/attempt_stats.rs
@@ -39,7 +39,7 @@
     }
 
     /// Time since the latest outcome of an attempt.
-    pub fn unheard_ms(&self, now_ms: u64) -> u64 {
+    pub fn since_outcome_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.at_ms)
     }
 
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -66,7 +66,7 @@
     /// Average run time; 0 if nothing is known of it.
     pub run_ms: f64,
     /// Time since the deciding host last learned of it by an attempt of its own.
-    pub unheard_ms: u64,
+    pub since_outcome_ms: u64,
     /// Time that work takes there now, as a multiple of its average.
     pub pace: f64,
     /// Share of the latest attempts that failed.
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -347,7 +347,7 @@
             slots: self.entry.slots,
             load: self.load(),
             run_ms: self.run_ms(),
-            unheard_ms: attempt_stats.unheard_ms(now_ms),
+            since_outcome_ms: attempt_stats.since_outcome_ms(now_ms),
             pace: self.paces().known.relative(now_ms, policy.pace_memory_ms),
             failures: attempt_stats.failures(now_ms),
             is_paused: attempt_stats.is_paused(now_ms) || self.is_barred(rule),
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -25,7 +25,7 @@
     slots: 6,
     load: 0,
     run_ms: 0.0,
-    unheard_ms: 0,
+    since_outcome_ms: 0,
     pace: 1.0,
     failures: 0.0,
     is_paused: false,
@@ -108,7 +108,7 @@
         now_ms += 50;
         let seen = Candidate {
             run_ms: attempt_stats.run_ms(now_ms),
-            unheard_ms: attempt_stats.unheard_ms(now_ms),
+            since_outcome_ms: attempt_stats.since_outcome_ms(now_ms),
             load: 0,
             ..SERVER
         };
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -889,7 +889,7 @@
     slots: 4,
     load: 0,
     run_ms: 50.0,
-    unheard_ms: 0,
+    since_outcome_ms: 0,
     pace: 1.0,
     failures: 0.0,
     is_paused: false,
