--- a/src/entry/decide/crash_tally.rs
+++ b/src/entry/decide/crash_tally.rs
@@ -12,11 +12,11 @@
 /// Servers that must have ended under a request before it is held to be the cause. The users allow three
 /// runs, of which several may end with one server: with three servers a request that came eight times a
 /// second had eight runs. With two, no harmless request was held to be the cause on 18 days with trouble on
-/// five sites, but for five after the loss of a zone, which [`AT_ONCE_SERVERS`] excuses.
+/// five sites, but for five after the loss of a zone, which [`MASS_CRASH_SERVERS`] excuses.
 pub const SERVERS_NEEDED: usize = 2;
 /// Servers that end within [`AT_ONCE_MS`] of each other from which on their ends have one cause, such as the
 /// loss of a zone. One request comes to [`SERVERS_NEEDED`] first.
-const AT_ONCE_SERVERS: usize = 3;
+const MASS_CRASH_SERVERS: usize = 3;
 /// Time within which servers end at once: hosts notice and tell in 30 to 100 ms.
 const AT_ONCE_MS: u64 = 1_000;
 /// Time for which an end counts as evidence. Such a request comes again after seconds to minutes;
@@ -57,7 +57,7 @@
         let end = Evidence {
             server_tag,
             at_ms: now_ms,
-            is_shared: self.note_latest(server_tag, now_ms) >= AT_ONCE_SERVERS,
+            is_shared: self.note_latest(server_tag, now_ms) >= MASS_CRASH_SERVERS,
         };
         let is_at_once = |other: &Evidence| now_ms < other.at_ms + AT_ONCE_MS;
         let mut reached = Vec::new();
@@ -98,7 +98,7 @@
         latest
             .filter(|(_, at_ms)| now_ms < at_ms + AT_ONCE_MS)
             .count()
-            >= AT_ONCE_SERVERS
+            >= MASS_CRASH_SERVERS
     }
 
     /// Forgets the evidence against a request, since a server has run it to a good end; true if there was
