--- a/src/entry/decide/crash_tally.rs
+++ b/src/entry/decide/crash_tally.rs
@@ -14,11 +14,11 @@
 /// second had eight runs. With two, no harmless request was held to be the cause on 18 days with trouble on
 /// five sites, but for five after the loss of a zone, which [`MASS_CRASH_SERVERS`] excuses.
 pub const SERVERS_NEEDED: usize = 2;
-/// Servers that end within [`AT_ONCE_MS`] of each other from which on their ends have one cause, such as the
+/// Servers that end within [`MASS_CRASH_WINDOW_MS`] of each other from which on their ends have one cause, such as the
 /// loss of a zone. One request comes to [`SERVERS_NEEDED`] first.
 const MASS_CRASH_SERVERS: usize = 3;
 /// Time within which servers end at once: hosts notice and tell in 30 to 100 ms.
-const AT_ONCE_MS: u64 = 1_000;
+const MASS_CRASH_WINDOW_MS: u64 = 1_000;
 /// Time for which an end counts as evidence. Such a request comes again after seconds to minutes;
 /// chance gathers more the longer it may.
 const EVIDENCE_MS: u64 = 15 * 60 * 1_000;
@@ -59,7 +59,7 @@
             at_ms: now_ms,
             is_shared: self.note_latest(server_tag, now_ms) >= MASS_CRASH_SERVERS,
         };
-        let is_at_once = |other: &Evidence| now_ms < other.at_ms + AT_ONCE_MS;
+        let is_at_once = |other: &Evidence| now_ms < other.at_ms + MASS_CRASH_WINDOW_MS;
         let mut reached = Vec::new();
         for digest in digests {
             let evidence = self.suspects.entry(*digest).or_default();
@@ -78,7 +78,8 @@
 
     /// Notes that a server has ended; how many have at once.
     fn note_latest(&mut self, server_tag: u32, now_ms: u64) -> usize {
-        self.latest.retain(|(_, at_ms)| now_ms < at_ms + AT_ONCE_MS);
+        self.latest
+            .retain(|(_, at_ms)| now_ms < at_ms + MASS_CRASH_WINDOW_MS);
         if !self.latest.iter().any(|(other, _)| *other == server_tag) {
             self.latest.push((server_tag, now_ms));
         }
@@ -96,7 +97,7 @@
     pub fn are_many_at_once(&self, now_ms: u64) -> bool {
         let latest = self.latest.iter();
         latest
-            .filter(|(_, at_ms)| now_ms < at_ms + AT_ONCE_MS)
+            .filter(|(_, at_ms)| now_ms < at_ms + MASS_CRASH_WINDOW_MS)
             .count()
             >= MASS_CRASH_SERVERS
     }
