--- a/src/entry/crashes/probe.rs
+++ b/src/entry/crashes/probe.rs
@@ -59,7 +59,7 @@
         .log();
         self.note_suspects(server.tag, digests, shared);
         // A lost zone of 216 servers would be 2,600 ends for each of 295 hosts to take in.
-        let to_all = !lock(&self.crashes.tally).are_many_at_once(clock::now_ms());
+        let to_all = !lock(&self.crashes.tally).has_recent_mass_crash(clock::now_ms());
         lock(&self.crashes.reports).add(server.tag, suspects, to_all);
         self.crashes.ended.notify_one();
     }
--- a/src/entry/decide/crash_tally.rs
+++ b/src/entry/decide/crash_tally.rs
@@ -94,7 +94,7 @@
     }
 
     /// True if many servers have just ended.
-    pub fn are_many_at_once(&self, now_ms: u64) -> bool {
+    pub fn has_recent_mass_crash(&self, now_ms: u64) -> bool {
         let latest = self.latest.iter();
         latest
             .filter(|(_, at_ms)| now_ms < at_ms + MASS_CRASH_WINDOW_MS)
