--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -114,10 +114,10 @@
         let now_ms = clock::now_ms();
         let mut tally = lock(&self.crashes.tally);
         let mut reached = tally.note(server_tag, digests, now_ms);
-        let is_one_of_many = tally.has_recent_mass_crash(now_ms);
+        let is_mass_crash = tally.has_recent_mass_crash(now_ms);
         drop(tally);
         let mut path_tally = lock(&self.crashes.path_tally);
-        reached.extend(path_tally.note(server_tag, shared, is_one_of_many, now_ms));
+        reached.extend(path_tally.note(server_tag, shared, is_mass_crash, now_ms));
         drop(path_tally);
         self.put_in_quarantine(&reached, "servers ended under it");
     }
--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -66,17 +66,17 @@
 
 impl PathTally {
     /// Notes that a server ended with requests in flight. Returns what is held to be the cause now. The same end may
-    /// be told more than once. `is_one_of_many` if so many servers have ended at once that something else is the cause:
+    /// be told more than once. `is_mass_crash` if so many servers have ended at once that something else is the cause:
     /// only trials count then.
     pub fn note(
         &mut self,
         server_tag: u32,
         suspects: &[SharedSuspect],
-        is_one_of_many: bool,
+        is_mass_crash: bool,
         now_ms: u64,
     ) -> Vec<RequestDigest> {
         self.make_room(suspects.len(), now_ms);
-        let counted = suspects.iter().filter(|s| s.is_trial || !is_one_of_many);
+        let counted = suspects.iter().filter(|s| s.is_trial || !is_mass_crash);
         let mut reached = Vec::new();
         for suspect in counted {
             let evidence = self.0.entry(suspect.digest).or_default();
