--- a/src/entry/decide/crash_tally.rs
+++ b/src/entry/decide/crash_tally.rs
@@ -33,7 +33,7 @@
     server_tag: u32,
     at_ms: u64,
     /// True if many servers ended at once.
-    is_shared: bool,
+    is_mass_crash: bool,
 }
 
 /// Requests under suspicion, with the servers that ended under them.
@@ -57,7 +57,7 @@
         let end = Evidence {
             server_tag,
             at_ms: now_ms,
-            is_shared: self.note_latest(server_tag, now_ms) >= MASS_CRASH_SERVERS,
+            is_mass_crash: self.note_latest(server_tag, now_ms) >= MASS_CRASH_SERVERS,
         };
         let is_at_once = |other: &Evidence| now_ms < other.at_ms + MASS_CRASH_WINDOW_MS;
         let mut reached = Vec::new();
@@ -68,7 +68,7 @@
                 continue;
             }
             evidence.push(end);
-            let has_one_cause = end.is_shared && evidence.iter().all(is_at_once);
+            let has_one_cause = end.is_mass_crash && evidence.iter().all(is_at_once);
             if evidence.len() >= SERVERS_NEEDED && !has_one_cause {
                 reached.push(*digest);
             }
@@ -88,7 +88,7 @@
 
     /// True if a server ended under a request while others lived: it may end the next one too.
     pub fn is_suspect(&self, digest: RequestDigest, now_ms: u64) -> bool {
-        let is_fresh = |end: &Evidence| !end.is_shared && now_ms < end.at_ms + EVIDENCE_MS;
+        let is_fresh = |end: &Evidence| !end.is_mass_crash && now_ms < end.at_ms + EVIDENCE_MS;
         let evidence = self.suspects.get(&digest);
         evidence.is_some_and(|evidence| evidence.iter().any(is_fresh))
     }
