--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -73,7 +73,7 @@
     let mut plan = Plan::new(question);
     plan.place_gaps();
     plan.place_hot();
-    plan.employ_idle();
+    plan.fill_idle_servers();
     plan.balance();
     plan.moves
 }
@@ -268,7 +268,7 @@
 
     /// Gives servers without keys half of what the most used ones have, however little that is: a
     /// server that joins should serve before the others are full.
-    fn employ_idle(&mut self) {
+    fn fill_idle_servers(&mut self) {
         let holds = |id: &Arc<str>| self.holdings.iter().any(|h| h.server == *id);
         let servers = self.question.servers.iter();
         let idle: Vec<Arc<str>> = servers
