--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -71,7 +71,7 @@
         return Vec::new();
     }
     let mut plan = Plan::new(question);
-    plan.place_gaps();
+    plan.assign_unowned_keys();
     plan.place_hot();
     plan.fill_idle_servers();
     plan.balance();
@@ -222,7 +222,7 @@
     }
 
     /// Gives every range whose server is unusable to others, in pieces of bearable load.
-    fn place_gaps(&mut self) {
+    fn assign_unowned_keys(&mut self) {
         let mut homeless: Vec<KeyRange> = self.question.assignment.gaps();
         for holding in &self.holdings {
             if !self.used.contains_key(&holding.server) {
