--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -72,7 +72,7 @@
     }
     let mut plan = Plan::new(question);
     plan.assign_unowned_keys();
-    plan.place_hot();
+    plan.move_hot_keys();
     plan.fill_idle_servers();
     plan.balance();
     plan.moves
@@ -136,7 +136,7 @@
     }
 
     /// Gives each hot key to the fastest server, if that is much faster than its own.
-    fn place_hot(&mut self) {
+    fn move_hot_keys(&mut self) {
         for (key, from) in self.hot.clone() {
             let range = KeyRange {
                 first: key,
