--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -99,13 +99,13 @@
             holdings,
             moves: Vec::new(),
         };
-        plan.note_hot();
+        plan.add_hot_keys();
         plan
     }
 
     /// Counts hot keys with what their servers can serve: the rest of their requests is refused
     /// wherever they are.
-    fn note_hot(&mut self) {
+    fn add_hot_keys(&mut self) {
         if !self.question.policy.hot_alone {
             return;
         }
