--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -223,15 +223,15 @@
 
     /// Gives every range whose server is unusable to others, in pieces of bearable load.
     fn assign_unowned_keys(&mut self) {
-        let mut homeless: Vec<KeyRange> = self.question.assignment.gaps();
+        let mut unowned: Vec<KeyRange> = self.question.assignment.gaps();
         for holding in &self.holdings {
             if !self.used.contains_key(&holding.server) {
-                homeless.push(holding.range);
+                unowned.push(holding.range);
             }
         }
         let servers = self.question.servers.len() as f64;
         let piece_load = self.question.loads.of(KeyRange::ALL) / servers / 2.0;
-        for range in homeless {
+        for range in unowned {
             if self.is_moving(range) {
                 continue;
             }
