--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -280,7 +280,7 @@
                 return;
             };
             let wanted = (self.used[&from] / 2.0).min(self.capacity(&to));
-            let Some(range) = self.carve(&from, wanted) else {
+            let Some(range) = self.select_range(&from, wanted) else {
                 return;
             };
             self.shift(range, &from, to, "joined");
@@ -327,7 +327,7 @@
             let carved = if wanted < LOAD_MOVED_MIN {
                 None
             } else {
-                self.carve(&from, wanted)
+                self.select_range(&from, wanted)
             };
             let Some(range) = carved else {
                 // It has only a hot key left, or takes less than its least range: the others are balanced all the
@@ -366,7 +366,7 @@
 
     /// A range at the end of one of the server's holdings whose load is closest to `wanted`
     /// without being more than half above it.
-    fn carve(&self, from: &str, wanted: f64) -> Option<KeyRange> {
+    fn select_range(&self, from: &str, wanted: f64) -> Option<KeyRange> {
         let mut best: Option<(KeyRange, f64)> = None;
         for holding in &self.holdings {
             if *holding.server != *from || self.is_moving(holding.range) {
