--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -324,12 +324,12 @@
             let over = self.used[&from] - kept;
             let room = goal * self.capacity(&to) - self.used[&to];
             let wanted = over.min(room.max(over / 2.0));
-            let carved = if wanted < LOAD_MOVED_MIN {
+            let selected = if wanted < LOAD_MOVED_MIN {
                 None
             } else {
                 self.select_range(&from, wanted)
             };
-            let Some(range) = carved else {
+            let Some(range) = selected else {
                 // It has only a hot key left, or takes less than its least range: the others are balanced all the
                 // same.
                 settled.push(from);
