--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -283,7 +283,7 @@
             let Some(range) = self.select_range(&from, wanted) else {
                 return;
             };
-            self.shift(range, &from, to, "joined");
+            self.move_range(range, &from, to, "joined");
         }
     }
 
@@ -341,12 +341,12 @@
             if after >= share {
                 return;
             }
-            self.shift(range, &from, to, "balance");
+            self.move_range(range, &from, to, "balance");
         }
     }
 
     /// Moves a range from a server that holds it.
-    fn shift(&mut self, range: KeyRange, from: &Arc<str>, to: Arc<str>, cause: &'static str) {
+    fn move_range(&mut self, range: KeyRange, from: &Arc<str>, to: Arc<str>, cause: &'static str) {
         let load = self.question.loads.of(range);
         if let Some(used) = self.used.get_mut(from) {
             *used -= load;
