--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -190,7 +190,7 @@
         found.map_or(1.0, |server| server.capacity_per_s.max(0.1))
     }
 
-    fn used_share(&self, server: &PlanServer) -> f64 {
+    fn utilisation(&self, server: &PlanServer) -> f64 {
         self.used[&server.id] / server.capacity_per_s.max(0.1)
     }
 
@@ -204,7 +204,7 @@
 
     fn least_used(&self) -> Arc<str> {
         let servers = self.question.servers.iter();
-        let least = servers.min_by(|a, b| self.used_share(a).total_cmp(&self.used_share(b)));
+        let least = servers.min_by(|a, b| self.utilisation(a).total_cmp(&self.utilisation(b)));
         least.map_or_else(|| "".into(), |server| server.id.clone())
     }
 
@@ -291,7 +291,7 @@
     fn most_used(&self, but: &[Arc<str>]) -> Option<Arc<str>> {
         let servers = self.question.servers.iter();
         let servers = servers.filter(|server| !but.contains(&server.id));
-        let most = servers.max_by(|a, b| self.used_share(a).total_cmp(&self.used_share(b)))?;
+        let most = servers.max_by(|a, b| self.utilisation(a).total_cmp(&self.utilisation(b)))?;
         Some(most.id.clone())
     }
 
