--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -194,7 +194,7 @@
         self.used[&server.id] / server.capacity_per_s.max(0.1)
     }
 
-    fn mean_share(&self) -> f64 {
+    fn mean_utilisation(&self) -> f64 {
         let capacity: f64 = self.question.servers.iter().map(|s| s.capacity_per_s).sum();
         // Without what no server can serve.
         let excess: f64 = self.hot.iter().map(|hot| self.hot_excess(hot)).sum();
@@ -296,7 +296,7 @@
     }
 
     fn balance(&mut self) {
-        let mean = self.mean_share();
+        let mean = self.mean_utilisation();
         let servers = self.question.servers.len() as f64;
         let load = self.question.loads.of(KeyRange::ALL) / servers;
         let policy = self.question.policy;
