--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -306,9 +306,9 @@
             .max(mean * (policy.balance_excess + chance));
         let goal = policy.balance_goal_share.max(mean);
         let moves_left = self.question.balance_moves_max;
-        let mut settled: Vec<Arc<str>> = Vec::new();
+        let mut exhausted: Vec<Arc<str>> = Vec::new();
         for _ in 0..moves_left.saturating_sub(self.moves.len()) {
-            let Some(from) = self.most_used(&settled) else {
+            let Some(from) = self.most_used(&exhausted) else {
                 return;
             };
             let share = self.used[&from] / self.capacity(&from);
@@ -332,7 +332,7 @@
             let Some(range) = selected else {
                 // It has only a hot key left, or takes less than its least range: the others are balanced all the
                 // same.
-                settled.push(from);
+                exhausted.push(from);
                 continue;
             };
             let load = self.question.loads.of(range);
