--- a/src/entry/decide/choice.rs
+++ b/src/entry/decide/choice.rs
@@ -24,7 +24,7 @@
 
 /// Question for a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Question<'a> {
+pub struct Inputs<'a> {
     /// Servers that may get the request.
     pub servers: &'a [Candidate],
     /// Average run time of the service's servers.
@@ -37,7 +37,7 @@
 
 /// Place of the server that is expected to answer first and has room; `None` if all are overloaded. Servers of
 /// another region get what those of the own one have no room for: the way there is long, and its bytes are dear.
-pub fn pick(question: Question<'_>, policy: &Policy, rng: &mut impl Rng) -> Option<usize> {
+pub fn pick(question: Inputs<'_>, policy: &Policy, rng: &mut impl Rng) -> Option<usize> {
     let mut order: Vec<usize> = (0..question.servers.len()).collect();
     order.shuffle(rng);
     let is_far = |place: &usize| question.servers[*place].is_far;
@@ -46,12 +46,12 @@
 }
 
 fn pick_among(
-    question: Question<'_>,
+    question: Inputs<'_>,
     order: Vec<usize>,
     policy: &Policy,
     rng: &mut impl Rng,
 ) -> Option<usize> {
-    let Question {
+    let Inputs {
         servers,
         typical_ms,
         demand,
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -38,7 +38,7 @@
 
 /// Question to the planner.
 #[derive(Clone, Copy, Debug)]
-pub struct Question<'a> {
+pub struct Inputs<'a> {
     /// Who holds what.
     pub assignment: &'a Assignment,
     /// Servers that may hold keys.
@@ -56,7 +56,7 @@
 }
 
 struct Plan<'a> {
-    question: Question<'a>,
+    question: Inputs<'a>,
     /// Hot keys, each with the server that holds it.
     hot: Vec<(u16, Arc<str>)>,
     /// Load by server, over its capacity.
@@ -66,7 +66,7 @@
 }
 
 /// Plans moves: keys without a usable server first, then moves that even out the load.
-pub fn plan(question: Question<'_>) -> Vec<Move> {
+pub fn plan(question: Inputs<'_>) -> Vec<Move> {
     if question.servers.is_empty() {
         return Vec::new();
     }
@@ -79,7 +79,7 @@
 }
 
 impl<'a> Plan<'a> {
-    fn new(question: Question<'a>) -> Self {
+    fn new(question: Inputs<'a>) -> Self {
         let mut used: HashMap<Arc<str>, f64> = question
             .servers
             .iter()
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -12,7 +12,7 @@
         Entry,
         decide::{
             admission,
-            choice::{self, Question},
+            choice::{self, Inputs},
             hold::{self, Hold, MoveTimeLeft, MoveWait},
             rate_shares,
             retry_after::Refused,
@@ -153,7 +153,7 @@
         servers: &[&'r Arc<Server>],
     ) -> Option<&'r Arc<Server>> {
         let seen = servers.iter().map(|server| self.candidate(entry, server));
-        let question = Question {
+        let question = Inputs {
             servers: &seen.collect::<Vec<_>>(),
             typical_ms: registry.typical_run_ms(&self.service),
             demand: self.demand(entry),
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -24,7 +24,7 @@
         first::{self, FirstAssignmentWait},
         hot_keys,
         key_loads::KeyCounts,
-        plan::{self, PlanServer, Question},
+        plan::{self, Inputs, PlanServer},
         rests,
     },
     duty::Change,
@@ -317,7 +317,7 @@
             let hot = hot_keys::find(tag, &held.assignment, &servers, &loads, policy);
             let hot_keys: Vec<u16> = hot.iter().map(|hot| hot.key).collect();
             self.entry.hot_keys.note_found(tag, hot);
-            plan::plan(Question {
+            plan::plan(Inputs {
                 assignment: &held.assignment,
                 servers: &servers,
                 loads: &loads,
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -13,7 +13,7 @@
         hold::{self, Hold, MoveTimeLeft, MoveWait},
         key_loads::KeyLoads,
         pace::Pace,
-        plan::{self, PlanServer, Question},
+        plan::{self, Inputs, PlanServer},
         run_shares::RunShares,
     },
     keys::{Assignment, Holding, KeyRange},
@@ -238,7 +238,7 @@
     let policy = Policy::default();
     for round in 0.. {
         assert!(round < 12, "the plan does not settle");
-        let moves = plan::plan(Question {
+        let moves = plan::plan(Inputs {
             assignment,
             servers,
             loads,
@@ -379,7 +379,7 @@
     for key in (0..=u16::MAX).step_by(64) {
         loads.add(key, 0.2);
     }
-    let moves = plan::plan(Question {
+    let moves = plan::plan(Inputs {
         assignment: &assignment,
         servers: &servers,
         loads: &loads,
@@ -457,7 +457,7 @@
                     }
                 })
                 .collect();
-            let question = choice::Question {
+            let question = choice::Inputs {
                 servers: &seen,
                 typical_ms: MEAN_RUN_MS,
                 demand: Demand {
@@ -612,7 +612,7 @@
                     }
                 })
                 .collect();
-            let question = choice::Question {
+            let question = choice::Inputs {
                 servers: &seen,
                 typical_ms: MEAN_WORK_MS * 1.4,
                 demand: Demand {
@@ -807,7 +807,7 @@
         };
         let servers = [own, far, own, far, far];
         for _ in 0..100 {
-            let question = choice::Question {
+            let question = choice::Inputs {
                 servers: &servers,
                 typical_ms: 100.0,
                 demand: DEMAND,
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -15,7 +15,7 @@
             hold::{MoveTimeLeft, MoveWait},
             hot_keys::{self, HotKey, HotKeys},
             key_loads::{KeyCounts, KeyLoads},
-            plan::{self, Move, PlanServer, Question},
+            plan::{self, Inputs, Move, PlanServer},
         },
         explain::Source,
         keys::{Assignment, Holding, KeyPart, KeyRange},
@@ -235,7 +235,7 @@
         for (key, load) in loads {
             key_loads.add(key, f32::from(load));
         }
-        let moves = plan::plan(Question {
+        let moves = plan::plan(Inputs {
             assignment: &assignment,
             servers: &servers,
             loads: &key_loads,
@@ -297,7 +297,7 @@
     }
     let mut rounds = 0;
     loop {
-        let moves = plan::plan(Question {
+        let moves = plan::plan(Inputs {
             assignment: &assignment,
             servers: &servers,
             loads: &loads,
@@ -342,7 +342,7 @@
         loads.add(key, 0.01);
     }
     for _ in 0..2 {
-        let moves = plan::plan(Question {
+        let moves = plan::plan(Inputs {
             assignment: &assignment,
             servers: &servers,
             loads: &loads,
@@ -417,7 +417,7 @@
         let assignment = equal_parts(&servers);
         let mut counts = KeyCounts::default();
         count_drawn(&mut counts, 400, case.requests, KeyRange::ALL);
-        let moves = plan::plan(Question {
+        let moves = plan::plan(Inputs {
             assignment: &assignment,
             servers: &servers,
             loads: &counts.loads(&assignment.holdings, 10.0),
@@ -900,7 +900,7 @@
 
 /// Picks one of some servers for a request with a second left.
 fn pick(servers: &[Candidate]) -> Option<usize> {
-    let question = choice::Question {
+    let question = choice::Inputs {
         servers,
         typical_ms: admission::typical_run_ms(servers.iter().map(|server| server.run_ms)),
         demand: Demand {
