--- a/src/entry/decide/choice.rs
+++ b/src/entry/decide/choice.rs
@@ -37,16 +37,16 @@
 
 /// Place of the server that is expected to answer first and has room; `None` if all are overloaded. Servers of
 /// another region get what those of the own one have no room for: the way there is long, and its bytes are dear.
-pub fn pick(question: Inputs<'_>, policy: &Policy, rng: &mut impl Rng) -> Option<usize> {
-    let mut order: Vec<usize> = (0..question.servers.len()).collect();
+pub fn pick(inputs: Inputs<'_>, policy: &Policy, rng: &mut impl Rng) -> Option<usize> {
+    let mut order: Vec<usize> = (0..inputs.servers.len()).collect();
     order.shuffle(rng);
-    let is_far = |place: &usize| question.servers[*place].is_far;
+    let is_far = |place: &usize| inputs.servers[*place].is_far;
     let (far, own): (Vec<usize>, Vec<usize>) = order.into_iter().partition(is_far);
-    pick_among(question, own, policy, rng).or_else(|| pick_among(question, far, policy, rng))
+    pick_among(inputs, own, policy, rng).or_else(|| pick_among(inputs, far, policy, rng))
 }
 
 fn pick_among(
-    question: Inputs<'_>,
+    inputs: Inputs<'_>,
     order: Vec<usize>,
     policy: &Policy,
     rng: &mut impl Rng,
@@ -56,7 +56,7 @@
         typical_ms,
         demand,
         hosts,
-    } = question;
+    } = inputs;
     let mut near = compared(hosts.near);
     let mut distant = compared(hosts.all).div_ceil(2);
     let mut best: Option<(usize, f64)> = None;
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -56,7 +56,7 @@
 }
 
 struct Plan<'a> {
-    question: Inputs<'a>,
+    inputs: Inputs<'a>,
     /// Hot keys, each with the server that holds it.
     hot: Vec<(u16, Arc<str>)>,
     /// Load by server, over its capacity.
@@ -66,11 +66,11 @@
 }
 
 /// Plans moves: keys without a usable server first, then moves that even out the load.
-pub fn plan(question: Inputs<'_>) -> Vec<Move> {
-    if question.servers.is_empty() {
+pub fn plan(inputs: Inputs<'_>) -> Vec<Move> {
+    if inputs.servers.is_empty() {
         return Vec::new();
     }
-    let mut plan = Plan::new(question);
+    let mut plan = Plan::new(inputs);
     plan.assign_unowned_keys();
     plan.move_hot_keys();
     plan.fill_idle_servers();
@@ -79,21 +79,18 @@
 }
 
 impl<'a> Plan<'a> {
-    fn new(question: Inputs<'a>) -> Self {
-        let mut used: HashMap<Arc<str>, f64> = question
-            .servers
-            .iter()
-            .map(|s| (s.id.clone(), 0.0))
-            .collect();
-        let holdings = question.assignment.holdings.clone();
+    fn new(inputs: Inputs<'a>) -> Self {
+        let mut used: HashMap<Arc<str>, f64> =
+            inputs.servers.iter().map(|s| (s.id.clone(), 0.0)).collect();
+        let holdings = inputs.assignment.holdings.clone();
         for holding in &holdings {
-            let load = question.loads.of(holding.range);
+            let load = inputs.loads.of(holding.range);
             if let Some(used) = used.get_mut(&holding.server) {
                 *used += load;
             }
         }
         let mut plan = Self {
-            question,
+            inputs,
             hot: Vec::new(),
             used,
             holdings,
@@ -106,11 +103,11 @@
     /// Counts hot keys with what their servers can serve: the rest of their requests is refused
     /// wherever they are.
     fn add_hot_keys(&mut self) {
-        if !self.question.policy.hot_alone {
+        if !self.inputs.policy.hot_alone {
             return;
         }
-        for key in self.question.hot {
-            let Some(holding) = self.question.assignment.holding(*key) else {
+        for key in self.inputs.hot {
+            let Some(holding) = self.inputs.assignment.holding(*key) else {
                 continue;
             };
             let server = holding.server.clone();
@@ -125,13 +122,13 @@
 
     /// Load of a hot key beyond what its server can serve.
     fn hot_excess(&self, (key, server): &(u16, Arc<str>)) -> f64 {
-        (self.question.loads.key(*key) - self.capacity(server)).max(0.0)
+        (self.inputs.loads.key(*key) - self.capacity(server)).max(0.0)
     }
 
     /// Load of the hot keys at a server, as far as it can serve them.
     fn hot_load(&self, server: &str) -> f64 {
         let keys = self.hot.iter().filter(|(_, holder)| **holder == *server);
-        let load: f64 = keys.map(|(key, _)| self.question.loads.key(*key)).sum();
+        let load: f64 = keys.map(|(key, _)| self.inputs.loads.key(*key)).sum();
         load.min(self.capacity(server))
     }
 
@@ -144,7 +141,7 @@
             };
             let Some(to) = self.fastest() else { return };
             let faster = self.capacity(&to) / self.capacity(&from);
-            if faster < self.question.policy.hot_faster || self.is_moving(range) {
+            if faster < self.inputs.policy.hot_faster || self.is_moving(range) {
                 continue;
             }
             let load = self.hot_load(&from);
@@ -167,7 +164,7 @@
     fn fastest(&self) -> Option<Arc<str>> {
         let is_free =
             |server: &&PlanServer| !self.hot.iter().any(|(_, holder)| *holder == server.id);
-        let servers = self.question.servers.iter().filter(is_free);
+        let servers = self.inputs.servers.iter().filter(is_free);
         let fastest = servers.max_by(|a, b| a.capacity_per_s.total_cmp(&b.capacity_per_s))?;
         Some(fastest.id.clone())
     }
@@ -185,7 +182,7 @@
     }
 
     fn capacity(&self, id: &str) -> f64 {
-        let servers = self.question.servers.iter();
+        let servers = self.inputs.servers.iter();
         let found = servers.into_iter().find(|server| *server.id == *id);
         found.map_or(1.0, |server| server.capacity_per_s.max(0.1))
     }
@@ -195,25 +192,25 @@
     }
 
     fn mean_utilisation(&self) -> f64 {
-        let capacity: f64 = self.question.servers.iter().map(|s| s.capacity_per_s).sum();
+        let capacity: f64 = self.inputs.servers.iter().map(|s| s.capacity_per_s).sum();
         // Without what no server can serve.
         let excess: f64 = self.hot.iter().map(|hot| self.hot_excess(hot)).sum();
-        let load = self.question.loads.of(KeyRange::ALL) - excess;
+        let load = self.inputs.loads.of(KeyRange::ALL) - excess;
         load / capacity.max(0.1)
     }
 
     fn least_used(&self) -> Arc<str> {
-        let servers = self.question.servers.iter();
+        let servers = self.inputs.servers.iter();
         let least = servers.min_by(|a, b| self.utilisation(a).total_cmp(&self.utilisation(b)));
         least.map_or_else(|| "".into(), |server| server.id.clone())
     }
 
     fn is_moving(&self, range: KeyRange) -> bool {
-        self.question.moving.iter().any(|m| m.overlaps(&range))
+        self.inputs.moving.iter().any(|m| m.overlaps(&range))
     }
 
     fn push(&mut self, range: KeyRange, to: Arc<str>, cause: &'static str) {
-        let load = self.question.loads.of(range);
+        let load = self.inputs.loads.of(range);
         if let Some(used) = self.used.get_mut(&to) {
             // A range without load counts a little, so that idle ranges are spread too.
             *used += load + 0.01 * f64::from(range.len()) / KEYS as f64;
@@ -223,14 +220,14 @@
 
     /// Gives every range whose server is unusable to others, in pieces of bearable load.
     fn assign_unowned_keys(&mut self) {
-        let mut unowned: Vec<KeyRange> = self.question.assignment.gaps();
+        let mut unowned: Vec<KeyRange> = self.inputs.assignment.gaps();
         for holding in &self.holdings {
             if !self.used.contains_key(&holding.server) {
                 unowned.push(holding.range);
             }
         }
-        let servers = self.question.servers.len() as f64;
-        let piece_load = self.question.loads.of(KeyRange::ALL) / servers / 2.0;
+        let servers = self.inputs.servers.len() as f64;
+        let piece_load = self.inputs.loads.of(KeyRange::ALL) / servers / 2.0;
         for range in unowned {
             if self.is_moving(range) {
                 continue;
@@ -248,7 +245,7 @@
         let mut first = range.first;
         let mut sum = 0.0;
         for key in range.first..=range.last {
-            let load = self.question.loads.key(key);
+            let load = self.inputs.loads.key(key);
             if sum > 0.0 && sum + load > load_max && key > first {
                 pieces.push(KeyRange {
                     first,
@@ -270,12 +267,12 @@
     /// server that joins should serve before the others are full.
     fn fill_idle_servers(&mut self) {
         let holds = |id: &Arc<str>| self.holdings.iter().any(|h| h.server == *id);
-        let servers = self.question.servers.iter();
+        let servers = self.inputs.servers.iter();
         let idle: Vec<Arc<str>> = servers
             .filter(|server| !holds(&server.id) && self.used[&server.id] == 0.0)
             .map(|server| server.id.clone())
             .collect();
-        for to in idle.into_iter().take(self.question.balance_moves_max) {
+        for to in idle.into_iter().take(self.inputs.balance_moves_max) {
             let Some(from) = self.most_used(&[]) else {
                 return;
             };
@@ -289,7 +286,7 @@
 
     /// The server with the largest load over its capacity, but for some.
     fn most_used(&self, but: &[Arc<str>]) -> Option<Arc<str>> {
-        let servers = self.question.servers.iter();
+        let servers = self.inputs.servers.iter();
         let servers = servers.filter(|server| !but.contains(&server.id));
         let most = servers.max_by(|a, b| self.utilisation(a).total_cmp(&self.utilisation(b)))?;
         Some(most.id.clone())
@@ -297,15 +294,15 @@
 
     fn balance(&mut self) {
         let mean = self.mean_utilisation();
-        let servers = self.question.servers.len() as f64;
-        let load = self.question.loads.of(KeyRange::ALL) / servers;
-        let policy = self.question.policy;
-        let chance = policy.balance_chance * self.question.loads.deviation(load);
+        let servers = self.inputs.servers.len() as f64;
+        let load = self.inputs.loads.of(KeyRange::ALL) / servers;
+        let policy = self.inputs.policy;
+        let chance = policy.balance_chance * self.inputs.loads.deviation(load);
         let busy = policy
             .balance_busy_share
             .max(mean * (policy.balance_excess + chance));
         let goal = policy.balance_goal_share.max(mean);
-        let moves_left = self.question.balance_moves_max;
+        let moves_left = self.inputs.balance_moves_max;
         let mut exhausted: Vec<Arc<str>> = Vec::new();
         for _ in 0..moves_left.saturating_sub(self.moves.len()) {
             let Some(from) = self.most_used(&exhausted) else {
@@ -335,7 +332,7 @@
                 exhausted.push(from);
                 continue;
             };
-            let load = self.question.loads.of(range);
+            let load = self.inputs.loads.of(range);
             // A move that only swaps the roles of the two servers gains nothing.
             let after = (self.used[&to] + load) / self.capacity(&to);
             if after >= share {
@@ -347,7 +344,7 @@
 
     /// Moves a range from a server that holds it.
     fn move_range(&mut self, range: KeyRange, from: &Arc<str>, to: Arc<str>, cause: &'static str) {
-        let load = self.question.loads.of(range);
+        let load = self.inputs.loads.of(range);
         if let Some(used) = self.used.get_mut(from) {
             *used -= load;
         }
@@ -374,7 +371,7 @@
             }
             let parts = self.without_hot(holding.range).into_iter();
             for candidate in parts.flat_map(|part| self.ends(part, wanted)) {
-                let load = self.question.loads.of(candidate);
+                let load = self.inputs.loads.of(candidate);
                 if load <= 0.0 || load > wanted * 1.5 {
                     continue;
                 }
@@ -393,7 +390,7 @@
         let mut found = vec![range];
         let mut sum = 0.0;
         for last in range.first..=range.last {
-            let load = self.question.loads.key(last);
+            let load = self.inputs.loads.key(last);
             if sum + load > wanted && last > range.first {
                 found.push(KeyRange {
                     first: range.first,
@@ -405,7 +402,7 @@
         }
         sum = 0.0;
         for first in (range.first..=range.last).rev() {
-            let load = self.question.loads.key(first);
+            let load = self.inputs.loads.key(first);
             if sum + load > wanted && first < range.last {
                 found.push(KeyRange {
                     first: first + 1,
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -153,13 +153,13 @@
         servers: &[&'r Arc<Server>],
     ) -> Option<&'r Arc<Server>> {
         let seen = servers.iter().map(|server| self.candidate(entry, server));
-        let question = Inputs {
+        let inputs = Inputs {
             servers: &seen.collect::<Vec<_>>(),
             typical_ms: registry.typical_run_ms(&self.service),
             demand: self.demand(entry),
             hosts: entry.peers.host_count(),
         };
-        let place = choice::pick(question, &entry.settings.policy, &mut rand::rng())?;
+        let place = choice::pick(inputs, &entry.settings.policy, &mut rand::rng())?;
         Some(servers[place])
     }
 
@@ -296,11 +296,11 @@
     /// Asks the holder of the duty who holds the key; the store only if no holder is heard.
     fn ask_who_holds(&self, entry: &Entry) {
         let Some(key) = self.key else { return };
-        let question = Message::WhoHolds {
+        let inputs = Message::WhoHolds {
             service_tag: tag_of(&self.service),
             key,
         };
-        let asked = entry.freshness.is_vouched() && entry.peers.send_to_holder(&question);
+        let asked = entry.freshness.is_vouched() && entry.peers.send_to_holder(&inputs);
         if !asked {
             entry.view.want_reading(Followed::Own);
         }
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -457,7 +457,7 @@
                     }
                 })
                 .collect();
-            let question = choice::Inputs {
+            let inputs = choice::Inputs {
                 servers: &seen,
                 typical_ms: MEAN_RUN_MS,
                 demand: Demand {
@@ -471,7 +471,7 @@
                 },
             };
             outcome.asked += 1;
-            let Some(server) = choice::pick(question, &policy, &mut rng) else {
+            let Some(server) = choice::pick(inputs, &policy, &mut rng) else {
                 outcome.refused += 1;
                 continue;
             };
@@ -612,7 +612,7 @@
                     }
                 })
                 .collect();
-            let question = choice::Inputs {
+            let inputs = choice::Inputs {
                 servers: &seen,
                 typical_ms: MEAN_WORK_MS * 1.4,
                 demand: Demand {
@@ -625,7 +625,7 @@
                     all: 3 * HOSTS,
                 },
             };
-            let Some(chosen) = choice::pick(question, policy, &mut rng) else {
+            let Some(chosen) = choice::pick(inputs, policy, &mut rng) else {
                 continue;
             };
             if servers[chosen].load() >= NoisyServer::SLOTS + NoisyServer::QUEUE {
@@ -807,13 +807,13 @@
         };
         let servers = [own, far, own, far, far];
         for _ in 0..100 {
-            let question = choice::Inputs {
+            let inputs = choice::Inputs {
                 servers: &servers,
                 typical_ms: 100.0,
                 demand: DEMAND,
                 hosts: choice::HostCount { near: 20, all: 75 },
             };
-            let place = choice::pick(question, &policy, &mut rng).expect(case.name);
+            let place = choice::pick(inputs, &policy, &mut rng).expect(case.name);
             assert_eq!(servers[place].is_far, case.is_far_taken, "{}", case.name);
         }
     }
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -900,7 +900,7 @@
 
 /// Picks one of some servers for a request with a second left.
 fn pick(servers: &[Candidate]) -> Option<usize> {
-    let question = choice::Inputs {
+    let inputs = choice::Inputs {
         servers,
         typical_ms: admission::typical_run_ms(servers.iter().map(|server| server.run_ms)),
         demand: Demand {
@@ -911,7 +911,7 @@
         },
         hosts: FEW_HOSTS,
     };
-    choice::pick(question, &Policy::default(), &mut rand::rng())
+    choice::pick(inputs, &Policy::default(), &mut rand::rng())
 }
 
 /// A server's failures and pause by its latest attempts.
