--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -82,12 +82,12 @@
 pub struct HotKeys {
     /// Found by this host, which has the duty, by service.
     found: Mutex<HashMap<u32, Vec<HotKey>>>,
-    told: Mutex<Told>,
+    told: Mutex<Announced>,
 }
 
 /// What the holder told.
 #[derive(Debug, Default)]
-struct Told {
+struct Announced {
     keys: Vec<HotKey>,
     until_ms: u64,
 }
@@ -110,7 +110,7 @@
     /// Notes what the holder told.
     pub fn note_told(&self, keys: Vec<HotKey>, now_ms: u64) {
         let until_ms = now_ms + TOLD_KEPT_MS;
-        *self.told() = Told { keys, until_ms };
+        *self.told() = Announced { keys, until_ms };
     }
 
     /// A hot key by the holder's latest word.
@@ -128,7 +128,7 @@
         self.found.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn told(&self) -> MutexGuard<'_, Told> {
+    fn told(&self) -> MutexGuard<'_, Announced> {
         self.told.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
