--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -82,7 +82,7 @@
 pub struct HotKeys {
     /// Found by this host, which has the duty, by service.
     found: Mutex<HashMap<u32, Vec<HotKey>>>,
-    told: Mutex<Announced>,
+    announced: Mutex<Announced>,
 }
 
 /// What the holder told.
@@ -110,16 +110,16 @@
     /// Notes what the holder told.
     pub fn note_told(&self, keys: Vec<HotKey>, now_ms: u64) {
         let until_ms = now_ms + TOLD_KEPT_MS;
-        *self.told() = Announced { keys, until_ms };
+        *self.announced() = Announced { keys, until_ms };
     }
 
     /// A hot key by the holder's latest word.
     pub fn get(&self, service_tag: u32, key: u16, now_ms: u64) -> Option<HotKey> {
-        let told = self.told();
-        if now_ms >= told.until_ms {
+        let announced = self.announced();
+        if now_ms >= announced.until_ms {
             return None;
         }
-        let mut keys = told.keys.iter();
+        let mut keys = announced.keys.iter();
         let found = keys.find(|hot| hot.service_tag == service_tag && hot.key == key);
         found.copied()
     }
@@ -128,7 +128,9 @@
         self.found.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn told(&self) -> MutexGuard<'_, Announced> {
-        self.told.lock().unwrap_or_else(PoisonError::into_inner)
+    fn announced(&self) -> MutexGuard<'_, Announced> {
+        self.announced
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
