--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -15,7 +15,7 @@
 /// Most hot keys in one message.
 const HOT_MAX: usize = 40;
 /// Time for which the holder's word counts; it comes every 0.3 s.
-const TOLD_KEPT_MS: u64 = 1_000;
+const ANNOUNCED_KEPT_MS: u64 = 1_000;
 
 /// A key that gets more requests than its server can serve.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -109,7 +109,7 @@
 
     /// Notes what the holder told.
     pub fn note_told(&self, keys: Vec<HotKey>, now_ms: u64) {
-        let until_ms = now_ms + TOLD_KEPT_MS;
+        let until_ms = now_ms + ANNOUNCED_KEPT_MS;
         *self.announced() = Announced { keys, until_ms };
     }
 
