--- a/src/entry/decide/hold.rs
+++ b/src/entry/decide/hold.rs
@@ -5,7 +5,7 @@
 use super::Policy;
 
 /// Least time for which it is worth holding a request.
-const HELD_MIN_MS: u64 = 10;
+const HOLD_MIN_MS: u64 = 10;
 
 /// What ends a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
     let share_ms = (aim_ms as f64 * policy.hold_share) as u64;
     let most_ms = policy.hold_ms.max(share_ms);
     let room_ms = most_ms.saturating_sub(held_ms).min(left_ms);
-    if room_ms < HELD_MIN_MS {
+    if room_ms < HOLD_MIN_MS {
         return Hold::Refuse;
     }
     match rest.wait {
