--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn the_latest_word_counts_and_silence_ends_nothing_at_once() {
+fn the_latest_limit_counts_and_silence_does_not_end_it() {
     let word = |per_s, at_ms| AdvertisedLimit { per_s, at_ms };
     let mut limit = RateLimit::default();
     limit.note(word(None, 1_000));
