--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -493,7 +493,7 @@
 }
 
 #[test]
-fn fresh_word_of_loads_serves_more_in_time_than_old_word() {
+fn fresh_loads_serve_more_in_time_than_stale_ones() {
     // Sums of a zone are up to 0.25 s old, reports to other zones were up to 4 s old.
     let fresh = play_late_word(250);
     let old = play_late_word(4_000);
