--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -747,7 +747,7 @@
 }
 
 #[test]
-fn word_of_many_moves_takes_few_datagrams() {
+fn announcements_of_many_moves_take_few_datagrams() {
     let outbox = Outbox::default();
     let now_ms = clock::now_ms();
     for number in 0..40u16 {
