--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -549,7 +549,7 @@
 }
 
 #[test]
-fn a_hot_key_is_forgotten_without_the_holders_word() {
+fn a_hot_key_expires_without_announcements_of_the_duty_holder() {
     let known = HotKeys::default();
     let hot = HotKey {
         service_tag: 9,
