--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -71,7 +71,7 @@
 };
 
 /// When the server got requests.
-fn play(case: Case, seed: u64) -> Vec<u64> {
+fn simulate(case: Case, seed: u64) -> Vec<u64> {
     let mut rng = StdRng::seed_from_u64(seed);
     let host = |place| Host {
         is_deaf: place < case.deaf,
@@ -282,7 +282,7 @@
     for case in cases {
         let mut all = 0;
         for seed in 0..SEEDS {
-            let sent = play(case, seed);
+            let sent = simulate(case, seed);
             all += sent.len();
             let allowed = EXCESS * case.limit_per_s * WINDOW_MS as f64 / 1_000.0 + SLACK;
             let most = most_in_a_window(&sent);
@@ -308,7 +308,7 @@
             asked_per_s: (4.5, 4.5),
             ..CASE
         };
-        let sent: usize = (0..SEEDS).map(|seed| play(case, seed).len()).sum();
+        let sent: usize = (0..SEEDS).map(|seed| simulate(case, seed).len()).sum();
         let share = sent as f64 / SEEDS as f64 / (4.5 * PLAY_MS as f64 / 1_000.0);
         assert!(
             share > 0.9,
@@ -327,7 +327,7 @@
                 asked_per_s: (5.0, surge_per_s),
                 ..CASE
             };
-            let most = most_in_a_window(&play(case, seed));
+            let most = most_in_a_window(&simulate(case, seed));
             let allowed = EXCESS * 10.0 * 4.0 + SLACK;
             assert!(
                 most as f64 <= allowed,
