--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -25,7 +25,7 @@
 const EXCESS: f64 = 1.5;
 const SLACK: f64 = 5.0;
 /// Length of a play.
-const PLAY_MS: u64 = 24_000;
+const SIMULATED_MS: u64 = 24_000;
 /// Share of the limit that must be used while callers ask for twice as much.
 const USED_MIN: f64 = 0.8;
 /// Drawn plays of each case.
@@ -81,8 +81,8 @@
     let mut sums = AskedByHost::default();
     let mut told: VecDeque<(u64, AskedRates)> = VecDeque::new();
     let mut sent = Vec::new();
-    for now_ms in 1_000..1_000 + PLAY_MS {
-        let is_late = now_ms >= 1_000 + PLAY_MS / 2;
+    for now_ms in 1_000..1_000 + SIMULATED_MS {
+        let is_late = now_ms >= 1_000 + SIMULATED_MS / 2;
         let per_s = if is_late {
             case.asked_per_s.1
         } else {
@@ -290,7 +290,7 @@
                 failed.push(format!("{}, seed {seed}: {most} of {allowed}", case.name));
             }
         }
-        let used = all as f64 / SEEDS as f64 / (PLAY_MS as f64 / 1_000.0) / case.limit_per_s;
+        let used = all as f64 / SEEDS as f64 / (SIMULATED_MS as f64 / 1_000.0) / case.limit_per_s;
         println!("{}: {used:.2} used", case.name);
         // Who is cut off has an equal part, whatever its callers ask for.
         if case.deaf == 0 && used < USED_MIN {
@@ -309,7 +309,7 @@
             ..CASE
         };
         let sent: usize = (0..SEEDS).map(|seed| simulate(case, seed).len()).sum();
-        let share = sent as f64 / SEEDS as f64 / (4.5 * PLAY_MS as f64 / 1_000.0);
+        let share = sent as f64 / SEEDS as f64 / (4.5 * SIMULATED_MS as f64 / 1_000.0);
         assert!(
             share > 0.9,
             "{share:.2} of the requests of {hosts} hosts sent"
