--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -36,7 +36,7 @@
 struct Host {
     asked: Asked,
     bucket: Bucket,
-    is_deaf: bool,
+    is_isolated: bool,
 }
 
 #[derive(Clone, Copy)]
@@ -74,7 +74,7 @@
 fn simulate(case: Case, seed: u64) -> Vec<u64> {
     let mut rng = StdRng::seed_from_u64(seed);
     let host = |place| Host {
-        is_deaf: place < case.deaf,
+        is_isolated: place < case.deaf,
         ..Host::default()
     };
     let mut hosts: Vec<Host> = (0..case.hosts).map(host).collect();
@@ -103,7 +103,7 @@
             for (place, host) in hosts
                 .iter_mut()
                 .enumerate()
-                .filter(|(_, host)| !host.is_deaf)
+                .filter(|(_, host)| !host.is_isolated)
             {
                 let address = SocketAddr::from((Ipv4Addr::from(place as u32), 1));
                 let own = host.asked.report(now_ms);
@@ -114,7 +114,7 @@
         }
         while told.front().is_some_and(|(at_ms, _)| *at_ms <= now_ms) {
             let (_, sum) = told.pop_front().expect("a sum");
-            let hearing = hosts.iter_mut().filter(|host| !host.is_deaf);
+            let hearing = hosts.iter_mut().filter(|host| !host.is_isolated);
             hearing.for_each(|host| host.asked.note_sum(sum, now_ms));
         }
     }
