--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -51,7 +51,7 @@
     /// True if the first host's place is taken by the second one from half of the play on.
     moves: bool,
     /// Hosts that hear no sums and are not heard.
-    deaf: usize,
+    isolated: usize,
     /// Share of a host that counts fewer hosts than there are.
     counted: f64,
     /// Share of the requests that are urgent.
@@ -65,7 +65,7 @@
     asked_per_s: (40.0, 40.0),
     first_share: 0.0,
     moves: false,
-    deaf: 0,
+    isolated: 0,
     counted: 1.0,
     urgent: 0.0,
 };
@@ -74,7 +74,7 @@
 fn simulate(case: Case, seed: u64) -> Vec<u64> {
     let mut rng = StdRng::seed_from_u64(seed);
     let host = |place| Host {
-        is_isolated: place < case.deaf,
+        is_isolated: place < case.isolated,
         ..Host::default()
     };
     let mut hosts: Vec<Host> = (0..case.hosts).map(host).collect();
@@ -254,19 +254,19 @@
         Case {
             name: "nobody hears",
             hosts: 8,
-            deaf: 8,
+            isolated: 8,
             ..CASE
         },
         Case {
             name: "nobody hears among 300",
             hosts: 300,
-            deaf: 300,
+            isolated: 300,
             ..CASE
         },
         Case {
             name: "nobody hears, and a third of the hosts is not known",
             hosts: 12,
-            deaf: 12,
+            isolated: 12,
             counted: 0.67,
             ..CASE
         },
@@ -274,7 +274,7 @@
             name: "the host with half is cut off",
             hosts: 12,
             first_share: 0.5,
-            deaf: 1,
+            isolated: 1,
             ..CASE
         },
     ];
@@ -293,7 +293,7 @@
         let used = all as f64 / SEEDS as f64 / (SIMULATED_MS as f64 / 1_000.0) / case.limit_per_s;
         println!("{}: {used:.2} used", case.name);
         // Who is cut off has an equal part, whatever its callers ask for.
-        if case.deaf == 0 && used < USED_MIN {
+        if case.isolated == 0 && used < USED_MIN {
             failed.push(format!("{}: {used:.2} used", case.name));
         }
     }
