--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -14,7 +14,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 /// Interval at which hosts report and the holder tells the sum.
-const TELL_EVERY_MS: u64 = 150;
+const ANNOUNCE_EVERY_MS: u64 = 150;
 /// Time from a report to its place in the sums that all hosts know.
 const TELL_DELAY_MS: u64 = 100;
 /// Time from the first word of a limit from which the bound holds.
@@ -99,7 +99,7 @@
                 sent.push(now_ms);
             }
         }
-        if now_ms.is_multiple_of(TELL_EVERY_MS) {
+        if now_ms.is_multiple_of(ANNOUNCE_EVERY_MS) {
             for (place, host) in hosts
                 .iter_mut()
                 .enumerate()
