--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -16,7 +16,7 @@
 /// Interval at which hosts report and the holder tells the sum.
 const ANNOUNCE_EVERY_MS: u64 = 150;
 /// Time from a report to its place in the sums that all hosts know.
-const TELL_DELAY_MS: u64 = 100;
+const ANNOUNCE_DELAY_MS: u64 = 100;
 /// Time from the first word of a limit from which the bound holds.
 const CONTACT_MS: u64 = 3_000;
 /// Length of the windows.
@@ -110,7 +110,7 @@
                 sums.note(1, address, own, now_ms);
             }
             let sum = sums.sum(1, now_ms);
-            told.push_back((now_ms + TELL_DELAY_MS, sum));
+            told.push_back((now_ms + ANNOUNCE_DELAY_MS, sum));
         }
         while told.front().is_some_and(|(at_ms, _)| *at_ms <= now_ms) {
             let (_, sum) = told.pop_front().expect("a sum");
