--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -95,7 +95,7 @@
             } else {
                 rng.random_range(0..case.hosts)
             };
-            if asks(&mut hosts[place], case, now_ms, &mut rng) {
+            if is_sent_by(&mut hosts[place], case, now_ms, &mut rng) {
                 sent.push(now_ms);
             }
         }
@@ -122,7 +122,7 @@
 }
 
 /// True if a request of a host's caller is sent.
-fn asks(host: &mut Host, case: Case, now_ms: u64, rng: &mut StdRng) -> bool {
+fn is_sent_by(host: &mut Host, case: Case, now_ms: u64, rng: &mut StdRng) -> bool {
     let is_urgent = rng.random::<f64>() < case.urgent;
     host.asked.note(is_urgent, now_ms);
     let counted = (case.hosts as f64 * case.counted) as usize;
