--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -416,7 +416,7 @@
 
 /// Plays 12 s of requests of 59 hosts for the 46 servers of their zone at 92% of its capacity. What
 /// a host knows of the others' requests is up to `word_age_ms` old.
-fn play_late_word(word_age_ms: u64) -> Outcome {
+fn simulate_load_age(word_age_ms: u64) -> Outcome {
     const HOSTS: usize = 59;
     const SERVERS: usize = 46;
     const SLOTS: usize = 4;
@@ -495,8 +495,8 @@
 #[test]
 fn fresh_loads_serve_more_in_time_than_stale_ones() {
     // Sums of a zone are up to 0.25 s old, reports to other zones were up to 4 s old.
-    let fresh = play_late_word(250);
-    let old = play_late_word(4_000);
+    let fresh = simulate_load_age(250);
+    let old = simulate_load_age(4_000);
     let share = |outcome: Outcome| f64::from(outcome.in_time) / f64::from(outcome.asked);
     assert!(share(fresh) > 0.95, "{fresh:?}");
     assert!(share(old) < share(fresh) - 0.05, "{old:?}, {fresh:?}");
