--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -415,8 +415,8 @@
 }
 
 /// Plays 12 s of requests of 59 hosts for the 46 servers of their zone at 92% of its capacity. What
-/// a host knows of the others' requests is up to `word_age_ms` old.
-fn simulate_load_age(word_age_ms: u64) -> Outcome {
+/// a host knows of the others' requests is up to `load_age_ms` old.
+fn simulate_load_age(load_age_ms: u64) -> Outcome {
     const HOSTS: usize = 59;
     const SERVERS: usize = 46;
     const SLOTS: usize = 4;
@@ -435,7 +435,7 @@
         for server in &mut ends {
             server.retain(|(end_ms, _)| *end_ms > now_ms);
         }
-        if now_ms.is_multiple_of(word_age_ms) {
+        if now_ms.is_multiple_of(load_age_ms) {
             for (host, told) in told.iter_mut().enumerate() {
                 for (server, load) in told.iter_mut().enumerate() {
                     let others = ends[server].iter().filter(|(_, by)| *by != host);
