--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -503,7 +503,7 @@
     assert_eq!(fresh.reset, 0, "{fresh:?}");
 }
 
-/// A request at a server of [`play_noisy`].
+/// A request at a server of [`simulate_noisy_servers`].
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     host: usize,
@@ -543,7 +543,7 @@
 /// what they can serve: the share of the worth that answers in the objective, and half of it that late
 /// ones have. 25 hosts tell each other every 100 ms how many requests they have at each server and
 /// what the servers told them of their pace.
-fn play_noisy(policy: &Policy) -> f64 {
+fn simulate_noisy_servers(policy: &Policy) -> f64 {
     const HOSTS: usize = 25;
     const SERVERS: usize = 11;
     const MEAN_WORK_MS: f64 = 90.0;
@@ -652,8 +652,8 @@
 #[test]
 fn servers_that_are_slow_for_a_moment_get_less_and_no_server_gets_what_all_send() {
     let default = Policy::default();
-    let known = play_noisy(&default);
-    let unknown = play_noisy(&Policy {
+    let known = simulate_noisy_servers(&default);
+    let unknown = simulate_noisy_servers(&Policy {
         pace_memory_ms: 0,
         ..default
     });
