--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -672,7 +672,7 @@
 /// Plays 60 s of the only server of some keys: three slots, long requests of 500 ms that fill 85% of
 /// them and are worth 1 within a second, and a few short ones of 90 ms, worth 3 within 250 ms and half
 /// of that until 600 ms.
-fn play_short_and_long(policy: &Policy) -> Earned {
+fn simulate_short_and_long(policy: &Policy) -> Earned {
     const SLOTS: usize = 3;
     const SHORT_EVERY_MS: f64 = 700.0;
     const LONG_EVERY_MS: f64 = 500.0 / (0.85 * SLOTS as f64);
@@ -753,8 +753,8 @@
 #[test]
 fn short_urgent_requests_are_served_beside_long_ones() {
     let default = Policy::default();
-    let both = play_short_and_long(&default);
-    let neither = play_short_and_long(&Policy {
+    let both = simulate_short_and_long(&default);
+    let neither = simulate_short_and_long(&Policy {
         runs_by_route: false,
         urgent_may_be_late: false,
         ..default
