--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -128,7 +128,13 @@
     }
 
     /// The part for a request of a host that shares a rate with `hosts`, itself included.
-    pub fn part(&self, shared_per_s: f64, hosts: usize, is_urgent: bool, now_ms: u64) -> RateShare {
+    pub fn rate_share(
+        &self,
+        shared_per_s: f64,
+        hosts: usize,
+        is_urgent: bool,
+        now_ms: u64,
+    ) -> RateShare {
         let own = self.own(now_ms);
         let all = self.all(own, hosts, now_ms);
         let share = own.all_per_s / all.all_per_s.max(f64::MIN_POSITIVE);
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -54,13 +54,13 @@
     let point: f64 = rand::random();
     let mut before = 0.0;
     let may_go = |server: &&Arc<Server>| {
-        let Some(part) = server.rate.part(hosts, is_urgent) else {
+        let Some(rate_share) = server.rate.rate_share(hosts, is_urgent) else {
             return true;
         };
         server.rate.note_asked(is_urgent);
-        let is_admitted = rate_shares::is_admitted(point, before, part.admit_probability);
-        before += part.admit_probability;
-        is_admitted && server.rate.has_token(part)
+        let is_admitted = rate_shares::is_admitted(point, before, rate_share.admit_probability);
+        before += rate_share.admit_probability;
+        is_admitted && server.rate.has_token(rate_share)
     };
     servers.into_iter().filter(may_go).collect()
 }
@@ -72,11 +72,11 @@
 
 /// True if a request that only one server may serve can go there by the rate that it takes.
 fn is_under_rate_limit(server: &Server, hosts: usize, is_urgent: bool) -> bool {
-    let Some(part) = server.rate.part(hosts, is_urgent) else {
+    let Some(rate_share) = server.rate.rate_share(hosts, is_urgent) else {
         return true;
     };
-    rate_shares::is_admitted(rand::random(), 0.0, part.admit_probability)
-        && server.rate.has_token(part)
+    rate_shares::is_admitted(rand::random(), 0.0, rate_share.admit_probability)
+        && server.rate.has_token(rate_share)
 }
 
 impl Passage<'_> {
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -96,17 +96,21 @@
     }
 
     /// This host's part for a request of the rate that it takes, shared with so many hosts; `None` if it takes any rate.
-    pub fn part(&self, hosts: usize, is_urgent: bool) -> Option<RateShare> {
+    pub fn rate_share(&self, hosts: usize, is_urgent: bool) -> Option<RateShare> {
         let now_ms = clock::now_ms();
         let shared_per_s = self.notices().rate_limit.shared_per_s(now_ms)?;
         let share = self.share();
-        Some(share.asked.part(shared_per_s, hosts, is_urgent, now_ms))
+        Some(
+            share
+                .asked
+                .rate_share(shared_per_s, hosts, is_urgent, now_ms),
+        )
     }
 
     /// True if this host's part leaves room for a request now.
-    pub fn has_token(&self, part: RateShare) -> bool {
+    pub fn has_token(&self, rate_share: RateShare) -> bool {
         let bucket = &mut self.share().bucket;
-        bucket.has_token(part.bucket_per_s, clock::now_ms())
+        bucket.has_token(rate_share.bucket_per_s, clock::now_ms())
     }
 
     /// Notes that a request is about to be sent, which uses a part of its rate if that is limited.
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -126,11 +126,11 @@
     let is_urgent = rng.random::<f64>() < case.urgent;
     host.asked.note(is_urgent, now_ms);
     let counted = (case.hosts as f64 * case.counted) as usize;
-    let part = host
+    let rate_share = host
         .asked
-        .part(case.limit_per_s, counted, is_urgent, now_ms);
-    let is_admitted = rate_shares::is_admitted(rng.random(), 0.0, part.admit_probability);
-    let is_sent = is_admitted && host.bucket.has_token(part.bucket_per_s, now_ms);
+        .rate_share(case.limit_per_s, counted, is_urgent, now_ms);
+    let is_admitted = rate_shares::is_admitted(rng.random(), 0.0, rate_share.admit_probability);
+    let is_sent = is_admitted && host.bucket.has_token(rate_share.bucket_per_s, now_ms);
     if is_sent {
         host.bucket.take();
     }
@@ -414,7 +414,7 @@
         asked.note_sum(sum, 1_000);
         let admit_probability = |is_urgent| {
             asked
-                .part(10.0, 8, is_urgent, 1_000)
+                .rate_share(10.0, 8, is_urgent, 1_000)
                 .admit_probability
                 .min(1.0)
         };
