--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -125,7 +125,7 @@
     /// The holder's word, and when it came.
     told: Option<(AdmittedShare, u64)>,
     /// This host's part of what all hosts were asked for, when that was last told.
-    part: Option<f64>,
+    demand_share: Option<f64>,
     /// What this host may send while no holder confirms its share.
     fallback_bucket: Bucket,
     since_report: QuotaUsage,
@@ -158,11 +158,15 @@
             return point < share;
         }
         // A part of next to nothing says little: the host was asked for little just then.
-        let part = self
-            .part
+        let demand_share = self
+            .demand_share
             .unwrap_or(0.0)
             .max(1.0 / context.hosts.max(1) as f64);
-        if point >= share || !self.fallback_bucket.has_token(quota.per_s * part, now_ms) {
+        if point >= share
+            || !self
+                .fallback_bucket
+                .has_token(quota.per_s * demand_share, now_ms)
+        {
             return false;
         }
         self.fallback_bucket.take();
@@ -178,7 +182,7 @@
     pub fn note_told(&mut self, told: AdmittedShare, now_ms: u64) {
         let own_per_s = self.own.per_s(now_ms);
         if told.asked_per_s > 0.0 {
-            self.part = Some((own_per_s / f64::from(told.asked_per_s)).min(1.0));
+            self.demand_share = Some((own_per_s / f64::from(told.asked_per_s)).min(1.0));
         }
         self.told = Some((told, now_ms));
     }
