--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -99,7 +99,7 @@
     }
 
     /// All that this host has found, for the other hosts. It obeys itself.
-    pub fn tell(&self, now_ms: u64) -> Vec<HotKey> {
+    pub fn announce(&self, now_ms: u64) -> Vec<HotKey> {
         let mut keys: Vec<HotKey> = self.found().values().flatten().copied().collect();
         keys.sort_unstable_by(|a, b| b.excess().total_cmp(&a.excess()));
         keys.truncate(HOT_MAX);
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -149,7 +149,7 @@
             sent_ms: clock::now_ms(),
             news: self.freshness.news(self.view.store_heard_ms()),
             hosts: self.peers.known() as u32,
-            hot: self.hot_keys.tell(clock::now_ms()),
+            hot: self.hot_keys.announce(clock::now_ms()),
             evacuations: self.view.evacuations(),
             quarantined: self.crashes.told(),
         };
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -559,7 +559,7 @@
     };
     known.note_found(9, vec![hot]);
     assert_eq!(known.get(9, 5, 100), None, "not told yet");
-    assert_eq!(known.tell(100), [hot]);
+    assert_eq!(known.announce(100), [hot]);
     assert_eq!(known.get(9, 5, 1_000), Some(hot));
     assert_eq!(known.get(9, 5, 1_200), None, "the word is too old");
     assert_eq!(known.get(8, 5, 1_000), None);
