--- a/src/entry/decide/admission.rs
+++ b/src/entry/decide/admission.rs
@@ -1,16 +1,16 @@
-//! Admission of a request at a server: by when it is expected to be answered there. A queue that is
-//! longer than the objective makes all answers late and serves no more.
+//! Admission of a request at a server, by the expected time of its response. A queue longer than
+//! the latency objective delays every response without serving more of them.
 
 use super::{Candidate, Demand, Policy};
 
-/// Run time that is assumed of a server while nothing is known of it or its like.
+/// Run time that is assumed while no server of the service has a sample.
 const RUN_DEFAULT_MS: f64 = 60.0;
-/// Bounds of a server's run time for the planner, as shares of the typical one. Servers of a service
-/// differ in speed by a factor of 2 to 3.
+/// Bounds of a server's run time in the planner, as shares of the typical run time. Servers of a
+/// service differ in speed by a factor of 2 to 3.
 const RUN_LEAST: f64 = 0.6;
 const RUN_MOST: f64 = 4.0;
 
-/// Average run time of servers, of which those with 0 are unknown.
+/// Returns the average of the known run times; 0 stands for an unknown one.
 pub fn typical_run_ms(runs_ms: impl Iterator<Item = f64>) -> f64 {
     let (sum, known) = runs_ms
         .filter(|run_ms| *run_ms > 0.0)
@@ -23,7 +23,7 @@
     sum / f64::from(known)
 }
 
-/// Run time that is expected of a server: one of which nothing is known is like the others.
+/// Returns the expected run time at a server: the typical one if the server has no sample.
 fn run_ms(server: &Candidate, typical_ms: f64) -> f64 {
     if server.run_ms > 0.0 {
         server.run_ms
@@ -32,8 +32,8 @@
     }
 }
 
-/// Expected time until a server has answered a further request that takes `run_share` of the average
-/// run time.
+/// Returns the expected time until the response to one more request that takes `run_share` of the
+/// server's average run time, including the time in its queue.
 pub fn expected_ms(server: &Candidate, typical_ms: f64, run_share: f64) -> f64 {
     let ahead = f64::from(server.load + 1);
     let slots = f64::from(server.slots);
@@ -41,8 +41,9 @@
     run_ms(server, typical_ms) * server.pace * (run_share + waiting)
 }
 
-/// True if a server has room for a request. One that may only be answered late is refused if its server
-/// is full: it would make those behind it late as well. An urgent one is worth that.
+/// Returns true if a server has room for a request. A request that has missed its objective is
+/// refused if the server would be too full: it would delay the requests behind it. An urgent
+/// request is worth that delay.
 pub fn has_room(server: &Candidate, typical_ms: f64, demand: Demand, policy: &Policy) -> bool {
     if server.load >= server.slots * policy.load_max_factor {
         return false;
@@ -62,16 +63,17 @@
     policy.late_may_queue && in_time
 }
 
-/// True if an idle server was left alone for as long as its run is thought to take: one request shows
-/// whether that still holds. One answer slower than the deadline would else keep all requests from an idle server
-/// until the evidence is forgotten, 6 s later; with it for as long as that answer took.
+/// Returns true if an idle server has been left alone for as long as its run time is thought to be,
+/// so that one request tests the estimate. Otherwise one response slower than the deadline would
+/// keep all requests from an idle server until the sample expires after 6 s; with the probe, this
+/// lasts only as long as that response took.
 fn is_due_for_probe(server: &Candidate) -> bool {
     server.load == 0 && server.since_outcome_ms as f64 >= server.run_ms
 }
 
-/// Requests a second that a server can serve. One of which nothing is known counts as typical, and
-/// what is known counts within the bounds in which servers of a service differ: quick answers may
-/// be failures, and slow ones have waited.
+/// Returns the requests a second that a server can run. A server without samples counts as typical,
+/// and a measured run time is clamped to the range in which servers of a service differ: very fast
+/// responses may be failures, and slow ones include time in a queue.
 pub fn capacity_per_s(server: &Candidate, typical_ms: f64) -> f64 {
     let least_ms = typical_ms * RUN_LEAST;
     let most_ms = typical_ms * RUN_MOST;
--- a/src/entry/decide/budget.rs
+++ b/src/entry/decide/budget.rs
@@ -1,5 +1,5 @@
-//! Budget of repeated requests by service. All hosts share one allowance without talking about
-//! it: each takes a fixed part, with room for an uneven balancer.
+//! Retry budget by service. All hosts share one allowance without coordination: each takes a fixed
+//! part of it, with headroom for an uneven load balancer.
 
 use std::{
     collections::HashMap,
@@ -8,7 +8,7 @@
 
 use crate::entry::bounds::Bounds;
 
-/// Part of the allowed share of repeats that is used, to keep clear of the bound.
+/// Part of the permitted ratio of retries that is used, to stay clear of the bound.
 const RATIO_USED: f64 = 0.9;
 /// Part of the fixed allowance that all hosts together use.
 const ALLOWANCE_USED: f64 = 0.6;
@@ -19,7 +19,7 @@
     at_ms: u64,
 }
 
-/// Budgets of all services.
+/// Retry budgets of all services.
 #[derive(Debug)]
 pub struct RetryBudget {
     window_ms: f64,
@@ -29,7 +29,8 @@
 }
 
 impl RetryBudget {
-    /// Full budgets.
+    /// Creates a budget without buckets; the bucket of a service starts half full at its first
+    /// request.
     pub fn new(bounds: &Bounds) -> Self {
         Self {
             window_ms: bounds.retry_window_ms as f64,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Pays in for a first attempt.
+    /// Adds the tokens that a first attempt earns.
     pub fn request(&self, service: &Arc<str>, hosts: usize, now_ms: u64) {
         let most = self.burst(hosts);
         let mut buckets = self.buckets();
@@ -50,15 +51,15 @@
         bucket.tokens = (bucket.tokens + self.per_request).min(most);
     }
 
-    /// Takes out a repeat; false if the budget is spent.
+    /// Takes a token for a retry; returns false if the budget is used up.
     pub fn repeat(&self, service: &Arc<str>, hosts: usize, now_ms: u64) -> bool {
         let most = self.burst(hosts);
         let mut buckets = self.buckets();
         let Some(bucket) = buckets.get_mut(service) else {
             return false;
         };
-        // Half of a host's part of the allowance may be used at once, the other half comes back
-        // over the window.
+        // A host may use half of its part of the allowance at once; the other half is refilled over
+        // the window.
         let elapsed = now_ms.saturating_sub(bucket.at_ms) as f64;
         bucket.tokens = (bucket.tokens + most * elapsed / self.window_ms).min(most);
         bucket.at_ms = now_ms;
--- a/src/entry/decide/choice.rs
+++ b/src/entry/decide/choice.rs
@@ -4,39 +4,40 @@
 
 use super::{Candidate, Demand, Policy, admission};
 
-/// Servers with room that are compared for one request while up to [`FEW_HOSTS`] hosts choose among
-/// them. With more hosts, what each knows of the others' requests is older, and all of them would
-/// choose the same few servers: so the number falls, down to a few drawn at random. Played in virtual
-/// time at 1.25 times the capacity of 11 servers, 25 hosts earned 0.87 of the worth with ten compared and
-/// 0.92 with three.
+/// Largest number of servers with room that are compared for one request, used while at most
+/// [`FEW_HOSTS`] hosts choose among the same servers. With more hosts, each host's data on the load
+/// by other hosts is older, and all hosts would choose the same few servers; so the number falls,
+/// down to a few servers drawn at random. In a simulation at 1.25 times the capacity of 11 servers,
+/// 25 hosts earned 0.87 of the possible value with ten servers compared and 0.92 with three.
 const CANDIDATES_MAX: usize = 24;
 const CANDIDATES_MIN: usize = 3;
 const FEW_HOSTS: usize = 3;
 
-/// Numbers of hosts, the own one included.
+/// Numbers of hosts, including this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostCount {
-    /// In the own availability zone: these prefer the same servers.
+    /// Hosts in this host's availability zone, which prefer the same servers.
     pub near: usize,
-    /// In all zones.
+    /// Hosts in all zones.
     pub all: usize,
 }
 
-/// Question for a server.
+/// Inputs for the choice of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs<'a> {
-    /// Servers that may get the request.
+    /// Servers that may run the request.
     pub servers: &'a [Candidate],
-    /// Average run time of the service's servers.
+    /// Average run time over the servers of the service.
     pub typical_ms: f64,
-    /// What the request needs.
+    /// Requirements of the request.
     pub demand: Demand,
     /// Hosts that choose among the same servers.
     pub hosts: HostCount,
 }
 
-/// Place of the server that is expected to answer first and has room; `None` if all are overloaded. Servers of
-/// another region get what those of the own one have no room for: the way there is long, and its bytes are dear.
+/// Returns the index of the server with room that is expected to answer first, weighted by cost;
+/// `None` if all are overloaded. Servers of another region get only requests for which this region
+/// has no room: the network latency is high and the traffic is expensive.
 pub fn pick(inputs: Inputs<'_>, policy: &Policy, rng: &mut impl Rng) -> Option<usize> {
     let mut order: Vec<usize> = (0..inputs.servers.len()).collect();
     order.shuffle(rng);
@@ -83,12 +84,13 @@
     best.map(|(place, _)| place)
 }
 
-/// Number of servers that are compared when so many hosts choose among them.
+/// Returns the number of servers to compare when `hosts` hosts choose among them.
 fn compared(hosts: usize) -> usize {
     (CANDIDATES_MAX * FEW_HOSTS / hosts.max(1)).clamp(CANDIDATES_MIN, CANDIDATES_MAX)
 }
 
-/// Factor of the expected time for what else speaks for or against a server.
+/// Returns the factor by which a server's expected time is weighted: zone, connection, failures, a
+/// random part and a bonus for a server without samples.
 fn cost_factor(server: &Candidate, policy: &Policy, random: f64) -> f64 {
     let added = |applies: bool, cost: f64| if applies { cost } else { 0.0 };
     let zone = added(!server.is_near, policy.zone_cost);
--- a/src/entry/decide/crash_tally.rs
+++ b/src/entry/decide/crash_tally.rs
@@ -1,52 +1,55 @@
-//! Requests that were in flight when servers ended. A request may end each server that begins to run
-//! it; its caller sends it again, it goes to the next server, and a service loses one after the other.
-//! Each end leaves a dozen requests under suspicion, and only one of them is there again and again.
+//! Tally of the requests that were in flight when servers crashed. A request may crash each server
+//! that begins to run it: its caller sends it again, it is forwarded to the next server, and a
+//! service loses one server after the other. Each crash leaves a dozen suspect requests, and only
+//! the one that causes the crashes is among them again and again.
 //!
-//! Where nothing is tallied, one request that came every 0.3 s ended 14 of 14 servers that it could
-//! reach, each with all that it had in flight (played with three hosts, tests/entry_crashes.rs).
+//! Without the tally, one request that was sent every 0.3 s crashed 14 of the 14 servers that it
+//! could reach, each with all its requests in flight (simulated with three hosts,
+//! tests/entry_crashes.rs).
 
 use std::collections::HashMap;
 
 use crate::entry::digest::RequestDigest;
 
-/// Servers that must have ended under a request before it is held to be the cause. The users allow three
-/// runs, of which several may end with one server: with three servers a request that came eight times a
-/// second had eight runs. With two, no harmless request was held to be the cause on 18 days with trouble on
-/// five sites, but for five after the loss of a zone, which [`MASS_CRASH_SERVERS`] excuses.
+/// Number of servers that must have crashed during a request before it counts as the cause. The
+/// users' requirements allow three runs, and several of them may end with one server: with three
+/// servers, a request that was sent eight times a second had eight runs. With two, no harmless
+/// request was taken for the cause on 18 days with outages on five sites, except five after the
+/// loss of a zone, which [`MASS_CRASH_SERVERS`] excludes.
 pub const SERVERS_NEEDED: usize = 2;
-/// Servers that end within [`MASS_CRASH_WINDOW_MS`] of each other from which on their ends have one cause, such as the
-/// loss of a zone. One request comes to [`SERVERS_NEEDED`] first.
+/// Number of servers that crash within [`MASS_CRASH_WINDOW_MS`] from which on the crashes have one
+/// common cause, such as the loss of a zone. A single request reaches [`SERVERS_NEEDED`] first.
 const MASS_CRASH_SERVERS: usize = 3;
-/// Time within which servers end at once: hosts notice and tell in 30 to 100 ms.
+/// Window in which crashes count as simultaneous: hosts detect and report a crash in 30 to 100 ms.
 const MASS_CRASH_WINDOW_MS: u64 = 1_000;
-/// Time for which an end counts as evidence. Such a request comes again after seconds to minutes;
-/// chance gathers more the longer it may.
+/// Time for which a crash counts as evidence. A request that causes crashes is sent again after
+/// seconds to minutes; a longer time gathers more coincidences.
 const EVIDENCE_MS: u64 = 15 * 60 * 1_000;
-/// Most requests under suspicion, 200 KB. The loss of a zone of 216 servers leaves about 2,600.
+/// Largest number of suspects, 200 KB. The loss of a zone of 216 servers leaves about 2,600.
 const SUSPECTS_MAX: usize = 4_096;
-/// Suspects that stay when there are too many, so that not each end ranks all of them.
+/// Number of suspects kept when there are too many, so that not every crash sorts all of them.
 const SUSPECTS_KEPT: usize = 3_072;
 
-/// End of a server with a request in flight.
+/// Crash of a server with a request in flight.
 #[derive(Clone, Copy, Debug)]
 struct Evidence {
     server_tag: u32,
     at_ms: u64,
-    /// True if many servers ended at once.
+    /// True if the server crashed as one of many in a mass crash.
     is_mass_crash: bool,
 }
 
-/// Requests under suspicion, with the servers that ended under them.
+/// Suspect requests, with the servers that crashed while they ran.
 #[derive(Debug, Default)]
 pub struct CrashTally {
     suspects: HashMap<RequestDigest, Vec<Evidence>>,
-    /// Servers that have just ended, and when.
+    /// Tags of the servers that crashed within the window, with the times.
     latest: Vec<(u32, u64)>,
 }
 
 impl CrashTally {
-    /// Notes that a server ended with requests in flight. Returns those under which enough servers have
-    /// ended now. The same end may be told more than once.
+    /// Records the crash of a server with requests in flight. Returns the requests for which enough
+    /// servers have crashed now. The same crash may be reported more than once.
     pub fn note(
         &mut self,
         server_tag: u32,
@@ -76,7 +79,8 @@
         reached
     }
 
-    /// Notes that a server has ended; how many have at once.
+    /// Records the crash of a server and returns the number of servers that crashed within the
+    /// window.
     fn note_latest(&mut self, server_tag: u32, now_ms: u64) -> usize {
         self.latest
             .retain(|(_, at_ms)| now_ms < at_ms + MASS_CRASH_WINDOW_MS);
@@ -86,14 +90,15 @@
         self.latest.len()
     }
 
-    /// True if a server ended under a request while others lived: it may end the next one too.
+    /// Returns true if a server crashed during a request, other than in a mass crash: the request
+    /// may crash the next server too.
     pub fn is_suspect(&self, digest: RequestDigest, now_ms: u64) -> bool {
         let is_fresh = |end: &Evidence| !end.is_mass_crash && now_ms < end.at_ms + EVIDENCE_MS;
         let evidence = self.suspects.get(&digest);
         evidence.is_some_and(|evidence| evidence.iter().any(is_fresh))
     }
 
-    /// True if many servers have just ended.
+    /// Returns true if a mass crash has happened within the last second.
     pub fn has_recent_mass_crash(&self, now_ms: u64) -> bool {
         let latest = self.latest.iter();
         latest
@@ -102,23 +107,24 @@
             >= MASS_CRASH_SERVERS
     }
 
-    /// Forgets the evidence against a request, since a server has run it to a good end; true if there was
-    /// any.
+    /// Drops the evidence against a request, since a server has run it successfully. Returns true
+    /// if there was any.
     pub fn clear(&mut self, digest: RequestDigest) -> bool {
         self.suspects.remove(&digest).is_some()
     }
 
-    /// Number of requests under suspicion.
+    /// Returns the number of suspect requests.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// True if no request is under suspicion.
+    /// Returns true if there are no suspect requests.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Drops what is too old, and then those with the least and oldest evidence, until there is room.
+    /// Drops expired evidence, and then the suspects with the least and oldest evidence, until
+    /// there is room for `added` more.
     fn make_room(&mut self, added: usize, now_ms: u64) {
         if self.suspects.len() + added <= SUSPECTS_MAX {
             return;
@@ -135,7 +141,7 @@
     }
 }
 
-/// Order in which suspects are dropped.
+/// Returns the sort key by which suspects are dropped: fewest crashes first, then the oldest.
 fn rank((digest, evidence): (&RequestDigest, &Vec<Evidence>)) -> (usize, u64, RequestDigest) {
     let latest_ms = evidence.iter().map(|end| end.at_ms).max();
     (evidence.len(), latest_ms.unwrap_or(0), *digest)
--- a/src/entry/decide/first.rs
+++ b/src/entry/decide/first.rs
@@ -6,13 +6,14 @@
 use crate::entry::keys::KeyRange;
 
 /// Time for which the servers of a service must stay the same before its keys are distributed for
-/// the first time. Longer than the time between two looks at their entries among many hosts.
+/// the first time. Longer than the interval at which hosts read the server entries on a large site.
 const FIRST_QUIET_MS: u64 = 1_800;
-/// Longest wait for that. Callers come 8 s after the hosts on the known sites.
+/// Longest wait for a stable set of servers. On the known sites callers connect 8 s after the
+/// hosts.
 const FIRST_WAIT_MAX_MS: u64 = 5_000;
 
-/// Waits for the servers of a service to have started before its keys are distributed: keys that a
-/// few early ones got would have to be moved again.
+/// Delay of the first assignment until the servers of a service have started: keys given to a few
+/// early servers would have to be moved again.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstAssignmentWait {
     servers: usize,
@@ -21,7 +22,7 @@
 }
 
 impl FirstAssignmentWait {
-    /// A wait that begins now.
+    /// Starts the wait.
     pub fn new(now_ms: u64) -> Self {
         Self {
             servers: 0,
@@ -30,8 +31,8 @@
         }
     }
 
-    /// True if the keys should be distributed over the servers that are there now. Requests that
-    /// are there already do not wait.
+    /// Returns true if the keys should be distributed over the current servers. If requests have
+    /// already arrived, they are not made to wait.
     pub fn is_over(&mut self, servers: usize, requested: bool, now_ms: u64) -> bool {
         if self.servers != servers {
             self.servers = servers;
@@ -42,7 +43,7 @@
     }
 }
 
-/// First distribution of all keys over the servers, in proportion to their capacity.
+/// Distributes all keys over the servers, in proportion to their capacity.
 pub fn first_assignment(servers: &[PlanServer]) -> Vec<(KeyRange, Arc<str>)> {
     let total: f64 = servers.iter().map(|server| server.capacity_per_s).sum();
     let mut ranges = Vec::with_capacity(servers.len());
--- a/src/entry/decide/hold.rs
+++ b/src/entry/decide/hold.rs
@@ -1,40 +1,42 @@
-//! Whether a request waits in the host while its key is on its way between servers.
+//! Decides whether a request is held in the host while its key is being moved between servers.
 
 use serde::{Deserialize, Serialize};
 
 use super::Policy;
 
-/// Least time for which it is worth holding a request.
+/// Shortest time for which it is worth holding a request.
 const HOLD_MIN_MS: u64 = 10;
 
-/// What ends a move.
+/// Condition that a move waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MoveWait {
-    /// The former server's work on the keys: some hundred ms as a rule, at most the time told.
+    /// Completion of the requests that the former server runs for the keys: usually some hundred
+    /// milliseconds, at most the announced time.
     Work,
-    /// The last lease of a server that does not answer: just the time told.
+    /// Expiry of the last lease of a server that does not answer: exactly the announced time.
     Lease,
 }
 
-/// How long a move may still take.
+/// Remaining time of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveTimeLeft {
-    /// What ends it.
+    /// Condition that the move waits for.
     pub wait: MoveWait,
-    /// Time left.
+    /// Time left until the move completes: an upper bound or the exact time, depending on `wait`.
     pub rest_ms: u64,
 }
 
-/// What becomes of a request for a key on its way.
+/// Decision on a request for a key that is being moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hold {
-    /// It waits for this long at most.
+    /// The request is held for at most this time, in milliseconds.
     For(u64),
-    /// It is refused at once: its key will not be there before it must be answered.
+    /// The request is refused at once: the move does not complete before its deadline.
     Refuse,
 }
 
-/// Decides for a request that has been here for `held_ms` and must be answered within `left_ms`.
+/// Decides on a request that has been held for `held_ms` and has its deadline in `left_ms`;
+/// `aim_ms` is the route's latency objective.
 pub fn decide(
     rest: MoveTimeLeft,
     held_ms: u64,
--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -1,6 +1,7 @@
-//! Keys that get more requests than any one server can serve. They cannot be spread, so the holder
-//! of the duty, who sees the requests of all hosts, tells every host which share of them to admit.
-//! The others are refused before they reach the server, whose queue they would only lengthen.
+//! Keys that get more requests than any one server can serve. A key cannot be split among servers,
+//! so the duty holder, which sees the load of all hosts, announces the share of its requests that
+//! each host may admit. Hosts refuse the others before they reach the server, where they would only
+//! lengthen the queue.
 
 use std::{
     collections::HashMap,
@@ -12,31 +13,31 @@
 use super::{Policy, key_loads::KeyLoads, plan::PlanServer};
 use crate::entry::keys::Assignment;
 
-/// Most hot keys in one message.
+/// Largest number of hot keys in one message.
 const HOT_MAX: usize = 40;
-/// Time for which the holder's word counts; it comes every 0.3 s.
+/// Time for which an announcement of the duty holder is valid; one is sent every 0.3 s.
 const ANNOUNCED_KEPT_MS: u64 = 1_000;
 
 /// A key that gets more requests than its server can serve.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HotKey {
-    /// Service.
+    /// Tag (short identifier) of the service.
     pub service_tag: u32,
-    /// Key.
+    /// The key, by its index within the service.
     pub key: u16,
-    /// Requests a second.
+    /// Requests a second of all hosts for the key.
     pub load_per_s: f32,
-    /// Requests a second that its server can serve.
+    /// Requests a second that the key's server can serve.
     pub capacity_per_s: f32,
 }
 
 impl HotKey {
-    /// Number of requests for each one that can be served.
+    /// Returns the number of requests received for each one that can be served.
     pub fn excess(&self) -> f64 {
         f64::from(self.load_per_s) / f64::from(self.capacity_per_s).max(0.1)
     }
 
-    /// Share of the requests that is admitted.
+    /// Returns the share of the requests that is admitted.
     pub fn admitted(&self, policy: &Policy) -> f64 {
         (policy.hot_admitted / self.excess()).min(1.0)
     }
@@ -77,15 +78,15 @@
     found
 }
 
-/// The hot keys that a host knows.
+/// Hot keys known to a host.
 #[derive(Debug, Default)]
 pub struct HotKeys {
-    /// Found by this host, which has the duty, by service.
+    /// Hot keys by service tag that this host found as the duty holder.
     found: Mutex<HashMap<u32, Vec<HotKey>>>,
     announced: Mutex<Announced>,
 }
 
-/// What the holder told.
+/// Latest announcement of the duty holder, with its expiry.
 #[derive(Debug, Default)]
 struct Announced {
     keys: Vec<HotKey>,
@@ -93,12 +94,13 @@
 }
 
 impl HotKeys {
-    /// Notes what this host has found.
+    /// Stores the hot keys of a service that this host has found.
     pub fn note_found(&self, service_tag: u32, keys: Vec<HotKey>) {
         self.found().insert(service_tag, keys);
     }
 
-    /// All that this host has found, for the other hosts. It obeys itself.
+    /// Returns all hot keys that this host has found, for the other hosts, and applies them to this
+    /// host too.
     pub fn announce(&self, now_ms: u64) -> Vec<HotKey> {
         let mut keys: Vec<HotKey> = self.found().values().flatten().copied().collect();
         keys.sort_unstable_by(|a, b| b.excess().total_cmp(&a.excess()));
@@ -107,13 +109,13 @@
         keys
     }
 
-    /// Notes what the holder told.
+    /// Stores an announcement of the duty holder.
     pub fn note_told(&self, keys: Vec<HotKey>, now_ms: u64) {
         let until_ms = now_ms + ANNOUNCED_KEPT_MS;
         *self.announced() = Announced { keys, until_ms };
     }
 
-    /// A hot key by the holder's latest word.
+    /// Returns a hot key from the duty holder's latest announcement, unless that has expired.
     pub fn get(&self, service_tag: u32, key: u16, now_ms: u64) -> Option<HotKey> {
         let announced = self.announced();
         if now_ms >= announced.until_ms {
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -1,32 +1,33 @@
 //! Decisions under load: which server gets a request, whether it is refused and when its caller
-//! should come back, whether it is repeated, and which keys move.
+//! should retry, whether a request is retried, and which keys move.
 //!
-//! Everything here is pure: what a host knows, the time and random numbers come in as arguments, and
-//! a verdict comes out. Nothing reads a clock, opens a socket or waits. `forward` and `leases` ask
-//! and carry out; `tests/entry_load.rs` plays load on the same code in virtual time.
+//! All functions here are pure: the host's state, the time and random numbers are arguments, and
+//! the result is a decision. Nothing reads a clock, opens a socket or waits. `forward` and `leases`
+//! call these functions and carry out their decisions; `tests/entry_load.rs` runs the same code
+//! under simulated load in virtual time.
 //!
-//! | module | load that it answers |
+//! | module | problem that it handles |
 //! |---|---|
-//! | [`pace`] | servers that run slower for a moment |
+//! | [`pace`] | servers that are temporarily slower than usual |
 //! | [`attempt_stats`] | servers that are slow, fail or cannot be reached |
-//! | [`notices`] | servers that say in their answers that they leave, or want a rest |
-//! | [`rate_limit`], [`rate_meter`], [`rate_shares`] | servers that name a rate which all hosts share |
-//! | [`quota`] | workspaces that ask for more than their quota |
-//! | [`trust`] | API keys that are added and revoked while hosts are cut off |
+//! | [`notices`] | servers that announce in their responses that they leave, or ask for a rest |
+//! | [`rate_limit`], [`rate_meter`], [`rate_shares`] | servers that advertise a rate limit, which all hosts share |
+//! | [`quota`] | workspaces that send more requests than their quota |
+//! | [`trust`] | API keys that are added and revoked while hosts are disconnected |
 //! | [`run_shares`] | services that serve short and long requests |
 //! | [`admission`] | more requests for a server than it can answer in time |
 //! | [`choice`] | requests that any server of a service may run |
-//! | [`hot_keys`] | one key with more requests than any server can run |
-//! | [`hold`] | requests for keys that are on their way between servers |
-//! | [`retry_after`] | when refused callers should come back |
-//! | [`budget`] | repeats that would feed an overload |
-//! | [`crash_tally`], [`path_tally`], [`quarantine`], [`trials`] | a request that ends each server which runs it |
-//! | [`warmup`] | servers that have just started and bear little |
-//! | [`first`] | keys that nobody holds yet, servers that start one after the other |
-//! | [`rests`] | servers that turn many hosts away |
+//! | [`hot_keys`] | a key with more requests than any server can run |
+//! | [`hold`] | requests for keys that are being moved between servers |
+//! | [`retry_after`] | when refused callers should retry |
+//! | [`budget`] | retries that would amplify an overload |
+//! | [`crash_tally`], [`path_tally`], [`quarantine`], [`trials`] | a request that crashes each server which runs it |
+//! | [`warmup`] | servers that have just started and can run few requests |
+//! | [`first`] | keys that no server holds yet, while servers start one after the other |
+//! | [`rests`] | servers that refuse the requests of many hosts for a time |
 //! | [`key_loads`], [`plan`] | uneven load by key, servers that join and leave |
 //!
-//! The thresholds stand in [`Policy`], each with its unit and reason.
+//! The thresholds are defined in [`Policy`], each with its unit and reason.
 
 pub mod admission;
 pub mod attempt_stats;
@@ -56,41 +57,42 @@
 
 pub use self::policy::Policy;
 
-/// A server as a decision sees it at one moment.
+/// State of a server on which a decision is based, as one host knows it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Requests that it runs at a time.
+    /// Number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Requests of all hosts that are there, as far as this host knows.
+    /// Requests of all hosts that are running or queued at the server, as far as this host knows.
     pub load: u32,
-    /// Average run time; 0 if nothing is known of it.
+    /// Average run time of a request; 0 if unknown.
     pub run_ms: f64,
-    /// Time since the deciding host last learned of it by an attempt of its own.
+    /// Time since the last outcome of an attempt that this host made at the server.
     pub since_outcome_ms: u64,
-    /// Time that work takes there now, as a multiple of its average.
+    /// Current run time as a multiple of the server's average.
     pub pace: f64,
-    /// Share of the latest attempts that failed.
+    /// Share of recent attempts that failed, from 0 to 1.
     pub failures: f64,
-    /// True while connections to it fail, or while it is cold and gets no request of this host.
+    /// True while connections to the server fail, or while it is cold and outside this host's
+    /// warm-up window.
     pub is_paused: bool,
-    /// True if it is in the host's own availability zone.
+    /// True if the server is in this host's availability zone.
     pub is_near: bool,
-    /// True if it is in another region.
+    /// True if the server is in another region than this host.
     pub is_far: bool,
-    /// True if a connection to it is idle.
+    /// True if this host has an idle connection to the server.
     pub has_idle_connection: bool,
 }
 
-/// What a decision must know of a request.
+/// Requirements of a request and its expected run time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
     /// Time until the latency objective; 0 once it has passed.
     pub objective_ms: u64,
     /// Time until the deadline.
     pub deadline_ms: u64,
-    /// Its run time as a share of the average one at the same server.
+    /// Expected run time of the request, as a share of the server's average.
     pub run_share: f64,
-    /// True if it is more urgent than other requests of the service, so that it may be late before
-    /// those are served in time.
+    /// True if the request is more urgent than other requests of the service, so that a late
+    /// response to it is worth more than a timely response to those.
     pub is_urgent: bool,
 }
--- a/src/entry/decide/pace.rs
+++ b/src/entry/decide/pace.rs
@@ -1,19 +1,19 @@
-//! How long work takes at a server at present, compared with what is usual there. Servers that share
-//! their machine with others run several times slower for stretches of some hundred milliseconds, which
-//! they tell in their answers; hosts tell it on to each other.
+//! Pace of a server: its current run time compared with its usual one. Servers that share their
+//! machine with others run several times slower for periods of some hundred milliseconds. They
+//! report their pace in their responses, and hosts exchange these reports.
 
-/// Share of a new word in the mean pace of a server.
+/// Weight of a new report in the mean pace of a server.
 const MEAN_SAMPLE_WEIGHT: f64 = 0.05;
-/// Bounds of the relative pace: nothing that a server tells makes it free or useless.
+/// Bounds of the relative pace, so that no report makes a server look free of cost or useless.
 const RELATIVE_LEAST: f64 = 0.3;
 const RELATIVE_MOST: f64 = 5.0;
 
-/// Pace of one server. 1 is as usual, 3 is three times slower.
+/// Pace of one server: 1 is its usual speed, 3 means that requests take three times as long.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pace {
     latest: f64,
     at_ms: u64,
-    /// Mean of all that was told.
+    /// Moving average of all reports.
     mean: f64,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl Pace {
-    /// Notes what the server told at a time, unless something later is known.
+    /// Records the pace that the server reported at `at_ms`; ignored if a later report is known.
     pub fn note(&mut self, pace: f64, at_ms: u64) {
         if at_ms < self.at_ms || !pace.is_finite() || pace <= 0.0 {
             return;
@@ -38,8 +38,8 @@
         self.mean += MEAN_SAMPLE_WEIGHT * (pace - self.mean);
     }
 
-    /// Time that work is expected to take now, as a multiple of its mean time there: what was told
-    /// counts less with age, by half in about `memory_ms`; 0 ignores it.
+    /// Returns the expected run time as a multiple of the server's mean run time. The weight of the
+    /// latest report halves every `memory_ms`; 0 ignores reports.
     pub fn relative(&self, now_ms: u64, memory_ms: u64) -> f64 {
         if self.at_ms == 0 || memory_ms == 0 {
             return 1.0;
--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -1,14 +1,17 @@
-//! Requests of many callers that were in flight when servers ended. What ends a server may be what is asked for,
-//! whoever asks: then each caller's request is a first suspect, and a service loses a server for every caller.
+//! Tally of the requests of many callers that were in flight when servers crashed. What crashes a
+//! server may be a path or content, whoever requests it. Then each caller's request is a new
+//! suspect, and a service loses one server for every caller.
 //!
-//! Refusing a path for all callers costs much if it is harmless, so more is needed than for one caller's request: ends
-//! under the requests of two callers, and no good end of a later request between them. A path that is merely read
-//! often ends well all the time, and its evidence goes with the next good end.
+//! Refusing a path for all callers is costly if it is harmless, so it takes more evidence than
+//! refusing one caller's request: crashes during the requests of two callers, and no later request
+//! that succeeded in between. A path that is merely requested often succeeds all the time, and each
+//! success drops its evidence.
 //!
-//! What is asked for with all its query and body is tried by one host at a time once a server has ended under it, at a
-//! server that runs no other suspect. So an end under a trial has one cause, and two ends are enough. A path whose
-//! queries or bodies differ is not held back for trials, since most of its requests may be harmless; it takes three
-//! ends, not at once.
+//! Requests that are identical including query and body are run as trials once a server has crashed
+//! during one: by one host at a time, at a server that runs no other suspect. A crash during a
+//! trial thus has a single cause, and two crashes are enough. A path whose queries or bodies differ
+//! is not held back for trials, since most of its requests may be harmless; it takes three crashes
+//! that are not simultaneous.
 
 use std::collections::HashMap;
 
@@ -16,20 +19,20 @@
 
 use crate::entry::digest::RequestDigest;
 
-/// Callers under whose requests servers must have ended.
+/// Number of callers during whose requests servers must have crashed.
 const CALLERS_NEEDED: usize = 2;
-/// Servers that must have ended, one of them under a trial.
+/// Number of servers that must have crashed, at least one of them during a trial.
 const SERVERS_NEEDED: usize = 2;
-/// Servers that must have ended under different requests for a path.
+/// Number of servers that must have crashed during different requests for a path.
 const SERVERS_NEEDED_BY_PATH: usize = 3;
-/// Least time from the first of these ends to the last: a harmless request ends well meanwhile.
+/// Least time from the first of the crashes to the last: a harmless request succeeds in between.
 const SPAN_MIN_MS: u64 = 1_000;
-/// Time for which an end counts as evidence.
+/// Time for which a crash counts as evidence.
 const EVIDENCE_MS: u64 = 15 * 60 * 1_000;
-/// Most suspects, 400 KB; the ones with the oldest evidence go first.
+/// Largest number of suspects, 400 KB; those with the least and oldest evidence are dropped first.
 const SUSPECTS_MAX: usize = 4_096;
 
-/// What tells requests of all callers apart.
+/// Part of a request that a caller-independent digest covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DigestScope {
     /// Method, host, path, query and body.
@@ -38,20 +41,20 @@
     Path,
 }
 
-/// A request that was in flight when a server ended, known without its caller.
+/// A request that was in flight when a server crashed, identified independently of its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SharedSuspect {
-    /// What is asked for.
+    /// Digest of the request's content or path.
     pub digest: RequestDigest,
-    /// What of the request the digest goes by.
+    /// Part of the request that the digest covers.
     pub scope: DigestScope,
-    /// Short name of the caller.
+    /// Tag (short identifier) of the caller.
     pub caller_tag: u32,
-    /// True if it was tried there as a suspect, without another one.
+    /// True if the request ran as a trial, with no other suspect at the server.
     pub is_trial: bool,
 }
 
-/// End of a server under a request of a caller.
+/// Crash of a server during a caller's request.
 #[derive(Clone, Copy, Debug)]
 struct Evidence {
     server_tag: u32,
@@ -60,14 +63,14 @@
     at_ms: u64,
 }
 
-/// Suspects, with the servers that ended under them.
+/// Suspects, with the servers that crashed while they ran.
 #[derive(Debug, Default)]
 pub struct PathTally(HashMap<RequestDigest, Vec<Evidence>>);
 
 impl PathTally {
-    /// Notes that a server ended with requests in flight. Returns what is held to be the cause now. The same end may
-    /// be told more than once. `is_mass_crash` if so many servers have ended at once that something else is the cause:
-    /// only trials count then.
+    /// Records the crash of a server with requests in flight. Returns the digests that now count as
+    /// the cause. The same crash may be reported more than once. `is_mass_crash` is true if so many
+    /// servers have crashed at once that something else is the cause: then only trials count.
     pub fn note(
         &mut self,
         server_tag: u32,
@@ -103,15 +106,16 @@
         reached
     }
 
-    /// True if a server ended under such a request.
+    /// Returns true if a server crashed during a request with this digest.
     pub fn is_suspect(&self, digest: RequestDigest, now_ms: u64) -> bool {
         let evidence = self.0.get(&digest);
         let is_fresh = |end: &Evidence| now_ms < end.at_ms + EVIDENCE_MS;
         evidence.is_some_and(|evidence| evidence.iter().any(is_fresh))
     }
 
-    /// Forgets the evidence from before a request was sent that a server has run to a good end; true if there was any.
-    /// One that was in flight before shows nothing: it may have become deadly since.
+    /// Drops the evidence from before `sent_ms`, when a request was sent that a server has run
+    /// successfully. Returns true if there was any. A request that was already in flight at a crash
+    /// proves nothing about it: the content may have become harmful since.
     pub fn clear(&mut self, digest: RequestDigest, sent_ms: u64) -> bool {
         let Some(evidence) = self.0.get_mut(&digest) else {
             return false;
@@ -125,17 +129,17 @@
         is_cleared
     }
 
-    /// Number of suspects.
+    /// Returns the number of suspects.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// True if nothing is suspected.
+    /// Returns true if there are no suspects.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Drops suspects until there is room for more.
+    /// Drops suspects until there is room for `added` more.
     fn make_room(&mut self, added: usize, now_ms: u64) {
         if self.0.len() + added <= SUSPECTS_MAX {
             return;
@@ -144,7 +148,7 @@
         self.0.retain(|_, evidence| {
             latest_ms(evidence).is_some_and(|at_ms| now_ms < at_ms + EVIDENCE_MS)
         });
-        // A quarter more, so that not each end ranks all of them.
+        // Drops a quarter more than needed, so that not every crash sorts all suspects.
         let kept = (SUSPECTS_MAX * 3 / 4).saturating_sub(added);
         let mut ranked: Vec<_> = self
             .0
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -1,4 +1,4 @@
-//! Decides which keys should move where. A pure function of holdings, servers and loads.
+//! Plans which keys move to which servers, as a pure function of holdings, servers and loads.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -8,50 +8,50 @@
 };
 use crate::entry::keys::{Assignment, Holding, KeyRange};
 
-/// Least load, in requests being served at a time, for which a move is worth its cost.
+/// Least load, in requests a second, for which a move is worth its cost.
 const LOAD_MOVED_MIN: f64 = 0.3;
-/// Cost of moving all keys, in shares of the wanted load that a move may miss: moved keys are
-/// priced by their number.
+/// Weight of the number of moved keys against the error in the moved load, since moves are billed
+/// by key: the cost of moving all keys, in multiples of the wanted load.
 const KEY_SHARE_COST: f64 = 4.0;
 
-/// A server as the planner sees it.
+/// A server that may hold keys.
 #[derive(Clone, Debug)]
 pub struct PlanServer {
-    /// Incarnation.
+    /// Incarnation of the server.
     pub id: Arc<str>,
-    /// Requests a second that it can serve, and takes.
+    /// Requests a second that the server can run within its advertised rate limit.
     pub capacity_per_s: f64,
-    /// Requests a second that it could serve if it took any rate.
+    /// Requests a second that the server could run without a rate limit.
     pub unlimited_per_s: f64,
 }
 
-/// A move that should be made.
+/// A planned move of a key range to a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
-    /// Keys.
+    /// Keys that move.
     pub range: KeyRange,
-    /// Server that gets them.
+    /// Incarnation of the server that gets the keys.
     pub to: Arc<str>,
-    /// Why.
+    /// Reason for the move, for the log: no server, hot key, joined or balance.
     pub cause: &'static str,
 }
 
-/// Question to the planner.
+/// Inputs of the planner.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs<'a> {
-    /// Who holds what.
+    /// Current holdings of the service's keys.
     pub assignment: &'a Assignment,
-    /// Servers that may hold keys.
+    /// Servers that may hold keys; holdings of others are reassigned.
     pub servers: &'a [PlanServer],
-    /// Loads.
+    /// Measured load by key.
     pub loads: &'a KeyLoads,
-    /// Ranges that are on their way already; they are left alone.
+    /// Ranges that are already being moved; they are left alone.
     pub moving: &'a [KeyRange],
-    /// Most moves for balance.
+    /// Largest number of moves for balance in one plan.
     pub balance_moves_max: usize,
     /// Keys that get more requests than their server can serve.
     pub hot: &'a [u16],
-    /// Thresholds.
+    /// Thresholds of the decisions.
     pub policy: &'a Policy,
 }
 
@@ -59,13 +59,13 @@
     inputs: Inputs<'a>,
     /// Hot keys, each with the server that holds it.
     hot: Vec<(u16, Arc<str>)>,
-    /// Load by server, over its capacity.
+    /// Load by server, in requests a second, including the planned moves.
     used: HashMap<Arc<str>, f64>,
     holdings: Vec<Holding>,
     moves: Vec<Move>,
 }
 
-/// Plans moves: keys without a usable server first, then moves that even out the load.
+/// Plans moves: keys without a usable server first, then moves that balance the load.
 pub fn plan(inputs: Inputs<'_>) -> Vec<Move> {
     if inputs.servers.is_empty() {
         return Vec::new();
@@ -100,8 +100,8 @@
         plan
     }
 
-    /// Counts hot keys with what their servers can serve: the rest of their requests is refused
-    /// wherever they are.
+    /// Counts hot keys only with the load that their servers can serve: the excess requests are
+    /// refused wherever the keys are.
     fn add_hot_keys(&mut self) {
         if !self.inputs.policy.hot_alone {
             return;
@@ -120,19 +120,19 @@
         }
     }
 
-    /// Load of a hot key beyond what its server can serve.
+    /// Returns the load of a hot key beyond the capacity of its server.
     fn hot_excess(&self, (key, server): &(u16, Arc<str>)) -> f64 {
         (self.inputs.loads.key(*key) - self.capacity(server)).max(0.0)
     }
 
-    /// Load of the hot keys at a server, as far as it can serve them.
+    /// Returns the load of a server's hot keys, at most the server's capacity.
     fn hot_load(&self, server: &str) -> f64 {
         let keys = self.hot.iter().filter(|(_, holder)| **holder == *server);
         let load: f64 = keys.map(|(key, _)| self.inputs.loads.key(*key)).sum();
         load.min(self.capacity(server))
     }
 
-    /// Gives each hot key to the fastest server, if that is much faster than its own.
+    /// Moves each hot key to the fastest server, if that is much faster than its current one.
     fn move_hot_keys(&mut self) {
         for (key, from) in self.hot.clone() {
             let range = KeyRange {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The server with the largest capacity that holds no hot key.
+    /// Returns the server with the largest capacity that holds no hot key.
     fn fastest(&self) -> Option<Arc<str>> {
         let is_free =
             |server: &&PlanServer| !self.hot.iter().any(|(_, holder)| *holder == server.id);
@@ -169,7 +169,7 @@
         Some(fastest.id.clone())
     }
 
-    /// Parts of a range between hot keys.
+    /// Splits a range into the parts between hot keys.
     fn without_hot(&self, range: KeyRange) -> Vec<KeyRange> {
         let mut parts = vec![range];
         for (key, _) in &self.hot {
@@ -193,7 +193,7 @@
 
     fn mean_utilisation(&self) -> f64 {
         let capacity: f64 = self.inputs.servers.iter().map(|s| s.capacity_per_s).sum();
-        // Without what no server can serve.
+        // Excludes the load that no server can serve.
         let excess: f64 = self.hot.iter().map(|hot| self.hot_excess(hot)).sum();
         let load = self.inputs.loads.of(KeyRange::ALL) - excess;
         load / capacity.max(0.1)
@@ -218,7 +218,8 @@
         self.moves.push(Move { range, to, cause });
     }
 
-    /// Gives every range whose server is unusable to others, in pieces of bearable load.
+    /// Assigns each range without a usable server to the least used servers, in pieces of at most
+    /// half the mean load of a server.
     fn assign_unowned_keys(&mut self) {
         let mut unowned: Vec<KeyRange> = self.inputs.assignment.gaps();
         for holding in &self.holdings {
@@ -239,7 +240,7 @@
         }
     }
 
-    /// Cuts a range into pieces whose load is at most `load_max`, as far as single keys allow.
+    /// Splits a range into pieces whose load is at most `load_max`; a single key is never split.
     fn pieces(&self, range: KeyRange, load_max: f64) -> Vec<KeyRange> {
         let mut pieces = Vec::new();
         let mut first = range.first;
@@ -263,8 +264,8 @@
         pieces
     }
 
-    /// Gives servers without keys half of what the most used ones have, however little that is: a
-    /// server that joins should serve before the others are full.
+    /// Gives each server without keys half the load of the most used server, even if no server is
+    /// busy: a server that joins should serve requests before the others are full.
     fn fill_idle_servers(&mut self) {
         let holds = |id: &Arc<str>| self.holdings.iter().any(|h| h.server == *id);
         let servers = self.inputs.servers.iter();
@@ -284,7 +285,7 @@
         }
     }
 
-    /// The server with the largest load over its capacity, but for some.
+    /// Returns the server with the highest utilisation, except those in `but`.
     fn most_used(&self, but: &[Arc<str>]) -> Option<Arc<str>> {
         let servers = self.inputs.servers.iter();
         let servers = servers.filter(|server| !but.contains(&server.id));
@@ -327,13 +328,13 @@
                 self.select_range(&from, wanted)
             };
             let Some(range) = selected else {
-                // It has only a hot key left, or takes less than its least range: the others are balanced all the
-                // same.
+                // The server has only a hot key left, or a limit below its smallest range. The
+                // other servers are still balanced.
                 exhausted.push(from);
                 continue;
             };
             let load = self.inputs.loads.of(range);
-            // A move that only swaps the roles of the two servers gains nothing.
+            // A move that only swaps the loads of the two servers gains nothing.
             let after = (self.used[&to] + load) / self.capacity(&to);
             if after >= share {
                 return;
@@ -342,7 +343,7 @@
         }
     }
 
-    /// Moves a range from a server that holds it.
+    /// Plans the move of a range away from the server that holds it.
     fn move_range(&mut self, range: KeyRange, from: &Arc<str>, to: Arc<str>, cause: &'static str) {
         let load = self.inputs.loads.of(range);
         if let Some(used) = self.used.get_mut(from) {
@@ -361,8 +362,8 @@
         self.holdings = rest.holdings;
     }
 
-    /// A range at the end of one of the server's holdings whose load is closest to `wanted`
-    /// without being more than half above it.
+    /// Selects a range at either end of one of the server's holdings, with a load close to `wanted`
+    /// and at most half above it.
     fn select_range(&self, from: &str, wanted: f64) -> Option<KeyRange> {
         let mut best: Option<(KeyRange, f64)> = None;
         for holding in &self.holdings {
@@ -385,7 +386,8 @@
         best.map(|(range, _)| range)
     }
 
-    /// Ranges from either end inwards that reach the wanted load, and the whole.
+    /// Returns the whole range and the largest ranges at its two ends that stay within the wanted
+    /// load.
     fn ends(&self, range: KeyRange, wanted: f64) -> Vec<KeyRange> {
         let mut found = vec![range];
         let mut sum = 0.0;
--- a/src/entry/decide/policy.rs
+++ b/src/entry/decide/policy.rs
@@ -1,5 +1,5 @@
-//! Thresholds of the decisions. They are settings, so that each can be tried and switched off by
-//! itself; docs/DECISIONS.md says what each is worth.
+//! Thresholds of the decisions. They are settings, so that each can be tuned and disabled
+//! separately; docs/DECISIONS.md describes the measured effect of each.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,69 +7,72 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// Cost of another availability zone, as a share of the run time: bytes between zones are
-    /// priced.
+    /// Cost of choosing a server in another availability zone, as a share of the run time: traffic
+    /// between zones is billed.
     pub zone_cost: f64,
-    /// Cost of opening a connection, as a share of the run time: new connections are priced.
+    /// Cost of opening a connection, as a share of the run time: new connections are billed.
     pub connect_cost: f64,
-    /// Cost of a server whose attempts all fail, in run times.
+    /// Cost of a server whose attempts all fail, as a multiple of the run time.
     pub failure_cost: f64,
-    /// Time in which half of what a server told of its present pace is forgotten; 0 ignores it. Slow
-    /// stretches last for some hundred milliseconds.
+    /// Half-life of the pace that a server reported in a response; 0 ignores the pace. Slow periods
+    /// last some hundred milliseconds.
     pub pace_memory_ms: u64,
-    /// Advantage of a server of which nothing is known lately, so that servers that join, and those
-    /// that were avoided, are tried.
+    /// Bonus for a server without recent samples, as a share of the run time, so that servers that
+    /// joined or were avoided get requests again.
     pub unknown_bonus: f64,
-    /// Random part of a cost, so that hosts with the same view do not all choose the same server.
+    /// Random part of a server's cost, so that hosts with the same data do not all choose the same
+    /// server.
     pub jitter: f64,
-    /// Requests at a server, as a multiple of its slots, above which it gets no more. Servers queue
-    /// about four times their slots and reset or shed beyond.
+    /// Most requests at a server, as a multiple of its slots; at this load it gets no more. Servers
+    /// queue about four times their slots, and reset or shed requests beyond that.
     pub load_max_factor: u32,
-    /// Share of the time until the objective within which a new request must be expected to be
-    /// answered.
+    /// Share of the time until the latency objective within which the response to a new request
+    /// must be expected.
     pub queue_share: f64,
-    /// True if requests whose objective has passed may queue at a server until their deadline.
+    /// True if requests that have missed their objective may queue at a server until their
+    /// deadline.
     pub late_may_queue: bool,
-    /// True if requests that are more urgent than others of their service may queue until their deadline:
-    /// late they are worth more than the others in time.
+    /// True if requests that are more urgent than others of their service may queue until their
+    /// deadline: a late response to them is worth more than a timely response to the others.
     pub urgent_may_be_late: bool,
-    /// True if run times are kept by route: a service that serves invoices of 60 ms beside reads of 360
-    /// ms refused a quarter of the invoices, since it expected each to run for 300 ms.
+    /// True if run times are tracked by route. With one average per service, a service with
+    /// invoices of 60 ms and reads of 360 ms refused a quarter of the invoices, because it expected
+    /// each to run for 300 ms.
     pub runs_by_route: bool,
-    /// True if a server with a free slot gets a request whatever its run time is expected to be, as
-    /// long as that ends before the deadline.
+    /// True if a server with a free slot gets a request even if it is expected to miss the
+    /// objective, as long as it is expected to end before the deadline.
     pub free_slot_admits: bool,
-    /// Time for which a request is held while its key is on its way. Most moves between servers
-    /// whose requests run for 100 ms end within it.
+    /// Longest time for which a request is held while its key is being moved. Most moves between
+    /// servers whose requests run for 100 ms complete within it.
     pub hold_ms: u64,
-    /// Share of the objective for which it is held if that is longer. Who has waited for more is
-    /// better told to come back.
+    /// Share of the latency objective for which a request is held if that is longer than `hold_ms`.
+    /// A request that has waited for longer is better refused, so that its caller retries.
     pub hold_share: f64,
-    /// Load of a key over its server's capacity from which it counts as hot.
+    /// Load of a key, as a multiple of its server's capacity, from which the key counts as hot.
     pub hot_factor: f64,
-    /// Requests for a hot key that are admitted, as a multiple of the capacity: arrivals by chance
-    /// leave gaps that a short queue fills.
+    /// Rate of requests admitted for a hot key, as a multiple of the capacity: random arrivals
+    /// leave gaps, which a short queue fills.
     pub hot_admitted: f64,
-    /// True if a hot key gets the fastest server for itself.
+    /// True if a hot key gets the fastest server to itself.
     pub hot_alone: bool,
-    /// Capacity of the fastest server over that of a hot key's server from which the key moves: a
-    /// move costs some requests, and capacities are estimates.
+    /// Least ratio of the fastest server's capacity to that of a hot key's server for which the key
+    /// moves: a move delays or fails some requests, and capacities are estimates.
     pub hot_faster: f64,
-    /// Least time after which a caller should come back. Nothing changes sooner.
+    /// Shortest time after which a refused caller should retry. Nothing changes sooner.
     pub return_min_ms: u64,
-    /// Time after which a caller should come back whose request was shed by a server with free
-    /// slots: nothing has to drain there.
+    /// Time after which a caller should retry whose request was shed by a server with free slots:
+    /// that server has no queue to drain.
     pub return_shed_ms: u64,
-    /// Load of a server over the mean above which keys are moved away from it, if it were not for
-    /// chance.
+    /// Load of a server, as a multiple of the mean, above which keys are moved away from it, after
+    /// allowing for random variation.
     pub balance_excess: f64,
-    /// Standard deviations of a server's load that are put down to chance. With a hundred servers
-    /// one or two are still beyond.
+    /// Number of standard deviations of a server's load that are attributed to random variation.
+    /// Among a hundred servers, one or two still exceed it.
     pub balance_chance: f64,
-    /// Share of a server's capacity below which it keeps its keys, however little the others have:
-    /// a move makes its keys wait for what runs on them, and a server with free slots is no slower.
+    /// Utilisation below which a server keeps its keys, even if other servers have less load: a
+    /// move delays the requests for its keys, and a server with free slots is no slower.
     pub balance_busy_share: f64,
-    /// Share of its capacity that a server is left with, or given, by moves for balance.
+    /// Target utilisation of both servers after a move for balance.
     pub balance_goal_share: f64,
 }
 
--- a/src/entry/decide/quarantine.rs
+++ b/src/entry/decide/quarantine.rs
@@ -1,27 +1,29 @@
-//! Requests that no server gets any more, since several have ended under them.
+//! Requests that are no longer forwarded to any server, since several servers have crashed during
+//! them.
 
 use std::collections::HashMap;
 
 use crate::entry::digest::RequestDigest;
 
-/// Time for which a request is kept from servers. A later version of the service may run it, and a
-/// caller whose request was there by chance is served again.
+/// Time for which a request is not forwarded. After it, a later version of the service may run the
+/// request, and a caller whose request was suspected by coincidence is served again.
 pub const QUARANTINE_MS: u64 = 60 * 60 * 1_000;
-/// The same for what all callers are refused, which costs more if it is harmless. Its evidence lasts longer, so that it
-/// is tried by one host after that: a good end frees it, and another end of a server puts it back.
+/// The same time for content or paths that are refused for all callers, which costs more if they
+/// are harmless. The evidence lasts longer than this quarantine, so afterwards one host runs a
+/// trial: success clears the suspect, and another crash returns it to quarantine.
 pub const ANY_CALLER_QUARANTINE_MS: u64 = 10 * 60 * 1_000;
-/// Most requests in quarantine, so that their row in the store stays under 5 KB. Beyond that the oldest
-/// ones leave it.
+/// Largest number of requests in quarantine, which keeps their row in the store under 5 KB. Beyond
+/// it the oldest ones are released.
 const QUARANTINED_MAX: usize = 256;
 
-/// Requests in quarantine, and since when this host knows that.
+/// Requests in quarantine, with the time at which this host learned of each.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     since_ms: HashMap<RequestDigest, u64>,
 }
 
 impl Quarantine {
-    /// Adds a request; true if it was not in quarantine.
+    /// Adds a request; returns true if it was not in quarantine.
     pub fn add(&mut self, digest: RequestDigest, now_ms: u64) -> bool {
         if self.rest_ms(digest, now_ms).is_some() {
             return false;
@@ -33,13 +35,14 @@
         true
     }
 
-    /// Time for which a request stays in quarantine; `None` if it is not there.
+    /// Returns the time left in quarantine; `None` if the request is not in quarantine.
     pub fn rest_ms(&self, digest: RequestDigest, now_ms: u64) -> Option<u64> {
         let until_ms = self.since_ms.get(&digest)? + quarantine_ms(digest);
         (now_ms < until_ms).then(|| until_ms - now_ms)
     }
 
-    /// All of them, the latest first. Those whose time has passed are dropped.
+    /// Returns all requests in quarantine, the latest first, after dropping those whose time has
+    /// passed.
     pub fn latest(&mut self, now_ms: u64) -> Vec<RequestDigest> {
         self.since_ms
             .retain(|digest, since_ms| now_ms < *since_ms + quarantine_ms(*digest));
@@ -51,18 +54,19 @@
         ranked.into_iter().map(|(_, digest)| digest).collect()
     }
 
-    /// Number of requests in quarantine, those included whose time has just passed.
+    /// Returns the number of requests in quarantine, including those that have expired and are not
+    /// yet dropped.
     pub fn len(&self) -> usize {
         self.since_ms.len()
     }
 
-    /// True if none is in quarantine.
+    /// Returns true if no request is in quarantine.
     pub fn is_empty(&self) -> bool {
         self.since_ms.is_empty()
     }
 }
 
-/// Time for which a request with a digest is kept from servers.
+/// Returns the quarantine time for a digest, which depends on its scope: one caller or all of them.
 fn quarantine_ms(digest: RequestDigest) -> u64 {
     if digest.is_of_any_caller() {
         ANY_CALLER_QUARANTINE_MS
--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -1,60 +1,64 @@
-//! Quotas of workspaces, which all hosts keep together.
+//! Quotas of workspaces, which are enforced by all hosts together.
 //!
-//! The load: the callers of a workspace ask, at any hosts, for more than its quota. Hundreds of hosts get less than
-//! one request a second each of most workspaces, so parts of a quota that each host spends by itself would refuse
-//! what is allowed. Every host reports what it was asked for and what it sent; the holder of the duty keeps one
-//! [`Ledger`] for each workspace and tells all hosts the share of its requests that they may admit. A host that
-//! hears no holder admits by what it heard last ([`HostShare`]).
+//! A workspace's callers may send more requests than its quota, through any hosts. Hundreds of
+//! hosts receive less than one request a second each from most workspaces, so a fixed part of the
+//! quota for each host would refuse requests that are within the quota. Instead every host reports
+//! the requests that it received and sent on; the duty holder keeps one [`Ledger`] for each
+//! workspace and announces the share of its requests that hosts may admit. A host that receives no
+//! announcements goes on with the last one ([`HostShare`]).
 
 use serde::{Deserialize, Serialize};
 
 use super::{rate_meter::RateMeter, rate_shares::Bucket};
 
-/// Requests that a workspace may send.
+/// Request rate that a workspace is entitled to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Requests a second.
+    /// Sustained rate, in requests a second.
     pub per_s: f64,
-    /// Requests above that at once.
+    /// Number of requests above that rate that may be sent at once.
     pub burst: f64,
 }
 
-/// What hosts were asked for on behalf of a workspace, and what they sent to servers.
+/// Usage of a workspace's quota: requests that hosts received from its callers and sent to servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaUsage {
-    /// Requests of its callers.
+    /// Requests received from the workspace's callers.
     pub asked: u32,
-    /// Requests that went to a server.
+    /// Requests that were sent to a server.
     pub sent: u32,
 }
 
-/// Share of a workspace's requests that each host may admit.
+/// Share of a workspace's requests that each host may admit, as announced by the duty holder.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdmittedShare {
-    /// From 0 to 1.
+    /// Probability with which a request is admitted, from 0 to 1.
     pub share: f32,
-    /// Requests a second that callers of all hosts ask for.
+    /// Requests a second that the workspace's callers send to all hosts.
     pub asked_per_s: f32,
 }
 
 impl AdmittedShare {
-    /// True if some requests are to be refused.
+    /// Returns true if some requests are to be refused.
     pub fn is_limiting(self) -> bool {
         self.share < 1.0
     }
 }
 
-/// Time constant of what is asked for. A surge must show before it has spent more than the burst.
+/// Time constant of the measured request rate. A surge must be detected before it has spent more
+/// than the burst.
 const ASKED_MEMORY_MS: f64 = 400.0;
-/// Time in which what is left in a ledger is handed out, or what was sent too much is made up for.
+/// Time over which the balance of a ledger is handed out, or an overdraft is recovered.
 const SPEND_S: f64 = 1.0;
-/// Share of a quota that ledgers take in: reports are lost now and then, and what they told is never heard of.
+/// Share of a quota that is credited to ledgers: some reports are lost, and the usage in them is
+/// never counted.
 const ACCRUED_SHARE: f64 = 0.98;
-/// Seconds of a quota that a ledger may be overdrawn by. More would refuse for long what is allowed.
+/// Largest overdraft of a ledger, in seconds of the quota. A larger one would refuse requests
+/// within the quota for too long.
 const OVERDRAWN_MAX_S: f64 = 2.0;
 
-/// What is left of a workspace's quota, as the holder of the duty knows it. A new one is empty: an earlier holder may
-/// just have handed out all.
+/// Balance of a workspace's quota, kept by the duty holder. A new ledger is empty, since a previous
+/// duty holder may just have handed out the whole quota.
 #[derive(Clone, Copy, Debug)]
 pub struct Ledger {
     left: f64,
@@ -64,7 +68,7 @@
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     pub fn new(now_ms: u64) -> Self {
         Self {
             left: 0.0,
@@ -74,7 +78,7 @@
         }
     }
 
-    /// Notes what a host reported.
+    /// Debits the usage that a host reported.
     pub fn note(&mut self, quota: Quota, reported: QuotaUsage, now_ms: u64) {
         self.accrue(quota, now_ms);
         self.asked_weight += f64::from(reported.asked);
@@ -82,7 +86,7 @@
         self.left = (self.left - f64::from(reported.sent)).max(least);
     }
 
-    /// What each host may admit from now on.
+    /// Returns the share that each host may admit from now on.
     pub fn admitted(&mut self, quota: Quota, now_ms: u64) -> AdmittedShare {
         self.accrue(quota, now_ms);
         let asked_per_s = self.asked_per_s();
@@ -98,7 +102,7 @@
         }
     }
 
-    /// True if nothing was asked for in a long time.
+    /// Returns true if no requests were reported for a long time.
     pub fn is_idle(&self) -> bool {
         self.asked_weight < 1e-6
     }
@@ -111,7 +115,8 @@
         self.at_ms = now_ms;
     }
 
-    /// Corrected for the time before its first report, which says nothing.
+    /// Returns the reported request rate, corrected for the time before the first report, which is
+    /// not covered.
     fn asked_per_s(&self) -> f64 {
         let age_ms = self.at_ms.saturating_sub(self.began_ms) as f64;
         let heard = (1.0 - (-age_ms / ASKED_MEMORY_MS).exp()).max(0.2);
@@ -119,34 +124,35 @@
     }
 }
 
-/// What one host knows of a workspace's quota.
+/// State of a workspace's quota at one host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HostShare {
-    /// The holder's word, and when it came.
+    /// Last announcement of the duty holder, and its arrival time.
     told: Option<(AdmittedShare, u64)>,
-    /// This host's part of what all hosts were asked for, when that was last told.
+    /// This host's share of the requests of all hosts, as of the last announcement.
     demand_share: Option<f64>,
-    /// What this host may send while no holder confirms its share.
+    /// Limit on what this host sends while the duty holder does not confirm its share.
     fallback_bucket: Bucket,
     since_report: QuotaUsage,
-    /// What this host was asked for lately.
+    /// Requests that this host has received lately.
     own: RateMeter,
 }
 
-/// Time for which a share is kept that no holder confirms.
+/// Time for which a share stays valid without confirmation by the duty holder.
 const SHARE_KEPT_MS: u64 = 5_000;
 
-/// What a host goes by besides its share.
+/// Inputs of the admission decision besides the announced share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaContext {
-    /// Hosts that share quotas, the own one included.
+    /// Number of hosts that share quotas, including this one.
     pub hosts: usize,
-    /// True if the holder's word was heard lately.
+    /// True if the duty holder has recently confirmed the share.
     pub is_confirmed: bool,
 }
 
 impl HostShare {
-    /// True if a request that drew `point` from 0 to 1 is within the quota.
+    /// Counts a request and returns true if it is within the quota; `point` is its random draw from
+    /// 0 to 1.
     pub fn admits(&mut self, quota: Quota, context: QuotaContext, point: f64, now_ms: u64) -> bool {
         self.since_report.asked += 1;
         self.own.note(now_ms);
@@ -157,7 +163,8 @@
         if context.is_confirmed {
             return point < share;
         }
-        // A part of next to nothing says little: the host was asked for little just then.
+        // A share close to 0 proves little, since the host may have received few requests at that
+        // time; so the share is at least that of an average host.
         let demand_share = self
             .demand_share
             .unwrap_or(0.0)
@@ -173,12 +180,12 @@
         true
     }
 
-    /// Notes that a request has gone to a server.
+    /// Counts a request that was sent to a server.
     pub fn note_sent(&mut self) {
         self.since_report.sent += 1;
     }
 
-    /// Notes what the holder has told.
+    /// Stores an announcement of the duty holder.
     pub fn note_told(&mut self, told: AdmittedShare, now_ms: u64) {
         let own_per_s = self.own.per_s(now_ms);
         if told.asked_per_s > 0.0 {
@@ -187,17 +194,17 @@
         self.told = Some((told, now_ms));
     }
 
-    /// The holder's latest word.
+    /// Returns the last announcement of the duty holder.
     pub fn told(&self) -> Option<AdmittedShare> {
         self.told.map(|(told, _)| told)
     }
 
-    /// True if the holder's latest word lets some requests be refused.
+    /// Returns true if the last announcement requires some requests to be refused.
     pub fn is_limited(&self) -> bool {
         self.told().is_some_and(AdmittedShare::is_limiting)
     }
 
-    /// What has come since the last report.
+    /// Returns the usage since the last report, and resets it.
     pub fn take_report(&mut self) -> QuotaUsage {
         std::mem::take(&mut self.since_report)
     }
--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -1,51 +1,53 @@
-//! Servers that name a rate in their answers: the requests a second that they take from all hosts together, for as
-//! long as they say so.
+//! Rate limits that servers advertise in their responses: the requests a second that a server
+//! accepts from all hosts together, for as long as it advertises the limit.
 
-/// Least rate that is tried, so that the end of a rate of 0 is heard. It doubles with each [`PROBE_AFTER_MS`] without a word,
-/// up to the most, which the users' bound leaves room for in any case.
+/// Least rate at which a limited server gets probe requests, so that the end of a limit of 0 is
+/// noticed. The probe rate doubles after each [`PROBE_AFTER_MS`] without a new advertisement, up to
+/// the maximum, which is within the users' bound in any case.
 const PROBE_MIN_PER_S: f64 = 0.25;
 const PROBE_MAX_PER_S: f64 = 1.0;
-/// Time for which the end of a limit is told.
+/// Time for which hosts announce the end of a limit.
 const END_ANNOUNCED_MS: u64 = 5_000;
-/// Time without a word after which a request that may go to the server does so, whichever other one would suit it better:
-/// else a server that is chosen for nothing would keep its limit for good.
+/// Time without an advertisement after which a request that may go to the server is sent there,
+/// even if another server suits it better: otherwise a server that is never chosen would keep its
+/// limit forever.
 const PROBE_AFTER_MS: u64 = 2_000;
-/// Time without a word after which the planner lets a server try more.
+/// Time without an advertisement after which the planner assumes a higher limit.
 const PLAN_PROBE_AFTER_MS: u64 = 10_000;
-/// Change of a rate that is worth a log line, as a share.
+/// Relative change of a limit that is worth a log line.
 const CHANGE_LOGGED: f64 = 0.1;
 
-/// What a server said of its rate, and when.
+/// Rate limit that a server advertised in a response, with the time of the response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdvertisedLimit {
-    /// Requests a second from all hosts together; `None` if it takes any rate.
+    /// Requests a second from all hosts together; `None` if there is no limit.
     pub per_s: Option<f64>,
-    /// When its answer came, by this host's clock.
+    /// Arrival time of the response, by this host's clock.
     pub at_ms: u64,
 }
 
-/// Rate that a server takes from all hosts together, by its latest word.
+/// Rate limit of a server for all hosts together, as last advertised.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RateLimit {
-    /// Its latest word to any host.
+    /// Latest advertisement to any host.
     latest: Option<AdvertisedLimit>,
-    /// Its latest word to this host.
+    /// Latest advertisement to this host.
     own: Option<AdvertisedLimit>,
-    /// When it first took any rate again after it had named a limit. A server that gets little says so long after its last
-    /// word of the limit.
+    /// Time at which the server first advertised the end of its limit. A server that gets few
+    /// requests may do so long after it last advertised the limit.
     ended_ms: Option<u64>,
-    /// What was logged last.
+    /// Limit in the last log line.
     logged_per_s: Option<f64>,
 }
 
 impl RateLimit {
-    /// Takes in what the server said to this host.
+    /// Records an advertisement to this host.
     pub fn note_own(&mut self, advertised: AdvertisedLimit) {
         self.own = Some(advertised);
         self.note(advertised);
     }
 
-    /// Takes in what the server said to any host; an earlier word than the latest one is no news.
+    /// Records an advertisement to any host; ignored if a later one is known.
     pub fn note(&mut self, advertised: AdvertisedLimit) {
         if self
             .latest
@@ -59,18 +61,19 @@
         self.latest = Some(advertised);
     }
 
-    /// Requests a second that it takes; `None` if it takes any rate.
+    /// Returns the limit in requests a second; `None` if there is none.
     pub fn per_s(&self) -> Option<f64> {
         self.latest?.per_s
     }
 
-    /// True if nothing was heard of its limit for a while.
+    /// Returns true if the latest advertisement is so old that a probe request is due.
     pub fn is_stale(&self, now_ms: u64) -> bool {
         let latest = self.latest;
         latest.is_some_and(|advertised| now_ms >= advertised.at_ms + PROBE_AFTER_MS)
     }
 
-    /// Requests a second that hosts share; `None` if it takes any rate.
+    /// Returns the rate that hosts share, in requests a second, including probes; `None` if there
+    /// is no limit.
     pub fn shared_per_s(&self, now_ms: u64) -> Option<f64> {
         let latest = self.latest?;
         let silent_ms = now_ms.saturating_sub(latest.at_ms);
@@ -79,8 +82,9 @@
         Some(latest.per_s?.max(probe_per_s))
     }
 
-    /// Requests a second that it takes, for the planner. A server without a word for long may have no keys that would bring one: what it is
-    /// thought to take doubles with each further such time.
+    /// Returns the limit that the planner assumes, in requests a second. A server without a recent
+    /// advertisement may hold no keys whose requests would bring one, so the assumed limit doubles
+    /// after each [`PLAN_PROBE_AFTER_MS`].
     pub fn planned_per_s(&self, now_ms: u64) -> Option<f64> {
         let latest = self.latest?;
         let silent_ms = now_ms.saturating_sub(latest.at_ms);
@@ -89,24 +93,26 @@
         Some(probe_per_s * (1u64 << doubled) as f64)
     }
 
-    /// True if other hosts should hear of it: it names a limit, or has done so lately.
+    /// Returns true if other hosts should be informed: the server has a limit, or its limit ended
+    /// recently.
     pub fn should_announce(&self, now_ms: u64) -> bool {
         let is_fresh = |ended_ms| now_ms < ended_ms + END_ANNOUNCED_MS;
         self.per_s().is_some() || self.ended_ms.is_some_and(is_fresh)
     }
 
-    /// Its latest word to any host.
+    /// Returns the latest advertisement to any host.
     pub fn latest(&self) -> Option<AdvertisedLimit> {
         self.latest
     }
 
-    /// Its latest word to this host, which is all that a host reports. A word that came from others would go round
-    /// between the hosts, a little younger each time, and outlive the end of the limit.
+    /// Returns the latest advertisement to this host, the only one that it reports to others.
+    /// Reports of other hosts' advertisements would circulate among the hosts, each time with a
+    /// slightly later time, and outlive the limit.
     pub fn own(&self) -> Option<AdvertisedLimit> {
         self.own
     }
 
-    /// True once for each change that is worth a log line.
+    /// Returns true once for each change that is worth a log line.
     pub fn take_change(&mut self) -> bool {
         let per_s = self.per_s();
         let is_new = match (self.logged_per_s, per_s) {
--- a/src/entry/decide/rate_meter.rs
+++ b/src/entry/decide/rate_meter.rs
@@ -1,13 +1,13 @@
-//! Requests a second, measured over the last seconds.
+//! Rate of requests, averaged over the last seconds.
 
-/// Time constant of the average. A host with ten requests a second knows its rate within a third; a
-/// longer time would find out too late about a surge, or that keys have gone to another server.
+/// Time constant of the average. A host with ten requests a second measures its rate to within a
+/// third; a longer time would detect surges, and keys that have moved to another server, too late.
 const MEMORY_MS: f64 = 1_000.0;
 
-/// Rate of events, the latest ones counting most.
+/// Exponentially weighted rate of events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RateMeter {
-    /// Events, faded by their age.
+    /// Sum of the events, each weighted by its age.
     weight: f64,
     at_ms: u64,
 }
@@ -19,8 +19,8 @@
         self.at_ms = now_ms;
     }
 
-    /// Events a second. Too few while it has counted for less than two seconds: a correction for that would make
-    /// much of the first event of a host that has few.
+    /// Returns the events a second. The rate is too low in the first two seconds: a correction
+    /// would overrate the first event of a host that has few.
     pub fn per_s(&self, now_ms: u64) -> f64 {
         self.faded(now_ms) * 1_000.0 / MEMORY_MS
     }
--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -1,13 +1,15 @@
-//! Parts of hosts in a rate that a server takes from all of them together.
+//! Shares of hosts in the rate limit that a server advertises to all of them together.
 //!
-//! A host's part of a rate follows what its callers ask for, as a share of what the callers of all hosts ask for,
-//! which the holder of the duty adds up. Equal parts would waste what a quiet host does not use; parts lent by the holder
-//! would need a way back when it is lost. While no sum is heard, parts are equal.
+//! A host's share of the limit follows the request rate of its callers, relative to that of all
+//! hosts' callers, which the duty holder sums up. Equal shares would waste what a quiet host does
+//! not use; shares lent by the duty holder would have to be reclaimed when it fails. While no sum
+//! is received, shares are equal.
 //!
-//! A request needs two things, since neither bounds what is sent by itself. A ticket, drawn for each request, bounds the
-//! sum over all hosts by what is asked for, however many they are, but follows a surge only as the sum does, a second
-//! later. A token of a [`Bucket`] holds back a surge at each host; but buckets are full after a quiet time, and those
-//! of hundreds of hosts hold more than the rate.
+//! A request must pass two checks, since neither bounds the total rate by itself. A random draw
+//! with an admission probability bounds the sum over all hosts relative to the request rate, for
+//! any number of hosts, but follows a surge only as fast as the sum does, a second later. A token
+//! of a [`Bucket`] limits a surge at each host; but buckets are full after a quiet time, and the
+//! buckets of hundreds of hosts hold more tokens than the limit.
 
 use std::{collections::HashMap, net::SocketAddr};
 
@@ -15,30 +17,33 @@
 
 use super::rate_meter::RateMeter;
 
-/// Share of a rate that buckets hand out: more than tickets are drawn for, so that chance does not empty them.
+/// Share of the limit at which buckets are refilled: higher than that of the draws, so that random
+/// variation does not empty them.
 const BUCKET_SHARE: f64 = 1.1;
-/// Share of a rate that tickets are drawn for. The rest is for chance: a sum that is too low draws too many.
+/// Share of the limit on which admission probabilities are based. The rest is headroom for random
+/// variation: a sum that is too low admits too many.
 const ADMIT_SHARE: f64 = 0.88;
-/// Tokens of a full bucket: this many, and what comes in within a time.
+/// Capacity of a bucket: a fixed number of tokens, and the refill of [`BURST_S`] seconds.
 const BURST_TOKENS: f64 = 2.0;
 const BURST_S: f64 = 0.4;
-/// Time for which a sum of what all callers ask for counts.
+/// Time for which a sum of all hosts' request rates is valid.
 const SUM_KEPT_MS: u64 = 2_000;
-/// Time for which what a host reported counts in a sum.
+/// Time for which a host's report counts in a sum.
 const REPORT_KEPT_MS: u64 = 2_000;
-/// Least share of a rate that is left to requests that are not urgent.
+/// Least share of a limit that is reserved for requests that are not urgent.
 const NON_URGENT_SHARE_MIN: f64 = 0.25;
 
-/// Tokens for requests, which come in at a rate.
+/// Token bucket for requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Bucket {
     tokens: f64,
-    /// When tokens came in last; `None` before the first request.
+    /// Time of the last refill; `None` before the first request.
     at_ms: Option<u64>,
 }
 
 impl Bucket {
-    /// True if there is a token, which [`Bucket::take`] would use. A new bucket is full.
+    /// Refills the bucket and returns true if it has a token for [`Bucket::take`]. A new bucket is
+    /// full.
     pub fn has_token(&mut self, per_s: f64, now_ms: u64) -> bool {
         let most = BURST_TOKENS + BURST_S * per_s;
         let came_in = match self.at_ms.replace(now_ms) {
@@ -55,21 +60,22 @@
     }
 }
 
-/// A host's part of a rate.
+/// A host's share of a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateShare {
-    /// Rate of its bucket.
+    /// Refill rate of the host's bucket, in tokens a second.
     pub bucket_per_s: f64,
-    /// Probability of a ticket.
+    /// Probability with which a request is admitted; may exceed 1.
     pub admit_probability: f64,
 }
 
-/// Requests a second that callers ask of a server: those that only it may serve, or for a service of which it is one.
+/// Request rate that callers direct at a server: requests that only this server may run, or that
+/// are for a service it belongs to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AskedRates {
-    /// All of them.
+    /// All requests a second, including the urgent ones.
     pub all_per_s: f64,
-    /// Those that are more urgent than others of the service.
+    /// Requests a second that are more urgent than others of the service.
     pub urgent_per_s: f64,
 }
 
@@ -79,13 +85,14 @@
         self.urgent_per_s += other.urgent_per_s;
     }
 
-    /// Share of the requests of one urgency for which there are tickets of a rate: urgent ones come first.
+    /// Returns the probability with which requests of one urgency are admitted at a rate; urgent
+    /// ones come first.
     fn admit_probability(self, rate_per_s: f64, is_urgent: bool) -> f64 {
         let for_urgent_per_s = self
             .urgent_per_s
             .min(rate_per_s * (1.0 - NON_URGENT_SHARE_MIN));
         if is_urgent {
-            // Where others do not use what is theirs, urgent ones do.
+            // Urgent requests also use what the others leave of the rate.
             let non_urgent_per_s = self.all_per_s - self.urgent_per_s;
             let unused_per_s = (rate_per_s - for_urgent_per_s - non_urgent_per_s).max(0.0);
             return (for_urgent_per_s + unused_per_s) / self.urgent_per_s.max(f64::MIN_POSITIVE);
@@ -95,20 +102,20 @@
     }
 }
 
-/// What is asked of a server, as one host knows it.
+/// Request rates for a server, as one host knows them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Asked {
-    /// By this host's callers: all, and the urgent ones.
+    /// Rates of this host's callers: all requests, and the urgent ones.
     own: RateMeter,
     own_urgent: RateMeter,
-    /// The same as it was reported last.
+    /// Rates of this host's callers in its last report.
     reported: AskedRates,
-    /// By the callers of all hosts, as the holder of the duty summed it up, and when.
+    /// Rates of the callers of all hosts, as summed by the duty holder, and the arrival time.
     sum: Option<(AskedRates, u64)>,
 }
 
 impl Asked {
-    /// Counts a request.
+    /// Counts a request of this host's callers.
     pub fn note(&mut self, is_urgent: bool, now_ms: u64) {
         self.own.note(now_ms);
         if is_urgent {
@@ -116,18 +123,19 @@
         }
     }
 
-    /// What this host's callers ask for, to be reported now.
+    /// Returns the rates of this host's callers and stores them as reported.
     pub fn report(&mut self, now_ms: u64) -> AskedRates {
         self.reported = self.own(now_ms);
         self.reported
     }
 
-    /// Notes what the callers of all hosts ask for.
+    /// Stores the rates of the callers of all hosts.
     pub fn note_sum(&mut self, sum: AskedRates, now_ms: u64) {
         self.sum = Some((sum, now_ms));
     }
 
-    /// The part for a request of a host that shares a rate with `hosts`, itself included.
+    /// Returns the share of a host in the limit `shared_per_s`, for a request of the given urgency;
+    /// `hosts` includes this host.
     pub fn rate_share(
         &self,
         shared_per_s: f64,
@@ -151,7 +159,8 @@
         }
     }
 
-    /// What the callers of all hosts ask for, by the latest sum, or as if all hosts were asked for as much.
+    /// Returns the rates of the callers of all hosts: the latest sum, or without one, as if each
+    /// host's callers had the same rate as this host's.
     fn all(&self, own: AskedRates, hosts: usize, now_ms: u64) -> AskedRates {
         let heard = self.sum.filter(|(_, at_ms)| now_ms < at_ms + SUM_KEPT_MS);
         let Some((sum, _)) = heard else {
@@ -161,7 +170,7 @@
                 urgent_per_s: own.urgent_per_s * hosts,
             };
         };
-        // A rise of the own callers is not in the sum yet.
+        // A rise in this host's own rate since its report is not included in the sum yet.
         let with_rise =
             |sum: f64, own: f64, reported: f64| (sum + (own - reported).max(0.0)).max(own);
         AskedRates {
@@ -175,24 +184,26 @@
     }
 }
 
-/// True if a request that drew `point` from 0 to 1 has a ticket of a server. `before` is what the tickets of the
-/// servers before it add up to: where all servers are limited, one request has one ticket as far as they suffice.
+/// Returns true if a request with the random draw `point` from 0 to 1 is admitted at a server.
+/// `before` is the sum of the probabilities of the servers before it: where all servers are
+/// limited, a request is admitted at one server, as far as the limits suffice.
 pub fn is_admitted(point: f64, before: f64, admit_probability: f64) -> bool {
     (point - before).rem_euclid(1.0) < admit_probability
 }
 
-/// What hosts reported that their callers ask of servers, as the holder of the duty knows it.
+/// Request rates for servers as reported by hosts, kept by the duty holder.
 #[derive(Debug, Default)]
 pub struct AskedByHost(HashMap<u32, HashMap<SocketAddr, (AskedRates, u64)>>);
 
 impl AskedByHost {
-    /// Notes what the callers of a host ask of a server, by its short name.
+    /// Records the rates for a server, given by its tag, that a host reported.
     pub fn note(&mut self, server_tag: u32, host: SocketAddr, asked: AskedRates, now_ms: u64) {
         let hosts = self.0.entry(server_tag).or_default();
         hosts.insert(host, (asked, now_ms));
     }
 
-    /// What the callers of all hosts ask of a server. A host that is not heard any more counts for a while.
+    /// Returns the sum of all hosts' rates for a server. A host that stopped reporting counts for
+    /// [`REPORT_KEPT_MS`].
     pub fn sum(&mut self, server_tag: u32, now_ms: u64) -> AskedRates {
         let mut sum = AskedRates::default();
         if let Some(hosts) = self.0.get_mut(&server_tag) {
@@ -202,7 +213,7 @@
         sum
     }
 
-    /// Forgets servers that name no limit any more.
+    /// Drops the servers that no longer advertise a limit.
     pub fn retain(&mut self, is_limited: impl Fn(u32) -> bool) {
         self.0.retain(|server_tag, _| is_limited(*server_tag));
     }
--- a/src/entry/decide/rests.rs
+++ b/src/entry/decide/rests.rs
@@ -1,6 +1,7 @@
-//! Servers that want a rest of many hosts: their keys are better off elsewhere. Three of nine servers that turned all
-//! requests away for nine seconds left a third of the keys' callers unserved, and the planner, to which they looked
-//! idle, gave them more.
+//! Rests that servers ask of many hosts. A rest is a time in which a server wants no requests of a
+//! host; the keys of a server that asks many hosts for one are better served elsewhere. In a test,
+//! three of nine servers refused all requests for nine seconds: a third of the keys' callers were
+//! not served, and the planner, which took these servers for idle, gave them more keys.
 
 use std::{
     collections::HashMap,
@@ -8,22 +9,24 @@
     sync::{Mutex, MutexGuard, PoisonError},
 };
 
-/// One in so many hosts must have been turned away. One host alone may be the trouble.
+/// Fraction of hosts, as one in this many, whose requests must have been refused. If it is only one
+/// host, that host may be the cause.
 const HOSTS_SHARE: usize = 3;
-/// Most hosts that are needed: where there are hundreds, few of them reach a given server within a rest.
+/// Upper bound of the hosts needed: among hundreds of hosts, few reach a given server within a
+/// rest.
 const HOSTS_NEEDED_MAX: usize = 4;
-/// Shortest rest that is worth two moves, there and back.
+/// Shortest rest that is worth two moves, away and back.
 const REST_MIN_MS: u64 = 300;
-/// Least share of a service's servers that must be awake. If more of them turn requests away, all are
-/// overloaded, and keys that move find no better place.
+/// Least share of a service's servers that must accept requests. If more than the rest of them
+/// refuse requests, all are overloaded, and moved keys would be no better off.
 const AWAKE_MIN: f64 = 0.5;
 
-/// Rests that hosts were asked for, as the holder of the duty knows them.
+/// Rests that servers asked of hosts, kept by the duty holder.
 #[derive(Debug, Default)]
 pub struct Rests(Mutex<HashMap<u32, HashMap<SocketAddr, u64>>>);
 
 impl Rests {
-    /// Notes for how long a server, by its short name, wants no requests of a host.
+    /// Records that a server, given by its tag, wants no requests of a host for `rest_ms`.
     pub fn note(&self, server_tag: u32, host: SocketAddr, rest_ms: u64, now_ms: u64) {
         if rest_ms < REST_MIN_MS {
             return;
@@ -39,13 +42,14 @@
         *known = (*known).max(until_ms);
     }
 
-    /// True if a server wants a rest of so many hosts that its keys should go to others.
+    /// Returns true if a server asks so many hosts for a rest that its keys should move to others.
     pub fn is_widespread(&self, server_tag: u32, hosts: usize, now_ms: u64) -> bool {
         let rests = self.rests();
         let Some(resting) = rests.get(&server_tag) else {
             return false;
         };
-        // To its end: keys that came back before would find their hosts still bound.
+        // A rest counts until its end: if keys returned earlier, the hosts would still send them no
+        // requests.
         let lasts = |until_ms: &&u64| now_ms < **until_ms;
         let needed = hosts.div_ceil(HOSTS_SHARE).clamp(1, HOSTS_NEEDED_MAX);
         resting.values().filter(lasts).count() >= needed
@@ -56,7 +60,7 @@
     }
 }
 
-/// The servers that are awake, or all if too few are.
+/// Returns the servers that do not rest, or all servers if too few do not.
 pub fn not_resting<T>(mut servers: Vec<T>, rests: impl Fn(&T) -> bool) -> Vec<T> {
     let resting = servers.iter().filter(|server| rests(server)).count();
     let least_awake = servers.len() as f64 * AWAKE_MIN;
--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -1,40 +1,40 @@
-//! When a refused caller should come back. Callers obey up to a third of the time that they have
-//! left; each return that is refused again costs them more than the first refusal.
+//! Time after which a refused caller should retry. Callers obey up to a third of the time that they
+//! have left; each retry that is refused again costs them more than the first refusal.
 
 use super::{Candidate, Policy, hot_keys::HotKey};
 
-/// Longest time after which a caller should come back.
+/// Longest time after which a caller is told to retry.
 const RETRY_AFTER_MAX_MS: u64 = 5_000;
-/// Time after which a host that has just started knows what it needs.
+/// Time that a host needs after its start to load its configuration.
 const START_RETRY_MS: u64 = 500;
 
-/// Time after which the keys of a server that wants a rest are at another one, if it wants it of many hosts: 33 to 112
-/// ms after the first answer in 36 of 40 moves, with three hosts on one machine.
+/// Time after which the keys of a server that asks many hosts for a rest have moved to another one:
+/// 33 to 112 ms after the first response in 36 of 40 moves, with three hosts on one machine.
 const REST_MOVE_MS: u64 = 150;
 
-/// Time after which keys that are too many for a limited server are at others: two rounds of the planner, and a
-/// move.
+/// Time after which excess keys of a rate-limited server have moved to others: two rounds of the
+/// planner, and a move.
 const LIMIT_MOVE_MS: u64 = 300;
 
 /// Time after which a workspace that is over its quota may send again.
 const QUOTA_RETRY_MS: u64 = 1_000;
 
-/// Why a request is refused. It has not run.
+/// Refusal of a request that has not run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refused {
     /// Reason, for the caller and the log.
     pub reason: &'static str,
-    /// Time after which the caller should come back.
+    /// Time after which the caller should retry.
     pub retry_after_ms: u64,
 }
 
 impl Refused {
-    /// Another host, or this one in a moment, may serve the request.
+    /// Refuses a request that another host, or this one in a moment, may serve.
     pub fn soon(reason: &'static str, policy: &Policy) -> Self {
         Self::after(reason, 0, policy)
     }
 
-    /// The request can be served after a time.
+    /// Refuses a request that can be served after a known time.
     pub fn after(reason: &'static str, after_ms: u64, policy: &Policy) -> Self {
         Self {
             reason,
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Servers have ended under the request. It says the true time, however long: no caller is served
-    /// by coming back sooner.
+    /// Refuses a request during which several servers have crashed. The time is not capped: an
+    /// earlier retry would be refused as well.
     pub fn quarantined(rest_ms: u64) -> Self {
         Self {
             reason: "several servers have ended under the request",
@@ -51,21 +51,22 @@
         }
     }
 
-    /// The key's server wants nothing of this host for a time. Before its end the keys may have gone to another
-    /// server, or another host may be served.
+    /// Refuses a request since the key's server wants no requests of this host for a time. Before
+    /// the end of the rest the keys may have moved to another server, or another host may be
+    /// served.
     pub fn resting(rest_ms: u64, policy: &Policy) -> Self {
         let reason = "the key's server wants a rest";
         Self::after(reason, rest_ms.min(REST_MOVE_MS), policy)
     }
 
-    /// The key's server gets as many requests as it takes from all hosts. The keys that are too many for it go to
-    /// others.
+    /// Refuses a request since the key's server gets as many requests as it accepts from all hosts.
+    /// The excess keys move to other servers.
     pub fn limited(policy: &Policy) -> Self {
         let reason = "the key's server gets as much as it takes";
         Self::after(reason, LIMIT_MOVE_MS, policy)
     }
 
-    /// The workspace has used what it may send. Quotas count requests a second.
+    /// Refuses a request of a workspace that has used up its quota, which is counted by the second.
     pub fn over_quota() -> Self {
         Self {
             reason: "the workspace is over its quota",
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The host has just started.
+    /// Refuses a request since the host has just started.
     pub fn starting(reason: &'static str) -> Self {
         Self {
             reason,
@@ -81,16 +82,16 @@
         }
     }
 
-    /// The key gets more requests than its server can serve: a caller's turn comes after about as
-    /// many runs as there are requests for each one that is served.
+    /// Refuses a request for a key that gets more requests than its server can serve. The time is
+    /// about as many run times as there are requests for each one that can be served.
     pub fn hot_key(hot: HotKey, typical_ms: f64, policy: &Policy) -> Self {
         let turn_ms = (typical_ms * hot.excess()) as u64;
         let reason = "the key gets more requests than its server can serve";
         Self::after(reason, turn_ms, policy)
     }
 
-    /// A server said that it did not run the request. If it has free slots, it sheds at random and
-    /// nothing has to drain; else some work must end first.
+    /// Refuses a request that the server reported as not run. A server with free slots sheds at
+    /// random and has no queue to drain; otherwise some request must end first.
     pub fn not_run(server: &Candidate, typical_ms: f64, policy: &Policy) -> Self {
         let reason = "the server did not run the request";
         if server.load < server.slots {
--- a/src/entry/decide/run_shares.rs
+++ b/src/entry/decide/run_shares.rs
@@ -1,21 +1,21 @@
-//! Run times by kind of request. A service may serve several routes, whose requests take a fifth or
-//! three times as long as its average; servers differ as well. So a route has a share of the average
-//! run time, learned over all servers, beside each server's average.
+//! Run times by route. A service may serve several routes, whose requests take from a fifth to
+//! three times its average; servers differ in speed as well. So each route has a share of the
+//! average run time, learned over all servers, in addition to the average of each server.
 
 use std::{
     collections::HashMap,
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-/// Share of a new sample once many are known; the first ones count alike.
+/// Least weight of a new sample; the first samples all weigh the same.
 const SAMPLE_WEIGHT_LEAST: f64 = 0.03;
-/// Samples from which a share is believed.
+/// Number of samples from which a route's share is used.
 const SAMPLES_MIN: u32 = 5;
-/// Bounds of a sample, so that single slow runs do not count for many.
+/// Bounds of a sample, so that a single slow run does not outweigh many others.
 const SHARE_LEAST: f64 = 0.05;
 const SHARE_MOST: f64 = 8.0;
 
-/// What is known of one route's requests at one service.
+/// Share of a route's requests in the average run time of a service, and its number of samples.
 #[derive(Clone, Copy, Debug, Default)]
 struct RouteRunShare {
     run_share: f64,
@@ -25,15 +25,15 @@
 /// Service and route.
 type RouteKey = (Arc<str>, Arc<str>);
 
-/// Shares by service and route.
+/// Run time shares by service and route.
 #[derive(Debug, Default)]
 pub struct RunShares {
     shares: Mutex<HashMap<RouteKey, RouteRunShare>>,
 }
 
 impl RunShares {
-    /// Notes a run of a route's request at a server whose requests take `average_ms`; 0 if that is
-    /// unknown.
+    /// Records the run time of a route's request at a server with an average of `average_ms`; 0
+    /// means that the average is unknown, and the sample is ignored.
     pub fn note(&self, service: &Arc<str>, route: &Arc<str>, run_ms: f64, average_ms: f64) {
         if average_ms <= 0.0 {
             return;
@@ -46,7 +46,8 @@
         kind.run_share += weight * (sample - kind.run_share);
     }
 
-    /// Run time of a route's requests as a share of the average at the same server; 1 if unknown.
+    /// Returns the run time of a route's requests as a share of the average at the same server; 1
+    /// if there are too few samples.
     pub fn run_share(&self, service: &Arc<str>, route: &Arc<str>) -> f64 {
         let shares = self.shares();
         let known = shares.get(&(service.clone(), route.clone()));
--- a/src/entry/decide/trials.rs
+++ b/src/entry/decide/trials.rs
@@ -1,13 +1,15 @@
-//! Requests under which a server has ended are tried by one host at a time. Their tries come together: while
-//! their key has no server they wait or are told to come back, and would all reach the next server within
-//! the 40 ms that it lives. With two tries at each of three hosts every 0.2 s, four of eight runs came later
-//! than the contact time after the third one, and one of five where tries are claimed (tests/entry_crashes.rs).
+//! Claims that let only one host at a time run a suspect, a request during which a server has
+//! crashed. Attempts of a suspect tend to coincide: while its key has no server they are held or
+//! told to retry, and then would all reach the next server within the 40 ms before it crashes. With
+//! two attempts at each of three hosts every 0.2 s, four of eight runs came later than the contact
+//! time after the third crash; with claims it was one of five (tests/entry_crashes.rs).
 //!
-//! So are the tries at a server: where two suspects run at one, its end would speak against both, and the harmless one would
-//! be kept from servers too.
+//! Claims also cover the server. If two suspects ran at one server, its crash would be evidence
+//! against both, and the harmless one would be quarantined too.
 //!
-//! A host claims a try and tells the others; after [`CLAIM_WAIT_MS`] it goes on unless a host with a lower
-//! address has claimed it too. That is best effort: a lost datagram costs one run more.
+//! A host claims a trial and informs the others; after [`CLAIM_WAIT_MS`] it proceeds unless a host
+//! with a lower address has claimed it too. This is best effort: a lost datagram costs one more
+//! run.
 
 use std::{collections::HashMap, net::SocketAddr};
 
@@ -15,19 +17,19 @@
 
 use crate::entry::digest::RequestDigest;
 
-/// Time for which a host waits for the others' claims. Zones are 0.5 to 1.4 ms apart one way by the users'
-/// sheets, 12 ms between regions; the rest is for a host that is busy.
+/// Time for which a host waits for the claims of others. Zones are 0.5 to 1.4 ms apart one way by
+/// the users' specifications, regions 12 ms; the rest is for a host that is busy.
 pub const CLAIM_WAIT_MS: u64 = 25;
-/// Time for which a claim counts, if nothing is heard of its outcome: a run, and the look whether its server
-/// has ended.
+/// Lifetime of a claim whose outcome is not reported: a run, and the check whether its server has
+/// crashed.
 pub const CLAIM_MS: u64 = 1_000;
 
-/// What a claim keeps others from.
+/// Subject of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Claimed {
-    /// A try of a request.
+    /// Trial of a request, by its digest.
     Request(RequestDigest),
-    /// A try of any suspect at a server, by its short name.
+    /// Trial of any suspect at a server, by its tag.
     Server(u32),
 }
 
@@ -43,12 +45,13 @@
     until_ms: u64,
 }
 
-/// Claims of tries.
+/// Current claims of trials.
 #[derive(Debug, Default)]
 pub struct TrialClaims(HashMap<Claimed, Claim>);
 
 impl TrialClaims {
-    /// Claims a try for a host. `Err` holds the rest of the time for which another try is under way.
+    /// Claims a trial for a host. `Err` holds the time left in another host's or trial's claim, in
+    /// milliseconds.
     pub fn claim(
         &mut self,
         claimed: impl Into<Claimed>,
@@ -71,8 +74,8 @@
         Ok(())
     }
 
-    /// Notes the claim of another host. Of two hosts that claim at once the one with the lower address has
-    /// it.
+    /// Records the claim of another host. If two hosts claim at the same time, the one with the
+    /// lower address gets the claim.
     pub fn note(&mut self, claimed: impl Into<Claimed>, host: SocketAddr, now_ms: u64) {
         self.0.retain(|_, claim| now_ms < claim.until_ms);
         let until_ms = now_ms + CLAIM_MS;
@@ -83,13 +86,13 @@
         }
     }
 
-    /// True if a host still has the claim that it made.
+    /// Returns true if a host still holds the claim that it made.
     pub fn has(&self, claimed: impl Into<Claimed>, own: SocketAddr, now_ms: u64) -> bool {
         let claim = self.0.get(&claimed.into());
         claim.is_some_and(|claim| claim.host == own && now_ms < claim.until_ms)
     }
 
-    /// Ends the claim of a try whose outcome is known.
+    /// Ends the claim of a trial whose outcome is known.
     pub fn end(&mut self, claimed: impl Into<Claimed>) {
         self.0.remove(&claimed.into());
     }
--- a/src/entry/decide/trust.rs
+++ b/src/entry/decide/trust.rs
@@ -1,33 +1,36 @@
-//! Whether a caller's API key is honoured, by how recent the host's configuration is proved to be.
+//! Decides whether a caller's API key is accepted, depending on how recently the host's
+//! configuration was confirmed.
 //!
-//! The load: operators add and revoke keys while hosts are cut off, stand still or have just started. A revoked key
-//! must not be honoured past a bound. A good key must never be called unknown by a host that has not heard of it:
-//! callers do not come back after that.
+//! Operators add and revoke keys while hosts are disconnected, stalled or starting. A revoked key
+//! must not be accepted for longer than a bound. A valid key must never be rejected as unknown by a
+//! host that has not yet received it: callers do not retry after that.
 
-/// Taken off the bound of revocations for clocks that run apart.
+/// Margin subtracted from the revocation bound, for clock drift between hosts.
 const REVOCATION_MARGIN_MS: u64 = 100;
 
-/// Times for which a configuration is relied on.
+/// Ages up to which a configuration is relied on.
 #[derive(Clone, Copy, Debug)]
 pub struct TrustLimits {
-    /// Time after which a revoked key must not be honoured; `None` if only the bound of configurations holds.
+    /// Time after which a revoked key must not be accepted; `None` if only the bound of
+    /// configurations applies.
     pub revocation_ms: Option<u64>,
-    /// Time within which a configuration is in force.
+    /// Time within which a new configuration is in force at all hosts.
     pub configuration_ms: u64,
 }
 
-/// What is done with a request.
+/// Result of the check of an API key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyVerdict {
-    /// Its key is good.
+    /// The key is valid.
     Honoured,
-    /// Its key is surely not good.
+    /// The key is certainly not valid.
     Unknown,
-    /// This host cannot tell now.
+    /// This host cannot decide now.
     Unverified,
 }
 
-/// Judges a key that the configuration knows or not, which is proved to have been the latest one `proof_age_ms` ago.
+/// Checks a key. `is_known` is true if the configuration has the key; `proof_age_ms` is the time
+/// since the configuration was last confirmed as the latest one, `None` if it never was.
 pub fn judge(is_known: bool, proof_age_ms: Option<u64>, limits: TrustLimits) -> KeyVerdict {
     let is_proved_within = |bound_ms| proof_age_ms.is_some_and(|age_ms| age_ms <= bound_ms);
     if !is_known {
