--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -1,4 +1,4 @@
-//! What callers get from the decisions under load; no sockets and no clock.
+//! Results of the decisions under simulated load; no sockets and no clock.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -20,7 +20,7 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// A warm server with free slots of which nothing is known.
+/// A warm server with free slots and without samples.
 const SERVER: Candidate = Candidate {
     slots: 6,
     load: 0,
@@ -34,7 +34,7 @@
     has_idle_connection: true,
 };
 
-/// A request like the average of its service, which serves no less urgent ones.
+/// A request with the average run time of its service, all of whose requests are equally urgent.
 const DEMAND: Demand = Demand {
     objective_ms: 400,
     deadline_ms: 1_500,
@@ -44,8 +44,8 @@
 
 #[test]
 fn a_server_that_was_slow_for_a_moment_is_not_left_idle() {
-    // The only server of some keys: requests took 900 ms for a moment, and take 120 ms since. What
-    // this host remembers of it can only be corrected by requests that get there.
+    // The only server of some keys was slow for a moment, with 900 ms for a request, and now takes
+    // 120 ms. Only requests that reach it can correct this host's statistics.
     let policy = Policy::default();
     let mut attempt_stats = AttemptStats::default();
     let mut now_ms = 1_000_000;
@@ -90,8 +90,9 @@
     assert!(!admission::has_room(&slow, 120.0, demand, &policy));
 }
 
-/// A host's only answer of a server took longer than the deadline, by a pause of the machine. The server is idle
-/// and quick, and a caller asks every 50 ms.
+/// Guards against a single slow response that keeps a host away from a server. The response took
+/// longer than the deadline because the machine was paused; the server is idle and fast, and a
+/// request arrives every 50 ms.
 #[test]
 fn one_slow_answer_does_not_keep_requests_from_an_idle_server() {
     let policy = Policy::default();
@@ -118,7 +119,7 @@
             refused += 1;
         }
     }
-    // It was 120 of 200 while nothing but time corrected the belief.
+    // Without a probe request, 120 of 200 were refused until the sample expired.
     assert!(refused <= 17, "{refused} of 200 are refused");
 }
 
@@ -133,7 +134,7 @@
         result: Hold,
     }
     let cases = [
-        // The former server is at work: most such moves end soon.
+        // The former server still runs requests: most such moves complete soon.
         Case {
             wait: MoveWait::Work,
             rest_ms: 2_500,
@@ -150,7 +151,7 @@
             aim_ms: 400,
             result: Hold::Refuse,
         },
-        // Slow requests may wait longer.
+        // Requests with a long objective may wait longer.
         Case {
             wait: MoveWait::Work,
             rest_ms: 2_500,
@@ -159,7 +160,7 @@
             aim_ms: 2_000,
             result: Hold::For(500),
         },
-        // A lease takes just as long as it does: waiting for a part of that is in vain.
+        // A lease expires exactly at its end, so waiting for a part of that time is useless.
         Case {
             wait: MoveWait::Lease,
             rest_ms: 2_500,
@@ -196,7 +197,7 @@
     }
 }
 
-/// Servers of a service, some faster than the others, with equal parts of the keys.
+/// Creates servers with the given capacities, and an assignment with equal parts of the keys.
 fn uneven_servers(capacities_per_s: &[f64]) -> (Vec<PlanServer>, Assignment) {
     let servers: Vec<PlanServer> = capacities_per_s
         .iter()
@@ -228,7 +229,7 @@
     (servers, assignment)
 }
 
-/// Plans until nothing moves any more, and gives the load by server.
+/// Applies plans until they contain no more moves, and returns the load by server.
 fn settle(
     servers: &[PlanServer],
     assignment: &mut Assignment,
@@ -269,8 +270,8 @@
 
 #[test]
 fn a_hot_key_has_the_fastest_server_and_the_others_stay_balanced() {
-    // Eight servers of which the last is the fastest; one key of the first gets five times what any
-    // of them can serve, and the neighbours of another server are busy.
+    // Eight servers, of which the last is the fastest. One key of the first server gets five times
+    // the load that any server can serve, and a range of another server is busy.
     let (servers, mut assignment) =
         uneven_servers(&[50.0, 50.0, 45.0, 50.0, 55.0, 50.0, 50.0, 70.0]);
     let mut loads = KeyLoads::default();
@@ -301,7 +302,7 @@
     struct Case {
         name: &'static str,
         limits_per_s: &'static [f64],
-        /// Requests a second of one key of the first server.
+        /// Requests a second for one key of the first server.
         key_per_s: f32,
     }
     let cases = [
@@ -335,7 +336,7 @@
         for key in (0..=u16::MAX).step_by(64) {
             loads.add(key, 0.2);
         }
-        // Besides, one of the others has more than its part.
+        // In addition, one of the other servers has more than its share.
         for key in 60_000..60_100 {
             loads.add(key, 0.5);
         }
@@ -402,20 +403,20 @@
     assert_eq!(&*assignment.holding(1_000).expect("a holder").server, "s0");
 }
 
-/// What becomes of requests whose hosts hear of each other's requests late.
+/// Results for hosts that learn of each other's requests with a delay.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
     asked: u32,
     /// Answered within the objective.
     in_time: u32,
-    /// Sent to a server that had no room, which resets the connection: an unrepeatable request is
-    /// lost then.
+    /// Sent to a server with a full queue, which resets the connection: an unrepeatable request is
+    /// then lost.
     reset: u32,
     refused: u32,
 }
 
-/// Plays 12 s of requests of 59 hosts for the 46 servers of their zone at 92% of its capacity. What
-/// a host knows of the others' requests is up to `load_age_ms` old.
+/// Simulates 12 s of requests of 59 hosts to the 46 servers of their zone at 92% of its capacity. A
+/// host's data on the requests of other hosts is up to `load_age_ms` old.
 fn simulate_load_age(load_age_ms: u64) -> Outcome {
     const HOSTS: usize = 59;
     const SERVERS: usize = 46;
@@ -425,7 +426,7 @@
     const OBJECTIVE_MS: u64 = 1_200;
     let mut rng = StdRng::seed_from_u64(7);
     let policy = Policy::default();
-    // When each request at a server began or will begin to run, and ends; its host.
+    // For each server, the end times of its running and queued requests, with their hosts.
     let mut ends: Vec<Vec<(u64, usize)>> = vec![Vec::new(); SERVERS];
     let mut told = vec![vec![0u32; SERVERS]; HOSTS];
     let mut outcome = Outcome::default();
@@ -494,7 +495,7 @@
 
 #[test]
 fn fresh_loads_serve_more_in_time_than_stale_ones() {
-    // Sums of a zone are up to 0.25 s old, reports to other zones were up to 4 s old.
+    // Sums within a zone are up to 0.25 s old; reports between zones were up to 4 s old.
     let fresh = simulate_load_age(250);
     let old = simulate_load_age(4_000);
     let share = |outcome: Outcome| f64::from(outcome.in_time) / f64::from(outcome.asked);
@@ -511,7 +512,7 @@
     work_ms: f64,
 }
 
-/// A server that shares its machine: a fifth of the time it runs three times slower.
+/// A server that shares its machine with others: a fifth of the time it runs three times slower.
 #[derive(Debug, Default)]
 struct NoisyServer {
     speed: f64,
@@ -539,10 +540,10 @@
     }
 }
 
-/// What callers get of 20 s of requests for 11 servers of one zone with three slots each, at 1.25 times
-/// what they can serve: the share of the worth that answers in the objective, and half of it that late
-/// ones have. 25 hosts tell each other every 100 ms how many requests they have at each server and
-/// what the servers told them of their pace.
+/// Simulates 20 s of requests for 11 servers of one zone with three slots each, at 1.25 times their
+/// capacity, and returns the earned share of the possible value: a response within the objective
+/// counts 1, a late one 0.5. 25 hosts report to each other every 100 ms how many requests they have
+/// at each server and which pace the servers reported.
 fn simulate_noisy_servers(policy: &Policy) -> f64 {
     const HOSTS: usize = 25;
     const SERVERS: usize = 11;
@@ -632,7 +633,7 @@
                 continue;
             }
             own[host][chosen] += 1;
-            // Work differs by a factor of some between requests.
+            // The run times of requests vary by a factor of several.
             let work_ms = MEAN_WORK_MS * 0.78 * (0.7 * normal(&mut rng)).exp();
             servers[chosen].queue.push_back(Waiting {
                 host,
@@ -644,7 +645,7 @@
     worth / asked
 }
 
-/// A draw of the standard normal distribution, by the sum of twelve.
+/// Draws from the standard normal distribution, approximated by the sum of twelve uniform draws.
 fn normal(rng: &mut StdRng) -> f64 {
     (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0
 }
@@ -657,21 +658,21 @@
         pace_memory_ms: 0,
         ..default
     });
-    // With ten servers compared in place of three, all hosts choose the same few ones: 0.87.
+    // With ten servers compared instead of three, all hosts choose the same few servers: 0.87.
     assert!(known > 0.92, "{known}");
     assert!(unknown < known - 0.01, "{unknown}, {known}");
 }
 
-/// Worth that short and long requests earn at one server, as shares of what is asked.
+/// Value earned by short and long requests at one server, as shares of the possible value.
 #[derive(Clone, Copy, Debug, Default)]
 struct Earned {
     short: f64,
     long: f64,
 }
 
-/// Plays 60 s of the only server of some keys: three slots, long requests of 500 ms that fill 85% of
-/// them and are worth 1 within a second, and a few short ones of 90 ms, worth 3 within 250 ms and half
-/// of that until 600 ms.
+/// Simulates 60 s at the only server of some keys. It has three slots; long requests of 500 ms fill
+/// 85% of them and are worth 1 if answered within a second. A few short ones of 90 ms are urgent and
+/// worth 3 if answered within 250 ms; they have a deadline of 600 ms. Late responses count half.
 fn simulate_short_and_long(policy: &Policy) -> Earned {
     const SLOTS: usize = 3;
     const SHORT_EVERY_MS: f64 = 700.0;
@@ -759,7 +760,7 @@
         urgent_may_be_late: false,
         ..default
     });
-    // Refused whenever no slot is free, they earned half.
+    // When they were refused unless a slot was free, they earned half of the value.
     assert!(neither.short < 0.65, "{neither:?}");
     assert!(both.short > neither.short + 0.1, "{both:?}, {neither:?}");
     assert!(both.long > neither.long - 0.02, "{both:?}, {neither:?}");
@@ -769,7 +770,7 @@
 fn servers_of_another_region_get_what_the_own_one_has_no_room_for() {
     struct Case {
         name: &'static str,
-        /// Requests at each of the own region's servers.
+        /// Requests at each server of the host's own region.
         own_load: u32,
         is_far_taken: bool,
     }
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -1,4 +1,4 @@
-//! Decisions about servers that want a rest. No processes, no clock.
+//! Decisions about servers that ask hosts for a rest; no processes, no clock.
 
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
     struct Case {
         name: &'static str,
         hosts: usize,
-        /// Hosts that are turned away, each at a time, for a time.
+        /// Hosts that are refused: number, time of the refusal, and length of the rest.
         turned_away: &'static [(u8, u64, u64)],
         at_ms: u64,
         wide: bool,
@@ -33,7 +33,7 @@
             wide: true,
         },
         Case {
-            name: "one of eight may be the trouble itself",
+            name: "one of eight may itself be the cause",
             hosts: 8,
             turned_away: &[(1, 0, 3_000), (1, 50, 3_000)],
             at_ms: 100,
@@ -54,14 +54,14 @@
             wide: true,
         },
         Case {
-            name: "to the end of the rest",
+            name: "just before the end of the rest",
             hosts: 3,
             turned_away: &[(1, 0, 3_000)],
             at_ms: 2_999,
             wide: true,
         },
         Case {
-            name: "and not longer",
+            name: "after the rest",
             hosts: 3,
             turned_away: &[(1, 0, 3_000)],
             at_ms: 3_000,
@@ -109,7 +109,7 @@
         case(9, 0, 9),
         case(9, 3, 6),
         case(9, 4, 5),
-        // All are overloaded: nobody is spared, and no key moves for it.
+        // All are overloaded: no server is spared, and no key moves because of it.
         case(9, 5, 9),
         case(9, 9, 9),
         case(2, 1, 1),
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -1,4 +1,5 @@
-//! Rules of entry hosts that need no processes: holdings, plans, routes, choice, retries.
+//! Rules of entry hosts that need no processes: holdings, plans, routes, choice of servers,
+//! retries.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -99,7 +100,7 @@
     }
 }
 
-/// Holdings as a plain table of keys.
+/// Expands holdings into a table with the server and fence of each key.
 fn by_key(assignment: &Assignment) -> Vec<Option<(Arc<str>, u64)>> {
     let mut keys = vec![None; 1 << 16];
     for holding in &assignment.holdings {
@@ -133,7 +134,7 @@
     assert!(Assignment::decode(&bytes[..bytes.len() / 2]).is_err());
 }
 
-/// Bytes of a row that the store takes.
+/// Largest row that the store accepts, in bytes.
 const ROW_BYTES_MAX: usize = 65_536;
 
 #[test]
@@ -151,7 +152,7 @@
             holdings: 13_760,
             servers: 6_880,
         },
-        // Each key by itself.
+        // One holding for each key.
         Case {
             holdings: 65_536,
             servers: 20_000,
@@ -182,7 +183,8 @@
 
 #[test]
 fn rows_that_were_read_at_different_times_make_one_whole() {
-    // The whole of an earlier version of ashroad in the first row, and a later move in the row of its keys.
+    // The first row holds all keys, as an earlier version of ashroad wrote it; a later move is in
+    // the row of its keys.
     let mut whole = Assignment::default();
     whole.put(holding(0, 39_999, "a", 1));
     whole.put(holding(40_000, 65_535, "b", 2));
@@ -322,7 +324,7 @@
     assert!(most <= mean * 1.25, "{most} over a mean of {mean}");
 }
 
-/// Holdings of all keys in equal parts.
+/// Distributes all keys in equal parts.
 fn equal_parts(servers: &[PlanServer]) -> Assignment {
     let mut assignment = Assignment::default();
     for (range, server) in first::first_assignment(servers) {
@@ -364,7 +366,8 @@
     }
 }
 
-/// Each of the intervals has a request for `per_interval` keys that a fixed sequence draws.
+/// Counts `per_interval` requests in each interval, for keys drawn from a fixed pseudo-random
+/// sequence.
 fn count_drawn(counts: &mut KeyCounts, intervals: u32, per_interval: u32, keys: KeyRange) {
     let mut state = 88_172_645_463_325_252u64;
     for _ in 0..intervals {
@@ -384,7 +387,7 @@
     struct Case {
         name: &'static str,
         servers: usize,
-        /// Requests of an interval; a server can do 1.5.
+        /// Requests in an interval; a server can run 1.5.
         requests: u32,
         moves_max: usize,
     }
@@ -434,10 +437,10 @@
 #[test]
 fn the_first_keys_wait_for_servers_that_are_starting() {
     struct Case {
-        /// When a server starts, and when the first request comes.
+        /// Start times of the servers, and the time of the first request.
         starts_ms: Vec<u64>,
         requested_ms: u64,
-        /// When the keys are distributed, and over how many servers.
+        /// Time at which the keys are distributed, and the number of servers.
         result: (u64, usize),
     }
     let cases = [
@@ -524,7 +527,7 @@
             hot: &[],
         },
         Case {
-            // Together too much for one server, and each by itself bearable: these can be moved.
+            // Too much for one server together, but not each by itself, so these keys can be moved.
             loads: &[(5, 50.0), (6, 50.0)],
             hot: &[],
         },
@@ -558,10 +561,10 @@
         capacity_per_s: 66.0,
     };
     known.note_found(9, vec![hot]);
-    assert_eq!(known.get(9, 5, 100), None, "not told yet");
+    assert_eq!(known.get(9, 5, 100), None, "not announced yet");
     assert_eq!(known.announce(100), [hot]);
     assert_eq!(known.get(9, 5, 1_000), Some(hot));
-    assert_eq!(known.get(9, 5, 1_200), None, "the word is too old");
+    assert_eq!(known.get(9, 5, 1_200), None, "the announcement has expired");
     assert_eq!(known.get(8, 5, 1_000), None);
     assert_eq!(known.get(9, 6, 1_000), None);
     known.note_told(Vec::new(), 1_000);
@@ -768,7 +771,7 @@
     assert_eq!(first.len(), 4, "30 and 10 of each");
     assert!(is_move(&first[0]) && is_move(&first[1]) && !is_move(&first[2]));
     assert_eq!(outbox.take_due(later_ms).len(), 0);
-    // Grants are told twice more.
+    // Announcements of grants are repeated twice.
     assert_eq!(outbox.take_due(now_ms + 5_000).len(), 3);
     assert_eq!(outbox.take_due(now_ms + 9_000).len(), 0);
     for message in first {
@@ -844,7 +847,7 @@
     for id in ["a", "b", "c"] {
         registry.put(server(id, "z", false).entry.clone());
     }
-    // Known up to version 10; then "b" was removed, "c" changed and "d" came.
+    // Version 10 is known; since then "b" was removed, "c" changed and "d" was added.
     let whole = Rows {
         rows: vec![row("a", 4), row("c", 12), row("d", 11)],
         version: 15,
@@ -867,7 +870,7 @@
         address: ([127, 0, 0, 1], port).into(),
         ..server(id, "z", false).entry.clone()
     };
-    // Either may be the late heartbeat of an earlier life.
+    // Either entry may be a late heartbeat of an earlier incarnation.
     for puts in [
         [("a", 1), ("b", 1)],
         [("b", 1), ("a", 1)],
@@ -898,7 +901,7 @@
     has_idle_connection: false,
 };
 
-/// Picks one of some servers for a request with a second left.
+/// Picks a server for a request with one second left.
 fn pick(servers: &[Candidate]) -> Option<usize> {
     let inputs = choice::Inputs {
         servers,
@@ -914,7 +917,7 @@
     choice::pick(inputs, &Policy::default(), &mut rand::rng())
 }
 
-/// A server's failures and pause by its latest attempts.
+/// Returns a candidate with the failures and the pause that the attempts result in.
 fn after(attempts: fn(&mut AttemptStats)) -> Candidate {
     let mut attempt_stats = AttemptStats::default();
     attempts(&mut attempt_stats);
@@ -1034,7 +1037,7 @@
     let picks = (0..100).filter(|_| pick(&[GOOD, far]) == Some(0));
     assert_eq!(picks.count(), 100, "the near one of two equal servers");
     let unknown = Candidate { run_ms: 0.0, ..far };
-    assert_eq!(pick(&[GOOD, unknown]), Some(1), "a server that joined");
+    assert_eq!(pick(&[GOOD, unknown]), Some(1), "a server without samples");
 }
 
 #[test]
@@ -1086,7 +1089,7 @@
                 let budget = RetryBudget::new(&bounds);
                 for _ in 0..requests {
                     budget.request(&service, hosts, 0);
-                    // Each request asks for more repeats than any route allows.
+                    // Each request asks for more retries than any route allows.
                     repeats += (0..3).filter(|_| budget.repeat(&service, hosts, 0)).count();
                 }
             }
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -1,5 +1,5 @@
-//! Hosts that share the rate which a server takes, played in virtual time on the deciding code: what the server gets, in
-//! every window, and what is left unused.
+//! Hosts that share the rate limit of a server, simulated in virtual time with the decision code:
+//! the requests that the server gets in every window, and the part of the limit left unused.
 
 use std::{
     collections::VecDeque,
@@ -13,25 +13,25 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// Interval at which hosts report and the holder tells the sum.
+/// Interval at which hosts report and the duty holder announces the sum.
 const ANNOUNCE_EVERY_MS: u64 = 150;
-/// Time from a report to its place in the sums that all hosts know.
+/// Time from a report until it is part of the sums that all hosts know.
 const ANNOUNCE_DELAY_MS: u64 = 100;
-/// Time from the first word of a limit from which the bound holds.
+/// Time after the first advertisement of a limit from which the bound applies.
 const CONTACT_MS: u64 = 3_000;
-/// Length of the windows.
+/// Length of the windows in which requests are counted.
 const WINDOW_MS: u64 = 4_000;
-/// The users' bound: this many times what the limit allows, and some more.
+/// The users' bound: this multiple of the limit, and a constant.
 const EXCESS: f64 = 1.5;
 const SLACK: f64 = 5.0;
-/// Length of a play.
+/// Length of a simulation.
 const SIMULATED_MS: u64 = 24_000;
-/// Share of the limit that must be used while callers ask for twice as much.
+/// Share of the limit that must be used while callers send twice as much.
 const USED_MIN: f64 = 0.8;
-/// Drawn plays of each case.
+/// Number of seeds for each case.
 const SEEDS: u64 = 40;
 
-/// A host of the play.
+/// A simulated host.
 #[derive(Default)]
 struct Host {
     asked: Asked,
@@ -44,15 +44,15 @@
     name: &'static str,
     hosts: usize,
     limit_per_s: f64,
-    /// Requests a second of all callers, and the same from half of the play on.
+    /// Requests a second of all callers in the first and in the second half of the simulation.
     asked_per_s: (f64, f64),
-    /// Share of the callers that the first host has.
+    /// Share of the callers that use the first host.
     first_share: f64,
-    /// True if the first host's place is taken by the second one from half of the play on.
+    /// True if these callers use the second host in the second half of the simulation.
     moves: bool,
-    /// Hosts that hear no sums and are not heard.
+    /// Number of hosts that neither receive sums nor have their reports received.
     isolated: usize,
-    /// Share of a host that counts fewer hosts than there are.
+    /// Share of the hosts that each host knows.
     counted: f64,
     /// Share of the requests that are urgent.
     urgent: f64,
@@ -70,7 +70,7 @@
     urgent: 0.0,
 };
 
-/// When the server got requests.
+/// Returns the times at which the server got requests.
 fn simulate(case: Case, seed: u64) -> Vec<u64> {
     let mut rng = StdRng::seed_from_u64(seed);
     let host = |place| Host {
@@ -121,7 +121,7 @@
     sent
 }
 
-/// True if a request of a host's caller is sent.
+/// Returns true if the host sends a request of one of its callers.
 fn is_sent_by(host: &mut Host, case: Case, now_ms: u64, rng: &mut StdRng) -> bool {
     let is_urgent = rng.random::<f64>() < case.urgent;
     host.asked.note(is_urgent, now_ms);
@@ -137,7 +137,7 @@
     is_sent
 }
 
-/// Most requests in a window, from the contact time on.
+/// Returns the largest number of requests in a window, from the contact time on.
 fn most_in_a_window(sent: &[u64]) -> usize {
     let counted: Vec<u64> = sent
         .iter()
@@ -171,7 +171,7 @@
             ..CASE
         },
         Case {
-            name: "twice as much is asked for",
+            name: "twice the limit is requested",
             hosts: 8,
             asked_per_s: (20.0, 20.0),
             ..CASE
@@ -183,27 +183,27 @@
             ..CASE
         },
         Case {
-            name: "the half moves",
+            name: "the half moves to another host",
             hosts: 12,
             first_share: 0.5,
             moves: true,
             ..CASE
         },
         Case {
-            name: "the half moves among 300",
+            name: "the half moves to another host, among 300",
             hosts: 300,
             first_share: 0.5,
             moves: true,
             ..CASE
         },
         Case {
-            name: "a third is urgent",
+            name: "a third of the requests is urgent",
             hosts: 8,
             urgent: 0.3,
             ..CASE
         },
         Case {
-            name: "urgent ones alone are too many",
+            name: "urgent requests alone exceed the limit",
             hosts: 8,
             urgent: 0.7,
             ..CASE
@@ -215,25 +215,25 @@
             ..CASE
         },
         Case {
-            name: "a low rate",
+            name: "a low limit",
             hosts: 8,
             limit_per_s: 2.0,
             ..CASE
         },
         Case {
-            name: "a rate of a half",
+            name: "a limit of 0.5",
             hosts: 8,
             limit_per_s: 0.5,
             ..CASE
         },
         Case {
-            name: "a rate of a half among 300",
+            name: "a limit of 0.5 among 300",
             hosts: 300,
             limit_per_s: 0.5,
             ..CASE
         },
         Case {
-            name: "a high rate among 300",
+            name: "a high limit among 300",
             hosts: 300,
             limit_per_s: 60.0,
             asked_per_s: (200.0, 200.0),
@@ -252,26 +252,26 @@
             ..CASE
         },
         Case {
-            name: "nobody hears",
+            name: "all hosts are isolated",
             hosts: 8,
             isolated: 8,
             ..CASE
         },
         Case {
-            name: "nobody hears among 300",
+            name: "all of 300 hosts are isolated",
             hosts: 300,
             isolated: 300,
             ..CASE
         },
         Case {
-            name: "nobody hears, and a third of the hosts is not known",
+            name: "all hosts are isolated, and know only two thirds of the hosts",
             hosts: 12,
             isolated: 12,
             counted: 0.67,
             ..CASE
         },
         Case {
-            name: "the host with half is cut off",
+            name: "the host with half is isolated",
             hosts: 12,
             first_share: 0.5,
             isolated: 1,
@@ -292,7 +292,7 @@
         }
         let used = all as f64 / SEEDS as f64 / (SIMULATED_MS as f64 / 1_000.0) / case.limit_per_s;
         println!("{}: {used:.2} used", case.name);
-        // Who is cut off has an equal part, whatever its callers ask for.
+        // An isolated host gets an equal share, whatever the rate of its callers.
         if case.isolated == 0 && used < USED_MIN {
             failed.push(format!("{}: {used:.2} used", case.name));
         }
@@ -319,7 +319,8 @@
 
 #[test]
 fn a_surge_from_below_the_rate_is_held() {
-    // Buckets are full then. Among hundreds of hosts the tickets must hold it.
+    // The buckets are full at that time. Among hundreds of hosts the admission probability must
+    // limit the surge.
     for (hosts, surge_per_s) in [(3, 200.0), (8, 100.0), (12, 60.0), (300, 30.0)] {
         for seed in 0..SEEDS {
             let case = Case {
@@ -345,24 +346,36 @@
     assert_eq!((limit.per_s(), limit.should_announce(1_000)), (None, false));
     limit.note(word(Some(8.0), 2_000));
     limit.note(word(None, 1_500));
-    assert_eq!(limit.per_s(), Some(8.0), "an earlier answer is no news");
+    assert_eq!(
+        limit.per_s(),
+        Some(8.0),
+        "an earlier advertisement is ignored"
+    );
     assert!(limit.take_change() && !limit.take_change());
     assert_eq!(limit.planned_per_s(11_000), Some(8.0));
-    assert_eq!(limit.planned_per_s(23_000), Some(32.0), "more is tried");
-    assert_eq!(limit.per_s(), Some(8.0), "but no host sends more");
+    assert_eq!(
+        limit.planned_per_s(23_000),
+        Some(32.0),
+        "the planner assumes a higher limit"
+    );
+    assert_eq!(limit.per_s(), Some(8.0), "but hosts keep to the limit");
     assert_eq!(limit.shared_per_s(23_000), Some(8.0));
     limit.note(word(None, 24_000));
     assert_eq!(limit.per_s(), None);
     assert_eq!(limit.planned_per_s(24_000), None);
     assert!(limit.take_change());
-    assert!(limit.should_announce(28_999), "its end is told");
+    assert!(
+        limit.should_announce(28_999),
+        "the end of the limit is announced"
+    );
     assert!(!limit.should_announce(29_000));
-    assert_eq!(limit.own(), None, "other hosts said all that");
+    assert_eq!(limit.own(), None, "all advertisements went to other hosts");
     limit.note_own(word(Some(3.0), 25_000));
     assert_eq!(limit.own(), limit.latest());
 }
 
-/// A server that gets little names its limit seldom: the end may come long after its last word of a limit.
+/// Guards against a limit that never ends at other hosts: a server that gets few requests seldom
+/// advertises its limit, so the end may come long after the last advertisement.
 #[test]
 fn the_end_of_a_limit_is_told_however_long_ago_the_limit_was_named() {
     const ENDED_MS: u64 = 20_000;
@@ -381,9 +394,12 @@
         );
         assert!(
             limit.should_announce(ENDED_MS + 1_000),
-            "others are not told"
+            "the end is not announced"
+        );
+        assert!(
+            !limit.should_announce(ENDED_MS + 10_000),
+            "the end is announced forever"
         );
-        assert!(!limit.should_announce(ENDED_MS + 10_000), "told for good");
     }
 }
 
@@ -404,7 +420,7 @@
         urgent_per_s: f64,
         non_urgent_per_s: f64,
     }
-    // Requests a second that are urgent, and others, at a server that takes ten.
+    // Urgent and other requests a second that are sent to a server with a limit of ten.
     let served = |urgent_per_s: f64, non_urgent_per_s: f64| {
         let mut asked = Asked::default();
         let sum = AskedRates {
