--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -78,7 +78,7 @@
     /// True if the server is in this host's availability zone.
     pub is_near: bool,
     /// True if the server is in another region than this host.
-    pub is_far: bool,
+    pub is_other_region: bool,
     /// True if this host has an idle connection to the server.
     pub has_idle_connection: bool,
 }
--- a/src/entry/forward/passage.rs
+++ b/src/entry/forward/passage.rs
@@ -189,7 +189,7 @@
         let seen = server.candidate(own_zone, self.cold_rule, &settings.policy);
         let zone = &server.entry.availability_zone;
         Candidate {
-            is_far: settings.region_of(zone) != settings.region_of(own_zone),
+            is_other_region: settings.region_of(zone) != settings.region_of(own_zone),
             ..seen
         }
     }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -351,7 +351,7 @@
             pace: self.paces().known.relative(now_ms, policy.pace_memory_ms),
             failures: attempt_stats.failures(now_ms),
             is_paused: attempt_stats.is_paused(now_ms) || self.is_barred(rule),
-            is_far: false,
+            is_other_region: false,
             is_near: *self.entry.availability_zone == *availability_zone,
             has_idle_connection: self.pool.has_idle(),
         }
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -30,7 +30,7 @@
     failures: 0.0,
     is_paused: false,
     is_near: true,
-    is_far: false,
+    is_other_region: false,
     has_idle_connection: true,
 };
 
@@ -803,7 +803,7 @@
             load: 0,
             run_ms: 60.0,
             is_near: false,
-            is_far: true,
+            is_other_region: true,
             ..SERVER
         };
         let servers = [own, far, own, far, far];
@@ -815,7 +815,11 @@
                 hosts: choice::HostCount { near: 20, all: 75 },
             };
             let place = choice::pick(inputs, &policy, &mut rng).expect(case.name);
-            assert_eq!(servers[place].is_far, case.is_far_taken, "{}", case.name);
+            assert_eq!(
+                servers[place].is_other_region, case.is_far_taken,
+                "{}",
+                case.name
+            );
         }
     }
 }
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -897,7 +897,7 @@
     failures: 0.0,
     is_paused: false,
     is_near: true,
-    is_far: false,
+    is_other_region: false,
     has_idle_connection: false,
 };
 
