--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -772,23 +772,23 @@
         name: &'static str,
         /// Requests at each server of the host's own region.
         own_load: u32,
-        is_far_taken: bool,
+        is_other_region_chosen: bool,
     }
     let cases = [
         Case {
             name: "idle servers in the own region",
             own_load: 0,
-            is_far_taken: false,
+            is_other_region_chosen: false,
         },
         Case {
             name: "servers without a free slot, which answer in time",
             own_load: 7,
-            is_far_taken: false,
+            is_other_region_chosen: false,
         },
         Case {
             name: "full servers",
             own_load: 40,
-            is_far_taken: true,
+            is_other_region_chosen: true,
         },
     ];
     let policy = Policy::default();
@@ -816,7 +816,7 @@
             };
             let place = choice::pick(inputs, &policy, &mut rng).expect(case.name);
             assert_eq!(
-                servers[place].is_other_region, case.is_far_taken,
+                servers[place].is_other_region, case.is_other_region_chosen,
                 "{}",
                 case.name
             );
