--- a/src/entry/decide/choice.rs
+++ b/src/entry/decide/choice.rs
@@ -66,7 +66,7 @@
         if server.is_paused || !admission::has_room(server, typical_ms, demand, policy) {
             continue;
         }
-        let room = if server.is_near {
+        let room = if server.is_same_zone {
             &mut near
         } else {
             &mut distant
@@ -93,7 +93,7 @@
 /// random part and a bonus for a server without samples.
 fn cost_factor(server: &Candidate, policy: &Policy, random: f64) -> f64 {
     let added = |applies: bool, cost: f64| if applies { cost } else { 0.0 };
-    let zone = added(!server.is_near, policy.zone_cost);
+    let zone = added(!server.is_same_zone, policy.zone_cost);
     let connect = added(!server.has_idle_connection, policy.connect_cost);
     let unknown = added(server.run_ms == 0.0, policy.unknown_bonus);
     let failures = policy.failure_cost * server.failures;
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -76,7 +76,7 @@
     /// warm-up window.
     pub is_paused: bool,
     /// True if the server is in this host's availability zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// True if the server is in another region than this host.
     pub is_other_region: bool,
     /// True if this host has an idle connection to the server.
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -352,7 +352,7 @@
             failures: attempt_stats.failures(now_ms),
             is_paused: attempt_stats.is_paused(now_ms) || self.is_barred(rule),
             is_other_region: false,
-            is_near: *self.entry.availability_zone == *availability_zone,
+            is_same_zone: *self.entry.availability_zone == *availability_zone,
             has_idle_connection: self.pool.has_idle(),
         }
     }
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -29,7 +29,7 @@
     pace: 1.0,
     failures: 0.0,
     is_paused: false,
-    is_near: true,
+    is_same_zone: true,
     is_other_region: false,
     has_idle_connection: true,
 };
@@ -802,7 +802,7 @@
         let far = Candidate {
             load: 0,
             run_ms: 60.0,
-            is_near: false,
+            is_same_zone: false,
             is_other_region: true,
             ..SERVER
         };
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -896,7 +896,7 @@
     pace: 1.0,
     failures: 0.0,
     is_paused: false,
-    is_near: true,
+    is_same_zone: true,
     is_other_region: false,
     has_idle_connection: false,
 };
@@ -1031,7 +1031,7 @@
     assert_eq!(pick(&[]), None);
     assert_eq!(pick(&[full, full]), None);
     let far = Candidate {
-        is_near: false,
+        is_same_zone: false,
         ..GOOD
     };
     let picks = (0..100).filter(|_| pick(&[GOOD, far]) == Some(0));
