--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -29,7 +29,7 @@
         crash_tally::CrashTally,
         path_tally::{PathTally, SharedSuspect},
         quarantine::Quarantine,
-        trials::{CLAIM_WAIT_MS, Claimed, TrialClaims},
+        trials::{CLAIM_WAIT_MS, ClaimSubject, TrialClaims},
     },
     digest::{RequestDigest, RequestDigests},
     events::Event,
@@ -159,8 +159,8 @@
     ) -> Result<(), u64> {
         let own = self.settings.listen.peers;
         let claims = [
-            Claimed::Request(self.crashes.tried(digests)),
-            Claimed::Server(server_tag),
+            ClaimSubject::Request(self.crashes.tried(digests)),
+            ClaimSubject::Server(server_tag),
         ];
         self.claim(claims)?;
         for claimed in claims {
@@ -183,7 +183,7 @@
     }
 
     /// Claims both or none.
-    fn claim(&self, [request, server]: [Claimed; 2]) -> Result<(), u64> {
+    fn claim(&self, [request, server]: [ClaimSubject; 2]) -> Result<(), u64> {
         let own = self.settings.listen.peers;
         let now_ms = clock::now_ms();
         let mut trials = lock(&self.crashes.trials);
@@ -196,7 +196,7 @@
     }
 
     /// Gives back those of the claims that this host has.
-    fn give_back(&self, claims: [Claimed; 2]) {
+    fn give_back(&self, claims: [ClaimSubject; 2]) {
         let own = self.settings.listen.peers;
         let now_ms = clock::now_ms();
         for claimed in claims {
@@ -207,26 +207,26 @@
     }
 
     /// Ends a claim here and at the other hosts.
-    fn tell_tried(&self, claimed: Claimed) {
+    fn tell_tried(&self, claimed: ClaimSubject) {
         self.note_tried(claimed);
         self.peers.send_to_all(Message::Tried(claimed));
     }
 
     /// Notes that another host tries a suspect.
-    pub(in crate::entry) fn note_trial(&self, claimed: Claimed, host: SocketAddr) {
+    pub(in crate::entry) fn note_trial(&self, claimed: ClaimSubject, host: SocketAddr) {
         lock(&self.crashes.trials).note(claimed, host, clock::now_ms());
     }
 
     /// Notes that the server of a trial lives, so that the next suspect may be tried there.
-    pub(in crate::entry) fn note_tried(&self, claimed: Claimed) {
+    pub(in crate::entry) fn note_tried(&self, claimed: ClaimSubject) {
         lock(&self.crashes.trials).end(claimed);
     }
 
     /// Notes that a server has answered a suspect, and tells the other hosts.
     pub(in crate::entry) fn end_trial(&self, digests: RequestDigests, server_tag: u32) {
         let claims = [
-            Claimed::Request(self.crashes.tried(digests)),
-            Claimed::Server(server_tag),
+            ClaimSubject::Request(self.crashes.tried(digests)),
+            ClaimSubject::Server(server_tag),
         ];
         for claimed in claims {
             self.tell_tried(claimed);
--- a/src/entry/decide/trials.rs
+++ b/src/entry/decide/trials.rs
@@ -26,14 +26,14 @@
 
 /// Subject of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Claimed {
+pub enum ClaimSubject {
     /// Trial of a request, by its digest.
     Request(RequestDigest),
     /// Trial of any suspect at a server, by its tag.
     Server(u32),
 }
 
-impl From<RequestDigest> for Claimed {
+impl From<RequestDigest> for ClaimSubject {
     fn from(digest: RequestDigest) -> Self {
         Self::Request(digest)
     }
@@ -47,14 +47,14 @@
 
 /// Current claims of trials.
 #[derive(Debug, Default)]
-pub struct TrialClaims(HashMap<Claimed, Claim>);
+pub struct TrialClaims(HashMap<ClaimSubject, Claim>);
 
 impl TrialClaims {
     /// Claims a trial for a host. `Err` holds the time left in another host's or trial's claim, in
     /// milliseconds.
     pub fn claim(
         &mut self,
-        claimed: impl Into<Claimed>,
+        claimed: impl Into<ClaimSubject>,
         own: SocketAddr,
         now_ms: u64,
     ) -> Result<(), u64> {
@@ -76,7 +76,7 @@
 
     /// Records the claim of another host. If two hosts claim at the same time, the one with the
     /// lower address gets the claim.
-    pub fn note(&mut self, claimed: impl Into<Claimed>, host: SocketAddr, now_ms: u64) {
+    pub fn note(&mut self, claimed: impl Into<ClaimSubject>, host: SocketAddr, now_ms: u64) {
         self.0.retain(|_, claim| now_ms < claim.until_ms);
         let until_ms = now_ms + CLAIM_MS;
         let claim = Claim { host, until_ms };
@@ -87,13 +87,13 @@
     }
 
     /// Returns true if a host still holds the claim that it made.
-    pub fn has(&self, claimed: impl Into<Claimed>, own: SocketAddr, now_ms: u64) -> bool {
+    pub fn has(&self, claimed: impl Into<ClaimSubject>, own: SocketAddr, now_ms: u64) -> bool {
         let claim = self.0.get(&claimed.into());
         claim.is_some_and(|claim| claim.host == own && now_ms < claim.until_ms)
     }
 
     /// Ends the claim of a trial whose outcome is known.
-    pub fn end(&mut self, claimed: impl Into<Claimed>) {
+    pub fn end(&mut self, claimed: impl Into<ClaimSubject>) {
         self.0.remove(&claimed.into());
     }
 }
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -10,7 +10,7 @@
         path_tally::SharedSuspect,
         quota::{AdmittedShare, QuotaUsage},
         rate_shares::AskedRates,
-        trials::Claimed,
+        trials::ClaimSubject,
     },
     digest::RequestDigest,
     keys::Holding,
@@ -233,9 +233,9 @@
         sent_ago_ms: u32,
     },
     /// The sender is about to try a request under which a server has ended.
-    Trying(Claimed),
+    Trying(ClaimSubject),
     /// Its server lives.
-    Tried(Claimed),
+    Tried(ClaimSubject),
     /// Servers that want no requests of the sender for a time. For the holder of the duty.
     Resting(Vec<ServerRest>),
     /// Rates of servers, with what the sender's callers ask of them. For the holder of the duty.
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -8,7 +8,7 @@
         crash_tally::{CrashTally, SERVERS_NEEDED},
         path_tally::{DigestScope, PathTally, SharedSuspect},
         quarantine::{ANY_CALLER_QUARANTINE_MS, QUARANTINE_MS, Quarantine},
-        trials::{CLAIM_MS, Claimed, TrialClaims},
+        trials::{CLAIM_MS, ClaimSubject, TrialClaims},
     },
     digest::{RequestDigest, RequestDigests},
     explain::{Source, explain},
@@ -442,11 +442,11 @@
 fn one_suspect_at_a_time_is_tried_at_a_server() {
     let [first, second] = [1, 2].map(|last| SocketAddr::from(([10, 0, 0, last], 7_620)));
     let mut trials = TrialClaims::default();
-    assert_eq!(trials.claim(Claimed::Server(9), first, 0), Ok(()));
-    trials.note(Claimed::Server(8), second, 0);
-    assert!(trials.claim(Claimed::Server(9), first, 10).is_err());
-    assert!(trials.claim(Claimed::Server(8), first, 10).is_err());
-    assert_eq!(trials.claim(Claimed::Server(7), first, 10), Ok(()));
-    trials.end(Claimed::Server(8));
-    assert_eq!(trials.claim(Claimed::Server(8), first, 20), Ok(()));
+    assert_eq!(trials.claim(ClaimSubject::Server(9), first, 0), Ok(()));
+    trials.note(ClaimSubject::Server(8), second, 0);
+    assert!(trials.claim(ClaimSubject::Server(9), first, 10).is_err());
+    assert!(trials.claim(ClaimSubject::Server(8), first, 10).is_err());
+    assert_eq!(trials.claim(ClaimSubject::Server(7), first, 10), Ok(()));
+    trials.end(ClaimSubject::Server(8));
+    assert_eq!(trials.claim(ClaimSubject::Server(8), first, 20), Ok(()));
 }
