--- a/src/entry/decide/attempt_stats.rs
+++ b/src/entry/decide/attempt_stats.rs
@@ -45,7 +45,7 @@
 
     /// Returns the share of recent attempts that failed.
     pub fn failures(&self, now_ms: u64) -> f64 {
-        self.failures * self.remembered(now_ms)
+        self.failures * self.sample_weight(now_ms)
     }
 
     /// Returns true while no attempt should be made because connections fail.
@@ -83,13 +83,13 @@
     }
 
     fn note_outcome(&mut self, outcome: f64, now_ms: u64) {
-        let before = self.failures * self.remembered(now_ms);
+        let before = self.failures * self.sample_weight(now_ms);
         self.failures = before + FAILURE_SAMPLE_WEIGHT * (outcome - before);
         self.at_ms = now_ms;
     }
 
     /// Returns the weight that the earlier samples still have, from 0 to 1.
-    fn remembered(&self, now_ms: u64) -> f64 {
+    fn sample_weight(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         0.5_f64.powf(age_ms / FORGET_HALF_MS)
     }
