--- a/src/entry/decide/rate_meter.rs
+++ b/src/entry/decide/rate_meter.rs
@@ -15,17 +15,17 @@
 impl RateMeter {
     /// Counts an event.
     pub fn note(&mut self, now_ms: u64) {
-        self.weight = self.faded(now_ms) + 1.0;
+        self.weight = self.decayed_weight(now_ms) + 1.0;
         self.at_ms = now_ms;
     }
 
     /// Returns the events a second. The rate is too low in the first two seconds: a correction
     /// would overrate the first event of a host that has few.
     pub fn per_s(&self, now_ms: u64) -> f64 {
-        self.faded(now_ms) * 1_000.0 / MEMORY_MS
+        self.decayed_weight(now_ms) * 1_000.0 / MEMORY_MS
     }
 
-    fn faded(&self, now_ms: u64) -> f64 {
+    fn decayed_weight(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         self.weight * (-age_ms / MEMORY_MS).exp()
     }
