--- a/src/entry/decide/admission.rs
+++ b/src/entry/decide/admission.rs
@@ -8,7 +8,7 @@
 /// Bounds of a server's run time in the planner, as shares of the typical run time. Servers of a
 /// service differ in speed by a factor of 2 to 3.
 const RUN_SHARE_MIN: f64 = 0.6;
-const RUN_MOST: f64 = 4.0;
+const RUN_SHARE_MAX: f64 = 4.0;
 
 /// Returns the average of the known run times; 0 stands for an unknown one.
 pub fn typical_run_ms(runs_ms: impl Iterator<Item = f64>) -> f64 {
@@ -76,7 +76,7 @@
 /// responses may be failures, and slow ones include time in a queue.
 pub fn capacity_per_s(server: &Candidate, typical_ms: f64) -> f64 {
     let least_ms = typical_ms * RUN_SHARE_MIN;
-    let most_ms = typical_ms * RUN_MOST;
+    let most_ms = typical_ms * RUN_SHARE_MAX;
     let run_ms = run_ms(server, typical_ms).clamp(least_ms, most_ms);
     f64::from(server.slots) * 1000.0 / run_ms
 }
