--- a/src/entry/decide/pace.rs
+++ b/src/entry/decide/pace.rs
@@ -6,7 +6,7 @@
 const MEAN_SAMPLE_WEIGHT: f64 = 0.05;
 /// Bounds of the relative pace, so that no report makes a server look free of cost or useless.
 const RELATIVE_PACE_MIN: f64 = 0.3;
-const RELATIVE_MOST: f64 = 5.0;
+const RELATIVE_PACE_MAX: f64 = 5.0;
 
 /// Pace of one server: 1 is its usual speed, 3 means that requests take three times as long.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -47,6 +47,6 @@
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         let remembered = 0.5_f64.powf(age_ms / memory_ms as f64);
         let expected = self.mean + (self.latest - self.mean) * remembered;
-        (expected / self.mean).clamp(RELATIVE_PACE_MIN, RELATIVE_MOST)
+        (expected / self.mean).clamp(RELATIVE_PACE_MIN, RELATIVE_PACE_MAX)
     }
 }
