--- a/src/entry/decide/run_shares.rs
+++ b/src/entry/decide/run_shares.rs
@@ -13,7 +13,7 @@
 const SAMPLES_MIN: u32 = 5;
 /// Bounds of a sample, so that a single slow run does not outweigh many others.
 const SAMPLE_MIN: f64 = 0.05;
-const SHARE_MOST: f64 = 8.0;
+const SAMPLE_MAX: f64 = 8.0;
 
 /// Share of a route's requests in the average run time of a service, and its number of samples.
 #[derive(Clone, Copy, Debug, Default)]
@@ -38,7 +38,7 @@
         if average_ms <= 0.0 {
             return;
         }
-        let sample = (run_ms / average_ms).clamp(SAMPLE_MIN, SHARE_MOST);
+        let sample = (run_ms / average_ms).clamp(SAMPLE_MIN, SAMPLE_MAX);
         let mut shares = self.shares();
         let kind = shares.entry((service.clone(), route.clone())).or_default();
         kind.samples = kind.samples.saturating_add(1);
