--- a/src/entry/decide/run_shares.rs
+++ b/src/entry/decide/run_shares.rs
@@ -8,7 +8,7 @@
 };
 
 /// Least weight of a new sample; the first samples all weigh the same.
-const SAMPLE_WEIGHT_LEAST: f64 = 0.03;
+const SAMPLE_WEIGHT_MIN: f64 = 0.03;
 /// Number of samples from which a route's share is used.
 const SAMPLES_MIN: u32 = 5;
 /// Bounds of a sample, so that a single slow run does not outweigh many others.
@@ -42,7 +42,7 @@
         let mut shares = self.shares();
         let kind = shares.entry((service.clone(), route.clone())).or_default();
         kind.samples = kind.samples.saturating_add(1);
-        let weight = (1.0 / f64::from(kind.samples)).max(SAMPLE_WEIGHT_LEAST);
+        let weight = (1.0 / f64::from(kind.samples)).max(SAMPLE_WEIGHT_MIN);
         kind.run_share += weight * (sample - kind.run_share);
     }
 
