--- a/src/entry/decide/rests.rs
+++ b/src/entry/decide/rests.rs
@@ -19,7 +19,7 @@
 const REST_MIN_MS: u64 = 300;
 /// Least share of a service's servers that must accept requests. If more than the rest of them
 /// refuse requests, all are overloaded, and moved keys would be no better off.
-const AWAKE_MIN: f64 = 0.5;
+const NOT_RESTING_SHARE_MIN: f64 = 0.5;
 
 /// Rests that servers asked of hosts, kept by the duty holder.
 #[derive(Debug, Default)]
@@ -63,7 +63,7 @@
 /// Returns the servers that do not rest, or all servers if too few do not.
 pub fn not_resting<T>(mut servers: Vec<T>, rests: impl Fn(&T) -> bool) -> Vec<T> {
     let resting = servers.iter().filter(|server| rests(server)).count();
-    let least_awake = servers.len() as f64 * AWAKE_MIN;
+    let least_awake = servers.len() as f64 * NOT_RESTING_SHARE_MIN;
     if (servers.len() - resting) as f64 >= least_awake {
         servers.retain(|server| !rests(server));
     }
