--- a/src/entry/decide/key_loads.rs
+++ b/src/entry/decide/key_loads.rs
@@ -62,8 +62,8 @@
         loads.window_s = self::window_s(Self::SLOW_KEPT, per_s);
         for holding in holdings {
             let (slow, fast) = (self.slow.of(holding.range), self.fast.of(holding.range));
-            let deviation = (slow.max(1.0 / window_s) / window_s).sqrt();
-            if fast > slow + Self::SURGE_DEVIATIONS * deviation {
+            let relative_deviation = (slow.max(1.0 / window_s) / window_s).sqrt();
+            if fast > slow + Self::SURGE_DEVIATIONS * relative_deviation {
                 let keys = holding.range.indices();
                 loads.per_s[keys.clone()].copy_from_slice(&self.fast.per_s[keys]);
             }
@@ -81,7 +81,7 @@
 impl KeyLoads {
     /// Returns the relative standard deviation that random arrivals alone cause in a load of this
     /// size.
-    pub fn deviation(&self, load_per_s: f64) -> f64 {
+    pub fn relative_deviation(&self, load_per_s: f64) -> f64 {
         (1.0 / (load_per_s.max(0.1) * self.window_s)).sqrt()
     }
 
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -298,7 +298,7 @@
         let servers = self.inputs.servers.len() as f64;
         let load = self.inputs.loads.of(KeyRange::ALL) / servers;
         let policy = self.inputs.policy;
-        let chance = policy.balance_chance * self.inputs.loads.deviation(load);
+        let chance = policy.balance_chance * self.inputs.loads.relative_deviation(load);
         let busy = policy
             .balance_busy_share
             .max(mean * (policy.balance_excess + chance));
