--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -979,7 +979,7 @@
 }
 
 #[test]
-fn what_a_server_did_long_ago_is_forgotten() {
+fn samples_of_a_server_expire() {
     let mut attempt_stats = AttemptStats::default();
     attempt_stats.answered(50.0, true, 1_000);
     attempt_stats.failed(1_000);
