--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -836,7 +836,7 @@
 }
 
 #[test]
-fn a_whole_table_tells_what_has_changed_since() {
+fn a_full_table_yields_the_changes_since_the_known_version() {
     let row = |id: &str, version| Row {
         key: id.to_owned(),
         value: Vec::new(),
