--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -863,7 +863,7 @@
 }
 
 #[test]
-fn an_entry_at_the_address_of_another_ends_nobody() {
+fn an_entry_at_the_address_of_another_server_removes_neither() {
     let entry = |id: &str, port| ServerEntry {
         id: id.into(),
         name: id.into(),
