--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -1041,7 +1041,7 @@
 }
 
 #[test]
-fn what_a_host_sends_in_reports_does_not_grow_with_the_hosts() {
+fn report_traffic_is_bounded_for_any_number_of_hosts() {
     struct Case {
         hosts: usize,
         every_ms: u64,
