--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -476,7 +476,7 @@
 }
 
 #[test]
-fn a_sudden_load_is_believed_at_once_and_chance_is_not() {
+fn a_surge_counts_at_once_and_random_variation_does_not() {
     struct Case {
         intervals: u32,
         per_interval: u32,
