--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -1107,7 +1107,7 @@
 }
 
 #[test]
-fn settings_tell_all_their_problems() {
+fn settings_report_all_their_problems() {
     let good = "name: h\navailability_zone: z\nlisten: {callers: '127.0.0.1:1', \
         readiness: '127.0.0.1:2', peers: '127.0.0.1:3', metrics: '127.0.0.1:4'}\n\
         store: {address: '127.0.0.1:5', server_heartbeat: 870ms}\n\
