--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -377,7 +377,7 @@
 /// Guards against a limit that never ends at other hosts: a server that gets few requests seldom
 /// advertises its limit, so the end may come long after the last advertisement.
 #[test]
-fn the_end_of_a_limit_is_told_however_long_ago_the_limit_was_named() {
+fn the_end_of_a_limit_is_announced_however_long_ago_it_was_advertised() {
     const ENDED_MS: u64 = 20_000;
     for tells in [RateLimit::note_own, RateLimit::note] {
         let mut limit = RateLimit::default();
