--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn what_is_asked_below_the_rate_is_sent() {
+fn requests_below_the_limit_are_sent() {
     for hosts in [3, 12, 300] {
         let case = Case {
             hosts,
