--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_rest_is_wide_when_a_third_of_the_hosts_are_turned_away() {
+fn a_rest_is_widespread_when_a_third_of_the_hosts_are_refused() {
     struct Case {
         name: &'static str,
         hosts: usize,
