--- a/src/entry/decide/run_shares.rs
+++ b/src/entry/decide/run_shares.rs
@@ -40,10 +40,10 @@
         }
         let sample = (run_ms / average_ms).clamp(SAMPLE_MIN, SAMPLE_MAX);
         let mut shares = self.shares();
-        let kind = shares.entry((service.clone(), route.clone())).or_default();
-        kind.samples = kind.samples.saturating_add(1);
-        let weight = (1.0 / f64::from(kind.samples)).max(SAMPLE_WEIGHT_MIN);
-        kind.run_share += weight * (sample - kind.run_share);
+        let route_share = shares.entry((service.clone(), route.clone())).or_default();
+        route_share.samples = route_share.samples.saturating_add(1);
+        let weight = (1.0 / f64::from(route_share.samples)).max(SAMPLE_WEIGHT_MIN);
+        route_share.run_share += weight * (sample - route_share.run_share);
     }
 
     /// Returns the run time of a route's requests as a share of the average at the same server; 1
@@ -52,8 +52,8 @@
         let shares = self.shares();
         let known = shares.get(&(service.clone(), route.clone()));
         known
-            .filter(|kind| kind.samples >= SAMPLES_MIN)
-            .map_or(1.0, |kind| kind.run_share)
+            .filter(|route_share| route_share.samples >= SAMPLES_MIN)
+            .map_or(1.0, |route_share| route_share.run_share)
     }
 
     fn shares(&self) -> MutexGuard<'_, HashMap<RouteKey, RouteRunShare>> {
