--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -128,7 +128,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HostShare {
     /// Last announcement of the duty holder, and its arrival time.
-    told: Option<(AdmittedShare, u64)>,
+    announced: Option<(AdmittedShare, u64)>,
     /// This host's share of the requests of all hosts, as of the last announcement.
     demand_share: Option<f64>,
     /// Limit on what this host sends while the duty holder does not confirm its share.
@@ -157,9 +157,9 @@
         self.since_report.asked += 1;
         self.own.note(now_ms);
         let kept = self
-            .told
+            .announced
             .filter(|(_, at_ms)| now_ms < at_ms + SHARE_KEPT_MS);
-        let share = kept.map_or(1.0, |(told, _)| f64::from(told.share));
+        let share = kept.map_or(1.0, |(announced, _)| f64::from(announced.share));
         if context.is_confirmed {
             return point < share;
         }
@@ -186,22 +186,22 @@
     }
 
     /// Stores an announcement of the duty holder.
-    pub fn note_told(&mut self, told: AdmittedShare, now_ms: u64) {
+    pub fn note_told(&mut self, announced: AdmittedShare, now_ms: u64) {
         let own_per_s = self.own.per_s(now_ms);
-        if told.asked_per_s > 0.0 {
-            self.demand_share = Some((own_per_s / f64::from(told.asked_per_s)).min(1.0));
+        if announced.asked_per_s > 0.0 {
+            self.demand_share = Some((own_per_s / f64::from(announced.asked_per_s)).min(1.0));
         }
-        self.told = Some((told, now_ms));
+        self.announced = Some((announced, now_ms));
     }
 
     /// Returns the last announcement of the duty holder.
-    pub fn told(&self) -> Option<AdmittedShare> {
-        self.told.map(|(told, _)| told)
+    pub fn announced(&self) -> Option<AdmittedShare> {
+        self.announced.map(|(announced, _)| announced)
     }
 
     /// Returns true if the last announcement requires some requests to be refused.
     pub fn is_limited(&self) -> bool {
-        self.told().is_some_and(AdmittedShare::is_limiting)
+        self.announced().is_some_and(AdmittedShare::is_limiting)
     }
 
     /// Returns the usage since the last report, and resets it.
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -108,7 +108,7 @@
         let Known {
             shares, ledgers, ..
         } = &mut *known;
-        let mut told = Vec::new();
+        let mut announced = Vec::new();
         for (tag, ledger) in ledgers.iter_mut() {
             let Some(quota) = quota_of(workspaces, *tag) else {
                 continue;
@@ -119,30 +119,30 @@
                 log_change(workspaces, *tag, quota, admitted);
             }
             if admitted.is_limiting() || bound || is_for_all {
-                told.push(WorkspaceAdmitted {
+                announced.push(WorkspaceAdmitted {
                     workspace_tag: *tag,
                     admitted,
                 });
             }
         }
         ledgers.retain(|_, ledger| !ledger.is_idle());
-        told
+        announced
     }
 
     /// Takes in the holder's word.
-    pub(super) fn note_told(&self, told: &[WorkspaceAdmitted]) {
+    pub(super) fn note_told(&self, announced: &[WorkspaceAdmitted]) {
         let now_ms = clock::now_ms();
         let mut known = self.known();
         known.heard_ms = Some(now_ms);
-        for word in told {
+        for word in announced {
             let share = known.shares.entry(word.workspace_tag).or_default();
             share.note_told(word.admitted, now_ms);
         }
     }
 
     /// What may be admitted of a workspace's requests by the holder's latest word.
-    pub fn told(&self, workspace_tag: u32) -> Option<AdmittedShare> {
-        self.known().shares.get(&workspace_tag)?.told()
+    pub fn announced(&self, workspace_tag: u32) -> Option<AdmittedShare> {
+        self.known().shares.get(&workspace_tag)?.announced()
     }
 
     fn forget_ledgers(&self) {
@@ -193,8 +193,8 @@
             }
             self.quotas.note_report(workspaces, &reports);
             let is_for_all = round.is_multiple_of(TELL_ALL_EVERY);
-            let told = self.quotas.admitted(workspaces, is_for_all);
-            self.tell_quotas(&told);
+            let announced = self.quotas.admitted(workspaces, is_for_all);
+            self.tell_quotas(&announced);
         }
     }
 
@@ -207,14 +207,14 @@
     }
 
     /// Tells all hosts what they may admit. Word that names no workspace shows that the holder lives.
-    fn tell_quotas(&self, told: &[WorkspaceAdmitted]) {
-        self.quotas.note_told(told);
-        if told.is_empty() {
+    fn tell_quotas(&self, announced: &[WorkspaceAdmitted]) {
+        self.quotas.note_told(announced);
+        if announced.is_empty() {
             self.peers.send_to_all(Message::AdmittedShare(Vec::new()));
         }
-        for told in told.chunks(QUOTAS_MAX) {
+        for announced in announced.chunks(QUOTAS_MAX) {
             self.peers
-                .send_to_all(Message::AdmittedShare(told.to_vec()));
+                .send_to_all(Message::AdmittedShare(announced.to_vec()));
         }
     }
 
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -99,8 +99,8 @@
             }
             if now_ms.is_multiple_of(every_ms - every_ms % STEP_MS) && !is_away {
                 self.report(&mut shares, &mut ledger, now_ms, &mut rng);
-                let told = ledger.admitted(self.quota, now_ms);
-                tell(&mut shares, told, now_ms, &mut rng);
+                let announced = ledger.admitted(self.quota, now_ms);
+                tell(&mut shares, announced, now_ms, &mut rng);
                 heard_ms = Some(now_ms);
             }
             let expected = self.asked_per_s(now_ms) * STEP_MS as f64 / 1_000.0;
@@ -136,10 +136,10 @@
     }
 }
 
-fn tell(shares: &mut [HostShare], told: AdmittedShare, now_ms: u64, rng: &mut StdRng) {
+fn tell(shares: &mut [HostShare], announced: AdmittedShare, now_ms: u64, rng: &mut StdRng) {
     for share in shares {
         if rng.random::<f64>() >= LOST {
-            share.note_told(told, now_ms);
+            share.note_told(announced, now_ms);
         }
     }
 }
