--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -293,6 +293,8 @@
         Some(most.id.clone())
     }
 
+    /// Moves keys from the most used servers to the least used ones, until no server exceeds the
+    /// mean by more than random variation explains.
     fn balance(&mut self) {
         let mean = self.mean_utilisation();
         let servers = self.inputs.servers.len() as f64;
--- a/src/entry/decide/trials.rs
+++ b/src/entry/decide/trials.rs
@@ -50,8 +50,8 @@
 pub struct TrialClaims(HashMap<ClaimSubject, Claim>);
 
 impl TrialClaims {
-    /// Claims a trial for a host. `Err` holds the time left in another host's or trial's claim, in
-    /// milliseconds.
+    /// Claims a trial for a host. `Err` holds the time left, in milliseconds, of the claim that
+    /// blocks it.
     pub fn claim(
         &mut self,
         claimed: impl Into<ClaimSubject>,
--- a/src/entry/decide/trust.rs
+++ b/src/entry/decide/trust.rs
@@ -14,7 +14,7 @@
     /// Time after which a revoked key must not be accepted; `None` if only the bound of
     /// configurations applies.
     pub revocation_ms: Option<u64>,
-    /// Time within which a new configuration is in force at all hosts.
+    /// Time within which a new configuration must be in force.
     pub configuration_ms: u64,
 }
 
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -671,8 +671,8 @@
 }
 
 /// Simulates 60 s at the only server of some keys. It has three slots; long requests of 500 ms fill
-/// 85% of them and are worth 1 if answered within a second. A few short ones of 90 ms are urgent and
-/// worth 3 if answered within 250 ms; they have a deadline of 600 ms. Late responses count half.
+/// 85% of them and are worth 1 if answered within a second. A few short ones of 90 ms are urgent,
+/// and worth 3 if answered within 250 ms; their deadline is 600 ms. Late responses count half.
 fn simulate_short_and_long(policy: &Policy) -> Earned {
     const SLOTS: usize = 3;
     const SHORT_EVERY_MS: f64 = 700.0;
