--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -12,7 +12,7 @@
 use super::{
     body::{Payload, Received, Streamed, Taken, receive},
     head::{build_answer, origin_form, promises_not_run, strip_hop_headers},
-    passage::Passage,
+    passage::ForwardedRequest,
 };
 use crate::{
     clock,
@@ -45,7 +45,7 @@
     TimedOut,
 }
 
-impl Passage<'_> {
+impl ForwardedRequest<'_> {
     /// Sends the request to a server once.
     pub(super) async fn attempt(
         &self,
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -5,7 +5,7 @@
 use http::Response;
 use tokio::time;
 
-use super::passage::{ATTEMPT_MS_MIN, HOLD_PAUSE_MS, Passage};
+use super::passage::{ATTEMPT_MS_MIN, ForwardedRequest, HOLD_PAUSE_MS};
 use crate::{
     clock,
     entry::{
@@ -78,7 +78,7 @@
     rate_parts::has_ticket(rand::random(), 0.0, part.ticket) && server.rate.has_token(part)
 }
 
-impl Passage<'_> {
+impl ForwardedRequest<'_> {
     /// The server that the request goes to, or why it is refused.
     pub(super) async fn choose(&mut self, entry: &Entry) -> Result<Arc<Server>, Refused> {
         if self.left_ms() < ATTEMPT_MS_MIN {
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -15,7 +15,7 @@
 use self::{
     body::{Payload, read_payload},
     head::{over_quota, plain, refusal, unauthorized},
-    passage::{Passage, Times},
+    passage::{ForwardedRequest, Times},
 };
 use super::{
     Entry,
@@ -210,7 +210,7 @@
     entry.retries.request(&service, hosts, clock::now_ms());
     let request_id = header_text(&head.headers, headers::REQUEST_ID.as_str()).unwrap_or_default();
     let digests = RequestDigests::of(head, payload.known());
-    let mut passage = Passage {
+    let mut passage = ForwardedRequest {
         configuration,
         route,
         workspace: *workspace,
--- a/src/entry/forward/passage.rs
+++ b/src/entry/forward/passage.rs
@@ -48,7 +48,7 @@
 }
 
 /// A request on its way.
-pub struct Passage<'a> {
+pub struct ForwardedRequest<'a> {
     pub(super) configuration: &'a Configuration,
     pub(super) route: &'a Arc<Route>,
     /// Workspace that it is for; `None` if it needs none.
@@ -71,7 +71,7 @@
     pub(super) is_trial: bool,
 }
 
-impl Passage<'_> {
+impl ForwardedRequest<'_> {
     pub(super) fn left_ms(&self) -> u64 {
         self.times.deadline_ms.saturating_sub(clock::now_ms())
     }
