--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -12,7 +12,7 @@
 use super::{
     body::{Payload, Received, Streamed, Taken, receive},
     head::{build_answer, origin_form, promises_not_run, strip_hop_headers},
-    passage::ForwardedRequest,
+    forwarded_request::ForwardedRequest,
 };
 use crate::{
     clock,
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -5,7 +5,7 @@
 use http::Response;
 use tokio::time;
 
-use super::passage::{ATTEMPT_MS_MIN, ForwardedRequest, HOLD_PAUSE_MS};
+use super::forwarded_request::{ATTEMPT_MS_MIN, ForwardedRequest, HOLD_PAUSE_MS};
 use crate::{
     clock,
     entry::{
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -4,7 +4,7 @@
 pub(super) mod body;
 mod choose;
 mod head;
-mod passage;
+mod forwarded_request;
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,7 +15,7 @@
 use self::{
     body::{Payload, read_payload},
     head::{over_quota, plain, refusal, unauthorized},
-    passage::{ForwardedRequest, Times},
+    forwarded_request::{ForwardedRequest, Times},
 };
 use super::{
     Entry,
@@ -210,7 +210,7 @@
     entry.retries.request(&service, hosts, clock::now_ms());
     let request_id = header_text(&head.headers, headers::REQUEST_ID.as_str()).unwrap_or_default();
     let digests = RequestDigests::of(head, payload.known());
-    let mut passage = ForwardedRequest {
+    let mut forwarded_request = ForwardedRequest {
         configuration,
         route,
         workspace: *workspace,
@@ -228,7 +228,7 @@
         last: None,
         is_trial: false,
     };
-    passage.run(entry, &mut payload).await
+    forwarded_request.run(entry, &mut payload).await
 }
 
 /// Draws one of a route's services in proportion to the weights.
