--- a/src/entry/crashes/break_offs.rs
+++ b/src/entry/crashes/break_offs.rs
@@ -6,7 +6,7 @@
 
 /// Connections to a server that broke off.
 #[derive(Debug, Default)]
-pub struct BreakOffs(Mutex<Seen>);
+pub struct BrokenConnections(Mutex<Seen>);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Seen {
@@ -18,7 +18,7 @@
     is_probed: bool,
 }
 
-impl BreakOffs {
+impl BrokenConnections {
     /// Notes that a connection broke off without an answer, or was refused; true if the caller is the
     /// one to find out whether the server has ended. If it is known to have ended, nobody probes it until it
     /// answers again.
--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -11,8 +11,8 @@
 
 use super::{
     body::{Payload, Received, Streamed, Taken, receive},
-    head::{build_answer, origin_form, promises_not_run, strip_hop_headers},
     forwarded_request::ForwardedRequest,
+    head::{build_answer, origin_form, promises_not_run, strip_hop_headers},
 };
 use crate::{
     clock,
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -3,8 +3,8 @@
 mod attempt;
 pub(super) mod body;
 mod choose;
-mod head;
 mod forwarded_request;
+mod head;
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,8 +14,8 @@
 
 use self::{
     body::{Payload, read_payload},
-    head::{over_quota, plain, refusal, unauthorized},
     forwarded_request::{ForwardedRequest, Times},
+    head::{over_quota, plain, refusal, unauthorized},
 };
 use super::{
     Entry,
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{
-    crashes::{break_offs::BreakOffs, reports::Suspects},
+    crashes::{break_offs::BrokenConnections, reports::Suspects},
     decide::{
         Candidate, Policy,
         behaviour::Behaviour,
@@ -55,7 +55,7 @@
     /// Rate that it takes from all hosts together, and this host's part.
     pub rate: SharedRate,
     /// Connections to it that broke off.
-    pub break_offs: BreakOffs,
+    pub break_offs: BrokenConnections,
 }
 
 /// What is known of a server's pace.
@@ -113,7 +113,7 @@
             paces: Mutex::default(),
             behaviour: Mutex::default(),
             runs: Mutex::default(),
-            break_offs: BreakOffs::default(),
+            break_offs: BrokenConnections::default(),
             entry,
         };
         server.set_cold_for(server.entry.cold_ms);
