--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -6,7 +6,7 @@
 //! in each heartbeat and keeps it in the store. So a request that comes again at any host, also after the loss
 //! of all hosts, reaches no further server.
 
-pub mod break_offs;
+pub mod broken_connections;
 mod probe;
 pub mod reports;
 mod stored;
--- a/src/entry/crashes/probe.rs
+++ b/src/entry/crashes/probe.rs
@@ -21,18 +21,18 @@
 impl Entry {
     /// After a connection to a server has broken off: finds out whether the server has ended.
     pub(in crate::entry) fn probe_liveness(self: &Arc<Self>, server: &Arc<Server>) {
-        if !server.break_offs.note(server.answered_ms()) {
+        if !server.broken_connections.note(server.answered_ms()) {
             return;
         }
         let (entry, server) = (self.clone(), server.clone());
         tokio::spawn(async move {
             let mut pause_ms = PROBE_AFTER_MS;
             loop {
-                let seen = server.break_offs.count();
+                let seen = server.broken_connections.count();
                 time::sleep(Duration::from_millis(pause_ms)).await;
                 let has_ended = has_ended(&server).await;
-                if has_ended || server.break_offs.count() == seen {
-                    server.break_offs.end_probe(has_ended);
+                if has_ended || server.broken_connections.count() == seen {
+                    server.broken_connections.end_probe(has_ended);
                     if has_ended {
                         entry.note_end(&server);
                     }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{
-    crashes::{break_offs::BrokenConnections, reports::Suspects},
+    crashes::{broken_connections::BrokenConnections, reports::Suspects},
     decide::{
         Candidate, Policy,
         behaviour::Behaviour,
@@ -55,7 +55,7 @@
     /// Rate that it takes from all hosts together, and this host's part.
     pub rate: SharedRate,
     /// Connections to it that broke off.
-    pub break_offs: BrokenConnections,
+    pub broken_connections: BrokenConnections,
 }
 
 /// What is known of a server's pace.
@@ -113,7 +113,7 @@
             paces: Mutex::default(),
             behaviour: Mutex::default(),
             runs: Mutex::default(),
-            break_offs: BrokenConnections::default(),
+            broken_connections: BrokenConnections::default(),
             entry,
         };
         server.set_cold_for(server.entry.cold_ms);
@@ -315,7 +315,7 @@
 
     /// True if it has answered this host after the latest connection that broke off.
     pub fn has_answered_since_break_off(&self) -> bool {
-        self.answered_ms() > self.break_offs.latest_ms()
+        self.answered_ms() > self.broken_connections.latest_ms()
     }
 
     /// Average run time by this host's and the others' evidence; 0 if unknown.
