--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -40,7 +40,7 @@
     /// The request may have run.
     Unknown(String),
     /// The request may have run, and the connection ended without a whole answer.
-    BrokeOff(String),
+    ConnectionLost(String),
     /// The request may have run, and its deadline has passed.
     TimedOut,
 }
@@ -181,7 +181,7 @@
         connection: &mut Connection,
         request: Request<AnswerBody>,
     ) -> Result<(response::Parts, Received), Attempt> {
-        let broke_off = |error: hyper::Error| Attempt::BrokeOff(error.to_string());
+        let broke_off = |error: hyper::Error| Attempt::ConnectionLost(error.to_string());
         let response = connection.send(request).await.map_err(broke_off)?;
         let (head, body) = response.into_parts();
         // Also if the answer is for another request: it is about the server.
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -146,7 +146,7 @@
                 Attempt::Rests => None,
                 Attempt::NotRun(status) => self.not_run(entry, payload, &server, status).await,
                 Attempt::Unknown(reason) => self.unknown(entry, payload, &server, reason),
-                Attempt::BrokeOff(reason) => {
+                Attempt::ConnectionLost(reason) => {
                     entry.probe_liveness(&server);
                     self.unknown(entry, payload, &server, reason)
                 }
