--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -181,8 +181,8 @@
         connection: &mut Connection,
         request: Request<AnswerBody>,
     ) -> Result<(response::Parts, Received), Attempt> {
-        let broke_off = |error: hyper::Error| Attempt::ConnectionLost(error.to_string());
-        let response = connection.send(request).await.map_err(broke_off)?;
+        let connection_lost = |error: hyper::Error| Attempt::ConnectionLost(error.to_string());
+        let response = connection.send(request).await.map_err(connection_lost)?;
         let (head, body) = response.into_parts();
         // Also if the answer is for another request: it is about the server.
         entry.note_notice(server, headers::notice(head.status, &head.headers));
@@ -206,7 +206,7 @@
             return Err(Attempt::Unknown(reason));
         }
         let received = receive(body, Taken::default(), &entry.body_memory).await;
-        let received = received.map_err(broke_off)?;
+        let received = received.map_err(connection_lost)?;
         Ok((head, received))
     }
 
