--- a/src/entry/crashes/probe.rs
+++ b/src/entry/crashes/probe.rs
@@ -81,7 +81,7 @@
 /// True if a server whose connections break off has ended: nothing shows that it lives, and its
 /// address refuses connections. One that comes up is kept for the next request.
 async fn has_ended(server: &Server) -> bool {
-    if server.has_answered_since_break_off() || server.pool.has_open() {
+    if server.has_answered_since_broken_connection() || server.pool.has_open() {
         return false;
     }
     match server.pool.connect(PROBE_CONNECT_MS).await {
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -314,7 +314,7 @@
     }
 
     /// True if it has answered this host after the latest connection that broke off.
-    pub fn has_answered_since_break_off(&self) -> bool {
+    pub fn has_answered_since_broken_connection(&self) -> bool {
         self.answered_ms() > self.broken_connections.latest_ms()
     }
 
