--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -7,7 +7,7 @@
     clock,
     entry::{
         Entry,
-        keys::{Assignment, DecodeError, Holding, KeyPart},
+        keys::{Assignment, DecodeError, Holding, KeyPartition},
         news::{
             followed::Followed,
             own_rows::{TABLE, holdings_key},
@@ -34,7 +34,7 @@
 
 /// Row that is to be recorded.
 struct RecordedRow {
-    part: KeyPart,
+    part: KeyPartition,
     key: String,
     assignment: Assignment,
     value: Vec<u8>,
@@ -47,7 +47,7 @@
         service: &str,
         held: &Held,
         assignment: &Assignment,
-        part: KeyPart,
+        part: KeyPartition,
     ) -> Result<Self, DecodeError> {
         let assignment = assignment.part(part);
         Ok(Self {
@@ -67,7 +67,7 @@
         }
     }
 
-    fn held(self, version: u64) -> (KeyPart, HeldRow) {
+    fn held(self, version: u64) -> (KeyPartition, HeldRow) {
         let row = HeldRow {
             assignment: self.assignment,
             version,
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -74,9 +74,9 @@
 
 /// KeyPart of the keys whose holdings lie in one row: those of holdings whose first key is among its keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct KeyPart(u8);
+pub struct KeyPartition(u8);
 
-impl KeyPart {
+impl KeyPartition {
     /// The part that a number names; `None` if there is none.
     pub fn new(number: u8) -> Option<Self> {
         (u16::from(number) <= u16::MAX / PART_KEYS).then_some(Self(number))
@@ -205,7 +205,7 @@
     }
 
     /// What of it lies in the row of a part.
-    pub fn part(&self, part: KeyPart) -> Self {
+    pub fn part(&self, part: KeyPartition) -> Self {
         let start = usize::from(part.0) * usize::from(PART_KEYS);
         let end = start + usize::from(PART_KEYS);
         let place = |key: usize| {
--- a/src/entry/news/own_rows.rs
+++ b/src/entry/news/own_rows.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::entry::{bounds::default_processor_share, keys::KeyPart};
+use crate::entry::{bounds::default_processor_share, keys::KeyPartition};
 
 /// Table of the product's own rows: holdings by service and part, and hosts.
 pub const TABLE: &str = "ashroad";
@@ -24,7 +24,7 @@
 pub const QUARANTINE_KEY: &str = "quarantine";
 
 /// Key of the row with a part of a service's holdings.
-pub fn holdings_key(service: &str, part: KeyPart) -> String {
+pub fn holdings_key(service: &str, part: KeyPartition) -> String {
     match part.number() {
         0 => format!("{HOLDINGS_PREFIX}{service}"),
         number => format!("{HOLDINGS_PREFIX}{service}{PART_MARK}{number}"),
@@ -32,12 +32,12 @@
 }
 
 /// Service and part of the holdings that lie under a key; `None` if it is no key of holdings.
-pub fn parse_holdings_key(key: &str) -> Option<(&str, KeyPart)> {
+pub fn parse_holdings_key(key: &str) -> Option<(&str, KeyPartition)> {
     let name = key.strip_prefix(HOLDINGS_PREFIX)?;
     let Some((service, number)) = name.rsplit_once(PART_MARK) else {
-        return Some((name, KeyPart::new(0)?));
+        return Some((name, KeyPartition::new(0)?));
     };
-    Some((service, KeyPart::new(number.parse().ok()?)?))
+    Some((service, KeyPartition::new(number.parse().ok()?)?))
 }
 
 /// Row by which hosts find each other.
--- a/src/entry/news/snapshot.rs
+++ b/src/entry/news/snapshot.rs
@@ -8,7 +8,7 @@
 
 use super::followed::Followed;
 use crate::entry::{
-    keys::{Assignment, KeyPart},
+    keys::{Assignment, KeyPartition},
     model::{ServerEntry, incarnation_id},
     owners::HeldRow,
 };
@@ -138,7 +138,7 @@
     }
 
     /// Puts a row with holdings in; one that cannot be encoded is left out.
-    pub fn add_holdings(&mut self, service: &Arc<str>, part: KeyPart, row: &HeldRow) {
+    pub fn add_holdings(&mut self, service: &Arc<str>, part: KeyPartition, row: &HeldRow) {
         match row.assignment.encode() {
             Ok(record) => self.holdings.push(KnownHoldings {
                 service: service.clone(),
@@ -151,10 +151,10 @@
     }
 
     /// Rows with holdings, by service.
-    pub fn holdings(&self) -> HashMap<Arc<str>, Vec<(KeyPart, HeldRow)>> {
-        let mut rows: HashMap<Arc<str>, Vec<(KeyPart, HeldRow)>> = HashMap::new();
+    pub fn holdings(&self) -> HashMap<Arc<str>, Vec<(KeyPartition, HeldRow)>> {
+        let mut rows: HashMap<Arc<str>, Vec<(KeyPartition, HeldRow)>> = HashMap::new();
         for known in &self.holdings {
-            let part = KeyPart::new(known.part);
+            let part = KeyPartition::new(known.part);
             let assignment = Assignment::decode(&known.record).ok();
             let Some((part, assignment)) = part.zip(assignment) else {
                 log::warn!(
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -11,7 +11,7 @@
         hold::{MoveRest, MoveWait},
         key_loads::KEYS,
     },
-    keys::{Assignment, Holding, KeyPart, KeyRange},
+    keys::{Assignment, Holding, KeyPartition, KeyRange},
     news::{announcement::Announcement, followed::TOLD_REST_MS},
 };
 use crate::clock;
@@ -29,7 +29,7 @@
 pub struct Held {
     /// Holdings of all rows.
     pub assignment: Arc<Assignment>,
-    rows: BTreeMap<KeyPart, HeldRow>,
+    rows: BTreeMap<KeyPartition, HeldRow>,
 }
 
 /// Row with a part of a service's holdings.
@@ -43,29 +43,29 @@
 
 impl Held {
     /// Rows by part.
-    pub fn rows(&self) -> impl Iterator<Item = (KeyPart, &HeldRow)> {
+    pub fn rows(&self) -> impl Iterator<Item = (KeyPartition, &HeldRow)> {
         self.rows.iter().map(|(part, row)| (*part, row))
     }
 
     /// Version of the row of a part; 0 if there is none.
-    pub fn version(&self, part: KeyPart) -> u64 {
+    pub fn version(&self, part: KeyPartition) -> u64 {
         self.rows.get(&part).map_or(0, |row| row.version)
     }
 
     /// Parts whose rows do not have what an assignment has of them.
-    pub fn changed_parts(&self, assignment: &Assignment) -> Vec<KeyPart> {
-        let differs = |part: &KeyPart| {
+    pub fn changed_parts(&self, assignment: &Assignment) -> Vec<KeyPartition> {
+        let differs = |part: &KeyPartition| {
             let of_row = self
                 .rows
                 .get(part)
                 .map_or(&[][..], |row| &row.assignment.holdings);
             assignment.part(*part).holdings != *of_row
         };
-        KeyPart::all().filter(differs).collect()
+        KeyPartition::all().filter(differs).collect()
     }
 
     /// Takes rows in; false if newer ones are known of all parts.
-    fn take(&mut self, rows: Vec<(KeyPart, HeldRow)>) -> bool {
+    fn take(&mut self, rows: Vec<(KeyPartition, HeldRow)>) -> bool {
         let mut is_new = false;
         for (part, row) in rows {
             let known = self.rows.get(&part);
@@ -173,7 +173,7 @@
     }
 
     /// Notes rows with holdings of a service; false if newer ones are known.
-    pub fn hold(&self, service: &Arc<str>, rows: Vec<(KeyPart, HeldRow)>) -> bool {
+    pub fn hold(&self, service: &Arc<str>, rows: Vec<(KeyPartition, HeldRow)>) -> bool {
         let mut held_map = self.held_map();
         let held = held_map.entry(service.clone()).or_default();
         if !held.take(rows) {
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -11,7 +11,7 @@
 use super::{
     Entry,
     events::Event,
-    keys::{self, Assignment, KeyPart},
+    keys::{self, Assignment, KeyPartition},
     news::{
         evacuation::Evacuations,
         followed::Followed,
@@ -207,7 +207,7 @@
 }
 
 /// Rows with holdings, by service.
-pub(super) type HeldByService = HashMap<Arc<str>, Vec<(KeyPart, HeldRow)>>;
+pub(super) type HeldByService = HashMap<Arc<str>, Vec<(KeyPartition, HeldRow)>>;
 
 /// True for a row whose news the holder tells in each heartbeat, so that no host asks for it.
 fn is_evacuation(followed: Followed, row: &Row) -> bool {
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -10,7 +10,7 @@
 
 use super::{
     events::Event,
-    keys::{Holding, KeyPart},
+    keys::{Holding, KeyPartition},
     model::Configuration,
     news::{announcement::Announcement, evacuation::Evacuations, followed::Followed},
     owners::{Held, HeldRow, Owner, Owners},
@@ -158,7 +158,7 @@
     }
 
     /// Notes rows with holdings of a service, unless newer ones are known.
-    pub fn hold(&self, service: &Arc<str>, rows: Vec<(KeyPart, HeldRow)>) {
+    pub fn hold(&self, service: &Arc<str>, rows: Vec<(KeyPartition, HeldRow)>) {
         if self.owners.hold(service, rows) {
             self.changed.send_modify(|count| *count += 1);
         }
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use ashroad::entry::{
-    keys::{Assignment, Holding, KeyPart, KeyRange},
+    keys::{Assignment, Holding, KeyPartition, KeyRange},
     model::{ServerEntry, incarnation_id},
     news::snapshot::Snapshot,
     owners::HeldRow,
@@ -279,7 +279,7 @@
     }
     let mut snapshot = Snapshot::default();
     snapshot.set_servers(entries.iter().cloned());
-    for part in KeyPart::all() {
+    for part in KeyPartition::all() {
         let row = HeldRow {
             assignment: assignment.part(part),
             version: 9,
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -18,7 +18,7 @@
             plan::{self, Move, PlanServer, Question},
         },
         explain::Source,
-        keys::{Assignment, Holding, KeyPart, KeyRange},
+        keys::{Assignment, Holding, KeyPartition, KeyRange},
         losses::{Loss, losses},
         model::{CallerLimits, Configuration, Part, Route, ServerEntry},
         news::{
@@ -170,7 +170,7 @@
             fence: u64::from(case.holdings),
             holdings: holdings.collect(),
         };
-        let rows: Vec<Assignment> = KeyPart::all().map(|part| many.part(part)).collect();
+        let rows: Vec<Assignment> = KeyPartition::all().map(|part| many.part(part)).collect();
         for row in &rows {
             let bytes = row.encode().expect("a record");
             assert!(bytes.len() <= ROW_BYTES_MAX, "{} bytes", bytes.len());
@@ -188,7 +188,7 @@
     whole.put(holding(40_000, 65_535, "b", 2));
     let mut moved = whole.clone();
     moved.put(holding(41_000, 41_999, "c", 3));
-    let rows: Vec<Assignment> = KeyPart::all().map(|part| moved.part(part)).collect();
+    let rows: Vec<Assignment> = KeyPartition::all().map(|part| moved.part(part)).collect();
     let later = rows.iter().filter(|row| !row.holdings.is_empty()).skip(1);
     let joined = Assignment::join(std::iter::once(&whole).chain(later));
     assert_eq!(by_key(&joined), by_key(&moved));
