--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -70,7 +70,7 @@
 
 /// Keys whose holdings lie in one row of the store. A row has a bounded size: what lies in one fits it however many
 /// servers there are, and a move writes no more than the rows that it concerns.
-const PART_KEYS: u16 = 1_024;
+const PARTITION_KEYS: u16 = 1_024;
 
 /// KeyPart of the keys whose holdings lie in one row: those of holdings whose first key is among its keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -79,7 +79,7 @@
 impl KeyPartition {
     /// The part that a number names; `None` if there is none.
     pub fn new(number: u8) -> Option<Self> {
-        (u16::from(number) <= u16::MAX / PART_KEYS).then_some(Self(number))
+        (u16::from(number) <= u16::MAX / PARTITION_KEYS).then_some(Self(number))
     }
 
     /// Its number.
@@ -206,8 +206,8 @@
 
     /// What of it lies in the row of a part.
     pub fn part(&self, part: KeyPartition) -> Self {
-        let start = usize::from(part.0) * usize::from(PART_KEYS);
-        let end = start + usize::from(PART_KEYS);
+        let start = usize::from(part.0) * usize::from(PARTITION_KEYS);
+        let end = start + usize::from(PARTITION_KEYS);
         let place = |key: usize| {
             let is_before = |h: &Holding| usize::from(h.range.first) < key;
             self.holdings.partition_point(is_before)
