--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -123,7 +123,7 @@
     }
 
     /// Notes that a server has run a request, sent at a time, to a good end: it is not what ended others.
-    pub(in crate::entry) fn note_good_end(&self, digests: RequestDigests, sent_ms: u64) {
+    pub(in crate::entry) fn note_success(&self, digests: RequestDigests, sent_ms: u64) {
         let sent_ago_ms = clock::now_ms().saturating_sub(sent_ms) as u32;
         for digest in digests.all() {
             if self.clear_suspect(digest, sent_ms) {
--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -86,7 +86,7 @@
         };
         in_flight.answered();
         if head.status.is_success() {
-            entry.note_good_end(self.digests, sent_ms);
+            entry.note_success(self.digests, sent_ms);
         }
         self.end_trial(entry, server);
         let run_ms = sent.elapsed().as_secs_f64() * 1000.0;
