--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -10,7 +10,7 @@
 use tokio::time;
 
 use super::{
-    body::{Payload, Received, Streamed, Taken, receive},
+    body::{MemoryReservation, Payload, Received, Streamed, receive},
     forwarded_request::ForwardedRequest,
     head::{build_answer, origin_form, promises_not_run, strip_hop_headers},
 };
@@ -205,7 +205,7 @@
             let reason = format!("the server answered {} without its word", head.status);
             return Err(Attempt::Unknown(reason));
         }
-        let received = receive(body, Taken::default(), &entry.body_memory).await;
+        let received = receive(body, MemoryReservation::default(), &entry.body_memory).await;
         let received = received.map_err(connection_lost)?;
         Ok((head, received))
     }
--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -40,8 +40,8 @@
 
     /// Takes what a body of so many bytes needs to be begun; `None` if there is no more. Even one that is passed on as it
     /// comes needs some buffers.
-    pub fn reserve(&self, body_bytes: u64) -> Option<Taken> {
-        let mut taken = Taken::default();
+    pub fn reserve(&self, body_bytes: u64) -> Option<MemoryReservation> {
+        let mut taken = MemoryReservation::default();
         if body_bytes <= LARGE_BODY_BYTES {
             return Some(taken);
         }
@@ -52,9 +52,9 @@
 
 /// Memory that one body takes; given back when dropped.
 #[derive(Debug, Default)]
-pub struct Taken(Option<OwnedSemaphorePermit>);
+pub struct MemoryReservation(Option<OwnedSemaphorePermit>);
 
-impl Taken {
+impl MemoryReservation {
     /// Takes what is missing for a body of so many bytes; false if there is no more.
     fn grow(&mut self, bytes: usize, memory: &BodyMemory) -> bool {
         let held = self.0.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
@@ -86,7 +86,7 @@
 #[derive(Debug, Default)]
 pub struct Buffered {
     bytes: Bytes,
-    taken: Taken,
+    taken: MemoryReservation,
 }
 
 /// A request's body as it is passed on.
@@ -105,7 +105,7 @@
 /// Reads a body as long as there is memory for it beside what was reserved.
 pub async fn receive(
     mut body: Incoming,
-    mut taken: Taken,
+    mut taken: MemoryReservation,
     memory: &BodyMemory,
 ) -> hyper::Result<Received> {
     let mut buffer = BytesMut::new();
@@ -128,7 +128,7 @@
 
 pub async fn read_payload(
     body: Incoming,
-    reserved: Taken,
+    reserved: MemoryReservation,
     memory: &BodyMemory,
 ) -> hyper::Result<Payload> {
     if body.is_end_stream() {
