--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -41,12 +41,14 @@
     /// Takes what a body of so many bytes needs to be begun; `None` if there is no more. Even one that is passed on as it
     /// comes needs some buffers.
     pub fn reserve(&self, body_bytes: u64) -> Option<MemoryReservation> {
-        let mut taken = MemoryReservation::default();
+        let mut reservation = MemoryReservation::default();
         if body_bytes <= LARGE_BODY_BYTES {
-            return Some(taken);
+            return Some(reservation);
         }
         let begun_bytes = body_bytes.min(BEGUN_BYTES);
-        taken.grow(begun_bytes as usize, self).then_some(taken)
+        reservation
+            .grow(begun_bytes as usize, self)
+            .then_some(reservation)
     }
 }
 
@@ -86,7 +88,7 @@
 #[derive(Debug, Default)]
 pub struct Buffered {
     bytes: Bytes,
-    taken: MemoryReservation,
+    reservation: MemoryReservation,
 }
 
 /// A request's body as it is passed on.
@@ -105,7 +107,7 @@
 /// Reads a body as long as there is memory for it beside what was reserved.
 pub async fn receive(
     mut body: Incoming,
-    mut taken: MemoryReservation,
+    mut reservation: MemoryReservation,
     memory: &BodyMemory,
 ) -> hyper::Result<Received> {
     let mut buffer = BytesMut::new();
@@ -114,16 +116,19 @@
             continue;
         };
         if buffer.is_empty() && body.is_end_stream() {
-            return Ok(Received::Whole(Buffered { bytes: data, taken }));
+            return Ok(Received::Whole(Buffered {
+                bytes: data,
+                reservation,
+            }));
         }
         buffer.extend_from_slice(&data);
-        if buffer.len() > BUFFERED_BYTES_MAX || !taken.grow(buffer.len(), memory) {
+        if buffer.len() > BUFFERED_BYTES_MAX || !reservation.grow(buffer.len(), memory) {
             let bytes = buffer.freeze();
-            return Ok(Received::Begun(Buffered { bytes, taken }, body));
+            return Ok(Received::Begun(Buffered { bytes, reservation }, body));
         }
     }
     let bytes = buffer.freeze();
-    Ok(Received::Whole(Buffered { bytes, taken }))
+    Ok(Received::Whole(Buffered { bytes, reservation }))
 }
 
 pub async fn read_payload(
@@ -185,7 +190,7 @@
         }
         let length = self.bytes.len().min(UNIT_BYTES);
         let piece = self.bytes.split_to(length);
-        self.taken.shrink(self.bytes.len());
+        self.reservation.shrink(self.bytes.len());
         Some(piece)
     }
 }
