--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -105,7 +105,7 @@
         objective_ms: arrived_ms + route.aim_ms,
         deadline_ms,
     };
-    let asked = Asked {
+    let asked = CallerRequest {
         route,
         workspace,
         times,
@@ -126,7 +126,7 @@
 }
 
 /// What a caller asks for.
-struct Asked {
+struct CallerRequest {
     route: Arc<Route>,
     workspace: Option<WorkspaceKey>,
     times: Times,
@@ -177,11 +177,11 @@
 async fn pass(
     entry: &Arc<Entry>,
     configuration: &Configuration,
-    asked: &Asked,
+    asked: &CallerRequest,
     head: &request::Parts,
     mut payload: Payload,
 ) -> Response<AnswerBody> {
-    let Asked {
+    let CallerRequest {
         route,
         workspace,
         times,
