--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -105,12 +105,13 @@
         objective_ms: arrived_ms + route.aim_ms,
         deadline_ms,
     };
-    let asked = CallerRequest {
+    let caller_request = CallerRequest {
         route,
         workspace,
         times,
     };
-    let passing = async move { pass(&entry, &configuration, &asked, &head, payload).await };
+    let passing =
+        async move { pass(&entry, &configuration, &caller_request, &head, payload).await };
     if repeatable {
         // Dropped with its connections when the caller leaves.
         return passing.await;
@@ -177,7 +178,7 @@
 async fn pass(
     entry: &Arc<Entry>,
     configuration: &Configuration,
-    asked: &CallerRequest,
+    caller_request: &CallerRequest,
     head: &request::Parts,
     mut payload: Payload,
 ) -> Response<AnswerBody> {
@@ -185,7 +186,7 @@
         route,
         workspace,
         times,
-    } = asked;
+    } = caller_request;
     let Some(part) = choose_part(&route.parts) else {
         let policy = &entry.settings.policy;
         return refusal(&Refused::soon("the route has no service", policy));
