--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -10,7 +10,7 @@
 use tokio::time;
 
 use super::{
-    body::{MemoryReservation, Payload, Received, Streamed, receive},
+    body::{MemoryReservation, Payload, Received, StreamedBody, receive},
     forwarded_request::ForwardedRequest,
     head::{build_answer, origin_form, promises_not_run, strip_hop_headers},
 };
@@ -96,7 +96,7 @@
                 server.pool.give_back(connection, &head.headers);
                 body.boxed()
             }
-            Received::Begun(first, rest) => Streamed {
+            Received::Begun(first, rest) => StreamedBody {
                 first,
                 rest,
                 connection: Some(connection),
--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -171,7 +171,7 @@
             }
             Self::Stream(stream) => {
                 let (first, rest) = stream.take()?;
-                let streamed = Streamed {
+                let streamed = StreamedBody {
                     first,
                     rest,
                     connection: None,
@@ -216,14 +216,14 @@
 }
 
 /// A body whose beginning is in memory and whose rest is passed on as it comes.
-pub struct Streamed {
+pub struct StreamedBody {
     pub first: Buffered,
     pub rest: Incoming,
     #[allow(dead_code, reason = "closed when the body is dropped")]
     pub connection: Option<Connection>,
 }
 
-impl Body for Streamed {
+impl Body for StreamedBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
