--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -86,22 +86,22 @@
 
 /// Bytes in memory.
 #[derive(Debug, Default)]
-pub struct Buffered {
+pub struct BufferedBody {
     bytes: Bytes,
     reservation: MemoryReservation,
 }
 
 /// A request's body as it is passed on.
 pub enum Payload {
-    Whole(Buffered),
+    Whole(BufferedBody),
     /// Its beginning, and the rest as it comes; can be sent only once.
-    Stream(Option<(Buffered, Incoming)>),
+    Stream(Option<(BufferedBody, Incoming)>),
 }
 
 /// An answer's body as far as it was read.
 pub enum Received {
-    Whole(Buffered),
-    Begun(Buffered, Incoming),
+    Whole(BufferedBody),
+    Begun(BufferedBody, Incoming),
 }
 
 /// Reads a body as long as there is memory for it beside what was reserved.
@@ -116,7 +116,7 @@
             continue;
         };
         if buffer.is_empty() && body.is_end_stream() {
-            return Ok(Received::Whole(Buffered {
+            return Ok(Received::Whole(BufferedBody {
                 bytes: data,
                 reservation,
             }));
@@ -124,11 +124,11 @@
         buffer.extend_from_slice(&data);
         if buffer.len() > BUFFERED_BYTES_MAX || !reservation.grow(buffer.len(), memory) {
             let bytes = buffer.freeze();
-            return Ok(Received::Begun(Buffered { bytes, reservation }, body));
+            return Ok(Received::Begun(BufferedBody { bytes, reservation }, body));
         }
     }
     let bytes = buffer.freeze();
-    Ok(Received::Whole(Buffered { bytes, reservation }))
+    Ok(Received::Whole(BufferedBody { bytes, reservation }))
 }
 
 pub async fn read_payload(
@@ -137,7 +137,7 @@
     memory: &BodyMemory,
 ) -> hyper::Result<Payload> {
     if body.is_end_stream() {
-        return Ok(Payload::Whole(Buffered::default()));
+        return Ok(Payload::Whole(BufferedBody::default()));
     }
     match receive(body, reserved, memory).await? {
         Received::Whole(bytes) => Ok(Payload::Whole(bytes)),
@@ -182,7 +182,7 @@
     }
 }
 
-impl Buffered {
+impl BufferedBody {
     /// The next piece of it, whose memory is given back: the reader takes the next one when it has sent this one.
     fn next(&mut self) -> Option<Bytes> {
         if self.bytes.is_empty() {
@@ -195,7 +195,7 @@
     }
 }
 
-impl Body for Buffered {
+impl Body for BufferedBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -217,7 +217,7 @@
 
 /// A body whose beginning is in memory and whose rest is passed on as it comes.
 pub struct StreamedBody {
-    pub first: Buffered,
+    pub first: BufferedBody,
     pub rest: Incoming,
     #[allow(dead_code, reason = "closed when the body is dropped")]
     pub connection: Option<Connection>,
