--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -96,7 +96,7 @@
                 server.pool.give_back(connection, &head.headers);
                 body.boxed()
             }
-            Received::Begun(first, rest) => StreamedBody {
+            Received::Partial(first, rest) => StreamedBody {
                 first,
                 rest,
                 connection: Some(connection),
--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -101,7 +101,7 @@
 /// An answer's body as far as it was read.
 pub enum Received {
     Whole(BufferedBody),
-    Begun(BufferedBody, Incoming),
+    Partial(BufferedBody, Incoming),
 }
 
 /// Reads a body as long as there is memory for it beside what was reserved.
@@ -124,7 +124,7 @@
         buffer.extend_from_slice(&data);
         if buffer.len() > BUFFERED_BYTES_MAX || !reservation.grow(buffer.len(), memory) {
             let bytes = buffer.freeze();
-            return Ok(Received::Begun(BufferedBody { bytes, reservation }, body));
+            return Ok(Received::Partial(BufferedBody { bytes, reservation }, body));
         }
     }
     let bytes = buffer.freeze();
@@ -141,7 +141,7 @@
     }
     match receive(body, reserved, memory).await? {
         Received::Whole(bytes) => Ok(Payload::Whole(bytes)),
-        Received::Begun(first, rest) => Ok(Payload::Stream(Some((first, rest)))),
+        Received::Partial(first, rest) => Ok(Payload::Stream(Some((first, rest)))),
     }
 }
 
