--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -25,7 +25,7 @@
 /// Size from which a body is large.
 const LARGE_BODY_BYTES: u64 = 64 * 1024;
 /// Memory that a large body takes as long as it is read.
-const BEGUN_BYTES: u64 = 192 * 1024;
+const LARGE_BODY_RESERVED_BYTES: u64 = 192 * 1024;
 
 /// Memory for bodies, shared by all requests of a host.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
         if body_bytes <= LARGE_BODY_BYTES {
             return Some(reservation);
         }
-        let begun_bytes = body_bytes.min(BEGUN_BYTES);
+        let begun_bytes = body_bytes.min(LARGE_BODY_RESERVED_BYTES);
         reservation
             .grow(begun_bytes as usize, self)
             .then_some(reservation)
