--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -90,7 +90,7 @@
         }
         self.end_trial(entry, server);
         let run_ms = sent.elapsed().as_secs_f64() * 1000.0;
-        self.learn(entry, server, &head, run_ms, found_free_slot);
+        self.record_response(entry, server, &head, run_ms, found_free_slot);
         let body = match body {
             Received::Whole(body) => {
                 server.pool.give_back(connection, &head.headers);
@@ -150,7 +150,7 @@
     }
 
     /// Notes what an answer shows of its server and of the request.
-    fn learn(
+    fn record_response(
         &self,
         entry: &Entry,
         server: &Server,
