--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -32,16 +32,16 @@
 const TRIAL_PAUSE_MS: u64 = 10;
 
 /// Those of the servers that want no rest; else the least rest that one of them wants, if there are any.
-fn awake(servers: Vec<&Arc<Server>>) -> Result<Vec<&Arc<Server>>, Option<u64>> {
+fn not_resting(servers: Vec<&Arc<Server>>) -> Result<Vec<&Arc<Server>>, Option<u64>> {
     let least_rest_ms = servers.iter().map(|server| server.rest_ms()).min();
-    let awake: Vec<_> = servers
+    let not_resting: Vec<_> = servers
         .into_iter()
         .filter(|server| server.rest_ms() == 0)
         .collect();
-    if awake.is_empty() {
+    if not_resting.is_empty() {
         return Err(least_rest_ms);
     }
-    Ok(awake)
+    Ok(not_resting)
 }
 
 /// Those of the servers that a request may go to by the rates that they take. It has a ticket of one of the limited
@@ -169,13 +169,13 @@
         registry: &'r Registry,
     ) -> Result<Vec<&'r Arc<Server>>, Refused> {
         let policy = &entry.settings.policy;
-        let rest_ms = match awake(registry.usable(&self.service, &self.tried)) {
+        let rest_ms = match not_resting(registry.usable(&self.service, &self.tried)) {
             Ok(servers) => return Ok(servers),
             Err(rest_ms) => rest_ms,
         };
         let (arrived_ms, hold_ms) = (self.times.arrived_ms, entry.limits.notice_hold_ms);
         let at_last = registry.usable_at_last(&self.service, &self.tried, arrived_ms, hold_ms);
-        let last_rest_ms = match awake(at_last) {
+        let last_rest_ms = match not_resting(at_last) {
             Ok(servers) => return Ok(servers),
             Err(rest_ms) => rest_ms,
         };
