--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -64,7 +64,7 @@
     let (head, body) = request.into_parts();
     let workspace = match entry.workspace_of(&configuration, &route, &head.headers) {
         Ok(workspace) => workspace,
-        Err(denied) => return turn_away(&head, &route, denied, &policy),
+        Err(denied) => return deny(&head, &route, denied, &policy),
     };
     let asked_ms = header_number(&head.headers, headers::DEADLINE_MS.as_str());
     let left_ms = asked_ms
@@ -133,7 +133,7 @@
     times: Times,
 }
 
-fn turn_away(
+fn deny(
     head: &request::Parts,
     route: &Route,
     denied: Denied,
