--- a/src/entry/forward/head.rs
+++ b/src/entry/forward/head.rs
@@ -65,12 +65,12 @@
 
 /// Answer to a request that has not run, with the time to come back.
 pub fn refusal(refused: &Refused) -> Response<AnswerBody> {
-    come_back(StatusCode::SERVICE_UNAVAILABLE, refused)
+    with_retry_after(StatusCode::SERVICE_UNAVAILABLE, refused)
 }
 
 /// Answer to a request beyond the quota of its workspace, which has not run.
 pub fn over_quota(refused: &Refused) -> Response<AnswerBody> {
-    come_back(StatusCode::TOO_MANY_REQUESTS, refused)
+    with_retry_after(StatusCode::TOO_MANY_REQUESTS, refused)
 }
 
 /// Answer to a request without a known API key.
@@ -82,7 +82,7 @@
     response
 }
 
-fn come_back(status: StatusCode, refused: &Refused) -> Response<AnswerBody> {
+fn with_retry_after(status: StatusCode, refused: &Refused) -> Response<AnswerBody> {
     let mut response = plain(status, refused.reason);
     let seconds = refused.return_ms as f64 / 1000.0;
     match HeaderValue::from_str(&format!("{seconds:.2}")) {
