--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -66,7 +66,7 @@
 }
 
 /// True if a limited server was not heard for a while, so that a request which may go there should.
-fn is_due(server: &Server) -> bool {
+fn should_refresh_limit(server: &Server) -> bool {
     server.rate.limit_per_s().is_some() && server.rate.is_unheard()
 }
 
@@ -132,7 +132,11 @@
             let reason = "all servers get as much as they take";
             return Err(self.refused_for_a_run(entry, reason));
         }
-        let due: Vec<_> = usable.iter().copied().filter(|s| is_due(s)).collect();
+        let due: Vec<_> = usable
+            .iter()
+            .copied()
+            .filter(|s| should_refresh_limit(s))
+            .collect();
         let picked = self.pick(entry, &registry, &due);
         match picked.or_else(|| self.pick(entry, &registry, &usable)) {
             Some(server) => {
