--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -5,7 +5,7 @@
 use http::Response;
 use tokio::time;
 
-use super::forwarded_request::{ATTEMPT_MS_MIN, ForwardedRequest, HOLD_PAUSE_MS};
+use super::forwarded_request::{ATTEMPT_MS_MIN, ForwardedRequest, KEY_RETRY_PAUSE_MS};
 use crate::{
     clock,
     entry::{
@@ -203,7 +203,7 @@
                 }
                 Owner::Moving(rest) => {
                     let room_ms = self.hold(entry, rest)?;
-                    let wait = Duration::from_millis(HOLD_PAUSE_MS.min(room_ms));
+                    let wait = Duration::from_millis(KEY_RETRY_PAUSE_MS.min(room_ms));
                     // Either way the view is asked again.
                     if let Ok(Err(closed)) = time::timeout(wait, changes.changed()).await {
                         log::debug!("the view has ended: {closed}");
@@ -290,7 +290,7 @@
     pub(super) async fn await_move(&self, entry: &Entry) {
         let mut changes = entry.view.changes();
         self.ask_who_holds(entry);
-        let wait = Duration::from_millis(HOLD_PAUSE_MS.min(self.left_ms()));
+        let wait = Duration::from_millis(KEY_RETRY_PAUSE_MS.min(self.left_ms()));
         if let Ok(Err(closed)) = time::timeout(wait, changes.changed()).await {
             log::debug!("the view has ended: {closed}");
         }
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -34,7 +34,7 @@
 /// Time in which a refusal comes that costs a request little.
 const REFUSED_AT_ONCE_MS: u64 = 20;
 /// Pause before a keyed request is sent again to a server that did not hold the key yet.
-pub(super) const HOLD_PAUSE_MS: u64 = 25;
+pub(super) const KEY_RETRY_PAUSE_MS: u64 = 25;
 
 /// Times of a request by the host's clock.
 #[derive(Clone, Copy, Debug)]
@@ -216,7 +216,7 @@
             return Some(self.refuse(entry, logged, &refused));
         }
         if self.key.is_some() {
-            time::sleep(Duration::from_millis(HOLD_PAUSE_MS)).await;
+            time::sleep(Duration::from_millis(KEY_RETRY_PAUSE_MS)).await;
         } else {
             self.tried.push(server.entry.id.clone());
         }
