--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -27,7 +27,7 @@
 };
 
 /// Time for which a suspect waits for the trial of another request like it: most runs end within it.
-const TRIAL_HOLD_MS: u64 = 120;
+const TRIAL_WAIT_MS: u64 = 120;
 /// Pause between two looks at it.
 const TRIAL_PAUSE_MS: u64 = 10;
 
@@ -106,7 +106,7 @@
     /// Lets one host at a time try a request under which a server has ended. A harmless one is cleared by the end of
     /// its trial, for which the others wait a little.
     async fn claim_trial(&mut self, entry: &Entry, server: &Server) -> Result<(), Refused> {
-        let wait_until_ms = clock::now_ms() + TRIAL_HOLD_MS;
+        let wait_until_ms = clock::now_ms() + TRIAL_WAIT_MS;
         while !self.is_trial && entry.crashes.is_suspect(self.digests) {
             let Err(rest_ms) = entry.claim_trial(self.digests, server.tag).await else {
                 self.is_trial = true;
