--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -29,7 +29,7 @@
 /// Time for which a suspect waits for the trial of another request like it: most runs end within it.
 const TRIAL_WAIT_MS: u64 = 120;
 /// Pause between two looks at it.
-const TRIAL_PAUSE_MS: u64 = 10;
+const TRIAL_POLL_MS: u64 = 10;
 
 /// Those of the servers that want no rest; else the least rest that one of them wants, if there are any.
 fn not_resting(servers: Vec<&Arc<Server>>) -> Result<Vec<&Arc<Server>>, Option<u64>> {
@@ -117,7 +117,7 @@
                 let reason = "another try of the request may end its server";
                 return Err(Refused::after(reason, rest_ms, &entry.settings.policy));
             }
-            time::sleep(Duration::from_millis(TRIAL_PAUSE_MS)).await;
+            time::sleep(Duration::from_millis(TRIAL_POLL_MS)).await;
         }
         Ok(())
     }
