--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -32,7 +32,7 @@
 /// that a host prefers do so.
 const REFUSED_CONNECTS_MAX: u32 = 10;
 /// Time in which a refusal comes that costs a request little.
-const REFUSED_AT_ONCE_MS: u64 = 20;
+const FAST_REFUSAL_MS: u64 = 20;
 /// Pause before a keyed request is sent again to a server that did not hold the key yet.
 pub(super) const KEY_RETRY_PAUSE_MS: u64 = 25;
 
@@ -204,7 +204,7 @@
     ) -> Option<Response<AnswerBody>> {
         server.not_connected();
         self.connects += 1;
-        let quick = self.held_ms() < u64::from(self.connects) * REFUSED_AT_ONCE_MS;
+        let quick = self.held_ms() < u64::from(self.connects) * FAST_REFUSAL_MS;
         let connects_max = if quick && self.key.is_none() {
             REFUSED_CONNECTS_MAX
         } else {
