--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -217,7 +217,7 @@
     fn hold(&self, entry: &Entry, rest: MoveRest) -> Result<u64, Refused> {
         let policy = &entry.settings.policy;
         let aim_ms = self.route.aim_ms;
-        match hold::decide(rest, self.held_ms(), self.left_ms(), aim_ms, policy) {
+        match hold::decide(rest, self.elapsed_ms(), self.left_ms(), aim_ms, policy) {
             Hold::For(room_ms) => Ok(room_ms),
             Hold::Refuse if rest.wait == MoveWait::Lease => {
                 let reason = "the key waits for the lease of a lost server to end";
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -121,7 +121,7 @@
             .serves_less_urgent(&self.service, urgency)
     }
 
-    pub(super) fn held_ms(&self) -> u64 {
+    pub(super) fn elapsed_ms(&self) -> u64 {
         clock::now_ms().saturating_sub(self.times.arrived_ms)
     }
 
@@ -204,7 +204,7 @@
     ) -> Option<Response<AnswerBody>> {
         server.not_connected();
         self.connects += 1;
-        let quick = self.held_ms() < u64::from(self.connects) * FAST_REFUSAL_MS;
+        let quick = self.elapsed_ms() < u64::from(self.connects) * FAST_REFUSAL_MS;
         let connects_max = if quick && self.key.is_none() {
             REFUSED_CONNECTS_MAX
         } else {
@@ -306,7 +306,7 @@
 
     /// Counts the request when its answer is known.
     fn end(&self, entry: &Entry, outcome: &'static str) {
-        let after_ms = self.held_ms();
+        let after_ms = self.elapsed_ms();
         entry.metrics.request(&self.service, outcome, after_ms);
     }
 
@@ -324,7 +324,7 @@
             load: self.last.as_ref().map_or(0, |server| server.load()),
             rest_ms: self.last.as_ref().map_or(0, |server| server.rest_ms()),
             attempts: self.attempts,
-            after_ms: self.held_ms(),
+            after_ms: self.elapsed_ms(),
             left_ms: self.left_ms(),
             configuration: self.configuration.version,
         }
