--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -289,7 +289,7 @@
     /// After a server said that it does not hold the key: waits for a change, but not for long.
     pub(super) async fn await_move(&self, entry: &Entry) {
         let mut changes = entry.view.changes();
-        self.ask_who_holds(entry);
+        self.query_key_holder(entry);
         let wait = Duration::from_millis(KEY_RETRY_PAUSE_MS.min(self.left_ms()));
         if let Ok(Err(closed)) = time::timeout(wait, changes.changed()).await {
             log::debug!("the view has ended: {closed}");
@@ -297,7 +297,7 @@
     }
 
     /// Asks the holder of the duty who holds the key; the store only if no holder is heard.
-    fn ask_who_holds(&self, entry: &Entry) {
+    fn query_key_holder(&self, entry: &Entry) {
         let Some(key) = self.key else { return };
         let question = Message::WhoHolds {
             service_tag: tag_of(&self.service),
