--- a/src/entry/crashes/broken_connections.rs
+++ b/src/entry/crashes/broken_connections.rs
@@ -6,10 +6,10 @@
 
 /// Connections to a server that broke off.
 #[derive(Debug, Default)]
-pub struct BrokenConnections(Mutex<Seen>);
+pub struct BrokenConnections(Mutex<ProbeState>);
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct ProbeState {
     count: u32,
     latest_ms: u64,
     /// When the server was found to have ended; 0 if it was not.
@@ -51,7 +51,7 @@
         self.seen().latest_ms
     }
 
-    fn seen(&self) -> MutexGuard<'_, Seen> {
+    fn seen(&self) -> MutexGuard<'_, ProbeState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
