--- a/src/entry/crashes/broken_connections.rs
+++ b/src/entry/crashes/broken_connections.rs
@@ -23,35 +23,35 @@
     /// one to find out whether the server has ended. If it is known to have ended, nobody probes it until it
     /// answers again.
     pub fn note(&self, answered_ms: u64) -> bool {
-        let mut seen = self.seen();
-        if seen.ended_ms > answered_ms {
+        let mut state = self.state();
+        if state.ended_ms > answered_ms {
             return false;
         }
-        seen.count = seen.count.wrapping_add(1);
-        seen.latest_ms = clock::now_ms();
-        !std::mem::replace(&mut seen.is_probed, true)
+        state.count = state.count.wrapping_add(1);
+        state.latest_ms = clock::now_ms();
+        !std::mem::replace(&mut state.is_probed, true)
     }
 
     /// Notes that it was found out whether the server has ended.
     pub fn end_probe(&self, has_ended: bool) {
-        let mut seen = self.seen();
-        seen.is_probed = false;
+        let mut state = self.state();
+        state.is_probed = false;
         if has_ended {
-            seen.ended_ms = clock::now_ms();
+            state.ended_ms = clock::now_ms();
         }
     }
 
     /// Number of connections that broke off so far.
     pub fn count(&self) -> u32 {
-        self.seen().count
+        self.state().count
     }
 
     /// When the latest one broke off; 0 if none did.
     pub fn latest_ms(&self) -> u64 {
-        self.seen().latest_ms
+        self.state().latest_ms
     }
 
-    fn seen(&self) -> MutexGuard<'_, ProbeState> {
+    fn state(&self) -> MutexGuard<'_, ProbeState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
