--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -201,13 +201,13 @@
         let now_ms = clock::now_ms();
         for claimed in claims {
             if lock(&self.crashes.trials).has(claimed, own, now_ms) {
-                self.tell_tried(claimed);
+                self.release_claim(claimed);
             }
         }
     }
 
     /// Ends a claim here and at the other hosts.
-    fn tell_tried(&self, claimed: Claimed) {
+    fn release_claim(&self, claimed: Claimed) {
         self.note_tried(claimed);
         self.peers.send_to_all(Message::Tried(claimed));
     }
@@ -229,7 +229,7 @@
             Claimed::Server(server_tag),
         ];
         for claimed in claims {
-            self.tell_tried(claimed);
+            self.release_claim(claimed);
         }
     }
 
