--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -208,7 +208,7 @@
 
     /// Ends a claim here and at the other hosts.
     fn release_claim(&self, claimed: Claimed) {
-        self.note_tried(claimed);
+        self.note_trial_end(claimed);
         self.peers.send_to_all(Message::Tried(claimed));
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// Notes that the server of a trial lives, so that the next suspect may be tried there.
-    pub(in crate::entry) fn note_tried(&self, claimed: Claimed) {
+    pub(in crate::entry) fn note_trial_end(&self, claimed: Claimed) {
         lock(&self.crashes.trials).end(claimed);
     }
 
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -155,7 +155,7 @@
                 self.clear_suspect(digest, sent_ms);
             }
             Message::Trying(claimed) => self.note_trial(claimed, from),
-            Message::Tried(claimed) => self.note_tried(claimed),
+            Message::Tried(claimed) => self.note_trial_end(claimed),
             Message::Resting(rests) => self.take_rests(from, &rests),
             Message::Asked(rates) => self.take_rates(from, &rates),
             Message::Rates(rates) => self.take_sums(&rates),
