--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -82,7 +82,7 @@
     }
 
     /// What is tried of a suspect: what any caller asks for, if that is one.
-    fn tried(&self, digests: RequestDigests) -> RequestDigest {
+    fn trial_digest(&self, digests: RequestDigests) -> RequestDigest {
         if lock(&self.path_tally).is_suspect(digests.content, clock::now_ms()) {
             digests.content
         } else {
@@ -159,7 +159,7 @@
     ) -> Result<(), u64> {
         let own = self.settings.listen.peers;
         let claims = [
-            Claimed::Request(self.crashes.tried(digests)),
+            Claimed::Request(self.crashes.trial_digest(digests)),
             Claimed::Server(server_tag),
         ];
         self.claim(claims)?;
@@ -225,7 +225,7 @@
     /// Notes that a server has answered a suspect, and tells the other hosts.
     pub(in crate::entry) fn end_trial(&self, digests: RequestDigests, server_tag: u32) {
         let claims = [
-            Claimed::Request(self.crashes.tried(digests)),
+            Claimed::Request(self.crashes.trial_digest(digests)),
             Claimed::Server(server_tag),
         ];
         for claimed in claims {
