--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -178,7 +178,7 @@
             return Ok(());
         }
         // It was cleared meanwhile, or a host with a lower address tries it.
-        self.give_back(claims);
+        self.release_own_claims(claims);
         self.claim(claims)
     }
 
@@ -196,7 +196,7 @@
     }
 
     /// Gives back those of the claims that this host has.
-    fn give_back(&self, claims: [Claimed; 2]) {
+    fn release_own_claims(&self, claims: [Claimed; 2]) {
         let own = self.settings.listen.peers;
         let now_ms = clock::now_ms();
         for claimed in claims {
