--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -263,7 +263,7 @@
             let term = self.peers.holder_term();
             let due = lock(&self.crashes.reports).due(term);
             for report in &due {
-                self.tell_crash(report);
+                self.send_crash_report(report);
             }
             let pause = Duration::from_millis(TELL_EVERY_MS);
             // Either way what is due is told.
@@ -276,7 +276,7 @@
         }
     }
 
-    fn tell_crash(&self, report: &Report) {
+    fn send_crash_report(&self, report: &Report) {
         for digests in report.digests.chunks(ENTRIES_MAX) {
             self.tell_suspects(report, digests.to_vec(), Vec::new());
         }
