--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -278,14 +278,14 @@
 
     fn send_crash_report(&self, report: &Report) {
         for digests in report.digests.chunks(ENTRIES_MAX) {
-            self.tell_suspects(report, digests.to_vec(), Vec::new());
+            self.send_suspects(report, digests.to_vec(), Vec::new());
         }
         for shared in report.shared.chunks(SHARED_SUSPECTS_MAX) {
-            self.tell_suspects(report, Vec::new(), shared.to_vec());
+            self.send_suspects(report, Vec::new(), shared.to_vec());
         }
     }
 
-    fn tell_suspects(
+    fn send_suspects(
         &self,
         report: &Report,
         digests: Vec<RequestDigest>,
