--- a/src/entry/crashes/reports.rs
+++ b/src/entry/crashes/reports.rs
@@ -37,7 +37,7 @@
     /// True if all hosts are told, not just the holder of the duty.
     pub to_all: bool,
     /// Term of the holder that was told, and how often.
-    told_term: u64,
+    sent_term: u64,
     told: u32,
 }
 
@@ -57,7 +57,7 @@
             digests,
             shared,
             to_all,
-            told_term: 0,
+            sent_term: 0,
             told: 0,
         });
     }
@@ -67,9 +67,9 @@
     pub fn due(&mut self, term: u64) -> Vec<Report> {
         let mut due = Vec::new();
         for report in &mut self.0 {
-            if report.told_term != term {
-                report.to_all &= report.told_term == 0;
-                report.told_term = term;
+            if report.sent_term != term {
+                report.to_all &= report.sent_term == 0;
+                report.sent_term = term;
                 report.told = 0;
             }
             if report.told < TELL_TIMES {
