--- a/src/entry/crashes/reports.rs
+++ b/src/entry/crashes/reports.rs
@@ -3,7 +3,7 @@
 use crate::entry::{decide::path_tally::SharedSuspect, digest::RequestDigest};
 
 /// Times that an end is told: datagrams may be lost.
-const TELL_TIMES: u32 = 3;
+const SEND_TIMES: u32 = 3;
 /// Most ends that a later holder is told of, the latest ones.
 const REPORTS_MAX: usize = 64;
 
@@ -72,7 +72,7 @@
                 report.sent_term = term;
                 report.told = 0;
             }
-            if report.told < TELL_TIMES {
+            if report.told < SEND_TIMES {
                 report.told += 1;
                 due.push(report.clone());
             }
