--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -40,7 +40,7 @@
 /// Interval at which an end is told again.
 const TELL_EVERY_MS: u64 = 500;
 /// Most requests in quarantine that a heartbeat names, the latest ones: 320 bytes. The store has all.
-const TOLD_MAX: usize = 32;
+const HEARTBEAT_DIGESTS_MAX: usize = 32;
 
 /// What a host knows of servers that ended and of the requests that were there.
 #[derive(Debug, Default)]
@@ -93,7 +93,7 @@
     /// Requests in quarantine that a heartbeat names.
     pub fn told(&self) -> Vec<RequestDigest> {
         let mut latest = lock(&self.quarantine).latest(clock::now_ms());
-        latest.truncate(TOLD_MAX);
+        latest.truncate(HEARTBEAT_DIGESTS_MAX);
         latest
     }
 
