--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -38,7 +38,7 @@
 use crate::clock;
 
 /// Interval at which an end is told again.
-const TELL_EVERY_MS: u64 = 500;
+const RESEND_INTERVAL_MS: u64 = 500;
 /// Most requests in quarantine that a heartbeat names, the latest ones: 320 bytes. The store has all.
 const HEARTBEAT_DIGESTS_MAX: usize = 32;
 
@@ -265,7 +265,7 @@
             for report in &due {
                 self.send_crash_report(report);
             }
-            let pause = Duration::from_millis(TELL_EVERY_MS);
+            let pause = Duration::from_millis(RESEND_INTERVAL_MS);
             // Either way what is due is told.
             if time::timeout(pause, self.crashes.ended.notified())
                 .await
