--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -21,7 +21,7 @@
 
 use self::{
     reports::{Report, Reports},
-    stored::Stored,
+    stored::StoredQuarantine,
 };
 use super::{
     Entry,
@@ -50,7 +50,7 @@
     quarantine: Mutex<Quarantine>,
     trials: Mutex<Trials>,
     reports: Mutex<Reports>,
-    stored: Mutex<Stored>,
+    stored: Mutex<StoredQuarantine>,
     /// A server has ended.
     ended: Notify,
     /// A request was put in quarantine.
--- a/src/entry/crashes/stored.rs
+++ b/src/entry/crashes/stored.rs
@@ -24,7 +24,7 @@
 
 /// What is in quarantine by the store.
 #[derive(Debug, Default)]
-pub(super) struct Stored {
+pub(super) struct StoredQuarantine {
     digests: Vec<RequestDigest>,
     version: u64,
 }
@@ -54,7 +54,7 @@
             if row.version <= stored.version {
                 return;
             }
-            *stored = Stored {
+            *stored = StoredQuarantine {
                 digests: digests.clone(),
                 version: row.version,
             };
@@ -116,7 +116,7 @@
         };
         match self.store.transact(&transaction).await {
             Ok(Transacted::Done { version }) => {
-                *lock(&self.crashes.stored) = Stored {
+                *lock(&self.crashes.stored) = StoredQuarantine {
                     digests: row.digests,
                     version,
                 };
