--- a/src/entry/runs.rs
+++ b/src/entry/runs.rs
@@ -11,7 +11,7 @@
 
 /// A request that was given up without an answer.
 #[derive(Clone, Copy, Debug)]
-struct CutOff {
+struct AbandonedRequest {
     digests: RequestDigests,
     at_ms: u64,
 }
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 pub struct Runs {
     running: Vec<RequestDigests>,
-    cut_off: Vec<CutOff>,
+    cut_off: Vec<AbandonedRequest>,
     /// What is tried here as a suspect.
     trials: Vec<RequestDigests>,
 }
@@ -59,7 +59,7 @@
         let known: Vec<_> = cut_off.map(|cut_off| cut_off.digests).collect();
         self.trials
             .retain(|trial| *trial == digests || known.contains(trial));
-        self.cut_off.push(CutOff {
+        self.cut_off.push(AbandonedRequest {
             digests,
             at_ms: now_ms,
         });
@@ -97,7 +97,7 @@
 
     /// Requests that the server may have been running just now.
     fn latest(&self, now_ms: u64) -> impl Iterator<Item = RequestDigests> {
-        let is_fresh = move |cut_off: &&CutOff| now_ms < cut_off.at_ms + CUT_OFF_MS;
+        let is_fresh = move |cut_off: &&AbandonedRequest| now_ms < cut_off.at_ms + CUT_OFF_MS;
         let cut_off = self.cut_off.iter().filter(is_fresh);
         let cut_off = cut_off.map(|cut_off| cut_off.digests);
         cut_off.chain(self.running.iter().copied())
