--- a/src/entry/runs.rs
+++ b/src/entry/runs.rs
@@ -7,7 +7,7 @@
 
 /// Time after which a request that was given up is no longer taken for running: its caller left, or
 /// its deadline passed, while the server may have worked on it.
-const CUT_OFF_MS: u64 = 2_000;
+const ABANDONED_MS: u64 = 2_000;
 
 /// A request that was given up without an answer.
 #[derive(Clone, Copy, Debug)]
@@ -54,7 +54,7 @@
     pub fn cut_off(&mut self, digests: RequestDigests, now_ms: u64) {
         self.end(digests);
         self.cut_off
-            .retain(|cut_off| now_ms < cut_off.at_ms + CUT_OFF_MS);
+            .retain(|cut_off| now_ms < cut_off.at_ms + ABANDONED_MS);
         let cut_off = self.cut_off.iter();
         let known: Vec<_> = cut_off.map(|cut_off| cut_off.digests).collect();
         self.trials
@@ -97,7 +97,7 @@
 
     /// Requests that the server may have been running just now.
     fn latest(&self, now_ms: u64) -> impl Iterator<Item = RequestDigests> {
-        let is_fresh = move |cut_off: &&AbandonedRequest| now_ms < cut_off.at_ms + CUT_OFF_MS;
+        let is_fresh = move |cut_off: &&AbandonedRequest| now_ms < cut_off.at_ms + ABANDONED_MS;
         let cut_off = self.cut_off.iter().filter(is_fresh);
         let cut_off = cut_off.map(|cut_off| cut_off.digests);
         cut_off.chain(self.running.iter().copied())
