--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -20,7 +20,7 @@
 
 /// Interval of reports and of the holder's word among few hosts. What is sent beyond a quota while a surge is not
 /// known yet grows with it.
-const TELL_EVERY_MS: u64 = 150;
+const REPORT_INTERVAL_MS: u64 = 150;
 /// The same for each host, among many: the holder hears all of them.
 const TELL_EVERY_MS_BY_HOST: u64 = 1;
 /// Intervals without the holder's word after which it counts as not heard.
@@ -29,7 +29,7 @@
 const TELL_ALL_EVERY: u64 = 6;
 
 fn tell_every_ms(hosts: usize) -> u64 {
-    TELL_EVERY_MS.max(TELL_EVERY_MS_BY_HOST * hosts as u64)
+    REPORT_INTERVAL_MS.max(TELL_EVERY_MS_BY_HOST * hosts as u64)
 }
 
 /// Quotas as one host knows them.
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -17,7 +17,7 @@
 use crate::clock;
 
 /// Interval of reports among few hosts.
-const TELL_EVERY_MS: u64 = 150;
+const REPORT_INTERVAL_MS: u64 = 150;
 /// The same for each host, among many: the holder hears all of them.
 const TELL_EVERY_MS_BY_HOST: u64 = 2;
 
@@ -37,7 +37,8 @@
     /// Tells the holder what this host knows of servers' rates; as the holder, tells all hosts.
     pub(in crate::entry) async fn keep_telling_rates(self: Arc<Self>) {
         loop {
-            let every_ms = TELL_EVERY_MS.max(TELL_EVERY_MS_BY_HOST * self.peers.hosts() as u64);
+            let every_ms =
+                REPORT_INTERVAL_MS.max(TELL_EVERY_MS_BY_HOST * self.peers.hosts() as u64);
             time::sleep(Duration::from_millis(every_ms)).await;
             let rates = self.own_rates();
             if self.duty.term() == 0 {
