--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -22,14 +22,14 @@
 /// known yet grows with it.
 const REPORT_INTERVAL_MS: u64 = 150;
 /// The same for each host, among many: the holder hears all of them.
-const TELL_EVERY_MS_BY_HOST: u64 = 1;
+const REPORT_INTERVAL_MS_PER_HOST: u64 = 1;
 /// Intervals without the holder's word after which it counts as not heard.
 const MISSED_WORDS: u64 = 4;
 /// Every so many intervals the holder tells of workspaces that ask for less than their quota.
 const TELL_ALL_EVERY: u64 = 6;
 
 fn tell_every_ms(hosts: usize) -> u64 {
-    REPORT_INTERVAL_MS.max(TELL_EVERY_MS_BY_HOST * hosts as u64)
+    REPORT_INTERVAL_MS.max(REPORT_INTERVAL_MS_PER_HOST * hosts as u64)
 }
 
 /// Quotas as one host knows them.
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -19,7 +19,7 @@
 /// Interval of reports among few hosts.
 const REPORT_INTERVAL_MS: u64 = 150;
 /// The same for each host, among many: the holder hears all of them.
-const TELL_EVERY_MS_BY_HOST: u64 = 2;
+const REPORT_INTERVAL_MS_PER_HOST: u64 = 2;
 
 impl Entry {
     /// Takes in what a server's answer to a request of this host said of the rate that it takes.
@@ -38,7 +38,7 @@
     pub(in crate::entry) async fn keep_telling_rates(self: Arc<Self>) {
         loop {
             let every_ms =
-                REPORT_INTERVAL_MS.max(TELL_EVERY_MS_BY_HOST * self.peers.hosts() as u64);
+                REPORT_INTERVAL_MS.max(REPORT_INTERVAL_MS_PER_HOST * self.peers.hosts() as u64);
             time::sleep(Duration::from_millis(every_ms)).await;
             let rates = self.own_rates();
             if self.duty.term() == 0 {
