--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -28,7 +28,7 @@
 /// Every so many intervals the holder tells of workspaces that ask for less than their quota.
 const TELL_ALL_EVERY: u64 = 6;
 
-fn tell_every_ms(hosts: usize) -> u64 {
+fn report_interval_ms(hosts: usize) -> u64 {
     REPORT_INTERVAL_MS.max(REPORT_INTERVAL_MS_PER_HOST * hosts as u64)
 }
 
@@ -56,7 +56,7 @@
         };
         let now_ms = clock::now_ms();
         let mut known = self.known();
-        let kept_ms = MISSED_WORDS * tell_every_ms(hosts);
+        let kept_ms = MISSED_WORDS * report_interval_ms(hosts);
         let heard_ms = known.heard_ms;
         let sharing = Sharing {
             hosts,
@@ -176,7 +176,7 @@
     pub(in crate::entry) async fn keep_telling_quotas(self: Arc<Self>) {
         let mut round: u64 = 0;
         loop {
-            let every_ms = tell_every_ms(self.peers.hosts());
+            let every_ms = report_interval_ms(self.peers.hosts());
             time::sleep(Duration::from_millis(every_ms)).await;
             round += 1;
             let Some(configuration) = self.view.configuration() else {
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -62,7 +62,7 @@
 
 impl Case {
     /// Interval at which hosts and holder speak, as in service.
-    fn tell_every_ms(&self) -> u64 {
+    fn report_interval_ms(&self) -> u64 {
         150.max(self.hosts as u64)
     }
 
@@ -88,7 +88,7 @@
         let mut heard_ms: Option<u64> = None;
         let mut ledger = Ledger::new(0);
         let mut played = Played::default();
-        let every_ms = self.tell_every_ms();
+        let every_ms = self.report_interval_ms();
         let mut again = 0;
         for now_ms in (0..DAY_MS).step_by(STEP_MS as usize) {
             let is_away = self.holder_away.contains(&now_ms);
