--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -24,7 +24,7 @@
 /// The same for each host, among many: the holder hears all of them.
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 1;
 /// Intervals without the holder's word after which it counts as not heard.
-const MISSED_WORDS: u64 = 4;
+const MISSED_ANNOUNCEMENTS: u64 = 4;
 /// Every so many intervals the holder tells of workspaces that ask for less than their quota.
 const TELL_ALL_EVERY: u64 = 6;
 
@@ -56,7 +56,7 @@
         };
         let now_ms = clock::now_ms();
         let mut known = self.known();
-        let kept_ms = MISSED_WORDS * report_interval_ms(hosts);
+        let kept_ms = MISSED_ANNOUNCEMENTS * report_interval_ms(hosts);
         let heard_ms = known.heard_ms;
         let sharing = Sharing {
             hosts,
