--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -26,7 +26,7 @@
 /// Intervals without the holder's word after which it counts as not heard.
 const MISSED_ANNOUNCEMENTS: u64 = 4;
 /// Every so many intervals the holder tells of workspaces that ask for less than their quota.
-const TELL_ALL_EVERY: u64 = 6;
+const FULL_ANNOUNCEMENT_EVERY: u64 = 6;
 
 fn report_interval_ms(hosts: usize) -> u64 {
     REPORT_INTERVAL_MS.max(REPORT_INTERVAL_MS_PER_HOST * hosts as u64)
@@ -192,7 +192,7 @@
                 continue;
             }
             self.quotas.note_report(workspaces, &reports);
-            let is_for_all = round.is_multiple_of(TELL_ALL_EVERY);
+            let is_for_all = round.is_multiple_of(FULL_ANNOUNCEMENT_EVERY);
             let told = self.quotas.admitted(workspaces, is_for_all);
             self.tell_quotas(&told);
         }
