--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -30,7 +30,7 @@
             ToldLimit::Unknown => return,
         };
         let at_ms = clock::now_ms();
-        let is_change = server.rate.note_own_word(LimitWord { per_s, at_ms });
+        let is_change = server.rate.note_own_limit(LimitWord { per_s, at_ms });
         log_change(server, is_change, "its answer");
     }
 
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -37,7 +37,7 @@
     }
 
     /// Takes in the rate that an answer to this host named; true if that is worth a log line.
-    pub fn note_own_word(&self, word: LimitWord) -> bool {
+    pub fn note_own_limit(&self, word: LimitWord) -> bool {
         let mut notices = self.notices();
         notices.rate_limit.note_own(word);
         notices.rate_limit.take_change()
