--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -77,7 +77,7 @@
             return;
         }
         let now_ms = clock::now_ms();
-        self.note_words(rates, now_ms);
+        self.note_limits(rates, now_ms);
         let mut asked = self.asked_by_host();
         for rate in rates {
             asked.note(rate.server_tag, host, rate.asked, now_ms);
@@ -109,7 +109,7 @@
     /// Takes in what the holder knows of the rates of servers, and what the callers of all hosts ask for.
     pub(in crate::entry) fn take_sums(&self, rates: &[ServerRate]) {
         let now_ms = clock::now_ms();
-        self.note_words(rates, now_ms);
+        self.note_limits(rates, now_ms);
         let registry = self.view.registry();
         for rate in rates {
             let named = registry.servers().filter(|s| s.tag == rate.server_tag);
@@ -117,7 +117,7 @@
         }
     }
 
-    fn note_words(&self, rates: &[ServerRate], now_ms: u64) {
+    fn note_limits(&self, rates: &[ServerRate], now_ms: u64) {
         let registry = self.view.registry();
         for rate in rates {
             let Some(told) = rate.told else { continue };
