--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -258,7 +258,7 @@
     }
 
     /// Tells the other hosts of servers that ended, and each later holder of the duty again.
-    pub(in crate::entry) async fn keep_telling_crashes(self: Arc<Self>) {
+    pub(in crate::entry) async fn report_crashes(self: Arc<Self>) {
         loop {
             let term = self.peers.holder_term();
             let due = lock(&self.crashes.reports).due(term);
