--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -173,7 +173,7 @@
 
 impl Entry {
     /// Reports to the holder what workspaces have used; as the holder, tells all hosts what they may admit.
-    pub(in crate::entry) async fn keep_telling_quotas(self: Arc<Self>) {
+    pub(in crate::entry) async fn exchange_quota_usage(self: Arc<Self>) {
         let mut round: u64 = 0;
         loop {
             let every_ms = report_interval_ms(self.peers.hosts());
