--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -35,7 +35,7 @@
     }
 
     /// Tells the holder what this host knows of servers' rates; as the holder, tells all hosts.
-    pub(in crate::entry) async fn keep_telling_rates(self: Arc<Self>) {
+    pub(in crate::entry) async fn exchange_rate_limits(self: Arc<Self>) {
         loop {
             let every_ms =
                 REPORT_INTERVAL_MS.max(REPORT_INTERVAL_MS_PER_HOST * self.peers.hosts() as u64);
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -139,7 +139,7 @@
     tokio::spawn(entry.clone().report_crashes());
     tokio::spawn(entry.clone().keep_quarantine_stored());
     tokio::spawn(entry.clone().keep_telling_notices());
-    tokio::spawn(entry.clone().keep_telling_rates());
+    tokio::spawn(entry.clone().exchange_rate_limits());
     tokio::spawn(entry.clone().exchange_quota_usage());
     tokio::spawn(sweep_connections(entry.clone()));
     tokio::spawn(async {
