--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -73,7 +73,7 @@
     }
 
     /// Keeps the proof that the configuration in force is the latest one, where operators bound revocations.
-    pub(super) async fn keep_proving(self: Arc<Self>) {
+    pub(super) async fn maintain_configuration_proof(self: Arc<Self>) {
         let Some(bound_ms) = self.settings.bounds.revocation_ms else {
             return;
         };
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -121,7 +121,7 @@
     tokio::spawn(entry.clone().keep_learning_hosts());
     tokio::spawn(entry.clone().watch_configuration());
     tokio::spawn(entry.clone().watch_servers());
-    tokio::spawn(entry.clone().keep_proving());
+    tokio::spawn(entry.clone().maintain_configuration_proof());
     tokio::spawn(entry.clone().keep_word());
     tokio::spawn(entry.clone().watch_own());
     tokio::spawn(entry.clone().register());
