--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -21,7 +21,7 @@
 };
 
 /// Intervals of questions to the holder of the duty that fit into the bound of revocations.
-const ASKED_IN_BOUND: u64 = 8;
+const PROOF_REQUESTS_PER_BOUND: u64 = 8;
 /// Share of the bound after which a host without proof asks the store itself, in hundredths.
 const OWN_QUESTION_PERCENT: u64 = 40;
 
@@ -77,7 +77,7 @@
         let Some(bound_ms) = self.settings.bounds.revocation_ms else {
             return;
         };
-        let every_ms = bound_ms / ASKED_IN_BOUND;
+        let every_ms = bound_ms / PROOF_REQUESTS_PER_BOUND;
         loop {
             time::sleep(Duration::from_millis(every_ms)).await;
             let due_ms = if self.duty.term() > 0 {
