--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -23,7 +23,7 @@
 /// Intervals of questions to the holder of the duty that fit into the bound of revocations.
 const PROOF_REQUESTS_PER_BOUND: u64 = 8;
 /// Share of the bound after which a host without proof asks the store itself, in hundredths.
-const OWN_QUESTION_PERCENT: u64 = 40;
+const STORE_QUERY_PERCENT: u64 = 40;
 
 /// Why a caller is turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -84,7 +84,7 @@
                 every_ms
             } else {
                 self.ask_holder_for_proof();
-                bound_ms * OWN_QUESTION_PERCENT / 100
+                bound_ms * STORE_QUERY_PERCENT / 100
             };
             let age_ms = self.proof.age_ms(clock::now_ms());
             if age_ms.is_none_or(|age_ms| age_ms >= due_ms) && !self.ask_store_for_proof().await {
