--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -45,7 +45,7 @@
                 self.report_rates(rates);
             } else {
                 self.take_rates(self.settings.listen.peers, &rates);
-                self.tell_rates();
+                self.announce_rates();
             }
         }
     }
@@ -85,7 +85,7 @@
     }
 
     /// Tells all hosts, as the holder, the rates of servers, and what the callers of all hosts ask for.
-    fn tell_rates(&self) {
+    fn announce_rates(&self) {
         let now_ms = clock::now_ms();
         let rates: Vec<ServerRate> = {
             let registry = self.view.registry();
