--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -194,7 +194,7 @@
             self.quotas.note_report(workspaces, &reports);
             let is_for_all = round.is_multiple_of(FULL_ANNOUNCEMENT_EVERY);
             let told = self.quotas.admitted(workspaces, is_for_all);
-            self.tell_quotas(&told);
+            self.announce_quotas(&told);
         }
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// Tells all hosts what they may admit. Word that names no workspace shows that the holder lives.
-    fn tell_quotas(&self, told: &[WorkspaceAdmitted]) {
+    fn announce_quotas(&self, told: &[WorkspaceAdmitted]) {
         self.quotas.note_told(told);
         if told.is_empty() {
             self.peers.send_to_all(Message::Admitted(Vec::new()));
