--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -156,7 +156,7 @@
     }
 
     /// What of it is in memory: all, or its beginning.
-    pub fn known(&self) -> &[u8] {
+    pub fn buffered_bytes(&self) -> &[u8] {
         match self {
             Self::Whole(buffered) | Self::Stream(Some((buffered, _))) => &buffered.bytes,
             Self::Stream(None) => &[],
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -210,7 +210,7 @@
     let hosts = entry.peers.hosts();
     entry.retries.request(&service, hosts, clock::now_ms());
     let request_id = header_text(&head.headers, headers::REQUEST_ID.as_str()).unwrap_or_default();
-    let digests = RequestDigests::of(head, payload.known());
+    let digests = RequestDigests::of(head, payload.buffered_bytes());
     let mut forwarded_request = ForwardedRequest {
         configuration,
         route,
