--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -8,7 +8,7 @@
 use super::{
     attempt::Attempt,
     body::Payload,
-    head::{plain, refusal},
+    head::{refusal, plain_text},
 };
 use crate::{
     clock,
@@ -274,7 +274,7 @@
             self.log("failed", reason);
             self.end(entry, "failed");
             let told = "no whole answer of the server";
-            return Some(plain(StatusCode::BAD_GATEWAY, told));
+            return Some(plain_text(StatusCode::BAD_GATEWAY, told));
         }
         self.log("repeated", reason);
         if self.key.is_none() {
@@ -287,7 +287,7 @@
         server.failed();
         self.log("failed", "no answer by the deadline".to_owned());
         self.end(entry, "timeout");
-        plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
+        plain_text(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
     }
 
     fn may_repeat(&self, entry: &Entry, payload: &Payload) -> bool {
--- a/src/entry/forward/head.rs
+++ b/src/entry/forward/head.rs
@@ -55,7 +55,7 @@
     Response::from_parts(head, body)
 }
 
-pub fn plain(status: StatusCode, message: &str) -> Response<AnswerBody> {
+pub fn plain_text(status: StatusCode, message: &str) -> Response<AnswerBody> {
     whole(
         status,
         "text/plain",
@@ -75,7 +75,7 @@
 
 /// Answer to a request without a known API key.
 pub fn unauthorized(reason: &'static str) -> Response<AnswerBody> {
-    let mut response = plain(StatusCode::UNAUTHORIZED, reason);
+    let mut response = plain_text(StatusCode::UNAUTHORIZED, reason);
     let challenge = HeaderValue::from_static(headers::API_KEY_SCHEME);
     let headers = response.headers_mut();
     headers.insert(header::WWW_AUTHENTICATE, challenge);
@@ -83,7 +83,7 @@
 }
 
 fn with_retry_after(status: StatusCode, refused: &Refused) -> Response<AnswerBody> {
-    let mut response = plain(status, refused.reason);
+    let mut response = plain_text(status, refused.reason);
     let seconds = refused.return_ms as f64 / 1000.0;
     match HeaderValue::from_str(&format!("{seconds:.2}")) {
         Ok(after) => {
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -15,7 +15,7 @@
 use self::{
     body::{Payload, read_payload},
     forwarded_request::{ForwardedRequest, Times},
-    head::{over_quota, plain, refusal, unauthorized},
+    head::{over_quota, refusal, plain_text, unauthorized},
 };
 use super::{
     Entry,
@@ -59,7 +59,7 @@
     };
     let host = header_text(request.headers(), "host").unwrap_or_default();
     let Some(route) = configuration.route(host, request.uri().path()).cloned() else {
-        return plain(StatusCode::NOT_FOUND, "no route");
+        return plain_text(StatusCode::NOT_FOUND, "no route");
     };
     let (head, body) = request.into_parts();
     let workspace = match entry.workspace_of(&configuration, &route, &head.headers) {
@@ -82,7 +82,7 @@
     let body_max = configuration.limits.body_bytes;
     let body_bytes = header_number(&head.headers, "content-length").unwrap_or(0);
     if body_bytes > body_max {
-        return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
+        return plain_text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
     }
     let Some(reserved) = entry.body_memory.reserve(body_bytes) else {
         let reason = "this host holds as many bodies as it can";
@@ -93,7 +93,7 @@
     let limit = Duration::from_millis(left_ms);
     let payload = match time::timeout(limit, reading).await {
         Ok(Ok(payload)) => payload,
-        Ok(Err(error)) => return plain(StatusCode::BAD_REQUEST, &error.to_string()),
+        Ok(Err(error)) => return plain_text(StatusCode::BAD_REQUEST, &error.to_string()),
         Err(_) => {
             let reason = "the body did not come in time";
             return refusal(&Refused::soon(reason, &policy));
@@ -121,7 +121,7 @@
         Ok(response) => response,
         Err(error) => {
             log::error!("a request ended early: {error}");
-            plain(StatusCode::BAD_GATEWAY, "the request ended early")
+            plain_text(StatusCode::BAD_GATEWAY, "the request ended early")
         }
     }
 }
@@ -199,7 +199,7 @@
         let key = header_number(&head.headers, headers::KEY.as_str());
         match key.and_then(|key| u16::try_from(key).ok()) {
             Some(key) => Some(key),
-            None => return plain(StatusCode::BAD_REQUEST, "the key is missing or no number"),
+            None => return plain_text(StatusCode::BAD_REQUEST, "the key is missing or no number"),
         }
     } else {
         None
