--- a/src/entry/crashes/reports.rs
+++ b/src/entry/crashes/reports.rs
@@ -38,7 +38,7 @@
     pub to_all: bool,
     /// Term of the holder that was told, and how often.
     sent_term: u64,
-    told: u32,
+    sent_count: u32,
 }
 
 /// Ends of servers as this host saw them.
@@ -58,7 +58,7 @@
             shared,
             to_all,
             sent_term: 0,
-            told: 0,
+            sent_count: 0,
         });
     }
 
@@ -70,10 +70,10 @@
             if report.sent_term != term {
                 report.to_all &= report.sent_term == 0;
                 report.sent_term = term;
-                report.told = 0;
+                report.sent_count = 0;
             }
-            if report.told < SEND_TIMES {
-                report.told += 1;
+            if report.sent_count < SEND_TIMES {
+                report.sent_count += 1;
                 due.push(report.clone());
             }
         }
