--- a/src/entry/runs.rs
+++ b/src/entry/runs.rs
@@ -18,14 +18,14 @@
 
 /// Requests at one server.
 #[derive(Debug, Default)]
-pub struct Runs {
+pub struct RunningRequests {
     running: Vec<RequestDigests>,
     cut_off: Vec<AbandonedRequest>,
     /// What is tried here as a suspect.
     trials: Vec<RequestDigests>,
 }
 
-impl Runs {
+impl RunningRequests {
     /// Notes that a request is sent.
     pub fn begin(&mut self, digests: RequestDigests) {
         self.running.push(digests);
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -20,7 +20,7 @@
     events::Event,
     model::{Notice, ServerEntry, Warmup},
     pool::Pool,
-    runs::Runs,
+    runs::RunningRequests,
     shared_rate::SharedRate,
 };
 use crate::{clock, platform::Link};
@@ -51,7 +51,7 @@
     answered_ms: AtomicU64,
     paces: Mutex<Paces>,
     behaviour: Mutex<Behaviour>,
-    runs: Mutex<Runs>,
+    runs: Mutex<RunningRequests>,
     /// Rate that it takes from all hosts together, and this host's part.
     pub rate: SharedRate,
     /// Connections to it that broke off.
@@ -409,7 +409,7 @@
         self.turns.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn runs(&self) -> MutexGuard<'_, Runs> {
+    fn runs(&self) -> MutexGuard<'_, RunningRequests> {
         self.runs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -12,7 +12,7 @@
     },
     digest::{RequestDigest, RequestDigests},
     explain::{Source, explain},
-    runs::Runs,
+    runs::RunningRequests,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -201,7 +201,7 @@
 
 #[test]
 fn requests_whose_callers_left_stay_under_suspicion_for_a_moment() {
-    let mut runs = Runs::default();
+    let mut runs = RunningRequests::default();
     for digest in 0..5 {
         runs.begin(plain(digest));
     }
@@ -216,7 +216,7 @@
 
 #[test]
 fn a_request_with_a_query_is_under_suspicion_with_and_without_it() {
-    let mut runs = Runs::default();
+    let mut runs = RunningRequests::default();
     for whole in [10, 11] {
         runs.begin(RequestDigests {
             whole: RequestDigest(whole),
@@ -417,10 +417,10 @@
 
 #[test]
 fn a_server_that_ends_in_a_trial_has_one_trial() {
-    let mut runs = Runs::default();
+    let mut runs = RunningRequests::default();
     runs.begin(plain(3));
     runs.begin_trial(plain(4));
-    let is_trial = |runs: &Runs, digest| {
+    let is_trial = |runs: &RunningRequests, digest| {
         let suspects = runs.shared_suspects(1_000);
         let found = suspects.iter().find(|s| s.digest == RequestDigest(digest));
         found.map(|suspect| suspect.is_trial)
