--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -30,7 +30,7 @@
 pub mod relay;
 mod rows;
 mod run;
-pub mod runs;
+pub mod running_requests;
 pub mod seal;
 mod secret;
 pub mod server;
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -20,7 +20,7 @@
     events::Event,
     model::{Notice, ServerEntry, Warmup},
     pool::Pool,
-    runs::RunningRequests,
+    running_requests::RunningRequests,
     shared_rate::SharedRate,
 };
 use crate::{clock, platform::Link};
@@ -51,7 +51,7 @@
     answered_ms: AtomicU64,
     paces: Mutex<Paces>,
     behaviour: Mutex<Behaviour>,
-    runs: Mutex<RunningRequests>,
+    running_requests: Mutex<RunningRequests>,
     /// Rate that it takes from all hosts together, and this host's part.
     pub rate: SharedRate,
     /// Connections to it that broke off.
@@ -112,7 +112,7 @@
             answered_ms: AtomicU64::new(0),
             paces: Mutex::default(),
             behaviour: Mutex::default(),
-            runs: Mutex::default(),
+            running_requests: Mutex::default(),
             broken_connections: BrokenConnections::default(),
             entry,
         };
@@ -283,13 +283,13 @@
 
     /// Counts a request until the result is dropped.
     pub fn enter(self: &Arc<Self>, digests: RequestDigests) -> InFlight {
-        self.runs().begin(digests);
+        self.running_requests().begin(digests);
         self.in_flight(digests)
     }
 
     /// Counts a suspect until the result is dropped; no other one runs there.
     pub fn enter_for_trial(self: &Arc<Self>, digests: RequestDigests) -> InFlight {
-        self.runs().begin_trial(digests);
+        self.running_requests().begin_trial(digests);
         self.in_flight(digests)
     }
 
@@ -306,10 +306,10 @@
     /// This host's requests that it may have been running just now.
     pub fn suspects(&self) -> Suspects {
         let now_ms = clock::now_ms();
-        let runs = self.runs();
+        let running_requests = self.running_requests();
         Suspects {
-            digests: runs.suspects(now_ms),
-            shared: runs.shared_suspects(now_ms),
+            digests: running_requests.suspects(now_ms),
+            shared: running_requests.shared_suspects(now_ms),
         }
     }
 
@@ -409,8 +409,8 @@
         self.turns.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn runs(&self) -> MutexGuard<'_, RunningRequests> {
-        self.runs.lock().unwrap_or_else(PoisonError::into_inner)
+    fn running_requests(&self) -> MutexGuard<'_, RunningRequests> {
+        self.running_requests.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn behaviour(&self) -> MutexGuard<'_, Behaviour> {
@@ -438,11 +438,11 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         self.server.own.fetch_sub(1, Ordering::Relaxed);
-        let mut runs = self.server.runs();
+        let mut running_requests = self.server.running_requests();
         if self.is_answered {
-            runs.answered(self.digests);
+            running_requests.answered(self.digests);
         } else {
-            runs.cut_off(self.digests, clock::now_ms());
+            running_requests.cut_off(self.digests, clock::now_ms());
         }
     }
 }
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -12,7 +12,7 @@
     },
     digest::{RequestDigest, RequestDigests},
     explain::{Source, explain},
-    runs::RunningRequests,
+    running_requests::RunningRequests,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -201,29 +201,29 @@
 
 #[test]
 fn requests_whose_callers_left_stay_under_suspicion_for_a_moment() {
-    let mut runs = RunningRequests::default();
+    let mut running_requests = RunningRequests::default();
     for digest in 0..5 {
-        runs.begin(plain(digest));
+        running_requests.begin(plain(digest));
     }
-    runs.answered(plain(0));
-    runs.cut_off(plain(1), 1_000);
-    runs.begin(plain(2));
-    runs.answered(plain(2));
+    running_requests.answered(plain(0));
+    running_requests.cut_off(plain(1), 1_000);
+    running_requests.begin(plain(2));
+    running_requests.answered(plain(2));
     let all = [1, 2, 3, 4].map(RequestDigest);
-    assert_eq!(runs.suspects(2_900), all);
-    assert_eq!(runs.suspects(3_100), all[1..]);
+    assert_eq!(running_requests.suspects(2_900), all);
+    assert_eq!(running_requests.suspects(3_100), all[1..]);
 }
 
 #[test]
 fn a_request_with_a_query_is_under_suspicion_with_and_without_it() {
-    let mut runs = RunningRequests::default();
+    let mut running_requests = RunningRequests::default();
     for whole in [10, 11] {
-        runs.begin(RequestDigests {
+        running_requests.begin(RequestDigests {
             whole: RequestDigest(whole),
             ..plain(1)
         });
     }
-    assert_eq!(runs.suspects(0), [1, 10, 11].map(RequestDigest));
+    assert_eq!(running_requests.suspects(0), [1, 10, 11].map(RequestDigest));
 }
 
 #[test]
@@ -417,25 +417,25 @@
 
 #[test]
 fn a_server_that_ends_in_a_trial_has_one_trial() {
-    let mut runs = RunningRequests::default();
-    runs.begin(plain(3));
-    runs.begin_trial(plain(4));
-    let is_trial = |runs: &RunningRequests, digest| {
-        let suspects = runs.shared_suspects(1_000);
+    let mut running_requests = RunningRequests::default();
+    running_requests.begin(plain(3));
+    running_requests.begin_trial(plain(4));
+    let is_trial = |running_requests: &RunningRequests, digest| {
+        let suspects = running_requests.shared_suspects(1_000);
         let found = suspects.iter().find(|s| s.digest == RequestDigest(digest));
         found.map(|suspect| suspect.is_trial)
     };
     assert_eq!(
-        [3, 4].map(|digest| is_trial(&runs, digest)),
+        [3, 4].map(|digest| is_trial(&running_requests, digest)),
         [Some(false), Some(true)]
     );
     // Its connection breaks off as the server ends.
-    runs.cut_off(plain(4), 990);
-    assert_eq!(is_trial(&runs, 4), Some(true));
-    runs.begin_trial(plain(5));
-    runs.answered(plain(5));
-    runs.begin(plain(5));
-    assert_eq!(is_trial(&runs, 5), Some(false));
+    running_requests.cut_off(plain(4), 990);
+    assert_eq!(is_trial(&running_requests, 4), Some(true));
+    running_requests.begin_trial(plain(5));
+    running_requests.answered(plain(5));
+    running_requests.begin(plain(5));
+    assert_eq!(is_trial(&running_requests, 5), Some(false));
 }
 
 #[test]
