--- a/src/entry/running_requests.rs
+++ b/src/entry/running_requests.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 pub struct RunningRequests {
     running: Vec<RequestDigests>,
-    cut_off: Vec<AbandonedRequest>,
+    abandoned: Vec<AbandonedRequest>,
     /// What is tried here as a suspect.
     trials: Vec<RequestDigests>,
 }
@@ -51,15 +51,15 @@
     }
 
     /// Notes that a request ended without an answer.
-    pub fn cut_off(&mut self, digests: RequestDigests, now_ms: u64) {
+    pub fn abandoned(&mut self, digests: RequestDigests, now_ms: u64) {
         self.end(digests);
-        self.cut_off
-            .retain(|cut_off| now_ms < cut_off.at_ms + ABANDONED_MS);
-        let cut_off = self.cut_off.iter();
-        let known: Vec<_> = cut_off.map(|cut_off| cut_off.digests).collect();
+        self.abandoned
+            .retain(|abandoned| now_ms < abandoned.at_ms + ABANDONED_MS);
+        let abandoned = self.abandoned.iter();
+        let known: Vec<_> = abandoned.map(|abandoned| abandoned.digests).collect();
         self.trials
             .retain(|trial| *trial == digests || known.contains(trial));
-        self.cut_off.push(AbandonedRequest {
+        self.abandoned.push(AbandonedRequest {
             digests,
             at_ms: now_ms,
         });
@@ -97,9 +97,9 @@
 
     /// Requests that the server may have been running just now.
     fn latest(&self, now_ms: u64) -> impl Iterator<Item = RequestDigests> {
-        let is_fresh = move |cut_off: &&AbandonedRequest| now_ms < cut_off.at_ms + ABANDONED_MS;
-        let cut_off = self.cut_off.iter().filter(is_fresh);
-        let cut_off = cut_off.map(|cut_off| cut_off.digests);
-        cut_off.chain(self.running.iter().copied())
+        let is_fresh = move |abandoned: &&AbandonedRequest| now_ms < abandoned.at_ms + ABANDONED_MS;
+        let abandoned = self.abandoned.iter().filter(is_fresh);
+        let abandoned = abandoned.map(|abandoned| abandoned.digests);
+        abandoned.chain(self.running.iter().copied())
     }
 }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -410,7 +410,9 @@
     }
 
     fn running_requests(&self) -> MutexGuard<'_, RunningRequests> {
-        self.running_requests.lock().unwrap_or_else(PoisonError::into_inner)
+        self.running_requests
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn behaviour(&self) -> MutexGuard<'_, Behaviour> {
@@ -442,7 +444,7 @@
         if self.is_answered {
             running_requests.answered(self.digests);
         } else {
-            running_requests.cut_off(self.digests, clock::now_ms());
+            running_requests.abandoned(self.digests, clock::now_ms());
         }
     }
 }
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -206,7 +206,7 @@
         running_requests.begin(plain(digest));
     }
     running_requests.answered(plain(0));
-    running_requests.cut_off(plain(1), 1_000);
+    running_requests.abandoned(plain(1), 1_000);
     running_requests.begin(plain(2));
     running_requests.answered(plain(2));
     let all = [1, 2, 3, 4].map(RequestDigest);
@@ -430,7 +430,7 @@
         [Some(false), Some(true)]
     );
     // Its connection breaks off as the server ends.
-    running_requests.cut_off(plain(4), 990);
+    running_requests.abandoned(plain(4), 990);
     assert_eq!(is_trial(&running_requests, 4), Some(true));
     running_requests.begin_trial(plain(5));
     running_requests.answered(plain(5));
