--- a/src/entry/crashes/broken_connections.rs
+++ b/src/entry/crashes/broken_connections.rs
@@ -1,27 +1,29 @@
-//! Connections to one server that broke off without an answer, and whether that was its end.
+//! Broken connections to one server, and whether a probe found that the server had crashed.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use crate::clock;
 
-/// Connections to a server that broke off.
+/// Broken connections to a server: closed without a complete response, or refused.
 #[derive(Debug, Default)]
 pub struct BrokenConnections(Mutex<ProbeState>);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ProbeState {
+    /// Broken connections so far.
     count: u32,
+    /// Time of the latest one; 0 if there was none.
     latest_ms: u64,
-    /// When the server was found to have ended; 0 if it was not.
+    /// Time at which a probe found that the server had crashed; 0 if none did.
     ended_ms: u64,
-    /// True while somebody finds out whether the server has ended.
+    /// True while a liveness probe of the server runs.
     is_probed: bool,
 }
 
 impl BrokenConnections {
-    /// Notes that a connection broke off without an answer, or was refused; true if the caller is the
-    /// one to find out whether the server has ended. If it is known to have ended, nobody probes it until it
-    /// answers again.
+    /// Notes a broken or refused connection; returns true if the caller must probe the server. A
+    /// server known to have crashed is not probed again until it has answered since
+    /// (`answered_ms`).
     pub fn note(&self, answered_ms: u64) -> bool {
         let mut state = self.state();
         if state.ended_ms > answered_ms {
@@ -32,7 +34,7 @@
         !std::mem::replace(&mut state.is_probed, true)
     }
 
-    /// Notes that it was found out whether the server has ended.
+    /// Notes the result of a liveness probe.
     pub fn end_probe(&self, has_ended: bool) {
         let mut state = self.state();
         state.is_probed = false;
@@ -41,12 +43,12 @@
         }
     }
 
-    /// Number of connections that broke off so far.
+    /// Returns the number of broken connections so far; wraps around.
     pub fn count(&self) -> u32 {
         self.state().count
     }
 
-    /// When the latest one broke off; 0 if none did.
+    /// Returns the time of the latest broken connection; 0 if there was none.
     pub fn latest_ms(&self) -> u64 {
         self.state().latest_ms
     }
--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -1,10 +1,11 @@
-//! Servers that end, and requests under which several have ended.
+//! Detects server crashes, and quarantines requests that crash servers.
 //!
-//! A host whose connections to a server break off finds out whether the server has ended, and tells
-//! the other hosts which of its requests were there. All tally that, by caller and for all callers. While one server has
-//! ended under a request, one host at a time tries it; once enough have, it is in quarantine: the holder of the duty names it
-//! in each heartbeat and keeps it in the store. So a request that comes again at any host, also after the loss
-//! of all hosts, reaches no further server.
+//! A host whose connections to a server break probes whether the server has crashed. It then
+//! reports to the other hosts which of its requests were in flight there: the suspects. All hosts
+//! count this evidence, by caller and across callers. While one server has crashed under a request,
+//! only one host at a time may try it. With enough crashes the request is quarantined: the duty
+//! holder names it in each heartbeat and keeps it in the store. So a request that is retried at any
+//! host, even after the loss of all hosts, reaches no further server.
 
 pub mod broken_connections;
 mod probe;
@@ -37,28 +38,34 @@
 };
 use crate::clock;
 
-/// Interval at which an end is told again.
+/// Interval at which crash reports are sent again.
 const RESEND_INTERVAL_MS: u64 = 500;
-/// Most requests in quarantine that a heartbeat names, the latest ones: 320 bytes. The store has all.
+/// Most quarantined requests that a heartbeat names, the latest ones: 320 bytes. The store has all.
 const HEARTBEAT_DIGESTS_MAX: usize = 32;
 
-/// What a host knows of servers that ended and of the requests that were there.
+/// Crash reports, evidence and quarantine of a host.
 #[derive(Debug, Default)]
 pub struct Crashes {
+    /// Evidence against requests, by caller.
     tally: Mutex<CrashTally>,
+    /// Evidence against requests across callers, by content and by path.
     path_tally: Mutex<PathTally>,
+    /// Quarantined requests.
     quarantine: Mutex<Quarantine>,
+    /// Claims of trials by all hosts.
     trials: Mutex<Trials>,
+    /// Crash reports of this host, to be sent to the others.
     reports: Mutex<Reports>,
+    /// Quarantined requests as last read from or written to the store.
     stored: Mutex<StoredQuarantine>,
-    /// A server has ended.
+    /// Notified when this host has detected a server crash.
     ended: Notify,
-    /// A request was put in quarantine.
+    /// Notified when a request was quarantined.
     quarantined: Notify,
 }
 
 impl Crashes {
-    /// Time for which no server gets a request; `None` if servers may get it.
+    /// Returns the remaining time of a request's quarantine; `None` if it is not quarantined.
     pub fn rest_ms(&self, digests: RequestDigests) -> Option<u64> {
         let quarantine = lock(&self.quarantine);
         let rests = digests.all();
@@ -67,7 +74,7 @@
             .max()
     }
 
-    /// True if a server has ended under a request, which may end the next one too.
+    /// Returns true if a server has crashed under a request, which may crash the next one too.
     pub fn is_suspect(&self, digests: RequestDigests) -> bool {
         let now_ms = clock::now_ms();
         let tally = lock(&self.tally);
@@ -76,12 +83,14 @@
             || lock(&self.path_tally).is_suspect(digests.content, now_ms)
     }
 
-    /// True if a server has ended under a request for the same path, and none has run one to a good end since.
+    /// Returns true if a server has crashed under a request for the same path, and no server has
+    /// answered one since.
     pub fn is_path_suspect(&self, digests: RequestDigests) -> bool {
         lock(&self.path_tally).is_suspect(digests.any_path, clock::now_ms())
     }
 
-    /// What is tried of a suspect: what any caller asks for, if that is one.
+    /// Returns the digest whose trial is claimed: the digest across callers if that is suspect,
+    /// else the caller's path.
     fn trial_digest(&self, digests: RequestDigests) -> RequestDigest {
         if lock(&self.path_tally).is_suspect(digests.content, clock::now_ms()) {
             digests.content
@@ -90,21 +99,22 @@
         }
     }
 
-    /// Requests in quarantine that a heartbeat names.
+    /// Returns the quarantined requests that the next heartbeat names.
     pub fn told(&self) -> Vec<RequestDigest> {
         let mut latest = lock(&self.quarantine).latest(clock::now_ms());
         latest.truncate(HEARTBEAT_DIGESTS_MAX);
         latest
     }
 
-    /// Number of requests in quarantine.
+    /// Returns the number of quarantined requests.
     pub fn quarantined(&self) -> usize {
         lock(&self.quarantine).len()
     }
 }
 
 impl Entry {
-    /// Notes that a server ended under requests, as this host or another one saw.
+    /// Counts a crash of a server as evidence against its suspects, whether this host or another
+    /// one detected it.
     pub(in crate::entry) fn note_suspects(
         &self,
         server_tag: u32,
@@ -122,7 +132,8 @@
         self.put_in_quarantine(&reached, "servers ended under it");
     }
 
-    /// Notes that a server has run a request, sent at a time, to a good end: it is not what ended others.
+    /// Notes that a server has answered a request sent at `sent_ms` with success, so that the
+    /// request did not cause earlier crashes; announces it to all hosts if the request was suspect.
     pub(in crate::entry) fn note_success(&self, digests: RequestDigests, sent_ms: u64) {
         let sent_ago_ms = clock::now_ms().saturating_sub(sent_ms) as u32;
         for digest in digests.all() {
@@ -135,8 +146,9 @@
         }
     }
 
-    /// Forgets the evidence against a request that ended well; true if there was any. Ends are told three times:
-    /// without the reports being cleared, a harmless request would be under suspicion again half a second later.
+    /// Clears the evidence against a request that succeeded; returns true if there was any. Crash
+    /// reports are sent three times: unless the reports are cleared too, a harmless request would
+    /// be suspect again half a second later.
     pub(in crate::entry) fn clear_suspect(&self, digest: RequestDigest, sent_ms: u64) -> bool {
         let is_cleared = if digest.is_of_any_caller() {
             lock(&self.crashes.path_tally).clear(digest, sent_ms)
@@ -150,8 +162,8 @@
         is_cleared
     }
 
-    /// Before a try of a request under which a server has ended: waits until no other host tries it, and no suspect is
-    /// tried at its server. `Err` holds the time after which that may be so.
+    /// Claims the trial of a suspect request at a server: waits until the other hosts have had time
+    /// to claim the request or the server too. `Err` holds the time after which to try again.
     pub(in crate::entry) async fn claim_trial(
         &self,
         digests: RequestDigests,
@@ -177,12 +189,12 @@
         if has_all {
             return Ok(());
         }
-        // It was cleared meanwhile, or a host with a lower address tries it.
+        // The suspect was cleared meanwhile, or a host with a lower address has claimed it.
         self.release_own_claims(claims);
         self.claim(claims)
     }
 
-    /// Claims both or none.
+    /// Claims both the request and the server, or neither.
     fn claim(&self, [request, server]: [Claimed; 2]) -> Result<(), u64> {
         let own = self.settings.listen.peers;
         let now_ms = clock::now_ms();
@@ -195,7 +207,7 @@
         claimed
     }
 
-    /// Gives back those of the claims that this host has.
+    /// Releases those of the claims that this host still has.
     fn release_own_claims(&self, claims: [Claimed; 2]) {
         let own = self.settings.listen.peers;
         let now_ms = clock::now_ms();
@@ -206,23 +218,23 @@
         }
     }
 
-    /// Ends a claim here and at the other hosts.
+    /// Ends a claim at this host and at the others.
     fn release_claim(&self, claimed: Claimed) {
         self.note_trial_end(claimed);
         self.peers.send_to_all(Message::Tried(claimed));
     }
 
-    /// Notes that another host tries a suspect.
+    /// Notes another host's claim.
     pub(in crate::entry) fn note_trial(&self, claimed: Claimed, host: SocketAddr) {
         lock(&self.crashes.trials).note(claimed, host, clock::now_ms());
     }
 
-    /// Notes that the server of a trial lives, so that the next suspect may be tried there.
+    /// Ends a claim: the server answered the trial, so that the next suspect may be tried there.
     pub(in crate::entry) fn note_trial_end(&self, claimed: Claimed) {
         lock(&self.crashes.trials).end(claimed);
     }
 
-    /// Notes that a server has answered a suspect, and tells the other hosts.
+    /// Ends the trial of a suspect that a server has answered, at all hosts.
     pub(in crate::entry) fn end_trial(&self, digests: RequestDigests, server_tag: u32) {
         let claims = [
             Claimed::Request(self.crashes.trial_digest(digests)),
@@ -233,7 +245,7 @@
         }
     }
 
-    /// Keeps requests from all servers.
+    /// Quarantines requests: no server gets them. `source` names the origin in the log.
     pub(in crate::entry) fn put_in_quarantine(
         &self,
         digests: &[RequestDigest],
@@ -257,7 +269,7 @@
         }
     }
 
-    /// Tells the other hosts of servers that ended, and each later holder of the duty again.
+    /// Sends the crash reports of this host to the other hosts, and again to each new duty holder.
     pub(in crate::entry) async fn report_crashes(self: Arc<Self>) {
         loop {
             let term = self.peers.holder_term();
@@ -266,16 +278,17 @@
                 self.send_crash_report(report);
             }
             let pause = Duration::from_millis(RESEND_INTERVAL_MS);
-            // Either way what is due is told.
+            // Reports that are due are sent, whether a crash or the timeout ended the wait.
             if time::timeout(pause, self.crashes.ended.notified())
                 .await
                 .is_ok()
             {
-                log::debug!("a server has ended");
+                log::debug!("sending crash reports: a server has crashed");
             }
         }
     }
 
+    /// Sends one crash report, in messages of bounded size.
     fn send_crash_report(&self, report: &Report) {
         for digests in report.digests.chunks(ENTRIES_MAX) {
             self.send_suspects(report, digests.to_vec(), Vec::new());
@@ -285,6 +298,7 @@
         }
     }
 
+    /// Sends a part of a crash report to all hosts, or to the duty holder only.
     fn send_suspects(
         &self,
         report: &Report,
@@ -299,7 +313,7 @@
         if report.to_all {
             self.peers.send_to_all(message);
         } else if self.duty.term() == 0 && !self.peers.send_to_holder(&message) {
-            log::debug!("no holder hears that a server has ended");
+            log::debug!("crash report not sent: no duty holder can be reached");
         }
     }
 }
--- a/src/entry/crashes/probe.rs
+++ b/src/entry/crashes/probe.rs
@@ -1,4 +1,4 @@
-//! Finds out whether a server has ended when its connections break off.
+//! Probes whether a server has crashed when its connections break.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,16 +10,17 @@
     entry::{Entry, digest::RequestDigest, events::Event, pool::ConnectError, server::Server},
 };
 
-/// Time between the end of a connection and the probe whether its server has ended: a process closes
-/// its sockets one by one.
+/// Delay between a broken connection and the first probe: a crashing process closes its sockets one
+/// by one.
 const PROBE_AFTER_MS: u64 = 30;
-/// The same while connections to the server go on breaking off, as those to an overloaded one may. Each
-/// probe may cost it a connection.
+/// Delay before further probes while connections go on breaking, as those to an overloaded server
+/// may. Each probe may cost the server a connection.
 const PROBE_AGAIN_MS: u64 = 300;
-/// Time for a connection that shows that a server lives.
+/// Timeout of a probe's connection attempt.
 const PROBE_CONNECT_MS: u64 = 400;
+
 impl Entry {
-    /// After a connection to a server has broken off: finds out whether the server has ended.
+    /// Starts a liveness probe after a connection to a server broke, unless one runs already.
     pub(in crate::entry) fn probe_liveness(self: &Arc<Self>, server: &Arc<Server>) {
         if !server.broken_connections.note(server.answered_ms()) {
             return;
@@ -43,7 +44,8 @@
         });
     }
 
-    /// Notes that a server has ended, with the requests of this host that were there.
+    /// Notes that a server has crashed, and reports the requests of this host that were in flight
+    /// there.
     fn note_end(&self, server: &Server) {
         let suspects = server.suspects();
         let Suspects { digests, shared } = &suspects;
@@ -58,14 +60,15 @@
         }
         .log();
         self.note_suspects(server.tag, digests, shared);
-        // A lost zone of 216 servers would be 2,600 ends for each of 295 hosts to take in.
+        // In a mass crash only the duty holder gets the reports: a lost zone of 216 servers would
+        // mean 2,600 reports for each of 295 hosts.
         let to_all = !lock(&self.crashes.tally).are_many_at_once(clock::now_ms());
         lock(&self.crashes.reports).add(server.tag, suspects, to_all);
         self.crashes.ended.notify_one();
     }
 }
 
-/// All digests of the suspects, for the log.
+/// Returns all digests of the suspects, for the log.
 fn logged(suspects: &Suspects) -> Vec<String> {
     let shared = suspects.shared.iter().map(|suspect| &suspect.digest);
     let mut all: Vec<String> = suspects
@@ -78,8 +81,9 @@
     all
 }
 
-/// True if a server whose connections break off has ended: nothing shows that it lives, and its
-/// address refuses connections. One that comes up is kept for the next request.
+/// Returns true if a server whose connections broke has crashed: it has neither answered since nor
+/// kept a connection open, and its address refuses connections. A connection that the probe opens
+/// is kept for the next request.
 async fn has_ended(server: &Server) -> bool {
     if server.has_answered_since_broken_connection() || server.pool.has_open() {
         return false;
@@ -91,7 +95,7 @@
         }
         Err(ConnectError::Refused { .. }) => true,
         Err(error) => {
-            log::debug!("it is not known whether a server lives: {error}");
+            log::debug!("liveness probe of a server was inconclusive: {error}");
             false
         }
     }
--- a/src/entry/crashes/reports.rs
+++ b/src/entry/crashes/reports.rs
@@ -1,18 +1,18 @@
-//! Ends of servers that the other hosts must hear of.
+//! Crash reports that a host sends to the other hosts.
 
 use crate::entry::{decide::path_tally::SharedSuspect, digest::RequestDigest};
 
-/// Times that an end is told: datagrams may be lost.
+/// Times that a report is sent: datagrams may be lost.
 const SEND_TIMES: u32 = 3;
-/// Most ends that a later holder is told of, the latest ones.
+/// Most reports that are kept for later duty holders, the latest ones.
 const REPORTS_MAX: usize = 64;
 
-/// Requests that were at a server when it ended.
+/// Requests in flight at a server when it crashed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Suspects {
-    /// By caller.
+    /// Digests that include the caller.
     pub digests: Vec<RequestDigest>,
-    /// Without their callers.
+    /// Digests across callers.
     pub shared: Vec<SharedSuspect>,
 }
 
@@ -25,28 +25,29 @@
     }
 }
 
-/// End of a server as this host saw it.
+/// Crash of a server as this host detected it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// Short name of the server.
+    /// Tag of the server: a hash that names it in messages.
     pub server_tag: u32,
-    /// Requests of this host that were there.
+    /// Requests of this host that were in flight there, by caller.
     pub digests: Vec<RequestDigest>,
-    /// The same without their callers.
+    /// The same requests, across callers.
     pub shared: Vec<SharedSuspect>,
-    /// True if all hosts are told, not just the holder of the duty.
+    /// True if the report goes to all hosts, not only to the duty holder.
     pub to_all: bool,
-    /// Term of the holder that was told, and how often.
+    /// Term of the duty holder that the report was last sent to; 0 before the first.
     sent_term: u64,
+    /// Times that the report was sent in that term.
     sent_count: u32,
 }
 
-/// Ends of servers as this host saw them.
+/// Crash reports of this host, the oldest first.
 #[derive(Debug, Default)]
 pub struct Reports(Vec<Report>);
 
 impl Reports {
-    /// Adds an end.
+    /// Adds a report; drops the oldest one if there are too many.
     pub fn add(&mut self, server_tag: u32, suspects: impl Into<Suspects>, to_all: bool) {
         let Suspects { digests, shared } = suspects.into();
         if self.0.len() >= REPORTS_MAX {
@@ -62,8 +63,9 @@
         });
     }
 
-    /// What is to be told now, while the holder of a term is heard. A later holder is told all again: it may
-    /// have started after the end, and the other hosts have heard it.
+    /// Returns the reports to send now, given the term of the current duty holder. Each new duty
+    /// holder gets all reports again: it may have started after the crash. The other hosts have
+    /// received them before.
     pub fn due(&mut self, term: u64) -> Vec<Report> {
         let mut due = Vec::new();
         for report in &mut self.0 {
@@ -80,7 +82,7 @@
         due
     }
 
-    /// Leaves a request out that has turned out to be harmless.
+    /// Removes a request that has turned out to be harmless from all reports.
     pub fn clear(&mut self, digest: RequestDigest) {
         for report in &mut self.0 {
             report.digests.retain(|suspect| *suspect != digest);
--- a/src/entry/crashes/stored.rs
+++ b/src/entry/crashes/stored.rs
@@ -1,4 +1,5 @@
-//! Keeps the requests in quarantine in the store, so that they outlast the loss of all hosts.
+//! Keeps the quarantined requests in the store, so that the quarantine survives the loss of all
+//! hosts.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,24 +20,25 @@
     platform::store::{Expect, Put, Row, Transacted, Transaction},
 };
 
-/// Interval at which the holder compares what is in quarantine with what the store has.
+/// Interval at which the duty holder compares its quarantine with the row in the store.
 const STORE_CHECK_INTERVAL_MS: u64 = 1_000;
 
-/// What is in quarantine by the store.
+/// Quarantined requests as last read from or written to the store.
 #[derive(Debug, Default)]
 pub(super) struct StoredQuarantine {
     digests: Vec<RequestDigest>,
     version: u64,
 }
 
-/// Row of requests in quarantine.
+/// Row of the store that lists the quarantined requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct QuarantineRow {
     digests: Vec<RequestDigest>,
 }
 
 impl Entry {
-    /// Takes in the row of requests in quarantine.
+    /// Quarantines the requests of a row that was read from the store, unless the row is older than
+    /// the known one.
     pub(in crate::entry) fn apply_quarantine(&self, row: &Row) {
         let digests = if row.removed {
             Vec::new()
@@ -44,7 +46,7 @@
             match serde_json::from_slice::<QuarantineRow>(&row.value) {
                 Ok(known) => known.digests,
                 Err(error) => {
-                    log::warn!("the requests in quarantine cannot be read: {error}");
+                    log::warn!("the stored quarantine cannot be decoded: {error}");
                     Vec::new()
                 }
             }
@@ -62,17 +64,16 @@
         self.put_in_quarantine(&digests, "the store has it");
     }
 
-    /// Keeps the requests in quarantine in the store, while this host has the duty, so that they outlast
-    /// the loss of all hosts.
+    /// Keeps the row in the store up to date while this host has the duty.
     pub(in crate::entry) async fn keep_quarantine_stored(self: Arc<Self>) {
         loop {
             let pause = Duration::from_millis(STORE_CHECK_INTERVAL_MS);
-            // Either way it is compared.
+            // The row is compared, whether a quarantined request or the timeout ended the wait.
             if time::timeout(pause, self.crashes.quarantined.notified())
                 .await
                 .is_ok()
             {
-                log::debug!("a request is in quarantine");
+                log::debug!("checking the stored quarantine: a request was quarantined");
             }
             if self.duty.is_confirmed() && self.view.are_hosts_known() {
                 self.store_quarantine().await;
@@ -80,6 +81,7 @@
         }
     }
 
+    /// Writes the quarantined requests to the store if they differ from the row there.
     async fn store_quarantine(&self) {
         let digests = {
             let mut digests = lock(&self.crashes.quarantine).latest(clock::now_ms());
@@ -97,7 +99,7 @@
         let value = match serde_json::to_vec(&row) {
             Ok(value) => value,
             Err(error) => {
-                log::error!("the requests in quarantine cannot be encoded: {error}");
+                log::error!("the quarantine cannot be encoded: {error}");
                 return;
             }
         };
@@ -123,7 +125,7 @@
                 self.freshness.note_change(Followed::Own, version);
             }
             Ok(Transacted::Conflict { rows }) => self.apply_own(&rows),
-            Err(error) => log::debug!("the requests in quarantine are not stored yet: {error}"),
+            Err(error) => log::debug!("the quarantine cannot be stored yet: {error}"),
         }
     }
 }
