--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -1,5 +1,5 @@
-//! Which workspace a request is for, by the API key of its caller, and the proof that this host knows the latest
-//! keys.
+//! Authenticates callers by API key, and confirms that this host's configuration, which contains
+//! the keys, is recent enough to honour revocations.
 
 use std::{sync::Arc, sync::atomic::AtomicBool, time::Duration};
 
@@ -20,22 +20,25 @@
     platform::{headers, store::Feed},
 };
 
-/// Intervals of questions to the holder of the duty that fit into the bound of revocations.
+/// Queries of the duty holder within the bound on revocations: how many times the confirmation is
+/// refreshed before it would be too old.
 const PROOF_REQUESTS_PER_BOUND: u64 = 8;
-/// Share of the bound after which a host without proof asks the store itself, in hundredths.
+/// Age of the confirmation, in percent of the bound on revocations, from which a host queries the
+/// store itself.
 const STORE_QUERY_PERCENT: u64 = 40;
 
-/// Why a caller is turned away.
+/// Reason why a caller is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// Its key is missing or not known.
+    /// Its API key is missing or not known.
     Unauthorized,
-    /// This host cannot tell now whether its key is good.
+    /// This host cannot verify the API key now, because its configuration may be out of date.
     Unproved,
 }
 
 impl Entry {
-    /// The workspace that a request is for; `None` if it needs none.
+    /// Returns the workspace of a request, by its API key; `None` if the route or the configuration
+    /// needs none.
     pub(super) fn workspace_of(
         &self,
         configuration: &Configuration,
@@ -58,8 +61,9 @@
         }
     }
 
-    /// Time since the configuration in force was surely the latest one. Without a bound of revocations the word of
-    /// the holder of the duty is proof enough.
+    /// Returns the time since the configuration in force was confirmed to be the latest one; `None`
+    /// if it never was. Without a bound on revocations the duty holder's announcements count as
+    /// confirmation.
     fn configuration_age_ms(&self) -> Option<u64> {
         let followed = Followed::Configuration;
         let is_told = self.freshness.is_vouched()
@@ -72,7 +76,8 @@
         self.proof.age_ms(clock::now_ms())
     }
 
-    /// Keeps the proof that the configuration in force is the latest one, where operators bound revocations.
+    /// Keeps confirming that the configuration in force is the latest one, if operators set a bound
+    /// on revocations.
     pub(super) async fn maintain_configuration_proof(self: Arc<Self>) {
         let Some(bound_ms) = self.settings.bounds.revocation_ms else {
             return;
@@ -93,15 +98,18 @@
         }
     }
 
+    /// Queries the duty holder for the age of its confirmed configuration. The nonce matches the
+    /// answer to the time of this query.
     fn ask_holder_for_proof(&self) {
         let nonce = rand::random();
         self.proof.ask(nonce, clock::now_ms());
         if !self.peers.send_to_holder(&Message::AskProof { nonce }) {
-            log::debug!("no holder proves the configuration");
+            log::debug!("configuration not confirmed: no duty holder can be reached");
         }
     }
 
-    /// Asks the store whether the configuration has changed; false if it did not answer.
+    /// Asks the store whether the configuration has changed since; returns false if the store did
+    /// not answer.
     async fn ask_store_for_proof(&self) -> bool {
         let followed = Followed::Configuration;
         let after = self.freshness.applied(followed);
@@ -116,16 +124,17 @@
                 self.proof.note(asked_ms);
                 true
             }
-            // The feed that follows the table reads it as a whole.
+            // The store no longer has the changes: the feed of the table will read the whole table.
             Ok(Feed::HistoryGone) => true,
             Err(error) => {
-                log::debug!("the store does not prove the configuration: {error}");
+                log::debug!("configuration not confirmed by the store: {error}");
                 false
             }
         }
     }
 
-    /// What this host can prove of the configuration, for another host that has the same one.
+    /// Returns how old this host's confirmed configuration is, as the answer to another host's
+    /// query. `None` if it was never confirmed.
     pub(super) fn proof_for(&self, nonce: u64) -> Option<Message> {
         let age_ms = self.proof.age_ms(clock::now_ms())?;
         Some(Message::Proof {
@@ -135,7 +144,8 @@
         })
     }
 
-    /// Takes in another host's proof. It counts only for a host that knows no earlier configuration.
+    /// Notes another host's answer. It counts only if this host has a configuration at least as
+    /// recent as that host's.
     pub(super) fn note_proof(&self, nonce: u64, age_ms: u32, changed: u64) {
         if self.freshness.changed(Followed::Configuration) >= changed {
             self.proof.note_answer(nonce, u64::from(age_ms));
--- a/src/entry/digest.rs
+++ b/src/entry/digest.rs
@@ -1,5 +1,5 @@
-//! What stays the same when a caller sends a request again: each try has an id of its own, which ties
-//! nothing together.
+//! Digests that identify a request across retries. A caller gives each retry a new request id, so
+//! the id cannot be used for this.
 
 use std::fmt;
 
@@ -12,43 +12,45 @@
     transport::{CallerAddress, header_text},
 };
 
-/// Bytes of a body that a digest goes by. Of long bodies only the beginning is held in memory, and how much
-/// of it depends on the network.
+/// Bytes of a body that a digest covers. Only the beginning of a long body is buffered, and its
+/// length depends on the network.
 const BODY_BYTES_MAX: usize = 64 * 1024;
 
-/// Digest of what makes two tries the same request.
+/// Hash of the parts of a request that its retries have in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestDigest(pub u64);
 
-/// Set in digests that go without the caller, so that wherever one is kept its quarantine is known to be for all
-/// callers.
+/// Bit that is set in digests across callers and cleared in the others, so that every copy of a
+/// digest shows whether its quarantine applies to all callers.
 const ANY_CALLER_BIT: u64 = 1 << 63;
 
 impl RequestDigest {
-    /// True if requests of all callers have it.
+    /// Returns true if the digest does not cover the caller.
     pub fn is_of_any_caller(self) -> bool {
         self.0 & ANY_CALLER_BIT != 0
     }
 }
 
-/// Digests by which a request is known when it comes again.
+/// Digests of one request, from the narrowest to the widest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestDigests {
-    /// With its query: one query among many may end servers.
+    /// Covers method, host, path, caller, body and query: a single query among many may crash
+    /// servers.
     pub whole: RequestDigest,
-    /// Without its query, which may be another one at each try.
+    /// The same without the query, which may differ at each retry.
     pub path: RequestDigest,
-    /// With its query and body, whoever sends it: many callers may ask for the same.
+    /// Covers method, host, path, body and query, but not the caller: many callers may send the
+    /// same request.
     pub content: RequestDigest,
-    /// Its method, host and path, whoever sends it.
+    /// Covers method, host and path only.
     pub any_path: RequestDigest,
-    /// Short name of the caller.
+    /// Tag of the caller: a hash of its address.
     pub caller_tag: u32,
 }
 
 impl RequestDigests {
-    /// Digests of a request with a body, or with the beginning of a long one. The caller is known by its
-    /// address: two callers may read the same path at the same time.
+    /// Computes the digests of a request with its body, or with the beginning of a long one. The
+    /// caller is identified by its address: two callers may read the same path at the same time.
     pub fn of(head: &request::Parts, body: &[u8]) -> Self {
         let host = header_text(&head.headers, "host").unwrap_or_default();
         let caller = head.extensions.get::<CallerAddress>();
@@ -78,13 +80,13 @@
         }
     }
 
-    /// All of them, each once.
+    /// Returns all distinct digests.
     pub fn all(self) -> impl Iterator<Item = RequestDigest> {
         let shared = [self.content, self.any_path];
         self.iter().chain(shared)
     }
 
-    /// Those that tell callers apart; one if they are the same.
+    /// Returns the distinct digests that cover the caller: one if there is no query, else two.
     pub fn iter(self) -> impl Iterator<Item = RequestDigest> {
         let path = (self.path != self.whole).then_some(self.path);
         [Some(self.whole), path].into_iter().flatten()
@@ -99,7 +101,8 @@
     RequestDigest(hasher.digest() | ANY_CALLER_BIT)
 }
 
-/// Adds a part with its length, so that what moves from one part to the next makes a difference.
+/// Hashes a part with its length, so that moving bytes from one part to the next changes the
+/// digest.
 fn add(hasher: &mut Xxh3, part: &[u8]) {
     hasher.update(&(part.len() as u64).to_le_bytes());
     hasher.update(part);
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -1,21 +1,21 @@
-//! Which server holds which keys of one service: the record that hosts share through the store.
+//! Assignment of keys to servers for one sharded service, as hosts share it through the store.
 
 use std::{collections::HashMap, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
-/// Keys from `first` to `last`, both included.
+/// Range of keys from `first` to `last`, both included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyRange {
-    /// First key.
+    /// First key of the range.
     pub first: u16,
-    /// Last key.
+    /// Last key of the range, which is included.
     pub last: u16,
 }
 
 impl KeyRange {
-    /// What is left of the range without a key: up to two ranges.
+    /// Returns the range without a key: up to two ranges.
     pub fn without(&self, key: u16) -> Vec<Self> {
         if !self.contains(key) {
             return vec![*self];
@@ -31,130 +31,134 @@
         before.into_iter().chain(after).collect()
     }
 
-    /// All keys.
+    /// Range of all keys.
     pub const ALL: Self = Self {
         first: 0,
         last: u16::MAX,
     };
 
-    /// Number of keys.
+    /// Returns the number of keys in the range.
     pub fn len(&self) -> u32 {
         u32::from(self.last) - u32::from(self.first) + 1
     }
 
-    /// The keys as indices of a table of all keys.
+    /// Returns the keys as indices of a table of all keys.
     pub fn indices(&self) -> std::ops::RangeInclusive<usize> {
         usize::from(self.first)..=usize::from(self.last)
     }
 
-    /// Never true: a range has at least one key.
+    /// Returns false: a range has at least one key.
     pub fn is_empty(&self) -> bool {
         false
     }
 
-    /// True if the key is in the range.
+    /// Returns true if the key is in the range.
     pub fn contains(&self, key: u16) -> bool {
         (self.first..=self.last).contains(&key)
     }
 
-    /// True if the ranges share a key.
+    /// Returns true if the ranges have a key in common.
     pub fn overlaps(&self, other: &Self) -> bool {
         self.first <= other.last && other.first <= self.last
     }
 
-    /// True if all keys of `other` are in this range.
+    /// Returns true if this range contains all keys of `other`.
     pub fn covers(&self, other: &Self) -> bool {
         self.first <= other.first && other.last <= self.last
     }
 }
 
-/// Keys whose holdings lie in one row of the store. A row has a bounded size: what lies in one fits it however many
-/// servers there are, and a move writes no more than the rows that it concerns.
+/// Number of keys in a partition, whose holdings share one row of the store. A row has a bounded
+/// size: with this limit the holdings fit it with any number of servers, and a move writes only the
+/// rows that it concerns.
 const PARTITION_KEYS: u16 = 1_024;
 
-/// KeyPart of the keys whose holdings lie in one row: those of holdings whose first key is among its keys.
+/// Partition of the keys: consecutive keys whose holdings share one row of the store. A holding
+/// belongs to the partition of its first key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyPartition(u8);
 
 impl KeyPartition {
-    /// The part that a number names; `None` if there is none.
+    /// Returns the partition with a number; `None` if there is none.
     pub fn new(number: u8) -> Option<Self> {
         (u16::from(number) <= u16::MAX / PARTITION_KEYS).then_some(Self(number))
     }
 
-    /// Its number.
+    /// Returns the number of the partition, counted from 0 in the order of keys.
     pub fn number(self) -> u8 {
         self.0
     }
 
-    /// All parts, in the order of their keys.
+    /// Returns all partitions, in the order of their keys.
     pub fn all() -> impl Iterator<Item = Self> {
         (0..=u8::MAX).map_while(Self::new)
     }
 }
 
-/// Version of the encoding of [`Assignment`] in the store.
+/// Version of the encoding of [`Assignment`] in the store, the first byte of a record.
 const ENCODING: u8 = 1;
 
-/// Why holdings cannot be decoded.
+/// Reason why a record of holdings cannot be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum DecodeError {
-    /// The record is of another version of ashroad, or is empty.
+    /// The record has an unknown encoding version, or is empty.
     #[snafu(display("encoding {found:?} is unknown"))]
     Encoding {
-        /// First byte.
+        /// First byte of the record; `None` if it is empty.
         found: Option<u8>,
     },
-    /// The record is damaged.
+    /// The record is malformed.
     #[snafu(display("{source}"))]
     Damaged {
-        /// Cause.
+        /// Error of the serialisation library.
         source: postcard::Error,
     },
-    /// The record names a server that it does not list.
+    /// A holding refers to a server that is missing from the record's list.
     #[snafu(display("server {index} is not listed"))]
     Server {
-        /// Its index.
+        /// Index of the server in the list.
         index: u16,
     },
 }
 
-/// Holdings as they are stored: each server's id once, since a row has a bounded size.
+/// Encoded holdings of one row. Each server's id is stored once, since a row has a bounded size.
 #[derive(Serialize, Deserialize)]
 struct Encoded {
     fence: u64,
+    /// Ids of the servers that the holdings refer to by index.
     servers: Vec<Arc<str>>,
-    /// Keys, server, fence, former server.
+    /// Key range, index of the server, fence, and index of the former server.
     holdings: Vec<(KeyRange, u16, u64, Option<u16>)>,
 }
 
-/// Keys that one server holds under one fence.
+/// Key range that one server holds under one fence. The fence is a fencing token: it rises with
+/// each change of owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
-    /// Keys.
+    /// Range of keys.
     pub range: KeyRange,
-    /// Incarnation of the server.
+    /// Id of the server, which is new with each start of the server's process.
     pub server: Arc<str>,
-    /// Fence of the grant.
+    /// Fence under which the keys were granted.
     pub fence: u64,
-    /// Server that may still hold the keys: the grant must wait until it has released them or
-    /// its lease has run out.
+    /// Former server that may still hold the keys: they may be granted only after it has released
+    /// them or its lease has expired.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub from: Option<Arc<str>>,
 }
 
-/// All holdings of one service. Ranges do not overlap and are in ascending order; keys that no
-/// range covers have no server.
+/// All holdings of one sharded service. Ranges do not overlap and are in ascending order; keys
+/// outside of all ranges have no server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Assignment {
     /// Highest fence that was ever used for the service.
     pub fence: u64,
-    /// Holdings.
+    /// Holdings, in the order of their keys.
     pub holdings: Vec<Holding>,
 }
 
 impl Assignment {
-    /// The record of the holdings.
+    /// Encodes the holdings as a record for the store.
     pub fn encode(&self) -> Result<Vec<u8>, DecodeError> {
         let mut servers: Vec<Arc<str>> = Vec::new();
         let mut places: HashMap<Arc<str>, u16> = HashMap::new();
@@ -180,7 +184,7 @@
         Ok(bytes)
     }
 
-    /// Reads a record of holdings.
+    /// Decodes a record of holdings.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let found = bytes.first().copied();
         ensure!(found == Some(ENCODING), EncodingSnafu { found });
@@ -204,7 +208,7 @@
         })
     }
 
-    /// What of it lies in the row of a part.
+    /// Returns the holdings that belong to a partition.
     pub fn part(&self, part: KeyPartition) -> Self {
         let start = usize::from(part.0) * usize::from(PARTITION_KEYS);
         let end = start + usize::from(PARTITION_KEYS);
@@ -218,8 +222,9 @@
         }
     }
 
-    /// The whole of rows. Some may have been read later than others, or have been written by a version that had one
-    /// row for all: where holdings overlap, the one with the higher fence counts.
+    /// Merges the rows of all partitions. Rows may have been read at different times, or written by
+    /// a version that had one row for all keys: where holdings overlap, the one with the higher
+    /// fence wins.
     pub fn join<'a>(rows: impl Iterator<Item = &'a Self>) -> Self {
         let mut whole = Self::default();
         for row in rows {
@@ -239,14 +244,14 @@
         whole
     }
 
-    /// The holding that covers a key.
+    /// Returns the holding that contains a key.
     pub fn holding(&self, key: u16) -> Option<&Holding> {
         let position = self.holdings.partition_point(|h| h.range.last < key);
         let holding = self.holdings.get(position)?;
         holding.range.contains(key).then_some(holding)
     }
 
-    /// Removes a range from whatever holdings it overlaps; what remains of them keeps its fence.
+    /// Removes a range from all holdings; what remains of a holding keeps its fence.
     pub fn clear(&mut self, range: KeyRange) {
         let mut kept = Vec::with_capacity(self.holdings.len() + 1);
         for holding in self.holdings.drain(..) {
@@ -268,12 +273,12 @@
         self.holdings = kept;
     }
 
-    /// The next fence, which is at least `least`.
+    /// Returns the next unused fence, which is at least `least`.
     pub fn next_fence(&self, least: u64) -> u64 {
         (self.fence + 1).max(least)
     }
 
-    /// Puts a holding in the place of whatever it overlaps.
+    /// Inserts a holding and removes its range from all others.
     pub fn put(&mut self, holding: Holding) {
         self.fence = self.fence.max(holding.fence);
         self.clear(holding.range);
@@ -282,7 +287,7 @@
         self.holdings.insert(position, holding);
     }
 
-    /// Notes that the former servers of these holdings hold nothing any more.
+    /// Notes that the former servers of the holdings with these fences no longer hold the keys.
     pub fn settle(&mut self, fences: &[u64]) {
         for holding in &mut self.holdings {
             if fences.contains(&holding.fence) {
@@ -291,7 +296,7 @@
         }
     }
 
-    /// Ranges that no server holds.
+    /// Returns the ranges that no server holds.
     pub fn gaps(&self) -> Vec<KeyRange> {
         let mut gaps = Vec::new();
         let mut next = 0u32;
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to one backend server. Each carries one request at a time and is closed after
-//! anything that leaves doubt about what comes next on it.
+//! Connection pool of one backend server. A connection carries one request at a time, and is closed
+//! after anything that leaves its state in doubt.
 
 use std::{
     io,
@@ -19,37 +19,38 @@
 
 use crate::{clock, transport::AnswerBody};
 
-/// Idle time after which a connection is not reused if the server names none. Servers close
-/// idle connections after 10 s on the known sites.
+/// Idle time after which a connection is not reused if the server names no keep-alive timeout.
+/// Servers on the known sites close idle connections after 10 s.
 const IDLE_DEFAULT_MS: u64 = 4_000;
-/// Share of the idle time that the server names within which a connection is reused.
+/// Share of the server's keep-alive timeout up to which an idle connection is reused, so that it is
+/// not closed while a request is being sent.
 const IDLE_SHARE: f64 = 0.8;
-/// Time for a connection to come up. A lost opening packet is sent again after a second, which
-/// is later than most requests can wait.
+/// Timeout of a connection attempt. A lost SYN packet is sent again after a second, which is later
+/// than most requests can wait.
 const CONNECT_TIMEOUT_MS: u64 = 400;
 
-/// Why a connection did not come up.
+/// Reason why a connection could not be opened.
 #[derive(Debug, Snafu)]
 pub enum ConnectError {
-    /// Nobody listens at the address.
+    /// No process listens at the address.
     #[snafu(display("{source}"))]
     Refused {
-        /// Cause.
+        /// Error of the connect call.
         source: io::Error,
     },
-    /// The network failed.
+    /// The operating system reported another network error.
     #[snafu(display("{source}"))]
     Network {
-        /// Cause.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The protocol could not begin.
+    /// The HTTP/1.1 handshake failed.
     #[snafu(display("{source}"))]
     Protocol {
-        /// Cause.
+        /// Error of the HTTP library.
         source: hyper::Error,
     },
-    /// Nothing came in time.
+    /// The timeout passed.
     #[snafu(display("timeout"))]
     TimedOut,
 }
@@ -64,11 +65,13 @@
     }
 }
 
-/// A connection; closed when dropped.
+/// An HTTP/1.1 connection; closed when dropped.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<AnswerBody>,
+    /// Task that drives the connection; aborted when the connection is dropped.
     task: AbortHandle,
+    /// Idle time up to which it is reused.
     idle_limit_ms: u64,
     idle_since_ms: u64,
 }
@@ -79,7 +82,7 @@
     }
 }
 
-/// Idle connections to one server.
+/// Idle connections to one server, the one used last at the end.
 #[derive(Debug)]
 pub struct Pool {
     address: SocketAddr,
@@ -87,7 +90,7 @@
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool for a server's address.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -95,7 +98,7 @@
         }
     }
 
-    /// The connection that was used last and is still good, if there is one.
+    /// Takes the connection that was used last and can be reused, if there is one.
     pub fn take(&self) -> Option<Connection> {
         let now_ms = clock::now_ms();
         let mut idle = self.idle();
@@ -108,30 +111,31 @@
         None
     }
 
-    /// True if a connection is idle; it may still turn out to be too old.
+    /// Returns true if there is an idle connection; it may turn out to be too old for reuse.
     pub fn has_idle(&self) -> bool {
         !self.idle().is_empty()
     }
 
-    /// Opens a connection.
+    /// Opens a connection, within the remaining time of the request.
     pub async fn connect(&self, left_ms: u64) -> Result<Connection, ConnectError> {
         let limit = Duration::from_millis(left_ms.min(CONNECT_TIMEOUT_MS));
         let opened = time::timeout(limit, open(self.address)).await;
         opened.unwrap_or(Err(ConnectError::TimedOut))
     }
 
-    /// Keeps a connection on which nothing was sent yet.
+    /// Adds a new connection on which nothing was sent yet.
     pub fn keep(&self, mut connection: Connection) {
         connection.idle_since_ms = clock::now_ms();
         self.idle().push(connection);
     }
 
-    /// True if the server has left an idle connection open.
+    /// Returns true if the server has kept an idle connection open.
     pub fn has_open(&self) -> bool {
         self.idle().iter().any(|c| !c.sender.is_closed())
     }
 
-    /// Keeps a connection whose last answer was whole, for reuse.
+    /// Returns a connection to the pool after a complete response, unless the response's headers
+    /// ask to close it.
     pub fn give_back(&self, mut connection: Connection, answer: &HeaderMap) {
         if says_close(answer) {
             return;
@@ -143,7 +147,7 @@
         self.idle().push(connection);
     }
 
-    /// Closes connections that are too old to be reused.
+    /// Closes idle connections that are too old for reuse.
     pub fn sweep(&self) {
         let now_ms = clock::now_ms();
         let fresh = |c: &Connection| now_ms < c.idle_since_ms + c.idle_limit_ms;
@@ -156,7 +160,7 @@
 }
 
 impl Connection {
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response; the body is read by the caller.
     pub async fn send(
         &mut self,
         request: Request<AnswerBody>,
@@ -165,6 +169,7 @@
     }
 }
 
+/// Connects to the address and performs the HTTP/1.1 handshake.
 async fn open(address: SocketAddr) -> Result<Connection, ConnectError> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
@@ -172,7 +177,7 @@
     let (sender, connection) = begun.context(ProtocolSnafu)?;
     let task = tokio::spawn(async move {
         if let Err(error) = connection.await {
-            log::debug!("connection to {address} ended: {error}");
+            log::debug!("connection to {address} failed: {error}");
         }
     });
     Ok(Connection {
@@ -183,6 +188,7 @@
     })
 }
 
+/// Returns true if the headers ask to close the connection.
 fn says_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(header::CONNECTION).iter();
     values
@@ -190,6 +196,7 @@
         .any(|value| value.to_ascii_lowercase().contains("close"))
 }
 
+/// Returns the server's keep-alive timeout; `None` if it names none.
 fn keep_alive_ms(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value.split(',').find_map(|field| {
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -1,5 +1,5 @@
-//! Quotas of workspaces: each host reports what it was asked for and what it sent; the holder of the duty keeps the
-//! ledgers and tells all hosts what they may admit.
+//! Quotas of workspaces across hosts. Each host reports its requests to the duty holder, which adds
+//! them up in ledgers and announces which share of the requests all hosts may admit.
 
 use std::{
     collections::HashMap,
@@ -18,21 +18,23 @@
 };
 use crate::clock;
 
-/// Interval of reports and of the holder's word among few hosts. What is sent beyond a quota while a surge is not
-/// known yet grows with it.
+/// Interval of reports and announcements among few hosts. The excess over a quota, while a surge is
+/// not known yet, grows with it.
 const REPORT_INTERVAL_MS: u64 = 150;
-/// The same for each host, among many: the holder hears all of them.
+/// Interval of reports per host, if longer in total: it bounds the messages that the duty holder
+/// gets.
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 1;
-/// Intervals without the holder's word after which it counts as not heard.
+/// Intervals without an announcement after which a host no longer relies on the last one.
 const MISSED_ANNOUNCEMENTS: u64 = 4;
-/// Every so many intervals the holder tells of workspaces that ask for less than their quota.
+/// Number of intervals after which an announcement includes workspaces below their quota too.
 const FULL_ANNOUNCEMENT_EVERY: u64 = 6;
 
+/// Returns the interval of reports and announcements among this number of hosts.
 fn report_interval_ms(hosts: usize) -> u64 {
     REPORT_INTERVAL_MS.max(REPORT_INTERVAL_MS_PER_HOST * hosts as u64)
 }
 
-/// Quotas as one host knows them.
+/// State of all quotas at one host.
 #[derive(Debug, Default)]
 pub struct Quotas {
     known: Mutex<QuotaState>,
@@ -40,16 +42,17 @@
 
 #[derive(Debug, Default)]
 struct QuotaState {
-    /// This host's shares, by workspace.
+    /// This host's shares of the quotas, by workspace tag.
     shares: HashMap<u32, HostShare>,
-    /// Kept while this host has the duty.
+    /// Ledgers of all hosts' requests, by workspace tag; kept while this host has the duty.
     ledgers: HashMap<u32, Ledger>,
-    /// When the holder's word came last.
+    /// Time of the last announcement; `None` before the first.
     heard_ms: Option<u64>,
 }
 
 impl Quotas {
-    /// True if a request of a workspace is within its quota, which so many hosts share.
+    /// Returns true if the quota of the workspace, which this number of hosts share, admits a
+    /// request.
     pub fn admits(&self, workspace: &Workspace, hosts: usize) -> bool {
         let Some(quota) = workspace.quota else {
             return true;
@@ -66,7 +69,7 @@
         share.admits(quota, sharing, rand::random(), now_ms)
     }
 
-    /// Notes that a request of a workspace goes to a server.
+    /// Counts a request of a workspace that is sent to a server.
     pub fn note_sent(&self, workspace: &Workspace) {
         if workspace.quota.is_some() {
             let mut known = self.known();
@@ -74,7 +77,7 @@
         }
     }
 
-    /// What this host was asked for and has sent since the last report.
+    /// Returns the requests of each workspace since the last report, received and sent.
     fn take_report(&self) -> Vec<WorkspaceUse> {
         let mut known = self.known();
         let reports = known.shares.iter_mut().map(|(tag, share)| WorkspaceUse {
@@ -86,7 +89,7 @@
             .collect()
     }
 
-    /// Takes in, as the holder, what a host reported.
+    /// Adds a host's report to the ledgers of the duty holder.
     fn note_report(&self, workspaces: &Workspaces, reports: &[WorkspaceUse]) {
         let now_ms = clock::now_ms();
         let mut known = self.known();
@@ -101,7 +104,8 @@
         }
     }
 
-    /// What hosts may admit, as the holder; all of it at times, else only what binds.
+    /// Returns the shares that hosts may admit, by the ledgers of the duty holder: those of all
+    /// workspaces if `is_for_all`, else only those that limit a workspace or have just ceased to.
     fn admitted(&self, workspaces: &Workspaces, is_for_all: bool) -> Vec<WorkspaceAdmitted> {
         let now_ms = clock::now_ms();
         let mut known = self.known();
@@ -129,7 +133,7 @@
         told
     }
 
-    /// Takes in the holder's word.
+    /// Applies an announcement of the duty holder.
     pub(super) fn note_told(&self, told: &[WorkspaceAdmitted]) {
         let now_ms = clock::now_ms();
         let mut known = self.known();
@@ -140,11 +144,12 @@
         }
     }
 
-    /// What may be admitted of a workspace's requests by the holder's latest word.
+    /// Returns the share that the latest announcement lets hosts admit of a workspace's requests.
     pub fn told(&self, workspace_tag: u32) -> Option<Admitted> {
         self.known().shares.get(&workspace_tag)?.told()
     }
 
+    /// Discards the ledgers of a host that does not have the duty.
     fn forget_ledgers(&self) {
         self.known().ledgers.clear();
     }
@@ -154,10 +159,12 @@
     }
 }
 
+/// Returns the quota of a workspace; `None` if it has none or is not known.
 fn quota_of(workspaces: &Workspaces, tag: u32) -> Option<Quota> {
     workspaces.by_tag(tag)?.quota
 }
 
+/// Logs that a workspace has reached its quota, or is below it again.
 fn log_change(workspaces: &Workspaces, tag: u32, quota: Quota, admitted: Admitted) {
     let Some(workspace) = workspaces.by_tag(tag) else {
         return;
@@ -172,7 +179,8 @@
 }
 
 impl Entry {
-    /// Reports to the holder what workspaces have used; as the holder, tells all hosts what they may admit.
+    /// Reports the usage of workspaces to the duty holder; as the duty holder, announces to all
+    /// hosts what they may admit.
     pub(in crate::entry) async fn exchange_quota_usage(self: Arc<Self>) {
         let mut round: u64 = 0;
         loop {
@@ -198,15 +206,17 @@
         }
     }
 
+    /// Sends this host's usage report to the duty holder.
     fn report_quotas(&self, reports: &[WorkspaceUse]) {
         for reports in reports.chunks(QUOTAS_MAX) {
             if !self.peers.send_to_holder(&Message::Used(reports.to_vec())) {
-                log::debug!("no holder hears what workspaces use");
+                log::debug!("usage report not sent: no duty holder can be reached");
             }
         }
     }
 
-    /// Tells all hosts what they may admit. Word that names no workspace shows that the holder lives.
+    /// Announces to all hosts what they may admit. An announcement without workspaces shows that
+    /// the duty holder is alive.
     fn announce_quotas(&self, told: &[WorkspaceAdmitted]) {
         self.quotas.note_told(told);
         if told.is_empty() {
@@ -217,7 +227,7 @@
         }
     }
 
-    /// Takes in, as the holder, what a host reported of workspaces.
+    /// Handles a host's usage report, if this host has the duty.
     pub(in crate::entry) fn take_used(&self, reports: &[WorkspaceUse]) {
         if self.duty.term() == 0 {
             return;
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -1,6 +1,6 @@
-//! Rates that servers take from all hosts together: each host tells the holder of the duty what servers have named
-//! and what its callers ask of them; the holder tells all hosts the latest word and the sum, by which each takes its
-//! part.
+//! Rate limits that servers advertise for all hosts together. Each host reports to the duty holder
+//! the limits that servers have sent it, and the demand of its callers. The duty holder announces
+//! the latest limits and the total demand, from which each host computes its share.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,13 +16,14 @@
 };
 use crate::clock;
 
-/// Interval of reports among few hosts.
+/// Interval of reports and announcements among few hosts.
 const REPORT_INTERVAL_MS: u64 = 150;
-/// The same for each host, among many: the holder hears all of them.
+/// Interval of reports per host, if longer in total: it bounds the messages that the duty holder
+/// gets.
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 2;
 
 impl Entry {
-    /// Takes in what a server's answer to a request of this host said of the rate that it takes.
+    /// Notes the rate limit that a server advertised in a response to this host.
     pub(in crate::entry) fn note_told_limit(&self, server: &Server, told: ToldLimit) {
         let per_s = match told {
             ToldLimit::Unlimited => None,
@@ -34,7 +35,8 @@
         log_change(server, is_change, "its answer");
     }
 
-    /// Tells the holder what this host knows of servers' rates; as the holder, tells all hosts.
+    /// Reports this host's limits and demand to the duty holder; as the duty holder, announces the
+    /// totals to all hosts.
     pub(in crate::entry) async fn exchange_rate_limits(self: Arc<Self>) {
         loop {
             let every_ms =
@@ -50,7 +52,8 @@
         }
     }
 
-    /// What servers told this host of their rates, with what its own callers ask for.
+    /// Returns the limits that servers have advertised to this host, with the demand of its own
+    /// callers.
     fn own_rates(&self) -> Vec<ServerRate> {
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
@@ -63,15 +66,16 @@
         rates.collect()
     }
 
+    /// Sends this host's report to the duty holder.
     fn report_rates(&self, rates: Vec<ServerRate>) {
         for rates in rates.chunks(RATES_MAX) {
             if !self.peers.send_to_holder(&Message::Asked(rates.to_vec())) {
-                log::debug!("no holder hears what is asked of limited servers");
+                log::debug!("rate report not sent: no duty holder can be reached");
             }
         }
     }
 
-    /// Takes in, as the holder, what a host knows of the rates of servers.
+    /// Handles a host's report of limits and demand, if this host has the duty.
     pub(in crate::entry) fn take_rates(&self, host: SocketAddr, rates: &[ServerRate]) {
         if self.duty.term() == 0 {
             return;
@@ -84,7 +88,7 @@
         }
     }
 
-    /// Tells all hosts, as the holder, the rates of servers, and what the callers of all hosts ask for.
+    /// Announces, as the duty holder, the latest limits and the total demand to all hosts.
     fn announce_rates(&self) {
         let now_ms = clock::now_ms();
         let rates: Vec<ServerRate> = {
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Takes in what the holder knows of the rates of servers, and what the callers of all hosts ask for.
+    /// Applies an announcement of the duty holder: the latest limits and the total demand.
     pub(in crate::entry) fn take_sums(&self, rates: &[ServerRate]) {
         let now_ms = clock::now_ms();
         self.note_limits(rates, now_ms);
@@ -117,6 +121,7 @@
         }
     }
 
+    /// Notes the limits that another host reported or announced.
     fn note_limits(&self, rates: &[ServerRate], now_ms: u64) {
         let registry = self.view.registry();
         for rate in rates {
@@ -132,6 +137,7 @@
     }
 }
 
+/// Converts an advertised limit into its form in messages, with its age.
 fn told(word: Option<LimitWord>, now_ms: u64) -> Option<ToldRate> {
     let word = word?;
     Some(ToldRate {
@@ -140,6 +146,7 @@
     })
 }
 
+/// Logs a change of a server's limit; `source` names where it was learned from.
 fn log_change(server: &Server, is_change: bool, source: &'static str) {
     if !is_change {
         return;
--- a/src/entry/running_requests.rs
+++ b/src/entry/running_requests.rs
@@ -1,48 +1,51 @@
-//! Requests of this host at one server: those that would be in flight if it ended now.
+//! Requests of this host at one server: those in flight, and those abandoned lately, which the
+//! server may still be running.
 
 use crate::entry::{
     decide::path_tally::{SharedSuspect, Width},
     digest::{RequestDigest, RequestDigests},
 };
 
-/// Time after which a request that was given up is no longer taken for running: its caller left, or
-/// its deadline passed, while the server may have worked on it.
+/// Time for which the server may still run a request that this host has abandoned because its
+/// caller disconnected or its deadline passed.
 const ABANDONED_MS: u64 = 2_000;
 
-/// A request that was given up without an answer.
+/// A request that was abandoned without a response.
 #[derive(Clone, Copy, Debug)]
 struct AbandonedRequest {
     digests: RequestDigests,
+    /// Time at which it was abandoned.
     at_ms: u64,
 }
 
-/// Requests at one server.
+/// Requests of this host that one server may be running.
 #[derive(Debug, Default)]
 pub struct RunningRequests {
     running: Vec<RequestDigests>,
     abandoned: Vec<AbandonedRequest>,
-    /// What is tried here as a suspect.
+    /// Requests that run here as the trial of a suspect.
     trials: Vec<RequestDigests>,
 }
 
 impl RunningRequests {
-    /// Notes that a request is sent.
+    /// Notes that a request is sent to the server.
     pub fn begin(&mut self, digests: RequestDigests) {
         self.running.push(digests);
     }
 
-    /// Notes that a request is sent for a trial: no other suspect runs there.
+    /// Notes that a request is sent as the trial of a suspect: no other suspect runs at the server.
     pub fn begin_trial(&mut self, digests: RequestDigests) {
         self.trials.push(digests);
         self.begin(digests);
     }
 
-    /// Notes that the server has answered a request.
+    /// Notes that the server has answered a request, which ends its trial.
     pub fn answered(&mut self, digests: RequestDigests) {
         self.trials.retain(|trial| *trial != digests);
         self.end(digests);
     }
 
+    /// Removes a request from those in flight.
     fn end(&mut self, digests: RequestDigests) {
         let mut running = self.running.iter();
         if let Some(place) = running.position(|running| *running == digests) {
@@ -50,7 +53,8 @@
         }
     }
 
-    /// Notes that a request ended without an answer.
+    /// Notes that a request was abandoned without a response. Its trial is kept as long as the
+    /// request counts as running.
     pub fn abandoned(&mut self, digests: RequestDigests, now_ms: u64) {
         self.end(digests);
         self.abandoned
@@ -65,7 +69,7 @@
         });
     }
 
-    /// Digests of the requests that the server may have been running just now, each once.
+    /// Returns the distinct digests of the requests that the server may be running, by caller.
     pub fn suspects(&self, now_ms: u64) -> Vec<RequestDigest> {
         let running = self.latest(now_ms);
         let mut digests: Vec<RequestDigest> = running.flat_map(RequestDigests::iter).collect();
@@ -74,7 +78,7 @@
         digests
     }
 
-    /// The same requests without their callers.
+    /// Returns the same requests as suspects across callers.
     pub fn shared_suspects(&self, now_ms: u64) -> Vec<SharedSuspect> {
         let suspects = self.latest(now_ms).flat_map(|digests| {
             let is_trial = self.trials.contains(&digests);
@@ -95,7 +99,7 @@
         suspects
     }
 
-    /// Requests that the server may have been running just now.
+    /// Returns the requests in flight and those abandoned in the last [`ABANDONED_MS`].
     fn latest(&self, now_ms: u64) -> impl Iterator<Item = RequestDigests> {
         let is_fresh = move |abandoned: &&AbandonedRequest| now_ms < abandoned.at_ms + ABANDONED_MS;
         let abandoned = self.abandoned.iter().filter(is_fresh);
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -1,4 +1,4 @@
-//! Rate that a server takes from all hosts together, as one host knows it, and this host's part of it.
+//! Rate limit of one server for all hosts together, and this host's share of it.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -10,17 +10,18 @@
 };
 use crate::clock;
 
-/// Rate of one server.
+/// Rate limit of one server, as this host knows it.
 #[derive(Debug, Default)]
 pub struct SharedRate {
-    /// Shared with what is kept of the server while its entry is gone.
+    /// Advertised limit and other notices; shared with the record that is kept while the server's
+    /// entry is gone.
     notices: Arc<Mutex<Notices>>,
     share: Mutex<Share>,
-    /// Requests that this host sent to it.
+    /// Rate of the requests that this host sends to the server.
     sent: Mutex<RateMeter>,
 }
 
-/// This host's share.
+/// State of this host's share: the demand of callers, and the token bucket.
 #[derive(Debug, Default)]
 struct Share {
     asked: Asked,
@@ -28,7 +29,7 @@
 }
 
 impl SharedRate {
-    /// Rate of a server that has told what is in `notices`.
+    /// Creates the state for a server, with the limit in its `notices`.
     pub fn new(notices: Arc<Mutex<Notices>>) -> Self {
         Self {
             notices,
@@ -36,66 +37,70 @@
         }
     }
 
-    /// Takes in the rate that an answer to this host named; true if that is worth a log line.
+    /// Notes the limit that a response to this host advertised; returns true if the change should
+    /// be logged.
     pub fn note_own_limit(&self, word: LimitWord) -> bool {
         let mut notices = self.notices();
         notices.rate_limit.note_own(word);
         notices.rate_limit.take_change()
     }
 
-    /// The same of an answer to another host.
+    /// Notes the limit that a response to another host advertised; returns true if the change
+    /// should be logged.
     pub fn note_limit(&self, word: LimitWord) -> bool {
         let mut notices = self.notices();
         notices.rate_limit.note(word);
         notices.rate_limit.take_change()
     }
 
-    /// Requests a second that it takes from all hosts together; `None` if it takes any rate.
+    /// Returns the limit for all hosts together, in requests a second; `None` if the server is
+    /// unlimited.
     pub fn limit_per_s(&self) -> Option<f64> {
         self.notices().rate_limit.per_s()
     }
 
-    /// True if nothing was heard of its limit for a while.
+    /// Returns true if the server has not restated its limit for a while.
     pub fn is_unheard(&self) -> bool {
         self.notices().rate_limit.is_unheard(clock::now_ms())
     }
 
-    /// Requests a second that it takes, for the planner.
+    /// Returns the limit that the planner of key moves uses, in requests a second.
     pub fn planned_per_s(&self, now_ms: u64) -> Option<f64> {
         self.notices().rate_limit.planned_per_s(now_ms)
     }
 
-    /// True if other hosts should hear of the rate that it takes.
+    /// Returns true if the limit must be reported to other hosts.
     pub fn is_news(&self, now_ms: u64) -> bool {
         self.notices().rate_limit.is_news(now_ms)
     }
 
-    /// Its latest word of a rate to any host.
+    /// Returns the latest limit that the server advertised to any host.
     pub fn latest(&self) -> Option<LimitWord> {
         self.notices().rate_limit.latest()
     }
 
-    /// Its latest word of a rate to this host.
+    /// Returns the latest limit that the server advertised to this host.
     pub fn own(&self) -> Option<LimitWord> {
         self.notices().rate_limit.own()
     }
 
-    /// Counts a request that a caller of this host asks of it.
+    /// Counts a request of a caller that could be sent to the server.
     pub fn note_asked(&self, is_urgent: bool) {
         self.share().asked.note(is_urgent, clock::now_ms());
     }
 
-    /// What callers of this host ask of it, to be reported now.
+    /// Returns the demand of this host's callers, for a report that is sent now.
     pub fn report_asked(&self, now_ms: u64) -> AskedRates {
         self.share().asked.report(now_ms)
     }
 
-    /// Notes what callers of all hosts ask of it.
+    /// Notes the demand of the callers of all hosts.
     pub fn note_asked_sum(&self, sum: AskedRates, now_ms: u64) {
         self.share().asked.note_sum(sum, now_ms);
     }
 
-    /// This host's part for a request of the rate that it takes, shared with so many hosts; `None` if it takes any rate.
+    /// Returns this host's share of the limit for a request, with this number of hosts; `None` if
+    /// the server is unlimited.
     pub fn part(&self, hosts: usize, is_urgent: bool) -> Option<Part> {
         let now_ms = clock::now_ms();
         let shared_per_s = self.notices().rate_limit.shared_per_s(now_ms)?;
@@ -103,25 +108,25 @@
         Some(share.asked.part(shared_per_s, hosts, is_urgent, now_ms))
     }
 
-    /// True if this host's part leaves room for a request now.
+    /// Returns true if this host's share leaves a token for a request now.
     pub fn has_token(&self, part: Part) -> bool {
         let bucket = &mut self.share().bucket;
         bucket.has_token(part.bucket_per_s, clock::now_ms())
     }
 
-    /// Notes that a request is about to be sent, which uses a part of its rate if that is limited.
+    /// Takes a token for a request that is about to be sent, if the server has a limit.
     pub fn take_token(&self) {
         if self.limit_per_s().is_some() {
             self.share().bucket.take();
         }
     }
 
-    /// Requests a second that this host sends to it.
+    /// Returns the rate at which this host sends requests to the server, in requests a second.
     pub fn sent_per_s(&self) -> f64 {
         self.sent().per_s(clock::now_ms())
     }
 
-    /// Counts a request that this host sends to it.
+    /// Counts a request that this host sends to the server.
     pub fn note_sent(&self) {
         self.sent().note(clock::now_ms());
     }
--- a/src/entry/workspaces.rs
+++ b/src/entry/workspaces.rs
@@ -1,4 +1,5 @@
-//! Workspaces: the tenants on whose behalf callers send requests, and the API keys by which callers prove it.
+//! Workspaces, the tenants on whose behalf callers send requests, and the API keys that
+//! authenticate callers.
 
 use std::{collections::HashMap, fmt, sync::Arc, sync::LazyLock};
 
@@ -6,27 +7,28 @@
 
 use super::{decide::quota::Quota, server::tag_of};
 
-/// Place of a workspace in its configuration.
+/// Index of a workspace in its configuration; valid only for that configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct WorkspaceKey(usize);
 
-/// A workspace.
+/// Settings of a workspace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workspace {
-    /// Name.
+    /// Name by which operators and servers know it.
     pub name: Arc<str>,
-    /// Short name in messages between hosts.
+    /// Tag that names it in messages between hosts: a hash of its name.
     pub tag: u32,
-    /// Rank of its requests, which comes before that of their routes; 0 is the most urgent.
+    /// Priority of its requests, which takes precedence over that of their routes; 0 is the
+    /// highest.
     pub urgency: u32,
-    /// Requests that it may send; `None` for any number.
+    /// Rate limit of its requests at all hosts together; `None` if unlimited.
     pub quota: Option<Quota>,
-    /// Regions where it may be served; empty for all.
+    /// Regions where its requests may be served; empty for all.
     pub regions: Vec<Arc<str>>,
 }
 
 impl Workspace {
-    /// A workspace without quota that may be served everywhere.
+    /// Creates a workspace without a quota that may be served in all regions.
     pub fn new(name: &str, urgency: u32) -> Self {
         Self {
             name: name.into(),
@@ -38,18 +40,19 @@
     }
 }
 
-/// An API key as it is kept: a digest that tells nothing of the key outside of this process.
+/// Keyed digest under which an API key is kept; it reveals nothing of the key outside of this
+/// process.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ApiKeyDigest([u8; 32]);
 
-/// Secret of this process.
+/// HMAC key of the digests, generated at the start of this process.
 static DIGEST_KEY: LazyLock<hmac::Key> = LazyLock::new(|| {
     let generated = hmac::Key::generate(hmac::HMAC_SHA256, &SystemRandom::new());
     generated.expect("the system has random numbers")
 });
 
 impl ApiKeyDigest {
-    /// Digest of a key.
+    /// Computes the digest of an API key.
     pub fn of(api_key: &str) -> Self {
         let tag = hmac::sign(&DIGEST_KEY, api_key.as_bytes());
         let mut digest = [0; 32];
@@ -64,7 +67,7 @@
     }
 }
 
-/// The workspaces of a configuration.
+/// Workspaces of a configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Workspaces {
     workspaces: Vec<Workspace>,
@@ -73,7 +76,7 @@
 }
 
 impl Workspaces {
-    /// Adds a workspace whose callers have these API keys.
+    /// Adds a workspace with the API keys of its callers.
     pub fn add(&mut self, workspace: Workspace, api_keys: impl Iterator<Item = ApiKeyDigest>) {
         let key = WorkspaceKey(self.workspaces.len());
         self.by_tag.insert(workspace.tag, key);
@@ -81,23 +84,23 @@
         self.api_keys.extend(api_keys.map(|api_key| (api_key, key)));
     }
 
-    /// The workspace that an API key belongs to.
+    /// Returns the workspace that an API key belongs to.
     pub fn by_api_key(&self, api_key: &str) -> Option<WorkspaceKey> {
         self.api_keys.get(&ApiKeyDigest::of(api_key)).copied()
     }
 
-    /// A workspace.
+    /// Returns the workspace at an index of this configuration.
     pub fn get(&self, key: WorkspaceKey) -> &Workspace {
         &self.workspaces[key.0]
     }
 
-    /// A workspace by its short name.
+    /// Returns a workspace by its tag.
     pub fn by_tag(&self, tag: u32) -> Option<&Workspace> {
         let key = self.by_tag.get(&tag)?;
         Some(self.get(*key))
     }
 
-    /// All workspaces.
+    /// Returns all workspaces.
     pub fn iter(&self) -> impl Iterator<Item = &Workspace> {
         self.workspaces.iter()
     }
