--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -214,7 +214,7 @@
 }
 
 #[tokio::test]
-async fn ends_count_that_the_holder_before_was_told_of() {
+async fn crash_reports_to_the_previous_duty_holder_still_count() {
     let (mut site, _servers) = start(4, 14).await;
     let holder = holder(&site);
     site.hosts.swap(0, holder);
