--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -191,7 +191,7 @@
 }
 
 #[tokio::test]
-async fn what_ended_servers_is_known_after_the_loss_of_all_hosts() {
+async fn quarantine_survives_the_loss_of_all_hosts() {
     let (mut site, _servers) = start(3, 14).await;
     send_again_and_again(&site, 6).await;
     let before = site.record.ends().len();
