--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -395,7 +395,7 @@
 }
 
 #[test]
-fn what_all_callers_are_refused_is_tried_again_sooner() {
+fn quarantine_for_all_callers_is_shorter() {
     let any_caller = RequestDigest(1 << 63 | 5);
     let mut quarantine = Quarantine::default();
     quarantine.add(any_caller, 0);
