--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn what_many_callers_ask_for_is_the_cause_only_by_more_than_one_caller_and_a_trial() {
+fn a_request_of_many_callers_needs_several_callers_and_a_trial_as_evidence() {
     struct Case {
         what: &'static str,
         width: Width,
