--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn the_loss_of_many_servers_speaks_against_no_path() {
+fn a_mass_crash_is_no_evidence_against_a_path() {
     let mut tally = PathTally::default();
     for server_tag in 0..12 {
         let suspects = [7, 8].map(|caller_tag| shared(caller_tag, Width::Path, false));
