--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -354,7 +354,7 @@
 }
 
 #[test]
-fn a_good_end_of_a_later_request_clears_a_path_and_one_in_flight_before_does_not() {
+fn only_a_success_sent_after_the_crash_clears_a_path() {
     let mut tally = PathTally::default();
     tally.note(1, &[shared(7, Width::Content, false)], false, 1_000);
     assert!(!tally.clear(DEADLY, 990), "sent before the end");
