--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn all_hosts_are_told_of_an_end_and_a_later_holder_again() {
+fn crash_reports_go_to_all_hosts_and_again_to_a_new_duty_holder() {
     let mut reports = Reports::default();
     reports.add(7, vec![DEADLY, CHANCE], true);
     for _ in 0..3 {
