--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn the_story_of_a_refusal_names_the_servers_that_ended() {
+fn the_explanation_of_a_refusal_names_the_crashed_servers() {
     let first = r#"
         {"at_unix_ms":1000,"event":"server_ended","server":"i-1","digests":["0a","0b"]}
         {"at_unix_ms":1500,"event":"server_ended","server":"i-9","digests":["0b"]}
