--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -416,7 +416,7 @@
 }
 
 #[test]
-fn a_server_that_ends_in_a_trial_has_one_trial() {
+fn a_broken_trial_remains_a_trial_until_it_is_answered() {
     let mut running_requests = RunningRequests::default();
     running_requests.begin(plain(3));
     running_requests.begin_trial(plain(4));
