--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn requests_whose_callers_left_stay_under_suspicion_for_a_moment() {
+fn abandoned_requests_stay_suspect_for_a_moment() {
     let mut running_requests = RunningRequests::default();
     for digest in 0..5 {
         running_requests.begin(plain(digest));
