--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -17,7 +17,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const DEADLY: RequestDigest = RequestDigest(1);
-const CHANCE: RequestDigest = RequestDigest(2);
+const HARMLESS: RequestDigest = RequestDigest(2);
 const MINUTE_MS: u64 = 60_000;
 
 #[test]
@@ -84,12 +84,15 @@
         ));
     }
     for server_tag in 9..12 {
-        reached.extend(tally.note(server_tag, &[CHANCE], 60));
+        reached.extend(tally.note(server_tag, &[HARMLESS], 60));
     }
     assert_eq!(reached, []);
-    assert!(!tally.is_suspect(CHANCE, 100), "tried as often as it comes");
+    assert!(
+        !tally.is_suspect(HARMLESS, 100),
+        "tried as often as it comes"
+    );
     // Where it goes on, it is the cause after all.
-    assert_eq!(tally.note(20, &[CHANCE], 4_000), [CHANCE]);
+    assert_eq!(tally.note(20, &[HARMLESS], 4_000), [HARMLESS]);
 }
 
 #[test]
@@ -97,11 +100,11 @@
     let mut tally = CrashTally::default();
     for server_tag in 0..10 {
         let now_ms = u64::from(server_tag) * 3_500;
-        let reached = tally.note(server_tag, &[DEADLY, CHANCE], now_ms);
-        assert!(!reached.contains(&CHANCE));
+        let reached = tally.note(server_tag, &[DEADLY, HARMLESS], now_ms);
+        assert!(!reached.contains(&HARMLESS));
         assert_eq!(reached.contains(&DEADLY), server_tag >= 1);
-        assert!(tally.clear(CHANCE));
-        assert!(!tally.clear(CHANCE), "cleared before");
+        assert!(tally.clear(HARMLESS));
+        assert!(!tally.clear(HARMLESS), "cleared before");
     }
 }
 
@@ -154,7 +157,7 @@
     assert!(quarantine.add(DEADLY, 5));
     assert!(!quarantine.add(DEADLY, 6), "it is there");
     assert_eq!(quarantine.rest_ms(DEADLY, 5), Some(QUARANTINE_MS));
-    assert_eq!(quarantine.rest_ms(CHANCE, 5), None);
+    assert_eq!(quarantine.rest_ms(HARMLESS, 5), None);
     assert_eq!(quarantine.rest_ms(DEADLY, 5 + QUARANTINE_MS), None);
     assert!(quarantine.add(DEADLY, 5 + QUARANTINE_MS), "once more");
     for number in 0..1_000 {
@@ -170,7 +173,7 @@
 #[test]
 fn crash_reports_go_to_all_hosts_and_again_to_a_new_duty_holder() {
     let mut reports = Reports::default();
-    reports.add(7, vec![DEADLY, CHANCE], true);
+    reports.add(7, vec![DEADLY, HARMLESS], true);
     for _ in 0..3 {
         let due = reports.due(1);
         assert_eq!(due.len(), 1);
@@ -178,7 +181,7 @@
         assert!(due[0].to_all);
     }
     assert!(reports.due(1).is_empty(), "told often enough");
-    reports.clear(CHANCE);
+    reports.clear(HARMLESS);
     let due = reports.due(2);
     assert_eq!((&*due[0].digests, due[0].to_all), (&[DEADLY][..], false));
     for server_tag in 0..1_000 {
@@ -260,7 +263,7 @@
     assert_eq!(of_second.claim(DEADLY, second, 104), Ok(()));
     assert_eq!(of_first.claim(DEADLY, first, CLAIM_MS), Ok(()));
     assert_eq!(
-        of_first.claim(CHANCE, first, CLAIM_MS),
+        of_first.claim(HARMLESS, first, CLAIM_MS),
         Ok(()),
         "another one"
     );
