--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -191,7 +191,7 @@
 }
 
 /// A request without a query.
-fn plain(digest: u64) -> RequestDigests {
+fn without_query(digest: u64) -> RequestDigests {
     let digest = RequestDigest(digest);
     RequestDigests {
         whole: digest,
@@ -206,12 +206,12 @@
 fn abandoned_requests_stay_suspect_for_a_moment() {
     let mut running_requests = RunningRequests::default();
     for digest in 0..5 {
-        running_requests.begin(plain(digest));
+        running_requests.begin(without_query(digest));
     }
-    running_requests.answered(plain(0));
-    running_requests.abandoned(plain(1), 1_000);
-    running_requests.begin(plain(2));
-    running_requests.answered(plain(2));
+    running_requests.answered(without_query(0));
+    running_requests.abandoned(without_query(1), 1_000);
+    running_requests.begin(without_query(2));
+    running_requests.answered(without_query(2));
     let all = [1, 2, 3, 4].map(RequestDigest);
     assert_eq!(running_requests.suspects(2_900), all);
     assert_eq!(running_requests.suspects(3_100), all[1..]);
@@ -223,7 +223,7 @@
     for whole in [10, 11] {
         running_requests.begin(RequestDigests {
             whole: RequestDigest(whole),
-            ..plain(1)
+            ..without_query(1)
         });
     }
     assert_eq!(running_requests.suspects(0), [1, 10, 11].map(RequestDigest));
@@ -421,8 +421,8 @@
 #[test]
 fn a_broken_trial_remains_a_trial_until_it_is_answered() {
     let mut running_requests = RunningRequests::default();
-    running_requests.begin(plain(3));
-    running_requests.begin_trial(plain(4));
+    running_requests.begin(without_query(3));
+    running_requests.begin_trial(without_query(4));
     let is_trial = |running_requests: &RunningRequests, digest| {
         let suspects = running_requests.shared_suspects(1_000);
         let found = suspects.iter().find(|s| s.digest == RequestDigest(digest));
@@ -433,11 +433,11 @@
         [Some(false), Some(true)]
     );
     // Its connection breaks off as the server ends.
-    running_requests.abandoned(plain(4), 990);
+    running_requests.abandoned(without_query(4), 990);
     assert_eq!(is_trial(&running_requests, 4), Some(true));
-    running_requests.begin_trial(plain(5));
-    running_requests.answered(plain(5));
-    running_requests.begin(plain(5));
+    running_requests.begin_trial(without_query(5));
+    running_requests.answered(without_query(5));
+    running_requests.begin(without_query(5));
     assert_eq!(is_trial(&running_requests, 5), Some(false));
 }
 
