--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -240,8 +240,8 @@
         {"at_unix_ms":8010,"event":"quarantined","digest":"0c","source":"the store has it"}
         {"at_unix_ms":90000,"event":"request","request_id":"id-1","digest":"0a","decision":"refused"}"#;
     let sources = [("a", first), ("b", second)].map(|(name, text)| Source { name, text });
-    let story = explain("id-1", &sources);
-    let times: Vec<u64> = story.iter().map(|line| line.at_unix_ms).collect();
+    let explanation = explain("id-1", &sources);
+    let times: Vec<u64> = explanation.iter().map(|line| line.at_unix_ms).collect();
     assert_eq!(times, [1_000, 4_500, 8_000, 90_000]);
 }
 
