--- a/tests/entry_digest.rs
+++ b/tests/entry_digest.rs
@@ -3,7 +3,7 @@
 use ashroad::{entry::digest::RequestDigests, transport::CallerAddress};
 use http::Request;
 
-struct Try {
+struct TestRequest {
     what: &'static str,
     method: &'static str,
     path: &'static str,
@@ -12,7 +12,7 @@
     body: &'static str,
 }
 
-const FIRST: Try = Try {
+const FIRST: TestRequest = TestRequest {
     what: "the first try",
     method: "PUT",
     path: "/a/b?page=2",
@@ -21,7 +21,7 @@
     body: "a body",
 };
 
-fn digests(made: &Try, id: &str) -> RequestDigests {
+fn digests(made: &TestRequest, id: &str) -> RequestDigests {
     let request = Request::builder()
         .method(made.method)
         .uri(made.path)
@@ -37,37 +37,37 @@
 fn a_digest_outlasts_ids_and_deadlines_and_tells_all_else_apart() {
     assert_eq!(digests(&FIRST, "id-1"), digests(&FIRST, "another id"));
     let others = [
-        Try {
+        TestRequest {
             what: "another method",
             method: "POST",
             ..FIRST
         },
-        Try {
+        TestRequest {
             what: "another path",
             path: "/a/c?page=2",
             ..FIRST
         },
-        Try {
+        TestRequest {
             what: "another query",
             path: "/a/b?page=3",
             ..FIRST
         },
-        Try {
+        TestRequest {
             what: "another host",
             host: "other.example",
             ..FIRST
         },
-        Try {
+        TestRequest {
             what: "another caller",
             caller: [100, 64, 0, 8],
             ..FIRST
         },
-        Try {
+        TestRequest {
             what: "another body",
             body: "a_body",
             ..FIRST
         },
-        Try {
+        TestRequest {
             what: "a border that has moved",
             path: "/a/b?page=2a",
             body: " body",
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_request_without_a_query_has_one_digest() {
-    let plain = Try {
+    let plain = TestRequest {
         path: "/a/b",
         ..FIRST
     };
