--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -34,7 +34,7 @@
     /// True if callers that were refused ask again at once.
     asks_again: bool,
     /// Time in which no holder is heard.
-    holder_away: std::ops::Range<u64>,
+    without_duty_holder: std::ops::Range<u64>,
 }
 
 impl Default for Case {
@@ -49,7 +49,7 @@
             asked: (0.6, 0.6),
             spread: Spread::Even,
             asks_again: false,
-            holder_away: 0..0,
+            without_duty_holder: 0..0,
         }
     }
 }
@@ -91,8 +91,8 @@
         let every_ms = self.report_interval_ms();
         let mut again = 0;
         for now_ms in (0..DAY_MS).step_by(STEP_MS as usize) {
-            let is_away = self.holder_away.contains(&now_ms);
-            if now_ms == self.holder_away.end {
+            let is_away = self.without_duty_holder.contains(&now_ms);
+            if now_ms == self.without_duty_holder.end {
                 ledger = Ledger::new(now_ms);
             }
             if now_ms.is_multiple_of(every_ms - every_ms % STEP_MS) && !is_away {
@@ -239,13 +239,13 @@
         },
         Case {
             name: "a quiet workspace while the holder is lost",
-            holder_away: 12_000..15_000,
+            without_duty_holder: 12_000..15_000,
             ..Case::default()
         },
         Case {
             name: "a surge while the holder is lost",
             asked: surge,
-            holder_away: 9_000..12_000,
+            without_duty_holder: 9_000..12_000,
             ..Case::default()
         },
     ]
