--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -12,7 +12,7 @@
 const SERVED_MIN: f64 = 0.9;
 const STEP_MS: u64 = 5;
 /// Most requests that come again in one step.
-const AGAIN_MAX: usize = 15;
+const RETRIES_PER_STEP_MAX: usize = 15;
 const DAY_MS: u64 = 30_000;
 /// Datagrams that are lost.
 const LOST: f64 = 0.02;
@@ -102,7 +102,7 @@
                 heard_ms = Some(now_ms);
             }
             let expected = self.asked_per_s(now_ms) * STEP_MS as f64 / 1_000.0;
-            let repeated = std::mem::take(&mut again).min(AGAIN_MAX);
+            let repeated = std::mem::take(&mut again).min(RETRIES_PER_STEP_MAX);
             let arrivals =
                 repeated + expected as usize + usize::from(rng.random::<f64>() < expected.fract());
             for _ in 0..arrivals {
