--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -89,7 +89,7 @@
         let mut ledger = Ledger::new(0);
         let mut played = Played::default();
         let every_ms = self.report_interval_ms();
-        let mut again = 0;
+        let mut retries = 0;
         for now_ms in (0..DAY_MS).step_by(STEP_MS as usize) {
             let is_away = self.without_duty_holder.contains(&now_ms);
             if now_ms == self.without_duty_holder.end {
@@ -102,7 +102,7 @@
                 heard_ms = Some(now_ms);
             }
             let expected = self.asked_per_s(now_ms) * STEP_MS as f64 / 1_000.0;
-            let repeated = std::mem::take(&mut again).min(RETRIES_PER_STEP_MAX);
+            let repeated = std::mem::take(&mut retries).min(RETRIES_PER_STEP_MAX);
             let arrivals =
                 repeated + expected as usize + usize::from(rng.random::<f64>() < expected.fract());
             for _ in 0..arrivals {
@@ -117,7 +117,7 @@
                     share.note_sent();
                     played.admitted.push(now_ms);
                 } else if self.asks_again {
-                    again += 1;
+                    retries += 1;
                 }
             }
         }
