--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -13,7 +13,7 @@
 const STEP_MS: u64 = 5;
 /// Most requests that come again in one step.
 const RETRIES_PER_STEP_MAX: usize = 15;
-const DAY_MS: u64 = 30_000;
+const SIMULATED_MS: u64 = 30_000;
 /// Datagrams that are lost.
 const LOST: f64 = 0.02;
 
@@ -90,7 +90,7 @@
         let mut played = Played::default();
         let every_ms = self.report_interval_ms();
         let mut retries = 0;
-        for now_ms in (0..DAY_MS).step_by(STEP_MS as usize) {
+        for now_ms in (0..SIMULATED_MS).step_by(STEP_MS as usize) {
             let is_away = self.without_duty_holder.contains(&now_ms);
             if now_ms == self.without_duty_holder.end {
                 ledger = Ledger::new(now_ms);
