--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -15,7 +15,7 @@
 const RETRIES_PER_STEP_MAX: usize = 15;
 const SIMULATED_MS: u64 = 30_000;
 /// Datagrams that are lost.
-const LOST: f64 = 0.02;
+const DATAGRAM_LOSS: f64 = 0.02;
 
 /// Hosts that get the requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -127,7 +127,7 @@
     fn report(&self, shares: &mut [HostShare], ledger: &mut Ledger, now_ms: u64, rng: &mut StdRng) {
         for share in shares {
             let used = share.take_report();
-            if used != Use::default() && rng.random::<f64>() >= LOST {
+            if used != Use::default() && rng.random::<f64>() >= DATAGRAM_LOSS {
                 ledger.note(self.quota, used, now_ms);
             }
         }
@@ -136,7 +136,7 @@
 
 fn tell(shares: &mut [HostShare], told: Admitted, now_ms: u64, rng: &mut StdRng) {
     for share in shares {
-        if rng.random::<f64>() >= LOST {
+        if rng.random::<f64>() >= DATAGRAM_LOSS {
             share.note_told(told, now_ms);
         }
     }
