--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -32,7 +32,7 @@
     asked: (f64, f64),
     spread: Spread,
     /// True if callers that were refused ask again at once.
-    asks_again: bool,
+    retries_at_once: bool,
     /// Time in which no holder is heard.
     without_duty_holder: std::ops::Range<u64>,
 }
@@ -48,7 +48,7 @@
             },
             asked: (0.6, 0.6),
             spread: Spread::Even,
-            asks_again: false,
+            retries_at_once: false,
             without_duty_holder: 0..0,
         }
     }
@@ -116,7 +116,7 @@
                 if share.admits(self.quota, sharing, rng.random(), now_ms) {
                     share.note_sent();
                     played.admitted.push(now_ms);
-                } else if self.asks_again {
+                } else if self.retries_at_once {
                     retries += 1;
                 }
             }
@@ -211,7 +211,7 @@
         Case {
             name: "a surge of callers that ask again at once",
             asked: surge,
-            asks_again: true,
+            retries_at_once: true,
             ..Case::default()
         },
         Case {
@@ -222,7 +222,7 @@
                 burst: 20.0,
             },
             asked: (0.0, 7.0),
-            asks_again: true,
+            retries_at_once: true,
             ..Case::default()
         },
         Case {
