--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -55,7 +55,7 @@
 }
 
 #[derive(Default)]
-struct Played {
+struct Simulated {
     asked: Vec<u64>,
     admitted: Vec<u64>,
 }
@@ -82,12 +82,12 @@
         }
     }
 
-    fn play(&self, seed: u64) -> Played {
+    fn play(&self, seed: u64) -> Simulated {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut shares = vec![HostShare::default(); self.hosts];
         let mut heard_ms: Option<u64> = None;
         let mut ledger = Ledger::new(0);
-        let mut played = Played::default();
+        let mut played = Simulated::default();
         let every_ms = self.report_interval_ms();
         let mut retries = 0;
         for now_ms in (0..SIMULATED_MS).step_by(STEP_MS as usize) {
