--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -87,7 +87,7 @@
         let mut shares = vec![HostShare::default(); self.hosts];
         let mut heard_ms: Option<u64> = None;
         let mut ledger = Ledger::new(0);
-        let mut played = Simulated::default();
+        let mut simulated = Simulated::default();
         let every_ms = self.report_interval_ms();
         let mut retries = 0;
         for now_ms in (0..SIMULATED_MS).step_by(STEP_MS as usize) {
@@ -112,16 +112,16 @@
                     is_told: kept,
                 };
                 let share = &mut shares[self.host(&mut rng)];
-                played.asked.push(now_ms);
+                simulated.asked.push(now_ms);
                 if share.admits(self.quota, sharing, rng.random(), now_ms) {
                     share.note_sent();
-                    played.admitted.push(now_ms);
+                    simulated.admitted.push(now_ms);
                 } else if self.retries_at_once {
                     retries += 1;
                 }
             }
         }
-        played
+        simulated
     }
 
     fn report(&self, shares: &mut [HostShare], ledger: &mut Ledger, now_ms: u64, rng: &mut StdRng) {
@@ -255,18 +255,18 @@
 fn hosts_together_keep_a_quota_and_use_it() {
     for case in cases() {
         for seed in 0..3 {
-            let played = case.play(seed);
+            let simulated = case.play(seed);
             let Quota { per_s, burst } = case.quota;
             let window_s = WINDOW_MS as f64 / 1_000.0;
             let bound = (per_s * window_s + burst) * (1.0 + OVERSHOOT) + SLACK;
-            let most = most_in_window(&played.admitted);
+            let most = most_in_window(&simulated.admitted);
             assert!(
                 most as f64 <= bound,
                 "{}: {most} in a window, {bound} are allowed, seed {seed}",
                 case.name
             );
-            let owed = owed(case.quota, &played.asked);
-            let served = played.admitted.len() as f64 / owed as f64;
+            let owed = owed(case.quota, &simulated.asked);
+            let served = simulated.admitted.len() as f64 / owed as f64;
             assert!(
                 served >= SERVED_MIN,
                 "{}: {served:.3} of what is allowed, seed {seed}",
