--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    fn play(&self, seed: u64) -> Simulated {
+    fn simulate(&self, seed: u64) -> Simulated {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut shares = vec![HostShare::default(); self.hosts];
         let mut heard_ms: Option<u64> = None;
@@ -255,7 +255,7 @@
 fn hosts_together_keep_a_quota_and_use_it() {
     for case in cases() {
         for seed in 0..3 {
-            let simulated = case.play(seed);
+            let simulated = case.simulate(seed);
             let Quota { per_s, burst } = case.quota;
             let window_s = WINDOW_MS as f64 / 1_000.0;
             let bound = (per_s * window_s + burst) * (1.0 + OVERSHOOT) + SLACK;
