--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -156,20 +156,20 @@
 }
 
 /// What a workspace is owed: no more than its quota lets through, one bucket for all hosts.
-fn owed(quota: Quota, asked: &[u64]) -> usize {
+fn entitled(quota: Quota, asked: &[u64]) -> usize {
     let mut tokens = quota.burst;
     let mut at_ms = 0;
-    let mut owed = 0;
+    let mut entitled = 0;
     for now_ms in asked {
         tokens =
             (tokens + quota.per_s * (now_ms - at_ms) as f64 / 1_000.0).min(quota.burst.max(1.0));
         at_ms = *now_ms;
         if tokens >= 1.0 {
             tokens -= 1.0;
-            owed += 1;
+            entitled += 1;
         }
     }
-    owed
+    entitled
 }
 
 fn small() -> Quota {
@@ -265,8 +265,8 @@
                 "{}: {most} in a window, {bound} are allowed, seed {seed}",
                 case.name
             );
-            let owed = owed(case.quota, &simulated.asked);
-            let served = simulated.admitted.len() as f64 / owed as f64;
+            let entitled = entitled(case.quota, &simulated.asked);
+            let served = simulated.admitted.len() as f64 / entitled as f64;
             assert!(
                 served >= SERVED_MIN,
                 "{}: {served:.3} of what is allowed, seed {seed}",
