--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -37,7 +37,7 @@
 const CALLER: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 const OTHER_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2));
 /// Servers that may end under one request before hosts must know.
-const ENDS_NEEDED: usize = 3;
+const CRASHES_NEEDED: usize = 3;
 /// Runs after that and the contact time that the users allow.
 const LATE_RUNS_MAX: usize = 3;
 /// Servers that may end after that, by tries that were on their way.
@@ -160,12 +160,12 @@
     send_again_and_again(&site, 12).await;
     let ends = site.record.ends();
     assert!(
-        ends.len() <= ENDS_NEEDED + ENDS_ON_THE_WAY,
+        ends.len() <= CRASHES_NEEDED + ENDS_ON_THE_WAY,
         "{} of {} servers ended",
         ends.len(),
         servers.len()
     );
-    let known = ends.get(ENDS_NEEDED - 1).copied();
+    let known = ends.get(CRASHES_NEEDED - 1).copied();
     let is_late = |end: &&Instant| known.is_some_and(|known| **end > known + CONTACT);
     let late = ends.iter().filter(is_late);
     assert_eq!(late.count(), 0, "servers ended when all hosts must know");
@@ -230,7 +230,7 @@
     send_again_and_again(&site, 8).await;
     let ends = site.record.ends().len();
     assert!(
-        ends <= ENDS_NEEDED + ENDS_ON_THE_WAY,
+        ends <= CRASHES_NEEDED + ENDS_ON_THE_WAY,
         "{ends} servers ended"
     );
 }
@@ -258,7 +258,7 @@
     }
     let ends = site.record.ends().len();
     assert!(
-        ends <= ENDS_NEEDED + ENDS_ON_THE_WAY,
+        ends <= CRASHES_NEEDED + ENDS_ON_THE_WAY,
         "{ends} servers ended"
     );
 }
@@ -315,11 +315,11 @@
     }
     tries.join_all().await;
     let runs = site.record.deadly_runs();
-    let known = runs.get(ENDS_NEEDED - 1).expect("the third run");
+    let known = runs.get(CRASHES_NEEDED - 1).expect("the third run");
     let late = runs.iter().filter(|run| **run > *known + CONTACT).count();
     assert!(late <= LATE_RUNS_MAX, "{late} of {} runs", runs.len());
     let ends = site.record.ends().len();
-    assert!(ends < ENDS_NEEDED, "{ends} servers ended");
+    assert!(ends < CRASHES_NEEDED, "{ends} servers ended");
     assert_eq!(site.record.violations(), Vec::<String>::new());
 }
 
@@ -424,7 +424,7 @@
     }
     tries.join_all().await;
     let ends = site.record.ends().len();
-    let most = (ENDS_NEEDED + ENDS_ON_THE_WAY) * tried.paths.len();
+    let most = (CRASHES_NEEDED + ENDS_ON_THE_WAY) * tried.paths.len();
     assert!(ends <= most, "{ends} of {} servers ended", servers.len());
     // What others ask for is served, but for what was at the servers as they ended.
     let served = harmless.served(began);
@@ -486,12 +486,12 @@
     }
     deadly.stop().await;
     let runs = site.record.deadly_runs();
-    if let Some(known) = runs.get(ENDS_NEEDED - 1) {
+    if let Some(known) = runs.get(CRASHES_NEEDED - 1) {
         let late = runs.iter().filter(|run| **run > *known + CONTACT).count();
         assert!(late <= LATE_RUNS_MAX, "{late} of {} runs", runs.len());
     }
     let ends = site.record.ends().len();
-    assert!(ends <= ENDS_NEEDED, "{ends} servers ended");
+    assert!(ends <= CRASHES_NEEDED, "{ends} servers ended");
     let settled = harmless.served(until - SETTLED);
     assert!(settled > 0.95, "{settled:.2} of the harmless reads served");
     harmless.stop().await;
