--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -41,7 +41,7 @@
 /// Runs after that and the contact time that the users allow.
 const LATE_RUNS_MAX: usize = 3;
 /// Servers that may end after that, by tries that were on their way.
-const ENDS_ON_THE_WAY: usize = 1;
+const CRASHES_IN_FLIGHT: usize = 1;
 /// Time in which all hosts must know.
 const CONTACT: Duration = Duration::from_millis(3_000);
 /// Time in which a key has a server again after its server has ended: the lease, and the grant to the next one.
@@ -160,7 +160,7 @@
     send_again_and_again(&site, 12).await;
     let ends = site.record.ends();
     assert!(
-        ends.len() <= CRASHES_NEEDED + ENDS_ON_THE_WAY,
+        ends.len() <= CRASHES_NEEDED + CRASHES_IN_FLIGHT,
         "{} of {} servers ended",
         ends.len(),
         servers.len()
@@ -230,7 +230,7 @@
     send_again_and_again(&site, 8).await;
     let ends = site.record.ends().len();
     assert!(
-        ends <= CRASHES_NEEDED + ENDS_ON_THE_WAY,
+        ends <= CRASHES_NEEDED + CRASHES_IN_FLIGHT,
         "{ends} servers ended"
     );
 }
@@ -258,7 +258,7 @@
     }
     let ends = site.record.ends().len();
     assert!(
-        ends <= CRASHES_NEEDED + ENDS_ON_THE_WAY,
+        ends <= CRASHES_NEEDED + CRASHES_IN_FLIGHT,
         "{ends} servers ended"
     );
 }
@@ -424,7 +424,7 @@
     }
     tries.join_all().await;
     let ends = site.record.ends().len();
-    let most = (CRASHES_NEEDED + ENDS_ON_THE_WAY) * tried.paths.len();
+    let most = (CRASHES_NEEDED + CRASHES_IN_FLIGHT) * tried.paths.len();
     assert!(ends <= most, "{ends} of {} servers ended", servers.len());
     // What others ask for is served, but for what was at the servers as they ended.
     let served = harmless.served(began);
