--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -43,7 +43,7 @@
 /// Servers that may end after that, by tries that were on their way.
 const CRASHES_IN_FLIGHT: usize = 1;
 /// Time in which all hosts must know.
-const CONTACT: Duration = Duration::from_millis(3_000);
+const DETECTION_TIME: Duration = Duration::from_millis(3_000);
 /// Time in which a key has a server again after its server has ended: the lease, and the grant to the next one.
 const KEY_MOVES: Duration = Duration::from_secs(6);
 /// Time at the end of a play for which what others ask for counts as settled.
@@ -119,7 +119,7 @@
     })
     .await;
     // Hosts that have just started owe nothing: they have read no secret yet and hear nobody.
-    time::sleep(CONTACT).await;
+    time::sleep(DETECTION_TIME).await;
     site.record.set_deadly_path(Some(DEADLY));
     (site, mortal)
 }
@@ -140,7 +140,7 @@
         })
         .await;
     }
-    time::sleep(CONTACT).await;
+    time::sleep(DETECTION_TIME).await;
     (site, mortal)
 }
 
@@ -166,7 +166,7 @@
         servers.len()
     );
     let known = ends.get(CRASHES_NEEDED - 1).copied();
-    let is_late = |end: &&Instant| known.is_some_and(|known| **end > known + CONTACT);
+    let is_late = |end: &&Instant| known.is_some_and(|known| **end > known + DETECTION_TIME);
     let late = ends.iter().filter(is_late);
     assert_eq!(late.count(), 0, "servers ended when all hosts must know");
     // Its caller learns at once that it has not run, and what others ask for is served.
@@ -226,7 +226,7 @@
         site.hosts.iter().any(has_taken_duty)
     })
     .await;
-    time::sleep(CONTACT).await;
+    time::sleep(DETECTION_TIME).await;
     send_again_and_again(&site, 8).await;
     let ends = site.record.ends().len();
     assert!(
@@ -316,7 +316,10 @@
     tries.join_all().await;
     let runs = site.record.deadly_runs();
     let known = runs.get(CRASHES_NEEDED - 1).expect("the third run");
-    let late = runs.iter().filter(|run| **run > *known + CONTACT).count();
+    let late = runs
+        .iter()
+        .filter(|run| **run > *known + DETECTION_TIME)
+        .count();
     assert!(late <= LATE_RUNS_MAX, "{late} of {} runs", runs.len());
     let ends = site.record.ends().len();
     assert!(ends < CRASHES_NEEDED, "{ends} servers ended");
@@ -487,7 +490,10 @@
     deadly.stop().await;
     let runs = site.record.deadly_runs();
     if let Some(known) = runs.get(CRASHES_NEEDED - 1) {
-        let late = runs.iter().filter(|run| **run > *known + CONTACT).count();
+        let late = runs
+            .iter()
+            .filter(|run| **run > *known + DETECTION_TIME)
+            .count();
         assert!(late <= LATE_RUNS_MAX, "{late} of {} runs", runs.len());
     }
     let ends = site.record.ends().len();
