--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -45,7 +45,7 @@
 /// Time in which all hosts must know.
 const DETECTION_TIME: Duration = Duration::from_millis(3_000);
 /// Time in which a key has a server again after its server has ended: the lease, and the grant to the next one.
-const KEY_MOVES: Duration = Duration::from_secs(6);
+const KEY_FAILOVER_TIME: Duration = Duration::from_secs(6);
 /// Time at the end of a play for which what others ask for counts as settled.
 const SETTLED: Duration = Duration::from_secs(3);
 
@@ -485,7 +485,7 @@
         }
         // The last server that may end leaves the key without one, as each before it did.
         let ended = site.record.ends().last().copied();
-        until = until.max(ended.unwrap_or(began) + KEY_MOVES + SETTLED);
+        until = until.max(ended.unwrap_or(began) + KEY_FAILOVER_TIME + SETTLED);
     }
     deadly.stop().await;
     let runs = site.record.deadly_runs();
