--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -47,7 +47,7 @@
 /// Time in which a key has a server again after its server has ended: the lease, and the grant to the next one.
 const KEY_FAILOVER_TIME: Duration = Duration::from_secs(6);
 /// Time at the end of a play for which what others ask for counts as settled.
-const SETTLED: Duration = Duration::from_secs(3);
+const STEADY_TIME: Duration = Duration::from_secs(3);
 
 async fn send(host: &Host, caller: IpAddr, method: &str, path: &str) -> Option<Answer> {
     let id = format!("{:016x}", rand::random::<u64>());
@@ -485,7 +485,7 @@
         }
         // The last server that may end leaves the key without one, as each before it did.
         let ended = site.record.ends().last().copied();
-        until = until.max(ended.unwrap_or(began) + KEY_FAILOVER_TIME + SETTLED);
+        until = until.max(ended.unwrap_or(began) + KEY_FAILOVER_TIME + STEADY_TIME);
     }
     deadly.stop().await;
     let runs = site.record.deadly_runs();
@@ -498,7 +498,7 @@
     }
     let ends = site.record.ends().len();
     assert!(ends <= CRASHES_NEEDED, "{ends} servers ended");
-    let settled = harmless.served(until - SETTLED);
+    let settled = harmless.served(until - STEADY_TIME);
     assert!(settled > 0.95, "{settled:.2} of the harmless reads served");
     harmless.stop().await;
     assert_eq!(site.record.violations(), Vec::<String>::new());
