--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -145,7 +145,7 @@
 }
 
 /// Sends the deadly request to the hosts by turns, each time with another id, beside harmless ones.
-async fn send_again_and_again(site: &Site, tries: usize) {
+async fn retry_crashing_request(site: &Site, tries: usize) {
     for number in 0..tries {
         let host = &site.hosts[number % site.hosts.len()];
         read(host, CALLER, DEADLY).await;
@@ -157,7 +157,7 @@
 #[tokio::test]
 async fn a_request_that_ends_servers_reaches_few_of_them() {
     let (site, servers) = start(3, 14).await;
-    send_again_and_again(&site, 12).await;
+    retry_crashing_request(&site, 12).await;
     let ends = site.record.ends();
     assert!(
         ends.len() <= CRASHES_NEEDED + CRASHES_IN_FLIGHT,
@@ -193,7 +193,7 @@
 #[tokio::test]
 async fn quarantine_survives_the_loss_of_all_hosts() {
     let (mut site, _servers) = start(3, 14).await;
-    send_again_and_again(&site, 6).await;
+    retry_crashing_request(&site, 6).await;
     let before = site.record.ends().len();
     for host in &mut site.hosts {
         host.kill();
@@ -207,7 +207,7 @@
         })
         .await;
     }
-    send_again_and_again(&site, 6).await;
+    retry_crashing_request(&site, 6).await;
     let after = site.record.ends().len();
     assert!(before > 0, "no server ended before");
     assert_eq!(after, before, "servers ended after the loss of all hosts");
@@ -227,7 +227,7 @@
     })
     .await;
     time::sleep(DETECTION_TIME).await;
-    send_again_and_again(&site, 8).await;
+    retry_crashing_request(&site, 8).await;
     let ends = site.record.ends().len();
     assert!(
         ends <= CRASHES_NEEDED + CRASHES_IN_FLIGHT,
@@ -238,7 +238,7 @@
 #[tokio::test]
 async fn the_same_path_of_another_caller_is_served() {
     let (site, _servers) = start(2, 10).await;
-    send_again_and_again(&site, 6).await;
+    retry_crashing_request(&site, 6).await;
     site.record.set_deadly_path(None);
     for host in &site.hosts {
         let refused = status(host, CALLER, DEADLY).await;
