--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -408,7 +408,7 @@
     at_once: usize,
 }
 
-async fn play(tried: ManyCallers) {
+async fn run_many_callers(tried: ManyCallers) {
     let (site, servers) = start(3, 16).await;
     site.record.set_deadly_paths(tried.paths.to_vec());
     let harmless = Readers::start(&site.hosts, 100, 6, HARMLESS, None);
@@ -444,7 +444,7 @@
         has_queries: false,
         at_once: 1,
     };
-    play(tried).await;
+    run_many_callers(tried).await;
 }
 
 #[tokio::test]
@@ -454,7 +454,7 @@
         has_queries: true,
         at_once: 1,
     };
-    play(tried).await;
+    run_many_callers(tried).await;
 }
 
 #[tokio::test]
@@ -464,7 +464,7 @@
         has_queries: false,
         at_once: 2,
     };
-    play(tried).await;
+    run_many_callers(tried).await;
 }
 
 /// Many callers read the same key at a time; one path ends its servers, and one that as many of them read does not.
