--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -82,7 +82,7 @@
 }
 
 /// Place of the host that has the duty.
-fn holder(site: &Site) -> usize {
+fn duty_holder(site: &Site) -> usize {
     let place = site.hosts.iter().position(has_taken_duty);
     place.expect("a holder")
 }
@@ -216,8 +216,8 @@
 #[tokio::test]
 async fn crash_reports_to_the_previous_duty_holder_still_count() {
     let (mut site, _servers) = start(4, 14).await;
-    let holder = holder(&site);
-    site.hosts.swap(0, holder);
+    let duty_holder = duty_holder(&site);
+    site.hosts.swap(0, duty_holder);
     read(&site.hosts[1], CALLER, DEADLY).await;
     time::sleep(Duration::from_millis(1_500)).await;
     site.hosts[0].kill();
