--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -40,9 +40,9 @@
 const LIMITED: Duration = Duration::from_secs(9);
 
 /// Limits of one server over time, as `(time, requests a second)`.
-struct Named(Vec<(Instant, f64)>);
+struct AdvertisedLimits(Vec<(Instant, f64)>);
 
-impl Named {
+impl AdvertisedLimits {
     /// Requests that the limits allow from one moment to another; `None` if there is none for a part of it.
     fn allowed(&self, from: Instant, until: Instant) -> Option<f64> {
         let (first, _) = *self.0.first()?;
@@ -97,14 +97,14 @@
 }
 
 /// Lets a server name limits one after the other, each for a time.
-async fn name_in_turn(server: &Server, limits: &[f64], each: Duration) -> Named {
+async fn name_in_turn(server: &Server, limits: &[f64], each: Duration) -> AdvertisedLimits {
     let mut named = Vec::new();
     for limit in limits {
         server.name_limit(Some(&limit.to_string()));
         named.push((Instant::now(), *limit));
         time::sleep(each).await;
     }
-    Named(named)
+    AdvertisedLimits(named)
 }
 
 /// One of three servers names a limit of a fifth of what it gets.
@@ -113,7 +113,7 @@
     deployment.server(asked).name_limit(Some("10"));
     let began = Instant::now();
     deployment.suffer(beside, asked, LIMITED).await;
-    let named = Named(vec![(began, 10.0)]);
+    let named = AdvertisedLimits(vec![(began, 10.0)]);
     // A host that was frozen owes nothing.
     let excused: &[usize] = if beside == Beside::HostFrozen {
         &[0]
@@ -167,7 +167,7 @@
     time::sleep(LIMITED).await;
     let used = (served() - before) as f64 / from.elapsed().as_secs_f64();
     for server in deployment.servers(asked) {
-        Named(vec![(began, LIMIT)]).check(server, &deployment.traffic, &[])?;
+        AdvertisedLimits(vec![(began, LIMIT)]).check(server, &deployment.traffic, &[])?;
     }
     if used < USED_MIN * LIMIT * SERVERS as f64 {
         return Err(format!("{used:.1} requests a second served"));
@@ -262,7 +262,7 @@
     }
     time::sleep(LIMITED).await;
     for server in limited {
-        Named(vec![(began, 8.0)]).check(server, &deployment.traffic, &[])?;
+        AdvertisedLimits(vec![(began, 8.0)]).check(server, &deployment.traffic, &[])?;
     }
     let owed = began + MOVED_AFTER;
     served_at_least(&deployment, owed, Instant::now())?;
