--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -97,7 +97,7 @@
 }
 
 /// Lets a server name limits one after the other, each for a time.
-async fn name_in_turn(server: &Server, limits: &[f64], each: Duration) -> AdvertisedLimits {
+async fn advertise_in_turn(server: &Server, limits: &[f64], each: Duration) -> AdvertisedLimits {
     let mut named = Vec::new();
     for limit in limits {
         server.name_limit(Some(&limit.to_string()));
@@ -186,7 +186,7 @@
     let deployment = Deployment::start(asked).await;
     let server = deployment.server(asked);
     let each = Duration::from_millis(4_500);
-    let named = name_in_turn(server, &[30.0, 10.0, 0.5, 0.0, 20.0], each).await;
+    let named = advertise_in_turn(server, &[30.0, 10.0, 0.5, 0.0, 20.0], each).await;
     let ended = Instant::now();
     named.check(server, &deployment.traffic, &[])?;
     server.name_limit(Some("a lot"));
@@ -224,7 +224,7 @@
 /// Twelve hosts share a small limit.
 async fn twelve_hosts(asked: Asked) -> Result<(), String> {
     let deployment = Deployment::start_sized(asked, 12, SERVERS).await;
-    let named = name_in_turn(
+    let named = advertise_in_turn(
         deployment.server(asked),
         &[10.0, 2.0],
         Duration::from_secs(7),
