--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -22,7 +22,7 @@
 };
 
 /// Time after a host has passed on an answer that names a limit from which its requests count.
-const TOLD_AFTER: Duration = Duration::from_millis(500);
+const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 /// Time after a server first named a limit from which the bound holds. The users give three seconds.
 const SETTLED_AFTER: Duration = Duration::from_secs(2);
 /// Length of the windows; every one of them counts.
@@ -69,7 +69,7 @@
             let Some(told) = told.map(|(_, sent)| sent.answered).min() else {
                 continue;
             };
-            let from = (told + TOLD_AFTER).max(*first + SETTLED_AFTER);
+            let from = (told + PROPAGATION_TIME).max(*first + SETTLED_AFTER);
             if !excused.contains(&host) {
                 let later = visits.iter().filter(|(visit, _)| visit.at >= from);
                 counted.extend(later.map(|(visit, _)| visit.at));
