--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -19,7 +19,7 @@
 /// Bound of revocations.
 const REVOCATION_MS: u64 = 2_000;
 /// Time after its first start in which a host learns of the others.
-const KNOWN_MS: u64 = 4_000;
+const DISCOVERY_MS: u64 = 4_000;
 const SECRET: &str = "ftimaj3nr26tta828m82";
 const OTHER_SECRET: &str = "thhkmgjqnirth5mgjy5r";
 
@@ -231,7 +231,7 @@
     let quota = json!({"ratePerS": 20, "burst": 20});
     let site = start(2, quota).await;
     // Hosts that start together at the first start of a deployment know each other by then.
-    time::sleep(Duration::from_millis(KNOWN_MS)).await;
+    time::sleep(Duration::from_millis(DISCOVERY_MS)).await;
     let mut served = 0;
     let mut refused = 0;
     let began = time::Instant::now();
