--- a/tests/entry_bodies.rs
+++ b/tests/entry_bodies.rs
@@ -1,4 +1,4 @@
-//! Requests that come in pieces: several on one connection before the first answer, and bodies that come slowly.
+//! Pipelined requests, slow uploads and slow downloads.
 
 mod platform_standin;
 
@@ -19,17 +19,18 @@
     site::{Site, configuration, eventually, get},
 };
 
-/// Requests that a caller sends before it reads an answer.
+/// Requests that a caller sends on one connection before it reads a response.
 const PIPELINED: usize = 8;
-/// Callers whose bodies come slowly.
+/// Callers that send their request bodies slowly.
 const SLOW_CALLERS: usize = 500;
-/// What each of them sends at once, of a body that is larger, and that no host should hold for all of them.
+/// Bytes that each of them sends at once, of a larger body. No host should buffer them for all
+/// callers.
 const SENT_BYTES: usize = 250_000;
 const BODY_BYTES: usize = 400_000;
-/// Callers that read large answers slowly, and what each of them takes at once.
+/// Callers that read large responses slowly, and the size of each one's receive buffer.
 const SLOW_READERS: usize = 200;
 const RECEIVED_BYTES: u32 = 16_384;
-/// Memory of the smallest host of the users.
+/// Memory of the smallest host that the users run.
 const MEMORY_MB: u64 = 120;
 
 #[tokio::test]
@@ -66,7 +67,7 @@
     assert_eq!(told, ids, "{answers}");
 }
 
-/// Sends the beginning of a large body and keeps the connection.
+/// Sends the beginning of a large body and keeps the connection open.
 async fn send_slowly(callers: SocketAddr, number: usize) -> TcpStream {
     let mut stream = TcpStream::connect(callers).await.expect("connected");
     let head = format!(
@@ -75,7 +76,8 @@
     );
     stream.write_all(head.as_bytes()).await.expect("sent");
     let part = vec![b'x'; SENT_BYTES];
-    // A host that holds enough reads no more, or refuses the request and closes.
+    // A host without memory for more bodies stops reading, or refuses the request and closes the
+    // connection.
     let sending = stream.write_all(&part);
     match time::timeout(Duration::from_millis(300), sending).await {
         Ok(Ok(())) => {}
@@ -85,7 +87,8 @@
     stream
 }
 
-/// Writes the second version of the configuration; the host, once that is in force there.
+/// Writes version 2 of the configuration, waits until the host has applied it, and returns the
+/// host.
 async fn put_in_force<'a>(site: &'a Site, wire: &Value) -> &'a Host {
     site.store.put("op", "config", wire);
     let host = &site.hosts[0];
@@ -97,7 +100,7 @@
     host
 }
 
-/// Quick reads for a while, all of which must be served.
+/// Reads keys for 3 s; every read must succeed.
 async fn read_quickly(host: &Host) {
     let until = Instant::now() + Duration::from_secs(3);
     let mut asked = 0;
@@ -130,7 +133,7 @@
     );
 }
 
-/// Asks for a large answer and reads no more of it than its head.
+/// Requests a large response and reads only its status.
 async fn read_slowly(callers: SocketAddr, number: usize) -> TcpStream {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(RECEIVED_BYTES).expect("a size");
@@ -163,7 +166,7 @@
         memory_mb < MEMORY_MB,
         "{memory_mb} MB with {SLOW_READERS} slow downloads"
     );
-    // What has begun is delivered whole.
+    // Responses that have begun are delivered to their end.
     for mut stream in reading {
         let mut rest = Vec::new();
         let read = time::timeout(Duration::from_secs(10), stream.read_to_end(&mut rest)).await;
--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -1,17 +1,17 @@
-//! A request that ends each backend server which begins to run it.
+//! Requests that crash each backend server that begins to run them must reach few servers.
 //!
-//! What users saw: over a tenth of their requests failed for seconds, again and again, and one backend server of a
-//! service after the other ended, 3.3 to 3.9 s apart. Order of events: a caller's request came; the server that
-//! ran it ended with all that it had in flight; its keys went to another server; the caller's request came
-//! again, at any host, and ended that one. Cause: no host knew that the request had been there before, since each
-//! try has an id of its own, and none told the others. Evidence: each server that ended held the same small range of
-//! keys, granted to it just before, while others with as many requests lived through the day.
+//! The first failure: over a tenth of the requests failed for seconds, again and again, while the
+//! servers of a service crashed one after the other, 3.3 to 3.9 s apart. A caller's request crashed
+//! its server with all requests in flight there; the keys moved to another server; the caller
+//! retried at any host and crashed that server too. No host recognised the request, since each
+//! retry has an id of its own and hosts did not report crashes to each other. Each crashed server
+//! held the same small range of keys, granted to it just before; others with as many requests
+//! survived.
 //!
-//! What users saw later: the same, with one path that many callers read. Three servers had ended, and it was sent to seven to
-//! eleven more. Order of events: as before, but each try came from another caller. Cause: a request was known by its caller
-//! too, which has nothing to do with what ends a server, so each caller's was a first suspect. Evidence: of 18 digests under
-//! which servers ended, none twice, ten were of the same path from ten callers; and no server too many ends once the path counts
-//! for itself.
+//! The second failure: the same with one path that many callers read. After three servers had
+//! crashed, the request still reached seven to eleven more. Digests included the caller, so each
+//! caller's request was a suspect for the first time: of 18 digests under which servers crashed none
+//! occurred twice, but ten were of one path from ten callers. Digests of the path alone prevent it.
 
 mod platform_standin;
 
@@ -36,17 +36,18 @@
 const HARMLESS: &str = "/reads/harmless";
 const CALLER: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 const OTHER_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2));
-/// Servers that may end under one request before hosts must know.
+/// Crashes under one request after which hosts must quarantine it.
 const CRASHES_NEEDED: usize = 3;
-/// Runs after that and the contact time that the users allow.
+/// Runs that the users allow after those crashes and the detection time.
 const LATE_RUNS_MAX: usize = 3;
-/// Servers that may end after that, by tries that were on their way.
+/// Further crashes allowed, by attempts that were in flight.
 const CRASHES_IN_FLIGHT: usize = 1;
-/// Time in which all hosts must know.
+/// Time within which all hosts must know of a crash.
 const DETECTION_TIME: Duration = Duration::from_millis(3_000);
-/// Time in which a key has a server again after its server has ended: the lease, and the grant to the next one.
+/// Time within which a key has a server again after a crash: the lease, and the grant to the next
+/// server.
 const KEY_FAILOVER_TIME: Duration = Duration::from_secs(6);
-/// Time at the end of a play for which what others ask for counts as settled.
+/// Time at the end of a test in which harmless requests must be served without disturbance.
 const STEADY_TIME: Duration = Duration::from_secs(3);
 
 async fn send(host: &Host, caller: IpAddr, method: &str, path: &str) -> Option<Answer> {
@@ -66,7 +67,7 @@
     send(host, caller, "GET", path).await
 }
 
-/// Sends an unrepeatable request.
+/// Sends an unrepeatable request and returns the status of the response.
 async fn order(host: &Host, path: &str) -> Option<StatusCode> {
     let answer = send(host, CALLER, "POST", path).await;
     answer.map(|answer| answer.status)
@@ -81,16 +82,17 @@
     !host.events("duty_taken").is_empty()
 }
 
-/// Place of the host that has the duty.
+/// Returns the index of the host that has the duty.
 fn duty_holder(site: &Site) -> usize {
     let place = site.hosts.iter().position(has_taken_duty);
     place.expect("a holder")
 }
 
-/// Hosts, and servers that end under requests for [`DEADLY`], whose entries stay.
+/// Starts hosts, and servers that crash under requests for [`DEADLY`] and whose entries stay in the
+/// store.
 async fn start(hosts: usize, servers: usize) -> (Site, Vec<Server>) {
     let mut site = Site::start_servers(1).await;
-    // Only mortal servers get the reads.
+    // Drains the other servers, so that only those that can crash get the reads.
     for server in &site.orders {
         server.declare(&site.store, "draining");
     }
@@ -113,18 +115,19 @@
         })
         .await;
     }
-    // Hosts know each other, and one of them has the duty.
+    // Waits until the hosts know each other and one of them has the duty.
     eventually("a host has the duty", 8_000, async || {
         site.hosts.iter().any(has_taken_duty)
     })
     .await;
-    // Hosts that have just started owe nothing: they have read no secret yet and hear nobody.
+    // The bounds do not apply to hosts that have just started: they have not read the shared secret
+    // yet and receive no messages.
     time::sleep(DETECTION_TIME).await;
     site.record.set_deadly_path(Some(DEADLY));
     (site, mortal)
 }
 
-/// Three hosts, and servers with keys that end under requests for a deadly path.
+/// Starts three hosts, and servers with keys that crash under requests for a deadly path.
 async fn start_keyed(servers: usize) -> (Site, Vec<Server>) {
     let mut site = Site::start_servers(0).await;
     let mut mortal = Vec::new();
@@ -144,7 +147,8 @@
     (site, mortal)
 }
 
-/// Sends the deadly request to the hosts by turns, each time with another id, beside harmless ones.
+/// Sends the deadly request to the hosts in turn, each time with a new id, and a harmless request
+/// after each.
 async fn retry_crashing_request(site: &Site, tries: usize) {
     for number in 0..tries {
         let host = &site.hosts[number % site.hosts.len()];
@@ -169,7 +173,8 @@
     let is_late = |end: &&Instant| known.is_some_and(|known| **end > known + DETECTION_TIME);
     let late = ends.iter().filter(is_late);
     assert_eq!(late.count(), 0, "servers ended when all hosts must know");
-    // Its caller learns at once that it has not run, and what others ask for is served.
+    // The caller is told at once that the request has not run, and the requests of others are
+    // served.
     for host in &site.hosts {
         let asked = Instant::now();
         let answer = read(host, CALLER, DEADLY).await.expect("an answer");
@@ -263,8 +268,9 @@
     );
 }
 
-/// A harmless request that was at a server which ended: it is answered at another host, and that counts also
-/// while the first host tells again of the end.
+/// Guards against a harmless request becoming suspect again: it was in flight at a server that
+/// crashed, and is answered at another host. The success must count even while the first host sends
+/// its crash report again.
 #[tokio::test]
 async fn an_answer_at_any_host_clears_a_request_for_good() {
     const ORDER: &str = "/orders/deadly";
@@ -282,9 +288,10 @@
     }
 }
 
-/// Its tries come together: while its key has no server they wait, and all reach the next one before that
-/// has ended. The users count runs, so two servers may be too many. What they saw after a first mend that waited
-/// for three servers: two runs on each of the first two, four on the third.
+/// Guards against concurrent attempts of a deadly request that crash several servers. The attempts
+/// wait while the key has no server, and then all reach the next server before it has crashed. The
+/// users count runs, so even two servers may be too many. When hosts waited for three crashes,
+/// there were two runs on each of the first two servers and four on the third.
 #[tokio::test]
 async fn tries_that_come_together_do_not_run_together_once_a_server_has_ended() {
     const DEADLY_READ: &str = "/keyed/deadly";
@@ -308,7 +315,7 @@
             });
         }
         time::sleep(Duration::from_millis(200)).await;
-        // The platform removes the entries of servers that have ended.
+        // The platform removes the entries of crashed servers.
         for server in servers.iter().filter(|server| server.has_ended()) {
             site.store.remove("servers", &server.id);
         }
@@ -326,7 +333,7 @@
     assert_eq!(site.record.violations(), Vec::<String>::new());
 }
 
-/// Callers that differ in their addresses.
+/// Returns the address of a caller; each number has its own.
 fn caller(number: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(127, 0, 1, number as u8))
 }
@@ -349,10 +356,10 @@
     Some(answer.status)
 }
 
-/// When reads were sent, and what came of them.
+/// Time at which each read was sent, and the status of its response.
 type Outcomes = Arc<Mutex<Vec<(Instant, Option<StatusCode>)>>>;
 
-/// Callers that read a path again and again, each from an address of its own, until they are stopped.
+/// Callers that read a path repeatedly until they are stopped, each from its own address.
 struct Readers {
     outcomes: Outcomes,
     tasks: JoinSet<()>,
@@ -383,7 +390,7 @@
         Self { outcomes, tasks }
     }
 
-    /// Share of the reads from a moment on that were answered with success.
+    /// Returns the share of the reads sent since `from` that succeeded.
     fn served(&self, from: Instant) -> f64 {
         let outcomes = self.outcomes.lock().expect("outcomes");
         let later = outcomes.iter().filter(|(asked, _)| *asked >= from);
@@ -398,13 +405,13 @@
     }
 }
 
-/// Tries of deadly paths, each by another caller.
+/// Attempts of deadly paths, each by another caller.
 #[derive(Clone, Copy, Debug)]
 struct ManyCallers {
     paths: &'static [&'static str],
-    /// True if each try has a query of its own.
+    /// True if each attempt has a query of its own.
     has_queries: bool,
-    /// Tries at a time, at the hosts by turns.
+    /// Number of concurrent attempts, sent to the hosts in turn.
     at_once: usize,
 }
 
@@ -429,7 +436,7 @@
     let ends = site.record.ends().len();
     let most = (CRASHES_NEEDED + CRASHES_IN_FLIGHT) * tried.paths.len();
     assert!(ends <= most, "{ends} of {} servers ended", servers.len());
-    // What others ask for is served, but for what was at the servers as they ended.
+    // Harmless requests are served, except for those in flight at the servers that crashed.
     let served = harmless.served(began);
     assert!(served > 0.9, "{served:.2} of the harmless reads served");
     let settled = harmless.served(Instant::now() - Duration::from_secs(2));
@@ -467,7 +474,8 @@
     run_many_callers(tried).await;
 }
 
-/// Many callers read the same key at a time; one path ends its servers, and one that as many of them read does not.
+/// Many callers read the same key at the same time; one path crashes its servers, while another
+/// that as many callers read does not.
 #[tokio::test]
 async fn a_key_is_served_while_one_of_its_paths_ends_servers_for_many_callers() {
     const DEADLY_READ: &str = "/keyed/deadly";
@@ -479,11 +487,11 @@
     let mut until = began + Duration::from_secs(14);
     while Instant::now() < until {
         time::sleep(Duration::from_millis(200)).await;
-        // The platform removes the entries of servers that have ended.
+        // The platform removes the entries of crashed servers.
         for server in servers.iter().filter(|server| server.has_ended()) {
             site.store.remove("servers", &server.id);
         }
-        // The last server that may end leaves the key without one, as each before it did.
+        // Waits for the failover of the key after the last crash.
         let ended = site.record.ends().last().copied();
         until = until.max(ended.unwrap_or(began) + KEY_FAILOVER_TIME + STEADY_TIME);
     }
--- a/tests/entry_digest.rs
+++ b/tests/entry_digest.rs
@@ -1,8 +1,9 @@
-//! What makes two tries of a caller the same request.
+//! Tests which parts of a request its digests cover.
 
 use ashroad::{entry::digest::RequestDigests, transport::CallerAddress};
 use http::Request;
 
+/// Parts of a request that the digests are computed from.
 struct TestRequest {
     what: &'static str,
     method: &'static str,
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -1,4 +1,5 @@
-//! Evidence against requests under which servers end, without processes.
+//! Tests the evidence, trials, reports and quarantine of requests that crash servers, without
+//! processes and sockets.
 
 use std::net::SocketAddr;
 
@@ -24,7 +25,7 @@
 fn a_request_is_the_cause_once_enough_servers_have_ended_under_it() {
     struct Case {
         what: &'static str,
-        /// Server, and time in ms.
+        /// Crashes as `(server, time in ms)`.
         ends: &'static [(u32, u64)],
         reached: bool,
     }
@@ -70,8 +71,9 @@
     }
 }
 
-/// A zone of twelve servers is lost. A harmless request is at three of them, since its host and its caller send
-/// it again at once; none of its hosts has had an answer for it.
+/// Guards against quarantining a harmless request when a zone is lost. Twelve servers crash at
+/// once; the request is at three of them, since its host and its caller retry it at once, and none
+/// of its hosts has had a response.
 #[test]
 fn the_loss_of_a_zone_is_no_evidence_against_a_request() {
     let mut tally = CrashTally::default();
@@ -91,7 +93,7 @@
         !tally.is_suspect(HARMLESS, 100),
         "tried as often as it comes"
     );
-    // Where it goes on, it is the cause after all.
+    // It is the cause if a server crashes under it later.
     assert_eq!(tally.note(20, &[HARMLESS], 4_000), [HARMLESS]);
 }
 
@@ -108,8 +110,9 @@
     }
 }
 
-/// A service of 60 servers, of which one ends every 3 s by chance for ten minutes. 2,000 callers ask the
-/// same thing once a second, for 90 ms, at a drawn server.
+/// Guards against quarantining repeated harmless requests while servers crash by chance. One of 60
+/// servers crashes every 3 s for ten minutes; 2,000 callers send the same request once a second,
+/// each taking 90 ms at a random server.
 #[test]
 fn callers_who_ask_the_same_thing_again_and_again_are_served_while_servers_end_by_chance() {
     const SERVERS: u32 = 60;
@@ -125,7 +128,7 @@
             .map(RequestDigest)
             .collect();
         reached += tally.note(end as u32, &in_flight, now_ms).len();
-        // They ask again a second later, and others answer.
+        // Callers retry a second later, and other servers answer.
         for digest in in_flight {
             tally.clear(digest);
         }
@@ -190,7 +193,7 @@
     assert_eq!(reports.due(3).len(), 64);
 }
 
-/// A request without a query.
+/// Digests of a request without a query.
 fn without_query(digest: u64) -> RequestDigests {
     let digest = RequestDigest(digest);
     RequestDigests {
@@ -248,7 +251,7 @@
 #[test]
 fn one_host_at_a_time_tries_a_suspect() {
     let [first, second] = [1, 2].map(|last| SocketAddr::from(([10, 0, 0, last], 7_620)));
-    // Both claim before they hear each other.
+    // Both hosts claim before they receive each other's claim.
     let (mut of_first, mut of_second) = (Trials::default(), Trials::default());
     assert_eq!(of_first.claim(DEADLY, first, 0), Ok(()));
     assert_eq!(of_second.claim(DEADLY, second, 1), Ok(()));
@@ -256,7 +259,7 @@
     of_second.note(DEADLY, first, 3);
     assert!(of_first.has(DEADLY, first, 25));
     assert!(!of_second.has(DEADLY, second, 26));
-    // Neither that host nor another one tries it until the outcome is known, or should be.
+    // Neither host may try it again until the outcome is known or the claim expires.
     assert_eq!(of_second.claim(DEADLY, second, 103), Err(CLAIM_MS - 100));
     assert_eq!(of_first.claim(DEADLY, first, 100), Err(CLAIM_MS - 100));
     of_second.end(DEADLY);
@@ -269,7 +272,7 @@
     );
 }
 
-/// A request of a caller for what many ask for.
+/// A suspect across callers, from one caller.
 fn shared(caller_tag: u32, width: Width, is_trial: bool) -> SharedSuspect {
     SharedSuspect {
         digest: DEADLY,
@@ -284,7 +287,7 @@
     struct Case {
         what: &'static str,
         width: Width,
-        /// Server, caller, whether it was a trial, and time in ms.
+        /// Crashes as `(server, caller, whether it was a trial, time in ms)`.
         ends: &'static [(u32, u32, bool, u64)],
         reached: bool,
     }
@@ -412,7 +415,7 @@
             .rest_ms(DEADLY, ANY_CALLER_QUARANTINE_MS)
             .is_some()
     );
-    // Its evidence is there still, so that one host at a time tries it.
+    // The evidence outlasts the quarantine, so that only one host at a time tries the request.
     let mut tally = PathTally::default();
     tally.note(1, &[shared(7, Width::Content, false)], false, 0);
     assert!(tally.is_suspect(DEADLY, ANY_CALLER_QUARANTINE_MS));
@@ -432,7 +435,7 @@
         [3, 4].map(|digest| is_trial(&running_requests, digest)),
         [Some(false), Some(true)]
     );
-    // Its connection breaks off as the server ends.
+    // The connection breaks when the server crashes.
     running_requests.abandoned(without_query(4), 990);
     assert_eq!(is_trial(&running_requests, 4), Some(true));
     running_requests.begin_trial(without_query(5));
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -1,23 +1,24 @@
-//! Quotas of workspaces over all hosts, played in virtual time on the code that decides: never more than the users'
-//! bound, and no less than what is allowed.
+//! Simulates workspace quotas over all hosts in virtual time, with the real decision code. Admitted
+//! requests must stay within the users' bound, and at least 90 % of what the quota allows must be
+//! served.
 
 use ashroad::entry::decide::quota::{Admitted, HostShare, Ledger, Quota, Sharing, Use};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// Window over which the users count, and what they allow on top of a quota.
+/// Window over which the users count requests, and the excess over a quota that they allow.
 const WINDOW_MS: u64 = 5_000;
 const OVERSHOOT: f64 = 0.1;
 const SLACK: f64 = 20.0;
-/// Share of what is allowed that must be served.
+/// Least share of the allowed requests that must be admitted.
 const SERVED_MIN: f64 = 0.9;
 const STEP_MS: u64 = 5;
-/// Most requests that come again in one step.
+/// Most refused requests that are retried in one step.
 const RETRIES_PER_STEP_MAX: usize = 15;
 const SIMULATED_MS: u64 = 30_000;
-/// Datagrams that are lost.
+/// Share of the datagrams that are lost.
 const DATAGRAM_LOSS: f64 = 0.02;
 
-/// Hosts that get the requests.
+/// Distribution of requests over hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Spread {
     Even,
@@ -28,12 +29,12 @@
     name: &'static str,
     hosts: usize,
     quota: Quota,
-    /// What callers ask for before and after the tenth second, in quotas.
+    /// Demand of callers before and after the tenth second, as a multiple of the quota.
     asked: (f64, f64),
     spread: Spread,
-    /// True if callers that were refused ask again at once.
+    /// True if callers retry refused requests at once.
     retries_at_once: bool,
-    /// Time in which no holder is heard.
+    /// Time span in ms without a duty holder.
     without_duty_holder: std::ops::Range<u64>,
 }
 
@@ -61,7 +62,7 @@
 }
 
 impl Case {
-    /// Interval at which hosts and holder speak, as in service.
+    /// Interval of reports and announcements, as in production.
     fn report_interval_ms(&self) -> u64 {
         150.max(self.hosts as u64)
     }
@@ -142,7 +143,7 @@
     }
 }
 
-/// Most of the times that lie in one window.
+/// Returns the largest number of times within one window.
 fn most_in_window(times: &[u64]) -> usize {
     let mut first = 0;
     let mut most = 0;
@@ -155,7 +156,8 @@
     most
 }
 
-/// What a workspace is owed: no more than its quota lets through, one bucket for all hosts.
+/// Returns the number of requests that the quota entitles a workspace to: those that a single token
+/// bucket for all hosts would admit.
 fn entitled(quota: Quota, asked: &[u64]) -> usize {
     let mut tokens = quota.burst;
     let mut at_ms = 0;
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -1,10 +1,10 @@
-//! Servers that name in their answers the requests a second that they take from all hosts together.
+//! Servers advertise in their responses a limit on the requests a second from all hosts together.
 //!
-//! What users saw: two of nine servers of a service named limits of 7.6 and 9.7 requests a second, and three seconds later
-//! they still got 118 and 109 requests in 4 s from the hosts that they had told. Order of events: the servers began to name
-//! limits; hosts went on sending all requests for their keys there, as many as before. Cause: no host read the header, so that
-//! neither the choice of a server nor the planner knew of a rate. Evidence: the servers' rates are the same before and
-//! after; no host wrote a line about it; and hosts that read it hold the bound in the same course.
+//! The failure that these tests guard against: two of nine servers of a service advertised limits of
+//! 7.6 and 9.7 requests a second, and three seconds later they still got 118 and 109 requests in 4 s
+//! from the hosts that had received the limits. No host read the header, so neither the choice of a
+//! server nor the planner of key moves knew the limit, and hosts went on sending all requests for
+//! the servers' keys there. No host logged the limits; hosts that read the header keep the bound.
 
 mod platform_standin;
 
@@ -21,29 +21,33 @@
     traffic::{Asked, Traffic},
 };
 
-/// Time after a host has passed on an answer that names a limit from which its requests count.
+/// Time after a host has forwarded a response with a limit from which its requests count.
 const PROPAGATION_TIME: Duration = Duration::from_millis(500);
-/// Time after a server first named a limit from which the bound holds. The users give three seconds.
+/// Time after a server first advertised a limit from which the bound holds. The users allow three
+/// seconds.
 const SETTLED_AFTER: Duration = Duration::from_secs(2);
-/// Length of the windows; every one of them counts.
+/// Length of the windows in which requests are counted; every window must be within the bound.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Requests that may come in a window as a multiple of what the limit allows, and besides. The users allow 1.5 times.
+/// Allowed requests in a window: a multiple of the limit, plus a constant. The users allow 1.5
+/// times the limit.
 const EXCESS_MAX: f64 = 1.3;
 const SLACK: f64 = 5.0;
-/// Share of the limits that must be used while callers ask for twice as much and no server has room besides.
+/// Least share of the limits that must be used while demand is twice as high and no server has
+/// spare capacity.
 const USED_MIN: f64 = 0.8;
-/// Share of the requests that must be served while other servers have room for them.
+/// Least share of requests that must be served while other servers have capacity.
 const SERVED_MIN: f64 = 0.9;
-/// Time within which the keys that are too many for a limited server have gone to others.
+/// Time within which the keys that exceed a server's limit have moved to other servers.
 const MOVED_AFTER: Duration = Duration::from_secs(3);
-/// Time for which servers name limits.
+/// Time for which servers advertise limits.
 const LIMITED: Duration = Duration::from_secs(9);
 
 /// Limits of one server over time, as `(time, requests a second)`.
 struct AdvertisedLimits(Vec<(Instant, f64)>);
 
 impl AdvertisedLimits {
-    /// Requests that the limits allow from one moment to another; `None` if there is none for a part of it.
+    /// Returns the number of requests that the limits allow in a time span; `None` if it begins
+    /// before the first limit.
     fn allowed(&self, from: Instant, until: Instant) -> Option<f64> {
         let (first, _) = *self.0.first()?;
         if from < first {
@@ -57,7 +61,8 @@
         Some(spans.sum())
     }
 
-    /// What is wrong in the worst window, of the requests from hosts that had been told.
+    /// Checks that no window has too many requests from hosts that had received a limit; `Err`
+    /// describes the first such window.
     fn check(&self, server: &Server, traffic: &Traffic, excused: &[usize]) -> Result<(), String> {
         let Some((first, _)) = self.0.first() else {
             return Ok(());
@@ -96,7 +101,7 @@
     }
 }
 
-/// Lets a server name limits one after the other, each for a time.
+/// Lets a server advertise limits one after the other, each for the same time.
 async fn advertise_in_turn(server: &Server, limits: &[f64], each: Duration) -> AdvertisedLimits {
     let mut named = Vec::new();
     for limit in limits {
@@ -107,21 +112,21 @@
     AdvertisedLimits(named)
 }
 
-/// One of three servers names a limit of a fifth of what it gets.
+/// One of three servers advertises a limit of a fifth of its requests.
 async fn one_of_three(beside: Beside, asked: Asked) -> Result<(), String> {
     let mut deployment = Deployment::start(asked).await;
     deployment.server(asked).name_limit(Some("10"));
     let began = Instant::now();
     deployment.suffer(beside, asked, LIMITED).await;
     let named = AdvertisedLimits(vec![(began, 10.0)]);
-    // A host that was frozen owes nothing.
+    // The bound does not apply to a host that was frozen.
     let excused: &[usize] = if beside == Beside::HostFrozen {
         &[0]
     } else {
         &[]
     };
     named.check(deployment.server(asked), &deployment.traffic, excused)?;
-    // Without the store no key can get another server.
+    // Without the store keys cannot move to other servers.
     if beside == Beside::StoreAway && asked == Asked::Keys {
         return Ok(());
     }
@@ -148,8 +153,8 @@
     play(ALL.map(|beside| (beside, Asked::Orders)), one_of_three).await;
 }
 
-/// All servers name limits, each of a third of what it gets: their sum is used, and none gets too much. One host has
-/// half of the callers.
+/// All servers advertise limits, each of a third of its requests: the sum must be used, and no
+/// server may get too many. One host has half of the callers.
 async fn all_servers(asked: Asked) -> Result<(), String> {
     const LIMIT: f64 = 20.0;
     let deployment = Deployment::start(asked).await;
@@ -181,7 +186,7 @@
     play(cases, |_, asked| all_servers(asked)).await;
 }
 
-/// A limit falls to a third, to a fraction, to nothing, rises again and ends.
+/// A limit falls to a third, to a fraction and to zero, rises again and is withdrawn.
 async fn falls_and_ends(asked: Asked) -> Result<(), String> {
     let deployment = Deployment::start(asked).await;
     let server = deployment.server(asked);
@@ -193,8 +198,8 @@
     time::sleep(Duration::from_secs(2)).await;
     server.name_limit(None);
     time::sleep(Duration::from_secs(7)).await;
-    // How many requests it gets then shows nothing: others have idle connections, and keys come back only as far as the
-    // other servers are busy.
+    // The number of requests that the server gets afterwards proves nothing: others have idle
+    // connections, and keys return only as far as the other servers are busy.
     let got_keys = server
         .visits()
         .iter()
@@ -242,8 +247,8 @@
     play(cases, |_, asked| twelve_hosts(asked)).await;
 }
 
-/// Two of nine servers name limits of a third of what they get, where few keys are busy: their keys go to the others,
-/// which have room for them, and stay there.
+/// Two of nine servers advertise limits of a third of their requests, with few busy keys: the keys
+/// must move to the other servers, which have capacity, and stay there.
 async fn busy_keys(asked: Asked) -> Result<(), String> {
     let deployment = Deployment::start_sized(asked, 8, 9).await;
     for server in deployment.servers(asked) {
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -1,4 +1,5 @@
-//! Callers with API keys: whose requests run, on behalf of which workspace, and what becomes of revoked keys.
+//! Callers with API keys: which requests run and for which workspace, the bound on revoked keys,
+//! and quotas.
 
 mod platform_standin;
 
@@ -16,14 +17,14 @@
     store::Faults,
 };
 
-/// Bound of revocations.
+/// Time within which a revoked key must no longer be honoured.
 const REVOCATION_MS: u64 = 2_000;
-/// Time after its first start in which a host learns of the others.
+/// Time after the first start of a host in which it discovers the others.
 const DISCOVERY_MS: u64 = 4_000;
 const SECRET: &str = "ftimaj3nr26tta828m82";
 const OTHER_SECRET: &str = "thhkmgjqnirth5mgjy5r";
 
-/// A configuration with a workspace whose callers have these API keys, and a public route.
+/// Returns a configuration with a public route and a workspace with these API keys.
 fn with_workspace(version: u32, api_keys: &[&str], more: Value) -> Value {
     let mut wire = configuration(version, &["/open/"]);
     wire["hosts"][0]["paths"][2]["public"] = json!(true);
@@ -59,7 +60,7 @@
     format!("Token {api_key}")
 }
 
-/// Asks a host with more headers; the answer, and the request's id.
+/// Sends a request with additional headers; returns the response and the request's id.
 async fn ask(host: &Host, path: &str, more: &[(&str, &str)]) -> Option<(Answer, String)> {
     let id = format!("{:016x}", rand::random::<u64>());
     let ask = Ask {
@@ -178,7 +179,7 @@
 async fn revoked_keys_are_not_honoured_past_the_bound() {
     let site = start(2, json!({})).await;
     let revoked = with_workspace(3, &["a later key"], json!({}));
-    // One host stands still as the key is revoked, and wakes up after the bound.
+    // One host is stopped while the key is revoked, and continues after the bound.
     site.hosts[1].signal("STOP");
     site.store.put("op", "config", &revoked);
     time::sleep(Duration::from_millis(REVOCATION_MS + 200)).await;
@@ -230,7 +231,7 @@
 async fn requests_beyond_a_quota_are_refused_and_others_served() {
     let quota = json!({"ratePerS": 20, "burst": 20});
     let site = start(2, quota).await;
-    // Hosts that start together at the first start of a deployment know each other by then.
+    // Waits until the hosts, which started together, have discovered each other.
     time::sleep(Duration::from_millis(DISCOVERY_MS)).await;
     let mut served = 0;
     let mut refused = 0;
@@ -248,7 +249,7 @@
         let other = order(&site.hosts[0], &[("authorization", &token(OTHER_SECRET))]).await;
         assert_eq!(other.expect("an answer").0.status, StatusCode::OK);
     }
-    // The users' bound on what is over, and nine tenths of what is allowed.
+    // The users' bound on the excess over the quota, and nine tenths of what it allows.
     let allowed = 20.0 * asks_for.as_secs_f64() + 20.0;
     assert!(refused > 0, "{served} served, none refused");
     assert!(f64::from(served) <= allowed * 1.1 + 20.0, "{served} served");
