--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -8,7 +8,7 @@
 use super::{
     attempt::Attempt,
     body::Payload,
-    head::{refusal, plain_text},
+    head::{plain_text, refusal},
 };
 use crate::{
     clock,
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -15,7 +15,7 @@
 use self::{
     body::{Payload, read_payload},
     forwarded_request::{ForwardedRequest, Times},
-    head::{over_quota, refusal, plain_text, unauthorized},
+    head::{over_quota, plain_text, refusal, unauthorized},
 };
 use super::{
     Entry,
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_request_that_a_server_has_run_to_a_good_end_is_not_the_cause() {
+fn a_request_that_a_server_has_answered_is_not_the_cause() {
     let mut tally = CrashTally::default();
     for server_tag in 0..10 {
         let now_ms = u64::from(server_tag) * 3_500;
