--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn keys_are_judged_by_the_proof_of_the_configuration() {
+fn keys_are_judged_by_the_age_of_the_configuration() {
     struct Case {
         known: bool,
         age_ms: Option<u64>,
