--- a/tests/entry_digest.rs
+++ b/tests/entry_digest.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_digest_outlasts_ids_and_deadlines_and_tells_all_else_apart() {
+fn digests_ignore_ids_and_deadlines_and_cover_all_else() {
     assert_eq!(digests(&FIRST, "id-1"), digests(&FIRST, "another id"));
     let others = [
         TestRequest {
