--- a/tests/entry_digest.rs
+++ b/tests/entry_digest.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn of_long_bodies_the_beginning_counts() {
+fn digests_cover_the_beginning_of_long_bodies() {
     let body = |length: usize, last: &str| "x".repeat(length) + last;
     let digests = |body: &str| {
         let request = Request::builder().uri("/a").body(()).expect("request");
