--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -88,7 +88,7 @@
             let due_ms = if self.duty.term() > 0 {
                 every_ms
             } else {
-                self.ask_holder_for_proof();
+                self.query_confirmation();
                 bound_ms * STORE_QUERY_PERCENT / 100
             };
             let age_ms = self.proof.age_ms(clock::now_ms());
@@ -100,7 +100,7 @@
 
     /// Queries the duty holder for the age of its confirmed configuration. The nonce matches the
     /// answer to the time of this query.
-    fn ask_holder_for_proof(&self) {
+    fn query_confirmation(&self) {
         let nonce = rand::random();
         self.proof.ask(nonce, clock::now_ms());
         if !self.peers.send_to_holder(&Message::AskProof { nonce }) {
