--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -92,7 +92,7 @@
                 bound_ms * STORE_QUERY_PERCENT / 100
             };
             let age_ms = self.proof.age_ms(clock::now_ms());
-            if age_ms.is_none_or(|age_ms| age_ms >= due_ms) && !self.ask_store_for_proof().await {
+            if age_ms.is_none_or(|age_ms| age_ms >= due_ms) && !self.confirm_with_store().await {
                 watch::pause().await;
             }
         }
@@ -110,7 +110,7 @@
 
     /// Asks the store whether the configuration has changed since; returns false if the store did
     /// not answer.
-    async fn ask_store_for_proof(&self) -> bool {
+    async fn confirm_with_store(&self) -> bool {
         let followed = Followed::Configuration;
         let after = self.freshness.applied(followed);
         if after == 0 {
