--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -135,7 +135,7 @@
 
     /// Returns how old this host's confirmed configuration is, as the answer to another host's
     /// query. `None` if it was never confirmed.
-    pub(super) fn proof_for(&self, nonce: u64) -> Option<Message> {
+    pub(super) fn confirmation_for(&self, nonce: u64) -> Option<Message> {
         let age_ms = self.proof.age_ms(clock::now_ms())?;
         Some(Message::Proof {
             nonce,
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -172,7 +172,7 @@
                 evacuations,
             } => self.note_word(nonce, news, evacuations),
             Message::AskProof { nonce } => {
-                if let Some(proof) = self.proof_for(nonce) {
+                if let Some(proof) = self.confirmation_for(nonce) {
                     self.peers.send(&proof, &[from]);
                 }
             }
