--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -146,7 +146,7 @@
 
     /// Notes another host's answer. It counts only if this host has a configuration at least as
     /// recent as that host's.
-    pub(super) fn note_proof(&self, nonce: u64, age_ms: u32, changed: u64) {
+    pub(super) fn note_confirmation(&self, nonce: u64, age_ms: u32, changed: u64) {
         if self.freshness.changed(Followed::Configuration) >= changed {
             self.proof.note_answer(nonce, u64::from(age_ms));
         }
