--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -157,7 +157,7 @@
             Message::Trying(claimed) => self.note_trial(claimed, from),
             Message::Tried(claimed) => self.note_trial_end(claimed),
             Message::Resting(rests) => self.take_rests(from, &rests),
-            Message::Asked(rates) => self.take_rates(from, &rates),
+            Message::Asked(rates) => self.handle_rate_report(from, &rates),
             Message::Rates(rates) => self.take_sums(&rates),
             Message::Used(reports) => self.take_used(&reports),
             Message::Admitted(told) => self.quotas.note_told(&told),
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -46,7 +46,7 @@
             if self.duty.term() == 0 {
                 self.report_rates(rates);
             } else {
-                self.take_rates(self.settings.listen.peers, &rates);
+                self.handle_rate_report(self.settings.listen.peers, &rates);
                 self.announce_rates();
             }
         }
@@ -76,7 +76,7 @@
     }
 
     /// Handles a host's report of limits and demand, if this host has the duty.
-    pub(in crate::entry) fn take_rates(&self, host: SocketAddr, rates: &[ServerRate]) {
+    pub(in crate::entry) fn handle_rate_report(&self, host: SocketAddr, rates: &[ServerRate]) {
         if self.duty.term() == 0 {
             return;
         }
