--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -158,7 +158,7 @@
             Message::Tried(claimed) => self.note_trial_end(claimed),
             Message::Resting(rests) => self.take_rests(from, &rests),
             Message::Asked(rates) => self.handle_rate_report(from, &rates),
-            Message::Rates(rates) => self.take_sums(&rates),
+            Message::Rates(rates) => self.apply_rate_totals(&rates),
             Message::Used(reports) => self.take_used(&reports),
             Message::Admitted(told) => self.quotas.note_told(&told),
             Message::AskWord { nonce, .. } => {
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -104,14 +104,14 @@
         };
         let is_limited = |tag| rates.iter().any(|rate| rate.server_tag == tag);
         self.asked_by_host().retain(is_limited);
-        self.take_sums(&rates);
+        self.apply_rate_totals(&rates);
         for rates in rates.chunks(RATES_MAX) {
             self.peers.send_to_all(Message::Rates(rates.to_vec()));
         }
     }
 
     /// Applies an announcement of the duty holder: the latest limits and the total demand.
-    pub(in crate::entry) fn take_sums(&self, rates: &[ServerRate]) {
+    pub(in crate::entry) fn apply_rate_totals(&self, rates: &[ServerRate]) {
         let now_ms = clock::now_ms();
         self.note_limits(rates, now_ms);
         let registry = self.view.registry();
