--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -159,7 +159,7 @@
             Message::Resting(rests) => self.take_rests(from, &rests),
             Message::Asked(rates) => self.handle_rate_report(from, &rates),
             Message::Rates(rates) => self.apply_rate_totals(&rates),
-            Message::Used(reports) => self.take_used(&reports),
+            Message::Used(reports) => self.handle_usage_report(&reports),
             Message::Admitted(told) => self.quotas.note_told(&told),
             Message::AskWord { nonce, .. } => {
                 if let Some(word) = self.word_for(nonce) {
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -228,7 +228,7 @@
     }
 
     /// Handles a host's usage report, if this host has the duty.
-    pub(in crate::entry) fn take_used(&self, reports: &[WorkspaceUse]) {
+    pub(in crate::entry) fn handle_usage_report(&self, reports: &[WorkspaceUse]) {
         if self.duty.term() == 0 {
             return;
         }
