--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -201,7 +201,7 @@
             ));
         }
         // A rate limit counts only if the response belongs to this request: another one may be old.
-        entry.note_told_limit(server, headers::told_limit(head.status, &head.headers));
+        entry.note_advertised_limit(server, headers::told_limit(head.status, &head.headers));
         if headers::says_not_run(head.status, &head.headers) {
             return Err(Attempt::NotRun(head.status));
         }
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -24,7 +24,7 @@
 
 impl Entry {
     /// Notes the rate limit that a server advertised in a response to this host.
-    pub(in crate::entry) fn note_told_limit(&self, server: &Server, told: ToldLimit) {
+    pub(in crate::entry) fn note_advertised_limit(&self, server: &Server, told: ToldLimit) {
         let per_s = match told {
             ToldLimit::Unlimited => None,
             ToldLimit::PerS(per_s) => Some(per_s),
