--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -240,7 +240,7 @@
             // hyper sets the content length from the body that it sends.
             headers.remove(header::CONTENT_LENGTH);
         }
-        self.name_workspace(headers)?;
+        self.set_workspace_header(headers)?;
         headers.insert(headers::DEADLINE_MS, HeaderValue::from(self.left_ms()));
         let name = HeaderValue::from_str(&server.entry.name).ok()?;
         headers.insert(headers::EXPECTED_SERVER, name);
@@ -248,7 +248,7 @@
     }
 
     /// Replaces the caller's API key by the name of its workspace: servers must not see API keys.
-    fn name_workspace(&self, headers: &mut HeaderMap) -> Option<()> {
+    fn set_workspace_header(&self, headers: &mut HeaderMap) -> Option<()> {
         if self.configuration.workspaces().is_none() {
             return Some(());
         }
