--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -282,7 +282,7 @@
 
     /// Refuses a random share of the requests for a hot key: those beyond the capacity of its
     /// server.
-    pub(super) fn refuse_hot(&self, entry: &Entry) -> Option<Response<AnswerBody>> {
+    pub(super) fn refuse_hot_key(&self, entry: &Entry) -> Option<Response<AnswerBody>> {
         let policy = &entry.settings.policy;
         let tag = tag_of(&self.service);
         let hot = entry.hot_keys.get(tag, self.key?, clock::now_ms())?;
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -141,7 +141,7 @@
         entry: &Arc<Entry>,
         payload: &mut Payload,
     ) -> Response<AnswerBody> {
-        if let Some(refused) = self.refuse_hot(entry) {
+        if let Some(refused) = self.refuse_hot_key(entry) {
             return refused;
         }
         loop {
