--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -113,7 +113,7 @@
         times,
     };
     let passing =
-        async move { pass(&entry, &configuration, &caller_request, &head, payload).await };
+        async move { forward(&entry, &configuration, &caller_request, &head, payload).await };
     if repeatable {
         // Forwarding is cancelled, and its connections are closed, when the caller disconnects.
         return passing.await;
@@ -182,7 +182,7 @@
 }
 
 /// Forwards an admitted request to a server of its route.
-async fn pass(
+async fn forward(
     entry: &Arc<Entry>,
     configuration: &Configuration,
     caller_request: &CallerRequest,
