--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -112,15 +112,15 @@
         workspace,
         times,
     };
-    let passing =
+    let forwarding =
         async move { forward(&entry, &configuration, &caller_request, &head, payload).await };
     if repeatable {
         // Forwarding is cancelled, and its connections are closed, when the caller disconnects.
-        return passing.await;
+        return forwarding.await;
     }
     // An unrepeatable request must not be cut off at its server when the caller disconnects, so it
     // runs in a task of its own.
-    match tokio::spawn(passing).await {
+    match tokio::spawn(forwarding).await {
         Ok(response) => response,
         Err(error) => {
             log::error!("the task of an unrepeatable request failed: {error}");
