--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -32,7 +32,7 @@
     site::{KEYED, ORDERS, Site, configuration, eventually, get},
 };
 
-const DEADLY: &str = "/reads/deadly";
+const CRASH_PATH: &str = "/reads/deadly";
 const HARMLESS: &str = "/reads/harmless";
 const CALLER: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 const OTHER_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2));
@@ -88,7 +88,7 @@
     place.expect("a holder")
 }
 
-/// Starts hosts, and servers that crash under requests for [`DEADLY`] and whose entries stay in the
+/// Starts hosts, and servers that crash under requests for [`CRASH_PATH`] and whose entries stay in the
 /// store.
 async fn start(hosts: usize, servers: usize) -> (Site, Vec<Server>) {
     let mut site = Site::start_servers(1).await;
@@ -123,7 +123,7 @@
     // The bounds do not apply to hosts that have just started: they have not read the shared secret
     // yet and receive no messages.
     time::sleep(DETECTION_TIME).await;
-    site.record.set_deadly_path(Some(DEADLY));
+    site.record.set_deadly_path(Some(CRASH_PATH));
     (site, mortal)
 }
 
@@ -152,7 +152,7 @@
 async fn retry_crashing_request(site: &Site, tries: usize) {
     for number in 0..tries {
         let host = &site.hosts[number % site.hosts.len()];
-        read(host, CALLER, DEADLY).await;
+        read(host, CALLER, CRASH_PATH).await;
         time::sleep(Duration::from_millis(300)).await;
         status(host, OTHER_CALLER, HARMLESS).await;
     }
@@ -177,7 +177,7 @@
     // served.
     for host in &site.hosts {
         let asked = Instant::now();
-        let answer = read(host, CALLER, DEADLY).await.expect("an answer");
+        let answer = read(host, CALLER, CRASH_PATH).await.expect("an answer");
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(answer.headers.contains_key("retry-after"));
         assert!(asked.elapsed() < Duration::from_millis(400), "held back");
@@ -223,7 +223,7 @@
     let (mut site, _servers) = start(4, 14).await;
     let duty_holder = duty_holder(&site);
     site.hosts.swap(0, duty_holder);
-    read(&site.hosts[1], CALLER, DEADLY).await;
+    read(&site.hosts[1], CALLER, CRASH_PATH).await;
     time::sleep(Duration::from_millis(1_500)).await;
     site.hosts[0].kill();
     site.hosts.remove(0);
@@ -246,9 +246,9 @@
     retry_crashing_request(&site, 6).await;
     site.record.set_deadly_path(None);
     for host in &site.hosts {
-        let refused = status(host, CALLER, DEADLY).await;
+        let refused = status(host, CALLER, CRASH_PATH).await;
         assert_eq!(refused, Some(StatusCode::SERVICE_UNAVAILABLE));
-        let served = status(host, OTHER_CALLER, DEADLY).await;
+        let served = status(host, OTHER_CALLER, CRASH_PATH).await;
         assert_eq!(served, Some(StatusCode::OK));
     }
 }
@@ -258,7 +258,7 @@
     let (site, _servers) = start(2, 12).await;
     for number in 0..8 {
         let host = &site.hosts[number % 2];
-        read(host, CALLER, &format!("{DEADLY}?try={number}")).await;
+        read(host, CALLER, &format!("{CRASH_PATH}?try={number}")).await;
         time::sleep(Duration::from_millis(300)).await;
     }
     let ends = site.record.ends().len();
@@ -447,7 +447,7 @@
 #[tokio::test]
 async fn a_path_that_ends_servers_for_many_callers_reaches_few_of_them() {
     let tried = ManyCallers {
-        paths: &[DEADLY],
+        paths: &[CRASH_PATH],
         has_queries: false,
         at_once: 1,
     };
@@ -457,7 +457,7 @@
 #[tokio::test]
 async fn a_path_that_ends_servers_with_any_query_reaches_few_of_them() {
     let tried = ManyCallers {
-        paths: &[DEADLY],
+        paths: &[CRASH_PATH],
         has_queries: true,
         at_once: 1,
     };
@@ -467,7 +467,7 @@
 #[tokio::test]
 async fn two_paths_that_end_servers_for_many_callers_reach_few_of_them() {
     let tried = ManyCallers {
-        paths: &[DEADLY, "/reads/deadly-too"],
+        paths: &[CRASH_PATH, "/reads/deadly-too"],
         has_queries: false,
         at_once: 2,
     };
