--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -294,9 +294,9 @@
 /// there were two runs on each of the first two servers and four on the third.
 #[tokio::test]
 async fn tries_that_come_together_do_not_run_together_once_a_server_has_ended() {
-    const DEADLY_READ: &str = "/keyed/deadly";
+    const CRASH_READ_PATH: &str = "/keyed/deadly";
     let (site, servers) = start_keyed(5).await;
-    site.record.set_deadly_path(Some(DEADLY_READ));
+    site.record.set_deadly_path(Some(CRASH_READ_PATH));
     let mut tries = JoinSet::new();
     let until = Instant::now() + Duration::from_secs(14);
     while Instant::now() < until {
@@ -306,7 +306,7 @@
                 let id = format!("{:016x}", rand::random::<u64>());
                 let ask = Ask {
                     method: "GET",
-                    path: DEADLY_READ,
+                    path: CRASH_READ_PATH,
                     id: &id,
                     key: Some(7),
                     deadline_ms: 800,
@@ -478,11 +478,11 @@
 /// that as many callers read does not.
 #[tokio::test]
 async fn a_key_is_served_while_one_of_its_paths_ends_servers_for_many_callers() {
-    const DEADLY_READ: &str = "/keyed/deadly";
+    const CRASH_READ_PATH: &str = "/keyed/deadly";
     let (site, servers) = start_keyed(6).await;
     let harmless = Readers::start(&site.hosts, 100, 6, "/keyed/level", Some(7));
-    site.record.set_deadly_path(Some(DEADLY_READ));
-    let deadly = Readers::start(&site.hosts, 1, 6, DEADLY_READ, Some(7));
+    site.record.set_deadly_path(Some(CRASH_READ_PATH));
+    let deadly = Readers::start(&site.hosts, 1, 6, CRASH_READ_PATH, Some(7));
     let began = Instant::now();
     let mut until = began + Duration::from_secs(14);
     while Instant::now() < until {
