--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -17,7 +17,7 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-const DEADLY: RequestDigest = RequestDigest(1);
+const CRASHING: RequestDigest = RequestDigest(1);
 const HARMLESS: RequestDigest = RequestDigest(2);
 const MINUTE_MS: u64 = 60_000;
 
@@ -65,9 +65,9 @@
         let mut tally = CrashTally::default();
         let mut reached = Vec::new();
         for (server_tag, at_ms) in case.ends {
-            reached.extend(tally.note(*server_tag, &[DEADLY], *at_ms));
+            reached.extend(tally.note(*server_tag, &[CRASHING], *at_ms));
         }
-        assert_eq!(reached.contains(&DEADLY), case.reached, "{}", case.what);
+        assert_eq!(reached.contains(&CRASHING), case.reached, "{}", case.what);
     }
 }
 
@@ -102,9 +102,9 @@
     let mut tally = CrashTally::default();
     for server_tag in 0..10 {
         let now_ms = u64::from(server_tag) * 3_500;
-        let reached = tally.note(server_tag, &[DEADLY, HARMLESS], now_ms);
+        let reached = tally.note(server_tag, &[CRASHING, HARMLESS], now_ms);
         assert!(!reached.contains(&HARMLESS));
-        assert_eq!(reached.contains(&DEADLY), server_tag >= 1);
+        assert_eq!(reached.contains(&CRASHING), server_tag >= 1);
         assert!(tally.clear(HARMLESS));
         assert!(!tally.clear(HARMLESS), "cleared before");
     }
@@ -140,9 +140,9 @@
 #[test]
 fn suspects_are_bounded_and_those_with_the_most_evidence_stay() {
     let mut tally = CrashTally::default();
-    tally.note(1, &[DEADLY], 0);
-    tally.note(2, &[DEADLY], 1);
-    assert!(tally.is_suspect(DEADLY, 1));
+    tally.note(1, &[CRASHING], 0);
+    tally.note(2, &[CRASHING], 1);
+    assert!(tally.is_suspect(CRASHING, 1));
     for end in 0..1_000u32 {
         let digests: Vec<RequestDigest> = (0..12)
             .map(|number| RequestDigest(1_000 + u64::from(end * 12 + number)))
@@ -150,33 +150,33 @@
         tally.note(10 + end, &digests, 2);
         assert!(tally.len() <= 4_096);
     }
-    assert_eq!(tally.note(3, &[DEADLY], 3_500), [DEADLY]);
+    assert_eq!(tally.note(3, &[CRASHING], 3_500), [CRASHING]);
     assert_eq!(SERVERS_NEEDED, 2);
 }
 
 #[test]
 fn quarantine_ends_and_is_bounded() {
     let mut quarantine = Quarantine::default();
-    assert!(quarantine.add(DEADLY, 5));
-    assert!(!quarantine.add(DEADLY, 6), "it is there");
-    assert_eq!(quarantine.rest_ms(DEADLY, 5), Some(QUARANTINE_MS));
+    assert!(quarantine.add(CRASHING, 5));
+    assert!(!quarantine.add(CRASHING, 6), "it is there");
+    assert_eq!(quarantine.rest_ms(CRASHING, 5), Some(QUARANTINE_MS));
     assert_eq!(quarantine.rest_ms(HARMLESS, 5), None);
-    assert_eq!(quarantine.rest_ms(DEADLY, 5 + QUARANTINE_MS), None);
-    assert!(quarantine.add(DEADLY, 5 + QUARANTINE_MS), "once more");
+    assert_eq!(quarantine.rest_ms(CRASHING, 5 + QUARANTINE_MS), None);
+    assert!(quarantine.add(CRASHING, 5 + QUARANTINE_MS), "once more");
     for number in 0..1_000 {
         quarantine.add(RequestDigest(100 + number), QUARANTINE_MS + number);
     }
     assert_eq!(quarantine.len(), 256);
     let latest = quarantine.latest(QUARANTINE_MS + 1_000);
     assert_eq!(latest.first(), Some(&RequestDigest(1_099)));
-    assert!(!latest.contains(&DEADLY));
+    assert!(!latest.contains(&CRASHING));
     assert!(quarantine.latest(3 * QUARANTINE_MS).is_empty());
 }
 
 #[test]
 fn crash_reports_go_to_all_hosts_and_again_to_a_new_duty_holder() {
     let mut reports = Reports::default();
-    reports.add(7, vec![DEADLY, HARMLESS], true);
+    reports.add(7, vec![CRASHING, HARMLESS], true);
     for _ in 0..3 {
         let due = reports.due(1);
         assert_eq!(due.len(), 1);
@@ -186,7 +186,7 @@
     assert!(reports.due(1).is_empty(), "told often enough");
     reports.clear(HARMLESS);
     let due = reports.due(2);
-    assert_eq!((&*due[0].digests, due[0].to_all), (&[DEADLY][..], false));
+    assert_eq!((&*due[0].digests, due[0].to_all), (&[CRASHING][..], false));
     for server_tag in 0..1_000 {
         reports.add(server_tag, Vec::new(), false);
     }
@@ -253,18 +253,18 @@
     let [first, second] = [1, 2].map(|last| SocketAddr::from(([10, 0, 0, last], 7_620)));
     // Both hosts claim before they receive each other's claim.
     let (mut of_first, mut of_second) = (Trials::default(), Trials::default());
-    assert_eq!(of_first.claim(DEADLY, first, 0), Ok(()));
-    assert_eq!(of_second.claim(DEADLY, second, 1), Ok(()));
-    of_first.note(DEADLY, second, 3);
-    of_second.note(DEADLY, first, 3);
-    assert!(of_first.has(DEADLY, first, 25));
-    assert!(!of_second.has(DEADLY, second, 26));
+    assert_eq!(of_first.claim(CRASHING, first, 0), Ok(()));
+    assert_eq!(of_second.claim(CRASHING, second, 1), Ok(()));
+    of_first.note(CRASHING, second, 3);
+    of_second.note(CRASHING, first, 3);
+    assert!(of_first.has(CRASHING, first, 25));
+    assert!(!of_second.has(CRASHING, second, 26));
     // Neither host may try it again until the outcome is known or the claim expires.
-    assert_eq!(of_second.claim(DEADLY, second, 103), Err(CLAIM_MS - 100));
-    assert_eq!(of_first.claim(DEADLY, first, 100), Err(CLAIM_MS - 100));
-    of_second.end(DEADLY);
-    assert_eq!(of_second.claim(DEADLY, second, 104), Ok(()));
-    assert_eq!(of_first.claim(DEADLY, first, CLAIM_MS), Ok(()));
+    assert_eq!(of_second.claim(CRASHING, second, 103), Err(CLAIM_MS - 100));
+    assert_eq!(of_first.claim(CRASHING, first, 100), Err(CLAIM_MS - 100));
+    of_second.end(CRASHING);
+    assert_eq!(of_second.claim(CRASHING, second, 104), Ok(()));
+    assert_eq!(of_first.claim(CRASHING, first, CLAIM_MS), Ok(()));
     assert_eq!(
         of_first.claim(HARMLESS, first, CLAIM_MS),
         Ok(()),
@@ -275,7 +275,7 @@
 /// A suspect across callers, from one caller.
 fn shared(caller_tag: u32, width: Width, is_trial: bool) -> SharedSuspect {
     SharedSuspect {
-        digest: DEADLY,
+        digest: CRASHING,
         width,
         caller_tag,
         is_trial,
@@ -355,7 +355,7 @@
             let suspect = shared(*caller_tag, case.width, *is_trial);
             reached.extend(tally.note(*server_tag, &[suspect], false, *at_ms));
         }
-        assert_eq!(reached.contains(&DEADLY), case.reached, "{}", case.what);
+        assert_eq!(reached.contains(&CRASHING), case.reached, "{}", case.what);
     }
 }
 
@@ -363,9 +363,9 @@
 fn only_a_success_sent_after_the_crash_clears_a_path() {
     let mut tally = PathTally::default();
     tally.note(1, &[shared(7, Width::Content, false)], false, 1_000);
-    assert!(!tally.clear(DEADLY, 990), "sent before the end");
-    assert!(tally.is_suspect(DEADLY, 1_100));
-    assert!(tally.clear(DEADLY, 1_010));
+    assert!(!tally.clear(CRASHING, 990), "sent before the end");
+    assert!(tally.is_suspect(CRASHING, 1_100));
+    assert!(tally.clear(CRASHING, 1_010));
     assert!(tally.is_empty());
     let reached = tally.note(2, &[shared(8, Width::Content, true)], false, 2_000);
     assert_eq!(reached, [], "the first end no longer counts");
@@ -397,7 +397,7 @@
         tally.note(10 + end, &suspects, false, 2);
         assert!(tally.len() <= 4_096);
     }
-    assert!(tally.is_suspect(DEADLY, 2), "the one with most evidence");
+    assert!(tally.is_suspect(CRASHING, 2), "the one with most evidence");
 }
 
 #[test]
@@ -405,20 +405,20 @@
     let any_caller = RequestDigest(1 << 63 | 5);
     let mut quarantine = Quarantine::default();
     quarantine.add(any_caller, 0);
-    quarantine.add(DEADLY, 0);
+    quarantine.add(CRASHING, 0);
     assert_eq!(
         quarantine.rest_ms(any_caller, ANY_CALLER_QUARANTINE_MS),
         None
     );
     assert!(
         quarantine
-            .rest_ms(DEADLY, ANY_CALLER_QUARANTINE_MS)
+            .rest_ms(CRASHING, ANY_CALLER_QUARANTINE_MS)
             .is_some()
     );
     // The evidence outlasts the quarantine, so that only one host at a time tries the request.
     let mut tally = PathTally::default();
     tally.note(1, &[shared(7, Width::Content, false)], false, 0);
-    assert!(tally.is_suspect(DEADLY, ANY_CALLER_QUARANTINE_MS));
+    assert!(tally.is_suspect(CRASHING, ANY_CALLER_QUARANTINE_MS));
 }
 
 #[test]
