--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -10,8 +10,9 @@
 //!
 //! The second failure: the same with one path that many callers read. After three servers had
 //! crashed, the request still reached seven to eleven more. Digests included the caller, so each
-//! caller's request was a suspect for the first time: of 18 digests under which servers crashed none
-//! occurred twice, but ten were of one path from ten callers. Digests of the path alone prevent it.
+//! caller's request was a suspect for the first time: of 18 digests under which servers
+//! crashed none occurred twice, but ten were of one path from ten callers. Digests of the path
+//! alone prevent it.
 
 mod platform_standin;
 
@@ -85,7 +86,7 @@
 /// Returns the index of the host that has the duty.
 fn duty_holder(site: &Site) -> usize {
     let place = site.hosts.iter().position(has_taken_duty);
-    place.expect("a holder")
+    place.expect("a duty holder")
 }
 
 /// Starts hosts, and servers that crash under requests for [`CRASH_PATH`] and whose entries stay in the
@@ -127,7 +128,7 @@
     (site, mortal)
 }
 
-/// Starts three hosts, and servers with keys that crash under requests for a deadly path.
+/// Starts three hosts, and servers with keys that crash under requests for a crash path.
 async fn start_keyed(servers: usize) -> (Site, Vec<Server>) {
     let mut site = Site::start_servers(0).await;
     let mut mortal = Vec::new();
@@ -147,7 +148,7 @@
     (site, mortal)
 }
 
-/// Sends the deadly request to the hosts in turn, each time with a new id, and a harmless request
+/// Sends the crashing request to the hosts in turn, each time with a new id, and a harmless request
 /// after each.
 async fn retry_crashing_request(site: &Site, tries: usize) {
     for number in 0..tries {
@@ -165,14 +166,14 @@
     let ends = site.record.ends();
     assert!(
         ends.len() <= CRASHES_NEEDED + CRASHES_IN_FLIGHT,
-        "{} of {} servers ended",
+        "{} of {} servers crashed",
         ends.len(),
         servers.len()
     );
     let known = ends.get(CRASHES_NEEDED - 1).copied();
     let is_late = |end: &&Instant| known.is_some_and(|known| **end > known + DETECTION_TIME);
     let late = ends.iter().filter(is_late);
-    assert_eq!(late.count(), 0, "servers ended when all hosts must know");
+    assert_eq!(late.count(), 0, "servers crashed after all hosts must know");
     // The caller is told at once that the request has not run, and the requests of others are
     // served.
     for host in &site.hosts {
@@ -214,8 +215,8 @@
     }
     retry_crashing_request(&site, 6).await;
     let after = site.record.ends().len();
-    assert!(before > 0, "no server ended before");
-    assert_eq!(after, before, "servers ended after the loss of all hosts");
+    assert!(before > 0, "no server crashed before");
+    assert_eq!(after, before, "servers crashed after the loss of all hosts");
 }
 
 #[tokio::test]
@@ -236,7 +237,7 @@
     let ends = site.record.ends().len();
     assert!(
         ends <= CRASHES_NEEDED + CRASHES_IN_FLIGHT,
-        "{ends} servers ended"
+        "{ends} servers crashed"
     );
 }
 
@@ -264,7 +265,7 @@
     let ends = site.record.ends().len();
     assert!(
         ends <= CRASHES_NEEDED + CRASHES_IN_FLIGHT,
-        "{ends} servers ended"
+        "{ends} servers crashed"
     );
 }
 
@@ -288,7 +289,7 @@
     }
 }
 
-/// Guards against concurrent attempts of a deadly request that crash several servers. The attempts
+/// Guards against concurrent attempts of a crashing request that crash several servers. The attempts
 /// wait while the key has no server, and then all reach the next server before it has crashed. The
 /// users count runs, so even two servers may be too many. When hosts waited for three crashes,
 /// there were two runs on each of the first two servers and four on the third.
@@ -329,7 +330,7 @@
         .count();
     assert!(late <= LATE_RUNS_MAX, "{late} of {} runs", runs.len());
     let ends = site.record.ends().len();
-    assert!(ends < CRASHES_NEEDED, "{ends} servers ended");
+    assert!(ends < CRASHES_NEEDED, "{ends} servers crashed");
     assert_eq!(site.record.violations(), Vec::<String>::new());
 }
 
@@ -405,7 +406,7 @@
     }
 }
 
-/// Attempts of deadly paths, each by another caller.
+/// Attempts of crash paths, each by another caller.
 #[derive(Clone, Copy, Debug)]
 struct ManyCallers {
     paths: &'static [&'static str],
@@ -435,7 +436,7 @@
     tries.join_all().await;
     let ends = site.record.ends().len();
     let most = (CRASHES_NEEDED + CRASHES_IN_FLIGHT) * tried.paths.len();
-    assert!(ends <= most, "{ends} of {} servers ended", servers.len());
+    assert!(ends <= most, "{ends} of {} servers crashed", servers.len());
     // Harmless requests are served, except for those in flight at the servers that crashed.
     let served = harmless.served(began);
     assert!(served > 0.9, "{served:.2} of the harmless reads served");
@@ -505,7 +506,7 @@
         assert!(late <= LATE_RUNS_MAX, "{late} of {} runs", runs.len());
     }
     let ends = site.record.ends().len();
-    assert!(ends <= CRASHES_NEEDED, "{ends} servers ended");
+    assert!(ends <= CRASHES_NEEDED, "{ends} servers crashed");
     let settled = harmless.served(until - STEADY_TIME);
     assert!(settled > 0.95, "{settled:.2} of the harmless reads served");
     harmless.stop().await;
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -46,7 +46,7 @@
             reached: true,
         },
         Case {
-            what: "one server, told by three hosts",
+            what: "one server, reported by three hosts",
             ends: &[(1, 0), (1, 1), (1, 2)],
             reached: false,
         },
@@ -183,7 +183,7 @@
         assert_eq!((due[0].server_tag, due[0].digests.len()), (7, 2));
         assert!(due[0].to_all);
     }
-    assert!(reports.due(1).is_empty(), "told often enough");
+    assert!(reports.due(1).is_empty(), "sent often enough");
     reports.clear(HARMLESS);
     let due = reports.due(2);
     assert_eq!((&*due[0].digests, due[0].to_all), (&[CRASHING][..], false));
@@ -318,7 +318,7 @@
             reached: false,
         },
         Case {
-            what: "two callers, no trial: another request may have ended the servers",
+            what: "two callers, no trial: another request may have crashed the servers",
             width: Content,
             ends: &[(1, 7, false, 0), (2, 8, false, 40), (3, 9, false, 80)],
             reached: false,
@@ -363,12 +363,12 @@
 fn only_a_success_sent_after_the_crash_clears_a_path() {
     let mut tally = PathTally::default();
     tally.note(1, &[shared(7, Width::Content, false)], false, 1_000);
-    assert!(!tally.clear(CRASHING, 990), "sent before the end");
+    assert!(!tally.clear(CRASHING, 990), "sent before the crash");
     assert!(tally.is_suspect(CRASHING, 1_100));
     assert!(tally.clear(CRASHING, 1_010));
     assert!(tally.is_empty());
     let reached = tally.note(2, &[shared(8, Width::Content, true)], false, 2_000);
-    assert_eq!(reached, [], "the first end no longer counts");
+    assert_eq!(reached, [], "the first crash no longer counts");
 }
 
 #[test]
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -240,12 +240,12 @@
             ..Case::default()
         },
         Case {
-            name: "a quiet workspace while the holder is lost",
+            name: "a quiet workspace without a duty holder",
             without_duty_holder: 12_000..15_000,
             ..Case::default()
         },
         Case {
-            name: "a surge while the holder is lost",
+            name: "a surge without a duty holder",
             asked: surge,
             without_duty_holder: 9_000..12_000,
             ..Case::default()
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -1,8 +1,8 @@
 //! Servers advertise in their responses a limit on the requests a second from all hosts together.
 //!
-//! The failure that these tests guard against: two of nine servers of a service advertised limits of
-//! 7.6 and 9.7 requests a second, and three seconds later they still got 118 and 109 requests in 4 s
-//! from the hosts that had received the limits. No host read the header, so neither the choice of a
+//! The failure that these tests guard against: two of nine servers of a service advertised limits
+//! of 7.6 and 9.7 requests a second, and three seconds later they still got 118 and 109 requests in
+//! 4 s from the hosts that had received the limits. No host read the header, so neither the choice of a
 //! server nor the planner of key moves knew the limit, and hosts went on sending all requests for
 //! the servers' keys there. No host logged the limits; hosts that read the header keep the bound.
 
@@ -213,7 +213,9 @@
         let lines = host.events("server_rate_limit");
         let latest = lines.iter().rfind(|line| line.contains(&server.id));
         if latest.is_none_or(|line| !line.contains("\"per_s\":null")) {
-            return Err(format!("the end is not known: {latest:?}"));
+            return Err(format!(
+                "the withdrawal of the limit is not known: {latest:?}"
+            ));
         }
     }
     served_at_least(&deployment, ended + Duration::from_secs(3), Instant::now())?;
