--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -137,7 +137,7 @@
 pub struct Holding {
     /// Range of keys.
     pub range: KeyRange,
-    /// Id of the server, which is new with each start of the server's process.
+    /// Incarnation id of the server: each start has another one, even under the same name.
     pub server: Arc<str>,
     /// Fence under which the keys were granted.
     pub fence: u64,
