--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -37,7 +37,7 @@
 /// State of all quotas at one host.
 #[derive(Debug, Default)]
 pub struct Quotas {
-    known: Mutex<QuotaState>,
+    state: Mutex<QuotaState>,
 }
 
 #[derive(Debug, Default)]
@@ -58,29 +58,29 @@
             return true;
         };
         let now_ms = clock::now_ms();
-        let mut known = self.known();
+        let mut state = self.state();
         let kept_ms = MISSED_ANNOUNCEMENTS * report_interval_ms(hosts);
-        let heard_ms = known.heard_ms;
+        let heard_ms = state.heard_ms;
         let sharing = Sharing {
             hosts,
             is_told: heard_ms.is_some_and(|heard_ms| now_ms <= heard_ms + kept_ms),
         };
-        let share = known.shares.entry(workspace.tag).or_default();
+        let share = state.shares.entry(workspace.tag).or_default();
         share.admits(quota, sharing, rand::random(), now_ms)
     }
 
     /// Counts a request of a workspace that is sent to a server.
     pub fn note_sent(&self, workspace: &Workspace) {
         if workspace.quota.is_some() {
-            let mut known = self.known();
-            known.shares.entry(workspace.tag).or_default().note_sent();
+            let mut state = self.state();
+            state.shares.entry(workspace.tag).or_default().note_sent();
         }
     }
 
     /// Returns the requests of each workspace since the last report, received and sent.
     fn take_report(&self) -> Vec<WorkspaceUse> {
-        let mut known = self.known();
-        let reports = known.shares.iter_mut().map(|(tag, share)| WorkspaceUse {
+        let mut state = self.state();
+        let reports = state.shares.iter_mut().map(|(tag, share)| WorkspaceUse {
             workspace_tag: *tag,
             used: share.take_report(),
         });
@@ -92,12 +92,12 @@
     /// Adds a host's report to the ledgers of the duty holder.
     fn note_report(&self, workspaces: &Workspaces, reports: &[WorkspaceUse]) {
         let now_ms = clock::now_ms();
-        let mut known = self.known();
+        let mut state = self.state();
         for report in reports {
             let Some(quota) = quota_of(workspaces, report.workspace_tag) else {
                 continue;
             };
-            let ledgers = &mut known.ledgers;
+            let ledgers = &mut state.ledgers;
             let ledger = ledgers.entry(report.workspace_tag);
             let ledger = ledger.or_insert_with(|| Ledger::new(now_ms));
             ledger.note(quota, report.used, now_ms);
@@ -108,10 +108,10 @@
     /// workspaces if `is_for_all`, else only those that limit a workspace or have just ceased to.
     fn admitted(&self, workspaces: &Workspaces, is_for_all: bool) -> Vec<WorkspaceAdmitted> {
         let now_ms = clock::now_ms();
-        let mut known = self.known();
+        let mut state = self.state();
         let QuotaState {
             shares, ledgers, ..
-        } = &mut *known;
+        } = &mut *state;
         let mut told = Vec::new();
         for (tag, ledger) in ledgers.iter_mut() {
             let Some(quota) = quota_of(workspaces, *tag) else {
@@ -136,26 +136,26 @@
     /// Applies an announcement of the duty holder.
     pub(super) fn note_told(&self, told: &[WorkspaceAdmitted]) {
         let now_ms = clock::now_ms();
-        let mut known = self.known();
-        known.heard_ms = Some(now_ms);
+        let mut state = self.state();
+        state.heard_ms = Some(now_ms);
         for word in told {
-            let share = known.shares.entry(word.workspace_tag).or_default();
+            let share = state.shares.entry(word.workspace_tag).or_default();
             share.note_told(word.admitted, now_ms);
         }
     }
 
     /// Returns the share that the latest announcement lets hosts admit of a workspace's requests.
     pub fn told(&self, workspace_tag: u32) -> Option<Admitted> {
-        self.known().shares.get(&workspace_tag)?.told()
+        self.state().shares.get(&workspace_tag)?.told()
     }
 
     /// Discards the ledgers of a host that does not have the duty.
     fn forget_ledgers(&self) {
-        self.known().ledgers.clear();
+        self.state().ledgers.clear();
     }
 
-    fn known(&self) -> MutexGuard<'_, QuotaState> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, QuotaState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
