--- a/src/entry/crashes/broken_connections.rs
+++ b/src/entry/crashes/broken_connections.rs
@@ -35,10 +35,10 @@
     }
 
     /// Notes the result of a liveness probe.
-    pub fn end_probe(&self, has_ended: bool) {
+    pub fn end_probe(&self, has_crashed: bool) {
         let mut state = self.state();
         state.is_probed = false;
-        if has_ended {
+        if has_crashed {
             state.ended_ms = clock::now_ms();
         }
     }
--- a/src/entry/crashes/probe.rs
+++ b/src/entry/crashes/probe.rs
@@ -31,10 +31,10 @@
             loop {
                 let seen = server.broken_connections.count();
                 time::sleep(Duration::from_millis(pause_ms)).await;
-                let has_ended = has_ended(&server).await;
-                if has_ended || server.broken_connections.count() == seen {
-                    server.broken_connections.end_probe(has_ended);
-                    if has_ended {
+                let has_crashed = has_crashed(&server).await;
+                if has_crashed || server.broken_connections.count() == seen {
+                    server.broken_connections.end_probe(has_crashed);
+                    if has_crashed {
                         entry.note_end(&server);
                     }
                     return;
@@ -84,7 +84,7 @@
 /// Returns true if a server whose connections broke has crashed: it has neither answered since nor
 /// kept a connection open, and its address refuses connections. A connection that the probe opens
 /// is kept for the next request.
-async fn has_ended(server: &Server) -> bool {
+async fn has_crashed(server: &Server) -> bool {
     if server.has_answered_since_broken_connection() || server.pool.has_open() {
         return false;
     }
