--- a/src/entry/crashes/broken_connections.rs
+++ b/src/entry/crashes/broken_connections.rs
@@ -15,7 +15,7 @@
     /// Time of the latest one; 0 if there was none.
     latest_ms: u64,
     /// Time at which a probe found that the server had crashed; 0 if none did.
-    ended_ms: u64,
+    crashed_ms: u64,
     /// True while a liveness probe of the server runs.
     is_probed: bool,
 }
@@ -26,7 +26,7 @@
     /// (`answered_ms`).
     pub fn note(&self, answered_ms: u64) -> bool {
         let mut state = self.state();
-        if state.ended_ms > answered_ms {
+        if state.crashed_ms > answered_ms {
             return false;
         }
         state.count = state.count.wrapping_add(1);
@@ -39,7 +39,7 @@
         let mut state = self.state();
         state.is_probed = false;
         if has_crashed {
-            state.ended_ms = clock::now_ms();
+            state.crashed_ms = clock::now_ms();
         }
     }
 
