--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -59,7 +59,7 @@
     /// Quarantined requests as last read from or written to the store.
     stored: Mutex<StoredQuarantine>,
     /// Notified when this host has detected a server crash.
-    ended: Notify,
+    crashed: Notify,
     /// Notified when a request was quarantined.
     quarantined: Notify,
 }
@@ -279,7 +279,7 @@
             }
             let pause = Duration::from_millis(RESEND_INTERVAL_MS);
             // Reports that are due are sent, whether a crash or the timeout ended the wait.
-            if time::timeout(pause, self.crashes.ended.notified())
+            if time::timeout(pause, self.crashes.crashed.notified())
                 .await
                 .is_ok()
             {
--- a/src/entry/crashes/probe.rs
+++ b/src/entry/crashes/probe.rs
@@ -64,7 +64,7 @@
         // mean 2,600 reports for each of 295 hosts.
         let to_all = !lock(&self.crashes.tally).are_many_at_once(clock::now_ms());
         lock(&self.crashes.reports).add(server.tag, suspects, to_all);
-        self.crashes.ended.notify_one();
+        self.crashes.crashed.notify_one();
     }
 }
 
