--- a/src/entry/crashes/probe.rs
+++ b/src/entry/crashes/probe.rs
@@ -35,7 +35,7 @@
                 if has_crashed || server.broken_connections.count() == seen {
                     server.broken_connections.end_probe(has_crashed);
                     if has_crashed {
-                        entry.note_end(&server);
+                        entry.note_crash(&server);
                     }
                     return;
                 }
@@ -46,7 +46,7 @@
 
     /// Notes that a server has crashed, and reports the requests of this host that were in flight
     /// there.
-    fn note_end(&self, server: &Server) {
+    fn note_crash(&self, server: &Server) {
         let suspects = server.suspects();
         let Suspects { digests, shared } = &suspects;
         if digests.is_empty() {
