--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -123,13 +123,13 @@
     ) {
         let now_ms = clock::now_ms();
         let mut tally = lock(&self.crashes.tally);
-        let mut reached = tally.note(server_tag, digests, now_ms);
+        let mut crossed_threshold = tally.note(server_tag, digests, now_ms);
         let is_one_of_many = tally.are_many_at_once(now_ms);
         drop(tally);
         let mut path_tally = lock(&self.crashes.path_tally);
-        reached.extend(path_tally.note(server_tag, shared, is_one_of_many, now_ms));
+        crossed_threshold.extend(path_tally.note(server_tag, shared, is_one_of_many, now_ms));
         drop(path_tally);
-        self.put_in_quarantine(&reached, "servers ended under it");
+        self.put_in_quarantine(&crossed_threshold, "servers ended under it");
     }
 
     /// Notes that a server has answered a request sent at `sent_ms` with success, so that the
