--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -77,7 +77,7 @@
 }
 
 /// Outcome of a transaction whose effect is known.
-enum Settled {
+enum TransactionOutcome {
     Done(u64),
     Conflict(Vec<Row>),
     /// The store will never take this record.
@@ -142,21 +142,23 @@
     ) -> Result<(), WriteFailure> {
         loop {
             let version = match self.write_holdings(&rows, writer.row_version).await {
-                Settled::Done(version) => version,
-                Settled::DutyLost => return Err(WriteFailure::DutyLost),
-                Settled::Refused => return Err(WriteFailure::Refused),
-                Settled::Conflict(found) => match self.explain_conflict(&found, &rows, writer) {
-                    Conflict::TookEffect(version) => version,
-                    Conflict::Confirmed(version) => {
-                        writer.row_version = version;
-                        continue;
+                TransactionOutcome::Done(version) => version,
+                TransactionOutcome::DutyLost => return Err(WriteFailure::DutyLost),
+                TransactionOutcome::Refused => return Err(WriteFailure::Refused),
+                TransactionOutcome::Conflict(found) => {
+                    match self.explain_conflict(&found, &rows, writer) {
+                        Conflict::TookEffect(version) => version,
+                        Conflict::Confirmed(version) => {
+                            writer.row_version = version;
+                            continue;
+                        }
+                        Conflict::HoldingsChanged => return Err(WriteFailure::HoldingsChanged),
+                        Conflict::DutyTaken => {
+                            self.duty.lose("another host has taken it");
+                            return Err(WriteFailure::DutyLost);
+                        }
                     }
-                    Conflict::HoldingsChanged => return Err(WriteFailure::HoldingsChanged),
-                    Conflict::DutyTaken => {
-                        self.duty.lose("another host has taken it");
-                        return Err(WriteFailure::DutyLost);
-                    }
-                },
+                }
             };
             let held = rows.into_iter().map(|row| row.held(version));
             self.view.hold(service, held.collect());
@@ -197,7 +199,7 @@
         Conflict::DutyTaken
     }
 
-    async fn write_holdings(&self, rows: &[RecordedRow], duty_version: u64) -> Settled {
+    async fn write_holdings(&self, rows: &[RecordedRow], duty_version: u64) -> TransactionOutcome {
         let expect = |table, key, version| Expect {
             table,
             key,
@@ -218,18 +220,18 @@
                 Ok(Transacted::Done { version }) => {
                     // The transaction depends on the duty's row, so it confirms the duty too.
                     self.duty.confirmed_ms.store(sent_ms, Ordering::Relaxed);
-                    return Settled::Done(version);
+                    return TransactionOutcome::Done(version);
                 }
-                Ok(Transacted::Conflict { rows }) => return Settled::Conflict(rows),
+                Ok(Transacted::Conflict { rows }) => return TransactionOutcome::Conflict(rows),
                 Err(error) if error.is_final() => {
                     log::error!("the store refuses a record of holdings: {error}");
-                    return Settled::Refused;
+                    return TransactionOutcome::Refused;
                 }
                 Err(error) => log::debug!("holdings cannot be recorded: {error}"),
             }
             if !self.duty.may_lease(self.settings.leases.outage_ms) {
                 self.duty.lose("the store did not answer");
-                return Settled::DutyLost;
+                return TransactionOutcome::DutyLost;
             }
             pause().await;
         }
