--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -99,7 +99,7 @@
 
 /// State of the holder's work; void when the term ends.
 #[derive(Debug, Default)]
-struct Work {
+struct TermState {
     servers: HashMap<Arc<str>, LeaseRecord>,
     /// By service and fence.
     renewals: HashMap<(Arc<str>, u64), Renewal>,
@@ -112,7 +112,7 @@
     settled_ms: u64,
 }
 
-impl Work {
+impl TermState {
     fn is_moving(&self, service: &str, range: KeyRange) -> bool {
         let mut moving = self.moving.iter();
         moving.any(|m| *m.service == *service && m.range.overlaps(&range))
@@ -131,7 +131,7 @@
 struct Term {
     entry: Arc<Entry>,
     number: u64,
-    work: Mutex<Work>,
+    work: Mutex<TermState>,
 }
 
 impl Entry {
@@ -182,7 +182,7 @@
         duty.term() == self.number && duty.may_lease(self.entry.settings.leases.outage_ms)
     }
 
-    fn work(&self) -> MutexGuard<'_, Work> {
+    fn work(&self) -> MutexGuard<'_, TermState> {
         self.work.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
