--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -164,7 +164,7 @@
                 return;
             }
             // What is known of leases is kept while the store is away for too long.
-            if !self.lasts() {
+            if !self.may_send_orders() {
                 continue;
             }
             self.count_loads();
@@ -177,7 +177,7 @@
     }
 
     /// True while orders may be given in this term.
-    fn lasts(&self) -> bool {
+    fn may_send_orders(&self) -> bool {
         let duty = &self.entry.duty;
         duty.term() == self.number && duty.may_lease(self.entry.settings.leases.outage_ms)
     }
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -280,7 +280,7 @@
         };
         let mut asked = server.is_none();
         loop {
-            if !self.lasts() {
+            if !self.may_send_orders() {
                 return None;
             }
             let free_ms = self.lease_end_ms(id);
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -130,7 +130,7 @@
         server: &Arc<Server>,
         order: LeaseOrder<'_>,
     ) -> Option<Granted> {
-        if !self.lasts() {
+        if !self.may_send_orders() {
             return None;
         }
         let id = &server.entry.id;
