--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -297,7 +297,7 @@
             return;
         }
         // First, so that no plan touches what an earlier holder has not finished.
-        self.finish_found(service, &held.assignment, tasks);
+        self.resume_unfinished_moves(service, &held.assignment, tasks);
         let moves = {
             let mut work = self.work();
             let of_service = || work.moving.iter().filter(|m| m.service == *service);
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -39,7 +39,7 @@
 
 impl Term {
     /// Finishes moves that an earlier holder of the duty recorded.
-    pub(super) fn finish_found(
+    pub(super) fn resume_unfinished_moves(
         self: &Arc<Self>,
         service: &Arc<str>,
         assignment: &Assignment,
