--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -219,7 +219,7 @@
         let range = holding.range;
         let mut handover = None;
         if let Some(from) = &holding.from {
-            let Some(token) = self.free(service, holding, from).await else {
+            let Some(token) = self.release_keys(service, holding, from).await else {
                 return;
             };
             handover = token;
@@ -260,7 +260,7 @@
     /// Makes sure that a server no longer holds a range: by its own word, or by waiting until its
     /// last lease has run out. The result is the token for the next owner; `None` if the term has
     /// ended meanwhile.
-    async fn free(
+    async fn release_keys(
         &self,
         service: &Arc<str>,
         holding: &Holding,
