--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -59,7 +59,7 @@
             let term = self.clone();
             let service = service.clone();
             tasks.spawn(async move {
-                term.finish(&service, &holding, "found unfinished", clock::now_ms())
+                term.complete_move(&service, &holding, "found unfinished", clock::now_ms())
                     .await;
                 term.end_move(&service, holding.range);
             });
@@ -150,7 +150,8 @@
             let service = service.clone();
             let cause = planned.cause;
             finishing.spawn(async move {
-                term.finish(&service, &holding, cause, began_ms).await;
+                term.complete_move(&service, &holding, cause, began_ms)
+                    .await;
                 term.end_move(&service, holding.range);
             });
         }
@@ -209,7 +210,7 @@
 
     /// Carries out a recorded move: frees the keys, then grants them. Whatever fails here, the
     /// renewals of the new server make up for it or the planner finds another.
-    async fn finish(
+    async fn complete_move(
         &self,
         service: &Arc<str>,
         holding: &Holding,
