--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -328,7 +328,7 @@
             })
         };
         self.begin_moves(service, moves, &held.assignment, tasks);
-        self.settle(service, tasks);
+        self.record_completed_moves(service, tasks);
     }
 
     /// Tells all hosts the first holdings, so that they do not all read the record.
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -67,7 +67,11 @@
     }
 
     /// Records from time to time which moves are finished.
-    pub(super) fn settle(self: &Arc<Self>, service: &Arc<str>, tasks: &mut JoinSet<()>) {
+    pub(super) fn record_completed_moves(
+        self: &Arc<Self>,
+        service: &Arc<str>,
+        tasks: &mut JoinSet<()>,
+    ) {
         let now_ms = clock::now_ms();
         let fences = {
             let mut work = self.work();
