--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -25,7 +25,7 @@
 };
 
 /// Interval at which finished moves are recorded.
-const SETTLE_EVERY_MS: u64 = 1_000;
+const RECORD_COMPLETED_EVERY_MS: u64 = 1_000;
 /// Least time for a release, when the server's lease is about to run out or has.
 const RELEASE_TIMEOUT_MIN_MS: u64 = 300;
 /// Time for a server to end its work on released keys.
@@ -75,7 +75,7 @@
         let now_ms = clock::now_ms();
         let fences = {
             let mut work = self.work();
-            let due = now_ms >= work.settled_ms + SETTLE_EVERY_MS;
+            let due = now_ms >= work.settled_ms + RECORD_COMPLETED_EVERY_MS;
             let finished = work.finished.get(service).cloned().unwrap_or_default();
             if !due || finished.is_empty() {
                 return;
