--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -109,7 +109,7 @@
     /// Fences of finished moves whose record still names the former server, by service.
     finished: HashMap<Arc<str>, Vec<u64>>,
     /// When finished moves were last recorded.
-    settled_ms: u64,
+    completed_recorded_ms: u64,
 }
 
 impl TermState {
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -75,12 +75,12 @@
         let now_ms = clock::now_ms();
         let fences = {
             let mut work = self.work();
-            let due = now_ms >= work.settled_ms + RECORD_COMPLETED_EVERY_MS;
+            let due = now_ms >= work.completed_recorded_ms + RECORD_COMPLETED_EVERY_MS;
             let finished = work.finished.get(service).cloned().unwrap_or_default();
             if !due || finished.is_empty() {
                 return;
             }
-            work.settled_ms = now_ms;
+            work.completed_recorded_ms = now_ms;
             finished
         };
         let term = self.clone();
