--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -112,7 +112,7 @@
         let owners = moves.iter().map(owner).collect();
         let term = self.clone();
         let service = service.clone();
-        tasks.spawn(async move { term.carry_out(&service, &moves, owners).await });
+        tasks.spawn(async move { term.run_moves(&service, &moves, owners).await });
     }
 
     pub(super) fn end_move(&self, service: &Arc<str>, range: KeyRange) {
@@ -121,7 +121,7 @@
             .retain(|m| m.service != *service || m.range != range);
     }
 
-    async fn carry_out(
+    async fn run_moves(
         self: &Arc<Self>,
         service: &Arc<str>,
         moves: &[Move],
