--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -206,7 +206,7 @@
     }
 
     /// Notes that a move waits for a lease to run out; false if that was known.
-    fn note_waiting(&self, range: KeyRange) -> bool {
+    fn mark_waiting_for_lease(&self, range: KeyRange) -> bool {
         let mut work = self.work();
         let mut concerned = work.moving.iter_mut().filter(|m| m.range == range);
         concerned.any(|moving| !std::mem::replace(&mut moving.waits, true))
@@ -295,7 +295,7 @@
                 return Some(None);
             }
             let Some((link, name)) = link else {
-                self.note_waiting(range);
+                self.mark_waiting_for_lease(range);
                 time::sleep(Duration::from_millis(free_ms.saturating_sub(now_ms))).await;
                 continue;
             };
@@ -315,7 +315,7 @@
                 Err(error) => {
                     self.entry.metrics.order("release", "failed");
                     log::debug!("{id} did not release keys: {error}");
-                    if self.note_waiting(range) {
+                    if self.mark_waiting_for_lease(range) {
                         let rest = MoveRest {
                             wait: MoveWait::Lease,
                             rest_ms: self.lease_end_ms(id).saturating_sub(clock::now_ms()),
