--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -163,7 +163,7 @@
         };
         self.order_failed(server, "grant", error.to_string());
         if is_in_doubt {
-            self.resolve_doubt(order.service, server).await;
+            self.probe_server(order.service, server).await;
         }
         None
     }
@@ -201,7 +201,7 @@
     /// are lost. Keys of a live server stay there: while half of the orders went unanswered, live
     /// servers were taken for lost and all keys of a service changed hands three to five times a
     /// minute.
-    async fn resolve_doubt(&self, service: &str, server: &Server) {
+    async fn probe_server(&self, service: &str, server: &Server) {
         let lives = self.is_alive(service, server).await;
         let mut work = self.work();
         let record = work.servers.entry(server.entry.id.clone()).or_default();
