--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -43,7 +43,7 @@
 /// half of the answers are lost, two leases of a thousand end.
 const GRANT_TIMEOUT_MS: u64 = 300;
 /// Failed orders in a row after which it is asked whether a server lives.
-const FAILURES_DOUBT: u32 = 2;
+const FAILURES_BEFORE_PROBE: u32 = 2;
 /// Moves under way at a time: this many, and more with many servers.
 const MOVES_MIN: usize = 8;
 /// Servers of a service for each move under way.
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -7,7 +7,7 @@
 
 use tokio::task::JoinSet;
 
-use super::{FAILURES_DOUBT, GRANT_TIMEOUT_MS, Term};
+use super::{FAILURES_BEFORE_PROBE, GRANT_TIMEOUT_MS, Term};
 use crate::{
     clock,
     entry::{
@@ -186,7 +186,7 @@
         }
         let Ok(granted) = answer else {
             record.failures += 1;
-            return record.failures >= FAILURES_DOUBT && !record.is_silent;
+            return record.failures >= FAILURES_BEFORE_PROBE && !record.is_silent;
         };
         record.failures = 0;
         record.is_silent = false;
