--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -151,7 +151,7 @@
             handover: order.handover,
         };
         let answer = orders::grant(&server.orders, grant, GRANT_TIMEOUT_MS).await;
-        let is_in_doubt = self.note_grant(id, order, sent_ms, &answer);
+        let needs_probe = self.note_grant(id, order, sent_ms, &answer);
         let error = match answer {
             Ok(granted) => {
                 let held = granted == Granted::Held;
@@ -162,7 +162,7 @@
             Err(error) => error,
         };
         self.order_failed(server, "grant", error.to_string());
-        if is_in_doubt {
+        if needs_probe {
             self.probe_server(order.service, server).await;
         }
         None
