--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -40,7 +40,7 @@
 /// Time for a server to answer the question whether it lives. It may have to wait for a slot.
 const ALIVE_TIMEOUT_MS: u64 = 400;
 /// Age of a server's last answer to a request up to which it lives without being asked.
-const ANSWERED_LATELY_MS: u64 = 1_000;
+const RECENT_ANSWER_MS: u64 = 1_000;
 
 impl Term {
     /// Starts the renewals that are due.
@@ -213,7 +213,7 @@
     }
 
     async fn is_alive(&self, service: &str, server: &Server) -> bool {
-        if clock::now_ms() < server.answered_ms() + ANSWERED_LATELY_MS {
+        if clock::now_ms() < server.answered_ms() + RECENT_ANSWER_MS {
             return true;
         }
         let Some(configuration) = self.entry.view.configuration() else {
