--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -38,7 +38,7 @@
 }
 
 /// Time for a server to answer the question whether it lives. It may have to wait for a slot.
-const ALIVE_TIMEOUT_MS: u64 = 400;
+const PROBE_TIMEOUT_MS: u64 = 400;
 /// Age of a server's last answer to a request up to which it lives without being asked.
 const RECENT_ANSWER_MS: u64 = 1_000;
 
@@ -224,7 +224,7 @@
         };
         let ServerEntry { id, name, .. } = &server.entry;
         let path = &service.health_path;
-        match orders::is_alive(&server.orders, path, name, ALIVE_TIMEOUT_MS).await {
+        match orders::is_alive(&server.orders, path, name, PROBE_TIMEOUT_MS).await {
             Ok(lives) => lives,
             Err(error) => {
                 log::debug!("{id} does not answer: {error}");
