--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -174,7 +174,8 @@
             Err(rest_ms) => rest_ms,
         };
         let (arrived_ms, hold_ms) = (self.times.arrived_ms, entry.limits.notice_hold_ms);
-        let at_last = registry.usable_at_last(&self.service, &self.tried, arrived_ms, hold_ms);
+        let at_last =
+            registry.usable_while_leaving(&self.service, &self.tried, arrived_ms, hold_ms);
         let last_rest_ms = match awake(at_last) {
             Ok(servers) => return Ok(servers),
             Err(rest_ms) => rest_ms,
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -84,7 +84,7 @@
     }
 
     /// Servers of a service that still serve although they have said that they leave.
-    pub fn usable_at_last(
+    pub fn usable_while_leaving(
         &self,
         service: &str,
         tried: &[Arc<str>],
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -517,7 +517,7 @@
     // Nobody else can run it: the one that has not closed yet, and was not tried before.
     let now_ms = ashroad::clock::now_ms();
     let at_last = |tried: &[Arc<str>], arrived_ms| {
-        names(registry.usable_at_last("s", tried, arrived_ms, 1_850))
+        names(registry.usable_while_leaving("s", tried, arrived_ms, 1_850))
     };
     assert_eq!(at_last(&[], now_ms), ["a", "b"]);
     assert_eq!(at_last(&["a@1".into()], now_ms), ["b"]);
