--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -23,7 +23,7 @@
 /// Interval at which a host without the duty looks whether it must act.
 const CHECK_EVERY_MS: u64 = 100;
 /// Time from a host's start until it looks after the duty.
-const START_PATIENCE_MS: u64 = 600;
+const START_GRACE_MS: u64 = 600;
 /// The same at the first start of a deployment, when there is no secret for datagrams yet: hosts that
 /// start together must know each other, or all of them would watch. They read each other's rows
 /// 2.5 s after their start.
@@ -93,7 +93,7 @@
             return clock::now_ms() > started_ms + self.first_start_ms();
         }
         let silent_after_ms = if heard_ms == 0 {
-            started_ms + START_PATIENCE_MS
+            started_ms + START_GRACE_MS
         } else {
             heard_ms + self.settings.leases.takeover_ms / 2
         };
@@ -104,7 +104,7 @@
     fn first_start_ms(&self) -> u64 {
         let share = self.settings.processor_share.clamp(0.0, 1.0);
         if self.is_early() {
-            START_PATIENCE_MS + (WEAKNESS_DELAY_MS * (1.0 - share)) as u64
+            START_GRACE_MS + (WEAKNESS_DELAY_MS * (1.0 - share)) as u64
         } else {
             START_FIRST_MS
         }
