--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -27,7 +27,7 @@
 /// The same at the first start of a deployment, when there is no secret for datagrams yet: hosts that
 /// start together must know each other, or all of them would watch. They read each other's rows
 /// 2.5 s after their start.
-const START_FIRST_MS: u64 = 3_200;
+const FIRST_START_GRACE_MS: u64 = 3_200;
 /// Longest time by which stronger ones look before weaker ones.
 const WEAKNESS_DELAY_MS: f32 = 800.0;
 /// Interval at which the row is read while its holder is silent.
@@ -106,7 +106,7 @@
         if self.is_early() {
             START_GRACE_MS + (WEAKNESS_DELAY_MS * (1.0 - share)) as u64
         } else {
-            START_FIRST_MS
+            FIRST_START_GRACE_MS
         }
     }
 
