--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -29,7 +29,7 @@
 /// 2.5 s after their start.
 const FIRST_START_GRACE_MS: u64 = 3_200;
 /// Longest time by which stronger ones look before weaker ones.
-const WEAKNESS_DELAY_MS: f32 = 800.0;
+const SLOW_HOST_DELAY_MS: f32 = 800.0;
 /// Interval at which the row is read while its holder is silent.
 const READ_EVERY_MS: u64 = 300;
 /// Longest random delay before the duty is taken, so that not all hosts try at once.
@@ -104,7 +104,7 @@
     fn first_start_ms(&self) -> u64 {
         let share = self.settings.processor_share.clamp(0.0, 1.0);
         if self.is_early() {
-            START_GRACE_MS + (WEAKNESS_DELAY_MS * (1.0 - share)) as u64
+            START_GRACE_MS + (SLOW_HOST_DELAY_MS * (1.0 - share)) as u64
         } else {
             FIRST_START_GRACE_MS
         }
