--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -33,7 +33,7 @@
 /// Interval at which the row is read while its holder is silent.
 const READ_EVERY_MS: u64 = 300;
 /// Longest random delay before the duty is taken, so that not all hosts try at once.
-const TAKE_SPREAD_MS: u64 = 120;
+const TAKEOVER_JITTER_MS: u64 = 120;
 /// Hosts that watch the row of a silent holder together. Reads are priced, so that not all do.
 const WATCHERS: u64 = 2;
 /// Time after which the next ones watch it too.
@@ -145,7 +145,7 @@
             };
             seen = Some((version, since_ms));
             if free || now_ms >= since_ms + takeover_ms {
-                let spread_ms = rand::random_range(0..TAKE_SPREAD_MS);
+                let spread_ms = rand::random_range(0..TAKEOVER_JITTER_MS);
                 time::sleep(Duration::from_millis(spread_ms)).await;
                 self.take_duty(row, version, since_ms, free).await;
                 return;
