--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -37,7 +37,7 @@
 /// Hosts that watch the row of a silent holder together. Reads are priced, so that not all do.
 const WATCHERS: u64 = 2;
 /// Time after which the next ones watch it too.
-const WATCHERS_EVERY_MS: u64 = 500;
+const WATCHERS_STEP_MS: u64 = 500;
 
 impl Entry {
     /// Takes the duty when nobody has it, and confirms it while this host has it.
@@ -117,7 +117,7 @@
             self.peers
                 .takeover_rank(settings.listen.peers, settings.processor_share)
         };
-        rank as u64 / WATCHERS * WATCHERS_EVERY_MS
+        rank as u64 / WATCHERS * WATCHERS_STEP_MS
     }
 
     /// Reads the row until it changes or has stood still for long enough to be taken.
