--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -90,7 +90,7 @@
     fn holder_is_silent(&self, started_ms: u64) -> bool {
         let heard_ms = self.peers.holder_heard_ms();
         if heard_ms == 0 && !self.peers.seal.is_known() {
-            return clock::now_ms() > started_ms + self.first_start_ms();
+            return clock::now_ms() > started_ms + self.first_start_grace_ms();
         }
         let silent_after_ms = if heard_ms == 0 {
             started_ms + START_GRACE_MS
@@ -101,7 +101,7 @@
     }
 
     /// Time from the first start of a deployment until this host looks after the duty.
-    fn first_start_ms(&self) -> u64 {
+    fn first_start_grace_ms(&self) -> u64 {
         let share = self.settings.processor_share.clamp(0.0, 1.0);
         if self.is_early() {
             START_GRACE_MS + (SLOW_HOST_DELAY_MS * (1.0 - share)) as u64
