--- a/src/entry/duty/mod.rs
+++ b/src/entry/duty/mod.rs
@@ -39,7 +39,7 @@
 /// 0.5 s.
 const CONFIRM_TIMEOUT_MS: u64 = 1_000;
 /// Time for which a host that has lost the duty answers the next holder that it has stopped.
-const STOPPED_TOLD_MS: u64 = 3_000;
+const STOPPED_REPORT_MS: u64 = 3_000;
 
 /// The duty's row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -164,7 +164,7 @@
         }
         let lost_term = self.lost_term.load(Ordering::Relaxed);
         let lost_ms = self.lost_ms.load(Ordering::Relaxed);
-        let lately = clock::now_ms() < lost_ms + STOPPED_TOLD_MS;
+        let lately = clock::now_ms() < lost_ms + STOPPED_REPORT_MS;
         (lost_term > 0 && lost_term < term && lately).then_some(lost_term)
     }
 
