--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -201,12 +201,12 @@
         self.duty.confirmed_ms.store(sent_ms, Ordering::Relaxed);
         self.duty.term.store(term, Ordering::Relaxed);
         Event::DutyTaken { term, handed_over }.log();
-        self.note_predecessors_process().await;
+        self.check_predecessor_process().await;
     }
 
     /// The predecessor's host may run another process already, or it was this one. What this host knows of others'
     /// processes may be older than the predecessor; its row is not, since a process registers before it takes the duty.
-    async fn note_predecessors_process(&self) {
+    async fn check_predecessor_process(&self) {
         self.duty
             .note_process(self.settings.listen.peers, self.incarnation);
         let Some(address) = self.duty.predecessor().map(|p| p.address) else {
