--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -39,7 +39,7 @@
 
 /// A server that is gone. It may still hold keys.
 #[derive(Clone, Debug)]
-pub struct Former {
+pub struct FormerServer {
     /// Incarnation.
     pub id: Arc<str>,
     /// Name that it had in the platform.
@@ -58,7 +58,7 @@
     /// Names of servers whose entries are missing, and until when they count as present all the same.
     missing: HashMap<Arc<str>, u64>,
     /// Servers that are gone, the latest last.
-    former: Vec<Former>,
+    former: Vec<FormerServer>,
     /// What servers without an entry have told, by incarnation.
     kept_notices: HashMap<Arc<str>, KeptNotices>,
     /// Zones that are evacuated, and since when this host knows.
@@ -110,7 +110,7 @@
     }
 
     /// A server that is gone, by its incarnation.
-    pub fn former(&self, id: &str) -> Option<&Former> {
+    pub fn former(&self, id: &str) -> Option<&FormerServer> {
         self.former.iter().rfind(|former| *former.id == *id)
     }
 
@@ -265,7 +265,7 @@
         if self.former.len() >= FORMER_MAX {
             self.former.remove(0);
         }
-        self.former.push(Former {
+        self.former.push(FormerServer {
             id: id.clone(),
             name: name.into(),
             address: server.entry.address,
