--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -12,7 +12,7 @@
             followed::Followed,
             own_rows::{TABLE, holdings_key},
         },
-        owners::{Held, HeldRow},
+        owners::{HeldRow, ServiceHoldings},
         watch::pause,
     },
     platform::store::{Expect, Put, Row, Transacted, Transaction},
@@ -45,7 +45,7 @@
 impl RecordedRow {
     fn new(
         service: &str,
-        held: &Held,
+        held: &ServiceHoldings,
         assignment: &Assignment,
         part: KeyPart,
     ) -> Result<Self, DecodeError> {
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -26,7 +26,7 @@
 
 /// Holdings of one service, as its rows had them.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
+pub struct ServiceHoldings {
     /// Holdings of all rows.
     pub assignment: Arc<Assignment>,
     rows: BTreeMap<KeyPart, HeldRow>,
@@ -41,7 +41,7 @@
     pub version: u64,
 }
 
-impl Held {
+impl ServiceHoldings {
     /// Rows by part.
     pub fn rows(&self) -> impl Iterator<Item = (KeyPart, &HeldRow)> {
         self.rows.iter().map(|(part, row)| (*part, row))
@@ -135,7 +135,7 @@
 /// Who holds which keys.
 #[derive(Debug, Default)]
 pub struct Owners {
-    held: Mutex<HashMap<Arc<str>, Held>>,
+    held: Mutex<HashMap<Arc<str>, ServiceHoldings>>,
     moving: Mutex<Vec<Moving>>,
     granted: Mutex<Vec<Granted>>,
     not_held: Mutex<Vec<NotHeld>>,
@@ -143,12 +143,12 @@
 
 impl Owners {
     /// Holdings of a service.
-    pub fn held(&self, service: &str) -> Option<Held> {
+    pub fn held(&self, service: &str) -> Option<ServiceHoldings> {
         self.held_map().get(service).cloned()
     }
 
     /// Holdings of all services.
-    pub fn all_held(&self) -> Vec<(Arc<str>, Held)> {
+    pub fn all_held(&self) -> Vec<(Arc<str>, ServiceHoldings)> {
         let held = self.held_map();
         let all = held.iter();
         all.map(|(service, held)| (service.clone(), held.clone()))
@@ -291,7 +291,7 @@
         });
     }
 
-    fn held_map(&self) -> MutexGuard<'_, HashMap<Arc<str>, Held>> {
+    fn held_map(&self) -> MutexGuard<'_, HashMap<Arc<str>, ServiceHoldings>> {
         self.held.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -13,7 +13,7 @@
     keys::{Holding, KeyPart},
     model::Configuration,
     news::{announcement::Announcement, evacuation::Evacuations, followed::Followed},
-    owners::{Held, HeldRow, Owner, Owners},
+    owners::{HeldRow, Owner, Owners, ServiceHoldings},
     registry::Registry,
 };
 use crate::clock;
@@ -137,12 +137,12 @@
     }
 
     /// Holdings of a service.
-    pub fn held(&self, service: &str) -> Option<Held> {
+    pub fn held(&self, service: &str) -> Option<ServiceHoldings> {
         self.owners.held(service)
     }
 
     /// Holdings of all services.
-    pub fn all_held(&self) -> Vec<(Arc<str>, Held)> {
+    pub fn all_held(&self) -> Vec<(Arc<str>, ServiceHoldings)> {
         self.owners.all_held()
     }
 
