--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -12,7 +12,7 @@
             followed::Followed,
             own_rows::{TABLE, holdings_key},
         },
-        owners::{HeldRow, ServiceHoldings},
+        owners::{HoldingsRow, ServiceHoldings},
         watch::pause,
     },
     platform::store::{Expect, Put, Row, Transacted, Transaction},
@@ -67,8 +67,8 @@
         }
     }
 
-    fn held(self, version: u64) -> (KeyPart, HeldRow) {
-        let row = HeldRow {
+    fn held(self, version: u64) -> (KeyPart, HoldingsRow) {
+        let row = HoldingsRow {
             assignment: self.assignment,
             version,
         };
--- a/src/entry/news/snapshot.rs
+++ b/src/entry/news/snapshot.rs
@@ -10,7 +10,7 @@
 use crate::entry::{
     keys::{Assignment, KeyPart},
     model::{ServerEntry, incarnation_id},
-    owners::HeldRow,
+    owners::HoldingsRow,
 };
 
 /// Place of a text in a snapshot.
@@ -138,7 +138,7 @@
     }
 
     /// Puts a row with holdings in; one that cannot be encoded is left out.
-    pub fn add_holdings(&mut self, service: &Arc<str>, part: KeyPart, row: &HeldRow) {
+    pub fn add_holdings(&mut self, service: &Arc<str>, part: KeyPart, row: &HoldingsRow) {
         match row.assignment.encode() {
             Ok(record) => self.holdings.push(KnownHoldings {
                 service: service.clone(),
@@ -151,8 +151,8 @@
     }
 
     /// Rows with holdings, by service.
-    pub fn holdings(&self) -> HashMap<Arc<str>, Vec<(KeyPart, HeldRow)>> {
-        let mut rows: HashMap<Arc<str>, Vec<(KeyPart, HeldRow)>> = HashMap::new();
+    pub fn holdings(&self) -> HashMap<Arc<str>, Vec<(KeyPart, HoldingsRow)>> {
+        let mut rows: HashMap<Arc<str>, Vec<(KeyPart, HoldingsRow)>> = HashMap::new();
         for known in &self.holdings {
             let part = KeyPart::new(known.part);
             let assignment = Assignment::decode(&known.record).ok();
@@ -163,7 +163,7 @@
                 );
                 continue;
             };
-            let row = HeldRow {
+            let row = HoldingsRow {
                 assignment,
                 version: known.version,
             };
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -29,12 +29,12 @@
 pub struct ServiceHoldings {
     /// Holdings of all rows.
     pub assignment: Arc<Assignment>,
-    rows: BTreeMap<KeyPart, HeldRow>,
+    rows: BTreeMap<KeyPart, HoldingsRow>,
 }
 
 /// Row with a part of a service's holdings.
 #[derive(Clone, Debug)]
-pub struct HeldRow {
+pub struct HoldingsRow {
     /// What it has.
     pub assignment: Assignment,
     /// Its version.
@@ -43,7 +43,7 @@
 
 impl ServiceHoldings {
     /// Rows by part.
-    pub fn rows(&self) -> impl Iterator<Item = (KeyPart, &HeldRow)> {
+    pub fn rows(&self) -> impl Iterator<Item = (KeyPart, &HoldingsRow)> {
         self.rows.iter().map(|(part, row)| (*part, row))
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// Takes rows in; false if newer ones are known of all parts.
-    fn take(&mut self, rows: Vec<(KeyPart, HeldRow)>) -> bool {
+    fn take(&mut self, rows: Vec<(KeyPart, HoldingsRow)>) -> bool {
         let mut is_new = false;
         for (part, row) in rows {
             let known = self.rows.get(&part);
@@ -173,7 +173,7 @@
     }
 
     /// Notes rows with holdings of a service; false if newer ones are known.
-    pub fn hold(&self, service: &Arc<str>, rows: Vec<(KeyPart, HeldRow)>) -> bool {
+    pub fn hold(&self, service: &Arc<str>, rows: Vec<(KeyPart, HoldingsRow)>) -> bool {
         let mut held_map = self.held_map();
         let held = held_map.entry(service.clone()).or_default();
         if !held.take(rows) {
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -18,7 +18,7 @@
         own_rows::{HOST_PREFIX, HostRow, QUARANTINE_KEY, SECRET_KEY, parse_holdings_key},
         server_changes::{ServerChange, ServerNews},
     },
-    owners::HeldRow,
+    owners::HoldingsRow,
     peers::HostFacts,
     server::tag_of,
 };
@@ -194,7 +194,7 @@
         match Assignment::decode(&row.value) {
             Ok(assignment) => {
                 let version = row.version;
-                let row = HeldRow {
+                let row = HoldingsRow {
                     assignment,
                     version,
                 };
@@ -207,7 +207,7 @@
 }
 
 /// Rows with holdings, by service.
-pub(super) type HeldByService = HashMap<Arc<str>, Vec<(KeyPart, HeldRow)>>;
+pub(super) type HeldByService = HashMap<Arc<str>, Vec<(KeyPart, HoldingsRow)>>;
 
 /// True for a row whose news the holder tells in each heartbeat, so that no host asks for it.
 fn is_evacuation(followed: Followed, row: &Row) -> bool {
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -13,7 +13,7 @@
     keys::{Holding, KeyPart},
     model::Configuration,
     news::{announcement::Announcement, evacuation::Evacuations, followed::Followed},
-    owners::{HeldRow, Owner, Owners, ServiceHoldings},
+    owners::{HoldingsRow, Owner, Owners, ServiceHoldings},
     registry::Registry,
 };
 use crate::clock;
@@ -158,7 +158,7 @@
     }
 
     /// Notes rows with holdings of a service, unless newer ones are known.
-    pub fn hold(&self, service: &Arc<str>, rows: Vec<(KeyPart, HeldRow)>) {
+    pub fn hold(&self, service: &Arc<str>, rows: Vec<(KeyPart, HoldingsRow)>) {
         if self.owners.hold(service, rows) {
             self.changed.send_modify(|count| *count += 1);
         }
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -8,7 +8,7 @@
     keys::{Assignment, Holding, KeyPart, KeyRange},
     model::{ServerEntry, incarnation_id},
     news::snapshot::Snapshot,
-    owners::HeldRow,
+    owners::HoldingsRow,
 };
 use http::StatusCode;
 use serde_json::{Value, json};
@@ -280,7 +280,7 @@
     let mut snapshot = Snapshot::default();
     snapshot.set_servers(entries.iter().cloned());
     for part in KeyPart::all() {
-        let row = HeldRow {
+        let row = HoldingsRow {
             assignment: assignment.part(part),
             version: 9,
         };
