--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -184,8 +184,8 @@
 }
 
 /// Rows with holdings by service, and the keys of those that cannot be read.
-pub(super) fn decode_holdings(rows: &[Row]) -> (HeldByService, Vec<(&str, keys::DecodeError)>) {
-    let mut held = HeldByService::new();
+pub(super) fn decode_holdings(rows: &[Row]) -> (HoldingsByService, Vec<(&str, keys::DecodeError)>) {
+    let mut held = HoldingsByService::new();
     let mut unreadable = Vec::new();
     for row in rows.iter().filter(|row| !row.removed) {
         let Some((service, part)) = parse_holdings_key(&row.key) else {
@@ -207,7 +207,7 @@
 }
 
 /// Rows with holdings, by service.
-pub(super) type HeldByService = HashMap<Arc<str>, Vec<(KeyPart, HoldingsRow)>>;
+pub(super) type HoldingsByService = HashMap<Arc<str>, Vec<(KeyPart, HoldingsRow)>>;
 
 /// True for a row whose news the holder tells in each heartbeat, so that no host asks for it.
 fn is_evacuation(followed: Followed, row: &Row) -> bool {
