--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -103,7 +103,7 @@
 
 /// A grant that was announced.
 #[derive(Clone, Debug)]
-struct Granted {
+struct AnnouncedGrant {
     service: Arc<str>,
     holding: Holding,
     until_ms: u64,
@@ -137,7 +137,7 @@
 pub struct Owners {
     held: Mutex<HashMap<Arc<str>, ServiceHoldings>>,
     moving: Mutex<Vec<Moving>>,
-    granted: Mutex<Vec<Granted>>,
+    granted: Mutex<Vec<AnnouncedGrant>>,
     not_held: Mutex<Vec<NotHeld>>,
 }
 
@@ -199,7 +199,7 @@
             let same = g.service == *service && holding.range.covers(&g.holding.range);
             now_ms < g.until_ms && !(same && g.holding.fence <= holding.fence)
         });
-        granted.push(Granted {
+        granted.push(AnnouncedGrant {
             service: service.clone(),
             holding,
             until_ms: now_ms + GRANTED_KEPT_MS,
@@ -243,7 +243,7 @@
         drop(held);
         let now_ms = clock::now_ms();
         let granted = self.granted();
-        let concerns = |g: &&Granted| {
+        let concerns = |g: &&AnnouncedGrant| {
             now_ms < g.until_ms && g.service == *service && g.holding.range.contains(key)
         };
         let granted = granted
@@ -295,7 +295,7 @@
         self.held.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn granted(&self) -> MutexGuard<'_, Vec<Granted>> {
+    fn granted(&self) -> MutexGuard<'_, Vec<AnnouncedGrant>> {
         self.granted.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
