--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -134,7 +134,7 @@
 
     /// Notes an entry; true if its server was not known.
     fn take(&mut self, entry: ServerEntry) -> bool {
-        if let Some(known) = self.named(&entry.name) {
+        if let Some(known) = self.latest_incarnation(&entry.name) {
             if entry.started_ms < known.entry.started_ms {
                 return false;
             }
@@ -245,7 +245,7 @@
     }
 
     /// The latest incarnation of a name.
-    fn named(&self, name: &str) -> Option<&Arc<Server>> {
+    fn latest_incarnation(&self, name: &str) -> Option<&Arc<Server>> {
         self.by_id.get(self.incarnations.get(name)?)
     }
 
