--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -146,7 +146,7 @@
                 TransactionOutcome::DutyLost => return Err(WriteFailure::DutyLost),
                 TransactionOutcome::Refused => return Err(WriteFailure::Refused),
                 TransactionOutcome::Conflict(found) => {
-                    match self.explain_conflict(&found, &rows, writer) {
+                    match self.classify_conflict(&found, &rows, writer) {
                         Conflict::TookEffect(version) => version,
                         Conflict::Confirmed(version) => {
                             writer.row_version = version;
@@ -168,7 +168,7 @@
     }
 
     /// Why a record met other rows than it expected.
-    fn explain_conflict(&self, found: &[Row], rows: &[RecordedRow], writer: &Writer) -> Conflict {
+    fn classify_conflict(&self, found: &[Row], rows: &[RecordedRow], writer: &Writer) -> Conflict {
         let find = |key: &str| found.iter().find(|row| row.key == key);
         let is_written = |row: &RecordedRow| find(&row.key).is_some_and(|f| f.value == row.value);
         if rows.iter().all(is_written)
