--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -33,7 +33,7 @@
 const ROWS_MAX: usize = 32;
 
 /// Row that is to be recorded.
-struct RecordedRow {
+struct PendingRow {
     part: KeyPart,
     key: String,
     assignment: Assignment,
@@ -42,7 +42,7 @@
     held_version: u64,
 }
 
-impl RecordedRow {
+impl PendingRow {
     fn new(
         service: &str,
         held: &ServiceHoldings,
@@ -123,7 +123,7 @@
         for parts in parts.chunks(ROWS_MAX) {
             let mut rows = Vec::with_capacity(parts.len());
             for part in parts {
-                let Ok(row) = RecordedRow::new(service, &held, &assignment, *part) else {
+                let Ok(row) = PendingRow::new(service, &held, &assignment, *part) else {
                     return Err(WriteFailure::HoldingsChanged);
                 };
                 rows.push(row);
@@ -137,7 +137,7 @@
     async fn record_rows(
         &self,
         service: &Arc<str>,
-        rows: Vec<RecordedRow>,
+        rows: Vec<PendingRow>,
         writer: &mut Writer,
     ) -> Result<(), WriteFailure> {
         loop {
@@ -168,9 +168,9 @@
     }
 
     /// Why a record met other rows than it expected.
-    fn classify_conflict(&self, found: &[Row], rows: &[RecordedRow], writer: &Writer) -> Conflict {
+    fn classify_conflict(&self, found: &[Row], rows: &[PendingRow], writer: &Writer) -> Conflict {
         let find = |key: &str| found.iter().find(|row| row.key == key);
-        let is_written = |row: &RecordedRow| find(&row.key).is_some_and(|f| f.value == row.value);
+        let is_written = |row: &PendingRow| find(&row.key).is_some_and(|f| f.value == row.value);
         if rows.iter().all(is_written)
             && let Some(version) = rows
                 .iter()
@@ -181,7 +181,7 @@
             return Conflict::TookEffect(version);
         }
         let is_as_held =
-            |row: &RecordedRow| find(&row.key).map_or(0, |f| f.version) == row.held_version;
+            |row: &PendingRow| find(&row.key).map_or(0, |f| f.version) == row.held_version;
         if !rows.iter().all(is_as_held) {
             return Conflict::HoldingsChanged;
         }
@@ -199,7 +199,7 @@
         Conflict::DutyTaken
     }
 
-    async fn write_holdings(&self, rows: &[RecordedRow], duty_version: u64) -> TransactionOutcome {
+    async fn write_holdings(&self, rows: &[PendingRow], duty_version: u64) -> TransactionOutcome {
         let expect = |table, key, version| Expect {
             table,
             key,
@@ -211,7 +211,7 @@
             .map(|row| expect(TABLE, &row.key, row.held_version));
         let transaction = Transaction {
             expect: std::iter::once(duty).chain(as_held).collect(),
-            puts: rows.iter().map(RecordedRow::put).collect(),
+            puts: rows.iter().map(PendingRow::put).collect(),
             ..Transaction::default()
         };
         loop {
