--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -39,7 +39,7 @@
     assignment: Assignment,
     value: Vec<u8>,
     /// Version that it must have; 0 if it must not exist.
-    held_version: u64,
+    expected_version: u64,
 }
 
 impl PendingRow {
@@ -55,7 +55,7 @@
             key: holdings_key(service, part),
             value: assignment.encode()?,
             assignment,
-            held_version: held.version(part),
+            expected_version: held.version(part),
         })
     }
 
@@ -181,7 +181,7 @@
             return Conflict::TookEffect(version);
         }
         let is_as_held =
-            |row: &PendingRow| find(&row.key).map_or(0, |f| f.version) == row.held_version;
+            |row: &PendingRow| find(&row.key).map_or(0, |f| f.version) == row.expected_version;
         if !rows.iter().all(is_as_held) {
             return Conflict::HoldingsChanged;
         }
@@ -208,7 +208,7 @@
         let duty = expect(DUTY_TABLE, DUTY_KEY, duty_version);
         let as_held = rows
             .iter()
-            .map(|row| expect(TABLE, &row.key, row.held_version));
+            .map(|row| expect(TABLE, &row.key, row.expected_version));
         let transaction = Transaction {
             expect: std::iter::once(duty).chain(as_held).collect(),
             puts: rows.iter().map(PendingRow::put).collect(),
