--- a/src/entry/duty/change.rs
+++ b/src/entry/duty/change.rs
@@ -12,7 +12,7 @@
     /// Keys go to other servers.
     Assign(Vec<Reassignment>),
     /// A server keeps its keys under a fence that is higher by this.
-    Raise {
+    RaiseFence {
         /// What it holds now.
         holding: Holding,
         /// Distance.
@@ -51,7 +51,7 @@
                 .iter()
                 .map(|one| assign(assignment, one.range, &one.server, one.from.clone()))
                 .collect(),
-            Self::Raise { holding, step } => {
+            Self::RaiseFence { holding, step } => {
                 if !assignment.holdings.contains(holding) {
                     return Vec::new();
                 }
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -250,7 +250,7 @@
         if !self.mark_moving(service, holding.range) {
             return;
         }
-        let change = Change::Raise {
+        let change = Change::RaiseFence {
             holding: holding.clone(),
             step: FENCE_STEP,
         };
