--- a/src/entry/duty/change.rs
+++ b/src/entry/duty/change.rs
@@ -19,7 +19,7 @@
         step: u64,
     },
     /// The former servers of holdings, named by their fences, hold nothing any more.
-    Settle(Vec<u64>),
+    CompleteMoves(Vec<u64>),
 }
 
 /// Keys that go to another server.
@@ -43,7 +43,7 @@
                 }
                 Vec::new()
             }
-            Self::Settle(fences) => {
+            Self::CompleteMoves(fences) => {
                 assignment.settle(fences);
                 Vec::new()
             }
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -86,7 +86,7 @@
         let term = self.clone();
         let service = service.clone();
         tasks.spawn(async move {
-            let change = Change::Settle(fences.clone());
+            let change = Change::CompleteMoves(fences.clone());
             if term.entry.record(&service, &change).await.is_err() {
                 return;
             }
