--- a/src/entry/duty/mod.rs
+++ b/src/entry/duty/mod.rs
@@ -76,7 +76,7 @@
     /// Time before which the last confirmation was sent.
     confirmed_ms: AtomicU64,
     /// Up to this time an earlier holder may have given leases.
-    predecessors_until_ms: AtomicU64,
+    earlier_leases_until_ms: AtomicU64,
     predecessor: StdMutex<Option<Predecessor>>,
     /// Number of the last term that this host has lost, and when.
     lost_term: AtomicU64,
@@ -111,13 +111,14 @@
     }
 
     /// Time up to which earlier holders may have given leases.
-    pub fn predecessors_until_ms(&self) -> u64 {
-        self.predecessors_until_ms.load(Ordering::Relaxed)
+    pub fn earlier_leases_until_ms(&self) -> u64 {
+        self.earlier_leases_until_ms.load(Ordering::Relaxed)
     }
 
     /// Time for which earlier holders may still give leases.
     fn earlier_ms(&self) -> u64 {
-        self.predecessors_until_ms().saturating_sub(clock::now_ms())
+        self.earlier_leases_until_ms()
+            .saturating_sub(clock::now_ms())
     }
 
     fn predecessor(&self) -> MutexGuard<'_, Option<Predecessor>> {
@@ -136,7 +137,7 @@
         *predecessor = None;
         drop(predecessor);
         let until_ms = over.earlier_until_ms.max(clock::now_ms());
-        self.predecessors_until_ms
+        self.earlier_leases_until_ms
             .fetch_min(until_ms, Ordering::Relaxed);
         Event::PredecessorEnded { term: over.term }.log();
     }
--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -188,7 +188,7 @@
             return;
         }
         self.duty
-            .predecessors_until_ms
+            .earlier_leases_until_ms
             .store(leases_until_ms, Ordering::Relaxed);
         *self.duty.predecessor() = row.filter(|_| !handed_over).and_then(|row| {
             Some(Predecessor {
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -337,7 +337,7 @@
             .servers
             .get(id)
             .map_or(0, |record| record.last_grant_ms(now_ms));
-        let others_ms = self.entry.duty.predecessors_until_ms();
+        let others_ms = self.entry.duty.earlier_leases_until_ms();
         let lease_ms = self.entry.settings.leases.lease_ms as f64 * LEASE_CLOCK_FACTOR;
         own_ms.max(others_ms) + lease_ms as u64 + LEASE_MARGIN_MS
     }
