--- a/src/entry/duty/mod.rs
+++ b/src/entry/duty/mod.rs
@@ -65,7 +65,7 @@
     term: u64,
     address: SocketAddr,
     /// Up to this time the holders before it may have given leases.
-    earlier_until_ms: u64,
+    before_predecessor_until_ms: u64,
 }
 
 /// This host's part in the duty.
@@ -136,7 +136,7 @@
         };
         *predecessor = None;
         drop(predecessor);
-        let until_ms = over.earlier_until_ms.max(clock::now_ms());
+        let until_ms = over.before_predecessor_until_ms.max(clock::now_ms());
         self.earlier_leases_until_ms
             .fetch_min(until_ms, Ordering::Relaxed);
         Event::PredecessorEnded { term: over.term }.log();
--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -159,11 +159,11 @@
     async fn take_duty(&self, row: Option<DutyRow>, version: u64, seen_ms: u64, handed_over: bool) {
         let sent_ms = clock::now_ms();
         let term = row.as_ref().map_or(0, |row| row.term) + 1;
-        let earlier_until_ms = seen_ms + row.as_ref().map_or(0, |row| row.earlier_ms);
+        let before_predecessor_until_ms = seen_ms + row.as_ref().map_or(0, |row| row.earlier_ms);
         let leases_until_ms = if handed_over {
-            earlier_until_ms
+            before_predecessor_until_ms
         } else {
-            earlier_until_ms.max(seen_ms + self.settings.leases.outage_ms)
+            before_predecessor_until_ms.max(seen_ms + self.settings.leases.outage_ms)
         };
         let mut writer = self.duty.writer.lock().await;
         *writer = Writer {
@@ -195,7 +195,7 @@
                 incarnation: row.holder,
                 term: row.term,
                 address: row.address?,
-                earlier_until_ms,
+                before_predecessor_until_ms,
             })
         });
         self.duty.confirmed_ms.store(sent_ms, Ordering::Relaxed);
