--- a/src/entry/register.rs
+++ b/src/entry/register.rs
@@ -16,7 +16,7 @@
 use crate::platform::store::{Expect, Put, Row, Transacted, Transaction};
 
 /// Time over which hosts that start spread their registration: the store takes some hundred writes a second.
-const SPREAD_MS: u64 = 2_000;
+const REGISTER_JITTER_MS: u64 = 2_000;
 /// Pauses after a registration that the store did not take, doubled each time.
 const PAUSE_MS: u64 = 300;
 const PAUSE_MAX_MS: u64 = 2_400;
@@ -88,7 +88,7 @@
         if self.is_early() {
             return;
         }
-        let spread_ms = rand::random_range(0..SPREAD_MS);
+        let spread_ms = rand::random_range(0..REGISTER_JITTER_MS);
         tokio::select! {
             () = time::sleep(Duration::from_millis(spread_ms)) => {}
             () = self.former_process_known() => {}
