--- a/src/entry/register.rs
+++ b/src/entry/register.rs
@@ -18,7 +18,7 @@
 /// Time over which hosts that start spread their registration: the store takes some hundred writes a second.
 const REGISTER_JITTER_MS: u64 = 2_000;
 /// Pauses after a registration that the store did not take, doubled each time.
-const PAUSE_MS: u64 = 300;
+const RETRY_PAUSE_MS: u64 = 300;
 const PAUSE_MAX_MS: u64 = 2_400;
 
 impl Entry {
@@ -36,7 +36,7 @@
         };
         self.wait_to_register().await;
         let mut version = 0;
-        let mut pause_ms = PAUSE_MS;
+        let mut pause_ms = RETRY_PAUSE_MS;
         loop {
             let transaction = Transaction {
                 part: HOSTS_PART,
