--- a/src/entry/register.rs
+++ b/src/entry/register.rs
@@ -19,7 +19,7 @@
 const REGISTER_JITTER_MS: u64 = 2_000;
 /// Pauses after a registration that the store did not take, doubled each time.
 const RETRY_PAUSE_MS: u64 = 300;
-const PAUSE_MAX_MS: u64 = 2_400;
+const RETRY_PAUSE_MAX_MS: u64 = 2_400;
 
 impl Entry {
     /// Writes this host's row, until that has succeeded. The row of the process that ran here before is seen first: it
@@ -69,7 +69,7 @@
                         break;
                     }
                     pause_for(pause_ms).await;
-                    pause_ms = (pause_ms * 2).min(PAUSE_MAX_MS);
+                    pause_ms = (pause_ms * 2).min(RETRY_PAUSE_MAX_MS);
                 }
             }
         }
