--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -105,7 +105,7 @@
     renewals: HashMap<(Arc<str>, u64), Renewal>,
     moving: Vec<Moving>,
     counts: HashMap<Arc<str>, KeyCounts>,
-    first_waits: HashMap<Arc<str>, FirstWait>,
+    first_assignment_waits: HashMap<Arc<str>, FirstWait>,
     /// Fences of finished moves whose record still names the former server, by service.
     finished: HashMap<Arc<str>, Vec<u64>>,
     /// When finished moves were last recorded.
@@ -370,7 +370,7 @@
         let is_over = {
             let mut work = self.work();
             let requested = work.counts.contains_key(service);
-            let wait = work.first_waits.entry(service.clone());
+            let wait = work.first_assignment_waits.entry(service.clone());
             let wait = wait.or_insert_with(|| FirstWait::new(now_ms));
             wait.is_over(servers.len(), requested, now_ms)
         };
