--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -131,7 +131,7 @@
 struct Term {
     entry: Arc<Entry>,
     number: u64,
-    work: Mutex<TermState>,
+    state: Mutex<TermState>,
 }
 
 impl Entry {
@@ -146,7 +146,7 @@
             let term = Arc::new(Term {
                 entry: self.clone(),
                 number,
-                work: Mutex::default(),
+                state: Mutex::default(),
             });
             term.run().await;
         }
@@ -182,8 +182,8 @@
         duty.term() == self.number && duty.may_lease(self.entry.settings.leases.outage_ms)
     }
 
-    fn work(&self) -> MutexGuard<'_, TermState> {
-        self.work.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, TermState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn divided_services(&self) -> Vec<Arc<str>> {
@@ -201,26 +201,26 @@
             .into_iter()
             .map(|name| (tag_of(&name), name))
             .collect();
-        let mut work = self.work();
-        for counts in work.counts.values_mut() {
+        let mut state = self.state();
+        for counts in state.counts.values_mut() {
             counts.decay();
         }
         for count in reported {
             let Some(name) = names.get(&count.service_tag) else {
                 continue;
             };
-            let counts = work.counts.entry(name.clone()).or_default();
+            let counts = state.counts.entry(name.clone()).or_default();
             counts.add(count.key, count.requests, ROUNDS_PER_S);
         }
     }
 
     /// Marks keys as moving; false if some of them are on their way already.
     fn mark_moving(&self, service: &Arc<str>, range: KeyRange) -> bool {
-        let mut work = self.work();
-        if work.is_moving(service, range) {
+        let mut state = self.state();
+        if state.is_moving(service, range) {
             return false;
         }
-        work.moving.push(Moving {
+        state.moving.push(Moving {
             service: service.clone(),
             range,
             waits: false,
@@ -231,11 +231,11 @@
     /// Servers that may hold keys of a service. Cold ones bear too little, as long as there are others.
     fn usable(&self, service: &str) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
-        let work = self.work();
+        let state = self.state();
         let servers = registry.of_service(service).iter();
         let mut usable: Vec<&Arc<Server>> = servers
             .filter(|server| {
-                let record = work.servers.get(&server.entry.id);
+                let record = state.servers.get(&server.entry.id);
                 let silent = record.is_some_and(|r| r.is_silent);
                 server.takes_new_work() && !silent
             })
@@ -299,17 +299,17 @@
         // First, so that no plan touches what an earlier holder has not finished.
         self.resume_unfinished_moves(service, &held.assignment, tasks);
         let moves = {
-            let mut work = self.work();
-            let of_service = || work.moving.iter().filter(|m| m.service == *service);
+            let mut state = self.state();
+            let of_service = || state.moving.iter().filter(|m| m.service == *service);
             let active = of_service().filter(|m| !m.waits).count();
             let mut moving: Vec<KeyRange> = of_service().map(|m| m.range).collect();
             let holdings = held.assignment.holdings.iter();
-            let unfinished = holdings.filter(|h| work.is_unfinished(service, h));
+            let unfinished = holdings.filter(|h| state.is_unfinished(service, h));
             moving.extend(unfinished.map(|holding| holding.range));
             let moves_max = MOVES_MIN.max(servers.len() / SERVERS_PER_MOVE);
             let room = moves_max.saturating_sub(active);
             let balance = round.is_multiple_of(BALANCE_EVERY_ROUNDS);
-            let counts = work.counts.entry(service.clone()).or_default();
+            let counts = state.counts.entry(service.clone()).or_default();
             let holdings = &held.assignment.holdings;
             let loads = counts.loads(holdings, f64::from(ROUNDS_PER_S));
             let tag = tag_of(service);
@@ -347,9 +347,9 @@
         let registry = self.entry.view.registry();
         let now_ms = clock::now_ms();
         let lease_ms = self.entry.settings.leases.lease_ms;
-        let mut work = self.work();
+        let mut state = self.state();
         for server in registry.of_service(service) {
-            let Some(record) = work.servers.get_mut(&server.entry.id) else {
+            let Some(record) = state.servers.get_mut(&server.entry.id) else {
                 continue;
             };
             // After its lease has run out and its keys have gone, it may try anew.
@@ -368,9 +368,9 @@
     ) {
         let now_ms = clock::now_ms();
         let is_over = {
-            let mut work = self.work();
-            let requested = work.counts.contains_key(service);
-            let wait = work.first_assignment_waits.entry(service.clone());
+            let mut state = self.state();
+            let requested = state.counts.contains_key(service);
+            let wait = state.first_assignment_waits.entry(service.clone());
             let wait = wait.or_insert_with(|| FirstWait::new(now_ms));
             wait.is_over(servers.len(), requested, now_ms)
         };
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -46,9 +46,9 @@
         tasks: &mut JoinSet<()>,
     ) {
         let unfinished: Vec<Holding> = {
-            let work = self.work();
+            let state = self.state();
             let holdings = assignment.holdings.iter();
-            let found = holdings.filter(|h| work.is_unfinished(service, h));
+            let found = holdings.filter(|h| state.is_unfinished(service, h));
             found.cloned().collect()
         };
         for holding in unfinished {
@@ -74,13 +74,13 @@
     ) {
         let now_ms = clock::now_ms();
         let fences = {
-            let mut work = self.work();
-            let due = now_ms >= work.completed_recorded_ms + RECORD_COMPLETED_EVERY_MS;
-            let finished = work.finished.get(service).cloned().unwrap_or_default();
+            let mut state = self.state();
+            let due = now_ms >= state.completed_recorded_ms + RECORD_COMPLETED_EVERY_MS;
+            let finished = state.finished.get(service).cloned().unwrap_or_default();
             if !due || finished.is_empty() {
                 return;
             }
-            work.completed_recorded_ms = now_ms;
+            state.completed_recorded_ms = now_ms;
             finished
         };
         let term = self.clone();
@@ -90,7 +90,7 @@
             if term.entry.record(&service, &change).await.is_err() {
                 return;
             }
-            if let Some(finished) = term.work().finished.get_mut(&service) {
+            if let Some(finished) = term.state().finished.get_mut(&service) {
                 finished.retain(|fence| !fences.contains(fence));
             }
         });
@@ -116,8 +116,9 @@
     }
 
     pub(super) fn end_move(&self, service: &Arc<str>, range: KeyRange) {
-        let mut work = self.work();
-        work.moving
+        let mut state = self.state();
+        state
+            .moving
             .retain(|m| m.service != *service || m.range != range);
     }
 
@@ -169,8 +170,8 @@
         };
         let registry = self.entry.view.registry();
         let is_silent = {
-            let work = self.work();
-            let record = work.servers.get(from);
+            let state = self.state();
+            let record = state.servers.get(from);
             record.is_some_and(|record| record.is_silent)
         };
         let answers = registry.server(from).is_some() && !is_silent;
@@ -207,8 +208,8 @@
 
     /// Notes that a move waits for a lease to run out; false if that was known.
     fn mark_waiting_for_lease(&self, range: KeyRange) -> bool {
-        let mut work = self.work();
-        let mut concerned = work.moving.iter_mut().filter(|m| m.range == range);
+        let mut state = self.state();
+        let mut concerned = state.moving.iter_mut().filter(|m| m.range == range);
         concerned.any(|moving| !std::mem::replace(&mut moving.waits, true))
     }
 
@@ -244,8 +245,8 @@
         }
         if holding.from.is_some() {
             // Only now, so that no renewal comes before the grant that has the token.
-            let mut work = self.work();
-            let finished = work.finished.entry(service.clone()).or_default();
+            let mut state = self.state();
+            let finished = state.finished.entry(service.clone()).or_default();
             finished.push(holding.fence);
         }
         self.entry.metrics.moved();
@@ -333,7 +334,7 @@
     fn lease_end_ms(&self, id: &Arc<str>) -> u64 {
         let now_ms = clock::now_ms();
         let own_ms = self
-            .work()
+            .state()
             .servers
             .get(id)
             .map_or(0, |record| record.last_grant_ms(now_ms));
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -74,18 +74,19 @@
         let now_ms = clock::now_ms();
         let every_ms = self.entry.settings.leases.renew_every_ms;
         let mut due: HashMap<Arc<str>, Vec<Holding>> = HashMap::new();
-        let mut work = self.work();
+        let mut state = self.state();
         let fences: HashSet<u64> = assignment.holdings.iter().map(|h| h.fence).collect();
-        work.renewals
+        state
+            .renewals
             .retain(|(of, fence), _| of != service || fences.contains(fence));
         for holding in &assignment.holdings {
-            let record = work.servers.get(&holding.server);
+            let record = state.servers.get(&holding.server);
             let is_silent = record.is_some_and(|record| record.is_silent);
-            if is_silent || work.is_unfinished(service, holding) {
+            if is_silent || state.is_unfinished(service, holding) {
                 continue;
             }
             let key = (service.clone(), holding.fence);
-            let renewal = work.renewals.entry(key).or_default();
+            let renewal = state.renewals.entry(key).or_default();
             if renewal.is_under_way || now_ms < renewal.renewed_ms + every_ms {
                 continue;
             }
@@ -97,10 +98,10 @@
     }
 
     fn end_renewals(&self, service: &Arc<str>, holdings: &[Holding]) {
-        let mut work = self.work();
+        let mut state = self.state();
         for holding in holdings {
             let key = (service.clone(), holding.fence);
-            if let Some(renewal) = work.renewals.get_mut(&key) {
+            if let Some(renewal) = state.renewals.get_mut(&key) {
                 renewal.is_under_way = false;
             }
         }
@@ -136,8 +137,8 @@
         let id = &server.entry.id;
         let sent_ms = clock::now_ms();
         {
-            let mut work = self.work();
-            let record = work.servers.entry(id.clone()).or_default();
+            let mut state = self.state();
+            let record = state.servers.entry(id.clone()).or_default();
             if record.is_silent {
                 return None;
             }
@@ -176,8 +177,8 @@
         sent_ms: u64,
         answer: &platform::Result<Granted>,
     ) -> bool {
-        let mut work = self.work();
-        let record = work.servers.entry(id.clone()).or_default();
+        let mut state = self.state();
+        let record = state.servers.entry(id.clone()).or_default();
         record.under_way -= 1;
         // What was never sent prolongs nothing, so that the keys are free earlier.
         let sent = answer.as_ref().err().is_none_or(Error::may_have_run);
@@ -192,7 +193,7 @@
         record.is_silent = false;
         if *granted == Granted::Held {
             let key = (order.service.clone(), order.fence);
-            work.renewals.entry(key).or_default().renewed_ms = sent_ms;
+            state.renewals.entry(key).or_default().renewed_ms = sent_ms;
         }
         false
     }
@@ -203,8 +204,8 @@
     /// minute.
     async fn probe_server(&self, service: &str, server: &Server) {
         let lives = self.is_alive(service, server).await;
-        let mut work = self.work();
-        let record = work.servers.entry(server.entry.id.clone()).or_default();
+        let mut state = self.state();
+        let record = state.servers.entry(server.entry.id.clone()).or_default();
         if lives {
             record.failures = 0;
         } else {
