--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -94,7 +94,7 @@
     service: Arc<str>,
     range: KeyRange,
     /// True while it waits for the last lease of a silent server to run out.
-    waits: bool,
+    waits_for_lease: bool,
 }
 
 /// State of the holder's work; void when the term ends.
@@ -223,7 +223,7 @@
         state.moving.push(Moving {
             service: service.clone(),
             range,
-            waits: false,
+            waits_for_lease: false,
         });
         true
     }
@@ -301,7 +301,7 @@
         let moves = {
             let mut state = self.state();
             let of_service = || state.moving.iter().filter(|m| m.service == *service);
-            let active = of_service().filter(|m| !m.waits).count();
+            let active = of_service().filter(|m| !m.waits_for_lease).count();
             let mut moving: Vec<KeyRange> = of_service().map(|m| m.range).collect();
             let holdings = held.assignment.holdings.iter();
             let unfinished = holdings.filter(|h| state.is_unfinished(service, h));
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -210,7 +210,7 @@
     fn mark_waiting_for_lease(&self, range: KeyRange) -> bool {
         let mut state = self.state();
         let mut concerned = state.moving.iter_mut().filter(|m| m.range == range);
-        concerned.any(|moving| !std::mem::replace(&mut moving.waits, true))
+        concerned.any(|moving| !std::mem::replace(&mut moving.waits_for_lease, true))
     }
 
     /// Carries out a recorded move: frees the keys, then grants them. Whatever fails here, the
