--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -65,7 +65,7 @@
     }
 
     /// Takes rows in; false if newer ones are known of all parts.
-    fn take(&mut self, rows: Vec<(KeyPart, HoldingsRow)>) -> bool {
+    fn merge(&mut self, rows: Vec<(KeyPart, HoldingsRow)>) -> bool {
         let mut is_new = false;
         for (part, row) in rows {
             let known = self.rows.get(&part);
@@ -176,7 +176,7 @@
     pub fn hold(&self, service: &Arc<str>, rows: Vec<(KeyPart, HoldingsRow)>) -> bool {
         let mut held_map = self.held_map();
         let held = held_map.entry(service.clone()).or_default();
-        if !held.take(rows) {
+        if !held.merge(rows) {
             return false;
         }
         let highest_fence = held.assignment.fence;
