--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -186,10 +186,10 @@
                 rest_ms: self.lease_end_ms(from).saturating_sub(clock::now_ms()),
             }
         };
-        self.announce_rest(service, holding, above_fence, rest);
+        self.announce_time_left(service, holding, above_fence, rest);
     }
 
-    fn announce_rest(
+    fn announce_time_left(
         &self,
         service: &Arc<str>,
         holding: &Holding,
@@ -321,7 +321,7 @@
                             wait: MoveWait::Lease,
                             rest_ms: self.lease_end_ms(id).saturating_sub(clock::now_ms()),
                         };
-                        self.announce_rest(service, holding, fence - 1, rest);
+                        self.announce_time_left(service, holding, fence - 1, rest);
                     }
                     let pause_ms = 200.min(free_ms.saturating_sub(clock::now_ms()).max(1));
                     time::sleep(Duration::from_millis(pause_ms)).await;
