--- a/src/entry/duty/change.rs
+++ b/src/entry/duty/change.rs
@@ -1,40 +1,41 @@
-//! Changes of holdings that the duty's holder records.
+//! Changes of holdings that the duty holder records in the store.
 
 use std::sync::Arc;
 
 use crate::entry::keys::{Assignment, Holding, KeyRange};
 
-/// A change of holdings.
+/// Change of one service's holdings.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// All keys are distributed for the first time.
+    /// Assigns all keys of the service for the first time: key ranges and their servers.
     Distribute(Vec<(KeyRange, Arc<str>)>),
-    /// Keys go to other servers.
+    /// Assigns key ranges to other servers, each under a new fence.
     Assign(Vec<Reassignment>),
-    /// A server keeps its keys under a fence that is higher by this.
+    /// Gives a holding a fence that is `step` above the service's highest one; the server stays.
     RaiseFence {
-        /// What it holds now.
+        /// Holding as it is recorded now; if it has changed, nothing happens.
         holding: Holding,
-        /// Distance.
+        /// Increment above the service's highest fence.
         step: u64,
     },
-    /// The former servers of holdings, named by their fences, hold nothing any more.
+    /// Marks moves as completed: clears the former server of the holdings that have these fences.
     CompleteMoves(Vec<u64>),
 }
 
-/// Keys that go to another server.
+/// Assignment of a key range to another server.
 #[derive(Clone, Debug)]
 pub struct Reassignment {
-    /// Keys.
+    /// Keys that change their server.
     pub range: KeyRange,
-    /// Server that gets them, as soon as `from` holds them no more.
+    /// New server. It is granted the keys only once `from` no longer holds them.
     pub server: Arc<str>,
-    /// Server that holds them now.
+    /// Server that holds the keys now; `None` if no server does.
     pub from: Option<Arc<str>>,
 }
 
 impl Change {
-    /// Makes the change; the holdings that came of it, unless all keys were distributed.
+    /// Applies the change and returns the holdings that it created or replaced. Returns none of
+    /// them for `Distribute` and `CompleteMoves`.
     pub(super) fn apply(&self, assignment: &mut Assignment) -> Vec<Holding> {
         match self {
             Self::Distribute(ranges) => {
--- a/src/entry/duty/mod.rs
+++ b/src/entry/duty/mod.rs
@@ -1,7 +1,10 @@
-//! The duty of giving leases: one host at a time has it, by a row of the store that it confirms
-//! under a condition. Another host takes it over when the row stands still while the store
-//! answers. All writes of holdings depend on the row, so a holder that was replaced cannot record
-//! anything any more.
+//! The duty: the leader role among the entry hosts. The host that has it (the duty holder) grants
+//! leases to servers and records which server holds which keys.
+//!
+//! One row of the store names the duty holder, which confirms its role at short intervals by a
+//! conditional write. Another host takes the duty over if the row stays unchanged for the takeover
+//! time although the store answers. All writes of holdings are conditional on the row's version, so
+//! a duty holder that has been replaced cannot record anything any more.
 
 mod change;
 mod record;
@@ -26,66 +29,71 @@
     platform::store::{Expect, Put, Transacted, Transaction},
 };
 
-/// Table of the duty's row. It is apart from the other rows, because it changes often and nobody
-/// follows it by a feed.
+/// Table of the duty row. The row has a table of its own because it changes often and no host
+/// follows it by a change feed.
 const DUTY_TABLE: &str = "ashroad_duty";
 const DUTY_KEY: &str = "leases";
-/// Age of the last confirmation up to which a holder tells the others that it has the duty: two of
-/// its confirmations may fail. A holder that alone does not reach the store can record no move; with
-/// 3 s another one took the duty 5.7 s after the store fell silent for it, while a zone's keys waited.
+/// Age of the last confirmation up to which the duty holder tells other hosts that it has the duty.
+/// Two confirmations in a row may fail within it. A duty holder that has lost its own connection to
+/// the store can record no move. With 3 s, another host took the duty only 5.7 s after the store
+/// stopped answering this one, and keys of a lost zone waited for that long.
 const CONFIRMED_MS: u64 = 1_900;
-/// Time for a write of the duty's row. A store that comes back must be written to before other
-/// hosts have seen the row stand still for the time of a takeover, 1.6 s; on its slow days it takes
-/// 0.5 s.
+/// Timeout of a write of the duty row. When the store returns from an outage, the duty holder must
+/// have written the row before other hosts have seen it unchanged for the takeover time, 1.6 s. At
+/// its slowest, the store takes 0.5 s for a write.
 const CONFIRM_TIMEOUT_MS: u64 = 1_000;
-/// Time for which a host that has lost the duty answers the next holder that it has stopped.
+/// Time after the loss of the duty in which a host answers its successor that it has stopped
+/// granting leases.
 const STOPPED_REPORT_MS: u64 = 3_000;
 
-/// The duty's row.
+/// Content of the duty row, stored as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct DutyRow {
-    /// Process that has the duty; 0 if nobody has.
+    /// Incarnation of the process that has the duty; 0 if none has.
     holder: u64,
-    /// Number of the term; each taking adds one.
+    /// Number of the term. Each takeover of the duty adds 1.
     term: u64,
-    /// Number of the confirmation, so that each write changes the row.
+    /// Number of the confirmation within the term. It makes each write change the row.
     confirmation: u64,
-    /// Address of the holder for other hosts.
+    /// Peer address of the duty holder; `None` in rows of versions without this field.
     #[serde(default)]
     address: Option<SocketAddr>,
-    /// Time from this write in which holders before this one may still give leases.
+    /// Time after this write in which hosts that had the duty in earlier terms may still grant
+    /// leases.
     #[serde(default)]
     earlier_ms: u64,
 }
 
-/// The holder before this host, whose end would shorten the wait for silent servers.
+/// Previous duty holder. The duty holder must wait for leases that it may still grant, but not once
+/// its process is known to have ended or stepped down.
 #[derive(Clone, Copy, Debug)]
 struct Predecessor {
     incarnation: u64,
     term: u64,
     address: SocketAddr,
-    /// Up to this time the holders before it may have given leases.
+    /// Time up to which duty holders before this predecessor may have granted leases.
     before_predecessor_until_ms: u64,
 }
 
-/// This host's part in the duty.
+/// State of the duty on this host.
 #[derive(Debug, Default)]
 pub struct Duty {
     /// Number of this host's term while it has the duty, else 0.
     term: AtomicU64,
-    /// Time before which the last confirmation was sent.
+    /// Time at which the last successful confirmation was sent, as taken before the call.
     confirmed_ms: AtomicU64,
-    /// Up to this time an earlier holder may have given leases.
+    /// Time up to which duty holders of earlier terms may have granted leases.
     earlier_leases_until_ms: AtomicU64,
     predecessor: StdMutex<Option<Predecessor>>,
-    /// Number of the last term that this host has lost, and when.
+    /// Number and end of the last term that this host has lost; 0 if there was none.
     lost_term: AtomicU64,
     lost_ms: AtomicU64,
     giving_up: AtomicBool,
     writer: Mutex<Writer>,
 }
 
-/// Versions of the rows that the holder writes. Held while a write is under way.
+/// Version and confirmation number of the last write of the duty row. The lock is held during each
+/// write that depends on the row.
 #[derive(Debug, Default)]
 struct Writer {
     row_version: u64,
@@ -93,29 +101,30 @@
 }
 
 impl Duty {
-    /// Number of this host's term while it has the duty, else 0.
+    /// Returns the number of this host's term while it has the duty, else 0.
     pub fn term(&self) -> u64 {
         self.term.load(Ordering::Relaxed)
     }
 
-    /// True if leases may be given: this host has the duty, and its last confirmation is not older
-    /// than `outage_ms`.
+    /// Returns true if this host may grant leases: it has the duty, and its last confirmation is
+    /// not older than `outage_ms`.
     pub fn may_lease(&self, outage_ms: u64) -> bool {
         let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
         self.term() > 0 && clock::now_ms() < confirmed_ms + outage_ms
     }
 
-    /// True if the duty was confirmed lately.
+    /// Returns true if this host has the duty and its last confirmation is recent enough to tell
+    /// other hosts so.
     pub fn is_confirmed(&self) -> bool {
         self.may_lease(CONFIRMED_MS)
     }
 
-    /// Time up to which earlier holders may have given leases.
+    /// Returns the time up to which duty holders of earlier terms may have granted leases.
     pub fn earlier_leases_until_ms(&self) -> u64 {
         self.earlier_leases_until_ms.load(Ordering::Relaxed)
     }
 
-    /// Time for which earlier holders may still give leases.
+    /// Returns the remaining time in which duty holders of earlier terms may still grant leases.
     fn earlier_ms(&self) -> u64 {
         self.earlier_leases_until_ms()
             .saturating_sub(clock::now_ms())
@@ -127,8 +136,8 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that the process at an address is another one than the predecessor, which has ended
-    /// therefore, or that the predecessor says that it has stopped.
+    /// Shortens the wait for the leases of the predecessor if `is_over` holds for it: its host runs
+    /// another process now, or it has reported that it stopped.
     fn predecessor_ended(&self, is_over: impl FnOnce(&Predecessor) -> bool) {
         let mut predecessor = self.predecessor();
         let Some(over) = predecessor.filter(|p| is_over(p)) else {
@@ -142,19 +151,22 @@
         Event::PredecessorEnded { term: over.term }.log();
     }
 
-    /// Notes which process a host runs.
+    /// Records the incarnation that a host runs. If it is not that of the predecessor, the
+    /// predecessor has ended.
     pub fn note_process(&self, address: SocketAddr, incarnation: u64) {
         self.predecessor_ended(|p| p.address == address && p.incarnation != incarnation);
     }
 
-    /// Notes that an earlier holder has stopped giving leases.
+    /// Records the report of another host that it has stopped granting leases of a term.
     pub fn note_stopped(&self, address: SocketAddr, term: u64) {
         self.predecessor_ended(|p| p.address == address && p.term == term);
     }
 
-    /// Notes that another host has the duty in a term. If that is later than this host's own, this
-    /// host stops. The result is the term that it had until lately: the other host waits for the
-    /// end of its leases.
+    /// Records that another host has the duty in `term`. If that is later than this host's own
+    /// term, this host gives up the duty.
+    ///
+    /// Returns the term that this host has lost within the last `STOPPED_REPORT_MS`, if any. The
+    /// other host waits for the leases of that term until it knows that they are no longer granted.
     pub fn note_other_term(&self, term: u64) -> Option<u64> {
         let own = self.term();
         if own >= term {
@@ -184,7 +196,7 @@
         let rows = match self.store.table(DUTY_TABLE).await {
             Ok(rows) => rows.rows,
             Err(error) => {
-                log::debug!("the duty's row cannot be read: {error}");
+                log::debug!("cannot read the duty row: {error}");
                 return None;
             }
         };
@@ -194,13 +206,14 @@
         match serde_json::from_slice(&row.value) {
             Ok(duty) => Some((Some(duty), row.version)),
             Err(error) => {
-                log::warn!("the duty's row cannot be decoded: {error}");
+                log::warn!("cannot decode the duty row: {error}");
                 None
             }
         }
     }
 
-    /// Writes the duty's row; the new version if that took effect.
+    /// Writes the duty row if it still has `version`. Returns the new version, or `None` if the
+    /// write failed or its outcome is unknown.
     async fn write_duty(&self, row: &DutyRow, version: u64) -> Option<u64> {
         let value = serde_json::to_vec(row).ok()?;
         let transaction = Transaction {
@@ -220,19 +233,20 @@
         match written.await {
             Ok(Transacted::Done { version }) => Some(version),
             Ok(Transacted::Conflict { rows }) => {
-                // An earlier try whose answer was lost may have taken effect.
+                // An earlier attempt may have taken effect although its response was lost.
                 let found = rows.into_iter().find(|r| r.key == DUTY_KEY)?;
                 (found.value == value).then_some(found.version)
             }
             Err(error) => {
-                log::debug!("the duty's row cannot be written: {error}");
+                log::debug!("cannot write the duty row: {error}");
                 None
             }
         }
     }
 
-    /// Confirms the duty. Calls that a silent store has swallowed are given up as soon as it is
-    /// known to be back, and made anew before other hosts take the duty.
+    /// Confirms the duty. If the store stops answering during the call and then returns, the call
+    /// is abandoned and repeated at once, so that the confirmation arrives before other hosts take
+    /// the duty.
     async fn confirm_duty_through_outages(&self) {
         loop {
             tokio::select! {
@@ -264,7 +278,8 @@
             self.heard_store(clock::now_ms());
             return;
         }
-        // The write may have failed, taken effect without an answer, or met another holder's.
+        // The write may have failed, taken effect without a response, or met a row that another
+        // host has written.
         let Some((Some(row), version)) = self.read_duty().await else {
             return;
         };
@@ -276,7 +291,8 @@
         writer.confirmation = writer.confirmation.max(row.confirmation);
     }
 
-    /// Gives the duty up in a planned stop, so that another host takes it at once.
+    /// Gives up the duty during a planned stop by clearing the holder in the row, so that another
+    /// host takes it at once.
     pub(super) async fn give_up_duty(&self) {
         if self.duty.term() == 0 {
             return;
--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -1,4 +1,4 @@
-//! Records changes of holdings in the store, on condition of the duty's row.
+//! Records changes of holdings in the store, on the condition that this host still has the duty.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -18,27 +18,28 @@
     platform::store::{Expect, Put, Row, Transacted, Transaction},
 };
 
-/// Why a write of the holder failed for good.
+/// Permanent failure of a write of the duty holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFailure {
-    /// Another host has the duty.
+    /// Another host has the duty, or this host can no longer be sure that it has it.
     DutyLost,
-    /// The store does not take the record.
+    /// The store rejects the transaction with an error that no retry can mend.
     Refused,
-    /// The service's holdings are not what the holder thinks.
+    /// The recorded holdings differ from the ones that this host knows, or cannot be encoded.
     HoldingsChanged,
 }
 
-/// Rows in one transaction. The store takes 100 conditions and writes.
+/// Maximum number of rows in one transaction. The store accepts up to 100 conditions and writes in
+/// one transaction.
 const ROWS_MAX: usize = 32;
 
-/// Row that is to be recorded.
+/// Row of holdings that is about to be written.
 struct PendingRow {
     part: KeyPart,
     key: String,
     assignment: Assignment,
     value: Vec<u8>,
-    /// Version that it must have; 0 if it must not exist.
+    /// Version that the stored row must have; 0 if the row must not exist.
     expected_version: u64,
 }
 
@@ -76,31 +77,33 @@
     }
 }
 
-/// Outcome of a transaction whose effect is known.
+/// Outcome of a transaction once it is known whether it took effect.
 enum TransactionOutcome {
     Done(u64),
     Conflict(Vec<Row>),
-    /// The store will never take this record.
+    /// The store rejects the transaction with an error that no retry can mend.
     Refused,
     DutyLost,
 }
 
-/// Why a record met other rows than it expected.
+/// Reason why the conditions of a transaction were not met.
 enum Conflict {
-    /// It took effect before, and its answer was lost.
+    /// An earlier attempt took effect, but its response was lost. Contains the version of the rows.
     TookEffect(u64),
-    /// A confirmation of the duty took effect, and its answer was lost; the row's version.
+    /// A confirmation of the duty took effect, but its response was lost. Contains the version of
+    /// the duty row.
     Confirmed(u64),
-    /// The holdings are not what the holder thinks.
+    /// The recorded holdings differ from the ones that this host knows.
     HoldingsChanged,
-    /// Another host has the duty.
+    /// The duty row does not name this host and term, or is missing or undecodable.
     DutyTaken,
 }
 
 impl Entry {
-    /// Records a change of a service's holdings. The record depends on the duty's row and on the
-    /// holdings being what they were. Returns the new holdings once the
-    /// record is certain, however long that takes while this host may have the duty.
+    /// Records a change of a service's holdings and returns the holdings that it created or
+    /// replaced. The write is conditional on the duty row and on the unchanged versions of the rows
+    /// that it replaces. Retries for as long as this host may have the duty, and returns only once
+    /// the outcome is certain.
     pub(in crate::entry) async fn record(
         &self,
         service: &Arc<str>,
@@ -116,8 +119,9 @@
         if assignment == *held.assignment {
             return Ok(changed);
         }
-        // The first part last: its row may be one of an earlier version of ashroad, which has all holdings and must not
-        // lose them before the others have them.
+        // The row of the first part is written last. It may come from an earlier version of
+        // ashroad, which kept all holdings in it, and must not lose them before the other rows have
+        // them.
         let mut parts = held.changed_parts(&assignment);
         parts.reverse();
         for parts in parts.chunks(ROWS_MAX) {
@@ -133,7 +137,7 @@
         Ok(changed)
     }
 
-    /// Records rows in one transaction, however long that takes while this host may have the duty.
+    /// Writes rows in one transaction and retries for as long as this host may have the duty.
     async fn record_rows(
         &self,
         service: &Arc<str>,
@@ -167,7 +171,7 @@
         }
     }
 
-    /// Why a record met other rows than it expected.
+    /// Determines from the rows that the store returned why a transaction met a conflict.
     fn classify_conflict(&self, found: &[Row], rows: &[PendingRow], writer: &Writer) -> Conflict {
         let find = |key: &str| found.iter().find(|row| row.key == key);
         let is_written = |row: &PendingRow| find(&row.key).is_some_and(|f| f.value == row.value);
@@ -189,7 +193,7 @@
             return Conflict::DutyTaken;
         };
         let Ok(duty) = serde_json::from_slice::<DutyRow>(&row.value) else {
-            log::error!("the duty's row cannot be decoded");
+            log::error!("cannot decode the duty row");
             return Conflict::DutyTaken;
         };
         let own = duty.holder == self.incarnation && duty.term == self.duty.term();
@@ -218,16 +222,17 @@
             let sent_ms = clock::now_ms();
             match self.store.transact(&transaction).await {
                 Ok(Transacted::Done { version }) => {
-                    // The transaction depends on the duty's row, so it confirms the duty too.
+                    // The transaction is conditional on the duty row, so its success also confirms
+                    // the duty.
                     self.duty.confirmed_ms.store(sent_ms, Ordering::Relaxed);
                     return TransactionOutcome::Done(version);
                 }
                 Ok(Transacted::Conflict { rows }) => return TransactionOutcome::Conflict(rows),
                 Err(error) if error.is_final() => {
-                    log::error!("the store refuses a record of holdings: {error}");
+                    log::error!("the store rejects a write of holdings: {error}");
                     return TransactionOutcome::Refused;
                 }
-                Err(error) => log::debug!("holdings cannot be recorded: {error}"),
+                Err(error) => log::debug!("cannot write holdings, retrying: {error}"),
             }
             if !self.duty.may_lease(self.settings.leases.outage_ms) {
                 self.duty.lose("the store did not answer");
--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -1,5 +1,5 @@
-//! Who takes the duty, and when: the host whose former process had it at once, others when its row has
-//! stood still for long enough.
+//! Takeover of the duty. A restarted host whose previous process had the duty takes it again at
+//! once. Other hosts take it when the duty row has stayed unchanged for the takeover time.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -20,27 +20,31 @@
     },
 };
 
-/// Interval at which a host without the duty looks whether it must act.
+/// Interval at which a host without the duty checks if it must take the duty.
 const CHECK_EVERY_MS: u64 = 100;
-/// Time from a host's start until it looks after the duty.
+/// Time after its start in which a host does not watch the duty row, as it may not have heard the
+/// duty holder yet.
 const START_GRACE_MS: u64 = 600;
-/// The same at the first start of a deployment, when there is no secret for datagrams yet: hosts that
-/// start together must know each other, or all of them would watch. They read each other's rows
-/// 2.5 s after their start.
+/// The same at the first start of a deployment, recognised by the lack of a shared secret for
+/// datagrams. Hosts that start together must know each other, or all of them would watch the row.
+/// They read the rows of each other 2.5 s after their start.
 const FIRST_START_GRACE_MS: u64 = 3_200;
-/// Longest time by which stronger ones look before weaker ones.
+/// Longest additional delay at the first start, for a host with no share of a processor, so that
+/// faster hosts take the duty first.
 const SLOW_HOST_DELAY_MS: f32 = 800.0;
-/// Interval at which the row is read while its holder is silent.
+/// Interval of reads of the duty row while the duty holder is silent.
 const READ_EVERY_MS: u64 = 300;
-/// Longest random delay before the duty is taken, so that not all hosts try at once.
+/// Longest random delay before a host takes the duty, so that not all hosts try at once.
 const TAKEOVER_JITTER_MS: u64 = 120;
-/// Hosts that watch the row of a silent holder together. Reads are priced, so that not all do.
+/// Number of hosts that begin at the same time to watch the row of a silent duty holder. Reads are
+/// billed, so not all hosts watch it.
 const WATCHERS: u64 = 2;
-/// Time after which the next ones watch it too.
+/// Delay until the next `WATCHERS` hosts begin to watch the row too.
 const WATCHERS_STEP_MS: u64 = 500;
 
 impl Entry {
-    /// Takes the duty when nobody has it, and confirms it while this host has it.
+    /// Runs the duty on this host: confirms it while the host has it, and otherwise takes it when
+    /// no host confirms it any more.
     pub(in crate::entry) async fn keep_duty(self: Arc<Self>) {
         let leases = self.settings.leases;
         if !self.view.hosts_known().await {
@@ -62,14 +66,15 @@
             time::sleep(Duration::from_millis(CHECK_EVERY_MS)).await;
             let may_take = self.is_registered() && self.view.servers_known() && !self.stopping();
             if may_take && self.holder_is_silent(started_ms) {
-                // Calls are priced; the servers' feed notices the store's return.
+                // Calls are billed, so none is made before the feed of the servers' table shows
+                // that the store answers.
                 self.view.store_returned().await;
                 self.await_takeover().await;
             }
         }
     }
 
-    /// Takes the duty at once if the process that ran here before this one had it: that one has
+    /// Takes the duty at once if the previous process of this host had it. That process has
     /// certainly ended, since this one listens on its address.
     async fn resume_duty(&self) {
         while !self.view.servers_known() || !self.is_registered() {
@@ -85,8 +90,8 @@
         }
     }
 
-    /// True if the holder has been silent for so long, or since the start of this host, that its row
-    /// should be watched.
+    /// Returns true if the duty holder has been silent for so long that this host should watch the
+    /// duty row. If this host has never heard a duty holder, the time counts from `started_ms`.
     fn holder_is_silent(&self, started_ms: u64) -> bool {
         let heard_ms = self.peers.holder_heard_ms();
         if heard_ms == 0 && !self.peers.seal.is_known() {
@@ -100,7 +105,8 @@
         clock::now_ms() > silent_after_ms + self.watch_delay_ms()
     }
 
-    /// Time from the first start of a deployment until this host looks after the duty.
+    /// Returns the time after the first start of a deployment in which this host does not watch the
+    /// duty row.
     fn first_start_grace_ms(&self) -> u64 {
         let share = self.settings.processor_share.clamp(0.0, 1.0);
         if self.is_early() {
@@ -110,7 +116,8 @@
         }
     }
 
-    /// Time for which other hosts watch the row of a silent holder before this one does.
+    /// Returns the time for which hosts of a better rank watch the row of a silent duty holder
+    /// before this one does.
     fn watch_delay_ms(&self) -> u64 {
         let rank = {
             let settings = &self.settings;
@@ -120,14 +127,16 @@
         rank as u64 / WATCHERS * WATCHERS_STEP_MS
     }
 
-    /// Reads the row until it changes or has stood still for long enough to be taken.
+    /// Reads the duty row until it changes or may be taken: it names no holder, or has stayed
+    /// unchanged for the takeover time.
     async fn await_takeover(&self) {
         let takeover_ms = self.settings.leases.takeover_ms;
         let mut seen: Option<(u64, u64)> = None;
         let started_ms = clock::now_ms();
         loop {
             let Some((row, version)) = self.read_duty().await else {
-                // Nothing is known about time in which the store did not answer.
+                // Time in which the store did not answer does not count: the duty holder could not
+                // confirm then either.
                 seen = None;
                 pause().await;
                 self.view.store_returned().await;
@@ -154,8 +163,9 @@
         }
     }
 
-    /// Takes the duty. Its row was first read with this content at `seen_ms`, so that the holder
-    /// before has not confirmed it since.
+    /// Takes the duty. The row was first read with this content at `seen_ms`, so the previous duty
+    /// holder's last confirmation was before that. `handed_over` is true if that host had given the
+    /// duty up.
     async fn take_duty(&self, row: Option<DutyRow>, version: u64, seen_ms: u64, handed_over: bool) {
         let sent_ms = clock::now_ms();
         let term = row.as_ref().map_or(0, |row| row.term) + 1;
@@ -183,7 +193,7 @@
         writer.row_version = version;
         writer.confirmation = 1;
         drop(writer);
-        // Holdings are read after the duty is taken: nobody else can change them any more.
+        // Holdings are read after the duty is taken, as no other host can change them from then on.
         if !self.read_holdings().await {
             return;
         }
@@ -204,8 +214,9 @@
         self.check_predecessor_process().await;
     }
 
-    /// The predecessor's host may run another process already, or it was this one. What this host knows of others'
-    /// processes may be older than the predecessor; its row is not, since a process registers before it takes the duty.
+    /// Checks if the host of the predecessor already runs another process. It may be this host.
+    /// What this host knows of the processes of other hosts may be older than the predecessor, but
+    /// the predecessor's own row is not, since a process registers before it takes the duty.
     async fn check_predecessor_process(&self) {
         self.duty
             .note_process(self.settings.listen.peers, self.incarnation);
@@ -215,8 +226,8 @@
         let key = format!("{HOST_PREFIX}{address}");
         match self.store.range(TABLE, HOSTS_PART, &key, &key).await {
             Ok(rows) => self.apply_own(&rows.rows),
-            // The leases that it may have given are waited for.
-            Err(error) => log::debug!("the row of the predecessor's host cannot be read: {error}"),
+            // Without the row, the leases that the predecessor may have granted are waited for.
+            Err(error) => log::debug!("cannot read the row of the predecessor's host: {error}"),
         }
     }
 
@@ -224,13 +235,13 @@
         let rows = match self.store.table(TABLE).await {
             Ok(rows) => rows.rows,
             Err(error) => {
-                log::warn!("holdings cannot be read: {error}");
+                log::warn!("cannot read holdings: {error}");
                 return false;
             }
         };
         let (held, unreadable) = decode_holdings(&rows);
         for (row, error) in &unreadable {
-            log::error!("holdings in {row} cannot be decoded: {error}");
+            log::error!("cannot decode holdings in row {row}: {error}");
         }
         if !unreadable.is_empty() {
             return false;
