--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -1,10 +1,11 @@
-//! What the duty's holder does: gives and renews leases, moves keys by plan, and frees the keys of
-//! servers that leave or fall silent.
+//! Work of the duty holder: grants and renews the leases of servers, moves keys to balance load,
+//! and moves the keys of servers that leave or stop answering.
 //!
-//! A move is recorded first, with the server that may still hold the keys. That server is then
-//! asked to release them under the new fence. If it does not answer, the keys are granted to the
-//! new server only when the last lease that anyone may have given the old one has run out. A later
-//! holder of the duty finds the move in the record and finishes it in the same way.
+//! A move is recorded in the store first, together with the server that may still hold the keys.
+//! That server is then asked to release them under the new fence. If it does not answer, the keys
+//! are granted to the new server only after the last lease that any duty holder may have granted to
+//! the old one has expired. A later duty holder finds the move among the recorded holdings and
+//! completes it in the same way.
 
 mod moves;
 mod renewal;
@@ -34,51 +35,56 @@
 };
 use crate::clock;
 
-/// Interval of the holder's rounds.
+/// Interval of the duty holder's rounds of renewals and planning.
 const ROUND_MS: u64 = 100;
-/// Rounds between plans for balance. Hosts report their counts about as often.
+/// Number of rounds between plans that move keys to balance load. Hosts report their request counts
+/// about as often.
 const BALANCE_EVERY_ROUNDS: u64 = 2;
-/// Time for a server to answer a grant; it answers within a few ms as a rule, and one lost packet is
-/// sent again in it. Nine grants fit into what a lease lasts beyond the interval of renewals: where
-/// half of the answers are lost, two leases of a thousand end.
+/// Timeout of a grant. A server usually answers within a few ms, and a lost packet is retransmitted
+/// within the timeout. Nine grants fit into the time from the renewal of a lease to its expiry: if
+/// half of the answers are lost, two leases in a thousand expire.
 const GRANT_TIMEOUT_MS: u64 = 300;
-/// Failed orders in a row after which it is asked whether a server lives.
+/// Number of consecutive failed grants after which the server is probed.
 const FAILURES_BEFORE_PROBE: u32 = 2;
-/// Moves under way at a time: this many, and more with many servers.
+/// Maximum number of concurrent moves of a service with few servers.
 const MOVES_MIN: usize = 8;
-/// Servers of a service for each move under way.
+/// Number of servers of a service for which one concurrent move is allowed, once that is more than
+/// `MOVES_MIN` moves.
 const SERVERS_PER_MOVE: usize = 4;
-/// A server's clock may run slow by 2%, and a grant may arrive until it is given up.
+/// Factor by which the wait for the end of a lease is longer than the lease, since a server's clock
+/// may run slow by 2%. `LEASE_MARGIN_MS` is added, since a grant may arrive until its timeout.
 const LEASE_CLOCK_FACTOR: f64 = 1.03;
 const LEASE_MARGIN_MS: u64 = GRANT_TIMEOUT_MS + 250;
-/// Rounds a second: counts are taken in once a round.
+/// Rounds per second. Reported request counts are added up once per round.
 const ROUNDS_PER_S: f32 = 1_000.0 / ROUND_MS as f32;
-/// Store silence above which no planned move begins, since it could not be recorded.
+/// Age of the last answer of the store above which no planned move begins, since it could not be
+/// recorded.
 const STORE_AGE_MAX_MS: u64 = 3_600;
 
-/// What the holder knows of the leases of one server.
+/// State of the leases of one server in this term.
 #[derive(Clone, Copy, Debug, Default)]
 struct LeaseRecord {
-    /// When the last grant was sent that may have arrived.
+    /// Time at which the last grant was sent that may have arrived; 0 if none was.
     granted_ms: u64,
-    /// Grants that are on their way.
+    /// Number of grants in flight.
     under_way: u32,
-    /// Failed orders in a row.
+    /// Number of consecutive failed grants.
     failures: u32,
-    /// It answers neither orders nor anything else.
+    /// True if the server answered neither grants nor a probe. It gets no grants and no keys then.
     is_silent: bool,
 }
 
-/// Renewals of one holding.
+/// State of the renewals of one holding.
 #[derive(Clone, Copy, Debug, Default)]
 struct Renewal {
-    /// When the last one that succeeded was sent.
+    /// Time at which the last successful renewal was sent; 0 if none was.
     renewed_ms: u64,
     is_under_way: bool,
 }
 
 impl LeaseRecord {
-    /// Time of the last grant that the server may take, or may have taken.
+    /// Returns the latest time at which the server may have received a grant: now, while one is in
+    /// flight.
     fn last_grant_ms(&self, now_ms: u64) -> u64 {
         if self.under_way > 0 {
             now_ms
@@ -88,27 +94,28 @@
     }
 }
 
-/// A move under way.
+/// A move of keys that is being carried out.
 #[derive(Clone, Debug)]
 struct Moving {
     service: Arc<str>,
     range: KeyRange,
-    /// True while it waits for the last lease of a silent server to run out.
+    /// True while the move waits for the last lease of a silent server to expire. It does not count
+    /// towards the maximum of concurrent moves then.
     waits_for_lease: bool,
 }
 
-/// State of the holder's work; void when the term ends.
+/// State of one term of the duty holder, discarded when the term ends.
 #[derive(Debug, Default)]
 struct TermState {
     servers: HashMap<Arc<str>, LeaseRecord>,
-    /// By service and fence.
+    /// Renewals by service and fence.
     renewals: HashMap<(Arc<str>, u64), Renewal>,
     moving: Vec<Moving>,
     counts: HashMap<Arc<str>, KeyCounts>,
     first_assignment_waits: HashMap<Arc<str>, FirstWait>,
-    /// Fences of finished moves whose record still names the former server, by service.
+    /// Fences of completed moves whose recorded holding still names the former server, by service.
     finished: HashMap<Arc<str>, Vec<u64>>,
-    /// When finished moves were last recorded.
+    /// Time at which completed moves were last recorded.
     completed_recorded_ms: u64,
 }
 
@@ -118,7 +125,7 @@
         moving.any(|m| *m.service == *service && m.range.overlaps(&range))
     }
 
-    /// True if the former server of a holding may still hold its keys.
+    /// Returns true if the former server of a holding may still hold its keys.
     fn is_unfinished(&self, service: &str, holding: &Holding) -> bool {
         let finished = self.finished.get(service);
         let done = finished.is_some_and(|fences| fences.contains(&holding.fence));
@@ -126,7 +133,7 @@
     }
 }
 
-/// A term of this host as the duty's holder.
+/// A term in which this host has the duty.
 #[derive(Debug)]
 struct Term {
     entry: Arc<Entry>,
@@ -135,7 +142,7 @@
 }
 
 impl Entry {
-    /// Does the holder's work while this host has the duty.
+    /// Does the work of the duty holder while this host has the duty.
     pub(super) async fn keep_leasing(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(ROUND_MS)).await;
@@ -163,7 +170,8 @@
             if self.entry.duty.term() != self.number {
                 return;
             }
-            // What is known of leases is kept while the store is away for too long.
+            // The state of the leases is kept while the store is unavailable for too long to grant
+            // any.
             if !self.may_send_orders() {
                 continue;
             }
@@ -176,7 +184,7 @@
         }
     }
 
-    /// True while orders may be given in this term.
+    /// Returns true while this host may send orders to servers in this term.
     fn may_send_orders(&self) -> bool {
         let duty = &self.entry.duty;
         duty.term() == self.number && duty.may_lease(self.entry.settings.leases.outage_ms)
@@ -214,7 +222,7 @@
         }
     }
 
-    /// Marks keys as moving; false if some of them are on their way already.
+    /// Marks keys as moving. Returns false if some of them are being moved already.
     fn mark_moving(&self, service: &Arc<str>, range: KeyRange) -> bool {
         let mut state = self.state();
         if state.is_moving(service, range) {
@@ -228,7 +236,9 @@
         true
     }
 
-    /// Servers that may hold keys of a service. Cold ones bear too little, as long as there are others.
+    /// Returns the servers that may hold keys of a service, sorted by incarnation. Cold servers are
+    /// left out as long as there are warm ones, if their service limits their requests during
+    /// warm-up.
     fn usable(&self, service: &str) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
         let state = self.state();
@@ -263,7 +273,8 @@
         servers
     }
 
-    /// Those of a service's servers that should hold keys now: without the ones that many hosts must let rest.
+    /// Removes the servers that a large part of the hosts currently rest because the servers asked
+    /// for it.
     fn awake(&self, servers: Vec<PlanServer>) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
         let hosts = self.entry.peers.hosts();
@@ -274,7 +285,7 @@
         })
     }
 
-    /// True if the servers of a service bear a bounded number of requests while they are cold.
+    /// Returns true if a service limits the requests of its servers during their warm-up.
     fn bounds_cold_servers(&self, service: &str) -> bool {
         let Some(configuration) = self.entry.view.configuration() else {
             return false;
@@ -296,7 +307,7 @@
         if store_age_ms(&self.entry) > STORE_AGE_MAX_MS {
             return;
         }
-        // First, so that no plan touches what an earlier holder has not finished.
+        // Moves of an earlier duty holder are resumed first, so that no plan touches their keys.
         self.resume_unfinished_moves(service, &held.assignment, tasks);
         let moves = {
             let mut state = self.state();
@@ -331,7 +342,7 @@
         self.record_completed_moves(service, tasks);
     }
 
-    /// Tells all hosts the first holdings, so that they do not all read the record.
+    /// Announces the first holdings to all hosts, so that they do not all read them from the store.
     fn announce_all(&self, service: &Arc<str>) {
         let Some(held) = self.entry.view.held(service) else {
             return;
@@ -342,7 +353,8 @@
         }
     }
 
-    /// Lets silent servers hold keys again once their entries are fresh and they answer requests.
+    /// Lets silent servers hold keys again after a while. If they still do not answer, they are
+    /// marked as silent again.
     fn revive_silent(&self, service: &str) {
         let registry = self.entry.view.registry();
         let now_ms = clock::now_ms();
@@ -352,7 +364,7 @@
             let Some(record) = state.servers.get_mut(&server.entry.id) else {
                 continue;
             };
-            // After its lease has run out and its keys have gone, it may try anew.
+            // By then the last lease of the server has expired and its keys have moved to others.
             if record.is_silent && now_ms > record.last_grant_ms(now_ms) + 2 * lease_ms {
                 record.failures = 0;
                 record.is_silent = false;
@@ -385,7 +397,7 @@
             match term.entry.record(&service, &change).await {
                 Ok(_) => term.announce_all(&service),
                 Err(failure) => {
-                    log::warn!("the first holdings of {service} are not recorded: {failure:?}");
+                    log::warn!("cannot record the first holdings of {service}: {failure:?}");
                 }
             }
             term.end_move(&service, KeyRange::ALL);
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -1,4 +1,5 @@
-//! Carries out moves: records them, frees the keys, grants them, and records that they are finished.
+//! Moves of keys: records them, has the former servers release the keys, grants these to the new
+//! servers, and records the completion.
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,21 +25,22 @@
     },
 };
 
-/// Interval at which finished moves are recorded.
+/// Interval at which the completion of moves is recorded.
 const RECORD_COMPLETED_EVERY_MS: u64 = 1_000;
-/// Least time for a release, when the server's lease is about to run out or has.
+/// Minimum timeout of a release order, used when the lease of the server is about to expire or has
+/// expired.
 const RELEASE_TIMEOUT_MIN_MS: u64 = 300;
-/// Time for a server to end its work on released keys.
+/// Maximum timeout of a release order: a server answers only when its work on the keys has ended.
 const RELEASE_TIMEOUT_MS: u64 = 2_500;
-/// Time after which a release is sent once more beside the first: its answer may be lost, and the keys
-/// have no server until it comes. Most work on keys ends within it.
+/// Delay until a release order is sent again in parallel, as its answer may be lost and the keys
+/// have no server until it arrives. Most work on keys ends within this time.
 const RELEASE_REPEAT_MS: u64 = 600;
-/// Times that one release is sent. Of a hundred servers that lose half of the answers, six do not
-/// answer four releases.
+/// Maximum number of times that one release order is sent. Of a hundred servers that lose half of
+/// their answers, six do not answer any of four.
 const RELEASES_MAX: usize = 4;
 
 impl Term {
-    /// Finishes moves that an earlier holder of the duty recorded.
+    /// Resumes moves that an earlier duty holder recorded but did not complete.
     pub(super) fn resume_unfinished_moves(
         self: &Arc<Self>,
         service: &Arc<str>,
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Records from time to time which moves are finished.
+    /// Records which moves are completed, at most once per `RECORD_COMPLETED_EVERY_MS`.
     pub(super) fn record_completed_moves(
         self: &Arc<Self>,
         service: &Arc<str>,
@@ -96,7 +98,7 @@
         });
     }
 
-    /// Records moves in one write, then carries out each by itself.
+    /// Starts planned moves: records them in one write, then carries out each independently.
     pub(super) fn begin_moves(
         self: &Arc<Self>,
         service: &Arc<str>,
@@ -139,7 +141,7 @@
         let holdings = match self.entry.record(service, &change).await {
             Ok(holdings) => holdings,
             Err(failure) => {
-                log::warn!("moves of {service} are not recorded: {failure:?}");
+                log::warn!("cannot record moves of {service}: {failure:?}");
                 for planned in moves {
                     self.end_move(service, planned.range);
                 }
@@ -163,7 +165,7 @@
         finishing.join_all().await;
     }
 
-    /// Tells all hosts that keys are on their way, and how long that may take.
+    /// Announces to all hosts that keys are being moved, and how long that may take.
     fn announce(&self, service: &Arc<str>, holding: &Holding, above_fence: u64) {
         let Some(from) = &holding.from else {
             return;
@@ -206,15 +208,15 @@
         outbox.announce_move(tag_of(service), move_ahead);
     }
 
-    /// Notes that a move waits for a lease to run out; false if that was known.
+    /// Marks a move as waiting for a lease to expire. Returns false if it was marked already.
     fn mark_waiting_for_lease(&self, range: KeyRange) -> bool {
         let mut state = self.state();
         let mut concerned = state.moving.iter_mut().filter(|m| m.range == range);
         concerned.any(|moving| !std::mem::replace(&mut moving.waits_for_lease, true))
     }
 
-    /// Carries out a recorded move: frees the keys, then grants them. Whatever fails here, the
-    /// renewals of the new server make up for it or the planner finds another.
+    /// Carries out a recorded move: has the keys released, then grants them. If the grant fails,
+    /// the renewals of the new server repeat it, or the planner chooses another server.
     async fn complete_move(
         &self,
         service: &Arc<str>,
@@ -244,7 +246,8 @@
             outbox.announce_holding(tag_of(service), holding);
         }
         if holding.from.is_some() {
-            // Only now, so that no renewal comes before the grant that has the token.
+            // The move counts as completed only after the grant. Otherwise a renewal, which has no
+            // handover token, could arrive before the grant that has it.
             let mut state = self.state();
             let finished = state.finished.entry(service.clone()).or_default();
             finished.push(holding.fence);
@@ -263,9 +266,11 @@
         .log();
     }
 
-    /// Makes sure that a server no longer holds a range: by its own word, or by waiting until its
-    /// last lease has run out. The result is the token for the next owner; `None` if the term has
-    /// ended meanwhile.
+    /// Ensures that the server `id` no longer holds a range: the server confirms the release, or
+    /// its last lease has expired.
+    ///
+    /// Returns the handover token for the next server if the old one gave one, or the outer `None`
+    /// if the term has ended meanwhile.
     async fn release_keys(
         &self,
         service: &Arc<str>,
@@ -275,8 +280,9 @@
         let Holding { range, fence, .. } = *holding;
         let registry = self.entry.view.registry();
         let server = registry.server(id).cloned();
-        // A server whose entry is gone may still serve: it is asked by a connection of its own. A later
-        // incarnation of its name at its address answers for it.
+        // A server whose entry is gone may still serve, so the release order goes there on a new
+        // connection. If a later incarnation of the server answers at the same address, the earlier
+        // one has ended.
         let former = registry.former(id).cloned();
         let former_link = former.as_ref().map(|former| Link::new(former.address));
         let link = match (&server, &former, &former_link) {
@@ -291,7 +297,8 @@
             }
             let free_ms = self.lease_end_ms(id);
             let now_ms = clock::now_ms();
-            // A server that is known is asked once in any case: its token warms the next one.
+            // A known server is asked at least once, even if its leases have expired: its handover
+            // token warms up the next server.
             if now_ms >= free_ms && std::mem::replace(&mut asked, true) {
                 return Some(None);
             }
@@ -315,7 +322,7 @@
                 Ok(Released::OtherServer) => return Some(None),
                 Err(error) => {
                     self.entry.metrics.order("release", "failed");
-                    log::debug!("{id} did not release keys: {error}");
+                    log::debug!("server {id} did not release its keys: {error}");
                     if self.mark_waiting_for_lease(range) {
                         let rest = MoveRest {
                             wait: MoveWait::Lease,
@@ -330,7 +337,8 @@
         }
     }
 
-    /// Time at which the last lease that any holder may have given a server has run out.
+    /// Returns the time at which the last lease that any duty holder may have granted to a server
+    /// has expired.
     fn lease_end_ms(&self, id: &Arc<str>) -> u64 {
         let now_ms = clock::now_ms();
         let own_ms = self
@@ -344,8 +352,8 @@
     }
 }
 
-/// Sends a release, and again beside it while no answer comes: a release may be repeated, and the
-/// first answer counts.
+/// Sends a release order, and repeats it in parallel while no answer arrives. The first answer
+/// counts; the order is idempotent.
 async fn release(link: &Link, order: Release<'_>, timeout_ms: u64) -> platform::Result<Released> {
     let began_ms = clock::now_ms();
     let Release { range, fence, .. } = order;
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -1,4 +1,5 @@
-//! Renews leases, and gives them anew where a server has seen a higher fence.
+//! Renewal of leases. If a server has seen a higher fence than the recorded one, its keys are
+//! granted again under a fence that is higher still.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -23,34 +24,35 @@
     },
 };
 
-/// Distance of a raised fence from the last one, above what an earlier holder may have used
-/// without recording it.
+/// Increment of a raised fence. It skips fences that an earlier duty holder may have used without
+/// recording them.
 const FENCE_STEP: u64 = 16;
 
-/// Keys that a server is to hold.
+/// Lease of a key range that a server is to be granted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseOrder<'a> {
     pub service: &'a Arc<str>,
     pub range: KeyRange,
     pub fence: u64,
-    /// Token of the last owner.
+    /// Handover token that the previous server of the keys returned; `None` for renewals.
     pub handover: Option<&'a str>,
 }
 
-/// Time for a server to answer the question whether it lives. It may have to wait for a slot.
+/// Timeout of a probe of a server. The probe may have to wait for a free slot there.
 const PROBE_TIMEOUT_MS: u64 = 400;
-/// Age of a server's last answer to a request up to which it lives without being asked.
+/// Age of a server's last answer to a request up to which the server counts as alive without a
+/// probe.
 const RECENT_ANSWER_MS: u64 = 1_000;
 
 impl Term {
-    /// Starts the renewals that are due.
+    /// Starts the due renewals of a service's leases.
     pub(super) fn renew(self: &Arc<Self>, service: &Arc<str>, tasks: &mut JoinSet<()>) {
         let Some(held) = self.entry.view.held(service) else {
             return;
         };
         let registry = self.entry.view.registry();
         for (id, holdings) in self.due_renewals(service, &held.assignment) {
-            // A server without an entry gets nothing more; its lease runs out.
+            // A server without an entry gets no renewal, so its leases expire.
             let server = registry.server(&id).cloned();
             let term = self.clone();
             let service = service.clone();
@@ -63,9 +65,9 @@
         }
     }
 
-    /// Holdings whose renewal is due, by server; they count as under way. Each is renewed for itself: of
-    /// five ranges of a server that loses half of the answers, all are renewed in a row only once in 32
-    /// tries.
+    /// Returns the holdings whose renewal is due, by server, and marks their renewals as in flight.
+    /// Each holding has a renewal time of its own: if a server with five ranges loses half of its
+    /// answers, five renewals in a row succeed only once in 32 attempts.
     fn due_renewals(
         &self,
         service: &Arc<str>,
@@ -119,13 +121,15 @@
                 Some(Granted::Held) => {}
                 Some(Granted::Superseded) => self.raise_fence(service, server, holding).await,
                 Some(Granted::OtherServer) => return,
-                // Due again in the next round; meanwhile the others.
+                // This renewal is due again in the next round. The remaining holdings are renewed
+                // now.
                 None => {}
             }
         }
     }
 
-    /// Gives one lease. `None` if the server gave no answer.
+    /// Grants or renews one lease. Returns `None` if the server did not answer or may not be sent
+    /// an order.
     pub(super) async fn grant(
         &self,
         server: &Arc<Server>,
@@ -169,7 +173,8 @@
         None
     }
 
-    /// Notes what came of a grant; true if the server may be gone.
+    /// Records the outcome of a grant. Returns true if the server should be probed, as it may have
+    /// ended.
     fn note_grant(
         &self,
         id: &Arc<str>,
@@ -180,7 +185,7 @@
         let mut state = self.state();
         let record = state.servers.entry(id.clone()).or_default();
         record.under_way -= 1;
-        // What was never sent prolongs nothing, so that the keys are free earlier.
+        // A grant that was never sent extends no lease, so the keys become free earlier.
         let sent = answer.as_ref().err().is_none_or(Error::may_have_run);
         if sent {
             record.granted_ms = record.granted_ms.max(sent_ms);
@@ -198,10 +203,10 @@
         false
     }
 
-    /// Finds out whether a server that does not answer grants is gone, or lives and only its answers
-    /// are lost. Keys of a live server stay there: while half of the orders went unanswered, live
-    /// servers were taken for lost and all keys of a service changed hands three to five times a
-    /// minute.
+    /// Probes a server that does not answer grants, to tell a server that has ended from a live one
+    /// whose answers are lost. The keys of a live server stay there. Without the probe, when half
+    /// of the orders went unanswered, live servers were taken for lost and all keys of a service
+    /// changed their server three to five times a minute.
     async fn probe_server(&self, service: &str, server: &Server) {
         let lives = self.is_alive(service, server).await;
         let mut state = self.state();
@@ -228,7 +233,7 @@
         match orders::is_alive(&server.orders, path, name, PROBE_TIMEOUT_MS).await {
             Ok(lives) => lives,
             Err(error) => {
-                log::debug!("{id} does not answer: {error}");
+                log::debug!("server {id} does not answer the probe: {error}");
                 false
             }
         }
@@ -244,9 +249,10 @@
         .log();
     }
 
-    /// The server has seen a higher fence than the record's: an earlier holder released the keys
-    /// and did not come to record more. Gives them to the same server again. Counts as a move, so
-    /// that no other move of these keys begins before the new lease is certain.
+    /// Grants a holding to the same server again under a higher fence. Needed when the server has
+    /// seen a higher fence than the recorded one, because an earlier duty holder released the keys
+    /// but recorded nothing more. Counts as a move, so that no other move of these keys begins
+    /// before the new lease is certain.
     async fn raise_fence(&self, service: &Arc<str>, server: &Arc<Server>, holding: &Holding) {
         if !self.mark_moving(service, holding.range) {
             return;
@@ -267,7 +273,7 @@
                     self.grant(server, order).await;
                 }
             }
-            Err(failure) => log::warn!("a raised fence of {service} is not recorded: {failure:?}"),
+            Err(failure) => log::warn!("cannot record a raised fence of {service}: {failure:?}"),
         }
         self.end_move(service, holding.range);
     }
