--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -119,9 +119,9 @@
         if assignment == *held.assignment {
             return Ok(changed);
         }
-        // The row of the first part is written last. It may come from an earlier version of
-        // ashroad, which kept all holdings in it, and must not lose them before the other rows have
-        // them.
+        // The row of the first key partition is written last. It may come from an earlier version
+        // of ashroad, which kept all holdings in it, and must not lose them before the other rows
+        // have them.
         let mut parts = held.changed_parts(&assignment);
         parts.reverse();
         for parts in parts.chunks(ROWS_MAX) {
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -273,8 +273,8 @@
         servers
     }
 
-    /// Removes the servers that a large part of the hosts currently rest because the servers asked
-    /// for it.
+    /// Removes the servers that rest for so many hosts that others should hold their keys, unless
+    /// too few servers would remain.
     fn awake(&self, servers: Vec<PlanServer>) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
         let hosts = self.entry.peers.hosts();
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -1,5 +1,5 @@
-//! Who holds which keys, as a host believes: by the record of the holdings, and by what the holder of the
-//! duty announces before the record is read.
+//! Owners of keys as this host knows them: the servers in the recorded holdings, updated by the
+//! grants and moves that the duty holder announces before this host has read them from the store.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -16,43 +16,43 @@
 };
 use crate::clock;
 
-/// Longest time for which a move whose end was not announced holds requests back: that of a wait
-/// for the leases of a server and a holder that were lost together.
+/// Maximum time for which a move whose end was not announced holds requests back: the longest wait
+/// for leases, after the loss of a server together with the duty holder.
 const MOVE_HOLD_MAX_MS: u64 = 20_000;
-/// Time for which no request goes to a server that did not hold the key.
+/// Time in which no request goes to a server after it was found not to hold the key.
 const NOT_HELD_MS: u64 = 250;
-/// Time for which an announced grant counts; the record has been read by then.
+/// Time after which an announced grant is forgotten; the recorded holdings have been read by then.
 const GRANTED_KEPT_MS: u64 = TOLD_REST_MS + 30_000;
 
-/// Holdings of one service, as its rows had them.
+/// Recorded holdings of one service, as read from the store's rows.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceHoldings {
-    /// Holdings of all rows.
+    /// Holdings of all rows, joined.
     pub assignment: Arc<Assignment>,
     rows: BTreeMap<KeyPart, HoldingsRow>,
 }
 
-/// Row with a part of a service's holdings.
+/// Row of the store with the holdings of one key partition.
 #[derive(Clone, Debug)]
 pub struct HoldingsRow {
-    /// What it has.
+    /// Holdings of the partition.
     pub assignment: Assignment,
-    /// Its version.
+    /// Version of the row in the store.
     pub version: u64,
 }
 
 impl ServiceHoldings {
-    /// Rows by part.
+    /// Returns all known rows with their key partitions.
     pub fn rows(&self) -> impl Iterator<Item = (KeyPart, &HoldingsRow)> {
         self.rows.iter().map(|(part, row)| (*part, row))
     }
 
-    /// Version of the row of a part; 0 if there is none.
+    /// Returns the version of the row of a key partition; 0 if there is none.
     pub fn version(&self, part: KeyPart) -> u64 {
         self.rows.get(&part).map_or(0, |row| row.version)
     }
 
-    /// Parts whose rows do not have what an assignment has of them.
+    /// Returns the key partitions whose rows differ from the holdings of `assignment`.
     pub fn changed_parts(&self, assignment: &Assignment) -> Vec<KeyPart> {
         let differs = |part: &KeyPart| {
             let of_row = self
@@ -64,7 +64,8 @@
         KeyPart::all().filter(differs).collect()
     }
 
-    /// Takes rows in; false if newer ones are known of all parts.
+    /// Adds rows and replaces older versions. Returns false if none of the rows is newer than the
+    /// known one.
     fn merge(&mut self, rows: Vec<(KeyPart, HoldingsRow)>) -> bool {
         let mut is_new = false;
         for (part, row) in rows {
@@ -82,18 +83,19 @@
     }
 }
 
-/// Keys that are on their way to another server.
+/// Announced move of keys to another server.
 #[derive(Clone, Debug)]
 struct Moving {
     service: Arc<str>,
     range: KeyRange,
-    /// Requests wait for the record of a holding with a higher fence.
+    /// Fence of the owner before the move. Requests wait for the grant of a holding with a higher
+    /// fence.
     above_fence: u64,
     wait: MoveWait,
     until_ms: u64,
 }
 
-/// Keys that their server was found not to hold.
+/// Holding that its server was found not to hold.
 #[derive(Clone, Debug)]
 struct NotHeld {
     service: Arc<str>,
@@ -101,7 +103,7 @@
     until_ms: u64,
 }
 
-/// A grant that was announced.
+/// Announced grant of keys to a server.
 #[derive(Clone, Debug)]
 struct AnnouncedGrant {
     service: Arc<str>,
@@ -109,20 +111,20 @@
     until_ms: u64,
 }
 
-/// Where a keyed request should go.
+/// Destination of a request that has a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Owner {
-    /// To this server, under this fence.
+    /// Server that holds the key, and the fence of its holding.
     Server(Arc<str>, u64),
-    /// The keys are on their way: ask again when the view changes or a moment has passed.
+    /// The key is being moved. The caller asks again when the view changes, or after a moment.
     Moving(MoveRest),
-    /// No server holds the key.
+    /// No server holds the key, as far as this host knows.
     Nobody,
 }
 
 type Fenced = Option<(Arc<str>, u64)>;
 
-/// The one of two servers that has the higher fence.
+/// Returns the server with the higher fence.
 fn higher_fence(one: Fenced, other: Fenced) -> Fenced {
     let fence = |fenced: &Fenced| fenced.as_ref().map_or(0, |(_, fence)| *fence);
     if fence(&one) >= fence(&other) {
@@ -132,7 +134,7 @@
     }
 }
 
-/// Who holds which keys.
+/// Owners of the keys of all services, as this host knows them.
 #[derive(Debug, Default)]
 pub struct Owners {
     held: Mutex<HashMap<Arc<str>, ServiceHoldings>>,
@@ -142,12 +144,12 @@
 }
 
 impl Owners {
-    /// Holdings of a service.
+    /// Returns the recorded holdings of a service; `None` if no row of them is known.
     pub fn held(&self, service: &str) -> Option<ServiceHoldings> {
         self.held_map().get(service).cloned()
     }
 
-    /// Holdings of all services.
+    /// Returns the recorded holdings of all services.
     pub fn all_held(&self) -> Vec<(Arc<str>, ServiceHoldings)> {
         let held = self.held_map();
         let all = held.iter();
@@ -155,7 +157,7 @@
             .collect()
     }
 
-    /// True if grants of all keys of a service were announced.
+    /// Returns true if the announced grants cover all keys of a service.
     pub fn all_granted(&self, service: &str) -> bool {
         let granted = self.granted();
         let of_service = granted.iter().filter(|g| *g.service == *service);
@@ -172,7 +174,8 @@
         next == KEYS as u32
     }
 
-    /// Notes rows with holdings of a service; false if newer ones are known.
+    /// Adds rows with holdings of a service and drops the announced grants that they include.
+    /// Returns false if none of the rows is new.
     pub fn hold(&self, service: &Arc<str>, rows: Vec<(KeyPart, HoldingsRow)>) -> bool {
         let mut held_map = self.held_map();
         let held = held_map.entry(service.clone()).or_default();
@@ -186,10 +189,10 @@
         true
     }
 
-    /// Notes that a server was granted keys, before the record of it is read.
+    /// Adds an announced grant, which counts before the recorded holdings are read.
     pub fn note_granted(&self, service: &Arc<str>, holding: Holding) {
         let now_ms = clock::now_ms();
-        // The move has ended.
+        // A grant with a higher fence ends the move of its keys.
         self.moving().retain(|m| {
             let same = m.service == *service && holding.range.covers(&m.range);
             !same || holding.fence <= m.above_fence
@@ -206,7 +209,7 @@
         });
     }
 
-    /// Notes that keys are on their way to another server.
+    /// Adds an announced move of keys to another server.
     pub fn announce_move(&self, service: &Arc<str>, announcement: Announcement) {
         let Announcement {
             range,
@@ -214,7 +217,7 @@
             rest,
         } = announcement;
         let now_ms = clock::now_ms();
-        // Datagrams may come in another order than they were sent.
+        // Datagrams may arrive out of order: the grant that ends the move may be known already.
         let has_ended = self.granted().iter().any(|g| {
             let same = g.service == *service && g.holding.range.covers(&range);
             same && g.holding.fence > above_fence
@@ -233,7 +236,7 @@
         });
     }
 
-    /// Where a request for `key` should go.
+    /// Returns the destination of a request for `key`.
     pub fn owner(&self, service: &Arc<str>, key: u16) -> Owner {
         let held = self.held_map();
         let recorded = held
@@ -255,7 +258,8 @@
         let Some((server, fence)) = latest else {
             return Owner::Nobody;
         };
-        // The record comes before the grant, so only an announced grant ends the wait.
+        // A move is recorded before the keys are granted, so only an announced grant ends the wait,
+        // not the recorded holding.
         let granted_fence = granted.map_or(0, |(_, fence)| fence);
         let moving = self.moving();
         let waits = moving.iter().filter(|m| {
@@ -279,7 +283,8 @@
         Owner::Server(server, fence)
     }
 
-    /// Notes that a server does not hold, or does not hold yet, what it has under a fence.
+    /// Records that a server does not hold, or does not hold yet, the keys of the holding with this
+    /// fence.
     pub fn note_not_held(&self, service: &Arc<str>, fence: u64) {
         let now_ms = clock::now_ms();
         let mut not_held = self.not_held();
--- a/src/entry/register.rs
+++ b/src/entry/register.rs
@@ -1,4 +1,4 @@
-//! The row by which other hosts find this one.
+//! Registration of this host: the row of the store by which other hosts find it.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -15,15 +15,16 @@
 };
 use crate::platform::store::{Expect, Put, Row, Transacted, Transaction};
 
-/// Time over which hosts that start spread their registration: the store takes some hundred writes a second.
+/// Longest random delay of a registration. It spreads the registrations of hosts that start
+/// together, as the store takes a few hundred writes per second.
 const REGISTER_JITTER_MS: u64 = 2_000;
-/// Pauses after a registration that the store did not take, doubled each time.
+/// Pause after a failed registration; doubled after each further failure.
 const RETRY_PAUSE_MS: u64 = 300;
 const RETRY_PAUSE_MAX_MS: u64 = 2_400;
 
 impl Entry {
-    /// Writes this host's row, until that has succeeded. The row of the process that ran here before is seen first: it
-    /// tells that this process may resume the duty.
+    /// Writes this host's row and retries until it is stored. The previous row, if any, is read
+    /// before it is replaced: it shows that this process may resume the duty of the previous one.
     pub(super) async fn register(self: Arc<Self>) {
         let key = host_key(self.settings.listen.peers);
         let row = HostRow {
@@ -57,14 +58,14 @@
                 Ok(Transacted::Conflict { rows }) => {
                     let found = rows.into_iter().find(|found| found.key == key);
                     if found.as_ref().is_some_and(|found| found.value == value) {
-                        // An earlier try whose answer was lost.
+                        // An earlier attempt took effect, but its response was lost.
                         break;
                     }
                     version = found.as_ref().map_or(0, |found| found.version);
                     self.note_found_row(found.as_ref());
                 }
                 Err(error) => {
-                    log::debug!("this host is not registered yet: {error}");
+                    log::debug!("cannot register this host, retrying: {error}");
                     if self.is_registered_by_other(&row).await {
                         break;
                     }
@@ -76,14 +77,16 @@
         self.registered.store(true, Ordering::Relaxed);
     }
 
-    /// True once this process stands in its host's row. Only then may it take the duty: a later holder takes a row with
-    /// another process for proof that this one has ended.
+    /// Returns true once this host's row names this process. Only then may the process take the
+    /// duty: a later duty holder takes a row that names another process as proof that this one has
+    /// ended.
     pub(super) fn is_registered(&self) -> bool {
         self.registered.load(Ordering::Relaxed)
     }
 
-    /// Spreads the registrations of new hosts. One that was started again registers at once: its row shows that the
-    /// process before has ended, for which the others may wait.
+    /// Waits a random time, to spread the registrations of new hosts. A restarted host registers at
+    /// once: its row shows that its previous process has ended, for which other hosts may be
+    /// waiting.
     async fn wait_to_register(&self) {
         if self.is_early() {
             return;
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Returns once it is known that another process has run on this host before.
+    /// Returns once it is known that a previous process has run on this host, else never.
     async fn former_process_known(&self) {
         if !self.view.hosts_known().await || !self.view.had_former_process() {
             std::future::pending().await
@@ -106,7 +109,7 @@
         let Some(found) = found else { return };
         match serde_json::from_slice::<HostRow>(&found.value) {
             Ok(_) => self.view.note_former_process(),
-            Err(error) => log::warn!("this host's former row cannot be read: {error}"),
+            Err(error) => log::warn!("cannot decode the previous row of this host: {error}"),
         }
     }
 }
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -1,4 +1,4 @@
-//! The backend servers that a host knows.
+//! Registry of the backend servers that this host knows.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -18,72 +18,76 @@
     platform::store::{Row, Rows},
 };
 
-/// Time after the store's return was noticed in which entries that lapsed meanwhile may come back.
-/// The platform promises about two seconds after the return. It may also be this host that was cut
-/// off, and then servers that left meanwhile must be known 3 s after the cut; noticing takes up to
-/// 0.75 s of that.
+/// Grace period after the return of the store was noticed, in which entries that lapsed during the
+/// outage may return. The platform promises that they do within about two seconds of the return. It
+/// may also be only this host that was disconnected; servers that left meanwhile must then be known
+/// 3 s after the disconnection, and up to 0.75 s of that pass until it is noticed.
 const RETURN_GRACE_MS: u64 = 1_800;
-/// Servers that are gone whose addresses are remembered.
+/// Maximum number of servers without an entry whose addresses are remembered.
 const FORMER_MAX: usize = 500;
 
-/// Time for which notices of a server without an entry are kept. An entry that lapsed while the store was away comes
-/// back within about 2 s of its return; the rest is for a server that reaches the store late.
+/// Time for which notices of a server without an entry are kept. An entry that lapsed while the
+/// store was unavailable returns within about 2 s of the return of the store; the rest of the time
+/// is for servers that reach the store late.
 const NOTICES_KEPT_MS: u64 = 10 * 60 * 1_000;
 
-/// What a server without an entry has told, or still tells in answers to requests that are there.
+/// Notices of a server without an entry. Answers to its requests in flight may still add to them.
 #[derive(Clone, Debug)]
 struct KeptNotices {
     notices: Arc<Mutex<Notices>>,
     until_ms: u64,
 }
 
-/// A server that is gone. It may still hold keys.
+/// A server whose entry is gone. It may still hold keys.
 #[derive(Clone, Debug)]
 pub struct FormerServer {
-    /// Incarnation.
+    /// Incarnation of the server, which identifies one start of its process.
     pub id: Arc<str>,
-    /// Name that it had in the platform.
+    /// Name of the server in the platform, the same for all its incarnations.
     pub name: Arc<str>,
-    /// Address.
+    /// Address at which the server answered requests.
     pub address: SocketAddr,
 }
 
-/// All servers, by incarnation and by service.
+/// All known servers, by incarnation and by service.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     by_id: HashMap<Arc<str>, Arc<Server>>,
     by_service: HashMap<Arc<str>, Vec<Arc<Server>>>,
-    /// Incarnation by name: the latest one whose entry was seen.
+    /// Latest incarnation whose entry was seen, by name.
     incarnations: HashMap<Arc<str>, Arc<str>>,
-    /// Names of servers whose entries are missing, and until when they count as present all the same.
+    /// Servers whose entries are missing, by name, and the time up to which they count as present
+    /// all the same.
     missing: HashMap<Arc<str>, u64>,
-    /// Servers that are gone, the latest last.
+    /// Servers whose entries are gone, the latest last.
     former: Vec<FormerServer>,
-    /// What servers without an entry have told, by incarnation.
+    /// Notices of servers without an entry, by incarnation.
     kept_notices: HashMap<Arc<str>, KeptNotices>,
-    /// Zones that are evacuated, and since when this host knows.
+    /// Evacuated zones, and the time at which this host learned of each evacuation.
     evacuated: HashMap<Arc<str>, u64>,
 }
 
 impl Registry {
-    /// A server by its incarnation.
+    /// Returns a server by its incarnation.
     pub fn server(&self, id: &str) -> Option<&Arc<Server>> {
         self.by_id.get(id)
     }
 
-    /// The servers of a service.
+    /// Returns the servers of a service.
     pub fn of_service(&self, service: &str) -> &[Arc<Server>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Servers of a service that may get a request which was at the `tried` ones before.
+    /// Returns the servers of a service that take new work, without those that the request has
+    /// `tried` before.
     pub fn usable(&self, service: &str, tried: &[Arc<str>]) -> Vec<&Arc<Server>> {
         let servers = self.of_service(service).iter();
         let usable = servers.filter(|s| s.takes_new_work() && !tried.contains(&s.entry.id));
         usable.collect()
     }
 
-    /// Servers of a service that still serve although they have said that they leave.
+    /// Returns the servers of a service that may still get a request that arrived at `arrived_ms`,
+    /// including servers that had announced their leaving less than `hold_ms` before that.
     pub fn usable_while_leaving(
         &self,
         service: &str,
@@ -98,25 +102,26 @@
         usable.collect()
     }
 
-    /// Average run time of a service's servers.
+    /// Returns the typical run time of requests at the servers of a service.
     pub fn typical_run_ms(&self, service: &str) -> f64 {
         let servers = self.of_service(service).iter();
         admission::typical_run_ms(servers.map(|server| server.run_ms()))
     }
 
-    /// All servers.
+    /// Returns all servers.
     pub fn servers(&self) -> impl Iterator<Item = &Arc<Server>> {
         self.by_id.values()
     }
 
-    /// A server that is gone, by its incarnation.
+    /// Returns a server whose entry is gone, by its incarnation.
     pub fn former(&self, id: &str) -> Option<&FormerServer> {
         self.former.iter().rfind(|former| *former.id == *id)
     }
 
-    /// Notes an entry. Another entry with the same address proves nothing: the store may take in a
-    /// late heartbeat of an earlier incarnation after the first one of a later incarnation. For the
-    /// same reason an entry of an earlier start under the same name changes nothing.
+    /// Adds or renews an entry. A new entry with the address of a known server does not end that
+    /// server: the store may accept a late heartbeat of an earlier incarnation after the first one
+    /// of a later incarnation. For the same reason, an entry of an earlier start under the same
+    /// name is ignored.
     pub fn put(&mut self, entry: ServerEntry) {
         let event = Event::server(&entry);
         if self.take(entry) {
@@ -124,7 +129,7 @@
         }
     }
 
-    /// Notes entries of which a line each would be too many.
+    /// Adds or renews many entries and logs one event for all, in place of one per server.
     pub fn put_all(&mut self, entries: impl Iterator<Item = ServerEntry>) {
         let new = entries
             .filter_map(|entry| self.take(entry).then_some(()))
@@ -132,7 +137,7 @@
         Event::Servers { new }.log();
     }
 
-    /// Notes an entry; true if its server was not known.
+    /// Adds or renews an entry. Returns true if its server was not known.
     fn take(&mut self, entry: ServerEntry) -> bool {
         if let Some(known) = self.latest_incarnation(&entry.name) {
             if entry.started_ms < known.entry.started_ms {
@@ -159,8 +164,8 @@
         true
     }
 
-    /// Notes that the entry of a name is gone: at once, or, if the store has just come back, after the
-    /// time in which live servers write theirs again.
+    /// Removes the entry of a name. If the store has just returned, the server stays for the grace
+    /// period in which live servers write their entries again.
     pub fn remove(&mut self, name: &str, store_returned_ms: u64) {
         let until_ms = store_returned_ms + RETURN_GRACE_MS;
         if clock::now_ms() < until_ms && self.incarnations.contains_key(name) {
@@ -170,8 +175,8 @@
         self.drop_server(name);
     }
 
-    /// Notes which zones are evacuated. Servers of a zone that is taken back may have turned cold, and
-    /// count as cold for as long as their service says.
+    /// Sets the evacuated zones. Servers of a zone that is restored may have become cold, so they
+    /// count as cold for the warm-up time of their service.
     pub fn set_evacuations(&mut self, zones: &Evacuations, warmup_ms: impl Fn(&str) -> u64) {
         let now_ms = clock::now_ms();
         let known = std::mem::take(&mut self.evacuated);
@@ -189,7 +194,8 @@
         }
     }
 
-    /// Changes between what this registry has, up to a version, and a whole table.
+    /// Returns the changes from this registry, which is complete up to the version `after`, to a
+    /// complete table.
     pub fn difference(&self, whole: &Rows, after: u64) -> Rows {
         let present: HashSet<&str> = whole.rows.iter().map(|row| row.key.as_str()).collect();
         let names = self.incarnations.keys();
@@ -209,7 +215,7 @@
         }
     }
 
-    /// Removes every server whose name is not in `present`.
+    /// Removes every server whose name is not in `present`, as [`Registry::remove`] does.
     pub fn retain(&mut self, present: &HashSet<Arc<str>>, store_returned_ms: u64) {
         let names = self.incarnations.keys();
         let absent = names.filter(|name| !present.contains(*name));
@@ -219,18 +225,18 @@
         }
     }
 
-    /// True if some missing entries have not come back in time.
+    /// Returns true if the grace period of a missing entry is over.
     pub fn has_overdue(&self) -> bool {
         let now_ms = clock::now_ms();
         self.missing.values().any(|until_ms| *until_ms <= now_ms)
     }
 
-    /// True if entries are missing that may still come back.
+    /// Returns true if entries are missing that may still return.
     pub fn has_missing(&self) -> bool {
         !self.missing.is_empty()
     }
 
-    /// Removes the servers whose entries have not come back in time.
+    /// Removes the servers whose entries have not returned within the grace period.
     pub fn drop_overdue(&mut self) {
         let now_ms = clock::now_ms();
         let overdue: Vec<Arc<str>> = self
@@ -244,12 +250,13 @@
         }
     }
 
-    /// The latest incarnation of a name.
+    /// Returns the server with the latest incarnation of a name.
     fn latest_incarnation(&self, name: &str) -> Option<&Arc<Server>> {
         self.by_id.get(self.incarnations.get(name)?)
     }
 
-    /// Removes the server of a name at once: it has ended, or nobody can read what it is.
+    /// Removes the server of a name at once, without a grace period. Used when it has ended, or its
+    /// entry cannot be decoded.
     pub fn drop_server(&mut self, name: &str) {
         self.missing.remove(name);
         let Some(id) = self.incarnations.remove(name) else {
@@ -258,7 +265,7 @@
         let Some(server) = self.by_id.remove(&id) else {
             return;
         };
-        // Requests that are about to choose it see this.
+        // Requests that are about to choose this server see that it is leaving.
         server.set_leaving(true);
         Event::server_gone(&server.entry).log();
         self.keep_notices(&server);
@@ -275,7 +282,7 @@
         }
     }
 
-    /// Keeps what a server has told: its entry may come back.
+    /// Keeps the notices of a server, as its entry may return.
     fn keep_notices(&mut self, server: &Server) {
         let now_ms = clock::now_ms();
         self.kept_notices.retain(|_, kept| now_ms < kept.until_ms);
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -1,4 +1,4 @@
-//! Takes rows of the followed tables into what the host believes.
+//! Applies rows of the followed tables to the view of this host.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -28,7 +28,7 @@
 };
 
 impl Entry {
-    /// Applies a whole table: what is not in it is gone.
+    /// Applies a complete table. Entries that are not in it are removed.
     pub(super) fn apply_whole(&self, followed: Followed, Rows { rows, version }: Rows) {
         if followed == Followed::Configuration {
             self.view.evacuate(whole_evacuations(&rows, version));
@@ -68,7 +68,8 @@
         let Some(row) = rows.iter().rfind(current) else {
             return;
         };
-        // Handed on as it is: the others must know too that it cannot be read.
+        // An undecodable row is forwarded as well: other hosts must know too that the configuration
+        // cannot be read.
         self.relay.note_configuration(row);
         match config::decode(&row.value) {
             Ok(configuration) => {
@@ -100,7 +101,7 @@
         self.change_servers(changes);
     }
 
-    /// Takes changes of servers' entries into the view.
+    /// Applies changes of server entries to the view.
     pub(super) fn change_servers(&self, changes: Vec<ServerChange>) {
         let returned_ms = self.view.store_returned_ms();
         self.view.update_registry(|registry| {
@@ -118,7 +119,7 @@
         });
     }
 
-    /// Removes servers whose entries have not come back in time.
+    /// Removes servers whose entries have not returned in time after an outage of the store.
     pub(super) async fn drop_overdue_servers(self: Arc<Self>) {
         loop {
             let missing = self.view.registry().has_missing();
@@ -146,7 +147,7 @@
 
     fn apply_host(&self, address: &str, row: &Row) {
         let Ok(address) = address.parse() else {
-            log::warn!("host row {address} has no address");
+            log::warn!("host row {address} has no valid address in its key");
             return;
         };
         let own = address == self.settings.listen.peers;
@@ -167,15 +168,16 @@
                 self.peers.add(address, facts);
                 self.duty.note_process(address, host.incarnation);
             }
-            Err(error) => log::warn!("host row {address} cannot be read: {error}"),
+            Err(error) => log::warn!("cannot decode host row {address}: {error}"),
         }
     }
 
-    /// Takes in rows with holdings, those of a service together: one change may have written several.
+    /// Applies rows with holdings. Rows of one service are applied together, since one change may
+    /// have written several of them.
     fn apply_holdings(&self, rows: &[Row]) {
         let (held, unreadable) = decode_holdings(rows);
         for (row, error) in unreadable {
-            log::warn!("holdings in {row} cannot be read: {error}");
+            log::warn!("cannot decode holdings in row {row}: {error}");
         }
         for (service, rows) in held {
             self.view.hold(&service, rows);
@@ -183,7 +185,8 @@
     }
 }
 
-/// Rows with holdings by service, and the keys of those that cannot be read.
+/// Decodes rows with holdings. Returns them by service, and the keys of the rows that cannot be
+/// decoded.
 pub(super) fn decode_holdings(rows: &[Row]) -> (HoldingsByService, Vec<(&str, keys::DecodeError)>) {
     let mut held = HoldingsByService::new();
     let mut unreadable = Vec::new();
@@ -209,12 +212,13 @@
 /// Rows with holdings, by service.
 pub(super) type HoldingsByService = HashMap<Arc<str>, Vec<(KeyPart, HoldingsRow)>>;
 
-/// True for a row whose news the holder tells in each heartbeat, so that no host asks for it.
+/// Returns true for a row of an evacuated zone. The duty holder sends the evacuated zones in each
+/// heartbeat, so hosts need not read the store for the versions of these rows.
 fn is_evacuation(followed: Followed, row: &Row) -> bool {
     followed == Followed::Configuration && config::evacuated_zone(&row.key).is_some()
 }
 
-/// Zones that are evacuated by a whole table.
+/// Returns the evacuated zones according to a complete table.
 fn whole_evacuations(rows: &[Row], version: u64) -> Evacuations {
     let present = rows.iter().filter(|row| !row.removed);
     let zones = present.filter_map(|row| config::evacuated_zone(&row.key));
@@ -223,8 +227,8 @@
     Evacuations { version, zones }
 }
 
-/// Rows of servers' entries. One that cannot be read names no server to use, also if an earlier one
-/// did.
+/// Decodes rows of server entries. A row that cannot be decoded is a change to an unusable server,
+/// even if an earlier version of the row was readable.
 pub(super) fn decode_servers(rows: &[Row]) -> Vec<ServerChange> {
     let mut changes = Vec::with_capacity(rows.len());
     for row in rows {
