--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -176,7 +176,7 @@
                 continue;
             }
             self.count_loads();
-            for service in self.divided_services() {
+            for service in self.sharded_services() {
                 self.renew(&service, &mut tasks);
                 self.plan(&service, round, &mut tasks);
             }
@@ -194,7 +194,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn divided_services(&self) -> Vec<Arc<str>> {
+    fn sharded_services(&self) -> Vec<Arc<str>> {
         let Some(configuration) = self.entry.view.configuration() else {
             return Vec::new();
         };
@@ -205,7 +205,7 @@
     fn count_loads(&self) {
         let reported = self.entry.peers.take_reported();
         let names: HashMap<u32, Arc<str>> = self
-            .divided_services()
+            .sharded_services()
             .into_iter()
             .map(|name| (tag_of(&name), name))
             .collect();
