--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -63,7 +63,7 @@
 
 /// State of the leases of one server in this term.
 #[derive(Clone, Copy, Debug, Default)]
-struct LeaseRecord {
+struct ServerLeaseState {
     /// Time at which the last grant was sent that may have arrived; 0 if none was.
     granted_ms: u64,
     /// Number of grants in flight.
@@ -82,7 +82,7 @@
     is_under_way: bool,
 }
 
-impl LeaseRecord {
+impl ServerLeaseState {
     /// Returns the latest time at which the server may have received a grant: now, while one is in
     /// flight.
     fn last_grant_ms(&self, now_ms: u64) -> u64 {
@@ -107,7 +107,7 @@
 /// State of one term of the duty holder, discarded when the term ends.
 #[derive(Debug, Default)]
 struct TermState {
-    servers: HashMap<Arc<str>, LeaseRecord>,
+    servers: HashMap<Arc<str>, ServerLeaseState>,
     /// Renewals by service and fence.
     renewals: HashMap<(Arc<str>, u64), Renewal>,
     moving: Vec<Moving>,
