--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -45,7 +45,7 @@
 impl Entry {
     /// Runs the duty on this host: confirms it while the host has it, and otherwise takes it when
     /// no host confirms it any more.
-    pub(in crate::entry) async fn keep_duty(self: Arc<Self>) {
+    pub(in crate::entry) async fn maintain_duty(self: Arc<Self>) {
         let leases = self.settings.leases;
         if !self.view.hosts_known().await {
             return;
