--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -143,7 +143,7 @@
 
 impl Entry {
     /// Does the work of the duty holder while this host has the duty.
-    pub(super) async fn keep_leasing(self: Arc<Self>) {
+    pub(super) async fn manage_leases(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(ROUND_MS)).await;
             let number = self.duty.term();
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -135,7 +135,7 @@
     tokio::spawn(entry.clone().keep_showing_duty());
     tokio::spawn(entry.clone().maintain_duty());
     tokio::spawn(entry.clone().keep_secret());
-    tokio::spawn(entry.clone().keep_leasing());
+    tokio::spawn(entry.clone().manage_leases());
     tokio::spawn(entry.clone().keep_telling_crashes());
     tokio::spawn(entry.clone().keep_quarantine_stored());
     tokio::spawn(entry.clone().keep_telling_notices());
