--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -29,7 +29,7 @@
 
 impl Entry {
     /// Applies a complete table. Entries that are not in it are removed.
-    pub(super) fn apply_whole(&self, followed: Followed, Rows { rows, version }: Rows) {
+    pub(super) fn apply_table(&self, followed: Followed, Rows { rows, version }: Rows) {
         if followed == Followed::Configuration {
             self.view.evacuate(whole_evacuations(&rows, version));
         }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -318,7 +318,7 @@
                 if self.duty.term() > 0 {
                     self.pass_difference_on(followed, &rows);
                 }
-                self.apply_whole(followed, rows);
+                self.apply_table(followed, rows);
                 self.freshness.note_applied(followed, version);
                 self.note_proof_of_store(followed, asked_ms);
                 true
