--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -31,7 +31,7 @@
     /// Applies a complete table. Entries that are not in it are removed.
     pub(super) fn apply_table(&self, followed: Followed, Rows { rows, version }: Rows) {
         if followed == Followed::Configuration {
-            self.view.evacuate(whole_evacuations(&rows, version));
+            self.view.evacuate(evacuations_in_table(&rows, version));
         }
         if followed == Followed::Servers {
             let present: HashSet<Arc<str>> =
@@ -219,7 +219,7 @@
 }
 
 /// Returns the evacuated zones according to a complete table.
-fn whole_evacuations(rows: &[Row], version: u64) -> Evacuations {
+fn evacuations_in_table(rows: &[Row], version: u64) -> Evacuations {
     let present = rows.iter().filter(|row| !row.removed);
     let zones = present.filter_map(|row| config::evacuated_zone(&row.key));
     let mut zones: Vec<Arc<str>> = zones.map(Arc::from).collect();
