--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -123,8 +123,8 @@
     pub(super) async fn drop_overdue_servers(self: Arc<Self>) {
         loop {
             let missing = self.view.registry().has_missing();
-            let look_every_ms = if missing { 20 } else { 100 };
-            time::sleep(Duration::from_millis(look_every_ms)).await;
+            let check_every_ms = if missing { 20 } else { 100 };
+            time::sleep(Duration::from_millis(check_every_ms)).await;
             if self.view.registry().has_overdue() {
                 self.view
                     .update_registry(|registry| registry.drop_overdue());
