--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -1,5 +1,5 @@
-//! The duty of giving leases when its holder, the store or both fail: real entry hosts against
-//! stand-ins.
+//! Tests of the duty when the duty holder, the store or both fail: real entry hosts against
+//! stand-ins of the platform.
 
 mod platform_standin;
 
@@ -19,14 +19,14 @@
     store::Faults,
 };
 
-/// Times that a host has taken the duty.
+/// Returns the number of times that a host has taken the duty.
 fn taken(host: &Host) -> usize {
     host.events("duty_taken").len()
 }
 
 fn holder(site: &Site) -> usize {
     let holder = site.hosts.iter().position(|host| taken(host) > 0);
-    holder.expect("a holder")
+    holder.expect("a host has the duty")
 }
 
 fn all_keys_held(servers: &[Server]) -> bool {
@@ -47,8 +47,8 @@
     for host in &mut site.hosts {
         host.restart();
     }
-    // Well before the row has stood still for long enough to be taken.
-    eventually("the former holder has the duty", 1_600, async || {
+    // Well before the duty row has been unchanged for the takeover time.
+    eventually("the former duty holder is back", 1_600, async || {
         taken(&site.hosts[holder]) == 2
     })
     .await;
@@ -57,7 +57,7 @@
 
 #[tokio::test]
 async fn the_holder_keeps_the_duty_over_an_outage() {
-    // At several moments of the rhythm of the holder's calls.
+    // Outages that end at different phases of the duty holder's calls to the store.
     let outages = (0..8).map(|phase| 4_200 + phase * 450);
     let mut sites = JoinSet::new();
     let local = LocalSet::new();
@@ -73,7 +73,9 @@
     }
 }
 
-/// Lines of the hosts that took the duty by some time after an outage, each with what its host logged of the store.
+/// Runs an outage of the store and returns its length with one line for each time that a host has
+/// taken the duty until some time after it. Each line ends with what that host logged about the
+/// store.
 async fn terms_over_outage(outage_ms: u64) -> (u64, Vec<String>) {
     let site = Site::start(3, 2).await;
     site.store.set_faults(Faults {
@@ -93,7 +95,7 @@
 
 #[tokio::test]
 async fn a_holder_that_was_paused_tells_the_next_one_that_it_has_stopped() {
-    // At several moments of the rhythm of the holder's calls.
+    // Resumes the paused host at different phases of the new duty holder's calls.
     for extra_ms in [0, 130, 260] {
         let site = Site::start(3, 3).await;
         let paused = &site.hosts[holder(&site)];
@@ -109,7 +111,8 @@
         paused.signal("CONT");
         site.record.excuse(300);
         let resumed = Instant::now();
-        // Without the earlier holder's word this takes its 9 s and a lease.
+        // Unless the paused host reports that it has stopped, this takes the 9 s for which it might
+        // grant leases, and the duration of a lease.
         eventually("all keys are held", 6_500, async || {
             all_keys_held(&site.keyed[1..])
         })
@@ -133,8 +136,9 @@
     let leaving = &joined[0];
     leaving.declare(&site.store, "draining");
     time::sleep(Duration::from_millis(1_000)).await;
-    // The holder confirms its duty 12 times in 7 s and asks for each of the six changes, once more
-    // when its feeds end. The five others would ask for each change as well.
+    // The duty holder confirms the duty 12 times in 7 s, and reads the servers for each of the six
+    // changes, and again when a feed call ends. Without its messages, each of the other five hosts
+    // would read them for each change as well.
     let calls = site.store.calls() - before;
     let kinds = site.store.calls_by_kind();
     assert!(
@@ -165,11 +169,12 @@
 #[tokio::test]
 async fn a_server_that_leaves_as_the_holder_is_lost_gets_no_work_past_the_bound() {
     struct Case {
-        /// The holder is restarted and has the duty again before the server leaves.
+        /// True if the duty holder is restarted and has the duty again before the server leaves.
         restarted: bool,
-        /// From the holder's resumption or the start of the test until the server leaves.
+        /// Time until the server leaves, from the resumption of the duty or from the start of the
+        /// test.
         phase_ms: u64,
-        /// From then until the holder is lost.
+        /// Time from then until the duty holder fails.
         lost_after_ms: u64,
         signal: &'static str,
     }
@@ -216,7 +221,8 @@
     }
 }
 
-/// Requests that reach a server later than the bound after it said that it leaves.
+/// Returns the number of requests that reach a server after the bound, which counts from its
+/// announcement that it leaves.
 async fn served_after_the_bound(
     restarted: bool,
     phase_ms: u64,
@@ -228,7 +234,7 @@
     let holder = holder(&site);
     if restarted {
         site.hosts[holder].restart();
-        eventually("the holder has the duty again", 3_000, async || {
+        eventually("the duty holder resumes it", 3_000, async || {
             taken(&site.hosts[holder]) == 2
         })
         .await;
@@ -279,7 +285,8 @@
         time::sleep(Duration::from_millis(1_000)).await;
     }
     let calls = site.store.calls() - before;
-    // The holder's own; 23 hosts would call for each of the three changes.
+    // Calls of the duty holder alone. Without relays, 23 hosts would make a call for each of the
+    // three changes.
     assert!(calls <= 20, "{calls} calls");
     for host in &site.hosts {
         let seen = host.events("server");
@@ -287,7 +294,7 @@
             assert!(seen.iter().any(|line| line.contains(&server.id)));
         }
     }
-    // The relays are among those that are stopped, with a chance of 96 in 100.
+    // With a probability of 96%, the relays are among the stopped hosts.
     let others = || (0..HOSTS).filter(|number| *number != holder);
     let stopped: Vec<usize> = others().take(18).collect();
     for number in &stopped {
@@ -311,7 +318,7 @@
 
 #[tokio::test]
 async fn another_host_takes_the_duty_soon_when_the_holder_alone_is_without_the_store() {
-    // At several moments of the rhythm of the holder's calls.
+    // Disconnections that begin at different phases of the duty holder's calls to the store.
     let mut sites = JoinSet::new();
     let local = LocalSet::new();
     for phase_ms in [0, 170, 340, 510] {
@@ -319,11 +326,13 @@
     }
     let taken_ms = local.run_until(sites.join_all()).await;
     let mean_ms = taken_ms.iter().sum::<u64>() / taken_ms.len() as u64;
-    // 5,260 ms while the holder went on telling that it has the duty for 3 s.
+    // The mean was 5,260 ms while the duty holder told other hosts for 3 s after its last
+    // confirmation that it had the duty.
     assert!(mean_ms < 4_900, "{taken_ms:?}");
 }
 
-/// Time from the store's silence for the holder until another host takes the duty.
+/// Returns the time from the moment at which the store stops answering the duty holder until
+/// another host takes the duty.
 async fn taken_after_ms(phase_ms: u64) -> u64 {
     let mut site = Site::start_servers(2).await;
     let proxy = Proxy::start(site.store.address).await;
--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -1,4 +1,5 @@
-//! Evacuated zones, cold servers and orders that go unanswered: real entry hosts against stand-ins.
+//! Tests of evacuated zones, cold servers and unanswered orders: real entry hosts against stand-ins
+//! of the platform.
 
 mod platform_standin;
 
@@ -18,7 +19,7 @@
     site::{KEYED, ORDERS, Site, configuration, eventually, get},
 };
 
-/// Time in which nothing more reaches a zone that is evacuated.
+/// Bound after which no more requests reach the servers of an evacuated zone.
 const EVACUATION_MS: u64 = 5_000;
 
 async fn send_order(host: &Host, number: usize) {
@@ -33,7 +34,7 @@
     ask_once(host.callers, ask).await;
 }
 
-/// Awaits all of some futures at once.
+/// Awaits several futures concurrently.
 async fn join_all(futures: impl Iterator<Item = impl Future<Output = ()>>) {
     let mut waiting: Vec<_> = futures.map(Box::pin).collect();
     future::poll_fn(|context| {
@@ -47,7 +48,7 @@
     .await;
 }
 
-/// Servers of both services in a second zone.
+/// Starts a server of each service in a second zone.
 async fn start_second_zone(site: &Site) -> [Server; 2] {
     let keyed = Kind { zone: "b", ..KEYED };
     let orders = Kind {
@@ -74,7 +75,11 @@
         if holder_is_lost {
             time::sleep(Duration::from_millis(300)).await;
             let is_holder = |host: &Host| !host.events("duty_taken").is_empty();
-            let holder = site.hosts.iter().position(is_holder).expect("a holder");
+            let holder = site
+                .hosts
+                .iter()
+                .position(is_holder)
+                .expect("a host has the duty");
             site.hosts[holder].kill();
             site.hosts.remove(holder);
         }
@@ -98,13 +103,16 @@
             let late = server.last_arrival().is_some_and(|at| at > bound);
             assert!(
                 !late,
-                "{} got a request, holder lost: {holder_is_lost}",
+                "{} got a request after the bound; duty holder lost: {holder_is_lost}",
                 server.id
             );
         }
-        // All keys are served by the other zone.
+        // The other zone serves all keys.
         let (asked, served) = served_late;
-        assert!(served * 100 >= asked * 95, "{served} of {asked}");
+        assert!(
+            served * 100 >= asked * 95,
+            "{served} of {asked} requests served"
+        );
         assert_eq!(second[0].keys_held(), 1 << 16);
         site.store.remove("op", "evacuate/a");
         let before = site.orders[0].served() + site.orders[1].served();
@@ -133,7 +141,7 @@
     time::sleep(Duration::from_millis(1_500)).await;
     let joining = Server::start(&site.store, &site.record, ORDERS).await;
     joining.declare_cold(&site.store, COLD_MS);
-    // As long as hosts cannot know that it is cold.
+    // Time in which hosts may not know yet that the server is cold.
     time::sleep(Duration::from_millis(600)).await;
     let since = Instant::now();
     let mut number = 0;
@@ -145,10 +153,14 @@
         time::sleep(Duration::from_millis(10)).await;
     }
     let most = joining.most_in_a_second(since);
-    assert!(most <= 16, "{most} in a second of {number}");
-    assert!(most > 0, "it gets what it bears");
+    assert!(
+        most <= 16,
+        "{most} requests in one second, of {number} in all"
+    );
+    assert!(most > 0, "the cold server gets requests");
     joining.declare_cold(&site.store, 0);
-    // More at once than the other server has slots: a quarter is more than a cold one gets in a second.
+    // Sends more concurrent requests than the other server has slots. A quarter of them is more
+    // than a cold server gets in a second.
     let mut burst = 0;
     eventually("the warm server is used", 3_000, async || {
         burst += 1;
@@ -184,7 +196,10 @@
         }
         time::sleep(Duration::from_millis(5)).await;
     }
-    assert!(served * 100 >= asked * 97, "{served} of {asked}");
-    assert_eq!(moved(), before, "moves from servers that live");
+    assert!(
+        served * 100 >= asked * 97,
+        "{served} of {asked} requests served"
+    );
+    assert_eq!(moved(), before, "moves from live servers");
     assert_eq!(site.record.violations(), Vec::<String>::new());
 }
