--- a/src/entry/duty/mod.rs
+++ b/src/entry/duty/mod.rs
@@ -173,7 +173,7 @@
             return None;
         }
         if own > 0 {
-            self.lose("a later holder was heard");
+            self.lose("another host has the duty in a later term");
         }
         let lost_term = self.lost_term.load(Ordering::Relaxed);
         let lost_ms = self.lost_ms.load(Ordering::Relaxed);
--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -234,7 +234,7 @@
     let holder = holder(&site);
     if restarted {
         site.hosts[holder].restart();
-        eventually("the duty holder resumes it", 3_000, async || {
+        eventually("the duty holder has resumed", 3_000, async || {
             taken(&site.hosts[holder]) == 2
         })
         .await;
