--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -25,12 +25,13 @@
 /// Time after its start in which a host does not watch the duty row, as it may not have heard the
 /// duty holder yet.
 const START_GRACE_MS: u64 = 600;
-/// The same at the first start of a deployment, recognised by the lack of a shared secret for
-/// datagrams. Hosts that start together must know each other, or all of them would watch the row.
-/// They read the rows of each other 2.5 s after their start.
+/// Time after the first start of a deployment in which a host does not watch the duty row. A first
+/// start is recognised by the lack of a shared secret for datagrams. Hosts that start together must
+/// know each other, or all of them would watch the row. They read the rows of each other 2.5 s
+/// after their start.
 const FIRST_START_GRACE_MS: u64 = 3_200;
-/// Longest additional delay at the first start, for a host with no share of a processor, so that
-/// faster hosts take the duty first.
+/// Maximum additional delay before a host watches the duty row at the first start of a deployment.
+/// A larger processor share shortens the delay, so that faster hosts take the duty first.
 const SLOW_HOST_DELAY_MS: f32 = 800.0;
 /// Interval of reads of the duty row while the duty holder is silent.
 const READ_EVERY_MS: u64 = 300;
@@ -164,8 +165,8 @@
     }
 
     /// Takes the duty. The row was first read with this content at `seen_ms`, so the previous duty
-    /// holder's last confirmation was before that. `handed_over` is true if that host had given the
-    /// duty up.
+    /// holder sent its last confirmation before that. `handed_over` is true if that host had given
+    /// the duty up.
     async fn take_duty(&self, row: Option<DutyRow>, version: u64, seen_ms: u64, handed_over: bool) {
         let sent_ms = clock::now_ms();
         let term = row.as_ref().map_or(0, |row| row.term) + 1;
@@ -226,7 +227,8 @@
         let key = format!("{HOST_PREFIX}{address}");
         match self.store.range(TABLE, HOSTS_PART, &key, &key).await {
             Ok(rows) => self.apply_own(&rows.rows),
-            // Without the row, the leases that the predecessor may have granted are waited for.
+            // Without the row, this host waits for the leases that the predecessor may have
+            // granted.
             Err(error) => log::debug!("cannot read the row of the predecessor's host: {error}"),
         }
     }
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -1,5 +1,5 @@
 //! Work of the duty holder: grants and renews the leases of servers, moves keys to balance load,
-//! and moves the keys of servers that leave or stop answering.
+//! and reassigns the keys of servers that leave or stop answering.
 //!
 //! A move is recorded in the store first, together with the server that may still hold the keys.
 //! That server is then asked to release them under the new fence. If it does not answer, the keys
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -1,5 +1,5 @@
-//! Moves of keys: records them, has the former servers release the keys, grants these to the new
-//! servers, and records the completion.
+//! Moves of keys. Records a move, has the former server release the keys, grants them to the new
+//! server, and records the completion.
 
 use std::{sync::Arc, time::Duration};
 
