--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -67,7 +67,7 @@
     /// Time at which the last grant was sent that may have arrived; 0 if none was.
     granted_ms: u64,
     /// Number of grants in flight.
-    under_way: u32,
+    grants_in_flight: u32,
     /// Number of consecutive failed grants.
     failures: u32,
     /// True if the server answered neither grants nor a probe. It gets no grants and no keys then.
@@ -86,7 +86,7 @@
     /// Returns the latest time at which the server may have received a grant: now, while one is in
     /// flight.
     fn last_grant_ms(&self, now_ms: u64) -> u64 {
-        if self.under_way > 0 {
+        if self.grants_in_flight > 0 {
             now_ms
         } else {
             self.granted_ms
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -146,7 +146,7 @@
             if record.is_silent {
                 return None;
             }
-            record.under_way += 1;
+            record.grants_in_flight += 1;
         }
         let grant = Grant {
             server: &server.entry.name,
@@ -184,7 +184,7 @@
     ) -> bool {
         let mut state = self.state();
         let record = state.servers.entry(id.clone()).or_default();
-        record.under_way -= 1;
+        record.grants_in_flight -= 1;
         // A grant that was never sent extends no lease, so the keys become free earlier.
         let sent = answer.as_ref().err().is_none_or(Error::may_have_run);
         if sent {
