--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -79,7 +79,7 @@
 struct Renewal {
     /// Time at which the last successful renewal was sent; 0 if none was.
     renewed_ms: u64,
-    is_under_way: bool,
+    is_in_flight: bool,
 }
 
 impl ServerLeaseState {
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -89,10 +89,10 @@
             }
             let key = (service.clone(), holding.fence);
             let renewal = state.renewals.entry(key).or_default();
-            if renewal.is_under_way || now_ms < renewal.renewed_ms + every_ms {
+            if renewal.is_in_flight || now_ms < renewal.renewed_ms + every_ms {
                 continue;
             }
-            renewal.is_under_way = true;
+            renewal.is_in_flight = true;
             let holdings = due.entry(holding.server.clone()).or_default();
             holdings.push(holding.clone());
         }
@@ -104,7 +104,7 @@
         for holding in holdings {
             let key = (service.clone(), holding.fence);
             if let Some(renewal) = state.renewals.get_mut(&key) {
-                renewal.is_under_way = false;
+                renewal.is_in_flight = false;
             }
         }
     }
