--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -295,7 +295,7 @@
     }
 
     fn plan(self: &Arc<Self>, service: &Arc<str>, round: u64, tasks: &mut JoinSet<()>) {
-        self.revive_silent(service);
+        self.retry_silent_servers(service);
         let servers = self.awake(self.usable(service));
         if servers.is_empty() {
             return;
@@ -355,7 +355,7 @@
 
     /// Lets silent servers hold keys again after a while. If they still do not answer, they are
     /// marked as silent again.
-    fn revive_silent(&self, service: &str) {
+    fn retry_silent_servers(&self, service: &str) {
         let registry = self.entry.view.registry();
         let now_ms = clock::now_ms();
         let lease_ms = self.entry.settings.leases.lease_ms;
