--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -251,7 +251,7 @@
             })
             .collect();
         let is_warm = |server: &&Arc<Server>| server.cold_rest_ms() == 0;
-        if self.bounds_cold_servers(service) && usable.iter().any(is_warm) {
+        if self.limits_cold_servers(service) && usable.iter().any(is_warm) {
             usable.retain(is_warm);
         }
         let typical_ms = registry.typical_run_ms(service);
@@ -286,7 +286,7 @@
     }
 
     /// Returns true if a service limits the requests of its servers during their warm-up.
-    fn bounds_cold_servers(&self, service: &str) -> bool {
+    fn limits_cold_servers(&self, service: &str) -> bool {
         let Some(configuration) = self.entry.view.configuration() else {
             return false;
         };
