--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -47,9 +47,9 @@
 /// Number of consecutive failed grants after which the server is probed.
 const FAILURES_BEFORE_PROBE: u32 = 2;
 /// Maximum number of concurrent moves of a service with few servers.
-const MOVES_MIN: usize = 8;
+const CONCURRENT_MOVES_MIN: usize = 8;
 /// Number of servers of a service for which one concurrent move is allowed, once that is more than
-/// `MOVES_MIN` moves.
+/// `CONCURRENT_MOVES_MIN` moves.
 const SERVERS_PER_MOVE: usize = 4;
 /// Factor by which the wait for the end of a lease is longer than the lease, since a server's clock
 /// may run slow by 2%. `LEASE_MARGIN_MS` is added, since a grant may arrive until its timeout.
@@ -317,7 +317,7 @@
             let holdings = held.assignment.holdings.iter();
             let unfinished = holdings.filter(|h| state.is_unfinished(service, h));
             moving.extend(unfinished.map(|holding| holding.range));
-            let moves_max = MOVES_MIN.max(servers.len() / SERVERS_PER_MOVE);
+            let moves_max = CONCURRENT_MOVES_MIN.max(servers.len() / SERVERS_PER_MOVE);
             let room = moves_max.saturating_sub(active);
             let balance = round.is_multiple_of(BALANCE_EVERY_ROUNDS);
             let counts = state.counts.entry(service.clone()).or_default();
