--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -62,7 +62,7 @@
     let mut sites = JoinSet::new();
     let local = LocalSet::new();
     for outage_ms in outages {
-        sites.spawn_local_on(terms_over_outage(outage_ms), &local);
+        sites.spawn_local_on(duty_takeovers_over_outage(outage_ms), &local);
     }
     for (outage_ms, taken) in local.run_until(sites.join_all()).await {
         assert_eq!(
@@ -76,7 +76,7 @@
 /// Runs an outage of the store and returns its length with one line for each time that a host has
 /// taken the duty until some time after it. Each line ends with what that host logged about the
 /// store.
-async fn terms_over_outage(outage_ms: u64) -> (u64, Vec<String>) {
+async fn duty_takeovers_over_outage(outage_ms: u64) -> (u64, Vec<String>) {
     let site = Site::start(3, 2).await;
     site.store.set_faults(Faults {
         silent: true,
