--- a/src/entry/duty/mod.rs
+++ b/src/entry/duty/mod.rs
@@ -35,8 +35,8 @@
 const DUTY_KEY: &str = "leases";
 /// Age of the last confirmation up to which the duty holder tells other hosts that it has the duty.
 /// Two confirmations in a row may fail within it. A duty holder that has lost its own connection to
-/// the store can record no move. With 3 s, another host took the duty only 5.7 s after the store
-/// stopped answering this one, and keys of a lost zone waited for that long.
+/// the store can record no move. With 3 s, another host took the duty only 5.7 s after the duty
+/// holder lost the store, and the keys of a lost zone waited for that long.
 const CONFIRMED_MS: u64 = 1_900;
 /// Timeout of a write of the duty row. When the store returns from an outage, the duty holder must
 /// have written the row before other hosts have seen it unchanged for the takeover time, 1.6 s. At
@@ -80,7 +80,7 @@
 pub struct Duty {
     /// Number of this host's term while it has the duty, else 0.
     term: AtomicU64,
-    /// Time at which the last successful confirmation was sent, as taken before the call.
+    /// Time at which the last successful confirmation was sent, taken before the call.
     confirmed_ms: AtomicU64,
     /// Time up to which duty holders of earlier terms may have granted leases.
     earlier_leases_until_ms: AtomicU64,
