--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -114,7 +114,7 @@
     counts: HashMap<Arc<str>, KeyCounts>,
     first_assignment_waits: HashMap<Arc<str>, FirstWait>,
     /// Fences of completed moves whose recorded holding still names the former server, by service.
-    finished: HashMap<Arc<str>, Vec<u64>>,
+    completed_fences: HashMap<Arc<str>, Vec<u64>>,
     /// Time at which completed moves were last recorded.
     completed_recorded_ms: u64,
 }
@@ -127,8 +127,8 @@
 
     /// Returns true if the former server of a holding may still hold its keys.
     fn is_unfinished(&self, service: &str, holding: &Holding) -> bool {
-        let finished = self.finished.get(service);
-        let done = finished.is_some_and(|fences| fences.contains(&holding.fence));
+        let completed_fences = self.completed_fences.get(service);
+        let done = completed_fences.is_some_and(|fences| fences.contains(&holding.fence));
         holding.from.is_some() && !done
     }
 }
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -78,12 +78,16 @@
         let fences = {
             let mut state = self.state();
             let due = now_ms >= state.completed_recorded_ms + RECORD_COMPLETED_EVERY_MS;
-            let finished = state.finished.get(service).cloned().unwrap_or_default();
-            if !due || finished.is_empty() {
+            let completed_fences = state
+                .completed_fences
+                .get(service)
+                .cloned()
+                .unwrap_or_default();
+            if !due || completed_fences.is_empty() {
                 return;
             }
             state.completed_recorded_ms = now_ms;
-            finished
+            completed_fences
         };
         let term = self.clone();
         let service = service.clone();
@@ -92,8 +96,8 @@
             if term.entry.record(&service, &change).await.is_err() {
                 return;
             }
-            if let Some(finished) = term.state().finished.get_mut(&service) {
-                finished.retain(|fence| !fences.contains(fence));
+            if let Some(completed_fences) = term.state().completed_fences.get_mut(&service) {
+                completed_fences.retain(|fence| !fences.contains(fence));
             }
         });
     }
@@ -249,8 +253,8 @@
             // The move counts as completed only after the grant. Otherwise a renewal, which has no
             // handover token, could arrive before the grant that has it.
             let mut state = self.state();
-            let finished = state.finished.entry(service.clone()).or_default();
-            finished.push(holding.fence);
+            let completed_fences = state.completed_fences.entry(service.clone()).or_default();
+            completed_fences.push(holding.fence);
         }
         self.entry.metrics.moved();
         Event::Moved {
