--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -78,7 +78,7 @@
 }
 
 /// Outcome of a transaction once it is known whether it took effect.
-enum TransactionOutcome {
+enum WriteOutcome {
     Done(u64),
     Conflict(Vec<Row>),
     /// The store rejects the transaction with an error that no retry can mend.
@@ -146,10 +146,10 @@
     ) -> Result<(), WriteFailure> {
         loop {
             let version = match self.write_holdings(&rows, writer.row_version).await {
-                TransactionOutcome::Done(version) => version,
-                TransactionOutcome::DutyLost => return Err(WriteFailure::DutyLost),
-                TransactionOutcome::Refused => return Err(WriteFailure::Refused),
-                TransactionOutcome::Conflict(found) => {
+                WriteOutcome::Done(version) => version,
+                WriteOutcome::DutyLost => return Err(WriteFailure::DutyLost),
+                WriteOutcome::Refused => return Err(WriteFailure::Refused),
+                WriteOutcome::Conflict(found) => {
                     match self.classify_conflict(&found, &rows, writer) {
                         Conflict::TookEffect(version) => version,
                         Conflict::Confirmed(version) => {
@@ -203,7 +203,7 @@
         Conflict::DutyTaken
     }
 
-    async fn write_holdings(&self, rows: &[PendingRow], duty_version: u64) -> TransactionOutcome {
+    async fn write_holdings(&self, rows: &[PendingRow], duty_version: u64) -> WriteOutcome {
         let expect = |table, key, version| Expect {
             table,
             key,
@@ -225,18 +225,18 @@
                     // The transaction is conditional on the duty row, so its success also confirms
                     // the duty.
                     self.duty.confirmed_ms.store(sent_ms, Ordering::Relaxed);
-                    return TransactionOutcome::Done(version);
+                    return WriteOutcome::Done(version);
                 }
-                Ok(Transacted::Conflict { rows }) => return TransactionOutcome::Conflict(rows),
+                Ok(Transacted::Conflict { rows }) => return WriteOutcome::Conflict(rows),
                 Err(error) if error.is_final() => {
                     log::error!("the store rejects a write of holdings: {error}");
-                    return TransactionOutcome::Refused;
+                    return WriteOutcome::Refused;
                 }
                 Err(error) => log::debug!("cannot write holdings, retrying: {error}"),
             }
             if !self.duty.may_lease(self.settings.leases.outage_ms) {
                 self.duty.lose("the store did not answer");
-                return TransactionOutcome::DutyLost;
+                return WriteOutcome::DutyLost;
             }
             pause().await;
         }
