--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -252,7 +252,7 @@
     /// What hosts may admit of workspaces' requests, from the holder of the duty.
     Admitted(Vec<WorkspaceAdmitted>),
     /// Asks a relay how fresh its view of the store is.
-    AskWord {
+    QueryStoreState {
         /// Returned in the answer.
         nonce: u64,
         /// What the sender is, for relays that have not read its row yet.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -83,7 +83,9 @@
     /// Takes up a host whose row was not read yet. It tells what it is in its reports and
     /// questions, so that not each host reads the rows for each new one.
     fn learn_sender(&self, from: SocketAddr, message: Option<&Message>) {
-        let Some(Message::Report { sender, .. } | Message::AskWord { sender, .. }) = message else {
+        let Some(Message::Report { sender, .. } | Message::QueryStoreState { sender, .. }) =
+            message
+        else {
             self.view.want_reading(Followed::Own);
             return;
         };
@@ -161,7 +163,7 @@
             Message::Rates(rates) => self.take_sums(&rates),
             Message::Used(reports) => self.take_used(&reports),
             Message::Admitted(told) => self.quotas.note_told(&told),
-            Message::AskWord { nonce, .. } => {
+            Message::QueryStoreState { nonce, .. } => {
                 if let Some(word) = self.word_for(nonce) {
                     self.peers.send(&word, &[from]);
                 }
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -101,7 +101,7 @@
         let sender = self.as_sender();
         self.freshness.ask(nonce, clock::now_ms());
         self.peers
-            .send(&Message::AskWord { nonce, sender }, &relays);
+            .send(&Message::QueryStoreState { nonce, sender }, &relays);
         true
     }
 
