--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -259,7 +259,7 @@
         sender: Sender,
     },
     /// The sender's view of the store.
-    Word {
+    StoreState {
         /// Of the question.
         nonce: u64,
         /// What it knows of the store.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -168,7 +168,7 @@
                     self.peers.send(&word, &[from]);
                 }
             }
-            Message::Word {
+            Message::StoreState {
                 nonce,
                 news,
                 evacuations,
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -108,7 +108,7 @@
     /// What this host can tell of the store, for a host that hears no holder.
     pub(super) fn word_for(&self, nonce: u64) -> Option<Message> {
         let news = self.freshness.word(self.view.store_heard_ms())?;
-        Some(Message::Word {
+        Some(Message::StoreState {
             nonce,
             news,
             evacuations: self.view.evacuations(),
