--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -96,7 +96,10 @@
     fn ask_holder_for_proof(&self) {
         let nonce = rand::random();
         self.proof.ask(nonce, clock::now_ms());
-        if !self.peers.send_to_holder(&Message::AskProof { nonce }) {
+        if !self
+            .peers
+            .send_to_holder(&Message::QueryConfigurationAge { nonce })
+        {
             log::debug!("no holder proves the configuration");
         }
     }
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -268,7 +268,7 @@
         evacuations: Evacuations,
     },
     /// Asks how recent the receiver's configuration is.
-    AskProof {
+    QueryConfigurationAge {
         /// Returned in the answer.
         nonce: u64,
     },
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -173,7 +173,7 @@
                 news,
                 evacuations,
             } => self.note_word(nonce, news, evacuations),
-            Message::AskProof { nonce } => {
+            Message::QueryConfigurationAge { nonce } => {
                 if let Some(proof) = self.proof_for(nonce) {
                     self.peers.send(&proof, &[from]);
                 }
