--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -131,7 +131,7 @@
     /// What this host can prove of the configuration, for another host that has the same one.
     pub(super) fn proof_for(&self, nonce: u64) -> Option<Message> {
         let age_ms = self.proof.age_ms(clock::now_ms())?;
-        Some(Message::Proof {
+        Some(Message::ConfigurationAge {
             nonce,
             age_ms: u32::try_from(age_ms).ok()?,
             changed: self.freshness.changed(Followed::Configuration),
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -273,7 +273,7 @@
         nonce: u64,
     },
     /// The sender's configuration was the latest one some time ago.
-    Proof {
+    ConfigurationAge {
         /// Of the question.
         nonce: u64,
         /// Time since then.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -178,7 +178,7 @@
                     self.peers.send(&proof, &[from]);
                 }
             }
-            Message::Proof {
+            Message::ConfigurationAge {
                 nonce,
                 age_ms,
                 changed,
