--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -295,7 +295,7 @@
     /// Asks the holder of the duty who holds the key; the store only if no holder is heard.
     fn ask_who_holds(&self, entry: &Entry) {
         let Some(key) = self.key else { return };
-        let question = Message::WhoHolds {
+        let question = Message::QueryKeyOwner {
             service_tag: tag_of(&self.service),
             key,
         };
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -205,7 +205,7 @@
     /// Piece of a configuration that the sender, which has the duty, was told by the store.
     Configuration(Piece),
     /// Asks the holder of the duty who holds a key.
-    WhoHolds {
+    QueryKeyOwner {
         /// Service.
         service_tag: u32,
         /// Key.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -129,7 +129,7 @@
             } => self.peers.note_zone_loads(zone_tag, summaries),
             Message::Servers(changes) => self.take_servers(changes),
             Message::Configuration(piece) => self.take_configuration(piece),
-            Message::WhoHolds { service_tag, key } => self.tell_holder(from, service_tag, key),
+            Message::QueryKeyOwner { service_tag, key } => self.tell_holder(from, service_tag, key),
             Message::Stopped { term } => self.duty.note_stopped(from, term),
             Message::Keys(keys) => {
                 if self.duty.term() > 0 {
