--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -164,7 +164,7 @@
         ];
         self.claim(claims)?;
         for claimed in claims {
-            self.peers.send_to_all(Message::Trying(claimed));
+            self.peers.send_to_all(Message::TrialStarted(claimed));
         }
         time::sleep(Duration::from_millis(CLAIM_WAIT_MS)).await;
         let now_ms = clock::now_ms();
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -233,7 +233,7 @@
         sent_ago_ms: u32,
     },
     /// The sender is about to try a request under which a server has ended.
-    Trying(Claimed),
+    TrialStarted(Claimed),
     /// Its server lives.
     Tried(Claimed),
     /// Servers that want no requests of the sender for a time. For the holder of the duty.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -156,7 +156,7 @@
                 let sent_ms = clock::now_ms().saturating_sub(u64::from(sent_ago_ms));
                 self.clear_suspect(digest, sent_ms);
             }
-            Message::Trying(claimed) => self.note_trial(claimed, from),
+            Message::TrialStarted(claimed) => self.note_trial(claimed, from),
             Message::Tried(claimed) => self.note_tried(claimed),
             Message::Resting(rests) => self.take_rests(from, &rests),
             Message::Asked(rates) => self.take_rates(from, &rates),
