--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -209,7 +209,7 @@
     /// Ends a claim here and at the other hosts.
     fn tell_tried(&self, claimed: Claimed) {
         self.note_tried(claimed);
-        self.peers.send_to_all(Message::Tried(claimed));
+        self.peers.send_to_all(Message::TrialPassed(claimed));
     }
 
     /// Notes that another host tries a suspect.
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -235,7 +235,7 @@
     /// The sender is about to try a request under which a server has ended.
     TrialStarted(Claimed),
     /// Its server lives.
-    Tried(Claimed),
+    TrialPassed(Claimed),
     /// Servers that want no requests of the sender for a time. For the holder of the duty.
     Resting(Vec<ServerRest>),
     /// Rates of servers, with what the sender's callers ask of them. For the holder of the duty.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -157,7 +157,7 @@
                 self.clear_suspect(digest, sent_ms);
             }
             Message::TrialStarted(claimed) => self.note_trial(claimed, from),
-            Message::Tried(claimed) => self.note_tried(claimed),
+            Message::TrialPassed(claimed) => self.note_tried(claimed),
             Message::Resting(rests) => self.take_rests(from, &rests),
             Message::Asked(rates) => self.take_rates(from, &rates),
             Message::Rates(rates) => self.take_sums(&rates),
