--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -127,7 +127,7 @@
         let sent_ago_ms = clock::now_ms().saturating_sub(sent_ms) as u32;
         for digest in digests.all() {
             if self.clear_suspect(digest, sent_ms) {
-                self.peers.send_to_all(Message::Cleared {
+                self.peers.send_to_all(Message::SuspectCleared {
                     digest,
                     sent_ago_ms,
                 });
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -226,7 +226,7 @@
         shared: Vec<SharedSuspect>,
     },
     /// A server has run a request to a good end under which one had ended.
-    Cleared {
+    SuspectCleared {
         /// Request.
         digest: RequestDigest,
         /// Time since it was sent.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -149,7 +149,7 @@
                 digests,
                 shared,
             } => self.note_suspects(server_tag, &digests, &shared),
-            Message::Cleared {
+            Message::SuspectCleared {
                 digest,
                 sent_ago_ms,
             } => {
