--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -84,7 +84,7 @@
         if self.duty.term() == 0 {
             let said = registry.servers().filter(|s| s.leaves_by_notice_only());
             let tags: Vec<u32> = said.map(|s| s.tag).take(ENTRIES_MAX).collect();
-            if !tags.is_empty() && !self.peers.send_to_holder(&Message::SaidLeaving(tags)) {
+            if !tags.is_empty() && !self.peers.send_to_holder(&Message::ReportLeaving(tags)) {
                 log::debug!("no holder hears that servers leave");
             }
             return;
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -244,7 +244,7 @@
     Rates(Vec<ServerRate>),
     /// Short names of servers that have told the sender that they leave, while their entries do not say so. For
     /// the holder of the duty.
-    SaidLeaving(Vec<u32>),
+    ReportLeaving(Vec<u32>),
     /// The same from the holder of the duty, which heard it of any host.
     Leaving(Vec<u32>),
     /// What workspaces have used at the sender. For the holder of the duty.
