--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -239,7 +239,7 @@
     /// Servers that want no requests of the sender for a time. For the holder of the duty.
     Resting(Vec<ServerRest>),
     /// Rates of servers, with what the sender's callers ask of them. For the holder of the duty.
-    Asked(Vec<ServerRate>),
+    ReportRates(Vec<ServerRate>),
     /// Rates of servers as the holder of the duty knows them, with what the callers of all hosts ask of them.
     Rates(Vec<ServerRate>),
     /// Short names of servers that have told the sender that they leave, while their entries do not say so. For
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -64,7 +64,10 @@
 
     fn report_rates(&self, rates: Vec<ServerRate>) {
         for rates in rates.chunks(RATES_MAX) {
-            if !self.peers.send_to_holder(&Message::Asked(rates.to_vec())) {
+            if !self
+                .peers
+                .send_to_holder(&Message::ReportRates(rates.to_vec()))
+            {
                 log::debug!("no holder hears what is asked of limited servers");
             }
         }
