--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -241,7 +241,7 @@
     /// Rates of servers, with what the sender's callers ask of them. For the holder of the duty.
     ReportRates(Vec<ServerRate>),
     /// Rates of servers as the holder of the duty knows them, with what the callers of all hosts ask of them.
-    Rates(Vec<ServerRate>),
+    RateTotals(Vec<ServerRate>),
     /// Short names of servers that have told the sender that they leave, while their entries do not say so. For
     /// the holder of the duty.
     ReportLeaving(Vec<u32>),
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -160,7 +160,7 @@
             Message::TrialPassed(claimed) => self.note_tried(claimed),
             Message::Resting(rests) => self.take_rests(from, &rests),
             Message::ReportRates(rates) => self.take_rates(from, &rates),
-            Message::Rates(rates) => self.take_sums(&rates),
+            Message::RateTotals(rates) => self.take_sums(&rates),
             Message::Used(reports) => self.take_used(&reports),
             Message::Admitted(told) => self.quotas.note_told(&told),
             Message::QueryStoreState { nonce, .. } => {
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -104,7 +104,7 @@
         self.asked_by_host().retain(is_limited);
         self.take_sums(&rates);
         for rates in rates.chunks(RATES_MAX) {
-            self.peers.send_to_all(Message::Rates(rates.to_vec()));
+            self.peers.send_to_all(Message::RateTotals(rates.to_vec()));
         }
     }
 
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -326,7 +326,7 @@
             zone_tag: u32::MAX,
             summaries: parts(&vec![sum; 1_000]).next().expect("a part"),
         },
-        Message::Rates(vec![rate; RATES_MAX]),
+        Message::RateTotals(vec![rate; RATES_MAX]),
         Message::ServerEnded {
             server_tag: u32::MAX,
             digests: Vec::new(),
