--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -248,7 +248,7 @@
     /// The same from the holder of the duty, which heard it of any host.
     Leaving(Vec<u32>),
     /// What workspaces have used at the sender. For the holder of the duty.
-    Used(Vec<WorkspaceUse>),
+    ReportUsage(Vec<WorkspaceUse>),
     /// What hosts may admit of workspaces' requests, from the holder of the duty.
     Admitted(Vec<WorkspaceAdmitted>),
     /// Asks a relay how fresh its view of the store is.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -161,7 +161,7 @@
             Message::Resting(rests) => self.take_rests(from, &rests),
             Message::ReportRates(rates) => self.take_rates(from, &rates),
             Message::RateTotals(rates) => self.take_sums(&rates),
-            Message::Used(reports) => self.take_used(&reports),
+            Message::ReportUsage(reports) => self.take_used(&reports),
             Message::Admitted(told) => self.quotas.note_told(&told),
             Message::QueryStoreState { nonce, .. } => {
                 if let Some(word) = self.word_for(nonce) {
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -200,7 +200,10 @@
 
     fn report_quotas(&self, reports: &[WorkspaceUse]) {
         for reports in reports.chunks(QUOTAS_MAX) {
-            if !self.peers.send_to_holder(&Message::Used(reports.to_vec())) {
+            if !self
+                .peers
+                .send_to_holder(&Message::ReportUsage(reports.to_vec()))
+            {
                 log::debug!("no holder hears what workspaces use");
             }
         }
