--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -62,7 +62,7 @@
         }
         if self.duty.term() > 0 {
             self.take_rests(self.settings.listen.peers, &rests);
-        } else if !self.peers.send_to_holder(&Message::Resting(rests)) {
+        } else if !self.peers.send_to_holder(&Message::ReportRests(rests)) {
             log::debug!("no holder hears that servers want a rest");
         }
     }
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -237,7 +237,7 @@
     /// Its server lives.
     TrialPassed(Claimed),
     /// Servers that want no requests of the sender for a time. For the holder of the duty.
-    Resting(Vec<ServerRest>),
+    ReportRests(Vec<ServerRest>),
     /// Rates of servers, with what the sender's callers ask of them. For the holder of the duty.
     ReportRates(Vec<ServerRate>),
     /// Rates of servers as the holder of the duty knows them, with what the callers of all hosts ask of them.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -158,7 +158,7 @@
             }
             Message::TrialStarted(claimed) => self.note_trial(claimed, from),
             Message::TrialPassed(claimed) => self.note_tried(claimed),
-            Message::Resting(rests) => self.take_rests(from, &rests),
+            Message::ReportRests(rests) => self.take_rests(from, &rests),
             Message::ReportRates(rates) => self.take_rates(from, &rates),
             Message::RateTotals(rates) => self.take_sums(&rates),
             Message::ReportUsage(reports) => self.take_used(&reports),
