--- a/src/entry/join/guides.rs
+++ b/src/entry/join/guides.rs
@@ -9,7 +9,7 @@
     entry::{
         Entry,
         news::own_rows::{GUIDES_KEY, TABLE},
-        peers::Guide,
+        peers::SeedHost,
         server::tag_of,
     },
     platform::store::{Put, Row, Transaction},
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Guides {
     /// The hosts.
-    pub hosts: Vec<Guide>,
+    pub hosts: Vec<SeedHost>,
     /// True if there are more servers than each host should read.
     pub has_many_servers: bool,
 }
@@ -65,8 +65,8 @@
         }
     }
 
-    fn guides(&self) -> Vec<Guide> {
-        self.peers.guides(Guide {
+    fn guides(&self) -> Vec<SeedHost> {
+        self.peers.guides(SeedHost {
             address: self.settings.listen.peers,
             zone_tag: tag_of(&self.settings.availability_zone),
         })
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -56,7 +56,7 @@
 
 /// A host that others may ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Guide {
+pub struct SeedHost {
     /// Address for other hosts.
     pub address: SocketAddr,
     /// Short name of its availability zone.
@@ -171,18 +171,18 @@
     }
 
     /// Hosts that others may ask when they start: those that get messages for all, and this one.
-    pub fn guides(&self, own: Guide) -> Vec<Guide> {
+    pub fn guides(&self, own: SeedHost) -> Vec<SeedHost> {
         let Fanout { direct, relays } = self.present_fanout();
         let peers = self.peers();
         let zone_tag = |address: &SocketAddr| peers.get(address).map(|peer| peer.facts.zone_tag);
         let others = direct.iter().chain(&relays);
         let others = others.filter_map(|address| {
-            Some(Guide {
+            Some(SeedHost {
                 address: *address,
                 zone_tag: zone_tag(address)?,
             })
         });
-        let mut guides: Vec<Guide> = others.chain([own]).collect();
+        let mut guides: Vec<SeedHost> = others.chain([own]).collect();
         guides.sort_unstable();
         guides
     }
