--- a/src/entry/join/guides.rs
+++ b/src/entry/join/guides.rs
@@ -23,14 +23,14 @@
 
 /// Hosts that hand on what they know.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Guides {
+pub(super) struct SeedHosts {
     /// The hosts.
     pub hosts: Vec<SeedHost>,
     /// True if there are more servers than each host should read.
     pub has_many_servers: bool,
 }
 
-impl Guides {
+impl SeedHosts {
     /// Reads a row; no guides if it cannot be read.
     pub fn decode(row: &Row) -> Self {
         serde_json::from_slice(&row.value).unwrap_or_else(|error| {
@@ -55,7 +55,7 @@
                 named = None;
                 continue;
             }
-            let guides = Guides {
+            let guides = SeedHosts {
                 hosts: self.guides(),
                 has_many_servers: self.has_many_servers(),
             };
@@ -72,7 +72,7 @@
         })
     }
 
-    async fn store_guides(&self, guides: &Guides) -> bool {
+    async fn store_guides(&self, guides: &SeedHosts) -> bool {
         let Ok(value) = serde_json::to_vec(guides) else {
             return false;
         };
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -23,7 +23,7 @@
 use tokio::{sync::watch, time};
 
 pub(super) use self::newcomers::host_key;
-use self::{guides::Guides, newcomers::Newcomers};
+use self::{guides::SeedHosts, newcomers::Newcomers};
 use super::{
     Entry,
     events::Event,
@@ -57,7 +57,7 @@
     /// Nobody has named guides yet.
     Nobody,
     /// Addresses of guides.
-    Guides {
+    SeedHosts {
         addresses: Vec<SocketAddr>,
         has_many_servers: bool,
     },
@@ -145,11 +145,11 @@
         let guides = loop {
             match self.find_guides().await {
                 // At the first start nobody knows yet how many servers there will be, and nobody is in a hurry.
-                Some(Found::Guides {
+                Some(Found::SeedHosts {
                     addresses,
                     has_many_servers,
                 }) if has_many_servers || looks > 0 => break addresses,
-                Some(Found::Guides { .. }) => return false,
+                Some(Found::SeedHosts { .. }) => return false,
                 Some(Found::Nobody) => {}
                 None => {
                     pause().await;
@@ -195,12 +195,12 @@
                 return None;
             }
         };
-        let mut guides = Guides::default();
+        let mut guides = SeedHosts::default();
         for row in &rows {
             if row.key == SECRET_KEY {
                 self.apply_secret(row);
             } else if row.key == GUIDES_KEY {
-                guides = Guides::decode(row);
+                guides = SeedHosts::decode(row);
             }
         }
         let own = self.settings.listen.peers;
@@ -215,7 +215,7 @@
             .filter(|guide| guide.zone_tag == own_zone);
         let near: Vec<SocketAddr> = near.map(|guide| guide.address).collect();
         let all = guides.hosts.iter().map(|guide| guide.address);
-        Some(Found::Guides {
+        Some(Found::SeedHosts {
             addresses: if near.is_empty() { all.collect() } else { near },
             has_many_servers: guides.has_many_servers,
         })
