--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -119,7 +119,7 @@
     }
 
     pub(super) fn guide(&self) -> Option<SocketAddr> {
-        self.peers.guide_for(self.as_relay())
+        self.peers.sync_peer(self.as_relay())
     }
 
     /// True once the holder of the duty tells that it has followed the store since now, which takes it a moment after an
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -203,7 +203,7 @@
 
     /// The host that this one asks for what it has missed: among many, one that passes messages on to its zone; the holder
     /// of the duty among few, and for those that others ask.
-    pub fn guide_for(&self, own: RelayCandidate) -> Option<SocketAddr> {
+    pub fn sync_peer(&self, own: RelayCandidate) -> Option<SocketAddr> {
         if !self.are_many() {
             return *self.holder();
         }
