--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -53,35 +53,35 @@
     /// Asks a host for what a path names.
     pub(super) async fn ask<T: DeserializeOwned>(
         &self,
-        guide: SocketAddr,
+        peer: SocketAddr,
         path: &str,
     ) -> Result<T, Error> {
         let request = Request::get(path);
-        self.call(guide, request, Bytes::new()).await
+        self.call(peer, request, Bytes::new()).await
     }
 
     /// Sends a host something sealed, and reads its answer.
     pub(super) async fn send_to<T: DeserializeOwned>(
         &self,
-        guide: SocketAddr,
+        peer: SocketAddr,
         path: &str,
         content: &impl Serialize,
     ) -> Result<T, Error> {
         let body = self.sealed(content).context(SealSnafu)?;
-        self.call(guide, Request::post(path), body).await
+        self.call(peer, Request::post(path), body).await
     }
 
     async fn call<T: DeserializeOwned>(
         &self,
-        guide: SocketAddr,
+        peer: SocketAddr,
         request: request::Builder,
         body: Bytes,
     ) -> Result<T, Error> {
         let request = request
-            .header(header::HOST, guide.to_string())
+            .header(header::HOST, peer.to_string())
             .body(Full::new(body))
             .context(QuestionSnafu)?;
-        let answer = Link::new(guide).call(request, ASK_TIMEOUT_MS).await;
+        let answer = Link::new(peer).call(request, ASK_TIMEOUT_MS).await;
         let answer = answer.context(CallSnafu)?;
         if answer.status != StatusCode::OK {
             return StatusSnafu {
@@ -107,18 +107,18 @@
             // What it has missed was passed on meanwhile, or it has missed nothing.
             return true;
         }
-        let Some(guide) = self.guide() else {
+        let Some(peer) = self.peer() else {
             return false;
         };
-        self.learn_anew(followed, guide)
+        self.learn_anew(followed, peer)
             .await
             .unwrap_or_else(|error| {
-                log::debug!("{guide} hands nothing on: {error}");
+                log::debug!("{peer} hands nothing on: {error}");
                 false
             })
     }
 
-    pub(super) fn guide(&self) -> Option<SocketAddr> {
+    pub(super) fn peer(&self) -> Option<SocketAddr> {
         self.peers.sync_peer(self.as_relay())
     }
 
@@ -141,15 +141,15 @@
         let first = LEARN_HOSTS_AFTER_MS.into_iter();
         for after_ms in first.chain(std::iter::repeat(LEARN_HOSTS_EVERY_MS)) {
             time::sleep(Duration::from_millis(after_ms)).await;
-            let guide = self.guide();
-            let Some(guide) = guide.filter(|_| self.freshness.is_vouched()) else {
+            let peer = self.peer();
+            let Some(peer) = peer.filter(|_| self.freshness.is_vouched()) else {
                 continue;
             };
-            match self.ask::<Vec<KnownHost>>(guide, HOSTS).await {
+            match self.ask::<Vec<KnownHost>>(peer, HOSTS).await {
                 Ok(hosts) => hosts
                     .into_iter()
                     .for_each(|host| self.take_known_host(host)),
-                Err(error) => log::debug!("{guide} tells no hosts: {error}"),
+                Err(error) => log::debug!("{peer} tells no hosts: {error}"),
             }
         }
     }
--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -78,12 +78,12 @@
     async fn learn_missed(&self, followed: Followed) -> bool {
         let mut is_first = followed == Followed::Own;
         while is_first || self.is_missing(followed) {
-            let Some(guide) = self.guide() else {
+            let Some(peer) = self.peer() else {
                 return false;
             };
-            match self.learn(followed, guide).await {
+            match self.learn(followed, peer).await {
                 Ok(()) => is_first = false,
-                Err(error) => log::debug!("{guide} does not tell what was missed: {error}"),
+                Err(error) => log::debug!("{peer} does not tell what was missed: {error}"),
             }
             if is_first || self.is_missing(followed) {
                 let pause_ms = AGAIN_MS + rand::random_range(0..AGAIN_MS);
@@ -102,24 +102,24 @@
         }
     }
 
-    async fn learn(&self, followed: Followed, guide: SocketAddr) -> Result<(), Error> {
+    async fn learn(&self, followed: Followed, peer: SocketAddr) -> Result<(), Error> {
         match followed {
             Followed::Servers => {
                 let path = format!("{CHANGES}{}", self.freshness.applied(followed));
-                match self.ask::<ServerChanges>(guide, &path).await {
+                match self.ask::<ServerChanges>(peer, &path).await {
                     Ok(changes) => self.take_servers(changes),
                     Err(Error::Status { status }) if status == StatusCode::GONE => {
-                        self.learn_anew(followed, guide).await?;
+                        self.learn_anew(followed, peer).await?;
                     }
                     Err(error) => return Err(error),
                 }
             }
             Followed::Configuration => {
-                let known: KnownConfiguration = self.ask(guide, CONFIGURATION).await?;
+                let known: KnownConfiguration = self.ask(peer, CONFIGURATION).await?;
                 self.take_known_configuration(known);
             }
             Followed::Own => {
-                let snapshot: Snapshot = self.ask(guide, OWN).await?;
+                let snapshot: Snapshot = self.ask(peer, OWN).await?;
                 self.take_snapshot(&snapshot);
             }
         }
@@ -130,11 +130,11 @@
     pub(super) async fn learn_anew(
         &self,
         followed: Followed,
-        guide: SocketAddr,
+        peer: SocketAddr,
     ) -> Result<bool, Error> {
         // What the holder passes on meanwhile is in no snapshot that is made before.
         self.relay.begin_reading(followed);
-        let snapshot = self.ask::<Snapshot>(guide, SNAPSHOT).await;
+        let snapshot = self.ask::<Snapshot>(peer, SNAPSHOT).await;
         let snapshot = match snapshot {
             Ok(snapshot) => snapshot,
             Err(error) => {
--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -92,7 +92,7 @@
         if self.view.had_former_process() {
             return false;
         }
-        let Some(guide) = self.guide().filter(|_| self.peers.are_many()) else {
+        let Some(peer) = self.peer().filter(|_| self.peers.are_many()) else {
             return false;
         };
         let newcomer = Newcomer {
@@ -100,9 +100,9 @@
             row: row.clone(),
         };
         for _ in 0..TRIES {
-            match self.send_to::<bool>(guide, REGISTER, &newcomer).await {
+            match self.send_to::<bool>(peer, REGISTER, &newcomer).await {
                 Ok(registered) => return registered,
-                Err(error) => log::debug!("{guide} does not register this host yet: {error}"),
+                Err(error) => log::debug!("{peer} does not register this host yet: {error}"),
             }
             pause().await;
         }
