--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -170,13 +170,13 @@
         };
         let until_ms = clock::now_ms() + ask_for_ms;
         while clock::now_ms() < until_ms {
-            let guide = guides[rand::random_range(0..guides.len())];
-            match self.ask(guide, paths::SNAPSHOT).await {
+            let seed_host = guides[rand::random_range(0..guides.len())];
+            match self.ask(seed_host, paths::SNAPSHOT).await {
                 Ok(snapshot) => {
                     self.take_snapshot(&snapshot);
                     return true;
                 }
-                Err(error) => log::debug!("{guide} hands nothing on: {error}"),
+                Err(error) => log::debug!("{seed_host} hands nothing on: {error}"),
             }
             time::sleep(Duration::from_millis(ASK_EVERY_MS)).await;
         }
@@ -204,7 +204,7 @@
             }
         }
         let own = self.settings.listen.peers;
-        guides.hosts.retain(|guide| guide.address != own);
+        guides.hosts.retain(|seed_host| seed_host.address != own);
         if guides.hosts.is_empty() || !self.peers.seal.is_known() {
             return Some(Found::Nobody);
         }
@@ -212,9 +212,9 @@
         let near = guides
             .hosts
             .iter()
-            .filter(|guide| guide.zone_tag == own_zone);
-        let near: Vec<SocketAddr> = near.map(|guide| guide.address).collect();
-        let all = guides.hosts.iter().map(|guide| guide.address);
+            .filter(|seed_host| seed_host.zone_tag == own_zone);
+        let near: Vec<SocketAddr> = near.map(|seed_host| seed_host.address).collect();
+        let all = guides.hosts.iter().map(|seed_host| seed_host.address);
         Some(Found::SeedHosts {
             addresses: if near.is_empty() { all.collect() } else { near },
             has_many_servers: guides.has_many_servers,
