--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -143,7 +143,7 @@
     async fn ask_guides(&self) -> bool {
         let mut looks = 0;
         let guides = loop {
-            match self.find_guides().await {
+            match self.find_seed_hosts().await {
                 // At the first start nobody knows yet how many servers there will be, and nobody is in a hurry.
                 Some(Found::SeedHosts {
                     addresses,
@@ -184,7 +184,7 @@
     }
 
     /// Guides of the own zone, or all of them if it has none; `None` if the store does not answer.
-    async fn find_guides(&self) -> Option<Found> {
+    async fn find_seed_hosts(&self) -> Option<Found> {
         let rows = match self.store.range(TABLE, PART, SECRET_KEY, GUIDES_KEY).await {
             Ok(rows) => {
                 self.heard_store(clock::now_ms());
