--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -127,7 +127,7 @@
     /// Learns what other hosts know, or finds that this host must read the tables by itself.
     pub(super) async fn join(self: Arc<Self>) {
         let began_ms = clock::now_ms();
-        let outcome = if self.ask_guides().await {
+        let outcome = if self.ask_seed_hosts().await {
             Outcome::Told
         } else {
             Outcome::Alone
@@ -140,7 +140,7 @@
         self.join.outcome.send_replace(outcome);
     }
 
-    async fn ask_guides(&self) -> bool {
+    async fn ask_seed_hosts(&self) -> bool {
         let mut looks = 0;
         let guides = loop {
             match self.find_seed_hosts().await {
