--- a/src/entry/join/guides.rs
+++ b/src/entry/join/guides.rs
@@ -47,7 +47,7 @@
     }
 
     /// Names the hosts that others may ask, while this host has the duty.
-    pub(in crate::entry) async fn keep_naming_guides(self: Arc<Self>) {
+    pub(in crate::entry) async fn keep_naming_seed_hosts(self: Arc<Self>) {
         let mut named = None;
         loop {
             time::sleep(Duration::from_millis(GUIDES_EVERY_MS)).await;
