--- a/src/entry/join/guides.rs
+++ b/src/entry/join/guides.rs
@@ -59,7 +59,7 @@
                 hosts: self.guides(),
                 has_many_servers: self.has_many_servers(),
             };
-            if named.as_ref() != Some(&guides) && self.store_guides(&guides).await {
+            if named.as_ref() != Some(&guides) && self.store_seed_hosts(&guides).await {
                 named = Some(guides);
             }
         }
@@ -72,7 +72,7 @@
         })
     }
 
-    async fn store_guides(&self, guides: &SeedHosts) -> bool {
+    async fn store_seed_hosts(&self, guides: &SeedHosts) -> bool {
         let Ok(value) = serde_json::to_vec(guides) else {
             return false;
         };
