--- a/src/entry/join/guides.rs
+++ b/src/entry/join/guides.rs
@@ -8,7 +8,7 @@
 use crate::{
     entry::{
         Entry,
-        news::own_rows::{GUIDES_KEY, TABLE},
+        news::own_rows::{SEED_HOSTS_KEY, TABLE},
         peers::SeedHost,
         server::tag_of,
     },
@@ -79,7 +79,7 @@
         let transaction = Transaction {
             puts: vec![Put {
                 table: TABLE,
-                key: GUIDES_KEY,
+                key: SEED_HOSTS_KEY,
                 value: &value,
             }],
             ..Transaction::default()
--- a/src/entry/news/own_rows.rs
+++ b/src/entry/news/own_rows.rs
@@ -19,7 +19,7 @@
 pub const SECRET_KEY: &str = "secret";
 /// Key of the hosts that others may ask when they start. Comes right after that of the secret, so that one call reads
 /// both.
-pub const GUIDES_KEY: &str = "secret-guides";
+pub const SEED_HOSTS_KEY: &str = "secret-guides";
 /// Key of the requests that no server gets, since several have ended under them.
 pub const QUARANTINE_KEY: &str = "quarantine";
 
