--- a/src/entry/join/guides.rs
+++ b/src/entry/join/guides.rs
@@ -16,7 +16,7 @@
 };
 
 /// Interval at which the holder looks whether the guides are still those that it would name.
-const GUIDES_EVERY_MS: u64 = 300;
+const SEED_HOSTS_EVERY_MS: u64 = 300;
 /// Servers up to which a host reads the tables by itself: a few pages come sooner than another host that may be
 /// starting too.
 const READ_SERVERS_MAX: usize = 1_000;
@@ -50,7 +50,7 @@
     pub(in crate::entry) async fn keep_naming_seed_hosts(self: Arc<Self>) {
         let mut named = None;
         loop {
-            time::sleep(Duration::from_millis(GUIDES_EVERY_MS)).await;
+            time::sleep(Duration::from_millis(SEED_HOSTS_EVERY_MS)).await;
             if !self.duty.is_confirmed() || !self.peers.seal.is_known() {
                 named = None;
                 continue;
