--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -252,7 +252,7 @@
             .log();
         }
         if is_changed {
-            self.show_duty();
+            self.send_heartbeat();
             self.crashes.quarantined.notify_one();
         }
     }
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -135,12 +135,12 @@
     pub(in crate::entry) async fn keep_showing_duty(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(self.limits.holder_heartbeat_ms)).await;
-            self.show_duty();
+            self.send_heartbeat();
         }
     }
 
     /// Sends one heartbeat of the holder, if this host is it.
-    pub(in crate::entry) fn show_duty(&self) {
+    pub(in crate::entry) fn send_heartbeat(&self) {
         if !self.duty.is_confirmed() {
             return;
         }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -197,7 +197,7 @@
         self.apply(followed, changes.rows);
         self.freshness.note_applied(followed, changes.version);
         if self.view.evacuations().version != evacuated {
-            self.show_duty();
+            self.send_heartbeat();
         }
     }
 
