--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -132,7 +132,7 @@
 
     /// Shows the other hosts that this one has the duty, while it is confirmed: without that they
     /// must look whether to take it.
-    pub(in crate::entry) async fn keep_showing_duty(self: Arc<Self>) {
+    pub(in crate::entry) async fn keep_sending_heartbeats(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(self.limits.holder_heartbeat_ms)).await;
             self.send_heartbeat();
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -132,7 +132,7 @@
     tokio::spawn(entry.clone().keep_sending_zone_loads());
     tokio::spawn(entry.clone().keep_counting());
     tokio::spawn(entry.clone().keep_announcing());
-    tokio::spawn(entry.clone().keep_showing_duty());
+    tokio::spawn(entry.clone().keep_sending_heartbeats());
     tokio::spawn(entry.clone().keep_duty());
     tokio::spawn(entry.clone().keep_secret());
     tokio::spawn(entry.clone().keep_leasing());
