--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -95,7 +95,7 @@
 
     /// Learns from another host what the store has forgotten to tell: after an outage hundreds of hosts would read the
     /// tables as a whole. False if no host is known that surely has later changes than this one.
-    pub(in crate::entry) async fn is_told_anew(&self, followed: Followed) -> bool {
+    pub(in crate::entry) async fn resync_from_peer(&self, followed: Followed) -> bool {
         if followed == Followed::Configuration || !self.has_many_servers() {
             return false;
         }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -116,7 +116,7 @@
                     }
                     Ok(Feed::HistoryGone) => {
                         self.answered(followed);
-                        was_told = self.is_told_anew(followed).await;
+                        was_told = self.resync_from_peer(followed).await;
                         break;
                     }
                     Err(error) => {
