--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -96,7 +96,7 @@
 
 impl Join {
     /// True if another host has told this one what a table has; waits for that.
-    pub(super) async fn was_told(&self, followed: Followed) -> bool {
+    pub(super) async fn was_synced_from_peer(&self, followed: Followed) -> bool {
         if followed == Followed::Configuration {
             return false;
         }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -70,10 +70,10 @@
     }
 
     async fn follow(&self, followed: Followed) {
-        let mut was_told = self.join.was_told(followed).await;
+        let mut was_synced_from_peer = self.join.was_synced_from_peer(followed).await;
         loop {
             self.relay.begin_reading(followed);
-            if !std::mem::take(&mut was_told) && !self.read_whole(followed).await {
+            if !std::mem::take(&mut was_synced_from_peer) && !self.read_whole(followed).await {
                 pause().await;
                 self.pause_while_relays_call().await;
                 continue;
@@ -116,7 +116,7 @@
                     }
                     Ok(Feed::HistoryGone) => {
                         self.answered(followed);
-                        was_told = self.resync_from_peer(followed).await;
+                        was_synced_from_peer = self.resync_from_peer(followed).await;
                         break;
                     }
                     Err(error) => {
