--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -28,7 +28,7 @@
 impl Entry {
     /// True if this host knows all changes of a table that it has heard of, or has learned them from another host. False
     /// if it must ask the store.
-    pub(in crate::entry) async fn is_caught_up_by_others(&self, followed: Followed) -> bool {
+    pub(in crate::entry) async fn catch_up_from_peers(&self, followed: Followed) -> bool {
         if self.reliance() != Reliance::Told || !self.may_ask_others(followed) {
             return false;
         }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -89,7 +89,7 @@
                     break;
                 }
                 called_ms = began_ms;
-                if self.is_caught_up_by_others(followed).await {
+                if self.catch_up_from_peers(followed).await {
                     self.rest(followed, began_ms).await;
                     continue;
                 }
