--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -110,7 +110,7 @@
         let Some(peer) = self.peer() else {
             return false;
         };
-        self.learn_anew(followed, peer)
+        self.fetch_snapshot(followed, peer)
             .await
             .unwrap_or_else(|error| {
                 log::debug!("{peer} hands nothing on: {error}");
--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -109,7 +109,7 @@
                 match self.ask::<ServerChanges>(peer, &path).await {
                     Ok(changes) => self.take_servers(changes),
                     Err(Error::Status { status }) if status == StatusCode::GONE => {
-                        self.learn_anew(followed, peer).await?;
+                        self.fetch_snapshot(followed, peer).await?;
                     }
                     Err(error) => return Err(error),
                 }
@@ -127,7 +127,7 @@
     }
 
     /// Learns all that another host knows; false if that is not more than this one knows of a table.
-    pub(super) async fn learn_anew(
+    pub(super) async fn fetch_snapshot(
         &self,
         followed: Followed,
         peer: SocketAddr,
