--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -33,7 +33,7 @@
             return false;
         }
         let patience = Duration::from_millis(self.patience_ms(followed));
-        let learned = time::timeout(patience, self.learn_missed(followed)).await;
+        let learned = time::timeout(patience, self.fetch_missed(followed)).await;
         learned.unwrap_or(false)
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// Asks others until nothing is missing; false if there is nobody to ask.
-    async fn learn_missed(&self, followed: Followed) -> bool {
+    async fn fetch_missed(&self, followed: Followed) -> bool {
         let mut is_first = followed == Followed::Own;
         while is_first || self.is_missing(followed) {
             let Some(peer) = self.peer() else {
