--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -32,7 +32,7 @@
         if self.reliance() != Reliance::Told || !self.may_ask_others(followed) {
             return false;
         }
-        let patience = Duration::from_millis(self.patience_ms(followed));
+        let patience = Duration::from_millis(self.catch_up_timeout_ms(followed));
         let learned = time::timeout(patience, self.fetch_missed(followed)).await;
         learned.unwrap_or(false)
     }
@@ -60,7 +60,7 @@
 
     /// Time in which others may tell what was missed. Nobody is owed that a new server is known; that one leaves must be
     /// known in time, and so must a configuration.
-    fn patience_ms(&self, followed: Followed) -> u64 {
+    fn catch_up_timeout_ms(&self, followed: Followed) -> u64 {
         let applied = self.freshness.applied(followed);
         let is_owed = match followed {
             Followed::Servers => self.freshness.has_left_since(applied),
