--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -29,7 +29,7 @@
     /// True if this host knows all changes of a table that it has heard of, or has learned them from another host. False
     /// if it must ask the store.
     pub(in crate::entry) async fn catch_up_from_peers(&self, followed: Followed) -> bool {
-        if self.reliance() != Reliance::Told || !self.may_ask_others(followed) {
+        if self.reliance() != Reliance::Told || !self.asks_peers_first(followed) {
             return false;
         }
         let patience = Duration::from_millis(self.catch_up_timeout_ms(followed));
@@ -38,7 +38,7 @@
     }
 
     /// True if there are so many hosts or changes that others are asked first.
-    fn may_ask_others(&self, followed: Followed) -> bool {
+    fn asks_peers_first(&self, followed: Followed) -> bool {
         match followed {
             // While the store is lost, only this feed finds out when it is back, for the others too.
             Followed::Servers if *self.view.store_lost().borrow() => false,
