--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -99,7 +99,7 @@
 
 impl Entry {
     /// Passes changes of servers' entries on that the store told this host, which has the duty.
-    pub(super) fn pass_servers_on(&self, news: &ServerChanges) {
+    pub(super) fn broadcast_server_changes(&self, news: &ServerChanges) {
         if news.changes.is_empty() || news.changes.len() > PASSED_MAX {
             return;
         }
@@ -118,7 +118,7 @@
         match followed {
             Followed::Servers => {
                 let difference = self.view.registry().difference(rows, after);
-                self.pass_servers_on(&ServerChanges {
+                self.broadcast_server_changes(&ServerChanges {
                     after,
                     up_to: difference.version,
                     changes: decode_servers(&difference.rows),
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -208,7 +208,7 @@
             changes: decode_servers(&rows.rows),
         };
         if self.duty.term() > 0 {
-            self.pass_servers_on(&news);
+            self.broadcast_server_changes(&news);
         }
         self.take_news_of_servers(news);
     }
