--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -124,13 +124,13 @@
                     changes: decode_servers(&difference.rows),
                 });
             }
-            Followed::Configuration => self.pass_configuration_on(rows),
+            Followed::Configuration => self.broadcast_configuration(rows),
             Followed::Own => {}
         }
     }
 
     /// Passes a configuration on that the store told this host, which has the duty.
-    pub(super) fn pass_configuration_on(&self, rows: &Rows) {
+    pub(super) fn broadcast_configuration(&self, rows: &Rows) {
         let current = |row: &&Row| row.key == config::KEY && !row.removed;
         let Some(row) = rows.rows.iter().rfind(current) else {
             return;
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -189,7 +189,7 @@
         }
         let applied = self.freshness.applied(followed);
         if self.duty.term() > 0 && followed == Followed::Configuration {
-            self.pass_configuration_on(&changes);
+            self.broadcast_configuration(&changes);
         }
         let evacuated = self.view.evacuations().version;
         // Another host may have passed some of them on meanwhile, and later ones.
