--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -110,7 +110,7 @@
 
     /// Passes on what has changed since this host, which has the duty, followed a table that it has
     /// read as a whole because the store had dropped its history. Otherwise 295 hosts would read it.
-    pub(super) fn pass_difference_on(&self, followed: Followed, rows: &Rows) {
+    pub(super) fn broadcast_difference(&self, followed: Followed, rows: &Rows) {
         let after = self.freshness.applied(followed);
         if after == 0 {
             return;
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -316,7 +316,7 @@
                 self.heard_store(clock::now_ms());
                 let version = rows.version;
                 if self.duty.term() > 0 {
-                    self.pass_difference_on(followed, &rows);
+                    self.broadcast_difference(followed, &rows);
                 }
                 self.apply_whole(followed, rows);
                 self.freshness.note_applied(followed, version);
