--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -24,7 +24,7 @@
 
 /// Most changes that are passed on at a time, 30 KB. More would fill the links of small hosts; the
 /// others read that by themselves.
-const PASSED_MAX: usize = 600;
+const BROADCAST_CHANGES_MAX: usize = 600;
 
 /// Whether this host can take what is passed on.
 #[derive(Debug, Default)]
@@ -100,7 +100,7 @@
 impl Entry {
     /// Passes changes of servers' entries on that the store told this host, which has the duty.
     pub(super) fn broadcast_server_changes(&self, news: &ServerChanges) {
-        if news.changes.is_empty() || news.changes.len() > PASSED_MAX {
+        if news.changes.is_empty() || news.changes.len() > BROADCAST_CHANGES_MAX {
             return;
         }
         for part in news.clone().split() {
