--- a/src/entry/join/guides.rs
+++ b/src/entry/join/guides.rs
@@ -55,25 +55,25 @@
                 named = None;
                 continue;
             }
-            let guides = SeedHosts {
-                hosts: self.guides(),
+            let seed_hosts = SeedHosts {
+                hosts: self.seed_hosts(),
                 has_many_servers: self.has_many_servers(),
             };
-            if named.as_ref() != Some(&guides) && self.store_seed_hosts(&guides).await {
-                named = Some(guides);
+            if named.as_ref() != Some(&seed_hosts) && self.store_seed_hosts(&seed_hosts).await {
+                named = Some(seed_hosts);
             }
         }
     }
 
-    fn guides(&self) -> Vec<SeedHost> {
-        self.peers.guides(SeedHost {
+    fn seed_hosts(&self) -> Vec<SeedHost> {
+        self.peers.seed_hosts(SeedHost {
             address: self.settings.listen.peers,
             zone_tag: tag_of(&self.settings.availability_zone),
         })
     }
 
-    async fn store_seed_hosts(&self, guides: &SeedHosts) -> bool {
-        let Ok(value) = serde_json::to_vec(guides) else {
+    async fn store_seed_hosts(&self, seed_hosts: &SeedHosts) -> bool {
+        let Ok(value) = serde_json::to_vec(seed_hosts) else {
             return false;
         };
         let transaction = Transaction {
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -5,7 +5,7 @@
 
 mod ask;
 mod catch_up;
-mod guides;
+mod seed_hosts;
 mod newcomers;
 mod paths;
 mod serve;
@@ -23,7 +23,7 @@
 use tokio::{sync::watch, time};
 
 pub(super) use self::newcomers::host_key;
-use self::{guides::SeedHosts, newcomers::Newcomers};
+use self::{seed_hosts::SeedHosts, newcomers::Newcomers};
 use super::{
     Entry,
     events::Event,
@@ -142,7 +142,7 @@
 
     async fn ask_seed_hosts(&self) -> bool {
         let mut looks = 0;
-        let guides = loop {
+        let seed_hosts = loop {
             match self.find_seed_hosts().await {
                 // At the first start nobody knows yet how many servers there will be, and nobody is in a hurry.
                 Some(Found::SeedHosts {
@@ -170,7 +170,7 @@
         };
         let until_ms = clock::now_ms() + ask_for_ms;
         while clock::now_ms() < until_ms {
-            let seed_host = guides[rand::random_range(0..guides.len())];
+            let seed_host = seed_hosts[rand::random_range(0..seed_hosts.len())];
             match self.ask(seed_host, paths::SNAPSHOT).await {
                 Ok(snapshot) => {
                     self.take_snapshot(&snapshot);
@@ -199,29 +199,29 @@
                 return None;
             }
         };
-        let mut guides = SeedHosts::default();
+        let mut seed_hosts = SeedHosts::default();
         for row in &rows {
             if row.key == SECRET_KEY {
                 self.apply_secret(row);
             } else if row.key == SEED_HOSTS_KEY {
-                guides = SeedHosts::decode(row);
+                seed_hosts = SeedHosts::decode(row);
             }
         }
         let own = self.settings.listen.peers;
-        guides.hosts.retain(|seed_host| seed_host.address != own);
-        if guides.hosts.is_empty() || !self.peers.seal.is_known() {
+        seed_hosts.hosts.retain(|seed_host| seed_host.address != own);
+        if seed_hosts.hosts.is_empty() || !self.peers.seal.is_known() {
             return Some(Found::Nobody);
         }
         let own_zone = tag_of(&self.settings.availability_zone);
-        let near = guides
+        let near = seed_hosts
             .hosts
             .iter()
             .filter(|seed_host| seed_host.zone_tag == own_zone);
         let near: Vec<SocketAddr> = near.map(|seed_host| seed_host.address).collect();
-        let all = guides.hosts.iter().map(|seed_host| seed_host.address);
+        let all = seed_hosts.hosts.iter().map(|seed_host| seed_host.address);
         Some(Found::SeedHosts {
             addresses: if near.is_empty() { all.collect() } else { near },
-            has_many_servers: guides.has_many_servers,
+            has_many_servers: seed_hosts.has_many_servers,
         })
     }
 
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -171,7 +171,7 @@
     }
 
     /// Hosts that others may ask when they start: those that get messages for all, and this one.
-    pub fn guides(&self, own: SeedHost) -> Vec<SeedHost> {
+    pub fn seed_hosts(&self, own: SeedHost) -> Vec<SeedHost> {
         let Fanout { direct, relays } = self.present_fanout();
         let peers = self.peers();
         let zone_tag = |address: &SocketAddr| peers.get(address).map(|peer| peer.facts.zone_tag);
@@ -182,9 +182,9 @@
                 zone_tag: zone_tag(address)?,
             })
         });
-        let mut guides: Vec<SeedHost> = others.chain([own]).collect();
-        guides.sort_unstable();
-        guides
+        let mut seed_hosts: Vec<SeedHost> = others.chain([own]).collect();
+        seed_hosts.sort_unstable();
+        seed_hosts
     }
 
     /// The hosts that pass messages on to the zone of this one, which may be one of them.
