--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -246,7 +246,7 @@
     /// the holder of the duty.
     ReportLeaving(Vec<u32>),
     /// The same from the holder of the duty, which heard it of any host.
-    Leaving(Vec<u32>),
+    AnnounceLeaving(Vec<u32>),
     /// What workspaces have used at the sender. For the holder of the duty.
     ReportUsage(Vec<WorkspaceUse>),
     /// What hosts may admit of workspaces' requests, from the holder of the duty.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -184,7 +184,7 @@
                 changed,
             } => self.note_proof(nonce, age_ms, changed),
             Message::ReportLeaving(tags) => self.take_said_leaving(&tags),
-            Message::Leaving(tags) => {
+            Message::AnnounceLeaving(tags) => {
                 self.note_leaving_elsewhere(&tags);
             }
             Message::RelayAck => {}
