--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -127,7 +127,7 @@
     reported: Mutex<Vec<KeyCount>>,
     holder: Mutex<Option<SocketAddr>>,
     holder_term: AtomicU64,
-    told_hosts: AtomicUsize,
+    duty_holder_hosts: AtomicUsize,
     holder_heard_ms: AtomicU64,
     /// Paces that other hosts reported, until they are taken in.
     paces: Mutex<Vec<ReportedPace>>,
@@ -227,7 +227,7 @@
     /// Number of hosts, this one included: those that this host knows, or more if the holder of the duty knows more.
     /// What all hosts share is divided by it, so that too many are better than too few.
     pub fn hosts(&self) -> usize {
-        self.known().max(self.told_hosts.load(Ordering::Relaxed))
+        self.known().max(self.duty_holder_hosts.load(Ordering::Relaxed))
     }
 
     /// Number of hosts that this host knows, itself included.
@@ -237,7 +237,7 @@
 
     /// Notes how many hosts the holder of the duty knows.
     fn note_told_hosts(&self, hosts: u32) {
-        self.told_hosts.store(hosts as usize, Ordering::Relaxed);
+        self.duty_holder_hosts.store(hosts as usize, Ordering::Relaxed);
     }
 
     /// Numbers of hosts in the own zone and in all.
