--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -236,7 +236,7 @@
     }
 
     /// Notes how many hosts the holder of the duty knows.
-    fn note_told_hosts(&self, hosts: u32) {
+    fn note_duty_holder_hosts(&self, hosts: u32) {
         self.duty_holder_hosts.store(hosts as usize, Ordering::Relaxed);
     }
 
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -111,7 +111,7 @@
                 evacuations,
                 quarantined,
             } => {
-                self.peers.note_told_hosts(hosts);
+                self.peers.note_duty_holder_hosts(hosts);
                 // A later state counts, however it came here.
                 self.view.evacuate(evacuations);
                 self.put_in_quarantine(&quarantined, "the holder of the duty tells it");
