--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -80,7 +80,7 @@
 struct Peer {
     facts: HostFacts,
     /// When it was first given a message to relay since it was last heard; 0 if it was not.
-    asked_ms: u64,
+    relay_since_ms: u64,
     heard_ms: u64,
     loads: Vec<ServerLoad>,
     run_times: Vec<RunTime>,
@@ -92,7 +92,7 @@
             address,
             zone_tag: self.facts.zone_tag,
             processor_share: self.facts.processor_share,
-            is_silent: self.asked_ms > 0 && now_ms > self.asked_ms + RELAY_SILENT_MS,
+            is_silent: self.relay_since_ms > 0 && now_ms > self.relay_since_ms + RELAY_SILENT_MS,
         }
     }
 
@@ -143,7 +143,7 @@
         let mut peers = self.peers();
         let peer = peers.entry(address).or_insert_with(|| Peer {
             facts,
-            asked_ms: 0,
+            relay_since_ms: 0,
             heard_ms: 0,
             loads: Vec::new(),
             run_times: Vec::new(),
@@ -154,7 +154,7 @@
     /// Notes that a host was heard.
     fn note_heard(&self, address: SocketAddr) {
         if let Some(peer) = self.peers().get_mut(&address) {
-            peer.asked_ms = 0;
+            peer.relay_since_ms = 0;
         }
     }
 
