--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -30,7 +30,7 @@
     /// The fan-out to all hosts; its relays must acknowledge.
     fn fanout(&self) -> Fanout {
         let fanout = self.present_fanout();
-        self.note_asked(&fanout.relays);
+        self.expect_relay_acks(&fanout.relays);
         fanout
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// Notes that relays owe an acknowledgement.
-    pub(super) fn note_asked(&self, relays: &[SocketAddr]) {
+    pub(super) fn expect_relay_acks(&self, relays: &[SocketAddr]) {
         let now_ms = clock::now_ms();
         let mut peers = self.peers();
         for address in relays {
@@ -104,7 +104,7 @@
                 .collect();
             relays.extend(fanout::zone_relays(&mut others));
         }
-        self.note_asked(&relays);
+        self.expect_relay_acks(&relays);
         let (own_loads, own_run_times) = own_report();
         add_report(&mut sums, &own_loads, &own_run_times);
         let mut summaries: Vec<ServerSummary> = sums
