--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -28,7 +28,7 @@
 
 /// One word, for its service.
 #[derive(Clone, Debug)]
-enum Word {
+enum Update {
     Moving(Announcement),
     Held(Holding),
 }
@@ -37,7 +37,7 @@
 struct Item {
     due_ms: u64,
     service_tag: u32,
-    word: Word,
+    word: Update,
 }
 
 /// What waits to be sent.
@@ -52,7 +52,7 @@
         self.items().push(Item {
             due_ms: clock::now_ms(),
             service_tag,
-            word: Word::Moving(announcement),
+            word: Update::Moving(announcement),
         });
     }
 
@@ -63,7 +63,7 @@
         items.extend(TELL_HELD_AFTER_MS.iter().map(|after_ms| Item {
             due_ms: now_ms + after_ms,
             service_tag,
-            word: Word::Held(holding.clone()),
+            word: Update::Held(holding.clone()),
         }));
     }
 
@@ -81,8 +81,8 @@
         let mut held: BTreeMap<u32, Vec<Holding>> = BTreeMap::new();
         for item in due {
             match item.word {
-                Word::Moving(word) => moving.entry(item.service_tag).or_default().push(word),
-                Word::Held(word) => held.entry(item.service_tag).or_default().push(word),
+                Update::Moving(word) => moving.entry(item.service_tag).or_default().push(word),
+                Update::Held(word) => held.entry(item.service_tag).or_default().push(word),
             }
         }
         let moving = moving.into_iter().flat_map(|(service_tag, words)| {
