--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -24,7 +24,7 @@
 /// grant hold the keys' requests back.
 const TELL_HELD_AFTER_MS: [u64; 3] = [0, 300, 1_000];
 /// Most moves or grants in one datagram, of at most 40 bytes each.
-const WORDS_MAX: usize = 30;
+const UPDATES_MAX: usize = 30;
 
 /// One word, for its service.
 #[derive(Clone, Debug)]
@@ -90,14 +90,14 @@
                 service_tag,
                 announcements: words.to_vec(),
             };
-            words.chunks(WORDS_MAX).map(message).collect::<Vec<_>>()
+            words.chunks(UPDATES_MAX).map(message).collect::<Vec<_>>()
         });
         let held = held.into_iter().flat_map(|(service_tag, words)| {
             let message = |words: &[Holding]| Message::Held {
                 service_tag,
                 holdings: words.to_vec(),
             };
-            words.chunks(WORDS_MAX).map(message).collect::<Vec<_>>()
+            words.chunks(UPDATES_MAX).map(message).collect::<Vec<_>>()
         });
         moving.chain(held).collect()
     }
