--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -37,7 +37,7 @@
 struct Item {
     due_ms: u64,
     service_tag: u32,
-    word: Update,
+    update: Update,
 }
 
 /// What waits to be sent.
@@ -52,7 +52,7 @@
         self.items().push(Item {
             due_ms: clock::now_ms(),
             service_tag,
-            word: Update::Moving(announcement),
+            update: Update::Moving(announcement),
         });
     }
 
@@ -63,7 +63,7 @@
         items.extend(TELL_HELD_AFTER_MS.iter().map(|after_ms| Item {
             due_ms: now_ms + after_ms,
             service_tag,
-            word: Update::Held(holding.clone()),
+            update: Update::Held(holding.clone()),
         }));
     }
 
@@ -80,9 +80,9 @@
         let mut moving: BTreeMap<u32, Vec<Announcement>> = BTreeMap::new();
         let mut held: BTreeMap<u32, Vec<Holding>> = BTreeMap::new();
         for item in due {
-            match item.word {
-                Update::Moving(word) => moving.entry(item.service_tag).or_default().push(word),
-                Update::Held(word) => held.entry(item.service_tag).or_default().push(word),
+            match item.update {
+                Update::Moving(update) => moving.entry(item.service_tag).or_default().push(update),
+                Update::Held(update) => held.entry(item.service_tag).or_default().push(update),
             }
         }
         let moving = moving.into_iter().flat_map(|(service_tag, words)| {
