--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -85,19 +85,19 @@
                 Update::Held(update) => held.entry(item.service_tag).or_default().push(update),
             }
         }
-        let moving = moving.into_iter().flat_map(|(service_tag, words)| {
-            let message = |words: &[Announcement]| Message::Moving {
+        let moving = moving.into_iter().flat_map(|(service_tag, updates)| {
+            let message = |updates: &[Announcement]| Message::Moving {
                 service_tag,
-                announcements: words.to_vec(),
+                announcements: updates.to_vec(),
             };
-            words.chunks(UPDATES_MAX).map(message).collect::<Vec<_>>()
+            updates.chunks(UPDATES_MAX).map(message).collect::<Vec<_>>()
         });
-        let held = held.into_iter().flat_map(|(service_tag, words)| {
-            let message = |words: &[Holding]| Message::Held {
+        let held = held.into_iter().flat_map(|(service_tag, updates)| {
+            let message = |updates: &[Holding]| Message::Held {
                 service_tag,
-                holdings: words.to_vec(),
+                holdings: updates.to_vec(),
             };
-            words.chunks(UPDATES_MAX).map(message).collect::<Vec<_>>()
+            updates.chunks(UPDATES_MAX).map(message).collect::<Vec<_>>()
         });
         moving.chain(held).collect()
     }
