--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -32,7 +32,7 @@
     intervals::report_age_max_ms,
     message::{Message, RunTime, ServerLoad, ServerPace, VERSION},
     outbox::Outbox,
-    zone_loads::{ZoneLoads, ZoneNews},
+    zone_loads::{ZoneLoads, ZoneLoadChanges},
 };
 use super::{decide::choice::HostCount, news::snapshot::KnownHost, seal::Seal, server::tag_of};
 use crate::clock;
@@ -134,7 +134,7 @@
     one_way_delay: Mutex<OneWayDelay>,
     zone_loads: Mutex<ZoneLoads>,
     /// What this host has told the other zones, if it speaks for its own.
-    zone_news: Mutex<ZoneNews>,
+    zone_news: Mutex<ZoneLoadChanges>,
 }
 
 impl Peers {
--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -65,11 +65,11 @@
 /// What the host that speaks for its zone has told. Thousands of servers that run no requests would fill the links of
 /// small hosts with what these know already.
 #[derive(Debug, Default)]
-pub struct ZoneNews {
+pub struct ZoneLoadChanges {
     told: HashMap<u32, Heard>,
 }
 
-impl ZoneNews {
+impl ZoneLoadChanges {
     /// Those of the sums that say something new.
     pub fn news(&mut self, sums: Vec<ServerSummary>, now_ms: u64) -> Vec<ServerSummary> {
         let mut news: Vec<ServerSummary> = sums
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -18,7 +18,7 @@
             SHARED_SUSPECTS_MAX, Sender, ServerLoad, ServerPace, ServerRate, ServerSummary,
             ToldRate,
         },
-        zone_loads::{ZoneLoads, ZoneNews, parts},
+        zone_loads::{ZoneLoadChanges, ZoneLoads, parts},
     },
     server::tag_of,
 };
@@ -219,7 +219,7 @@
     const SERVERS: u32 = 3_000;
     const BUSY: u32 = 300;
     const SUM_EVERY_MS: u64 = 250;
-    let mut news = ZoneNews::default();
+    let mut news = ZoneLoadChanges::default();
     let mut heard = ZoneLoads::default();
     let mut told = 0;
     let rounds = 40;
