--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -134,7 +134,7 @@
     one_way_delay: Mutex<OneWayDelay>,
     zone_loads: Mutex<ZoneLoads>,
     /// What this host has told the other zones, if it speaks for its own.
-    zone_news: Mutex<ZoneLoadChanges>,
+    zone_load_changes: Mutex<ZoneLoadChanges>,
 }
 
 impl Peers {
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -117,7 +117,7 @@
             .collect();
         summaries.sort_unstable_by_key(|summary| summary.server_tag);
         let summaries = self
-            .zone_news
+            .zone_load_changes
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .news(summaries, now_ms);
