--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -84,7 +84,7 @@
             let every_ms = TAKE_IN_EVERY_MS * servers / TAKE_IN_SERVERS;
             let every_ms = every_ms.clamp(TAKE_IN_EVERY_MS, TAKE_IN_EVERY_MAX_MS);
             time::sleep(Duration::from_millis(every_ms)).await;
-            self.take_in_reports();
+            self.apply_reports();
         }
     }
 
@@ -207,7 +207,7 @@
         }
     }
 
-    fn take_in_reports(&self) {
+    fn apply_reports(&self) {
         let loads = self.peers.loads();
         let mut latest: HashMap<u32, ReportedPace> = HashMap::new();
         for reported in self.peers.take_paces() {
