--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -78,7 +78,7 @@
     }
 
     /// Takes in what the other hosts report, soon after it comes.
-    pub(in crate::entry) async fn keep_taking_in_reports(self: Arc<Self>) {
+    pub(in crate::entry) async fn keep_applying_reports(self: Arc<Self>) {
         loop {
             let servers = self.view.registry().servers().count() as u64;
             let every_ms = TAKE_IN_EVERY_MS * servers / TAKE_IN_SERVERS;
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -128,7 +128,7 @@
     tokio::spawn(entry.clone().drop_overdue_servers());
     tokio::spawn(entry.clone().keep_listening(peers));
     tokio::spawn(entry.clone().keep_reporting());
-    tokio::spawn(entry.clone().keep_taking_in_reports());
+    tokio::spawn(entry.clone().keep_applying_reports());
     tokio::spawn(entry.clone().keep_sending_zone_loads());
     tokio::spawn(entry.clone().keep_counting());
     tokio::spawn(entry.clone().keep_announcing());
