--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -20,7 +20,7 @@
 const KEYS_EVERY_MS: u64 = 150;
 /// Interval at which reports of the other hosts are taken into the loads of up to [`TAKE_IN_SERVERS`]
 /// servers; it grows in proportion to their number, so that a host's work does not.
-const TAKE_IN_EVERY_MS: u64 = 25;
+const APPLY_EVERY_MS: u64 = 25;
 const TAKE_IN_SERVERS: u64 = 220;
 /// Longest such interval.
 const TAKE_IN_EVERY_MAX_MS: u64 = 150;
@@ -81,8 +81,8 @@
     pub(in crate::entry) async fn keep_applying_reports(self: Arc<Self>) {
         loop {
             let servers = self.view.registry().servers().count() as u64;
-            let every_ms = TAKE_IN_EVERY_MS * servers / TAKE_IN_SERVERS;
-            let every_ms = every_ms.clamp(TAKE_IN_EVERY_MS, TAKE_IN_EVERY_MAX_MS);
+            let every_ms = APPLY_EVERY_MS * servers / TAKE_IN_SERVERS;
+            let every_ms = every_ms.clamp(APPLY_EVERY_MS, TAKE_IN_EVERY_MAX_MS);
             time::sleep(Duration::from_millis(every_ms)).await;
             self.apply_reports();
         }
