--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -23,7 +23,7 @@
 const APPLY_EVERY_MS: u64 = 25;
 const APPLY_SERVERS: u64 = 220;
 /// Longest such interval.
-const TAKE_IN_EVERY_MAX_MS: u64 = 150;
+const APPLY_EVERY_MAX_MS: u64 = 150;
 /// Sends reports.
 #[derive(Debug, Default)]
 struct Reporter {
@@ -82,7 +82,7 @@
         loop {
             let servers = self.view.registry().servers().count() as u64;
             let every_ms = APPLY_EVERY_MS * servers / APPLY_SERVERS;
-            let every_ms = every_ms.clamp(APPLY_EVERY_MS, TAKE_IN_EVERY_MAX_MS);
+            let every_ms = every_ms.clamp(APPLY_EVERY_MS, APPLY_EVERY_MAX_MS);
             time::sleep(Duration::from_millis(every_ms)).await;
             self.apply_reports();
         }
