--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -40,11 +40,11 @@
                     continue;
                 }
             };
-            self.take_in(&buffer[..length], from);
+            self.handle_datagram(&buffer[..length], from);
         }
     }
 
-    fn take_in(&self, datagram: &[u8], from: SocketAddr) {
+    fn handle_datagram(&self, datagram: &[u8], from: SocketAddr) {
         let Some(message) = self.peers.seal.open(datagram) else {
             // Another secret may be in use, if it was a host.
             log::debug!("datagram of {from} has no known seal");
