--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -129,7 +129,7 @@
             } => self.peers.note_zone_loads(zone_tag, summaries),
             Message::Servers(changes) => self.take_servers(changes),
             Message::Configuration(piece) => self.take_configuration(piece),
-            Message::QueryKeyOwner { service_tag, key } => self.tell_holder(from, service_tag, key),
+            Message::QueryKeyOwner { service_tag, key } => self.send_key_owner(from, service_tag, key),
             Message::Stopped { term } => self.duty.note_stopped(from, term),
             Message::Keys(keys) => {
                 if self.duty.term() > 0 {
@@ -223,7 +223,7 @@
     }
 
     /// Tells a host that met a server without a key who holds it, while this host has the duty.
-    fn tell_holder(&self, to: SocketAddr, service_tag: u32, key: u16) {
+    fn send_key_owner(&self, to: SocketAddr, service_tag: u32, key: u16) {
         if self.duty.term() == 0 {
             return;
         }
