--- a/src/entry/peers/fanout.rs
+++ b/src/entry/peers/fanout.rs
@@ -50,13 +50,13 @@
     ranked.sort_by_key(|host| host.zone_tag);
     let mut fanout = Fanout::default();
     for zone in ranked.chunk_by(|one, other| one.zone_tag == other.zone_tag) {
-        fanout.relays.extend(zone_pair(zone, term));
+        fanout.relays.extend(choose_zone_relays(zone, term));
     }
     fanout
 }
 
 /// The relays of one zone.
-pub fn zone_pair(zone: &[RelayCandidate], term: u64) -> Vec<SocketAddr> {
+pub fn choose_zone_relays(zone: &[RelayCandidate], term: u64) -> Vec<SocketAddr> {
     let mut ranked: Vec<RelayCandidate> = zone.to_vec();
     ranked.sort_by_cached_key(|host| order(host, term));
     let chosen = ranked.iter().take(RELAYS);
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -198,7 +198,7 @@
         };
         let term = self.holder_term.load(Ordering::Relaxed);
         let zone: Vec<RelayCandidate> = near.into_iter().chain([own]).collect();
-        fanout::zone_pair(&zone, term)
+        fanout::choose_zone_relays(&zone, term)
     }
 
     /// The host that this one asks for what it has missed: among many, one that passes messages on to its zone; the holder
