--- a/src/entry/peers/intervals.rs
+++ b/src/entry/peers/intervals.rs
@@ -10,7 +10,7 @@
 /// that the host lives.
 pub const FULL_REPORT_EVERY: u64 = 8;
 /// Interval of the sums of a zone.
-pub const SUM_EVERY_MS: u64 = 250;
+pub const ZONE_LOADS_EVERY_MS: u64 = 250;
 /// Age after which a report no longer counts, beyond the longest time between two of them.
 const REPORT_AGE_SLACK_MS: u64 = 400;
 
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -8,7 +8,7 @@
 use super::{
     ReportedPace,
     fanout::RelayCandidate,
-    intervals::{FULL_REPORT_EVERY, SUM_EVERY_MS, report_every_ms},
+    intervals::{FULL_REPORT_EVERY, ZONE_LOADS_EVERY_MS, report_every_ms},
     message::{ENTRIES_MAX, KeyCount, Message, PACES_MAX, RunTime, Sender, ServerLoad, ServerPace},
 };
 use crate::{
@@ -91,7 +91,7 @@
     /// Tells the other zones what the hosts of the own one report.
     pub(in crate::entry) async fn keep_sending_zone_loads(self: Arc<Self>) {
         loop {
-            time::sleep(Duration::from_millis(SUM_EVERY_MS)).await;
+            time::sleep(Duration::from_millis(ZONE_LOADS_EVERY_MS)).await;
             if self.peers.are_many() {
                 self.peers
                     .send_zone_loads(self.as_relay(), || (self.own_loads(), self.own_run_times()));
