--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -118,7 +118,7 @@
     }
 
     /// Reports requests by key to the holder of the duty.
-    pub(in crate::entry) async fn keep_counting(self: Arc<Self>) {
+    pub(in crate::entry) async fn keep_reporting_keys(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(KEYS_EVERY_MS)).await;
             let keys = self.peers.take_counted();
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -130,7 +130,7 @@
     tokio::spawn(entry.clone().keep_reporting());
     tokio::spawn(entry.clone().keep_applying_reports());
     tokio::spawn(entry.clone().keep_sending_zone_loads());
-    tokio::spawn(entry.clone().keep_counting());
+    tokio::spawn(entry.clone().keep_reporting_keys());
     tokio::spawn(entry.clone().keep_announcing());
     tokio::spawn(entry.clone().keep_sending_heartbeats());
     tokio::spawn(entry.clone().keep_duty());
