--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -104,7 +104,7 @@
     }
 
     /// Notes that the hosts' secret may be another one by now, which only the store can tell.
-    pub(super) fn doubt_secret(&self) {
+    pub(super) fn flag_stale_secret(&self) {
         self.secret_doubted.store(true, Ordering::Relaxed);
     }
 
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -49,7 +49,7 @@
             // Another secret may be in use, if it was a host.
             log::debug!("datagram of {from} has no known seal");
             if self.peers.knows(from) {
-                self.join.doubt_secret();
+                self.join.flag_stale_secret();
                 self.view.want_reading(Followed::Own);
             }
             return;
