--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -79,7 +79,7 @@
     /// Last snapshot that was handed on, sealed, and when it was made.
     encoded: Mutex<Option<(Bytes, u64)>>,
     /// A datagram of a known host came under another secret than this host knows.
-    secret_doubted: AtomicBool,
+    secret_may_be_stale: AtomicBool,
     newcomers: Newcomers,
 }
 
@@ -88,7 +88,7 @@
         Self {
             outcome: watch::channel(Outcome::Asking).0,
             encoded: Mutex::default(),
-            secret_doubted: AtomicBool::new(false),
+            secret_may_be_stale: AtomicBool::new(false),
             newcomers: Newcomers::default(),
         }
     }
@@ -105,12 +105,12 @@
 
     /// Notes that the hosts' secret may be another one by now, which only the store can tell.
     pub(super) fn flag_stale_secret(&self) {
-        self.secret_doubted.store(true, Ordering::Relaxed);
+        self.secret_may_be_stale.store(true, Ordering::Relaxed);
     }
 
     /// True if the secret was doubted since the last call.
     fn take_secret_doubt(&self) -> bool {
-        self.secret_doubted.swap(false, Ordering::Relaxed)
+        self.secret_may_be_stale.swap(false, Ordering::Relaxed)
     }
 
     /// How this host has learned what it knows; waits for that.
