--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -47,7 +47,7 @@
             Followed::Own => {
                 self.peers.are_many()
                     && self.peers.seal.is_known()
-                    && !self.join.take_secret_doubt()
+                    && !self.join.take_stale_secret_flag()
             }
         }
     }
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -109,7 +109,7 @@
     }
 
     /// True if the secret was doubted since the last call.
-    fn take_secret_doubt(&self) -> bool {
+    fn take_stale_secret_flag(&self) -> bool {
         self.secret_may_be_stale.swap(false, Ordering::Relaxed)
     }
 
