--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -66,7 +66,7 @@
 /// Whether this host has learned from another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
-    Asking,
+    Pending,
     Told,
     /// It reads the tables by itself.
     Alone,
@@ -86,7 +86,7 @@
 impl Default for Join {
     fn default() -> Self {
         Self {
-            outcome: watch::channel(Outcome::Asking).0,
+            outcome: watch::channel(Outcome::Pending).0,
             encoded: Mutex::default(),
             secret_may_be_stale: AtomicBool::new(false),
             newcomers: Newcomers::default(),
@@ -117,7 +117,7 @@
     pub(super) async fn ended(&self) -> Outcome {
         let mut outcome = self.outcome.subscribe();
         let known = outcome
-            .wait_for(|outcome| *outcome != Outcome::Asking)
+            .wait_for(|outcome| *outcome != Outcome::Pending)
             .await;
         known.map_or(Outcome::Alone, |outcome| *outcome)
     }
