--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -67,7 +67,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
     Pending,
-    Told,
+    Synced,
     /// It reads the tables by itself.
     Alone,
 }
@@ -100,7 +100,7 @@
         if followed == Followed::Configuration {
             return false;
         }
-        self.ended().await == Outcome::Told
+        self.ended().await == Outcome::Synced
     }
 
     /// Notes that the hosts' secret may be another one by now, which only the store can tell.
@@ -128,12 +128,12 @@
     pub(super) async fn join(self: Arc<Self>) {
         let began_ms = clock::now_ms();
         let outcome = if self.ask_seed_hosts().await {
-            Outcome::Told
+            Outcome::Synced
         } else {
             Outcome::Alone
         };
         Event::Joined {
-            told: outcome == Outcome::Told,
+            told: outcome == Outcome::Synced,
             after_ms: clock::now_ms() - began_ms,
         }
         .log();
