--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -69,7 +69,7 @@
     Pending,
     Synced,
     /// It reads the tables by itself.
-    Alone,
+    ReadsTables,
 }
 
 /// This host's start.
@@ -119,7 +119,7 @@
         let known = outcome
             .wait_for(|outcome| *outcome != Outcome::Pending)
             .await;
-        known.map_or(Outcome::Alone, |outcome| *outcome)
+        known.map_or(Outcome::ReadsTables, |outcome| *outcome)
     }
 }
 
@@ -130,7 +130,7 @@
         let outcome = if self.ask_seed_hosts().await {
             Outcome::Synced
         } else {
-            Outcome::Alone
+            Outcome::ReadsTables
         };
         Event::Joined {
             told: outcome == Outcome::Synced,
