--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -65,7 +65,7 @@
 
 /// Whether this host has learned from another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Outcome {
+pub(super) enum SyncOutcome {
     Pending,
     Synced,
     /// It reads the tables by itself.
@@ -75,7 +75,7 @@
 /// This host's start.
 #[derive(Debug)]
 pub struct Join {
-    outcome: watch::Sender<Outcome>,
+    outcome: watch::Sender<SyncOutcome>,
     /// Last snapshot that was handed on, sealed, and when it was made.
     encoded: Mutex<Option<(Bytes, u64)>>,
     /// A datagram of a known host came under another secret than this host knows.
@@ -86,7 +86,7 @@
 impl Default for Join {
     fn default() -> Self {
         Self {
-            outcome: watch::channel(Outcome::Pending).0,
+            outcome: watch::channel(SyncOutcome::Pending).0,
             encoded: Mutex::default(),
             secret_may_be_stale: AtomicBool::new(false),
             newcomers: Newcomers::default(),
@@ -100,7 +100,7 @@
         if followed == Followed::Configuration {
             return false;
         }
-        self.ended().await == Outcome::Synced
+        self.ended().await == SyncOutcome::Synced
     }
 
     /// Notes that the hosts' secret may be another one by now, which only the store can tell.
@@ -114,12 +114,12 @@
     }
 
     /// How this host has learned what it knows; waits for that.
-    pub(super) async fn ended(&self) -> Outcome {
+    pub(super) async fn ended(&self) -> SyncOutcome {
         let mut outcome = self.outcome.subscribe();
         let known = outcome
-            .wait_for(|outcome| *outcome != Outcome::Pending)
+            .wait_for(|outcome| *outcome != SyncOutcome::Pending)
             .await;
-        known.map_or(Outcome::ReadsTables, |outcome| *outcome)
+        known.map_or(SyncOutcome::ReadsTables, |outcome| *outcome)
     }
 }
 
@@ -128,12 +128,12 @@
     pub(super) async fn join(self: Arc<Self>) {
         let began_ms = clock::now_ms();
         let outcome = if self.ask_seed_hosts().await {
-            Outcome::Synced
+            SyncOutcome::Synced
         } else {
-            Outcome::ReadsTables
+            SyncOutcome::ReadsTables
         };
         Event::Joined {
-            told: outcome == Outcome::Synced,
+            told: outcome == SyncOutcome::Synced,
             after_ms: clock::now_ms() - began_ms,
         }
         .log();
