--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -53,7 +53,7 @@
 const EARLY_PROCESSOR_SHARE: f32 = 0.5;
 
 /// What a host that starts finds in the store.
-enum Found {
+enum SeedHostLookup {
     /// Nobody has named guides yet.
     Nobody,
     /// Addresses of guides.
@@ -145,12 +145,12 @@
         let seed_hosts = loop {
             match self.find_seed_hosts().await {
                 // At the first start nobody knows yet how many servers there will be, and nobody is in a hurry.
-                Some(Found::SeedHosts {
+                Some(SeedHostLookup::SeedHosts {
                     addresses,
                     has_many_servers,
                 }) if has_many_servers || looks > 0 => break addresses,
-                Some(Found::SeedHosts { .. }) => return false,
-                Some(Found::Nobody) => {}
+                Some(SeedHostLookup::SeedHosts { .. }) => return false,
+                Some(SeedHostLookup::Nobody) => {}
                 None => {
                     pause().await;
                     continue;
@@ -184,7 +184,7 @@
     }
 
     /// Guides of the own zone, or all of them if it has none; `None` if the store does not answer.
-    async fn find_seed_hosts(&self) -> Option<Found> {
+    async fn find_seed_hosts(&self) -> Option<SeedHostLookup> {
         let rows = match self
             .store
             .range(TABLE, PART, SECRET_KEY, SEED_HOSTS_KEY)
@@ -210,7 +210,7 @@
         let own = self.settings.listen.peers;
         seed_hosts.hosts.retain(|seed_host| seed_host.address != own);
         if seed_hosts.hosts.is_empty() || !self.peers.seal.is_known() {
-            return Some(Found::Nobody);
+            return Some(SeedHostLookup::Nobody);
         }
         let own_zone = tag_of(&self.settings.availability_zone);
         let near = seed_hosts
@@ -219,7 +219,7 @@
             .filter(|seed_host| seed_host.zone_tag == own_zone);
         let near: Vec<SocketAddr> = near.map(|seed_host| seed_host.address).collect();
         let all = seed_hosts.hosts.iter().map(|seed_host| seed_host.address);
-        Some(Found::SeedHosts {
+        Some(SeedHostLookup::SeedHosts {
             addresses: if near.is_empty() { all.collect() } else { near },
             has_many_servers: seed_hosts.has_many_servers,
         })
