--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -55,7 +55,7 @@
 /// What a host that starts finds in the store.
 enum SeedHostLookup {
     /// Nobody has named guides yet.
-    Nobody,
+    NoneStored,
     /// Addresses of guides.
     SeedHosts {
         addresses: Vec<SocketAddr>,
@@ -150,7 +150,7 @@
                     has_many_servers,
                 }) if has_many_servers || looks > 0 => break addresses,
                 Some(SeedHostLookup::SeedHosts { .. }) => return false,
-                Some(SeedHostLookup::Nobody) => {}
+                Some(SeedHostLookup::NoneStored) => {}
                 None => {
                     pause().await;
                     continue;
@@ -210,7 +210,7 @@
         let own = self.settings.listen.peers;
         seed_hosts.hosts.retain(|seed_host| seed_host.address != own);
         if seed_hosts.hosts.is_empty() || !self.peers.seal.is_known() {
-            return Some(SeedHostLookup::Nobody);
+            return Some(SeedHostLookup::NoneStored);
         }
         let own_zone = tag_of(&self.settings.availability_zone);
         let near = seed_hosts
