--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -44,7 +44,7 @@
 const ASK_EARLY_FOR_MS: u64 = 600;
 /// Time after which a host looks for guides again that found none, at the first start of a deployment. The first
 /// holder of the duty has named some by then.
-const LOOK_AGAIN_MS: u64 = 2_200;
+const LOOKUP_RETRY_MS: u64 = 2_200;
 /// Time over which hosts spread that.
 const LOOK_SPREAD_MS: u64 = 700;
 /// One in so many weak hosts reads the tables early.
@@ -160,7 +160,7 @@
             if self.is_early() || looks > 1 {
                 return false;
             }
-            let wait_ms = LOOK_AGAIN_MS + rand::random_range(0..LOOK_SPREAD_MS);
+            let wait_ms = LOOKUP_RETRY_MS + rand::random_range(0..LOOK_SPREAD_MS);
             time::sleep(Duration::from_millis(wait_ms)).await;
         };
         let ask_for_ms = if self.is_early() {
