--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -46,7 +46,7 @@
 /// holder of the duty has named some by then.
 const LOOKUP_RETRY_MS: u64 = 2_200;
 /// Time over which hosts spread that.
-const LOOK_SPREAD_MS: u64 = 700;
+const LOOKUP_JITTER_MS: u64 = 700;
 /// One in so many weak hosts reads the tables early.
 const EARLY_ONE_IN: u32 = 32;
 /// Share of a processor from which a host does.
@@ -160,7 +160,7 @@
             if self.is_early() || looks > 1 {
                 return false;
             }
-            let wait_ms = LOOKUP_RETRY_MS + rand::random_range(0..LOOK_SPREAD_MS);
+            let wait_ms = LOOKUP_RETRY_MS + rand::random_range(0..LOOKUP_JITTER_MS);
             time::sleep(Duration::from_millis(wait_ms)).await;
         };
         let ask_for_ms = if self.is_early() {
