--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -39,7 +39,7 @@
 /// Pause between two questions.
 const ASK_EVERY_MS: u64 = 250;
 /// Time for which a host asks others before it reads the tables by itself.
-const ASK_FOR_MS: u64 = 4_000;
+const SYNC_TIMEOUT_MS: u64 = 4_000;
 /// The same for a host that is to know early what the others ask it for.
 const ASK_EARLY_FOR_MS: u64 = 600;
 /// Time after which a host looks for guides again that found none, at the first start of a deployment. The first
@@ -166,7 +166,7 @@
         let ask_for_ms = if self.is_early() {
             ASK_EARLY_FOR_MS
         } else {
-            ASK_FOR_MS
+            SYNC_TIMEOUT_MS
         };
         let until_ms = clock::now_ms() + ask_for_ms;
         while clock::now_ms() < until_ms {
