--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -41,7 +41,7 @@
 /// Time for which a host asks others before it reads the tables by itself.
 const SYNC_TIMEOUT_MS: u64 = 4_000;
 /// The same for a host that is to know early what the others ask it for.
-const ASK_EARLY_FOR_MS: u64 = 600;
+const EARLY_SYNC_TIMEOUT_MS: u64 = 600;
 /// Time after which a host looks for guides again that found none, at the first start of a deployment. The first
 /// holder of the duty has named some by then.
 const LOOKUP_RETRY_MS: u64 = 2_200;
@@ -164,7 +164,7 @@
             time::sleep(Duration::from_millis(wait_ms)).await;
         };
         let ask_for_ms = if self.is_early() {
-            ASK_EARLY_FOR_MS
+            EARLY_SYNC_TIMEOUT_MS
         } else {
             SYNC_TIMEOUT_MS
         };
