--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -37,7 +37,7 @@
 use crate::{clock, platform::store::PART};
 
 /// Pause between two questions.
-const ASK_EVERY_MS: u64 = 250;
+const SYNC_RETRY_MS: u64 = 250;
 /// Time for which a host asks others before it reads the tables by itself.
 const SYNC_TIMEOUT_MS: u64 = 4_000;
 /// The same for a host that is to know early what the others ask it for.
@@ -178,7 +178,7 @@
                 }
                 Err(error) => log::debug!("{seed_host} hands nothing on: {error}"),
             }
-            time::sleep(Duration::from_millis(ASK_EVERY_MS)).await;
+            time::sleep(Duration::from_millis(SYNC_RETRY_MS)).await;
         }
         false
     }
