--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -21,7 +21,7 @@
 };
 
 /// Pause before another host is asked again.
-const AGAIN_MS: u64 = 150;
+const RETRY_AFTER_MS: u64 = 150;
 /// Missed changes from which on another host is asked, in place of the store: more than one of its answers has.
 const MISSED_MAX: u64 = 500;
 
@@ -86,7 +86,7 @@
                 Err(error) => log::debug!("{peer} does not tell what was missed: {error}"),
             }
             if is_first || self.is_missing(followed) {
-                let pause_ms = AGAIN_MS + rand::random_range(0..AGAIN_MS);
+                let pause_ms = RETRY_AFTER_MS + rand::random_range(0..RETRY_AFTER_MS);
                 time::sleep(Duration::from_millis(pause_ms)).await;
             }
         }
