--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -25,7 +25,7 @@
 /// Type of a sealed answer.
 const ANSWER_TYPE: &str = "application/octet-stream";
 /// Hosts that a host answers at a time. The others wait to be accepted.
-const ASKERS_MAX: usize = 16;
+const CONNECTIONS_MAX: usize = 16;
 /// Time for which an encoded snapshot is handed on to further hosts: those that start together ask together.
 const ENCODED_KEPT_MS: u64 = 500;
 
@@ -124,7 +124,7 @@
         stop: watch::Receiver<bool>,
     ) {
         let limits = ListenerLimits {
-            connections: ASKERS_MAX,
+            connections: CONNECTIONS_MAX,
             ..ListenerLimits::default()
         };
         let handler = move |request: Request<Incoming>| {
