--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -129,12 +129,12 @@
         };
         let handler = move |request: Request<Incoming>| {
             let entry = self.clone();
-            async move { entry.answer_asker(request).await }
+            async move { entry.answer_peer(request).await }
         };
         transport::serve(listener, limits, stop, handler).await;
     }
 
-    async fn answer_asker(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn answer_peer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         let path = request.uri().path().to_owned();
         let answer = if path == REGISTER {
             self.register_newcomer(request).await
