--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -108,7 +108,7 @@
     }
 
     /// Why this host cannot answer.
-    fn refusal(&self, path: &str) -> StatusCode {
+    fn refusal_status(&self, path: &str) -> StatusCode {
         let is_forgotten = |after| !self.relay.reaches_back_to(after);
         if changes_after(path).is_some_and(is_forgotten) {
             StatusCode::GONE
@@ -143,7 +143,7 @@
         };
         let (status, body) = match answer {
             Some(body) => (StatusCode::OK, body),
-            None => (self.refusal(&path), Bytes::new()),
+            None => (self.refusal_status(&path), Bytes::new()),
         };
         let mut response = transport::whole(status, ANSWER_TYPE, body);
         // So that others are accepted.
