--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -87,7 +87,7 @@
 impl Entry {
     /// True if another host has registered this one, which was never registered before. Waits until this host knows
     /// whom to ask.
-    pub(in crate::entry) async fn is_registered_by_other(&self, row: &HostRow) -> bool {
+    pub(in crate::entry) async fn register_through_peer(&self, row: &HostRow) -> bool {
         self.join.ended().await;
         if self.view.had_former_process() {
             return false;
--- a/src/entry/register.rs
+++ b/src/entry/register.rs
@@ -65,7 +65,7 @@
                 }
                 Err(error) => {
                     log::debug!("this host is not registered yet: {error}");
-                    if self.is_registered_by_other(&row).await {
+                    if self.register_through_peer(&row).await {
                         break;
                     }
                     pause_for(pause_ms).await;
