--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -31,7 +31,7 @@
 /// Times that a host asks to be registered before it tries by itself.
 const TRIES: usize = 4;
 /// Longest question, in bytes.
-const QUESTION_BYTES_MAX: usize = 1_024;
+const REQUEST_BYTES_MAX: usize = 1_024;
 
 /// A host that starts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -111,7 +111,7 @@
 
     /// Has a newcomer registered with the others that come now; the sealed answer tells whether it was.
     pub(super) async fn register_newcomer(&self, request: Request<Incoming>) -> Option<Bytes> {
-        let body = Limited::new(request.into_body(), QUESTION_BYTES_MAX);
+        let body = Limited::new(request.into_body(), REQUEST_BYTES_MAX);
         let body = body.collect().await.ok()?.to_bytes();
         let question = self.peers.seal.open(&body)?;
         let newcomer = postcard::from_bytes(question).ok()?;
