--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -72,7 +72,7 @@
     }
 
     /// Asks the relays of the own zone while the holder's word grows old, and finds out whether this host is one.
-    pub(super) async fn keep_word(self: Arc<Self>) {
+    pub(super) async fn keep_asking_relays(self: Arc<Self>) {
         loop {
             let is_asking = self.has_asked_relay();
             let every_ms = if is_asking {
