--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -164,7 +164,7 @@
             Message::ReportUsage(reports) => self.take_used(&reports),
             Message::Admitted(told) => self.quotas.note_told(&told),
             Message::QueryStoreState { nonce, .. } => {
-                if let Some(word) = self.word_for(nonce) {
+                if let Some(word) = self.store_state_for(nonce) {
                     self.peers.send(&word, &[from]);
                 }
             }
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -106,7 +106,7 @@
     }
 
     /// What this host can tell of the store, for a host that hears no holder.
-    pub(super) fn word_for(&self, nonce: u64) -> Option<Message> {
+    pub(super) fn store_state_for(&self, nonce: u64) -> Option<Message> {
         let news = self.freshness.word(self.view.store_heard_ms())?;
         Some(Message::StoreState {
             nonce,
