--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -74,7 +74,7 @@
     /// Asks the relays of the own zone while the holder's word grows old, and finds out whether this host is one.
     pub(super) async fn keep_asking_relays(self: Arc<Self>) {
         loop {
-            let is_asking = self.has_asked_relay();
+            let is_asking = self.ask_relays();
             let every_ms = if is_asking {
                 self.limits.ask_relay_every_ms
             } else {
@@ -85,7 +85,7 @@
     }
 
     /// Asks a relay if there is need; true if it did.
-    fn has_asked_relay(&self) -> bool {
+    fn ask_relays(&self) -> bool {
         let is_apart = self.duty.term() > 0 || !self.peers.are_many();
         let relays = if is_apart {
             Vec::new()
