--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -15,9 +15,9 @@
 use crate::clock;
 
 /// Interval at which notices are told again: datagrams may be lost, and a later holder knows nothing.
-const TELL_EVERY_MS: u64 = 500;
+const REPORT_EVERY_MS: u64 = 500;
 /// Time for which the holder tells all hosts that a server leaves: four times.
-const TELL_ALL_MS: u64 = 3 * TELL_EVERY_MS + TELL_EVERY_MS / 2;
+const TELL_ALL_MS: u64 = 3 * REPORT_EVERY_MS + REPORT_EVERY_MS / 2;
 
 impl Entry {
     /// Takes in what an answer of a server said of its wish for further requests.
@@ -36,7 +36,7 @@
     /// Tells the holder what servers have said; the holder tells all hosts.
     pub(in crate::entry) async fn keep_telling_notices(self: Arc<Self>) {
         loop {
-            let pause = Duration::from_millis(TELL_EVERY_MS);
+            let pause = Duration::from_millis(REPORT_EVERY_MS);
             // Either way what servers have said is told.
             if time::timeout(pause, self.noticed.notified()).await.is_ok() {
                 log::debug!("a server has said something new");
