--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -17,7 +17,7 @@
 /// Interval at which notices are told again: datagrams may be lost, and a later holder knows nothing.
 const REPORT_EVERY_MS: u64 = 500;
 /// Time for which the holder tells all hosts that a server leaves: four times.
-const TELL_ALL_MS: u64 = 3 * REPORT_EVERY_MS + REPORT_EVERY_MS / 2;
+const ANNOUNCE_FOR_MS: u64 = 3 * REPORT_EVERY_MS + REPORT_EVERY_MS / 2;
 
 impl Entry {
     /// Takes in what an answer of a server said of its wish for further requests.
@@ -91,7 +91,7 @@
         }
         let is_new = |server: &&Arc<Server>| {
             let known_for_ms = server.leaves_for_ms();
-            known_for_ms.is_some_and(|known_for_ms| known_for_ms < TELL_ALL_MS)
+            known_for_ms.is_some_and(|known_for_ms| known_for_ms < ANNOUNCE_FOR_MS)
         };
         let tags: Vec<u32> = registry.servers().filter(is_new).map(|s| s.tag).collect();
         for tags in tags.chunks(ENTRIES_MAX) {
