--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -34,7 +34,7 @@
     }
 
     /// Tells the holder what servers have said; the holder tells all hosts.
-    pub(in crate::entry) async fn keep_telling_notices(self: Arc<Self>) {
+    pub(in crate::entry) async fn keep_reporting_notices(self: Arc<Self>) {
         loop {
             let pause = Duration::from_millis(REPORT_EVERY_MS);
             // Either way what servers have said is told.
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -138,7 +138,7 @@
     tokio::spawn(entry.clone().keep_leasing());
     tokio::spawn(entry.clone().keep_telling_crashes());
     tokio::spawn(entry.clone().keep_quarantine_stored());
-    tokio::spawn(entry.clone().keep_telling_notices());
+    tokio::spawn(entry.clone().keep_reporting_notices());
     tokio::spawn(entry.clone().keep_telling_rates());
     tokio::spawn(entry.clone().keep_telling_quotas());
     tokio::spawn(sweep_connections(entry.clone()));
