--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -42,12 +42,12 @@
                 log::debug!("a server has said something new");
             }
             self.tell_leaving();
-            self.tell_rests();
+            self.report_rests();
         }
     }
 
     /// Tells the holder which servers want no requests of this host; as the holder, notes it.
-    fn tell_rests(&self) {
+    fn report_rests(&self) {
         let registry = self.view.registry();
         let rests = registry.servers().filter_map(|server| {
             let rest_ms = u32::try_from(server.rest_ms()).ok()?;
