--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -41,7 +41,7 @@
             if time::timeout(pause, self.noticed.notified()).await.is_ok() {
                 log::debug!("a server has said something new");
             }
-            self.tell_leaving();
+            self.report_leaving();
             self.report_rests();
         }
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    fn tell_leaving(&self) {
+    fn report_leaving(&self) {
         let registry = self.view.registry();
         if self.duty.term() == 0 {
             let said = registry.servers().filter(|s| s.leaves_by_notice_only());
