--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -100,7 +100,7 @@
     }
 
     /// Takes in, as the holder, that servers have told another host that they leave.
-    pub(in crate::entry) fn take_said_leaving(&self, tags: &[u32]) {
+    pub(in crate::entry) fn take_reported_leaving(&self, tags: &[u32]) {
         if self.duty.term() > 0 && self.note_leaving_elsewhere(tags) {
             self.noticed.notify_one();
         }
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -183,7 +183,7 @@
                 age_ms,
                 changed,
             } => self.note_proof(nonce, age_ms, changed),
-            Message::ReportLeaving(tags) => self.take_said_leaving(&tags),
+            Message::ReportLeaving(tags) => self.take_reported_leaving(&tags),
             Message::AnnounceLeaving(tags) => {
                 self.note_leaving_elsewhere(&tags);
             }
