--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -13,7 +13,7 @@
 /// Servers in one datagram, of at most 11 bytes each.
 const SUMMARIES_MAX: usize = 120;
 /// Time after which requests that are still there are told again.
-const LOADS_AGAIN_MS: u64 = 500;
+const LOADS_RESEND_MS: u64 = 500;
 /// The same of run times.
 const RUNS_AGAIN_MS: u64 = 5_000;
 /// Change of a run time that is told at once, as a share of what was told.
@@ -103,7 +103,7 @@
             return true;
         };
         let again_ms = if sum.in_flight > 0 {
-            LOADS_AGAIN_MS
+            LOADS_RESEND_MS
         } else {
             RUNS_AGAIN_MS
         };
