--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -15,7 +15,7 @@
 /// Time after which requests that are still there are told again.
 const LOADS_RESEND_MS: u64 = 500;
 /// The same of run times.
-const RUNS_AGAIN_MS: u64 = 5_000;
+const RUN_TIMES_RESEND_MS: u64 = 5_000;
 /// Change of a run time that is told at once, as a share of what was told.
 const RUN_CHANGE: f64 = 0.25;
 
@@ -105,7 +105,7 @@
         let again_ms = if sum.in_flight > 0 {
             LOADS_RESEND_MS
         } else {
-            RUNS_AGAIN_MS
+            RUN_TIMES_RESEND_MS
         };
         sum.in_flight != told.summary.in_flight
             || now_ms >= told.at_ms + again_ms
