--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -7,7 +7,7 @@
 use super::message::ServerSummary;
 
 /// Age after which a zone's sums of requests no longer count: some of them may be lost.
-const SUMS_KEPT_MS: u64 = 1_600;
+const LOADS_KEPT_MS: u64 = 1_600;
 /// The same of run times, which change little.
 const RUNS_KEPT_MS: u64 = 12_000;
 /// Servers in one datagram, of at most 11 bytes each.
@@ -51,7 +51,7 @@
         heard
             .filter(move |heard| now_ms < heard.at_ms + RUNS_KEPT_MS)
             .map(move |heard| {
-                if now_ms < heard.at_ms + SUMS_KEPT_MS {
+                if now_ms < heard.at_ms + LOADS_KEPT_MS {
                     return heard.summary;
                 }
                 ServerSummary {
