--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -9,7 +9,7 @@
 /// Age after which a zone's sums of requests no longer count: some of them may be lost.
 const LOADS_KEPT_MS: u64 = 1_600;
 /// The same of run times, which change little.
-const RUNS_KEPT_MS: u64 = 12_000;
+const RUN_TIMES_KEPT_MS: u64 = 12_000;
 /// Servers in one datagram, of at most 11 bytes each.
 const SUMMARIES_MAX: usize = 120;
 /// Time after which requests that are still there are told again.
@@ -35,7 +35,7 @@
     /// Notes sums of a zone.
     pub fn note(&mut self, zone_tag: u32, summaries: Vec<ServerSummary>, now_ms: u64) {
         let zone = self.zones.entry(zone_tag).or_default();
-        zone.retain(|_, heard| now_ms < heard.at_ms + RUNS_KEPT_MS);
+        zone.retain(|_, heard| now_ms < heard.at_ms + RUN_TIMES_KEPT_MS);
         for summary in summaries {
             let heard = Heard {
                 summary,
@@ -49,7 +49,7 @@
     pub fn latest(&self, now_ms: u64) -> impl Iterator<Item = ServerSummary> {
         let heard = self.zones.values().flat_map(HashMap::values);
         heard
-            .filter(move |heard| now_ms < heard.at_ms + RUNS_KEPT_MS)
+            .filter(move |heard| now_ms < heard.at_ms + RUN_TIMES_KEPT_MS)
             .map(move |heard| {
                 if now_ms < heard.at_ms + LOADS_KEPT_MS {
                     return heard.summary;
@@ -94,7 +94,7 @@
             self.told.insert(sum.server_tag, told);
         }
         self.told
-            .retain(|_, told| now_ms < told.at_ms + RUNS_KEPT_MS);
+            .retain(|_, told| now_ms < told.at_ms + RUN_TIMES_KEPT_MS);
         news
     }
 
