--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -92,7 +92,7 @@
         self.recent.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn can_take(&self) -> bool {
+    fn accepts_changes(&self) -> bool {
         self.servers_read.load(Ordering::Relaxed)
     }
 }
@@ -203,7 +203,7 @@
 
     /// Takes changes of servers' entries that the holder of the duty has passed on.
     pub(super) fn take_servers(&self, passed: ServerChanges) {
-        if self.relay.can_take() {
+        if self.relay.accepts_changes() {
             self.take_news_of_servers(passed);
         }
     }
