--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -133,12 +133,12 @@
         peer: SocketAddr,
     ) -> Result<bool, Error> {
         // What the holder passes on meanwhile is in no snapshot that is made before.
-        self.relay.begin_reading(followed);
+        self.broadcast.begin_reading(followed);
         let snapshot = self.ask::<Snapshot>(peer, SNAPSHOT).await;
         let snapshot = match snapshot {
             Ok(snapshot) => snapshot,
             Err(error) => {
-                self.relay.end_reading(followed);
+                self.broadcast.end_reading(followed);
                 return Err(error);
             }
         };
@@ -146,7 +146,7 @@
         if is_later {
             self.take_snapshot(&snapshot);
         }
-        self.relay.end_reading(followed);
+        self.broadcast.end_reading(followed);
         Ok(is_later)
     }
 }
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -103,13 +103,13 @@
             OWN if self.view.are_hosts_known() => self.sealed(&self.own_snapshot()),
             CONFIGURATION => self.sealed(&self.known_configuration()?),
             HOSTS => self.sealed(&self.known_hosts()),
-            _ => self.sealed(&self.relay.changes_after(changes_after(path)?)?),
+            _ => self.sealed(&self.broadcast.changes_after(changes_after(path)?)?),
         }
     }
 
     /// Why this host cannot answer.
     fn refusal_status(&self, path: &str) -> StatusCode {
-        let is_forgotten = |after| !self.relay.reaches_back_to(after);
+        let is_forgotten = |after| !self.broadcast.reaches_back_to(after);
         if changes_after(path).is_some_and(is_forgotten) {
             StatusCode::GONE
         } else {
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -148,7 +148,7 @@
             return;
         }
         let evacuations = piece.evacuations;
-        let assembly = &self.relay.configuration;
+        let assembly = &self.broadcast.configuration;
         let whole = assembly
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -175,7 +175,7 @@
         // Read before the rest, which may be later then.
         let up_to = self.freshness.applied(Followed::Configuration);
         let evacuations = self.view.evacuations();
-        let latest = self.relay.latest().clone()?;
+        let latest = self.broadcast.latest().clone()?;
         Some(KnownConfiguration {
             version: latest.version,
             up_to,
@@ -203,7 +203,7 @@
 
     /// Takes changes of servers' entries that the holder of the duty has passed on.
     pub(super) fn take_servers(&self, passed: ServerChanges) {
-        if self.relay.accepts_changes() {
+        if self.broadcast.accepts_changes() {
             self.take_news_of_servers(passed);
         }
     }
@@ -215,7 +215,7 @@
         let Some(changes) = news.new_after(applied) else {
             return;
         };
-        self.relay.note_changes(&ServerChanges {
+        self.broadcast.note_changes(&ServerChanges {
             after: applied,
             up_to,
             changes: changes.clone(),
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -69,7 +69,7 @@
             return;
         };
         // Handed on as it is: the others must know too that it cannot be read.
-        self.relay.note_configuration(row);
+        self.broadcast.note_configuration(row);
         match config::decode(&row.value) {
             Ok(configuration) => {
                 self.proof.set_unreadable(false);
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -72,13 +72,13 @@
     async fn follow(&self, followed: Followed) {
         let mut was_synced_from_peer = self.join.was_synced_from_peer(followed).await;
         loop {
-            self.relay.begin_reading(followed);
+            self.broadcast.begin_reading(followed);
             if !std::mem::take(&mut was_synced_from_peer) && !self.read_whole(followed).await {
                 pause().await;
                 self.pause_while_relays_call().await;
                 continue;
             }
-            self.relay.end_reading(followed);
+            self.broadcast.end_reading(followed);
             self.rest_at_start(followed).await;
             let mut called_ms = clock::now_ms();
             let mut trust = Trust::Full;
