--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -68,7 +68,7 @@
     news::{freshness::Freshness, proof::ConfigurationProof},
     peers::Peers,
     quotas::Quotas,
-    broadcast::Relay,
+    broadcast::Broadcast,
     server::ColdRule,
     view::View,
 };
@@ -94,7 +94,7 @@
     /// How this host learns what the others know as it starts.
     join: Join,
     /// Whether changes that the holder of the duty passes on can be taken.
-    pub broadcast: Relay,
+    pub broadcast: Broadcast,
     /// Keys that get too many requests.
     pub hot_keys: HotKeys,
     /// Other hosts.
@@ -147,7 +147,7 @@
             freshness: Freshness::new(&limits),
             proof: ConfigurationProof::default(),
             join: Join::default(),
-            broadcast: Relay::default(),
+            broadcast: Broadcast::default(),
             hot_keys: HotKeys::default(),
             peers: Peers::default(),
             duty: Duty::default(),
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -28,7 +28,7 @@
 
 /// Whether this host can take what is passed on.
 #[derive(Debug, Default)]
-pub struct Relay {
+pub struct Broadcast {
     /// False while the table is being read as a whole, whose result would undo later changes.
     servers_read: AtomicBool,
     /// Pieces of the latest configuration.
@@ -46,7 +46,7 @@
     value: Arc<[u8]>,
 }
 
-impl Relay {
+impl Broadcast {
     /// Notes the row of a configuration.
     pub fn note_configuration(&self, row: &Row) {
         *self.latest() = Some(LatestConfiguration {
