--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -86,7 +86,7 @@
 
 /// Word of a server of the rate that it takes from all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ToldRate {
+pub struct AdvertisedRate {
     /// Requests a second; `None` if it takes any rate again.
     pub limit_per_s: Option<f64>,
     /// Time since it said so.
@@ -99,7 +99,7 @@
     /// Short name of the server.
     pub server_tag: u32,
     /// Its latest word, if the sender knows one.
-    pub told: Option<ToldRate>,
+    pub told: Option<AdvertisedRate>,
     /// What callers ask of it.
     pub asked: AskedRates,
 }
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -11,7 +11,7 @@
     decide::rate_limit::LimitWord,
     events::Event,
     model::ToldLimit,
-    peers::message::{Message, RATES_MAX, ServerRate, ToldRate},
+    peers::message::{Message, RATES_MAX, ServerRate, AdvertisedRate},
     server::Server,
 };
 use crate::clock;
@@ -134,9 +134,9 @@
     }
 }
 
-fn told(word: Option<LimitWord>, now_ms: u64) -> Option<ToldRate> {
+fn told(word: Option<LimitWord>, now_ms: u64) -> Option<AdvertisedRate> {
     let word = word?;
-    Some(ToldRate {
+    Some(AdvertisedRate {
         limit_per_s: word.per_s,
         age_ms: now_ms.saturating_sub(word.at_ms) as u32,
     })
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -14,9 +14,9 @@
             DIRECT_HOSTS_MAX, OneWayDelay, RelayCandidate, fanout, zone_aggregator, zone_relays,
         },
         message::{
-            DATAGRAM_BYTES_MAX, ENTRIES_MAX, Message, PACES_MAX, RATES_MAX, RunTime,
-            SHARED_SUSPECTS_MAX, Sender, ServerLoad, ServerPace, ServerRate, ServerSummary,
-            ToldRate,
+            AdvertisedRate, DATAGRAM_BYTES_MAX, ENTRIES_MAX, Message, PACES_MAX, RATES_MAX,
+            RunTime, SHARED_SUSPECTS_MAX, Sender, ServerLoad, ServerPace, ServerRate,
+            ServerSummary,
         },
         zone_loads::{ZoneLoadChanges, ZoneLoads, parts},
     },
@@ -279,7 +279,7 @@
 fn what_hosts_tell_of_rates_and_suspects_fits_a_datagram() {
     let rate = ServerRate {
         server_tag: u32::MAX,
-        told: Some(ToldRate {
+        told: Some(AdvertisedRate {
             limit_per_s: Some(1.0 / 3.0),
             age_ms: u32::MAX,
         }),
