--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -5,9 +5,9 @@
 
 mod ask;
 mod catch_up;
-mod seed_hosts;
 mod newcomers;
 mod paths;
+mod seed_hosts;
 mod serve;
 
 use std::{
@@ -23,7 +23,7 @@
 use tokio::{sync::watch, time};
 
 pub(super) use self::newcomers::host_key;
-use self::{seed_hosts::SeedHosts, newcomers::Newcomers};
+use self::{newcomers::Newcomers, seed_hosts::SeedHosts};
 use super::{
     Entry,
     events::Event,
@@ -208,7 +208,9 @@
             }
         }
         let own = self.settings.listen.peers;
-        seed_hosts.hosts.retain(|seed_host| seed_host.address != own);
+        seed_hosts
+            .hosts
+            .retain(|seed_host| seed_host.address != own);
         if seed_hosts.hosts.is_empty() || !self.peers.seal.is_known() {
             return Some(SeedHostLookup::NoneStored);
         }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -2,6 +2,7 @@
 //! at a time has the duty of saying which server holds which keys.
 
 pub mod bounds;
+pub mod broadcast;
 mod callers;
 pub mod crashes;
 pub mod decide;
@@ -27,7 +28,6 @@
 mod rate_limits;
 mod register;
 pub mod registry;
-pub mod broadcast;
 mod rows;
 mod run;
 pub mod runs;
@@ -55,6 +55,7 @@
 use tokio::sync::Notify;
 
 use self::{
+    broadcast::Broadcast,
     crashes::Crashes,
     decide::{
         budget::RetryBudget, hot_keys::HotKeys, kinds::Kinds, rate_parts::AskedByHost, rests::Rests,
@@ -68,7 +69,6 @@
     news::{freshness::Freshness, proof::ConfigurationProof},
     peers::Peers,
     quotas::Quotas,
-    broadcast::Broadcast,
     server::ColdRule,
     view::View,
 };
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -95,7 +95,8 @@
         };
         let tags: Vec<u32> = registry.servers().filter(is_new).map(|s| s.tag).collect();
         for tags in tags.chunks(ENTRIES_MAX) {
-            self.peers.send_to_all(Message::AnnounceLeaving(tags.to_vec()));
+            self.peers
+                .send_to_all(Message::AnnounceLeaving(tags.to_vec()));
         }
     }
 
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -32,7 +32,7 @@
     intervals::report_age_max_ms,
     message::{Message, RunTime, ServerLoad, ServerPace, VERSION},
     outbox::Outbox,
-    zone_loads::{ZoneLoads, ZoneLoadChanges},
+    zone_loads::{ZoneLoadChanges, ZoneLoads},
 };
 use super::{decide::choice::HostCount, news::snapshot::KnownHost, seal::Seal, server::tag_of};
 use crate::clock;
@@ -227,7 +227,8 @@
     /// Number of hosts, this one included: those that this host knows, or more if the holder of the duty knows more.
     /// What all hosts share is divided by it, so that too many are better than too few.
     pub fn hosts(&self) -> usize {
-        self.known().max(self.duty_holder_hosts.load(Ordering::Relaxed))
+        self.known()
+            .max(self.duty_holder_hosts.load(Ordering::Relaxed))
     }
 
     /// Number of hosts that this host knows, itself included.
@@ -237,7 +238,8 @@
 
     /// Notes how many hosts the holder of the duty knows.
     fn note_duty_holder_hosts(&self, hosts: u32) {
-        self.duty_holder_hosts.store(hosts as usize, Ordering::Relaxed);
+        self.duty_holder_hosts
+            .store(hosts as usize, Ordering::Relaxed);
     }
 
     /// Numbers of hosts in the own zone and in all.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -68,14 +68,14 @@
                 if matches!(*message, Message::Holder { .. } | Message::ZoneLoads { .. }) {
                     self.peers.send(&Message::RelayAck, &[from]);
                 }
-                self.take(*message, from);
+                self.handle_message(*message, from);
             }
             Ok(Message::Relayed { origin, message }) => {
                 if origin != self.settings.listen.peers {
-                    self.take(*message, origin);
+                    self.handle_message(*message, origin);
                 }
             }
-            Ok(message) => self.take(message, from),
+            Ok(message) => self.handle_message(message, from),
             Err(error) => log::debug!("datagram of {from} cannot be read: {error}"),
         }
     }
@@ -100,7 +100,7 @@
     }
 
     /// Takes in a message of the host at `from`, sent by it or by a relay.
-    fn take(&self, message: Message, from: SocketAddr) {
+    fn handle_message(&self, message: Message, from: SocketAddr) {
         match message {
             Message::Holder {
                 term,
@@ -129,7 +129,9 @@
             } => self.peers.note_zone_loads(zone_tag, summaries),
             Message::Servers(changes) => self.take_servers(changes),
             Message::Configuration(piece) => self.take_configuration(piece),
-            Message::QueryKeyOwner { service_tag, key } => self.send_key_owner(from, service_tag, key),
+            Message::QueryKeyOwner { service_tag, key } => {
+                self.send_key_owner(from, service_tag, key)
+            }
             Message::Stopped { term } => self.duty.note_stopped(from, term),
             Message::Keys(keys) => {
                 if self.duty.term() > 0 {
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -49,7 +49,10 @@
         let now_ms = clock::now_ms();
         let mut peers = self.peers();
         for address in relays {
-            if let Some(peer) = peers.get_mut(address).filter(|peer| peer.relay_since_ms == 0) {
+            if let Some(peer) = peers
+                .get_mut(address)
+                .filter(|peer| peer.relay_since_ms == 0)
+            {
                 peer.relay_since_ms = now_ms;
             }
         }
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -11,7 +11,7 @@
     decide::rate_limit::LimitWord,
     events::Event,
     model::ToldLimit,
-    peers::message::{Message, RATES_MAX, ServerRate, AdvertisedRate},
+    peers::message::{AdvertisedRate, Message, RATES_MAX, ServerRate},
     server::Server,
 };
 use crate::clock;
