--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -100,7 +100,7 @@
         if followed == Followed::Configuration {
             return false;
         }
-        self.ended().await == SyncOutcome::Synced
+        self.sync_outcome().await == SyncOutcome::Synced
     }
 
     /// Notes that the hosts' secret may be another one by now, which only the store can tell.
@@ -114,7 +114,7 @@
     }
 
     /// How this host has learned what it knows; waits for that.
-    pub(super) async fn ended(&self) -> SyncOutcome {
+    pub(super) async fn sync_outcome(&self) -> SyncOutcome {
         let mut outcome = self.outcome.subscribe();
         let known = outcome
             .wait_for(|outcome| *outcome != SyncOutcome::Pending)
--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -88,7 +88,7 @@
     /// True if another host has registered this one, which was never registered before. Waits until this host knows
     /// whom to ask.
     pub(in crate::entry) async fn register_through_peer(&self, row: &HostRow) -> bool {
-        self.join.ended().await;
+        self.join.sync_outcome().await;
         if self.view.had_former_process() {
             return false;
         }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -168,7 +168,7 @@
     /// Waits for the holder of the duty to be heard, and rests if it is.
     async fn rest_at_start(&self, followed: Followed) {
         // Only then the relays are known that vouch for the store.
-        self.join.ended().await;
+        self.join.sync_outcome().await;
         let began_ms = clock::now_ms();
         let until_ms = began_ms + followed.start_rest_ms(&self.limits);
         // The others rely on what the holder of the duty follows.
