--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -97,7 +97,7 @@
     }
 
     /// Answer to a path; `None` if this host cannot tell it.
-    fn told(&self, path: &str) -> Option<Bytes> {
+    fn answer_to(&self, path: &str) -> Option<Bytes> {
         match path {
             SNAPSHOT => self.encoded_snapshot(),
             OWN if self.view.are_hosts_known() => self.sealed(&self.own_snapshot()),
@@ -139,7 +139,7 @@
         let answer = if path == REGISTER {
             self.register_newcomer(request).await
         } else {
-            self.told(&path)
+            self.answer_to(&path)
         };
         let (status, body) = match answer {
             Some(body) => (StatusCode::OK, body),
