--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -66,7 +66,7 @@
 /// small hosts with what these know already.
 #[derive(Debug, Default)]
 pub struct ZoneLoadChanges {
-    told: HashMap<u32, Heard>,
+    sent: HashMap<u32, Heard>,
 }
 
 impl ZoneLoadChanges {
@@ -78,28 +78,28 @@
             .filter(|sum| self.is_news(*sum, now_ms))
             .collect();
         let named: std::collections::HashSet<u32> = sums.iter().map(|sum| sum.server_tag).collect();
-        let ended = self.told.iter().filter(|(tag, told)| {
-            let told = told.summary;
-            told.in_flight > 0 && !named.contains(tag)
+        let ended = self.sent.iter().filter(|(tag, sent)| {
+            let sent = sent.summary;
+            sent.in_flight > 0 && !named.contains(tag)
         });
-        news.extend(ended.map(|(_, told)| ServerSummary {
+        news.extend(ended.map(|(_, sent)| ServerSummary {
             in_flight: 0,
-            ..told.summary
+            ..sent.summary
         }));
         for sum in &news {
-            let told = Heard {
+            let sent = Heard {
                 summary: *sum,
                 at_ms: now_ms,
             };
-            self.told.insert(sum.server_tag, told);
+            self.sent.insert(sum.server_tag, sent);
         }
-        self.told
-            .retain(|_, told| now_ms < told.at_ms + RUN_TIMES_KEPT_MS);
+        self.sent
+            .retain(|_, sent| now_ms < sent.at_ms + RUN_TIMES_KEPT_MS);
         news
     }
 
     fn is_news(&self, sum: ServerSummary, now_ms: u64) -> bool {
-        let Some(told) = self.told.get(&sum.server_tag) else {
+        let Some(sent) = self.sent.get(&sum.server_tag) else {
             return true;
         };
         let again_ms = if sum.in_flight > 0 {
@@ -107,9 +107,9 @@
         } else {
             RUN_TIMES_RESEND_MS
         };
-        sum.in_flight != told.summary.in_flight
-            || now_ms >= told.at_ms + again_ms
-            || has_changed(told.summary.run_ms, sum.run_ms)
+        sum.in_flight != sent.summary.in_flight
+            || now_ms >= sent.at_ms + again_ms
+            || has_changed(sent.summary.run_ms, sum.run_ms)
     }
 }
 
