--- a/src/entry/peers/intervals.rs
+++ b/src/entry/peers/intervals.rs
@@ -1,26 +1,28 @@
-//! How often hosts report to each other, and for how long a report counts.
+//! Intervals of the load reports between hosts, and the age up to which a report is used.
 
-/// Interval of reports among up to [`REPORT_HOSTS`] hosts of a zone; it grows in proportion to their
-/// number, so that a host's datagrams do not. With older reports servers are sent requests that they have no room for.
+/// Interval of reports among up to [`REPORT_HOSTS`] hosts that report to each other. With more
+/// hosts it grows in proportion to their number, so that the datagrams per host do not. With older
+/// reports, servers are sent requests that they have no capacity for.
 const REPORT_EVERY_MS: u64 = 100;
 const REPORT_HOSTS: u64 = 40;
-/// Longest interval of reports.
+/// Upper bound of the report interval, however many hosts there are.
 const REPORT_EVERY_MAX_MS: u64 = 1_000;
-/// Every so many intervals a report has the run times too and is sent even without news, to show
-/// that the host lives.
+/// Number of intervals between full reports. A full report includes the run times and is sent even
+/// if nothing has changed, to show that the host is alive.
 pub const FULL_REPORT_EVERY: u64 = 8;
-/// Interval of the sums of a zone.
+/// Interval at which the aggregator of a zone sends the summed loads to other zones.
 pub const ZONE_LOADS_EVERY_MS: u64 = 250;
-/// Age after which a report no longer counts, beyond the longest time between two of them.
+/// Slack beyond the longest time between two reports before a report is ignored as stale.
 const REPORT_AGE_SLACK_MS: u64 = 400;
 
-/// Interval of reports among so many hosts that hear them, the own one included.
+/// Returns the report interval among `hosts` hosts that receive each other's reports, this one
+/// included.
 pub fn report_every_ms(hosts: usize) -> u64 {
     let every_ms = REPORT_EVERY_MS * hosts as u64 / REPORT_HOSTS;
     every_ms.clamp(REPORT_EVERY_MS, REPORT_EVERY_MAX_MS)
 }
 
-/// Age up to which a report counts.
+/// Returns the age up to which a report is used.
 pub fn report_age_max_ms(hosts: usize) -> u64 {
     report_every_ms(hosts) * FULL_REPORT_EVERY + REPORT_AGE_SLACK_MS
 }
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts.
+//! Datagram messages between hosts, encoded with postcard.
 
 use std::net::SocketAddr;
 
@@ -20,272 +20,277 @@
     },
 };
 
-/// Most servers and keys in one datagram; it stays under the usual packet size.
+/// Maximum number of servers or keys in one datagram, which keeps it below the usual packet size.
 pub const ENTRIES_MAX: usize = 120;
-/// Most paces of servers in one datagram beside as many loads as there may be, of at most 11 bytes each.
+/// Maximum number of server paces, of up to 11 bytes each, in one datagram. They share it with up
+/// to [`ENTRIES_MAX`] loads.
 pub const PACES_MAX: usize = 80;
-/// Most rates of servers in one datagram, of at most 36 bytes each.
+/// Maximum number of server rates in one datagram, of up to 36 bytes each.
 pub const RATES_MAX: usize = 45;
-/// Most workspaces in one datagram, of at most 15 bytes each.
+/// Maximum number of workspaces in one datagram, of up to 15 bytes each.
 pub const QUOTAS_MAX: usize = 80;
-/// Most suspects without their callers in one datagram, of at most 17 bytes each.
+/// Maximum number of caller-independent suspects in one datagram, of up to 17 bytes each.
 pub const SHARED_SUSPECTS_MAX: usize = 80;
-/// Largest datagram.
+/// Maximum size of a datagram, and the size of the receive buffer.
 pub const DATAGRAM_BYTES_MAX: usize = 2_048;
-/// Version of the messages.
+/// Version of the message encoding, the first byte of each datagram. Datagrams of other versions
+/// are ignored.
 pub const VERSION: u8 = 17;
 
-/// One host's requests at one server.
+/// Load that one host puts on one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLoad {
-    /// Server.
+    /// Hash of the server's identifier.
     pub server_tag: u32,
-    /// Requests of the host that are there.
+    /// Requests of the reporting host in flight at the server, at most 255.
     pub in_flight: u8,
 }
 
-/// What the hosts of a zone know of a server together.
+/// Load and run time of a server, aggregated over the hosts of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerSummary {
-    /// Server.
+    /// Hash of the server's identifier.
     pub server_tag: u32,
-    /// Their requests that are there.
+    /// Requests of the zone's hosts in flight at the server.
     pub in_flight: u16,
-    /// Its average run time by their evidence; 0 if they have none.
+    /// Average run time measured by the zone's hosts; 0 if none has measured it.
     pub run_ms: u16,
 }
 
-/// Average run time of one server by one host's evidence.
+/// Average run time of one server as measured by one host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunTime {
-    /// Server.
+    /// Hash of the server's identifier.
     pub server_tag: u32,
-    /// Average run time.
+    /// Average run time of the reporting host's requests at the server.
     pub run_ms: u16,
 }
 
-/// What a server told a host of its pace since that host's last report.
+/// Pace that a server announced to a host since that host's last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerPace {
-    /// Server.
+    /// Hash of the server's identifier.
     pub server_tag: u32,
-    /// Time that work takes there, in hundredths of what is usual.
+    /// Duration of work at the server in percent of the usual duration.
     pub percent: u16,
-    /// Time since it told that.
+    /// Time since the server announced the pace.
     pub age_ms: u16,
 }
 
-/// Rest that a server asked a host for.
+/// Rest that a server asked a host for: a period without requests from that host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerRest {
-    /// Short name of the server.
+    /// Hash of the server's identifier.
     pub server_tag: u32,
-    /// Time that is left of it.
+    /// Remaining time of the rest.
     pub rest_ms: u32,
 }
 
-/// Word of a server of the rate that it takes from all hosts together.
+/// Rate limit that a server advertised for the requests of all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdvertisedRate {
-    /// Requests a second; `None` if it takes any rate again.
+    /// Requests a second; `None` if the server has lifted the limit.
     pub limit_per_s: Option<f64>,
-    /// Time since it said so.
+    /// Time since the server advertised the limit.
     pub age_ms: u32,
 }
 
-/// What is known of the rate that a server takes from all hosts together.
+/// Rate limit of a server and the demand for the server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerRate {
-    /// Short name of the server.
+    /// Hash of the server's identifier.
     pub server_tag: u32,
-    /// Its latest word, if the sender knows one.
+    /// Limit that the server advertised last; `None` if the sender knows of none.
     pub told: Option<AdvertisedRate>,
-    /// What callers ask of it.
+    /// Rates at which callers request the server.
     pub asked: AskedRates,
 }
 
-/// What a host was asked for on behalf of a workspace, and what it sent.
+/// Requests that a host received and sent on behalf of a workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceUse {
-    /// Short name of the workspace.
+    /// Hash of the workspace's name.
     pub workspace_tag: u32,
     /// Requests since the last report.
     pub used: Use,
 }
 
-/// What each host may admit of a workspace's requests.
+/// Share of a workspace's requests that each host may admit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceAdmitted {
-    /// Short name of the workspace.
+    /// Hash of the workspace's name.
     pub workspace_tag: u32,
-    /// Share of its requests.
+    /// Share of the workspace's requests that may be admitted.
     pub admitted: Admitted,
 }
 
-/// Requests for one key since the last report.
+/// Number of requests for one key since the last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyCount {
-    /// Service.
+    /// Hash of the service's name.
     pub service_tag: u32,
-    /// Key.
+    /// Key of the service that the requests were for.
     pub key: u16,
-    /// Requests.
+    /// Requests that the reporting host received for the key.
     pub requests: u16,
 }
 
-/// What a host tells of itself.
+/// Properties of the sending host, for receivers that have not read its row yet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Short name of its availability zone.
+    /// Hash of the name of its availability zone.
     pub zone_tag: u32,
-    /// Share of a processor that it has.
+    /// Share of a processor that the host has.
     pub processor_share: f32,
 }
 
-/// Messages between hosts.
+/// Message from one host to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Message {
-    /// For the receiver and the other hosts of its zone, to which it forwards it.
+    /// Wraps a message that the receiver handles and forwards to the other hosts of its zone.
     Relay(Box<Message>),
-    /// Forwarded by a relay.
+    /// Message that a relay forwards.
     Relayed {
-        /// Host that it is from.
+        /// Host that sent the message to the relay.
         origin: SocketAddr,
-        /// What that host sent.
+        /// Forwarded message.
         message: Box<Message>,
     },
-    /// The sender relays what it is sent.
+    /// Acknowledges a message to relay, which shows that the relay is alive.
     RelayAck,
-    /// The sender has the duty.
+    /// Heartbeat of the duty holder.
     Holder {
-        /// Number of its term.
+        /// Term of the duty holder.
         term: u64,
-        /// When this was sent, by its clock.
+        /// Time of sending, by the sender's clock.
         sent_ms: u64,
-        /// What it knows of the store.
+        /// Latest state of the store that the duty holder has seen.
         news: StoreNews,
-        /// Number of hosts, the sender included.
+        /// Number of hosts that the duty holder knows, itself included.
         hosts: u32,
-        /// Keys that get too many requests.
+        /// Hot keys, which receive more requests than their server can handle.
         hot: Vec<HotKey>,
-        /// Zones that are evacuated.
+        /// Zones that are being evacuated.
         evacuations: Evacuations,
-        /// Latest requests that no server gets.
+        /// Requests that were quarantined last; they are sent to no server.
         quarantined: Vec<RequestDigest>,
     },
-    /// What the sender knows of servers.
+    /// Report of the sender's load on servers.
     Report {
-        /// What it is, for hosts that have not read its row yet.
+        /// Sending host, for receivers that have not read its row yet.
         sender: Sender,
-        /// Its requests there.
+        /// Requests of the sender in flight, by server.
         servers: Vec<ServerLoad>,
-        /// What they told of their pace.
+        /// Paces that servers announced to the sender.
         paces: Vec<ServerPace>,
     },
-    /// Average run times of servers by the sender's evidence.
+    /// Average run times of servers as measured by the sender.
     RunTimes(Vec<RunTime>),
-    /// What the hosts of a zone know of servers together.
+    /// Loads and run times of servers, aggregated over the hosts of a zone.
     ZoneLoads {
-        /// Short name of the zone.
+        /// Hash of the zone's name.
         zone_tag: u32,
-        /// Servers.
+        /// Summaries by server; those that have not changed lately may be missing.
         summaries: Vec<ServerSummary>,
     },
-    /// Requests by key, for the holder of the duty.
+    /// Request counts by key, for the duty holder.
     Keys(Vec<KeyCount>),
-    /// Keys are on their way to other servers.
+    /// Announces moves of keys to other servers.
     Moving {
-        /// Service.
+        /// Hash of the service's name.
         service_tag: u32,
-        /// Keys.
+        /// Keys that are being moved, with their targets.
         announcements: Vec<Announcement>,
     },
-    /// Changes of servers' entries that the sender, which has the duty, was told by the store.
+    /// Changes of server entries that the sender, the duty holder, received from the store.
     Servers(ServerChanges),
-    /// Piece of a configuration that the sender, which has the duty, was told by the store.
+    /// Piece of a configuration that the sender, the duty holder, received from the store.
     Configuration(Piece),
-    /// Asks the holder of the duty who holds a key.
+    /// Asks the duty holder which server holds a key.
     QueryKeyOwner {
-        /// Service.
+        /// Hash of the service's name.
         service_tag: u32,
-        /// Key.
+        /// Key whose server is unknown to the sender.
         key: u16,
     },
-    /// The sender had the duty in this term and gives no more leases.
+    /// States that the sender, which had the duty in this term, grants no more leases.
     Stopped {
-        /// Number of the term.
+        /// Term in which the sender had the duty.
         term: u64,
     },
-    /// A server has ended, as the sender saw, with requests of the sender in flight.
+    /// Reports a server crash that the sender saw with requests of its own in flight.
     ServerEnded {
-        /// Short name of the server.
+        /// Hash of the server's identifier.
         server_tag: u32,
-        /// The requests, by caller.
+        /// Digests of the sender's requests in flight, each specific to its caller.
         digests: Vec<RequestDigest>,
-        /// The same without their callers.
+        /// Caller-independent digests of the same requests.
         shared: Vec<SharedSuspect>,
     },
-    /// A server has run a request to a good end under which one had ended.
+    /// Reports that a server successfully ran a suspect request, which clears it.
     SuspectCleared {
-        /// Request.
+        /// Digest of the request.
         digest: RequestDigest,
-        /// Time since it was sent.
+        /// Time since the request was sent to the server.
         sent_ago_ms: u32,
     },
-    /// The sender is about to try a request under which a server has ended.
+    /// Announces that the sender starts a trial of a suspect request.
     TrialStarted(Claimed),
-    /// Its server lives.
+    /// Announces that the server survived the trial.
     TrialPassed(Claimed),
-    /// Servers that want no requests of the sender for a time. For the holder of the duty.
+    /// Servers that asked the sender for a rest. For the duty holder.
     ReportRests(Vec<ServerRest>),
-    /// Rates of servers, with what the sender's callers ask of them. For the holder of the duty.
+    /// Rate limits of servers with the demand of the sender's callers. For the duty holder.
     ReportRates(Vec<ServerRate>),
-    /// Rates of servers as the holder of the duty knows them, with what the callers of all hosts ask of them.
+    /// Rate limits of servers as the duty holder knows them, with the demand of the callers of all
+    /// hosts.
     RateTotals(Vec<ServerRate>),
-    /// Short names of servers that have told the sender that they leave, while their entries do not say so. For
-    /// the holder of the duty.
+    /// Hashes of servers that announced to the sender that they are leaving, while their entries do
+    /// not show it yet. For the duty holder.
     ReportLeaving(Vec<u32>),
-    /// The same from the holder of the duty, which heard it of any host.
+    /// Hashes of servers that announced their leaving to any host; sent by the duty holder to all
+    /// hosts.
     AnnounceLeaving(Vec<u32>),
-    /// What workspaces have used at the sender. For the holder of the duty.
+    /// Usage of workspaces at the sender. For the duty holder.
     ReportUsage(Vec<WorkspaceUse>),
-    /// What hosts may admit of workspaces' requests, from the holder of the duty.
+    /// Shares of the workspaces' requests that hosts may admit; sent by the duty holder.
     Admitted(Vec<WorkspaceAdmitted>),
-    /// Asks a relay how fresh its view of the store is.
+    /// Asks a relay how recent its view of the store is.
     QueryStoreState {
-        /// Returned in the answer.
+        /// Identifies the query; returned in the answer.
         nonce: u64,
-        /// What the sender is, for relays that have not read its row yet.
+        /// Sending host, for relays that have not read its row yet.
         sender: Sender,
     },
-    /// The sender's view of the store.
+    /// Answers [`Message::QueryStoreState`] with the sender's view of the store.
     StoreState {
-        /// Of the question.
+        /// Nonce of the query.
         nonce: u64,
-        /// What it knows of the store.
+        /// Latest state of the store that the sender has seen.
         news: StoreNews,
-        /// Zones that are evacuated.
+        /// Zones that are being evacuated.
         evacuations: Evacuations,
     },
-    /// Asks how recent the receiver's configuration is.
+    /// Asks how recently the receiver's configuration was known to be current.
     QueryConfigurationAge {
-        /// Returned in the answer.
+        /// Identifies the query; returned in the answer.
         nonce: u64,
     },
-    /// The sender's configuration was the latest one some time ago.
+    /// Answers [`Message::QueryConfigurationAge`]: the sender's configuration was current `age_ms`
+    /// ago.
     ConfigurationAge {
-        /// Of the question.
+        /// Nonce of the query.
         nonce: u64,
-        /// Time since then.
+        /// Time since the configuration was known to be current.
         age_ms: u32,
         /// Version of the latest change of the operators' table that the sender knows.
         changed: u64,
     },
-    /// Servers have got keys.
+    /// Announces that servers were granted keys.
     Held {
-        /// Service.
+        /// Hash of the service's name.
         service_tag: u32,
-        /// Keys and servers.
+        /// Granted key ranges with their servers.
         holdings: Vec<Holding>,
     },
 }
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -1,7 +1,7 @@
-//! What hosts tell each other, by datagrams: their requests at each server, requests by key for
-//! the planner, moves and grants. All of that is best effort and only improves decisions. One
-//! message does more: an earlier holder's word that it gives no more leases ends a wait that keeps
-//! ownership single. All are sealed with a secret that the hosts share.
+//! Datagrams between hosts: their load on each server, request counts by key for the planner, moves
+//! and grants of keys. All of them are best effort and only improve decisions, with one exception:
+//! the statement of a previous duty holder that it grants no more leases ends a wait that keeps
+//! ownership exclusive. All datagrams are sealed with a secret that the hosts share.
 
 pub mod fanout;
 mod intervals;
@@ -37,7 +37,7 @@
 use super::{decide::choice::HostCount, news::snapshot::KnownHost, seal::Seal, server::tag_of};
 use crate::clock;
 
-/// What the other hosts reported of a server.
+/// Sum of the other hosts' reports about one server.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportedLoad {
     in_flight: u32,
@@ -45,41 +45,41 @@
     reporters: f64,
 }
 
-/// What another host reported of a server's pace.
+/// Pace of a server as reported by another host.
 #[derive(Clone, Copy, Debug)]
 struct ReportedPace {
     server_tag: u32,
     pace: f64,
-    /// When the server told that, by this host's clock.
+    /// Time at which the server announced the pace, by this host's clock.
     at_ms: u64,
 }
 
-/// A host that others may ask.
+/// Seed host: a host listed in the store that starting hosts fetch a snapshot from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SeedHost {
-    /// Address for other hosts.
+    /// Address for messages and queries of other hosts.
     pub address: SocketAddr,
-    /// Short name of its availability zone.
+    /// Hash of the name of its availability zone.
     pub zone_tag: u32,
 }
 
-/// What a host's row tells of it.
+/// Properties of a host from its row in the store, or from its own messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostFacts {
-    /// Process that runs there, if its row was read.
+    /// Incarnation of the process on the host; `None` until its row was read.
     pub incarnation: Option<u64>,
-    /// Short name of its availability zone.
+    /// Hash of the name of its availability zone.
     pub zone_tag: u32,
-    /// True if that is the own zone.
+    /// True if the host is in the availability zone of this host.
     pub is_near: bool,
-    /// Share of a processor that it has.
+    /// Share of a processor that the host has.
     pub processor_share: f32,
 }
 
 #[derive(Debug)]
 struct Peer {
     facts: HostFacts,
-    /// When it was first given a message to relay since it was last heard; 0 if it was not.
+    /// Time of the first message to relay that the host has not acknowledged; 0 if there is none.
     relay_since_ms: u64,
     heard_ms: u64,
     loads: Vec<ServerLoad>,
@@ -112,33 +112,33 @@
     }
 }
 
-/// The other hosts.
+/// Other hosts that this host knows, and the messages exchanged with them.
 #[derive(Debug, Default)]
 pub struct Peers {
-    /// Seals and opens datagrams.
+    /// Seals and opens datagrams with the secret of the hosts.
     pub seal: Seal,
-    /// Word of moves and grants that waits to be sent.
+    /// Announcements of moves and grants that wait to be sent.
     pub outbox: Outbox,
     peers: Mutex<HashMap<SocketAddr, Peer>>,
     socket: std::sync::OnceLock<Arc<UdpSocket>>,
     /// Requests by service tag and key since the last report.
     counted: Mutex<HashMap<(u32, u16), u16>>,
-    /// Requests that other hosts reported to this one, while it has the duty.
+    /// Request counts that other hosts reported to this one while it has the duty.
     reported: Mutex<Vec<KeyCount>>,
     holder: Mutex<Option<SocketAddr>>,
     holder_term: AtomicU64,
     duty_holder_hosts: AtomicUsize,
     holder_heard_ms: AtomicU64,
-    /// Paces that other hosts reported, until they are taken in.
+    /// Paces that other hosts reported and that are not applied yet.
     paces: Mutex<Vec<ReportedPace>>,
     one_way_delay: Mutex<OneWayDelay>,
     zone_loads: Mutex<ZoneLoads>,
-    /// What this host has told the other zones, if it speaks for its own.
+    /// Loads that this host has sent to other zones as the aggregator of its zone.
     zone_load_changes: Mutex<ZoneLoadChanges>,
 }
 
 impl Peers {
-    /// Notes a host.
+    /// Adds a host, or updates its properties.
     pub fn add(&self, address: SocketAddr, facts: HostFacts) {
         let mut peers = self.peers();
         let peer = peers.entry(address).or_insert_with(|| Peer {
@@ -151,14 +151,14 @@
         peer.facts = facts;
     }
 
-    /// Notes that a host was heard.
+    /// Records that a host has sent a datagram, which counts as an acknowledgement.
     fn note_heard(&self, address: SocketAddr) {
         if let Some(peer) = self.peers().get_mut(&address) {
             peer.relay_since_ms = 0;
         }
     }
 
-    /// What is known of the other hosts, for one that starts.
+    /// Returns the other hosts, for a host that starts.
     pub fn known_hosts(&self) -> Vec<KnownHost> {
         let peers = self.peers();
         let hosts = peers.iter().map(|(address, peer)| KnownHost {
@@ -170,7 +170,8 @@
         hosts.collect()
     }
 
-    /// Hosts that others may ask when they start: those that get messages for all, and this one.
+    /// Returns the seed hosts: the hosts that receive messages to all directly or as relays, and
+    /// this host.
     pub fn seed_hosts(&self, own: SeedHost) -> Vec<SeedHost> {
         let Fanout { direct, relays } = self.present_fanout();
         let peers = self.peers();
@@ -187,7 +188,7 @@
         seed_hosts
     }
 
-    /// The hosts that pass messages on to the zone of this one, which may be one of them.
+    /// Returns the relays of this host's zone, which may include this host.
     pub(in crate::entry) fn zone_relays(&self, own: RelayCandidate) -> Vec<SocketAddr> {
         let now_ms = clock::now_ms();
         let near: Vec<RelayCandidate> = {
@@ -201,8 +202,8 @@
         fanout::choose_zone_relays(&zone, term)
     }
 
-    /// The host that this one asks for what it has missed: among many, one that passes messages on to its zone; the holder
-    /// of the duty among few, and for those that others ask.
+    /// Returns the host to fetch missed changes from: with many hosts, a relay of the own zone;
+    /// with few hosts, or on a relay itself, the duty holder.
     pub fn sync_peer(&self, own: RelayCandidate) -> Option<SocketAddr> {
         if !self.are_many() {
             return *self.holder();
@@ -214,35 +215,36 @@
         relays.choose(&mut rand::rng()).copied()
     }
 
-    /// True if a host at this address is known.
+    /// Returns true if a host at this address is known.
     pub fn knows(&self, address: SocketAddr) -> bool {
         self.peers().contains_key(&address)
     }
 
-    /// Forgets a host.
+    /// Removes a host.
     pub fn remove(&self, address: SocketAddr) {
         self.peers().remove(&address);
     }
 
-    /// Number of hosts, this one included: those that this host knows, or more if the holder of the duty knows more.
-    /// What all hosts share is divided by it, so that too many are better than too few.
+    /// Returns the number of hosts, this one included: the larger of the numbers that this host and
+    /// the duty holder know. Limits that all hosts share are divided by it, so that a number too
+    /// large is safer than one too small.
     pub fn hosts(&self) -> usize {
         self.known()
             .max(self.duty_holder_hosts.load(Ordering::Relaxed))
     }
 
-    /// Number of hosts that this host knows, itself included.
+    /// Returns the number of hosts that this host knows, itself included.
     pub fn known(&self) -> usize {
         self.peers().len() + 1
     }
 
-    /// Notes how many hosts the holder of the duty knows.
+    /// Records the number of hosts that the duty holder knows.
     fn note_duty_holder_hosts(&self, hosts: u32) {
         self.duty_holder_hosts
             .store(hosts as usize, Ordering::Relaxed);
     }
 
-    /// Numbers of hosts in the own zone and in all.
+    /// Returns the numbers of hosts in this host's zone and in all zones.
     pub fn host_count(&self) -> HostCount {
         let peers = self.peers();
         HostCount {
@@ -251,10 +253,10 @@
         }
     }
 
-    /// Number of hosts that come before the one at `own` in the order in which they look after the
-    /// duty: those with a larger share of a processor first, since the holder has messages for all and
-    /// orders for all servers with keys. Among equals the order is another one for each term, so that
-    /// hosts that are gone do not always come first.
+    /// Returns the number of hosts that come before the host at `own` in the takeover order. Hosts
+    /// with a larger share of a processor come first, since the duty holder sends messages to all
+    /// hosts and requests to all servers with keys. The order of equally strong hosts differs by
+    /// term, so that hosts that are gone do not always come first.
     pub fn takeover_rank(&self, own: SocketAddr, processor_share: f32) -> usize {
         let term = self.holder_term.load(Ordering::Relaxed);
         let place = |address: &SocketAddr| tag_of(&format!("{address} {term}"));
@@ -269,12 +271,12 @@
             .count()
     }
 
-    /// True if messages for all hosts go by relays.
+    /// Returns true if messages to all hosts are sent through relays.
     pub(in crate::entry) fn are_many(&self) -> bool {
         self.hosts() > DIRECT_HOSTS_MAX
     }
 
-    /// Number of hosts that hear each other's reports, this one included.
+    /// Returns the number of hosts that receive each other's reports, this one included.
     fn reporting_hosts(&self) -> usize {
         let hosts = self.host_count();
         if self.are_many() {
@@ -284,12 +286,12 @@
         }
     }
 
-    /// Term of the latest holder of the duty that was heard.
+    /// Returns the latest term for which a heartbeat of the duty holder was received.
     pub fn holder_term(&self) -> u64 {
         self.holder_term.load(Ordering::Relaxed)
     }
 
-    /// When the duty's holder was last heard.
+    /// Returns the time of the last heartbeat received from the duty holder.
     pub fn holder_heard_ms(&self) -> u64 {
         self.holder_heard_ms.load(Ordering::Relaxed)
     }
@@ -300,7 +302,7 @@
         *counted.entry((service_tag, key)).or_default() += 1;
     }
 
-    /// Requests by key that all hosts reported since the last call.
+    /// Takes the request counts by key that all hosts reported since the last call.
     pub fn take_reported(&self) -> Vec<KeyCount> {
         let mut reported = self.reported.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut *reported)
@@ -341,7 +343,7 @@
         self.holder.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a message to the holder of the duty; false if none is known.
+    /// Sends a message to the duty holder. Returns false if none is known.
     pub(in crate::entry) fn send_to_holder(&self, message: &Message) -> bool {
         let Some(holder) = *self.holder() else {
             return false;
@@ -358,18 +360,18 @@
         match postcard::to_stdvec(message) {
             Ok(encoded) => bytes.extend(encoded),
             Err(error) => {
-                log::warn!("a message to hosts cannot be encoded: {error}");
+                log::warn!("a message to other hosts cannot be encoded: {error}");
                 return;
             }
         }
-        // Before the secret is read nothing is sent.
+        // Nothing is sent before the secret of the hosts was read.
         let Some(datagram) = self.seal.seal(&bytes) else {
             return;
         };
         for address in to {
-            // Best effort: the next report makes up for a lost one.
+            // Best effort: the next report replaces a lost one.
             if let Err(error) = socket.try_send_to(&datagram, *address) {
-                log::debug!("no datagram to {address}: {error}");
+                log::debug!("sending a datagram to {address} failed: {error}");
             }
         }
     }
@@ -397,7 +399,7 @@
         self.paces().extend(told);
     }
 
-    /// Paces that other hosts reported since the last call.
+    /// Takes the paces that other hosts reported since the last call.
     fn take_paces(&self) -> Vec<ReportedPace> {
         std::mem::take(&mut *self.paces())
     }
@@ -406,7 +408,8 @@
         self.paces.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a host that says that it has the duty; true if no later holder is known.
+    /// Records a heartbeat of the duty holder. Returns false and ignores it if a later term is
+    /// known.
     fn note_holder(&self, from: SocketAddr, term: u64) -> bool {
         if term < self.holder_term.load(Ordering::Relaxed) {
             return false;
@@ -418,7 +421,8 @@
         true
     }
 
-    /// Load and average run time by server tag, as the other hosts reported them.
+    /// Returns the loads and run times by server tag that other hosts reported and that are not
+    /// stale.
     fn loads(&self) -> HashMap<u32, ReportedLoad> {
         let now_ms = clock::now_ms();
         let age_max_ms = report_age_max_ms(self.reporting_hosts());
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -1,6 +1,6 @@
-//! Word of moves and grants on its way to the other hosts. A plan moves dozens of ranges at a time;
-//! one datagram for each of them and each host would keep a small host from everything else, so
-//! what comes together is sent together.
+//! Batches announcements of moves and grants to the other hosts. A plan moves dozens of ranges at a
+//! time; one datagram per range and host would overload small hosts, so announcements that arrive
+//! together are sent together.
 
 use std::{
     collections::BTreeMap,
@@ -16,17 +16,17 @@
     entry::{Entry, keys::Holding, news::announcement::Announcement},
 };
 
-/// Interval at which word is sent; requests wait for it.
+/// Interval at which the duty holder sends announcements. Requests for moved keys wait for them.
 const SEND_EVERY_MS: u64 = 20;
-/// Interval at which a host without the duty looks whether it has any.
+/// Interval at which a host without the duty checks for announcements.
 const IDLE_EVERY_MS: u64 = 200;
-/// Times after a grant at which it is told. Datagrams may be lost, and hosts that do not hear of a
-/// grant hold the keys' requests back.
+/// Delays after a grant at which it is announced. Datagrams may be lost, and hosts that miss a
+/// grant hold back the requests for its keys.
 const TELL_HELD_AFTER_MS: [u64; 3] = [0, 300, 1_000];
-/// Most moves or grants in one datagram, of at most 40 bytes each.
+/// Maximum number of moves or grants in one datagram, of up to 40 bytes each.
 const UPDATES_MAX: usize = 30;
 
-/// One word, for its service.
+/// Announcement of one move or grant.
 #[derive(Clone, Debug)]
 enum Update {
     Moving(Announcement),
@@ -40,14 +40,14 @@
     update: Update,
 }
 
-/// What waits to be sent.
+/// Queue of announcements that wait to be sent.
 #[derive(Debug, Default)]
 pub struct Outbox {
     items: Mutex<Vec<Item>>,
 }
 
 impl Outbox {
-    /// Tells all hosts that keys are about to move.
+    /// Queues the announcement that keys are about to move.
     pub fn announce_move(&self, service_tag: u32, announcement: Announcement) {
         self.items().push(Item {
             due_ms: clock::now_ms(),
@@ -56,7 +56,7 @@
         });
     }
 
-    /// Tells all hosts that a server has got keys.
+    /// Queues the announcements, one for each delay, that a server was granted keys.
     pub fn announce_holding(&self, service_tag: u32, holding: &Holding) {
         let now_ms = clock::now_ms();
         let mut items = self.items();
@@ -67,7 +67,7 @@
         }));
     }
 
-    /// Messages with all that is due; moves come before grants.
+    /// Removes all due announcements and returns them as messages; moves come before grants.
     pub fn take_due(&self, now_ms: u64) -> Vec<Message> {
         let (due, later): (Vec<Item>, Vec<Item>) = {
             let mut items = self.items();
@@ -75,7 +75,7 @@
                 .into_iter()
                 .partition(|item| item.due_ms <= now_ms)
         };
-        // What came meanwhile follows what was there.
+        // Items that were queued in the meantime come after the remaining ones.
         self.items().splice(0..0, later);
         let mut moving: BTreeMap<u32, Vec<Announcement>> = BTreeMap::new();
         let mut held: BTreeMap<u32, Vec<Holding>> = BTreeMap::new();
@@ -108,7 +108,7 @@
 }
 
 impl Entry {
-    /// Sends word of moves and grants.
+    /// Sends due announcements of moves and grants to all hosts.
     pub(in crate::entry) async fn keep_announcing(self: Arc<Self>) {
         loop {
             let every_ms = match self.duty.term() {
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -1,4 +1,4 @@
-//! Takes in what the other hosts send.
+//! Receives datagrams of the other hosts and dispatches their messages.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,22 +20,22 @@
     },
 };
 
-/// Pause after a failed reading of the socket.
+/// Pause after a failed read of the socket, so that a lasting error does not cause a busy loop.
 const READ_PAUSE_MS: u64 = 100;
 
 impl Entry {
-    /// Takes in what the other hosts send.
+    /// Receives and handles datagrams of the other hosts.
     pub(in crate::entry) async fn keep_listening(self: Arc<Self>, socket: UdpSocket) {
         let socket = Arc::new(socket);
         if self.peers.socket.set(socket.clone()).is_err() {
-            log::warn!("the socket for hosts is set already");
+            log::warn!("the socket for messages between hosts is already set");
         }
         let mut buffer = vec![0; DATAGRAM_BYTES_MAX];
         loop {
             let (length, from) = match socket.recv_from(&mut buffer).await {
                 Ok(received) => received,
                 Err(error) => {
-                    log::debug!("no datagram: {error}");
+                    log::debug!("receiving a datagram failed: {error}");
                     time::sleep(Duration::from_millis(READ_PAUSE_MS)).await;
                     continue;
                 }
@@ -46,8 +46,8 @@
 
     fn handle_datagram(&self, datagram: &[u8], from: SocketAddr) {
         let Some(message) = self.peers.seal.open(datagram) else {
-            // Another secret may be in use, if it was a host.
-            log::debug!("datagram of {from} has no known seal");
+            // If the sender is a host, the hosts may use another secret by now.
+            log::debug!("datagram of {from} is not sealed with the known secret");
             if self.peers.knows(from) {
                 self.join.flag_stale_secret();
                 self.view.want_reading(Followed::Own);
@@ -76,12 +76,12 @@
                 }
             }
             Ok(message) => self.handle_message(message, from),
-            Err(error) => log::debug!("datagram of {from} cannot be read: {error}"),
+            Err(error) => log::debug!("datagram of {from} cannot be decoded: {error}"),
         }
     }
 
-    /// Takes up a host whose row was not read yet. It tells what it is in its reports and
-    /// questions, so that not each host reads the rows for each new one.
+    /// Adds a host whose row was not read yet. A host describes itself in its reports and
+    /// questions, so that not every host reads the rows for each new one.
     fn learn_sender(&self, from: SocketAddr, message: Option<&Message>) {
         let Some(Message::Report { sender, .. } | Message::QueryStoreState { sender, .. }) =
             message
@@ -90,7 +90,7 @@
             return;
         };
         let facts = HostFacts {
-            // Only its row proves which process runs there.
+            // Only the host's row proves which process runs there.
             incarnation: None,
             zone_tag: sender.zone_tag,
             is_near: sender.zone_tag == tag_of(&self.settings.availability_zone),
@@ -99,7 +99,7 @@
         self.peers.add(from, facts);
     }
 
-    /// Takes in a message of the host at `from`, sent by it or by a relay.
+    /// Handles a message of the host at `from`, received from it directly or through a relay.
     fn handle_message(&self, message: Message, from: SocketAddr) {
         match message {
             Message::Holder {
@@ -112,7 +112,7 @@
                 quarantined,
             } => {
                 self.peers.note_duty_holder_hosts(hosts);
-                // A later state counts, however it came here.
+                // The later state wins, whichever way it arrived.
                 self.view.evacuate(evacuations);
                 self.put_in_quarantine(&quarantined, "the holder of the duty tells it");
                 let news = news.aged_by(self.peers.excess_delay_ms(term, sent_ms));
@@ -191,7 +191,7 @@
             }
             Message::RelayAck => {}
             Message::Relay(_) | Message::Relayed { .. } => {
-                log::debug!("message of {from} that was relayed twice");
+                log::debug!("ignoring a message of {from} that was relayed twice");
             }
         }
     }
@@ -224,7 +224,8 @@
         }
     }
 
-    /// Tells a host that met a server without a key who holds it, while this host has the duty.
+    /// Answers a host whose request reached a server that does not hold the key: sends it the key's
+    /// holding, if this host has the duty.
     fn send_key_owner(&self, to: SocketAddr, service_tag: u32, key: u16) {
         if self.duty.term() == 0 {
             return;
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -1,5 +1,5 @@
-//! Reports of a host: its requests at servers, by availability zone more or less often, its requests
-//! by key for the holder of the duty, and the holder's own sign of life.
+//! Periodic reports of a host: its load on servers, its request counts by key for the duty holder,
+//! and the heartbeat of the duty holder itself.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,25 +16,27 @@
     entry::{Entry, server::tag_of},
 };
 
-/// Interval of counts by key to the duty's holder.
+/// Interval at which request counts by key are sent to the duty holder.
 const KEYS_EVERY_MS: u64 = 150;
-/// Interval at which reports of the other hosts are taken into the loads of up to [`APPLY_SERVERS`]
-/// servers; it grows in proportion to their number, so that a host's work does not.
+/// Interval at which reports of the other hosts are applied to the loads of up to [`APPLY_SERVERS`]
+/// servers. With more servers it grows in proportion to their number, so that the processor time
+/// spent does not.
 const APPLY_EVERY_MS: u64 = 25;
 const APPLY_SERVERS: u64 = 220;
-/// Longest such interval.
+/// Upper bound of the interval at which reports are applied.
 const APPLY_EVERY_MAX_MS: u64 = 150;
-/// Sends reports.
+/// State of the periodic load reports.
 #[derive(Debug, Default)]
 struct Reporter {
     round: u64,
-    /// When it reported last.
+    /// Time of the last report.
     at_ms: u64,
     last: Vec<ServerLoad>,
 }
 
 impl Reporter {
-    /// Sends a report if it has anything new.
+    /// Sends a report if the loads have changed, a server announced a pace, or a full report is
+    /// due.
     fn report(&mut self, entry: &Entry, servers: Vec<ServerLoad>, to: &[SocketAddr]) {
         let full = self.round.is_multiple_of(FULL_REPORT_EVERY);
         self.round += 1;
@@ -62,7 +64,8 @@
 }
 
 impl Entry {
-    /// Reports requests at servers to the other hosts; among many, to those of the own zone.
+    /// Reports the load on servers to the other hosts; with many hosts, to those of the own zone
+    /// only.
     pub(in crate::entry) async fn keep_reporting(self: Arc<Self>) {
         let mut reporter = Reporter::default();
         loop {
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Takes in what the other hosts report, soon after it comes.
+    /// Applies the reports of the other hosts to the loads of servers.
     pub(in crate::entry) async fn keep_applying_reports(self: Arc<Self>) {
         loop {
             let servers = self.view.registry().servers().count() as u64;
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Tells the other zones what the hosts of the own one report.
+    /// Sends the summed loads of this zone to other zones, if this host is the zone aggregator.
     pub(in crate::entry) async fn keep_sending_zone_loads(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(ZONE_LOADS_EVERY_MS)).await;
@@ -99,7 +102,7 @@
         }
     }
 
-    /// This host, as the choice of relays sees it.
+    /// Returns this host as a candidate for a relay.
     pub(in crate::entry) fn as_relay(&self) -> RelayCandidate {
         RelayCandidate {
             address: self.settings.listen.peers,
@@ -109,7 +112,7 @@
         }
     }
 
-    /// What this host tells others of itself.
+    /// Returns the description of this host for messages.
     pub(in crate::entry) fn as_sender(&self) -> Sender {
         Sender {
             zone_tag: tag_of(&self.settings.availability_zone),
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Reports requests by key to the holder of the duty.
+    /// Reports request counts by key to the duty holder.
     pub(in crate::entry) async fn keep_reporting_keys(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(KEYS_EVERY_MS)).await;
@@ -130,8 +133,8 @@
         }
     }
 
-    /// Shows the other hosts that this one has the duty, while it is confirmed: without that they
-    /// must look whether to take it.
+    /// Sends heartbeats while this host's duty is confirmed. Without them the other hosts must
+    /// check whether to take the duty over.
     pub(in crate::entry) async fn keep_sending_heartbeats(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(self.limits.holder_heartbeat_ms)).await;
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Sends one heartbeat of the holder, if this host is it.
+    /// Sends one heartbeat if this host has the duty and the duty is confirmed.
     pub(in crate::entry) fn send_heartbeat(&self) {
         if !self.duty.is_confirmed() {
             return;
@@ -171,7 +174,7 @@
         loads
     }
 
-    /// Paces that servers told this host since a time.
+    /// Returns the paces that servers announced to this host since `since_ms`.
     fn own_paces(&self, since_ms: u64) -> Vec<ServerPace> {
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -1,4 +1,5 @@
-//! Sends messages for all hosts and sums for the other zones on the ways that [`fanout`] chooses.
+//! Sends messages to all hosts, and the loads of a zone to the other zones, to the recipients that
+//! [`fanout`] chooses.
 
 use std::{
     collections::HashMap,
@@ -16,7 +17,7 @@
 use crate::clock;
 
 impl Peers {
-    /// Sends a message to all other hosts, by relays if they are many.
+    /// Sends a message to all other hosts, through relays if there are many.
     pub(in crate::entry) fn send_to_all(&self, message: Message) {
         let Fanout { direct, relays } = self.fanout();
         if !direct.is_empty() {
@@ -27,14 +28,14 @@
         }
     }
 
-    /// The fan-out to all hosts; its relays must acknowledge.
+    /// Chooses the recipients of a message to all hosts and expects acknowledgements of the relays.
     fn fanout(&self) -> Fanout {
         let fanout = self.present_fanout();
         self.expect_relay_acks(&fanout.relays);
         fanout
     }
 
-    /// The fan-out to all hosts, as it is chosen now.
+    /// Returns the current recipients of a message to all hosts.
     pub(super) fn present_fanout(&self) -> Fanout {
         let now_ms = clock::now_ms();
         let term = self.holder_term.load(Ordering::Relaxed);
@@ -44,7 +45,7 @@
         fanout::fanout(&views.collect::<Vec<_>>(), term)
     }
 
-    /// Notes that relays owe an acknowledgement.
+    /// Records that relays have a message to acknowledge.
     pub(super) fn expect_relay_acks(&self, relays: &[SocketAddr]) {
         let now_ms = clock::now_ms();
         let mut peers = self.peers();
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Forwards a message of another host to the own zone.
+    /// Forwards a message of another host to the hosts of this zone.
     pub(super) fn forward(&self, origin: SocketAddr, message: Message) {
         let mut to = self.near_addresses();
         to.retain(|address| *address != origin);
@@ -66,7 +67,7 @@
         self.send(&Message::Relayed { origin, message }, &to);
     }
 
-    /// Delay of a heartbeat of the holder beyond the shortest one.
+    /// Returns the excess delay of a heartbeat of the duty holder over the shortest one seen.
     pub(super) fn excess_delay_ms(&self, term: u64, sent_ms: u64) -> u64 {
         let mut one_way_delay = self
             .one_way_delay
@@ -75,8 +76,7 @@
         one_way_delay.delay_ms(term, sent_ms, clock::now_ms())
     }
 
-    /// Sends the loads of servers by the hosts of the own zone to the other zones, if this host is its
-    /// aggregator.
+    /// Sends the summed loads of this zone to the other zones, if this host is the zone aggregator.
     pub(super) fn send_zone_loads(
         &self,
         own: RelayCandidate,
--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -1,25 +1,27 @@
-//! Loads of servers by availability zone. Among many hosts one of each zone sums up what the hosts
-//! there report, and tells the other zones: what each host hears then grows with the zones, not with
-//! the hosts, and is half a second old in place of four.
+//! Loads of servers by availability zone. With many hosts, one aggregator in each zone sums the
+//! reports of the hosts there and sends the sums to the other zones. The messages that a host
+//! receives then grow with the number of zones, not of hosts, and are half a second old instead of
+//! four seconds.
 
 use std::collections::HashMap;
 
 use super::message::ServerSummary;
 
-/// Age after which a zone's sums of requests no longer count: some of them may be lost.
+/// Age after which a zone's sums of requests in flight are ignored, since updates may have been
+/// lost.
 const LOADS_KEPT_MS: u64 = 1_600;
-/// The same of run times, which change little.
+/// Age after which run times are ignored. It is longer because run times change little.
 const RUN_TIMES_KEPT_MS: u64 = 12_000;
-/// Servers in one datagram, of at most 11 bytes each.
+/// Maximum number of server summaries in one datagram, of up to 11 bytes each.
 const SUMMARIES_MAX: usize = 120;
-/// Time after which requests that are still there are told again.
+/// Time after which an unchanged, non-zero number of requests in flight is sent again.
 const LOADS_RESEND_MS: u64 = 500;
-/// The same of run times.
+/// Time after which the unchanged summary of an idle server, with its run time, is sent again.
 const RUN_TIMES_RESEND_MS: u64 = 5_000;
-/// Change of a run time that is told at once, as a share of what was told.
+/// Relative change of a run time that is sent at once.
 const RUN_CHANGE: f64 = 0.25;
 
-/// Sums that were heard of the other zones.
+/// Latest sums received from the other zones.
 #[derive(Debug, Default)]
 pub struct ZoneLoads {
     zones: HashMap<u32, HashMap<u32, Heard>>,
@@ -32,7 +34,7 @@
 }
 
 impl ZoneLoads {
-    /// Notes sums of a zone.
+    /// Records sums of a zone.
     pub fn note(&mut self, zone_tag: u32, summaries: Vec<ServerSummary>, now_ms: u64) {
         let zone = self.zones.entry(zone_tag).or_default();
         zone.retain(|_, heard| now_ms < heard.at_ms + RUN_TIMES_KEPT_MS);
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Latest sums of all zones.
+    /// Returns the latest sums of all zones; requests in flight are 0 where their sum is stale.
     pub fn latest(&self, now_ms: u64) -> impl Iterator<Item = ServerSummary> {
         let heard = self.zones.values().flat_map(HashMap::values);
         heard
@@ -62,15 +64,16 @@
     }
 }
 
-/// What the host that speaks for its zone has told. Thousands of servers that run no requests would fill the links of
-/// small hosts with what these know already.
+/// Sums that a zone aggregator has sent, from which it determines the changes to send. Sending
+/// thousands of idle servers each time would fill the links of small hosts with what they already
+/// know.
 #[derive(Debug, Default)]
 pub struct ZoneLoadChanges {
     sent: HashMap<u32, Heard>,
 }
 
 impl ZoneLoadChanges {
-    /// Those of the sums that say something new.
+    /// Returns the sums that have changed or must be sent again.
     pub fn news(&mut self, sums: Vec<ServerSummary>, now_ms: u64) -> Vec<ServerSummary> {
         let mut news: Vec<ServerSummary> = sums
             .iter()
@@ -118,7 +121,7 @@
     change_ms > f64::from(told_ms) * RUN_CHANGE
 }
 
-/// Sums in parts that fit a datagram each.
+/// Splits sums into parts that each fit a datagram.
 pub fn parts(summaries: &[ServerSummary]) -> impl Iterator<Item = Vec<ServerSummary>> {
     summaries.chunks(SUMMARIES_MAX).map(<[_]>::to_vec)
 }
