--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -1,6 +1,7 @@
-//! Changes of servers' entries and configurations that the holder of the duty passes on to the other
-//! hosts, so that not every host asks the store for them: calls are priced. The holder also tells how far it has read
-//! each table, so a host that has missed a change notices and asks the store.
+//! Broadcasts changes of server entries and configurations from the duty holder to the other hosts,
+//! so that not every host reads them from the store: calls are priced. The duty holder also reports
+//! the version up to which it has read each table, so that a host that missed a change notices and
+//! queries the store.
 
 use std::sync::{
     Arc, Mutex, MutexGuard, PoisonError,
@@ -22,24 +23,26 @@
     store::{Row, Rows},
 };
 
-/// Most changes that are passed on at a time, 30 KB. More would fill the links of small hosts; the
-/// others read that by themselves.
+/// Maximum number of changes that are broadcast at a time, 30 KB. More would fill the links of
+/// small hosts; the other hosts read a larger number themselves.
 const BROADCAST_CHANGES_MAX: usize = 600;
 
-/// Whether this host can take what is passed on.
+/// State for sending and receiving broadcast changes, with the latest changes for hosts that have
+/// missed some.
 #[derive(Debug, Default)]
 pub struct Broadcast {
-    /// False while the table is being read as a whole, whose result would undo later changes.
+    /// False while the whole table is being read: its result would undo changes applied in the
+    /// meantime.
     servers_read: AtomicBool,
-    /// Pieces of the latest configuration.
+    /// Received pieces of the latest configuration.
     configuration: Mutex<Assembly>,
-    /// The latest configuration as it stands in the store, for hosts that have missed it.
+    /// Latest configuration as stored, for hosts that have missed it.
     latest: Mutex<Option<LatestConfiguration>>,
-    /// Latest changes of servers' entries, for hosts that have missed some.
+    /// Latest changes of server entries, for hosts that have missed some.
     recent: Mutex<RecentChanges>,
 }
 
-/// A configuration as it stands in the store.
+/// Configuration as stored, with the version of its row.
 #[derive(Clone, Debug)]
 struct LatestConfiguration {
     version: u64,
@@ -47,7 +50,7 @@
 }
 
 impl Broadcast {
-    /// Notes the row of a configuration.
+    /// Records the row of the latest configuration.
     pub fn note_configuration(&self, row: &Row) {
         *self.latest() = Some(LatestConfiguration {
             version: row.version,
@@ -59,31 +62,32 @@
         self.latest.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a whole table is about to be read.
+    /// Suspends broadcast changes of a table that is about to be read as a whole.
     pub fn begin_reading(&self, followed: Followed) {
         if followed == Followed::Servers {
             self.servers_read.store(false, Ordering::Relaxed);
         }
     }
 
-    /// Notes that a whole table was read.
+    /// Resumes broadcast changes of a table after it was read as a whole.
     pub fn end_reading(&self, followed: Followed) {
         if followed == Followed::Servers {
             self.servers_read.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Notes changes of servers' entries that this host has taken in.
+    /// Records changes of server entries that this host has applied.
     pub fn note_changes(&self, changes: &ServerChanges) {
         self.recent().note(changes);
     }
 
-    /// True if this host knows all changes of servers' entries since a version.
+    /// Returns true if this host knows all changes of server entries since a version.
     pub fn reaches_back_to(&self, version: u64) -> bool {
         self.recent().reaches_back_to(version)
     }
 
-    /// All changes of servers' entries after a version; `None` if this host does not know them all.
+    /// Returns all changes of server entries after a version; `None` if this host does not know
+    /// them all.
     pub fn changes_after(&self, after: u64) -> Option<ServerChanges> {
         self.recent().after(after)
     }
@@ -98,7 +102,8 @@
 }
 
 impl Entry {
-    /// Passes changes of servers' entries on that the store told this host, which has the duty.
+    /// Broadcasts changes of server entries that this host, the duty holder, received from the
+    /// store.
     pub(super) fn broadcast_server_changes(&self, news: &ServerChanges) {
         if news.changes.is_empty() || news.changes.len() > BROADCAST_CHANGES_MAX {
             return;
@@ -108,8 +113,9 @@
         }
     }
 
-    /// Passes on what has changed since this host, which has the duty, followed a table that it has
-    /// read as a whole because the store had dropped its history. Otherwise 295 hosts would read it.
+    /// Broadcasts the difference between a table as this host, the duty holder, knew it and its
+    /// rows, which it has read as a whole because the store had dropped its history. Otherwise all
+    /// the other hosts, 295 in a deployment of 296, would each read the whole table.
     pub(super) fn broadcast_difference(&self, followed: Followed, rows: &Rows) {
         let after = self.freshness.applied(followed);
         if after == 0 {
@@ -129,7 +135,7 @@
         }
     }
 
-    /// Passes a configuration on that the store told this host, which has the duty.
+    /// Broadcasts a configuration that this host, the duty holder, received from the store.
     pub(super) fn broadcast_configuration(&self, rows: &Rows) {
         let current = |row: &&Row| row.key == config::KEY && !row.removed;
         let Some(row) = rows.rows.iter().rfind(current) else {
@@ -141,7 +147,8 @@
         }
     }
 
-    /// Takes a piece of a configuration that the holder of the duty has passed on.
+    /// Receives a piece of a configuration that the duty holder broadcast, and applies the
+    /// configuration once it is complete.
     pub(super) fn take_configuration(&self, piece: Piece) {
         let version = piece.version;
         if version <= self.freshness.applied(Followed::Configuration) {
@@ -163,16 +170,16 @@
             removed: false,
         };
         self.apply(Followed::Configuration, vec![row]);
-        // An evacuation of an earlier version whose news is still on its way must not be skipped.
+        // An evacuation of an earlier version whose update has not arrived yet must not be skipped.
         if self.view.evacuations().version >= evacuations {
             self.freshness
                 .note_applied(Followed::Configuration, version);
         }
     }
 
-    /// The configuration that this host knows, for others; `None` before there is one.
+    /// Returns the configuration that this host knows, for other hosts; `None` before there is one.
     pub(super) fn known_configuration(&self) -> Option<KnownConfiguration> {
-        // Read before the rest, which may be later then.
+        // Read first: the other values may be newer than this version, but not older.
         let up_to = self.freshness.applied(Followed::Configuration);
         let evacuations = self.view.evacuations();
         let latest = self.broadcast.latest().clone()?;
@@ -184,7 +191,7 @@
         })
     }
 
-    /// Takes the configuration that another host knows.
+    /// Applies the configuration that another host has answered with.
     pub(super) fn take_known_configuration(&self, known: KnownConfiguration) {
         self.view.evacuate(known.evacuations);
         let applied = self.freshness.applied(Followed::Configuration);
@@ -201,14 +208,15 @@
             .note_applied(Followed::Configuration, known.up_to);
     }
 
-    /// Takes changes of servers' entries that the holder of the duty has passed on.
+    /// Applies changes of server entries that the duty holder broadcast, unless the whole table is
+    /// being read.
     pub(super) fn take_servers(&self, passed: ServerChanges) {
         if self.broadcast.accepts_changes() {
             self.take_news_of_servers(passed);
         }
     }
 
-    /// Takes in changes of servers' entries, unless some before them are not known here.
+    /// Applies changes of server entries, unless this host has missed changes before them.
     pub(super) fn take_news_of_servers(&self, news: ServerChanges) {
         let up_to = news.up_to;
         let applied = self.freshness.applied(Followed::Servers);
--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -1,4 +1,4 @@
-//! Questions to other hosts, and what their answers change.
+//! Queries to other hosts over HTTP, and the application of their answers.
 
 use std::{collections::HashSet, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -26,31 +26,31 @@
     platform::{self, Link},
 };
 
-/// Time for an answer to begin.
+/// Timeout until an answer begins.
 const ASK_TIMEOUT_MS: u64 = 1_500;
-/// Times after its start at which a host asks which others have come: those that start together do not know each
-/// other yet.
+/// Successive pauses after its start at which a host queries which other hosts have joined: hosts
+/// that start together do not know each other yet.
 const LEARN_HOSTS_AFTER_MS: [u64; 3] = [2_500, 3_500, 6_000];
-/// Interval at which it asks later.
+/// Interval of these queries after the start.
 const LEARN_HOSTS_EVERY_MS: u64 = 30_000;
 
-/// Why a host has handed nothing on.
+/// Reasons why another host did not answer a query.
 #[derive(Debug, Snafu)]
 pub(super) enum Error {
     #[snafu(display("{source}"))]
     Call { source: platform::Error },
-    #[snafu(display("the question cannot be built: {source}"))]
+    #[snafu(display("the request cannot be built: {source}"))]
     Question { source: http::Error },
-    #[snafu(display("it answered {status}"))]
+    #[snafu(display("the host answered with status {status}"))]
     Status { status: StatusCode },
-    #[snafu(display("no seal is known for it"))]
+    #[snafu(display("the content cannot be sealed or opened with the known secret"))]
     Seal,
-    #[snafu(display("its answer cannot be read: {source}"))]
+    #[snafu(display("the answer cannot be decoded: {source}"))]
     Decode { source: postcard::Error },
 }
 
 impl Entry {
-    /// Asks a host for what a path names.
+    /// Sends a GET request to a host and decodes its answer.
     pub(super) async fn ask<T: DeserializeOwned>(
         &self,
         peer: SocketAddr,
@@ -60,7 +60,7 @@
         self.call(peer, request, Bytes::new()).await
     }
 
-    /// Sends a host something sealed, and reads its answer.
+    /// Posts sealed content to a host and decodes its answer.
     pub(super) async fn send_to<T: DeserializeOwned>(
         &self,
         peer: SocketAddr,
@@ -93,8 +93,9 @@
         postcard::from_bytes(content).context(DecodeSnafu)
     }
 
-    /// Learns from another host what the store has forgotten to tell: after an outage hundreds of hosts would read the
-    /// tables as a whole. False if no host is known that surely has later changes than this one.
+    /// Fetches a snapshot from another host when the store no longer has the change history that
+    /// this host has missed: after an outage hundreds of hosts would otherwise read the whole
+    /// tables. Returns false if no host is known that certainly has later changes than this one.
     pub(in crate::entry) async fn resync_from_peer(&self, followed: Followed) -> bool {
         if followed == Followed::Configuration || !self.has_many_servers() {
             return false;
@@ -104,7 +105,7 @@
         }
         let applied = self.freshness.applied(followed);
         if !self.freshness.is_behind(followed, applied) {
-            // What it has missed was passed on meanwhile, or it has missed nothing.
+            // The missed changes were broadcast in the meantime, or there were none.
             return true;
         }
         let Some(peer) = self.peer() else {
@@ -113,7 +114,7 @@
         self.fetch_snapshot(followed, peer)
             .await
             .unwrap_or_else(|error| {
-                log::debug!("{peer} hands nothing on: {error}");
+                log::debug!("fetching a snapshot from {peer} failed: {error}");
                 false
             })
     }
@@ -122,8 +123,9 @@
         self.peers.sync_peer(self.as_relay())
     }
 
-    /// True once the holder of the duty tells that it has followed the store since now, which takes it a moment after an
-    /// outage. The holder itself hears nobody.
+    /// Waits until the duty holder reports that it has followed the store since now, which takes a
+    /// moment after an outage. Returns false after a time limit, or if this host is the duty
+    /// holder, which receives no such reports.
     async fn is_vouched_soon(&self) -> bool {
         let since_ms = clock::now_ms();
         let until_ms = since_ms + self.limits.start_rest_ms;
@@ -136,7 +138,7 @@
         false
     }
 
-    /// Learns from time to time which hosts have come.
+    /// Queries periodically which hosts have joined.
     pub(in crate::entry) async fn keep_learning_hosts(self: Arc<Self>) {
         let first = LEARN_HOSTS_AFTER_MS.into_iter();
         for after_ms in first.chain(std::iter::repeat(LEARN_HOSTS_EVERY_MS)) {
@@ -149,7 +151,7 @@
                 Ok(hosts) => hosts
                     .into_iter()
                     .for_each(|host| self.take_known_host(host)),
-                Err(error) => log::debug!("{peer} tells no hosts: {error}"),
+                Err(error) => log::debug!("fetching the known hosts from {peer} failed: {error}"),
             }
         }
     }
--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -1,5 +1,5 @@
-//! How hosts that know of missed changes learn them from others. Hundreds of hosts that read what thousands of servers
-//! change as they start are thousands of calls to the store, of 150 KB each.
+//! Fetches missed changes from other hosts. If hundreds of hosts read from the store what thousands
+//! of servers change at their start, that takes thousands of calls of 150 KB each.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,14 +20,15 @@
     },
 };
 
-/// Pause before another host is asked again.
+/// Minimum pause between two queries; a random time of up to the same length is added.
 const RETRY_AFTER_MS: u64 = 150;
-/// Missed changes from which on another host is asked, in place of the store: more than one of its answers has.
+/// Number of missed changes above which other hosts are queried instead of the store. One answer of
+/// the store holds no more than this number.
 const MISSED_MAX: u64 = 500;
 
 impl Entry {
-    /// True if this host knows all changes of a table that it has heard of, or has learned them from another host. False
-    /// if it must ask the store.
+    /// Fetches the missed changes of a table from other hosts. Returns true if this host knows all
+    /// changes that it has heard of, and false if it must query the store.
     pub(in crate::entry) async fn catch_up_from_peers(&self, followed: Followed) -> bool {
         if self.reliance() != Reliance::Told || !self.asks_peers_first(followed) {
             return false;
@@ -37,10 +38,12 @@
         learned.unwrap_or(false)
     }
 
-    /// True if there are so many hosts or changes that others are asked first.
+    /// Returns true if there are so many hosts or changes that other hosts are queried before the
+    /// store.
     fn asks_peers_first(&self, followed: Followed) -> bool {
         match followed {
-            // While the store is lost, only this feed finds out when it is back, for the others too.
+            // While the store is unavailable, only this feed detects its return, for the other
+            // feeds too.
             Followed::Servers if *self.view.store_lost().borrow() => false,
             Followed::Servers => self.has_many_servers() || self.missed(followed) > MISSED_MAX,
             Followed::Configuration => self.peers.are_many(),
@@ -52,14 +55,15 @@
         }
     }
 
-    /// Number of changes that this host has missed, at most.
+    /// Returns an upper bound of the number of changes that this host has missed.
     fn missed(&self, followed: Followed) -> u64 {
         let changed = self.freshness.told_changed(followed);
         changed.saturating_sub(self.freshness.applied(followed))
     }
 
-    /// Time in which others may tell what was missed. Nobody is owed that a new server is known; that one leaves must be
-    /// known in time, and so must a configuration.
+    /// Returns the timeout for fetching missed changes from other hosts. No time limit applies to
+    /// the knowledge of a new server; that a server is leaving must be known in time, and so must a
+    /// configuration.
     fn catch_up_timeout_ms(&self, followed: Followed) -> u64 {
         let applied = self.freshness.applied(followed);
         let is_owed = match followed {
@@ -74,7 +78,7 @@
         }
     }
 
-    /// Asks others until nothing is missing; false if there is nobody to ask.
+    /// Queries other hosts until no change is missing. Returns false if there is no host to query.
     async fn fetch_missed(&self, followed: Followed) -> bool {
         let mut is_first = followed == Followed::Own;
         while is_first || self.is_missing(followed) {
@@ -83,7 +87,7 @@
             };
             match self.learn(followed, peer).await {
                 Ok(()) => is_first = false,
-                Err(error) => log::debug!("{peer} does not tell what was missed: {error}"),
+                Err(error) => log::debug!("fetching missed changes from {peer} failed: {error}"),
             }
             if is_first || self.is_missing(followed) {
                 let pause_ms = RETRY_AFTER_MS + rand::random_range(0..RETRY_AFTER_MS);
@@ -126,13 +130,15 @@
         Ok(())
     }
 
-    /// Learns all that another host knows; false if that is not more than this one knows of a table.
+    /// Fetches and applies a snapshot of another host. Returns false if it is no newer than what
+    /// this host knows of a table.
     pub(super) async fn fetch_snapshot(
         &self,
         followed: Followed,
         peer: SocketAddr,
     ) -> Result<bool, Error> {
-        // What the holder passes on meanwhile is in no snapshot that is made before.
+        // Changes that the duty holder broadcasts in the meantime are missing in a snapshot made
+        // before.
         self.broadcast.begin_reading(followed);
         let snapshot = self.ask::<Snapshot>(peer, SNAPSHOT).await;
         let snapshot = match snapshot {
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -1,7 +1,7 @@
-//! How a host that starts learns of servers, holdings and hosts: from a host that knows them, if there is one, else by
-//! reading the store's tables. The holder of the duty stores the addresses of a few hosts of each zone, beside the
-//! hosts' secret, so that one call finds both. The same hosts register those that start, and tell the others later what
-//! they have missed.
+//! Loads servers, holdings and hosts when a host starts: from another host that knows them, if
+//! there is one, otherwise from the store's tables. The duty holder stores the addresses of a few
+//! seed hosts of each zone next to the hosts' secret, so that one call returns both. Seed hosts
+//! also register starting hosts, and later serve changes that other hosts have missed.
 
 mod ask;
 mod catch_up;
@@ -36,49 +36,53 @@
 };
 use crate::{clock, platform::store::PART};
 
-/// Pause between two questions.
+/// Pause between two queries for a snapshot.
 const SYNC_RETRY_MS: u64 = 250;
-/// Time for which a host asks others before it reads the tables by itself.
+/// Time for which a host queries seed hosts before it reads the store's tables.
 const SYNC_TIMEOUT_MS: u64 = 4_000;
-/// The same for a host that is to know early what the others ask it for.
+/// Time for which an early host queries seed hosts. It is shorter because other hosts will query
+/// this one.
 const EARLY_SYNC_TIMEOUT_MS: u64 = 600;
-/// Time after which a host looks for guides again that found none, at the first start of a deployment. The first
-/// holder of the duty has named some by then.
+/// Time after which a host that found no seed hosts reads their list again. At the first start of a
+/// deployment the first duty holder has stored some by then.
 const LOOKUP_RETRY_MS: u64 = 2_200;
-/// Time over which hosts spread that.
+/// Maximum random time that is added to this pause, so that hosts do not call the store at once.
 const LOOKUP_JITTER_MS: u64 = 700;
-/// One in so many weak hosts reads the tables early.
+/// Divisor that selects early hosts: one in 32 of the hosts with a small processor share reads the
+/// tables early.
 const EARLY_ONE_IN: u32 = 32;
-/// Share of a processor from which a host does.
+/// Processor share from which every host reads the tables early.
 const EARLY_PROCESSOR_SHARE: f32 = 0.5;
 
-/// What a host that starts finds in the store.
+/// Result of reading the list of seed hosts from the store.
 enum SeedHostLookup {
-    /// Nobody has named guides yet.
+    /// No other seed hosts are stored yet, or the hosts' secret is unknown.
     NoneStored,
-    /// Addresses of guides.
+    /// Seed hosts to query, and whether there are more servers than each host should read by
+    /// itself.
     SeedHosts {
         addresses: Vec<SocketAddr>,
         has_many_servers: bool,
     },
 }
 
-/// Whether this host has learned from another one.
+/// Source of the initial state of this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SyncOutcome {
     Pending,
     Synced,
-    /// It reads the tables by itself.
+    /// This host reads the store's tables.
     ReadsTables,
 }
 
-/// This host's start.
+/// State of this host's start, and of its answers to other hosts.
 #[derive(Debug)]
 pub struct Join {
     outcome: watch::Sender<SyncOutcome>,
-    /// Last snapshot that was handed on, sealed, and when it was made.
+    /// Last snapshot that was served, sealed, with the time at which it was made.
     encoded: Mutex<Option<(Bytes, u64)>>,
-    /// A datagram of a known host came under another secret than this host knows.
+    /// True if a known host sent a datagram that is not sealed with the secret that this host
+    /// knows.
     secret_may_be_stale: AtomicBool,
     newcomers: Newcomers,
 }
@@ -95,7 +99,8 @@
 }
 
 impl Join {
-    /// True if another host has told this one what a table has; waits for that.
+    /// Waits for the end of the initial sync. Returns true if this host got a table from another
+    /// host.
     pub(super) async fn was_synced_from_peer(&self, followed: Followed) -> bool {
         if followed == Followed::Configuration {
             return false;
@@ -103,17 +108,17 @@
         self.sync_outcome().await == SyncOutcome::Synced
     }
 
-    /// Notes that the hosts' secret may be another one by now, which only the store can tell.
+    /// Records that the hosts' secret may have been replaced, which only the store can show.
     pub(super) fn flag_stale_secret(&self) {
         self.secret_may_be_stale.store(true, Ordering::Relaxed);
     }
 
-    /// True if the secret was doubted since the last call.
+    /// Returns true if the secret was flagged as possibly stale since the last call.
     fn take_stale_secret_flag(&self) -> bool {
         self.secret_may_be_stale.swap(false, Ordering::Relaxed)
     }
 
-    /// How this host has learned what it knows; waits for that.
+    /// Waits for the end of the initial sync and returns its outcome.
     pub(super) async fn sync_outcome(&self) -> SyncOutcome {
         let mut outcome = self.outcome.subscribe();
         let known = outcome
@@ -124,7 +129,7 @@
 }
 
 impl Entry {
-    /// Learns what other hosts know, or finds that this host must read the tables by itself.
+    /// Fetches a snapshot from a seed host, or determines that this host must read the tables.
     pub(super) async fn join(self: Arc<Self>) {
         let began_ms = clock::now_ms();
         let outcome = if self.ask_seed_hosts().await {
@@ -144,7 +149,8 @@
         let mut looks = 0;
         let seed_hosts = loop {
             match self.find_seed_hosts().await {
-                // At the first start nobody knows yet how many servers there will be, and nobody is in a hurry.
+                // At the first start of a deployment the number of servers is still unknown, and
+                // hosts can wait for the second lookup.
                 Some(SeedHostLookup::SeedHosts {
                     addresses,
                     has_many_servers,
@@ -176,14 +182,15 @@
                     self.take_snapshot(&snapshot);
                     return true;
                 }
-                Err(error) => log::debug!("{seed_host} hands nothing on: {error}"),
+                Err(error) => log::debug!("fetching a snapshot from {seed_host} failed: {error}"),
             }
             time::sleep(Duration::from_millis(SYNC_RETRY_MS)).await;
         }
         false
     }
 
-    /// Guides of the own zone, or all of them if it has none; `None` if the store does not answer.
+    /// Reads the seed hosts of the own zone from the store, or all of them if the zone has none.
+    /// Returns `None` if the store does not answer.
     async fn find_seed_hosts(&self) -> Option<SeedHostLookup> {
         let rows = match self
             .store
@@ -195,7 +202,7 @@
                 rows.rows
             }
             Err(error) => {
-                log::debug!("guides cannot be read: {error}");
+                log::debug!("reading the list of seed hosts failed: {error}");
                 return None;
             }
         };
@@ -227,8 +234,8 @@
         })
     }
 
-    /// True for the hosts that read the tables and look after the duty at once, so that the others can ask them, and the
-    /// first holder's secret is there by then.
+    /// Returns true for early hosts, which read the tables and check the duty at once, so that the
+    /// other hosts can query them and the first duty holder's secret is stored by then.
     pub(super) fn is_early(&self) -> bool {
         let tag = tag_of(&self.settings.listen.peers.to_string());
         self.settings.processor_share >= EARLY_PROCESSOR_SHARE || tag.is_multiple_of(EARLY_ONE_IN)
--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -1,5 +1,6 @@
-//! Registration of hosts that start, by the host that hands on what it knows. A store takes some hundred writes a second;
-//! a thousand hosts that start together would be turned away several times each, and every call is priced.
+//! Batched registration of starting hosts (newcomers) by the host that they query. The store
+//! accepts some hundred writes a second; of a thousand hosts that start together, each would be
+//! rejected several times, and every call is priced.
 
 use std::{
     net::SocketAddr,
@@ -24,44 +25,45 @@
     platform::store::{Expect, Put, Transacted, Transaction},
 };
 
-/// Interval at which newcomers that came together are registered.
+/// Interval at which waiting newcomers are registered in one transaction.
 const REGISTER_EVERY_MS: u64 = 200;
-/// Most rows of one transaction. The store takes 100 conditions and writes.
+/// Maximum number of rows in one transaction. The store accepts 100 conditions and writes in total;
+/// each row needs one of each.
 const ROWS_MAX: usize = 45;
-/// Times that a host asks to be registered before it tries by itself.
+/// Number of registration requests to another host before a host registers itself.
 const TRIES: usize = 4;
-/// Longest question, in bytes.
+/// Maximum size of the body of a registration request.
 const REQUEST_BYTES_MAX: usize = 1_024;
 
-/// A host that starts.
+/// Starting host that is to be registered.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Newcomer {
-    /// Address for other hosts.
+    /// Address for messages and queries of other hosts.
     pub address: SocketAddr,
-    /// Its row.
+    /// Row to store for the host.
     pub row: HostRow,
 }
 
 impl Newcomer {
-    /// Key of its row.
+    /// Returns the key of the host's row.
     fn key(&self) -> String {
         host_key(self.address)
     }
 }
 
-/// Key of a host's row.
+/// Returns the key of a host's row.
 pub(in crate::entry) fn host_key(address: SocketAddr) -> String {
     format!("{HOST_PREFIX}{address}")
 }
 
-/// A newcomer, and who waits for its registration.
+/// Newcomer with the channel that completes its registration request.
 #[derive(Debug)]
 struct Waiting {
     newcomer: Newcomer,
     done: oneshot::Sender<bool>,
 }
 
-/// Newcomers that wait to be registered.
+/// Queue of newcomers that wait to be registered.
 #[derive(Debug, Default)]
 pub(super) struct Newcomers(Mutex<Vec<Waiting>>);
 
@@ -70,7 +72,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Those that are registered next.
+    /// Removes the newcomers for the next transaction from the queue, without those that have gone.
     fn take(&self) -> Vec<Waiting> {
         let mut waiting = self.waiting();
         waiting.retain(|one| !one.done.is_closed());
@@ -78,15 +80,15 @@
         waiting.drain(..count).collect()
     }
 
-    /// Takes back those whose turn did not come.
+    /// Puts newcomers back at the head of the queue after a failed transaction.
     fn put_back(&self, again: Vec<Waiting>) {
         self.waiting().splice(0..0, again);
     }
 }
 
 impl Entry {
-    /// True if another host has registered this one, which was never registered before. Waits until this host knows
-    /// whom to ask.
+    /// Waits until this host knows which host to query, and asks it for registration. Returns true
+    /// if that host has registered this one, which was never registered before.
     pub(in crate::entry) async fn register_through_peer(&self, row: &HostRow) -> bool {
         self.join.sync_outcome().await;
         if self.view.had_former_process() {
@@ -102,14 +104,15 @@
         for _ in 0..TRIES {
             match self.send_to::<bool>(peer, REGISTER, &newcomer).await {
                 Ok(registered) => return registered,
-                Err(error) => log::debug!("{peer} does not register this host yet: {error}"),
+                Err(error) => log::debug!("registration through {peer} failed: {error}"),
             }
             pause().await;
         }
         false
     }
 
-    /// Has a newcomer registered with the others that come now; the sealed answer tells whether it was.
+    /// Queues the newcomer of a request for the next transaction. Returns the sealed answer, which
+    /// states whether the newcomer was registered.
     pub(super) async fn register_newcomer(&self, request: Request<Incoming>) -> Option<Bytes> {
         let body = Limited::new(request.into_body(), REQUEST_BYTES_MAX);
         let body = body.collect().await.ok()?.to_bytes();
@@ -124,7 +127,7 @@
         self.sealed(&registered)
     }
 
-    /// Registers newcomers.
+    /// Registers waiting newcomers periodically.
     pub(in crate::entry) async fn keep_registering_newcomers(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(REGISTER_EVERY_MS)).await;
@@ -139,14 +142,16 @@
             };
             for Waiting { done, newcomer } in waiting {
                 if done.send(registered).is_err() {
-                    log::debug!("{} waits no more to be registered", newcomer.address);
+                    log::debug!("{} no longer waits for its registration", newcomer.address);
                 }
             }
         }
     }
 
-    /// Writes rows that do not exist yet. One that exists may be that of a later process on the host, and must not be
-    /// undone: then all register by themselves. `None` if the store has not taken them yet.
+    /// Writes the rows of newcomers if none of them exists. An existing row may belong to a later
+    /// process on the same host and must not be overwritten; in that case `Some(false)` is returned
+    /// and all newcomers register themselves. Returns `None` if the store has not accepted the rows
+    /// yet.
     async fn register_all(&self, newcomers: &[&Newcomer]) -> Option<bool> {
         let encoded = newcomers.iter().map(|newcomer| {
             let value = serde_json::to_vec(&newcomer.row);
@@ -182,7 +187,7 @@
                 Some(false)
             }
             Err(error) => {
-                log::debug!("newcomers are not registered yet: {error}");
+                log::debug!("registering newcomers failed: {error}");
                 None
             }
         }
--- a/src/entry/join/paths.rs
+++ b/src/entry/join/paths.rs
@@ -1,14 +1,14 @@
-//! What hosts ask each other for.
+//! HTTP paths of the queries between hosts.
 
-/// Servers, holdings and hosts.
+/// Returns servers, holdings and hosts.
 pub const SNAPSHOT: &str = "/snapshot";
-/// Holdings and hosts.
+/// Returns holdings and hosts, without servers.
 pub const OWN: &str = "/own";
-/// The operators' configuration.
+/// Returns the operators' configuration.
 pub const CONFIGURATION: &str = "/configuration";
-/// Registration of the asking host.
+/// Registers the querying host in the store.
 pub const REGISTER: &str = "/register";
-/// Hosts that are known.
+/// Returns the hosts that the queried host knows, itself included.
 pub const HOSTS: &str = "/hosts";
-/// Changes of servers' entries after a version, which follows.
+/// Returns the changes of server entries after a version, which is appended to this prefix.
 pub const CHANGES: &str = "/changes/";
--- a/src/entry/join/seed_hosts.rs
+++ b/src/entry/join/seed_hosts.rs
@@ -1,4 +1,4 @@
-//! The hosts that others may ask, as the holder of the duty names them.
+//! Seed hosts, which starting hosts fetch a snapshot from. The duty holder stores the list.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,38 +15,38 @@
     platform::store::{Put, Row, Transaction},
 };
 
-/// Interval at which the holder looks whether the guides are still those that it would name.
+/// Interval at which the duty holder checks whether the stored list of seed hosts is out of date.
 const SEED_HOSTS_EVERY_MS: u64 = 300;
-/// Servers up to which a host reads the tables by itself: a few pages come sooner than another host that may be
-/// starting too.
+/// Number of servers up to which a host reads the tables from the store: reading a few pages is
+/// faster than a query to another host that may be starting too.
 const READ_SERVERS_MAX: usize = 1_000;
 
-/// Hosts that hand on what they know.
+/// Stored list of the seed hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct SeedHosts {
-    /// The hosts.
+    /// Seed hosts of all zones.
     pub hosts: Vec<SeedHost>,
-    /// True if there are more servers than each host should read.
+    /// True if there are more servers than every host should read from the store by itself.
     pub has_many_servers: bool,
 }
 
 impl SeedHosts {
-    /// Reads a row; no guides if it cannot be read.
+    /// Decodes the row. Returns an empty list if it cannot be decoded.
     pub fn decode(row: &Row) -> Self {
         serde_json::from_slice(&row.value).unwrap_or_else(|error| {
-            log::warn!("guides cannot be read: {error}");
+            log::warn!("the stored list of seed hosts cannot be decoded: {error}");
             Self::default()
         })
     }
 }
 
 impl Entry {
-    /// True if there are more servers than each host should read.
+    /// Returns true if there are more servers than every host should read from the store by itself.
     pub(super) fn has_many_servers(&self) -> bool {
         self.view.registry().servers().count() > READ_SERVERS_MAX
     }
 
-    /// Names the hosts that others may ask, while this host has the duty.
+    /// Stores the list of seed hosts whenever it has changed, while this host has the duty.
     pub(in crate::entry) async fn keep_naming_seed_hosts(self: Arc<Self>) {
         let mut named = None;
         loop {
@@ -86,7 +86,7 @@
         };
         let stored = self.store.transact(&transaction).await;
         if let Err(error) = &stored {
-            log::debug!("guides are not stored yet: {error}");
+            log::debug!("storing the list of seed hosts failed: {error}");
         }
         stored.is_ok()
     }
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -1,4 +1,4 @@
-//! Answers to hosts that start or have missed changes.
+//! HTTP answers to hosts that start or have missed changes.
 
 use std::sync::{Arc, PoisonError};
 
@@ -22,11 +22,13 @@
     transport::{self, AnswerBody, ListenerLimits},
 };
 
-/// Type of a sealed answer.
+/// Content type of sealed answers.
 const ANSWER_TYPE: &str = "application/octet-stream";
-/// Hosts that a host answers at a time. The others wait to be accepted.
+/// Maximum number of connections of other hosts that are served at a time. Further connections wait
+/// to be accepted.
 const CONNECTIONS_MAX: usize = 16;
-/// Time for which an encoded snapshot is handed on to further hosts: those that start together ask together.
+/// Time for which an encoded snapshot is served again: hosts that start together request it
+/// together.
 const ENCODED_KEPT_MS: u64 = 500;
 
 impl Entry {
@@ -41,7 +43,8 @@
         hosts
     }
 
-    /// What this host knows; `None` before it has read everything.
+    /// Returns servers, holdings and hosts; `None` until this host knows them all, and while it
+    /// stops.
     fn snapshot(&self) -> Option<Snapshot> {
         let is_known = self.view.servers_known() && self.view.are_hosts_known();
         if !is_known || self.stopping() {
@@ -55,7 +58,7 @@
         Some(snapshot)
     }
 
-    /// Hosts and holdings that this host knows.
+    /// Returns the hosts and holdings that this host knows.
     fn own_snapshot(&self) -> Snapshot {
         let mut snapshot = Snapshot::default();
         snapshot.own_known = self.freshness.known(Followed::Own);
@@ -68,7 +71,7 @@
         snapshot
     }
 
-    /// The sealed snapshot, made anew from time to time.
+    /// Returns the sealed snapshot, which is encoded again after [`ENCODED_KEPT_MS`].
     fn encoded_snapshot(&self) -> Option<Bytes> {
         let now_ms = clock::now_ms();
         let mut encoded = self
@@ -90,13 +93,13 @@
         match postcard::to_stdvec(content) {
             Ok(plain) => Some(Bytes::from(self.peers.seal.seal(&plain)?)),
             Err(error) => {
-                log::warn!("what this host knows cannot be encoded: {error}");
+                log::warn!("an answer to another host cannot be encoded: {error}");
                 None
             }
         }
     }
 
-    /// Answer to a path; `None` if this host cannot tell it.
+    /// Returns the sealed answer to a path; `None` if this host cannot answer it now.
     fn answer_to(&self, path: &str) -> Option<Bytes> {
         match path {
             SNAPSHOT => self.encoded_snapshot(),
@@ -107,7 +110,8 @@
         }
     }
 
-    /// Why this host cannot answer.
+    /// Returns the status that tells why this host cannot answer: 410 if it no longer has the
+    /// requested changes, 503 otherwise.
     fn refusal_status(&self, path: &str) -> StatusCode {
         let is_forgotten = |after| !self.broadcast.reaches_back_to(after);
         if changes_after(path).is_some_and(is_forgotten) {
@@ -117,7 +121,7 @@
         }
     }
 
-    /// Hands on what this host knows to hosts that start.
+    /// Serves the queries of other hosts.
     pub(in crate::entry) async fn serve_snapshots(
         self: Arc<Self>,
         listener: TcpListener,
@@ -146,14 +150,14 @@
             None => (self.refusal_status(&path), Bytes::new()),
         };
         let mut response = transport::whole(status, ANSWER_TYPE, body);
-        // So that others are accepted.
+        // Closes the connection, so that waiting connections are accepted.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
         response
     }
 }
 
-/// Version after which a path asks for changes.
+/// Returns the version after which a path requests changes.
 fn changes_after(path: &str) -> Option<u64> {
     path.strip_prefix(CHANGES)?.parse().ok()
 }
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -1,5 +1,6 @@
-//! What servers say in their answers goes from the host that was told to the holder of the duty, which
-//! moves their keys, and tells all hosts which servers leave. A wish for rest is for the host alone that was told.
+//! Notices that servers give in their answers. The host that receives one reports it to the duty
+//! holder, which moves the server's keys and announces leaving servers to all hosts. A rest applies
+//! only to the host that the server asked for it.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,13 +15,15 @@
 };
 use crate::clock;
 
-/// Interval at which notices are told again: datagrams may be lost, and a later holder knows nothing.
+/// Interval at which notices are sent again: datagrams may be lost, and a new duty holder knows of
+/// no notices.
 const REPORT_EVERY_MS: u64 = 500;
-/// Time for which the holder tells all hosts that a server leaves: four times.
+/// Time for which the duty holder announces a leaving server to all hosts, enough for four
+/// announcements.
 const ANNOUNCE_FOR_MS: u64 = 3 * REPORT_EVERY_MS + REPORT_EVERY_MS / 2;
 
 impl Entry {
-    /// Takes in what an answer of a server said of its wish for further requests.
+    /// Records the notice in a server's answer.
     pub(in crate::entry) fn note_notice(&self, server: &Server, notice: Notice) {
         if notice == Notice::default() {
             return;
@@ -33,20 +36,22 @@
         self.noticed.notify_one();
     }
 
-    /// Tells the holder what servers have said; the holder tells all hosts.
+    /// Reports notices to the duty holder periodically and after each new notice. As the duty
+    /// holder, announces leaving servers to all hosts.
     pub(in crate::entry) async fn keep_reporting_notices(self: Arc<Self>) {
         loop {
             let pause = Duration::from_millis(REPORT_EVERY_MS);
-            // Either way what servers have said is told.
+            // Notices are sent after the timeout too.
             if time::timeout(pause, self.noticed.notified()).await.is_ok() {
-                log::debug!("a server has said something new");
+                log::debug!("a server has given a new notice");
             }
             self.report_leaving();
             self.report_rests();
         }
     }
 
-    /// Tells the holder which servers want no requests of this host; as the holder, notes it.
+    /// Reports to the duty holder which servers asked this host for a rest. As the duty holder,
+    /// records them.
     fn report_rests(&self) {
         let registry = self.view.registry();
         let rests = registry.servers().filter_map(|server| {
@@ -63,11 +68,11 @@
         if self.duty.term() > 0 {
             self.take_rests(self.settings.listen.peers, &rests);
         } else if !self.peers.send_to_holder(&Message::ReportRests(rests)) {
-            log::debug!("no holder hears that servers want a rest");
+            log::debug!("no duty holder is known to report rests of servers to");
         }
     }
 
-    /// Notes, as the holder, which servers want no requests of a host.
+    /// Records, as the duty holder, which servers asked a host for a rest.
     pub(in crate::entry) fn take_rests(&self, host: SocketAddr, rests: &[ServerRest]) {
         if self.duty.term() == 0 {
             return;
@@ -85,7 +90,7 @@
             let said = registry.servers().filter(|s| s.leaves_by_notice_only());
             let tags: Vec<u32> = said.map(|s| s.tag).take(ENTRIES_MAX).collect();
             if !tags.is_empty() && !self.peers.send_to_holder(&Message::ReportLeaving(tags)) {
-                log::debug!("no holder hears that servers leave");
+                log::debug!("no duty holder is known to report leaving servers to");
             }
             return;
         }
@@ -100,14 +105,15 @@
         }
     }
 
-    /// Takes in, as the holder, that servers have told another host that they leave.
+    /// Records, as the duty holder, servers that announced to another host that they are leaving.
     pub(in crate::entry) fn take_reported_leaving(&self, tags: &[u32]) {
         if self.duty.term() > 0 && self.note_leaving_elsewhere(tags) {
             self.noticed.notify_one();
         }
     }
 
-    /// Notes that servers have told other hosts that they leave; true if this host did not know of one.
+    /// Records servers that announced to other hosts that they are leaving. Returns true if this
+    /// host did not know it of at least one.
     pub(in crate::entry) fn note_leaving_elsewhere(&self, tags: &[u32]) -> bool {
         let registry = self.view.registry();
         let named = registry.servers().filter(|s| tags.contains(&s.tag));
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -81,7 +81,7 @@
     }
 
     /// Adds a host whose row was not read yet. A host describes itself in its reports and
-    /// questions, so that not every host reads the rows for each new one.
+    /// queries, so that not every host reads the rows for each new one.
     fn learn_sender(&self, from: SocketAddr, message: Option<&Message>) {
         let Some(Message::Report { sender, .. } | Message::QueryStoreState { sender, .. }) =
             message
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -1,7 +1,8 @@
-//! Relays that vouch for the store in the holder's stead. Hosts rely on the holder of the duty to learn that nothing has
-//! changed. When it is lost, or the store turns it away, each of a thousand hosts would call the store by itself until
-//! there is another. Among many hosts the relays of each zone do so a little earlier than the others
-//! would, and the others ask them.
+//! Relays that confirm the store's state in place of the duty holder. Hosts rely on the duty holder
+//! to learn that nothing has changed in the store. When it is lost, or the store rejects its calls,
+//! each of a thousand hosts would call the store until there is another duty holder. With many
+//! hosts, the relays of each zone do so a little earlier than the other hosts would, and the other
+//! hosts query them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,12 +20,12 @@
 };
 use crate::clock;
 
-/// Longer pause while the holder of the duty tells that nothing has changed in the store, which may
-/// turn away this host only.
+/// Longer pause after a failed call while the duty holder reports that nothing has changed in the
+/// store: the store may reject this host only.
 const TOLD_PAUSE_MS: u64 = 1_500;
 
 impl Entry {
-    /// What this host relies on to learn of changes.
+    /// Returns the source from which this host learns of changes.
     pub(super) fn reliance(&self) -> Reliance {
         if self.duty.term() > 0 {
             Reliance::Holder
@@ -37,15 +38,15 @@
         }
     }
 
-    /// Waits a little longer after a failed call, as long as others make calls in this host's stead. Hundreds of hosts
-    /// that look for the store's return by themselves are thousands of calls.
+    /// Extends the pause after a failed call while other hosts call the store on behalf of this
+    /// one. Hundreds of hosts that each check for the store's return are thousands of calls.
     pub(super) async fn pause_while_others_call(&self) {
         self.pause_while_relays_call().await;
         self.pause_while_told().await;
     }
 
-    /// Leaves it to the relays of the zone to find out when the store is back, but for a call now and then: all of them
-    /// may be lost.
+    /// Leaves it to the relays of the zone to detect the store's return. This host still calls the
+    /// store now and then, since all relays may be lost.
     pub(super) async fn pause_while_relays_call(&self) {
         if !self.peers.are_many() {
             return;
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Waits a little longer as long as this host has what the holder of the duty has seen.
+    /// Extends the pause while this host has all changes that the duty holder has reported.
     async fn pause_while_told(&self) {
         let until_ms = clock::now_ms() + TOLD_PAUSE_MS;
         let is_behind = |followed| {
@@ -71,7 +72,8 @@
         }
     }
 
-    /// Asks the relays of the own zone while the holder's word grows old, and finds out whether this host is one.
+    /// Queries the relays of the own zone while the duty holder's report becomes stale, and
+    /// determines whether this host is a relay.
     pub(super) async fn keep_asking_relays(self: Arc<Self>) {
         loop {
             let is_asking = self.ask_relays();
@@ -84,7 +86,8 @@
         }
     }
 
-    /// Asks a relay if there is need; true if it did.
+    /// Queries the relays of the zone if the state of the store must be confirmed. Returns true if
+    /// it did.
     fn ask_relays(&self) -> bool {
         let is_apart = self.duty.term() > 0 || !self.peers.are_many();
         let relays = if is_apart {
@@ -105,7 +108,8 @@
         true
     }
 
-    /// What this host can tell of the store, for a host that hears no holder.
+    /// Returns the state of the store as this host sees it, for a host that receives no heartbeats
+    /// of the duty holder.
     pub(super) fn store_state_for(&self, nonce: u64) -> Option<Message> {
         let news = self.freshness.word(self.view.store_heard_ms())?;
         Some(Message::StoreState {
@@ -115,9 +119,9 @@
         })
     }
 
-    /// Takes in a relay's answer.
+    /// Applies the answer of a relay.
     pub(super) fn note_word(&self, nonce: u64, news: StoreNews, evacuations: Evacuations) {
-        // A later state counts, however it came here.
+        // The later state wins, whichever way it arrived.
         self.view.evacuate(evacuations);
         if let Some(answered_ms) = self.freshness.note_word(nonce, news) {
             self.heard_store(answered_ms);
