--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -115,7 +115,7 @@
 
     /// Broadcasts the difference between a table as this host, the duty holder, knew it and its
     /// rows, which it has read as a whole because the store had dropped its history. Otherwise all
-    /// the other hosts, 295 in a deployment of 296, would each read the whole table.
+    /// the other hosts, for example 295, would each read the whole table.
     pub(super) fn broadcast_difference(&self, followed: Followed, rows: &Rows) {
         let after = self.freshness.applied(followed);
         if after == 0 {
