--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn word_goes_by_two_hosts_of_each_zone_among_many_only() {
+fn many_hosts_get_messages_through_two_relays_per_zone() {
     struct Case {
         zones: u32,
         of_each: usize,
