--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn strong_hosts_that_are_heard_pass_word_on() {
+fn strong_responsive_hosts_are_chosen_as_relays() {
     let mut hosts = hosts(2, 30);
     hosts[7].processor_share = 0.5;
     hosts[11].processor_share = 0.5;
