--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn terms_choose_among_equal_hosts_in_turn() {
+fn relays_among_equal_hosts_vary_by_term() {
     let hosts = hosts(1, 60);
     let choices: std::collections::HashSet<Vec<SocketAddr>> =
         (1..20).map(|term| fanout(&hosts, term).relays).collect();
