--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn word_that_a_relay_held_back_counts_as_old() {
+fn messages_that_a_relay_delayed_count_as_old() {
     let mut one_way_delay = OneWayDelay::default();
     // The clocks of the two hosts have nothing to do with each other.
     assert_eq!(one_way_delay.delay_ms(4, 9_000_000, 1_000_003), 0);
