--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn sums_of_zones_replace_each_other_and_are_forgotten() {
+fn zone_sums_replace_earlier_ones_and_expire() {
     let mut loads = ZoneLoads::default();
     let total = |loads: &ZoneLoads, now_ms: u64| -> u16 {
         loads.latest(now_ms).map(|summary| summary.in_flight).sum()
