--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn one_host_speaks_for_a_zone_and_one_passes_word_on_in_each_other() {
+fn an_aggregator_sends_to_one_relay_of_each_other_zone() {
     let mut hosts = hosts(4, 50);
     hosts[20].processor_share = 0.5;
     hosts[70].processor_share = 0.5;
