--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn what_hosts_tell_of_rates_and_suspects_fits_a_datagram() {
+fn messages_with_the_most_entries_fit_a_datagram() {
     let rate = ServerRate {
         server_tag: u32::MAX,
         told: Some(AdvertisedRate {
