--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn word_of_a_relay_counts_from_the_question_and_only_once() {
+fn a_relay_answer_is_dated_from_the_query_and_counts_once() {
     let limits = limits();
     let host = Freshness::new(&limits);
     let now_ms = ashroad::clock::now_ms();
