--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn later_word_keeps_the_changes_that_earlier_word_told() {
+fn a_later_report_keeps_the_changes_of_an_earlier_one() {
     let limits = limits();
     let host = Freshness::new(&limits);
     host.note_told(news(1_000, 20));
