--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_relay_that_does_not_follow_the_store_tells_nothing() {
+fn a_relay_that_does_not_follow_the_store_reports_nothing() {
     let limits = limits();
     let relay = Freshness::new(&limits);
     let heard_ms = ashroad::clock::now_ms();
