--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn what_a_host_knows_is_the_same_after_it_was_handed_on() {
+fn a_snapshot_is_unchanged_by_encoding_and_decoding() {
     let entries: Vec<ServerEntry> = (0..10_003).map(entry).collect();
     let mut assignment = Assignment::default();
     for number in 0..3_440u16 {
