--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -197,7 +197,7 @@
 }
 
 #[tokio::test]
-async fn few_read_the_tables_again_when_the_store_has_forgotten_its_history() {
+async fn few_hosts_reread_the_tables_after_the_store_dropped_its_history() {
     let site = Site::start(6, 3).await;
     add_many_servers(&site);
     time::sleep(Duration::from_millis(4_000)).await;
