--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -1,4 +1,5 @@
-//! Hosts that start: they learn from other hosts what these know, and read the store's tables only if none does.
+//! Starting hosts fetch servers, holdings and hosts from other hosts, and read the store's tables
+//! only if no other host has them.
 
 mod platform_standin;
 
@@ -21,9 +22,9 @@
 };
 
 const SERVERS_READ: &str = "/rows-get servers";
-/// More than a host reads by itself if another one can tell it.
+/// More servers than a host reads from the store by itself if it can fetch them from another host.
 const MANY_SERVERS: usize = 1_200;
-/// Pages of 500 rows that it takes to read them.
+/// Number of pages of 500 rows that reading these servers takes.
 const PAGES: u64 = 3;
 
 async fn all_serve(site: &Site, limit_ms: u64) {
@@ -40,7 +41,7 @@
     }
 }
 
-/// Servers of a service that no route names, so that the tables are large.
+/// Adds servers of a service that no route uses, so that the tables are large.
 fn add_many_servers(site: &Site) {
     for number in 0..MANY_SERVERS {
         let name = format!("idle-{number:06}");
@@ -56,7 +57,7 @@
     })
 }
 
-/// More hosts than the holder of the duty speaks to directly.
+/// More hosts than the duty holder addresses directly.
 const MANY_HOSTS: usize = 24;
 
 fn feeds(site: &Site) -> u64 {
@@ -66,14 +67,15 @@
 
 #[tokio::test]
 async fn many_hosts_learn_of_many_new_servers_with_few_calls() {
-    /// The holder's, and those of relays and of hosts that others could not tell in time.
+    /// Calls of the duty holder, of relays, and of hosts that got no answer from other hosts in
+    /// time.
     const CALLS_MAX: u64 = MANY_HOSTS as u64;
     let site = Site::start(MANY_HOSTS, 2).await;
     time::sleep(Duration::from_millis(4_000)).await;
     let before = feeds(&site);
     add_many_servers(&site);
     time::sleep(Duration::from_millis(3_000)).await;
-    // Changes are taken in in order, so that who knows the last one knows all.
+    // Changes are applied in order, so a host that knows the last one knows all of them.
     let last = "idle-last";
     site.store.put("servers", last, &idle_server(MANY_SERVERS));
     let knows_all = |host: &Host| host.events("server").iter().any(|line| line.contains(last));
@@ -85,12 +87,13 @@
     assert!(calls <= CALLS_MAX, "{calls} calls of {MANY_HOSTS} hosts");
 }
 
-/// What users saw: hosts that used a configuration for up to 17.7 s after the next one was there, among 985, after the store
-/// had turned some calls away. Order of events: a host's feed of servers was refused, so its other feeds waited for that one
-/// to be answered; the holder vouched again, so that feed had nothing to ask for and rested.
+/// Guards against hosts that keep using an outdated configuration after the store has rejected
+/// calls; among 985 hosts some did so for up to 17.7 s. A host's feed of servers was rejected, and
+/// its other feeds waited until that feed got an answer. When the duty holder confirmed the store
+/// again, that feed had nothing to request and paused, so the other feeds kept waiting.
 #[tokio::test]
 async fn a_configuration_reaches_many_hosts_after_the_store_was_away() {
-    /// More than the holder passes on by datagrams.
+    /// More than the duty holder broadcasts in datagrams.
     const ROUTES: usize = 200;
     const IN_FORCE_MS: u64 = 2_500;
     let site = Site::start(MANY_HOSTS, 2).await;
@@ -118,10 +121,11 @@
     .await;
 }
 
-/// A configuration that cannot be read may revoke keys: a host that does not know of it would go on trusting the last one.
+/// A configuration that cannot be read may revoke API keys: a host that does not know of it would
+/// continue to trust the previous one.
 #[tokio::test]
 async fn all_hosts_know_that_a_configuration_cannot_be_read() {
-    /// More than the holder passes on by datagrams.
+    /// More than the duty holder broadcasts in datagrams.
     const BYTES: usize = 20_000;
     let site = Site::start(MANY_HOSTS, 2).await;
     time::sleep(Duration::from_secs(4)).await;
@@ -138,9 +142,9 @@
 
 #[tokio::test]
 async fn hosts_that_join_are_registered_together() {
-    /// Among so many the store takes one write a second.
+    /// Number of joining hosts, while the store accepts one write a second.
     const JOINING: usize = 12;
-    /// Alone they would need a second each.
+    /// Time limit for all registrations. One by one, each host would take a second.
     const LIMIT_MS: u64 = 7_000;
     let mut site = Site::start(MANY_HOSTS, 2).await;
     time::sleep(Duration::from_millis(4_000)).await;
@@ -173,8 +177,8 @@
 async fn hosts_that_join_read_no_table_of_servers() {
     let mut site = Site::start(3, 3).await;
     add_many_servers(&site);
-    // The holder names the hosts that others may ask, once it knows that there are many servers.
-    eventually("guides are named", 8_000, async || {
+    // The duty holder updates the list of seed hosts once it knows that there are many servers.
+    eventually("seed hosts are stored", 8_000, async || {
         let guides = site.store.row("ashroad", "secret-guides");
         guides.is_some_and(|guides| guides["has_many_servers"] == true)
     })
@@ -186,7 +190,7 @@
     }
     all_serve(&site, 8_000).await;
     assert_eq!(reads_of_servers(&site), before);
-    // What they were told is kept up to date like what is read.
+    // State fetched from another host is kept up to date like state read from the store.
     site.keyed[0].declare(&site.store, "draining");
     eventually("the keys have moved", 8_000, async || {
         site.keyed[0].keys_held() == 0
@@ -207,11 +211,12 @@
         ..Faults::default()
     });
     time::sleep(Duration::from_millis(4_000)).await;
-    // Something changes that no host hears of before it is forgotten.
+    // A change that the store drops from its history before any host has read it.
     site.orders[0].declare(&site.store, "ready");
     site.store.forget_history();
     site.store.set_faults(Faults::default());
-    // A server leaves as the store is back: all must know, also those that were told by others.
+    // A server leaves when the store is back: all hosts must know it, also those that fetched the
+    // tables from other hosts.
     site.keyed[0].declare(&site.store, "draining");
     eventually("the keys have moved", 10_000, async || {
         site.keyed[0].keys_held() == 0
@@ -225,7 +230,8 @@
 
 #[tokio::test]
 async fn hosts_serve_again_after_all_were_killed() {
-    /// Time in which hosts know servers and keys again, with few servers and with many. Nobody can tell them.
+    /// Time limits until hosts know servers and keys again, with few servers and with many. No
+    /// other host can provide them.
     const AGAIN_MS: [u64; 2] = [2_000, 4_000];
     let mut site = Site::start(3, 3).await;
     for again_ms in AGAIN_MS {
@@ -287,7 +293,7 @@
         snapshot.add_holdings(&"service-0".into(), part, &row);
     }
     let bytes = postcard::to_stdvec(&snapshot).expect("encoded");
-    // A tenth of a second on a link of 40 Mbit/s, a seventh of what the tables take.
+    // Transfer takes about 0.1 s on a link of 40 Mbit/s. The tables are seven times as large.
     assert!(bytes.len() < 700_000, "{} bytes", bytes.len());
     let handed_on: Snapshot = postcard::from_bytes(&bytes).expect("decoded");
     assert!(handed_on.servers().eq(entries));
--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -1,15 +1,17 @@
-//! Servers that tell hosts in their answers that they leave, or that they want a rest.
+//! Servers that announce in their answers that they are leaving, or that ask for a rest.
 //!
-//! What users saw, first: a server had said in its answers that it leaves, and 3 to 13 s later the same hosts still sent it
-//! requests. Order of events: the store fell silent; the server began to leave and said so in each answer; its row could
-//! not be written, so hosts went by the old one until the store was back. Cause: a host knew of a server's leaving from its
-//! row alone. Evidence: hosts' logs have its answers' notices and, until the store was back, requests sent to it.
+//! Guards against two failures:
 //!
-//! What users saw, second: a third of the map reads were refused for nine seconds. Order of events: three of nine servers turned
-//! every request away and asked for 3 s of rest; hosts went on sending all requests for their keys there, half of them
-//! twice, and the planner gave them more keys. Cause: a host went by the status of such an answer alone, and the rest
-//! that it named reached neither the host's choice nor the planner. Evidence: the 26 lines that one host wrote of requests
-//! to one server in its rest are the 26 that reached it.
+//! A leaving server still got requests from the same hosts 3 to 13 s after it had announced its
+//! leaving to them in its answers. The store was unavailable, so the server's row could not be
+//! updated, and hosts knew of a server's leaving only from its row. The logs of the hosts show the
+//! notices and, until the store was back, requests sent to the server.
+//!
+//! A third of the map reads were refused for nine seconds. Three of nine servers rejected every
+//! request and asked for 3 s of rest. Hosts used only the status of such answers: the rest reached
+//! neither the choice of a server nor the planner. Hosts kept sending all requests for the keys
+//! there, half of them twice, and the planner gave the servers more keys. All 26 requests that one
+//! host logged to one server during its rest reached that server.
 
 mod platform_standin;
 
@@ -24,19 +26,20 @@
     traffic::{Asked, Sent, Traffic},
 };
 
-/// Time after a server has asked for rest in which what was on its way may still come.
+/// Time after a server has asked for a rest in which requests already in transit may still arrive.
 const REST_SLACK: Duration = Duration::from_millis(500);
-/// Requests that may reach a server in its rest after that.
+/// Maximum number of requests that may reach a server later in its rest.
 const REST_VISITS_MAX: usize = 2;
-/// Rest that servers ask for.
+/// Duration of the rest that servers ask for.
 const REST_MS: u64 = 2_000;
-/// Time for which they turn requests away.
+/// Time for which servers reject requests.
 const TURNS_AWAY: Duration = Duration::from_millis(8_000);
-/// Time within which a host refuses what nobody can serve, by its own clock; as in tests/entry_crashes.rs.
+/// Time within which a host refuses requests that no server can serve, by its own clock; as in
+/// tests/entry_crashes.rs.
 const AT_ONCE_MS: u64 = 400;
 
-/// Requests that a caller sent later than the bound after a host had passed on that a server leaves, and that
-/// reached it from this host.
+/// Returns the delays of requests that a caller sent later than the bound after a host had passed a
+/// server's notice of leaving on, and that reached the server through this host.
 fn late_for_leaving(server: &Server, traffic: &Traffic) -> Vec<Duration> {
     let mut late = Vec::new();
     for visits in visits_by_host(server, traffic).values() {
@@ -52,7 +55,8 @@
     late
 }
 
-/// Most requests that reached a server from one host in a rest that it had asked this host for.
+/// Returns the maximum number of requests that reached a server from one host during a rest that
+/// the server had asked this host for.
 fn most_in_a_rest(server: &Server, traffic: &Traffic) -> usize {
     let in_a_rest = |visits: &Vec<(Visit, Sent)>| {
         let rests = visits
@@ -79,7 +83,7 @@
         let latest = late.iter().max();
         return Err(format!("{} requests, up to {latest:?} after", late.len()));
     }
-    // Without the store no key can get another server; whatever else happens, callers are served.
+    // Without the store no key can get another server. In all other cases callers are served.
     if beside == Beside::StoreAway && asked == Asked::Keys {
         return Ok(());
     }
@@ -133,7 +137,7 @@
     play(ALL.map(|beside| (beside, Asked::Orders)), rest).await;
 }
 
-/// All servers of a service want a rest: nobody can serve, and callers are told so at once.
+/// All servers of a service ask for a rest: no server can serve, and callers are refused at once.
 async fn rest_of_all(asked: Asked) -> Result<(), String> {
     let deployment = Deployment::start(asked).await;
     let servers = deployment.servers(asked);
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -1,7 +1,8 @@
-//! Hosts that cannot rely on the holder of the duty rely on the relays of their zone.
+//! Hosts that cannot rely on the duty holder rely on the relays of their zone.
 //!
-//! What users saw: 34 calls to the store of each of 985 hosts on a day. Order of events: the store turned the holder away;
-//! its word grew old, so each host followed the store by itself until there was another holder.
+//! Guards against many hosts calling the store at once: with 985 hosts, each made 34 calls to the
+//! store in a day. The store rejected the duty holder's calls, its reports became stale, and each
+//! host followed the store by itself until there was another duty holder.
 
 mod platform_standin;
 
@@ -25,9 +26,10 @@
     traffic::Asked,
 };
 
-/// More than the hosts to which the holder speaks directly.
+/// More hosts than the duty holder addresses directly.
 const HOSTS: usize = 24;
-/// Hosts that may follow the store: the relays of the zone, those that watch the duty's row, and holders.
+/// Maximum number of hosts that follow the store: the relays of the zone, the hosts that watch the
+/// duty's row, and duty holders.
 const CALLERS_MAX: usize = 8;
 
 fn limits() -> TimeLimits {
@@ -58,7 +60,7 @@
     }
     assert!(!relay.is_vouched());
     assert!(other.is_vouched());
-    // Several questions fit into the time that is left.
+    // The remaining time suffices for several queries.
     assert!(limits.trust_ms / 4 >= 3 * limits.ask_relay_every_ms);
 }
 
@@ -68,12 +70,12 @@
     let host = Freshness::new(&limits);
     let now_ms = ashroad::clock::now_ms();
     host.ask(1, now_ms);
-    assert_eq!(host.note_word(2, news(0, 9)), None, "no such question");
+    assert_eq!(host.note_word(2, news(0, 9)), None, "unknown nonce");
     assert_eq!(host.note_word(1, news(300, 9)), Some(now_ms - 300));
     assert!(host.is_vouched());
     assert!(host.is_behind(Followed::Servers, 8));
-    assert_eq!(host.note_word(1, news(0, 9)), None, "answered already");
-    // An answer that was on its way for as long as the host stood still.
+    assert_eq!(host.note_word(1, news(0, 9)), None, "already answered");
+    // An answer that was delayed while the host was frozen.
     let frozen = Freshness::new(&limits);
     frozen.ask(1, now_ms - limits.trust_ms);
     frozen.note_word(1, news(0, 9));
@@ -89,7 +91,8 @@
     host.note_word(1, news(100, 10));
     assert!(host.is_behind(Followed::Servers, 19));
     assert!(host.has_left_since(19));
-    // Word of the holder that is older than the relay's does not make the host doubt.
+    // A report of the duty holder that is older than the relay's does not make the host distrust
+    // the relay's.
     host.note_told(news(limits.trust_ms as u32, 20));
     assert!(host.is_vouched());
 }
@@ -104,12 +107,15 @@
         relay.note_applied(followed, 7);
         drop(relay.follow(followed));
     }
-    let word = relay.word(ashroad::clock::now_ms()).expect("word");
+    let word = relay.word(ashroad::clock::now_ms()).expect("store state");
     assert!(word.age_ms < 100);
     assert_eq!(word.up_to[Followed::Servers.index()], 7);
     thread::sleep(Duration::from_millis(50));
-    let later = relay.word(ashroad::clock::now_ms()).expect("word");
-    assert!(later.age_ms >= 50, "followed no more for 50 ms");
+    let later = relay.word(ashroad::clock::now_ms()).expect("store state");
+    assert!(
+        later.age_ms >= 50,
+        "the store has not been followed for 50 ms"
+    );
 }
 
 #[tokio::test]
@@ -135,7 +141,7 @@
         "{callers} of {HOSTS} hosts called: {:?}",
         calls.collect::<Vec<_>>()
     );
-    // What changes meanwhile is known all the same.
+    // Changes in the meantime still become known.
     let leaving = &deployment.site.orders[0];
     leaving.declare(&deployment.site.store, "draining");
     time::sleep(Duration::from_secs(3)).await;
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -1,4 +1,5 @@
-//! Word between many hosts: who passes it on, how old it is, and configurations in pieces.
+//! Messages between many hosts: choice of relays, age of delayed messages, configurations sent in
+//! pieces, loads by zone and sizes of datagrams.
 
 use std::net::SocketAddr;
 
@@ -65,7 +66,7 @@
             direct: 0,
             relays: 10,
         },
-        // What a host sends does not grow with the number of hosts.
+        // The number of messages per sender does not grow with the number of hosts.
         Case {
             zones: 5,
             of_each: 880,
@@ -104,10 +105,10 @@
         relays
     };
     assert_eq!(chosen(&hosts), [hosts[7].address, hosts[11].address]);
-    // One that was given word and fell silent is replaced at once.
+    // A relay that does not acknowledge messages is replaced at once.
     hosts[7].is_silent = true;
     assert_eq!(chosen(&hosts), [hosts[11].address, hosts[13].address]);
-    // Where nobody is heard, word is still sent.
+    // If no host responds, messages are still sent to relays.
     for host in &mut hosts {
         host.is_silent = true;
     }
@@ -125,18 +126,18 @@
 #[test]
 fn messages_that_a_relay_delayed_count_as_old() {
     let mut one_way_delay = OneWayDelay::default();
-    // The clocks of the two hosts have nothing to do with each other.
+    // The clocks of the two hosts are unrelated.
     assert_eq!(one_way_delay.delay_ms(4, 9_000_000, 1_000_003), 0);
     assert_eq!(one_way_delay.delay_ms(4, 9_000_300, 1_000_301), 0);
-    // One that was frozen for 6 s passes on what it got before, after younger word of the other.
+    // A relay that was frozen for 6 s forwards an old message after a newer one of the other relay.
     assert_eq!(one_way_delay.delay_ms(4, 9_006_300, 1_006_301), 0);
     assert_eq!(one_way_delay.delay_ms(4, 9_000_600, 1_006_600), 5_999);
-    // Clocks may drift apart by a millisecond in a second.
+    // Clocks may drift apart by 1 ms per second.
     assert_eq!(one_way_delay.delay_ms(4, 9_600_300, 1_600_600), 0);
-    // A later holder has another clock.
+    // The duty holder of a later term has another clock.
     assert_eq!(one_way_delay.delay_ms(5, 100, 1_600_900), 0);
     assert_eq!(one_way_delay.delay_ms(5, 400, 1_601_250), 50);
-    // A late message of the earlier one changes nothing.
+    // A late message of the previous duty holder changes nothing.
     assert_eq!(one_way_delay.delay_ms(4, 9_600_400, 1_601_300), u64::MAX);
     assert_eq!(one_way_delay.delay_ms(5, 700, 1_601_550), 50);
 }
@@ -157,7 +158,7 @@
         let mut assembly = Assembly::default();
         let last = pieces.len() - 1;
         for piece in &pieces[..last] {
-            // A relay repeats what the other one has sent.
+            // Both relays of the zone forward the same piece.
             if assembly.take(piece.clone()).is_some() || assembly.take(piece.clone()).is_some() {
                 return false;
             }
@@ -183,7 +184,7 @@
         assembly.take(piece(6, 0, "new ")),
         Some(b"new end".to_vec())
     );
-    // A piece that claims another place than there are is no part of it.
+    // A piece whose index is out of range is ignored.
     assert_eq!(assembly.take(piece(6, 9, "x")), None);
 }
 
@@ -204,18 +205,18 @@
     loads.note(1, vec![summary(7, 3), summary(8, 1)], 1_000);
     loads.note(2, vec![summary(7, 5)], 1_100);
     assert_eq!(total(&loads, 1_200), 9);
-    // Of two hosts that speak for a zone the last one counts, not both.
+    // If two hosts act as aggregator of a zone, their sums replace each other and are not added.
     loads.note(1, vec![summary(7, 2)], 1_400);
     loads.note(1, vec![summary(7, 2)], 1_410);
     assert_eq!(total(&loads, 1_500), 8);
-    // A part that was lost leaves the others; a zone that is silent counts no more.
+    // The loss of one part does not affect the others; sums of a silent zone expire.
     assert_eq!(total(&loads, 2_800), 2);
     assert_eq!(total(&loads, 3_100), 0);
 }
 
 #[test]
 fn a_zone_tells_the_others_only_what_is_new() {
-    /// Servers of a zone that have run requests lately, of which few run some now.
+    /// Servers of a zone that have run requests lately; only a few of them run requests now.
     const SERVERS: u32 = 3_000;
     const BUSY: u32 = 300;
     const SUM_EVERY_MS: u64 = 250;
@@ -235,7 +236,7 @@
         for part in parts(&new) {
             heard.note(1, part, now_ms);
         }
-        // Who hears all of it knows what it would know if all were told.
+        // A receiver of all changes has the same state as if all sums had been sent.
         let mut known: Vec<ServerSummary> = heard.latest(now_ms).collect();
         known.sort_unstable_by_key(|sum| sum.server_tag);
         assert_eq!(known, sums, "round {round}");
@@ -246,7 +247,8 @@
 
 #[test]
 fn servers_do_not_share_a_short_name() {
-    // 10,003 servers had 700 pairs with the same name of 16 bits, whose loads were added up.
+    // With tags of 16 bits, 10,003 servers had 700 pairs with the same tag, whose loads were added
+    // up.
     let tags: std::collections::HashSet<u32> = (0..10_003u32)
         .map(|number| tag_of(&format!("i-{number:010x}@19abcdef012")))
         .collect();
@@ -333,7 +335,7 @@
             shared: vec![suspect; SHARED_SUSPECTS_MAX],
         },
     ];
-    /// Version and seal around a message, and what a relay adds.
+    /// Overhead of version, seal and relaying, in bytes.
     const AROUND_BYTES: usize = 100;
     for message in messages {
         let bytes = postcard::to_stdvec(&message).expect("encoded").len();
