--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -212,12 +212,12 @@
     /// being read.
     pub(super) fn take_servers(&self, passed: ServerChanges) {
         if self.broadcast.accepts_changes() {
-            self.take_news_of_servers(passed);
+            self.apply_server_changes(passed);
         }
     }
 
     /// Applies changes of server entries, unless this host has missed changes before them.
-    pub(super) fn take_news_of_servers(&self, news: ServerChanges) {
+    pub(super) fn apply_server_changes(&self, news: ServerChanges) {
         let up_to = news.up_to;
         let applied = self.freshness.applied(Followed::Servers);
         let Some(changes) = news.new_after(applied) else {
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -210,7 +210,7 @@
         if self.duty.term() > 0 {
             self.broadcast_server_changes(&news);
         }
-        self.take_news_of_servers(news);
+        self.apply_server_changes(news);
     }
 
     /// Notes that the store has told all changes of a table up to a time.
