--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -210,7 +210,7 @@
 
     /// Applies changes of server entries that the duty holder broadcast, unless the whole table is
     /// being read.
-    pub(super) fn take_servers(&self, passed: ServerChanges) {
+    pub(super) fn receive_server_changes(&self, passed: ServerChanges) {
         if self.broadcast.accepts_changes() {
             self.apply_server_changes(passed);
         }
--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -111,7 +111,7 @@
             Followed::Servers => {
                 let path = format!("{CHANGES}{}", self.freshness.applied(followed));
                 match self.ask::<ServerChanges>(peer, &path).await {
-                    Ok(changes) => self.take_servers(changes),
+                    Ok(changes) => self.receive_server_changes(changes),
                     Err(Error::Status { status }) if status == StatusCode::GONE => {
                         self.fetch_snapshot(followed, peer).await?;
                     }
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -127,7 +127,7 @@
                 zone_tag,
                 summaries,
             } => self.peers.note_zone_loads(zone_tag, summaries),
-            Message::Servers(changes) => self.take_servers(changes),
+            Message::Servers(changes) => self.receive_server_changes(changes),
             Message::Configuration(piece) => self.take_configuration(piece),
             Message::QueryKeyOwner { service_tag, key } => {
                 self.send_key_owner(from, service_tag, key)
