--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -149,7 +149,7 @@
 
     /// Receives a piece of a configuration that the duty holder broadcast, and applies the
     /// configuration once it is complete.
-    pub(super) fn take_configuration(&self, piece: Piece) {
+    pub(super) fn receive_configuration_piece(&self, piece: Piece) {
         let version = piece.version;
         if version <= self.freshness.applied(Followed::Configuration) {
             return;
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -128,7 +128,7 @@
                 summaries,
             } => self.peers.note_zone_loads(zone_tag, summaries),
             Message::Servers(changes) => self.receive_server_changes(changes),
-            Message::Configuration(piece) => self.take_configuration(piece),
+            Message::Configuration(piece) => self.receive_configuration_piece(piece),
             Message::QueryKeyOwner { service_tag, key } => {
                 self.send_key_owner(from, service_tag, key)
             }
