--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -192,7 +192,7 @@
     }
 
     /// Applies the configuration that another host has answered with.
-    pub(super) fn take_known_configuration(&self, known: KnownConfiguration) {
+    pub(super) fn apply_known_configuration(&self, known: KnownConfiguration) {
         self.view.evacuate(known.evacuations);
         let applied = self.freshness.applied(Followed::Configuration);
         if known.version > applied {
--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -120,7 +120,7 @@
             }
             Followed::Configuration => {
                 let known: KnownConfiguration = self.ask(peer, CONFIGURATION).await?;
-                self.take_known_configuration(known);
+                self.apply_known_configuration(known);
             }
             Followed::Own => {
                 let snapshot: Snapshot = self.ask(peer, OWN).await?;
