--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -156,7 +156,7 @@
         }
     }
 
-    pub(super) fn take_snapshot(&self, snapshot: &Snapshot) {
+    pub(super) fn apply_snapshot(&self, snapshot: &Snapshot) {
         let has_servers = snapshot.servers_known.up_to > 0;
         if has_servers && snapshot.servers_known.up_to >= self.freshness.applied(Followed::Servers)
         {
--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -124,7 +124,7 @@
             }
             Followed::Own => {
                 let snapshot: Snapshot = self.ask(peer, OWN).await?;
-                self.take_snapshot(&snapshot);
+                self.apply_snapshot(&snapshot);
             }
         }
         Ok(())
@@ -150,7 +150,7 @@
         };
         let is_later = snapshot.known(followed).up_to > self.freshness.applied(followed);
         if is_later {
-            self.take_snapshot(&snapshot);
+            self.apply_snapshot(&snapshot);
         }
         self.broadcast.end_reading(followed);
         Ok(is_later)
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -179,7 +179,7 @@
             let seed_host = seed_hosts[rand::random_range(0..seed_hosts.len())];
             match self.ask(seed_host, paths::SNAPSHOT).await {
                 Ok(snapshot) => {
-                    self.take_snapshot(&snapshot);
+                    self.apply_snapshot(&snapshot);
                     return true;
                 }
                 Err(error) => log::debug!("fetching a snapshot from {seed_host} failed: {error}"),
