--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -150,7 +150,7 @@
             match self.ask::<Vec<KnownHost>>(peer, HOSTS).await {
                 Ok(hosts) => hosts
                     .into_iter()
-                    .for_each(|host| self.take_known_host(host)),
+                    .for_each(|host| self.apply_known_host(host)),
                 Err(error) => log::debug!("fetching the known hosts from {peer} failed: {error}"),
             }
         }
@@ -163,7 +163,7 @@
             self.take_known_servers(snapshot);
         }
         for host in &snapshot.hosts {
-            self.take_known_host(*host);
+            self.apply_known_host(*host);
         }
         for (service, rows) in snapshot.holdings() {
             self.view.hold(&service, rows);
@@ -191,7 +191,7 @@
         self.freshness.note_applied(followed, known.up_to);
     }
 
-    fn take_known_host(&self, host: KnownHost) {
+    fn apply_known_host(&self, host: KnownHost) {
         if host.address == self.settings.listen.peers {
             if host
                 .incarnation
