--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -160,7 +160,7 @@
         let has_servers = snapshot.servers_known.up_to > 0;
         if has_servers && snapshot.servers_known.up_to >= self.freshness.applied(Followed::Servers)
         {
-            self.take_known_servers(snapshot);
+            self.apply_known_servers(snapshot);
         }
         for host in &snapshot.hosts {
             self.apply_known_host(*host);
@@ -172,7 +172,7 @@
         self.view.set_hosts_known();
     }
 
-    fn take_known_servers(&self, snapshot: &Snapshot) {
+    fn apply_known_servers(&self, snapshot: &Snapshot) {
         let entries: Vec<ServerEntry> = snapshot.servers().collect();
         let present: HashSet<Arc<str>> = entries.iter().map(|entry| entry.name.clone()).collect();
         let returned_ms = self.view.store_returned_ms();
