--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -139,7 +139,7 @@
     }
 
     /// Queries periodically which hosts have joined.
-    pub(in crate::entry) async fn keep_learning_hosts(self: Arc<Self>) {
+    pub(in crate::entry) async fn keep_querying_hosts(self: Arc<Self>) {
         let first = LEARN_HOSTS_AFTER_MS.into_iter();
         for after_ms in first.chain(std::iter::repeat(LEARN_HOSTS_EVERY_MS)) {
             time::sleep(Duration::from_millis(after_ms)).await;
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -118,7 +118,7 @@
     tokio::spawn(entry.clone().join());
     tokio::spawn(entry.clone().keep_naming_seed_hosts());
     tokio::spawn(entry.clone().keep_registering_newcomers());
-    tokio::spawn(entry.clone().keep_learning_hosts());
+    tokio::spawn(entry.clone().keep_querying_hosts());
     tokio::spawn(entry.clone().watch_configuration());
     tokio::spawn(entry.clone().watch_servers());
     tokio::spawn(entry.clone().keep_proving());
