--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -30,7 +30,7 @@
 const ASK_TIMEOUT_MS: u64 = 1_500;
 /// Successive pauses after its start at which a host queries which other hosts have joined: hosts
 /// that start together do not know each other yet.
-const LEARN_HOSTS_AFTER_MS: [u64; 3] = [2_500, 3_500, 6_000];
+const QUERY_HOSTS_AFTER_MS: [u64; 3] = [2_500, 3_500, 6_000];
 /// Interval of these queries after the start.
 const LEARN_HOSTS_EVERY_MS: u64 = 30_000;
 
@@ -140,7 +140,7 @@
 
     /// Queries periodically which hosts have joined.
     pub(in crate::entry) async fn keep_querying_hosts(self: Arc<Self>) {
-        let first = LEARN_HOSTS_AFTER_MS.into_iter();
+        let first = QUERY_HOSTS_AFTER_MS.into_iter();
         for after_ms in first.chain(std::iter::repeat(LEARN_HOSTS_EVERY_MS)) {
             time::sleep(Duration::from_millis(after_ms)).await;
             let peer = self.peer();
