--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -32,7 +32,7 @@
 /// that start together do not know each other yet.
 const QUERY_HOSTS_AFTER_MS: [u64; 3] = [2_500, 3_500, 6_000];
 /// Interval of these queries after the start.
-const LEARN_HOSTS_EVERY_MS: u64 = 30_000;
+const QUERY_HOSTS_EVERY_MS: u64 = 30_000;
 
 /// Reasons why another host did not answer a query.
 #[derive(Debug, Snafu)]
@@ -141,7 +141,7 @@
     /// Queries periodically which hosts have joined.
     pub(in crate::entry) async fn keep_querying_hosts(self: Arc<Self>) {
         let first = QUERY_HOSTS_AFTER_MS.into_iter();
-        for after_ms in first.chain(std::iter::repeat(LEARN_HOSTS_EVERY_MS)) {
+        for after_ms in first.chain(std::iter::repeat(QUERY_HOSTS_EVERY_MS)) {
             time::sleep(Duration::from_millis(after_ms)).await;
             let peer = self.peer();
             let Some(peer) = peer.filter(|_| self.freshness.is_vouched()) else {
