--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -85,7 +85,7 @@
             let Some(peer) = self.peer() else {
                 return false;
             };
-            match self.learn(followed, peer).await {
+            match self.fetch_changes(followed, peer).await {
                 Ok(()) => is_first = false,
                 Err(error) => log::debug!("fetching missed changes from {peer} failed: {error}"),
             }
@@ -106,7 +106,7 @@
         }
     }
 
-    async fn learn(&self, followed: Followed, peer: SocketAddr) -> Result<(), Error> {
+    async fn fetch_changes(&self, followed: Followed, peer: SocketAddr) -> Result<(), Error> {
         match followed {
             Followed::Servers => {
                 let path = format!("{CHANGES}{}", self.freshness.applied(followed));
