--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -40,7 +40,7 @@
     #[snafu(display("{source}"))]
     Call { source: platform::Error },
     #[snafu(display("the request cannot be built: {source}"))]
-    Question { source: http::Error },
+    BuildRequest { source: http::Error },
     #[snafu(display("the host answered with status {status}"))]
     Status { status: StatusCode },
     #[snafu(display("the content cannot be sealed or opened with the known secret"))]
