--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -80,7 +80,7 @@
         let request = request
             .header(header::HOST, peer.to_string())
             .body(Full::new(body))
-            .context(QuestionSnafu)?;
+            .context(BuildRequestSnafu)?;
         let answer = Link::new(peer).call(request, ASK_TIMEOUT_MS).await;
         let answer = answer.context(CallSnafu)?;
         if answer.status != StatusCode::OK {
