--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -169,12 +169,12 @@
             let wait_ms = LOOKUP_RETRY_MS + rand::random_range(0..LOOKUP_JITTER_MS);
             time::sleep(Duration::from_millis(wait_ms)).await;
         };
-        let ask_for_ms = if self.is_early() {
+        let sync_timeout_ms = if self.is_early() {
             EARLY_SYNC_TIMEOUT_MS
         } else {
             SYNC_TIMEOUT_MS
         };
-        let until_ms = clock::now_ms() + ask_for_ms;
+        let until_ms = clock::now_ms() + sync_timeout_ms;
         while clock::now_ms() < until_ms {
             let seed_host = seed_hosts[rand::random_range(0..seed_hosts.len())];
             match self.ask(seed_host, paths::SNAPSHOT).await {
