--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -27,7 +27,7 @@
 };
 
 /// Timeout until an answer begins.
-const ASK_TIMEOUT_MS: u64 = 1_500;
+const QUERY_TIMEOUT_MS: u64 = 1_500;
 /// Successive pauses after its start at which a host queries which other hosts have joined: hosts
 /// that start together do not know each other yet.
 const QUERY_HOSTS_AFTER_MS: [u64; 3] = [2_500, 3_500, 6_000];
@@ -81,7 +81,7 @@
             .header(header::HOST, peer.to_string())
             .body(Full::new(body))
             .context(BuildRequestSnafu)?;
-        let answer = Link::new(peer).call(request, ASK_TIMEOUT_MS).await;
+        let answer = Link::new(peer).call(request, QUERY_TIMEOUT_MS).await;
         let answer = answer.context(CallSnafu)?;
         if answer.status != StatusCode::OK {
             return StatusSnafu {
