--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -100,7 +100,7 @@
         if followed == Followed::Configuration || !self.has_many_servers() {
             return false;
         }
-        if !self.is_vouched_soon().await {
+        if !self.is_store_confirmed_soon().await {
             return false;
         }
         let applied = self.freshness.applied(followed);
@@ -126,7 +126,7 @@
     /// Waits until the duty holder reports that it has followed the store since now, which takes a
     /// moment after an outage. Returns false after a time limit, or if this host is the duty
     /// holder, which receives no such reports.
-    async fn is_vouched_soon(&self) -> bool {
+    async fn is_store_confirmed_soon(&self) -> bool {
         let since_ms = clock::now_ms();
         let until_ms = since_ms + self.limits.start_rest_ms;
         while self.duty.term() == 0 && clock::now_ms() < until_ms {
