--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -42,7 +42,7 @@
     /// one. Hundreds of hosts that each check for the store's return are thousands of calls.
     pub(super) async fn pause_while_others_call(&self) {
         self.pause_while_relays_call().await;
-        self.pause_while_told().await;
+        self.pause_while_confirmed().await;
     }
 
     /// Leaves it to the relays of the zone to detect the store's return. This host still calls the
@@ -58,7 +58,7 @@
     }
 
     /// Extends the pause while this host has all changes that the duty holder has reported.
-    async fn pause_while_told(&self) {
+    async fn pause_while_confirmed(&self) {
         let until_ms = clock::now_ms() + TOLD_PAUSE_MS;
         let is_behind = |followed| {
             let applied = self.freshness.applied(followed);
