--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -22,7 +22,7 @@
 
 /// Longer pause after a failed call while the duty holder reports that nothing has changed in the
 /// store: the store may reject this host only.
-const TOLD_PAUSE_MS: u64 = 1_500;
+const CONFIRMED_PAUSE_MS: u64 = 1_500;
 
 impl Entry {
     /// Returns the source from which this host learns of changes.
@@ -59,7 +59,7 @@
 
     /// Extends the pause while this host has all changes that the duty holder has reported.
     async fn pause_while_confirmed(&self) {
-        let until_ms = clock::now_ms() + TOLD_PAUSE_MS;
+        let until_ms = clock::now_ms() + CONFIRMED_PAUSE_MS;
         let is_behind = |followed| {
             let applied = self.freshness.applied(followed);
             self.freshness.is_behind(followed, applied)
