--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -120,7 +120,7 @@
     }
 
     pub(super) fn peer(&self) -> Option<SocketAddr> {
-        self.peers.sync_peer(self.as_relay())
+        self.peers.sync_peer(self.as_relay_candidate())
     }
 
     /// Waits until the duty holder reports that it has followed the store since now, which takes a
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -96,14 +96,15 @@
         loop {
             time::sleep(Duration::from_millis(ZONE_LOADS_EVERY_MS)).await;
             if self.peers.are_many() {
-                self.peers
-                    .send_zone_loads(self.as_relay(), || (self.own_loads(), self.own_run_times()));
+                self.peers.send_zone_loads(self.as_relay_candidate(), || {
+                    (self.own_loads(), self.own_run_times())
+                });
             }
         }
     }
 
     /// Returns this host as a candidate for a relay.
-    pub(in crate::entry) fn as_relay(&self) -> RelayCandidate {
+    pub(in crate::entry) fn as_relay_candidate(&self) -> RelayCandidate {
         RelayCandidate {
             address: self.settings.listen.peers,
             zone_tag: tag_of(&self.settings.availability_zone),
