--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -87,7 +87,7 @@
 }
 
 impl Peer {
-    fn view(&self, address: SocketAddr, now_ms: u64) -> RelayCandidate {
+    fn relay_candidate(&self, address: SocketAddr, now_ms: u64) -> RelayCandidate {
         RelayCandidate {
             address,
             zone_tag: self.facts.zone_tag,
@@ -194,7 +194,7 @@
         let near: Vec<RelayCandidate> = {
             let peers = self.peers();
             let near = peers.iter().filter(|(_, peer)| peer.facts.is_near);
-            near.map(|(address, peer)| peer.view(*address, now_ms))
+            near.map(|(address, peer)| peer.relay_candidate(*address, now_ms))
                 .collect()
         };
         let term = self.holder_term.load(Ordering::Relaxed);
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -41,7 +41,7 @@
         let term = self.holder_term.load(Ordering::Relaxed);
         let peers = self.peers();
         let views = peers.iter();
-        let views = views.map(|(address, peer)| peer.view(*address, now_ms));
+        let views = views.map(|(address, peer)| peer.relay_candidate(*address, now_ms));
         fanout::fanout(&views.collect::<Vec<_>>(), term)
     }
 
@@ -94,7 +94,7 @@
             let heard: Vec<_> = heard.collect();
             let others = heard
                 .iter()
-                .map(|(address, peer)| peer.view(**address, now_ms));
+                .map(|(address, peer)| peer.relay_candidate(**address, now_ms));
             let zone: Vec<RelayCandidate> = std::iter::once(own).chain(others).collect();
             if fanout::zone_aggregator(&zone) != Some(own.address) {
                 return;
@@ -103,7 +103,7 @@
             let mut others: Vec<RelayCandidate> = peers
                 .iter()
                 .filter(|(_, peer)| !peer.facts.is_near)
-                .map(|(address, peer)| peer.view(*address, now_ms))
+                .map(|(address, peer)| peer.relay_candidate(*address, now_ms))
                 .collect();
             relays.extend(fanout::zone_relays(&mut others));
         }
