--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -40,9 +40,9 @@
         let now_ms = clock::now_ms();
         let term = self.holder_term.load(Ordering::Relaxed);
         let peers = self.peers();
-        let views = peers.iter();
-        let views = views.map(|(address, peer)| peer.relay_candidate(*address, now_ms));
-        fanout::fanout(&views.collect::<Vec<_>>(), term)
+        let candidates = peers.iter();
+        let candidates = candidates.map(|(address, peer)| peer.relay_candidate(*address, now_ms));
+        fanout::fanout(&candidates.collect::<Vec<_>>(), term)
     }
 
     /// Records that relays have a message to acknowledge.
