--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -173,7 +173,7 @@
     /// Returns the seed hosts: the hosts that receive messages to all directly or as relays, and
     /// this host.
     pub fn seed_hosts(&self, own: SeedHost) -> Vec<SeedHost> {
-        let Fanout { direct, relays } = self.present_fanout();
+        let Fanout { direct, relays } = self.current_fanout();
         let peers = self.peers();
         let zone_tag = |address: &SocketAddr| peers.get(address).map(|peer| peer.facts.zone_tag);
         let others = direct.iter().chain(&relays);
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -30,13 +30,13 @@
 
     /// Chooses the recipients of a message to all hosts and expects acknowledgements of the relays.
     fn fanout(&self) -> Fanout {
-        let fanout = self.present_fanout();
+        let fanout = self.current_fanout();
         self.expect_relay_acks(&fanout.relays);
         fanout
     }
 
     /// Returns the current recipients of a message to all hosts.
-    pub(super) fn present_fanout(&self) -> Fanout {
+    pub(super) fn current_fanout(&self) -> Fanout {
         let now_ms = clock::now_ms();
         let term = self.holder_term.load(Ordering::Relaxed);
         let peers = self.peers();
