--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -125,7 +125,7 @@
     counted: Mutex<HashMap<(u32, u16), u16>>,
     /// Request counts that other hosts reported to this one while it has the duty.
     reported: Mutex<Vec<KeyCount>>,
-    holder: Mutex<Option<SocketAddr>>,
+    duty_holder: Mutex<Option<SocketAddr>>,
     holder_term: AtomicU64,
     duty_holder_hosts: AtomicUsize,
     holder_heard_ms: AtomicU64,
@@ -206,11 +206,11 @@
     /// with few hosts, or on a relay itself, the duty holder.
     pub fn sync_peer(&self, own: RelayCandidate) -> Option<SocketAddr> {
         if !self.are_many() {
-            return *self.holder();
+            return *self.duty_holder();
         }
         let relays = self.zone_relays(own);
         if relays.contains(&own.address) {
-            return *self.holder();
+            return *self.duty_holder();
         }
         relays.choose(&mut rand::rng()).copied()
     }
@@ -339,16 +339,18 @@
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn holder(&self) -> MutexGuard<'_, Option<SocketAddr>> {
-        self.holder.lock().unwrap_or_else(PoisonError::into_inner)
+    fn duty_holder(&self) -> MutexGuard<'_, Option<SocketAddr>> {
+        self.duty_holder
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Sends a message to the duty holder. Returns false if none is known.
     pub(in crate::entry) fn send_to_holder(&self, message: &Message) -> bool {
-        let Some(holder) = *self.holder() else {
+        let Some(duty_holder) = *self.duty_holder() else {
             return false;
         };
-        self.send(message, &[holder]);
+        self.send(message, &[duty_holder]);
         true
     }
 
@@ -417,7 +419,7 @@
         self.holder_term.store(term, Ordering::Relaxed);
         self.holder_heard_ms
             .store(clock::now_ms(), Ordering::Relaxed);
-        *self.holder() = Some(from);
+        *self.duty_holder() = Some(from);
         true
     }
 
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -203,11 +203,12 @@
     }
 
     fn report_keys(&self, keys: &[KeyCount]) {
-        let Some(holder) = *self.peers.holder() else {
+        let Some(duty_holder) = *self.peers.duty_holder() else {
             return;
         };
         for keys in keys.chunks(ENTRIES_MAX) {
-            self.peers.send(&Message::Keys(keys.to_vec()), &[holder]);
+            self.peers
+                .send(&Message::Keys(keys.to_vec()), &[duty_holder]);
         }
     }
 
