--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -146,7 +146,7 @@
     }
 
     async fn ask_seed_hosts(&self) -> bool {
-        let mut looks = 0;
+        let mut lookups = 0;
         let seed_hosts = loop {
             match self.find_seed_hosts().await {
                 // At the first start of a deployment the number of servers is still unknown, and
@@ -154,7 +154,7 @@
                 Some(SeedHostLookup::SeedHosts {
                     addresses,
                     has_many_servers,
-                }) if has_many_servers || looks > 0 => break addresses,
+                }) if has_many_servers || lookups > 0 => break addresses,
                 Some(SeedHostLookup::SeedHosts { .. }) => return false,
                 Some(SeedHostLookup::NoneStored) => {}
                 None => {
@@ -162,8 +162,8 @@
                     continue;
                 }
             }
-            looks += 1;
-            if self.is_early() || looks > 1 {
+            lookups += 1;
+            if self.is_early() || lookups > 1 {
                 return false;
             }
             let wait_ms = LOOKUP_RETRY_MS + rand::random_range(0..LOOKUP_JITTER_MS);
