--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -37,7 +37,7 @@
 pub mod settings;
 pub mod shared_rate;
 pub mod view;
-mod vouching;
+mod store_confirmation;
 mod watch;
 pub mod workspaces;
 
