--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -159,7 +159,7 @@
     /// Acknowledges a message to relay, which shows that the relay is alive.
     RelayAck,
     /// Heartbeat of the duty holder.
-    Holder {
+    Heartbeat {
         /// Term of the duty holder.
         term: u64,
         /// Time of sending, by the sender's clock.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -65,7 +65,7 @@
         match decoded {
             Ok(Message::Relay(message)) => {
                 self.peers.forward(from, (*message).clone());
-                if matches!(*message, Message::Holder { .. } | Message::ZoneLoads { .. }) {
+                if matches!(*message, Message::Heartbeat { .. } | Message::ZoneLoads { .. }) {
                     self.peers.send(&Message::RelayAck, &[from]);
                 }
                 self.handle_message(*message, from);
@@ -102,7 +102,7 @@
     /// Handles a message of the host at `from`, received from it directly or through a relay.
     fn handle_message(&self, message: Message, from: SocketAddr) {
         match message {
-            Message::Holder {
+            Message::Heartbeat {
                 term,
                 sent_ms,
                 news,
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -148,7 +148,7 @@
         if !self.duty.is_confirmed() {
             return;
         }
-        let message = Message::Holder {
+        let message = Message::Heartbeat {
             term: self.duty.term(),
             sent_ms: clock::now_ms(),
             news: self.freshness.news(self.view.store_heard_ms()),
