--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -7,8 +7,8 @@
 use tokio::time;
 
 use super::{
-    ask::Error,
     paths::{CHANGES, CONFIGURATION, OWN, SNAPSHOT},
+    query::Error,
 };
 use crate::entry::{
     Entry,
@@ -110,7 +110,7 @@
         match followed {
             Followed::Servers => {
                 let path = format!("{CHANGES}{}", self.freshness.applied(followed));
-                match self.ask::<ServerChanges>(peer, &path).await {
+                match self.query::<ServerChanges>(peer, &path).await {
                     Ok(changes) => self.receive_server_changes(changes),
                     Err(Error::Status { status }) if status == StatusCode::GONE => {
                         self.fetch_snapshot(followed, peer).await?;
@@ -119,11 +119,11 @@
                 }
             }
             Followed::Configuration => {
-                let known: KnownConfiguration = self.ask(peer, CONFIGURATION).await?;
+                let known: KnownConfiguration = self.query(peer, CONFIGURATION).await?;
                 self.apply_known_configuration(known);
             }
             Followed::Own => {
-                let snapshot: Snapshot = self.ask(peer, OWN).await?;
+                let snapshot: Snapshot = self.query(peer, OWN).await?;
                 self.apply_snapshot(&snapshot);
             }
         }
@@ -140,7 +140,7 @@
         // Changes that the duty holder broadcasts in the meantime are missing in a snapshot made
         // before.
         self.broadcast.begin_reading(followed);
-        let snapshot = self.ask::<Snapshot>(peer, SNAPSHOT).await;
+        let snapshot = self.query::<Snapshot>(peer, SNAPSHOT).await;
         let snapshot = match snapshot {
             Ok(snapshot) => snapshot,
             Err(error) => {
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -3,10 +3,10 @@
 //! seed hosts of each zone next to the hosts' secret, so that one call returns both. Seed hosts
 //! also register starting hosts, and later serve changes that other hosts have missed.
 
-mod ask;
 mod catch_up;
 mod newcomers;
 mod paths;
+mod query;
 mod seed_hosts;
 mod serve;
 
@@ -177,7 +177,7 @@
         let until_ms = clock::now_ms() + sync_timeout_ms;
         while clock::now_ms() < until_ms {
             let seed_host = seed_hosts[rand::random_range(0..seed_hosts.len())];
-            match self.ask(seed_host, paths::SNAPSHOT).await {
+            match self.query(seed_host, paths::SNAPSHOT).await {
                 Ok(snapshot) => {
                     self.apply_snapshot(&snapshot);
                     return true;
--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -51,7 +51,7 @@
 
 impl Entry {
     /// Sends a GET request to a host and decodes its answer.
-    pub(super) async fn ask<T: DeserializeOwned>(
+    pub(super) async fn query<T: DeserializeOwned>(
         &self,
         peer: SocketAddr,
         path: &str,
@@ -147,7 +147,7 @@
             let Some(peer) = peer.filter(|_| self.freshness.is_vouched()) else {
                 continue;
             };
-            match self.ask::<Vec<KnownHost>>(peer, HOSTS).await {
+            match self.query::<Vec<KnownHost>>(peer, HOSTS).await {
                 Ok(hosts) => hosts
                     .into_iter()
                     .for_each(|host| self.apply_known_host(host)),
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -36,8 +36,8 @@
 pub mod server;
 pub mod settings;
 pub mod shared_rate;
-pub mod view;
 mod store_confirmation;
+pub mod view;
 mod watch;
 pub mod workspaces;
 
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -65,7 +65,10 @@
         match decoded {
             Ok(Message::Relay(message)) => {
                 self.peers.forward(from, (*message).clone());
-                if matches!(*message, Message::Heartbeat { .. } | Message::ZoneLoads { .. }) {
+                if matches!(
+                    *message,
+                    Message::Heartbeat { .. } | Message::ZoneLoads { .. }
+                ) {
                     self.peers.send(&Message::RelayAck, &[from]);
                 }
                 self.handle_message(*message, from);
