--- a/src/entry/peers/fanout.rs
+++ b/src/entry/peers/fanout.rs
@@ -83,7 +83,7 @@
 }
 
 /// Returns one relay of each zone, for messages whose loss is acceptable.
-pub fn zone_relays(hosts: &mut [RelayCandidate]) -> Vec<SocketAddr> {
+pub fn one_relay_per_zone(hosts: &mut [RelayCandidate]) -> Vec<SocketAddr> {
     hosts.sort_unstable_by_key(|host| host.zone_tag);
     let zones = hosts.chunk_by(|one, other| one.zone_tag == other.zone_tag);
     zones.filter_map(zone_aggregator).collect()
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -105,7 +105,7 @@
                 .filter(|(_, peer)| !peer.facts.is_near)
                 .map(|(address, peer)| peer.relay_candidate(*address, now_ms))
                 .collect();
-            relays.extend(fanout::zone_relays(&mut others));
+            relays.extend(fanout::one_relay_per_zone(&mut others));
         }
         self.expect_relay_acks(&relays);
         let (own_loads, own_run_times) = own_report();
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -12,7 +12,8 @@
     news::configuration_pieces::{Assembly, Piece, cut},
     peers::{
         fanout::{
-            DIRECT_HOSTS_MAX, OneWayDelay, RelayCandidate, fanout, zone_aggregator, zone_relays,
+            DIRECT_HOSTS_MAX, OneWayDelay, RelayCandidate, fanout, one_relay_per_zone,
+            zone_aggregator,
         },
         message::{
             AdvertisedRate, DATAGRAM_BYTES_MAX, ENTRIES_MAX, Message, PACES_MAX, RATES_MAX,
@@ -269,11 +270,11 @@
     hosts[70].processor_share = 0.5;
     assert_eq!(zone_aggregator(&hosts[..50]), Some(hosts[20].address));
     let mut others = hosts[50..].to_vec();
-    let relays = zone_relays(&mut others);
+    let relays = one_relay_per_zone(&mut others);
     assert_eq!(relays.len(), 3);
     assert!(relays.contains(&hosts[70].address));
     hosts[70].is_silent = true;
-    let relays = zone_relays(&mut hosts[50..].to_vec());
+    let relays = one_relay_per_zone(&mut hosts[50..].to_vec());
     assert!(!relays.contains(&hosts[70].address));
 }
 
