--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -189,7 +189,7 @@
     }
 
     /// Returns the relays of this host's zone, which may include this host.
-    pub(in crate::entry) fn zone_relays(&self, own: RelayCandidate) -> Vec<SocketAddr> {
+    pub(in crate::entry) fn own_zone_relays(&self, own: RelayCandidate) -> Vec<SocketAddr> {
         let now_ms = clock::now_ms();
         let near: Vec<RelayCandidate> = {
             let peers = self.peers();
@@ -208,7 +208,7 @@
         if !self.are_many() {
             return *self.duty_holder();
         }
-        let relays = self.zone_relays(own);
+        let relays = self.own_zone_relays(own);
         if relays.contains(&own.address) {
             return *self.duty_holder();
         }
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -93,7 +93,7 @@
         let relays = if is_apart {
             Vec::new()
         } else {
-            self.peers.zone_relays(self.as_relay_candidate())
+            self.peers.own_zone_relays(self.as_relay_candidate())
         };
         let is_relay = relays.contains(&self.settings.listen.peers);
         self.freshness.set_relay(is_relay);
