--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -393,12 +393,12 @@
 
     fn note_paces(&self, paces: &[ServerPace]) {
         let now_ms = clock::now_ms();
-        let told = paces.iter().map(|pace| ReportedPace {
+        let announced = paces.iter().map(|pace| ReportedPace {
             server_tag: pace.server_tag,
             pace: f64::from(pace.percent) / 100.0,
             at_ms: now_ms.saturating_sub(u64::from(pace.age_ms)),
         });
-        self.paces().extend(told);
+        self.paces().extend(announced);
     }
 
     /// Takes the paces that other hosts reported since the last call.
