--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -44,7 +44,7 @@
 /// this one.
 const EARLY_SYNC_TIMEOUT_MS: u64 = 600;
 /// Time after which a host that found no seed hosts reads their list again. At the first start of a
-/// deployment the first duty holder has stored some by then.
+/// deployment the first duty holder has stored the list by then.
 const LOOKUP_RETRY_MS: u64 = 2_200;
 /// Maximum random time that is added to this pause, so that hosts do not call the store at once.
 const LOOKUP_JITTER_MS: u64 = 700;
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Returns the status that tells why this host cannot answer: 410 if it no longer has the
+    /// Returns the status for a query that this host cannot answer: 410 if it no longer has the
     /// requested changes, 503 otherwise.
     fn refusal_status(&self, path: &str) -> StatusCode {
         let is_forgotten = |after| !self.broadcast.reaches_back_to(after);
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -255,7 +255,7 @@
 
     /// Returns the number of hosts that come before the host at `own` in the takeover order. Hosts
     /// with a larger share of a processor come first, since the duty holder sends messages to all
-    /// hosts and requests to all servers with keys. The order of equally strong hosts differs by
+    /// hosts and orders to all servers that hold keys. The order of equally strong hosts differs by
     /// term, so that hosts that are gone do not always come first.
     pub fn takeover_rank(&self, own: SocketAddr, processor_share: f32) -> usize {
         let term = self.holder_term.load(Ordering::Relaxed);
