--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_relay_doubts_the_holder_before_the_others_do() {
+fn a_relay_distrusts_the_duty_holder_earlier_than_other_hosts() {
     let limits = limits();
     let age_ms = (limits.trust_ms * 9 / 10) as u32;
     let [relay, other] = [Freshness::new(&limits), Freshness::new(&limits)];
