--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -10,7 +10,7 @@
     Entry,
     decide::trust::{self, TrustLimits, Verdict},
     model::{Configuration, Route},
-    news::followed::Followed,
+    news::followed::FollowedTable,
     peers::message::Message,
     watch,
     workspaces::WorkspaceKey,
@@ -61,7 +61,7 @@
     /// Time since the configuration in force was surely the latest one. Without a bound of revocations the word of
     /// the holder of the duty is proof enough.
     fn configuration_age_ms(&self) -> Option<u64> {
-        let followed = Followed::Configuration;
+        let followed = FollowedTable::Configuration;
         let is_told = self.freshness.is_vouched()
             && !self
                 .freshness
@@ -103,7 +103,7 @@
 
     /// Asks the store whether the configuration has changed; false if it did not answer.
     async fn ask_store_for_proof(&self) -> bool {
-        let followed = Followed::Configuration;
+        let followed = FollowedTable::Configuration;
         let after = self.freshness.applied(followed);
         if after == 0 {
             return false;
@@ -131,13 +131,13 @@
         Some(Message::Proof {
             nonce,
             age_ms: u32::try_from(age_ms).ok()?,
-            changed: self.freshness.changed(Followed::Configuration),
+            changed: self.freshness.changed(FollowedTable::Configuration),
         })
     }
 
     /// Takes in another host's proof. It counts only for a host that knows no earlier configuration.
     pub(super) fn note_proof(&self, nonce: u64, age_ms: u32, changed: u64) {
-        if self.freshness.changed(Followed::Configuration) >= changed {
+        if self.freshness.changed(FollowedTable::Configuration) >= changed {
             self.proof.note_answer(nonce, u64::from(age_ms));
         }
     }
--- a/src/entry/crashes/stored.rs
+++ b/src/entry/crashes/stored.rs
@@ -12,7 +12,7 @@
         Entry,
         digest::RequestDigest,
         news::{
-            followed::Followed,
+            followed::FollowedTable,
             own_rows::{QUARANTINE_KEY, TABLE},
         },
     },
@@ -120,7 +120,7 @@
                     digests: row.digests,
                     version,
                 };
-                self.freshness.note_change(Followed::Own, version);
+                self.freshness.note_change(FollowedTable::Own, version);
             }
             Ok(Transacted::Conflict { rows }) => self.apply_own(&rows),
             Err(error) => log::debug!("the requests in quarantine are not stored yet: {error}"),
--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -9,7 +9,7 @@
         Entry,
         keys::{Assignment, DecodeError, Holding, KeyPart},
         news::{
-            followed::Followed,
+            followed::FollowedTable,
             own_rows::{TABLE, holdings_key},
         },
         owners::{Held, HeldRow},
@@ -160,7 +160,7 @@
             };
             let held = rows.into_iter().map(|row| row.held(version));
             self.view.hold(service, held.collect());
-            self.freshness.note_change(Followed::Own, version);
+            self.freshness.note_change(FollowedTable::Own, version);
             return Ok(());
         }
     }
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -17,7 +17,7 @@
             rate_parts,
             return_time::Refused,
         },
-        news::followed::Followed,
+        news::followed::FollowedTable,
         owners::Owner,
         peers::message::Message,
         registry::Registry,
@@ -232,7 +232,7 @@
         let registry = entry.view.registry();
         let Some(server) = registry.server(id) else {
             if registry.former(id).is_none() {
-                entry.view.want_reading(Followed::Servers);
+                entry.view.want_reading(FollowedTable::Servers);
             }
             return Err(Refused::soon("the key's server is gone", policy));
         };
@@ -301,7 +301,7 @@
         };
         let asked = entry.freshness.is_vouched() && entry.peers.send_to_holder(&question);
         if !asked {
-            entry.view.want_reading(Followed::Own);
+            entry.view.want_reading(FollowedTable::Own);
         }
     }
 }
--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -17,7 +17,7 @@
         limits::LOOK_EVERY_MS,
         model::ServerEntry,
         news::{
-            followed::Followed,
+            followed::FollowedTable,
             snapshot::{KnownHost, Snapshot},
         },
         peers::HostFacts,
@@ -95,8 +95,8 @@
 
     /// Learns from another host what the store has forgotten to tell: after an outage hundreds of hosts would read the
     /// tables as a whole. False if no host is known that surely has later changes than this one.
-    pub(in crate::entry) async fn is_told_anew(&self, followed: Followed) -> bool {
-        if followed == Followed::Configuration || !self.has_many_servers() {
+    pub(in crate::entry) async fn is_told_anew(&self, followed: FollowedTable) -> bool {
+        if followed == FollowedTable::Configuration || !self.has_many_servers() {
             return false;
         }
         if !self.is_vouched_soon().await {
@@ -156,7 +156,8 @@
 
     pub(super) fn take_snapshot(&self, snapshot: &Snapshot) {
         let has_servers = snapshot.servers_known.up_to > 0;
-        if has_servers && snapshot.servers_known.up_to >= self.freshness.applied(Followed::Servers)
+        if has_servers
+            && snapshot.servers_known.up_to >= self.freshness.applied(FollowedTable::Servers)
         {
             self.take_known_servers(snapshot);
         }
@@ -166,7 +167,7 @@
         for (service, rows) in snapshot.holdings() {
             self.view.hold(&service, rows);
         }
-        self.note_known(Followed::Own, snapshot);
+        self.note_known(FollowedTable::Own, snapshot);
         self.view.set_hosts_known();
     }
 
@@ -180,10 +181,10 @@
         });
         self.view.set_servers_known();
         self.freshness.note_left(snapshot.left);
-        self.note_known(Followed::Servers, snapshot);
+        self.note_known(FollowedTable::Servers, snapshot);
     }
 
-    fn note_known(&self, followed: Followed, snapshot: &Snapshot) {
+    fn note_known(&self, followed: FollowedTable, snapshot: &Snapshot) {
         let known = snapshot.known(followed);
         self.freshness.note_change(followed, known.changed);
         self.freshness.note_applied(followed, known.up_to);
--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -14,7 +14,7 @@
     Entry,
     news::{
         configuration_pieces::KnownConfiguration,
-        followed::{Followed, Reliance},
+        followed::{FollowedTable, Reliance},
         server_changes::ServerChanges,
         snapshot::Snapshot,
     },
@@ -28,7 +28,7 @@
 impl Entry {
     /// True if this host knows all changes of a table that it has heard of, or has learned them from another host. False
     /// if it must ask the store.
-    pub(in crate::entry) async fn is_caught_up_by_others(&self, followed: Followed) -> bool {
+    pub(in crate::entry) async fn is_caught_up_by_others(&self, followed: FollowedTable) -> bool {
         if self.reliance() != Reliance::Told || !self.may_ask_others(followed) {
             return false;
         }
@@ -38,13 +38,13 @@
     }
 
     /// True if there are so many hosts or changes that others are asked first.
-    fn may_ask_others(&self, followed: Followed) -> bool {
+    fn may_ask_others(&self, followed: FollowedTable) -> bool {
         match followed {
             // While the store is lost, only this feed finds out when it is back, for the others too.
-            Followed::Servers if *self.view.store_lost().borrow() => false,
-            Followed::Servers => self.has_many_servers() || self.missed(followed) > MISSED_MAX,
-            Followed::Configuration => self.peers.are_many(),
-            Followed::Own => {
+            FollowedTable::Servers if *self.view.store_lost().borrow() => false,
+            FollowedTable::Servers => self.has_many_servers() || self.missed(followed) > MISSED_MAX,
+            FollowedTable::Configuration => self.peers.are_many(),
+            FollowedTable::Own => {
                 self.peers.are_many()
                     && self.peers.seal.is_known()
                     && !self.join.take_secret_doubt()
@@ -53,19 +53,19 @@
     }
 
     /// Number of changes that this host has missed, at most.
-    fn missed(&self, followed: Followed) -> u64 {
+    fn missed(&self, followed: FollowedTable) -> u64 {
         let changed = self.freshness.told_changed(followed);
         changed.saturating_sub(self.freshness.applied(followed))
     }
 
     /// Time in which others may tell what was missed. Nobody is owed that a new server is known; that one leaves must be
     /// known in time, and so must a configuration.
-    fn patience_ms(&self, followed: Followed) -> u64 {
+    fn patience_ms(&self, followed: FollowedTable) -> u64 {
         let applied = self.freshness.applied(followed);
         let is_owed = match followed {
-            Followed::Servers => self.freshness.has_left_since(applied),
-            Followed::Configuration => self.view.configuration().is_some(),
-            Followed::Own => true,
+            FollowedTable::Servers => self.freshness.has_left_since(applied),
+            FollowedTable::Configuration => self.view.configuration().is_some(),
+            FollowedTable::Own => true,
         };
         if is_owed {
             self.limits.catch_up_ms
@@ -75,8 +75,8 @@
     }
 
     /// Asks others until nothing is missing; false if there is nobody to ask.
-    async fn learn_missed(&self, followed: Followed) -> bool {
-        let mut is_first = followed == Followed::Own;
+    async fn learn_missed(&self, followed: FollowedTable) -> bool {
+        let mut is_first = followed == FollowedTable::Own;
         while is_first || self.is_missing(followed) {
             let Some(guide) = self.guide() else {
                 return false;
@@ -93,18 +93,18 @@
         true
     }
 
-    fn is_missing(&self, followed: Followed) -> bool {
+    fn is_missing(&self, followed: FollowedTable) -> bool {
         let applied = self.freshness.applied(followed);
         let is_behind = self.freshness.is_behind(followed, applied);
         match followed {
-            Followed::Own => is_behind && self.view.lacks_holdings(),
-            Followed::Servers | Followed::Configuration => is_behind,
+            FollowedTable::Own => is_behind && self.view.lacks_holdings(),
+            FollowedTable::Servers | FollowedTable::Configuration => is_behind,
         }
     }
 
-    async fn learn(&self, followed: Followed, guide: SocketAddr) -> Result<(), Error> {
+    async fn learn(&self, followed: FollowedTable, guide: SocketAddr) -> Result<(), Error> {
         match followed {
-            Followed::Servers => {
+            FollowedTable::Servers => {
                 let path = format!("{CHANGES}{}", self.freshness.applied(followed));
                 match self.ask::<ServerChanges>(guide, &path).await {
                     Ok(changes) => self.take_servers(changes),
@@ -114,11 +114,11 @@
                     Err(error) => return Err(error),
                 }
             }
-            Followed::Configuration => {
+            FollowedTable::Configuration => {
                 let known: KnownConfiguration = self.ask(guide, CONFIGURATION).await?;
                 self.take_known_configuration(known);
             }
-            Followed::Own => {
+            FollowedTable::Own => {
                 let snapshot: Snapshot = self.ask(guide, OWN).await?;
                 self.take_snapshot(&snapshot);
             }
@@ -129,7 +129,7 @@
     /// Learns all that another host knows; false if that is not more than this one knows of a table.
     pub(super) async fn learn_anew(
         &self,
-        followed: Followed,
+        followed: FollowedTable,
         guide: SocketAddr,
     ) -> Result<bool, Error> {
         // What the holder passes on meanwhile is in no snapshot that is made before.
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -28,7 +28,7 @@
     Entry,
     events::Event,
     news::{
-        followed::Followed,
+        followed::FollowedTable,
         own_rows::{GUIDES_KEY, SECRET_KEY, TABLE},
     },
     server::tag_of,
@@ -96,8 +96,8 @@
 
 impl Join {
     /// True if another host has told this one what a table has; waits for that.
-    pub(super) async fn was_told(&self, followed: Followed) -> bool {
-        if followed == Followed::Configuration {
+    pub(super) async fn was_told(&self, followed: FollowedTable) -> bool {
+        if followed == FollowedTable::Configuration {
             return false;
         }
         self.ended().await == Outcome::Told
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -14,7 +14,7 @@
     entry::{
         Entry,
         news::{
-            followed::Followed,
+            followed::FollowedTable,
             snapshot::{KnownHost, Snapshot},
         },
         server::tag_of,
@@ -48,7 +48,7 @@
             return None;
         }
         let mut snapshot = self.own_snapshot();
-        snapshot.servers_known = self.freshness.known(Followed::Servers);
+        snapshot.servers_known = self.freshness.known(FollowedTable::Servers);
         snapshot.left = self.freshness.left();
         let registry = self.view.registry();
         snapshot.set_servers(registry.servers().map(|server| server.present_entry()));
@@ -58,7 +58,7 @@
     /// Hosts and holdings that this host knows.
     fn own_snapshot(&self) -> Snapshot {
         let mut snapshot = Snapshot::default();
-        snapshot.own_known = self.freshness.known(Followed::Own);
+        snapshot.own_known = self.freshness.known(FollowedTable::Own);
         snapshot.hosts = self.known_hosts();
         for (service, held) in self.view.all_held() {
             for (part, row) in held.rows() {
--- a/src/entry/news/followed.rs
+++ b/src/entry/news/followed.rs
@@ -42,7 +42,7 @@
 
 /// A table that the host follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Followed {
+pub enum FollowedTable {
     /// The operators' configuration.
     Configuration,
     /// The servers' entries.
@@ -51,7 +51,7 @@
     Own,
 }
 
-impl Followed {
+impl FollowedTable {
     /// All of them.
     pub const ALL: [Self; 3] = [Self::Configuration, Self::Servers, Self::Own];
 
--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -14,14 +14,14 @@
 use serde::{Deserialize, Serialize};
 use tokio::time;
 
-use super::{followed::Followed, question::Question, snapshot::Known};
+use super::{followed::FollowedTable, question::Question, snapshot::Known};
 use crate::{
     clock,
     entry::limits::{LOOK_EVERY_MS, TimeLimits},
 };
 
 /// Number of followed tables.
-const TABLES: usize = Followed::ALL.len();
+const TABLES: usize = FollowedTable::ALL.len();
 /// Word of what the store said that is not to be relied on.
 const TOO_OLD_MS: u32 = u32::MAX;
 
@@ -145,34 +145,34 @@
     }
 
     /// Notes that a call waits at the store for changes of a table; until the result is dropped.
-    pub fn follow(&self, followed: Followed) -> Following<'_> {
+    pub fn follow(&self, followed: FollowedTable) -> Following<'_> {
         let followed_ms = &self.followed_ms[followed.index()];
         followed_ms.store(u64::MAX, Ordering::Relaxed);
         Following(followed_ms)
     }
 
     /// Notes that this host has all changes of a table up to a version.
-    pub fn note_applied(&self, followed: Followed, version: u64) {
+    pub fn note_applied(&self, followed: FollowedTable, version: u64) {
         self.applied[followed.index()].fetch_max(version, Ordering::Relaxed);
     }
 
     /// Version up to which this host has a table; 0 if it was never read.
-    pub fn applied(&self, followed: Followed) -> u64 {
+    pub fn applied(&self, followed: FollowedTable) -> u64 {
         self.applied[followed.index()].load(Ordering::Relaxed)
     }
 
     /// Notes the version of a change that was seen.
-    pub fn note_change(&self, followed: Followed, version: u64) {
+    pub fn note_change(&self, followed: FollowedTable, version: u64) {
         self.changed[followed.index()].fetch_max(version, Ordering::Relaxed);
     }
 
     /// Version of the latest change that was seen; 0 before the first.
-    pub fn changed(&self, followed: Followed) -> u64 {
+    pub fn changed(&self, followed: FollowedTable) -> u64 {
         self.changed[followed.index()].load(Ordering::Relaxed)
     }
 
     /// How far this host knows a table.
-    pub fn known(&self, followed: Followed) -> Known {
+    pub fn known(&self, followed: FollowedTable) -> Known {
         Known {
             up_to: self.applied(followed),
             changed: self.changed(followed),
@@ -192,13 +192,13 @@
     /// What this host tells the others while it has the duty; `heard_ms` is when the store answered
     /// last.
     pub fn news(&self, heard_ms: u64) -> StoreNews {
-        let followed_ms = |followed: Followed| {
+        let followed_ms = |followed: FollowedTable| {
             let followed_ms = &self.followed_ms[followed.index()];
             followed_ms.load(Ordering::Relaxed)
         };
         let known_ms = heard_ms
-            .min(followed_ms(Followed::Servers))
-            .min(followed_ms(Followed::Configuration));
+            .min(followed_ms(FollowedTable::Servers))
+            .min(followed_ms(FollowedTable::Configuration));
         let age_ms = clock::now_ms().saturating_sub(known_ms);
         StoreNews {
             age_ms: u32::try_from(age_ms).unwrap_or(TOO_OLD_MS),
@@ -256,7 +256,7 @@
     fn take_told(&self, told: Told) {
         *self.told() = Some(told);
         let news = told.news;
-        for followed in [Followed::Servers, Followed::Configuration] {
+        for followed in [FollowedTable::Servers, FollowedTable::Configuration] {
             let applied = self.applied(followed);
             if applied > 0 && applied >= news.changed[followed.index()] {
                 // Nothing has changed since, so that the store's history is not needed that far back.
@@ -301,13 +301,13 @@
     }
 
     /// Version of the latest change of a table that the holder or a relay has told of; 0 before any.
-    pub fn told_changed(&self, followed: Followed) -> u64 {
+    pub fn told_changed(&self, followed: FollowedTable) -> u64 {
         let told = *self.told();
         told.map_or(0, |told| told.news.changed[followed.index()])
     }
 
     /// True if the holder has seen a later change of a table than a feed has asked for.
-    pub fn is_behind(&self, followed: Followed, asked_after: u64) -> bool {
+    pub fn is_behind(&self, followed: FollowedTable, asked_after: u64) -> bool {
         self.told_changed(followed) > asked_after
     }
 
@@ -321,7 +321,7 @@
     /// if its wait relies on the holder; `is_silent` while no answer has begun.
     pub async fn doubt(
         &self,
-        followed: Followed,
+        followed: FollowedTable,
         asked_after: u64,
         vouched: bool,
         is_silent: impl Fn() -> bool,
--- a/src/entry/news/snapshot.rs
+++ b/src/entry/news/snapshot.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::followed::Followed;
+use super::followed::FollowedTable;
 use crate::entry::{
     keys::{Assignment, KeyPart},
     model::{ServerEntry, incarnation_id},
@@ -175,11 +175,11 @@
     }
 
     /// How far a table is known.
-    pub fn known(&self, followed: Followed) -> Known {
+    pub fn known(&self, followed: FollowedTable) -> Known {
         match followed {
-            Followed::Servers => self.servers_known,
-            Followed::Own => self.own_known,
-            Followed::Configuration => Known::default(),
+            FollowedTable::Servers => self.servers_known,
+            FollowedTable::Own => self.own_known,
+            FollowedTable::Configuration => Known::default(),
         }
     }
 }
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -14,7 +14,7 @@
         Entry,
         decide::hot_keys::HotKey,
         keys::Holding,
-        news::{announcement::Announcement, followed::Followed, freshness::StoreNews},
+        news::{announcement::Announcement, followed::FollowedTable, freshness::StoreNews},
         owners::Owner,
         server::tag_of,
     },
@@ -50,7 +50,7 @@
             log::debug!("datagram of {from} has no known seal");
             if self.peers.knows(from) {
                 self.join.doubt_secret();
-                self.view.want_reading(Followed::Own);
+                self.view.want_reading(FollowedTable::Own);
             }
             return;
         };
@@ -84,7 +84,7 @@
     /// questions, so that not each host reads the rows for each new one.
     fn learn_sender(&self, from: SocketAddr, message: Option<&Message>) {
         let Some(Message::Report { sender, .. } | Message::AskWord { sender, .. }) = message else {
-            self.view.want_reading(Followed::Own);
+            self.view.want_reading(FollowedTable::Own);
             return;
         };
         let facts = HostFacts {
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -11,7 +11,7 @@
     Entry,
     news::{
         configuration_pieces::{Assembly, KnownConfiguration, Piece, cut},
-        followed::Followed,
+        followed::FollowedTable,
         server_changes::{RecentChanges, ServerChanges},
     },
     peers::message::Message,
@@ -60,15 +60,15 @@
     }
 
     /// Notes that a whole table is about to be read.
-    pub fn begin_reading(&self, followed: Followed) {
-        if followed == Followed::Servers {
+    pub fn begin_reading(&self, followed: FollowedTable) {
+        if followed == FollowedTable::Servers {
             self.servers_read.store(false, Ordering::Relaxed);
         }
     }
 
     /// Notes that a whole table was read.
-    pub fn end_reading(&self, followed: Followed) {
-        if followed == Followed::Servers {
+    pub fn end_reading(&self, followed: FollowedTable) {
+        if followed == FollowedTable::Servers {
             self.servers_read.store(true, Ordering::Relaxed);
         }
     }
@@ -110,13 +110,13 @@
 
     /// Passes on what has changed since this host, which has the duty, followed a table that it has
     /// read as a whole because the store had dropped its history. Otherwise 295 hosts would read it.
-    pub(super) fn pass_difference_on(&self, followed: Followed, rows: &Rows) {
+    pub(super) fn pass_difference_on(&self, followed: FollowedTable, rows: &Rows) {
         let after = self.freshness.applied(followed);
         if after == 0 {
             return;
         }
         match followed {
-            Followed::Servers => {
+            FollowedTable::Servers => {
                 let difference = self.view.registry().difference(rows, after);
                 self.pass_servers_on(&ServerChanges {
                     after,
@@ -124,8 +124,8 @@
                     changes: decode_servers(&difference.rows),
                 });
             }
-            Followed::Configuration => self.pass_configuration_on(rows),
-            Followed::Own => {}
+            FollowedTable::Configuration => self.pass_configuration_on(rows),
+            FollowedTable::Own => {}
         }
     }
 
@@ -144,7 +144,7 @@
     /// Takes a piece of a configuration that the holder of the duty has passed on.
     pub(super) fn take_configuration(&self, piece: Piece) {
         let version = piece.version;
-        if version <= self.freshness.applied(Followed::Configuration) {
+        if version <= self.freshness.applied(FollowedTable::Configuration) {
             return;
         }
         let evacuations = piece.evacuations;
@@ -162,18 +162,18 @@
             version,
             removed: false,
         };
-        self.apply(Followed::Configuration, vec![row]);
+        self.apply(FollowedTable::Configuration, vec![row]);
         // An evacuation of an earlier version whose news is still on its way must not be skipped.
         if self.view.evacuations().version >= evacuations {
             self.freshness
-                .note_applied(Followed::Configuration, version);
+                .note_applied(FollowedTable::Configuration, version);
         }
     }
 
     /// The configuration that this host knows, for others; `None` before there is one.
     pub(super) fn known_configuration(&self) -> Option<KnownConfiguration> {
         // Read before the rest, which may be later then.
-        let up_to = self.freshness.applied(Followed::Configuration);
+        let up_to = self.freshness.applied(FollowedTable::Configuration);
         let evacuations = self.view.evacuations();
         let latest = self.relay.latest().clone()?;
         Some(KnownConfiguration {
@@ -187,7 +187,7 @@
     /// Takes the configuration that another host knows.
     pub(super) fn take_known_configuration(&self, known: KnownConfiguration) {
         self.view.evacuate(known.evacuations);
-        let applied = self.freshness.applied(Followed::Configuration);
+        let applied = self.freshness.applied(FollowedTable::Configuration);
         if known.version > applied {
             let row = Row {
                 key: config::KEY.to_owned(),
@@ -195,10 +195,10 @@
                 version: known.version,
                 removed: false,
             };
-            self.apply(Followed::Configuration, vec![row]);
+            self.apply(FollowedTable::Configuration, vec![row]);
         }
         self.freshness
-            .note_applied(Followed::Configuration, known.up_to);
+            .note_applied(FollowedTable::Configuration, known.up_to);
     }
 
     /// Takes changes of servers' entries that the holder of the duty has passed on.
@@ -211,7 +211,7 @@
     /// Takes in changes of servers' entries, unless some before them are not known here.
     pub(super) fn take_news_of_servers(&self, news: ServerChanges) {
         let up_to = news.up_to;
-        let applied = self.freshness.applied(Followed::Servers);
+        let applied = self.freshness.applied(FollowedTable::Servers);
         let Some(changes) = news.new_after(applied) else {
             return;
         };
@@ -222,11 +222,11 @@
         });
         for change in &changes {
             self.freshness
-                .note_change(Followed::Servers, change.version);
+                .note_change(FollowedTable::Servers, change.version);
         }
         if !changes.is_empty() {
             self.change_servers(changes);
         }
-        self.freshness.note_applied(Followed::Servers, up_to);
+        self.freshness.note_applied(FollowedTable::Servers, up_to);
     }
 }
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -14,7 +14,7 @@
     keys::{self, Assignment, KeyPart},
     news::{
         evacuation::Evacuations,
-        followed::Followed,
+        followed::FollowedTable,
         own_rows::{HOST_PREFIX, HostRow, QUARANTINE_KEY, SECRET_KEY, parse_holdings_key},
         server_changes::{ServerChange, ServerNews},
     },
@@ -29,11 +29,11 @@
 
 impl Entry {
     /// Applies a whole table: what is not in it is gone.
-    pub(super) fn apply_whole(&self, followed: Followed, Rows { rows, version }: Rows) {
-        if followed == Followed::Configuration {
+    pub(super) fn apply_whole(&self, followed: FollowedTable, Rows { rows, version }: Rows) {
+        if followed == FollowedTable::Configuration {
             self.view.evacuate(whole_evacuations(&rows, version));
         }
-        if followed == Followed::Servers {
+        if followed == FollowedTable::Servers {
             let present: HashSet<Arc<str>> =
                 rows.iter().map(|row| row.key.as_str().into()).collect();
             let returned_ms = self.view.store_returned_ms();
@@ -41,25 +41,25 @@
                 .update_registry(|registry| registry.retain(&present, returned_ms));
         }
         self.apply(followed, rows);
-        if followed == Followed::Servers {
+        if followed == FollowedTable::Servers {
             self.view.set_servers_known();
         }
-        if followed == Followed::Own {
+        if followed == FollowedTable::Own {
             self.view.set_hosts_known();
         }
     }
 
-    pub(super) fn apply(&self, followed: Followed, rows: Vec<Row>) {
+    pub(super) fn apply(&self, followed: FollowedTable, rows: Vec<Row>) {
         for row in rows.iter().filter(|row| !is_evacuation(followed, row)) {
             self.freshness.note_change(followed, row.version);
         }
         match followed {
-            Followed::Configuration => {
+            FollowedTable::Configuration => {
                 self.apply_configuration(&rows);
                 self.apply_evacuations(&rows);
             }
-            Followed::Servers => self.apply_servers(&rows),
-            Followed::Own => self.apply_own(&rows),
+            FollowedTable::Servers => self.apply_servers(&rows),
+            FollowedTable::Own => self.apply_own(&rows),
         }
     }
 
@@ -210,8 +210,8 @@
 pub(super) type HeldByService = HashMap<Arc<str>, Vec<(KeyPart, HeldRow)>>;
 
 /// True for a row whose news the holder tells in each heartbeat, so that no host asks for it.
-fn is_evacuation(followed: Followed, row: &Row) -> bool {
-    followed == Followed::Configuration && config::evacuated_zone(&row.key).is_some()
+fn is_evacuation(followed: FollowedTable, row: &Row) -> bool {
+    followed == FollowedTable::Configuration && config::evacuated_zone(&row.key).is_some()
 }
 
 /// Zones that are evacuated by a whole table.
--- a/src/entry/secret.rs
+++ b/src/entry/secret.rs
@@ -7,7 +7,7 @@
 use super::{
     Entry,
     news::{
-        followed::Followed,
+        followed::FollowedTable,
         own_rows::{SECRET_KEY, TABLE},
     },
     seal::SecretRow,
@@ -71,7 +71,7 @@
                 if let Err(error) = self.peers.seal.set(&value, version) {
                     log::error!("the new secret cannot be used: {error}");
                 }
-                self.freshness.note_change(Followed::Own, version);
+                self.freshness.note_change(FollowedTable::Own, version);
             }
             Ok(Transacted::Conflict { rows }) => self.apply_own(&rows),
             Err(error) => log::debug!("the hosts' secret is not stored yet: {error}"),
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -12,7 +12,7 @@
     events::Event,
     keys::{Holding, KeyPart},
     model::Configuration,
-    news::{announcement::Announcement, evacuation::Evacuations, followed::Followed},
+    news::{announcement::Announcement, evacuation::Evacuations, followed::FollowedTable},
     owners::{Held, HeldRow, Owner, Owners},
     registry::Registry,
 };
@@ -40,7 +40,7 @@
     owners: Owners,
     changed: watch::Sender<u64>,
     store_lost: watch::Sender<bool>,
-    wanted: [Notify; Followed::ALL.len()],
+    wanted: [Notify; FollowedTable::ALL.len()],
     hosts_known: watch::Sender<bool>,
     former_process: AtomicBool,
     store_heard_ms: AtomicU64,
@@ -186,12 +186,12 @@
     }
 
     /// Asks for a table to be read soon: a server did not hold what was thought, or is not known.
-    pub fn want_reading(&self, followed: Followed) {
+    pub fn want_reading(&self, followed: FollowedTable) {
         self.wanted[followed.index()].notify_one();
     }
 
     /// Returns when a table should be read soon.
-    pub async fn reading_wanted(&self, followed: Followed) {
+    pub async fn reading_wanted(&self, followed: FollowedTable) {
         self.wanted[followed.index()].notified().await;
     }
 
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -12,7 +12,7 @@
     limits::LOOK_EVERY_MS,
     news::{
         evacuation::Evacuations,
-        followed::{Followed, Reliance},
+        followed::{FollowedTable, Reliance},
         freshness::StoreNews,
     },
     peers::message::Message,
@@ -64,7 +64,7 @@
             self.freshness.is_behind(followed, applied)
         };
         while clock::now_ms() < until_ms && self.freshness.is_vouched() {
-            if is_behind(Followed::Configuration) || is_behind(Followed::Servers) {
+            if is_behind(FollowedTable::Configuration) || is_behind(FollowedTable::Servers) {
                 return;
             }
             time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -15,7 +15,7 @@
     events::Event,
     limits::LOOK_EVERY_MS,
     news::{
-        followed::{Followed, HISTORY_MS, Reliance},
+        followed::{FollowedTable, HISTORY_MS, Reliance},
         freshness::Doubt,
         own_rows::{HOSTS_PART, TABLE},
         server_changes::ServerChanges,
@@ -56,20 +56,20 @@
 impl Entry {
     /// Follows the configuration.
     pub(super) async fn watch_configuration(self: Arc<Self>) {
-        self.follow(Followed::Configuration).await;
+        self.follow(FollowedTable::Configuration).await;
     }
 
     /// Follows the servers' entries.
     pub(super) async fn watch_servers(self: Arc<Self>) {
-        self.follow(Followed::Servers).await;
+        self.follow(FollowedTable::Servers).await;
     }
 
     /// Follows holdings and hosts.
     pub(super) async fn watch_own(self: Arc<Self>) {
-        self.follow(Followed::Own).await;
+        self.follow(FollowedTable::Own).await;
     }
 
-    async fn follow(&self, followed: Followed) {
+    async fn follow(&self, followed: FollowedTable) {
         let mut was_told = self.join.was_told(followed).await;
         loop {
             self.relay.begin_reading(followed);
@@ -85,7 +85,7 @@
             let mut pause_ms = RETRY_PAUSE_MS;
             loop {
                 let began_ms = clock::now_ms();
-                if followed == Followed::Own && began_ms > called_ms + HISTORY_MS {
+                if followed == FollowedTable::Own && began_ms > called_ms + HISTORY_MS {
                     break;
                 }
                 called_ms = began_ms;
@@ -135,12 +135,12 @@
     /// found the store silent, only the servers' feed asks whether it is back.
     async fn next_changes(
         &self,
-        followed: Followed,
+        followed: FollowedTable,
         after: u64,
         trust: Trust,
     ) -> Result<platform::Result<Feed>, Doubt> {
         let mut store_lost = self.view.store_lost();
-        if followed != Followed::Servers {
+        if followed != FollowedTable::Servers {
             // Not for good: others may have what is missed here.
             let returned = store_lost.wait_for(|lost| !lost);
             let patience = Duration::from_millis(self.limits.lag_grace_ms);
@@ -156,7 +156,7 @@
         }
         let reliance = self.reliance();
         let wait_ms = followed.wait_ms(reliance, &self.limits);
-        let relies = self.freshness.is_vouched() && followed != Followed::Own;
+        let relies = self.freshness.is_vouched() && followed != FollowedTable::Own;
         let is_silent = || !begun.load(Ordering::Relaxed);
         tokio::select! {
             feed = self.store.feed(table, after, wait_ms, &begun) => Ok(feed),
@@ -166,7 +166,7 @@
     }
 
     /// Waits for the holder of the duty to be heard, and rests if it is.
-    async fn rest_at_start(&self, followed: Followed) {
+    async fn rest_at_start(&self, followed: FollowedTable) {
         // Only then the relays are known that vouch for the store.
         self.join.ended().await;
         let began_ms = clock::now_ms();
@@ -182,13 +182,13 @@
     }
 
     /// Applies what a feed has brought, and passes it on while this host has the duty.
-    pub(super) fn take_changes(&self, followed: Followed, after: u64, mut changes: Rows) {
-        if followed == Followed::Servers {
+    pub(super) fn take_changes(&self, followed: FollowedTable, after: u64, mut changes: Rows) {
+        if followed == FollowedTable::Servers {
             self.take_server_rows(after, &changes);
             return;
         }
         let applied = self.freshness.applied(followed);
-        if self.duty.term() > 0 && followed == Followed::Configuration {
+        if self.duty.term() > 0 && followed == FollowedTable::Configuration {
             self.pass_configuration_on(&changes);
         }
         let evacuated = self.view.evacuations().version;
@@ -214,14 +214,14 @@
     }
 
     /// Notes that the store has told all changes of a table up to a time.
-    fn note_proof_of_store(&self, followed: Followed, asked_ms: u64) {
-        if followed == Followed::Configuration {
+    fn note_proof_of_store(&self, followed: FollowedTable, asked_ms: u64) {
+        if followed == FollowedTable::Configuration {
             self.proof.note(asked_ms);
         }
     }
 
     /// Rests before the next call of a feed.
-    async fn rest(&self, followed: Followed, began_ms: u64) {
+    async fn rest(&self, followed: FollowedTable, began_ms: u64) {
         let mut behind_ms = 0;
         let reliance = self.reliance();
         let rest = followed.rest(self.peers.hosts(), reliance, &self.limits);
@@ -240,7 +240,8 @@
                 return;
             }
             // What the holder passed on did not arrive.
-            let is_behind = followed != Followed::Own && self.freshness.is_behind(followed, after);
+            let is_behind =
+                followed != FollowedTable::Own && self.freshness.is_behind(followed, after);
             behind_ms = if is_behind {
                 behind_ms + LOOK_EVERY_MS
             } else {
@@ -254,22 +255,22 @@
 
     /// True if a resting feed should be called: for servers that leave, when nobody vouches for the
     /// store, and for the first holdings of a service.
-    fn must_hurry(&self, followed: Followed, after: u64) -> bool {
+    fn must_hurry(&self, followed: FollowedTable, after: u64) -> bool {
         match followed {
-            Followed::Configuration => !self.freshness.is_vouched(),
-            Followed::Servers => {
+            FollowedTable::Configuration => !self.freshness.is_vouched(),
+            FollowedTable::Servers => {
                 // It finds out for all feeds when the store is back.
                 let store_lost = *self.view.store_lost().borrow();
                 store_lost || self.freshness.has_left_since(after) || !self.freshness.is_vouched()
             }
-            Followed::Own => {
+            FollowedTable::Own => {
                 let lacks = self.view.lacks_holdings();
                 lacks && self.freshness.is_behind(followed, after) || !self.peers.seal.is_known()
             }
         }
     }
 
-    fn store_failed(&self, followed: Followed, error: &Error, trust: Trust) {
+    fn store_failed(&self, followed: FollowedTable, error: &Error, trust: Trust) {
         if trust != Trust::Lost {
             Event::StoreLost {
                 table: followed.table(),
@@ -278,15 +279,15 @@
             .log();
         }
         // A feed that failed in doubt shows more than its own connection's end.
-        if followed == Followed::Servers || trust == Trust::Doubted {
+        if followed == FollowedTable::Servers || trust == Trust::Doubted {
             self.view.set_store_lost(true);
         }
     }
 
     /// Notes an answer of a feed.
-    fn answered(&self, followed: Followed) {
+    fn answered(&self, followed: FollowedTable) {
         self.heard_store(clock::now_ms());
-        if followed == Followed::Servers {
+        if followed == FollowedTable::Servers {
             self.view.set_store_lost(false);
         }
     }
@@ -294,22 +295,22 @@
     /// Notes that the store answered this host, or the holder of the duty.
     pub(super) fn heard_store(&self, at_ms: u64) {
         let lapse_ms = MISSED_HEARTBEATS * self.settings.store.server_heartbeat_ms;
-        let lapse_ms = lapse_ms.max(Followed::NOTICED_MS);
+        let lapse_ms = lapse_ms.max(FollowedTable::NOTICED_MS);
         if let Some(away_ms) = self.view.heard_store(at_ms, lapse_ms) {
             Event::StoreBack { away_ms }.log();
         }
     }
 
-    async fn read_table(&self, followed: Followed) -> platform::Result<Rows> {
+    async fn read_table(&self, followed: FollowedTable) -> platform::Result<Rows> {
         let mut rows = self.store.table(followed.table()).await?;
-        if followed == Followed::Own {
+        if followed == FollowedTable::Own {
             let hosts = self.store.table_part(TABLE, HOSTS_PART).await?;
             rows.rows.extend(hosts.rows);
         }
         Ok(rows)
     }
 
-    async fn read_whole(&self, followed: Followed) -> bool {
+    async fn read_whole(&self, followed: FollowedTable) -> bool {
         let asked_ms = clock::now_ms();
         match self.read_table(followed).await {
             Ok(rows) => {
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -14,7 +14,7 @@
     bounds::Bounds,
     limits::TimeLimits,
     news::{
-        followed::Followed,
+        followed::FollowedTable,
         freshness::{Freshness, StoreNews},
     },
 };
@@ -71,7 +71,7 @@
     assert_eq!(host.note_word(2, news(0, 9)), None, "no such question");
     assert_eq!(host.note_word(1, news(300, 9)), Some(now_ms - 300));
     assert!(host.is_vouched());
-    assert!(host.is_behind(Followed::Servers, 8));
+    assert!(host.is_behind(FollowedTable::Servers, 8));
     assert_eq!(host.note_word(1, news(0, 9)), None, "answered already");
     // An answer that was on its way for as long as the host stood still.
     let frozen = Freshness::new(&limits);
@@ -87,7 +87,7 @@
     host.note_told(news(1_000, 20));
     host.ask(1, ashroad::clock::now_ms());
     host.note_word(1, news(100, 10));
-    assert!(host.is_behind(Followed::Servers, 19));
+    assert!(host.is_behind(FollowedTable::Servers, 19));
     assert!(host.has_left_since(19));
     // Word of the holder that is older than the relay's does not make the host doubt.
     host.note_told(news(limits.trust_ms as u32, 20));
@@ -100,13 +100,13 @@
     let relay = Freshness::new(&limits);
     let heard_ms = ashroad::clock::now_ms();
     assert_eq!(relay.word(heard_ms), None);
-    for followed in [Followed::Servers, Followed::Configuration] {
+    for followed in [FollowedTable::Servers, FollowedTable::Configuration] {
         relay.note_applied(followed, 7);
         drop(relay.follow(followed));
     }
     let word = relay.word(ashroad::clock::now_ms()).expect("word");
     assert!(word.age_ms < 100);
-    assert_eq!(word.up_to[Followed::Servers.index()], 7);
+    assert_eq!(word.up_to[FollowedTable::Servers.index()], 7);
     thread::sleep(Duration::from_millis(50));
     let later = relay.word(ashroad::clock::now_ms()).expect("word");
     assert!(later.age_ms >= 50, "followed no more for 50 ms");
