--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -145,10 +145,10 @@
     }
 
     /// Notes that a call waits at the store for changes of a table; until the result is dropped.
-    pub fn follow(&self, followed: FollowedTable) -> Following<'_> {
+    pub fn follow(&self, followed: FollowedTable) -> FollowGuard<'_> {
         let followed_ms = &self.followed_ms[followed.index()];
         followed_ms.store(u64::MAX, Ordering::Relaxed);
-        Following(followed_ms)
+        FollowGuard(followed_ms)
     }
 
     /// Notes that this host has all changes of a table up to a version.
@@ -353,9 +353,9 @@
 
 /// A call that waits at the store for changes of a table.
 #[derive(Debug)]
-pub struct Following<'a>(&'a AtomicU64);
+pub struct FollowGuard<'a>(&'a AtomicU64);
 
-impl Drop for Following<'_> {
+impl Drop for FollowGuard<'_> {
     fn drop(&mut self) {
         let now_ms = clock::now_ms();
         self.0.store(now_ms, Ordering::Relaxed);
