--- a/src/entry/news/followed.rs
+++ b/src/entry/news/followed.rs
@@ -29,7 +29,7 @@
 
 /// What a host relies on to learn that the store has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reliance {
+pub enum SyncRole {
     /// It has the duty, and the others rely on it.
     Holder,
     /// It is a relay that hears no holder whom the store answers, and its zone relies on it.
@@ -74,12 +74,12 @@
 
     /// Time for which a feed may wait at the store. The holder of the duty has nobody who tells it
     /// that its connections have fallen silent, and nor has a host that does not hear one.
-    pub fn wait_ms(self, reliance: Reliance, limits: &TimeLimits) -> u64 {
+    pub fn wait_ms(self, reliance: SyncRole, limits: &TimeLimits) -> u64 {
         match (self, reliance) {
-            (Self::Own, _) | (_, Reliance::Told) => FEED_WAIT_MS,
-            (_, Reliance::Holder) => limits.holder_wait_ms,
-            (_, Reliance::Relay) => limits.relay_wait_ms,
-            (_, Reliance::Alone) => CANARY_WAIT_MS,
+            (Self::Own, _) | (_, SyncRole::Told) => FEED_WAIT_MS,
+            (_, SyncRole::Holder) => limits.holder_wait_ms,
+            (_, SyncRole::Relay) => limits.relay_wait_ms,
+            (_, SyncRole::Alone) => CANARY_WAIT_MS,
         }
     }
 
@@ -95,32 +95,32 @@
 
     /// How long a feed rests between two answers. Rests grow with the number of hosts, since each
     /// change wakes all of them, as far as changes still take effect in time.
-    pub fn rest(self, hosts: usize, reliance: Reliance, limits: &TimeLimits) -> Rest {
+    pub fn rest(self, hosts: usize, reliance: SyncRole, limits: &TimeLimits) -> Rest {
         let scaled = |few_hosts_ms: u64, many_hosts_ms: u64| {
             let scaled_ms = few_hosts_ms * hosts as u64 / FEW_HOSTS;
             scaled_ms.clamp(few_hosts_ms.min(many_hosts_ms), many_hosts_ms)
         };
         match (self, reliance) {
             // The others learn from the holder, or from a relay, what changes.
-            (Self::Configuration | Self::Servers, Reliance::Holder | Reliance::Relay) => {
+            (Self::Configuration | Self::Servers, SyncRole::Holder | SyncRole::Relay) => {
                 Rest::fixed(limits.holder_rest_ms)
             }
-            (Self::Configuration, Reliance::Told) => Rest {
+            (Self::Configuration, SyncRole::Told) => Rest {
                 least_ms: limits.configuration_rest_ms,
                 most_ms: TOLD_REST_MS,
             },
-            (Self::Configuration, Reliance::Alone) => {
+            (Self::Configuration, SyncRole::Alone) => {
                 Rest::fixed(scaled(150, limits.configuration_rest_ms))
             }
-            (Self::Servers, Reliance::Told) => Rest {
+            (Self::Servers, SyncRole::Told) => Rest {
                 least_ms: scaled(SERVERS_REST_MS, 1_000),
                 most_ms: TOLD_REST_MS,
             },
-            (Self::Servers, Reliance::Alone) => {
+            (Self::Servers, SyncRole::Alone) => {
                 Rest::fixed(scaled(SERVERS_REST_MS, limits.servers_rest_ms))
             }
             // Holdings also come by datagram, once the holder knows this host.
-            (Self::Own, Reliance::Told) => Rest {
+            (Self::Own, SyncRole::Told) => Rest {
                 least_ms: OWN_REST_MS,
                 most_ms: TOLD_REST_MS,
             },
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -12,7 +12,7 @@
     limits::LOOK_EVERY_MS,
     news::{
         evacuation::Evacuations,
-        followed::{FollowedTable, Reliance},
+        followed::{FollowedTable, SyncRole},
         freshness::StoreNews,
     },
     peers::message::Message,
@@ -25,15 +25,15 @@
 
 impl Entry {
     /// What this host relies on to learn of changes.
-    pub(super) fn reliance(&self) -> Reliance {
+    pub(super) fn reliance(&self) -> SyncRole {
         if self.duty.term() > 0 {
-            Reliance::Holder
+            SyncRole::Holder
         } else if self.freshness.is_vouched() {
-            Reliance::Told
+            SyncRole::Told
         } else if self.freshness.is_relay() {
-            Reliance::Relay
+            SyncRole::Relay
         } else {
-            Reliance::Alone
+            SyncRole::Alone
         }
     }
 
@@ -51,7 +51,7 @@
             return;
         }
         let until_ms = clock::now_ms() + self.limits.alone_pause_ms;
-        while clock::now_ms() < until_ms && self.reliance() == Reliance::Alone {
+        while clock::now_ms() < until_ms && self.reliance() == SyncRole::Alone {
             time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
         }
     }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -15,7 +15,7 @@
     events::Event,
     limits::LOOK_EVERY_MS,
     news::{
-        followed::{FollowedTable, HISTORY_MS, Reliance},
+        followed::{FollowedTable, HISTORY_MS, SyncRole},
         freshness::Doubt,
         own_rows::{HOSTS_PART, TABLE},
         server_changes::ServerChanges,
@@ -234,8 +234,8 @@
             }
             let after = self.freshness.applied(followed);
             let now = self.reliance();
-            let other_rest = (now == Reliance::Holder) != (reliance == Reliance::Holder)
-                || reliance == Reliance::Told && now != Reliance::Told;
+            let other_rest = (now == SyncRole::Holder) != (reliance == SyncRole::Holder)
+                || reliance == SyncRole::Told && now != SyncRole::Told;
             if other_rest || self.must_hurry(followed, after) {
                 return;
             }
