--- a/src/entry/news/followed.rs
+++ b/src/entry/news/followed.rs
@@ -74,8 +74,8 @@
 
     /// Time for which a feed may wait at the store. The holder of the duty has nobody who tells it
     /// that its connections have fallen silent, and nor has a host that does not hear one.
-    pub fn wait_ms(self, reliance: SyncRole, limits: &TimeLimits) -> u64 {
-        match (self, reliance) {
+    pub fn wait_ms(self, sync_role: SyncRole, limits: &TimeLimits) -> u64 {
+        match (self, sync_role) {
             (Self::Own, _) | (_, SyncRole::Told) => FEED_WAIT_MS,
             (_, SyncRole::Holder) => limits.holder_wait_ms,
             (_, SyncRole::Relay) => limits.relay_wait_ms,
@@ -95,12 +95,12 @@
 
     /// How long a feed rests between two answers. Rests grow with the number of hosts, since each
     /// change wakes all of them, as far as changes still take effect in time.
-    pub fn rest(self, hosts: usize, reliance: SyncRole, limits: &TimeLimits) -> Rest {
+    pub fn rest(self, hosts: usize, sync_role: SyncRole, limits: &TimeLimits) -> Rest {
         let scaled = |few_hosts_ms: u64, many_hosts_ms: u64| {
             let scaled_ms = few_hosts_ms * hosts as u64 / FEW_HOSTS;
             scaled_ms.clamp(few_hosts_ms.min(many_hosts_ms), many_hosts_ms)
         };
-        match (self, reliance) {
+        match (self, sync_role) {
             // The others learn from the holder, or from a relay, what changes.
             (Self::Configuration | Self::Servers, SyncRole::Holder | SyncRole::Relay) => {
                 Rest::fixed(limits.holder_rest_ms)
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -25,7 +25,7 @@
 
 impl Entry {
     /// What this host relies on to learn of changes.
-    pub(super) fn reliance(&self) -> SyncRole {
+    pub(super) fn sync_role(&self) -> SyncRole {
         if self.duty.term() > 0 {
             SyncRole::Holder
         } else if self.freshness.is_vouched() {
@@ -51,7 +51,7 @@
             return;
         }
         let until_ms = clock::now_ms() + self.limits.alone_pause_ms;
-        while clock::now_ms() < until_ms && self.reliance() == SyncRole::Alone {
+        while clock::now_ms() < until_ms && self.sync_role() == SyncRole::Alone {
             time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
         }
     }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -154,8 +154,8 @@
         if trust != Trust::Full || *store_lost.borrow() {
             return Ok(self.store.feed(table, after, PROBE_WAIT_MS, &begun).await);
         }
-        let reliance = self.reliance();
-        let wait_ms = followed.wait_ms(reliance, &self.limits);
+        let sync_role = self.sync_role();
+        let wait_ms = followed.wait_ms(sync_role, &self.limits);
         let relies = self.freshness.is_vouched() && followed != FollowedTable::Own;
         let is_silent = || !begun.load(Ordering::Relaxed);
         tokio::select! {
@@ -223,8 +223,8 @@
     /// Rests before the next call of a feed.
     async fn rest(&self, followed: FollowedTable, began_ms: u64) {
         let mut behind_ms = 0;
-        let reliance = self.reliance();
-        let rest = followed.rest(self.peers.hosts(), reliance, &self.limits);
+        let sync_role = self.sync_role();
+        let rest = followed.rest(self.peers.hosts(), sync_role, &self.limits);
         sleep_until(began_ms + rest.least_ms).await;
         while clock::now_ms() < began_ms + rest.most_ms {
             let look_ms = began_ms + rest.most_ms.min(clock::now_ms() - began_ms + LOOK_EVERY_MS);
@@ -233,9 +233,9 @@
                 () = self.view.reading_wanted(followed) => return,
             }
             let after = self.freshness.applied(followed);
-            let now = self.reliance();
-            let other_rest = (now == SyncRole::Holder) != (reliance == SyncRole::Holder)
-                || reliance == SyncRole::Told && now != SyncRole::Told;
+            let now = self.sync_role();
+            let other_rest = (now == SyncRole::Holder) != (sync_role == SyncRole::Holder)
+                || sync_role == SyncRole::Told && now != SyncRole::Told;
             if other_rest || self.must_hurry(followed, after) {
                 return;
             }
