--- a/src/entry/news/followed.rs
+++ b/src/entry/news/followed.rs
@@ -35,7 +35,7 @@
     /// It is a relay that hears no holder whom the store answers, and its zone relies on it.
     Relay,
     /// On the holder or a relay, one of which vouches for the store.
-    Told,
+    Follower,
     /// On its own feeds alone.
     Alone,
 }
@@ -76,7 +76,7 @@
     /// that its connections have fallen silent, and nor has a host that does not hear one.
     pub fn wait_ms(self, sync_role: SyncRole, limits: &TimeLimits) -> u64 {
         match (self, sync_role) {
-            (Self::Own, _) | (_, SyncRole::Told) => FEED_WAIT_MS,
+            (Self::Own, _) | (_, SyncRole::Follower) => FEED_WAIT_MS,
             (_, SyncRole::Holder) => limits.holder_wait_ms,
             (_, SyncRole::Relay) => limits.relay_wait_ms,
             (_, SyncRole::Alone) => CANARY_WAIT_MS,
@@ -105,14 +105,14 @@
             (Self::Configuration | Self::Servers, SyncRole::Holder | SyncRole::Relay) => {
                 Rest::fixed(limits.holder_rest_ms)
             }
-            (Self::Configuration, SyncRole::Told) => Rest {
+            (Self::Configuration, SyncRole::Follower) => Rest {
                 least_ms: limits.configuration_rest_ms,
                 most_ms: TOLD_REST_MS,
             },
             (Self::Configuration, SyncRole::Alone) => {
                 Rest::fixed(scaled(150, limits.configuration_rest_ms))
             }
-            (Self::Servers, SyncRole::Told) => Rest {
+            (Self::Servers, SyncRole::Follower) => Rest {
                 least_ms: scaled(SERVERS_REST_MS, 1_000),
                 most_ms: TOLD_REST_MS,
             },
@@ -120,7 +120,7 @@
                 Rest::fixed(scaled(SERVERS_REST_MS, limits.servers_rest_ms))
             }
             // Holdings also come by datagram, once the holder knows this host.
-            (Self::Own, SyncRole::Told) => Rest {
+            (Self::Own, SyncRole::Follower) => Rest {
                 least_ms: OWN_REST_MS,
                 most_ms: TOLD_REST_MS,
             },
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -29,7 +29,7 @@
         if self.duty.term() > 0 {
             SyncRole::Holder
         } else if self.freshness.is_vouched() {
-            SyncRole::Told
+            SyncRole::Follower
         } else if self.freshness.is_relay() {
             SyncRole::Relay
         } else {
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -235,7 +235,7 @@
             let after = self.freshness.applied(followed);
             let now = self.sync_role();
             let other_rest = (now == SyncRole::Holder) != (sync_role == SyncRole::Holder)
-                || sync_role == SyncRole::Told && now != SyncRole::Told;
+                || sync_role == SyncRole::Follower && now != SyncRole::Follower;
             if other_rest || self.must_hurry(followed, after) {
                 return;
             }
