--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -27,7 +27,7 @@
 
 /// What the holder of the duty tells of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreNews {
+pub struct StoreStateReport {
     /// Time since the store's last answer, or since the servers' entries or the configuration were
     /// last followed if that is longer ago: all changes up to then are known.
     pub age_ms: u32,
@@ -39,7 +39,7 @@
     pub up_to: [u64; TABLES],
 }
 
-impl StoreNews {
+impl StoreStateReport {
     /// The same after some time on its way.
     pub fn aged_by(self, excess_delay_ms: u64) -> Self {
         let excess_delay_ms = u32::try_from(excess_delay_ms).unwrap_or(TOO_OLD_MS);
@@ -84,7 +84,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Told {
     answered_ms: u64,
-    news: StoreNews,
+    news: StoreStateReport,
 }
 
 impl Told {
@@ -191,7 +191,7 @@
 
     /// What this host tells the others while it has the duty; `heard_ms` is when the store answered
     /// last.
-    pub fn news(&self, heard_ms: u64) -> StoreNews {
+    pub fn news(&self, heard_ms: u64) -> StoreStateReport {
         let followed_ms = |followed: FollowedTable| {
             let followed_ms = &self.followed_ms[followed.index()];
             followed_ms.load(Ordering::Relaxed)
@@ -200,7 +200,7 @@
             .min(followed_ms(FollowedTable::Servers))
             .min(followed_ms(FollowedTable::Configuration));
         let age_ms = clock::now_ms().saturating_sub(known_ms);
-        StoreNews {
+        StoreStateReport {
             age_ms: u32::try_from(age_ms).unwrap_or(TOO_OLD_MS),
             changed: std::array::from_fn(|table| self.changed[table].load(Ordering::Relaxed)),
             left: self.left.load(Ordering::Relaxed),
@@ -210,14 +210,14 @@
 
     /// What this host can tell others in the holder's stead, by its own calls or by what it was told; `None` if that is
     /// too old to be relied on.
-    pub fn word(&self, heard_ms: u64) -> Option<StoreNews> {
+    pub fn word(&self, heard_ms: u64) -> Option<StoreStateReport> {
         let told = *self.told();
         let own = self.news(heard_ms);
         let word = match told {
             Some(told) => {
                 let age_ms = clock::now_ms().saturating_sub(told.answered_ms);
                 let age_ms = u32::try_from(age_ms).unwrap_or(TOO_OLD_MS);
-                let told = StoreNews {
+                let told = StoreStateReport {
                     age_ms,
                     ..told.news
                 };
@@ -233,7 +233,7 @@
     }
 
     /// Notes a relay's answer. The result is when the store answered; `None` if that is nothing new.
-    pub fn note_word(&self, nonce: u64, news: StoreNews) -> Option<u64> {
+    pub fn note_word(&self, nonce: u64, news: StoreStateReport) -> Option<u64> {
         let asked_ms = self.question.answered(nonce)?;
         let answered_ms = asked_ms.saturating_sub(u64::from(news.age_ms));
         let word = Told { answered_ms, news };
@@ -244,7 +244,7 @@
     }
 
     /// Notes what the holder told. The result is when the store answered it.
-    pub fn note_told(&self, news: StoreNews) -> u64 {
+    pub fn note_told(&self, news: StoreStateReport) -> u64 {
         let answered_ms = clock::now_ms().saturating_sub(u64::from(news.age_ms));
         let told = Told { answered_ms, news };
         let earlier = *self.told();
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -14,7 +14,7 @@
         Entry,
         decide::hot_keys::HotKey,
         keys::Holding,
-        news::{announcement::Announcement, followed::FollowedTable, freshness::StoreNews},
+        news::{announcement::Announcement, followed::FollowedTable, freshness::StoreStateReport},
         owners::Owner,
         server::tag_of,
     },
@@ -192,7 +192,7 @@
         }
     }
 
-    fn note_holder(&self, from: SocketAddr, term: u64, news: StoreNews, hot: Vec<HotKey>) {
+    fn note_holder(&self, from: SocketAddr, term: u64, news: StoreStateReport, hot: Vec<HotKey>) {
         if let Some(term) = self.duty.note_other_term(term) {
             self.peers.send(&Message::Stopped { term }, &[from]);
         }
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -13,7 +13,7 @@
     news::{
         evacuation::Evacuations,
         followed::{FollowedTable, SyncRole},
-        freshness::StoreNews,
+        freshness::StoreStateReport,
     },
     peers::message::Message,
 };
@@ -116,7 +116,7 @@
     }
 
     /// Takes in a relay's answer.
-    pub(super) fn note_word(&self, nonce: u64, news: StoreNews, evacuations: Evacuations) {
+    pub(super) fn note_word(&self, nonce: u64, news: StoreStateReport, evacuations: Evacuations) {
         // A later state counts, however it came here.
         self.view.evacuate(evacuations);
         if let Some(answered_ms) = self.freshness.note_word(nonce, news) {
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -15,7 +15,7 @@
     limits::TimeLimits,
     news::{
         followed::FollowedTable,
-        freshness::{Freshness, StoreNews},
+        freshness::{Freshness, StoreStateReport},
     },
 };
 use tokio::time;
@@ -37,8 +37,8 @@
     TimeLimits::new(&bounds)
 }
 
-fn news(age_ms: u32, changed: u64) -> StoreNews {
-    StoreNews {
+fn news(age_ms: u32, changed: u64) -> StoreStateReport {
+    StoreStateReport {
         age_ms,
         changed: [changed; 3],
         left: changed,
