--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -73,7 +73,7 @@
     applied: [AtomicU64; TABLES],
     changed: [AtomicU64; TABLES],
     left: AtomicU64,
-    told: Mutex<Option<Told>>,
+    told: Mutex<Option<ReceivedReport>>,
     /// To a relay.
     question: Question,
     /// True while this host answers the hosts of its zone in the holder's stead.
@@ -82,12 +82,12 @@
 
 /// News of the holder, with the time of the store's answer by this host's clock.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct ReceivedReport {
     answered_ms: u64,
     news: StoreStateReport,
 }
 
-impl Told {
+impl ReceivedReport {
     /// The later one of two, with all changes that either knows.
     fn or_later(self, other: Self) -> Self {
         let (later, earlier) = if self.answered_ms >= other.answered_ms {
@@ -236,7 +236,7 @@
     pub fn note_word(&self, nonce: u64, news: StoreStateReport) -> Option<u64> {
         let asked_ms = self.question.answered(nonce)?;
         let answered_ms = asked_ms.saturating_sub(u64::from(news.age_ms));
-        let word = Told { answered_ms, news };
+        let word = ReceivedReport { answered_ms, news };
         let earlier = *self.told();
         let is_new = earlier.is_none_or(|told| told.answered_ms < answered_ms);
         self.take_told(earlier.map_or(word, |earlier| word.or_later(earlier)));
@@ -246,14 +246,14 @@
     /// Notes what the holder told. The result is when the store answered it.
     pub fn note_told(&self, news: StoreStateReport) -> u64 {
         let answered_ms = clock::now_ms().saturating_sub(u64::from(news.age_ms));
-        let told = Told { answered_ms, news };
+        let told = ReceivedReport { answered_ms, news };
         let earlier = *self.told();
         let latest = earlier.map_or(told, |earlier| told.or_later(earlier));
         self.take_told(latest);
         latest.answered_ms
     }
 
-    fn take_told(&self, told: Told) {
+    fn take_told(&self, told: ReceivedReport) {
         *self.told() = Some(told);
         let news = told.news;
         for followed in [FollowedTable::Servers, FollowedTable::Configuration] {
@@ -346,7 +346,7 @@
         }
     }
 
-    fn told(&self) -> MutexGuard<'_, Option<Told>> {
+    fn told(&self) -> MutexGuard<'_, Option<ReceivedReport>> {
         self.told.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
