--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -73,7 +73,7 @@
     applied: [AtomicU64; TABLES],
     changed: [AtomicU64; TABLES],
     left: AtomicU64,
-    told: Mutex<Option<ReceivedReport>>,
+    received: Mutex<Option<ReceivedReport>>,
     /// To a relay.
     question: Question,
     /// True while this host answers the hosts of its zone in the holder's stead.
@@ -123,7 +123,7 @@
             applied: Default::default(),
             changed: Default::default(),
             left: AtomicU64::new(0),
-            told: Mutex::default(),
+            received: Mutex::default(),
             question: Question::default(),
             is_relay: AtomicBool::new(false),
         }
@@ -211,20 +211,20 @@
     /// What this host can tell others in the holder's stead, by its own calls or by what it was told; `None` if that is
     /// too old to be relied on.
     pub fn word(&self, heard_ms: u64) -> Option<StoreStateReport> {
-        let told = *self.told();
+        let received = *self.received();
         let own = self.news(heard_ms);
-        let word = match told {
-            Some(told) => {
-                let age_ms = clock::now_ms().saturating_sub(told.answered_ms);
+        let word = match received {
+            Some(received) => {
+                let age_ms = clock::now_ms().saturating_sub(received.answered_ms);
                 let age_ms = u32::try_from(age_ms).unwrap_or(TOO_OLD_MS);
-                let told = StoreStateReport {
+                let received = StoreStateReport {
                     age_ms,
-                    ..told.news
+                    ..received.news
                 };
                 if own.age_ms < age_ms {
-                    own.with_changes_of(told)
+                    own.with_changes_of(received)
                 } else {
-                    told
+                    received
                 }
             }
             None => own,
@@ -237,8 +237,8 @@
         let asked_ms = self.question.answered(nonce)?;
         let answered_ms = asked_ms.saturating_sub(u64::from(news.age_ms));
         let word = ReceivedReport { answered_ms, news };
-        let earlier = *self.told();
-        let is_new = earlier.is_none_or(|told| told.answered_ms < answered_ms);
+        let earlier = *self.received();
+        let is_new = earlier.is_none_or(|received| received.answered_ms < answered_ms);
         self.take_told(earlier.map_or(word, |earlier| word.or_later(earlier)));
         is_new.then_some(answered_ms)
     }
@@ -246,16 +246,16 @@
     /// Notes what the holder told. The result is when the store answered it.
     pub fn note_told(&self, news: StoreStateReport) -> u64 {
         let answered_ms = clock::now_ms().saturating_sub(u64::from(news.age_ms));
-        let told = ReceivedReport { answered_ms, news };
-        let earlier = *self.told();
-        let latest = earlier.map_or(told, |earlier| told.or_later(earlier));
+        let received = ReceivedReport { answered_ms, news };
+        let earlier = *self.received();
+        let latest = earlier.map_or(received, |earlier| received.or_later(earlier));
         self.take_told(latest);
         latest.answered_ms
     }
 
-    fn take_told(&self, told: ReceivedReport) {
-        *self.told() = Some(told);
-        let news = told.news;
+    fn take_told(&self, received: ReceivedReport) {
+        *self.received() = Some(received);
+        let news = received.news;
         for followed in [FollowedTable::Servers, FollowedTable::Configuration] {
             let applied = self.applied(followed);
             if applied > 0 && applied >= news.changed[followed.index()] {
@@ -282,9 +282,9 @@
     }
 
     fn told_age_ms(&self) -> u64 {
-        let told = *self.told();
-        told.map_or(u64::MAX, |told| {
-            clock::now_ms().saturating_sub(told.answered_ms)
+        let received = *self.received();
+        received.map_or(u64::MAX, |received| {
+            clock::now_ms().saturating_sub(received.answered_ms)
         })
     }
 
@@ -296,14 +296,14 @@
 
     /// True if the holder says that the store has answered it lately, and after a time.
     pub fn is_vouched_since(&self, at_ms: u64) -> bool {
-        let told = *self.told();
-        self.is_vouched() && told.is_some_and(|told| told.answered_ms >= at_ms)
+        let received = *self.received();
+        self.is_vouched() && received.is_some_and(|received| received.answered_ms >= at_ms)
     }
 
     /// Version of the latest change of a table that the holder or a relay has told of; 0 before any.
     pub fn told_changed(&self, followed: FollowedTable) -> u64 {
-        let told = *self.told();
-        told.map_or(0, |told| told.news.changed[followed.index()])
+        let received = *self.received();
+        received.map_or(0, |received| received.news.changed[followed.index()])
     }
 
     /// True if the holder has seen a later change of a table than a feed has asked for.
@@ -313,8 +313,8 @@
 
     /// True if the holder has seen a server leave since a version.
     pub fn has_left_since(&self, version: u64) -> bool {
-        let told = *self.told();
-        told.is_some_and(|told| told.news.left > version)
+        let received = *self.received();
+        received.is_some_and(|received| received.news.left > version)
     }
 
     /// Returns when a feed that waits for changes after a version should be called anew. `vouched`
@@ -346,8 +346,8 @@
         }
     }
 
-    fn told(&self) -> MutexGuard<'_, Option<ReceivedReport>> {
-        self.told.lock().unwrap_or_else(PoisonError::into_inner)
+    fn received(&self) -> MutexGuard<'_, Option<ReceivedReport>> {
+        self.received.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
