--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -239,7 +239,7 @@
         let word = ReceivedReport { answered_ms, news };
         let earlier = *self.received();
         let is_new = earlier.is_none_or(|received| received.answered_ms < answered_ms);
-        self.take_told(earlier.map_or(word, |earlier| word.or_later(earlier)));
+        self.apply_received(earlier.map_or(word, |earlier| word.or_later(earlier)));
         is_new.then_some(answered_ms)
     }
 
@@ -249,11 +249,11 @@
         let received = ReceivedReport { answered_ms, news };
         let earlier = *self.received();
         let latest = earlier.map_or(received, |earlier| received.or_later(earlier));
-        self.take_told(latest);
+        self.apply_received(latest);
         latest.answered_ms
     }
 
-    fn take_told(&self, received: ReceivedReport) {
+    fn apply_received(&self, received: ReceivedReport) {
         *self.received() = Some(received);
         let news = received.news;
         for followed in [FollowedTable::Servers, FollowedTable::Configuration] {
