--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -273,15 +273,15 @@
         } else {
             self.trust_ms
         };
-        self.told_age_ms() < trust_ms
+        self.received_age_ms() < trust_ms
     }
 
     /// True if a relay should be asked, before what was told is too old to be relied on.
     pub fn needs_word(&self) -> bool {
-        self.told_age_ms() >= self.doubt_ms()
+        self.received_age_ms() >= self.doubt_ms()
     }
 
-    fn told_age_ms(&self) -> u64 {
+    fn received_age_ms(&self) -> u64 {
         let received = *self.received();
         received.map_or(u64::MAX, |received| {
             clock::now_ms().saturating_sub(received.answered_ms)
