--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -103,12 +103,12 @@
         let mut keys: Vec<HotKey> = self.found().values().flatten().copied().collect();
         keys.sort_unstable_by(|a, b| b.excess().total_cmp(&a.excess()));
         keys.truncate(HOT_MAX);
-        self.note_told(keys.clone(), now_ms);
+        self.note_announced(keys.clone(), now_ms);
         keys
     }
 
     /// Notes what the holder told.
-    pub fn note_told(&self, keys: Vec<HotKey>, now_ms: u64) {
+    pub fn note_announced(&self, keys: Vec<HotKey>, now_ms: u64) {
         let until_ms = now_ms + TOLD_KEPT_MS;
         *self.told() = Told { keys, until_ms };
     }
--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -175,7 +175,7 @@
     }
 
     /// Notes what the holder has told.
-    pub fn note_told(&mut self, told: Admitted, now_ms: u64) {
+    pub fn note_announced(&mut self, told: Admitted, now_ms: u64) {
         let own_per_s = self.own.per_s(now_ms);
         if told.asked_per_s > 0.0 {
             self.part = Some((own_per_s / f64::from(told.asked_per_s)).min(1.0));
--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -244,7 +244,7 @@
     }
 
     /// Notes what the holder told. The result is when the store answered it.
-    pub fn note_told(&self, news: StoreStateReport) -> u64 {
+    pub fn note_announced(&self, news: StoreStateReport) -> u64 {
         let answered_ms = clock::now_ms().saturating_sub(u64::from(news.age_ms));
         let received = ReceivedReport { answered_ms, news };
         let earlier = *self.received();
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -160,7 +160,7 @@
             Message::Asked(rates) => self.take_rates(from, &rates),
             Message::Rates(rates) => self.take_sums(&rates),
             Message::Used(reports) => self.take_used(&reports),
-            Message::Admitted(told) => self.quotas.note_told(&told),
+            Message::Admitted(told) => self.quotas.note_announced(&told),
             Message::AskWord { nonce, .. } => {
                 if let Some(word) = self.word_for(nonce) {
                     self.peers.send(&word, &[from]);
@@ -197,8 +197,8 @@
             self.peers.send(&Message::Stopped { term }, &[from]);
         }
         if self.peers.note_holder(from, term) {
-            self.heard_store(self.freshness.note_told(news));
-            self.hot_keys.note_told(hot, clock::now_ms());
+            self.heard_store(self.freshness.note_announced(news));
+            self.hot_keys.note_announced(hot, clock::now_ms());
         }
     }
 
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -130,13 +130,13 @@
     }
 
     /// Takes in the holder's word.
-    pub(super) fn note_told(&self, told: &[WorkspaceAdmitted]) {
+    pub(super) fn note_announced(&self, told: &[WorkspaceAdmitted]) {
         let now_ms = clock::now_ms();
         let mut known = self.known();
         known.heard_ms = Some(now_ms);
         for word in told {
             let share = known.shares.entry(word.workspace_tag).or_default();
-            share.note_told(word.admitted, now_ms);
+            share.note_announced(word.admitted, now_ms);
         }
     }
 
@@ -208,7 +208,7 @@
 
     /// Tells all hosts what they may admit. Word that names no workspace shows that the holder lives.
     fn tell_quotas(&self, told: &[WorkspaceAdmitted]) {
-        self.quotas.note_told(told);
+        self.quotas.note_announced(told);
         if told.is_empty() {
             self.peers.send_to_all(Message::Admitted(Vec::new()));
         }
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -137,7 +137,7 @@
 fn tell(shares: &mut [HostShare], told: Admitted, now_ms: u64, rng: &mut StdRng) {
     for share in shares {
         if rng.random::<f64>() >= LOST {
-            share.note_told(told, now_ms);
+            share.note_announced(told, now_ms);
         }
     }
 }
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -564,7 +564,7 @@
     assert_eq!(known.get(9, 5, 1_200), None, "the word is too old");
     assert_eq!(known.get(8, 5, 1_000), None);
     assert_eq!(known.get(9, 6, 1_000), None);
-    known.note_told(Vec::new(), 1_000);
+    known.note_announced(Vec::new(), 1_000);
     assert_eq!(known.get(9, 5, 1_000), None);
 }
 
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -53,7 +53,7 @@
     let [relay, other] = [Freshness::new(&limits), Freshness::new(&limits)];
     relay.set_relay(true);
     for host in [&relay, &other] {
-        host.note_told(news(age_ms, 5));
+        host.note_announced(news(age_ms, 5));
         assert!(host.needs_word());
     }
     assert!(!relay.is_vouched());
@@ -84,13 +84,13 @@
 fn later_word_keeps_the_changes_that_earlier_word_told() {
     let limits = limits();
     let host = Freshness::new(&limits);
-    host.note_told(news(1_000, 20));
+    host.note_announced(news(1_000, 20));
     host.ask(1, ashroad::clock::now_ms());
     host.note_word(1, news(100, 10));
     assert!(host.is_behind(FollowedTable::Servers, 19));
     assert!(host.has_left_since(19));
     // Word of the holder that is older than the relay's does not make the host doubt.
-    host.note_told(news(limits.trust_ms as u32, 20));
+    host.note_announced(news(limits.trust_ms as u32, 20));
     assert!(host.is_vouched());
 }
 
