--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -233,7 +233,7 @@
     }
 
     /// Notes a relay's answer. The result is when the store answered; `None` if that is nothing new.
-    pub fn note_word(&self, nonce: u64, news: StoreStateReport) -> Option<u64> {
+    pub fn note_relay_report(&self, nonce: u64, news: StoreStateReport) -> Option<u64> {
         let asked_ms = self.question.answered(nonce)?;
         let answered_ms = asked_ms.saturating_sub(u64::from(news.age_ms));
         let word = ReceivedReport { answered_ms, news };
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -170,7 +170,7 @@
                 nonce,
                 news,
                 evacuations,
-            } => self.note_word(nonce, news, evacuations),
+            } => self.note_relay_report(nonce, news, evacuations),
             Message::AskProof { nonce } => {
                 if let Some(proof) = self.proof_for(nonce) {
                     self.peers.send(&proof, &[from]);
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -125,7 +125,7 @@
                 at_ms: now_ms.saturating_sub(u64::from(told.age_ms)),
             };
             for server in registry.servers().filter(|s| s.tag == rate.server_tag) {
-                log_change(server, server.rate.note_word(word), "another host");
+                log_change(server, server.rate.note_relay_report(word), "another host");
             }
         }
     }
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -44,7 +44,7 @@
     }
 
     /// The same of an answer to another host.
-    pub fn note_word(&self, word: LimitWord) -> bool {
+    pub fn note_relay_report(&self, word: LimitWord) -> bool {
         let mut notices = self.notices();
         notices.rate_limit.note(word);
         notices.rate_limit.take_change()
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -116,10 +116,15 @@
     }
 
     /// Takes in a relay's answer.
-    pub(super) fn note_word(&self, nonce: u64, news: StoreStateReport, evacuations: Evacuations) {
+    pub(super) fn note_relay_report(
+        &self,
+        nonce: u64,
+        news: StoreStateReport,
+        evacuations: Evacuations,
+    ) {
         // A later state counts, however it came here.
         self.view.evacuate(evacuations);
-        if let Some(answered_ms) = self.freshness.note_word(nonce, news) {
+        if let Some(answered_ms) = self.freshness.note_relay_report(nonce, news) {
             self.heard_store(answered_ms);
         }
     }
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -68,15 +68,23 @@
     let host = Freshness::new(&limits);
     let now_ms = ashroad::clock::now_ms();
     host.ask(1, now_ms);
-    assert_eq!(host.note_word(2, news(0, 9)), None, "no such question");
-    assert_eq!(host.note_word(1, news(300, 9)), Some(now_ms - 300));
+    assert_eq!(
+        host.note_relay_report(2, news(0, 9)),
+        None,
+        "no such question"
+    );
+    assert_eq!(host.note_relay_report(1, news(300, 9)), Some(now_ms - 300));
     assert!(host.is_vouched());
     assert!(host.is_behind(FollowedTable::Servers, 8));
-    assert_eq!(host.note_word(1, news(0, 9)), None, "answered already");
+    assert_eq!(
+        host.note_relay_report(1, news(0, 9)),
+        None,
+        "answered already"
+    );
     // An answer that was on its way for as long as the host stood still.
     let frozen = Freshness::new(&limits);
     frozen.ask(1, now_ms - limits.trust_ms);
-    frozen.note_word(1, news(0, 9));
+    frozen.note_relay_report(1, news(0, 9));
     assert!(!frozen.is_vouched());
 }
 
@@ -86,7 +94,7 @@
     let host = Freshness::new(&limits);
     host.note_announced(news(1_000, 20));
     host.ask(1, ashroad::clock::now_ms());
-    host.note_word(1, news(100, 10));
+    host.note_relay_report(1, news(100, 10));
     assert!(host.is_behind(FollowedTable::Servers, 19));
     assert!(host.has_left_since(19));
     // Word of the holder that is older than the relay's does not make the host doubt.
