--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -277,7 +277,7 @@
     }
 
     /// True if a relay should be asked, before what was told is too old to be relied on.
-    pub fn needs_word(&self) -> bool {
+    pub fn needs_relay(&self) -> bool {
         self.received_age_ms() >= self.doubt_ms()
     }
 
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -94,7 +94,7 @@
         };
         let is_relay = relays.contains(&self.settings.listen.peers);
         self.freshness.set_relay(is_relay);
-        if is_relay || relays.is_empty() || !self.freshness.needs_word() {
+        if is_relay || relays.is_empty() || !self.freshness.needs_relay() {
             return false;
         }
         let nonce = rand::random();
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -54,7 +54,7 @@
     relay.set_relay(true);
     for host in [&relay, &other] {
         host.note_announced(news(age_ms, 5));
-        assert!(host.needs_word());
+        assert!(host.needs_relay());
     }
     assert!(!relay.is_vouched());
     assert!(other.is_vouched());
