--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -210,10 +210,10 @@
 
     /// What this host can tell others in the holder's stead, by its own calls or by what it was told; `None` if that is
     /// too old to be relied on.
-    pub fn word(&self, heard_ms: u64) -> Option<StoreStateReport> {
+    pub fn store_state(&self, heard_ms: u64) -> Option<StoreStateReport> {
         let received = *self.received();
         let own = self.news(heard_ms);
-        let word = match received {
+        let store_state = match received {
             Some(received) => {
                 let age_ms = clock::now_ms().saturating_sub(received.answered_ms);
                 let age_ms = u32::try_from(age_ms).unwrap_or(TOO_OLD_MS);
@@ -229,17 +229,17 @@
             }
             None => own,
         };
-        (u64::from(word.age_ms) < self.trust_ms).then_some(word)
+        (u64::from(store_state.age_ms) < self.trust_ms).then_some(store_state)
     }
 
     /// Notes a relay's answer. The result is when the store answered; `None` if that is nothing new.
     pub fn note_relay_report(&self, nonce: u64, news: StoreStateReport) -> Option<u64> {
         let asked_ms = self.question.answered(nonce)?;
         let answered_ms = asked_ms.saturating_sub(u64::from(news.age_ms));
-        let word = ReceivedReport { answered_ms, news };
+        let store_state = ReceivedReport { answered_ms, news };
         let earlier = *self.received();
         let is_new = earlier.is_none_or(|received| received.answered_ms < answered_ms);
-        self.apply_received(earlier.map_or(word, |earlier| word.or_later(earlier)));
+        self.apply_received(earlier.map_or(store_state, |earlier| store_state.or_later(earlier)));
         is_new.then_some(answered_ms)
     }
 
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -107,16 +107,16 @@
     let limits = limits();
     let relay = Freshness::new(&limits);
     let heard_ms = ashroad::clock::now_ms();
-    assert_eq!(relay.word(heard_ms), None);
+    assert_eq!(relay.store_state(heard_ms), None);
     for followed in [FollowedTable::Servers, FollowedTable::Configuration] {
         relay.note_applied(followed, 7);
         drop(relay.follow(followed));
     }
-    let word = relay.word(ashroad::clock::now_ms()).expect("word");
-    assert!(word.age_ms < 100);
-    assert_eq!(word.up_to[FollowedTable::Servers.index()], 7);
+    let store_state = relay.store_state(ashroad::clock::now_ms()).expect("word");
+    assert!(store_state.age_ms < 100);
+    assert_eq!(store_state.up_to[FollowedTable::Servers.index()], 7);
     thread::sleep(Duration::from_millis(50));
-    let later = relay.word(ashroad::clock::now_ms()).expect("word");
+    let later = relay.store_state(ashroad::clock::now_ms()).expect("word");
     assert!(later.age_ms >= 50, "followed no more for 50 ms");
 }
 
