--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -54,7 +54,7 @@
 
     /// Number of changes that this host has missed, at most.
     fn missed(&self, followed: FollowedTable) -> u64 {
-        let changed = self.freshness.told_changed(followed);
+        let changed = self.freshness.reported_change(followed);
         changed.saturating_sub(self.freshness.applied(followed))
     }
 
--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -301,14 +301,14 @@
     }
 
     /// Version of the latest change of a table that the holder or a relay has told of; 0 before any.
-    pub fn told_changed(&self, followed: FollowedTable) -> u64 {
+    pub fn reported_change(&self, followed: FollowedTable) -> u64 {
         let received = *self.received();
         received.map_or(0, |received| received.news.changed[followed.index()])
     }
 
     /// True if the holder has seen a later change of a table than a feed has asked for.
     pub fn is_behind(&self, followed: FollowedTable, asked_after: u64) -> bool {
-        self.told_changed(followed) > asked_after
+        self.reported_change(followed) > asked_after
     }
 
     /// True if the holder has seen a server leave since a version.
