--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -62,7 +62,7 @@
     /// the holder of the duty is proof enough.
     fn configuration_age_ms(&self) -> Option<u64> {
         let followed = FollowedTable::Configuration;
-        let is_told = self.freshness.is_vouched()
+        let is_told = self.freshness.is_store_confirmed()
             && !self
                 .freshness
                 .is_behind(followed, self.freshness.applied(followed));
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -299,7 +299,7 @@
             service_tag: tag_of(&self.service),
             key,
         };
-        let asked = entry.freshness.is_vouched() && entry.peers.send_to_holder(&question);
+        let asked = entry.freshness.is_store_confirmed() && entry.peers.send_to_holder(&question);
         if !asked {
             entry.view.want_reading(FollowedTable::Own);
         }
--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -142,7 +142,7 @@
         for after_ms in first.chain(std::iter::repeat(LEARN_HOSTS_EVERY_MS)) {
             time::sleep(Duration::from_millis(after_ms)).await;
             let guide = self.guide();
-            let Some(guide) = guide.filter(|_| self.freshness.is_vouched()) else {
+            let Some(guide) = guide.filter(|_| self.freshness.is_store_confirmed()) else {
                 continue;
             };
             match self.ask::<Vec<KnownHost>>(guide, HOSTS).await {
--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -267,7 +267,7 @@
 
     /// True if the holder, or a relay in its stead, says that the store has answered it lately. A relay doubts the holder
     /// earlier than the others, so that it can answer them before they doubt it too.
-    pub fn is_vouched(&self) -> bool {
+    pub fn is_store_confirmed(&self) -> bool {
         let trust_ms = if self.is_relay() {
             self.doubt_ms()
         } else {
@@ -297,7 +297,7 @@
     /// True if the holder says that the store has answered it lately, and after a time.
     pub fn is_vouched_since(&self, at_ms: u64) -> bool {
         let received = *self.received();
-        self.is_vouched() && received.is_some_and(|received| received.answered_ms >= at_ms)
+        self.is_store_confirmed() && received.is_some_and(|received| received.answered_ms >= at_ms)
     }
 
     /// Version of the latest change of a table that the holder or a relay has told of; 0 before any.
@@ -332,7 +332,7 @@
             if !is_silent() {
                 continue;
             }
-            if vouched && !self.is_vouched() {
+            if vouched && !self.is_store_confirmed() {
                 return Doubt::Unvouched;
             }
             if self.is_behind(followed, asked_after) {
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -28,7 +28,7 @@
     pub(super) fn sync_role(&self) -> SyncRole {
         if self.duty.term() > 0 {
             SyncRole::Holder
-        } else if self.freshness.is_vouched() {
+        } else if self.freshness.is_store_confirmed() {
             SyncRole::Follower
         } else if self.freshness.is_relay() {
             SyncRole::Relay
@@ -63,7 +63,7 @@
             let applied = self.freshness.applied(followed);
             self.freshness.is_behind(followed, applied)
         };
-        while clock::now_ms() < until_ms && self.freshness.is_vouched() {
+        while clock::now_ms() < until_ms && self.freshness.is_store_confirmed() {
             if is_behind(FollowedTable::Configuration) || is_behind(FollowedTable::Servers) {
                 return;
             }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -156,7 +156,7 @@
         }
         let sync_role = self.sync_role();
         let wait_ms = followed.wait_ms(sync_role, &self.limits);
-        let relies = self.freshness.is_vouched() && followed != FollowedTable::Own;
+        let relies = self.freshness.is_store_confirmed() && followed != FollowedTable::Own;
         let is_silent = || !begun.load(Ordering::Relaxed);
         tokio::select! {
             feed = self.store.feed(table, after, wait_ms, &begun) => Ok(feed),
@@ -173,10 +173,10 @@
         let until_ms = began_ms + followed.start_rest_ms(&self.limits);
         // The others rely on what the holder of the duty follows.
         let is_holder = || self.duty.term() > 0;
-        while !is_holder() && !self.freshness.is_vouched() && clock::now_ms() < until_ms {
+        while !is_holder() && !self.freshness.is_store_confirmed() && clock::now_ms() < until_ms {
             time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
         }
-        if !is_holder() && self.freshness.is_vouched() {
+        if !is_holder() && self.freshness.is_store_confirmed() {
             self.rest(followed, began_ms).await;
         }
     }
@@ -257,11 +257,13 @@
     /// store, and for the first holdings of a service.
     fn must_hurry(&self, followed: FollowedTable, after: u64) -> bool {
         match followed {
-            FollowedTable::Configuration => !self.freshness.is_vouched(),
+            FollowedTable::Configuration => !self.freshness.is_store_confirmed(),
             FollowedTable::Servers => {
                 // It finds out for all feeds when the store is back.
                 let store_lost = *self.view.store_lost().borrow();
-                store_lost || self.freshness.has_left_since(after) || !self.freshness.is_vouched()
+                store_lost
+                    || self.freshness.has_left_since(after)
+                    || !self.freshness.is_store_confirmed()
             }
             FollowedTable::Own => {
                 let lacks = self.view.lacks_holdings();
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -56,8 +56,8 @@
         host.note_announced(news(age_ms, 5));
         assert!(host.needs_relay());
     }
-    assert!(!relay.is_vouched());
-    assert!(other.is_vouched());
+    assert!(!relay.is_store_confirmed());
+    assert!(other.is_store_confirmed());
     // Several questions fit into the time that is left.
     assert!(limits.trust_ms / 4 >= 3 * limits.ask_relay_every_ms);
 }
@@ -74,7 +74,7 @@
         "no such question"
     );
     assert_eq!(host.note_relay_report(1, news(300, 9)), Some(now_ms - 300));
-    assert!(host.is_vouched());
+    assert!(host.is_store_confirmed());
     assert!(host.is_behind(FollowedTable::Servers, 8));
     assert_eq!(
         host.note_relay_report(1, news(0, 9)),
@@ -85,7 +85,7 @@
     let frozen = Freshness::new(&limits);
     frozen.ask(1, now_ms - limits.trust_ms);
     frozen.note_relay_report(1, news(0, 9));
-    assert!(!frozen.is_vouched());
+    assert!(!frozen.is_store_confirmed());
 }
 
 #[test]
@@ -99,7 +99,7 @@
     assert!(host.has_left_since(19));
     // Word of the holder that is older than the relay's does not make the host doubt.
     host.note_announced(news(limits.trust_ms as u32, 20));
-    assert!(host.is_vouched());
+    assert!(host.is_store_confirmed());
 }
 
 #[test]
