--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -128,7 +128,7 @@
         let since_ms = clock::now_ms();
         let until_ms = since_ms + self.limits.start_rest_ms;
         while self.duty.term() == 0 && clock::now_ms() < until_ms {
-            if self.freshness.is_vouched_since(since_ms) {
+            if self.freshness.is_store_confirmed_since(since_ms) {
                 return true;
             }
             time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -295,7 +295,7 @@
     }
 
     /// True if the holder says that the store has answered it lately, and after a time.
-    pub fn is_vouched_since(&self, at_ms: u64) -> bool {
+    pub fn is_store_confirmed_since(&self, at_ms: u64) -> bool {
         let received = *self.received();
         self.is_store_confirmed() && received.is_some_and(|received| received.answered_ms >= at_ms)
     }
