--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -317,13 +317,13 @@
         received.is_some_and(|received| received.news.left > version)
     }
 
-    /// Returns when a feed that waits for changes after a version should be called anew. `vouched`
+    /// Returns when a feed that waits for changes after a version should be called anew. `relies_on_holder`
     /// if its wait relies on the holder; `is_silent` while no answer has begun.
     pub async fn doubt(
         &self,
         followed: FollowedTable,
         asked_after: u64,
-        vouched: bool,
+        relies_on_holder: bool,
         is_silent: impl Fn() -> bool,
     ) -> Doubt {
         let mut behind_ms = 0;
@@ -332,7 +332,7 @@
             if !is_silent() {
                 continue;
             }
-            if vouched && !self.is_store_confirmed() {
+            if relies_on_holder && !self.is_store_confirmed() {
                 return Doubt::Unvouched;
             }
             if self.is_behind(followed, asked_after) {
