--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -108,7 +108,7 @@
     /// The holder has seen a change that the feed has not brought.
     Behind,
     /// Nobody vouches for the store any more.
-    Unvouched,
+    Unconfirmed,
     /// Another feed has found the store silent and has not been answered since.
     StoreLost,
 }
@@ -333,7 +333,7 @@
                 continue;
             }
             if relies_on_holder && !self.is_store_confirmed() {
-                return Doubt::Unvouched;
+                return Doubt::Unconfirmed;
             }
             if self.is_behind(followed, asked_after) {
                 behind_ms += LOOK_EVERY_MS;
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -100,7 +100,7 @@
                         trust = Trust::Doubted;
                         continue;
                     }
-                    Err(Doubt::Unvouched | Doubt::StoreLost) => continue,
+                    Err(Doubt::Unconfirmed | Doubt::StoreLost) => continue,
                 };
                 match feed {
                     Ok(Feed::Changes(changes)) => {
