--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -104,7 +104,7 @@
 
 /// Why a feed should be called anew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doubt {
+pub enum RecallReason {
     /// The holder has seen a change that the feed has not brought.
     Behind,
     /// Nobody vouches for the store any more.
@@ -325,7 +325,7 @@
         asked_after: u64,
         relies_on_holder: bool,
         is_silent: impl Fn() -> bool,
-    ) -> Doubt {
+    ) -> RecallReason {
         let mut behind_ms = 0;
         loop {
             time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
@@ -333,7 +333,7 @@
                 continue;
             }
             if relies_on_holder && !self.is_store_confirmed() {
-                return Doubt::Unconfirmed;
+                return RecallReason::Unconfirmed;
             }
             if self.is_behind(followed, asked_after) {
                 behind_ms += LOOK_EVERY_MS;
@@ -341,7 +341,7 @@
                 behind_ms = 0;
             }
             if behind_ms > self.lag_grace_ms {
-                return Doubt::Behind;
+                return RecallReason::Behind;
             }
         }
     }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -16,7 +16,7 @@
     limits::LOOK_EVERY_MS,
     news::{
         followed::{FollowedTable, HISTORY_MS, SyncRole},
-        freshness::Doubt,
+        freshness::RecallReason,
         own_rows::{HOSTS_PART, TABLE},
         server_changes::ServerChanges,
     },
@@ -96,11 +96,11 @@
                 let after = self.freshness.applied(followed);
                 let feed = match self.next_changes(followed, after, trust).await {
                     Ok(feed) => feed,
-                    Err(Doubt::Behind) => {
+                    Err(RecallReason::Behind) => {
                         trust = Trust::Doubted;
                         continue;
                     }
-                    Err(Doubt::Unconfirmed | Doubt::StoreLost) => continue,
+                    Err(RecallReason::Unconfirmed | RecallReason::StoreLost) => continue,
                 };
                 match feed {
                     Ok(Feed::Changes(changes)) => {
@@ -138,14 +138,14 @@
         followed: FollowedTable,
         after: u64,
         trust: Trust,
-    ) -> Result<platform::Result<Feed>, Doubt> {
+    ) -> Result<platform::Result<Feed>, RecallReason> {
         let mut store_lost = self.view.store_lost();
         if followed != FollowedTable::Servers {
             // Not for good: others may have what is missed here.
             let returned = store_lost.wait_for(|lost| !lost);
             let patience = Duration::from_millis(self.limits.lag_grace_ms);
             if !matches!(time::timeout(patience, returned).await, Ok(Ok(_))) {
-                return Err(Doubt::StoreLost);
+                return Err(RecallReason::StoreLost);
             }
         }
         let begun = AtomicBool::new(false);
@@ -161,7 +161,7 @@
         tokio::select! {
             feed = self.store.feed(table, after, wait_ms, &begun) => Ok(feed),
             doubt = self.freshness.doubt(followed, after, relies, is_silent) => Err(doubt),
-            _ = store_lost.wait_for(|lost| *lost) => Err(Doubt::Behind),
+            _ = store_lost.wait_for(|lost| *lost) => Err(RecallReason::Behind),
         }
     }
 
