--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -319,7 +319,7 @@
 
     /// Returns when a feed that waits for changes after a version should be called anew. `relies_on_holder`
     /// if its wait relies on the holder; `is_silent` while no answer has begun.
-    pub async fn doubt(
+    pub async fn recall_reason(
         &self,
         followed: FollowedTable,
         asked_after: u64,
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -160,7 +160,7 @@
         let is_silent = || !begun.load(Ordering::Relaxed);
         tokio::select! {
             feed = self.store.feed(table, after, wait_ms, &begun) => Ok(feed),
-            doubt = self.freshness.doubt(followed, after, relies, is_silent) => Err(doubt),
+            recall_reason = self.freshness.recall_reason(followed, after, relies, is_silent) => Err(recall_reason),
             _ = store_lost.wait_for(|lost| *lost) => Err(RecallReason::Behind),
         }
     }
