--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -15,7 +15,7 @@
         duty::{Change, Reassignment},
         events::Event,
         keys::{Assignment, Holding, KeyRange},
-        news::announcement::Announcement,
+        news::announcement::MoveAnnouncement,
         server::tag_of,
     },
     platform::{
@@ -190,7 +190,7 @@
         above_fence: u64,
         rest: MoveRest,
     ) {
-        let move_ahead = Announcement {
+        let move_ahead = MoveAnnouncement {
             range: holding.range,
             above_fence,
             rest,
--- a/src/entry/news/announcement.rs
+++ b/src/entry/news/announcement.rs
@@ -6,7 +6,7 @@
 
 /// What the holder tells of keys that are on their way to another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Announcement {
+pub struct MoveAnnouncement {
     /// Keys.
     pub range: KeyRange,
     /// They are there once a grant under a higher fence is announced.
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -12,7 +12,7 @@
         key_loads::KEYS,
     },
     keys::{Assignment, Holding, KeyPart, KeyRange},
-    news::{announcement::Announcement, followed::TOLD_REST_MS},
+    news::{announcement::MoveAnnouncement, followed::TOLD_REST_MS},
 };
 use crate::clock;
 
@@ -207,8 +207,8 @@
     }
 
     /// Notes that keys are on their way to another server.
-    pub fn announce_move(&self, service: &Arc<str>, announcement: Announcement) {
-        let Announcement {
+    pub fn announce_move(&self, service: &Arc<str>, announcement: MoveAnnouncement) {
+        let MoveAnnouncement {
             range,
             above_fence,
             rest,
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -15,7 +15,7 @@
     digest::RequestDigest,
     keys::Holding,
     news::{
-        announcement::Announcement, configuration_pieces::Piece, evacuation::Evacuations,
+        announcement::MoveAnnouncement, configuration_pieces::Piece, evacuation::Evacuations,
         freshness::StoreStateReport, server_changes::ServerChanges,
     },
 };
@@ -198,7 +198,7 @@
         /// Service.
         service_tag: u32,
         /// Keys.
-        announcements: Vec<Announcement>,
+        announcements: Vec<MoveAnnouncement>,
     },
     /// Changes of servers' entries that the sender, which has the duty, was told by the store.
     Servers(ServerChanges),
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -13,7 +13,7 @@
 use super::message::Message;
 use crate::{
     clock,
-    entry::{Entry, keys::Holding, news::announcement::Announcement},
+    entry::{Entry, keys::Holding, news::announcement::MoveAnnouncement},
 };
 
 /// Interval at which word is sent; requests wait for it.
@@ -29,7 +29,7 @@
 /// One word, for its service.
 #[derive(Clone, Debug)]
 enum Word {
-    Moving(Announcement),
+    Moving(MoveAnnouncement),
     Held(Holding),
 }
 
@@ -48,7 +48,7 @@
 
 impl Outbox {
     /// Tells all hosts that keys are about to move.
-    pub fn announce_move(&self, service_tag: u32, announcement: Announcement) {
+    pub fn announce_move(&self, service_tag: u32, announcement: MoveAnnouncement) {
         self.items().push(Item {
             due_ms: clock::now_ms(),
             service_tag,
@@ -77,7 +77,7 @@
         };
         // What came meanwhile follows what was there.
         self.items().splice(0..0, later);
-        let mut moving: BTreeMap<u32, Vec<Announcement>> = BTreeMap::new();
+        let mut moving: BTreeMap<u32, Vec<MoveAnnouncement>> = BTreeMap::new();
         let mut held: BTreeMap<u32, Vec<Holding>> = BTreeMap::new();
         for item in due {
             match item.word {
@@ -86,7 +86,7 @@
             }
         }
         let moving = moving.into_iter().flat_map(|(service_tag, words)| {
-            let message = |words: &[Announcement]| Message::Moving {
+            let message = |words: &[MoveAnnouncement]| Message::Moving {
                 service_tag,
                 announcements: words.to_vec(),
             };
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -14,7 +14,9 @@
         Entry,
         decide::hot_keys::HotKey,
         keys::Holding,
-        news::{announcement::Announcement, followed::FollowedTable, freshness::StoreStateReport},
+        news::{
+            announcement::MoveAnnouncement, followed::FollowedTable, freshness::StoreStateReport,
+        },
         owners::Owner,
         server::tag_of,
     },
@@ -202,7 +204,7 @@
         }
     }
 
-    fn note_moves(&self, service_tag: u32, announcements: &[Announcement]) {
+    fn note_moves(&self, service_tag: u32, announcements: &[MoveAnnouncement]) {
         let Some(service) = self.service_of(service_tag) else {
             return;
         };
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -12,7 +12,7 @@
     events::Event,
     keys::{Holding, KeyPart},
     model::Configuration,
-    news::{announcement::Announcement, evacuation::Evacuations, followed::FollowedTable},
+    news::{announcement::MoveAnnouncement, evacuation::Evacuations, followed::FollowedTable},
     owners::{Held, HeldRow, Owner, Owners},
     registry::Registry,
 };
@@ -171,7 +171,7 @@
     }
 
     /// Notes that keys are on their way to another server.
-    pub fn announce_move(&self, service: &Arc<str>, announcement: Announcement) {
+    pub fn announce_move(&self, service: &Arc<str>, announcement: MoveAnnouncement) {
         self.owners.announce_move(service, announcement);
     }
 
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -22,7 +22,7 @@
         losses::{Loss, losses},
         model::{CallerLimits, Configuration, Part, Route, ServerEntry},
         news::{
-            announcement::Announcement,
+            announcement::MoveAnnouncement,
             server_changes::{ServerChange, ServerChanges, ServerNews},
         },
         peers::{message::Message, outbox::Outbox, report_every_ms},
@@ -751,7 +751,7 @@
     let outbox = Outbox::default();
     let now_ms = clock::now_ms();
     for number in 0..40u16 {
-        let announcement = Announcement {
+        let announcement = MoveAnnouncement {
             range: range(number, number),
             above_fence: 1,
             rest: MoveRest {
