--- a/src/entry/news/configuration_pieces.rs
+++ b/src/entry/news/configuration_pieces.rs
@@ -59,12 +59,12 @@
 
 /// Pieces of the latest configuration that have arrived.
 #[derive(Debug, Default)]
-pub struct Assembly {
+pub struct PieceAssembly {
     version: u64,
     pieces: Vec<Option<Vec<u8>>>,
 }
 
-impl Assembly {
+impl PieceAssembly {
     /// Takes a piece; the whole content once all pieces of the latest version are there.
     pub fn take(&mut self, piece: Piece) -> Option<Vec<u8>> {
         let count = usize::from(piece.count);
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -10,7 +10,7 @@
 use super::{
     Entry,
     news::{
-        configuration_pieces::{Assembly, KnownConfiguration, Piece, cut},
+        configuration_pieces::{KnownConfiguration, Piece, PieceAssembly, cut},
         followed::FollowedTable,
         server_changes::{RecentChanges, ServerChanges},
     },
@@ -32,7 +32,7 @@
     /// False while the table is being read as a whole, whose result would undo later changes.
     servers_read: AtomicBool,
     /// Pieces of the latest configuration.
-    configuration: Mutex<Assembly>,
+    configuration: Mutex<PieceAssembly>,
     /// The latest configuration as it stands in the store, for hosts that have missed it.
     latest: Mutex<Option<LatestConfiguration>>,
     /// Latest changes of servers' entries, for hosts that have missed some.
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -12,7 +12,7 @@
         digest::{RequestDigest, RequestDigests},
         model::{Notice, ServerEntry, Warmup, incarnation_id},
         news::{
-            configuration_pieces::{Assembly, cut},
+            configuration_pieces::{PieceAssembly, cut},
             evacuation::Evacuations,
         },
         registry::Registry,
@@ -308,7 +308,7 @@
 fn a_configuration_that_was_passed_on_does_not_hide_an_earlier_evacuation() {
     let pieces = cut(7, 6, b"content");
     assert!(pieces.iter().all(|piece| piece.evacuations == 6));
-    let mut assembly = Assembly::default();
+    let mut assembly = PieceAssembly::default();
     let whole = pieces.into_iter().find_map(|piece| assembly.take(piece));
     assert_eq!(whole.expect("the content"), b"content");
 }
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -8,7 +8,7 @@
         rate_parts::AskedRates,
     },
     digest::RequestDigest,
-    news::configuration_pieces::{Assembly, Piece, cut},
+    news::configuration_pieces::{Piece, PieceAssembly, cut},
     peers::{
         fanout::{
             DIRECT_HOSTS_MAX, OneWayDelay, RelayCandidate, fanout, zone_aggregator, zone_relays,
@@ -154,7 +154,7 @@
             let count = pieces.len();
             pieces.swap(place % count, usize::from(*key) % count);
         }
-        let mut assembly = Assembly::default();
+        let mut assembly = PieceAssembly::default();
         let last = pieces.len() - 1;
         for piece in &pieces[..last] {
             // A relay repeats what the other one has sent.
@@ -175,7 +175,7 @@
         count: 2,
         bytes: bytes.as_bytes().to_vec(),
     };
-    let mut assembly = Assembly::default();
+    let mut assembly = PieceAssembly::default();
     assert_eq!(assembly.take(piece(5, 0, "old ")), None);
     assert_eq!(assembly.take(piece(6, 1, "end")), None);
     assert_eq!(assembly.take(piece(5, 1, "one")), None);
