--- a/src/entry/news/server_changes.rs
+++ b/src/entry/news/server_changes.rs
@@ -11,7 +11,7 @@
 
 /// What happened to a server's entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum ServerNews {
+pub enum ServerUpdate {
     /// It was written.
     Entry(ServerEntry),
     /// That of this name was removed.
@@ -26,15 +26,15 @@
     /// Version of the row.
     pub version: u64,
     /// What changed.
-    pub what: ServerNews,
+    pub what: ServerUpdate,
 }
 
 impl ServerChange {
     /// True if the server gets no new work after it.
     pub fn is_end(&self) -> bool {
         match &self.what {
-            ServerNews::Entry(entry) => entry.leaving,
-            ServerNews::Removed(_) | ServerNews::Unreadable(_) => true,
+            ServerUpdate::Entry(entry) => entry.leaving,
+            ServerUpdate::Removed(_) | ServerUpdate::Unreadable(_) => true,
         }
     }
 }
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -16,7 +16,7 @@
         evacuation::Evacuations,
         followed::FollowedTable,
         own_rows::{HOST_PREFIX, HostRow, QUARANTINE_KEY, SECRET_KEY, parse_holdings_key},
-        server_changes::{ServerChange, ServerNews},
+        server_changes::{ServerChange, ServerUpdate},
     },
     owners::HeldRow,
     peers::HostFacts,
@@ -109,9 +109,9 @@
                     self.freshness.note_left(change.version);
                 }
                 match change.what {
-                    ServerNews::Entry(entry) => registry.put(entry),
-                    ServerNews::Removed(name) => registry.remove(&name, returned_ms),
-                    ServerNews::Unreadable(name) => registry.drop_server(&name),
+                    ServerUpdate::Entry(entry) => registry.put(entry),
+                    ServerUpdate::Removed(name) => registry.remove(&name, returned_ms),
+                    ServerUpdate::Unreadable(name) => registry.drop_server(&name),
                 }
             }
             registry.drop_overdue();
@@ -229,13 +229,13 @@
     let mut changes = Vec::with_capacity(rows.len());
     for row in rows {
         let what = if row.removed {
-            ServerNews::Removed(row.key.as_str().into())
+            ServerUpdate::Removed(row.key.as_str().into())
         } else {
             match servers::decode(&row.key, &row.value) {
-                Ok(entry) => ServerNews::Entry(entry),
+                Ok(entry) => ServerUpdate::Entry(entry),
                 Err(error) => {
                     bad_row(servers::TABLE, &row.key, &error);
-                    ServerNews::Unreadable(row.key.as_str().into())
+                    ServerUpdate::Unreadable(row.key.as_str().into())
                 }
             }
         };
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -23,7 +23,7 @@
         model::{CallerLimits, Configuration, Part, Route, ServerEntry},
         news::{
             announcement::MoveAnnouncement,
-            server_changes::{ServerChange, ServerChanges, ServerNews},
+            server_changes::{ServerChange, ServerChanges, ServerUpdate},
         },
         peers::{message::Message, outbox::Outbox, report_every_ms},
         registry::Registry,
@@ -781,7 +781,7 @@
 fn changes_of_servers_are_taken_only_in_order() {
     let change = |version| ServerChange {
         version,
-        what: ServerNews::Entry(
+        what: ServerUpdate::Entry(
             server(&format!("i-{version:010}"), "oslo-a", false)
                 .entry
                 .clone(),
