--- a/src/entry/news/followed.rs
+++ b/src/entry/news/followed.rs
@@ -12,7 +12,7 @@
 const CANARY_WAIT_MS: u64 = 3_000;
 /// Longest wait of feeds that are called anew when anything shows that they are deaf. Calls are
 /// priced, so they wait for long; the store allows 30 s.
-const FEED_WAIT_MS: u64 = 25_000;
+const FOLLOWER_WAIT_MS: u64 = 25_000;
 /// Longest rest of a feed while the holder of the duty passes all changes on. A host that has
 /// missed one notices by the holder's news, or when it meets a host or a secret that it does not
 /// know, or a server that no longer holds a key.
@@ -76,7 +76,7 @@
     /// that its connections have fallen silent, and nor has a host that does not hear one.
     pub fn wait_ms(self, sync_role: SyncRole, limits: &TimeLimits) -> u64 {
         match (self, sync_role) {
-            (Self::Own, _) | (_, SyncRole::Follower) => FEED_WAIT_MS,
+            (Self::Own, _) | (_, SyncRole::Follower) => FOLLOWER_WAIT_MS,
             (_, SyncRole::Holder) => limits.holder_wait_ms,
             (_, SyncRole::Relay) => limits.relay_wait_ms,
             (_, SyncRole::Alone) => CANARY_WAIT_MS,
