--- a/src/entry/news/followed.rs
+++ b/src/entry/news/followed.rs
@@ -9,7 +9,7 @@
 /// Longest wait of the servers' feed at the store while no other host vouches for the store. A
 /// silent store is noticed a second after that, early enough to know the configuration within the
 /// bounds once a cut has healed.
-const CANARY_WAIT_MS: u64 = 3_000;
+const ALONE_WAIT_MS: u64 = 3_000;
 /// Longest wait of feeds that are called anew when anything shows that they are deaf. Calls are
 /// priced, so they wait for long; the store allows 30 s.
 const FOLLOWER_WAIT_MS: u64 = 25_000;
@@ -56,7 +56,7 @@
     pub const ALL: [Self; 3] = [Self::Configuration, Self::Servers, Self::Own];
 
     /// Time in which a silent store is noticed at the latest, when nobody vouches for it.
-    pub const NOTICED_MS: u64 = CANARY_WAIT_MS + 500;
+    pub const NOTICED_MS: u64 = ALONE_WAIT_MS + 500;
 
     /// Place in arrays by table.
     pub fn index(self) -> usize {
@@ -79,7 +79,7 @@
             (Self::Own, _) | (_, SyncRole::Follower) => FOLLOWER_WAIT_MS,
             (_, SyncRole::Holder) => limits.holder_wait_ms,
             (_, SyncRole::Relay) => limits.relay_wait_ms,
-            (_, SyncRole::Alone) => CANARY_WAIT_MS,
+            (_, SyncRole::Alone) => ALONE_WAIT_MS,
         }
     }
 
