--- a/src/entry/news/followed.rs
+++ b/src/entry/news/followed.rs
@@ -16,7 +16,7 @@
 /// Longest rest of a feed while the holder of the duty passes all changes on. A host that has
 /// missed one notices by the holder's news, or when it meets a host or a secret that it does not
 /// know, or a server that no longer holds a key.
-pub const TOLD_REST_MS: u64 = 120_000;
+pub const FOLLOWER_REST_MAX_MS: u64 = 120_000;
 /// Time after its start until a host reads the product's own rows again, if it hears no holder.
 const OWN_START_REST_MS: u64 = 2_500;
 /// Least rest of the feed of the product's own rows.
@@ -107,14 +107,14 @@
             }
             (Self::Configuration, SyncRole::Follower) => Rest {
                 least_ms: limits.configuration_rest_ms,
-                most_ms: TOLD_REST_MS,
+                most_ms: FOLLOWER_REST_MAX_MS,
             },
             (Self::Configuration, SyncRole::Alone) => {
                 Rest::fixed(scaled(150, limits.configuration_rest_ms))
             }
             (Self::Servers, SyncRole::Follower) => Rest {
                 least_ms: scaled(SERVERS_REST_MS, 1_000),
-                most_ms: TOLD_REST_MS,
+                most_ms: FOLLOWER_REST_MAX_MS,
             },
             (Self::Servers, SyncRole::Alone) => {
                 Rest::fixed(scaled(SERVERS_REST_MS, limits.servers_rest_ms))
@@ -122,7 +122,7 @@
             // Holdings also come by datagram, once the holder knows this host.
             (Self::Own, SyncRole::Follower) => Rest {
                 least_ms: OWN_REST_MS,
-                most_ms: TOLD_REST_MS,
+                most_ms: FOLLOWER_REST_MAX_MS,
             },
             (Self::Own, _) => Rest {
                 least_ms: OWN_REST_MS,
