--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time;
 
-use super::{followed::FollowedTable, question::Question, snapshot::Known};
+use super::{followed::FollowedTable, question::Question, snapshot::TableVersions};
 use crate::{
     clock,
     entry::limits::{LOOK_EVERY_MS, TimeLimits},
@@ -172,8 +172,8 @@
     }
 
     /// How far this host knows a table.
-    pub fn known(&self, followed: FollowedTable) -> Known {
-        Known {
+    pub fn known(&self, followed: FollowedTable) -> TableVersions {
+        TableVersions {
             up_to: self.applied(followed),
             changed: self.changed(followed),
         }
--- a/src/entry/news/snapshot.rs
+++ b/src/entry/news/snapshot.rs
@@ -79,7 +79,7 @@
 
 /// How far a table is known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct TableVersions {
     /// Version up to which all changes are in.
     pub up_to: u64,
     /// Version of the latest change.
@@ -90,11 +90,11 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The servers' entries.
-    pub servers_known: Known,
+    pub servers_known: TableVersions,
     /// Version of the latest change by which a server was to get no new work.
     pub left: u64,
     /// The product's own rows.
-    pub own_known: Known,
+    pub own_known: TableVersions,
     /// Hosts, the sender included.
     pub hosts: Vec<KnownHost>,
     texts: Texts,
@@ -175,11 +175,11 @@
     }
 
     /// How far a table is known.
-    pub fn known(&self, followed: FollowedTable) -> Known {
+    pub fn known(&self, followed: FollowedTable) -> TableVersions {
         match followed {
             FollowedTable::Servers => self.servers_known,
             FollowedTable::Own => self.own_known,
-            FollowedTable::Configuration => Known::default(),
+            FollowedTable::Configuration => TableVersions::default(),
         }
     }
 }
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -35,11 +35,11 @@
 /// Quotas as one host knows them.
 #[derive(Debug, Default)]
 pub struct Quotas {
-    known: Mutex<Known>,
+    known: Mutex<TableVersions>,
 }
 
 #[derive(Debug, Default)]
-struct Known {
+struct TableVersions {
     /// This host's shares, by workspace.
     shares: HashMap<u32, HostShare>,
     /// Kept while this host has the duty.
@@ -105,7 +105,7 @@
     fn admitted(&self, workspaces: &Workspaces, is_for_all: bool) -> Vec<WorkspaceAdmitted> {
         let now_ms = clock::now_ms();
         let mut known = self.known();
-        let Known {
+        let TableVersions {
             shares, ledgers, ..
         } = &mut *known;
         let mut told = Vec::new();
@@ -149,7 +149,7 @@
         self.known().ledgers.clear();
     }
 
-    fn known(&self) -> MutexGuard<'_, Known> {
+    fn known(&self) -> MutexGuard<'_, TableVersions> {
         self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
