--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -58,7 +58,7 @@
     /// Hosts and holdings that this host knows.
     fn own_snapshot(&self) -> Snapshot {
         let mut snapshot = Snapshot::default();
-        snapshot.own_known = self.freshness.known(FollowedTable::Own);
+        snapshot.own_versions = self.freshness.known(FollowedTable::Own);
         snapshot.hosts = self.known_hosts();
         for (service, held) in self.view.all_held() {
             for (part, row) in held.rows() {
--- a/src/entry/news/snapshot.rs
+++ b/src/entry/news/snapshot.rs
@@ -94,7 +94,7 @@
     /// Version of the latest change by which a server was to get no new work.
     pub left: u64,
     /// The product's own rows.
-    pub own_known: TableVersions,
+    pub own_versions: TableVersions,
     /// Hosts, the sender included.
     pub hosts: Vec<KnownHost>,
     texts: Texts,
@@ -178,7 +178,7 @@
     pub fn known(&self, followed: FollowedTable) -> TableVersions {
         match followed {
             FollowedTable::Servers => self.servers_known,
-            FollowedTable::Own => self.own_known,
+            FollowedTable::Own => self.own_versions,
             FollowedTable::Configuration => TableVersions::default(),
         }
     }
