--- a/src/entry/news/snapshot.rs
+++ b/src/entry/news/snapshot.rs
@@ -44,7 +44,7 @@
 
 /// A backend server.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct KnownServer {
+struct SnapshotServer {
     name: Arc<str>,
     started_ms: u64,
     service: TextKey,
@@ -98,7 +98,7 @@
     /// Hosts, the sender included.
     pub hosts: Vec<KnownHost>,
     texts: Texts,
-    servers: Vec<KnownServer>,
+    servers: Vec<SnapshotServer>,
     holdings: Vec<KnownHoldings>,
 }
 
@@ -106,7 +106,7 @@
     /// Puts servers in.
     pub fn set_servers(&mut self, entries: impl Iterator<Item = ServerEntry>) {
         let mut texts = TextWriter::default();
-        let servers = entries.map(|entry| KnownServer {
+        let servers = entries.map(|entry| SnapshotServer {
             service: texts.key(&entry.service),
             availability_zone: texts.key(&entry.availability_zone),
             name: entry.name,
