--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -18,7 +18,7 @@
         model::ServerEntry,
         news::{
             followed::FollowedTable,
-            snapshot::{KnownHost, Snapshot},
+            snapshot::{Snapshot, SnapshotHost},
         },
         peers::HostFacts,
         server::tag_of,
@@ -145,7 +145,7 @@
             let Some(guide) = guide.filter(|_| self.freshness.is_store_confirmed()) else {
                 continue;
             };
-            match self.ask::<Vec<KnownHost>>(guide, HOSTS).await {
+            match self.ask::<Vec<SnapshotHost>>(guide, HOSTS).await {
                 Ok(hosts) => hosts
                     .into_iter()
                     .for_each(|host| self.take_known_host(host)),
@@ -190,7 +190,7 @@
         self.freshness.note_applied(followed, known.up_to);
     }
 
-    fn take_known_host(&self, host: KnownHost) {
+    fn take_known_host(&self, host: SnapshotHost) {
         if host.address == self.settings.listen.peers {
             if host
                 .incarnation
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -15,7 +15,7 @@
         Entry,
         news::{
             followed::FollowedTable,
-            snapshot::{KnownHost, Snapshot},
+            snapshot::{Snapshot, SnapshotHost},
         },
         server::tag_of,
     },
@@ -30,9 +30,9 @@
 const ENCODED_KEPT_MS: u64 = 500;
 
 impl Entry {
-    fn known_hosts(&self) -> Vec<KnownHost> {
+    fn known_hosts(&self) -> Vec<SnapshotHost> {
         let mut hosts = self.peers.known_hosts();
-        hosts.push(KnownHost {
+        hosts.push(SnapshotHost {
             address: self.settings.listen.peers,
             incarnation: Some(self.incarnation),
             zone_tag: tag_of(&self.settings.availability_zone),
--- a/src/entry/news/snapshot.rs
+++ b/src/entry/news/snapshot.rs
@@ -57,7 +57,7 @@
 
 /// A host.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KnownHost {
+pub struct SnapshotHost {
     /// Address for other hosts.
     pub address: SocketAddr,
     /// Process that runs there, if that is known.
@@ -96,7 +96,7 @@
     /// The product's own rows.
     pub own_versions: TableVersions,
     /// Hosts, the sender included.
-    pub hosts: Vec<KnownHost>,
+    pub hosts: Vec<SnapshotHost>,
     texts: Texts,
     servers: Vec<SnapshotServer>,
     holdings: Vec<KnownHoldings>,
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -34,7 +34,7 @@
     outbox::Outbox,
     zone_loads::{ZoneLoads, ZoneNews},
 };
-use super::{decide::choice::HostCount, news::snapshot::KnownHost, seal::Seal, server::tag_of};
+use super::{decide::choice::HostCount, news::snapshot::SnapshotHost, seal::Seal, server::tag_of};
 use crate::clock;
 
 /// What the other hosts reported of a server.
@@ -159,9 +159,9 @@
     }
 
     /// What is known of the other hosts, for one that starts.
-    pub fn known_hosts(&self) -> Vec<KnownHost> {
+    pub fn known_hosts(&self) -> Vec<SnapshotHost> {
         let peers = self.peers();
-        let hosts = peers.iter().map(|(address, peer)| KnownHost {
+        let hosts = peers.iter().map(|(address, peer)| SnapshotHost {
             address: *address,
             incarnation: peer.facts.incarnation,
             zone_tag: peer.facts.zone_tag,
