--- a/src/entry/news/snapshot.rs
+++ b/src/entry/news/snapshot.rs
@@ -70,7 +70,7 @@
 
 /// Row with a part of a service's holdings.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct KnownHoldings {
+struct SnapshotHoldings {
     service: Arc<str>,
     part: u8,
     version: u64,
@@ -99,7 +99,7 @@
     pub hosts: Vec<SnapshotHost>,
     texts: Texts,
     servers: Vec<SnapshotServer>,
-    holdings: Vec<KnownHoldings>,
+    holdings: Vec<SnapshotHoldings>,
 }
 
 impl Snapshot {
@@ -140,7 +140,7 @@
     /// Puts a row with holdings in; one that cannot be encoded is left out.
     pub fn add_holdings(&mut self, service: &Arc<str>, part: KeyPart, row: &HeldRow) {
         match row.assignment.encode() {
-            Ok(record) => self.holdings.push(KnownHoldings {
+            Ok(record) => self.holdings.push(SnapshotHoldings {
                 service: service.clone(),
                 part: part.number(),
                 version: row.version,
