--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -13,7 +13,7 @@
 use crate::entry::{
     Entry,
     news::{
-        configuration_pieces::KnownConfiguration,
+        configuration_pieces::SnapshotConfiguration,
         followed::{FollowedTable, SyncRole},
         server_changes::ServerChanges,
         snapshot::Snapshot,
@@ -115,7 +115,7 @@
                 }
             }
             FollowedTable::Configuration => {
-                let known: KnownConfiguration = self.ask(guide, CONFIGURATION).await?;
+                let known: SnapshotConfiguration = self.ask(guide, CONFIGURATION).await?;
                 self.take_known_configuration(known);
             }
             FollowedTable::Own => {
--- a/src/entry/news/configuration_pieces.rs
+++ b/src/entry/news/configuration_pieces.rs
@@ -29,7 +29,7 @@
 
 /// A configuration as one host knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KnownConfiguration {
+pub struct SnapshotConfiguration {
     /// Version of the row.
     pub version: u64,
     /// Version up to which all changes of the operators' table are in.
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -10,7 +10,7 @@
 use super::{
     Entry,
     news::{
-        configuration_pieces::{KnownConfiguration, Piece, PieceAssembly, cut},
+        configuration_pieces::{Piece, PieceAssembly, SnapshotConfiguration, cut},
         followed::FollowedTable,
         server_changes::{RecentChanges, ServerChanges},
     },
@@ -171,12 +171,12 @@
     }
 
     /// The configuration that this host knows, for others; `None` before there is one.
-    pub(super) fn known_configuration(&self) -> Option<KnownConfiguration> {
+    pub(super) fn known_configuration(&self) -> Option<SnapshotConfiguration> {
         // Read before the rest, which may be later then.
         let up_to = self.freshness.applied(FollowedTable::Configuration);
         let evacuations = self.view.evacuations();
         let latest = self.relay.latest().clone()?;
-        Some(KnownConfiguration {
+        Some(SnapshotConfiguration {
             version: latest.version,
             up_to,
             evacuations,
@@ -185,7 +185,7 @@
     }
 
     /// Takes the configuration that another host knows.
-    pub(super) fn take_known_configuration(&self, known: KnownConfiguration) {
+    pub(super) fn take_known_configuration(&self, known: SnapshotConfiguration) {
         self.view.evacuate(known.evacuations);
         let applied = self.freshness.applied(FollowedTable::Configuration);
         if known.version > applied {
