--- a/src/entry/news/snapshot.rs
+++ b/src/entry/news/snapshot.rs
@@ -15,14 +15,14 @@
 
 /// Place of a text in a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TextKey(u16);
+pub struct TextIndex(u16);
 
 /// Texts that many servers share, each once.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Texts(Vec<Arc<str>>);
 
 impl Texts {
-    fn get(&self, key: TextKey) -> Option<Arc<str>> {
+    fn get(&self, key: TextIndex) -> Option<Arc<str>> {
         self.0.get(usize::from(key.0)).cloned()
     }
 }
@@ -30,14 +30,14 @@
 #[derive(Default)]
 struct TextWriter {
     texts: Texts,
-    places: HashMap<Arc<str>, TextKey>,
+    places: HashMap<Arc<str>, TextIndex>,
 }
 
 impl TextWriter {
-    fn key(&mut self, text: &Arc<str>) -> TextKey {
+    fn key(&mut self, text: &Arc<str>) -> TextIndex {
         *self.places.entry(text.clone()).or_insert_with(|| {
             self.texts.0.push(text.clone());
-            TextKey((self.texts.0.len() - 1) as u16)
+            TextIndex((self.texts.0.len() - 1) as u16)
         })
     }
 }
@@ -47,9 +47,9 @@
 struct SnapshotServer {
     name: Arc<str>,
     started_ms: u64,
-    service: TextKey,
+    service: TextIndex,
     address: SocketAddr,
-    availability_zone: TextKey,
+    availability_zone: TextIndex,
     slots: u32,
     leaving: bool,
     cold_ms: u64,
