--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time;
 
-use super::{followed::FollowedTable, question::Question, snapshot::TableVersions};
+use super::{followed::FollowedTable, question::PendingQuery, snapshot::TableVersions};
 use crate::{
     clock,
     entry::limits::{LOOK_EVERY_MS, TimeLimits},
@@ -75,7 +75,7 @@
     left: AtomicU64,
     received: Mutex<Option<ReceivedReport>>,
     /// To a relay.
-    question: Question,
+    question: PendingQuery,
     /// True while this host answers the hosts of its zone in the holder's stead.
     is_relay: AtomicBool,
 }
@@ -124,7 +124,7 @@
             changed: Default::default(),
             left: AtomicU64::new(0),
             received: Mutex::default(),
-            question: Question::default(),
+            question: PendingQuery::default(),
             is_relay: AtomicBool::new(false),
         }
     }
--- a/src/entry/news/proof.rs
+++ b/src/entry/news/proof.rs
@@ -7,7 +7,7 @@
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use super::question::Question;
+use super::question::PendingQuery;
 
 /// Up to when this host's configuration is known to be the latest one.
 #[derive(Debug, Default)]
@@ -17,7 +17,7 @@
     /// True while the latest configuration cannot be read: the one in force proves nothing then.
     unreadable: AtomicBool,
     /// To the holder.
-    question: Question,
+    question: PendingQuery,
 }
 
 impl ConfigurationProof {
--- a/src/entry/news/question.rs
+++ b/src/entry/news/question.rs
@@ -13,11 +13,11 @@
 
 /// The latest question of one kind.
 #[derive(Debug, Default)]
-pub struct Question {
+pub struct PendingQuery {
     asked: Mutex<Option<Asked>>,
 }
 
-impl Question {
+impl PendingQuery {
     /// Notes a question; answers to earlier ones count for nothing.
     pub fn ask(&self, nonce: u64, at_ms: u64) {
         *self.asked.lock().unwrap_or_else(PoisonError::into_inner) = Some(Asked { nonce, at_ms });
