--- a/src/entry/news/question.rs
+++ b/src/entry/news/question.rs
@@ -5,7 +5,7 @@
 
 /// Question that was not answered yet.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct SentQuery {
     /// Ties the answer to the question, also over restarts.
     nonce: u64,
     at_ms: u64,
@@ -14,13 +14,14 @@
 /// The latest question of one kind.
 #[derive(Debug, Default)]
 pub struct PendingQuery {
-    asked: Mutex<Option<Asked>>,
+    asked: Mutex<Option<SentQuery>>,
 }
 
 impl PendingQuery {
     /// Notes a question; answers to earlier ones count for nothing.
     pub fn ask(&self, nonce: u64, at_ms: u64) {
-        *self.asked.lock().unwrap_or_else(PoisonError::into_inner) = Some(Asked { nonce, at_ms });
+        *self.asked.lock().unwrap_or_else(PoisonError::into_inner) =
+            Some(SentQuery { nonce, at_ms });
     }
 
     /// When the question was sent that an answer belongs to; `None` if it is no answer to the latest one.
