--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -251,7 +251,7 @@
         if server.rest_ms() > 0 {
             return Err(Refused::resting(server.rest_ms(), policy));
         }
-        if server.is_barred(self.cold_rule) {
+        if server.is_limited_by_warmup(self.cold_rule) {
             let reason = "the key's server is cold";
             return Err(Refused::after(reason, server.cold_rest_ms(), policy));
         }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -209,7 +209,7 @@
     }
 
     /// True if it is cold and this host has no turn at it.
-    pub fn is_barred(&self, rule: Option<ColdRule>) -> bool {
+    pub fn is_limited_by_warmup(&self, rule: Option<ColdRule>) -> bool {
         let Some(rule) = rule.filter(|_| self.cold_rest_ms() > 0) else {
             return false;
         };
@@ -350,7 +350,7 @@
             unheard_ms: behaviour.unheard_ms(now_ms),
             pace: self.paces().known.relative(now_ms, policy.pace_memory_ms),
             failures: behaviour.failures(now_ms),
-            is_paused: behaviour.is_paused(now_ms) || self.is_barred(rule),
+            is_paused: behaviour.is_paused(now_ms) || self.is_limited_by_warmup(rule),
             is_far: false,
             is_near: *self.entry.availability_zone == *availability_zone,
             has_idle_connection: self.pool.has_idle(),
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -393,10 +393,11 @@
         time_ms: 3_000,
         per_s: 5.8,
     };
-    let barred = (0..1_000).filter(|_| server.is_barred(Some(ColdRule::new(warmup, 10_000))));
+    let barred =
+        (0..1_000).filter(|_| server.is_limited_by_warmup(Some(ColdRule::new(warmup, 10_000))));
     assert_eq!(barred.count(), 1_000);
     // Where nobody bounds it a cold server is like any other.
-    assert!(!server.is_barred(None));
+    assert!(!server.is_limited_by_warmup(None));
 }
 
 const LEAVES: Notice = Notice {
