--- a/src/entry/forward/passage.rs
+++ b/src/entry/forward/passage.rs
@@ -18,7 +18,7 @@
         digest::RequestDigests,
         events::Event,
         model::{Configuration, Route},
-        server::{ColdRule, Server},
+        server::{Server, WarmupLimit},
         workspaces::{Workspace, WorkspaceKey},
     },
     transport::AnswerBody,
@@ -56,7 +56,7 @@
     pub(super) service: Arc<str>,
     pub(super) key: Option<u16>,
     /// What cold servers of the service bear; `None` if nobody bounds that.
-    pub(super) cold_rule: Option<ColdRule>,
+    pub(super) cold_rule: Option<WarmupLimit>,
     pub(super) head: &'a request::Parts,
     pub(super) request_id: &'a str,
     pub(super) digests: RequestDigests,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -69,7 +69,7 @@
     peers::Peers,
     quotas::Quotas,
     relay::Relay,
-    server::ColdRule,
+    server::WarmupLimit,
     view::View,
 };
 use crate::platform::store::Store;
@@ -171,8 +171,8 @@
 
     /// The rule for cold servers of a service. Until the other hosts are read from the store this host
     /// does not know how many share what a cold server bears.
-    fn cold_rule(&self, warmup: Warmup) -> ColdRule {
-        ColdRule::new(warmup, self.sharing_hosts())
+    fn cold_rule(&self, warmup: Warmup) -> WarmupLimit {
+        WarmupLimit::new(warmup, self.sharing_hosts())
     }
 
     /// Number of hosts that share what a server bears, this one included.
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -69,11 +69,11 @@
 
 /// What the servers of a service bear while they are cold, and how many hosts share that.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdRule {
+pub struct WarmupLimit {
     turn_every_ms: u64,
 }
 
-impl ColdRule {
+impl WarmupLimit {
     /// The rule for a host that knows so many hosts, itself included.
     pub fn new(warmup: Warmup, hosts: usize) -> Self {
         Self {
@@ -209,7 +209,7 @@
     }
 
     /// True if it is cold and this host has no turn at it.
-    pub fn is_limited_by_warmup(&self, rule: Option<ColdRule>) -> bool {
+    pub fn is_limited_by_warmup(&self, rule: Option<WarmupLimit>) -> bool {
         let Some(rule) = rule.filter(|_| self.cold_rest_ms() > 0) else {
             return false;
         };
@@ -218,7 +218,7 @@
     }
 
     /// Notes that a request is about to be sent, which uses a turn if it is cold.
-    pub fn take_turn(&self, rule: Option<ColdRule>) {
+    pub fn take_turn(&self, rule: Option<WarmupLimit>) {
         if let Some(rule) = rule.filter(|_| self.cold_rest_ms() > 0) {
             self.turns().take(rule.turn_every_ms);
         }
@@ -338,7 +338,7 @@
     pub fn candidate(
         &self,
         availability_zone: &str,
-        rule: Option<ColdRule>,
+        rule: Option<WarmupLimit>,
         policy: &Policy,
     ) -> Candidate {
         let now_ms = clock::now_ms();
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -16,7 +16,7 @@
             evacuation::Evacuations,
         },
         registry::Registry,
-        server::ColdRule,
+        server::WarmupLimit,
         view::View,
     },
     platform::{config, servers},
@@ -394,7 +394,7 @@
         per_s: 5.8,
     };
     let barred =
-        (0..1_000).filter(|_| server.is_limited_by_warmup(Some(ColdRule::new(warmup, 10_000))));
+        (0..1_000).filter(|_| server.is_limited_by_warmup(Some(WarmupLimit::new(warmup, 10_000))));
     assert_eq!(barred.count(), 1_000);
     // Where nobody bounds it a cold server is like any other.
     assert!(!server.is_limited_by_warmup(None));
