--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -49,7 +49,7 @@
     others: AtomicU32,
     shared_run_us: AtomicU64,
     answered_ms: AtomicU64,
-    paces: Mutex<Paces>,
+    paces: Mutex<PaceReports>,
     behaviour: Mutex<Behaviour>,
     runs: Mutex<Runs>,
     /// Rate that it takes from all hosts together, and this host's part.
@@ -60,7 +60,7 @@
 
 /// What is known of a server's pace.
 #[derive(Debug, Default)]
-struct Paces {
+struct PaceReports {
     /// By what it told any host.
     known: Pace,
     /// What it told this host last, and when.
@@ -397,7 +397,7 @@
         self.behaviour().not_connected(clock::now_ms());
     }
 
-    fn paces(&self) -> MutexGuard<'_, Paces> {
+    fn paces(&self) -> MutexGuard<'_, PaceReports> {
         self.paces.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
