--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -41,7 +41,7 @@
     evacuated_ms: AtomicU64,
     cold_until_ms: AtomicU64,
     /// Time that it remains cold, as its entry told last.
-    told_cold_ms: AtomicU64,
+    entry_cold_ms: AtomicU64,
     /// Shared with what is kept of it while its entry is gone.
     notices: Arc<Mutex<Notices>>,
     turns: Mutex<Turns>,
@@ -102,7 +102,7 @@
             leaving: AtomicBool::new(entry.leaving),
             evacuated_ms: AtomicU64::new(0),
             cold_until_ms: AtomicU64::new(0),
-            told_cold_ms: AtomicU64::new(entry.cold_ms),
+            entry_cold_ms: AtomicU64::new(entry.cold_ms),
             rate: SharedRate::new(notices.clone()),
             notices,
             turns: Mutex::default(),
@@ -151,7 +151,7 @@
             self.set_leaving(entry.leaving);
             Event::server(entry).log();
         }
-        let told_ms = self.told_cold_ms.swap(entry.cold_ms, Ordering::Relaxed);
+        let told_ms = self.entry_cold_ms.swap(entry.cold_ms, Ordering::Relaxed);
         if told_ms != entry.cold_ms {
             self.set_cold_for(entry.cold_ms);
         }
