--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -253,7 +253,7 @@
         }
         if server.is_limited_by_warmup(self.cold_rule) {
             let reason = "the key's server is cold";
-            return Err(Refused::after(reason, server.cold_rest_ms(), policy));
+            return Err(Refused::after(reason, server.cold_remaining_ms(), policy));
         }
         let typical_ms = registry.typical_run_ms(&self.service);
         let seen = self.candidate(entry, server);
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -240,7 +240,7 @@
                 server.takes_new_work() && !silent
             })
             .collect();
-        let is_warm = |server: &&Arc<Server>| server.cold_rest_ms() == 0;
+        let is_warm = |server: &&Arc<Server>| server.cold_remaining_ms() == 0;
         if self.bounds_cold_servers(service) && usable.iter().any(is_warm) {
             usable.retain(is_warm);
         }
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -203,7 +203,7 @@
     let registry = entry.view.registry();
     let cold = registry
         .servers()
-        .filter(|server| server.cold_rest_ms() > 0);
+        .filter(|server| server.cold_remaining_ms() > 0);
     metrics.cold_servers.set(cold.count() as i64);
     let dropped = log_writer::dropped_in_total();
     metrics.log_lines_dropped.set(dropped as i64);
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -124,7 +124,7 @@
     pub fn present_entry(&self) -> ServerEntry {
         ServerEntry {
             leaving: self.leaving(),
-            cold_ms: self.cold_rest_ms(),
+            cold_ms: self.cold_remaining_ms(),
             ..self.entry.clone()
         }
     }
@@ -203,14 +203,14 @@
     }
 
     /// Time for which it remains cold.
-    pub fn cold_rest_ms(&self) -> u64 {
+    pub fn cold_remaining_ms(&self) -> u64 {
         let until_ms = self.cold_until_ms.load(Ordering::Relaxed);
         until_ms.saturating_sub(clock::now_ms())
     }
 
     /// True if it is cold and this host has no turn at it.
     pub fn is_limited_by_warmup(&self, rule: Option<WarmupLimit>) -> bool {
-        let Some(rule) = rule.filter(|_| self.cold_rest_ms() > 0) else {
+        let Some(rule) = rule.filter(|_| self.cold_remaining_ms() > 0) else {
             return false;
         };
         let mut turns = self.turns();
@@ -219,7 +219,7 @@
 
     /// Notes that a request is about to be sent, which uses a turn if it is cold.
     pub fn take_turn(&self, rule: Option<WarmupLimit>) {
-        if let Some(rule) = rule.filter(|_| self.cold_rest_ms() > 0) {
+        if let Some(rule) = rule.filter(|_| self.cold_remaining_ms() > 0) {
             self.turns().take(rule.turn_every_ms);
         }
     }
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -289,17 +289,29 @@
     registry.put(entry("a", 1));
     registry.set_evacuations(&evacuations(1, &["z"]), warmup_ms);
     registry.set_evacuations(&evacuations(2, &[]), warmup_ms);
-    let rest_ms = registry.server("a@1").expect("a server").cold_rest_ms();
+    let rest_ms = registry
+        .server("a@1")
+        .expect("a server")
+        .cold_remaining_ms();
     assert!((2_900..=3_000).contains(&rest_ms), "{rest_ms}");
     // A row that is read again says nothing new; one that tells a change does.
     registry.put(entry("a", 1));
-    assert!(registry.server("a@1").expect("a server").cold_rest_ms() > 0);
+    assert!(
+        registry
+            .server("a@1")
+            .expect("a server")
+            .cold_remaining_ms()
+            > 0
+    );
     for cold_ms in [800, 0] {
         registry.put(ServerEntry {
             cold_ms,
             ..entry("a", 1)
         });
-        let rest_ms = registry.server("a@1").expect("a server").cold_rest_ms();
+        let rest_ms = registry
+            .server("a@1")
+            .expect("a server")
+            .cold_remaining_ms();
         assert!(rest_ms <= cold_ms && rest_ms + 100 > cold_ms, "{rest_ms}");
     }
 }
