--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -138,7 +138,7 @@
             if entry.started_ms < known.entry.started_ms {
                 return false;
             }
-            if known.is_described_by(&entry) {
+            if known.matches_entry(&entry) {
                 known.renew(&entry);
                 self.missing.remove(&entry.name);
                 return false;
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -131,7 +131,7 @@
 
     /// True if an entry is about this incarnation and says the same of what stays while it lives.
     /// Another writer may have put a known name to another service or address.
-    pub fn is_described_by(&self, entry: &ServerEntry) -> bool {
+    pub fn matches_entry(&self, entry: &ServerEntry) -> bool {
         let known = &self.entry;
         let same = |entry: &ServerEntry| {
             (
