--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -51,7 +51,7 @@
         snapshot.servers_known = self.freshness.known(FollowedTable::Servers);
         snapshot.left = self.freshness.left();
         let registry = self.view.registry();
-        snapshot.set_servers(registry.servers().map(|server| server.present_entry()));
+        snapshot.set_servers(registry.servers().map(|server| server.current_entry()));
         Some(snapshot)
     }
 
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -121,7 +121,7 @@
     }
 
     /// Its entry as it is now.
-    pub fn present_entry(&self) -> ServerEntry {
+    pub fn current_entry(&self) -> ServerEntry {
         ServerEntry {
             leaving: self.leaving(),
             cold_ms: self.cold_remaining_ms(),
