--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -93,7 +93,8 @@
     ) -> Vec<&Arc<Server>> {
         let servers = self.of_service(service).iter();
         let usable = servers.filter(|server| {
-            server.takes_last_work(arrived_ms, hold_ms) && !tried.contains(&server.entry.id)
+            server.takes_work_while_leaving(arrived_ms, hold_ms)
+                && !tried.contains(&server.entry.id)
         });
         usable.collect()
     }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -164,7 +164,7 @@
 
     /// True if a request may go to it for want of a server that takes new work: it has said that it leaves, so
     /// lately that it still serves.
-    pub fn takes_last_work(&self, arrived_ms: u64, hold_ms: u64) -> bool {
+    pub fn takes_work_while_leaving(&self, arrived_ms: u64, hold_ms: u64) -> bool {
         !self.leaving() && !self.is_evacuated() && !self.is_closed_to(arrived_ms, hold_ms)
     }
 
