--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -232,7 +232,7 @@
         let registry = entry.view.registry();
         let Some(server) = registry.server(id) else {
             if registry.former(id).is_none() {
-                entry.view.want_reading(FollowedTable::Servers);
+                entry.view.request_read(FollowedTable::Servers);
             }
             return Err(Refused::soon("the key's server is gone", policy));
         };
@@ -301,7 +301,7 @@
         };
         let asked = entry.freshness.is_store_confirmed() && entry.peers.send_to_holder(&question);
         if !asked {
-            entry.view.want_reading(FollowedTable::Own);
+            entry.view.request_read(FollowedTable::Own);
         }
     }
 }
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -52,7 +52,7 @@
             log::debug!("datagram of {from} has no known seal");
             if self.peers.knows(from) {
                 self.join.doubt_secret();
-                self.view.want_reading(FollowedTable::Own);
+                self.view.request_read(FollowedTable::Own);
             }
             return;
         };
@@ -86,7 +86,7 @@
     /// questions, so that not each host reads the rows for each new one.
     fn learn_sender(&self, from: SocketAddr, message: Option<&Message>) {
         let Some(Message::Report { sender, .. } | Message::AskWord { sender, .. }) = message else {
-            self.view.want_reading(FollowedTable::Own);
+            self.view.request_read(FollowedTable::Own);
             return;
         };
         let facts = HostFacts {
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -186,7 +186,7 @@
     }
 
     /// Asks for a table to be read soon: a server did not hold what was thought, or is not known.
-    pub fn want_reading(&self, followed: FollowedTable) {
+    pub fn request_read(&self, followed: FollowedTable) {
         self.wanted[followed.index()].notify_one();
     }
 
