--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -191,7 +191,7 @@
     }
 
     /// Returns when a table should be read soon.
-    pub async fn reading_wanted(&self, followed: FollowedTable) {
+    pub async fn read_requested(&self, followed: FollowedTable) {
         self.wanted[followed.index()].notified().await;
     }
 
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -230,7 +230,7 @@
             let look_ms = began_ms + rest.most_ms.min(clock::now_ms() - began_ms + LOOK_EVERY_MS);
             tokio::select! {
                 () = sleep_until(look_ms) => {}
-                () = self.view.reading_wanted(followed) => return,
+                () = self.view.read_requested(followed) => return,
             }
             let after = self.freshness.applied(followed);
             let now = self.sync_role();
