--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -40,7 +40,7 @@
     owners: Owners,
     changed: watch::Sender<u64>,
     store_lost: watch::Sender<bool>,
-    wanted: [Notify; FollowedTable::ALL.len()],
+    read_requests: [Notify; FollowedTable::ALL.len()],
     hosts_known: watch::Sender<bool>,
     former_process: AtomicBool,
     store_heard_ms: AtomicU64,
@@ -57,7 +57,7 @@
             owners: Owners::default(),
             changed: watch::channel(0).0,
             store_lost: watch::channel(false).0,
-            wanted: Default::default(),
+            read_requests: Default::default(),
             hosts_known: watch::channel(false).0,
             former_process: AtomicBool::new(false),
             store_heard_ms: AtomicU64::new(clock::now_ms()),
@@ -187,12 +187,12 @@
 
     /// Asks for a table to be read soon: a server did not hold what was thought, or is not known.
     pub fn request_read(&self, followed: FollowedTable) {
-        self.wanted[followed.index()].notify_one();
+        self.read_requests[followed.index()].notify_one();
     }
 
     /// Returns when a table should be read soon.
     pub async fn read_requested(&self, followed: FollowedTable) {
-        self.wanted[followed.index()].notified().await;
+        self.read_requests[followed.index()].notified().await;
     }
 
     /// Notes that the other hosts were read from the store.
