--- a/src/entry/duty/mod.rs
+++ b/src/entry/duty/mod.rs
@@ -260,7 +260,7 @@
             writer.row_version = version;
             writer.confirmation += 1;
             self.duty.confirmed_ms.store(sent_ms, Ordering::Relaxed);
-            self.heard_store(clock::now_ms());
+            self.note_store_answer(clock::now_ms());
             return;
         }
         // The write may have failed, taken effect without an answer, or met another holder's.
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -187,7 +187,7 @@
     async fn find_guides(&self) -> Option<Found> {
         let rows = match self.store.range(TABLE, PART, SECRET_KEY, GUIDES_KEY).await {
             Ok(rows) => {
-                self.heard_store(clock::now_ms());
+                self.note_store_answer(clock::now_ms());
                 rows.rows
             }
             Err(error) => {
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -199,7 +199,7 @@
             self.peers.send(&Message::Stopped { term }, &[from]);
         }
         if self.peers.note_holder(from, term) {
-            self.heard_store(self.freshness.note_announced(news));
+            self.note_store_answer(self.freshness.note_announced(news));
             self.hot_keys.note_announced(hot, clock::now_ms());
         }
     }
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -256,7 +256,7 @@
 
     /// Notes an answer of the store at a time. Returns the time without one if that was long enough
     /// for entries to lapse.
-    pub fn heard_store(&self, at_ms: u64, lapse_ms: u64) -> Option<u64> {
+    pub fn note_store_answer(&self, at_ms: u64, lapse_ms: u64) -> Option<u64> {
         let now_ms = clock::now_ms();
         let before_ms = self.store_heard_ms.fetch_max(at_ms, Ordering::Relaxed);
         let away_ms = at_ms.saturating_sub(before_ms);
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -125,7 +125,7 @@
         // A later state counts, however it came here.
         self.view.evacuate(evacuations);
         if let Some(answered_ms) = self.freshness.note_relay_report(nonce, news) {
-            self.heard_store(answered_ms);
+            self.note_store_answer(answered_ms);
         }
     }
 }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -288,17 +288,17 @@
 
     /// Notes an answer of a feed.
     fn answered(&self, followed: FollowedTable) {
-        self.heard_store(clock::now_ms());
+        self.note_store_answer(clock::now_ms());
         if followed == FollowedTable::Servers {
             self.view.set_store_lost(false);
         }
     }
 
     /// Notes that the store answered this host, or the holder of the duty.
-    pub(super) fn heard_store(&self, at_ms: u64) {
+    pub(super) fn note_store_answer(&self, at_ms: u64) {
         let lapse_ms = MISSED_HEARTBEATS * self.settings.store.server_heartbeat_ms;
         let lapse_ms = lapse_ms.max(FollowedTable::NOTICED_MS);
-        if let Some(away_ms) = self.view.heard_store(at_ms, lapse_ms) {
+        if let Some(away_ms) = self.view.note_store_answer(at_ms, lapse_ms) {
             Event::StoreBack { away_ms }.log();
         }
     }
@@ -316,7 +316,7 @@
         let asked_ms = clock::now_ms();
         match self.read_table(followed).await {
             Ok(rows) => {
-                self.heard_store(clock::now_ms());
+                self.note_store_answer(clock::now_ms());
                 let version = rows.version;
                 if self.duty.term() > 0 {
                     self.pass_difference_on(followed, &rows);
