--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -43,7 +43,7 @@
     read_requests: [Notify; FollowedTable::ALL.len()],
     hosts_known: watch::Sender<bool>,
     former_process: AtomicBool,
-    store_heard_ms: AtomicU64,
+    store_answered_ms: AtomicU64,
     store_returned_ms: AtomicU64,
 }
 
@@ -60,7 +60,7 @@
             read_requests: Default::default(),
             hosts_known: watch::channel(false).0,
             former_process: AtomicBool::new(false),
-            store_heard_ms: AtomicU64::new(clock::now_ms()),
+            store_answered_ms: AtomicU64::new(clock::now_ms()),
             store_returned_ms: AtomicU64::new(0),
         }
     }
@@ -258,7 +258,7 @@
     /// for entries to lapse.
     pub fn note_store_answer(&self, at_ms: u64, lapse_ms: u64) -> Option<u64> {
         let now_ms = clock::now_ms();
-        let before_ms = self.store_heard_ms.fetch_max(at_ms, Ordering::Relaxed);
+        let before_ms = self.store_answered_ms.fetch_max(at_ms, Ordering::Relaxed);
         let away_ms = at_ms.saturating_sub(before_ms);
         if away_ms < lapse_ms {
             return None;
@@ -268,8 +268,8 @@
     }
 
     /// When the store last answered.
-    pub fn store_heard_ms(&self) -> u64 {
-        self.store_heard_ms.load(Ordering::Relaxed)
+    pub fn store_answered_ms(&self) -> u64 {
+        self.store_answered_ms.load(Ordering::Relaxed)
     }
 
     /// When the store came back after it was away; 0 if it never was.
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -107,7 +107,7 @@
 
     /// What this host can tell of the store, for a host that hears no holder.
     pub(super) fn word_for(&self, nonce: u64) -> Option<Message> {
-        let news = self.freshness.store_state(self.view.store_heard_ms())?;
+        let news = self.freshness.store_state(self.view.store_answered_ms())?;
         Some(Message::Word {
             nonce,
             news,
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -351,5 +351,5 @@
 
 /// Time of the last answer of the store, as an age.
 pub(super) fn store_age_ms(entry: &Entry) -> u64 {
-    clock::now_ms().saturating_sub(entry.view.store_heard_ms())
+    clock::now_ms().saturating_sub(entry.view.store_answered_ms())
 }
