--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -210,7 +210,7 @@
 
 /// What a server tells of its load in an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests that it runs.
     pub running: u32,
     /// Requests that wait there.
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -2,7 +2,7 @@
 
 use http::{HeaderMap, HeaderName, StatusCode, header};
 
-use crate::entry::model::{Notice, ToldLimit, ToldLoad};
+use crate::entry::model::{Notice, ReportedLoad, ToldLimit};
 
 /// Identifier of one attempt of a caller; returned in the answer.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
@@ -41,14 +41,14 @@
 }
 
 /// What an answer tells of its server's load; `None` if it tells nothing that can be read.
-pub fn told_load(headers: &HeaderMap) -> Option<ToldLoad> {
+pub fn told_load(headers: &HeaderMap) -> Option<ReportedLoad> {
     let text = headers.get(LOAD)?.to_str().ok()?;
     let mut figures = text.split(',').map(|figure| figure.trim().parse::<u32>());
     let running = figures.next()?.ok()?;
     let waiting = figures.next()?.ok()?;
     let _slots = figures.next()?.ok()?;
     let pace_percent = figures.next().unwrap_or(Ok(100)).ok()?;
-    Some(ToldLoad {
+    Some(ReportedLoad {
         running,
         waiting,
         pace: f64::from(pace_percent) / 100.0,
