--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -230,7 +230,7 @@
 
 /// What an answer says of the rate that its server takes from all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum ToldLimit {
+pub enum ReportedLimit {
     /// It names none.
     Unlimited,
     /// Requests a second.
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -10,7 +10,7 @@
     Entry,
     decide::rate_limit::LimitWord,
     events::Event,
-    model::ToldLimit,
+    model::ReportedLimit,
     peers::message::{Message, RATES_MAX, ServerRate, ToldRate},
     server::Server,
 };
@@ -23,11 +23,11 @@
 
 impl Entry {
     /// Takes in what a server's answer to a request of this host said of the rate that it takes.
-    pub(in crate::entry) fn note_told_limit(&self, server: &Server, told: ToldLimit) {
+    pub(in crate::entry) fn note_told_limit(&self, server: &Server, told: ReportedLimit) {
         let per_s = match told {
-            ToldLimit::Unlimited => None,
-            ToldLimit::PerS(per_s) => Some(per_s),
-            ToldLimit::Unknown => return,
+            ReportedLimit::Unlimited => None,
+            ReportedLimit::PerS(per_s) => Some(per_s),
+            ReportedLimit::Unknown => return,
         };
         let at_ms = clock::now_ms();
         let is_change = server.rate.note_own_word(LimitWord { per_s, at_ms });
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -2,7 +2,7 @@
 
 use http::{HeaderMap, HeaderName, StatusCode, header};
 
-use crate::entry::model::{Notice, ReportedLoad, ToldLimit};
+use crate::entry::model::{Notice, ReportedLimit, ReportedLoad};
 
 /// Identifier of one attempt of a caller; returned in the answer.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
@@ -70,13 +70,13 @@
 
 /// What an answer says of the rate that its server takes from all hosts together. Only an answer that is surely its
 /// server's shows by a missing header that there is no limit.
-pub fn told_limit(status: StatusCode, headers: &HeaderMap) -> ToldLimit {
+pub fn told_limit(status: StatusCode, headers: &HeaderMap) -> ReportedLimit {
     let Some(value) = headers.get(LIMIT) else {
         let is_of_server = headers.contains_key(SIGNATURE) || says_not_run(status, headers);
         return if is_of_server {
-            ToldLimit::Unlimited
+            ReportedLimit::Unlimited
         } else {
-            ToldLimit::Unknown
+            ReportedLimit::Unknown
         };
     };
     let figure = value
@@ -84,8 +84,8 @@
         .ok()
         .and_then(|text| text.trim().parse::<f64>().ok());
     match figure {
-        Some(per_s) if per_s.is_finite() && per_s >= 0.0 => ToldLimit::PerS(per_s),
-        _ => ToldLimit::Unknown,
+        Some(per_s) if per_s.is_finite() && per_s >= 0.0 => ReportedLimit::PerS(per_s),
+        _ => ReportedLimit::Unknown,
     }
 }
 
--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -1,7 +1,7 @@
 //! Messages of the platform are decoded into the product's types, and bad ones are refused.
 
 use ashroad::{
-    entry::model::ToldLimit,
+    entry::model::ReportedLimit,
     platform::{config, headers, parse_ms, servers},
 };
 use http::{HeaderMap, HeaderValue, StatusCode};
@@ -291,25 +291,30 @@
         named: Option<&'static str>,
         status: u16,
         other: Option<&'static str>,
-        told: ToldLimit,
+        told: ReportedLimit,
     }
     let signed = Some("server-signature");
     let rows = [
-        (Some("10.7"), 200, signed, ToldLimit::PerS(10.7)),
-        (Some(" 0.5 "), 503, Some("not-run"), ToldLimit::PerS(0.5)),
-        (Some("0"), 500, None, ToldLimit::PerS(0.0)),
-        (Some("1e12"), 200, signed, ToldLimit::PerS(1e12)),
-        (Some("-3"), 200, signed, ToldLimit::Unknown),
-        (Some("NaN"), 200, signed, ToldLimit::Unknown),
-        (Some("inf"), 200, signed, ToldLimit::Unknown),
-        (Some("ten"), 200, signed, ToldLimit::Unknown),
-        (Some(""), 200, signed, ToldLimit::Unknown),
-        (None, 200, signed, ToldLimit::Unlimited),
-        (None, 500, signed, ToldLimit::Unlimited),
-        (None, 503, Some("not-run"), ToldLimit::Unlimited),
-        (None, 421, None, ToldLimit::Unlimited),
-        (None, 200, None, ToldLimit::Unknown),
-        (None, 500, None, ToldLimit::Unknown),
+        (Some("10.7"), 200, signed, ReportedLimit::PerS(10.7)),
+        (
+            Some(" 0.5 "),
+            503,
+            Some("not-run"),
+            ReportedLimit::PerS(0.5),
+        ),
+        (Some("0"), 500, None, ReportedLimit::PerS(0.0)),
+        (Some("1e12"), 200, signed, ReportedLimit::PerS(1e12)),
+        (Some("-3"), 200, signed, ReportedLimit::Unknown),
+        (Some("NaN"), 200, signed, ReportedLimit::Unknown),
+        (Some("inf"), 200, signed, ReportedLimit::Unknown),
+        (Some("ten"), 200, signed, ReportedLimit::Unknown),
+        (Some(""), 200, signed, ReportedLimit::Unknown),
+        (None, 200, signed, ReportedLimit::Unlimited),
+        (None, 500, signed, ReportedLimit::Unlimited),
+        (None, 503, Some("not-run"), ReportedLimit::Unlimited),
+        (None, 421, None, ReportedLimit::Unlimited),
+        (None, 200, None, ReportedLimit::Unknown),
+        (None, 500, None, ReportedLimit::Unknown),
     ];
     let cases = rows.map(|(named, status, other, told)| Case {
         named,
