--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -45,7 +45,7 @@
 
 /// One of the services that a route's requests go to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct RouteTarget {
     /// Service.
     pub service: Arc<str>,
     /// Share of the requests, relative to the other parts.
@@ -72,7 +72,7 @@
     /// Regions where it may be served; empty for all.
     pub regions: Vec<Arc<str>>,
     /// Services.
-    pub parts: Vec<Part>,
+    pub parts: Vec<RouteTarget>,
     /// Most servers that one request may be sent to.
     pub attempts_max: u32,
 }
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -6,7 +6,7 @@
 };
 use crate::entry::{
     decide::quota::Quota,
-    model::{CallerLimits, Configuration, Part, Route, Service, Warmup},
+    model::{CallerLimits, Configuration, Route, RouteTarget, Service, Warmup},
     workspaces::{ApiKeyDigest, Workspace, Workspaces},
 };
 
@@ -88,16 +88,16 @@
 const REPEATABLE_KINDS: [&str; 2] = ["safe", "download"];
 
 fn decode_route(wire: WireRoute) -> Route {
-    let mut parts: Vec<Part> = wire
+    let mut parts: Vec<RouteTarget> = wire
         .split
         .into_iter()
-        .map(|share| Part {
+        .map(|share| RouteTarget {
             service: share.service.into(),
             weight: share.weight,
         })
         .collect();
     if let Some(service) = wire.service {
-        parts = vec![Part {
+        parts = vec![RouteTarget {
             service: service.into(),
             weight: 1.0,
         }];
