--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -192,7 +192,7 @@
     };
     let service = part.service.clone();
     let declared = configuration.service(&service);
-    let divided = declared.is_some_and(|service| service.divided_by_key);
+    let divided = declared.is_some_and(|service| service.sharded);
     let warmup = declared.and_then(|service| service.warmup);
     let key = if divided {
         let key = header_number(&head.headers, headers::KEY.as_str());
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -190,7 +190,7 @@
         let Some(configuration) = self.entry.view.configuration() else {
             return Vec::new();
         };
-        let services = configuration.services().filter(|s| s.divided_by_key);
+        let services = configuration.services().filter(|s| s.sharded);
         services.map(|service| service.name.clone()).collect()
     }
 
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -29,7 +29,7 @@
     /// Connections that one server accepts from all hosts together.
     pub connections_max: u32,
     /// True if each key is served only by the server that holds it.
-    pub divided_by_key: bool,
+    pub sharded: bool,
     /// What its servers bear while they are cold; `None` if nobody bounds that.
     pub warmup: Option<Warmup>,
 }
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -151,7 +151,7 @@
         let Some(configuration) = self.configuration() else {
             return false;
         };
-        let mut divided = configuration.services().filter(|s| s.divided_by_key);
+        let mut divided = configuration.services().filter(|s| s.sharded);
         divided.any(|service| {
             self.held(&service.name).is_none() && !self.owners.all_granted(&service.name)
         })
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -43,7 +43,7 @@
         name: service.name.into(),
         health_path: service.health_path,
         connections_max: service.max_conns,
-        divided_by_key: service.sharded,
+        sharded: service.sharded,
         warmup: service.warmup_per_s.map(|per_s| Warmup {
             time_ms: service.warmup.unwrap_or(0),
             per_s,
--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -27,18 +27,8 @@
     let configuration = config::decode(CONFIG.as_bytes()).expect("a configuration");
     assert_eq!(configuration.version, 0x1f);
     assert_eq!(configuration.limits.idle_timeout_ms, 15_000);
-    assert!(
-        configuration
-            .service("pegel1")
-            .expect("service")
-            .divided_by_key
-    );
-    assert!(
-        !configuration
-            .service("beitrag2")
-            .expect("service")
-            .divided_by_key
-    );
+    assert!(configuration.service("pegel1").expect("service").sharded);
+    assert!(!configuration.service("beitrag2").expect("service").sharded);
     let single = configuration.route("a.example", "/x/1").expect("route");
     assert!(!single.repeatable);
     assert_eq!(
