--- a/src/entry/forward/passage.rs
+++ b/src/entry/forward/passage.rs
@@ -116,9 +116,9 @@
 
     /// True if its service also serves less urgent requests.
     pub(super) fn is_urgent(&self) -> bool {
-        let urgency = self.configuration.urgency(self.workspace, self.route);
+        let priority = self.configuration.priority(self.workspace, self.route);
         self.configuration
-            .serves_less_urgent(&self.service, urgency)
+            .serves_less_urgent(&self.service, priority)
     }
 
     pub(super) fn held_ms(&self) -> u64 {
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -66,7 +66,7 @@
     /// Latency objective.
     pub aim_ms: u64,
     /// Rank; 0 is the most urgent.
-    pub urgency: u32,
+    pub priority: u32,
     /// True if its requests carry no API key although there are workspaces.
     pub is_public: bool,
     /// Regions where it may be served; empty for all.
@@ -119,7 +119,7 @@
     pub fn add_route(&mut self, host: &str, route: Route) {
         for part in route.parts.iter().filter(|part| part.weight > 0.0) {
             let lowest = self.lowest_urgency.entry(part.service.clone()).or_default();
-            *lowest = route.urgency.max(*lowest);
+            *lowest = route.priority.max(*lowest);
         }
         let routes = self.routes.entry(host.to_ascii_lowercase()).or_default();
         // Longest prefix first, so that the first match is the right one.
@@ -156,26 +156,26 @@
     }
 
     /// Rank of a request of a workspace for a route.
-    pub fn urgency(&self, workspace: Option<WorkspaceKey>, route: &Route) -> Urgency {
+    pub fn priority(&self, workspace: Option<WorkspaceKey>, route: &Route) -> Urgency {
         let workspaces = self.workspaces.as_ref();
         let workspace = workspaces.zip(workspace).map(|(all, key)| all.get(key));
         Urgency {
-            workspace: workspace.map_or(0, |workspace| workspace.urgency),
-            route: route.urgency,
+            workspace: workspace.map_or(0, |workspace| workspace.priority),
+            route: route.priority,
         }
     }
 
     /// True if a service also has less urgent requests than those of a rank.
-    pub fn serves_less_urgent(&self, service: &str, urgency: Urgency) -> bool {
+    pub fn serves_less_urgent(&self, service: &str, priority: Urgency) -> bool {
         let Some(lowest) = self.lowest_urgency.get(service) else {
             return false;
         };
         let workspaces = self.workspaces.iter().flat_map(Workspaces::iter);
         let least_urgent = Urgency {
-            workspace: workspaces.map(|w| w.urgency).max().unwrap_or(0),
+            workspace: workspaces.map(|w| w.priority).max().unwrap_or(0),
             route: *lowest,
         };
-        least_urgent > urgency
+        least_urgent > priority
     }
 
     /// All services.
--- a/src/entry/workspaces.rs
+++ b/src/entry/workspaces.rs
@@ -18,7 +18,7 @@
     /// Short name in messages between hosts.
     pub tag: u32,
     /// Rank of its requests, which comes before that of their routes; 0 is the most urgent.
-    pub urgency: u32,
+    pub priority: u32,
     /// Requests that it may send; `None` for any number.
     pub quota: Option<Quota>,
     /// Regions where it may be served; empty for all.
@@ -27,11 +27,11 @@
 
 impl Workspace {
     /// A workspace without quota that may be served everywhere.
-    pub fn new(name: &str, urgency: u32) -> Self {
+    pub fn new(name: &str, priority: u32) -> Self {
         Self {
             name: name.into(),
             tag: tag_of(name),
-            urgency,
+            priority,
             quota: None,
             regions: Vec::new(),
         }
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -108,7 +108,7 @@
         repeatable: REPEATABLE_KINDS.contains(&wire.kind.as_str()),
         timeout_ms: wire.timeout,
         aim_ms: wire.aim.unwrap_or(wire.timeout),
-        urgency: wire.priority,
+        priority: wire.priority,
         is_public: wire.public,
         regions: wire
             .allowed_regions
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -665,7 +665,7 @@
             repeatable: true,
             timeout_ms: 500,
             aim_ms: 200,
-            urgency: 0,
+            priority: 0,
             is_public: false,
             regions: Vec::new(),
             parts: vec![Part {
--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -32,7 +32,7 @@
     let single = configuration.route("a.example", "/x/1").expect("route");
     assert!(!single.repeatable);
     assert_eq!(
-        (single.timeout_ms, single.aim_ms, single.urgency),
+        (single.timeout_ms, single.aim_ms, single.priority),
         (600, 250, 1)
     );
     assert_eq!(single.attempts_max, 2);
