--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -94,7 +94,7 @@
 
 /// Rank of a request: that of its workspace comes before that of its route. Less is more urgent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Urgency {
+pub struct Priority {
     /// Of its workspace; 0 if it has none.
     pub workspace: u32,
     /// Of its route.
@@ -156,22 +156,22 @@
     }
 
     /// Rank of a request of a workspace for a route.
-    pub fn priority(&self, workspace: Option<WorkspaceKey>, route: &Route) -> Urgency {
+    pub fn priority(&self, workspace: Option<WorkspaceKey>, route: &Route) -> Priority {
         let workspaces = self.workspaces.as_ref();
         let workspace = workspaces.zip(workspace).map(|(all, key)| all.get(key));
-        Urgency {
+        Priority {
             workspace: workspace.map_or(0, |workspace| workspace.priority),
             route: route.priority,
         }
     }
 
     /// True if a service also has less urgent requests than those of a rank.
-    pub fn serves_less_urgent(&self, service: &str, priority: Urgency) -> bool {
+    pub fn serves_less_urgent(&self, service: &str, priority: Priority) -> bool {
         let Some(lowest) = self.lowest_urgency.get(service) else {
             return false;
         };
         let workspaces = self.workspaces.iter().flat_map(Workspaces::iter);
-        let least_urgent = Urgency {
+        let least_urgent = Priority {
             workspace: workspaces.map(|w| w.priority).max().unwrap_or(0),
             route: *lowest,
         };
