--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -89,7 +89,7 @@
     /// Workspaces; `None` if callers need no API key.
     workspaces: Option<Workspaces>,
     /// Rank of the least urgent route, by service.
-    lowest_urgency: HashMap<Arc<str>, u32>,
+    lowest_priority: HashMap<Arc<str>, u32>,
 }
 
 /// Rank of a request: that of its workspace comes before that of its route. Less is more urgent.
@@ -111,14 +111,17 @@
             services,
             routes: HashMap::new(),
             workspaces: None,
-            lowest_urgency: HashMap::new(),
+            lowest_priority: HashMap::new(),
         }
     }
 
     /// Adds a route for requests that name `host`.
     pub fn add_route(&mut self, host: &str, route: Route) {
         for part in route.parts.iter().filter(|part| part.weight > 0.0) {
-            let lowest = self.lowest_urgency.entry(part.service.clone()).or_default();
+            let lowest = self
+                .lowest_priority
+                .entry(part.service.clone())
+                .or_default();
             *lowest = route.priority.max(*lowest);
         }
         let routes = self.routes.entry(host.to_ascii_lowercase()).or_default();
@@ -167,7 +170,7 @@
 
     /// True if a service also has less urgent requests than those of a rank.
     pub fn serves_less_urgent(&self, service: &str, priority: Priority) -> bool {
-        let Some(lowest) = self.lowest_urgency.get(service) else {
+        let Some(lowest) = self.lowest_priority.get(service) else {
             return false;
         };
         let workspaces = self.workspaces.iter().flat_map(Workspaces::iter);
