--- a/src/entry/forward/passage.rs
+++ b/src/entry/forward/passage.rs
@@ -118,7 +118,7 @@
     pub(super) fn is_urgent(&self) -> bool {
         let priority = self.configuration.priority(self.workspace, self.route);
         self.configuration
-            .serves_less_urgent(&self.service, priority)
+            .has_lower_priority_requests(&self.service, priority)
     }
 
     pub(super) fn held_ms(&self) -> u64 {
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -169,7 +169,7 @@
     }
 
     /// True if a service also has less urgent requests than those of a rank.
-    pub fn serves_less_urgent(&self, service: &str, priority: Priority) -> bool {
+    pub fn has_lower_priority_requests(&self, service: &str, priority: Priority) -> bool {
         let Some(lowest) = self.lowest_priority.get(service) else {
             return false;
         };
