--- a/src/entry/crashes/stored.rs
+++ b/src/entry/crashes/stored.rs
@@ -20,7 +20,7 @@
 };
 
 /// Interval at which the holder compares what is in quarantine with what the store has.
-const LOOK_EVERY_MS: u64 = 1_000;
+const POLL_EVERY_MS: u64 = 1_000;
 
 /// What is in quarantine by the store.
 #[derive(Debug, Default)]
@@ -66,7 +66,7 @@
     /// the loss of all hosts.
     pub(in crate::entry) async fn keep_quarantine_stored(self: Arc<Self>) {
         loop {
-            let pause = Duration::from_millis(LOOK_EVERY_MS);
+            let pause = Duration::from_millis(POLL_EVERY_MS);
             // Either way it is compared.
             if time::timeout(pause, self.crashes.quarantined.notified())
                 .await
--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -21,7 +21,7 @@
 };
 
 /// Interval at which a host without the duty looks whether it must act.
-const LOOK_EVERY_MS: u64 = 100;
+const POLL_EVERY_MS: u64 = 100;
 /// Time from a host's start until it looks after the duty.
 const START_PATIENCE_MS: u64 = 600;
 /// The same at the first start of a deployment, when there is no secret for datagrams yet: hosts that
@@ -59,7 +59,7 @@
                 }
                 continue;
             }
-            time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
+            time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
             let may_take = self.is_registered() && self.view.servers_known() && !self.stopping();
             if may_take && self.holder_is_silent(started_ms) {
                 // Calls are priced; the servers' feed notices the store's return.
@@ -73,7 +73,7 @@
     /// certainly ended, since this one listens on its address.
     async fn resume_duty(&self) {
         while !self.view.servers_known() || !self.is_registered() {
-            time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
+            time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
         }
         let Some((Some(row), version)) = self.read_duty().await else {
             return;
--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -14,7 +14,7 @@
     clock,
     entry::{
         Entry,
-        limits::LOOK_EVERY_MS,
+        limits::POLL_EVERY_MS,
         model::ServerEntry,
         news::{
             followed::FollowedTable,
@@ -131,7 +131,7 @@
             if self.freshness.is_store_confirmed_since(since_ms) {
                 return true;
             }
-            time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
+            time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
         }
         false
     }
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -13,7 +13,7 @@
 /// Timers that fire late, and the path of a request that was sent just before.
 const LATE_MS: u64 = 150;
 /// Interval at which a resting or waiting feed looks whether it must hurry.
-pub const LOOK_EVERY_MS: u64 = 100;
+pub const POLL_EVERY_MS: u64 = 100;
 /// Least time that must be left for relying on the holder of the duty. With less, its heartbeat would
 /// be too old whenever it arrives.
 const TRUST_MIN_MS: u64 = 200;
@@ -114,7 +114,7 @@
 impl TimeLimits {
     /// The limits for bounds; [`Self::paths`] tells whether they keep them.
     pub fn new(bounds: &Bounds) -> Self {
-        let after_wait_ms = LOOK_EVERY_MS + CALL_MS + LATE_MS;
+        let after_wait_ms = POLL_EVERY_MS + CALL_MS + LATE_MS;
         let room = |bound_ms: u64| bound_ms.saturating_sub(after_wait_ms).max(TRUST_MIN_MS);
         let drain_room_ms = room(bounds.drain_ms);
         let configuration_room_ms = room(bounds.configuration_ms);
@@ -172,11 +172,11 @@
             worst_ms: wait_ms + self.evacuation_hold_ms + CALL_MS + 2 * LATE_MS,
             bound_ms: bounds.evacuation_ms,
         };
-        let next_heartbeat_ms = self.holder_rest_ms + 2 * self.holder_heartbeat_ms + LOOK_EVERY_MS;
+        let next_heartbeat_ms = self.holder_rest_ms + 2 * self.holder_heartbeat_ms + POLL_EVERY_MS;
         [
             drain(
                 "the holder is lost before it passes on that a server leaves",
-                self.trust_ms + LOOK_EVERY_MS,
+                self.trust_ms + POLL_EVERY_MS,
             ),
             drain(
                 "the message that a server leaves is lost, and the holder's next heartbeat shows it",
@@ -203,19 +203,19 @@
             },
             configuration(
                 "the holder is lost before it passes the configuration on",
-                self.trust_ms + LOOK_EVERY_MS,
+                self.trust_ms + POLL_EVERY_MS,
             ),
             configuration(
                 "a piece of the configuration is lost, and the holder's next heartbeat shows it",
                 self.holder_rest_ms
                     + self.holder_heartbeat_ms
                     + self.lag_grace_ms
-                    + LOOK_EVERY_MS
+                    + POLL_EVERY_MS
                     + self.catch_up_ms,
             ),
             evacuation(
                 "the holder is lost before it passes on that a zone is evacuated",
-                self.trust_ms + LOOK_EVERY_MS,
+                self.trust_ms + POLL_EVERY_MS,
             ),
             evacuation(
                 "no holder is heard as a zone is evacuated",
--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -17,7 +17,7 @@
 use super::{followed::FollowedTable, question::PendingQuery, snapshot::TableVersions};
 use crate::{
     clock,
-    entry::limits::{LOOK_EVERY_MS, TimeLimits},
+    entry::limits::{POLL_EVERY_MS, TimeLimits},
 };
 
 /// Number of followed tables.
@@ -328,7 +328,7 @@
     ) -> RecallReason {
         let mut behind_ms = 0;
         loop {
-            time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
+            time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
             if !is_silent() {
                 continue;
             }
@@ -336,7 +336,7 @@
                 return RecallReason::Unconfirmed;
             }
             if self.is_behind(followed, asked_after) {
-                behind_ms += LOOK_EVERY_MS;
+                behind_ms += POLL_EVERY_MS;
             } else {
                 behind_ms = 0;
             }
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -9,7 +9,7 @@
 
 use super::{
     Entry,
-    limits::LOOK_EVERY_MS,
+    limits::POLL_EVERY_MS,
     news::{
         evacuation::Evacuations,
         followed::{FollowedTable, SyncRole},
@@ -52,7 +52,7 @@
         }
         let until_ms = clock::now_ms() + self.limits.alone_pause_ms;
         while clock::now_ms() < until_ms && self.sync_role() == SyncRole::Alone {
-            time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
+            time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
         }
     }
 
@@ -67,7 +67,7 @@
             if is_behind(FollowedTable::Configuration) || is_behind(FollowedTable::Servers) {
                 return;
             }
-            time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
+            time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
         }
     }
 
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -13,7 +13,7 @@
 use super::{
     Entry,
     events::Event,
-    limits::LOOK_EVERY_MS,
+    limits::POLL_EVERY_MS,
     news::{
         followed::{FollowedTable, HISTORY_MS, SyncRole},
         freshness::RecallReason,
@@ -174,7 +174,7 @@
         // The others rely on what the holder of the duty follows.
         let is_holder = || self.duty.term() > 0;
         while !is_holder() && !self.freshness.is_store_confirmed() && clock::now_ms() < until_ms {
-            time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
+            time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
         }
         if !is_holder() && self.freshness.is_store_confirmed() {
             self.rest(followed, began_ms).await;
@@ -227,7 +227,7 @@
         let rest = followed.rest(self.peers.hosts(), sync_role, &self.limits);
         sleep_until(began_ms + rest.least_ms).await;
         while clock::now_ms() < began_ms + rest.most_ms {
-            let look_ms = began_ms + rest.most_ms.min(clock::now_ms() - began_ms + LOOK_EVERY_MS);
+            let look_ms = began_ms + rest.most_ms.min(clock::now_ms() - began_ms + POLL_EVERY_MS);
             tokio::select! {
                 () = sleep_until(look_ms) => {}
                 () = self.view.read_requested(followed) => return,
@@ -243,7 +243,7 @@
             let is_behind =
                 followed != FollowedTable::Own && self.freshness.is_behind(followed, after);
             behind_ms = if is_behind {
-                behind_ms + LOOK_EVERY_MS
+                behind_ms + POLL_EVERY_MS
             } else {
                 0
             };
