--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -45,7 +45,7 @@
 
 /// How far a feed can be trusted to tell of changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trust {
+enum FeedTrust {
     Full,
     /// Another host has seen a change that the feed did not bring.
     Doubted,
@@ -81,7 +81,7 @@
             self.relay.end_reading(followed);
             self.rest_at_start(followed).await;
             let mut called_ms = clock::now_ms();
-            let mut trust = Trust::Full;
+            let mut trust = FeedTrust::Full;
             let mut pause_ms = RETRY_PAUSE_MS;
             loop {
                 let began_ms = clock::now_ms();
@@ -97,7 +97,7 @@
                 let feed = match self.next_changes(followed, after, trust).await {
                     Ok(feed) => feed,
                     Err(RecallReason::Behind) => {
-                        trust = Trust::Doubted;
+                        trust = FeedTrust::Doubted;
                         continue;
                     }
                     Err(RecallReason::Unconfirmed | RecallReason::StoreLost) => continue,
@@ -105,7 +105,7 @@
                 match feed {
                     Ok(Feed::Changes(changes)) => {
                         self.answered(followed);
-                        trust = Trust::Full;
+                        trust = FeedTrust::Full;
                         pause_ms = RETRY_PAUSE_MS;
                         let has_more = changes.is_full_page();
                         self.take_changes(followed, after, changes);
@@ -121,7 +121,7 @@
                     }
                     Err(error) => {
                         self.store_failed(followed, &error, trust);
-                        trust = Trust::Lost;
+                        trust = FeedTrust::Lost;
                         pause_for(pause_ms).await;
                         pause_ms = (pause_ms * 2).min(RETRY_PAUSE_MAX_MS);
                         self.pause_while_others_call().await;
@@ -137,7 +137,7 @@
         &self,
         followed: FollowedTable,
         after: u64,
-        trust: Trust,
+        trust: FeedTrust,
     ) -> Result<platform::Result<Feed>, RecallReason> {
         let mut store_lost = self.view.store_lost();
         if followed != FollowedTable::Servers {
@@ -151,7 +151,7 @@
         let begun = AtomicBool::new(false);
         let table = followed.table();
         let _following = self.freshness.follow(followed);
-        if trust != Trust::Full || *store_lost.borrow() {
+        if trust != FeedTrust::Full || *store_lost.borrow() {
             return Ok(self.store.feed(table, after, PROBE_WAIT_MS, &begun).await);
         }
         let sync_role = self.sync_role();
@@ -272,8 +272,8 @@
         }
     }
 
-    fn store_failed(&self, followed: FollowedTable, error: &Error, trust: Trust) {
-        if trust != Trust::Lost {
+    fn store_failed(&self, followed: FollowedTable, error: &Error, trust: FeedTrust) {
+        if trust != FeedTrust::Lost {
             Event::StoreLost {
                 table: followed.table(),
                 problem: error.to_string(),
@@ -281,7 +281,7 @@
             .log();
         }
         // A feed that failed in doubt shows more than its own connection's end.
-        if followed == FollowedTable::Servers || trust == Trust::Doubted {
+        if followed == FollowedTable::Servers || trust == FeedTrust::Doubted {
             self.view.set_store_lost(true);
         }
     }
