--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -10,7 +10,7 @@
     Entry,
     decide::trust::{self, TrustLimits, Verdict},
     model::{Configuration, Route},
-    news::followed::FollowedTable,
+    updates::followed::FollowedTable,
     peers::message::Message,
     watch,
     workspaces::WorkspaceKey,
--- a/src/entry/crashes/stored.rs
+++ b/src/entry/crashes/stored.rs
@@ -11,7 +11,7 @@
     entry::{
         Entry,
         digest::RequestDigest,
-        news::{
+        updates::{
             followed::FollowedTable,
             own_rows::{QUARANTINE_KEY, TABLE},
         },
--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -8,7 +8,7 @@
     entry::{
         Entry,
         keys::{Assignment, DecodeError, Holding, KeyPart},
-        news::{
+        updates::{
             followed::FollowedTable,
             own_rows::{TABLE, holdings_key},
         },
--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -14,7 +14,7 @@
     entry::{
         Entry,
         events::Event,
-        news::own_rows::{HOST_PREFIX, HOSTS_PART, TABLE},
+        updates::own_rows::{HOST_PREFIX, HOSTS_PART, TABLE},
         rows::decode_holdings,
         watch::pause,
     },
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -17,7 +17,7 @@
             rate_parts,
             return_time::Refused,
         },
-        news::followed::FollowedTable,
+        updates::followed::FollowedTable,
         owners::Owner,
         peers::message::Message,
         registry::Registry,
--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -16,7 +16,7 @@
         Entry,
         limits::POLL_EVERY_MS,
         model::ServerEntry,
-        news::{
+        updates::{
             followed::FollowedTable,
             snapshot::{Snapshot, SnapshotHost},
         },
--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -12,7 +12,7 @@
 };
 use crate::entry::{
     Entry,
-    news::{
+    updates::{
         configuration_pieces::SnapshotConfiguration,
         followed::{FollowedTable, SyncRole},
         server_changes::ServerChanges,
--- a/src/entry/join/guides.rs
+++ b/src/entry/join/guides.rs
@@ -8,7 +8,7 @@
 use crate::{
     entry::{
         Entry,
-        news::own_rows::{GUIDES_KEY, TABLE},
+        updates::own_rows::{GUIDES_KEY, TABLE},
         peers::Guide,
         server::tag_of,
     },
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -27,7 +27,7 @@
 use super::{
     Entry,
     events::Event,
-    news::{
+    updates::{
         followed::FollowedTable,
         own_rows::{GUIDES_KEY, SECRET_KEY, TABLE},
     },
--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -18,7 +18,7 @@
 use crate::{
     entry::{
         Entry,
-        news::own_rows::{HOST_PREFIX, HOSTS_PART, HostRow, TABLE},
+        updates::own_rows::{HOST_PREFIX, HOSTS_PART, HostRow, TABLE},
         watch::pause,
     },
     platform::store::{Expect, Put, Transacted, Transaction},
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -13,7 +13,7 @@
     clock,
     entry::{
         Entry,
-        news::{
+        updates::{
             followed::FollowedTable,
             snapshot::{Snapshot, SnapshotHost},
         },
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -15,7 +15,7 @@
         duty::{Change, Reassignment},
         events::Event,
         keys::{Assignment, Holding, KeyRange},
-        news::announcement::MoveAnnouncement,
+        updates::announcement::MoveAnnouncement,
         server::tag_of,
     },
     platform::{
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -18,7 +18,7 @@
 pub mod losses;
 pub mod metrics;
 pub mod model;
-pub mod news;
+pub mod updates;
 mod notices;
 pub mod owners;
 pub mod peers;
@@ -65,7 +65,7 @@
     limits::TimeLimits,
     metrics::Metrics,
     model::Warmup,
-    news::{freshness::Freshness, proof::ConfigurationProof},
+    updates::{freshness::Freshness, proof::ConfigurationProof},
     peers::Peers,
     quotas::Quotas,
     relay::Relay,
--- a/src/entry/news/freshness.rs
+++ b/src/entry/news/freshness.rs
@@ -84,7 +84,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
     answered_ms: u64,
-    news: StoreStateReport,
+    updates: StoreStateReport,
 }
 
 impl ReceivedReport {
@@ -96,7 +96,7 @@
             (other, self)
         };
         Self {
-            news: later.news.with_changes_of(earlier.news),
+            updates: later.updates.with_changes_of(earlier.updates),
             ..later
         }
     }
@@ -191,7 +191,7 @@
 
     /// What this host tells the others while it has the duty; `heard_ms` is when the store answered
     /// last.
-    pub fn news(&self, heard_ms: u64) -> StoreStateReport {
+    pub fn updates(&self, heard_ms: u64) -> StoreStateReport {
         let followed_ms = |followed: FollowedTable| {
             let followed_ms = &self.followed_ms[followed.index()];
             followed_ms.load(Ordering::Relaxed)
@@ -212,14 +212,14 @@
     /// too old to be relied on.
     pub fn store_state(&self, heard_ms: u64) -> Option<StoreStateReport> {
         let received = *self.received();
-        let own = self.news(heard_ms);
+        let own = self.updates(heard_ms);
         let store_state = match received {
             Some(received) => {
                 let age_ms = clock::now_ms().saturating_sub(received.answered_ms);
                 let age_ms = u32::try_from(age_ms).unwrap_or(TOO_OLD_MS);
                 let received = StoreStateReport {
                     age_ms,
-                    ..received.news
+                    ..received.updates
                 };
                 if own.age_ms < age_ms {
                     own.with_changes_of(received)
@@ -233,10 +233,10 @@
     }
 
     /// Notes a relay's answer. The result is when the store answered; `None` if that is nothing new.
-    pub fn note_relay_report(&self, nonce: u64, news: StoreStateReport) -> Option<u64> {
+    pub fn note_relay_report(&self, nonce: u64, updates: StoreStateReport) -> Option<u64> {
         let asked_ms = self.question.answered(nonce)?;
-        let answered_ms = asked_ms.saturating_sub(u64::from(news.age_ms));
-        let store_state = ReceivedReport { answered_ms, news };
+        let answered_ms = asked_ms.saturating_sub(u64::from(updates.age_ms));
+        let store_state = ReceivedReport { answered_ms, updates };
         let earlier = *self.received();
         let is_new = earlier.is_none_or(|received| received.answered_ms < answered_ms);
         self.apply_received(earlier.map_or(store_state, |earlier| store_state.or_later(earlier)));
@@ -244,9 +244,9 @@
     }
 
     /// Notes what the holder told. The result is when the store answered it.
-    pub fn note_announced(&self, news: StoreStateReport) -> u64 {
-        let answered_ms = clock::now_ms().saturating_sub(u64::from(news.age_ms));
-        let received = ReceivedReport { answered_ms, news };
+    pub fn note_announced(&self, updates: StoreStateReport) -> u64 {
+        let answered_ms = clock::now_ms().saturating_sub(u64::from(updates.age_ms));
+        let received = ReceivedReport { answered_ms, updates };
         let earlier = *self.received();
         let latest = earlier.map_or(received, |earlier| received.or_later(earlier));
         self.apply_received(latest);
@@ -255,12 +255,12 @@
 
     fn apply_received(&self, received: ReceivedReport) {
         *self.received() = Some(received);
-        let news = received.news;
+        let updates = received.updates;
         for followed in [FollowedTable::Servers, FollowedTable::Configuration] {
             let applied = self.applied(followed);
-            if applied > 0 && applied >= news.changed[followed.index()] {
+            if applied > 0 && applied >= updates.changed[followed.index()] {
                 // Nothing has changed since, so that the store's history is not needed that far back.
-                self.note_applied(followed, news.up_to[followed.index()]);
+                self.note_applied(followed, updates.up_to[followed.index()]);
             }
         }
     }
@@ -303,7 +303,7 @@
     /// Version of the latest change of a table that the holder or a relay has told of; 0 before any.
     pub fn reported_change(&self, followed: FollowedTable) -> u64 {
         let received = *self.received();
-        received.map_or(0, |received| received.news.changed[followed.index()])
+        received.map_or(0, |received| received.updates.changed[followed.index()])
     }
 
     /// True if the holder has seen a later change of a table than a feed has asked for.
@@ -314,7 +314,7 @@
     /// True if the holder has seen a server leave since a version.
     pub fn has_left_since(&self, version: u64) -> bool {
         let received = *self.received();
-        received.is_some_and(|received| received.news.left > version)
+        received.is_some_and(|received| received.updates.left > version)
     }
 
     /// Returns when a feed that waits for changes after a version should be called anew. `relies_on_holder`
--- a/src/entry/news/server_changes.rs
+++ b/src/entry/news/server_changes.rs
@@ -97,16 +97,16 @@
 
 impl RecentChanges {
     /// Notes changes; what was known is forgotten if there is a gap before them.
-    pub fn note(&mut self, news: &ServerChanges) {
-        if news.after > self.up_to {
+    pub fn note(&mut self, updates: &ServerChanges) {
+        if updates.after > self.up_to {
             self.changes.clear();
-            self.after = news.after;
-            self.up_to = news.after;
+            self.after = updates.after;
+            self.up_to = updates.after;
         }
         let known_up_to = self.up_to;
-        let new = news.changes.iter().filter(|c| c.version > known_up_to);
+        let new = updates.changes.iter().filter(|c| c.version > known_up_to);
         self.changes.extend(new.cloned());
-        self.up_to = self.up_to.max(news.up_to);
+        self.up_to = self.up_to.max(updates.up_to);
         while self.changes.len() > KEPT_MAX {
             let dropped = self.changes.pop_front();
             self.after = dropped.map_or(self.after, |change| change.version);
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -12,7 +12,7 @@
         key_loads::KEYS,
     },
     keys::{Assignment, Holding, KeyPart, KeyRange},
-    news::{announcement::MoveAnnouncement, followed::FOLLOWER_REST_MAX_MS},
+    updates::{announcement::MoveAnnouncement, followed::FOLLOWER_REST_MAX_MS},
 };
 use crate::clock;
 
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -14,7 +14,7 @@
     },
     digest::RequestDigest,
     keys::Holding,
-    news::{
+    updates::{
         announcement::MoveAnnouncement, configuration_pieces::Piece, evacuation::Evacuations,
         freshness::StoreStateReport, server_changes::ServerChanges,
     },
@@ -163,7 +163,7 @@
         /// When this was sent, by its clock.
         sent_ms: u64,
         /// What it knows of the store.
-        news: StoreStateReport,
+        updates: StoreStateReport,
         /// Number of hosts, the sender included.
         hosts: u32,
         /// Keys that get too many requests.
@@ -263,7 +263,7 @@
         /// Of the question.
         nonce: u64,
         /// What it knows of the store.
-        news: StoreStateReport,
+        updates: StoreStateReport,
         /// Zones that are evacuated.
         evacuations: Evacuations,
     },
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -13,7 +13,7 @@
 use super::message::Message;
 use crate::{
     clock,
-    entry::{Entry, keys::Holding, news::announcement::MoveAnnouncement},
+    entry::{Entry, keys::Holding, updates::announcement::MoveAnnouncement},
 };
 
 /// Interval at which word is sent; requests wait for it.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -14,7 +14,7 @@
         Entry,
         decide::hot_keys::HotKey,
         keys::Holding,
-        news::{
+        updates::{
             announcement::MoveAnnouncement, followed::FollowedTable, freshness::StoreStateReport,
         },
         owners::Owner,
@@ -105,7 +105,7 @@
             Message::Holder {
                 term,
                 sent_ms,
-                news,
+                updates,
                 hosts,
                 hot,
                 evacuations,
@@ -115,8 +115,8 @@
                 // A later state counts, however it came here.
                 self.view.evacuate(evacuations);
                 self.put_in_quarantine(&quarantined, "the holder of the duty tells it");
-                let news = news.aged_by(self.peers.excess_delay_ms(term, sent_ms));
-                self.note_holder(from, term, news, hot);
+                let updates = updates.aged_by(self.peers.excess_delay_ms(term, sent_ms));
+                self.note_holder(from, term, updates, hot);
             }
             Message::Report { servers, paces, .. } => {
                 self.peers.note_report(from, servers);
@@ -170,9 +170,9 @@
             }
             Message::Word {
                 nonce,
-                news,
+                updates,
                 evacuations,
-            } => self.note_relay_report(nonce, news, evacuations),
+            } => self.note_relay_report(nonce, updates, evacuations),
             Message::AskProof { nonce } => {
                 if let Some(proof) = self.proof_for(nonce) {
                     self.peers.send(&proof, &[from]);
@@ -194,12 +194,12 @@
         }
     }
 
-    fn note_holder(&self, from: SocketAddr, term: u64, news: StoreStateReport, hot: Vec<HotKey>) {
+    fn note_holder(&self, from: SocketAddr, term: u64, updates: StoreStateReport, hot: Vec<HotKey>) {
         if let Some(term) = self.duty.note_other_term(term) {
             self.peers.send(&Message::Stopped { term }, &[from]);
         }
         if self.peers.note_holder(from, term) {
-            self.note_store_answer(self.freshness.note_announced(news));
+            self.note_store_answer(self.freshness.note_announced(updates));
             self.hot_keys.note_announced(hot, clock::now_ms());
         }
     }
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -147,7 +147,7 @@
         let message = Message::Holder {
             term: self.duty.term(),
             sent_ms: clock::now_ms(),
-            news: self.freshness.news(self.view.store_answered_ms()),
+            updates: self.freshness.updates(self.view.store_answered_ms()),
             hosts: self.peers.known() as u32,
             hot: self.hot_keys.tell(clock::now_ms()),
             evacuations: self.view.evacuations(),
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -120,7 +120,7 @@
             .zone_news
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .news(summaries, now_ms);
+            .updates(summaries, now_ms);
         for summaries in parts(&summaries) {
             let zone_tag = own.zone_tag;
             let message = Message::ZoneLoads {
--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -71,8 +71,8 @@
 
 impl ZoneNews {
     /// Those of the sums that say something new.
-    pub fn news(&mut self, sums: Vec<ServerSummary>, now_ms: u64) -> Vec<ServerSummary> {
-        let mut news: Vec<ServerSummary> = sums
+    pub fn updates(&mut self, sums: Vec<ServerSummary>, now_ms: u64) -> Vec<ServerSummary> {
+        let mut updates: Vec<ServerSummary> = sums
             .iter()
             .copied()
             .filter(|sum| self.is_news(*sum, now_ms))
@@ -82,11 +82,11 @@
             let told = told.summary;
             told.in_flight > 0 && !named.contains(tag)
         });
-        news.extend(ended.map(|(_, told)| ServerSummary {
+        updates.extend(ended.map(|(_, told)| ServerSummary {
             in_flight: 0,
             ..told.summary
         }));
-        for sum in &news {
+        for sum in &updates {
             let told = Heard {
                 summary: *sum,
                 at_ms: now_ms,
@@ -95,7 +95,7 @@
         }
         self.told
             .retain(|_, told| now_ms < told.at_ms + RUNS_KEPT_MS);
-        news
+        updates
     }
 
     fn is_news(&self, sum: ServerSummary, now_ms: u64) -> bool {
--- a/src/entry/register.rs
+++ b/src/entry/register.rs
@@ -10,7 +10,7 @@
 use super::{
     Entry,
     join::host_key,
-    news::own_rows::{HOSTS_PART, HostRow, TABLE},
+    updates::own_rows::{HOSTS_PART, HostRow, TABLE},
     watch::pause_for,
 };
 use crate::platform::store::{Expect, Put, Row, Transacted, Transaction};
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -10,7 +10,7 @@
     decide::{admission, notices::Notices},
     events::Event,
     model::ServerEntry,
-    news::evacuation::Evacuations,
+    updates::evacuation::Evacuations,
     server::Server,
 };
 use crate::{
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -9,7 +9,7 @@
 
 use super::{
     Entry,
-    news::{
+    updates::{
         configuration_pieces::{Piece, PieceAssembly, SnapshotConfiguration, cut},
         followed::FollowedTable,
         server_changes::{RecentChanges, ServerChanges},
@@ -99,11 +99,11 @@
 
 impl Entry {
     /// Passes changes of servers' entries on that the store told this host, which has the duty.
-    pub(super) fn pass_servers_on(&self, news: &ServerChanges) {
-        if news.changes.is_empty() || news.changes.len() > PASSED_MAX {
+    pub(super) fn pass_servers_on(&self, updates: &ServerChanges) {
+        if updates.changes.is_empty() || updates.changes.len() > PASSED_MAX {
             return;
         }
-        for part in news.clone().split() {
+        for part in updates.clone().split() {
             self.peers.send_to_all(Message::Servers(part));
         }
     }
@@ -209,10 +209,10 @@
     }
 
     /// Takes in changes of servers' entries, unless some before them are not known here.
-    pub(super) fn take_news_of_servers(&self, news: ServerChanges) {
-        let up_to = news.up_to;
+    pub(super) fn take_news_of_servers(&self, updates: ServerChanges) {
+        let up_to = updates.up_to;
         let applied = self.freshness.applied(FollowedTable::Servers);
-        let Some(changes) = news.new_after(applied) else {
+        let Some(changes) = updates.new_after(applied) else {
             return;
         };
         self.relay.note_changes(&ServerChanges {
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -12,7 +12,7 @@
     Entry,
     events::Event,
     keys::{self, Assignment, KeyPart},
-    news::{
+    updates::{
         evacuation::Evacuations,
         followed::FollowedTable,
         own_rows::{HOST_PREFIX, HostRow, QUARANTINE_KEY, SECRET_KEY, parse_holdings_key},
--- a/src/entry/secret.rs
+++ b/src/entry/secret.rs
@@ -6,7 +6,7 @@
 
 use super::{
     Entry,
-    news::{
+    updates::{
         followed::FollowedTable,
         own_rows::{SECRET_KEY, TABLE},
     },
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -12,7 +12,7 @@
     events::Event,
     keys::{Holding, KeyPart},
     model::Configuration,
-    news::{announcement::MoveAnnouncement, evacuation::Evacuations, followed::FollowedTable},
+    updates::{announcement::MoveAnnouncement, evacuation::Evacuations, followed::FollowedTable},
     owners::{Held, HeldRow, Owner, Owners},
     registry::Registry,
 };
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -10,7 +10,7 @@
 use super::{
     Entry,
     limits::POLL_EVERY_MS,
-    news::{
+    updates::{
         evacuation::Evacuations,
         followed::{FollowedTable, SyncRole},
         freshness::StoreStateReport,
@@ -107,10 +107,10 @@
 
     /// What this host can tell of the store, for a host that hears no holder.
     pub(super) fn word_for(&self, nonce: u64) -> Option<Message> {
-        let news = self.freshness.store_state(self.view.store_answered_ms())?;
+        let updates = self.freshness.store_state(self.view.store_answered_ms())?;
         Some(Message::Word {
             nonce,
-            news,
+            updates,
             evacuations: self.view.evacuations(),
         })
     }
@@ -119,12 +119,12 @@
     pub(super) fn note_relay_report(
         &self,
         nonce: u64,
-        news: StoreStateReport,
+        updates: StoreStateReport,
         evacuations: Evacuations,
     ) {
         // A later state counts, however it came here.
         self.view.evacuate(evacuations);
-        if let Some(answered_ms) = self.freshness.note_relay_report(nonce, news) {
+        if let Some(answered_ms) = self.freshness.note_relay_report(nonce, updates) {
             self.note_store_answer(answered_ms);
         }
     }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -14,7 +14,7 @@
     Entry,
     events::Event,
     limits::POLL_EVERY_MS,
-    news::{
+    updates::{
         followed::{FollowedTable, HISTORY_MS, SyncRole},
         freshness::RecallReason,
         own_rows::{HOSTS_PART, TABLE},
@@ -202,15 +202,15 @@
     }
 
     fn take_server_rows(&self, after: u64, rows: &Rows) {
-        let news = ServerChanges {
+        let updates = ServerChanges {
             after,
             up_to: rows.version,
             changes: decode_servers(&rows.rows),
         };
         if self.duty.term() > 0 {
-            self.pass_servers_on(&news);
+            self.pass_servers_on(&updates);
         }
-        self.take_news_of_servers(news);
+        self.take_news_of_servers(updates);
     }
 
     /// Notes that the store has told all changes of a table up to a time.
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -7,8 +7,8 @@
 use ashroad::entry::{
     keys::{Assignment, Holding, KeyPart, KeyRange},
     model::{ServerEntry, incarnation_id},
-    news::snapshot::Snapshot,
     owners::HeldRow,
+    updates::snapshot::Snapshot,
 };
 use http::StatusCode;
 use serde_json::{Value, json};
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -3,7 +3,7 @@
 
 use ashroad::entry::{
     decide::trust::{TrustLimits, Verdict, judge},
-    news::proof::ConfigurationProof,
+    updates::proof::ConfigurationProof,
 };
 use quickcheck::quickcheck;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -107,8 +107,8 @@
             .partition(|(at_ms, _)| *at_ms <= now_ms);
         self.inbox = later;
         let due: Vec<(u64, News)> = due;
-        for (_, news) in due {
-            match news {
+        for (_, updates) in due {
+            match updates {
                 News::Store { asked_ms, version } => {
                     self.version = self.version.max(version);
                     self.proof.note(asked_ms);
@@ -176,7 +176,7 @@
         }
         let [to_ms, back_ms] = [self.delay_ms(), self.delay_ms()];
         let answered_ms = now_ms + to_ms;
-        let news = if place == HOLDER {
+        let updates = if place == HOLDER {
             News::Store {
                 asked_ms: now_ms,
                 version: self.operators.version(answered_ms),
@@ -195,7 +195,9 @@
                 version: holder.version,
             }
         };
-        self.hosts[place].inbox.push((answered_ms + back_ms, news));
+        self.hosts[place]
+            .inbox
+            .push((answered_ms + back_ms, updates));
     }
 
     fn check(&mut self, place: usize, now_ms: u64) -> Result<(), String> {
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -21,15 +21,15 @@
         keys::{Assignment, Holding, KeyPart, KeyRange},
         losses::{Loss, losses},
         model::{CallerLimits, Configuration, Part, Route, ServerEntry},
-        news::{
-            announcement::MoveAnnouncement,
-            server_changes::{ServerChange, ServerChanges, ServerUpdate},
-        },
         peers::{message::Message, outbox::Outbox, report_every_ms},
         registry::Registry,
         seal::{Seal, SecretRow},
         server::Server,
         settings::Settings,
+        updates::{
+            announcement::MoveAnnouncement,
+            server_changes::{ServerChange, ServerChanges, ServerUpdate},
+        },
     },
     platform::store::{Row, Rows},
 };
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -11,12 +11,12 @@
         },
         digest::{RequestDigest, RequestDigests},
         model::{Notice, ServerEntry, Warmup, incarnation_id},
-        news::{
+        registry::Registry,
+        server::WarmupLimit,
+        updates::{
             configuration_pieces::{PieceAssembly, cut},
             evacuation::Evacuations,
         },
-        registry::Registry,
-        server::WarmupLimit,
         view::View,
     },
     platform::{config, servers},
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -13,7 +13,7 @@
 use ashroad::entry::{
     bounds::Bounds,
     limits::TimeLimits,
-    news::{
+    updates::{
         followed::FollowedTable,
         freshness::{Freshness, StoreStateReport},
     },
@@ -37,7 +37,7 @@
     TimeLimits::new(&bounds)
 }
 
-fn news(age_ms: u32, changed: u64) -> StoreStateReport {
+fn updates(age_ms: u32, changed: u64) -> StoreStateReport {
     StoreStateReport {
         age_ms,
         changed: [changed; 3],
@@ -53,7 +53,7 @@
     let [relay, other] = [Freshness::new(&limits), Freshness::new(&limits)];
     relay.set_relay(true);
     for host in [&relay, &other] {
-        host.note_announced(news(age_ms, 5));
+        host.note_announced(updates(age_ms, 5));
         assert!(host.needs_relay());
     }
     assert!(!relay.is_store_confirmed());
@@ -69,22 +69,25 @@
     let now_ms = ashroad::clock::now_ms();
     host.ask(1, now_ms);
     assert_eq!(
-        host.note_relay_report(2, news(0, 9)),
+        host.note_relay_report(2, updates(0, 9)),
         None,
         "no such question"
     );
-    assert_eq!(host.note_relay_report(1, news(300, 9)), Some(now_ms - 300));
+    assert_eq!(
+        host.note_relay_report(1, updates(300, 9)),
+        Some(now_ms - 300)
+    );
     assert!(host.is_store_confirmed());
     assert!(host.is_behind(FollowedTable::Servers, 8));
     assert_eq!(
-        host.note_relay_report(1, news(0, 9)),
+        host.note_relay_report(1, updates(0, 9)),
         None,
         "answered already"
     );
     // An answer that was on its way for as long as the host stood still.
     let frozen = Freshness::new(&limits);
     frozen.ask(1, now_ms - limits.trust_ms);
-    frozen.note_relay_report(1, news(0, 9));
+    frozen.note_relay_report(1, updates(0, 9));
     assert!(!frozen.is_store_confirmed());
 }
 
@@ -92,13 +95,13 @@
 fn later_word_keeps_the_changes_that_earlier_word_told() {
     let limits = limits();
     let host = Freshness::new(&limits);
-    host.note_announced(news(1_000, 20));
+    host.note_announced(updates(1_000, 20));
     host.ask(1, ashroad::clock::now_ms());
-    host.note_relay_report(1, news(100, 10));
+    host.note_relay_report(1, updates(100, 10));
     assert!(host.is_behind(FollowedTable::Servers, 19));
     assert!(host.has_left_since(19));
     // Word of the holder that is older than the relay's does not make the host doubt.
-    host.note_announced(news(limits.trust_ms as u32, 20));
+    host.note_announced(updates(limits.trust_ms as u32, 20));
     assert!(host.is_store_confirmed());
 }
 
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -8,7 +8,6 @@
         rate_parts::AskedRates,
     },
     digest::RequestDigest,
-    news::configuration_pieces::{Piece, PieceAssembly, cut},
     peers::{
         fanout::{
             DIRECT_HOSTS_MAX, OneWayDelay, RelayCandidate, fanout, zone_aggregator, zone_relays,
@@ -21,6 +20,7 @@
         zone_loads::{ZoneLoads, ZoneNews, parts},
     },
     server::tag_of,
+    updates::configuration_pieces::{Piece, PieceAssembly, cut},
 };
 use quickcheck::quickcheck;
 
@@ -219,7 +219,7 @@
     const SERVERS: u32 = 3_000;
     const BUSY: u32 = 300;
     const SUM_EVERY_MS: u64 = 250;
-    let mut news = ZoneNews::default();
+    let mut updates = ZoneNews::default();
     let mut heard = ZoneLoads::default();
     let mut told = 0;
     let rounds = 40;
@@ -228,7 +228,7 @@
         let busy = |tag: u32| (tag + round * 60) % SERVERS < BUSY;
         let sums = (0..SERVERS).map(|tag| summary(tag, u16::from(busy(tag))));
         let sums: Vec<ServerSummary> = sums.collect();
-        let new = news.news(sums.clone(), now_ms);
+        let new = updates.updates(sums.clone(), now_ms);
         if round > 0 {
             told += new.len();
         }
