--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -10,8 +10,8 @@
     Entry,
     decide::trust::{self, TrustLimits, Verdict},
     model::{Configuration, Route},
-    updates::followed::FollowedTable,
     peers::message::Message,
+    updates::followed::FollowedTable,
     watch,
     workspaces::WorkspaceKey,
 };
--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -8,11 +8,11 @@
     entry::{
         Entry,
         keys::{Assignment, DecodeError, Holding, KeyPart},
+        owners::{Held, HeldRow},
         updates::{
             followed::FollowedTable,
             own_rows::{TABLE, holdings_key},
         },
-        owners::{Held, HeldRow},
         watch::pause,
     },
     platform::store::{Expect, Put, Row, Transacted, Transaction},
--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -14,8 +14,8 @@
     entry::{
         Entry,
         events::Event,
-        updates::own_rows::{HOST_PREFIX, HOSTS_PART, TABLE},
         rows::decode_holdings,
+        updates::own_rows::{HOST_PREFIX, HOSTS_PART, TABLE},
         watch::pause,
     },
 };
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -17,11 +17,11 @@
             rate_parts,
             return_time::Refused,
         },
-        updates::followed::FollowedTable,
         owners::Owner,
         peers::message::Message,
         registry::Registry,
         server::{Server, tag_of},
+        updates::followed::FollowedTable,
     },
     transport::AnswerBody,
 };
--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -16,12 +16,12 @@
         Entry,
         limits::POLL_EVERY_MS,
         model::ServerEntry,
+        peers::HostFacts,
+        server::tag_of,
         updates::{
             followed::FollowedTable,
             snapshot::{Snapshot, SnapshotHost},
         },
-        peers::HostFacts,
-        server::tag_of,
     },
     platform::{self, Link},
 };
--- a/src/entry/join/guides.rs
+++ b/src/entry/join/guides.rs
@@ -8,9 +8,9 @@
 use crate::{
     entry::{
         Entry,
-        updates::own_rows::{GUIDES_KEY, TABLE},
         peers::Guide,
         server::tag_of,
+        updates::own_rows::{GUIDES_KEY, TABLE},
     },
     platform::store::{Put, Row, Transaction},
 };
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -27,11 +27,11 @@
 use super::{
     Entry,
     events::Event,
+    server::tag_of,
     updates::{
         followed::FollowedTable,
         own_rows::{GUIDES_KEY, SECRET_KEY, TABLE},
     },
-    server::tag_of,
     watch::pause,
 };
 use crate::{clock, platform::store::PART};
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -13,11 +13,11 @@
     clock,
     entry::{
         Entry,
+        server::tag_of,
         updates::{
             followed::FollowedTable,
             snapshot::{Snapshot, SnapshotHost},
         },
-        server::tag_of,
     },
     transport::{self, AnswerBody, ListenerLimits},
 };
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -15,8 +15,8 @@
         duty::{Change, Reassignment},
         events::Event,
         keys::{Assignment, Holding, KeyRange},
-        updates::announcement::MoveAnnouncement,
         server::tag_of,
+        updates::announcement::MoveAnnouncement,
     },
     platform::{
         self, Link,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -18,7 +18,6 @@
 pub mod losses;
 pub mod metrics;
 pub mod model;
-pub mod updates;
 mod notices;
 pub mod owners;
 pub mod peers;
@@ -36,6 +35,7 @@
 pub mod server;
 pub mod settings;
 pub mod shared_rate;
+pub mod updates;
 pub mod view;
 mod vouching;
 mod watch;
@@ -65,11 +65,11 @@
     limits::TimeLimits,
     metrics::Metrics,
     model::Warmup,
-    updates::{freshness::Freshness, proof::ConfigurationProof},
     peers::Peers,
     quotas::Quotas,
     relay::Relay,
     server::WarmupLimit,
+    updates::{freshness::Freshness, proof::ConfigurationProof},
     view::View,
 };
 use crate::platform::store::Store;
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -34,7 +34,9 @@
     outbox::Outbox,
     zone_loads::{ZoneLoads, ZoneNews},
 };
-use super::{decide::choice::HostCount, updates::snapshot::SnapshotHost, seal::Seal, server::tag_of};
+use super::{
+    decide::choice::HostCount, seal::Seal, server::tag_of, updates::snapshot::SnapshotHost,
+};
 use crate::clock;
 
 /// What the other hosts reported of a server.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -14,11 +14,11 @@
         Entry,
         decide::hot_keys::HotKey,
         keys::Holding,
+        owners::Owner,
+        server::tag_of,
         updates::{
             announcement::MoveAnnouncement, followed::FollowedTable, freshness::StoreStateReport,
         },
-        owners::Owner,
-        server::tag_of,
     },
 };
 
@@ -194,7 +194,13 @@
         }
     }
 
-    fn note_holder(&self, from: SocketAddr, term: u64, updates: StoreStateReport, hot: Vec<HotKey>) {
+    fn note_holder(
+        &self,
+        from: SocketAddr,
+        term: u64,
+        updates: StoreStateReport,
+        hot: Vec<HotKey>,
+    ) {
         if let Some(term) = self.duty.note_other_term(term) {
             self.peers.send(&Message::Stopped { term }, &[from]);
         }
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -10,8 +10,8 @@
     decide::{admission, notices::Notices},
     events::Event,
     model::ServerEntry,
-    updates::evacuation::Evacuations,
     server::Server,
+    updates::evacuation::Evacuations,
 };
 use crate::{
     clock,
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -9,13 +9,13 @@
 
 use super::{
     Entry,
+    peers::message::Message,
+    rows::decode_servers,
     updates::{
         configuration_pieces::{Piece, PieceAssembly, SnapshotConfiguration, cut},
         followed::FollowedTable,
         server_changes::{RecentChanges, ServerChanges},
     },
-    peers::message::Message,
-    rows::decode_servers,
 };
 use crate::platform::{
     config,
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -12,15 +12,15 @@
     Entry,
     events::Event,
     keys::{self, Assignment, KeyPart},
+    owners::HeldRow,
+    peers::HostFacts,
+    server::tag_of,
     updates::{
         evacuation::Evacuations,
         followed::FollowedTable,
         own_rows::{HOST_PREFIX, HostRow, QUARANTINE_KEY, SECRET_KEY, parse_holdings_key},
         server_changes::{ServerChange, ServerUpdate},
     },
-    owners::HeldRow,
-    peers::HostFacts,
-    server::tag_of,
 };
 use crate::platform::{
     Error, config, servers,
--- a/src/entry/secret.rs
+++ b/src/entry/secret.rs
@@ -6,11 +6,11 @@
 
 use super::{
     Entry,
+    seal::SecretRow,
     updates::{
         followed::FollowedTable,
         own_rows::{SECRET_KEY, TABLE},
     },
-    seal::SecretRow,
 };
 use crate::{
     clock,
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -236,7 +236,10 @@
     pub fn note_relay_report(&self, nonce: u64, updates: StoreStateReport) -> Option<u64> {
         let asked_ms = self.question.answered(nonce)?;
         let answered_ms = asked_ms.saturating_sub(u64::from(updates.age_ms));
-        let store_state = ReceivedReport { answered_ms, updates };
+        let store_state = ReceivedReport {
+            answered_ms,
+            updates,
+        };
         let earlier = *self.received();
         let is_new = earlier.is_none_or(|received| received.answered_ms < answered_ms);
         self.apply_received(earlier.map_or(store_state, |earlier| store_state.or_later(earlier)));
@@ -246,7 +249,10 @@
     /// Notes what the holder told. The result is when the store answered it.
     pub fn note_announced(&self, updates: StoreStateReport) -> u64 {
         let answered_ms = clock::now_ms().saturating_sub(u64::from(updates.age_ms));
-        let received = ReceivedReport { answered_ms, updates };
+        let received = ReceivedReport {
+            answered_ms,
+            updates,
+        };
         let earlier = *self.received();
         let latest = earlier.map_or(received, |earlier| received.or_later(earlier));
         self.apply_received(latest);
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -12,9 +12,9 @@
     events::Event,
     keys::{Holding, KeyPart},
     model::Configuration,
-    updates::{announcement::MoveAnnouncement, evacuation::Evacuations, followed::FollowedTable},
     owners::{Held, HeldRow, Owner, Owners},
     registry::Registry,
+    updates::{announcement::MoveAnnouncement, evacuation::Evacuations, followed::FollowedTable},
 };
 use crate::clock;
 
--- a/src/entry/vouching.rs
+++ b/src/entry/vouching.rs
@@ -10,12 +10,12 @@
 use super::{
     Entry,
     limits::POLL_EVERY_MS,
+    peers::message::Message,
     updates::{
         evacuation::Evacuations,
         followed::{FollowedTable, SyncRole},
         freshness::StoreStateReport,
     },
-    peers::message::Message,
 };
 use crate::clock;
 
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -14,13 +14,13 @@
     Entry,
     events::Event,
     limits::POLL_EVERY_MS,
+    rows::decode_servers,
     updates::{
         followed::{FollowedTable, HISTORY_MS, SyncRole},
         freshness::RecallReason,
         own_rows::{HOSTS_PART, TABLE},
         server_changes::ServerChanges,
     },
-    rows::decode_servers,
 };
 use crate::{
     clock,
