--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -23,7 +23,7 @@
     decide::{Policy, return_time::Refused},
     digest::RequestDigests,
     events::Event,
-    model::{Configuration, Part, Route},
+    model::{Configuration, Route, RouteTarget},
     server::tag_of,
     workspaces::WorkspaceKey,
 };
@@ -232,7 +232,7 @@
 }
 
 /// Draws one of a route's services in proportion to the weights.
-fn choose_part(parts: &[Part]) -> Option<&Part> {
+fn choose_part(parts: &[RouteTarget]) -> Option<&RouteTarget> {
     if parts.len() == 1 {
         return parts.first();
     }
