--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -29,7 +29,7 @@
     /// True if this host knows all changes of a table that it has heard of, or has learned them from another host. False
     /// if it must ask the store.
     pub(in crate::entry) async fn is_caught_up_by_others(&self, followed: FollowedTable) -> bool {
-        if self.sync_role() != SyncRole::Told || !self.may_ask_others(followed) {
+        if self.sync_role() != SyncRole::Follower || !self.may_ask_others(followed) {
             return false;
         }
         let patience = Duration::from_millis(self.patience_ms(followed));
