--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -20,7 +20,7 @@
         explain::Source,
         keys::{Assignment, Holding, KeyPart, KeyRange},
         losses::{Loss, losses},
-        model::{CallerLimits, Configuration, Part, Route, ServerEntry},
+        model::{CallerLimits, Configuration, Route, RouteTarget, ServerEntry},
         peers::{message::Message, outbox::Outbox, report_every_ms},
         registry::Registry,
         seal::{Seal, SecretRow},
@@ -668,7 +668,7 @@
             priority: 0,
             is_public: false,
             regions: Vec::new(),
-            parts: vec![Part {
+            parts: vec![RouteTarget {
                 service: "s".into(),
                 weight: 1.0,
             }],
