--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -186,7 +186,7 @@
         workspace,
         times,
     } = asked;
-    let Some(part) = choose_part(&route.parts) else {
+    let Some(part) = choose_target(&route.parts) else {
         let policy = &entry.settings.policy;
         return refusal(&Refused::soon("the route has no service", policy));
     };
@@ -232,7 +232,7 @@
 }
 
 /// Draws one of a route's services in proportion to the weights.
-fn choose_part(parts: &[RouteTarget]) -> Option<&RouteTarget> {
+fn choose_target(parts: &[RouteTarget]) -> Option<&RouteTarget> {
     if parts.len() == 1 {
         return parts.first();
     }
