--- a/src/entry/updates/announcement.rs
+++ b/src/entry/updates/announcement.rs
@@ -1,16 +1,16 @@
-//! Moves of keys as the holder of the duty announces them.
+//! Announcements by the duty holder that keys are being moved between servers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::entry::{decide::hold::MoveRest, keys::KeyRange};
 
-/// What the holder tells of keys that are on their way to another server.
+/// Message of the duty holder that a range of keys is being moved to another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveAnnouncement {
-    /// Keys.
+    /// Range of keys being moved.
     pub range: KeyRange,
-    /// They are there once a grant under a higher fence is announced.
+    /// The move is complete once a grant of the range under a higher fence is announced.
     pub above_fence: u64,
-    /// Time after which this no longer counts, whatever was heard.
+    /// Remaining time after which the announcement expires, even if no grant was announced.
     pub rest: MoveRest,
 }
--- a/src/entry/updates/configuration_pieces.rs
+++ b/src/entry/updates/configuration_pieces.rs
@@ -1,4 +1,5 @@
-//! The operators' configuration on its way from one host to another, so that not each of them calls the store for it.
+//! Splits the operators' configuration into datagrams and reassembles it, so that not every host
+//! has to read it from the store.
 
 use std::sync::Arc;
 
@@ -6,41 +7,42 @@
 
 use super::evacuation::Evacuations;
 
-/// Bytes of one piece, which stays under the usual packet size.
+/// Most bytes of content in one piece, chosen to keep the datagram below the usual packet size.
 const PIECE_BYTES: usize = 1_200;
-/// Most pieces of a configuration that is passed on. A larger one would fill the links of small
-/// hosts for longer than each of them takes to read it by itself.
+/// Most pieces of a configuration that is broadcast. A larger one would occupy the links of small
+/// hosts for longer than each of them takes to read it from the store.
 const PIECES_MAX: usize = 12;
 
-/// Piece of a configuration as it stands in the store.
+/// One piece of a configuration row, byte for byte as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
-    /// Version of the row.
+    /// Version of the configuration row in the store.
     pub version: u64,
-    /// Version of the latest evacuation that the sender knows.
+    /// Version of the latest evacuation known to the sender. The receiver uses it to detect an
+    /// evacuation that it has missed.
     pub evacuations: u64,
-    /// Place of this piece.
+    /// Index of this piece, from 0.
     pub index: u16,
-    /// Number of pieces.
+    /// Number of pieces that the configuration was split into.
     pub count: u16,
-    /// Content.
+    /// Part of the row's content.
     pub bytes: Vec<u8>,
 }
 
-/// A configuration as one host knows it.
+/// Configuration and evacuated zones, as handed to a starting host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotConfiguration {
-    /// Version of the row.
+    /// Version of the configuration row in the store.
     pub version: u64,
-    /// Version up to which all changes of the operators' table are in.
+    /// Version up to which all changes of the operators' table are included.
     pub up_to: u64,
-    /// Zones that are evacuated.
+    /// Evacuated zones.
     pub evacuations: Evacuations,
-    /// Content.
+    /// Content of the configuration row.
     pub value: Arc<[u8]>,
 }
 
-/// Pieces of a configuration; none if it is too large to be passed on.
+/// Splits a configuration into pieces. Returns no pieces if it is too large to be broadcast.
 pub fn cut(version: u64, evacuations: u64, content: &[u8]) -> Vec<Piece> {
     let pieces = content.chunks(PIECE_BYTES);
     let count = pieces.len();
@@ -57,7 +59,7 @@
     pieces.enumerate().map(piece).collect()
 }
 
-/// Pieces of the latest configuration that have arrived.
+/// Pieces received so far of the latest configuration version.
 #[derive(Debug, Default)]
 pub struct PieceAssembly {
     version: u64,
@@ -65,7 +67,8 @@
 }
 
 impl PieceAssembly {
-    /// Takes a piece; the whole content once all pieces of the latest version are there.
+    /// Adds a piece. Returns the whole content once all pieces of the latest version have arrived;
+    /// pieces of earlier versions are ignored.
     pub fn take(&mut self, piece: Piece) -> Option<Vec<u8>> {
         let count = usize::from(piece.count);
         if piece.version < self.version || count > PIECES_MAX {
--- a/src/entry/updates/evacuation.rs
+++ b/src/entry/updates/evacuation.rs
@@ -1,22 +1,22 @@
-//! Availability zones that operators evacuate: their servers get no new work until the zone is taken
-//! back. The holder of the duty tells the whole state in each heartbeat, so that a lost datagram costs
-//! one interval.
+//! Availability zones evacuated by operators: their servers get no new work until the zone is
+//! restored. Each heartbeat of the duty holder carries the complete list, so a lost datagram delays
+//! the news by one heartbeat interval only.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Zones that are evacuated at a version of the operators' table.
+/// List of evacuated zones at one version of the operators' table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// Version at which this holds; 0 if the table was not read yet.
+    /// Version of the operators' table that the list belongs to; 0 if the table was not read yet.
     pub version: u64,
-    /// Zones, in the order of their names.
+    /// Names of the evacuated zones, sorted.
     pub zones: Vec<Arc<str>>,
 }
 
 impl Evacuations {
-    /// Notes that a zone is evacuated, or taken back, unless something later is known.
+    /// Records that a zone was evacuated or restored, unless an equal or later version is known.
     pub fn change(&mut self, version: u64, zone: &str, evacuated: bool) {
         if version <= self.version {
             return;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// True if a zone is evacuated.
+    /// Returns whether a zone is evacuated.
     pub fn contains(&self, zone: &str) -> bool {
         self.zones.iter().any(|known| **known == *zone)
     }
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -1,4 +1,5 @@
-//! The tables of the store that a host follows, and how often it asks for what has changed.
+//! Tables of the store that a host follows by change feeds, and the wait and pause times of these
+//! feeds.
 
 use super::own_rows::TABLE;
 use crate::{
@@ -6,64 +7,68 @@
     platform::{config, servers},
 };
 
-/// Longest wait of the servers' feed at the store while no other host vouches for the store. A
-/// silent store is noticed a second after that, early enough to know the configuration within the
-/// bounds once a cut has healed.
+/// Longest wait of a feed call at the store while no other host confirms the store. A store that
+/// stopped answering is detected within a second after that, early enough to apply the
+/// configuration within its bound once a network partition has healed.
 const ALONE_WAIT_MS: u64 = 3_000;
-/// Longest wait of feeds that are called anew when anything shows that they are deaf. Calls are
-/// priced, so they wait for long; the store allows 30 s.
+/// Longest wait of a feed call that is abandoned and repeated as soon as another host reports a
+/// change that the feed did not deliver. Calls are billed, so the wait is long; the store allows up
+/// to 30 s.
 const FOLLOWER_WAIT_MS: u64 = 25_000;
-/// Longest rest of a feed while the holder of the duty passes all changes on. A host that has
-/// missed one notices by the holder's news, or when it meets a host or a secret that it does not
-/// know, or a server that no longer holds a key.
+/// Longest pause of a feed while the duty holder broadcasts all changes. A host that has missed a
+/// change notices it by the versions in the duty holder's heartbeat, or when it meets an unknown
+/// host or secret, or a server that no longer holds a key.
 pub const FOLLOWER_REST_MAX_MS: u64 = 120_000;
-/// Time after its start until a host reads the product's own rows again, if it hears no holder.
+/// Time after its start that a host waits for a heartbeat of the duty holder before it reads the
+/// product's own rows again.
 const OWN_START_REST_MS: u64 = 2_500;
-/// Least rest of the feed of the product's own rows.
+/// Shortest pause of the feed of the product's own rows.
 const OWN_REST_MS: u64 = 300;
-/// Time without a call after which a table is read as a whole: the store keeps the history of
-/// 20 s, and a feed that comes too late costs a call more.
+/// Time without a feed call after which the whole table is read. The store keeps 20 s of history,
+/// and a feed call that comes too late costs an extra call.
 pub const HISTORY_MS: u64 = 15_000;
-/// Number of hosts up to which feeds rest for their shortest time.
+/// Number of hosts up to which feeds use their shortest pause.
 const FEW_HOSTS: u64 = 11;
 
-/// What a host relies on to learn that the store has changed.
+/// How a host learns that the store has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncRole {
-    /// It has the duty, and the others rely on it.
+    /// This host is the duty holder; the others depend on its feeds.
     Holder,
-    /// It is a relay that hears no holder whom the store answers, and its zone relies on it.
+    /// This host is a relay without confirmation of the store by the duty holder; the hosts of its
+    /// zone depend on its feeds.
     Relay,
-    /// On the holder or a relay, one of which vouches for the store.
+    /// This host depends on the duty holder or a relay, which confirms the store.
     Follower,
-    /// On its own feeds alone.
+    /// Nobody confirms the store; this host depends on its own feeds alone.
     Alone,
 }
 
-/// A table that the host follows.
+/// A table of the store that hosts follow by a change feed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowedTable {
-    /// The operators' configuration.
+    /// Operators' table with the configuration and the evacuated zones.
     Configuration,
-    /// The servers' entries.
+    /// Entries by which servers register.
     Servers,
     /// The product's own rows: holdings and hosts.
     Own,
 }
 
 impl FollowedTable {
-    /// All of them.
+    /// All followed tables, in the order of [`Self::index`].
     pub const ALL: [Self; 3] = [Self::Configuration, Self::Servers, Self::Own];
 
-    /// Time in which a silent store is noticed at the latest, when nobody vouches for it.
+    /// Longest time until a store that stopped answering is detected while no other host confirms
+    /// it.
     pub const NOTICED_MS: u64 = ALONE_WAIT_MS + 500;
 
-    /// Place in arrays by table.
+    /// Returns the index of the table in per-table arrays.
     pub fn index(self) -> usize {
         self as usize
     }
 
-    /// Name of the table.
+    /// Returns the name of the table in the store.
     pub fn table(self) -> &'static str {
         match self {
             Self::Configuration => config::TABLE,
@@ -72,8 +77,9 @@
         }
     }
 
-    /// Time for which a feed may wait at the store. The holder of the duty has nobody who tells it
-    /// that its connections have fallen silent, and nor has a host that does not hear one.
+    /// Returns how long a feed call may wait at the store. The duty holder and hosts that hear no
+    /// duty holder use short waits, since nobody else can tell them that their connection has
+    /// failed silently.
     pub fn wait_ms(self, sync_role: SyncRole, limits: &TimeLimits) -> u64 {
         match (self, sync_role) {
             (Self::Own, _) | (_, SyncRole::Follower) => FOLLOWER_WAIT_MS,
@@ -83,9 +89,10 @@
         }
     }
 
-    /// Time for which a host that has just read the table waits to hear the holder of the duty before
-    /// it asks for changes: hosts that start together would all ask for each other's rows, which are
-    /// there after 2 s, as is the first holder. Meanwhile a host owes nobody a bound.
+    /// Returns how long a host that has just read the table waits for a heartbeat of the duty
+    /// holder before it asks for changes. Hosts that start together would otherwise all fetch each
+    /// other's rows; these are written after 2 s, when the first duty holder is there as well. The
+    /// wait lies within the contact grace period, in which the bounds do not apply.
     pub fn start_rest_ms(self, limits: &TimeLimits) -> u64 {
         match self {
             Self::Own => OWN_START_REST_MS,
@@ -93,15 +100,16 @@
         }
     }
 
-    /// How long a feed rests between two answers. Rests grow with the number of hosts, since each
-    /// change wakes all of them, as far as changes still take effect in time.
+    /// Returns the pause between two feed calls. Each change wakes the feeds of all hosts, so the
+    /// pause grows with the number of hosts, up to the limit at which changes still take effect in
+    /// time.
     pub fn rest(self, hosts: usize, sync_role: SyncRole, limits: &TimeLimits) -> Rest {
         let scaled = |few_hosts_ms: u64, many_hosts_ms: u64| {
             let scaled_ms = few_hosts_ms * hosts as u64 / FEW_HOSTS;
             scaled_ms.clamp(few_hosts_ms.min(many_hosts_ms), many_hosts_ms)
         };
         match (self, sync_role) {
-            // The others learn from the holder, or from a relay, what changes.
+            // All other hosts learn of changes from the duty holder or a relay.
             (Self::Configuration | Self::Servers, SyncRole::Holder | SyncRole::Relay) => {
                 Rest::fixed(limits.holder_rest_ms)
             }
@@ -119,7 +127,7 @@
             (Self::Servers, SyncRole::Alone) => {
                 Rest::fixed(scaled(SERVERS_REST_MS, limits.servers_rest_ms))
             }
-            // Holdings also come by datagram, once the holder knows this host.
+            // Holdings also arrive by datagram once the duty holder knows this host.
             (Self::Own, SyncRole::Follower) => Rest {
                 least_ms: OWN_REST_MS,
                 most_ms: FOLLOWER_REST_MAX_MS,
@@ -132,15 +140,15 @@
     }
 }
 
-/// Rest of the servers' feed among few hosts.
+/// Pause of the feed of servers' entries while there are few hosts.
 const SERVERS_REST_MS: u64 = 250;
 
-/// Time between two answers of a feed, so that changes that come together cost one call.
+/// Pause between two feed calls, which lets changes in quick succession share one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rest {
-    /// If there is reason to hurry.
+    /// Pause if there is a reason to call early, such as a read request or a missed change.
     pub least_ms: u64,
-    /// If there is none.
+    /// Pause if there is no such reason.
     pub most_ms: u64,
 }
 
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -1,7 +1,7 @@
-//! How fresh a host's view of the store is. The holder of the duty, which writes to the store all
-//! the time, tells the other hosts how long ago the store answered it and up to which version it
-//! has seen each table change. Their own feeds can then wait for long: one that is behind what the
-//! holder has seen is deaf, and is called anew.
+//! Tracks how recent a host's view of the store is. The duty holder writes to the store
+//! continuously. It reports to the other hosts how long ago the store answered it and up to which
+//! version it has seen each table. The feeds of the others can therefore wait for long: a feed that
+//! lags behind the reported version has failed silently and is called again.
 
 use std::{
     sync::{
@@ -22,25 +22,25 @@
 
 /// Number of followed tables.
 const TABLES: usize = FollowedTable::ALL.len();
-/// Word of what the store said that is not to be relied on.
+/// Age of a report that is too old to be trusted.
 const TOO_OLD_MS: u32 = u32::MAX;
 
-/// What the holder of the duty tells of the store.
+/// Report of the duty holder, or of a relay, on its view of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStateReport {
     /// Time since the store's last answer, or since the servers' entries or the configuration were
-    /// last followed if that is longer ago: all changes up to then are known.
+    /// last followed if that is longer ago. All changes up to then are known to the sender.
     pub age_ms: u32,
-    /// Version of the latest change that was seen, by table.
+    /// Version of the latest change seen, by table.
     pub changed: [u64; TABLES],
-    /// Version of the latest change by which a server was to get no new work.
+    /// Version of the latest change after which some server takes no new work.
     pub left: u64,
-    /// Version up to which the holder has each table, changed or not.
+    /// Version up to which the sender has read each table, whether or not anything changed.
     pub up_to: [u64; TABLES],
 }
 
 impl StoreStateReport {
-    /// The same after some time on its way.
+    /// Returns the report with the age increased by a delay in the network.
     pub fn aged_by(self, excess_delay_ms: u64) -> Self {
         let excess_delay_ms = u32::try_from(excess_delay_ms).unwrap_or(TOO_OLD_MS);
         Self {
@@ -49,7 +49,8 @@
         }
     }
 
-    /// The same with what earlier word knew of changes: later word of another host may not have them all.
+    /// Merges the changes known from an earlier report: a later report may come from another host
+    /// that has not seen all of them.
     fn with_changes_of(self, earlier: Self) -> Self {
         Self {
             changed: std::array::from_fn(|table| self.changed[table].max(earlier.changed[table])),
@@ -59,28 +60,29 @@
     }
 }
 
-/// What this host has heard of the store, and what the holder told.
+/// Versions and times of a host's own feeds, and the latest report of the store's state by another
+/// host.
 #[derive(Debug)]
 pub struct Freshness {
-    /// Age up to which what the holder tells is relied on.
+    /// Age up to which a report of another host is trusted.
     trust_ms: u64,
-    /// Time for which a feed may be behind the holder's.
+    /// Time for which a feed may lag behind a reported version.
     lag_grace_ms: u64,
-    /// Until when this host has followed each table; `u64::MAX` while a call waits at the store, 0
-    /// before the first.
+    /// Time until which this host has followed each table; `u64::MAX` while a call waits at the
+    /// store, 0 before the first call.
     followed_ms: [AtomicU64; TABLES],
-    /// Version up to which this host has each table.
+    /// Version up to which this host has applied each table.
     applied: [AtomicU64; TABLES],
     changed: [AtomicU64; TABLES],
     left: AtomicU64,
     received: Mutex<Option<ReceivedReport>>,
-    /// To a relay.
+    /// Query to a relay that was not answered yet.
     question: PendingQuery,
-    /// True while this host answers the hosts of its zone in the holder's stead.
+    /// True while this host reports the store's state to its zone in place of the duty holder.
     is_relay: AtomicBool,
 }
 
-/// News of the holder, with the time of the store's answer by this host's clock.
+/// Report of another host, with the time of the store's answer by this host's clock.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
     answered_ms: u64,
@@ -88,7 +90,7 @@
 }
 
 impl ReceivedReport {
-    /// The later one of two, with all changes that either knows.
+    /// Returns the later one of two reports, with all changes that either contains.
     fn or_later(self, other: Self) -> Self {
         let (later, earlier) = if self.answered_ms >= other.answered_ms {
             (self, other)
@@ -102,19 +104,19 @@
     }
 }
 
-/// Why a feed should be called anew.
+/// Reason to abandon a waiting feed call and to repeat it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecallReason {
-    /// The holder has seen a change that the feed has not brought.
+    /// Another host has reported a change that the feed did not deliver.
     Behind,
-    /// Nobody vouches for the store any more.
+    /// No other host confirms the store any more.
     Unconfirmed,
-    /// Another feed has found the store silent and has not been answered since.
+    /// Another feed has found the store unavailable, and the store has not answered since.
     StoreLost,
 }
 
 impl Freshness {
-    /// Nothing is heard yet.
+    /// Returns the state of a host that has neither read a table nor received a report.
     pub fn new(limits: &TimeLimits) -> Self {
         Self {
             trust_ms: limits.trust_ms,
@@ -129,49 +131,51 @@
         }
     }
 
-    /// Notes whether this host answers the others of its zone in the holder's stead.
+    /// Records whether this host reports the store's state to its zone in place of the duty holder.
     pub fn set_relay(&self, is_relay: bool) {
         self.is_relay.store(is_relay, Ordering::Relaxed);
     }
 
-    /// True if this host answers the others of its zone in the holder's stead.
+    /// Returns whether this host reports the store's state to its zone in place of the duty holder.
     pub fn is_relay(&self) -> bool {
         self.is_relay.load(Ordering::Relaxed)
     }
 
-    /// Notes a question to a relay.
+    /// Records a query to a relay.
     pub fn ask(&self, nonce: u64, at_ms: u64) {
         self.question.ask(nonce, at_ms);
     }
 
-    /// Notes that a call waits at the store for changes of a table; until the result is dropped.
+    /// Records that a feed call for a table waits at the store, until the returned guard is
+    /// dropped.
     pub fn follow(&self, followed: FollowedTable) -> FollowGuard<'_> {
         let followed_ms = &self.followed_ms[followed.index()];
         followed_ms.store(u64::MAX, Ordering::Relaxed);
         FollowGuard(followed_ms)
     }
 
-    /// Notes that this host has all changes of a table up to a version.
+    /// Records that this host has applied all changes of a table up to a version.
     pub fn note_applied(&self, followed: FollowedTable, version: u64) {
         self.applied[followed.index()].fetch_max(version, Ordering::Relaxed);
     }
 
-    /// Version up to which this host has a table; 0 if it was never read.
+    /// Returns the version up to which this host has applied a table; 0 if the table was never
+    /// read.
     pub fn applied(&self, followed: FollowedTable) -> u64 {
         self.applied[followed.index()].load(Ordering::Relaxed)
     }
 
-    /// Notes the version of a change that was seen.
+    /// Records the version of a change that was seen.
     pub fn note_change(&self, followed: FollowedTable, version: u64) {
         self.changed[followed.index()].fetch_max(version, Ordering::Relaxed);
     }
 
-    /// Version of the latest change that was seen; 0 before the first.
+    /// Returns the version of the latest change seen; 0 before the first.
     pub fn changed(&self, followed: FollowedTable) -> u64 {
         self.changed[followed.index()].load(Ordering::Relaxed)
     }
 
-    /// How far this host knows a table.
+    /// Returns the versions up to which this host has a table.
     pub fn known(&self, followed: FollowedTable) -> TableVersions {
         TableVersions {
             up_to: self.applied(followed),
@@ -179,18 +183,18 @@
         }
     }
 
-    /// Version of the latest change by which a server was to get no new work.
+    /// Returns the version of the latest change after which some server takes no new work.
     pub fn left(&self) -> u64 {
         self.left.load(Ordering::Relaxed)
     }
 
-    /// Notes the version of a change by which a server gets no new work.
+    /// Records the version of a change after which some server takes no new work.
     pub fn note_left(&self, version: u64) {
         self.left.fetch_max(version, Ordering::Relaxed);
     }
 
-    /// What this host tells the others while it has the duty; `heard_ms` is when the store answered
-    /// last.
+    /// Returns this host's own report for the others, sent while it has the duty. `heard_ms` is the
+    /// time of the store's last answer.
     pub fn updates(&self, heard_ms: u64) -> StoreStateReport {
         let followed_ms = |followed: FollowedTable| {
             let followed_ms = &self.followed_ms[followed.index()];
@@ -208,8 +212,8 @@
         }
     }
 
-    /// What this host can tell others in the holder's stead, by its own calls or by what it was told; `None` if that is
-    /// too old to be relied on.
+    /// Returns the report that this host can give as a relay: its own or the one it received,
+    /// whichever is more recent. Returns `None` if that is too old to be trusted.
     pub fn store_state(&self, heard_ms: u64) -> Option<StoreStateReport> {
         let received = *self.received();
         let own = self.updates(heard_ms);
@@ -232,7 +236,8 @@
         (u64::from(store_state.age_ms) < self.trust_ms).then_some(store_state)
     }
 
-    /// Notes a relay's answer. The result is when the store answered; `None` if that is nothing new.
+    /// Records a relay's answer. Returns when the store answered the relay; `None` if that is not
+    /// later than what is known.
     pub fn note_relay_report(&self, nonce: u64, updates: StoreStateReport) -> Option<u64> {
         let asked_ms = self.question.answered(nonce)?;
         let answered_ms = asked_ms.saturating_sub(u64::from(updates.age_ms));
@@ -246,7 +251,7 @@
         is_new.then_some(answered_ms)
     }
 
-    /// Notes what the holder told. The result is when the store answered it.
+    /// Records a report of the duty holder. Returns when the store answered it.
     pub fn note_announced(&self, updates: StoreStateReport) -> u64 {
         let answered_ms = clock::now_ms().saturating_sub(u64::from(updates.age_ms));
         let received = ReceivedReport {
@@ -265,14 +270,16 @@
         for followed in [FollowedTable::Servers, FollowedTable::Configuration] {
             let applied = self.applied(followed);
             if applied > 0 && applied >= updates.changed[followed.index()] {
-                // Nothing has changed since, so that the store's history is not needed that far back.
+                // Nothing has changed since the applied version, so the feed can continue from the
+                // reported one and does not depend on the store's older history.
                 self.note_applied(followed, updates.up_to[followed.index()]);
             }
         }
     }
 
-    /// True if the holder, or a relay in its stead, says that the store has answered it lately. A relay doubts the holder
-    /// earlier than the others, so that it can answer them before they doubt it too.
+    /// Returns whether the duty holder, or a relay in its place, has reported a recent answer of
+    /// the store. A relay stops trusting the duty holder earlier than other hosts do, so that it
+    /// can answer them by the time they ask.
     pub fn is_store_confirmed(&self) -> bool {
         let trust_ms = if self.is_relay() {
             self.doubt_ms()
@@ -282,7 +289,8 @@
         self.received_age_ms() < trust_ms
     }
 
-    /// True if a relay should be asked, before what was told is too old to be relied on.
+    /// Returns whether a relay should be asked because the last report will soon be too old to be
+    /// trusted.
     pub fn needs_relay(&self) -> bool {
         self.received_age_ms() >= self.doubt_ms()
     }
@@ -294,37 +302,41 @@
         })
     }
 
-    /// Age of the last word from which relays are needed: above that of the holder's usual word, which is half of the
-    /// trusted time and a heartbeat's quarter at most.
+    /// Age of the last report from which relays are asked. It lies above the usual age of the duty
+    /// holder's reports, which is at most half of the trust period plus a quarter of it for one
+    /// heartbeat.
     fn doubt_ms(&self) -> u64 {
         self.trust_ms * 3 / 4
     }
 
-    /// True if the holder says that the store has answered it lately, and after a time.
+    /// Returns whether the store is confirmed by an answer that it gave at `at_ms` or later.
     pub fn is_store_confirmed_since(&self, at_ms: u64) -> bool {
         let received = *self.received();
         self.is_store_confirmed() && received.is_some_and(|received| received.answered_ms >= at_ms)
     }
 
-    /// Version of the latest change of a table that the holder or a relay has told of; 0 before any.
+    /// Returns the version of the latest change of a table that another host has reported; 0 before
+    /// the first report.
     pub fn reported_change(&self, followed: FollowedTable) -> u64 {
         let received = *self.received();
         received.map_or(0, |received| received.updates.changed[followed.index()])
     }
 
-    /// True if the holder has seen a later change of a table than a feed has asked for.
+    /// Returns whether another host has reported a later change of a table than the version
+    /// `asked_after` that a feed call asked for.
     pub fn is_behind(&self, followed: FollowedTable, asked_after: u64) -> bool {
         self.reported_change(followed) > asked_after
     }
 
-    /// True if the holder has seen a server leave since a version.
+    /// Returns whether another host has reported that a server leaves, by a change after a version.
     pub fn has_left_since(&self, version: u64) -> bool {
         let received = *self.received();
         received.is_some_and(|received| received.updates.left > version)
     }
 
-    /// Returns when a feed that waits for changes after a version should be called anew. `relies_on_holder`
-    /// if its wait relies on the holder; `is_silent` while no answer has begun.
+    /// Completes when a feed call that waits for changes after `asked_after` should be abandoned
+    /// and repeated. `relies_on_holder` is true if its long wait depends on the duty holder's
+    /// confirmation of the store; `is_silent` returns true while no response has begun.
     pub async fn recall_reason(
         &self,
         followed: FollowedTable,
@@ -357,7 +369,7 @@
     }
 }
 
-/// A call that waits at the store for changes of a table.
+/// Guard of a feed call that waits at the store; stores the end of the call when dropped.
 #[derive(Debug)]
 pub struct FollowGuard<'a>(&'a AtomicU64);
 
--- a/src/entry/updates/mod.rs
+++ b/src/entry/updates/mod.rs
@@ -1,6 +1,7 @@
-//! What the store and the holder of the duty tell, as values: the tables that hosts follow, how fresh a
-//! host's view of them is, and the changes that hosts tell each other. No sockets and no tasks; `peers`
-//! carries these values and `watch`, `rows` and `relay` take them in.
+//! Values that hosts read from the store or send each other in place of such reads: followed
+//! tables, the freshness of a host's view of them, and changes of their rows. This module opens no
+//! sockets and starts no tasks: `peers` transports the values, and `watch`, `rows` and `relay`
+//! apply them.
 
 pub mod announcement;
 pub mod configuration_pieces;
--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -1,29 +1,31 @@
-//! The product's own rows in the store: where they lie and what those of hosts hold.
+//! Layout of the product's own rows in the store: table names, keys, and the content of host rows.
 
 use serde::{Deserialize, Serialize};
 
 use crate::entry::{bounds::default_processor_share, keys::KeyPart};
 
-/// Table of the product's own rows: holdings by service and part, and hosts.
+/// Table of the product's own rows: holdings by service and key partition, and hosts.
 pub const TABLE: &str = "ashroad";
-/// Beginning of the keys of holdings; the service's name follows, and the number of the part if it is not the first.
+/// Prefix of the keys of holdings. The name of the service follows, then the number of the key
+/// partition unless that is 0.
 const HOLDINGS_PREFIX: &str = "keys/";
-/// Stands before the number of a part.
+/// Separator between the name of the service and the number of the key partition.
 const PART_MARK: char = '#';
-/// Part of the table where the rows of hosts lie. Hundreds of hosts that register at once must not keep the holder of
-/// the duty from writing its rows.
+/// Partition of the table with the rows of hosts. It is separate so that hundreds of hosts that
+/// register at once do not delay the duty holder's writes.
 pub const HOSTS_PART: &str = "hosts";
-/// Beginning of the keys of hosts; the address follows.
+/// Prefix of the keys of host rows; the host's address follows.
 pub const HOST_PREFIX: &str = "host/";
-/// Key of the secret that hosts share.
+/// Key of the row with the secret that the hosts share.
 pub const SECRET_KEY: &str = "secret";
-/// Key of the hosts that others may ask when they start. Comes right after that of the secret, so that one call reads
-/// both.
+/// Key of the row with the seed hosts, which other hosts ask when they start. It sorts right after
+/// [`SECRET_KEY`], so that one call reads both rows.
 pub const GUIDES_KEY: &str = "secret-guides";
-/// Key of the requests that no server gets, since several have ended under them.
+/// Key of the row with the quarantined requests: they are sent to no server, since several servers
+/// have crashed while running them.
 pub const QUARANTINE_KEY: &str = "quarantine";
 
-/// Key of the row with a part of a service's holdings.
+/// Returns the key of the row with one key partition of a service's holdings.
 pub fn holdings_key(service: &str, part: KeyPart) -> String {
     match part.number() {
         0 => format!("{HOLDINGS_PREFIX}{service}"),
@@ -31,7 +33,8 @@
     }
 }
 
-/// Service and part of the holdings that lie under a key; `None` if it is no key of holdings.
+/// Parses the key of a holdings row into service and key partition. Returns `None` if it is no such
+/// key.
 pub fn parse_holdings_key(key: &str) -> Option<(&str, KeyPart)> {
     let name = key.strip_prefix(HOLDINGS_PREFIX)?;
     let Some((service, number)) = name.rsplit_once(PART_MARK) else {
@@ -40,15 +43,15 @@
     Some((service, KeyPart::new(number.parse().ok()?)?))
 }
 
-/// Row by which hosts find each other.
+/// Row by which a host registers, so that other hosts find it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HostRow {
-    /// Process that runs there.
+    /// Incarnation of the process that runs on the host.
     pub incarnation: u64,
-    /// Availability zone.
+    /// Availability zone of the host; empty in rows that lack the field.
     #[serde(default)]
     pub availability_zone: String,
-    /// Share of a processor that it has.
+    /// Share of a processor that the host may use; 1.0 is a whole one.
     #[serde(default = "default_processor_share")]
     pub processor_share: f32,
 }
--- a/src/entry/updates/server_changes.rs
+++ b/src/entry/updates/server_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of servers' entries as hosts tell them to each other.
+//! Changes of servers' entries that hosts send each other.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -6,31 +6,31 @@
 
 use crate::entry::model::ServerEntry;
 
-/// Most changes in one datagram, of about 60 bytes each.
+/// Most changes in one datagram; a change takes about 60 bytes.
 const CHANGES_MAX: usize = 24;
 
-/// What happened to a server's entry.
+/// New state of a server's entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ServerUpdate {
-    /// It was written.
+    /// The entry was written.
     Entry(ServerEntry),
-    /// That of this name was removed.
+    /// The entry of this name was removed.
     Removed(Arc<str>),
-    /// That of this name cannot be read: no server is to be used under it.
+    /// The entry of this name cannot be decoded, so no server may be used under it.
     Unreadable(Arc<str>),
 }
 
-/// A change of a server's entry.
+/// One change of a server's entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerChange {
-    /// Version of the row.
+    /// Version of the changed row.
     pub version: u64,
-    /// What changed.
+    /// New state of the entry.
     pub what: ServerUpdate,
 }
 
 impl ServerChange {
-    /// True if the server gets no new work after it.
+    /// Returns whether the server takes no new work after this change.
     pub fn is_end(&self) -> bool {
         match &self.what {
             ServerUpdate::Entry(entry) => entry.leaving,
@@ -39,19 +39,19 @@
     }
 }
 
-/// All changes of servers' entries after one version and up to another.
+/// All changes of servers' entries in a range of versions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerChanges {
-    /// Version after which they begin.
+    /// Version after which the range begins, exclusive.
     pub after: u64,
-    /// Version up to which they go.
+    /// Last version of the range, inclusive. It may be later than the last change.
     pub up_to: u64,
-    /// The changes in order.
+    /// Changes in the order of their versions.
     pub changes: Vec<ServerChange>,
 }
 
 impl ServerChanges {
-    /// Parts that fit a datagram each; together they say the same.
+    /// Splits the changes into consecutive ranges that fit into one datagram each.
     pub fn split(self) -> Vec<Self> {
         let mut parts = Vec::new();
         let mut after = self.after;
@@ -71,8 +71,8 @@
         parts
     }
 
-    /// What is new for a host that has the table up to `applied`; `None` if it has missed changes
-    /// before these.
+    /// Returns the changes that are new to a host with the table up to `applied`. Returns `None` if
+    /// changes are missing between `applied` and the beginning of the range.
     pub fn new_after(self, applied: u64) -> Option<Vec<ServerChange>> {
         if applied < self.after {
             return None;
@@ -83,20 +83,20 @@
     }
 }
 
-/// Most changes that are kept for other hosts, about 100 bytes each.
+/// Most changes kept for other hosts; each takes about 100 bytes.
 const KEPT_MAX: usize = 4_000;
 
-/// The latest changes of servers' entries that a host knows without a gap.
+/// Latest changes of servers' entries, as a range without gaps.
 #[derive(Debug, Default)]
 pub struct RecentChanges {
-    /// Version after which they begin.
+    /// Version after which the range begins, exclusive.
     after: u64,
     up_to: u64,
     changes: VecDeque<ServerChange>,
 }
 
 impl RecentChanges {
-    /// Notes changes; what was known is forgotten if there is a gap before them.
+    /// Appends changes. If there is a gap before them, the earlier changes are discarded.
     pub fn note(&mut self, updates: &ServerChanges) {
         if updates.after > self.up_to {
             self.changes.clear();
@@ -113,12 +113,13 @@
         }
     }
 
-    /// True if all changes since a version are known.
+    /// Returns whether all changes since a version are kept.
     pub fn reaches_back_to(&self, version: u64) -> bool {
         version >= self.after
     }
 
-    /// All changes after a version; `None` if some of them are not known any more, or none is later.
+    /// Returns all changes after a version. Returns `None` if some of them are no longer kept, or
+    /// if there are none.
     pub fn after(&self, version: u64) -> Option<ServerChanges> {
         if !self.reaches_back_to(version) || version >= self.up_to {
             return None;
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -1,6 +1,6 @@
-//! What a host knows of servers, holdings and hosts, in one piece for a host that starts. Reading the tables costs each
-//! host a call for some hundred rows; among a thousand hosts with ten thousand servers that is 20,000 calls and 2.5 GB
-//! whenever all of them start.
+//! Snapshot of a host's view of servers, holdings and hosts, sent to a host that starts. Reading
+//! the tables from the store takes each host one call for some hundred rows: with a thousand hosts
+//! and ten thousand servers that would be 20,000 calls and 2.5 GB whenever all hosts start.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
@@ -13,11 +13,11 @@
     owners::HeldRow,
 };
 
-/// Place of a text in a snapshot.
+/// Index of a string in the string table of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TextIndex(u16);
 
-/// Texts that many servers share, each once.
+/// String table: strings that many servers share, each stored once.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Texts(Vec<Arc<str>>);
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// A backend server.
+/// Entry of a server in a snapshot; service and zone are in the string table.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SnapshotServer {
     name: Arc<str>,
@@ -55,20 +55,20 @@
     cold_ms: u64,
 }
 
-/// A host.
+/// Host known to the sender of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotHost {
-    /// Address for other hosts.
+    /// Address at which the host receives messages of other hosts.
     pub address: SocketAddr,
-    /// Process that runs there, if that is known.
+    /// Incarnation of the process that runs there; `None` if it is not known.
     pub incarnation: Option<u64>,
-    /// Short name of its availability zone.
+    /// Tag of its availability zone, as in messages between hosts.
     pub zone_tag: u32,
-    /// Share of a processor that it has.
+    /// Share of a processor that the host may use; 1.0 is a whole one.
     pub processor_share: f32,
 }
 
-/// Row with a part of a service's holdings.
+/// Row with one key partition of a service's holdings, in the encoding of the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SnapshotHoldings {
     service: Arc<str>,
@@ -77,25 +77,25 @@
     record: Vec<u8>,
 }
 
-/// How far a table is known.
+/// Versions up to which a host has a table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableVersions {
-    /// Version up to which all changes are in.
+    /// Version up to which all changes are applied.
     pub up_to: u64,
     /// Version of the latest change.
     pub changed: u64,
 }
 
-/// What a host knows.
+/// A host's view of servers, holdings and hosts.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The servers' entries.
+    /// Versions of the table of servers' entries.
     pub servers_known: TableVersions,
-    /// Version of the latest change by which a server was to get no new work.
+    /// Version of the latest change after which some server takes no new work.
     pub left: u64,
-    /// The product's own rows.
+    /// Versions of the table of the product's own rows.
     pub own_versions: TableVersions,
-    /// Hosts, the sender included.
+    /// Known hosts, including the sender.
     pub hosts: Vec<SnapshotHost>,
     texts: Texts,
     servers: Vec<SnapshotServer>,
@@ -103,7 +103,7 @@
 }
 
 impl Snapshot {
-    /// Puts servers in.
+    /// Stores the servers' entries in the snapshot.
     pub fn set_servers(&mut self, entries: impl Iterator<Item = ServerEntry>) {
         let mut texts = TextWriter::default();
         let servers = entries.map(|entry| SnapshotServer {
@@ -120,7 +120,8 @@
         self.texts = texts.texts;
     }
 
-    /// The servers; one whose service or zone is missing is left out.
+    /// Returns the servers' entries. An entry whose service or zone is missing from the string
+    /// table is skipped.
     pub fn servers(&self) -> impl Iterator<Item = ServerEntry> {
         self.servers.iter().filter_map(|server| {
             Some(ServerEntry {
@@ -137,7 +138,7 @@
         })
     }
 
-    /// Puts a row with holdings in; one that cannot be encoded is left out.
+    /// Adds a row of holdings. A row that cannot be encoded is skipped with a warning.
     pub fn add_holdings(&mut self, service: &Arc<str>, part: KeyPart, row: &HeldRow) {
         match row.assignment.encode() {
             Ok(record) => self.holdings.push(SnapshotHoldings {
@@ -146,11 +147,11 @@
                 version: row.version,
                 record,
             }),
-            Err(error) => log::warn!("holdings of {service} are not handed on: {error}"),
+            Err(error) => log::warn!("cannot encode holdings of {service} for a snapshot: {error}"),
         }
     }
 
-    /// Rows with holdings, by service.
+    /// Returns the rows of holdings by service.
     pub fn holdings(&self) -> HashMap<Arc<str>, Vec<(KeyPart, HeldRow)>> {
         let mut rows: HashMap<Arc<str>, Vec<(KeyPart, HeldRow)>> = HashMap::new();
         for known in &self.holdings {
@@ -158,7 +159,7 @@
             let assignment = Assignment::decode(&known.record).ok();
             let Some((part, assignment)) = part.zip(assignment) else {
                 log::warn!(
-                    "holdings of {} that were handed on cannot be read",
+                    "cannot decode holdings of {} in a received snapshot",
                     known.service
                 );
                 continue;
@@ -174,7 +175,7 @@
         rows
     }
 
-    /// How far a table is known.
+    /// Returns the versions of a table; 0 for the configuration, which snapshots do not contain.
     pub fn known(&self, followed: FollowedTable) -> TableVersions {
         match followed {
             FollowedTable::Servers => self.servers_known,
