--- a/src/entry/bounds.rs
+++ b/src/entry/bounds.rs
@@ -1,85 +1,87 @@
-//! Bounds that the users set, and what is assumed where they set none.
+//! Bounds from the settings, and their defaults.
 
 use serde::{Deserialize, Deserializer, de::Error as _};
 
 use crate::platform::parse_ms;
 
-/// Bounds that the users set.
+/// Time bounds and retry limits from the settings.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Time from SIGTERM to SIGKILL.
+    /// Time from SIGTERM to SIGKILL when the platform stops a host.
     #[serde(rename = "stop_grace", deserialize_with = "duration")]
     pub stop_grace_ms: u64,
-    /// Longest lease that a server takes.
+    /// Longest lease duration that a server accepts.
     #[serde(rename = "lease_max", deserialize_with = "duration")]
     pub lease_max_ms: u64,
-    /// Time after which a server that has said that it leaves gets no more work.
+    /// Time after which a server that has announced its leaving gets no more work.
     #[serde(
         rename = "drain",
         default = "default_bound_ms",
         deserialize_with = "duration"
     )]
     pub drain_ms: u64,
-    /// Time within which a configuration is in force.
+    /// Time within which a new configuration takes effect on all hosts.
     #[serde(
         rename = "configuration",
         default = "default_bound_ms",
         deserialize_with = "duration"
     )]
     pub configuration_ms: u64,
-    /// Time after which the servers of a zone that is evacuated get no more work.
+    /// Time after which the servers of an evacuated zone get no more work.
     #[serde(
         rename = "evacuation",
         default = "default_evacuation_ms",
         deserialize_with = "duration"
     )]
     pub evacuation_ms: u64,
-    /// Time after which a revoked API key must not be honoured; `None` if operators bound only configurations.
+    /// Time after which a revoked API key must not be accepted; `None` if only the bound of
+    /// configurations applies.
     #[serde(rename = "revocation", default, deserialize_with = "optional_duration")]
     pub revocation_ms: Option<u64>,
-    /// Time after a disturbance in which a host owes nobody a bound.
+    /// Contact grace period: time after a disturbance, such as an outage of the store, in which the
+    /// other bounds do not apply to a host.
     #[serde(
         rename = "contact",
         default = "default_contact_ms",
         deserialize_with = "duration"
     )]
     pub contact_ms: u64,
-    /// Window over which repeated requests are counted.
+    /// Sliding window in which repeated requests are counted.
     #[serde(rename = "retry_window", deserialize_with = "duration")]
     pub retry_window_ms: u64,
-    /// Repeated requests of a window, as a share of its requests.
+    /// Most repeated requests in a window, as a share of its requests.
     pub retry_ratio: f64,
-    /// Repeated requests of a window on top of the share, all hosts together.
+    /// Repeated requests that all hosts together may send in a window in addition to that share.
     pub retry_allowance: f64,
 }
 
-/// Share of a processor where the settings name none.
+/// Returns the processor share of a host whose settings state none.
 pub fn default_processor_share() -> f32 {
     1.0
 }
 
-/// Bound of drains and configurations where the users name none: the tightest of the known sites.
+/// Returns the default bound of drains and configurations: the tightest of the known sites.
 fn default_bound_ms() -> u64 {
     2_000
 }
 
-/// Bound of evacuations where the users name none: that of the one site that has them.
+/// Returns the default bound of evacuations: that of the only known site with evacuations.
 fn default_evacuation_ms() -> u64 {
     5_000
 }
 
-/// Contact time where the users name none: the shortest of the known sites.
+/// Returns the default contact grace period: the shortest of the known sites.
 fn default_contact_ms() -> u64 {
     3_000
 }
 
-/// Reads a duration in milliseconds that may be missing.
+/// Deserialises an optional duration to milliseconds.
 fn optional_duration<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<u64>, D::Error> {
     duration(deserializer).map(Some)
 }
 
-/// Reads a duration in milliseconds.
+/// Deserialises a duration such as `2s` to milliseconds.
 pub fn duration<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     let text = String::deserialize(deserializer)?;
     parse_ms(&text).ok_or_else(|| D::Error::custom(format!("'{text}' is not a duration like 2s")))
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -1,91 +1,97 @@
-//! Timeouts and rests that follow from the bounds which the users set.
+//! Timeouts and pauses derived from the bounds in the settings.
 //!
-//! Whatever lies on the path of a promise (a resting feed, a heartbeat of the holder that is relied on, a
-//! call of this host's own) has its share here, and the sum of each path stays under the bound.
+//! Every delay that contributes to a bound (the pause of a feed, a heartbeat interval of the duty
+//! holder, a call of this host to the store) gets a share of it, and the delays on each path must
+//! add up to no more than the bound.
 
 use std::fmt;
 
 use super::{bounds::Bounds, watch::RETRY_PAUSE_LONGEST_MS};
 use crate::platform::store::FEED_SLACK_MS;
 
-/// Time for a call to the store after a wait: a connection, one lost packet, and the answer.
+/// Time for a call to the store after a wait: connecting, one lost packet, and the response.
 const CALL_MS: u64 = 350;
-/// Timers that fire late, and the path of a request that was sent just before.
+/// Allowance for timers that fire late and for the delivery of a request that was sent just before.
 const LATE_MS: u64 = 150;
-/// Interval at which a resting or waiting feed looks whether it must hurry.
+/// Interval at which a pausing or waiting feed checks for reasons to call the store now.
 pub const POLL_EVERY_MS: u64 = 100;
-/// Least time that must be left for relying on the holder of the duty. With less, its heartbeat would
-/// be too old whenever it arrives.
+/// Shortest trust period for reports of the duty holder. With less, every heartbeat would be too
+/// old on arrival.
 const TRUST_MIN_MS: u64 = 200;
-/// Longest time for which the holder is relied on. More would save no calls: it confirms its duty
-/// and speaks several times in it.
+/// Longest trust period for reports of the duty holder. A longer one would save no calls: the duty
+/// holder confirms its duty and sends several heartbeats within it.
 const TRUST_MAX_MS: u64 = 2_000;
-/// Longest interval at which the holder speaks.
+/// Longest heartbeat interval of the duty holder.
 const HOLDER_HEARTBEAT_MAX_MS: u64 = 300;
-/// Longest time for which a host may be behind what the holder tells.
+/// Longest time for which a host may lag behind the versions reported by the duty holder.
 const LAG_GRACE_MAX_MS: u64 = 400;
-/// Longest rest of the holder's feed of servers' entries, so that changes that come together cost
-/// one call.
+/// Longest pause of the duty holder's feed of servers' entries, which lets changes in quick
+/// succession share one call.
 const HOLDER_REST_MAX_MS: u64 = 250;
-/// Longest wait of the holder's feeds. Calls are priced, and the holder makes them all the time.
+/// Longest wait of the duty holder's feed calls. Calls are billed, and the duty holder makes them
+/// continuously.
 const HOLDER_WAIT_MAX_MS: u64 = 3_000;
-/// Longest rest of the feeds of a host that hears no holder, and of the configuration's feed.
+/// Longest pause of the feed of servers' entries on a host that hears no duty holder.
 const SERVERS_REST_MAX_MS: u64 = 1_500;
 const CONFIGURATION_REST_MAX_MS: u64 = 500;
 
-/// Longest time for which keys are served in an evacuated zone. Moves end within a few work times.
+/// Longest time for which keys are served in an evacuated zone. Moves of keys complete within a few
+/// run times of requests.
 const EVACUATION_HOLD_MAX_MS: u64 = 2_500;
 
-/// Timeouts and rests of one host.
+/// Timeouts and pauses of one host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeLimits {
-    /// Age of what the holder of the duty tells up to which it is relied on: a holder may be lost
-    /// just after it spoke, and just before it could pass on that a server leaves.
+    /// Trust period: age up to which the duty holder's report of the store counts. A duty holder
+    /// may fail right after a heartbeat, before it broadcasts that a server leaves.
     pub trust_ms: u64,
-    /// Interval at which the holder speaks; several fit into the time for which it is relied on.
+    /// Heartbeat interval of the duty holder; several heartbeats fit into the trust period.
     pub holder_heartbeat_ms: u64,
-    /// Rest of the holder's feed of servers' entries.
+    /// Pause of the duty holder's feed of servers' entries.
     pub holder_rest_ms: u64,
-    /// Longest wait of the holder's feed at the store: it has nobody who tells it that its
-    /// connection has fallen silent.
+    /// Longest wait of the duty holder's feed calls at the store. It is short because no other host
+    /// can tell the duty holder that its connection has failed silently.
     pub holder_wait_ms: u64,
-    /// Wait of the feeds of a relay that answers for the holder: the others ask it often.
+    /// Wait of a relay's feed calls while it reports in place of the duty holder. It is short
+    /// because the other hosts of the zone query the relay often.
     pub relay_wait_ms: u64,
-    /// Interval at which a host asks the relays of its zone while it doubts the holder: several fit into the time from the
-    /// doubt until the holder is no longer relied on.
+    /// Interval at which a host queries the relays of its zone once the duty holder's last report
+    /// is old. Several queries fit into the time until that report is no longer trusted.
     pub ask_relay_every_ms: u64,
-    /// Pause of a host among many between its own calls while neither the holder nor a relay vouches for the store: two
-    /// fit into the time in which nobody is owed a bound.
+    /// Pause between a host's own calls, among many hosts, while neither the duty holder nor a
+    /// relay confirms the store. Two pauses fit into the contact grace period.
     pub alone_pause_ms: u64,
-    /// Time in which other hosts may tell a host what it has missed, before it asks the store.
+    /// Time for other hosts to send a host the changes that it missed, before it asks the store.
     pub catch_up_ms: u64,
-    /// Longest rest of the feed of servers' entries while no holder is heard.
+    /// Longest pause of the feed of servers' entries while no duty holder is heard.
     pub servers_rest_ms: u64,
-    /// Longest rest of the configuration's feed.
+    /// Longest pause of the configuration's feed.
     pub configuration_rest_ms: u64,
-    /// Time for which a host may be behind what the holder tells before it asks the store: an answer
-    /// or what the holder passes on may be on its way.
+    /// Time for which a host may lag behind the reported versions before it asks the store: an
+    /// answer or a broadcast may be on its way.
     pub lag_grace_ms: u64,
-    /// Time after its start, or after the store has forgotten its history, for which a host waits to hear a holder.
+    /// Time for which a host waits to hear a duty holder after its start, or after the store no
+    /// longer has the history that the host needs.
     pub start_rest_ms: u64,
-    /// Time for which keys of an evacuated zone are served there, after a host has learned of the
-    /// evacuation: they go to other servers meanwhile.
+    /// Time for which keys of an evacuated zone are still served there, after a host has learned of
+    /// the evacuation, while they are moved to other servers.
     pub evacuation_hold_ms: u64,
-    /// Time for which requests go to a server for its keys after it has told this host in an answer that it
-    /// leaves: they go to other servers meanwhile, unless the store is away.
+    /// Time for which a server still gets requests for its keys after it announced to this host, in
+    /// an answer, that it leaves. The keys are moved to other servers meanwhile, unless the store
+    /// is unavailable.
     pub notice_hold_ms: u64,
 }
 
-/// One path on which a promise is kept.
+/// One chain of events with the delay that it causes and the bound that it must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimingPath {
-    /// What happens.
+    /// Description of the event, used in error messages.
     pub name: &'static str,
-    /// The bound's name in the settings.
+    /// Name of the bound in the settings.
     pub bound: &'static str,
-    /// Longest time that it takes.
+    /// Longest delay on this path.
     pub worst_ms: u64,
-    /// Time that the users allow.
+    /// Bound from the settings, plus the contact grace period where it applies.
     pub bound_ms: u64,
 }
 
@@ -105,14 +111,14 @@
 }
 
 impl TimingPath {
-    /// True if the promise is kept on this path.
+    /// Returns whether the bound is kept on this path.
     pub fn is_met(&self) -> bool {
         self.worst_ms <= self.bound_ms
     }
 }
 
 impl TimeLimits {
-    /// The limits for bounds; [`Self::paths`] tells whether they keep them.
+    /// Derives the limits from the bounds; [`Self::paths`] shows whether they keep them.
     pub fn new(bounds: &Bounds) -> Self {
         let after_wait_ms = POLL_EVERY_MS + CALL_MS + LATE_MS;
         let room = |bound_ms: u64| bound_ms.saturating_sub(after_wait_ms).max(TRUST_MIN_MS);
@@ -146,13 +152,13 @@
         }
     }
 
-    /// Interval of the holder's confirmations: the store's last answer to it must be young enough
-    /// to be relied on until the next heartbeat but one.
+    /// Returns the interval at which the duty holder confirms its duty at the store. The store's
+    /// last answer must stay within the trust period until the next heartbeat but one.
     pub fn confirm_every_ms(&self, wanted_ms: u64) -> u64 {
         wanted_ms.min(self.trust_ms / 2)
     }
 
-    /// All paths on which hosts learn of leaving servers and of configurations.
+    /// Returns all paths by which hosts learn of leaving servers, configurations and evacuations.
     pub fn paths(&self, bounds: &Bounds) -> [TimingPath; 12] {
         let drain = |name, wait_ms| TimingPath {
             name,
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -1,4 +1,4 @@
-//! What an entry host knows of services, routes and servers, whatever source it came from.
+//! Types of services, routes and servers, independent of the source that they were read from.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
@@ -6,103 +6,105 @@
 
 use super::workspaces::{WorkspaceKey, Workspaces};
 
-/// Limits that operators set for callers.
+/// Limits that operators set for callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Size of a request's head.
+    /// Largest size of a request's line and headers.
     pub head_bytes: u64,
-    /// Size of a request's body.
+    /// Largest size of a request's body.
     pub body_bytes: u64,
-    /// Time for a caller to send a head.
+    /// Longest time in which a caller sends a request's line and headers.
     pub head_timeout_ms: u64,
-    /// Time that a caller's connection may be idle.
+    /// Time after which an idle connection of a caller is closed.
     pub idle_timeout_ms: u64,
 }
 
-/// A service.
+/// A group of interchangeable or sharded backend servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Name.
+    /// Name by which routes and servers' entries refer to the service.
     pub name: Arc<str>,
     /// Path of the servers' health endpoint.
     pub health_path: String,
-    /// Connections that one server accepts from all hosts together.
+    /// Number of connections that one server accepts from all hosts together.
     pub connections_max: u32,
     /// True if each key is served only by the server that holds it.
     pub sharded: bool,
-    /// What its servers bear while they are cold; `None` if nobody bounds that.
+    /// Rate limit of its servers while they are cold; `None` if there is no limit.
     pub warmup: Option<Warmup>,
 }
 
-/// What a server of a service bears while it is cold.
+/// Rate limit of a server while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Warmup {
-    /// Time that a server is cold after it has turned so.
+    /// Time for which a server is cold after it has started, or after the evacuation of its zone
+    /// has ended.
     pub time_ms: u64,
-    /// Requests a second, from all hosts together.
+    /// Requests per second that a cold server gets from all hosts together.
     pub per_s: f64,
 }
 
-/// One of the services that a route's requests go to.
+/// Service that gets a share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteTarget {
-    /// Service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Share of the requests, relative to the other parts.
+    /// Share of the requests, relative to the weights of the route's other services.
     pub weight: f64,
 }
 
-/// A route.
+/// Rule for the requests of one host name and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name, stable over configurations.
+    /// Name, which stays the same over versions of the configuration.
     pub name: Arc<str>,
-    /// Beginning of the paths that it serves.
+    /// Prefix of the request paths that the route serves.
     pub path_prefix: String,
-    /// True if a request may run more than once.
+    /// True if requests are idempotent, so that an attempt may be repeated on another server.
     pub repeatable: bool,
-    /// Longest time that a request is held.
+    /// Longest time until a request is answered, which sets its deadline.
     pub timeout_ms: u64,
-    /// Latency objective.
+    /// Latency objective; operators set it under the name `aim`.
     pub aim_ms: u64,
-    /// Rank; 0 is the most urgent.
+    /// Priority of its requests; 0 is the highest. A workspace's priority comes first.
     pub priority: u32,
-    /// True if its requests carry no API key although there are workspaces.
+    /// True if its requests need no API key even where workspaces are configured.
     pub is_public: bool,
-    /// Regions where it may be served; empty for all.
+    /// Regions in which its requests may be served; empty for all.
     pub regions: Vec<Arc<str>>,
-    /// Services.
+    /// Services that share its requests by weight.
     pub parts: Vec<RouteTarget>,
-    /// Most servers that one request may be sent to.
+    /// Most attempts for one request, each on another server.
     pub attempts_max: u32,
 }
 
-/// A configuration in force.
+/// One version of the operators' configuration.
 #[derive(Clone, Debug)]
 pub struct Configuration {
-    /// Version; it only grows.
+    /// Version of the stored row; it only increases.
     pub version: u64,
-    /// Limits of callers.
+    /// Limits of callers' requests and connections.
     pub limits: CallerLimits,
     services: HashMap<Arc<str>, Service>,
     routes: HashMap<String, Vec<Arc<Route>>>,
-    /// Workspaces; `None` if callers need no API key.
+    /// Workspaces by API key; `None` if callers need no API key.
     workspaces: Option<Workspaces>,
-    /// Rank of the least urgent route, by service.
+    /// Lowest priority among the routes of each service, as the largest number.
     lowest_priority: HashMap<Arc<str>, u32>,
 }
 
-/// Rank of a request: that of its workspace comes before that of its route. Less is more urgent.
+/// Priority of a request: that of its workspace is compared before that of its route. Smaller
+/// values are served first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Priority {
-    /// Of its workspace; 0 if it has none.
+    /// Priority of the workspace; 0 if the request has none.
     pub workspace: u32,
-    /// Of its route.
+    /// Priority of the route.
     pub route: u32,
 }
 
 impl Configuration {
-    /// A configuration without routes.
+    /// Creates a configuration without routes.
     pub fn new(version: u64, limits: CallerLimits, services: Vec<Service>) -> Self {
         let services = services.into_iter().map(|s| (s.name.clone(), s)).collect();
         Self {
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Adds a route for requests that name `host`.
+    /// Adds a route for requests whose `Host` header names `host`.
     pub fn add_route(&mut self, host: &str, route: Route) {
         for part in route.parts.iter().filter(|part| part.weight > 0.0) {
             let lowest = self
@@ -125,13 +127,14 @@
             *lowest = route.priority.max(*lowest);
         }
         let routes = self.routes.entry(host.to_ascii_lowercase()).or_default();
-        // Longest prefix first, so that the first match is the right one.
+        // Routes are sorted by falling length of the prefix, so that the first match is the
+        // longest.
         let longer = |other: &Arc<Route>| other.path_prefix.len() >= route.path_prefix.len();
         let position = routes.partition_point(longer);
         routes.insert(position, Arc::new(route));
     }
 
-    /// The route of a request by the value of its `Host` header and its path.
+    /// Finds the route of a request by the value of its `Host` header and its path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.routes.get(name) {
@@ -143,22 +146,22 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// A service by name.
+    /// Returns a service by its name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Lets only callers with an API key of one of these workspaces use routes that are not public.
+    /// Restricts routes that are not public to callers with an API key of one of these workspaces.
     pub fn set_workspaces(&mut self, workspaces: Workspaces) {
         self.workspaces = Some(workspaces);
     }
 
-    /// The workspaces; `None` if callers need no API key.
+    /// Returns the workspaces; `None` if callers need no API key.
     pub fn workspaces(&self) -> Option<&Workspaces> {
         self.workspaces.as_ref()
     }
 
-    /// Rank of a request of a workspace for a route.
+    /// Returns the priority of a request of a workspace on a route.
     pub fn priority(&self, workspace: Option<WorkspaceKey>, route: &Route) -> Priority {
         let workspaces = self.workspaces.as_ref();
         let workspace = workspaces.zip(workspace).map(|(all, key)| all.get(key));
@@ -168,7 +171,7 @@
         }
     }
 
-    /// True if a service also has less urgent requests than those of a rank.
+    /// Returns whether requests of a lower priority than this one may use the service.
     pub fn has_lower_priority_requests(&self, service: &str, priority: Priority) -> bool {
         let Some(lowest) = self.lowest_priority.get(service) else {
             return false;
@@ -181,68 +184,71 @@
         least_urgent > priority
     }
 
-    /// All services.
+    /// Iterates over all services, in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 }
 
-/// What a backend server says of itself.
+/// Entry by which a backend server registers: its own description of itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "PackedEntry", into = "PackedEntry")]
 pub struct ServerEntry {
-    /// Incarnation: each start has another one, also under the same name.
+    /// Identifier of the incarnation: each start of a server has another one, even under the same
+    /// name.
     pub id: Arc<str>,
-    /// Name that it has in the platform. A server may start again under the name that it had.
+    /// Name of the server in the platform. A restarted server may keep it.
     pub name: Arc<str>,
-    /// When it started, by its own clock; 0 if it does not tell.
+    /// Start time by the server's clock; 0 if the platform does not state it.
     pub started_ms: u64,
-    /// Service.
+    /// Name of the service that it belongs to.
     pub service: Arc<str>,
-    /// Address.
+    /// Address at which it accepts connections.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone in which it runs.
     pub availability_zone: Arc<str>,
-    /// Requests that it runs at a time.
+    /// Number of requests that it runs at the same time.
     pub slots: u32,
-    /// True if it is about to end and must get no new work.
+    /// True if it is about to stop and must get no new work.
     pub leaving: bool,
-    /// Time that it remains cold.
+    /// Remaining time for which it is cold.
     pub cold_ms: u64,
 }
 
-/// What a server tells of its load in an answer.
+/// Load that a server reports in the headers of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportedLoad {
-    /// Requests that it runs.
+    /// Number of requests running on the server.
     pub running: u32,
-    /// Requests that wait there.
+    /// Number of requests in the server's queue.
     pub waiting: u32,
-    /// Time that work takes there now, as a multiple of what is usual.
+    /// Current run time of requests as a multiple of the usual one.
     pub pace: f64,
 }
 
-/// What a server says in an answer of its wish for further requests of the host that asked.
+/// Statement of a server, in an answer, on further requests of the host that asked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Notice {
-    /// True if it is about to end.
+    /// True if the server is about to stop.
     pub leaves: bool,
-    /// Time for which it wants nothing from the host, if it turned the request away with that wish.
+    /// Time for which the server wants no requests of the host. Set only if the server refused the
+    /// request for that reason.
     pub rest_ms: Option<u64>,
 }
 
-/// What an answer says of the rate that its server takes from all hosts together.
+/// Rate limit that an answer states for the requests of all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReportedLimit {
-    /// It names none.
+    /// The server has no limit.
     Unlimited,
-    /// Requests a second.
+    /// Limit in requests per second.
     PerS(f64),
-    /// It says nothing that can be read or relied on.
+    /// The answer states no limit, or one that cannot be parsed or trusted.
     Unknown,
 }
 
-/// An entry as hosts tell it to each other: the identifier follows from name and start.
+/// Serialised form of [`ServerEntry`] in messages between hosts. It omits the identifier, which
+/// follows from name and start time.
 #[derive(Serialize, Deserialize)]
 struct PackedEntry {
     name: Arc<str>,
@@ -286,7 +292,8 @@
     }
 }
 
-/// Identifier of the incarnation of a server that started at a time; its name if that is not known.
+/// Returns the identifier of a server's incarnation from its name and start time; the bare name if
+/// the start time is 0 (unknown).
 pub fn incarnation_id(name: &str, started_ms: u64) -> Arc<str> {
     if started_ms == 0 {
         return name.into();
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -1,4 +1,5 @@
-//! A backend server as one host sees it: its entry, its standing, its load and its recent behaviour.
+//! State of a backend server as one host sees it: its entry, whether it takes work, its load, and
+//! the statistics of its recent answers.
 
 use std::sync::{
     Arc, Mutex, MutexGuard, PoisonError,
@@ -25,24 +26,25 @@
 };
 use crate::{clock, platform::Link};
 
-/// A backend server.
+/// A backend server, from the first reading of its entry until the entry is removed or replaced.
 #[derive(Debug)]
 pub struct Server {
-    /// What it says of itself, as first seen.
+    /// Entry as it was first read; [`Self::current_entry`] includes later changes.
     pub entry: ServerEntry,
-    /// Short name in messages between hosts.
+    /// Tag of the incarnation in messages between hosts, see [`tag_of`].
     pub tag: u32,
-    /// Connections for requests.
+    /// Connections for callers' requests.
     pub pool: Pool,
-    /// Connection for orders.
+    /// Connection for control requests, such as grants and revocations of keys.
     pub orders: Link,
     leaving: AtomicBool,
-    /// When its zone was seen to be evacuated; 0 if it is not.
+    /// Time at which this host learned that the zone was evacuated; 0 if it is not.
     evacuated_ms: AtomicU64,
     cold_until_ms: AtomicU64,
-    /// Time that it remains cold, as its entry told last.
+    /// Cold time stated by the latest entry. An entry that repeats it does not restart the cold
+    /// time.
     entry_cold_ms: AtomicU64,
-    /// Shared with what is kept of it while its entry is gone.
+    /// Notices of the server, shared with the copy that outlives a removal of its entry.
     notices: Arc<Mutex<Notices>>,
     turns: Mutex<Turns>,
     own: AtomicU32,
@@ -52,29 +54,29 @@
     paces: Mutex<PaceReports>,
     behaviour: Mutex<Behaviour>,
     runs: Mutex<Runs>,
-    /// Rate that it takes from all hosts together, and this host's part.
+    /// Rate limit that the server sets for all hosts together, and this host's share of it.
     pub rate: SharedRate,
-    /// Connections to it that broke off.
+    /// Connections to the server that broke.
     pub break_offs: BreakOffs,
 }
 
-/// What is known of a server's pace.
+/// Paces that the server has reported (how much slower than usual it currently runs).
 #[derive(Debug, Default)]
 struct PaceReports {
-    /// By what it told any host.
+    /// Pace from reports to any host.
     known: Pace,
-    /// What it told this host last, and when.
+    /// Latest pace reported to this host, and when.
     own: Option<(f64, u64)>,
 }
 
-/// What the servers of a service bear while they are cold, and how many hosts share that.
+/// Rate limit of the cold servers of a service, divided among the hosts.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmupLimit {
     turn_every_ms: u64,
 }
 
 impl WarmupLimit {
-    /// The rule for a host that knows so many hosts, itself included.
+    /// Returns the limit for a host that knows `hosts` hosts, including itself.
     pub fn new(warmup: Warmup, hosts: usize) -> Self {
         Self {
             turn_every_ms: warmup::turn_every_ms(warmup.per_s, hosts),
@@ -82,18 +84,19 @@
     }
 }
 
-/// Short name of a server or service in messages between hosts.
+/// Returns the tag of a server or service in messages between hosts: a hash of its name in 4 bytes.
 pub fn tag_of(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
 impl Server {
-    /// A server whose entry was just seen, and which has told nothing yet.
+    /// Creates a server from an entry that was read for the first time.
     pub fn new(entry: ServerEntry) -> Self {
         Self::with_notices(entry, Arc::default())
     }
 
-    /// A server whose entry is back, with what it told before.
+    /// Creates a server whose entry was removed and has come back, with the notices received
+    /// before.
     pub fn with_notices(entry: ServerEntry, notices: Arc<Mutex<Notices>>) -> Self {
         let server = Self {
             tag: tag_of(&entry.id),
@@ -120,7 +123,7 @@
         server
     }
 
-    /// Its entry as it is now.
+    /// Returns the entry with its current values.
     pub fn current_entry(&self) -> ServerEntry {
         ServerEntry {
             leaving: self.leaving(),
@@ -129,8 +132,8 @@
         }
     }
 
-    /// True if an entry is about this incarnation and says the same of what stays while it lives.
-    /// Another writer may have put a known name to another service or address.
+    /// Returns whether an entry belongs to this incarnation and agrees in all fields that are fixed
+    /// for its lifetime. A row of another writer may give a known name another service or address.
     pub fn matches_entry(&self, entry: &ServerEntry) -> bool {
         let known = &self.entry;
         let same = |entry: &ServerEntry| {
@@ -145,7 +148,7 @@
         same(known) == same(entry)
     }
 
-    /// Takes in a later entry of this incarnation.
+    /// Applies a later entry of this incarnation.
     pub fn renew(&self, entry: &ServerEntry) {
         if self.leaving() != entry.leaving {
             self.set_leaving(entry.leaving);
@@ -157,19 +160,19 @@
         }
     }
 
-    /// True if it may get work that any server of its service could do, and keys.
+    /// Returns whether the server may get keys and work that any server of its service could do.
     pub fn takes_new_work(&self) -> bool {
         !self.leaving() && !self.notices().leaves() && !self.is_evacuated()
     }
 
-    /// True if a request may go to it for want of a server that takes new work: it has said that it leaves, so
-    /// lately that it still serves.
+    /// Returns whether a request may go to this server if no server takes new work: the server has
+    /// announced its leaving, but recently enough that it still serves requests.
     pub fn takes_work_while_leaving(&self, arrived_ms: u64, hold_ms: u64) -> bool {
         !self.leaving() && !self.is_evacuated() && !self.is_closed_to(arrived_ms, hold_ms)
     }
 
-    /// True if a request that came to this host at a time must not go there, since the server had told this
-    /// host `hold_ms` before that it leaves.
+    /// Returns whether a request that arrived at this host at a time must not go to the server,
+    /// because the server had announced its leaving to this host at least `hold_ms` before.
     pub fn is_closed_to(&self, arrived_ms: u64, hold_ms: u64) -> bool {
         self.notices().is_closed_to(arrived_ms, hold_ms)
     }
@@ -178,21 +181,22 @@
         self.evacuated_ms.load(Ordering::Relaxed) != 0
     }
 
-    /// Notes since when its zone is evacuated; `None` if it is not.
+    /// Sets since when the server's zone is evacuated; `None` if it is not.
     pub fn set_evacuated(&self, since_ms: Option<u64>) {
         let since_ms = since_ms.unwrap_or(0);
         self.evacuated_ms.store(since_ms, Ordering::Relaxed);
     }
 
-    /// True if it still gets requests for keys that it holds: for a while after its zone was
-    /// evacuated, until they have gone to others.
+    /// Returns whether the server still gets requests for keys that it holds. After the evacuation
+    /// of its zone it gets them for `evacuation_hold_ms`, while the keys are moved to other
+    /// servers.
     pub fn serves_held_keys(&self, evacuation_hold_ms: u64) -> bool {
         let since_ms = self.evacuated_ms.load(Ordering::Relaxed);
         let held = since_ms == 0 || clock::now_ms() < since_ms + evacuation_hold_ms;
         held && !self.leaving()
     }
 
-    /// Notes that it is cold from now on for a time.
+    /// Marks the server as cold for a time from now on; 0 marks it as warm.
     pub fn set_cold_for(&self, cold_ms: u64) {
         let until_ms = if cold_ms > 0 {
             clock::now_ms() + cold_ms
@@ -202,13 +206,14 @@
         self.cold_until_ms.store(until_ms, Ordering::Relaxed);
     }
 
-    /// Time for which it remains cold.
+    /// Returns the remaining time for which the server is cold.
     pub fn cold_remaining_ms(&self) -> u64 {
         let until_ms = self.cold_until_ms.load(Ordering::Relaxed);
         until_ms.saturating_sub(clock::now_ms())
     }
 
-    /// True if it is cold and this host has no turn at it.
+    /// Returns whether the server is cold and this host may not send to it now, outside of its own
+    /// warm-up window.
     pub fn is_limited_by_warmup(&self, rule: Option<WarmupLimit>) -> bool {
         let Some(rule) = rule.filter(|_| self.cold_remaining_ms() > 0) else {
             return false;
@@ -217,77 +222,84 @@
         !turns.is_open(rule.turn_every_ms, rand::random(), clock::now_ms())
     }
 
-    /// Notes that a request is about to be sent, which uses a turn if it is cold.
+    /// Records that a request is about to be sent, which uses up the current warm-up window if the
+    /// server is cold.
     pub fn take_turn(&self, rule: Option<WarmupLimit>) {
         if let Some(rule) = rule.filter(|_| self.cold_remaining_ms() > 0) {
             self.turns().take(rule.turn_every_ms);
         }
     }
 
-    /// True if it must get no new work.
+    /// Returns whether the entry says that the server is leaving and must get no new work.
     pub fn leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Notes whether it must get no new work.
+    /// Sets whether the server is leaving and must get no new work.
     pub fn set_leaving(&self, leaving: bool) {
         self.leaving.store(leaving, Ordering::Relaxed);
     }
 
-    /// Takes in what an answer said of the wish for further requests.
+    /// Records the notice of an answer: that the server leaves, or wants no requests for a while.
     pub fn note_notice(&self, notice: Notice) -> Learned {
         self.notices().note(notice, clock::now_ms())
     }
 
-    /// Notes that it told another host that it leaves; true if this host did not know.
+    /// Records that the server announced its leaving to another host. Returns true if this host did
+    /// not know.
     pub fn note_leaving_elsewhere(&self) -> bool {
         self.notices().note_leaving_elsewhere(clock::now_ms())
     }
 
-    /// True if it has told this host that it leaves, and its entry does not say so.
+    /// Returns whether the server has announced its leaving to this host in an answer while its
+    /// entry does not say so.
     pub fn leaves_by_notice_only(&self) -> bool {
         !self.leaving() && self.notices().has_told_leaving()
     }
 
-    /// Time since this host first knew from notices that it leaves.
+    /// Returns the time since this host first learned from notices that the server leaves; `None`
+    /// if it does not.
     pub fn leaves_for_ms(&self) -> Option<u64> {
         self.notices().leaves_for_ms(clock::now_ms())
     }
 
-    /// What it told, to be kept while its entry is gone.
+    /// Returns the notices, to be kept while the entry is gone.
     pub fn kept_notices(&self) -> Arc<Mutex<Notices>> {
         self.notices.clone()
     }
 
-    /// Time for which it wants no requests of this host; 0 if it takes them.
+    /// Returns the time for which the server wants no requests of this host; 0 if it accepts them.
     pub fn rest_ms(&self) -> u64 {
         self.notices().rest_ms(clock::now_ms())
     }
 
-    /// Requests of this host that are at the server.
+    /// Returns the number of this host's requests in flight at the server.
     pub fn own_load(&self) -> u32 {
         self.own.load(Ordering::Relaxed)
     }
 
-    /// Requests of all hosts that are at the server, as last reported.
+    /// Returns the number of requests of all hosts in flight at the server, by the latest reports
+    /// of the others.
     pub fn load(&self) -> u32 {
         self.own_load() + self.others.load(Ordering::Relaxed)
     }
 
-    /// Notes what the other hosts report: their requests and their average run time, 0 if unknown.
+    /// Records the load reported by the other hosts: their requests in flight and average run time,
+    /// 0 if unknown.
     pub fn set_others(&self, load: u32, run_ms: f64) {
         self.others.store(load, Ordering::Relaxed);
         let run_us = (run_ms * 1000.0) as u64;
         self.shared_run_us.store(run_us, Ordering::Relaxed);
     }
 
-    /// Counts a request until the result is dropped.
+    /// Counts a request as in flight until the result is dropped.
     pub fn enter(self: &Arc<Self>, digests: RequestDigests) -> InFlight {
         self.runs().begin(digests);
         self.in_flight(digests)
     }
 
-    /// Counts a suspect until the result is dropped; no other one runs there.
+    /// Counts a suspect request as in flight until the result is dropped. The caller ensures that
+    /// no other suspect runs on the server.
     pub fn enter_for_trial(self: &Arc<Self>, digests: RequestDigests) -> InFlight {
         self.runs().begin_trial(digests);
         self.in_flight(digests)
@@ -303,7 +315,7 @@
         }
     }
 
-    /// This host's requests that it may have been running just now.
+    /// Returns this host's requests that the server may have been running when it crashed.
     pub fn suspects(&self) -> Suspects {
         let now_ms = clock::now_ms();
         let runs = self.runs();
@@ -313,12 +325,12 @@
         }
     }
 
-    /// True if it has answered this host after the latest connection that broke off.
+    /// Returns whether the server has answered this host since the latest broken connection.
     pub fn has_answered_since_break_off(&self) -> bool {
         self.answered_ms() > self.break_offs.latest_ms()
     }
 
-    /// Average run time by this host's and the others' evidence; 0 if unknown.
+    /// Returns the average run time measured by this host and the others; 0 if unknown.
     pub fn run_ms(&self) -> f64 {
         let own = self.own_run_ms();
         let shared = self.shared_run_us.load(Ordering::Relaxed) as f64 / 1000.0;
@@ -329,12 +341,13 @@
         }
     }
 
-    /// Average run time by this host's evidence; 0 if unknown.
+    /// Returns the average run time measured by this host; 0 if unknown.
     pub fn own_run_ms(&self) -> f64 {
         self.behaviour().run_ms(clock::now_ms())
     }
 
-    /// The server as decisions of a host in `availability_zone` see it now.
+    /// Returns the server's current state as input for the choice of a server by a host in
+    /// `availability_zone`.
     pub fn candidate(
         &self,
         availability_zone: &str,
@@ -357,19 +370,20 @@
         }
     }
 
-    /// Notes an answer; `found_free_slot` if it did not have to queue.
+    /// Records an answer with its run time; `found_free_slot` is true if the request did not have
+    /// to queue.
     pub fn answered(&self, run_ms: f64, found_free_slot: bool) {
         let now_ms = clock::now_ms();
         self.answered_ms.store(now_ms, Ordering::Relaxed);
         self.behaviour().answered(run_ms, found_free_slot, now_ms);
     }
 
-    /// Notes the pace that the server told another host at a time.
+    /// Records the pace that the server reported to another host at a time.
     pub fn note_pace(&self, pace: f64, at_ms: u64) {
         self.paces().known.note(pace, at_ms);
     }
 
-    /// Notes the pace that the server told this host.
+    /// Records the pace that the server reported to this host.
     pub fn note_own_pace(&self, pace: f64) {
         let now_ms = clock::now_ms();
         let mut paces = self.paces();
@@ -377,22 +391,22 @@
         paces.own = Some((pace, now_ms));
     }
 
-    /// What it told this host last of its pace, and when.
+    /// Returns the latest pace that the server reported to this host, and when.
     pub fn own_pace(&self) -> Option<(f64, u64)> {
         self.paces().own
     }
 
-    /// When it last answered a request of this host.
+    /// Returns when the server last answered a request of this host; 0 if it never did.
     pub fn answered_ms(&self) -> u64 {
         self.answered_ms.load(Ordering::Relaxed)
     }
 
-    /// Notes an attempt that was shed, broke off or timed out.
+    /// Records an attempt that was shed, lost its connection or timed out.
     pub fn failed(&self) {
         self.behaviour().failed(clock::now_ms());
     }
 
-    /// Notes a connection that did not come up.
+    /// Records a connection attempt that failed.
     pub fn not_connected(&self) {
         self.behaviour().not_connected(clock::now_ms());
     }
@@ -420,7 +434,7 @@
     }
 }
 
-/// A request at a server; counted until dropped.
+/// Guard of a request in flight at a server; the request is counted until the guard is dropped.
 #[derive(Debug)]
 pub struct InFlight {
     server: Arc<Server>,
@@ -429,7 +443,9 @@
 }
 
 impl InFlight {
-    /// Notes that the server has answered, or said that it did not run the request.
+    /// Records that the server has answered, or has stated that it did not run the request. Without
+    /// this call the request counts as abandoned when the guard is dropped, so the server may still
+    /// be running it.
     pub fn answered(mut self) {
         self.is_answered = true;
     }
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -1,4 +1,5 @@
-//! What a host believes: the configuration in force, the servers, and who holds which keys.
+//! A host's current view: the configuration in force, the servers, and which server holds which
+//! keys.
 
 use std::sync::{
     Arc, Mutex, MutexGuard, PoisonError,
@@ -30,7 +31,7 @@
     }
 }
 
-/// What a host believes.
+/// A host's view of configuration, servers and holdings, shared by all its tasks.
 #[derive(Debug)]
 pub struct View {
     configuration: ArcSwapOption<Configuration>,
@@ -67,12 +68,12 @@
 }
 
 impl View {
-    /// The configuration in force.
+    /// Returns the configuration in force; `None` before the first was read.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.configuration.load_full()
     }
 
-    /// Puts a configuration in force, unless it is not newer than the one that is.
+    /// Puts a configuration in force if it is newer than the current one.
     pub fn configure(&self, configuration: Configuration) {
         let before = self.configuration.load().as_ref().map_or(0, |c| c.version);
         if configuration.version <= before && self.configuration.load().is_some() {
@@ -84,22 +85,22 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// The servers.
+    /// Returns the current set of servers.
     pub fn registry(&self) -> Arc<Registry> {
         self.registry.load_full()
     }
 
-    /// True once the servers' entries were read.
+    /// Returns whether the servers' entries have been read.
     pub fn servers_known(&self) -> bool {
         self.servers_known.load(Ordering::Relaxed)
     }
 
-    /// Zones that are evacuated.
+    /// Returns the evacuated zones.
     pub fn evacuations(&self) -> Evacuations {
         self.evacuations_lock().clone()
     }
 
-    /// Notes which zones are evacuated, unless something later is known.
+    /// Applies a list of evacuated zones, unless an equal or later version is known.
     pub fn evacuate(&self, evacuations: Evacuations) {
         {
             let mut known = self.evacuations_lock();
@@ -122,8 +123,8 @@
         });
     }
 
-    /// Changes the registry. Nothing waits in between, so that changes do not undo each other on the
-    /// one thread of a host.
+    /// Replaces the registry by a changed copy. There is no await point between load and store, so
+    /// updates on a host's single thread do not overwrite each other.
     pub fn update_registry(&self, change: impl FnOnce(&mut Registry)) {
         let mut registry = Registry::clone(&self.registry.load());
         change(&mut registry);
@@ -131,22 +132,22 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Notes that the servers' entries were read.
+    /// Records that the servers' entries have been read.
     pub fn set_servers_known(&self) {
         self.servers_known.store(true, Ordering::Relaxed);
     }
 
-    /// Holdings of a service.
+    /// Returns the holdings of a service; `None` if they are not known.
     pub fn held(&self, service: &str) -> Option<Held> {
         self.owners.held(service)
     }
 
-    /// Holdings of all services.
+    /// Returns the holdings of all services.
     pub fn all_held(&self) -> Vec<(Arc<str>, Held)> {
         self.owners.all_held()
     }
 
-    /// True if nothing is known of the holdings of a service that is divided by key.
+    /// Returns whether the holdings of some sharded service are unknown.
     pub fn lacks_holdings(&self) -> bool {
         let Some(configuration) = self.configuration() else {
             return false;
@@ -157,82 +158,84 @@
         })
     }
 
-    /// Notes rows with holdings of a service, unless newer ones are known.
+    /// Applies rows of holdings of a service, unless newer ones are known.
     pub fn hold(&self, service: &Arc<str>, rows: Vec<(KeyPart, HeldRow)>) {
         if self.owners.hold(service, rows) {
             self.changed.send_modify(|count| *count += 1);
         }
     }
 
-    /// Notes that a server was granted keys, before the record of it is read.
+    /// Records that a server was granted keys, before the stored row of the grant is read.
     pub fn note_granted(&self, service: &Arc<str>, holding: Holding) {
         self.owners.note_granted(service, holding);
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Notes that keys are on their way to another server.
+    /// Records that keys are being moved to another server.
     pub fn announce_move(&self, service: &Arc<str>, announcement: MoveAnnouncement) {
         self.owners.announce_move(service, announcement);
     }
 
-    /// Where a request for `key` should go.
+    /// Returns the server that a request for `key` should go to, or why there is none.
     pub fn owner(&self, service: &Arc<str>, key: u16) -> Owner {
         self.owners.owner(service, key)
     }
 
-    /// Notes that a server does not hold, or does not hold yet, what it has under a fence.
+    /// Records that a server does not, or not yet, hold the keys assigned to it under a fence.
     pub fn note_not_held(&self, service: &Arc<str>, fence: u64) {
         self.owners.note_not_held(service, fence);
     }
 
-    /// Asks for a table to be read soon: a server did not hold what was thought, or is not known.
+    /// Requests that a table be read soon, because a server did not hold the expected keys or is
+    /// not known.
     pub fn request_read(&self, followed: FollowedTable) {
         self.read_requests[followed.index()].notify_one();
     }
 
-    /// Returns when a table should be read soon.
+    /// Completes when a reading of the table is requested.
     pub async fn read_requested(&self, followed: FollowedTable) {
         self.read_requests[followed.index()].notified().await;
     }
 
-    /// Notes that the other hosts were read from the store.
+    /// Records that the rows of the other hosts have been read.
     pub fn set_hosts_known(&self) {
         self.hosts_known.send_replace(true);
     }
 
-    /// True once the other hosts were read from the store.
+    /// Returns whether the rows of the other hosts have been read.
     pub fn are_hosts_known(&self) -> bool {
         *self.hosts_known.borrow()
     }
 
-    /// Notes that another process has run on this host before this one.
+    /// Records that an earlier process of this host is known.
     pub fn note_former_process(&self) {
         self.former_process.store(true, Ordering::Relaxed);
     }
 
-    /// True if another process is known to have run on this host before this one.
+    /// Returns whether an earlier process of this host is known.
     pub fn had_former_process(&self) -> bool {
         self.former_process.load(Ordering::Relaxed)
     }
 
-    /// Returns when the other hosts were read from the store; false if they never will be.
+    /// Completes when the rows of the other hosts have been read. Returns false if they never will
+    /// be.
     pub async fn hosts_known(&self) -> bool {
         let mut known = self.hosts_known.subscribe();
         known.wait_for(|known| *known).await.is_ok()
     }
 
-    /// Notes whether the store answers.
+    /// Records whether the store has stopped answering.
     pub fn set_store_lost(&self, lost: bool) {
         self.store_lost
             .send_if_modified(|before| std::mem::replace(before, lost) != lost);
     }
 
-    /// Tells whether the store has stopped answering.
+    /// Returns a receiver of whether the store has stopped answering.
     pub fn store_lost(&self) -> watch::Receiver<bool> {
         self.store_lost.subscribe()
     }
 
-    /// Returns when the store is not known to be silent.
+    /// Completes as soon as the store is not known to be unavailable.
     pub async fn store_returned(&self) {
         let mut lost = self.store_lost();
         if lost.wait_for(|lost| !lost).await.is_err() {
@@ -240,7 +243,7 @@
         }
     }
 
-    /// Returns when the store was found silent and answers again.
+    /// Completes when the store has become unavailable and answers again.
     pub async fn store_lost_and_returned(&self) {
         let mut lost = self.store_lost();
         if lost.wait_for(|lost| *lost).await.is_err() {
@@ -249,13 +252,13 @@
         self.store_returned().await;
     }
 
-    /// Tells of changes of any of this.
+    /// Returns a receiver that is notified of every change of configuration, servers or holdings.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Notes an answer of the store at a time. Returns the time without one if that was long enough
-    /// for entries to lapse.
+    /// Records an answer of the store at a time. Returns the time since the answer before it if
+    /// that is at least `lapse_ms`, after which servers' entries may have lapsed.
     pub fn note_store_answer(&self, at_ms: u64, lapse_ms: u64) -> Option<u64> {
         let now_ms = clock::now_ms();
         let before_ms = self.store_answered_ms.fetch_max(at_ms, Ordering::Relaxed);
@@ -267,12 +270,12 @@
         Some(away_ms)
     }
 
-    /// When the store last answered.
+    /// Returns when the store last answered.
     pub fn store_answered_ms(&self) -> u64 {
         self.store_answered_ms.load(Ordering::Relaxed)
     }
 
-    /// When the store came back after it was away; 0 if it never was.
+    /// Returns when the store came back after its latest outage; 0 if there was none.
     pub fn store_returned_ms(&self) -> u64 {
         self.store_returned_ms.load(Ordering::Relaxed)
     }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -1,4 +1,4 @@
-//! Keeps the view up to date by the store's change feeds.
+//! Keeps the host's view up to date by the change feeds of the store.
 
 use std::{
     sync::{
@@ -30,41 +30,41 @@
     },
 };
 
-/// Wait of a feed that shows whether the store answers: a silent store swallows calls, so the next
-/// one must follow soon after its return.
+/// Wait of a feed call that probes whether the store answers. A failed store drops calls without a
+/// response, so the next one must follow soon after its return.
 const PROBE_WAIT_MS: u64 = 0;
-/// Pause after a failed call, with half of it at random on top.
+/// Pause after a failed call; up to half of it is added at random.
 const RETRY_PAUSE_MS: u64 = 150;
-/// Longest pause of a feed whose calls go on failing. Calls are priced, also refused ones; the
-/// store's return must be noticed within a second.
+/// Longest pause of a feed whose calls keep failing. Calls are billed, including refused ones, but
+/// the store's return must be noticed within a second.
 const RETRY_PAUSE_MAX_MS: u64 = 400;
-/// The same with what chance adds.
+/// Longest pause including its random addition.
 pub(super) const RETRY_PAUSE_LONGEST_MS: u64 = RETRY_PAUSE_MAX_MS + RETRY_PAUSE_MAX_MS / 2;
-/// Missed heartbeats after which the platform removes a server's entry.
+/// Number of missed heartbeats after which the platform removes a server's entry.
 const MISSED_HEARTBEATS: u64 = 3;
 
-/// How far a feed can be trusted to tell of changes.
+/// State of a feed, which decides how long its next call may wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FeedTrust {
     Full,
-    /// Another host has seen a change that the feed did not bring.
+    /// Another host has reported a change that the feed did not deliver.
     Doubted,
     /// The last call failed.
     Lost,
 }
 
 impl Entry {
-    /// Follows the configuration.
+    /// Follows the operators' table with the configuration.
     pub(super) async fn watch_configuration(self: Arc<Self>) {
         self.follow(FollowedTable::Configuration).await;
     }
 
-    /// Follows the servers' entries.
+    /// Follows the table of servers' entries.
     pub(super) async fn watch_servers(self: Arc<Self>) {
         self.follow(FollowedTable::Servers).await;
     }
 
-    /// Follows holdings and hosts.
+    /// Follows the table of holdings and hosts.
     pub(super) async fn watch_own(self: Arc<Self>) {
         self.follow(FollowedTable::Own).await;
     }
@@ -131,8 +131,9 @@
         }
     }
 
-    /// Waits for changes, as long as the feed can be trusted to speak up. While another feed has
-    /// found the store silent, only the servers' feed asks whether it is back.
+    /// Waits for the next changes of a table. The wait is short if the feed is in doubt. While the
+    /// store is known to be unavailable, only the feed of servers' entries probes whether it is
+    /// back.
     async fn next_changes(
         &self,
         followed: FollowedTable,
@@ -141,7 +142,7 @@
     ) -> Result<platform::Result<Feed>, RecallReason> {
         let mut store_lost = self.view.store_lost();
         if followed != FollowedTable::Servers {
-            // Not for good: others may have what is missed here.
+            // The wait is limited because other hosts may have the changes that this one misses.
             let returned = store_lost.wait_for(|lost| !lost);
             let patience = Duration::from_millis(self.limits.lag_grace_ms);
             if !matches!(time::timeout(patience, returned).await, Ok(Ok(_))) {
@@ -165,13 +166,14 @@
         }
     }
 
-    /// Waits for the holder of the duty to be heard, and rests if it is.
+    /// Waits until the store is confirmed by the duty holder or the start period ends. Pauses the
+    /// feed if the store is confirmed.
     async fn rest_at_start(&self, followed: FollowedTable) {
-        // Only then the relays are known that vouch for the store.
+        // The relays that could confirm the store are known only after the join.
         self.join.ended().await;
         let began_ms = clock::now_ms();
         let until_ms = began_ms + followed.start_rest_ms(&self.limits);
-        // The others rely on what the holder of the duty follows.
+        // A duty holder does not wait: the other hosts depend on its feeds.
         let is_holder = || self.duty.term() > 0;
         while !is_holder() && !self.freshness.is_store_confirmed() && clock::now_ms() < until_ms {
             time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Applies what a feed has brought, and passes it on while this host has the duty.
+    /// Applies the changes that a feed delivered, and broadcasts them while this host has the duty.
     pub(super) fn take_changes(&self, followed: FollowedTable, after: u64, mut changes: Rows) {
         if followed == FollowedTable::Servers {
             self.take_server_rows(after, &changes);
@@ -192,7 +194,7 @@
             self.pass_configuration_on(&changes);
         }
         let evacuated = self.view.evacuations().version;
-        // Another host may have passed some of them on meanwhile, and later ones.
+        // Changes that arrived by broadcast meanwhile, and later ones, are applied already.
         changes.rows.retain(|row| row.version > applied);
         self.apply(followed, changes.rows);
         self.freshness.note_applied(followed, changes.version);
@@ -213,14 +215,15 @@
         self.take_news_of_servers(updates);
     }
 
-    /// Notes that the store has told all changes of a table up to a time.
+    /// Records that the store has delivered all changes of a table up to the time of the call; for
+    /// the configuration that is the proof of its age.
     fn note_proof_of_store(&self, followed: FollowedTable, asked_ms: u64) {
         if followed == FollowedTable::Configuration {
             self.proof.note(asked_ms);
         }
     }
 
-    /// Rests before the next call of a feed.
+    /// Pauses before the next call of a feed, and returns early if there is a reason to call now.
     async fn rest(&self, followed: FollowedTable, began_ms: u64) {
         let mut behind_ms = 0;
         let sync_role = self.sync_role();
@@ -239,7 +242,7 @@
             if other_rest || self.must_hurry(followed, after) {
                 return;
             }
-            // What the holder passed on did not arrive.
+            // A change that was broadcast did not arrive within the grace period.
             let is_behind =
                 followed != FollowedTable::Own && self.freshness.is_behind(followed, after);
             behind_ms = if is_behind {
@@ -253,13 +256,13 @@
         }
     }
 
-    /// True if a resting feed should be called: for servers that leave, when nobody vouches for the
-    /// store, and for the first holdings of a service.
+    /// Returns whether a pausing feed should be called now: because a server leaves, because no
+    /// other host confirms the store, or to get the first holdings of a service.
     fn must_hurry(&self, followed: FollowedTable, after: u64) -> bool {
         match followed {
             FollowedTable::Configuration => !self.freshness.is_store_confirmed(),
             FollowedTable::Servers => {
-                // It finds out for all feeds when the store is back.
+                // The feed of servers' entries detects the store's return on behalf of all feeds.
                 let store_lost = *self.view.store_lost().borrow();
                 store_lost
                     || self.freshness.has_left_since(after)
@@ -280,13 +283,14 @@
             }
             .log();
         }
-        // A feed that failed in doubt shows more than its own connection's end.
+        // A call that was made to check a doubtful feed and fails as well shows that the store is
+        // unavailable, and not just one connection.
         if followed == FollowedTable::Servers || trust == FeedTrust::Doubted {
             self.view.set_store_lost(true);
         }
     }
 
-    /// Notes an answer of a feed.
+    /// Records that a feed call was answered.
     fn answered(&self, followed: FollowedTable) {
         self.note_store_answer(clock::now_ms());
         if followed == FollowedTable::Servers {
@@ -294,7 +298,7 @@
         }
     }
 
-    /// Notes that the store answered this host, or the holder of the duty.
+    /// Records that the store answered this host or the duty holder.
     pub(super) fn note_store_answer(&self, at_ms: u64) {
         let lapse_ms = MISSED_HEARTBEATS * self.settings.store.server_heartbeat_ms;
         let lapse_ms = lapse_ms.max(FollowedTable::NOTICED_MS);
@@ -327,7 +331,10 @@
                 true
             }
             Err(error) => {
-                log::debug!("{} cannot be read: {error}", followed.table());
+                log::debug!(
+                    "cannot read table {} from the store: {error}",
+                    followed.table()
+                );
                 false
             }
         }
@@ -339,7 +346,7 @@
     time::sleep(Duration::from_millis(left_ms)).await;
 }
 
-/// Waits a moment after a failure, not in step with the other hosts.
+/// Waits for the retry pause, with a random part so that hosts do not retry in step.
 pub(super) async fn pause() {
     pause_for(RETRY_PAUSE_MS).await;
 }
@@ -349,7 +356,7 @@
     time::sleep(Duration::from_millis(pause_ms)).await;
 }
 
-/// Time of the last answer of the store, as an age.
+/// Returns the time since the store's last answer.
 pub(super) fn store_age_ms(entry: &Entry) -> u64 {
     clock::now_ms().saturating_sub(entry.view.store_answered_ms())
 }
