--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time;
 
-use super::{followed::FollowedTable, question::PendingQuery, snapshot::TableVersions};
+use super::{followed::FollowedTable, query::PendingQuery, snapshot::TableVersions};
 use crate::{
     clock,
     entry::limits::{POLL_EVERY_MS, TimeLimits},
@@ -77,7 +77,7 @@
     left: AtomicU64,
     received: Mutex<Option<ReceivedReport>>,
     /// Query to a relay that was not answered yet.
-    question: PendingQuery,
+    query: PendingQuery,
     /// True while this host reports the store's state to its zone in place of the duty holder.
     is_relay: AtomicBool,
 }
@@ -126,7 +126,7 @@
             changed: Default::default(),
             left: AtomicU64::new(0),
             received: Mutex::default(),
-            question: PendingQuery::default(),
+            query: PendingQuery::default(),
             is_relay: AtomicBool::new(false),
         }
     }
@@ -143,7 +143,7 @@
 
     /// Records a query to a relay.
     pub fn ask(&self, nonce: u64, at_ms: u64) {
-        self.question.ask(nonce, at_ms);
+        self.query.ask(nonce, at_ms);
     }
 
     /// Records that a feed call for a table waits at the store, until the returned guard is
@@ -239,7 +239,7 @@
     /// Records a relay's answer. Returns when the store answered the relay; `None` if that is not
     /// later than what is known.
     pub fn note_relay_report(&self, nonce: u64, updates: StoreStateReport) -> Option<u64> {
-        let asked_ms = self.question.answered(nonce)?;
+        let asked_ms = self.query.answered(nonce)?;
         let answered_ms = asked_ms.saturating_sub(u64::from(updates.age_ms));
         let store_state = ReceivedReport {
             answered_ms,
--- a/src/entry/updates/mod.rs
+++ b/src/entry/updates/mod.rs
@@ -10,6 +10,6 @@
 pub mod freshness;
 pub mod own_rows;
 pub mod proof;
-pub mod question;
+pub mod query;
 pub mod server_changes;
 pub mod snapshot;
--- a/src/entry/updates/proof.rs
+++ b/src/entry/updates/proof.rs
@@ -9,7 +9,7 @@
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use super::question::PendingQuery;
+use super::query::PendingQuery;
 
 /// Latest time at which this host's configuration was proved to be the current one.
 #[derive(Debug, Default)]
@@ -20,7 +20,7 @@
     /// proves nothing.
     unreadable: AtomicBool,
     /// Query to the duty holder that was not answered yet.
-    question: PendingQuery,
+    query: PendingQuery,
 }
 
 impl ConfigurationProof {
@@ -44,13 +44,13 @@
 
     /// Records a query to the duty holder.
     pub fn ask(&self, nonce: u64, at_ms: u64) {
-        self.question.ask(nonce, at_ms);
+        self.query.ask(nonce, at_ms);
     }
 
     /// Records the duty holder's answer: its configuration, which this host has as well, was the
     /// current one `age_ms` before the answer. Answers to earlier queries are ignored.
     pub fn note_answer(&self, nonce: u64, age_ms: u64) {
-        if let Some(asked_ms) = self.question.answered(nonce) {
+        if let Some(asked_ms) = self.query.answered(nonce) {
             self.note(asked_ms.saturating_sub(age_ms));
         }
     }
--- a/src/entry/updates/question.rs
+++ b/src/entry/updates/question.rs
@@ -29,7 +29,7 @@
     /// not the latest query or was answered before.
     pub fn answered(&self, nonce: u64) -> Option<u64> {
         let mut asked = self.asked.lock().unwrap_or_else(PoisonError::into_inner);
-        let question = asked.take_if(|asked| asked.nonce == nonce);
-        question.map(|question| question.at_ms)
+        let query = asked.take_if(|asked| asked.nonce == nonce);
+        query.map(|query| query.at_ms)
     }
 }
