--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -177,11 +177,11 @@
             return false;
         };
         let workspaces = self.workspaces.iter().flat_map(Workspaces::iter);
-        let least_urgent = Priority {
+        let lowest_possible = Priority {
             workspace: workspaces.map(|w| w.priority).max().unwrap_or(0),
             route: *lowest,
         };
-        least_urgent > priority
+        lowest_possible > priority
     }
 
     /// Iterates over all services, in no particular order.
