--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -27,7 +27,7 @@
 }
 
 quickcheck! {
-    fn every_way_keeps_its_bound(drain: u16, configuration: u16) -> bool {
+    fn every_path_keeps_its_bound(drain: u16, configuration: u16) -> bool {
         let bounds = drawn(drain, configuration);
         let limits = TimeLimits::new(&bounds);
         limits.paths(&bounds).iter().all(|path| path.is_met())
