--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_limit_that_is_raised_past_its_bound_breaks_a_way() {
+fn a_limit_raised_past_its_bound_breaks_a_path() {
     let bounds = bounds(1_900, 900);
     let limits = TimeLimits::new(&bounds);
     struct Case {
