--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -36,8 +36,8 @@
     fn the_duty_holder_is_heard_three_times_within_the_trust_period(drain: u16) -> bool {
         let limits = TimeLimits::new(&drawn(drain, 0));
         let confirm_every_ms = limits.confirm_every_ms(700);
-        let two_words_ms = confirm_every_ms + 2 * limits.holder_heartbeat_ms;
-        two_words_ms <= limits.trust_ms
+        let two_heartbeats_ms = confirm_every_ms + 2 * limits.holder_heartbeat_ms;
+        two_heartbeats_ms <= limits.trust_ms
     }
 }
 
