--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -478,7 +478,7 @@
 }
 
 #[test]
-fn what_a_server_said_outlasts_its_entry() {
+fn notices_outlast_the_entry_of_a_server() {
     let mut registry = Registry::default();
     registry.put(entry("a", 1));
     registry.put(entry("b", 1));
