--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -379,7 +379,7 @@
 }
 
 #[test]
-fn all_hosts_together_spare_a_cold_server() {
+fn all_hosts_together_keep_the_limit_of_a_cold_server() {
     let mut rng = StdRng::seed_from_u64(5);
     let per_s = 5.8;
     for _ in 0..400 {
