--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -418,7 +418,7 @@
 };
 
 #[test]
-fn a_server_that_says_it_leaves_is_closed_after_the_hold() {
+fn a_server_that_announces_its_leaving_gets_no_requests_after_the_hold_time() {
     let hold_ms = 1_850;
     let mut notices = Notices::default();
     // Others say so first: it gets no new work, and serves what only it can.
