--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -250,7 +250,7 @@
 }
 
 quickcheck! {
-    fn no_order_of_events_lets_a_host_honour_a_revoked_key_or_disown_a_good_one(seed: u64) -> Result<(), String> {
+    fn no_order_of_events_makes_a_host_accept_a_revoked_key_or_reject_a_valid_one(seed: u64) -> Result<(), String> {
         Play::new(seed).run()
     }
 }
