--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -125,14 +125,14 @@
     }
 }
 
-struct Play {
+struct Simulation {
     operators: Operators,
     hosts: Vec<Host>,
     rng: StdRng,
     honoured: u64,
 }
 
-impl Play {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         Self {
@@ -251,7 +251,7 @@
 
 quickcheck! {
     fn no_order_of_events_makes_a_host_accept_a_revoked_key_or_reject_a_valid_one(seed: u64) -> Result<(), String> {
-        Play::new(seed).run()
+        Simulation::new(seed).run()
     }
 }
 
@@ -260,7 +260,7 @@
     const PLAYS: u64 = 20;
     let honoured: u64 = (0..PLAYS)
         .map(|seed| {
-            let mut play = Play::new(seed);
+            let mut play = Simulation::new(seed);
             play.run().expect("no key is misjudged");
             play.honoured
         })
