--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -14,7 +14,7 @@
     revocation_ms: Some(REVOCATION_MS),
     configuration_ms: CONFIGURATION_MS,
 };
-const PLAY_MS: u64 = 30_000;
+const SIMULATION_MS: u64 = 30_000;
 const STEP_MS: u64 = 50;
 /// Interval of questions of a host.
 const ASK_EVERY_MS: u64 = REVOCATION_MS / 8;
@@ -41,7 +41,7 @@
     fn draw(rng: &mut StdRng) -> Self {
         let mut keys = Vec::new();
         let mut at_ms = 1_000;
-        while at_ms < PLAY_MS {
+        while at_ms < SIMULATION_MS {
             let added_ms = at_ms + rng.random_range(0..4_000);
             let revoked_ms = added_ms + rng.random_range(100..6_000);
             keys.push(Key {
@@ -230,7 +230,7 @@
     }
 
     fn run(&mut self) -> Result<(), String> {
-        for now_ms in (0..PLAY_MS).step_by(STEP_MS as usize) {
+        for now_ms in (0..SIMULATION_MS).step_by(STEP_MS as usize) {
             self.disturb(now_ms);
             for place in 0..HOSTS {
                 if now_ms < self.hosts[place].frozen_until_ms {
@@ -266,6 +266,6 @@
         })
         .sum();
     // Two checks of each of four hosts at each step; keys are there for some half of the time.
-    let checks = 2 * HOSTS as u64 * PLAYS * PLAY_MS / STEP_MS;
+    let checks = 2 * HOSTS as u64 * PLAYS * SIMULATION_MS / STEP_MS;
     assert!(honoured > checks / 8, "{honoured} of {checks}");
 }
