--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -257,8 +257,8 @@
 
 #[test]
 fn keys_are_honoured_most_of_the_time() {
-    const PLAYS: u64 = 20;
-    let honoured: u64 = (0..PLAYS)
+    const SIMULATIONS: u64 = 20;
+    let honoured: u64 = (0..SIMULATIONS)
         .map(|seed| {
             let mut play = Simulation::new(seed);
             play.run().expect("no key is misjudged");
@@ -266,6 +266,6 @@
         })
         .sum();
     // Two checks of each of four hosts at each step; keys are there for some half of the time.
-    let checks = 2 * HOSTS as u64 * PLAYS * SIMULATION_MS / STEP_MS;
+    let checks = 2 * HOSTS as u64 * SIMULATIONS * SIMULATION_MS / STEP_MS;
     assert!(honoured > checks / 8, "{honoured} of {checks}");
 }
