--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -260,9 +260,9 @@
     const SIMULATIONS: u64 = 20;
     let honoured: u64 = (0..SIMULATIONS)
         .map(|seed| {
-            let mut play = Simulation::new(seed);
-            play.run().expect("no key is misjudged");
-            play.honoured
+            let mut simulation = Simulation::new(seed);
+            simulation.run().expect("no key is misjudged");
+            simulation.honoured
         })
         .sum();
     // Two checks of each of four hosts at each step; keys are there for some half of the time.
