--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -77,7 +77,7 @@
 
 /// What is on its way to a host.
 #[derive(Clone, Copy, Debug)]
-enum News {
+enum Delivery {
     /// The store's answer to a question.
     Store { asked_ms: u64, version: u64 },
     /// The holder's answer.
@@ -96,7 +96,7 @@
     version: u64,
     cut_until_ms: u64,
     frozen_until_ms: u64,
-    inbox: Vec<(u64, News)>,
+    inbox: Vec<(u64, Delivery)>,
 }
 
 impl Host {
@@ -106,20 +106,20 @@
             .drain(..)
             .partition(|(at_ms, _)| *at_ms <= now_ms);
         self.inbox = later;
-        let due: Vec<(u64, News)> = due;
+        let due: Vec<(u64, Delivery)> = due;
         for (_, updates) in due {
             match updates {
-                News::Store { asked_ms, version } => {
+                Delivery::Store { asked_ms, version } => {
                     self.version = self.version.max(version);
                     self.proof.note(asked_ms);
                 }
-                News::Holder {
+                Delivery::Holder {
                     nonce,
                     age_ms,
                     version,
                 } if self.version >= version => self.proof.note_answer(nonce, age_ms),
-                News::Holder { .. } => {}
-                News::Relayed { version } => self.version = self.version.max(version),
+                Delivery::Holder { .. } => {}
+                Delivery::Relayed { version } => self.version = self.version.max(version),
             }
         }
     }
@@ -164,7 +164,7 @@
             2 => *host = Host::default(),
             3..24 => host
                 .inbox
-                .push((now_ms + delay_ms, News::Relayed { version: relayed })),
+                .push((now_ms + delay_ms, Delivery::Relayed { version: relayed })),
             _ => {}
         }
     }
@@ -177,7 +177,7 @@
         let [to_ms, back_ms] = [self.delay_ms(), self.delay_ms()];
         let answered_ms = now_ms + to_ms;
         let updates = if place == HOLDER {
-            News::Store {
+            Delivery::Store {
                 asked_ms: now_ms,
                 version: self.operators.version(answered_ms),
             }
@@ -189,7 +189,7 @@
             let Some(age_ms) = holder.proof.age_ms(now_ms) else {
                 return;
             };
-            News::Holder {
+            Delivery::Holder {
                 nonce,
                 age_ms,
                 version: holder.version,
