--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -157,11 +157,12 @@
         }
         let sync_role = self.sync_role();
         let wait_ms = followed.wait_ms(sync_role, &self.limits);
-        let relies = self.freshness.is_store_confirmed() && followed != FollowedTable::Own;
+        let relies_on_holder =
+            self.freshness.is_store_confirmed() && followed != FollowedTable::Own;
         let is_silent = || !begun.load(Ordering::Relaxed);
         tokio::select! {
             feed = self.store.feed(table, after, wait_ms, &begun) => Ok(feed),
-            recall_reason = self.freshness.recall_reason(followed, after, relies, is_silent) => Err(recall_reason),
+            recall_reason = self.freshness.recall_reason(followed, after, relies_on_holder, is_silent) => Err(recall_reason),
             _ = store_lost.wait_for(|lost| *lost) => Err(RecallReason::Behind),
         }
     }
