--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -204,12 +204,12 @@
     /// Takes changes of servers' entries that the holder of the duty has passed on.
     pub(super) fn take_servers(&self, passed: ServerChanges) {
         if self.relay.can_take() {
-            self.take_news_of_servers(passed);
+            self.apply_server_changes(passed);
         }
     }
 
     /// Takes in changes of servers' entries, unless some before them are not known here.
-    pub(super) fn take_news_of_servers(&self, updates: ServerChanges) {
+    pub(super) fn apply_server_changes(&self, updates: ServerChanges) {
         let up_to = updates.up_to;
         let applied = self.freshness.applied(FollowedTable::Servers);
         let Some(changes) = updates.new_after(applied) else {
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -213,7 +213,7 @@
         if self.duty.term() > 0 {
             self.pass_servers_on(&updates);
         }
-        self.take_news_of_servers(updates);
+        self.apply_server_changes(updates);
     }
 
     /// Records that the store has delivered all changes of a table up to the time of the call; for
