--- a/src/entry/bounds.rs
+++ b/src/entry/bounds.rs
@@ -47,7 +47,7 @@
         deserialize_with = "duration"
     )]
     pub contact_ms: u64,
-    /// Sliding window in which repeated requests are counted.
+    /// Window in which repeated requests are counted.
     #[serde(rename = "retry_window", deserialize_with = "duration")]
     pub retry_window_ms: u64,
     /// Most repeated requests in a window, as a share of its requests.
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -25,14 +25,15 @@
 const HOLDER_HEARTBEAT_MAX_MS: u64 = 300;
 /// Longest time for which a host may lag behind the versions reported by the duty holder.
 const LAG_GRACE_MAX_MS: u64 = 400;
-/// Longest pause of the duty holder's feed of servers' entries, which lets changes in quick
-/// succession share one call.
+/// Longest pause of the feeds of servers' entries and the configuration on the duty holder and on
+/// relays, which lets changes in quick succession share one call.
 const HOLDER_REST_MAX_MS: u64 = 250;
 /// Longest wait of the duty holder's feed calls. Calls are billed, and the duty holder makes them
 /// continuously.
 const HOLDER_WAIT_MAX_MS: u64 = 3_000;
 /// Longest pause of the feed of servers' entries on a host that hears no duty holder.
 const SERVERS_REST_MAX_MS: u64 = 1_500;
+/// Longest pause of the configuration's feed on hosts other than the duty holder and relays.
 const CONFIGURATION_REST_MAX_MS: u64 = 500;
 
 /// Longest time for which keys are served in an evacuated zone. Moves of keys complete within a few
@@ -47,7 +48,8 @@
     pub trust_ms: u64,
     /// Heartbeat interval of the duty holder; several heartbeats fit into the trust period.
     pub holder_heartbeat_ms: u64,
-    /// Pause of the duty holder's feed of servers' entries.
+    /// Pause of the feeds of servers' entries and the configuration on the duty holder and on
+    /// relays.
     pub holder_rest_ms: u64,
     /// Longest wait of the duty holder's feed calls at the store. It is short because no other host
     /// can tell the duty holder that its connection has failed silently.
@@ -181,38 +183,38 @@
         let next_heartbeat_ms = self.holder_rest_ms + 2 * self.holder_heartbeat_ms + POLL_EVERY_MS;
         [
             drain(
-                "the holder is lost before it passes on that a server leaves",
+                "the duty holder fails before it broadcasts that a server leaves",
                 self.trust_ms + POLL_EVERY_MS,
             ),
             drain(
-                "the message that a server leaves is lost, and the holder's next heartbeat shows it",
+                "the broadcast that a server leaves is lost and detected by the duty holder's next heartbeat",
                 next_heartbeat_ms + self.catch_up_ms,
             ),
             TimingPath {
-                name: "the holder's connection to the store has fallen silent",
+                name: "the duty holder's connection to the store has failed silently",
                 bound: "contact",
                 worst_ms: self.holder_wait_ms + FEED_SLACK_MS + CALL_MS + LATE_MS,
                 bound_ms: bounds.contact_ms + bounds.drain_ms.min(bounds.configuration_ms),
             },
-            drain("no holder is heard", self.servers_rest_ms),
+            drain("no duty holder is heard", self.servers_rest_ms),
             TimingPath {
-                name: "neither the holder nor a relay is heard as the store comes back",
+                name: "neither the duty holder nor a relay is heard when the store comes back",
                 bound: "contact",
                 worst_ms: self.alone_pause_ms + RETRY_PAUSE_LONGEST_MS + CALL_MS + LATE_MS,
                 bound_ms: bounds.contact_ms + bounds.drain_ms.min(bounds.configuration_ms),
             },
             TimingPath {
-                name: "a server says in its answers that it leaves",
+                name: "a server announces in its answers that it leaves",
                 bound: "drain",
                 worst_ms: self.notice_hold_ms + LATE_MS,
                 bound_ms: bounds.drain_ms,
             },
             configuration(
-                "the holder is lost before it passes the configuration on",
+                "the duty holder fails before it broadcasts the configuration",
                 self.trust_ms + POLL_EVERY_MS,
             ),
             configuration(
-                "a piece of the configuration is lost, and the holder's next heartbeat shows it",
+                "a piece of the configuration is lost and detected by the duty holder's next heartbeat",
                 self.holder_rest_ms
                     + self.holder_heartbeat_ms
                     + self.lag_grace_ms
@@ -220,15 +222,15 @@
                     + self.catch_up_ms,
             ),
             evacuation(
-                "the holder is lost before it passes on that a zone is evacuated",
+                "the duty holder fails before it broadcasts that a zone is evacuated",
                 self.trust_ms + POLL_EVERY_MS,
             ),
             evacuation(
-                "no holder is heard as a zone is evacuated",
+                "no duty holder is heard when a zone is evacuated",
                 self.configuration_rest_ms,
             ),
             TimingPath {
-                name: "a zone is evacuated while the holder's connection to the store is silent",
+                name: "a zone is evacuated while the duty holder's connection to the store has failed silently",
                 bound: "evacuation",
                 worst_ms: self.holder_wait_ms
                     + FEED_SLACK_MS
@@ -238,7 +240,7 @@
                 bound_ms: bounds.contact_ms + bounds.evacuation_ms,
             },
             configuration(
-                "the configuration changes while its feed rests",
+                "the configuration changes while its feed pauses",
                 self.configuration_rest_ms,
             ),
         ]
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -37,8 +37,8 @@
 /// Rate limit of a server while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Warmup {
-    /// Time for which a server is cold after it has started, or after the evacuation of its zone
-    /// has ended.
+    /// Time for which servers are treated as cold after the evacuation of their zone has ended. A
+    /// server that has just started states its own cold time in its entry.
     pub time_ms: u64,
     /// Requests per second that a cold server gets from all hosts together.
     pub per_s: f64,
@@ -74,7 +74,7 @@
     pub regions: Vec<Arc<str>>,
     /// Services that share its requests by weight.
     pub parts: Vec<RouteTarget>,
-    /// Most attempts for one request, each on another server.
+    /// Most servers that one request may be sent to, one after the other.
     pub attempts_max: u32,
 }
 
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -298,8 +298,8 @@
         self.in_flight(digests)
     }
 
-    /// Counts a suspect request as in flight until the result is dropped. The caller ensures that
-    /// no other suspect runs on the server.
+    /// Counts a suspect request as in flight until the result is dropped. No other suspect may run
+    /// on the server at the time.
     pub fn enter_for_trial(self: &Arc<Self>, digests: RequestDigests) -> InFlight {
         self.runs().begin_trial(digests);
         self.in_flight(digests)
--- a/src/entry/updates/configuration_pieces.rs
+++ b/src/entry/updates/configuration_pieces.rs
@@ -18,8 +18,8 @@
 pub struct Piece {
     /// Version of the configuration row in the store.
     pub version: u64,
-    /// Version of the latest evacuation known to the sender. The receiver uses it to detect an
-    /// evacuation that it has missed.
+    /// Version of the latest evacuation known to the sender. The receiver marks the configuration's
+    /// version as applied only if it knows that evacuation too.
     pub evacuations: u64,
     /// Index of this piece, from 0.
     pub index: u16,
@@ -29,7 +29,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// Configuration and evacuated zones, as handed to a starting host.
+/// Configuration and evacuated zones as one host knows them, in its answer to a host that asks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotConfiguration {
     /// Version of the configuration row in the store.
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -207,12 +207,12 @@
         *self.hosts_known.borrow()
     }
 
-    /// Records that an earlier process of this host is known.
+    /// Records that an earlier process is known to have run on this host.
     pub fn note_former_process(&self) {
         self.former_process.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether an earlier process of this host is known.
+    /// Returns whether an earlier process is known to have run on this host.
     pub fn had_former_process(&self) -> bool {
         self.former_process.load(Ordering::Relaxed)
     }
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -1,5 +1,6 @@
-//! API keys that are added and revoked while hosts are cut off, stand still, start again or are told by others, played in
-//! virtual time on the deciding code, over drawn orders of events.
+//! Simulates the acceptance of API keys in virtual time, with random sequences of events: operators
+//! add and revoke keys while hosts are partitioned, suspended, restarted, or receive configurations
+//! from each other.
 
 use ashroad::entry::{
     decide::trust::{TrustLimits, Verdict, judge},
@@ -16,22 +17,22 @@
 };
 const SIMULATION_MS: u64 = 30_000;
 const STEP_MS: u64 = 50;
-/// Interval of questions of a host.
+/// Interval at which a host queries the duty holder or the store.
 const ASK_EVERY_MS: u64 = REVOCATION_MS / 8;
-/// Longest time that a message is on its way, or waits at a host that stands still.
+/// Longest delay of a message, in the network or in the inbox of a suspended host.
 const DELAY_MAX_MS: u64 = 4_000;
 const HOSTS: usize = 4;
-/// Host that has the duty and asks the store; the others ask it.
+/// Index of the duty holder, which queries the store; the other hosts query it.
 const HOLDER: usize = 0;
 
-/// A key that operators add, and revoke later.
+/// API key with the times at which operators add and revoke it.
 #[derive(Clone, Copy, Debug)]
 struct Key {
     added_ms: u64,
     revoked_ms: u64,
 }
 
-/// Versions of the configuration by when they were written: each second one has the key.
+/// History of the configuration; every second version contains a key.
 #[derive(Debug)]
 struct Operators {
     keys: Vec<Key>,
@@ -53,7 +54,7 @@
         Self { keys }
     }
 
-    /// Version in force at a time: odd ones have the key.
+    /// Returns the version in force at a time; odd versions contain a key.
     fn version(&self, at_ms: u64) -> u64 {
         let changes = self
             .keys
@@ -62,7 +63,7 @@
         changes.filter(|change_ms| *change_ms <= at_ms).count() as u64
     }
 
-    /// When a version was written.
+    /// Returns when a version was written; 0 for the first.
     fn written_ms(&self, version: u64) -> u64 {
         let changes = self
             .keys
@@ -75,18 +76,18 @@
     }
 }
 
-/// What is on its way to a host.
+/// Message on its way to a host.
 #[derive(Clone, Copy, Debug)]
 enum Delivery {
-    /// The store's answer to a question.
+    /// Response of the store to a query.
     Store { asked_ms: u64, version: u64 },
-    /// The holder's answer.
+    /// Response of the duty holder to a query.
     Holder {
         nonce: u64,
         age_ms: u64,
         version: u64,
     },
-    /// A configuration that another host hands on.
+    /// Configuration sent by another host, which proves nothing about its age.
     Relayed { version: u64 },
 }
 
@@ -169,7 +170,7 @@
         }
     }
 
-    /// A question of a host, and its answer on its way.
+    /// Sends a query of a host and schedules the response.
     fn ask(&mut self, place: usize, now_ms: u64) {
         if now_ms < self.hosts[place].cut_until_ms {
             return;
@@ -185,7 +186,8 @@
             let nonce = self.rng.random();
             self.hosts[place].proof.ask(nonce, now_ms);
             let holder = &self.hosts[HOLDER];
-            // The holder answers by what it knows now; the answer may take long.
+            // The duty holder answers with its state at the time of the query; the response may be
+            // delayed.
             let Some(age_ms) = holder.proof.age_ms(now_ms) else {
                 return;
             };
@@ -205,7 +207,7 @@
         let is_known = host.version % 2 == 1;
         let verdict = judge(is_known, host.proof.age_ms(now_ms), LIMITS);
         let latest = self.operators.version(now_ms);
-        // When the host's version was replaced by the next one.
+        // Time at which the version on the host was replaced by the next one.
         let outdated_ms = self.operators.written_ms(host.version + 1);
         let is_outdated = latest > host.version;
         match verdict {
@@ -213,7 +215,7 @@
                 self.honoured += 1;
                 if is_outdated && now_ms > outdated_ms + REVOCATION_MS {
                     return Err(format!(
-                        "a key revoked at {outdated_ms} is honoured at {now_ms}"
+                        "a key revoked at {outdated_ms} is accepted at {now_ms}"
                     ));
                 }
             }
@@ -236,7 +238,8 @@
                 if now_ms < self.hosts[place].frozen_until_ms {
                     continue;
                 }
-                // A host that has just stood still may answer a caller before it reads what waits for it.
+                // A host that resumes after a suspension may handle a request before it reads its
+                // inbox.
                 self.check(place, now_ms)?;
                 self.hosts[place].take_in(now_ms);
                 self.check(place, now_ms)?;
@@ -265,7 +268,7 @@
             simulation.honoured
         })
         .sum();
-    // Two checks of each of four hosts at each step; keys are there for some half of the time.
+    // Each of four hosts checks twice in each step; a key exists for about half of the time.
     let checks = 2 * HOSTS as u64 * SIMULATIONS * SIMULATION_MS / STEP_MS;
     assert!(honoured > checks / 8, "{honoured} of {checks}");
 }
--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -1,4 +1,4 @@
-//! Time limits that follow from the users' bounds.
+//! Tests that the time limits derived from the bounds in the settings keep these bounds.
 
 use ashroad::entry::{bounds::Bounds, limits::TimeLimits, settings::Settings};
 use quickcheck::quickcheck;
@@ -18,7 +18,7 @@
     }
 }
 
-/// Bounds from the tightest that can be kept.
+/// Returns bounds from 800 ms, the tightest that can be kept, upwards.
 fn drawn(drain: u16, configuration: u16) -> Bounds {
     bounds(
         800 + u64::from(drain) / 4,
@@ -88,15 +88,15 @@
             configuration: "600ms",
             problems: &[
                 "bounds.configuration of 600 ms cannot be kept when the configuration changes \
-                 while its feed rests: that takes 700 ms",
+                 while its feed pauses: that takes 700 ms",
             ],
         },
         Case {
             drain: "790ms",
             configuration: "2s",
             problems: &[
-                "bounds.drain of 790 ms cannot be kept when the holder is lost before it passes \
-                 on that a server leaves: that takes 800 ms",
+                "bounds.drain of 790 ms cannot be kept when the duty holder fails before it \
+                 broadcasts that a server leaves: that takes 800 ms",
             ],
         },
     ];
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -1,5 +1,5 @@
-//! What a host believes of servers: their lives, rows of other writers, evacuated zones, and cold
-//! servers. No processes.
+//! Tests of a host's view of servers: incarnations, undecodable rows of other writers, evacuated
+//! zones, cold servers, and notices of leaving or overloaded servers. They start no processes.
 
 use std::{collections::HashSet, sync::Arc};
 
@@ -85,7 +85,7 @@
         assert_ne!(text, ENTRY, "{from}");
         assert!(servers::decode("i-1", text.as_bytes()).is_err(), "{text}");
     }
-    // Fields that nobody named, and platforms that do not tell the start.
+    // Unknown fields are ignored, and the start time may be missing.
     for (from, to) in [
         (r#""seq":4"#, r#""seq":4,"mood":"good""#),
         (r#""born":1791000000123,"#, ""),
@@ -97,7 +97,8 @@
 
 quickcheck! {
     fn any_bytes_are_decoded_or_refused(bytes: Vec<u8>, place: usize, byte: u8) -> bool {
-        // None may panic: drawn bytes, and an entry with one byte changed or cut off there.
+        // No input may panic: random bytes, and an entry with one byte changed or cut off at any
+        // place.
         let mut changed = ENTRY.as_bytes().to_vec();
         let place = place % changed.len();
         let cut_off = servers::decode("i-1", &changed[..place]);
@@ -127,7 +128,8 @@
     let in_flight = first.enter(digests);
     registry.put(entry("a", 2_000));
     let second = registry.server("a@7d0").expect("the second").clone();
-    // It knows nothing of before, and what would still be sent to the first is not.
+    // The second server starts without the state of the first, and no further requests go to the
+    // first.
     assert!(registry.server("a@3e8").is_none());
     assert!(first.leaving());
     assert_eq!((second.own_load(), second.run_ms()), (0, 0.0));
@@ -135,14 +137,14 @@
     let former = registry.former("a@3e8").expect("known as gone");
     assert_eq!(&*former.name, "a");
     assert_eq!(registry.of_service("s").len(), 1);
-    // A late heartbeat of the first changes nothing.
+    // A late heartbeat of the first incarnation changes nothing.
     registry.put(ServerEntry {
         leaving: true,
         ..entry("a", 1_000)
     });
     assert!(!registry.server("a@7d0").expect("the second").leaving());
     assert_eq!(registry.of_service("s").len(), 1);
-    // The row's removal is about the latest.
+    // The removal of the row applies to the latest incarnation.
     registry.remove("a", 0);
     assert!(registry.server("a@7d0").is_none());
     drop(in_flight);
@@ -201,7 +203,7 @@
     let mut registry = Registry::default();
     registry.put(entry("a", 1));
     registry.put(entry("b", 1));
-    // Also while entries may come back after an outage of the store.
+    // The server is dropped even if entries may come back after an outage of the store.
     registry.drop_server("a");
     assert!(registry.server("a@1").is_none());
     assert_eq!(registry.usable("s", &[]).len(), 1);
@@ -243,7 +245,7 @@
             evacuations: evacuations(5, &["z"]),
             usable: &["b"],
         },
-        // A later holder that does not know of it yet.
+        // A later duty holder that does not know of the evacuation yet.
         Case {
             evacuations: evacuations(0, &[]),
             usable: &["b"],
@@ -256,7 +258,7 @@
             evacuations: evacuations(7, &["y"]),
             usable: &["a"],
         },
-        // Late news.
+        // A list that arrives late, after a newer one.
         Case {
             evacuations: evacuations(6, &["y", "z"]),
             usable: &["a"],
@@ -271,11 +273,11 @@
         view.evacuate(case.evacuations);
         assert_eq!(usable(), case.usable, "{told}");
     }
-    // Also a server that joins meanwhile.
+    // The evacuation also applies to a server that joins later.
     view.evacuate(evacuations(10, &["z"]));
     view.update_registry(|registry| registry.put(entry("c", 1)));
     assert_eq!(usable(), ["b"]);
-    // Keys that it holds are served for a while.
+    // Requests for keys held by an evacuated server are served for the hold time.
     let registry = view.registry();
     let evacuated = registry.server("a@1").expect("a server");
     assert!(evacuated.serves_held_keys(60_000));
@@ -294,7 +296,7 @@
         .expect("a server")
         .cold_remaining_ms();
     assert!((2_900..=3_000).contains(&rest_ms), "{rest_ms}");
-    // A row that is read again says nothing new; one that tells a change does.
+    // Reading the same row again does not change the cold time; a row with another cold time does.
     registry.put(entry("a", 1));
     assert!(
         registry
@@ -336,8 +338,8 @@
     assert_eq!(known, evacuations(5, &["y"]));
 }
 
-/// Most requests that a cold server gets in any second of ten, from hosts that each think that there
-/// are about as many hosts as there are.
+/// Returns the most requests that a cold server gets in any second out of ten seconds, from hosts
+/// whose knowledge of the number of hosts is only roughly right.
 fn most_in_a_second(hosts: usize, per_s: f64, asked_per_s: f64, rng: &mut StdRng) -> usize {
     const LENGTH_MS: f64 = 10_000.0;
     let mut turns: Vec<(Turns, u64)> = (0..hosts)
@@ -350,12 +352,12 @@
         turns.is_open(*every_ms, rng.random(), 0);
     }
     let mut sent_ms = Vec::new();
-    // The demand begins at some moment, when turns may have gone unused.
+    // Requests begin at a random time, before which warm-up windows may have gone unused.
     let mut at_ms = rng.random_range(0.0..4_000.0);
     while at_ms < LENGTH_MS {
         at_ms += 2.0 * rng.random::<f64>() * 1_000.0 / asked_per_s;
         let now_ms = at_ms as u64;
-        // Half of the requests come to one host.
+        // Half of the requests arrive at one host.
         let host = if rng.random() {
             0
         } else {
@@ -388,7 +390,7 @@
         let most = most_in_a_second(hosts, per_s, asked_per_s, &mut rng);
         assert!(most <= 16, "{most} of {hosts} hosts, {asked_per_s} asked");
     }
-    // What it bears is used as well, where demand is high.
+    // A high load uses the capacity of the cold server as well.
     let sent = most_in_a_second(74, per_s, 2_000.0, &mut rng);
     assert!(sent >= 4, "{sent}");
 }
@@ -408,7 +410,7 @@
     let barred =
         (0..1_000).filter(|_| server.is_limited_by_warmup(Some(WarmupLimit::new(warmup, 10_000))));
     assert_eq!(barred.count(), 1_000);
-    // Where nobody bounds it a cold server is like any other.
+    // Without a limit a cold server is treated like any other.
     assert!(!server.is_limited_by_warmup(None));
 }
 
@@ -421,17 +423,19 @@
 fn a_server_that_announces_its_leaving_gets_no_requests_after_the_hold_time() {
     let hold_ms = 1_850;
     let mut notices = Notices::default();
-    // Others say so first: it gets no new work, and serves what only it can.
+    // Other hosts report the leaving first: the server gets no new work, but still gets requests
+    // for keys that it holds.
     assert!(notices.note_leaving_elsewhere(1_000));
     assert!(!notices.note_leaving_elsewhere(1_100));
     assert!(notices.leaves() && !notices.has_told_leaving());
     assert!(!notices.is_closed_to(900_000, hold_ms));
-    // Then its own answers do, again and again: the first counts.
+    // Then its own answers announce the leaving repeatedly; the hold time starts with the first of
+    // them.
     assert!(notices.note(LEAVES, 5_000).leaves);
     assert!(!notices.note(LEAVES, 6_000).leaves);
     assert!(!notices.is_closed_to(5_000 + hold_ms - 1, hold_ms));
     assert!(notices.is_closed_to(5_000 + hold_ms, hold_ms));
-    // An answer without the word, such as one that was on its way, takes nothing back.
+    // An answer without the announcement, for instance one sent earlier, does not revoke it.
     notices.note(Notice::default(), 7_000);
     assert!(notices.is_closed_to(7_000, hold_ms));
 }
@@ -448,7 +452,7 @@
         at_ms,
         rest_ms,
     };
-    // Each is asked for at a time, for a time.
+    // Pairs of the time of a request for rest and the rest's duration.
     let cases = [
         case(&[], 0, 0),
         case(&[(100, 3_000)], 100, 3_000),
@@ -456,7 +460,7 @@
         case(&[(100, 3_000)], 3_100, 0),
         case(&[(100, 3_000), (200, 3_000)], 3_100, 100),
         case(&[(100, 3_000), (200, 500)], 1_000, 2_100),
-        // A damaged figure does not keep it idle for good.
+        // A corrupt value does not keep the server idle forever.
         case(&[(100, u64::MAX)], 100, 600_000),
     ];
     for Case {
@@ -489,7 +493,7 @@
     let server = |registry: &Registry, id: &str| registry.server(id).expect("a server").clone();
     server(&registry, "a@1").note_notice(LEAVES);
     server(&registry, "b@1").note_notice(rests);
-    // The row is written again, or lapses and comes back, as of a server that is ready.
+    // The row is written again, or lapses and comes back, with the state of a ready server.
     for _ in 0..3 {
         registry.put(entry("a", 1));
         registry.put(entry("b", 1));
@@ -500,14 +504,14 @@
         registry.remove("b", 0);
         assert!(registry.server("a@1").is_none());
     }
-    // An answer may come while the entry is gone.
+    // An answer with a notice may arrive while the entry is gone.
     registry.put(entry("c", 1));
     let gone = server(&registry, "c@1");
     registry.remove("c", 0);
     gone.note_notice(LEAVES);
     registry.put(entry("c", 1));
     assert!(!server(&registry, "c@1").takes_new_work());
-    // A later start under the same name has said nothing.
+    // A later incarnation under the same name has sent no notices.
     registry.put(entry("a", 2));
     assert!(server(&registry, "a@2").takes_new_work());
 }
@@ -527,7 +531,8 @@
     assert_eq!(names(registry.usable("s", &[])), ["b"]);
     leave("b@1");
     assert!(registry.usable("s", &[]).is_empty());
-    // Nobody else can run it: the one that has not closed yet, and was not tried before.
+    // No other server can run the request: a leaving server within its hold time is used, unless it
+    // was tried before.
     let now_ms = ashroad::clock::now_ms();
     let at_last = |tried: &[Arc<str>], arrived_ms| {
         names(registry.usable_at_last("s", tried, arrived_ms, 1_850))
