--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -103,7 +103,7 @@
     /// Returns the pause between two feed calls. Each change wakes the feeds of all hosts, so the
     /// pause grows with the number of hosts, up to the limit at which changes still take effect in
     /// time.
-    pub fn rest(self, hosts: usize, sync_role: SyncRole, limits: &TimeLimits) -> Rest {
+    pub fn feed_pause(self, hosts: usize, sync_role: SyncRole, limits: &TimeLimits) -> Rest {
         let scaled = |few_hosts_ms: u64, many_hosts_ms: u64| {
             let scaled_ms = few_hosts_ms * hosts as u64 / FEW_HOSTS;
             scaled_ms.clamp(few_hosts_ms.min(many_hosts_ms), many_hosts_ms)
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -90,7 +90,7 @@
                 }
                 called_ms = began_ms;
                 if self.is_caught_up_by_others(followed).await {
-                    self.rest(followed, began_ms).await;
+                    self.feed_pause(followed, began_ms).await;
                     continue;
                 }
                 let after = self.freshness.applied(followed);
@@ -111,7 +111,7 @@
                         self.take_changes(followed, after, changes);
                         self.note_proof_of_store(followed, began_ms);
                         if !has_more {
-                            self.rest(followed, began_ms).await;
+                            self.feed_pause(followed, began_ms).await;
                         }
                     }
                     Ok(Feed::HistoryGone) => {
@@ -180,7 +180,7 @@
             time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
         }
         if !is_holder() && self.freshness.is_store_confirmed() {
-            self.rest(followed, began_ms).await;
+            self.feed_pause(followed, began_ms).await;
         }
     }
 
@@ -225,13 +225,16 @@
     }
 
     /// Pauses before the next call of a feed, and returns early if there is a reason to call now.
-    async fn rest(&self, followed: FollowedTable, began_ms: u64) {
+    async fn feed_pause(&self, followed: FollowedTable, began_ms: u64) {
         let mut behind_ms = 0;
         let sync_role = self.sync_role();
-        let rest = followed.rest(self.peers.hosts(), sync_role, &self.limits);
-        sleep_until(began_ms + rest.least_ms).await;
-        while clock::now_ms() < began_ms + rest.most_ms {
-            let look_ms = began_ms + rest.most_ms.min(clock::now_ms() - began_ms + POLL_EVERY_MS);
+        let feed_pause = followed.feed_pause(self.peers.hosts(), sync_role, &self.limits);
+        sleep_until(began_ms + feed_pause.least_ms).await;
+        while clock::now_ms() < began_ms + feed_pause.most_ms {
+            let look_ms = began_ms
+                + feed_pause
+                    .most_ms
+                    .min(clock::now_ms() - began_ms + POLL_EVERY_MS);
             tokio::select! {
                 () = sleep_until(look_ms) => {}
                 () = self.view.read_requested(followed) => return,
