--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -103,7 +103,7 @@
     /// Returns the pause between two feed calls. Each change wakes the feeds of all hosts, so the
     /// pause grows with the number of hosts, up to the limit at which changes still take effect in
     /// time.
-    pub fn feed_pause(self, hosts: usize, sync_role: SyncRole, limits: &TimeLimits) -> Rest {
+    pub fn feed_pause(self, hosts: usize, sync_role: SyncRole, limits: &TimeLimits) -> FeedPause {
         let scaled = |few_hosts_ms: u64, many_hosts_ms: u64| {
             let scaled_ms = few_hosts_ms * hosts as u64 / FEW_HOSTS;
             scaled_ms.clamp(few_hosts_ms.min(many_hosts_ms), many_hosts_ms)
@@ -111,28 +111,28 @@
         match (self, sync_role) {
             // All other hosts learn of changes from the duty holder or a relay.
             (Self::Configuration | Self::Servers, SyncRole::Holder | SyncRole::Relay) => {
-                Rest::fixed(limits.holder_rest_ms)
+                FeedPause::fixed(limits.holder_rest_ms)
             }
-            (Self::Configuration, SyncRole::Follower) => Rest {
+            (Self::Configuration, SyncRole::Follower) => FeedPause {
                 least_ms: limits.configuration_rest_ms,
                 most_ms: FOLLOWER_REST_MAX_MS,
             },
             (Self::Configuration, SyncRole::Alone) => {
-                Rest::fixed(scaled(150, limits.configuration_rest_ms))
+                FeedPause::fixed(scaled(150, limits.configuration_rest_ms))
             }
-            (Self::Servers, SyncRole::Follower) => Rest {
+            (Self::Servers, SyncRole::Follower) => FeedPause {
                 least_ms: scaled(SERVERS_REST_MS, 1_000),
                 most_ms: FOLLOWER_REST_MAX_MS,
             },
             (Self::Servers, SyncRole::Alone) => {
-                Rest::fixed(scaled(SERVERS_REST_MS, limits.servers_rest_ms))
+                FeedPause::fixed(scaled(SERVERS_REST_MS, limits.servers_rest_ms))
             }
             // Holdings also arrive by datagram once the duty holder knows this host.
-            (Self::Own, SyncRole::Follower) => Rest {
+            (Self::Own, SyncRole::Follower) => FeedPause {
                 least_ms: OWN_REST_MS,
                 most_ms: FOLLOWER_REST_MAX_MS,
             },
-            (Self::Own, _) => Rest {
+            (Self::Own, _) => FeedPause {
                 least_ms: OWN_REST_MS,
                 most_ms: scaled(1_000, 2_000),
             },
@@ -145,14 +145,14 @@
 
 /// Pause between two feed calls, which lets changes in quick succession share one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rest {
+pub struct FeedPause {
     /// Pause if there is a reason to call early, such as a read request or a missed change.
     pub least_ms: u64,
     /// Pause if there is no such reason.
     pub most_ms: u64,
 }
 
-impl Rest {
+impl FeedPause {
     fn fixed(rest_ms: u64) -> Self {
         Self {
             least_ms: rest_ms,
