--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -114,14 +114,14 @@
                 FeedPause::fixed(limits.holder_rest_ms)
             }
             (Self::Configuration, SyncRole::Follower) => FeedPause {
-                least_ms: limits.configuration_rest_ms,
+                min_ms: limits.configuration_rest_ms,
                 most_ms: FOLLOWER_REST_MAX_MS,
             },
             (Self::Configuration, SyncRole::Alone) => {
                 FeedPause::fixed(scaled(150, limits.configuration_rest_ms))
             }
             (Self::Servers, SyncRole::Follower) => FeedPause {
-                least_ms: scaled(SERVERS_REST_MS, 1_000),
+                min_ms: scaled(SERVERS_REST_MS, 1_000),
                 most_ms: FOLLOWER_REST_MAX_MS,
             },
             (Self::Servers, SyncRole::Alone) => {
@@ -129,11 +129,11 @@
             }
             // Holdings also arrive by datagram once the duty holder knows this host.
             (Self::Own, SyncRole::Follower) => FeedPause {
-                least_ms: OWN_REST_MS,
+                min_ms: OWN_REST_MS,
                 most_ms: FOLLOWER_REST_MAX_MS,
             },
             (Self::Own, _) => FeedPause {
-                least_ms: OWN_REST_MS,
+                min_ms: OWN_REST_MS,
                 most_ms: scaled(1_000, 2_000),
             },
         }
@@ -147,7 +147,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FeedPause {
     /// Pause if there is a reason to call early, such as a read request or a missed change.
-    pub least_ms: u64,
+    pub min_ms: u64,
     /// Pause if there is no such reason.
     pub most_ms: u64,
 }
@@ -155,7 +155,7 @@
 impl FeedPause {
     fn fixed(rest_ms: u64) -> Self {
         Self {
-            least_ms: rest_ms,
+            min_ms: rest_ms,
             most_ms: rest_ms,
         }
     }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -229,7 +229,7 @@
         let mut behind_ms = 0;
         let sync_role = self.sync_role();
         let feed_pause = followed.feed_pause(self.peers.hosts(), sync_role, &self.limits);
-        sleep_until(began_ms + feed_pause.least_ms).await;
+        sleep_until(began_ms + feed_pause.min_ms).await;
         while clock::now_ms() < began_ms + feed_pause.most_ms {
             let look_ms = began_ms
                 + feed_pause
@@ -355,8 +355,8 @@
     pause_for(RETRY_PAUSE_MS).await;
 }
 
-pub(super) async fn pause_for(least_ms: u64) {
-    let pause_ms = least_ms + rand::random_range(0..least_ms / 2);
+pub(super) async fn pause_for(min_ms: u64) {
+    let pause_ms = min_ms + rand::random_range(0..min_ms / 2);
     time::sleep(Duration::from_millis(pause_ms)).await;
 }
 
