--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -115,14 +115,14 @@
             }
             (Self::Configuration, SyncRole::Follower) => FeedPause {
                 min_ms: limits.configuration_rest_ms,
-                most_ms: FOLLOWER_REST_MAX_MS,
+                max_ms: FOLLOWER_REST_MAX_MS,
             },
             (Self::Configuration, SyncRole::Alone) => {
                 FeedPause::fixed(scaled(150, limits.configuration_rest_ms))
             }
             (Self::Servers, SyncRole::Follower) => FeedPause {
                 min_ms: scaled(SERVERS_REST_MS, 1_000),
-                most_ms: FOLLOWER_REST_MAX_MS,
+                max_ms: FOLLOWER_REST_MAX_MS,
             },
             (Self::Servers, SyncRole::Alone) => {
                 FeedPause::fixed(scaled(SERVERS_REST_MS, limits.servers_rest_ms))
@@ -130,11 +130,11 @@
             // Holdings also arrive by datagram once the duty holder knows this host.
             (Self::Own, SyncRole::Follower) => FeedPause {
                 min_ms: OWN_REST_MS,
-                most_ms: FOLLOWER_REST_MAX_MS,
+                max_ms: FOLLOWER_REST_MAX_MS,
             },
             (Self::Own, _) => FeedPause {
                 min_ms: OWN_REST_MS,
-                most_ms: scaled(1_000, 2_000),
+                max_ms: scaled(1_000, 2_000),
             },
         }
     }
@@ -149,14 +149,14 @@
     /// Pause if there is a reason to call early, such as a read request or a missed change.
     pub min_ms: u64,
     /// Pause if there is no such reason.
-    pub most_ms: u64,
+    pub max_ms: u64,
 }
 
 impl FeedPause {
     fn fixed(rest_ms: u64) -> Self {
         Self {
             min_ms: rest_ms,
-            most_ms: rest_ms,
+            max_ms: rest_ms,
         }
     }
 }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -230,10 +230,10 @@
         let sync_role = self.sync_role();
         let feed_pause = followed.feed_pause(self.peers.hosts(), sync_role, &self.limits);
         sleep_until(began_ms + feed_pause.min_ms).await;
-        while clock::now_ms() < began_ms + feed_pause.most_ms {
+        while clock::now_ms() < began_ms + feed_pause.max_ms {
             let look_ms = began_ms
                 + feed_pause
-                    .most_ms
+                    .max_ms
                     .min(clock::now_ms() - began_ms + POLL_EVERY_MS);
             tokio::select! {
                 () = sleep_until(look_ms) => {}
