--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -153,10 +153,10 @@
 }
 
 impl FeedPause {
-    fn fixed(rest_ms: u64) -> Self {
+    fn fixed(pause_ms: u64) -> Self {
         Self {
-            min_ms: rest_ms,
-            max_ms: rest_ms,
+            min_ms: pause_ms,
+            max_ms: pause_ms,
         }
     }
 }
