--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -50,7 +50,7 @@
     pub holder_heartbeat_ms: u64,
     /// Pause of the feeds of servers' entries and the configuration on the duty holder and on
     /// relays.
-    pub holder_rest_ms: u64,
+    pub holder_pause_ms: u64,
     /// Longest wait of the duty holder's feed calls at the store. It is short because no other host
     /// can tell the duty holder that its connection has failed silently.
     pub holder_wait_ms: u64,
@@ -134,7 +134,7 @@
         Self {
             trust_ms,
             holder_heartbeat_ms: (trust_ms / 4).min(HOLDER_HEARTBEAT_MAX_MS),
-            holder_rest_ms: (trust_ms / 4).min(HOLDER_REST_MAX_MS),
+            holder_pause_ms: (trust_ms / 4).min(HOLDER_REST_MAX_MS),
             holder_wait_ms: (bounds.contact_ms + drain_room_ms.min(configuration_room_ms))
                 .saturating_sub(FEED_SLACK_MS)
                 .clamp(TRUST_MIN_MS, HOLDER_WAIT_MAX_MS),
@@ -180,7 +180,7 @@
             worst_ms: wait_ms + self.evacuation_hold_ms + CALL_MS + 2 * LATE_MS,
             bound_ms: bounds.evacuation_ms,
         };
-        let next_heartbeat_ms = self.holder_rest_ms + 2 * self.holder_heartbeat_ms + POLL_EVERY_MS;
+        let next_heartbeat_ms = self.holder_pause_ms + 2 * self.holder_heartbeat_ms + POLL_EVERY_MS;
         [
             drain(
                 "the duty holder fails before it broadcasts that a server leaves",
@@ -215,7 +215,7 @@
             ),
             configuration(
                 "a piece of the configuration is lost and detected by the duty holder's next heartbeat",
-                self.holder_rest_ms
+                self.holder_pause_ms
                     + self.holder_heartbeat_ms
                     + self.lag_grace_ms
                     + POLL_EVERY_MS
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -111,7 +111,7 @@
         match (self, sync_role) {
             // All other hosts learn of changes from the duty holder or a relay.
             (Self::Configuration | Self::Servers, SyncRole::Holder | SyncRole::Relay) => {
-                FeedPause::fixed(limits.holder_rest_ms)
+                FeedPause::fixed(limits.holder_pause_ms)
             }
             (Self::Configuration, SyncRole::Follower) => FeedPause {
                 min_ms: limits.configuration_rest_ms,
