--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -66,7 +66,7 @@
     /// Time for other hosts to send a host the changes that it missed, before it asks the store.
     pub catch_up_ms: u64,
     /// Longest pause of the feed of servers' entries while no duty holder is heard.
-    pub servers_rest_ms: u64,
+    pub servers_pause_ms: u64,
     /// Longest pause of the configuration's feed.
     pub configuration_rest_ms: u64,
     /// Time for which a host may lag behind the reported versions before it asks the store: an
@@ -142,7 +142,7 @@
             ask_relay_every_ms: trust_ms / 16,
             catch_up_ms: trust_ms / 5,
             alone_pause_ms: bounds.contact_ms / 2,
-            servers_rest_ms: drain_room_ms.min(SERVERS_REST_MAX_MS),
+            servers_pause_ms: drain_room_ms.min(SERVERS_REST_MAX_MS),
             configuration_rest_ms: configuration_room_ms.min(CONFIGURATION_REST_MAX_MS),
             lag_grace_ms: (trust_ms * 3 / 10).min(LAG_GRACE_MAX_MS),
             start_rest_ms: bounds.contact_ms.saturating_sub(CALL_MS),
@@ -196,7 +196,7 @@
                 worst_ms: self.holder_wait_ms + FEED_SLACK_MS + CALL_MS + LATE_MS,
                 bound_ms: bounds.contact_ms + bounds.drain_ms.min(bounds.configuration_ms),
             },
-            drain("no duty holder is heard", self.servers_rest_ms),
+            drain("no duty holder is heard", self.servers_pause_ms),
             TimingPath {
                 name: "neither the duty holder nor a relay is heard when the store comes back",
                 bound: "contact",
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -125,7 +125,7 @@
                 max_ms: FOLLOWER_REST_MAX_MS,
             },
             (Self::Servers, SyncRole::Alone) => {
-                FeedPause::fixed(scaled(SERVERS_REST_MS, limits.servers_rest_ms))
+                FeedPause::fixed(scaled(SERVERS_REST_MS, limits.servers_pause_ms))
             }
             // Holdings also arrive by datagram once the duty holder knows this host.
             (Self::Own, SyncRole::Follower) => FeedPause {
--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -52,7 +52,7 @@
     let case = |name, raise| Case { name, raise };
     let cases = [
         case("trust_ms", |limits| limits.trust_ms += 1),
-        case("servers_rest_ms", |limits| limits.servers_rest_ms += 101),
+        case("servers_rest_ms", |limits| limits.servers_pause_ms += 101),
         case("configuration_rest_ms", |limits| {
             limits.configuration_rest_ms += 101;
         }),
