--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -68,7 +68,7 @@
     /// Longest pause of the feed of servers' entries while no duty holder is heard.
     pub servers_pause_ms: u64,
     /// Longest pause of the configuration's feed.
-    pub configuration_rest_ms: u64,
+    pub configuration_pause_ms: u64,
     /// Time for which a host may lag behind the reported versions before it asks the store: an
     /// answer or a broadcast may be on its way.
     pub lag_grace_ms: u64,
@@ -143,7 +143,7 @@
             catch_up_ms: trust_ms / 5,
             alone_pause_ms: bounds.contact_ms / 2,
             servers_pause_ms: drain_room_ms.min(SERVERS_REST_MAX_MS),
-            configuration_rest_ms: configuration_room_ms.min(CONFIGURATION_REST_MAX_MS),
+            configuration_pause_ms: configuration_room_ms.min(CONFIGURATION_REST_MAX_MS),
             lag_grace_ms: (trust_ms * 3 / 10).min(LAG_GRACE_MAX_MS),
             start_rest_ms: bounds.contact_ms.saturating_sub(CALL_MS),
             evacuation_hold_ms: bounds
@@ -227,7 +227,7 @@
             ),
             evacuation(
                 "no duty holder is heard when a zone is evacuated",
-                self.configuration_rest_ms,
+                self.configuration_pause_ms,
             ),
             TimingPath {
                 name: "a zone is evacuated while the duty holder's connection to the store has failed silently",
@@ -241,7 +241,7 @@
             },
             configuration(
                 "the configuration changes while its feed pauses",
-                self.configuration_rest_ms,
+                self.configuration_pause_ms,
             ),
         ]
     }
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -114,11 +114,11 @@
                 FeedPause::fixed(limits.holder_pause_ms)
             }
             (Self::Configuration, SyncRole::Follower) => FeedPause {
-                min_ms: limits.configuration_rest_ms,
+                min_ms: limits.configuration_pause_ms,
                 max_ms: FOLLOWER_REST_MAX_MS,
             },
             (Self::Configuration, SyncRole::Alone) => {
-                FeedPause::fixed(scaled(150, limits.configuration_rest_ms))
+                FeedPause::fixed(scaled(150, limits.configuration_pause_ms))
             }
             (Self::Servers, SyncRole::Follower) => FeedPause {
                 min_ms: scaled(SERVERS_REST_MS, 1_000),
--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -54,7 +54,7 @@
         case("trust_ms", |limits| limits.trust_ms += 1),
         case("servers_rest_ms", |limits| limits.servers_pause_ms += 101),
         case("configuration_rest_ms", |limits| {
-            limits.configuration_rest_ms += 101;
+            limits.configuration_pause_ms += 101;
         }),
         case("holder_rest_ms", |limits| limits.holder_pause_ms += 1_000),
         case("notice_hold_ms", |limits| limits.notice_hold_ms += 1),
