--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -126,7 +126,7 @@
     /// outage. The holder itself hears nobody.
     async fn is_vouched_soon(&self) -> bool {
         let since_ms = clock::now_ms();
-        let until_ms = since_ms + self.limits.start_rest_ms;
+        let until_ms = since_ms + self.limits.start_wait_ms;
         while self.duty.term() == 0 && clock::now_ms() < until_ms {
             if self.freshness.is_store_confirmed_since(since_ms) {
                 return true;
--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -70,7 +70,7 @@
         if is_owed {
             self.limits.catch_up_ms
         } else {
-            self.limits.start_rest_ms
+            self.limits.start_wait_ms
         }
     }
 
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -74,7 +74,7 @@
     pub lag_grace_ms: u64,
     /// Time for which a host waits to hear a duty holder after its start, or after the store no
     /// longer has the history that the host needs.
-    pub start_rest_ms: u64,
+    pub start_wait_ms: u64,
     /// Time for which keys of an evacuated zone are still served there, after a host has learned of
     /// the evacuation, while they are moved to other servers.
     pub evacuation_hold_ms: u64,
@@ -145,7 +145,7 @@
             servers_pause_ms: drain_room_ms.min(SERVERS_REST_MAX_MS),
             configuration_pause_ms: configuration_room_ms.min(CONFIGURATION_REST_MAX_MS),
             lag_grace_ms: (trust_ms * 3 / 10).min(LAG_GRACE_MAX_MS),
-            start_rest_ms: bounds.contact_ms.saturating_sub(CALL_MS),
+            start_wait_ms: bounds.contact_ms.saturating_sub(CALL_MS),
             evacuation_hold_ms: bounds
                 .evacuation_ms
                 .saturating_sub(evacuation_known_ms + LATE_MS)
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -93,10 +93,10 @@
     /// holder before it asks for changes. Hosts that start together would otherwise all fetch each
     /// other's rows; these are written after 2 s, when the first duty holder is there as well. The
     /// wait lies within the contact grace period, in which the bounds do not apply.
-    pub fn start_rest_ms(self, limits: &TimeLimits) -> u64 {
+    pub fn start_wait_ms(self, limits: &TimeLimits) -> u64 {
         match self {
             Self::Own => OWN_START_REST_MS,
-            Self::Configuration | Self::Servers => limits.start_rest_ms,
+            Self::Configuration | Self::Servers => limits.start_wait_ms,
         }
     }
 
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -173,7 +173,7 @@
         // The relays that could confirm the store are known only after the join.
         self.join.ended().await;
         let began_ms = clock::now_ms();
-        let until_ms = began_ms + followed.start_rest_ms(&self.limits);
+        let until_ms = began_ms + followed.start_wait_ms(&self.limits);
         // A duty holder does not wait: the other hosts depend on its feeds.
         let is_holder = || self.duty.term() > 0;
         while !is_holder() && !self.freshness.is_store_confirmed() && clock::now_ms() < until_ms {
