--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -121,11 +121,11 @@
                 FeedPause::fixed(scaled(150, limits.configuration_pause_ms))
             }
             (Self::Servers, SyncRole::Follower) => FeedPause {
-                min_ms: scaled(SERVERS_REST_MS, 1_000),
+                min_ms: scaled(SERVERS_PAUSE_MS, 1_000),
                 max_ms: FOLLOWER_REST_MAX_MS,
             },
             (Self::Servers, SyncRole::Alone) => {
-                FeedPause::fixed(scaled(SERVERS_REST_MS, limits.servers_pause_ms))
+                FeedPause::fixed(scaled(SERVERS_PAUSE_MS, limits.servers_pause_ms))
             }
             // Holdings also arrive by datagram once the duty holder knows this host.
             (Self::Own, SyncRole::Follower) => FeedPause {
@@ -141,7 +141,7 @@
 }
 
 /// Pause of the feed of servers' entries while there are few hosts.
-const SERVERS_REST_MS: u64 = 250;
+const SERVERS_PAUSE_MS: u64 = 250;
 
 /// Pause between two feed calls, which lets changes in quick succession share one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
