--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -23,7 +23,7 @@
 /// product's own rows again.
 const OWN_START_REST_MS: u64 = 2_500;
 /// Shortest pause of the feed of the product's own rows.
-const OWN_REST_MS: u64 = 300;
+const OWN_PAUSE_MIN_MS: u64 = 300;
 /// Time without a feed call after which the whole table is read. The store keeps 20 s of history,
 /// and a feed call that comes too late costs an extra call.
 pub const HISTORY_MS: u64 = 15_000;
@@ -129,11 +129,11 @@
             }
             // Holdings also arrive by datagram once the duty holder knows this host.
             (Self::Own, SyncRole::Follower) => FeedPause {
-                min_ms: OWN_REST_MS,
+                min_ms: OWN_PAUSE_MIN_MS,
                 max_ms: FOLLOWER_REST_MAX_MS,
             },
             (Self::Own, _) => FeedPause {
-                min_ms: OWN_REST_MS,
+                min_ms: OWN_PAUSE_MIN_MS,
                 max_ms: scaled(1_000, 2_000),
             },
         }
