--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -21,7 +21,7 @@
 pub const FOLLOWER_REST_MAX_MS: u64 = 120_000;
 /// Time after its start that a host waits for a heartbeat of the duty holder before it reads the
 /// product's own rows again.
-const OWN_START_REST_MS: u64 = 2_500;
+const OWN_START_WAIT_MS: u64 = 2_500;
 /// Shortest pause of the feed of the product's own rows.
 const OWN_PAUSE_MIN_MS: u64 = 300;
 /// Time without a feed call after which the whole table is read. The store keeps 20 s of history,
@@ -95,7 +95,7 @@
     /// wait lies within the contact grace period, in which the bounds do not apply.
     pub fn start_wait_ms(self, limits: &TimeLimits) -> u64 {
         match self {
-            Self::Own => OWN_START_REST_MS,
+            Self::Own => OWN_START_WAIT_MS,
             Self::Configuration | Self::Servers => limits.start_wait_ms,
         }
     }
