--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -12,7 +12,7 @@
         key_loads::KEYS,
     },
     keys::{Assignment, Holding, KeyPart, KeyRange},
-    updates::{announcement::MoveAnnouncement, followed::FOLLOWER_REST_MAX_MS},
+    updates::{announcement::MoveAnnouncement, followed::FOLLOWER_PAUSE_MAX_MS},
 };
 use crate::clock;
 
@@ -22,7 +22,7 @@
 /// Time for which no request goes to a server that did not hold the key.
 const NOT_HELD_MS: u64 = 250;
 /// Time for which an announced grant counts; the record has been read by then.
-const GRANTED_KEPT_MS: u64 = FOLLOWER_REST_MAX_MS + 30_000;
+const GRANTED_KEPT_MS: u64 = FOLLOWER_PAUSE_MAX_MS + 30_000;
 
 /// Holdings of one service, as its rows had them.
 #[derive(Clone, Debug, Default)]
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -18,7 +18,7 @@
 /// Longest pause of a feed while the duty holder broadcasts all changes. A host that has missed a
 /// change notices it by the versions in the duty holder's heartbeat, or when it meets an unknown
 /// host or secret, or a server that no longer holds a key.
-pub const FOLLOWER_REST_MAX_MS: u64 = 120_000;
+pub const FOLLOWER_PAUSE_MAX_MS: u64 = 120_000;
 /// Time after its start that a host waits for a heartbeat of the duty holder before it reads the
 /// product's own rows again.
 const OWN_START_WAIT_MS: u64 = 2_500;
@@ -115,14 +115,14 @@
             }
             (Self::Configuration, SyncRole::Follower) => FeedPause {
                 min_ms: limits.configuration_pause_ms,
-                max_ms: FOLLOWER_REST_MAX_MS,
+                max_ms: FOLLOWER_PAUSE_MAX_MS,
             },
             (Self::Configuration, SyncRole::Alone) => {
                 FeedPause::fixed(scaled(150, limits.configuration_pause_ms))
             }
             (Self::Servers, SyncRole::Follower) => FeedPause {
                 min_ms: scaled(SERVERS_PAUSE_MS, 1_000),
-                max_ms: FOLLOWER_REST_MAX_MS,
+                max_ms: FOLLOWER_PAUSE_MAX_MS,
             },
             (Self::Servers, SyncRole::Alone) => {
                 FeedPause::fixed(scaled(SERVERS_PAUSE_MS, limits.servers_pause_ms))
@@ -130,7 +130,7 @@
             // Holdings also arrive by datagram once the duty holder knows this host.
             (Self::Own, SyncRole::Follower) => FeedPause {
                 min_ms: OWN_PAUSE_MIN_MS,
-                max_ms: FOLLOWER_REST_MAX_MS,
+                max_ms: FOLLOWER_PAUSE_MAX_MS,
             },
             (Self::Own, _) => FeedPause {
                 min_ms: OWN_PAUSE_MIN_MS,
