--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -34,7 +34,7 @@
 /// Longest pause of the feed of servers' entries on a host that hears no duty holder.
 const SERVERS_PAUSE_MAX_MS: u64 = 1_500;
 /// Longest pause of the configuration's feed on hosts other than the duty holder and relays.
-const CONFIGURATION_REST_MAX_MS: u64 = 500;
+const CONFIGURATION_PAUSE_MAX_MS: u64 = 500;
 
 /// Longest time for which keys are served in an evacuated zone. Moves of keys complete within a few
 /// run times of requests.
@@ -143,7 +143,7 @@
             catch_up_ms: trust_ms / 5,
             alone_pause_ms: bounds.contact_ms / 2,
             servers_pause_ms: drain_room_ms.min(SERVERS_PAUSE_MAX_MS),
-            configuration_pause_ms: configuration_room_ms.min(CONFIGURATION_REST_MAX_MS),
+            configuration_pause_ms: configuration_room_ms.min(CONFIGURATION_PAUSE_MAX_MS),
             lag_grace_ms: (trust_ms * 3 / 10).min(LAG_GRACE_MAX_MS),
             start_wait_ms: bounds.contact_ms.saturating_sub(CALL_MS),
             evacuation_hold_ms: bounds
