--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -241,9 +241,9 @@
             }
             let after = self.freshness.applied(followed);
             let now = self.sync_role();
-            let other_rest = (now == SyncRole::Holder) != (sync_role == SyncRole::Holder)
+            let role_changed = (now == SyncRole::Holder) != (sync_role == SyncRole::Holder)
                 || sync_role == SyncRole::Follower && now != SyncRole::Follower;
-            if other_rest || self.must_hurry(followed, after) {
+            if role_changed || self.must_hurry(followed, after) {
                 return;
             }
             // A change that was broadcast did not arrive within the grace period.
