--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -243,7 +243,7 @@
             let now = self.sync_role();
             let role_changed = (now == SyncRole::Holder) != (sync_role == SyncRole::Holder)
                 || sync_role == SyncRole::Follower && now != SyncRole::Follower;
-            if role_changed || self.must_hurry(followed, after) {
+            if role_changed || self.should_call_now(followed, after) {
                 return;
             }
             // A change that was broadcast did not arrive within the grace period.
@@ -262,7 +262,7 @@
 
     /// Returns whether a pausing feed should be called now: because a server leaves, because no
     /// other host confirms the store, or to get the first holdings of a service.
-    fn must_hurry(&self, followed: FollowedTable, after: u64) -> bool {
+    fn should_call_now(&self, followed: FollowedTable, after: u64) -> bool {
         match followed {
             FollowedTable::Configuration => !self.freshness.is_store_confirmed(),
             FollowedTable::Servers => {
