--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -49,7 +49,7 @@
         }
         let mut snapshot = self.own_snapshot();
         snapshot.servers_known = self.freshness.known(FollowedTable::Servers);
-        snapshot.left = self.freshness.left();
+        snapshot.leave_version = self.freshness.leave_version();
         let registry = self.view.registry();
         snapshot.set_servers(registry.servers().map(|server| server.current_entry()));
         Some(snapshot)
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -34,7 +34,7 @@
     /// Version of the latest change seen, by table.
     pub changed: [u64; TABLES],
     /// Version of the latest change after which some server takes no new work.
-    pub left: u64,
+    pub leave_version: u64,
     /// Version up to which the sender has read each table, whether or not anything changed.
     pub up_to: [u64; TABLES],
 }
@@ -54,7 +54,7 @@
     fn with_changes_of(self, earlier: Self) -> Self {
         Self {
             changed: std::array::from_fn(|table| self.changed[table].max(earlier.changed[table])),
-            left: self.left.max(earlier.left),
+            leave_version: self.leave_version.max(earlier.leave_version),
             ..self
         }
     }
@@ -74,7 +74,7 @@
     /// Version up to which this host has applied each table.
     applied: [AtomicU64; TABLES],
     changed: [AtomicU64; TABLES],
-    left: AtomicU64,
+    leave_version: AtomicU64,
     received: Mutex<Option<ReceivedReport>>,
     /// Query to a relay that was not answered yet.
     query: PendingQuery,
@@ -124,7 +124,7 @@
             followed_ms: Default::default(),
             applied: Default::default(),
             changed: Default::default(),
-            left: AtomicU64::new(0),
+            leave_version: AtomicU64::new(0),
             received: Mutex::default(),
             query: PendingQuery::default(),
             is_relay: AtomicBool::new(false),
@@ -184,13 +184,13 @@
     }
 
     /// Returns the version of the latest change after which some server takes no new work.
-    pub fn left(&self) -> u64 {
-        self.left.load(Ordering::Relaxed)
+    pub fn leave_version(&self) -> u64 {
+        self.leave_version.load(Ordering::Relaxed)
     }
 
     /// Records the version of a change after which some server takes no new work.
     pub fn note_left(&self, version: u64) {
-        self.left.fetch_max(version, Ordering::Relaxed);
+        self.leave_version.fetch_max(version, Ordering::Relaxed);
     }
 
     /// Returns this host's own report for the others, sent while it has the duty. `heard_ms` is the
@@ -207,7 +207,7 @@
         StoreStateReport {
             age_ms: u32::try_from(age_ms).unwrap_or(TOO_OLD_MS),
             changed: std::array::from_fn(|table| self.changed[table].load(Ordering::Relaxed)),
-            left: self.left.load(Ordering::Relaxed),
+            leave_version: self.leave_version.load(Ordering::Relaxed),
             up_to: std::array::from_fn(|table| self.applied[table].load(Ordering::Relaxed)),
         }
     }
@@ -331,7 +331,7 @@
     /// Returns whether another host has reported that a server leaves, by a change after a version.
     pub fn has_left_since(&self, version: u64) -> bool {
         let received = *self.received();
-        received.is_some_and(|received| received.updates.left > version)
+        received.is_some_and(|received| received.updates.leave_version > version)
     }
 
     /// Completes when a feed call that waits for changes after `asked_after` should be abandoned
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -92,7 +92,7 @@
     /// Versions of the table of servers' entries.
     pub servers_known: TableVersions,
     /// Version of the latest change after which some server takes no new work.
-    pub left: u64,
+    pub leave_version: u64,
     /// Versions of the table of the product's own rows.
     pub own_versions: TableVersions,
     /// Known hosts, including the sender.
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -41,7 +41,7 @@
     StoreStateReport {
         age_ms,
         changed: [changed; 3],
-        left: changed,
+        leave_version: changed,
         up_to: [changed; 3],
     }
 }
