--- a/src/entry/join/ask.rs
+++ b/src/entry/join/ask.rs
@@ -180,7 +180,7 @@
             registry.put_all(entries.into_iter());
         });
         self.view.set_servers_known();
-        self.freshness.note_left(snapshot.leave_version);
+        self.freshness.note_leave(snapshot.leave_version);
         self.note_known(FollowedTable::Servers, snapshot);
     }
 
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -106,7 +106,7 @@
         self.view.update_registry(|registry| {
             for change in changes {
                 if change.is_end() {
-                    self.freshness.note_left(change.version);
+                    self.freshness.note_leave(change.version);
                 }
                 match change.what {
                     ServerUpdate::Entry(entry) => registry.put(entry),
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -189,7 +189,7 @@
     }
 
     /// Records the version of a change after which some server takes no new work.
-    pub fn note_left(&self, version: u64) {
+    pub fn note_leave(&self, version: u64) {
         self.leave_version.fetch_max(version, Ordering::Relaxed);
     }
 
