--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -63,7 +63,7 @@
     fn patience_ms(&self, followed: FollowedTable) -> u64 {
         let applied = self.freshness.applied(followed);
         let is_owed = match followed {
-            FollowedTable::Servers => self.freshness.has_left_since(applied),
+            FollowedTable::Servers => self.freshness.has_leave_since(applied),
             FollowedTable::Configuration => self.view.configuration().is_some(),
             FollowedTable::Own => true,
         };
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -329,7 +329,7 @@
     }
 
     /// Returns whether another host has reported that a server leaves, by a change after a version.
-    pub fn has_left_since(&self, version: u64) -> bool {
+    pub fn has_leave_since(&self, version: u64) -> bool {
         let received = *self.received();
         received.is_some_and(|received| received.updates.leave_version > version)
     }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -269,7 +269,7 @@
                 // The feed of servers' entries detects the store's return on behalf of all feeds.
                 let store_lost = *self.view.store_lost().borrow();
                 store_lost
-                    || self.freshness.has_left_since(after)
+                    || self.freshness.has_leave_since(after)
                     || !self.freshness.is_store_confirmed()
             }
             FollowedTable::Own => {
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -99,7 +99,7 @@
     host.ask(1, ashroad::clock::now_ms());
     host.note_relay_report(1, updates(100, 10));
     assert!(host.is_behind(FollowedTable::Servers, 19));
-    assert!(host.has_left_since(19));
+    assert!(host.has_leave_since(19));
     // Word of the holder that is older than the relay's does not make the host doubt.
     host.note_announced(updates(limits.trust_ms as u32, 20));
     assert!(host.is_store_confirmed());
