--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -12,7 +12,7 @@
     peers::message::Message,
     rows::decode_servers,
     updates::{
-        configuration_pieces::{Piece, PieceAssembly, SnapshotConfiguration, cut},
+        configuration_pieces::{Piece, PieceAssembly, SnapshotConfiguration, split_into_pieces},
         followed::FollowedTable,
         server_changes::{RecentChanges, ServerChanges},
     },
@@ -136,7 +136,7 @@
             return;
         };
         let evacuations = self.view.evacuations().version;
-        for piece in cut(row.version, evacuations, &row.value) {
+        for piece in split_into_pieces(row.version, evacuations, &row.value) {
             self.peers.send_to_all(Message::Configuration(piece));
         }
     }
--- a/src/entry/updates/configuration_pieces.rs
+++ b/src/entry/updates/configuration_pieces.rs
@@ -43,7 +43,7 @@
 }
 
 /// Splits a configuration into pieces. Returns no pieces if it is too large to be broadcast.
-pub fn cut(version: u64, evacuations: u64, content: &[u8]) -> Vec<Piece> {
+pub fn split_into_pieces(version: u64, evacuations: u64, content: &[u8]) -> Vec<Piece> {
     let pieces = content.chunks(PIECE_BYTES);
     let count = pieces.len();
     if count > PIECES_MAX {
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -14,7 +14,7 @@
         registry::Registry,
         server::WarmupLimit,
         updates::{
-            configuration_pieces::{PieceAssembly, cut},
+            configuration_pieces::{PieceAssembly, split_into_pieces},
             evacuation::Evacuations,
         },
         view::View,
@@ -320,7 +320,7 @@
 
 #[test]
 fn a_configuration_that_was_passed_on_does_not_hide_an_earlier_evacuation() {
-    let pieces = cut(7, 6, b"content");
+    let pieces = split_into_pieces(7, 6, b"content");
     assert!(pieces.iter().all(|piece| piece.evacuations == 6));
     let mut assembly = PieceAssembly::default();
     let whole = pieces.into_iter().find_map(|piece| assembly.take(piece));
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -20,7 +20,7 @@
         zone_loads::{ZoneLoads, ZoneNews, parts},
     },
     server::tag_of,
-    updates::configuration_pieces::{Piece, PieceAssembly, cut},
+    updates::configuration_pieces::{Piece, PieceAssembly, split_into_pieces},
 };
 use quickcheck::quickcheck;
 
@@ -146,7 +146,7 @@
         content: Vec<u8>, order: Vec<u16>
     ) -> bool {
         let content = content.repeat(40);
-        let mut pieces = cut(7, 3, &content);
+        let mut pieces = split_into_pieces(7, 3, &content);
         if pieces.is_empty() {
             return content.is_empty() || content.len() > 12 * 1_200;
         }
