--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -10,7 +10,7 @@
 /// partition unless that is 0.
 const HOLDINGS_PREFIX: &str = "keys/";
 /// Separator between the name of the service and the number of the key partition.
-const PART_MARK: char = '#';
+const PARTITION_SEPARATOR: char = '#';
 /// Partition of the table with the rows of hosts. It is separate so that hundreds of hosts that
 /// register at once do not delay the duty holder's writes.
 pub const HOSTS_PART: &str = "hosts";
@@ -29,7 +29,7 @@
 pub fn holdings_key(service: &str, part: KeyPart) -> String {
     match part.number() {
         0 => format!("{HOLDINGS_PREFIX}{service}"),
-        number => format!("{HOLDINGS_PREFIX}{service}{PART_MARK}{number}"),
+        number => format!("{HOLDINGS_PREFIX}{service}{PARTITION_SEPARATOR}{number}"),
     }
 }
 
@@ -37,7 +37,7 @@
 /// key.
 pub fn parse_holdings_key(key: &str) -> Option<(&str, KeyPart)> {
     let name = key.strip_prefix(HOLDINGS_PREFIX)?;
-    let Some((service, number)) = name.rsplit_once(PART_MARK) else {
+    let Some((service, number)) = name.rsplit_once(PARTITION_SEPARATOR) else {
         return Some((name, KeyPart::new(0)?));
     };
     Some((service, KeyPart::new(number.parse().ok()?)?))
