--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -15,7 +15,7 @@
         Entry,
         events::Event,
         rows::decode_holdings,
-        updates::own_rows::{HOST_PREFIX, HOSTS_PART, TABLE},
+        updates::own_rows::{HOST_PREFIX, HOSTS_PARTITION, TABLE},
         watch::pause,
     },
 };
@@ -213,7 +213,7 @@
             return;
         };
         let key = format!("{HOST_PREFIX}{address}");
-        match self.store.range(TABLE, HOSTS_PART, &key, &key).await {
+        match self.store.range(TABLE, HOSTS_PARTITION, &key, &key).await {
             Ok(rows) => self.apply_own(&rows.rows),
             // The leases that it may have given are waited for.
             Err(error) => log::debug!("the row of the predecessor's host cannot be read: {error}"),
--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -18,7 +18,7 @@
 use crate::{
     entry::{
         Entry,
-        updates::own_rows::{HOST_PREFIX, HOSTS_PART, HostRow, TABLE},
+        updates::own_rows::{HOST_PREFIX, HOSTS_PARTITION, HostRow, TABLE},
         watch::pause,
     },
     platform::store::{Expect, Put, Transacted, Transaction},
@@ -156,7 +156,7 @@
             return Some(false);
         };
         let transaction = Transaction {
-            part: HOSTS_PART,
+            part: HOSTS_PARTITION,
             expect: rows
                 .iter()
                 .map(|(key, _)| Expect {
--- a/src/entry/register.rs
+++ b/src/entry/register.rs
@@ -10,7 +10,7 @@
 use super::{
     Entry,
     join::host_key,
-    updates::own_rows::{HOSTS_PART, HostRow, TABLE},
+    updates::own_rows::{HOSTS_PARTITION, HostRow, TABLE},
     watch::pause_for,
 };
 use crate::platform::store::{Expect, Put, Row, Transacted, Transaction};
@@ -39,7 +39,7 @@
         let mut pause_ms = PAUSE_MS;
         loop {
             let transaction = Transaction {
-                part: HOSTS_PART,
+                part: HOSTS_PARTITION,
                 expect: vec![Expect {
                     table: TABLE,
                     key: &key,
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -18,7 +18,7 @@
     updates::{
         followed::{FollowedTable, HISTORY_MS, SyncRole},
         freshness::RecallReason,
-        own_rows::{HOSTS_PART, TABLE},
+        own_rows::{HOSTS_PARTITION, TABLE},
         server_changes::ServerChanges,
     },
 };
@@ -314,7 +314,7 @@
     async fn read_table(&self, followed: FollowedTable) -> platform::Result<Rows> {
         let mut rows = self.store.table(followed.table()).await?;
         if followed == FollowedTable::Own {
-            let hosts = self.store.table_part(TABLE, HOSTS_PART).await?;
+            let hosts = self.store.table_part(TABLE, HOSTS_PARTITION).await?;
             rows.rows.extend(hosts.rows);
         }
         Ok(rows)
