--- a/src/entry/join/guides.rs
+++ b/src/entry/join/guides.rs
@@ -10,7 +10,7 @@
         Entry,
         peers::Guide,
         server::tag_of,
-        updates::own_rows::{GUIDES_KEY, TABLE},
+        updates::own_rows::{SEED_HOSTS_KEY, TABLE},
     },
     platform::store::{Put, Row, Transaction},
 };
@@ -79,7 +79,7 @@
         let transaction = Transaction {
             puts: vec![Put {
                 table: TABLE,
-                key: GUIDES_KEY,
+                key: SEED_HOSTS_KEY,
                 value: &value,
             }],
             ..Transaction::default()
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -30,7 +30,7 @@
     server::tag_of,
     updates::{
         followed::FollowedTable,
-        own_rows::{GUIDES_KEY, SECRET_KEY, TABLE},
+        own_rows::{SECRET_KEY, SEED_HOSTS_KEY, TABLE},
     },
     watch::pause,
 };
@@ -185,7 +185,11 @@
 
     /// Guides of the own zone, or all of them if it has none; `None` if the store does not answer.
     async fn find_guides(&self) -> Option<Found> {
-        let rows = match self.store.range(TABLE, PART, SECRET_KEY, GUIDES_KEY).await {
+        let rows = match self
+            .store
+            .range(TABLE, PART, SECRET_KEY, SEED_HOSTS_KEY)
+            .await
+        {
             Ok(rows) => {
                 self.note_store_answer(clock::now_ms());
                 rows.rows
@@ -199,7 +203,7 @@
         for row in &rows {
             if row.key == SECRET_KEY {
                 self.apply_secret(row);
-            } else if row.key == GUIDES_KEY {
+            } else if row.key == SEED_HOSTS_KEY {
                 guides = Guides::decode(row);
             }
         }
--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -20,7 +20,7 @@
 pub const SECRET_KEY: &str = "secret";
 /// Key of the row with the seed hosts, which other hosts ask when they start. It sorts right after
 /// [`SECRET_KEY`], so that one call reads both rows.
-pub const GUIDES_KEY: &str = "secret-guides";
+pub const SEED_HOSTS_KEY: &str = "secret-guides";
 /// Key of the row with the quarantined requests: they are sent to no server, since several servers
 /// have crashed while running them.
 pub const QUARANTINE_KEY: &str = "quarantine";
