--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -112,7 +112,7 @@
         let begun = AtomicBool::new(false);
         match self.store.feed(followed.table(), after, 0, &begun).await {
             Ok(Feed::Changes(changes)) => {
-                self.take_changes(followed, after, changes);
+                self.apply_changes(followed, after, changes);
                 self.proof.note(asked_ms);
                 true
             }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -108,7 +108,7 @@
                         trust = FeedTrust::Full;
                         pause_ms = RETRY_PAUSE_MS;
                         let has_more = changes.is_full_page();
-                        self.take_changes(followed, after, changes);
+                        self.apply_changes(followed, after, changes);
                         self.note_proof_of_store(followed, began_ms);
                         if !has_more {
                             self.feed_pause(followed, began_ms).await;
@@ -185,7 +185,7 @@
     }
 
     /// Applies the changes that a feed delivered, and broadcasts them while this host has the duty.
-    pub(super) fn take_changes(&self, followed: FollowedTable, after: u64, mut changes: Rows) {
+    pub(super) fn apply_changes(&self, followed: FollowedTable, after: u64, mut changes: Rows) {
         if followed == FollowedTable::Servers {
             self.take_server_rows(after, &changes);
             return;
