--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -187,7 +187,7 @@
     /// Applies the changes that a feed delivered, and broadcasts them while this host has the duty.
     pub(super) fn apply_changes(&self, followed: FollowedTable, after: u64, mut changes: Rows) {
         if followed == FollowedTable::Servers {
-            self.take_server_rows(after, &changes);
+            self.apply_server_rows(after, &changes);
             return;
         }
         let applied = self.freshness.applied(followed);
@@ -204,7 +204,7 @@
         }
     }
 
-    fn take_server_rows(&self, after: u64, rows: &Rows) {
+    fn apply_server_rows(&self, after: u64, rows: &Rows) {
         let updates = ServerChanges {
             after,
             up_to: rows.version,
