--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -62,7 +62,7 @@
         };
         let found_free_slot = server.load() < server.entry.slots;
         let in_flight = if self.is_trial {
-            server.enter_for_trial(self.digests)
+            server.begin_trial_request(self.digests)
         } else {
             server.enter(self.digests)
         };
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -300,7 +300,7 @@
 
     /// Counts a suspect request as in flight until the result is dropped. No other suspect may run
     /// on the server at the time.
-    pub fn enter_for_trial(self: &Arc<Self>, digests: RequestDigests) -> InFlight {
+    pub fn begin_trial_request(self: &Arc<Self>, digests: RequestDigests) -> InFlight {
         self.runs().begin_trial(digests);
         self.in_flight(digests)
     }
