--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn servers_of_a_zone_that_is_taken_back_count_as_cold() {
+fn servers_of_a_restored_zone_count_as_cold() {
     let warmup_ms = |service: &str| if service == "s" { 3_000 } else { 0 };
     let mut registry = Registry::default();
     registry.put(entry("a", 1));
