--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn servers_of_an_evacuated_zone_get_nothing_until_it_is_taken_back() {
+fn servers_of_an_evacuated_zone_get_no_work_until_it_is_restored() {
     let view = View::default();
     view.update_registry(|registry| {
         registry.put(entry("a", 1));
