--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn a_configuration_that_was_passed_on_does_not_hide_an_earlier_evacuation() {
+fn a_broadcast_configuration_does_not_hide_an_earlier_evacuation() {
     let pieces = split_into_pieces(7, 6, b"content");
     assert!(pieces.iter().all(|piece| piece.evacuations == 6));
     let mut assembly = PieceAssembly::default();
