--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -64,7 +64,7 @@
         let in_flight = if self.is_trial {
             server.begin_trial_request(self.digests)
         } else {
-            server.enter(self.digests)
+            server.begin_request(self.digests)
         };
         if let Some(workspace) = self.workspace().filter(|_| self.attempts == 0) {
             entry.quotas.note_sent(workspace);
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -293,7 +293,7 @@
     }
 
     /// Counts a request as in flight until the result is dropped.
-    pub fn enter(self: &Arc<Self>, digests: RequestDigests) -> InFlight {
+    pub fn begin_request(self: &Arc<Self>, digests: RequestDigests) -> InFlight {
         self.runs().begin(digests);
         self.in_flight(digests)
     }
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -125,7 +125,7 @@
         any_path: digest,
         caller_tag: 1,
     };
-    let in_flight = first.enter(digests);
+    let in_flight = first.begin_request(digests);
     registry.put(entry("a", 2_000));
     let second = registry.server("a@7d0").expect("the second").clone();
     // The second server starts without the state of the first, and no further requests go to the
