--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -52,11 +52,11 @@
     let case = |name, raise| Case { name, raise };
     let cases = [
         case("trust_ms", |limits| limits.trust_ms += 1),
-        case("servers_rest_ms", |limits| limits.servers_pause_ms += 101),
-        case("configuration_rest_ms", |limits| {
+        case("servers_pause_ms", |limits| limits.servers_pause_ms += 101),
+        case("configuration_pause_ms", |limits| {
             limits.configuration_pause_ms += 101;
         }),
-        case("holder_rest_ms", |limits| limits.holder_pause_ms += 1_000),
+        case("holder_pause_ms", |limits| limits.holder_pause_ms += 1_000),
         case("notice_hold_ms", |limits| limits.notice_hold_ms += 1),
         case("holder_heartbeat_ms", |limits| {
             limits.holder_heartbeat_ms += 500
