--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -1,5 +1,5 @@
 //! State of a backend server as one host sees it: its entry, whether it takes work, its load, and
-//! the statistics of its recent answers.
+//! the host's statistics of its attempts there.
 
 use std::sync::{
     Arc, Mutex, MutexGuard, PoisonError,
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -109,7 +109,8 @@
             scaled_ms.clamp(few_hosts_ms.min(many_hosts_ms), many_hosts_ms)
         };
         match (self, sync_role) {
-            // All other hosts learn of changes from the duty holder or a relay.
+            // The other hosts learn of changes from the duty holder or a relay, so the feeds of
+            // these pause only briefly.
             (Self::Configuration | Self::Servers, SyncRole::Holder | SyncRole::Relay) => {
                 FeedPause::fixed(limits.holder_pause_ms)
             }
@@ -146,9 +147,10 @@
 /// Pause between two feed calls, which lets changes in quick succession share one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FeedPause {
-    /// Pause if there is a reason to call early, such as a read request or a missed change.
+    /// Shortest pause, kept even if there is a reason to call early, such as a read request or a
+    /// missed change.
     pub min_ms: u64,
-    /// Pause if there is no such reason.
+    /// Longest pause, if no such reason arises.
     pub max_ms: u64,
 }
 
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -162,7 +162,12 @@
         let is_silent = || !begun.load(Ordering::Relaxed);
         tokio::select! {
             feed = self.store.feed(table, after, wait_ms, &begun) => Ok(feed),
-            recall_reason = self.freshness.recall_reason(followed, after, relies_on_holder, is_silent) => Err(recall_reason),
+            recall_reason = self.freshness.recall_reason(
+                followed,
+                after,
+                relies_on_holder,
+                is_silent,
+            ) => Err(recall_reason),
             _ = store_lost.wait_for(|lost| *lost) => Err(RecallReason::Behind),
         }
     }
