--- a/src/bin/ashroad/explain.rs
+++ b/src/bin/ashroad/explain.rs
@@ -1,6 +1,6 @@
 //! `ashroad explain`
 
-use ashroad::entry::explain::{self, Source, StoryLine};
+use ashroad::entry::explain::{self, Source, TimelineEntry};
 
 use crate::{
     app::ExplainArgs,
@@ -28,7 +28,7 @@
     Ok(())
 }
 
-fn print_line(line: &StoryLine) {
+fn print_line(line: &TimelineEntry) {
     let mark = if line.about_request { "*" } else { " " };
     let mut event = line.event.clone();
     if let Some(fields) = event.as_object_mut() {
--- a/src/entry/explain.rs
+++ b/src/entry/explain.rs
@@ -19,7 +19,7 @@
 
 /// A line of the story.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct StoryLine {
+pub struct TimelineEntry {
     /// Log that the line stands in.
     pub source: String,
     /// Wall time.
@@ -55,18 +55,18 @@
 
 /// What the logs say of a request and of what led to its decisions, in order of time. Lines that
 /// are no events are passed over.
-pub fn explain(request_id: &str, sources: &[Source<'_>]) -> Vec<StoryLine> {
-    let lines: Vec<StoryLine> = sources.iter().flat_map(read).collect();
-    let own: Vec<&StoryLine> = lines
+pub fn explain(request_id: &str, sources: &[Source<'_>]) -> Vec<TimelineEntry> {
+    let lines: Vec<TimelineEntry> = sources.iter().flat_map(read).collect();
+    let own: Vec<&TimelineEntry> = lines
         .iter()
         .filter(|line| line.event["request_id"] == request_id)
         .collect();
-    let mut story: Vec<StoryLine> = lines
+    let mut story: Vec<TimelineEntry> = lines
         .iter()
         .filter_map(|line| {
             let about_request = line.event["request_id"] == request_id;
             let around = own.iter().any(|decision| is_context(line, decision));
-            (about_request || around).then(|| StoryLine {
+            (about_request || around).then(|| TimelineEntry {
                 about_request,
                 ..line.clone()
             })
@@ -77,12 +77,12 @@
 }
 
 /// Events of a log, in its order.
-pub(super) fn read<'a>(source: &'a Source<'a>) -> impl Iterator<Item = StoryLine> + 'a {
+pub(super) fn read<'a>(source: &'a Source<'a>) -> impl Iterator<Item = TimelineEntry> + 'a {
     source.text.lines().filter_map(move |line| {
         // A log collector may put its own words before the event.
         let start = line.find('{')?;
         let event: Value = serde_json::from_str(&line[start..]).ok()?;
-        Some(StoryLine {
+        Some(TimelineEntry {
             source: source.name.to_owned(),
             at_unix_ms: event["at_unix_ms"].as_u64()?,
             about_request: false,
@@ -91,7 +91,7 @@
     })
 }
 
-fn is_context(line: &StoryLine, decision: &StoryLine) -> bool {
+fn is_context(line: &TimelineEntry, decision: &TimelineEntry) -> bool {
     let digests = DIGESTS.map(|field| &decision.event[field]);
     if digests
         .iter()
