--- a/src/bin/ashroad/explain.rs
+++ b/src/bin/ashroad/explain.rs
@@ -14,15 +14,15 @@
 pub fn run(args: &ExplainArgs, json: bool) -> Result<()> {
     let logs = logs::read(&args.logs)?;
     let sources: Vec<Source<'_>> = logs.iter().map(Log::source).collect();
-    let story = explain::explain(&args.request_id, &sources);
+    let timeline = explain::explain(&args.request_id, &sources);
     if json {
-        output::json(&story);
+        output::json(&timeline);
         return Ok(());
     }
-    if story.is_empty() {
+    if timeline.is_empty() {
         output::line("no log has an event of this request; it was served, or its log is missing");
     }
-    for line in &story {
+    for line in &timeline {
         print_line(line);
     }
     Ok(())
--- a/src/entry/explain.rs
+++ b/src/entry/explain.rs
@@ -61,7 +61,7 @@
         .iter()
         .filter(|line| line.event["request_id"] == request_id)
         .collect();
-    let mut story: Vec<TimelineEntry> = lines
+    let mut timeline: Vec<TimelineEntry> = lines
         .iter()
         .filter_map(|line| {
             let about_request = line.event["request_id"] == request_id;
@@ -72,8 +72,8 @@
             })
         })
         .collect();
-    story.sort_by_key(|line| (line.at_unix_ms, line.about_request));
-    story
+    timeline.sort_by_key(|line| (line.at_unix_ms, line.about_request));
+    timeline
 }
 
 /// Events of a log, in its order.
