--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -211,16 +211,16 @@
         number.is_multiple_of(ANSWER_SAMPLE)
     }
 
-    fn enter(self: &Arc<Self>) -> Present {
+    fn enter(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        Present(self.clone())
+        InFlightGuard(self.clone())
     }
 }
 
 /// A request in this host; counted until dropped.
-struct Present(Arc<Entry>);
+struct InFlightGuard(Arc<Entry>);
 
-impl Drop for Present {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
