--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -129,7 +129,7 @@
 }
 
 /// Number of hosts that is assumed while none are known: twice the most that we build for.
-const HOSTS_UNKNOWN: usize = 10_000;
+const ASSUMED_HOSTS: usize = 10_000;
 /// Of so many answered requests one is logged; the others are only counted.
 const ANSWER_SAMPLE: u64 = 100;
 
@@ -180,7 +180,7 @@
         if self.view.are_hosts_known() {
             self.peers.hosts()
         } else {
-            HOSTS_UNKNOWN
+            ASSUMED_HOSTS
         }
     }
 
