--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -134,7 +134,7 @@
     tokio::spawn(entry.clone().keep_announcing());
     tokio::spawn(entry.clone().keep_showing_duty());
     tokio::spawn(entry.clone().keep_duty());
-    tokio::spawn(entry.clone().keep_secret());
+    tokio::spawn(entry.clone().maintain_secret());
     tokio::spawn(entry.clone().keep_leasing());
     tokio::spawn(entry.clone().keep_telling_crashes());
     tokio::spawn(entry.clone().keep_quarantine_stored());
--- a/src/entry/secret.rs
+++ b/src/entry/secret.rs
@@ -33,7 +33,7 @@
 
     /// Makes the secret that hosts share, and another one once it is old, while this host has the
     /// duty.
-    pub(super) async fn keep_secret(self: Arc<Self>) {
+    pub(super) async fn maintain_secret(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(SECRET_LOOK_MS)).await;
             if !self.duty.is_confirmed() {
