--- a/src/entry/secret.rs
+++ b/src/entry/secret.rs
@@ -18,7 +18,7 @@
 };
 
 /// Interval at which the holder of the duty looks at the secret's age.
-const SECRET_LOOK_MS: u64 = 300;
+const SECRET_CHECK_MS: u64 = 300;
 
 impl Entry {
     /// Takes a stored secret into use.
@@ -35,7 +35,7 @@
     /// duty.
     pub(super) async fn maintain_secret(self: Arc<Self>) {
         loop {
-            time::sleep(Duration::from_millis(SECRET_LOOK_MS)).await;
+            time::sleep(Duration::from_millis(SECRET_CHECK_MS)).await;
             if !self.duty.is_confirmed() {
                 continue;
             }
