--- a/src/entry/seal.rs
+++ b/src/entry/seal.rs
@@ -76,7 +76,7 @@
     }
 
     /// True if another secret should take its place.
-    pub fn is_old(&self, now_unix_ms: u64) -> bool {
+    pub fn is_due_for_rotation(&self, now_unix_ms: u64) -> bool {
         now_unix_ms > self.made_unix_ms.saturating_add(LIFE_MS)
     }
 }
--- a/src/entry/secret.rs
+++ b/src/entry/secret.rs
@@ -40,7 +40,7 @@
                 continue;
             }
             let known = self.peers.seal.row();
-            let fresh = |(row, _): &(SecretRow, u64)| !row.is_old(clock::unix_ms());
+            let fresh = |(row, _): &(SecretRow, u64)| !row.is_due_for_rotation(clock::unix_ms());
             if !known.as_ref().is_some_and(fresh) {
                 self.make_secret(known.map_or(0, |(_, version)| version))
                     .await;
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -645,7 +645,7 @@
     }
     let day_ms = 24 * 3_600 * 1_000;
     let row = SecretRow::generate(1_000);
-    assert!(!row.is_old(day_ms) && row.is_old(day_ms + 2_000));
+    assert!(!row.is_due_for_rotation(day_ms) && row.is_due_for_rotation(day_ms + 2_000));
     assert!(!format!("{row:?}").contains("secret\":"));
 }
 
