--- a/src/entry/seal.rs
+++ b/src/entry/seal.rs
@@ -19,7 +19,7 @@
 /// Length of the part of the hash that is sent. Strangers get one try a datagram.
 const TAG_BYTES: usize = 8;
 /// Age from which the holder makes another secret.
-const LIFE_MS: u64 = 24 * 3_600 * 1_000;
+const ROTATION_AGE_MS: u64 = 24 * 3_600 * 1_000;
 
 /// Time for which the former secret is still used after another was read: all hosts have read it
 /// then.
@@ -77,7 +77,7 @@
 
     /// True if another secret should take its place.
     pub fn is_due_for_rotation(&self, now_unix_ms: u64) -> bool {
-        now_unix_ms > self.made_unix_ms.saturating_add(LIFE_MS)
+        now_unix_ms > self.made_unix_ms.saturating_add(ROTATION_AGE_MS)
     }
 }
 
