--- a/src/entry/seal.rs
+++ b/src/entry/seal.rs
@@ -89,14 +89,14 @@
     read_ms: u64,
     current: hmac::Key,
     /// The one before, with which hosts still send for a moment.
-    former: Option<hmac::Key>,
+    previous: Option<hmac::Key>,
 }
 
 impl Keys {
     fn for_sending(&self) -> &hmac::Key {
         let overlap = clock::now_ms() < self.read_ms + OVERLAP_MS;
-        match &self.former {
-            Some(former) if overlap => former,
+        match &self.previous {
+            Some(previous) if overlap => previous,
             _ => &self.current,
         }
     }
@@ -124,7 +124,7 @@
             version,
             read_ms: clock::now_ms(),
             current: hmac::Key::new(hmac::HMAC_SHA256, &secret),
-            former: before.map(|keys| keys.current.clone()),
+            previous: before.map(|keys| keys.current.clone()),
         })));
         Ok(())
     }
@@ -155,7 +155,7 @@
         let (tag, message) = datagram.split_at_checked(TAG_BYTES)?;
         let keys = self.keys.load();
         let keys = keys.as_ref()?;
-        let mut known = std::iter::once(&keys.current).chain(&keys.former);
+        let mut known = std::iter::once(&keys.current).chain(&keys.previous);
         known
             .any(|key| matches_tag(key, message, tag))
             .then_some(message)
