--- a/src/entry/log_writer.rs
+++ b/src/entry/log_writer.rs
@@ -38,7 +38,7 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        write(&OwnEvent::Message {
+        write(&WriterEvent::Message {
             level: record.level().as_str(),
             target: record.target().to_owned(),
             text: record.args().to_string(),
@@ -67,7 +67,7 @@
 /// Lines that come of writing itself.
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-enum OwnEvent {
+enum WriterEvent {
     /// Something that a library or another part of the program logged.
     Message {
         /// Level.
@@ -142,7 +142,7 @@
     fn flush(&self) {
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
-            self.write(&OwnEvent::Dropped { lines: dropped });
+            self.write(&WriterEvent::Dropped { lines: dropped });
         }
         let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
         if pending.is_empty() {
