--- a/src/entry/losses.rs
+++ b/src/entry/losses.rs
@@ -40,7 +40,7 @@
 type GroupKey = (u64, String, String, String);
 
 #[derive(Default)]
-struct Sum {
+struct Totals {
     requests: u64,
     servers: BTreeMap<String, u64>,
     load: f64,
@@ -50,7 +50,7 @@
 /// Sums the losses in steps of so many seconds. Lines that are no events are passed over.
 pub fn losses(sources: &[Source<'_>], step_s: u64) -> Losses {
     let step_s = step_s.max(1);
-    let mut sums: BTreeMap<GroupKey, Sum> = BTreeMap::new();
+    let mut sums: BTreeMap<GroupKey, Totals> = BTreeMap::new();
     let mut dropped_lines = 0;
     for line in sources.iter().flat_map(read) {
         let event = &line.event;
@@ -78,7 +78,7 @@
     }
 }
 
-fn loss((at_unix_s, route, decision, reason): GroupKey, sum: &Sum) -> Loss {
+fn loss((at_unix_s, route, decision, reason): GroupKey, sum: &Totals) -> Loss {
     let requests = sum.requests as f64;
     Loss {
         at_unix_s,
