--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -71,7 +71,7 @@
         .unwrap_or(DEADLINE_DEFAULT_MS)
         .min(route.timeout_ms);
     let deadline_ms = arrived_ms + left_ms;
-    if deadline_ms + STOP_MARGIN_MS > entry.ends_ms() {
+    if deadline_ms + STOP_MARGIN_MS > entry.stop_deadline_ms() {
         return refusal(&Refused::soon("this host is about to stop", &policy));
     }
     if !is_within_quota(&entry, &configuration, workspace) {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -123,7 +123,7 @@
     registered: AtomicBool,
     stopping: AtomicBool,
     /// When the process ends in a planned stop; `u64::MAX` before that.
-    ends_ms: AtomicU64,
+    stop_deadline_ms: AtomicU64,
     in_flight: AtomicU64,
     answered: AtomicU64,
 }
@@ -162,7 +162,7 @@
             metrics: Metrics::default(),
             registered: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
-            ends_ms: AtomicU64::new(u64::MAX),
+            stop_deadline_ms: AtomicU64::new(u64::MAX),
             in_flight: AtomicU64::new(0),
             answered: AtomicU64::new(0),
             settings,
@@ -201,8 +201,8 @@
     }
 
     /// When the process ends in a planned stop; `u64::MAX` before that.
-    pub fn ends_ms(&self) -> u64 {
-        self.ends_ms.load(Ordering::Relaxed)
+    pub fn stop_deadline_ms(&self) -> u64 {
+        self.stop_deadline_ms.load(Ordering::Relaxed)
     }
 
     /// True for each of the answered requests that is logged.
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -251,8 +251,10 @@
     callers_done: tokio::task::JoinHandle<()>,
 ) {
     let grace_ms = entry.settings.bounds.stop_grace_ms;
-    let ends_ms = clock::now_ms() + grace_ms - GRACE_MARGIN_MS;
-    entry.ends_ms.store(ends_ms, Ordering::Relaxed);
+    let stop_deadline_ms = clock::now_ms() + grace_ms - GRACE_MARGIN_MS;
+    entry
+        .stop_deadline_ms
+        .store(stop_deadline_ms, Ordering::Relaxed);
     entry.stopping.store(true, Ordering::Relaxed);
     let in_flight = entry.in_flight.load(Ordering::Relaxed);
     Event::Stopping { in_flight }.log();
