--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -30,7 +30,7 @@
 /// callers' own bound, so that they close first.
 const HEAD_TIMEOUT_MS: u64 = 16_000;
 /// Type of the metrics' text exposition.
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 /// Interval at which idle connections to servers are checked.
 const SWEEP_EVERY_MS: u64 = 1_000;
 
@@ -182,7 +182,7 @@
 async fn serve_metrics(entry: Arc<Entry>, listener: TcpListener, stop: stop::Receiver<bool>) {
     let handler = move |_: Request<Incoming>| {
         let text = metrics_text(&entry);
-        async move { transport::whole(StatusCode::OK, METRICS_TYPE, text.into()) }
+        async move { transport::whole(StatusCode::OK, METRICS_CONTENT_TYPE, text.into()) }
     };
     transport::serve(listener, ListenerLimits::default(), stop, handler).await;
 }
