--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -23,7 +23,7 @@
 const BACKLOG: u32 = 4_096;
 /// Time after SIGTERM in which new connections are still accepted: the balancer asks every
 /// second and takes a host out after two misses.
-const NOTICE_MS: u64 = 2_300;
+const READINESS_NOTICE_MS: u64 = 2_300;
 /// Time kept free before the end of the grace.
 const GRACE_MARGIN_MS: u64 = 250;
 /// Time for a caller to send a head, which also bounds a connection's idle time; above the
@@ -258,7 +258,7 @@
     entry.stopping.store(true, Ordering::Relaxed);
     let in_flight = entry.in_flight.load(Ordering::Relaxed);
     Event::Stopping { in_flight }.log();
-    let notice_ms = NOTICE_MS.min(grace_ms / 2);
+    let notice_ms = READINESS_NOTICE_MS.min(grace_ms / 2);
     let giving_up = entry.give_up_duty();
     let notice = time::sleep(Duration::from_millis(notice_ms));
     tokio::join!(giving_up, notice);
