--- a/src/clock.rs
+++ b/src/clock.rs
@@ -10,7 +10,7 @@
 /// Clock of leases, the duty and deadlines. It counts the time for which the machine was suspended. The
 /// steady clock leaves that out: a holder of the duty that was suspended for six seconds would take its
 /// duty for confirmed when another host has had it for four.
-pub const SOURCE: ClockId = ClockId::CLOCK_BOOTTIME;
+pub const CLOCK_ID: ClockId = ClockId::CLOCK_BOOTTIME;
 
 static START: LazyLock<Duration> = LazyLock::new(reading);
 
@@ -25,7 +25,7 @@
 }
 
 fn reading() -> Duration {
-    let time = clock_gettime(SOURCE).expect("Linux has this clock since 2.6.39");
+    let time = clock_gettime(CLOCK_ID).expect("Linux has this clock since 2.6.39");
     Duration::from(time)
 }
 
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -2,14 +2,14 @@
 
 use std::{thread, time::Duration};
 
-use ashroad::clock::{self, SOURCE};
+use ashroad::clock::{self, CLOCK_ID};
 use nix::time::ClockId;
 
 /// No test can suspend its machine, so this one holds on to the source: of the clocks that never go back, only
 /// this one counts the time of a suspension.
 #[test]
 fn time_for_which_the_machine_was_suspended_counts() {
-    assert_eq!(SOURCE, ClockId::CLOCK_BOOTTIME);
+    assert_eq!(CLOCK_ID, ClockId::CLOCK_BOOTTIME);
 }
 
 #[test]
