--- a/src/clock.rs
+++ b/src/clock.rs
@@ -12,7 +12,7 @@
 /// duty for confirmed when another host has had it for four.
 pub const CLOCK_ID: ClockId = ClockId::CLOCK_BOOTTIME;
 
-static START: LazyLock<Duration> = LazyLock::new(reading);
+static START: LazyLock<Duration> = LazyLock::new(read_clock);
 
 /// Offset that keeps early readings positive after a freshness or lease span is taken from them.
 const ORIGIN_MS: u64 = 1_000_000;
@@ -21,10 +21,10 @@
 pub fn now_ms() -> u64 {
     // The first reading must not come after this one.
     let start = *START;
-    ORIGIN_MS + reading().saturating_sub(start).as_millis() as u64
+    ORIGIN_MS + read_clock().saturating_sub(start).as_millis() as u64
 }
 
-fn reading() -> Duration {
+fn read_clock() -> Duration {
     let time = clock_gettime(CLOCK_ID).expect("Linux has this clock since 2.6.39");
     Duration::from(time)
 }
