--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -19,7 +19,9 @@
 use tokio::time;
 
 use self::platform_standin::{
-    deployment::{ALL, Beside, DRAIN, Deployment, SERVED_AGAIN, play, violations, visits_by_host},
+    deployment::{
+        ALL, DRAIN, Deployment, Disturbance, SERVED_AGAIN, play, violations, visits_by_host,
+    },
     server::{Server, Visit},
     traffic::{Asked, Sent, Traffic},
 };
@@ -68,7 +70,7 @@
     visits.values().map(in_a_rest).max().unwrap_or(0)
 }
 
-async fn leave(beside: Beside, asked: Asked) -> Result<(), String> {
+async fn leave(beside: Disturbance, asked: Asked) -> Result<(), String> {
     let mut deployment = Deployment::start(asked).await;
     deployment.server(asked).say_leaving();
     let began = Instant::now();
@@ -80,7 +82,7 @@
         return Err(format!("{} requests, up to {latest:?} after", late.len()));
     }
     // Without the store no key can get another server; whatever else happens, callers are served.
-    if beside == Beside::StoreAway && asked == Asked::Keys {
+    if beside == Disturbance::StoreAway && asked == Asked::Keys {
         return Ok(());
     }
     let owed = began + beside.owed_after(DRAIN);
@@ -93,7 +95,7 @@
     violations(&deployment)
 }
 
-async fn rest(beside: Beside, asked: Asked) -> Result<(), String> {
+async fn rest(beside: Disturbance, asked: Asked) -> Result<(), String> {
     let mut deployment = Deployment::start(asked).await;
     deployment.server(asked).turn_away(REST_MS);
     let began = Instant::now();
@@ -102,7 +104,7 @@
     if most > REST_VISITS_MAX {
         return Err(format!("{most} requests in one rest"));
     }
-    if beside == Beside::StoreAway && asked == Asked::Keys {
+    if beside == Disturbance::StoreAway && asked == Asked::Keys {
         return Ok(());
     }
     let owed = began + beside.owed_after(SERVED_AGAIN);
@@ -166,6 +168,6 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn callers_are_refused_at_once_while_all_servers_rest() {
-    let cases = [Asked::Keys, Asked::Orders].map(|asked| (Beside::Nothing, asked));
+    let cases = [Asked::Keys, Asked::Orders].map(|asked| (Disturbance::Nothing, asked));
     play(cases, |_, asked| rest_of_all(asked)).await;
 }
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -16,7 +16,7 @@
 use tokio::time;
 
 use self::platform_standin::{
-    deployment::{ALL, Beside, Deployment, HOSTS, SERVERS, play, violations, visits_by_host},
+    deployment::{ALL, Deployment, Disturbance, HOSTS, SERVERS, play, violations, visits_by_host},
     server::Server,
     traffic::{Asked, Traffic},
 };
@@ -108,21 +108,21 @@
 }
 
 /// One of three servers names a limit of a fifth of what it gets.
-async fn one_of_three(beside: Beside, asked: Asked) -> Result<(), String> {
+async fn one_of_three(beside: Disturbance, asked: Asked) -> Result<(), String> {
     let mut deployment = Deployment::start(asked).await;
     deployment.server(asked).name_limit(Some("10"));
     let began = Instant::now();
     deployment.suffer(beside, asked, LIMITED).await;
     let named = Named(vec![(began, 10.0)]);
     // A host that was frozen owes nothing.
-    let excused: &[usize] = if beside == Beside::HostFrozen {
+    let excused: &[usize] = if beside == Disturbance::HostFrozen {
         &[0]
     } else {
         &[]
     };
     named.check(deployment.server(asked), &deployment.traffic, excused)?;
     // Without the store no key can get another server.
-    if beside == Beside::StoreAway && asked == Asked::Keys {
+    if beside == Disturbance::StoreAway && asked == Asked::Keys {
         return Ok(());
     }
     let owed = began + beside.owed_after(MOVED_AFTER);
@@ -177,7 +177,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_limits_of_all_servers_are_used() {
-    let cases = [Asked::Keys, Asked::Orders].map(|asked| (Beside::Nothing, asked));
+    let cases = [Asked::Keys, Asked::Orders].map(|asked| (Disturbance::Nothing, asked));
     play(cases, |_, asked| all_servers(asked)).await;
 }
 
@@ -217,7 +217,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_that_changes_holds_as_it_is_and_ends() {
-    let cases = [Asked::Keys, Asked::Orders].map(|asked| (Beside::Nothing, asked));
+    let cases = [Asked::Keys, Asked::Orders].map(|asked| (Disturbance::Nothing, asked));
     play(cases, |_, asked| falls_and_ends(asked)).await;
 }
 
@@ -238,7 +238,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn twelve_hosts_share_a_limit() {
-    let cases = [Asked::Keys, Asked::Orders].map(|asked| (Beside::Nothing, asked));
+    let cases = [Asked::Keys, Asked::Orders].map(|asked| (Disturbance::Nothing, asked));
     play(cases, |_, asked| twelve_hosts(asked)).await;
 }
 
@@ -271,7 +271,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn busy_keys_of_limited_servers_go_to_others() {
-    play([(Beside::Nothing, Asked::BusyKeys)], |_, asked| {
+    play([(Disturbance::Nothing, Asked::BusyKeys)], |_, asked| {
         busy_keys(asked)
     })
     .await;
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -21,7 +21,7 @@
 use tokio::time;
 
 use self::platform_standin::{
-    deployment::{Beside, Deployment},
+    deployment::{Deployment, Disturbance},
     traffic::Asked,
 };
 
@@ -122,7 +122,11 @@
     let before = feeds(&deployment);
     let cut = Instant::now();
     deployment
-        .suffer(Beside::HolderCut, Asked::Orders, Duration::from_secs(5))
+        .suffer(
+            Disturbance::HolderCut,
+            Asked::Orders,
+            Duration::from_secs(5),
+        )
         .await;
     let after = feeds(&deployment);
     let calls = before
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -34,7 +34,7 @@
 
 /// What happens besides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Beside {
+pub enum Disturbance {
     /// Nothing.
     Nothing,
     /// The store answers no host.
@@ -54,18 +54,18 @@
 }
 
 /// All of them.
-pub const ALL: [Beside; 8] = [
-    Beside::Nothing,
-    Beside::StoreAway,
-    Beside::HostCut,
-    Beside::HolderCut,
-    Beside::ReadyAgain,
-    Beside::EntryLapses,
-    Beside::HostFrozen,
-    Beside::HostNew,
+pub const ALL: [Disturbance; 8] = [
+    Disturbance::Nothing,
+    Disturbance::StoreAway,
+    Disturbance::HostCut,
+    Disturbance::HolderCut,
+    Disturbance::ReadyAgain,
+    Disturbance::EntryLapses,
+    Disturbance::HostFrozen,
+    Disturbance::HostNew,
 ];
 
-impl Beside {
+impl Disturbance {
     /// Time after which callers must be served by other servers, given the time that one loss takes.
     pub fn owed_after(self, one_loss: Duration) -> Duration {
         match self {
@@ -138,7 +138,7 @@
     }
 
     /// Lets `beside` happen for as long as `time`.
-    pub async fn suffer(&mut self, beside: Beside, asked: Asked, time: Duration) {
+    pub async fn suffer(&mut self, beside: Disturbance, asked: Asked, time: Duration) {
         let end = Instant::now() + time;
         let hosts = self.proxies.len();
         let store = |deployment: &Self, mode: Mode, hosts: usize| {
@@ -146,30 +146,30 @@
             proxies.for_each(|proxy| proxy.set(mode));
         };
         match beside {
-            Beside::Nothing => {}
-            Beside::StoreAway => store(self, Mode::Silent, hosts),
-            Beside::HostCut => store(self, Mode::Silent, 1),
-            Beside::HolderCut => self.proxies[self.holder()].set(Mode::Silent),
-            Beside::ReadyAgain => {
+            Disturbance::Nothing => {}
+            Disturbance::StoreAway => store(self, Mode::Silent, hosts),
+            Disturbance::HostCut => store(self, Mode::Silent, 1),
+            Disturbance::HolderCut => self.proxies[self.holder()].set(Mode::Silent),
+            Disturbance::ReadyAgain => {
                 while Instant::now() < end {
                     self.server(asked).declare(&self.site.store, "ready");
                     time::sleep(Duration::from_millis(400)).await;
                 }
             }
-            Beside::EntryLapses => {
+            Disturbance::EntryLapses => {
                 time::sleep(Duration::from_millis(300)).await;
                 self.server(asked).lapse(&self.site.store);
                 // Back only after the bound of what was told before.
                 time::sleep(DRAIN).await;
                 self.server(asked).declare(&self.site.store, "ready");
             }
-            Beside::HostFrozen => {
+            Disturbance::HostFrozen => {
                 time::sleep(Duration::from_millis(300)).await;
                 self.site.hosts[0].signal("STOP");
                 time::sleep(Duration::from_millis(1_200)).await;
                 self.site.hosts[0].signal("CONT");
             }
-            Beside::HostNew => {
+            Disturbance::HostNew => {
                 self.add_host().await;
                 let place = self.site.hosts.len() - 1;
                 self.traffic.add(place, self.site.hosts[place].callers);
@@ -208,8 +208,8 @@
 
 /// Plays every case at the same time, each with a deployment of its own; tells all that failed.
 pub async fn play<F>(
-    cases: impl IntoIterator<Item = (Beside, Asked)>,
-    of: impl Fn(Beside, Asked) -> F,
+    cases: impl IntoIterator<Item = (Disturbance, Asked)>,
+    of: impl Fn(Disturbance, Asked) -> F,
 ) where
     F: Future<Output = Result<(), String>> + 'static,
 {
