--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -70,22 +70,22 @@
     visits.values().map(in_a_rest).max().unwrap_or(0)
 }
 
-async fn leave(beside: Disturbance, asked: Asked) -> Result<(), String> {
+async fn leave(disturbance: Disturbance, asked: Asked) -> Result<(), String> {
     let mut deployment = Deployment::start(asked).await;
     deployment.server(asked).say_leaving();
     let began = Instant::now();
     let time = DRAIN + Duration::from_secs(6);
-    deployment.suffer(beside, asked, time).await;
+    deployment.suffer(disturbance, asked, time).await;
     let late = late_for_leaving(deployment.server(asked), &deployment.traffic);
     if !late.is_empty() {
         let latest = late.iter().max();
         return Err(format!("{} requests, up to {latest:?} after", late.len()));
     }
     // Without the store no key can get another server; whatever else happens, callers are served.
-    if beside == Disturbance::StoreAway && asked == Asked::Keys {
+    if disturbance == Disturbance::StoreAway && asked == Asked::Keys {
         return Ok(());
     }
-    let owed = began + beside.owed_after(DRAIN);
+    let owed = began + disturbance.owed_after(DRAIN);
     let served = deployment.traffic.served(owed, began + time);
     if served < 0.95 {
         return Err(format!(
@@ -95,19 +95,19 @@
     violations(&deployment)
 }
 
-async fn rest(beside: Disturbance, asked: Asked) -> Result<(), String> {
+async fn rest(disturbance: Disturbance, asked: Asked) -> Result<(), String> {
     let mut deployment = Deployment::start(asked).await;
     deployment.server(asked).turn_away(REST_MS);
     let began = Instant::now();
-    deployment.suffer(beside, asked, TURNS_AWAY).await;
+    deployment.suffer(disturbance, asked, TURNS_AWAY).await;
     let most = most_in_a_rest(deployment.server(asked), &deployment.traffic);
     if most > REST_VISITS_MAX {
         return Err(format!("{most} requests in one rest"));
     }
-    if beside == Disturbance::StoreAway && asked == Asked::Keys {
+    if disturbance == Disturbance::StoreAway && asked == Asked::Keys {
         return Ok(());
     }
-    let owed = began + beside.owed_after(SERVED_AGAIN);
+    let owed = began + disturbance.owed_after(SERVED_AGAIN);
     let served = deployment.traffic.served(owed, began + TURNS_AWAY);
     if served < 0.85 {
         return Err(format!("{served:.2} of the requests served while it rests"));
@@ -117,22 +117,22 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_of_a_server_that_says_it_leaves_goes_to_another() {
-    play(ALL.map(|beside| (beside, Asked::Keys)), leave).await;
+    play(ALL.map(|disturbance| (disturbance, Asked::Keys)), leave).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_says_it_leaves_gets_no_more_orders() {
-    play(ALL.map(|beside| (beside, Asked::Orders)), leave).await;
+    play(ALL.map(|disturbance| (disturbance, Asked::Orders)), leave).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_wants_a_rest_gets_it_and_its_keys_go_to_others() {
-    play(ALL.map(|beside| (beside, Asked::Keys)), rest).await;
+    play(ALL.map(|disturbance| (disturbance, Asked::Keys)), rest).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_wants_a_rest_gets_no_orders() {
-    play(ALL.map(|beside| (beside, Asked::Orders)), rest).await;
+    play(ALL.map(|disturbance| (disturbance, Asked::Orders)), rest).await;
 }
 
 /// All servers of a service want a rest: nobody can serve, and callers are told so at once.
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -108,24 +108,24 @@
 }
 
 /// One of three servers names a limit of a fifth of what it gets.
-async fn one_of_three(beside: Disturbance, asked: Asked) -> Result<(), String> {
+async fn one_of_three(disturbance: Disturbance, asked: Asked) -> Result<(), String> {
     let mut deployment = Deployment::start(asked).await;
     deployment.server(asked).name_limit(Some("10"));
     let began = Instant::now();
-    deployment.suffer(beside, asked, LIMITED).await;
+    deployment.suffer(disturbance, asked, LIMITED).await;
     let named = Named(vec![(began, 10.0)]);
     // A host that was frozen owes nothing.
-    let excused: &[usize] = if beside == Disturbance::HostFrozen {
+    let excused: &[usize] = if disturbance == Disturbance::HostFrozen {
         &[0]
     } else {
         &[]
     };
     named.check(deployment.server(asked), &deployment.traffic, excused)?;
     // Without the store no key can get another server.
-    if beside == Disturbance::StoreAway && asked == Asked::Keys {
+    if disturbance == Disturbance::StoreAway && asked == Asked::Keys {
         return Ok(());
     }
-    let owed = began + beside.owed_after(MOVED_AFTER);
+    let owed = began + disturbance.owed_after(MOVED_AFTER);
     served_at_least(&deployment, owed, began + LIMITED)?;
     violations(&deployment)
 }
@@ -140,12 +140,20 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_with_keys_gets_what_its_limit_allows() {
-    play(ALL.map(|beside| (beside, Asked::Keys)), one_of_three).await;
+    play(
+        ALL.map(|disturbance| (disturbance, Asked::Keys)),
+        one_of_three,
+    )
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_without_keys_gets_what_its_limit_allows() {
-    play(ALL.map(|beside| (beside, Asked::Orders)), one_of_three).await;
+    play(
+        ALL.map(|disturbance| (disturbance, Asked::Orders)),
+        one_of_three,
+    )
+    .await;
 }
 
 /// All servers name limits, each of a third of what it gets: their sum is used, and none gets too much. One host has
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -137,15 +137,15 @@
         &self.servers(asked)[0]
     }
 
-    /// Lets `beside` happen for as long as `time`.
-    pub async fn suffer(&mut self, beside: Disturbance, asked: Asked, time: Duration) {
+    /// Lets `disturbance` happen for as long as `time`.
+    pub async fn suffer(&mut self, disturbance: Disturbance, asked: Asked, time: Duration) {
         let end = Instant::now() + time;
         let hosts = self.proxies.len();
         let store = |deployment: &Self, mode: Mode, hosts: usize| {
             let proxies = deployment.proxies.iter().take(hosts);
             proxies.for_each(|proxy| proxy.set(mode));
         };
-        match beside {
+        match disturbance {
             Disturbance::Nothing => {}
             Disturbance::StoreAway => store(self, Mode::Silent, hosts),
             Disturbance::HostCut => store(self, Mode::Silent, 1),
@@ -216,16 +216,16 @@
     let _turn = TURN.lock().await;
     let mut playing = JoinSet::new();
     let local = LocalSet::new();
-    for (beside, asked) in cases {
-        let played = of(beside, asked);
-        playing.spawn_local_on(async move { (beside, asked, played.await) }, &local);
+    for (disturbance, asked) in cases {
+        let played = of(disturbance, asked);
+        playing.spawn_local_on(async move { (disturbance, asked, played.await) }, &local);
     }
     let mut failed = Vec::new();
     let all = async {
         while let Some(played) = playing.join_next().await {
-            let (beside, asked, outcome) = played.expect("a case ends");
+            let (disturbance, asked, outcome) = played.expect("a case ends");
             if let Err(problem) = outcome {
-                failed.push(format!("{asked:?}, {beside:?}: {problem}"));
+                failed.push(format!("{asked:?}, {disturbance:?}: {problem}"));
             }
         }
     };
