--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -82,7 +82,7 @@
         return Err(format!("{} requests, up to {latest:?} after", late.len()));
     }
     // Without the store no key can get another server; whatever else happens, callers are served.
-    if disturbance == Disturbance::StoreAway && asked == Asked::Keys {
+    if disturbance == Disturbance::StoreUnavailable && asked == Asked::Keys {
         return Ok(());
     }
     let owed = began + disturbance.owed_after(DRAIN);
@@ -104,7 +104,7 @@
     if most > REST_VISITS_MAX {
         return Err(format!("{most} requests in one rest"));
     }
-    if disturbance == Disturbance::StoreAway && asked == Asked::Keys {
+    if disturbance == Disturbance::StoreUnavailable && asked == Asked::Keys {
         return Ok(());
     }
     let owed = began + disturbance.owed_after(SERVED_AGAIN);
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -122,7 +122,7 @@
     };
     named.check(deployment.server(asked), &deployment.traffic, excused)?;
     // Without the store no key can get another server.
-    if disturbance == Disturbance::StoreAway && asked == Asked::Keys {
+    if disturbance == Disturbance::StoreUnavailable && asked == Asked::Keys {
         return Ok(());
     }
     let owed = began + disturbance.owed_after(MOVED_AFTER);
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -38,7 +38,7 @@
     /// Nothing.
     Nothing,
     /// The store answers no host.
-    StoreAway,
+    StoreUnavailable,
     /// The store answers all hosts but the first.
     HostCut,
     /// The store answers all hosts but the one that has the duty.
@@ -56,7 +56,7 @@
 /// All of them.
 pub const ALL: [Disturbance; 8] = [
     Disturbance::Nothing,
-    Disturbance::StoreAway,
+    Disturbance::StoreUnavailable,
     Disturbance::HostCut,
     Disturbance::HolderCut,
     Disturbance::ReadyAgain,
@@ -147,7 +147,7 @@
         };
         match disturbance {
             Disturbance::Nothing => {}
-            Disturbance::StoreAway => store(self, Mode::Silent, hosts),
+            Disturbance::StoreUnavailable => store(self, Mode::Silent, hosts),
             Disturbance::HostCut => store(self, Mode::Silent, 1),
             Disturbance::HolderCut => self.proxies[self.holder()].set(Mode::Silent),
             Disturbance::ReadyAgain => {
