--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -40,7 +40,7 @@
     /// The store answers no host.
     StoreUnavailable,
     /// The store answers all hosts but the first.
-    HostCut,
+    FirstHostPartitioned,
     /// The store answers all hosts but the one that has the duty.
     HolderCut,
     /// The server's entry is written again, as of one that is ready.
@@ -57,7 +57,7 @@
 pub const ALL: [Disturbance; 8] = [
     Disturbance::Nothing,
     Disturbance::StoreUnavailable,
-    Disturbance::HostCut,
+    Disturbance::FirstHostPartitioned,
     Disturbance::HolderCut,
     Disturbance::ReadyAgain,
     Disturbance::EntryLapses,
@@ -70,7 +70,7 @@
     pub fn owed_after(self, one_loss: Duration) -> Duration {
         match self {
             // The holder of the duty may be lost as well: another one takes the duty, then moves the keys.
-            Self::HostCut | Self::HolderCut => CONTACT + SERVED_AGAIN,
+            Self::FirstHostPartitioned | Self::HolderCut => CONTACT + SERVED_AGAIN,
             _ => one_loss,
         }
     }
@@ -148,7 +148,7 @@
         match disturbance {
             Disturbance::Nothing => {}
             Disturbance::StoreUnavailable => store(self, Mode::Silent, hosts),
-            Disturbance::HostCut => store(self, Mode::Silent, 1),
+            Disturbance::FirstHostPartitioned => store(self, Mode::Silent, 1),
             Disturbance::HolderCut => self.proxies[self.holder()].set(Mode::Silent),
             Disturbance::ReadyAgain => {
                 while Instant::now() < end {
