--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -123,7 +123,7 @@
     let cut = Instant::now();
     deployment
         .suffer(
-            Disturbance::HolderCut,
+            Disturbance::DutyHolderPartitioned,
             Asked::Orders,
             Duration::from_secs(5),
         )
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -42,7 +42,7 @@
     /// The store answers all hosts but the first.
     FirstHostPartitioned,
     /// The store answers all hosts but the one that has the duty.
-    HolderCut,
+    DutyHolderPartitioned,
     /// The server's entry is written again, as of one that is ready.
     ReadyAgain,
     /// The server's entry is removed, and comes back as of one that is ready.
@@ -58,7 +58,7 @@
     Disturbance::Nothing,
     Disturbance::StoreUnavailable,
     Disturbance::FirstHostPartitioned,
-    Disturbance::HolderCut,
+    Disturbance::DutyHolderPartitioned,
     Disturbance::ReadyAgain,
     Disturbance::EntryLapses,
     Disturbance::HostFrozen,
@@ -70,7 +70,7 @@
     pub fn owed_after(self, one_loss: Duration) -> Duration {
         match self {
             // The holder of the duty may be lost as well: another one takes the duty, then moves the keys.
-            Self::FirstHostPartitioned | Self::HolderCut => CONTACT + SERVED_AGAIN,
+            Self::FirstHostPartitioned | Self::DutyHolderPartitioned => CONTACT + SERVED_AGAIN,
             _ => one_loss,
         }
     }
@@ -149,7 +149,7 @@
             Disturbance::Nothing => {}
             Disturbance::StoreUnavailable => store(self, Mode::Silent, hosts),
             Disturbance::FirstHostPartitioned => store(self, Mode::Silent, 1),
-            Disturbance::HolderCut => self.proxies[self.holder()].set(Mode::Silent),
+            Disturbance::DutyHolderPartitioned => self.proxies[self.holder()].set(Mode::Silent),
             Disturbance::ReadyAgain => {
                 while Instant::now() < end {
                     self.server(asked).declare(&self.site.store, "ready");
