--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -44,7 +44,7 @@
     /// The store answers all hosts but the one that has the duty.
     DutyHolderPartitioned,
     /// The server's entry is written again, as of one that is ready.
-    ReadyAgain,
+    ReadyEntryRewritten,
     /// The server's entry is removed, and comes back as of one that is ready.
     EntryLapses,
     /// The first host is frozen for a while.
@@ -59,7 +59,7 @@
     Disturbance::StoreUnavailable,
     Disturbance::FirstHostPartitioned,
     Disturbance::DutyHolderPartitioned,
-    Disturbance::ReadyAgain,
+    Disturbance::ReadyEntryRewritten,
     Disturbance::EntryLapses,
     Disturbance::HostFrozen,
     Disturbance::HostNew,
@@ -150,7 +150,7 @@
             Disturbance::StoreUnavailable => store(self, Mode::Silent, hosts),
             Disturbance::FirstHostPartitioned => store(self, Mode::Silent, 1),
             Disturbance::DutyHolderPartitioned => self.proxies[self.holder()].set(Mode::Silent),
-            Disturbance::ReadyAgain => {
+            Disturbance::ReadyEntryRewritten => {
                 while Instant::now() < end {
                     self.server(asked).declare(&self.site.store, "ready");
                     time::sleep(Duration::from_millis(400)).await;
