--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -46,7 +46,7 @@
     /// The server's entry is written again, as of one that is ready.
     ReadyEntryRewritten,
     /// The server's entry is removed, and comes back as of one that is ready.
-    EntryLapses,
+    EntryExpires,
     /// The first host is frozen for a while.
     HostFrozen,
     /// A host starts.
@@ -60,7 +60,7 @@
     Disturbance::FirstHostPartitioned,
     Disturbance::DutyHolderPartitioned,
     Disturbance::ReadyEntryRewritten,
-    Disturbance::EntryLapses,
+    Disturbance::EntryExpires,
     Disturbance::HostFrozen,
     Disturbance::HostNew,
 ];
@@ -156,7 +156,7 @@
                     time::sleep(Duration::from_millis(400)).await;
                 }
             }
-            Disturbance::EntryLapses => {
+            Disturbance::EntryExpires => {
                 time::sleep(Duration::from_millis(300)).await;
                 self.server(asked).lapse(&self.site.store);
                 // Back only after the bound of what was told before.
