--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -115,7 +115,7 @@
     deployment.suffer(disturbance, asked, LIMITED).await;
     let named = Named(vec![(began, 10.0)]);
     // A host that was frozen owes nothing.
-    let excused: &[usize] = if disturbance == Disturbance::HostFrozen {
+    let excused: &[usize] = if disturbance == Disturbance::FirstHostPaused {
         &[0]
     } else {
         &[]
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -48,7 +48,7 @@
     /// The server's entry is removed, and comes back as of one that is ready.
     EntryExpires,
     /// The first host is frozen for a while.
-    HostFrozen,
+    FirstHostPaused,
     /// A host starts.
     HostNew,
 }
@@ -61,7 +61,7 @@
     Disturbance::DutyHolderPartitioned,
     Disturbance::ReadyEntryRewritten,
     Disturbance::EntryExpires,
-    Disturbance::HostFrozen,
+    Disturbance::FirstHostPaused,
     Disturbance::HostNew,
 ];
 
@@ -163,7 +163,7 @@
                 time::sleep(DRAIN).await;
                 self.server(asked).declare(&self.site.store, "ready");
             }
-            Disturbance::HostFrozen => {
+            Disturbance::FirstHostPaused => {
                 time::sleep(Duration::from_millis(300)).await;
                 self.site.hosts[0].signal("STOP");
                 time::sleep(Duration::from_millis(1_200)).await;
