--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -50,7 +50,7 @@
     /// The first host is frozen for a while.
     FirstHostPaused,
     /// A host starts.
-    HostNew,
+    HostStarts,
 }
 
 /// All of them.
@@ -62,7 +62,7 @@
     Disturbance::ReadyEntryRewritten,
     Disturbance::EntryExpires,
     Disturbance::FirstHostPaused,
-    Disturbance::HostNew,
+    Disturbance::HostStarts,
 ];
 
 impl Disturbance {
@@ -169,7 +169,7 @@
                 time::sleep(Duration::from_millis(1_200)).await;
                 self.site.hosts[0].signal("CONT");
             }
-            Disturbance::HostNew => {
+            Disturbance::HostStarts => {
                 self.add_host().await;
                 let place = self.site.hosts.len() - 1;
                 self.traffic.add(place, self.site.hosts[place].callers);
