--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -23,7 +23,7 @@
         ALL, DRAIN, Deployment, Disturbance, SERVED_AGAIN, play, violations, visits_by_host,
     },
     server::{Server, Visit},
-    traffic::{Asked, Sent, Traffic},
+    traffic::{Sent, Traffic, Workload},
 };
 
 /// Time after a server has asked for rest in which what was on its way may still come.
@@ -70,7 +70,7 @@
     visits.values().map(in_a_rest).max().unwrap_or(0)
 }
 
-async fn leave(disturbance: Disturbance, asked: Asked) -> Result<(), String> {
+async fn leave(disturbance: Disturbance, asked: Workload) -> Result<(), String> {
     let mut deployment = Deployment::start(asked).await;
     deployment.server(asked).say_leaving();
     let began = Instant::now();
@@ -82,7 +82,7 @@
         return Err(format!("{} requests, up to {latest:?} after", late.len()));
     }
     // Without the store no key can get another server; whatever else happens, callers are served.
-    if disturbance == Disturbance::StoreUnavailable && asked == Asked::Keys {
+    if disturbance == Disturbance::StoreUnavailable && asked == Workload::Keys {
         return Ok(());
     }
     let owed = began + disturbance.owed_after(DRAIN);
@@ -95,7 +95,7 @@
     violations(&deployment)
 }
 
-async fn rest(disturbance: Disturbance, asked: Asked) -> Result<(), String> {
+async fn rest(disturbance: Disturbance, asked: Workload) -> Result<(), String> {
     let mut deployment = Deployment::start(asked).await;
     deployment.server(asked).turn_away(REST_MS);
     let began = Instant::now();
@@ -104,7 +104,7 @@
     if most > REST_VISITS_MAX {
         return Err(format!("{most} requests in one rest"));
     }
-    if disturbance == Disturbance::StoreUnavailable && asked == Asked::Keys {
+    if disturbance == Disturbance::StoreUnavailable && asked == Workload::Keys {
         return Ok(());
     }
     let owed = began + disturbance.owed_after(SERVED_AGAIN);
@@ -117,26 +117,30 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_of_a_server_that_says_it_leaves_goes_to_another() {
-    play(ALL.map(|disturbance| (disturbance, Asked::Keys)), leave).await;
+    play(ALL.map(|disturbance| (disturbance, Workload::Keys)), leave).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_says_it_leaves_gets_no_more_orders() {
-    play(ALL.map(|disturbance| (disturbance, Asked::Orders)), leave).await;
+    play(
+        ALL.map(|disturbance| (disturbance, Workload::Orders)),
+        leave,
+    )
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_wants_a_rest_gets_it_and_its_keys_go_to_others() {
-    play(ALL.map(|disturbance| (disturbance, Asked::Keys)), rest).await;
+    play(ALL.map(|disturbance| (disturbance, Workload::Keys)), rest).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_wants_a_rest_gets_no_orders() {
-    play(ALL.map(|disturbance| (disturbance, Asked::Orders)), rest).await;
+    play(ALL.map(|disturbance| (disturbance, Workload::Orders)), rest).await;
 }
 
 /// All servers of a service want a rest: nobody can serve, and callers are told so at once.
-async fn rest_of_all(asked: Asked) -> Result<(), String> {
+async fn rest_of_all(asked: Workload) -> Result<(), String> {
     let deployment = Deployment::start(asked).await;
     let servers = deployment.servers(asked);
     for server in servers {
@@ -168,6 +172,6 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn callers_are_refused_at_once_while_all_servers_rest() {
-    let cases = [Asked::Keys, Asked::Orders].map(|asked| (Disturbance::Nothing, asked));
+    let cases = [Workload::Keys, Workload::Orders].map(|asked| (Disturbance::Nothing, asked));
     play(cases, |_, asked| rest_of_all(asked)).await;
 }
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -18,7 +18,7 @@
 use self::platform_standin::{
     deployment::{ALL, Deployment, Disturbance, HOSTS, SERVERS, play, violations, visits_by_host},
     server::Server,
-    traffic::{Asked, Traffic},
+    traffic::{Traffic, Workload},
 };
 
 /// Time after a host has passed on an answer that names a limit from which its requests count.
@@ -108,7 +108,7 @@
 }
 
 /// One of three servers names a limit of a fifth of what it gets.
-async fn one_of_three(disturbance: Disturbance, asked: Asked) -> Result<(), String> {
+async fn one_of_three(disturbance: Disturbance, asked: Workload) -> Result<(), String> {
     let mut deployment = Deployment::start(asked).await;
     deployment.server(asked).name_limit(Some("10"));
     let began = Instant::now();
@@ -122,7 +122,7 @@
     };
     named.check(deployment.server(asked), &deployment.traffic, excused)?;
     // Without the store no key can get another server.
-    if disturbance == Disturbance::StoreUnavailable && asked == Asked::Keys {
+    if disturbance == Disturbance::StoreUnavailable && asked == Workload::Keys {
         return Ok(());
     }
     let owed = began + disturbance.owed_after(MOVED_AFTER);
@@ -141,7 +141,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_with_keys_gets_what_its_limit_allows() {
     play(
-        ALL.map(|disturbance| (disturbance, Asked::Keys)),
+        ALL.map(|disturbance| (disturbance, Workload::Keys)),
         one_of_three,
     )
     .await;
@@ -150,7 +150,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_without_keys_gets_what_its_limit_allows() {
     play(
-        ALL.map(|disturbance| (disturbance, Asked::Orders)),
+        ALL.map(|disturbance| (disturbance, Workload::Orders)),
         one_of_three,
     )
     .await;
@@ -158,7 +158,7 @@
 
 /// All servers name limits, each of a third of what it gets: their sum is used, and none gets too much. One host has
 /// half of the callers.
-async fn all_servers(asked: Asked) -> Result<(), String> {
+async fn all_servers(asked: Workload) -> Result<(), String> {
     const LIMIT: f64 = 20.0;
     let deployment = Deployment::start(asked).await;
     for _ in 1..HOSTS {
@@ -185,12 +185,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_limits_of_all_servers_are_used() {
-    let cases = [Asked::Keys, Asked::Orders].map(|asked| (Disturbance::Nothing, asked));
+    let cases = [Workload::Keys, Workload::Orders].map(|asked| (Disturbance::Nothing, asked));
     play(cases, |_, asked| all_servers(asked)).await;
 }
 
 /// A limit falls to a third, to a fraction, to nothing, rises again and ends.
-async fn falls_and_ends(asked: Asked) -> Result<(), String> {
+async fn falls_and_ends(asked: Workload) -> Result<(), String> {
     let deployment = Deployment::start(asked).await;
     let server = deployment.server(asked);
     let each = Duration::from_millis(4_500);
@@ -211,7 +211,7 @@
         .site
         .hosts
         .iter()
-        .filter(|_| asked == Asked::Orders || got_keys)
+        .filter(|_| asked == Workload::Orders || got_keys)
     {
         let lines = host.events("server_rate_limit");
         let latest = lines.iter().rfind(|line| line.contains(&server.id));
@@ -225,12 +225,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_that_changes_holds_as_it_is_and_ends() {
-    let cases = [Asked::Keys, Asked::Orders].map(|asked| (Disturbance::Nothing, asked));
+    let cases = [Workload::Keys, Workload::Orders].map(|asked| (Disturbance::Nothing, asked));
     play(cases, |_, asked| falls_and_ends(asked)).await;
 }
 
 /// Twelve hosts share a small limit.
-async fn twelve_hosts(asked: Asked) -> Result<(), String> {
+async fn twelve_hosts(asked: Workload) -> Result<(), String> {
     let deployment = Deployment::start_sized(asked, 12, SERVERS).await;
     let named = name_in_turn(
         deployment.server(asked),
@@ -246,13 +246,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn twelve_hosts_share_a_limit() {
-    let cases = [Asked::Keys, Asked::Orders].map(|asked| (Disturbance::Nothing, asked));
+    let cases = [Workload::Keys, Workload::Orders].map(|asked| (Disturbance::Nothing, asked));
     play(cases, |_, asked| twelve_hosts(asked)).await;
 }
 
 /// Two of nine servers name limits of a third of what they get, where few keys are busy: their keys go to the others,
 /// which have room for them, and stay there.
-async fn busy_keys(asked: Asked) -> Result<(), String> {
+async fn busy_keys(asked: Workload) -> Result<(), String> {
     let deployment = Deployment::start_sized(asked, 8, 9).await;
     for server in deployment.servers(asked) {
         server.set_work_ms(60);
@@ -279,7 +279,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn busy_keys_of_limited_servers_go_to_others() {
-    play([(Disturbance::Nothing, Asked::BusyKeys)], |_, asked| {
+    play([(Disturbance::Nothing, Workload::BusyKeys)], |_, asked| {
         busy_keys(asked)
     })
     .await;
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -22,7 +22,7 @@
 
 use self::platform_standin::{
     deployment::{Deployment, Disturbance},
-    traffic::Asked,
+    traffic::Workload,
 };
 
 /// More than the hosts to which the holder speaks directly.
@@ -114,7 +114,7 @@
 
 #[tokio::test]
 async fn few_hosts_call_the_store_while_it_turns_the_holder_away() {
-    let mut deployment = Deployment::start_sized(Asked::Orders, HOSTS, 2).await;
+    let mut deployment = Deployment::start_sized(Workload::Orders, HOSTS, 2).await;
     let feeds = |deployment: &Deployment| -> Vec<u64> {
         let hosts = deployment.site.hosts.iter();
         hosts.map(|host| host.store_calls("feed")).collect()
@@ -124,7 +124,7 @@
     deployment
         .suffer(
             Disturbance::DutyHolderPartitioned,
-            Asked::Orders,
+            Workload::Orders,
             Duration::from_secs(5),
         )
         .await;
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -17,7 +17,7 @@
     proxy::{Mode, Proxy},
     server::{Server, Visit},
     site::Site,
-    traffic::{Asked, Sent, Traffic},
+    traffic::{Sent, Traffic, Workload},
 };
 
 /// Time after a host has passed on that a server leaves in which it may still send it requests.
@@ -87,12 +87,12 @@
 
 impl Deployment {
     /// Starts one of the usual size.
-    pub async fn start(asked: Asked) -> Self {
+    pub async fn start(asked: Workload) -> Self {
         Self::start_sized(asked, HOSTS, SERVERS).await
     }
 
     /// Starts hosts, servers of each service, and one caller at each host.
-    pub async fn start_sized(asked: Asked, hosts: usize, servers: usize) -> Self {
+    pub async fn start_sized(asked: Workload, hosts: usize, servers: usize) -> Self {
         let site = Site::start_servers(servers).await;
         let mut deployment = Self {
             site,
@@ -125,20 +125,20 @@
     }
 
     /// Servers that get the requests.
-    pub fn servers(&self, asked: Asked) -> &[Server] {
+    pub fn servers(&self, asked: Workload) -> &[Server] {
         match asked {
-            Asked::Keys | Asked::BusyKeys => &self.site.keyed,
-            Asked::Orders => &self.site.orders,
+            Workload::Keys | Workload::BusyKeys => &self.site.keyed,
+            Workload::Orders => &self.site.orders,
         }
     }
 
     /// The server that a test is about.
-    pub fn server(&self, asked: Asked) -> &Server {
+    pub fn server(&self, asked: Workload) -> &Server {
         &self.servers(asked)[0]
     }
 
     /// Lets `disturbance` happen for as long as `time`.
-    pub async fn suffer(&mut self, disturbance: Disturbance, asked: Asked, time: Duration) {
+    pub async fn suffer(&mut self, disturbance: Disturbance, asked: Workload, time: Duration) {
         let end = Instant::now() + time;
         let hosts = self.proxies.len();
         let store = |deployment: &Self, mode: Mode, hosts: usize| {
@@ -208,8 +208,8 @@
 
 /// Plays every case at the same time, each with a deployment of its own; tells all that failed.
 pub async fn play<F>(
-    cases: impl IntoIterator<Item = (Disturbance, Asked)>,
-    of: impl Fn(Disturbance, Asked) -> F,
+    cases: impl IntoIterator<Item = (Disturbance, Workload)>,
+    of: impl Fn(Disturbance, Workload) -> F,
 ) where
     F: Future<Output = Result<(), String>> + 'static,
 {
--- a/tests/platform_standin/traffic.rs
+++ b/tests/platform_standin/traffic.rs
@@ -22,7 +22,7 @@
 
 /// What is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum Workload {
     /// Keys of the divided service, drawn at random.
     Keys,
     /// Keys of the divided service of which few are busy, close together.
@@ -53,12 +53,12 @@
 pub struct Traffic {
     sent: Arc<Mutex<HashMap<String, Sent>>>,
     stopped: Arc<AtomicBool>,
-    asked: Asked,
+    asked: Workload,
 }
 
 impl Traffic {
     /// Traffic without a caller.
-    pub fn new(asked: Asked) -> Self {
+    pub fn new(asked: Workload) -> Self {
         Self {
             sent: Arc::default(),
             stopped: Arc::default(),
@@ -111,12 +111,12 @@
     }
 }
 
-async fn send(caller: &mut Caller, host: usize, asked: Asked) -> (String, Sent) {
+async fn send(caller: &mut Caller, host: usize, asked: Workload) -> (String, Sent) {
     let id = format!("{:016x}", rand::random::<u64>());
     let (method, path, key) = match asked {
-        Asked::Keys => ("GET", "/keyed/level", Some(rand::random())),
-        Asked::BusyKeys => ("GET", "/keyed/level", Some(busy_key())),
-        Asked::Orders => ("POST", "/orders/new", None),
+        Workload::Keys => ("GET", "/keyed/level", Some(rand::random())),
+        Workload::BusyKeys => ("GET", "/keyed/level", Some(busy_key())),
+        Workload::Orders => ("POST", "/orders/new", None),
     };
     let at = Instant::now();
     let answer = caller
