--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -70,19 +70,19 @@
     visits.values().map(in_a_rest).max().unwrap_or(0)
 }
 
-async fn leave(disturbance: Disturbance, asked: Workload) -> Result<(), String> {
-    let mut deployment = Deployment::start(asked).await;
-    deployment.server(asked).say_leaving();
+async fn leave(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
+    let mut deployment = Deployment::start(workload).await;
+    deployment.server(workload).say_leaving();
     let began = Instant::now();
     let time = DRAIN + Duration::from_secs(6);
-    deployment.suffer(disturbance, asked, time).await;
-    let late = late_for_leaving(deployment.server(asked), &deployment.traffic);
+    deployment.suffer(disturbance, workload, time).await;
+    let late = late_for_leaving(deployment.server(workload), &deployment.traffic);
     if !late.is_empty() {
         let latest = late.iter().max();
         return Err(format!("{} requests, up to {latest:?} after", late.len()));
     }
     // Without the store no key can get another server; whatever else happens, callers are served.
-    if disturbance == Disturbance::StoreUnavailable && asked == Workload::Keys {
+    if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
     }
     let owed = began + disturbance.owed_after(DRAIN);
@@ -95,16 +95,16 @@
     violations(&deployment)
 }
 
-async fn rest(disturbance: Disturbance, asked: Workload) -> Result<(), String> {
-    let mut deployment = Deployment::start(asked).await;
-    deployment.server(asked).turn_away(REST_MS);
+async fn rest(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
+    let mut deployment = Deployment::start(workload).await;
+    deployment.server(workload).turn_away(REST_MS);
     let began = Instant::now();
-    deployment.suffer(disturbance, asked, TURNS_AWAY).await;
-    let most = most_in_a_rest(deployment.server(asked), &deployment.traffic);
+    deployment.suffer(disturbance, workload, TURNS_AWAY).await;
+    let most = most_in_a_rest(deployment.server(workload), &deployment.traffic);
     if most > REST_VISITS_MAX {
         return Err(format!("{most} requests in one rest"));
     }
-    if disturbance == Disturbance::StoreUnavailable && asked == Workload::Keys {
+    if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
     }
     let owed = began + disturbance.owed_after(SERVED_AGAIN);
@@ -140,9 +140,9 @@
 }
 
 /// All servers of a service want a rest: nobody can serve, and callers are told so at once.
-async fn rest_of_all(asked: Workload) -> Result<(), String> {
-    let deployment = Deployment::start(asked).await;
-    let servers = deployment.servers(asked);
+async fn rest_of_all(workload: Workload) -> Result<(), String> {
+    let deployment = Deployment::start(workload).await;
+    let servers = deployment.servers(workload);
     for server in servers {
         server.turn_away(REST_MS);
     }
@@ -172,6 +172,6 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn callers_are_refused_at_once_while_all_servers_rest() {
-    let cases = [Workload::Keys, Workload::Orders].map(|asked| (Disturbance::Nothing, asked));
-    play(cases, |_, asked| rest_of_all(asked)).await;
+    let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
+    play(cases, |_, workload| rest_of_all(workload)).await;
 }
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -108,11 +108,11 @@
 }
 
 /// One of three servers names a limit of a fifth of what it gets.
-async fn one_of_three(disturbance: Disturbance, asked: Workload) -> Result<(), String> {
-    let mut deployment = Deployment::start(asked).await;
-    deployment.server(asked).name_limit(Some("10"));
+async fn one_of_three(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
+    let mut deployment = Deployment::start(workload).await;
+    deployment.server(workload).name_limit(Some("10"));
     let began = Instant::now();
-    deployment.suffer(disturbance, asked, LIMITED).await;
+    deployment.suffer(disturbance, workload, LIMITED).await;
     let named = Named(vec![(began, 10.0)]);
     // A host that was frozen owes nothing.
     let excused: &[usize] = if disturbance == Disturbance::FirstHostPaused {
@@ -120,9 +120,9 @@
     } else {
         &[]
     };
-    named.check(deployment.server(asked), &deployment.traffic, excused)?;
+    named.check(deployment.server(workload), &deployment.traffic, excused)?;
     // Without the store no key can get another server.
-    if disturbance == Disturbance::StoreUnavailable && asked == Workload::Keys {
+    if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
     }
     let owed = began + disturbance.owed_after(MOVED_AFTER);
@@ -158,23 +158,29 @@
 
 /// All servers name limits, each of a third of what it gets: their sum is used, and none gets too much. One host has
 /// half of the callers.
-async fn all_servers(asked: Workload) -> Result<(), String> {
+async fn all_servers(workload: Workload) -> Result<(), String> {
     const LIMIT: f64 = 20.0;
-    let deployment = Deployment::start(asked).await;
+    let deployment = Deployment::start(workload).await;
     for _ in 1..HOSTS {
         deployment.traffic.add(0, deployment.site.hosts[0].callers);
     }
     time::sleep(Duration::from_secs(1)).await;
     let began = Instant::now();
-    for server in deployment.servers(asked) {
+    for server in deployment.servers(workload) {
         server.name_limit(Some(&LIMIT.to_string()));
     }
     time::sleep(SETTLED_AFTER).await;
-    let served = || -> u64 { deployment.servers(asked).iter().map(Server::served).sum() };
+    let served = || -> u64 {
+        deployment
+            .servers(workload)
+            .iter()
+            .map(Server::served)
+            .sum()
+    };
     let (before, from) = (served(), Instant::now());
     time::sleep(LIMITED).await;
     let used = (served() - before) as f64 / from.elapsed().as_secs_f64();
-    for server in deployment.servers(asked) {
+    for server in deployment.servers(workload) {
         Named(vec![(began, LIMIT)]).check(server, &deployment.traffic, &[])?;
     }
     if used < USED_MIN * LIMIT * SERVERS as f64 {
@@ -185,14 +191,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_limits_of_all_servers_are_used() {
-    let cases = [Workload::Keys, Workload::Orders].map(|asked| (Disturbance::Nothing, asked));
-    play(cases, |_, asked| all_servers(asked)).await;
+    let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
+    play(cases, |_, workload| all_servers(workload)).await;
 }
 
 /// A limit falls to a third, to a fraction, to nothing, rises again and ends.
-async fn falls_and_ends(asked: Workload) -> Result<(), String> {
-    let deployment = Deployment::start(asked).await;
-    let server = deployment.server(asked);
+async fn falls_and_ends(workload: Workload) -> Result<(), String> {
+    let deployment = Deployment::start(workload).await;
+    let server = deployment.server(workload);
     let each = Duration::from_millis(4_500);
     let named = name_in_turn(server, &[30.0, 10.0, 0.5, 0.0, 20.0], each).await;
     let ended = Instant::now();
@@ -211,7 +217,7 @@
         .site
         .hosts
         .iter()
-        .filter(|_| asked == Workload::Orders || got_keys)
+        .filter(|_| workload == Workload::Orders || got_keys)
     {
         let lines = host.events("server_rate_limit");
         let latest = lines.iter().rfind(|line| line.contains(&server.id));
@@ -225,20 +231,20 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_that_changes_holds_as_it_is_and_ends() {
-    let cases = [Workload::Keys, Workload::Orders].map(|asked| (Disturbance::Nothing, asked));
-    play(cases, |_, asked| falls_and_ends(asked)).await;
+    let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
+    play(cases, |_, workload| falls_and_ends(workload)).await;
 }
 
 /// Twelve hosts share a small limit.
-async fn twelve_hosts(asked: Workload) -> Result<(), String> {
-    let deployment = Deployment::start_sized(asked, 12, SERVERS).await;
+async fn twelve_hosts(workload: Workload) -> Result<(), String> {
+    let deployment = Deployment::start_sized(workload, 12, SERVERS).await;
     let named = name_in_turn(
-        deployment.server(asked),
+        deployment.server(workload),
         &[10.0, 2.0],
         Duration::from_secs(7),
     )
     .await;
-    named.check(deployment.server(asked), &deployment.traffic, &[])?;
+    named.check(deployment.server(workload), &deployment.traffic, &[])?;
     let until = Instant::now();
     served_at_least(&deployment, until - Duration::from_secs(4), until)?;
     violations(&deployment)
@@ -246,15 +252,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn twelve_hosts_share_a_limit() {
-    let cases = [Workload::Keys, Workload::Orders].map(|asked| (Disturbance::Nothing, asked));
-    play(cases, |_, asked| twelve_hosts(asked)).await;
+    let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
+    play(cases, |_, workload| twelve_hosts(workload)).await;
 }
 
 /// Two of nine servers name limits of a third of what they get, where few keys are busy: their keys go to the others,
 /// which have room for them, and stay there.
-async fn busy_keys(asked: Workload) -> Result<(), String> {
-    let deployment = Deployment::start_sized(asked, 8, 9).await;
-    for server in deployment.servers(asked) {
+async fn busy_keys(workload: Workload) -> Result<(), String> {
+    let deployment = Deployment::start_sized(workload, 8, 9).await;
+    for server in deployment.servers(workload) {
         server.set_work_ms(60);
     }
     for _ in 1..3 {
@@ -264,7 +270,7 @@
     }
     time::sleep(Duration::from_secs(5)).await;
     let began = Instant::now();
-    let limited = &deployment.servers(asked)[..2];
+    let limited = &deployment.servers(workload)[..2];
     for server in limited {
         server.name_limit(Some("8"));
     }
@@ -279,8 +285,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn busy_keys_of_limited_servers_go_to_others() {
-    play([(Disturbance::Nothing, Workload::BusyKeys)], |_, asked| {
-        busy_keys(asked)
-    })
+    play(
+        [(Disturbance::Nothing, Workload::BusyKeys)],
+        |_, workload| busy_keys(workload),
+    )
     .await;
 }
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -87,17 +87,17 @@
 
 impl Deployment {
     /// Starts one of the usual size.
-    pub async fn start(asked: Workload) -> Self {
-        Self::start_sized(asked, HOSTS, SERVERS).await
+    pub async fn start(workload: Workload) -> Self {
+        Self::start_sized(workload, HOSTS, SERVERS).await
     }
 
     /// Starts hosts, servers of each service, and one caller at each host.
-    pub async fn start_sized(asked: Workload, hosts: usize, servers: usize) -> Self {
+    pub async fn start_sized(workload: Workload, hosts: usize, servers: usize) -> Self {
         let site = Site::start_servers(servers).await;
         let mut deployment = Self {
             site,
             proxies: Vec::new(),
-            traffic: Traffic::new(asked),
+            traffic: Traffic::new(workload),
         };
         for _ in 0..hosts {
             deployment.add_host().await;
@@ -125,20 +125,20 @@
     }
 
     /// Servers that get the requests.
-    pub fn servers(&self, asked: Workload) -> &[Server] {
-        match asked {
+    pub fn servers(&self, workload: Workload) -> &[Server] {
+        match workload {
             Workload::Keys | Workload::BusyKeys => &self.site.keyed,
             Workload::Orders => &self.site.orders,
         }
     }
 
     /// The server that a test is about.
-    pub fn server(&self, asked: Workload) -> &Server {
-        &self.servers(asked)[0]
+    pub fn server(&self, workload: Workload) -> &Server {
+        &self.servers(workload)[0]
     }
 
     /// Lets `disturbance` happen for as long as `time`.
-    pub async fn suffer(&mut self, disturbance: Disturbance, asked: Workload, time: Duration) {
+    pub async fn suffer(&mut self, disturbance: Disturbance, workload: Workload, time: Duration) {
         let end = Instant::now() + time;
         let hosts = self.proxies.len();
         let store = |deployment: &Self, mode: Mode, hosts: usize| {
@@ -152,16 +152,16 @@
             Disturbance::DutyHolderPartitioned => self.proxies[self.holder()].set(Mode::Silent),
             Disturbance::ReadyEntryRewritten => {
                 while Instant::now() < end {
-                    self.server(asked).declare(&self.site.store, "ready");
+                    self.server(workload).declare(&self.site.store, "ready");
                     time::sleep(Duration::from_millis(400)).await;
                 }
             }
             Disturbance::EntryExpires => {
                 time::sleep(Duration::from_millis(300)).await;
-                self.server(asked).lapse(&self.site.store);
+                self.server(workload).lapse(&self.site.store);
                 // Back only after the bound of what was told before.
                 time::sleep(DRAIN).await;
-                self.server(asked).declare(&self.site.store, "ready");
+                self.server(workload).declare(&self.site.store, "ready");
             }
             Disturbance::FirstHostPaused => {
                 time::sleep(Duration::from_millis(300)).await;
@@ -216,16 +216,16 @@
     let _turn = TURN.lock().await;
     let mut playing = JoinSet::new();
     let local = LocalSet::new();
-    for (disturbance, asked) in cases {
-        let played = of(disturbance, asked);
-        playing.spawn_local_on(async move { (disturbance, asked, played.await) }, &local);
+    for (disturbance, workload) in cases {
+        let played = of(disturbance, workload);
+        playing.spawn_local_on(async move { (disturbance, workload, played.await) }, &local);
     }
     let mut failed = Vec::new();
     let all = async {
         while let Some(played) = playing.join_next().await {
-            let (disturbance, asked, outcome) = played.expect("a case ends");
+            let (disturbance, workload, outcome) = played.expect("a case ends");
             if let Err(problem) = outcome {
-                failed.push(format!("{asked:?}, {disturbance:?}: {problem}"));
+                failed.push(format!("{workload:?}, {disturbance:?}: {problem}"));
             }
         }
     };
--- a/tests/platform_standin/traffic.rs
+++ b/tests/platform_standin/traffic.rs
@@ -53,23 +53,23 @@
 pub struct Traffic {
     sent: Arc<Mutex<HashMap<String, Sent>>>,
     stopped: Arc<AtomicBool>,
-    asked: Workload,
+    workload: Workload,
 }
 
 impl Traffic {
     /// Traffic without a caller.
-    pub fn new(asked: Workload) -> Self {
+    pub fn new(workload: Workload) -> Self {
         Self {
             sent: Arc::default(),
             stopped: Arc::default(),
-            asked,
+            workload,
         }
     }
 
     /// Adds a caller of one host.
     pub fn add(&self, host: usize, address: SocketAddr) {
         let (sent, stopped) = (self.sent.clone(), self.stopped.clone());
-        let asked = self.asked;
+        let workload = self.workload;
         tokio::spawn(async move {
             let mut caller = None;
             while !stopped.load(Ordering::Relaxed) {
@@ -80,7 +80,7 @@
                 let Some(connected) = &mut caller else {
                     continue;
                 };
-                let (id, outcome) = send(connected, host, asked).await;
+                let (id, outcome) = send(connected, host, workload).await;
                 if outcome.status.is_none() {
                     caller = None;
                 }
@@ -111,9 +111,9 @@
     }
 }
 
-async fn send(caller: &mut Caller, host: usize, asked: Workload) -> (String, Sent) {
+async fn send(caller: &mut Caller, host: usize, workload: Workload) -> (String, Sent) {
     let id = format!("{:016x}", rand::random::<u64>());
-    let (method, path, key) = match asked {
+    let (method, path, key) = match workload {
         Workload::Keys => ("GET", "/keyed/level", Some(rand::random())),
         Workload::BusyKeys => ("GET", "/keyed/level", Some(busy_key())),
         Workload::Orders => ("POST", "/orders/new", None),
