--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -26,7 +26,7 @@
 use tokio::{task::JoinSet, time};
 
 use self::platform_standin::{
-    caller::{Answer, Ask, Caller},
+    caller::{Answer, Caller, TestRequest},
     hosts::Host,
     server::{Kind, Server},
     site::{KEYED, ORDERS, Site, configuration, eventually, get},
@@ -51,7 +51,7 @@
 
 async fn send(host: &Host, caller: IpAddr, method: &str, path: &str) -> Option<Answer> {
     let id = format!("{:016x}", rand::random::<u64>());
-    let ask = Ask {
+    let ask = TestRequest {
         method,
         path,
         id: &id,
@@ -297,7 +297,7 @@
             let address = host.callers;
             tries.spawn(async move {
                 let id = format!("{:016x}", rand::random::<u64>());
-                let ask = Ask {
+                let ask = TestRequest {
                     method: "GET",
                     path: DEADLY_READ,
                     id: &id,
@@ -335,7 +335,7 @@
     key: Option<u16>,
 ) -> Option<StatusCode> {
     let id = format!("{:016x}", rand::random::<u64>());
-    let ask = Ask {
+    let ask = TestRequest {
         method: "GET",
         path,
         id: &id,
--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -11,7 +11,7 @@
 };
 
 use self::platform_standin::{
-    caller::{Ask, ask_once},
+    caller::{TestRequest, ask_once},
     hosts::Host,
     proxy::{Mode, Proxy},
     server::Server,
@@ -149,7 +149,7 @@
         let served = leaving.served();
         for number in 0..30 {
             let id = format!("{}-{number}", host.callers);
-            let ask = Ask {
+            let ask = TestRequest {
                 method: "POST",
                 path: "/orders/new",
                 id: &id,
@@ -252,7 +252,7 @@
             }
             number += 1;
             let id = format!("late-{phase_ms}-{number}");
-            let ask = Ask {
+            let ask = TestRequest {
                 method: "POST",
                 path: "/orders/new",
                 id: &id,
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -9,7 +9,7 @@
 use tokio::time;
 
 use self::platform_standin::{
-    caller::{Ask, Caller, ask_once},
+    caller::{Caller, TestRequest, ask_once},
     hosts::Host,
     proxy::{Mode, Proxy},
     server::Server,
@@ -18,8 +18,8 @@
 };
 
 /// A keyed read with a fresh id.
-fn read<'a>(id: &'a str, path: &'a str) -> Ask<'a> {
-    Ask {
+fn read<'a>(id: &'a str, path: &'a str) -> TestRequest<'a> {
+    TestRequest {
         method: "GET",
         path,
         id,
@@ -28,8 +28,8 @@
     }
 }
 
-fn order<'a>(id: &'a str) -> Ask<'a> {
-    Ask {
+fn order<'a>(id: &'a str) -> TestRequest<'a> {
+    TestRequest {
         method: "POST",
         path: "/orders/new?count=2",
         id,
@@ -41,7 +41,7 @@
 #[tokio::test]
 async fn requests_are_routed_and_answers_are_exact() {
     struct Case {
-        ask: Ask<'static>,
+        ask: TestRequest<'static>,
         status: StatusCode,
         body: &'static str,
         signed: bool,
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -10,7 +10,7 @@
 use tokio::time;
 
 use self::platform_standin::{
-    caller::{Answer, Ask, Caller},
+    caller::{Answer, Caller, TestRequest},
     hosts::Host,
     site::{Site, configuration, eventually},
     store::Faults,
@@ -62,7 +62,7 @@
 /// Asks a host with more headers; the answer, and the request's id.
 async fn ask(host: &Host, path: &str, more: &[(&str, &str)]) -> Option<(Answer, String)> {
     let id = format!("{:016x}", rand::random::<u64>());
-    let ask = Ask {
+    let ask = TestRequest {
         method: "POST",
         path,
         id: &id,
--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -12,7 +12,7 @@
 use tokio::time;
 
 use self::platform_standin::{
-    caller::{Ask, ask_once},
+    caller::{TestRequest, ask_once},
     hosts::Host,
     server::{Kind, Server},
     site::{KEYED, ORDERS, Site, configuration, eventually, get},
@@ -23,7 +23,7 @@
 
 async fn send_order(host: &Host, number: usize) {
     let id = format!("{}-{number}", host.callers);
-    let ask = Ask {
+    let ask = TestRequest {
         method: "POST",
         path: "/orders/new",
         id: &id,
--- a/tests/platform_standin/caller.rs
+++ b/tests/platform_standin/caller.rs
@@ -35,7 +35,7 @@
 
 /// A request.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct TestRequest<'a> {
     /// Method.
     pub method: &'a str,
     /// Path.
@@ -69,12 +69,16 @@
     }
 
     /// Sends a request; `None` if the connection ended without an answer or nothing came.
-    pub async fn ask(&mut self, ask: Ask<'_>) -> Option<Answer> {
+    pub async fn ask(&mut self, ask: TestRequest<'_>) -> Option<Answer> {
         self.ask_with(ask, &[]).await
     }
 
     /// Does the same with more headers.
-    pub async fn ask_with(&mut self, ask: Ask<'_>, more: &[(&str, &str)]) -> Option<Answer> {
+    pub async fn ask_with(
+        &mut self,
+        ask: TestRequest<'_>,
+        more: &[(&str, &str)],
+    ) -> Option<Answer> {
         let mut request = Request::builder()
             .method(ask.method)
             .uri(ask.path)
@@ -106,6 +110,6 @@
 }
 
 /// Sends one request on a connection of its own.
-pub async fn ask_once(address: SocketAddr, ask: Ask<'_>) -> Option<Answer> {
+pub async fn ask_once(address: SocketAddr, ask: TestRequest<'_>) -> Option<Answer> {
     Caller::connect(address).await?.ask(ask).await
 }
--- a/tests/platform_standin/site.rs
+++ b/tests/platform_standin/site.rs
@@ -10,7 +10,7 @@
 use tokio::time;
 
 use super::{
-    caller::{Ask, ask_once},
+    caller::{TestRequest, ask_once},
     hosts::Host,
     server::{Kind, Record, Server},
     store::Store,
@@ -123,7 +123,7 @@
 /// Asks for a key; the status of the answer.
 pub async fn get(host: &Host, key: u16) -> Option<StatusCode> {
     let id = format!("{:016x}", rand::random::<u64>());
-    let ask = Ask {
+    let ask = TestRequest {
         method: "GET",
         path: "/keyed/level",
         id: &id,
--- a/tests/platform_standin/traffic.rs
+++ b/tests/platform_standin/traffic.rs
@@ -13,7 +13,7 @@
 use http::StatusCode;
 use tokio::time;
 
-use super::caller::{Answer, Ask, Caller};
+use super::caller::{Answer, Caller, TestRequest};
 
 /// Pause between two requests of one caller.
 const PAUSE: Duration = Duration::from_millis(15);
@@ -120,7 +120,7 @@
     };
     let at = Instant::now();
     let answer = caller
-        .ask(Ask {
+        .ask(TestRequest {
             method,
             path,
             id: &id,
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -22,7 +22,7 @@
 use tokio::{task::JoinSet, time};
 
 use self::platform_standin::{
-    caller::{Ask, Caller},
+    caller::{Caller, TestRequest},
     hosts::Host,
     proxy::{Mode, Proxy},
     server::{Record, Server},
@@ -291,7 +291,7 @@
         };
         let id = format!("{seed}-{number}-{round}");
         let keyed = rng.random_bool(0.6);
-        let ask = Ask {
+        let ask = TestRequest {
             method: if keyed { "GET" } else { "POST" },
             path: if keyed { "/keyed/x" } else { "/orders/x" },
             id: &id,
@@ -311,7 +311,12 @@
     }
 }
 
-fn check(record: &Record, tally: &Tally, ask: Ask<'_>, answer: Option<(StatusCode, bytes::Bytes)>) {
+fn check(
+    record: &Record,
+    tally: &Tally,
+    ask: TestRequest<'_>,
+    answer: Option<(StatusCode, bytes::Bytes)>,
+) {
     let unrepeatable = ask.method == "POST";
     let runs = record.runs(ask.id);
     if unrepeatable && runs > 1 {
