--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -71,7 +71,7 @@
     };
     let answer = {
         let mut caller = Caller::connect(host.callers).await?;
-        caller.ask_with(ask, more).await?
+        caller.ask_with_headers(ask, more).await?
     };
     Some((answer, id))
 }
--- a/tests/platform_standin/caller.rs
+++ b/tests/platform_standin/caller.rs
@@ -70,11 +70,11 @@
 
     /// Sends a request; `None` if the connection ended without an answer or nothing came.
     pub async fn ask(&mut self, ask: TestRequest<'_>) -> Option<Answer> {
-        self.ask_with(ask, &[]).await
+        self.ask_with_headers(ask, &[]).await
     }
 
     /// Does the same with more headers.
-    pub async fn ask_with(
+    pub async fn ask_with_headers(
         &mut self,
         ask: TestRequest<'_>,
         more: &[(&str, &str)],
