--- a/tests/platform_standin/caller.rs
+++ b/tests/platform_standin/caller.rs
@@ -14,7 +14,7 @@
 
 /// Time that a process may be without processor time on a machine that runs other things too. Hosts
 /// owe an answer by the deadline; `answers_come_by_the_deadline` looks at that.
-const STARVED_MS: u64 = 10_000;
+const SCHEDULING_ALLOWANCE_MS: u64 = 10_000;
 
 /// An answer.
 #[derive(Debug)]
@@ -59,7 +59,7 @@
         let socket = TcpSocket::new_v4().ok()?;
         socket.bind(SocketAddr::new(own, 0)).ok()?;
         let stream = {
-            let limit = Duration::from_millis(STARVED_MS);
+            let limit = Duration::from_millis(SCHEDULING_ALLOWANCE_MS);
             time::timeout(limit, socket.connect(address)).await
         };
         let stream = stream.ok()?.ok()?;
@@ -104,7 +104,7 @@
                 body,
             })
         };
-        let limit = Duration::from_millis(ask.deadline_ms + STARVED_MS);
+        let limit = Duration::from_millis(ask.deadline_ms + SCHEDULING_ALLOWANCE_MS);
         time::timeout(limit, exchange).await.ok()?
     }
 }
