--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -75,7 +75,9 @@
     deployment.server(workload).say_leaving();
     let began = Instant::now();
     let time = DRAIN + Duration::from_secs(6);
-    deployment.suffer(disturbance, workload, time).await;
+    deployment
+        .apply_disturbance(disturbance, workload, time)
+        .await;
     let late = late_for_leaving(deployment.server(workload), &deployment.traffic);
     if !late.is_empty() {
         let latest = late.iter().max();
@@ -99,7 +101,9 @@
     let mut deployment = Deployment::start(workload).await;
     deployment.server(workload).turn_away(REST_MS);
     let began = Instant::now();
-    deployment.suffer(disturbance, workload, TURNS_AWAY).await;
+    deployment
+        .apply_disturbance(disturbance, workload, TURNS_AWAY)
+        .await;
     let most = most_in_a_rest(deployment.server(workload), &deployment.traffic);
     if most > REST_VISITS_MAX {
         return Err(format!("{most} requests in one rest"));
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -112,7 +112,9 @@
     let mut deployment = Deployment::start(workload).await;
     deployment.server(workload).name_limit(Some("10"));
     let began = Instant::now();
-    deployment.suffer(disturbance, workload, LIMITED).await;
+    deployment
+        .apply_disturbance(disturbance, workload, LIMITED)
+        .await;
     let named = Named(vec![(began, 10.0)]);
     // A host that was frozen owes nothing.
     let excused: &[usize] = if disturbance == Disturbance::FirstHostPaused {
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -122,7 +122,7 @@
     let before = feeds(&deployment);
     let cut = Instant::now();
     deployment
-        .suffer(
+        .apply_disturbance(
             Disturbance::DutyHolderPartitioned,
             Workload::Orders,
             Duration::from_secs(5),
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -138,7 +138,12 @@
     }
 
     /// Lets `disturbance` happen for as long as `time`.
-    pub async fn suffer(&mut self, disturbance: Disturbance, workload: Workload, time: Duration) {
+    pub async fn apply_disturbance(
+        &mut self,
+        disturbance: Disturbance,
+        workload: Workload,
+        time: Duration,
+    ) {
         let end = Instant::now() + time;
         let hosts = self.proxies.len();
         let store = |deployment: &Self, mode: Mode, hosts: usize| {
