--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -20,7 +20,7 @@
 
 use self::platform_standin::{
     deployment::{
-        ALL, DRAIN, Deployment, Disturbance, SERVED_AGAIN, play, violations, visits_by_host,
+        ALL, DRAIN, Deployment, Disturbance, SERVED_AGAIN, run_cases, violations, visits_by_host,
     },
     server::{Server, Visit},
     traffic::{Sent, Traffic, Workload},
@@ -121,12 +121,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_of_a_server_that_says_it_leaves_goes_to_another() {
-    play(ALL.map(|disturbance| (disturbance, Workload::Keys)), leave).await;
+    run_cases(ALL.map(|disturbance| (disturbance, Workload::Keys)), leave).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_says_it_leaves_gets_no_more_orders() {
-    play(
+    run_cases(
         ALL.map(|disturbance| (disturbance, Workload::Orders)),
         leave,
     )
@@ -135,12 +135,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_wants_a_rest_gets_it_and_its_keys_go_to_others() {
-    play(ALL.map(|disturbance| (disturbance, Workload::Keys)), rest).await;
+    run_cases(ALL.map(|disturbance| (disturbance, Workload::Keys)), rest).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_wants_a_rest_gets_no_orders() {
-    play(ALL.map(|disturbance| (disturbance, Workload::Orders)), rest).await;
+    run_cases(ALL.map(|disturbance| (disturbance, Workload::Orders)), rest).await;
 }
 
 /// All servers of a service want a rest: nobody can serve, and callers are told so at once.
@@ -177,5 +177,5 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn callers_are_refused_at_once_while_all_servers_rest() {
     let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
-    play(cases, |_, workload| rest_of_all(workload)).await;
+    run_cases(cases, |_, workload| rest_of_all(workload)).await;
 }
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -16,7 +16,9 @@
 use tokio::time;
 
 use self::platform_standin::{
-    deployment::{ALL, Deployment, Disturbance, HOSTS, SERVERS, play, violations, visits_by_host},
+    deployment::{
+        ALL, Deployment, Disturbance, HOSTS, SERVERS, run_cases, violations, visits_by_host,
+    },
     server::Server,
     traffic::{Traffic, Workload},
 };
@@ -142,7 +144,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_with_keys_gets_what_its_limit_allows() {
-    play(
+    run_cases(
         ALL.map(|disturbance| (disturbance, Workload::Keys)),
         one_of_three,
     )
@@ -151,7 +153,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_without_keys_gets_what_its_limit_allows() {
-    play(
+    run_cases(
         ALL.map(|disturbance| (disturbance, Workload::Orders)),
         one_of_three,
     )
@@ -194,7 +196,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_limits_of_all_servers_are_used() {
     let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
-    play(cases, |_, workload| all_servers(workload)).await;
+    run_cases(cases, |_, workload| all_servers(workload)).await;
 }
 
 /// A limit falls to a third, to a fraction, to nothing, rises again and ends.
@@ -234,7 +236,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_that_changes_holds_as_it_is_and_ends() {
     let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
-    play(cases, |_, workload| falls_and_ends(workload)).await;
+    run_cases(cases, |_, workload| falls_and_ends(workload)).await;
 }
 
 /// Twelve hosts share a small limit.
@@ -255,7 +257,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn twelve_hosts_share_a_limit() {
     let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
-    play(cases, |_, workload| twelve_hosts(workload)).await;
+    run_cases(cases, |_, workload| twelve_hosts(workload)).await;
 }
 
 /// Two of nine servers name limits of a third of what they get, where few keys are busy: their keys go to the others,
@@ -287,7 +289,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn busy_keys_of_limited_servers_go_to_others() {
-    play(
+    run_cases(
         [(Disturbance::Nothing, Workload::BusyKeys)],
         |_, workload| busy_keys(workload),
     )
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -212,7 +212,7 @@
 }
 
 /// Plays every case at the same time, each with a deployment of its own; tells all that failed.
-pub async fn play<F>(
+pub async fn run_cases<F>(
     cases: impl IntoIterator<Item = (Disturbance, Workload)>,
     of: impl Fn(Disturbance, Workload) -> F,
 ) where
