--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -87,7 +87,7 @@
     if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
     }
-    let owed = began + disturbance.owed_after(DRAIN);
+    let owed = began + disturbance.recovery_limit(DRAIN);
     let served = deployment.traffic.served(owed, began + time);
     if served < 0.95 {
         return Err(format!(
@@ -111,7 +111,7 @@
     if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
     }
-    let owed = began + disturbance.owed_after(SERVED_AGAIN);
+    let owed = began + disturbance.recovery_limit(SERVED_AGAIN);
     let served = deployment.traffic.served(owed, began + TURNS_AWAY);
     if served < 0.85 {
         return Err(format!("{served:.2} of the requests served while it rests"));
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -129,7 +129,7 @@
     if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
     }
-    let owed = began + disturbance.owed_after(MOVED_AFTER);
+    let owed = began + disturbance.recovery_limit(MOVED_AFTER);
     served_at_least(&deployment, owed, began + LIMITED)?;
     violations(&deployment)
 }
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -67,7 +67,7 @@
 
 impl Disturbance {
     /// Time after which callers must be served by other servers, given the time that one loss takes.
-    pub fn owed_after(self, one_loss: Duration) -> Duration {
+    pub fn recovery_limit(self, one_loss: Duration) -> Duration {
         match self {
             // The holder of the duty may be lost as well: another one takes the duty, then moves the keys.
             Self::FirstHostPartitioned | Self::DutyHolderPartitioned => CONTACT + SERVED_AGAIN,
