--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -30,7 +30,7 @@
 pub const HOSTS: usize = 3;
 pub const SERVERS: usize = 3;
 /// One test plays at a time: together they would be over a hundred processes.
-static TURN: Mutex<()> = Mutex::const_new(());
+static RUN_LOCK: Mutex<()> = Mutex::const_new(());
 
 /// What happens besides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -218,7 +218,7 @@
 ) where
     F: Future<Output = Result<(), String>> + 'static,
 {
-    let _turn = TURN.lock().await;
+    let _turn = RUN_LOCK.lock().await;
     let mut playing = JoinSet::new();
     let local = LocalSet::new();
     for (disturbance, workload) in cases {
