--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -118,7 +118,7 @@
     }
 
     /// Place of the host that has the duty.
-    fn holder(&self) -> usize {
+    fn duty_holder(&self) -> usize {
         let has_duty = |host: &Host| !host.events("duty_taken").is_empty();
         let place = self.site.hosts.iter().position(has_duty);
         place.expect("a holder")
@@ -154,7 +154,9 @@
             Disturbance::Nothing => {}
             Disturbance::StoreUnavailable => store(self, Mode::Silent, hosts),
             Disturbance::FirstHostPartitioned => store(self, Mode::Silent, 1),
-            Disturbance::DutyHolderPartitioned => self.proxies[self.holder()].set(Mode::Silent),
+            Disturbance::DutyHolderPartitioned => {
+                self.proxies[self.duty_holder()].set(Mode::Silent)
+            }
             Disturbance::ReadyEntryRewritten => {
                 while Instant::now() < end {
                     self.server(workload).declare(&self.site.store, "ready");
