--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -22,7 +22,7 @@
     deployment::{
         ALL, DRAIN, Deployment, Disturbance, SERVED_AGAIN, run_cases, violations, visits_by_host,
     },
-    server::{Server, Visit},
+    server::{ReceivedRequest, Server},
     traffic::{Sent, Traffic, Workload},
 };
 
@@ -56,7 +56,7 @@
 
 /// Most requests that reached a server from one host in a rest that it had asked this host for.
 fn most_in_a_rest(server: &Server, traffic: &Traffic) -> usize {
-    let in_a_rest = |visits: &Vec<(Visit, Sent)>| {
+    let in_a_rest = |visits: &Vec<(ReceivedRequest, Sent)>| {
         let rests = visits
             .iter()
             .filter_map(|(visit, _)| Some((visit.at, visit.rest?)));
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -15,7 +15,7 @@
 use super::{
     hosts::Host,
     proxy::{Mode, Proxy},
-    server::{Server, Visit},
+    server::{ReceivedRequest, Server},
     site::Site,
     traffic::{Sent, Traffic, Workload},
 };
@@ -188,9 +188,12 @@
 }
 
 /// Requests that reached a server, each with what its caller knows of it.
-pub fn visits_by_host(server: &Server, traffic: &Traffic) -> HashMap<usize, Vec<(Visit, Sent)>> {
+pub fn visits_by_host(
+    server: &Server,
+    traffic: &Traffic,
+) -> HashMap<usize, Vec<(ReceivedRequest, Sent)>> {
     let sent = traffic.sent();
-    let mut by_host: HashMap<usize, Vec<(Visit, Sent)>> = HashMap::new();
+    let mut by_host: HashMap<usize, Vec<(ReceivedRequest, Sent)>> = HashMap::new();
     for visit in server.visits() {
         // What is still on its way, or came from the test itself, is left out.
         if let Some(sent) = sent.get(&visit.id) {
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -223,7 +223,7 @@
     rest_ms: AtomicU64,
     /// Rate that all answers name.
     rate_limit: Mutex<Option<String>>,
-    visits: Mutex<Vec<Visit>>,
+    visits: Mutex<Vec<ReceivedRequest>>,
     served: AtomicU64,
     /// What a mortal server runs on: its end closes all of its sockets at once, as that of a process.
     runtime: Mutex<Option<Runtime>>,
@@ -231,7 +231,7 @@
 
 /// A request that reached a server.
 #[derive(Clone, Debug)]
-pub struct Visit {
+pub struct ReceivedRequest {
     /// Identifier of the request.
     pub id: String,
     /// When it arrived.
@@ -377,7 +377,7 @@
     }
 
     /// Requests that reached it.
-    pub fn visits(&self) -> Vec<Visit> {
+    pub fn visits(&self) -> Vec<ReceivedRequest> {
         lock(&self.state.visits).clone()
     }
 
@@ -644,7 +644,7 @@
     fn note_visit(&self, id: &str) -> Option<Duration> {
         let rest_ms = self.rest_ms.load(Ordering::Relaxed);
         let rest = (rest_ms > 0).then(|| Duration::from_millis(rest_ms));
-        lock(&self.visits).push(Visit {
+        lock(&self.visits).push(ReceivedRequest {
             id: id.to_owned(),
             at: Instant::now(),
             rest,
