--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -41,12 +41,14 @@
 /// reached it from this host.
 fn late_for_leaving(server: &Server, traffic: &Traffic) -> Vec<Duration> {
     let mut late = Vec::new();
-    for visits in visits_by_host(server, traffic).values() {
-        let told = visits.iter().filter(|(_, sent)| sent.says_leaving);
+    for received_requests in visits_by_host(server, traffic).values() {
+        let told = received_requests
+            .iter()
+            .filter(|(_, sent)| sent.says_leaving);
         let Some(passed_on) = told.map(|(_, sent)| sent.answered).min() else {
             continue;
         };
-        let after = visits
+        let after = received_requests
             .iter()
             .map(|(_, sent)| sent.at.saturating_duration_since(passed_on));
         late.extend(after.filter(|after| *after > DRAIN));
@@ -56,18 +58,21 @@
 
 /// Most requests that reached a server from one host in a rest that it had asked this host for.
 fn most_in_a_rest(server: &Server, traffic: &Traffic) -> usize {
-    let in_a_rest = |visits: &Vec<(ReceivedRequest, Sent)>| {
-        let rests = visits
+    let in_a_rest = |received_requests: &Vec<(ReceivedRequest, Sent)>| {
+        let rests = received_requests
             .iter()
             .filter_map(|(visit, _)| Some((visit.at, visit.rest?)));
         let within = |(began, rest): (Instant, Duration)| {
             let span = began + REST_SLACK..began + rest;
-            visits.iter().filter(|(v, _)| span.contains(&v.at)).count()
+            received_requests
+                .iter()
+                .filter(|(v, _)| span.contains(&v.at))
+                .count()
         };
         rests.map(within).max().unwrap_or(0)
     };
-    let visits = visits_by_host(server, traffic);
-    visits.values().map(in_a_rest).max().unwrap_or(0)
+    let received_requests = visits_by_host(server, traffic);
+    received_requests.values().map(in_a_rest).max().unwrap_or(0)
 }
 
 async fn leave(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -66,14 +66,18 @@
         };
         let mut counted = Vec::new();
         let by_host: HashMap<usize, Vec<_>> = visits_by_host(server, traffic);
-        for (host, visits) in by_host {
-            let told = visits.iter().filter(|(_, sent)| sent.names_limit);
+        for (host, received_requests) in by_host {
+            let told = received_requests
+                .iter()
+                .filter(|(_, sent)| sent.names_limit);
             let Some(told) = told.map(|(_, sent)| sent.answered).min() else {
                 continue;
             };
             let from = (told + TOLD_AFTER).max(*first + SETTLED_AFTER);
             if !excused.contains(&host) {
-                let later = visits.iter().filter(|(visit, _)| visit.at >= from);
+                let later = received_requests
+                    .iter()
+                    .filter(|(visit, _)| visit.at >= from);
                 counted.extend(later.map(|(visit, _)| visit.at));
             }
         }
@@ -214,7 +218,7 @@
     // How many requests it gets then shows nothing: others have idle connections, and keys come back only as far as the
     // other servers are busy.
     let got_keys = server
-        .visits()
+        .received_requests()
         .iter()
         .any(|visit| visit.at > ended + Duration::from_secs(2));
     for host in deployment
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -194,7 +194,7 @@
 ) -> HashMap<usize, Vec<(ReceivedRequest, Sent)>> {
     let sent = traffic.sent();
     let mut by_host: HashMap<usize, Vec<(ReceivedRequest, Sent)>> = HashMap::new();
-    for visit in server.visits() {
+    for visit in server.received_requests() {
         // What is still on its way, or came from the test itself, is left out.
         if let Some(sent) = sent.get(&visit.id) {
             by_host
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -223,7 +223,7 @@
     rest_ms: AtomicU64,
     /// Rate that all answers name.
     rate_limit: Mutex<Option<String>>,
-    visits: Mutex<Vec<ReceivedRequest>>,
+    received_requests: Mutex<Vec<ReceivedRequest>>,
     served: AtomicU64,
     /// What a mortal server runs on: its end closes all of its sockets at once, as that of a process.
     runtime: Mutex<Option<Runtime>>,
@@ -309,7 +309,7 @@
             leaving: AtomicBool::new(false),
             rest_ms: AtomicU64::new(0),
             rate_limit: Mutex::default(),
-            visits: Mutex::default(),
+            received_requests: Mutex::default(),
             served: AtomicU64::new(0),
             runtime: Mutex::new(None),
         });
@@ -377,8 +377,8 @@
     }
 
     /// Requests that reached it.
-    pub fn visits(&self) -> Vec<ReceivedRequest> {
-        lock(&self.state.visits).clone()
+    pub fn received_requests(&self) -> Vec<ReceivedRequest> {
+        lock(&self.state.received_requests).clone()
     }
 
     /// Removes the entry, as the platform does when it hears no heartbeat.
@@ -644,7 +644,7 @@
     fn note_visit(&self, id: &str) -> Option<Duration> {
         let rest_ms = self.rest_ms.load(Ordering::Relaxed);
         let rest = (rest_ms > 0).then(|| Duration::from_millis(rest_ms));
-        lock(&self.visits).push(ReceivedRequest {
+        lock(&self.received_requests).push(ReceivedRequest {
             id: id.to_owned(),
             at: Instant::now(),
             rest,
