--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -20,7 +20,7 @@
 
 use self::platform_standin::{
     deployment::{
-        ALL, DRAIN, Deployment, Disturbance, SERVED_AGAIN, run_cases, violations, visits_by_host,
+        ALL, DRAIN, Deployment, Disturbance, SERVED_AGAIN, received_by_host, run_cases, violations,
     },
     server::{ReceivedRequest, Server},
     traffic::{Sent, Traffic, Workload},
@@ -41,7 +41,7 @@
 /// reached it from this host.
 fn late_for_leaving(server: &Server, traffic: &Traffic) -> Vec<Duration> {
     let mut late = Vec::new();
-    for received_requests in visits_by_host(server, traffic).values() {
+    for received_requests in received_by_host(server, traffic).values() {
         let told = received_requests
             .iter()
             .filter(|(_, sent)| sent.says_leaving);
@@ -71,7 +71,7 @@
         };
         rests.map(within).max().unwrap_or(0)
     };
-    let received_requests = visits_by_host(server, traffic);
+    let received_requests = received_by_host(server, traffic);
     received_requests.values().map(in_a_rest).max().unwrap_or(0)
 }
 
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -17,7 +17,7 @@
 
 use self::platform_standin::{
     deployment::{
-        ALL, Deployment, Disturbance, HOSTS, SERVERS, run_cases, violations, visits_by_host,
+        ALL, Deployment, Disturbance, HOSTS, SERVERS, received_by_host, run_cases, violations,
     },
     server::Server,
     traffic::{Traffic, Workload},
@@ -65,7 +65,7 @@
             return Ok(());
         };
         let mut counted = Vec::new();
-        let by_host: HashMap<usize, Vec<_>> = visits_by_host(server, traffic);
+        let by_host: HashMap<usize, Vec<_>> = received_by_host(server, traffic);
         for (host, received_requests) in by_host {
             let told = received_requests
                 .iter()
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -188,7 +188,7 @@
 }
 
 /// Requests that reached a server, each with what its caller knows of it.
-pub fn visits_by_host(
+pub fn received_by_host(
     server: &Server,
     traffic: &Traffic,
 ) -> HashMap<usize, Vec<(ReceivedRequest, Sent)>> {
