--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -585,7 +585,7 @@
         let id = header_text(request.headers(), "request-id").unwrap_or_default();
         let id = id.to_owned();
         lock(&self.arrivals).push(Instant::now());
-        let rest = self.note_visit(&id);
+        let rest = self.record_received(&id);
         if let Some(rest) = rest {
             return self.turned_away(&id, rest);
         }
@@ -641,7 +641,7 @@
     }
 
     /// Notes a request; the rest that is asked for if it is turned away.
-    fn note_visit(&self, id: &str) -> Option<Duration> {
+    fn record_received(&self, id: &str) -> Option<Duration> {
         let rest_ms = self.rest_ms.load(Ordering::Relaxed);
         let rest = (rest_ms > 0).then(|| Duration::from_millis(rest_ms));
         lock(&self.received_requests).push(ReceivedRequest {
