--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -77,7 +77,7 @@
 
 async fn leave(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
     let mut deployment = Deployment::start(workload).await;
-    deployment.server(workload).say_leaving();
+    deployment.server(workload).announce_leaving();
     let began = Instant::now();
     let time = DRAIN + Duration::from_secs(6);
     deployment
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -357,7 +357,7 @@
     }
 
     /// Lets all answers say from now on that the server leaves. Its entry does not.
-    pub fn say_leaving(&self) {
+    pub fn announce_leaving(&self) {
         self.state.leaving.store(true, Ordering::Relaxed);
     }
 
