--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -44,7 +44,7 @@
     for received_requests in received_by_host(server, traffic).values() {
         let told = received_requests
             .iter()
-            .filter(|(_, sent)| sent.says_leaving);
+            .filter(|(_, sent)| sent.announces_leaving);
         let Some(passed_on) = told.map(|(_, sent)| sent.answered).min() else {
             continue;
         };
--- a/tests/platform_standin/traffic.rs
+++ b/tests/platform_standin/traffic.rs
@@ -43,7 +43,7 @@
     /// When the answer came, or the connection ended.
     pub answered: Instant,
     /// True if the answer says that its server leaves.
-    pub says_leaving: bool,
+    pub announces_leaving: bool,
     /// True if the answer names a rate limit.
     pub names_limit: bool,
 }
@@ -128,14 +128,14 @@
             deadline_ms: DEADLINE_MS,
         })
         .await;
-    let says_leaving = |answer: &Answer| answer.headers.contains_key("server-leaving");
+    let announces_leaving = |answer: &Answer| answer.headers.contains_key("server-leaving");
     let names_limit = |answer: &Answer| answer.headers.contains_key("server-limit");
     let sent = Sent {
         host,
         at,
         status: answer.as_ref().map(|answer| answer.status),
         answered: Instant::now(),
-        says_leaving: answer.as_ref().is_some_and(says_leaving),
+        announces_leaving: answer.as_ref().is_some_and(announces_leaving),
         names_limit: answer.as_ref().is_some_and(names_limit),
     };
     (id, sent)
