--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -104,7 +104,7 @@
 
 async fn rest(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
     let mut deployment = Deployment::start(workload).await;
-    deployment.server(workload).turn_away(REST_MS);
+    deployment.server(workload).reject_with_rest(REST_MS);
     let began = Instant::now();
     deployment
         .apply_disturbance(disturbance, workload, TURNS_AWAY)
@@ -153,7 +153,7 @@
     let deployment = Deployment::start(workload).await;
     let servers = deployment.servers(workload);
     for server in servers {
-        server.turn_away(REST_MS);
+        server.reject_with_rest(REST_MS);
     }
     time::sleep(Duration::from_millis(5_000)).await;
     for server in servers {
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -362,7 +362,7 @@
     }
 
     /// Turns every request away with a wish to rest for so long; 0 takes them again.
-    pub fn turn_away(&self, rest_ms: u64) {
+    pub fn reject_with_rest(&self, rest_ms: u64) {
         self.state.rest_ms.store(rest_ms, Ordering::Relaxed);
     }
 
