--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -587,7 +587,7 @@
         lock(&self.arrivals).push(Instant::now());
         let rest = self.record_received(&id);
         if let Some(rest) = rest {
-            return self.turned_away(&id, rest);
+            return self.rejection(&id, rest);
         }
         let key = header_text(request.headers(), "shard-key").and_then(|key| key.parse().ok());
         let Ok(permit) = self.slots.acquire().await else {
@@ -652,7 +652,7 @@
         rest
     }
 
-    fn turned_away(&self, id: &str, rest: Duration) -> Response<ResponseBody> {
+    fn rejection(&self, id: &str, rest: Duration) -> Response<ResponseBody> {
         let mut response = self.not_run(StatusCode::SERVICE_UNAVAILABLE, id);
         let seconds = format!("{}", rest.as_secs_f64());
         let value = HeaderValue::from_str(&seconds).expect("a number");
