--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -106,7 +106,7 @@
 async fn name_in_turn(server: &Server, limits: &[f64], each: Duration) -> Named {
     let mut named = Vec::new();
     for limit in limits {
-        server.name_limit(Some(&limit.to_string()));
+        server.advertise_limit(Some(&limit.to_string()));
         named.push((Instant::now(), *limit));
         time::sleep(each).await;
     }
@@ -116,7 +116,7 @@
 /// One of three servers names a limit of a fifth of what it gets.
 async fn one_of_three(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
     let mut deployment = Deployment::start(workload).await;
-    deployment.server(workload).name_limit(Some("10"));
+    deployment.server(workload).advertise_limit(Some("10"));
     let began = Instant::now();
     deployment
         .apply_disturbance(disturbance, workload, LIMITED)
@@ -175,7 +175,7 @@
     time::sleep(Duration::from_secs(1)).await;
     let began = Instant::now();
     for server in deployment.servers(workload) {
-        server.name_limit(Some(&LIMIT.to_string()));
+        server.advertise_limit(Some(&LIMIT.to_string()));
     }
     time::sleep(SETTLED_AFTER).await;
     let served = || -> u64 {
@@ -211,9 +211,9 @@
     let named = name_in_turn(server, &[30.0, 10.0, 0.5, 0.0, 20.0], each).await;
     let ended = Instant::now();
     named.check(server, &deployment.traffic, &[])?;
-    server.name_limit(Some("a lot"));
+    server.advertise_limit(Some("a lot"));
     time::sleep(Duration::from_secs(2)).await;
-    server.name_limit(None);
+    server.advertise_limit(None);
     time::sleep(Duration::from_secs(7)).await;
     // How many requests it gets then shows nothing: others have idle connections, and keys come back only as far as the
     // other servers are busy.
@@ -280,7 +280,7 @@
     let began = Instant::now();
     let limited = &deployment.servers(workload)[..2];
     for server in limited {
-        server.name_limit(Some("8"));
+        server.advertise_limit(Some("8"));
     }
     time::sleep(LIMITED).await;
     for server in limited {
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -367,7 +367,7 @@
     }
 
     /// Lets all answers name from now on the requests a second that the server takes; `None` for no limit.
-    pub fn name_limit(&self, rate: Option<&str>) {
+    pub fn advertise_limit(&self, rate: Option<&str>) {
         *lock(&self.state.rate_limit) = rate.map(str::to_owned);
     }
 
