--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -69,7 +69,7 @@
         for (host, received_requests) in by_host {
             let told = received_requests
                 .iter()
-                .filter(|(_, sent)| sent.names_limit);
+                .filter(|(_, sent)| sent.advertises_limit);
             let Some(told) = told.map(|(_, sent)| sent.answered).min() else {
                 continue;
             };
--- a/tests/platform_standin/traffic.rs
+++ b/tests/platform_standin/traffic.rs
@@ -45,7 +45,7 @@
     /// True if the answer says that its server leaves.
     pub announces_leaving: bool,
     /// True if the answer names a rate limit.
-    pub names_limit: bool,
+    pub advertises_limit: bool,
 }
 
 /// Callers that send until this is dropped.
@@ -129,14 +129,14 @@
         })
         .await;
     let announces_leaving = |answer: &Answer| answer.headers.contains_key("server-leaving");
-    let names_limit = |answer: &Answer| answer.headers.contains_key("server-limit");
+    let advertises_limit = |answer: &Answer| answer.headers.contains_key("server-limit");
     let sent = Sent {
         host,
         at,
         status: answer.as_ref().map(|answer| answer.status),
         answered: Instant::now(),
         announces_leaving: answer.as_ref().is_some_and(announces_leaving),
-        names_limit: answer.as_ref().is_some_and(names_limit),
+        advertises_limit: answer.as_ref().is_some_and(advertises_limit),
     };
     (id, sent)
 }
