--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -92,7 +92,7 @@
     let mut site = Site::start_servers(1).await;
     // Only mortal servers get the reads.
     for server in &site.orders {
-        server.declare(&site.store, "draining");
+        server.write_entry(&site.store, "draining");
     }
     let mut mortal = Vec::new();
     for _ in 0..servers {
--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -131,7 +131,7 @@
         time::sleep(Duration::from_millis(1_200)).await;
     }
     let leaving = &joined[0];
-    leaving.declare(&site.store, "draining");
+    leaving.write_entry(&site.store, "draining");
     time::sleep(Duration::from_millis(1_000)).await;
     // The holder confirms its duty 12 times in 7 s and asks for each of the six changes, once more
     // when its feeds end. The five others would ask for each change as well.
@@ -235,7 +235,7 @@
     }
     time::sleep(Duration::from_millis(phase_ms)).await;
     let leaving = &site.orders[0];
-    leaving.declare(&site.store, "draining");
+    leaving.write_entry(&site.store, "draining");
     let declared = Instant::now();
     let since_ms = || declared.elapsed().as_millis() as u64;
     time::sleep(Duration::from_millis(lost_after_ms)).await;
@@ -294,7 +294,7 @@
         site.hosts[*number].signal("STOP");
     }
     let leaving = &joined[0];
-    leaving.declare(&site.store, "draining");
+    leaving.write_entry(&site.store, "draining");
     time::sleep(Duration::from_millis(2_000)).await;
     let running = others().filter(|number| !stopped.contains(number));
     for number in running {
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -473,7 +473,7 @@
         Case {
             name: "drains",
             limit_ms: 1_500,
-            leave: |site, server| server.declare(&site.store, "draining"),
+            leave: |site, server| server.write_entry(&site.store, "draining"),
         },
         Case {
             name: "its entry is removed and it serves on",
@@ -573,7 +573,7 @@
     time::sleep(Duration::from_millis(13_200)).await;
     site.store.set_faults(Faults::default());
     let leaving = &site.keyed[0];
-    leaving.declare(&site.store, "draining");
+    leaving.write_entry(&site.store, "draining");
     let until = Instant::now() + Duration::from_millis(4_000);
     while Instant::now() < until {
         for key in (0..=u16::MAX).step_by(2_003) {
@@ -601,7 +601,7 @@
     };
     let record = assignment.encode().expect("a record");
     site.store.put_bytes("ashroad", "keys/keyed", &record);
-    site.keyed[1].declare(&site.store, "draining");
+    site.keyed[1].write_entry(&site.store, "draining");
     site.hosts.push(Host::start(&site.store));
     site.await_ready().await;
     assert_eq!(site.keyed[1].keys_held(), 0);
@@ -623,7 +623,7 @@
         site.keyed.iter().map(Server::keys_held).sum::<usize>() == 1 << 16
     })
     .await;
-    site.keyed[0].declare(&site.store, "draining");
+    site.keyed[0].write_entry(&site.store, "draining");
     eventually("the keys have moved", 10_000, async || {
         site.keyed[0].keys_held() == 0
             && site.keyed[1..].iter().map(Server::keys_held).sum::<usize>() == 1 << 16
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -187,7 +187,7 @@
     all_serve(&site, 8_000).await;
     assert_eq!(reads_of_servers(&site), before);
     // What they were told is kept up to date like what is read.
-    site.keyed[0].declare(&site.store, "draining");
+    site.keyed[0].write_entry(&site.store, "draining");
     eventually("the keys have moved", 8_000, async || {
         site.keyed[0].keys_held() == 0
     })
@@ -208,11 +208,11 @@
     });
     time::sleep(Duration::from_millis(4_000)).await;
     // Something changes that no host hears of before it is forgotten.
-    site.orders[0].declare(&site.store, "ready");
+    site.orders[0].write_entry(&site.store, "ready");
     site.store.forget_history();
     site.store.set_faults(Faults::default());
     // A server leaves as the store is back: all must know, also those that were told by others.
-    site.keyed[0].declare(&site.store, "draining");
+    site.keyed[0].write_entry(&site.store, "draining");
     eventually("the keys have moved", 10_000, async || {
         site.keyed[0].keys_held() == 0
     })
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -141,7 +141,7 @@
     );
     // What changes meanwhile is known all the same.
     let leaving = &deployment.site.orders[0];
-    leaving.declare(&deployment.site.store, "draining");
+    leaving.write_entry(&deployment.site.store, "draining");
     time::sleep(Duration::from_secs(3)).await;
     let served = leaving.served();
     time::sleep(Duration::from_secs(1)).await;
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -159,7 +159,7 @@
             }
             Disturbance::ReadyEntryRewritten => {
                 while Instant::now() < end {
-                    self.server(workload).declare(&self.site.store, "ready");
+                    self.server(workload).write_entry(&self.site.store, "ready");
                     time::sleep(Duration::from_millis(400)).await;
                 }
             }
@@ -168,7 +168,7 @@
                 self.server(workload).lapse(&self.site.store);
                 // Back only after the bound of what was told before.
                 time::sleep(DRAIN).await;
-                self.server(workload).declare(&self.site.store, "ready");
+                self.server(workload).write_entry(&self.site.store, "ready");
             }
             Disturbance::FirstHostPaused => {
                 time::sleep(Duration::from_millis(300)).await;
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -329,12 +329,12 @@
             stop,
             task,
         };
-        server.declare(store, "ready");
+        server.write_entry(store, "ready");
         server
     }
 
     /// Writes the server's entry.
-    pub fn declare(&self, store: &Store, state: &str) {
+    pub fn write_entry(&self, store: &Store, state: &str) {
         let entry = json!({
             "addr": self.address.to_string(),
             "info": {"service": self.state.holdings.service, "version": "v1",
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -228,7 +228,7 @@
             0 => server.set_silent(true),
             1 => server.set_silent(false),
             2 => server.lose_answers(self.rng.random_range(0..5)),
-            _ => server.declare(&self.site.store, "draining"),
+            _ => server.write_entry(&self.site.store, "draining"),
         }
         self.count("server");
     }
