--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -132,7 +132,7 @@
     site.store.put("op", "config", &bounded);
     time::sleep(Duration::from_millis(1_500)).await;
     let joining = Server::start(&site.store, &site.record, ORDERS).await;
-    joining.declare_cold(&site.store, COLD_MS);
+    joining.write_cold_entry(&site.store, COLD_MS);
     // As long as hosts cannot know that it is cold.
     time::sleep(Duration::from_millis(600)).await;
     let since = Instant::now();
@@ -147,7 +147,7 @@
     let most = joining.most_in_a_second(since);
     assert!(most <= 16, "{most} in a second of {number}");
     assert!(most > 0, "it gets what it bears");
-    joining.declare_cold(&site.store, 0);
+    joining.write_cold_entry(&site.store, 0);
     // More at once than the other server has slots: a quarter is more than a cold one gets in a second.
     let mut burst = 0;
     eventually("the warm server is used", 3_000, async || {
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -345,7 +345,7 @@
     }
 
     /// Writes the entry of a cold server.
-    pub fn declare_cold(&self, store: &Store, cold_ms: u64) {
+    pub fn write_cold_entry(&self, store: &Store, cold_ms: u64) {
         let entry = json!({
             "addr": self.address.to_string(),
             "born": 1_791_000_000_000u64,
