--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -165,7 +165,7 @@
             }
             Disturbance::EntryExpires => {
                 time::sleep(Duration::from_millis(300)).await;
-                self.server(workload).lapse(&self.site.store);
+                self.server(workload).remove_entry(&self.site.store);
                 // Back only after the bound of what was told before.
                 time::sleep(DRAIN).await;
                 self.server(workload).write_entry(&self.site.store, "ready");
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -382,7 +382,7 @@
     }
 
     /// Removes the entry, as the platform does when it hears no heartbeat.
-    pub fn lapse(&self, store: &Store) {
+    pub fn remove_entry(&self, store: &Store) {
         store.remove("servers", &self.id);
     }
 
