--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -144,7 +144,7 @@
         }
         time::sleep(Duration::from_millis(10)).await;
     }
-    let most = joining.most_in_a_second(since);
+    let most = joining.peak_requests_per_s(since);
     assert!(most <= 16, "{most} in a second of {number}");
     assert!(most > 0, "it gets what it bears");
     joining.write_cold_entry(&site.store, 0);
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -392,7 +392,7 @@
     }
 
     /// Most requests that arrived within a second, of those after a moment.
-    pub fn most_in_a_second(&self, since: Instant) -> usize {
+    pub fn peak_requests_per_s(&self, since: Instant) -> usize {
         let arrivals = lock(&self.state.arrivals);
         let later: Vec<Instant> = arrivals
             .iter()
