--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -172,7 +172,7 @@
     };
     let before = moved();
     for server in &site.keyed {
-        server.answer_orders_late(2);
+        server.delay_orders(2);
     }
     let began = Instant::now();
     let (mut asked, mut served) = (0, 0);
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -387,7 +387,7 @@
     }
 
     /// Of so many orders one is not answered, and carried out two seconds later; 0 for none.
-    pub fn answer_orders_late(&self, every: u64) {
+    pub fn delay_orders(&self, every: u64) {
         self.state.late_order_every.store(every, Ordering::Relaxed);
     }
 
