--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -205,7 +205,7 @@
     holdings: Arc<Holdings>,
     record: Arc<Record>,
     zone: String,
-    divided: bool,
+    sharded: bool,
     slots: Semaphore,
     work_ms: AtomicU64,
     running: AtomicU64,
@@ -248,7 +248,7 @@
     /// Availability zone.
     pub zone: &'a str,
     /// True if it runs only requests for keys that it holds.
-    pub divided: bool,
+    pub sharded: bool,
     /// Time that a request runs.
     pub work_ms: u64,
 }
@@ -297,7 +297,7 @@
             holdings,
             record: record.clone(),
             zone: kind.zone.to_owned(),
-            divided: kind.divided,
+            sharded: kind.sharded,
             slots: Semaphore::new(4),
             work_ms: AtomicU64::new(kind.work_ms),
             running: AtomicU64::new(0),
@@ -593,12 +593,12 @@
         let Ok(permit) = self.slots.acquire().await else {
             return std::future::pending().await;
         };
-        if self.divided && !key.is_some_and(|key| self.holdings.holds(key)) {
+        if self.sharded && !key.is_some_and(|key| self.holdings.holds(key)) {
             return self.not_run(StatusCode::MISDIRECTED_REQUEST, &id);
         }
         self.running.fetch_add(1, Ordering::Relaxed);
         let running = Running(&self.running);
-        let checked = if self.divided { key } else { None };
+        let checked = if self.sharded { key } else { None };
         self.record.begin(&id, checked, &self.holdings);
         lock(&self.record.heads).insert(id.clone(), request.headers().clone());
         let path = request.uri().path().to_owned();
--- a/tests/platform_standin/site.rs
+++ b/tests/platform_standin/site.rs
@@ -20,14 +20,14 @@
 pub const KEYED: Kind<'static> = Kind {
     service: "keyed",
     zone: "a",
-    divided: true,
+    sharded: true,
     work_ms: 5,
 };
 /// Service without keys; its route is `/orders/`, of unrepeatable requests.
 pub const ORDERS: Kind<'static> = Kind {
     service: "orders",
     zone: "a",
-    divided: false,
+    sharded: false,
     work_ms: 5,
 };
 
