--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -44,7 +44,7 @@
     /// Runs by request id.
     runs: Mutex<HashMap<String, u32>>,
     /// Servers that hold keys, for the check of single ownership.
-    holders: Mutex<Vec<Arc<Holdings>>>,
+    all_holdings: Mutex<Vec<Arc<Holdings>>>,
     /// What broke a promise.
     violations: Mutex<Vec<String>>,
     /// Path of requests that end each mortal server which begins to run them, and those ends.
@@ -129,7 +129,7 @@
         let Some(key) = key.filter(|_| !self.is_excused()) else {
             return;
         };
-        let others = lock(&self.holders).clone();
+        let others = lock(&self.all_holdings).clone();
         for other in others {
             let same_service = other.service == server.service;
             if same_service && other.id != server.id && other.holds(key) {
@@ -144,7 +144,7 @@
         if self.is_excused() {
             return;
         }
-        let others = lock(&self.holders).clone();
+        let others = lock(&self.all_holdings).clone();
         for other in others {
             if other.service != server.service || other.id == server.id {
                 continue;
@@ -292,7 +292,7 @@
             up: AtomicBool::new(true),
             keys: Mutex::new(vec![KeyState::default(); KEYS]),
         });
-        lock(&record.holders).push(holdings.clone());
+        lock(&record.all_holdings).push(holdings.clone());
         let state = Arc::new(State {
             holdings,
             record: record.clone(),
