--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -100,7 +100,7 @@
     }
 
     /// Notes a broken promise.
-    pub fn violate(&self, text: String) {
+    pub fn report_violation(&self, text: String) {
         lock(&self.violations).push(text);
     }
 
@@ -134,7 +134,7 @@
             let same_service = other.service == server.service;
             if same_service && other.id != server.id && other.holds(key) {
                 let text = format!("key {key} is held by {} and {}", server.id, other.id);
-                self.violate(text);
+                self.report_violation(text);
             }
         }
     }
@@ -155,7 +155,7 @@
                     "{} takes key {key} at fence {fence} under {held}",
                     server.id
                 );
-                self.violate(text);
+                self.report_violation(text);
                 return;
             }
         }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -320,7 +320,7 @@
     let unrepeatable = ask.method == "POST";
     let runs = record.runs(ask.id);
     if unrepeatable && runs > 1 {
-        record.violate(format!("{} ran {runs} times", ask.id));
+        record.report_violation(format!("{} ran {runs} times", ask.id));
     }
     let Some((status, body)) = answer else {
         tally.unknown.fetch_add(1, Ordering::Relaxed);
@@ -331,18 +331,18 @@
             tally.served.fetch_add(1, Ordering::Relaxed);
             let start = format!("{} {} ", ask.id, ask.path);
             if !body.starts_with(start.as_bytes()) {
-                record.violate(format!("{} got the answer {body:?}", ask.id));
+                record.report_violation(format!("{} got the answer {body:?}", ask.id));
             }
         }
         StatusCode::SERVICE_UNAVAILABLE => {
             tally.refused.fetch_add(1, Ordering::Relaxed);
             if unrepeatable && runs > 0 {
-                record.violate(format!("{} ran and was refused", ask.id));
+                record.report_violation(format!("{} ran and was refused", ask.id));
             }
         }
         StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => {
             tally.unknown.fetch_add(1, Ordering::Relaxed);
         }
-        other => record.violate(format!("{} got {other}", ask.id)),
+        other => record.report_violation(format!("{} got {other}", ask.id)),
     }
 }
