--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -107,7 +107,7 @@
         .await;
         time::sleep(Duration::from_millis(extra_ms)).await;
         paused.signal("CONT");
-        site.record.excuse(300);
+        site.record.pause_ownership_checks(300);
         let resumed = Instant::now();
         // Without the earlier holder's word this takes its 9 s and a lease.
         eventually("all keys are held", 6_500, async || {
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -106,7 +106,7 @@
 
     /// Leaves ownership unchecked for a while: a process that was paused may have had a grant under
     /// way.
-    pub fn excuse(&self, time_ms: u64) {
+    pub fn pause_ownership_checks(&self, time_ms: u64) {
         *lock(&self.excused_until) = Some(Instant::now() + Duration::from_millis(time_ms));
     }
 
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -212,7 +212,7 @@
 
     async fn resume(&mut self, host: usize) {
         if self.stopped[host].take().is_some() {
-            self.site.record.excuse(THAW_MS);
+            self.site.record.pause_ownership_checks(THAW_MS);
             self.site.hosts[host].signal("CONT");
         }
     }
