--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -110,7 +110,7 @@
         *lock(&self.excused_until) = Some(Instant::now() + Duration::from_millis(time_ms));
     }
 
-    fn is_excused(&self) -> bool {
+    fn ownership_checks_paused(&self) -> bool {
         lock(&self.excused_until).is_some_and(|until| Instant::now() < until)
     }
 
@@ -126,7 +126,7 @@
 
     fn begin(&self, id: &str, key: Option<u16>, server: &Holdings) {
         *lock(&self.runs).entry(id.to_owned()).or_default() += 1;
-        let Some(key) = key.filter(|_| !self.is_excused()) else {
+        let Some(key) = key.filter(|_| !self.ownership_checks_paused()) else {
             return;
         };
         let others = lock(&self.all_holdings).clone();
@@ -141,7 +141,7 @@
 
     /// A key is taken: its fence must be above every other server's.
     fn take(&self, key: u16, fence: u64, server: &Holdings) {
-        if self.is_excused() {
+        if self.ownership_checks_paused() {
             return;
         }
         let others = lock(&self.all_holdings).clone();
