--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -52,7 +52,7 @@
     /// Headers of requests that ran, by request id.
     heads: Mutex<HashMap<String, HeaderMap>>,
     /// Until then ownership is not checked.
-    excused_until: Mutex<Option<Instant>>,
+    ownership_unchecked_until: Mutex<Option<Instant>>,
 }
 
 /// Requests that end servers.
@@ -107,11 +107,12 @@
     /// Leaves ownership unchecked for a while: a process that was paused may have had a grant under
     /// way.
     pub fn pause_ownership_checks(&self, time_ms: u64) {
-        *lock(&self.excused_until) = Some(Instant::now() + Duration::from_millis(time_ms));
+        *lock(&self.ownership_unchecked_until) =
+            Some(Instant::now() + Duration::from_millis(time_ms));
     }
 
     fn ownership_checks_paused(&self) -> bool {
-        lock(&self.excused_until).is_some_and(|until| Instant::now() < until)
+        lock(&self.ownership_unchecked_until).is_some_and(|until| Instant::now() < until)
     }
 
     /// Headers with which a request ran.
