--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -48,7 +48,7 @@
     /// What broke a promise.
     violations: Mutex<Vec<String>>,
     /// Path of requests that end each mortal server which begins to run them, and those ends.
-    deadly: Mutex<Deadly>,
+    deadly: Mutex<CrashTriggers>,
     /// Headers of requests that ran, by request id.
     heads: Mutex<HashMap<String, HeaderMap>>,
     /// Until then ownership is not checked.
@@ -57,7 +57,7 @@
 
 /// Requests that end servers.
 #[derive(Debug, Default)]
-struct Deadly {
+struct CrashTriggers {
     paths: Vec<&'static str>,
     runs: Vec<Instant>,
     ends: Vec<Instant>,
