--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -48,7 +48,7 @@
     /// What broke a promise.
     violations: Mutex<Vec<String>>,
     /// Path of requests that end each mortal server which begins to run them, and those ends.
-    deadly: Mutex<CrashTriggers>,
+    crash_triggers: Mutex<CrashTriggers>,
     /// Headers of requests that ran, by request id.
     heads: Mutex<HashMap<String, HeaderMap>>,
     /// Until then ownership is not checked.
@@ -71,25 +71,25 @@
 
     /// Lets requests for some paths do so.
     pub fn set_deadly_paths(&self, paths: Vec<&'static str>) {
-        lock(&self.deadly).paths = paths;
+        lock(&self.crash_triggers).paths = paths;
     }
 
     /// When servers ended under a deadly request.
     pub fn ends(&self) -> Vec<Instant> {
-        lock(&self.deadly).ends.clone()
+        lock(&self.crash_triggers).ends.clone()
     }
 
     /// When servers began to run deadly requests.
     pub fn deadly_runs(&self) -> Vec<Instant> {
-        lock(&self.deadly).runs.clone()
+        lock(&self.crash_triggers).runs.clone()
     }
 
     /// True if a request that is about to run ends its server.
     fn begins_deadly(&self, path: &str) -> bool {
-        let mut deadly = lock(&self.deadly);
-        let is_deadly = deadly.paths.contains(&path);
+        let mut crash_triggers = lock(&self.crash_triggers);
+        let is_deadly = crash_triggers.paths.contains(&path);
         if is_deadly {
-            deadly.runs.push(Instant::now());
+            crash_triggers.runs.push(Instant::now());
         }
         is_deadly
     }
@@ -637,7 +637,7 @@
             return;
         };
         self.holdings.up.store(false, Ordering::Relaxed);
-        lock(&self.record.deadly).ends.push(Instant::now());
+        lock(&self.record.crash_triggers).ends.push(Instant::now());
         runtime.shutdown_background();
     }
 
