--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -87,11 +87,11 @@
     /// True if a request that is about to run ends its server.
     fn begins_deadly(&self, path: &str) -> bool {
         let mut crash_triggers = lock(&self.crash_triggers);
-        let is_deadly = crash_triggers.paths.contains(&path);
-        if is_deadly {
+        let triggers_crash = crash_triggers.paths.contains(&path);
+        if triggers_crash {
             crash_triggers.runs.push(Instant::now());
         }
-        is_deadly
+        triggers_crash
     }
 
     /// What broke a promise.
