--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -34,7 +34,7 @@
 pub const LARGE_PATH: &str = "/large/";
 pub const LARGE_BYTES: usize = 2_000_000;
 /// Time that a deadly request runs until it ends its server.
-const DEADLY_MS: u64 = 40;
+const CRASH_DELAY_MS: u64 = 40;
 /// Time after which an order is carried out that was not answered.
 const LATE_ORDER_MS: u64 = 2_000;
 
@@ -604,7 +604,7 @@
         lock(&self.record.heads).insert(id.clone(), request.headers().clone());
         let path = request.uri().path().to_owned();
         if self.record.begins_deadly(&path) {
-            time::sleep(Duration::from_millis(DEADLY_MS)).await;
+            time::sleep(Duration::from_millis(CRASH_DELAY_MS)).await;
             self.end();
             return std::future::pending().await;
         }
