--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -85,7 +85,7 @@
     }
 
     /// True if a request that is about to run ends its server.
-    fn begins_deadly(&self, path: &str) -> bool {
+    fn note_crashing_run(&self, path: &str) -> bool {
         let mut crash_triggers = lock(&self.crash_triggers);
         let triggers_crash = crash_triggers.paths.contains(&path);
         if triggers_crash {
@@ -603,7 +603,7 @@
         self.record.begin(&id, checked, &self.holdings);
         lock(&self.record.heads).insert(id.clone(), request.headers().clone());
         let path = request.uri().path().to_owned();
-        if self.record.begins_deadly(&path) {
+        if self.record.note_crashing_run(&path) {
             time::sleep(Duration::from_millis(CRASH_DELAY_MS)).await;
             self.end();
             return std::future::pending().await;
