--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -120,7 +120,7 @@
     .await;
     // Hosts that have just started owe nothing: they have read no secret yet and hear nobody.
     time::sleep(CONTACT).await;
-    site.record.set_deadly_path(Some(DEADLY));
+    site.record.set_crash_path(Some(DEADLY));
     (site, mortal)
 }
 
@@ -239,7 +239,7 @@
 async fn the_same_path_of_another_caller_is_served() {
     let (site, _servers) = start(2, 10).await;
     send_again_and_again(&site, 6).await;
-    site.record.set_deadly_path(None);
+    site.record.set_crash_path(None);
     for host in &site.hosts {
         let refused = status(host, CALLER, DEADLY).await;
         assert_eq!(refused, Some(StatusCode::SERVICE_UNAVAILABLE));
@@ -271,10 +271,10 @@
     let (site, _servers) = start(2, 6).await;
     let [first, second] = [&site.hosts[0], &site.hosts[1]];
     for end in 1..=2 {
-        site.record.set_deadly_path(Some(ORDER));
+        site.record.set_crash_path(Some(ORDER));
         assert_eq!(order(first, ORDER).await, Some(StatusCode::BAD_GATEWAY));
         time::sleep(Duration::from_millis(300)).await;
-        site.record.set_deadly_path(None);
+        site.record.set_crash_path(None);
         assert_eq!(site.record.ends().len(), end);
         let answered = order(second, ORDER).await;
         assert_eq!(answered, Some(StatusCode::OK), "after end {end}");
@@ -289,7 +289,7 @@
 async fn tries_that_come_together_do_not_run_together_once_a_server_has_ended() {
     const DEADLY_READ: &str = "/keyed/deadly";
     let (site, servers) = start_keyed(5).await;
-    site.record.set_deadly_path(Some(DEADLY_READ));
+    site.record.set_crash_path(Some(DEADLY_READ));
     let mut tries = JoinSet::new();
     let until = Instant::now() + Duration::from_secs(14);
     while Instant::now() < until {
@@ -470,7 +470,7 @@
     const DEADLY_READ: &str = "/keyed/deadly";
     let (site, servers) = start_keyed(6).await;
     let harmless = Readers::start(&site.hosts, 100, 6, "/keyed/level", Some(7));
-    site.record.set_deadly_path(Some(DEADLY_READ));
+    site.record.set_crash_path(Some(DEADLY_READ));
     let deadly = Readers::start(&site.hosts, 1, 6, DEADLY_READ, Some(7));
     let began = Instant::now();
     let mut until = began + Duration::from_secs(14);
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -65,7 +65,7 @@
 
 impl Record {
     /// Lets requests for a path end each mortal server that begins to run them; `None` for no path.
-    pub fn set_deadly_path(&self, path: Option<&'static str>) {
+    pub fn set_crash_path(&self, path: Option<&'static str>) {
         self.set_deadly_paths(path.into_iter().collect());
     }
 
