--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -407,7 +407,7 @@
 
 async fn play(tried: ManyCallers) {
     let (site, servers) = start(3, 16).await;
-    site.record.set_deadly_paths(tried.paths.to_vec());
+    site.record.set_crash_paths(tried.paths.to_vec());
     let harmless = Readers::start(&site.hosts, 100, 6, HARMLESS, None);
     let began = Instant::now();
     let mut tries = JoinSet::new();
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -66,11 +66,11 @@
 impl Record {
     /// Lets requests for a path end each mortal server that begins to run them; `None` for no path.
     pub fn set_crash_path(&self, path: Option<&'static str>) {
-        self.set_deadly_paths(path.into_iter().collect());
+        self.set_crash_paths(path.into_iter().collect());
     }
 
     /// Lets requests for some paths do so.
-    pub fn set_deadly_paths(&self, paths: Vec<&'static str>) {
+    pub fn set_crash_paths(&self, paths: Vec<&'static str>) {
         lock(&self.crash_triggers).paths = paths;
     }
 
