--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -314,7 +314,7 @@
         }
     }
     tries.join_all().await;
-    let runs = site.record.deadly_runs();
+    let runs = site.record.crashing_runs();
     let known = runs.get(ENDS_NEEDED - 1).expect("the third run");
     let late = runs.iter().filter(|run| **run > *known + CONTACT).count();
     assert!(late <= LATE_RUNS_MAX, "{late} of {} runs", runs.len());
@@ -485,7 +485,7 @@
         until = until.max(ended.unwrap_or(began) + KEY_MOVES + SETTLED);
     }
     deadly.stop().await;
-    let runs = site.record.deadly_runs();
+    let runs = site.record.crashing_runs();
     if let Some(known) = runs.get(ENDS_NEEDED - 1) {
         let late = runs.iter().filter(|run| **run > *known + CONTACT).count();
         assert!(late <= LATE_RUNS_MAX, "{late} of {} runs", runs.len());
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -80,7 +80,7 @@
     }
 
     /// When servers began to run deadly requests.
-    pub fn deadly_runs(&self) -> Vec<Instant> {
+    pub fn crashing_runs(&self) -> Vec<Instant> {
         lock(&self.crash_triggers).runs.clone()
     }
 
