--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -100,7 +100,7 @@
             work_ms: 20,
             ..ORDERS
         };
-        mortal.push(Server::start_mortal(&site.store, &site.record, kind).await);
+        mortal.push(Server::start_crashable(&site.store, &site.record, kind).await);
     }
     site.store
         .put("op", "config", &configuration(2, &["/reads/"]));
@@ -129,7 +129,7 @@
     let mut site = Site::start_servers(0).await;
     let mut mortal = Vec::new();
     for _ in 0..servers {
-        mortal.push(Server::start_mortal(&site.store, &site.record, KEYED).await);
+        mortal.push(Server::start_crashable(&site.store, &site.record, KEYED).await);
     }
     for _ in 0..3 {
         site.hosts.push(Host::start(&site.store));
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -257,7 +257,7 @@
 impl Server {
     /// Starts a server that ends as a process would when it begins to run a deadly request. Its entry
     /// stays until the platform notices, which this stand-in does not do.
-    pub async fn start_mortal(store: &Store, record: &Arc<Record>, kind: Kind<'_>) -> Self {
+    pub async fn start_crashable(store: &Store, record: &Arc<Record>, kind: Kind<'_>) -> Self {
         let mut builder = Builder::new_multi_thread();
         let runtime = builder.worker_threads(1).enable_all().build();
         let runtime = runtime.expect("runtime");
