--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -198,17 +198,17 @@
     }
 
     /// True if a transaction comes too soon after another one of a named part.
-    fn must_wait(&mut self, body: &Value, faults: Faults) -> bool {
+    fn is_over_write_rate(&mut self, body: &Value, faults: Faults) -> bool {
         let part = body["puts"][0]["part"].as_str().unwrap_or_default();
         if part.is_empty() || faults.part_writes_every_ms == 0 {
             return false;
         }
         let every = Duration::from_millis(faults.part_writes_every_ms);
-        let must_wait = self.part_written.is_some_and(|at| at.elapsed() < every);
-        if !must_wait {
+        let is_over_write_rate = self.part_written.is_some_and(|at| at.elapsed() < every);
+        if !is_over_write_rate {
             self.part_written = Some(Instant::now());
         }
-        must_wait
+        is_over_write_rate
     }
 
     fn transact(&mut self, body: &Value) -> (StatusCode, Value) {
@@ -327,7 +327,7 @@
             rows.transactions += 1;
             let every = faults.lose_answer_every;
             let lost = every > 0 && rows.transactions.is_multiple_of(every);
-            if rows.must_wait(&body, faults) {
+            if rows.is_over_write_rate(&body, faults) {
                 return transport::json(StatusCode::TOO_MANY_REQUESTS, &json!({}));
             }
             let (status, answer) = rows.transact(&body);
