--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -49,7 +49,7 @@
     /// Changes in order: version, table, key.
     changes: Vec<(u64, String, String)>,
     /// Changes up to this version are forgotten.
-    forgotten: u64,
+    compacted_version: u64,
     faults: Faults,
     transactions: u64,
     /// When a transaction of a named part took effect.
@@ -133,7 +133,7 @@
     /// Forgets all history, as after a compaction.
     pub fn forget_history(&self) {
         let mut rows = self.state.rows();
-        rows.forgotten = rows.version;
+        rows.compacted_version = rows.version;
         rows.changes.clear();
         drop(rows);
         self.state.changed.notify_waiters();
@@ -351,7 +351,7 @@
             let changed = self.changed.notified();
             {
                 let rows = self.rows();
-                if after < rows.forgotten {
+                if after < rows.compacted_version {
                     return self.answer(StatusCode::GONE, json!({}));
                 }
                 let found = rows.feed(&query["table"], after);
