--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -121,7 +121,7 @@
     }
     // An older version, as a stale read would show it, and a forgotten history.
     site.store.put("op", "config", &configuration(0x0f, &[]));
-    site.store.forget_history();
+    site.store.compact_history();
     time::sleep(Duration::from_millis(600)).await;
     for host in &site.hosts {
         let answer = ask_once(host.callers, added("id"))
@@ -300,7 +300,7 @@
     time::sleep(Duration::from_millis(6_000)).await;
     let gone = &site.orders[0];
     site.store.remove("servers", &gone.id);
-    site.store.forget_history();
+    site.store.compact_history();
     time::sleep(Duration::from_millis(500)).await;
     // What the cut has swallowed is not delivered later.
     proxy.set(Mode::Reset);
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -209,7 +209,7 @@
     time::sleep(Duration::from_millis(4_000)).await;
     // Something changes that no host hears of before it is forgotten.
     site.orders[0].write_entry(&site.store, "ready");
-    site.store.forget_history();
+    site.store.compact_history();
     site.store.set_faults(Faults::default());
     // A server leaves as the store is back: all must know, also those that were told by others.
     site.keyed[0].write_entry(&site.store, "draining");
--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -131,7 +131,7 @@
     }
 
     /// Forgets all history, as after a compaction.
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         let mut rows = self.state.rows();
         rows.compacted_version = rows.version;
         rows.changes.clear();
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -180,7 +180,7 @@
                 self.count("store");
             }
             6 => {
-                self.site.store.forget_history();
+                self.site.store.compact_history();
                 self.count("history");
             }
             7 => self.spoil_server(),
