--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -276,7 +276,7 @@
     site.hosts.push(Host::start_at(proxy.address));
     site.await_ready().await;
     time::sleep(Duration::from_millis(4_000)).await;
-    proxy.set(Mode::Narrow);
+    proxy.set(Mode::Throttled);
     let prefixes: Vec<String> = (0..600).map(|number| format!("/added-{number}/")).collect();
     let prefixes: Vec<&str> = prefixes.iter().map(String::as_str).collect();
     let large = configuration(0x10, &prefixes);
--- a/tests/platform_standin/proxy.rs
+++ b/tests/platform_standin/proxy.rs
@@ -35,7 +35,7 @@
     /// Ends connections and refuses new ones.
     Reset = 4,
     /// Passes them on at about 100 KB/s.
-    Narrow = 5,
+    Throttled = 5,
 }
 
 impl Mode {
@@ -46,7 +46,7 @@
         Self::Silent,
         Self::OneWay,
         Self::Reset,
-        Self::Narrow,
+        Self::Throttled,
     ];
 }
 
@@ -117,7 +117,7 @@
         if is(&mode, Mode::Delay) {
             time::sleep(Duration::from_millis(150)).await;
         }
-        if is(&mode, Mode::Narrow) {
+        if is(&mode, Mode::Throttled) {
             time::sleep(Duration::from_millis(length as u64 / 100)).await;
         }
         if to.write_all(&buffer[..length]).await.is_err() {
