--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -102,7 +102,7 @@
     }
     let until = Instant::now() + Duration::from_secs(seconds);
     while Instant::now() < until {
-        soak.spoil().await;
+        soak.inject_fault().await;
         let pause_ms = soak.rng.random_range(100..900);
         time::sleep(Duration::from_millis(pause_ms)).await;
     }
@@ -148,7 +148,7 @@
     }
 
     /// One more fault, or the end of one; they overlap.
-    async fn spoil(&mut self) {
+    async fn inject_fault(&mut self) {
         let host = self.rng.random_range(0..HOSTS);
         match self.rng.random_range(0..10) {
             0 | 1 => {
