--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -183,7 +183,7 @@
                 self.site.store.compact_history();
                 self.count("history");
             }
-            7 => self.spoil_server(),
+            7 => self.inject_server_fault(),
             8 => self.replace_server().await,
             _ => {
                 self.site.store.set_faults(Faults::default());
@@ -217,7 +217,7 @@
         }
     }
 
-    fn spoil_server(&mut self) {
+    fn inject_server_fault(&mut self) {
         let number = self.rng.random_range(SERVERS_KEPT..SERVERS);
         let server = if self.rng.random_bool(0.5) {
             &self.site.keyed[number]
