--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -106,7 +106,7 @@
         let pause_ms = soak.rng.random_range(100..900);
         time::sleep(Duration::from_millis(pause_ms)).await;
     }
-    soak.mend().await;
+    soak.clear_faults().await;
     done.store(true, Ordering::Relaxed);
     callers.join_all().await;
     // Earlier holders' time, a lease and the change of holder; far below the platform's bound.
@@ -247,7 +247,7 @@
         self.count("replace");
     }
 
-    async fn mend(&mut self) {
+    async fn clear_faults(&mut self) {
         self.site.store.set_faults(Faults::default());
         for host in 0..HOSTS {
             self.proxies[host].set(Mode::Pass);
