--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -34,7 +34,7 @@
 const SERVERS: usize = 4;
 const CALLERS: usize = 12;
 /// Servers of each kind that are never spoilt.
-const SERVERS_KEPT: usize = 2;
+const HEALTHY_SERVERS: usize = 2;
 /// Time in which grants of a process that was paused may still arrive; the platform excuses 300 ms.
 const THAW_MS: u64 = 300;
 
@@ -218,7 +218,7 @@
     }
 
     fn inject_server_fault(&mut self) {
-        let number = self.rng.random_range(SERVERS_KEPT..SERVERS);
+        let number = self.rng.random_range(HEALTHY_SERVERS..SERVERS);
         let server = if self.rng.random_bool(0.5) {
             &self.site.keyed[number]
         } else {
@@ -234,7 +234,7 @@
     }
 
     async fn replace_server(&mut self) {
-        let number = self.rng.random_range(SERVERS_KEPT..SERVERS);
+        let number = self.rng.random_range(HEALTHY_SERVERS..SERVERS);
         let record = self.site.record.clone();
         let store = &self.site.store;
         if self.rng.random_bool(0.5) {
