--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -36,7 +36,7 @@
 /// Servers of each kind that are never spoilt.
 const HEALTHY_SERVERS: usize = 2;
 /// Time in which grants of a process that was paused may still arrive; the platform excuses 300 ms.
-const THAW_MS: u64 = 300;
+const RESUME_ALLOWANCE_MS: u64 = 300;
 
 /// Seeds that failed once, each with its cause.
 const REGRESSIONS: [(u64, &str); 0] = [];
@@ -212,7 +212,7 @@
 
     async fn resume(&mut self, host: usize) {
         if self.stopped[host].take().is_some() {
-            self.site.record.pause_ownership_checks(THAW_MS);
+            self.site.record.pause_ownership_checks(RESUME_ALLOWANCE_MS);
             self.site.hosts[host].signal("CONT");
         }
     }
