--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -1,4 +1,4 @@
-//! Typed events, written as JSON lines.
+//! Typed log events, written as JSON lines.
 
 use std::sync::Arc;
 
@@ -6,252 +6,256 @@
 
 use super::{keys::KeyRange, log_writer, model::ServerEntry};
 
-/// Something worth a line: a decision that touches a request, or a change of what the host
-/// believes.
+/// Log event: a decision about a request, or a change in what the host knows of the system.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
     /// The process has started.
     Started {
-        /// Name of the host.
+        /// Name of the host from its settings.
         host: String,
-        /// Availability zone.
+        /// Availability zone of the host.
         availability_zone: String,
-        /// This process.
+        /// Random number of this process.
         incarnation: u64,
     },
     /// A planned stop has begun.
     Stopping {
-        /// Requests in flight.
+        /// Requests in flight at the beginning.
         in_flight: u64,
     },
-    /// The process ends.
+    /// The process is about to exit.
     Stopped {
-        /// Requests that were still in flight.
+        /// Requests that are aborted by the exit.
         in_flight: u64,
     },
-    /// Settings were read again.
+    /// The settings were read again after SIGHUP.
     Reloaded {
-        /// What was wrong with them, if anything; the old ones stay in force then.
+        /// Error in the settings; the previous ones stay in effect then.
         problem: Option<String>,
     },
-    /// A configuration is in force.
+    /// Another configuration took effect.
     Configuration {
-        /// Its version.
+        /// Version that is in effect now.
         version: u64,
-        /// The version before.
+        /// Version that was in effect before; 0 for none.
         before: u64,
     },
-    /// A zone is evacuated, or taken back.
+    /// The evacuation of an availability zone began or ended.
     Evacuation {
-        /// Zone.
+        /// Availability zone that operators evacuate or restore.
         availability_zone: Arc<str>,
-        /// True if its servers get no new work.
+        /// True if the zone's servers get no new work; false if the zone is restored.
         evacuated: bool,
-        /// Version of the operators' table.
+        /// Version of the operators' table that says so.
         version: u64,
     },
-    /// A row could not be read and is passed over.
+    /// A row of the store is invalid and was skipped.
     BadRow {
-        /// Table and key.
+        /// Table and key of the row.
         row: String,
-        /// Cause.
+        /// Parse error.
         problem: String,
     },
-    /// A caller was turned away before any decision on its request: its API key is not known, its workspace is over its
-    /// quota, or its body has no room here. The key stands in no line.
+    /// A request was denied before it was routed: its API key is unknown, its workspace exceeds its
+    /// quota, or the host has no memory for its body. The API key itself is never logged.
     Denied {
-        /// Identifier of the request.
+        /// Identifier that the caller gave.
         request_id: String,
-        /// Route.
+        /// Name of the route.
         route: Arc<str>,
-        /// Cause.
+        /// Reason that the caller got.
         reason: &'static str,
     },
-    /// A workspace begins to ask for more than its quota, or stops. Written by the holder of the duty.
+    /// A workspace began or stopped to exceed its quota. Logged by the duty holder.
     Quota {
-        /// Workspace.
+        /// Identifier of the workspace.
         workspace: Arc<str>,
-        /// Requests a second that it may send.
+        /// Quota, in requests per second.
         per_s: f64,
-        /// Requests a second that it asks for.
+        /// Rate of the workspace's requests at all hosts, per second.
         asked_per_s: f32,
-        /// Share of them that is admitted.
+        /// Share of these requests that hosts admit, from 0 to 1.
         admitted: f32,
     },
-    /// The store stopped answering.
+    /// The store stopped responding.
     StoreLost {
-        /// Table whose feed failed.
+        /// Table whose change feed failed.
         table: &'static str,
-        /// Cause.
+        /// Error of the call.
         problem: String,
     },
-    /// The store answers again.
+    /// The store responds again.
     StoreBack {
-        /// Time without an answer.
+        /// Time for which the store did not respond.
         away_ms: u64,
     },
-    /// This host knows servers, holdings and hosts, or reads them by itself now.
+    /// The host has its initial data on servers, holdings and hosts, or began to read it from the
+    /// store itself.
     Joined {
-        /// True if another host has told it.
+        /// True if the data is a snapshot from another host.
         told: bool,
-        /// Time since its start.
+        /// Time since the start of the process.
         after_ms: u64,
     },
-    /// Entries of many servers were seen.
+    /// Many server entries were read at once; logged in place of one `server` event for each.
     Servers {
-        /// Servers that were not known.
+        /// Number of servers that were unknown before.
         new: usize,
     },
-    /// A server's entry was seen.
+    /// A server's entry was added or changed.
     Server {
-        /// Server.
+        /// Identifier of the server.
         server: Arc<str>,
-        /// Service.
+        /// Service that the server belongs to.
         service: Arc<str>,
-        /// Address.
+        /// Address for requests.
         address: String,
-        /// True if it gets no new work.
+        /// True if the server drains and gets no new work.
         leaving: bool,
-        /// Time for which it remains cold.
+        /// Remaining warm-up time; 0 for a warm server.
         cold_ms: u64,
     },
-    /// A server has said in an answer that it leaves, or that it wants a rest. Written once for each server that
-    /// leaves, and as each rest begins.
+    /// A server announced in a response that it leaves, or that it asks for a rest. Logged once per
+    /// server for leaving, and at the beginning of each rest.
     ServerNotice {
-        /// Server.
+        /// Identifier of the server.
         server: Arc<str>,
-        /// Service.
+        /// Service that the server belongs to.
         service: Arc<str>,
-        /// True if it has said that it leaves.
+        /// True if the server announced that it leaves.
         leaves: bool,
-        /// Time for which it wants no requests of this host.
+        /// Time for which this host is to send it no requests; 0 for none.
         rest_ms: u64,
-        /// True if its entry in the store says that it leaves.
+        /// True if the server's entry in the store says that it leaves, too.
         leaves_by_entry: bool,
-        /// How this host knows.
+        /// Origin of the information: a response to this host, or another host.
         source: &'static str,
     },
-    /// A server has named another rate that it takes from all hosts together, or none any more.
+    /// A server advertised another rate limit, which applies to all hosts together, or none any
+    /// more.
     ServerRateLimit {
-        /// Server.
+        /// Identifier of the server.
         server: Arc<str>,
-        /// Service.
+        /// Service that the server belongs to.
         service: Arc<str>,
-        /// Requests a second; `None` if it takes any rate.
+        /// Limit in requests per second; `None` if the server has no limit.
         per_s: Option<f64>,
-        /// Requests a second that this host has sent to it lately.
+        /// Rate at which this host has recently sent requests to the server, per second.
         sent_per_s: f64,
-        /// How this host knows.
+        /// Origin of the information: a response to this host, or another host.
         source: &'static str,
     },
-    /// A server's entry is gone.
+    /// A server's entry was removed.
     ServerGone {
-        /// Server.
+        /// Identifier of the server.
         server: Arc<str>,
-        /// Service.
+        /// Service that the server belonged to.
         service: Arc<str>,
     },
-    /// A server has ended with requests of this host in flight.
+    /// A server crashed with requests of this host in flight.
     ServerEnded {
-        /// Server.
+        /// Identifier of the server.
         server: Arc<str>,
-        /// Service.
+        /// Service that the server belonged to.
         service: Arc<str>,
-        /// Digests of the requests.
+        /// Digests of these requests, which are suspects now.
         digests: Vec<String>,
     },
-    /// No server gets a request any more, since several have ended under it.
+    /// A request was quarantined because several servers crashed while running it; no server gets
+    /// it any more.
     Quarantined {
         /// Digest of the request.
         digest: String,
-        /// How this host knows.
+        /// Origin of the information: this host's own attempts, or another host.
         source: &'static str,
     },
-    /// This host took the duty of giving leases.
+    /// This host took over the duty of granting leases.
     DutyTaken {
-        /// Number of the term.
+        /// Number of the term that begins.
         term: u64,
-        /// True if the holder before had given it up.
+        /// True if the previous duty holder had given the duty up.
         handed_over: bool,
     },
-    /// The holder before this host gives no more leases.
+    /// The previous duty holder is known to grant no more leases.
     PredecessorEnded {
-        /// Number of its term.
+        /// Number of the previous holder's term.
         term: u64,
     },
-    /// This host no longer has the duty.
+    /// This host no longer holds the duty.
     DutyLost {
-        /// Number of the term.
+        /// Number of the term that ended.
         term: u64,
-        /// Cause.
+        /// Reason for the loss.
         reason: &'static str,
     },
-    /// Keys get another server.
+    /// A key range moved to another server.
     Moved {
-        /// Service.
+        /// Service whose keys moved.
         service: Arc<str>,
-        /// Keys.
+        /// First and last key that moved.
         range: KeyRange,
-        /// Server that held them.
+        /// Previous owner; `None` if no server held the keys.
         from: Option<Arc<str>>,
-        /// Server that holds them now.
+        /// New owner.
         to: Arc<str>,
-        /// Fence of the new holding.
+        /// Fencing token of the new holding.
         fence: u64,
-        /// Why.
+        /// Reason for the move.
         cause: &'static str,
-        /// True if the new server starts warm.
+        /// True if the new owner takes over the previous owner's state, so that it starts warm.
         handover: bool,
         /// Time from the decision to the grant.
         took_ms: u64,
     },
-    /// A server did not take or give back keys.
+    /// A grant or release order to a server failed.
     OrderFailed {
-        /// Server.
+        /// Identifier of the server.
         server: Arc<str>,
-        /// Order.
+        /// Kind of order: grant or release.
         order: &'static str,
-        /// Cause.
+        /// Error of the call, or the server's refusal.
         problem: String,
     },
-    /// A request was not answered by a server, or was repeated.
+    /// A request was refused, failed or was retried, or it was answered and is among the logged
+    /// sample.
     Request {
         /// Identifier that the caller gave.
         request_id: String,
-        /// What stays the same when its caller sends it again, in hexadecimal digits.
+        /// Digest of what stays the same when the same caller repeats the request, in hexadecimal
+        /// digits.
         digest: String,
-        /// The same without the query.
+        /// The same digest without the query.
         path_digest: String,
-        /// What stays the same when another caller sends it.
+        /// Digest of what stays the same when another caller sends the request.
         content_digest: String,
-        /// The same without query and body.
+        /// The caller-independent digest without query and body.
         any_path_digest: String,
-        /// Route.
+        /// Name of the route.
         route: Arc<str>,
-        /// What was decided.
+        /// Decision on the request, such as `answered`.
         decision: &'static str,
-        /// Why.
+        /// Reason for the decision.
         reason: String,
-        /// Server of the last attempt.
+        /// Server of the last attempt; `None` if there was no attempt.
         server: Option<Arc<str>>,
-        /// Load of that server as this host knew it.
+        /// Load of that server as known to this host.
         load: u32,
-        /// Time for which that server wants no requests of this host.
+        /// Remaining rest that the server asked of this host; 0 for none.
         rest_ms: u64,
-        /// Attempts so far.
+        /// Number of attempts so far.
         attempts: u32,
         /// Time since the request's arrival.
         after_ms: u64,
-        /// Time left until its deadline.
+        /// Time left until the request's deadline.
         left_ms: u64,
-        /// Version of the configuration.
+        /// Version of the configuration that the decision was based on.
         configuration: u64,
     },
 }
 
 impl Event {
-    /// A server's entry as it was seen.
+    /// Creates the event for a server's entry that was added or changed.
     pub fn server(entry: &ServerEntry) -> Self {
         Self::Server {
             server: entry.id.clone(),
@@ -262,7 +266,7 @@
         }
     }
 
-    /// A server's entry that is gone.
+    /// Creates the event for a server's entry that was removed.
     pub fn server_gone(entry: &ServerEntry) -> Self {
         Self::ServerGone {
             server: entry.id.clone(),
@@ -270,7 +274,7 @@
         }
     }
 
-    /// Writes the event.
+    /// Queues the event as one line of the log.
     pub fn log(&self) {
         log_writer::write(self);
     }
--- a/src/entry/explain.rs
+++ b/src/entry/explain.rs
@@ -1,11 +1,11 @@
-//! Tells the story of one request from the logs of several hosts.
+//! Builds the timeline of one request from the logs of several hosts.
 
 use serde::Serialize;
 use serde_json::Value;
 
-/// Time before a request's decision in which events of its server and of its host are of interest.
+/// Time before a decision on the request in which events of its server and its host are included.
 const CONTEXT_MS: u64 = 5_000;
-/// Events that say something about every request of a host.
+/// Events that may affect every request of a host.
 const HOST_EVENTS: [&str; 8] = [
     "started",
     "stopping",
@@ -17,33 +17,33 @@
     "dropped",
 ];
 
-/// A line of the story.
+/// One log event of a request's timeline.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TimelineEntry {
-    /// Log that the line stands in.
+    /// Name of the log that the event was read from.
     pub source: String,
-    /// Wall time.
+    /// Wall time in milliseconds since 1970, by the clock of the host that logged the event.
     pub at_unix_ms: u64,
-    /// True for decisions on the request itself, false for what happened around it.
+    /// True for decisions on the request itself, false for events of its server or host.
     pub about_request: bool,
-    /// The event.
+    /// Event with all of its fields, as it was logged.
     pub event: Value,
 }
 
-/// Fields of a request's lines by which it is known.
+/// Fields of a `request` event that identify the request across retries.
 const DIGESTS: [&str; 4] = ["digest", "path_digest", "content_digest", "any_path_digest"];
 
-/// A log.
+/// One host's log.
 #[derive(Clone, Copy, Debug)]
 pub struct Source<'a> {
-    /// Name.
+    /// Name of the log, which is repeated in the timeline.
     pub name: &'a str,
-    /// Lines.
+    /// Whole text of the log; lines that are no events are skipped.
     pub text: &'a str,
 }
 
-/// True for an event about all tries of a request, however long ago: a server ended under it, or it
-/// was put in quarantine.
+/// Returns true for an event that concerns all attempts of a request, regardless of its age: a
+/// server crashed while running it, or it was quarantined.
 fn names_digest(event: &Value, digest: &Value) -> bool {
     let digests = event["digests"].as_array();
     match event["event"].as_str() {
@@ -53,8 +53,8 @@
     }
 }
 
-/// What the logs say of a request and of what led to its decisions, in order of time. Lines that
-/// are no events are passed over.
+/// Returns the decisions on a request and the events that led to them, in order of time. Lines that
+/// are no events are skipped.
 pub fn explain(request_id: &str, sources: &[Source<'_>]) -> Vec<TimelineEntry> {
     let lines: Vec<TimelineEntry> = sources.iter().flat_map(read).collect();
     let own: Vec<&TimelineEntry> = lines
@@ -76,10 +76,10 @@
     timeline
 }
 
-/// Events of a log, in its order.
+/// Parses the events of a log, in its order.
 pub(super) fn read<'a>(source: &'a Source<'a>) -> impl Iterator<Item = TimelineEntry> + 'a {
     source.text.lines().filter_map(move |line| {
-        // A log collector may put its own words before the event.
+        // A log collector may put a prefix of its own before the event.
         let start = line.find('{')?;
         let event: Value = serde_json::from_str(&line[start..]).ok()?;
         Some(TimelineEntry {
--- a/src/entry/losses.rs
+++ b/src/entry/losses.rs
@@ -1,5 +1,6 @@
-//! Counts what was lost, by second, route and reason, from the logs of several hosts: which requests
-//! were refused, failed or repeated, what the hosts believed, and how long the requests had waited.
+//! Counts lost requests by second, route and reason from the logs of several hosts: requests that
+//! were refused, failed or retried, with the load that the hosts saw at their servers and the time
+//! that the requests had waited.
 
 use std::collections::BTreeMap;
 
@@ -7,33 +8,33 @@
 
 use super::explain::{Source, read};
 
-/// Requests with the same fate.
+/// Requests of one time step that have the same route, decision and reason.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Loss {
-    /// Second since 1970, rounded down to a multiple of the step.
+    /// Start of the time step in seconds since 1970, a multiple of the step.
     pub at_unix_s: u64,
-    /// Route.
+    /// Name of the route; empty if the event names none.
     pub route: String,
-    /// What was decided.
+    /// Decision on the requests, as in the `request` event.
     pub decision: String,
-    /// Why, without the numbers.
+    /// Reason of the decision, with each number replaced by `N`.
     pub reason: String,
     /// Number of requests.
     pub requests: u64,
-    /// Servers that were concerned.
+    /// Number of distinct servers of the last attempts.
     pub servers: u64,
-    /// Average load of the server, as the hosts knew it.
+    /// Mean load of these servers as the hosts knew it.
     pub load_mean: f64,
-    /// Average time from arrival to the decision.
+    /// Mean time from a request's arrival to the decision.
     pub after_mean_ms: f64,
 }
 
-/// What the logs say.
+/// Result of [`losses`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Losses {
-    /// Losses by time.
+    /// Losses in order of time.
     pub losses: Vec<Loss>,
-    /// Log lines that the hosts dropped: so much may be missing.
+    /// Number of log lines that the hosts dropped; if not 0, losses may be missing.
     pub dropped_lines: u64,
 }
 
@@ -47,7 +48,7 @@
     after_ms: f64,
 }
 
-/// Sums the losses in steps of so many seconds. Lines that are no events are passed over.
+/// Sums up losses in steps of `step_s` seconds. Lines that are no events are skipped.
 pub fn losses(sources: &[Source<'_>], step_s: u64) -> Losses {
     let step_s = step_s.max(1);
     let mut sums: BTreeMap<GroupKey, Totals> = BTreeMap::new();
@@ -58,7 +59,7 @@
         if event["event"] == "dropped" {
             dropped_lines += event["lines"].as_u64().unwrap_or(0);
         }
-        // Answers are only sampled.
+        // Answered requests are skipped, since only a sample of them is logged.
         if event["event"] != "request" || event["decision"] == "answered" {
             continue;
         }
@@ -92,7 +93,8 @@
     }
 }
 
-/// A reason with each number replaced, so that like ones are counted together.
+/// Replaces each number in a reason by `N`, so that reasons that differ only in numbers are counted
+/// together.
 fn without_numbers(reason: &str) -> String {
     let mut text = String::with_capacity(reason.len());
     let mut in_number = false;
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,5 +1,5 @@
-//! An entry host on the users' platform: it passes requests on to backend servers, and one host
-//! at a time has the duty of saying which server holds which keys.
+//! An entry host on the users' platform. It forwards requests to backend servers; one host at a
+//! time holds the duty, which is to assign keys to servers and to grant their leases.
 
 pub mod bounds;
 mod callers;
@@ -74,67 +74,75 @@
 };
 use crate::platform::store::Store;
 
-/// Everything that the tasks of one host share.
+/// State that is shared by all tasks of one host.
 #[derive(Debug)]
 pub struct Entry {
-    /// Settings.
+    /// Settings as they were read at the start of the process.
     pub settings: Settings,
-    /// This process.
+    /// Random number of this process; tells apart two runs of a host with the same name.
     pub incarnation: u64,
-    /// Client of the store.
+    /// Client of the platform's store.
     pub store: Store,
-    /// Configuration, servers and keys.
+    /// This host's copy of the configuration, the servers and the owners of keys.
     pub view: View,
-    /// Timeouts and rests that follow from the users' bounds.
+    /// Timeouts and intervals that are derived from the users' bounds.
     pub limits: TimeLimits,
-    /// What is heard of the store.
+    /// Age of this host's data from the store, by its own calls and by other hosts' reports.
     pub freshness: Freshness,
-    /// Up to when the configuration is proved to be the latest one.
+    /// Time up to which the configuration in use is confirmed as the latest one.
     pub proof: ConfigurationProof,
-    /// How this host learns what the others know as it starts.
+    /// Progress of the synchronisation with other hosts after the start.
     join: Join,
-    /// Whether changes that the holder of the duty passes on can be taken.
+    /// State of the changes that the duty holder broadcasts to all hosts.
     pub relay: Relay,
-    /// Keys that get too many requests.
+    /// Keys whose request rate exceeds what their server can serve.
     pub hot_keys: HotKeys,
-    /// Other hosts.
+    /// Other hosts, and the messages exchanged with them.
     pub peers: Peers,
-    /// Duty of giving leases.
+    /// State of the duty of granting leases, at this host and as seen at others.
     pub duty: Duty,
-    /// Budget of repeated requests.
+    /// Budget that limits retries to a share of all requests.
     pub retries: RetryBudget,
-    /// Memory for bodies.
+    /// Memory that request and response bodies may take in this host.
     body_memory: BodyMemory,
-    /// Quotas of workspaces.
+    /// Quotas of workspaces, and the share of each that this host admits.
     pub quotas: Quotas,
-    /// Servers that ended, and requests under which several have.
+    /// Server crashes, and the requests that are suspected of having caused them.
     pub crashes: Crashes,
-    /// A server has told this host that it leaves, or that it wants a rest.
+    /// Wakes the task that reports a server's announcement to the duty holder: that it leaves, or
+    /// that it asks for a rest.
     noticed: Notify,
-    /// Rests that servers asked hosts for, while this host has the duty.
+    /// Rests that servers asked of hosts; collected while this host holds the duty.
     rests: Rests,
-    /// What is asked of servers that name a limit, while this host has the duty.
+    /// Request rates that each host reports for servers with a rate limit; collected while this
+    /// host holds the duty.
     asked_by_host: Mutex<AskedByHost>,
-    /// Run times by route.
+    /// Run time of each route's requests relative to the average of their server.
     pub kinds: Kinds,
-    /// Counters and histograms.
+    /// Counters, gauges and histograms.
     pub metrics: Metrics,
-    /// This process stands in its host's row.
+    /// True once the store's row of this host names this process.
     registered: AtomicBool,
+    /// True once a planned stop has begun.
     stopping: AtomicBool,
-    /// When the process ends in a planned stop; `u64::MAX` before that.
+    /// Time at which the process exits in a planned stop, on the clock of this process; `u64::MAX`
+    /// before a stop.
     stop_deadline_ms: AtomicU64,
+    /// Callers' requests that this host has not answered yet.
     in_flight: AtomicU64,
+    /// Requests answered since the start; selects those that are logged.
     answered: AtomicU64,
 }
 
-/// Number of hosts that is assumed while none are known: twice the most that we build for.
+/// Number of hosts assumed until the other hosts are known. It is twice the largest supported
+/// deployment, so that a starting host claims too small a share of a server's limit rather than too
+/// large a one.
 const ASSUMED_HOSTS: usize = 10_000;
-/// Of so many answered requests one is logged; the others are only counted.
+/// One in this many answered requests is logged; the others are only counted.
 const ANSWER_SAMPLE: u64 = 100;
 
 impl Entry {
-    /// A host that does nothing yet.
+    /// Creates a host's state. No task runs and no connection is opened yet.
     pub fn new(settings: Settings) -> Self {
         // JSON readers may hold numbers as doubles, so only 53 bits are used.
         let incarnation = (rand::rng().random::<u64>() >> 11).max(1);
@@ -169,13 +177,13 @@
         }
     }
 
-    /// The rule for cold servers of a service. Until the other hosts are read from the store this host
-    /// does not know how many share what a cold server bears.
+    /// Returns the rate limit of a service's cold servers. It is divided among the hosts, whose
+    /// number is assumed to be [`ASSUMED_HOSTS`] until it is read from the store.
     fn cold_rule(&self, warmup: Warmup) -> ColdRule {
         ColdRule::new(warmup, self.sharing_hosts())
     }
 
-    /// Number of hosts that share what a server bears, this one included.
+    /// Returns the number of hosts that share a server's capacity, this one included.
     fn sharing_hosts(&self) -> usize {
         if self.view.are_hosts_known() {
             self.peers.hosts()
@@ -190,34 +198,35 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// True if the balancer should send callers here.
+    /// Returns true if the load balancer should send callers to this host.
     pub fn ready(&self) -> bool {
         !self.stopping() && self.view.configuration().is_some() && self.view.servers_known()
     }
 
-    /// True once a planned stop has begun.
+    /// Returns true once a planned stop has begun.
     pub fn stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// When the process ends in a planned stop; `u64::MAX` before that.
+    /// Returns the time at which the process exits in a planned stop; `u64::MAX` before a stop.
     pub fn stop_deadline_ms(&self) -> u64 {
         self.stop_deadline_ms.load(Ordering::Relaxed)
     }
 
-    /// True for each of the answered requests that is logged.
+    /// Counts an answered request and returns true if it is to be logged.
     fn samples_answer(&self) -> bool {
         let number = self.answered.fetch_add(1, Ordering::Relaxed);
         number.is_multiple_of(ANSWER_SAMPLE)
     }
 
+    /// Counts a caller's request as in flight until the returned guard is dropped.
     fn enter(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlightGuard(self.clone())
     }
 }
 
-/// A request in this host; counted until dropped.
+/// Guard of a caller's request in this host, which counts as in flight until the drop.
 struct InFlightGuard(Arc<Entry>);
 
 impl Drop for InFlightGuard {
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -1,4 +1,4 @@
-//! Starts an entry host and stops it.
+//! Start, tasks and planned stop of an entry host.
 
 use std::{net::SocketAddr, path::Path, sync::Arc, sync::atomic::Ordering, time::Duration};
 
@@ -19,47 +19,48 @@
     transport::{self, ListenerLimits, ResponseBody},
 };
 
-/// Connections that wait to be accepted. A full queue costs a caller seconds.
+/// Length of the accept queue. A full queue drops connection attempts, which delays a caller by
+/// seconds.
 const BACKLOG: u32 = 4_096;
-/// Time after SIGTERM in which new connections are still accepted: the balancer asks every
-/// second and takes a host out after two misses.
+/// Time after SIGTERM in which new connections are still accepted. The balancer probes readiness
+/// every second and removes a host after two failed probes.
 const READINESS_NOTICE_MS: u64 = 2_300;
-/// Time kept free before the end of the grace.
+/// Margin that is kept free before the end of the stop grace period.
 const GRACE_MARGIN_MS: u64 = 250;
-/// Time for a caller to send a head, which also bounds a connection's idle time; above the
-/// callers' own bound, so that they close first.
+/// Time for a caller to send a request head, which also limits a connection's idle time. It is
+/// above the callers' own limit, so that callers close idle connections first.
 const HEAD_TIMEOUT_MS: u64 = 16_000;
-/// Type of the metrics' text exposition.
+/// Content type of the metrics' text exposition format.
 const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Interval at which idle connections to servers are checked.
+/// Interval at which closed and expired idle connections to servers are removed from the pools.
 const SWEEP_EVERY_MS: u64 = 1_000;
 
-/// Why a host cannot run.
+/// Reason why a host cannot run.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The settings are wrong.
+    /// The settings file is missing or invalid.
     #[snafu(display("{source}"))]
     Settings {
-        /// Cause.
+        /// Cause, which names the file.
         source: crate::settings::Error,
     },
-    /// A listener cannot be opened.
+    /// A listening socket cannot be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Address.
+        /// Address from the settings.
         address: SocketAddr,
-        /// Cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Signals cannot be received.
-    #[snafu(display("signals cannot be received: {source}"))]
+    /// A signal handler cannot be installed.
+    #[snafu(display("cannot install a signal handler: {source}"))]
     Signal {
-        /// Cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Runs an entry host until SIGTERM or SIGINT.
+/// Runs an entry host until SIGTERM or SIGINT; SIGHUP reloads the settings.
 pub async fn run(path: &Path) -> Result<(), Error> {
     let settings = Settings::read(path).context(SettingsSnafu)?;
     log_writer::start(settings.log_level);
@@ -106,10 +107,10 @@
     }
     stop(&entry, &stop_callers, callers_done).await;
     if stop_readiness.send(true).is_err() {
-        log::debug!("the readiness listener has ended");
+        log::debug!("the readiness listener has already stopped");
     }
     log_writer::flush();
-    // The writing thread gets a moment; nothing waits for it otherwise.
+    // Leaves the writer thread time to write the last lines; nothing else waits for it.
     time::sleep(Duration::from_millis(20)).await;
     Ok(())
 }
@@ -231,7 +232,7 @@
     }
 }
 
-/// Reads the settings again; only what the log says changes while the process runs.
+/// Reads the settings again. Only the log level takes effect while the process runs.
 fn reload(path: &Path) {
     let problem = match Settings::read(path) {
         Ok(settings) => {
@@ -243,8 +244,9 @@
     Event::Reloaded { problem }.log();
 }
 
-/// Planned stop: readiness goes first, then the duty; the listener follows when the balancer has
-/// noticed, and the process ends when no request is left.
+/// Carries out a planned stop: fails readiness first and gives up the duty, closes the callers'
+/// listener once the balancer has noticed, and returns when no request is in flight or the grace
+/// period ends.
 async fn stop(
     entry: &Arc<Entry>,
     stop_callers: &stop::Sender<bool>,
@@ -263,13 +265,13 @@
     let notice = time::sleep(Duration::from_millis(notice_ms));
     tokio::join!(giving_up, notice);
     if stop_callers.send(true).is_err() {
-        log::debug!("the callers' listener has ended");
+        log::debug!("the callers' listener has already stopped");
     }
     let left_ms = grace_ms.saturating_sub(notice_ms + GRACE_MARGIN_MS);
     let drained = time::timeout(Duration::from_millis(left_ms), callers_done).await;
     let in_flight = entry.in_flight.load(Ordering::Relaxed);
     if drained.is_err() {
-        log::warn!("{in_flight} requests were cut off at the end of the grace");
+        log::warn!("{in_flight} requests were aborted at the end of the stop grace period");
     }
     Event::Stopped { in_flight }.log();
 }
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry host on the platform, read from YAML and checked as a whole.
+//! Settings of an entry host on the platform, read from YAML and checked against each other.
 
 use std::{collections::HashMap, net::SocketAddr, path::Path};
 
@@ -20,77 +20,81 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name, for logs.
+    /// Name of the host in log events.
     pub name: String,
-    /// Availability zone.
+    /// Availability zone of the host; servers of the same zone are preferred.
     pub availability_zone: String,
-    /// Region of each availability zone; empty if routes and workspaces name no regions.
+    /// Region of each availability zone; empty if no route and no workspace is restricted to
+    /// regions.
     #[serde(default)]
     pub regions: HashMap<String, String>,
-    /// Share of a processor that the host has. Hosts with more do more for the others.
+    /// Processors that the host has, as a fraction of one. Hosts with a larger share take on more
+    /// work for other hosts.
     #[serde(default = "default_processor_share")]
     pub processor_share: f32,
     /// Memory that the host has, in megabytes.
     #[serde(default = "default_memory_mb")]
     pub memory_mb: u64,
-    /// Listeners.
+    /// Addresses that the host listens on.
     pub listen: Listen,
-    /// The platform's store.
+    /// Connection to the platform's store.
     pub store: StoreSettings,
-    /// Bounds that the users set.
+    /// Bounds on latency, outages and shutdown that the users set.
     pub bounds: Bounds,
-    /// Leases and the duty of giving them.
+    /// Times of leases and of the duty.
     #[serde(default)]
     pub leases: Leases,
-    /// Thresholds of the decisions under load.
+    /// Thresholds of routing, queueing and load shedding.
     #[serde(default)]
     pub policy: Policy,
-    /// Logs.
+    /// Least severe level that is logged; the only setting that a reload changes.
     #[serde(default = "default_level")]
     pub log_level: LevelFilter,
 }
 
-/// Listeners.
+/// Addresses that a host listens on.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// Callers, by TCP.
+    /// TCP address for callers' requests.
     pub callers: SocketAddr,
-    /// The balancer's readiness checks, by TCP.
+    /// TCP address for the balancer's readiness probes.
     pub readiness: SocketAddr,
-    /// Other hosts, by UDP.
+    /// UDP address for messages of other hosts; starting hosts fetch snapshots over TCP at the same
+    /// one.
     pub peers: SocketAddr,
-    /// Metrics, by TCP.
+    /// TCP address for scrapes of the metrics.
     pub metrics: SocketAddr,
 }
 
-/// The platform's store.
+/// Connection to the platform's store.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Address.
+    /// TCP address of the store's HTTP interface.
     pub address: SocketAddr,
-    /// Interval at which servers refresh their entries; three missed ones remove an entry.
+    /// Interval at which servers refresh their entries; the store removes an entry after three
+    /// missed ones.
     #[serde(rename = "server_heartbeat", deserialize_with = "duration")]
     pub server_heartbeat_ms: u64,
 }
 
-/// Leases and the duty of giving them.
+/// Times of leases and of the duty.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Leases {
-    /// Length of a server's lease. Long enough to outlast a change of the duty's holder, short
-    /// enough that a silent server's keys are soon free.
+    /// Length of a server's lease. It must outlast a change of the duty holder, and be short enough
+    /// that the keys of an unresponsive server are soon released.
     pub lease_ms: u64,
-    /// Interval of renewals; two may be lost before a lease ends.
+    /// Interval of lease renewals. Two consecutive renewals may be lost before a lease expires.
     pub renew_every_ms: u64,
-    /// Interval at which the duty's holder confirms its row.
+    /// Interval at which the duty holder renews its row in the store.
     pub confirm_every_ms: u64,
-    /// Time without change of the row after which another host takes the duty.
+    /// Time without a change of the duty's row after which another host takes the duty over.
     pub takeover_ms: u64,
-    /// Time after its last confirmation up to which a holder renews leases. With a lease on top it
-    /// outlasts the store's usual outages of about 9 s; keys of servers that are lost together with
-    /// the holder wait for as long.
+    /// Time after its last confirmed renewal for which a duty holder goes on renewing leases.
+    /// Together with a lease it outlasts the store's usual outages of about 9 s. In exchange, the
+    /// keys of servers that are lost together with the duty holder stay unassigned for as long.
     pub outage_ms: u64,
 }
 
@@ -107,7 +111,7 @@
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and checks a settings file.
     pub fn read(path: &Path) -> Result<Self, Error> {
         let text = std::fs::read_to_string(path).context(ReadSnafu { path })?;
         let settings: Self = read_document(text.as_bytes()).context(DocumentSnafu { path })?;
@@ -116,17 +120,17 @@
         Ok(settings)
     }
 
-    /// Memory that the host has.
+    /// Returns the host's memory in bytes.
     pub fn memory_bytes(&self) -> u64 {
         self.memory_mb * 1_000_000
     }
 
-    /// Region of an availability zone.
+    /// Returns the region of an availability zone; `None` if the settings name none.
     pub fn region_of(&self, availability_zone: &str) -> Option<&str> {
         self.regions.get(availability_zone).map(String::as_str)
     }
 
-    /// Everything that cannot work.
+    /// Returns a message for each value that is invalid or contradicts another one.
     pub fn problems(&self) -> Vec<String> {
         let leases = &self.leases;
         let checks = [
@@ -178,7 +182,7 @@
     }
 }
 
-/// Memory of the smallest host of the known sites.
+/// Memory of the smallest host in the known deployments.
 fn default_memory_mb() -> u64 {
     120
 }
