--- a/src/clock.rs
+++ b/src/clock.rs
@@ -7,19 +7,20 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Clock of leases, the duty and deadlines. It counts the time for which the machine was suspended. The
-/// steady clock leaves that out: a holder of the duty that was suspended for six seconds would take its
-/// duty for confirmed when another host has had it for four.
+/// Clock of leases, the duty and deadlines. Unlike `CLOCK_MONOTONIC` it includes the time for which
+/// the machine was suspended. Without that time, a duty holder that was suspended for six seconds
+/// would still consider its duty confirmed, although another host took it over four seconds ago.
 pub const CLOCK_ID: ClockId = ClockId::CLOCK_BOOTTIME;
 
 static START: LazyLock<Duration> = LazyLock::new(read_clock);
 
-/// Offset that keeps early readings positive after a freshness or lease span is taken from them.
+/// Offset of all readings. It keeps them positive when a freshness or lease period is subtracted
+/// from an early one.
 const ORIGIN_MS: u64 = 1_000_000;
 
-/// Monotonic time in milliseconds. Readings of different processes do not compare.
+/// Returns the monotonic time in milliseconds. Readings of different processes cannot be compared.
 pub fn now_ms() -> u64 {
-    // The first reading must not come after this one.
+    // The origin must be read before the current time.
     let start = *START;
     ORIGIN_MS + read_clock().saturating_sub(start).as_millis() as u64
 }
@@ -29,12 +30,14 @@
     Duration::from(time)
 }
 
-/// Wall time in milliseconds since 1970, for audit entries and logs only.
+/// Returns the wall time in milliseconds since 1970, for audit entries, logs and stored records;
+/// leases and deadlines never use it.
 pub fn unix_ms() -> u64 {
     unix_time().as_millis() as u64
 }
 
-/// Wall time in microseconds since 1970, for comparing records of processes on one machine.
+/// Returns the wall time in microseconds since 1970, for comparing records of processes on one
+/// machine.
 pub fn unix_us() -> u64 {
     unix_time().as_micros() as u64
 }
--- a/src/entry/log_writer.rs
+++ b/src/entry/log_writer.rs
@@ -1,5 +1,5 @@
-//! Writes lines of JSON to standard output. Never blocks: lines go through a bounded queue
-//! to a thread of their own, and what does not fit is counted and dropped.
+//! Writes log events as JSON lines to standard output. Callers never block: lines go through a
+//! bounded queue to a writer thread, and lines that do not fit are dropped and counted.
 
 use std::{
     io::{Write, stdout},
@@ -16,16 +16,16 @@
 
 use crate::clock;
 
-/// Chunks that wait for the reader. One is written every [`FLUSH_MS`].
+/// Capacity of the writer thread's queue. One chunk is queued every [`FLUSH_MS`].
 const QUEUE_CHUNKS: usize = 16;
-/// Size of a chunk above which further lines are dropped; 640 KB a second at most.
+/// Size of a chunk above which further lines are dropped. It limits the log to 640 KB per second.
 const CHUNK_BYTES_MAX: usize = 128 * 1024;
-/// Interval of writes: one system call for all lines of that time.
+/// Interval of writes; all lines of an interval are written by one system call.
 pub const FLUSH_MS: u64 = 200;
 
 static WRITER: LazyLock<LogWriter> = LazyLock::new(LogWriter::start);
 
-/// Turns what libraries and the rest of the program log into events.
+/// Turns records of the `log` crate, from libraries and from this program, into `message` events.
 struct Bridge;
 
 impl Log for Bridge {
@@ -48,38 +48,41 @@
     fn flush(&self) {}
 }
 
-/// Sets the process's logger; a second call has no effect.
+/// Sets the process's logger. A second call has no effect.
 pub fn start(level: LevelFilter) {
     log::set_max_level(level);
     if log::set_logger(&Bridge).is_err() {
-        log::debug!("a logger is set already");
+        log::debug!("a logger is already set");
     }
 }
 
 struct LogWriter {
+    /// Lines that are not handed to the writer thread yet.
     pending: Mutex<Vec<u8>>,
-    /// Lines dropped since a line last told of it.
+    /// Lines dropped since the last `dropped` event.
     dropped: AtomicU64,
+    /// Lines dropped since the start.
     dropped_in_total: AtomicU64,
+    /// Queue of the writer thread.
     chunks: SyncSender<Vec<u8>>,
 }
 
-/// Lines that come of writing itself.
+/// Events that the log writer itself creates.
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum WriterEvent {
-    /// Something that a library or another part of the program logged.
+    /// Record that a library or another part of the program logged through the `log` crate.
     Message {
-        /// Level.
+        /// Severity, such as `WARN`.
         level: &'static str,
-        /// Part of the program.
+        /// Module that logged the record.
         target: String,
-        /// Text.
+        /// Message of the record.
         text: String,
     },
-    /// Lines were dropped because too many came or the reader did not keep up.
+    /// Lines were dropped because too many were logged or standard output was not read fast enough.
     Dropped {
-        /// Their number.
+        /// Number of lines dropped since the last event of this kind.
         lines: u64,
     },
 }
@@ -91,17 +94,17 @@
     event: &'a E,
 }
 
-/// Queues one line.
+/// Queues one event as a line.
 pub fn write(event: &impl Serialize) {
     WRITER.write(event);
 }
 
-/// Hands the queued lines to the writing thread.
+/// Hands the queued lines to the writer thread.
 pub fn flush() {
     WRITER.flush();
 }
 
-/// Lines dropped since the start.
+/// Returns the number of lines dropped since the start.
 pub fn dropped_in_total() -> u64 {
     WRITER.dropped_in_total.load(Ordering::Relaxed)
 }
@@ -162,7 +165,7 @@
 fn write_chunks(queue: &Receiver<Vec<u8>>) {
     while let Ok(chunk) = queue.recv() {
         let mut output = stdout().lock();
-        // Nowhere is left to tell of a failed write to the log itself.
+        // A failed write cannot be reported, since this is the log itself.
         if output
             .write_all(&chunk)
             .and_then(|()| output.flush())
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -1,5 +1,5 @@
-//! Counters and latency histograms, served as text to whoever asks. `cadence`, which the rest of
-//! the product uses, can only push.
+//! Counters and latency histograms of an entry host, scraped as text. The rest of the product uses
+//! `cadence`, which can only push.
 
 use std::sync::{
     Arc,
@@ -17,26 +17,26 @@
     registry::Registry,
 };
 
-/// First bound of the latency histograms, in seconds, and the number of bounds, each twice the one
-/// before: 2 ms to 16 s.
+/// Lowest bucket bound of the latency histograms in seconds, and the number of bounds. Each bound
+/// is twice the one below it, from 2 ms to 16 s.
 const LATENCY_FIRST_S: f64 = 0.002;
 const LATENCY_BOUNDS: u16 = 14;
 
-/// Labels of requests. Both sets are small: services come from the configuration.
+/// Labels of requests. Both have few values, since services come from the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
-    /// Service that the request went to, or an empty text.
+    /// Service that the request was sent to; empty if it was sent to none.
     pub service: String,
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: &'static str,
 }
 
 /// Labels of orders to servers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OrderLabels {
-    /// Order.
+    /// Kind of order: grant or release.
     pub order: &'static str,
-    /// What became of it.
+    /// Outcome of the order.
     pub outcome: &'static str,
 }
 
@@ -60,21 +60,21 @@
     orders: Family<OrderLabels, Counter>,
     moves: Counter,
     store_calls: Family<StoreCallLabels, Counter>,
-    /// Requests in this host.
+    /// Callers' requests in flight in this host.
     pub in_flight: Gauge,
-    /// Age of the store's last answer.
+    /// Time since the store's last response, in seconds.
     pub store_age_s: Gauge<f64, AtomicU64>,
-    /// Number of this host's term while it has the duty of giving leases, else 0.
+    /// Term of this host while it holds the duty of granting leases; 0 otherwise.
     pub duty_term: Gauge,
-    /// Version of the configuration in force.
+    /// Version of the configuration in effect; 0 for none.
     pub configuration_version: Gauge,
-    /// Availability zones that are evacuated.
+    /// Number of availability zones that are evacuated.
     pub evacuated_zones: Gauge,
-    /// Requests that no server gets, since several have ended under them.
+    /// Number of requests that no server gets because several servers crashed while running them.
     pub quarantined_requests: Gauge,
-    /// Servers that are cold.
+    /// Number of servers that are warming up.
     pub cold_servers: Gauge,
-    /// Log lines that were dropped.
+    /// Log lines that were dropped since the start.
     pub log_lines_dropped: Gauge,
 }
 
@@ -149,7 +149,7 @@
         registry.register("log_lines_dropped", help, self.log_lines_dropped.clone());
     }
 
-    /// Counts a request that has its answer.
+    /// Counts a request that was answered `after_ms` after its arrival.
     pub fn request(&self, service: &Arc<str>, outcome: &'static str, after_ms: u64) {
         let labels = RequestLabels {
             service: service.to_string(),
@@ -160,12 +160,12 @@
         self.latency.get_or_create(&labels).observe(seconds);
     }
 
-    /// Counts an attempt beyond the first.
+    /// Counts a retry: an attempt beyond a request's first.
     pub fn repeat(&self) {
         self.repeats.inc();
     }
 
-    /// Counts a server that ended with requests of this host in flight.
+    /// Counts a server that crashed with requests of this host in flight.
     pub fn server_ended(&self) {
         self.servers_ended.inc();
     }
@@ -177,23 +177,23 @@
             .inc();
     }
 
-    /// Counts a move of keys.
+    /// Counts a move of keys from one server to another.
     pub fn moved(&self) {
         self.moves.inc();
     }
 
-    /// Sets the number of calls of a kind for a table so far.
+    /// Sets the number of calls of one kind to one table since the start.
     pub fn store_calls(&self, call: &'static str, table: String, calls: u64) {
         let labels = StoreCallLabels { call, table };
         let counter = self.store_calls.get_or_create(&labels);
         counter.inner().store(calls, Ordering::Relaxed);
     }
 
-    /// All metrics in the text exposition.
+    /// Returns all metrics in the text exposition format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         if let Err(error) = encode(&mut text, &self.registry) {
-            log::warn!("metrics cannot be encoded: {error}");
+            log::warn!("cannot encode the metrics: {error}");
         }
         text
     }
--- a/src/entry/seal.rs
+++ b/src/entry/seal.rs
@@ -1,7 +1,8 @@
-//! Authentication of the datagrams between hosts. All hosts share a secret, which the holder of the
-//! duty makes and keeps in the store: who cannot read the store can neither make a datagram that a
-//! host takes in nor change one. Contents are not hidden, and a datagram may be repeated by a
-//! stranger; no message does harm when it comes twice.
+//! Authentication of the datagrams between hosts. A seal is a truncated HMAC tag in front of a
+//! message. All hosts share its secret, which the duty holder generates and keeps in the store, so
+//! that a sender without access to the store can neither forge nor alter a datagram. Messages are
+//! not encrypted. A datagram can be replayed, so every message must be harmless when it arrives
+//! twice.
 
 use std::{fmt, sync::Arc};
 
@@ -14,46 +15,46 @@
 
 use crate::clock;
 
-/// Length of the secret: that of the hash.
+/// Length of the secret, which is that of the hash.
 const SECRET_BYTES: usize = 32;
-/// Length of the part of the hash that is sent. Strangers get one try a datagram.
+/// Length to which the tag is truncated. A forger gets only one guess per datagram.
 const TAG_BYTES: usize = 8;
-/// Age from which the holder makes another secret.
+/// Age at which the duty holder replaces the secret.
 const ROTATION_AGE_MS: u64 = 24 * 3_600 * 1_000;
 
-/// Time for which the former secret is still used after another was read: all hosts have read it
-/// then.
+/// Time after a new secret was read in which this host still signs with the previous one. By its
+/// end all hosts have read the new secret.
 const OVERLAP_MS: u64 = 20_000;
 
-/// Why a stored secret cannot be used.
+/// Reason why a stored secret is invalid.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// It is not the JSON that hosts write.
+    /// The row is not the JSON that hosts write.
     #[snafu(display("{source}"))]
     Json {
-        /// Cause.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// The secret is not base64.
+    /// The secret is not valid base64.
     #[snafu(display("{source}"))]
     Base64 {
-        /// Cause.
+        /// Error of the base64 decoder.
         source: base64::DecodeError,
     },
     /// The secret is too short or too long.
     #[snafu(display("the secret has {length} bytes; expected 32"))]
     Length {
-        /// Its length.
+        /// Length in bytes.
         length: usize,
     },
 }
 
-/// The secret as it is stored.
+/// Shared secret as it is stored.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SecretRow {
-    /// The secret, in base64.
+    /// Secret in base64; kept out of the `Debug` output.
     secret: String,
-    /// When it was made, by the wall clock of the host that made it.
+    /// Time of its creation, by the wall clock of the host that generated it.
     made_unix_ms: u64,
 }
 
@@ -66,7 +67,7 @@
 }
 
 impl SecretRow {
-    /// A new secret.
+    /// Generates a new secret.
     pub fn generate(now_unix_ms: u64) -> Self {
         let secret: [u8; SECRET_BYTES] = rand::rng().random();
         Self {
@@ -75,20 +76,20 @@
         }
     }
 
-    /// True if another secret should take its place.
+    /// Returns true if the secret is old enough to be replaced.
     pub fn is_due_for_rotation(&self, now_unix_ms: u64) -> bool {
         now_unix_ms > self.made_unix_ms.saturating_add(ROTATION_AGE_MS)
     }
 }
 
-/// Keys that hosts know.
+/// Current and previous signing keys.
 #[derive(Debug)]
 struct Keys {
     row: SecretRow,
     version: u64,
     read_ms: u64,
     current: hmac::Key,
-    /// The one before, with which hosts still send for a moment.
+    /// Previous key. Hosts still sign with it for [`OVERLAP_MS`], so it is accepted as well.
     previous: Option<hmac::Key>,
 }
 
@@ -102,14 +103,14 @@
     }
 }
 
-/// Seals and opens datagrams.
+/// Signs and verifies the datagrams between hosts with their shared secret.
 #[derive(Debug, Default)]
 pub struct Seal {
     keys: ArcSwapOption<Keys>,
 }
 
 impl Seal {
-    /// Takes a stored secret into use, unless a newer version is known.
+    /// Uses a stored secret from now on, unless a newer version is known.
     pub fn set(&self, value: &[u8], version: u64) -> Result<(), Error> {
         let row: SecretRow = serde_json::from_slice(value).context(JsonSnafu)?;
         let secret = BASE64_STANDARD.decode(&row.secret).context(Base64Snafu)?;
@@ -129,18 +130,18 @@
         Ok(())
     }
 
-    /// True once a secret was read.
+    /// Returns true once a secret was read.
     pub fn is_known(&self) -> bool {
         self.keys.load().is_some()
     }
 
-    /// The stored secret in use, with its version.
+    /// Returns the stored secret in use and its version.
     pub fn row(&self) -> Option<(SecretRow, u64)> {
         let keys = self.keys.load();
         keys.as_ref().map(|keys| (keys.row.clone(), keys.version))
     }
 
-    /// Puts a tag before a message; `None` while no secret is known.
+    /// Returns the message with a tag in front of it; `None` until a secret is known.
     pub fn seal(&self, message: &[u8]) -> Option<Vec<u8>> {
         let keys = self.keys.load();
         let tag = hmac::sign(keys.as_ref()?.for_sending(), message);
@@ -150,7 +151,7 @@
         Some(datagram)
     }
 
-    /// The message of a datagram, if its tag was made with a known secret.
+    /// Returns the message of a datagram if its tag was made with the current or the previous key.
     pub fn open<'a>(&self, datagram: &'a [u8]) -> Option<&'a [u8]> {
         let (tag, message) = datagram.split_at_checked(TAG_BYTES)?;
         let keys = self.keys.load();
@@ -162,7 +163,7 @@
     }
 }
 
-/// Compares without telling by its time how many bytes agree.
+/// Compares the tag in constant time, so that the duration does not reveal how many bytes match.
 fn matches_tag(key: &hmac::Key, message: &[u8], tag: &[u8]) -> bool {
     let expected = hmac::sign(key, message);
     let pairs = expected.as_ref().iter().zip(tag);
--- a/src/entry/secret.rs
+++ b/src/entry/secret.rs
@@ -1,4 +1,5 @@
-//! Keeps the secret that hosts share: the holder of the duty makes it, all hosts read it.
+//! Distribution of the secret that authenticates datagrams between hosts. The duty holder generates
+//! and replaces it; all hosts read it from the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,22 +18,22 @@
     platform::store::{Expect, Put, Row, Transacted, Transaction},
 };
 
-/// Interval at which the holder of the duty looks at the secret's age.
+/// Interval at which the duty holder checks whether the secret is missing or due for rotation.
 const SECRET_CHECK_MS: u64 = 300;
 
 impl Entry {
-    /// Takes a stored secret into use.
+    /// Uses a secret that was read from the store.
     pub(super) fn apply_secret(&self, row: &Row) {
         if row.removed {
             return;
         }
         if let Err(error) = self.peers.seal.set(&row.value, row.version) {
-            log::error!("the hosts' secret cannot be used: {error}");
+            log::error!("the stored secret for datagrams is invalid: {error}");
         }
     }
 
-    /// Makes the secret that hosts share, and another one once it is old, while this host has the
-    /// duty.
+    /// Generates the shared secret if there is none or it is due for rotation, while this host
+    /// holds the duty.
     pub(super) async fn maintain_secret(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(SECRET_CHECK_MS)).await;
@@ -69,12 +70,12 @@
         match self.store.transact(&transaction).await {
             Ok(Transacted::Done { version }) => {
                 if let Err(error) = self.peers.seal.set(&value, version) {
-                    log::error!("the new secret cannot be used: {error}");
+                    log::error!("the new secret for datagrams is invalid: {error}");
                 }
                 self.freshness.note_change(Followed::Own, version);
             }
             Ok(Transacted::Conflict { rows }) => self.apply_own(&rows),
-            Err(error) => log::debug!("the hosts' secret is not stored yet: {error}"),
+            Err(error) => log::debug!("the new secret for datagrams is not stored yet: {error}"),
         }
     }
 }
--- a/src/id.rs
+++ b/src/id.rs
@@ -28,17 +28,17 @@
     u64
 );
 number!(
-    /// Fencing number of a slot's grant; it only grows.
+    /// Fencing token of a slot's grant; rises with each grant.
     Epoch,
     u64
 );
 number!(
-    /// Number of a server's membership period; it grows each time the server joins.
+    /// Number of a server's membership period; rises each time the server joins.
     LeaseEpoch,
     u64
 );
 number!(
-    /// Random number of one process start.
+    /// Random number that identifies one run of a process.
     Incarnation,
     u64
 );
@@ -64,29 +64,29 @@
 );
 
 impl Revision {
-    /// The revision after this one.
+    /// Returns the following revision.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
 impl Epoch {
-    /// The epoch after this one.
+    /// Returns the following epoch.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
 impl Incarnation {
-    /// Draws a number that no other process start is expected to draw.
+    /// Draws a number that is unique with high probability.
     pub fn random() -> Self {
         // JSON readers may hold numbers as doubles, so only 53 bits are used.
         Self(rand::rng().random::<u64>() >> 11)
     }
 }
 
-/// Identifier that a writer attaches to one change, so that a lost answer can be settled by
-/// looking for it.
+/// Idempotency identifier that a writer attaches to a change. If the response to the write is lost,
+/// the writer looks the identifier up to learn whether the change was made.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct OperationId(pub String);
@@ -97,7 +97,7 @@
         Self(format!("{:032x}", rand::rng().random::<u128>()))
     }
 
-    /// Hash under which a state remembers the identifier.
+    /// Returns the hash under which a state remembers the identifier.
     pub fn hash(&self) -> u128 {
         xxhash_rust::xxh3::xxh3_128(self.0.as_bytes())
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! A router for servers that own keys exclusively.
+//! A router for backend servers that own keys exclusively.
 //!
 //! The binary is a thin layer over this library: every subcommand builds a configuration struct
-//! and hands it to a module below.
+//! and passes it to one of the modules below.
 
 pub mod bench;
 pub mod claims;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines on standard error, through `simplelog`.
+//! Logging as JSON lines on standard error, through `simplelog`.
 
 use std::io::{Write, stderr};
 
@@ -11,28 +11,29 @@
 
 use crate::clock;
 
-/// Targets of libraries that log more than an operator needs below warnings.
+/// Libraries whose records below warnings are of no use to operators; these are not logged.
 const QUIET_TARGETS: [&str; 5] = ["quinn", "rustls", "hyper", "slog", "dropshot"];
 
-/// Writes each record as one JSON object.
+/// Writes each log record as one JSON object.
 #[derive(Debug)]
 pub struct JsonLogger {
     level: LevelFilter,
 }
 
-/// Sets the process's logger; a second call has no effect.
+/// Sets the process's logger. A second call has no effect.
 pub fn start(level: LevelFilter) {
     if let Err(error) = CombinedLogger::init(vec![Box::new(JsonLogger { level })]) {
-        log::debug!("the logger that is set stays: {error}");
+        log::debug!("keeping the logger that is already set: {error}");
     }
 }
 
-/// The logger for libraries that log through `slog`.
+/// Returns a logger for libraries that log through `slog`; it forwards to the `log` crate.
 pub fn slog_bridge() -> slog::Logger {
     use slog::Drain;
     slog::Logger::root(slog_stdlog::StdLog.fuse(), slog::o!())
 }
 
+/// Collects a record's key-value pairs into a JSON object.
 struct Fields<'a>(&'a mut Map<String, serde_json::Value>);
 
 impl<'kvs> VisitSource<'kvs> for Fields<'_> {
@@ -72,7 +73,7 @@
             line.insert("fields_lost".to_owned(), json!(error.to_string()));
         }
         let text = serde_json::Value::Object(line).to_string();
-        // Nobody is left to tell when the log itself cannot be written.
+        // A failed write cannot be reported, since this is the log itself.
         writeln!(stderr().lock(), "{text}").ok();
     }
 
@@ -88,7 +89,7 @@
         None
     }
 
-    // The library's trait asks for this type.
+    // The trait of `simplelog` requires this type.
     fn as_log(self: Box<Self>) -> Box<dyn Log> {
         Box::new(*self)
     }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by statsd datagrams.
+//! Metrics export by statsd datagrams.
 
 use std::net::{SocketAddr, UdpSocket};
 
@@ -6,10 +6,10 @@
     Counted, Gauged, NopMetricSink, QueuingMetricSink, StatsdClient, Timed, UdpMetricSink,
 };
 
-/// Prefix of every metric.
+/// Prefix of all metric names.
 const PREFIX: &str = "ashroad";
 
-/// Client of the metrics receiver.
+/// Client that sends metrics to a statsd receiver.
 #[derive(Debug)]
 pub struct Metrics {
     client: StatsdClient,
@@ -17,7 +17,7 @@
 }
 
 impl Metrics {
-    /// A client that sends to `receiver`, or nowhere.
+    /// Creates a client that sends to `receiver`; without a receiver it discards all metrics.
     pub fn new(receiver: Option<SocketAddr>) -> std::io::Result<Self> {
         let Some(receiver) = receiver else {
             return Ok(Self {
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Adds one to a counter.
+    /// Increments a counter by one.
     pub fn count(&self, name: &str) {
         if self.enabled {
             let _ = self.client.count(name, 1u64);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Records a duration.
+    /// Records a duration in milliseconds.
     pub fn time_ms(&self, name: &str, value_ms: u64) {
         if self.enabled {
             let _ = self.client.time(name, value_ms);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry host, read from YAML and checked against each other.
+//! Settings of a host, read from YAML and checked against each other.
 
 use std::{
     net::SocketAddr,
@@ -10,147 +10,148 @@
 
 use crate::configuration::{self, template::read_document};
 
-/// Longest time from a loss until keys are served again, less detection and grant.
+/// Upper limit of [`Ownership::lapse_ms`]: the time from a loss until keys must be served again, less
+/// the time for detection and for the new grant.
 const LAPSE_MS_MAX: u64 = 2_600;
 
-/// What is wrong with a settings file.
+/// Reason why a settings file is unusable.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// The file cannot be read.
     #[snafu(display("{}: cannot be read", path.display()))]
     Read {
-        /// File.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not a settings file.
+    /// The file is no valid settings document.
     #[snafu(display("{}: {source}", path.display()))]
     Document {
-        /// File.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Cause.
+        /// Parse error, with the place in the document.
         source: configuration::Error,
     },
-    /// Fields do not fit each other.
+    /// Values are invalid or contradict each other.
     #[snafu(display("{}: {}", path.display(), problems.join("; ")))]
     Values {
-        /// File.
+        /// Path of the settings file.
         path: PathBuf,
-        /// All problems.
+        /// One message for each problem.
         problems: Vec<String>,
     },
 }
 
-/// Settings of one entry host.
+/// Settings of one host.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name, unique among hosts.
+    /// Name of the host, unique among all hosts.
     pub name: String,
-    /// Availability zone.
+    /// Availability zone of the host.
     pub availability_zone: String,
-    /// Listener for callers.
+    /// Listener for callers' requests.
     pub callers: Callers,
-    /// Listener for operators.
+    /// Listener for operators' reads and changes.
     pub operators: Operators,
-    /// Listener for the other hosts.
+    /// Listener for other hosts, with mutual TLS.
     pub peers: Peers,
-    /// The platform.
+    /// Connection to the platform.
     pub platform: PlatformSettings,
-    /// Leases and freshness.
+    /// Times of leases, heartbeats and failover.
     #[serde(default)]
     pub ownership: Ownership,
-    /// Records of unrepeatable requests.
+    /// Records that keep unrepeatable requests from running twice.
     #[serde(default)]
     pub claims: ClaimSettings,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogSettings,
-    /// Metrics.
+    /// Export of metrics.
     #[serde(default)]
     pub metrics: MetricsSettings,
 }
 
-/// Listener for callers.
+/// Listener for callers' requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Callers {
-    /// Address.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Connections at a time.
+    /// Maximum number of open connections.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// Size of a request's body; a longer one is refused with 413.
+    /// Maximum size of a request body; a larger one is refused with 413.
     #[serde(default = "default_body_bytes")]
     pub body_bytes: usize,
-    /// Time for requests in flight to end in a planned stop.
+    /// Time for requests in flight to complete in a planned stop.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
-    /// Time between failing readiness and closing the listener in a planned stop.
+    /// Time from failing the readiness probe to closing the listener in a planned stop.
     #[serde(default = "default_notice_ms")]
     pub notice_ms: u64,
 }
 
-/// Listener for operators.
+/// Listener for operators' reads and changes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operators {
-    /// Address.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// File with the token that changes need, in its first line; without it only reads are
-    /// answered.
+    /// File whose first line is the token that changes must carry. Without it, only reads are
+    /// allowed.
     #[serde(default)]
     pub token_file: Option<PathBuf>,
 }
 
-/// Listener for the other hosts.
+/// Listener for other hosts, with mutual TLS.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// Address.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Certificates that other hosts' certificates are checked against, in PEM.
+    /// PEM file of the CA certificates that other hosts' certificates are checked against.
     pub ca_file: PathBuf,
-    /// Own certificate, in PEM.
+    /// PEM file of this host's certificate.
     pub certificate_file: PathBuf,
-    /// Own private key, in PEM.
+    /// PEM file of this host's private key.
     pub private_key_file: PathBuf,
 }
 
-/// The platform.
+/// Connection to the platform.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Address.
+    /// Address of the platform's interface.
     pub address: SocketAddr,
-    /// Time for one call.
+    /// Timeout of one call.
     #[serde(default = "default_call_ms")]
     pub timeout_ms: u64,
 }
 
-/// Leases and freshness.
+/// Times of leases, heartbeats and failover.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Ownership {
-    /// Age of the basis up to which a host acts.
+    /// Staleness limit: greatest age of the state that a host may act on.
     pub freshness_ms: u64,
     /// Length of a server's lease.
     pub lease_ttl_ms: u64,
-    /// Allowance for clock drift.
+    /// Allowance for clock drift between hosts and servers.
     pub margin_ms: u64,
     /// Interval of lease renewals.
     pub renew_every_ms: u64,
     /// Interval of heartbeats between hosts.
     pub heartbeat_ms: u64,
-    /// Time without a successful renewal after which a server is suspected.
+    /// Time without a successful renewal after which a server is suspected to be down.
     pub suspect_ms: u64,
     /// Age of the leader's row after which another host takes over.
     pub leader_lease_ms: u64,
-    /// Silence after which a host is removed from the registry.
+    /// Time without a heartbeat after which a host is removed from the registry.
     pub host_removal_ms: u64,
-    /// Time for requests in flight on a moving slot to finish.
+    /// Time for requests in flight to complete on a slot that moves.
     pub drain_ms: u64,
 }
 
@@ -171,12 +172,12 @@
 }
 
 impl Ownership {
-    /// Time after which no host that missed a change can keep a lease alive.
+    /// Returns the time after which a host that missed a change can no longer keep a lease alive.
     pub fn lapse_ms(&self) -> u64 {
         self.freshness_ms + self.lease_ttl_ms + self.margin_ms
     }
 
-    /// Everything that cannot work.
+    /// Returns a message for each value that is invalid or contradicts another one.
     pub fn problems(&self) -> Vec<String> {
         let mut problems = Vec::new();
         let mut check = |good: bool, message: &str| {
@@ -199,11 +200,11 @@
     }
 }
 
-/// Records of unrepeatable requests.
+/// Records that keep unrepeatable requests from running twice.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClaimSettings {
-    /// Time for which a request is recognised when it comes again.
+    /// Time for which a request is recognised when it is sent again.
     pub retention_ms: u64,
 }
 
@@ -215,11 +216,11 @@
     }
 }
 
-/// Logs.
+/// Logging.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// One of error, warn, info, debug and trace.
+    /// Least severe level that is logged: error, warn, info, debug or trace.
     pub level: log::LevelFilter,
 }
 
@@ -231,11 +232,11 @@
     }
 }
 
-/// Metrics.
+/// Export of metrics.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MetricsSettings {
-    /// Receiver of statsd datagrams; none sends no metrics.
+    /// Address that statsd datagrams are sent to; `None` exports no metrics.
     pub statsd_address: Option<SocketAddr>,
 }
 
@@ -269,7 +270,7 @@
         Ok(settings)
     }
 
-    /// Everything that cannot work.
+    /// Returns a message for each value that is invalid or contradicts another one.
     pub fn problems(&self) -> Vec<String> {
         let mut problems = self.ownership.problems();
         if self.name.is_empty() {
--- a/src/transport.rs
+++ b/src/transport.rs
@@ -1,4 +1,5 @@
-//! HTTP plumbing that every part shares: a bounded HTTP/1 listener and a JSON client.
+//! HTTP code that all parts share: an HTTP/1 listener with connection limits, and a client for JSON
+//! calls.
 
 use std::{
     convert::Infallible,
@@ -20,19 +21,19 @@
 use snafu::{ResultExt, Snafu, ensure};
 use tokio::{net::TcpListener, sync::watch, time};
 
-/// Body of an answer: either whole in memory or passed on as it arrives.
+/// Body of a response, either complete in memory or streamed as it arrives.
 pub type ResponseBody = BoxBody<Bytes, hyper::Error>;
 
 /// Limits of one listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenerLimits {
-    /// Connections open at a time; further ones wait in the accept queue.
+    /// Maximum number of open connections; further ones wait in the accept queue.
     pub connections: usize,
-    /// Time for a caller to send its whole request head.
+    /// Time for a caller to send its complete request head.
     pub head_timeout_ms: u64,
-    /// Size of the buffer for a request head.
+    /// Size of the read buffer, which limits the size of a request head.
     pub head_bytes: usize,
-    /// Time for requests in flight to end after the listener was told to stop.
+    /// Time for requests in flight to complete after the listener was stopped.
     pub drain_ms: u64,
 }
 
@@ -51,61 +52,62 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum CallError {
-    /// No connection could be made, so the request was never sent.
+    /// The connection failed, so the request was never sent.
     #[snafu(display("no connection to {address}"))]
     Connect {
-        /// Peer that was called.
+        /// Address that was called.
         address: String,
     },
-    /// The call broke off after it may have been sent.
-    #[snafu(display("the call to {address} broke off: {message}"))]
+    /// The connection failed after the request may have been sent.
+    #[snafu(display("the call to {address} failed after it may have been sent: {message}"))]
     Broken {
-        /// Peer that was called.
+        /// Address that was called.
         address: String,
-        /// Cause as the library tells it.
+        /// Error message of the HTTP library.
         message: String,
     },
-    /// No answer came in time.
-    #[snafu(display("{address} gave no answer within {timeout_ms} ms"))]
+    /// No response arrived in time.
+    #[snafu(display("{address} did not respond within {timeout_ms} ms"))]
     Timeout {
-        /// Peer that was called.
+        /// Address that was called.
         address: String,
-        /// Time given to the call.
+        /// Timeout of the call.
         timeout_ms: u64,
     },
-    /// The peer answered with a status other than success.
+    /// The response has a status other than success.
     #[snafu(display("{address} answered {status}: {body}"))]
     Refused {
-        /// Peer that was called.
+        /// Address that was called.
         address: String,
-        /// Status of the answer.
+        /// Status of the response.
         status: StatusCode,
-        /// Body of the answer.
+        /// Body of the response.
         body: String,
     },
-    /// The answer was not of the expected form.
-    #[snafu(display("{address} sent an answer that cannot be read"))]
+    /// A body cannot be converted from or to JSON.
+    #[snafu(display("{address} sent an invalid JSON response"))]
     Decode {
-        /// Peer that was called.
+        /// Address that was called.
         address: String,
-        /// Cause.
+        /// Error of the JSON library.
         source: serde_json::Error,
     },
 }
 
 impl CallError {
-    /// True if the request provably never reached the peer.
+    /// Returns true if the request certainly never reached the peer.
     pub fn never_sent(&self) -> bool {
         matches!(self, Self::Connect { .. })
     }
 }
 
-/// Address that a request came from; an extension of each request that [`serve`] hands on.
+/// Address that a request came from. [`serve`] adds it to the extensions of each request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerAddress(pub IpAddr);
 
-/// Accepts connections on `listener` and answers each request with `handler` until `stop` turns
-/// true; then finishes the requests in flight and returns.
+/// Accepts connections on `listener` and answers each request with `handler` until `stop` becomes
+/// true. Then completes the requests in flight, for at most [`ListenerLimits::drain_ms`], and
+/// returns.
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: ListenerLimits,
@@ -126,7 +128,8 @@
             _ = stop.wait_for(|stopped| *stopped) => break,
         };
         let Ok((stream, caller)) = accepted else {
-            // Out of descriptors, most likely; give others time to close.
+            // The usual cause is a lack of file descriptors; the pause lets other connections
+            // close.
             time::sleep(Duration::from_millis(10)).await;
             continue;
         };
@@ -153,17 +156,17 @@
     let _ = time::timeout(drain, graceful.shutdown()).await;
 }
 
-/// A header's text, if it is there and is text.
+/// Returns a header's value if the header is present and valid text.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// A header's number.
+/// Returns a header's value if the header is present and a number.
 pub fn header_number(headers: &HeaderMap, name: &str) -> Option<u64> {
     header_text(headers, name)?.parse().ok()
 }
 
-/// An answer whose body is whole in memory.
+/// Builds a response whose body is complete in memory.
 pub fn whole(
     status: StatusCode,
     content_type: &'static str,
@@ -176,7 +179,7 @@
     response
 }
 
-/// An answer with a JSON body.
+/// Builds a response with a JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<ResponseBody> {
     match serde_json::to_vec(value) {
         Ok(body) => whole(status, "application/json", body.into()),
@@ -188,7 +191,7 @@
     }
 }
 
-/// Reads a request's JSON body of at most `body_bytes`.
+/// Parses a request's JSON body of at most `body_bytes`; the error is a response with status 400.
 pub async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
     body_bytes: usize,
@@ -202,7 +205,7 @@
     serde_json::from_slice(&body.to_bytes()).map_err(|error| bad(error.to_string()))
 }
 
-/// Client for small JSON calls with pooled connections.
+/// Client for small JSON calls over pooled connections.
 #[derive(Clone, Debug)]
 pub struct JsonClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -211,7 +214,7 @@
 }
 
 impl JsonClient {
-    /// A client whose calls take at most `timeout_ms`.
+    /// Creates a client whose calls take at most `timeout_ms`.
     pub fn new(timeout_ms: u64) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -227,13 +230,13 @@
         }
     }
 
-    /// The same client, whose calls carry a bearer token.
+    /// Adds a bearer token to all calls of the client.
     pub fn with_token(mut self, token: Option<String>) -> Self {
         self.token = token;
         self
     }
 
-    /// Sends `body` to `http://address/path` and reads the answer as `T`.
+    /// Sends `body` to `http://address/path` and parses the response as `T`.
     pub async fn post<B: Serialize, T: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -247,7 +250,7 @@
         self.decode(address, &answer)
     }
 
-    /// Reads `http://address/path` as `T`.
+    /// Fetches `http://address/path` and parses the response as `T`.
     pub async fn get<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -257,7 +260,7 @@
         self.decode(address, &answer)
     }
 
-    /// Sends raw bytes and returns the raw answer.
+    /// Sends a body as it is and returns the body of the response.
     pub async fn send(
         &self,
         method: Method,
