--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -154,7 +154,7 @@
 }
 
 #[tokio::test]
-async fn hosts_that_hear_the_holder_of_the_duty_ask_the_store_rarely() {
+async fn hosts_that_hear_the_duty_holder_rarely_call_the_store() {
     let site = Site::start(5, 2).await;
     time::sleep(Duration::from_millis(4_000)).await;
     // The least of three spans: a holder that gets no processor time for 2 s is taken as silent, and the
