--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -233,7 +233,7 @@
 }
 
 #[tokio::test]
-async fn an_absent_store_is_called_rarely() {
+async fn an_unavailable_store_is_called_rarely() {
     let site = Site::start(5, 2).await;
     time::sleep(Duration::from_millis(3_000)).await;
     site.store.set_faults(Faults {
