--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -249,7 +249,7 @@
 }
 
 #[tokio::test]
-async fn a_host_learns_from_the_holder_that_its_feeds_are_deaf() {
+async fn a_host_detects_stalled_feeds_from_the_duty_holders_reports() {
     let mut site = Site::start(1, 1).await;
     let proxy = Proxy::start(site.store.address).await;
     site.hosts.push(Host::start_at(proxy.address));
