--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -270,7 +270,7 @@
 }
 
 #[tokio::test]
-async fn a_large_configuration_comes_through_a_narrow_link() {
+async fn a_large_configuration_arrives_over_a_slow_link() {
     let mut site = Site::start(1, 1).await;
     let proxy = Proxy::start(site.store.address).await;
     site.hosts.push(Host::start_at(proxy.address));
