--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -291,7 +291,7 @@
 }
 
 #[tokio::test]
-async fn a_host_that_was_cut_off_soon_knows_who_left_meanwhile() {
+async fn a_host_notices_removed_servers_soon_after_a_partition() {
     let mut site = Site::start_servers(2).await;
     let proxy = Proxy::start(site.store.address).await;
     site.hosts.push(Host::start_at(proxy.address));
