--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -316,7 +316,7 @@
 }
 
 #[tokio::test]
-async fn a_stopping_host_cuts_nothing_off_and_refuses_what_it_cannot_finish() {
+async fn a_stopping_host_finishes_requests_in_flight_and_refuses_late_ones() {
     let mut site = Site::start(2, 1).await;
     let mut unused = Caller::connect(site.hosts[0].callers)
         .await
