--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -352,7 +352,7 @@
 }
 
 #[tokio::test]
-async fn the_duty_survives_its_holder() {
+async fn keys_stay_served_when_the_duty_holder_is_killed() {
     let mut site = Site::start(3, 3).await;
     let holder = site
         .hosts
