--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -381,7 +381,7 @@
 }
 
 #[tokio::test]
-async fn keys_of_a_lost_server_do_not_wait_long_for_a_holder_that_was_restarted() {
+async fn a_restarted_duty_holder_soon_moves_keys_of_a_crashed_server() {
     let mut site = Site::start(2, 3).await;
     let holder = site
         .hosts
