--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -401,7 +401,7 @@
 }
 
 #[tokio::test]
-async fn a_late_heartbeat_of_an_earlier_life_takes_nothing_from_a_server() {
+async fn a_late_heartbeat_of_an_earlier_incarnation_takes_no_keys() {
     let site = Site::start(2, 3).await;
     let living = &site.keyed[0];
     let held = living.keys_held();
