--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -213,7 +213,7 @@
 }
 
 #[tokio::test]
-async fn datagrams_of_strangers_change_nothing() {
+async fn unauthenticated_datagrams_change_nothing() {
     let site = Site::start(2, 1).await;
     let stranger = tokio::net::UdpSocket::bind("127.0.0.1:0").await;
     let stranger = stranger.expect("a socket");
