--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -8,7 +8,7 @@
 /// No test can suspend its machine, so this one holds on to the source: of the clocks that never go back, only
 /// this one counts the time of a suspension.
 #[test]
-fn time_for_which_the_machine_was_suspended_counts() {
+fn suspended_time_counts() {
     assert_eq!(CLOCK_ID, ClockId::CLOCK_BOOTTIME);
 }
 
