--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn time_goes_on() {
+fn time_advances() {
     let before_ms = clock::now_ms();
     thread::sleep(Duration::from_millis(30));
     let elapsed_ms = clock::now_ms() - before_ms;
