--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_under_random_faults() {
+async fn invariants_hold_under_random_faults() {
     let first = number("ASHROAD_SOAK_FIRST", 1);
     let seeds = number("ASHROAD_SOAK_SEEDS", 2);
     let seconds = number("ASHROAD_SOAK_SECONDS", 12);
