--- a/src/transport.rs
+++ b/src/transport.rs
@@ -59,7 +59,9 @@
         address: String,
     },
     /// The connection failed after the request may have been sent.
-    #[snafu(display("the call to {address} failed after it may have been sent: {message}"))]
+    #[snafu(display(
+        "the request to {address} may have been sent, but the call failed: {message}"
+    ))]
     Broken {
         /// Address that was called.
         address: String,
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -1,12 +1,12 @@
-//! The clock that leases and deadlines go by.
+//! Tests of the clock that leases and deadlines use.
 
 use std::{thread, time::Duration};
 
 use ashroad::clock::{self, CLOCK_ID};
 use nix::time::ClockId;
 
-/// No test can suspend its machine, so this one holds on to the source: of the clocks that never go back, only
-/// this one counts the time of a suspension.
+/// A test cannot suspend its machine, so this one pins the clock source. It is the only monotonic
+/// clock of Linux that includes the time of a suspension.
 #[test]
 fn suspended_time_counts() {
     assert_eq!(CLOCK_ID, ClockId::CLOCK_BOOTTIME);
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -1,4 +1,5 @@
-//! Entry hosts as real processes against stand-ins of the platform's store and of backend servers.
+//! Entry hosts as real processes, tested against stand-ins of the platform's store and of backend
+//! servers.
 
 mod platform_standin;
 
@@ -17,7 +18,7 @@
     store::Faults,
 };
 
-/// A keyed read with a fresh id.
+/// A read of key 7 with the given request id.
 fn read<'a>(id: &'a str, path: &'a str) -> TestRequest<'a> {
     TestRequest {
         method: "GET",
@@ -28,6 +29,7 @@
     }
 }
 
+/// An unrepeatable request with the given id.
 fn order<'a>(id: &'a str) -> TestRequest<'a> {
     TestRequest {
         method: "POST",
@@ -119,7 +121,7 @@
         })
         .await;
     }
-    // An older version, as a stale read would show it, and a forgotten history.
+    // An older version, as a stale read would return it, followed by a compaction of the history.
     site.store.put("op", "config", &configuration(0x0f, &[]));
     site.store.compact_history();
     time::sleep(Duration::from_millis(600)).await;
@@ -134,7 +136,7 @@
 #[tokio::test]
 async fn a_configuration_is_in_force_soon_after_a_silent_store_is_back() {
     let site = Site::start(1, 1).await;
-    // At several moments of the feeds' own rhythm.
+    // The lengths end the outage at different phases of the feeds' retry interval.
     for (version, outage_ms) in [(0x10, 5_000), (0x20, 6_300), (0x30, 7_700)] {
         site.store.set_faults(Faults {
             silent: true,
@@ -157,8 +159,8 @@
 async fn hosts_that_hear_the_duty_holder_rarely_call_the_store() {
     let site = Site::start(5, 2).await;
     time::sleep(Duration::from_millis(4_000)).await;
-    // The least of three spans: a holder that gets no processor time for 2 s is taken as silent, and the
-    // others ask for themselves.
+    // Takes the least of three periods: a duty holder that gets no processor time for 2 s is
+    // considered unresponsive, and the other hosts then call the store themselves.
     let mut least = u64::MAX;
     for _ in 0..3 {
         let before = site.store.calls();
@@ -168,7 +170,7 @@
             break;
         }
     }
-    // The holder's confirmations, every 0.7 s, and its feeds, every 3 s; with few calls to spare.
+    // Allows for the duty holder's renewals every 0.7 s, its feeds every 3 s, and a few calls more.
     assert!(least <= 22, "{least} calls");
 }
 
@@ -188,6 +190,7 @@
         unanswered += u32::from(status == StatusCode::GATEWAY_TIMEOUT);
         late += u32::from(began.elapsed() > Duration::from_millis(1_000));
     }
+    // One answer may be late because the host got no processor time.
     assert!(unanswered > 0);
     // One may meet a moment in which the host gets no processor time.
     assert!(
@@ -217,7 +220,7 @@
     let site = Site::start(2, 1).await;
     let stranger = tokio::net::UdpSocket::bind("127.0.0.1:0").await;
     let stranger = stranger.expect("a socket");
-    // "I have the duty in term 99", without a seal and with a guessed one.
+    // The message claims the duty for term 99. It is sent without a seal and with a guessed one.
     let claim = [5, 0, 99, 0, 0, 0, 0, 0, 0];
     let guessed = [&[7; 8], &claim[..]].concat();
     for host in &site.hosts {
@@ -244,7 +247,8 @@
     let before = site.store.calls();
     time::sleep(Duration::from_millis(4_000)).await;
     let calls = site.store.calls() - before;
-    // Each host every 0.4 to 0.6 s, and the holder's confirmations with their readings.
+    // Allows for a call of each host every 0.4 to 0.6 s, and for the duty holder's renewals and
+    // reads.
     assert!(calls <= 5 * 10 + 14, "{calls} calls");
 }
 
@@ -255,7 +259,7 @@
     site.hosts.push(Host::start_at(proxy.address));
     site.await_ready().await;
     time::sleep(Duration::from_millis(4_000)).await;
-    // The feeds now wait for long. What the store says meanwhile never arrives.
+    // The feeds are in a long poll now. Changes that the store sends during the fault never arrive.
     proxy.set(Mode::Silent);
     time::sleep(Duration::from_millis(300)).await;
     let added = configuration(0x10, &["/added/"]);
@@ -280,7 +284,7 @@
     let prefixes: Vec<String> = (0..600).map(|number| format!("/added-{number}/")).collect();
     let prefixes: Vec<&str> = prefixes.iter().map(String::as_str).collect();
     let large = configuration(0x10, &prefixes);
-    // It takes over a second, while the holder has seen it at once.
+    // The transfer takes over a second, while the duty holder has the configuration at once.
     assert!(large.to_string().len() > 80_000);
     site.store.put("op", "config", &large);
     eventually("the new route is served", 2_500, async || {
@@ -302,7 +306,7 @@
     site.store.remove("servers", &gone.id);
     site.store.compact_history();
     time::sleep(Duration::from_millis(500)).await;
-    // What the cut has swallowed is not delivered later.
+    // Resets the connections, so that data held back by the proxy is not delivered later.
     proxy.set(Mode::Reset);
     time::sleep(Duration::from_millis(50)).await;
     proxy.set(Mode::Pass);
@@ -336,7 +340,8 @@
     let answer = kept.ask(order("during")).await.expect("an answer");
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(answer.headers["connection"], "close");
-    // A connection that was opened early and never used outlives the listener.
+    // A connection that was opened before the stop and never used stays open after the listener
+    // closed.
     time::sleep(Duration::from_millis(5_150).saturating_sub(began.elapsed())).await;
     if let Some(answer) = unused.ask(order("late")).await {
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -358,13 +363,13 @@
         .hosts
         .iter()
         .position(|host| !host.events("duty_taken").is_empty())
-        .expect("a holder");
+        .expect("a duty holder");
     site.hosts[holder].kill();
     let others: Vec<&Host> = (0..3)
         .filter(|i| *i != holder)
         .map(|i| &site.hosts[i])
         .collect();
-    // Leases last longer than the change of holder, so no key is ever out of service.
+    // Leases last longer than a takeover of the duty, so every key is served throughout.
     let until = Instant::now() + Duration::from_millis(7_000);
     while Instant::now() < until {
         for key in [3, 30_000, 60_000] {
@@ -387,12 +392,13 @@
         .hosts
         .iter()
         .position(|host| !host.events("duty_taken").is_empty())
-        .expect("a holder");
+        .expect("a duty holder");
     site.hosts[holder].kill();
     site.keyed[0].crash(&site.store);
     time::sleep(Duration::from_millis(1_000)).await;
     site.hosts[holder].restart();
-    // Without word of the former holder's end this takes its 13 s and a lease.
+    // If the end of the previous duty holder's term is not reported, the next one waits 13 s for it,
+    // and then for a lease.
     eventually("all keys are held", 12_000, async || {
         site.keyed[1..].iter().map(Server::keys_held).sum::<usize>() == 1 << 16
     })
@@ -406,7 +412,7 @@
     let living = &site.keyed[0];
     let held = living.keys_held();
     assert!(held > 0);
-    // The store takes in an entry of an earlier life at the address.
+    // The store accepts a late entry of an earlier incarnation at the same address.
     living.register_another(&site.store, "i-earlier");
     time::sleep(Duration::from_millis(2_000)).await;
     site.store.remove("servers", "i-earlier");
@@ -425,17 +431,20 @@
     let mut site = Site::start(3, 2).await;
     let taken = |host: &Host| host.events("duty_taken").len();
     let holder = site.hosts.iter().position(|host| taken(host) > 0);
-    let holder = holder.expect("a holder");
+    let holder = holder.expect("a duty holder");
     for host in &mut site.hosts {
         host.kill();
     }
     for host in &mut site.hosts {
         host.restart();
     }
-    // Well before the row has stood still for long enough to be taken.
-    eventually("the former holder has the duty", 1_200, async || {
-        taken(&site.hosts[holder]) == 2
-    })
+    // The limit is well below the time without a change of the row after which any host may take
+    // the duty.
+    eventually(
+        "the previous duty holder has the duty again",
+        1_200,
+        async || taken(&site.hosts[holder]) == 2,
+    )
     .await;
     site.await_ready().await;
     assert_eq!(site.record.violations(), Vec::<String>::new());
@@ -445,7 +454,7 @@
 async fn a_planned_stop_of_the_holder_hands_the_duty_over() {
     let site = Site::start(2, 2).await;
     let is_holder = |host: &&Host| !host.events("duty_taken").is_empty();
-    let holder = site.hosts.iter().find(is_holder).expect("a holder");
+    let holder = site.hosts.iter().find(is_holder).expect("a duty holder");
     let other = site
         .hosts
         .iter()
@@ -547,7 +556,7 @@
             time::sleep(Duration::from_millis(100)).await;
         }
         site.store.set_faults(Faults::default());
-        // Changes are possible again soon after the store's return.
+        // Changes are possible again soon after the store responds.
         let joined = Server::start(&site.store, &site.record, ORDERS).await;
         eventually("a server that joined is used", 6_000, async || {
             for _ in 0..8 {
@@ -563,8 +572,8 @@
 
 #[tokio::test]
 async fn a_holder_remembers_its_leases_over_a_long_outage() {
-    // Longer than a holder may give leases without confirmation; a server is paused meanwhile and
-    // still holds its keys when the store is back.
+    // The outage lasts longer than a duty holder may grant leases without a confirmation. A server
+    // that drains after it still holds its keys when the store responds again.
     let site = Site::start(1, 3).await;
     site.store.set_faults(Faults {
         refusing: true,
@@ -586,8 +595,8 @@
 
 #[tokio::test]
 async fn an_unfinished_move_is_finished_before_its_keys_move_again() {
-    // The record of an earlier holder: all keys go from the first server to the second, which
-    // leaves meanwhile. The first one still holds them.
+    // The stored record of an earlier duty holder moves all keys from the first server to the
+    // second, which drains in the meantime. The first server still holds them.
     let mut site = Site::start_servers(3).await;
     site.keyed[0].hold_all(4, 20_000);
     let assignment = Assignment {
@@ -631,7 +640,7 @@
     .await;
     let status = get(&hosts[0], 9).await;
     if status != Some(StatusCode::OK) {
-        // The host's reason is in its log, which it writes every 0.2 s.
+        // The host's log, written every 0.2 s, has the reason of the failure.
         time::sleep(Duration::from_millis(500)).await;
         panic!("{status:?}: {:#?}", hosts[0].events("request"));
     }
--- a/tests/platform_standin/caller.rs
+++ b/tests/platform_standin/caller.rs
@@ -1,4 +1,4 @@
-//! Callers of entry hosts.
+//! Clients that send requests to entry hosts.
 
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -12,49 +12,49 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpSocket, time};
 
-/// Time that a process may be without processor time on a machine that runs other things too. Hosts
-/// owe an answer by the deadline; `answers_come_by_the_deadline` looks at that.
+/// Time that a process may wait for a processor on a busy machine. Hosts must answer by the
+/// deadline itself, which `answers_come_by_the_deadline` tests.
 const SCHEDULING_ALLOWANCE_MS: u64 = 10_000;
 
-/// An answer.
+/// Response of a host, with its complete body.
 #[derive(Debug)]
 pub struct Answer {
-    /// Status.
+    /// Status code.
     pub status: StatusCode,
-    /// Headers.
+    /// All headers of the response.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// A kept connection to one host.
+/// Client with one persistent connection to a host.
 #[derive(Debug)]
 pub struct Caller {
     sender: SendRequest<Full<Bytes>>,
 }
 
-/// A request.
+/// Request that a test sends to a host.
 #[derive(Clone, Copy, Debug)]
 pub struct TestRequest<'a> {
-    /// Method.
+    /// HTTP method; any but `GET` is sent with a body.
     pub method: &'a str,
-    /// Path.
+    /// Path with the query.
     pub path: &'a str,
-    /// Identifier.
+    /// Value of the `request-id` header.
     pub id: &'a str,
-    /// Key, if the service is divided by key.
+    /// Value of the `shard-key` header; needed if the service is sharded.
     pub key: Option<u16>,
-    /// Deadline.
+    /// Time until the deadline, as the `deadline-ms` header states it.
     pub deadline_ms: u64,
 }
 
 impl Caller {
-    /// Connects; `None` if nobody listens.
+    /// Connects to a host; `None` if the connection fails.
     pub async fn connect(address: SocketAddr) -> Option<Self> {
         Self::connect_from(Ipv4Addr::LOCALHOST.into(), address).await
     }
 
-    /// Connects from an address of the caller's own.
+    /// Connects from a given local address, so that hosts see another caller.
     pub async fn connect_from(own: IpAddr, address: SocketAddr) -> Option<Self> {
         let socket = TcpSocket::new_v4().ok()?;
         socket.bind(SocketAddr::new(own, 0)).ok()?;
@@ -68,12 +68,12 @@
         Some(Self { sender })
     }
 
-    /// Sends a request; `None` if the connection ended without an answer or nothing came.
+    /// Sends a request; `None` if the connection closes without a response or none arrives in time.
     pub async fn ask(&mut self, ask: TestRequest<'_>) -> Option<Answer> {
         self.ask_with_headers(ask, &[]).await
     }
 
-    /// Does the same with more headers.
+    /// Sends a request with additional headers; returns the same as [`Caller::ask`].
     pub async fn ask_with_headers(
         &mut self,
         ask: TestRequest<'_>,
@@ -109,7 +109,7 @@
     }
 }
 
-/// Sends one request on a connection of its own.
+/// Sends one request on a new connection.
 pub async fn ask_once(address: SocketAddr, ask: TestRequest<'_>) -> Option<Answer> {
     Caller::connect(address).await?.ask(ask).await
 }
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -1,5 +1,5 @@
-//! A deployment whose hosts each reach the store through a proxy of their own, with callers at all of them, and what
-//! happens besides the fault that a test is about.
+//! A deployment in which each host reaches the store through its own proxy and each host has a
+//! caller, with disturbances that can accompany the fault that a test is about.
 
 use std::{
     collections::HashMap,
@@ -20,40 +20,42 @@
     traffic::{Sent, Traffic, Workload},
 };
 
-/// Time after a host has passed on that a server leaves in which it may still send it requests.
+/// Time for which a host may still send requests to a server after it forwarded the server's
+/// announcement that it leaves.
 pub const DRAIN: Duration = Duration::from_millis(2_000);
-/// Time after a cut in which a host owes nobody a bound.
+/// Contact grace period: time after a partition in which the bounds do not apply to a host.
 pub const CONTACT: Duration = Duration::from_secs(3);
-/// Time within which a key is served again after a loss.
+/// Time within which a key must be served again after a loss.
 pub const SERVED_AGAIN: Duration = Duration::from_secs(3);
-/// Hosts, and servers of each service.
+/// Usual number of hosts.
 pub const HOSTS: usize = 3;
+/// Usual number of servers of each service.
 pub const SERVERS: usize = 3;
-/// One test plays at a time: together they would be over a hundred processes.
+/// Lets one test run its cases at a time; all together would start over a hundred processes.
 static RUN_LOCK: Mutex<()> = Mutex::const_new(());
 
-/// What happens besides.
+/// Fault or event in addition to the one that a test is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disturbance {
-    /// Nothing.
+    /// No disturbance.
     Nothing,
-    /// The store answers no host.
+    /// The store responds to no host.
     StoreUnavailable,
-    /// The store answers all hosts but the first.
+    /// The store responds to all hosts but the first.
     FirstHostPartitioned,
-    /// The store answers all hosts but the one that has the duty.
+    /// The store responds to all hosts but the duty holder.
     DutyHolderPartitioned,
-    /// The server's entry is written again, as of one that is ready.
+    /// The server's entry is rewritten repeatedly and states that the server is ready.
     ReadyEntryRewritten,
-    /// The server's entry is removed, and comes back as of one that is ready.
+    /// The server's entry is removed and later written again, as that of a ready server.
     EntryExpires,
-    /// The first host is frozen for a while.
+    /// The process of the first host is paused for 1.2 s.
     FirstHostPaused,
-    /// A host starts.
+    /// Another host starts.
     HostStarts,
 }
 
-/// All of them.
+/// All disturbances, for tests that run a case with each.
 pub const ALL: [Disturbance; 8] = [
     Disturbance::Nothing,
     Disturbance::StoreUnavailable,
@@ -66,27 +68,29 @@
 ];
 
 impl Disturbance {
-    /// Time after which callers must be served by other servers, given the time that one loss takes.
+    /// Returns the time after which other servers must serve the callers, given the time that a
+    /// single loss takes.
     pub fn recovery_limit(self, one_loss: Duration) -> Duration {
         match self {
-            // The holder of the duty may be lost as well: another one takes the duty, then moves the keys.
+            // The lost host may be the duty holder; then another host takes the duty before it
+            // moves the keys.
             Self::FirstHostPartitioned | Self::DutyHolderPartitioned => CONTACT + SERVED_AGAIN,
             _ => one_loss,
         }
     }
 }
 
-/// A deployment whose hosts each reach the store through a proxy of their own.
+/// Deployment in which each host reaches the store through its own proxy.
 pub struct Deployment {
     /// Store, servers and hosts.
     pub site: Site,
-    /// Callers.
+    /// Callers' requests and their outcomes.
     pub traffic: Traffic,
     proxies: Vec<Proxy>,
 }
 
 impl Deployment {
-    /// Starts one of the usual size.
+    /// Starts a deployment with [`HOSTS`] hosts and [`SERVERS`] servers of each service.
     pub async fn start(workload: Workload) -> Self {
         Self::start_sized(workload, HOSTS, SERVERS).await
     }
@@ -106,7 +110,8 @@
         for (place, host) in deployment.site.hosts.iter().enumerate() {
             deployment.traffic.add(place, host.callers);
         }
-        // Each host has had answers of all servers, and the first moves for balance are over.
+        // Waits until each host has had responses of all servers and the initial rebalancing is
+        // complete.
         time::sleep(Duration::from_secs(2)).await;
         deployment
     }
@@ -117,14 +122,14 @@
         self.proxies.push(proxy);
     }
 
-    /// Place of the host that has the duty.
+    /// Returns the index of the host that holds the duty.
     fn duty_holder(&self) -> usize {
         let has_duty = |host: &Host| !host.events("duty_taken").is_empty();
         let place = self.site.hosts.iter().position(has_duty);
-        place.expect("a holder")
+        place.expect("a duty holder")
     }
 
-    /// Servers that get the requests.
+    /// Returns the servers that get the requests of a workload.
     pub fn servers(&self, workload: Workload) -> &[Server] {
         match workload {
             Workload::Keys | Workload::BusyKeys => &self.site.keyed,
@@ -132,12 +137,12 @@
         }
     }
 
-    /// The server that a test is about.
+    /// Returns the server whose fault a test is about.
     pub fn server(&self, workload: Workload) -> &Server {
         &self.servers(workload)[0]
     }
 
-    /// Lets `disturbance` happen for as long as `time`.
+    /// Applies a disturbance for the given time.
     pub async fn apply_disturbance(
         &mut self,
         disturbance: Disturbance,
@@ -166,7 +171,8 @@
             Disturbance::EntryExpires => {
                 time::sleep(Duration::from_millis(300)).await;
                 self.server(workload).remove_entry(&self.site.store);
-                // Back only after the bound of what was told before.
+                // The entry is written again only after the time for which the server's own
+                // announcement applies.
                 time::sleep(DRAIN).await;
                 self.server(workload).write_entry(&self.site.store, "ready");
             }
@@ -187,7 +193,8 @@
     }
 }
 
-/// Requests that reached a server, each with what its caller knows of it.
+/// Returns the requests that a server received, each with its outcome at the caller, by the index
+/// of the host that forwarded it.
 pub fn received_by_host(
     server: &Server,
     traffic: &Traffic,
@@ -195,7 +202,7 @@
     let sent = traffic.sent();
     let mut by_host: HashMap<usize, Vec<(ReceivedRequest, Sent)>> = HashMap::new();
     for visit in server.received_requests() {
-        // What is still on its way, or came from the test itself, is left out.
+        // Requests that are in flight, or that the test itself sent, are left out.
         if let Some(sent) = sent.get(&visit.id) {
             by_host
                 .entry(sent.host)
@@ -206,7 +213,7 @@
     by_host
 }
 
-/// Promises that were broken, as the servers saw it.
+/// Returns the violated invariants that servers recorded as an error.
 pub fn violations(deployment: &Deployment) -> Result<(), String> {
     let violations = deployment.site.record.violations();
     if violations.is_empty() {
@@ -216,7 +223,8 @@
     }
 }
 
-/// Plays every case at the same time, each with a deployment of its own; tells all that failed.
+/// Runs all cases concurrently, each with its own deployment, and fails with the list of all failed
+/// cases.
 pub async fn run_cases<F>(
     cases: impl IntoIterator<Item = (Disturbance, Workload)>,
     of: impl Fn(Disturbance, Workload) -> F,
@@ -233,7 +241,7 @@
     let mut failed = Vec::new();
     let all = async {
         while let Some(played) = playing.join_next().await {
-            let (disturbance, workload, outcome) = played.expect("a case ends");
+            let (disturbance, workload, outcome) = played.expect("the case does not panic");
             if let Err(problem) = outcome {
                 failed.push(format!("{workload:?}, {disturbance:?}: {problem}"));
             }
--- a/tests/platform_standin/hosts.rs
+++ b/tests/platform_standin/hosts.rs
@@ -18,18 +18,18 @@
 
 static NEXT: AtomicU32 = AtomicU32::new(0);
 
-/// An entry host; killed when dropped.
+/// Process of an entry host; killed when dropped.
 #[derive(Debug)]
 pub struct Host {
-    /// Address for callers.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// Address of the readiness check.
+    /// Address for readiness probes.
     pub readiness: SocketAddr,
-    /// Address for other hosts.
+    /// Address for messages of other hosts.
     pub peers: SocketAddr,
-    /// Address of the metrics.
+    /// Address for scrapes of the metrics.
     pub metrics: SocketAddr,
-    /// File with the host's log.
+    /// File that the host's log events are appended to.
     pub log: PathBuf,
     settings: PathBuf,
     child: Child,
@@ -41,7 +41,7 @@
         Self::start_with(store_address, "")
     }
 
-    /// Starts a host with more bounds, as lines of its settings.
+    /// Starts a host with additional lines in the `bounds` section of its settings.
     pub fn start_with(store_address: SocketAddr, more_bounds: &str) -> Self {
         let ip = fresh_ip();
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -71,7 +71,7 @@
         host
     }
 
-    /// Starts a host.
+    /// Starts a host that reaches the store directly.
     pub fn start(store: &Store) -> Self {
         Self::start_at(store.address)
     }
@@ -85,20 +85,20 @@
         assert!(sent.expect("kill").success(), "signal {name}");
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
-        // A process that has ended already cannot be killed, which is as good.
+        // The call fails if the process has already exited, which is as good.
         self.child.kill().ok();
         self.child.wait().expect("the process ends");
     }
 
-    /// Starts the process again after its end, at the same addresses.
+    /// Kills the process if it runs, and starts it again with the same addresses.
     pub fn restart(&mut self) {
         self.kill();
         self.child = spawn(&self.settings, &self.log);
     }
 
-    /// Memory that the process has now, in megabytes.
+    /// Returns the resident memory of the process in megabytes.
     pub fn memory_mb(&self) -> u64 {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id()));
         let status = status.expect("status of the process");
@@ -107,13 +107,15 @@
         kb.map_or(0, |kb: u64| kb / 1_000)
     }
 
-    /// Calls of a kind that the host has made to the store, by its metrics.
+    /// Returns the number of calls of a kind that the host has made to the store, from its metrics.
     pub fn store_calls(&self, kind: &str) -> u64 {
         let mut stream = TcpStream::connect(self.metrics).expect("metrics");
         let question = "GET /metrics HTTP/1.1\r\nhost: metrics\r\nconnection: close\r\n\r\n";
-        stream.write_all(question.as_bytes()).expect("a question");
+        stream
+            .write_all(question.as_bytes())
+            .expect("the request is sent");
         let mut text = String::new();
-        stream.read_to_string(&mut text).expect("an answer");
+        stream.read_to_string(&mut text).expect("a response");
         let lines = text
             .lines()
             .filter(|line| line.contains("store_calls_total{"));
@@ -122,12 +124,12 @@
         calls.sum()
     }
 
-    /// True once the process has ended by itself.
+    /// Returns true if the process has exited.
     pub fn ended(&mut self) -> bool {
         self.child.try_wait().expect("status").is_some()
     }
 
-    /// Lines of the log that name an event.
+    /// Returns the log lines of the events with the given name.
     pub fn events(&self, name: &str) -> Vec<String> {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
         let wanted = format!("\"event\":\"{name}\"");
--- a/tests/platform_standin/mod.rs
+++ b/tests/platform_standin/mod.rs
@@ -1,6 +1,6 @@
 //! Stand-ins of the users' platform for tests: its store, its backend servers, and entry hosts as
-//! real processes. All listen on loopback addresses that are derived from the test's process id, so
-//! that tests that run at the same time do not meet.
+//! real processes. All listen on loopback addresses that are derived from the process id of the
+//! test, so that concurrent tests do not collide.
 
 #![allow(dead_code, reason = "each test binary uses a part of this")]
 
@@ -20,18 +20,18 @@
 
 static NEXT: AtomicU16 = AtomicU16::new(1);
 
-/// A loopback address that no other test uses.
+/// Returns a loopback address that no other test uses.
 pub fn fresh_ip() -> IpAddr {
     let pid = std::process::id();
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    // 127.1.0.0 to 127.255.255.255 by process and counter.
+    // Maps the process id and a counter to 127.1.0.0 to 127.255.255.255.
     let second = 1 + (pid % 250) as u8;
     let third = (pid / 250 % 64) as u8 * 4 + (number / 250) as u8;
     let fourth = 1 + (number % 250) as u8;
     IpAddr::V4(Ipv4Addr::new(127, second, third, fourth))
 }
 
-/// A fresh address with a port of one's choice.
+/// Returns an unused loopback address with the given port.
 pub fn fresh_address(port: u16) -> SocketAddr {
     SocketAddr::new(fresh_ip(), port)
 }
--- a/tests/platform_standin/proxy.rs
+++ b/tests/platform_standin/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy between a host and the store, which misbehaves on command.
+//! A loopback proxy between a host and the store that injects network faults.
 
 use std::{
     net::SocketAddr,
@@ -20,26 +20,26 @@
 
 use super::fresh_address;
 
-/// What the proxy does with bytes.
+/// Fault that the proxy injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mode {
-    /// Passes them on.
+    /// Forwards all data.
     Pass = 0,
-    /// Passes them on 150 ms late.
+    /// Forwards data with a delay of 150 ms.
     Delay = 1,
-    /// Holds them back, both ways.
+    /// Holds back all data in both directions.
     Silent = 2,
-    /// Holds back what comes from the store.
+    /// Holds back the data from the store to the host.
     OneWay = 3,
-    /// Ends connections and refuses new ones.
+    /// Closes connections and refuses new ones.
     Reset = 4,
-    /// Passes them on at about 100 KB/s.
+    /// Forwards data at about 100 KB/s.
     Throttled = 5,
 }
 
 impl Mode {
-    /// All modes.
+    /// All modes, for random choice.
     pub const ALL: [Self; 6] = [
         Self::Pass,
         Self::Delay,
@@ -50,10 +50,10 @@
     ];
 }
 
-/// A proxy.
+/// Proxy in front of one address.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Address that the host calls.
+    /// Address that the host connects to.
     pub address: SocketAddr,
     mode: Arc<AtomicU8>,
 }
@@ -76,12 +76,13 @@
         Self { address, mode }
     }
 
-    /// Sets what the proxy does.
+    /// Sets the fault to inject.
     pub fn set(&self, mode: Mode) {
         self.mode.store(mode as u8, Ordering::Relaxed);
     }
 }
 
+/// Returns true if the proxy is in the given mode.
 fn is(shared: &AtomicU8, mode: Mode) -> bool {
     shared.load(Ordering::Relaxed) == mode as u8
 }
@@ -94,13 +95,14 @@
     let (far_read, far_write) = far.into_split();
     let up = pump(near_read, far_write, mode.clone(), false);
     let down = pump(far_read, near_write, mode, true);
-    // Either end closes both directions.
+    // The end of one direction closes both.
     tokio::select! {
         () = up => {}
         () = down => {}
     }
 }
 
+/// Copies the data of one direction; `down` is the direction from the store to the host.
 async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mode: Arc<AtomicU8>, down: bool) {
     let mut buffer = vec![0; 16 * 1024];
     loop {
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a backend server that holds keys under fences and leases, and a record of what ran
-//! where that all servers of a test share.
+//! Stand-in of a backend server that holds keys under fences and leases, and a record of all runs
+//! that the servers of a test share.
 
 use std::{
     collections::HashMap,
@@ -29,62 +29,68 @@
 
 use super::{fresh_address, store::Store};
 
+/// Number of keys of a service.
 const KEYS: usize = 1 << 16;
-/// Beginning of the paths whose answers are large, and their length.
+/// Prefix of the paths that are answered with a large body.
 pub const LARGE_PATH: &str = "/large/";
+/// Length of a large body.
 pub const LARGE_BYTES: usize = 2_000_000;
-/// Time that a deadly request runs until it ends its server.
+/// Time from the beginning of a crashing request to the crash of its server.
 const CRASH_DELAY_MS: u64 = 40;
-/// Time after which an order is carried out that was not answered.
+/// Delay after which an unanswered order is carried out.
 const LATE_ORDER_MS: u64 = 2_000;
 
-/// What ran where, over all servers of a test.
+/// Record of the runs at all servers of a test. It checks that each key has a single owner.
 #[derive(Debug, Default)]
 pub struct Record {
-    /// Runs by request id.
+    /// Number of runs by request id.
     runs: Mutex<HashMap<String, u32>>,
-    /// Servers that hold keys, for the check of single ownership.
+    /// Holdings of all servers, for the check of single ownership.
     all_holdings: Mutex<Vec<Arc<Holdings>>>,
-    /// What broke a promise.
+    /// Descriptions of violated invariants.
     violations: Mutex<Vec<String>>,
-    /// Path of requests that end each mortal server which begins to run them, and those ends.
+    /// Paths of crashing requests, and the crashes that they caused.
     crash_triggers: Mutex<CrashTriggers>,
-    /// Headers of requests that ran, by request id.
+    /// Headers of the requests that ran, by request id.
     heads: Mutex<HashMap<String, HeaderMap>>,
-    /// Until then ownership is not checked.
+    /// Time until which ownership is not checked; `None` checks it.
     ownership_unchecked_until: Mutex<Option<Instant>>,
 }
 
-/// Requests that end servers.
+/// Requests that crash the servers that run them.
 #[derive(Debug, Default)]
 struct CrashTriggers {
+    /// Paths of crashing requests.
     paths: Vec<&'static str>,
+    /// Times at which servers began to run one.
     runs: Vec<Instant>,
+    /// Times at which servers crashed.
     ends: Vec<Instant>,
 }
 
 impl Record {
-    /// Lets requests for a path end each mortal server that begins to run them; `None` for no path.
+    /// Makes requests for a path crash each crashable server that begins to run them; `None` for no
+    /// path.
     pub fn set_crash_path(&self, path: Option<&'static str>) {
         self.set_crash_paths(path.into_iter().collect());
     }
 
-    /// Lets requests for some paths do so.
+    /// Does the same for several paths.
     pub fn set_crash_paths(&self, paths: Vec<&'static str>) {
         lock(&self.crash_triggers).paths = paths;
     }
 
-    /// When servers ended under a deadly request.
+    /// Returns the times of crashes under crashing requests.
     pub fn ends(&self) -> Vec<Instant> {
         lock(&self.crash_triggers).ends.clone()
     }
 
-    /// When servers began to run deadly requests.
+    /// Returns the times at which servers began to run crashing requests.
     pub fn crashing_runs(&self) -> Vec<Instant> {
         lock(&self.crash_triggers).runs.clone()
     }
 
-    /// True if a request that is about to run ends its server.
+    /// Returns true if the request that is about to run crashes its server, and records the run.
     fn note_crashing_run(&self, path: &str) -> bool {
         let mut crash_triggers = lock(&self.crash_triggers);
         let triggers_crash = crash_triggers.paths.contains(&path);
@@ -94,18 +100,18 @@
         triggers_crash
     }
 
-    /// What broke a promise.
+    /// Returns the descriptions of violated invariants.
     pub fn violations(&self) -> Vec<String> {
         lock(&self.violations).clone()
     }
 
-    /// Notes a broken promise.
+    /// Records a violated invariant.
     pub fn report_violation(&self, text: String) {
         lock(&self.violations).push(text);
     }
 
-    /// Leaves ownership unchecked for a while: a process that was paused may have had a grant under
-    /// way.
+    /// Suspends the checks of ownership for a while. A host that was paused may have had a grant in
+    /// flight, which arrives late.
     pub fn pause_ownership_checks(&self, time_ms: u64) {
         *lock(&self.ownership_unchecked_until) =
             Some(Instant::now() + Duration::from_millis(time_ms));
@@ -115,16 +121,17 @@
         lock(&self.ownership_unchecked_until).is_some_and(|until| Instant::now() < until)
     }
 
-    /// Headers with which a request ran.
+    /// Returns the headers with which a request ran.
     pub fn head(&self, id: &str) -> Option<HeaderMap> {
         lock(&self.heads).get(id).cloned()
     }
 
-    /// How often a request ran.
+    /// Returns the number of runs of a request.
     pub fn runs(&self, id: &str) -> u32 {
         lock(&self.runs).get(id).copied().unwrap_or(0)
     }
 
+    /// Records a run, and a violation if another server holds the key.
     fn begin(&self, id: &str, key: Option<u16>, server: &Holdings) {
         *lock(&self.runs).entry(id.to_owned()).or_default() += 1;
         let Some(key) = key.filter(|_| !self.ownership_checks_paused()) else {
@@ -140,7 +147,7 @@
         }
     }
 
-    /// A key is taken: its fence must be above every other server's.
+    /// Checks the grant of a key: its fence must be greater than that of all other servers.
     fn take(&self, key: u16, fence: u64, server: &Holdings) {
         if self.ownership_checks_paused() {
             return;
@@ -163,100 +170,117 @@
     }
 }
 
-/// One key at one server.
+/// State of one key at one server.
 #[derive(Clone, Copy, Debug, Default)]
 struct KeyState {
-    /// Highest fence seen, by grants and releases.
+    /// Highest fence of a grant or a release.
     fence: u64,
-    /// Highest fence of a grant that was taken.
+    /// Highest fence of an accepted grant.
     granted_fence: u64,
+    /// End of the lease; `None` if the key is not held.
     until: Option<Instant>,
 }
 
 /// Keys that one server holds.
 #[derive(Debug)]
 pub struct Holdings {
+    /// Identifier of the server.
     id: String,
+    /// Service that the server belongs to.
     service: String,
+    /// False once the server has crashed, so that it holds no keys.
     up: AtomicBool,
+    /// State of each key.
     keys: Mutex<Vec<KeyState>>,
 }
 
 impl Holdings {
+    /// Returns true if the server runs and its lease on a key has not expired.
     fn holds(&self, key: u16) -> bool {
         let until = lock(&self.keys)[usize::from(key)].until;
         self.up.load(Ordering::Relaxed) && until.is_some_and(|until| Instant::now() < until)
     }
 }
 
-/// A backend server.
+/// A running backend server.
 #[derive(Debug)]
 pub struct Server {
-    /// Incarnation.
+    /// Identifier of this run of the server.
     pub id: String,
-    /// Address it listens on.
+    /// Address that the server listens on.
     pub address: SocketAddr,
     state: Arc<State>,
     stop: watch::Sender<bool>,
     task: tokio::task::JoinHandle<()>,
 }
 
+/// State that the server's handlers share.
 #[derive(Debug)]
 struct State {
     holdings: Arc<Holdings>,
     record: Arc<Record>,
+    /// Availability zone.
     zone: String,
+    /// True if the server runs only requests for keys that it holds.
     sharded: bool,
+    /// Limit of the requests that run concurrently.
     slots: Semaphore,
+    /// Run time of a request.
     work_ms: AtomicU64,
+    /// Number of requests that run.
     running: AtomicU64,
-    /// Nothing is answered.
+    /// True if the server answers nothing.
     silent: AtomicBool,
-    /// Each n-th answer of a run is lost; 0 for none.
+    /// One in this many responses is lost; 0 for none.
     lose_answer_every: AtomicU64,
-    /// Each n-th order is carried out late, without an answer; 0 for none.
+    /// One in this many orders is carried out late and not answered; 0 for none.
     late_order_every: AtomicU64,
+    /// Number of orders so far.
     orders: AtomicU64,
+    /// Times at which requests arrived.
     arrivals: Mutex<Vec<Instant>>,
-    /// All answers say that it leaves.
+    /// True if all responses announce that the server leaves.
     leaving: AtomicBool,
-    /// Rest that it asks for as it turns every request away; 0 if it takes them.
+    /// Rest that the server asks for while it rejects all requests; 0 if it accepts them.
     rest_ms: AtomicU64,
-    /// Rate that all answers name.
+    /// Rate limit that all responses advertise; `None` for no limit.
     rate_limit: Mutex<Option<String>>,
+    /// Requests that arrived, accepted or rejected.
     received_requests: Mutex<Vec<ReceivedRequest>>,
+    /// Number of requests that ran to their end.
     served: AtomicU64,
-    /// What a mortal server runs on: its end closes all of its sockets at once, as that of a process.
+    /// Runtime of a crashable server. Its shutdown closes all sockets at once, as the exit of a
+    /// process does.
     runtime: Mutex<Option<Runtime>>,
 }
 
-/// A request that reached a server.
+/// Request that arrived at a server.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     /// Identifier of the request.
     pub id: String,
-    /// When it arrived.
+    /// Time of its arrival.
     pub at: Instant,
-    /// Rest that the server asked for as it turned the request away.
+    /// Rest that the server asked for when it rejected the request; `None` if it was accepted.
     pub rest: Option<Duration>,
 }
 
-/// What a server is like.
+/// Properties of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind<'a> {
-    /// Service.
+    /// Name of the service.
     pub service: &'a str,
     /// Availability zone.
     pub zone: &'a str,
     /// True if it runs only requests for keys that it holds.
     pub sharded: bool,
-    /// Time that a request runs.
+    /// Run time of a request.
     pub work_ms: u64,
 }
 
 impl Server {
-    /// Starts a server that ends as a process would when it begins to run a deadly request. Its entry
-    /// stays until the platform notices, which this stand-in does not do.
+    /// Starts a server that crashes when it begins to run a crashing request. Its entry remains
+    /// until the platform notices the crash, which this stand-in does not do.
     pub async fn start_crashable(store: &Store, record: &Arc<Record>, kind: Kind<'_>) -> Self {
         let mut builder = Builder::new_multi_thread();
         let runtime = builder.worker_threads(1).enable_all().build();
@@ -334,7 +358,7 @@
         server
     }
 
-    /// Writes the server's entry.
+    /// Writes the server's entry with the given state, such as `ready` or `draining`.
     pub fn write_entry(&self, store: &Store, state: &str) {
         let entry = json!({
             "addr": self.address.to_string(),
@@ -345,7 +369,7 @@
         store.put("servers", &self.id, &entry);
     }
 
-    /// Writes the entry of a cold server.
+    /// Writes the server's entry as that of a cold server with this much warm-up time left.
     pub fn write_cold_entry(&self, store: &Store, cold_ms: u64) {
         let entry = json!({
             "addr": self.address.to_string(),
@@ -357,42 +381,43 @@
         store.put("servers", &self.id, &entry);
     }
 
-    /// Lets all answers say from now on that the server leaves. Its entry does not.
+    /// Makes all further responses announce that the server leaves. Its entry does not change.
     pub fn announce_leaving(&self) {
         self.state.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Turns every request away with a wish to rest for so long; 0 takes them again.
+    /// Makes the server reject every request and ask for a rest of this length; 0 accepts requests
+    /// again.
     pub fn reject_with_rest(&self, rest_ms: u64) {
         self.state.rest_ms.store(rest_ms, Ordering::Relaxed);
     }
 
-    /// Lets all answers name from now on the requests a second that the server takes; `None` for no limit.
+    /// Makes all further responses advertise a limit in requests per second; `None` for no limit.
     pub fn advertise_limit(&self, rate: Option<&str>) {
         *lock(&self.state.rate_limit) = rate.map(str::to_owned);
     }
 
-    /// Sets the time that a request runs.
+    /// Sets the run time of a request.
     pub fn set_work_ms(&self, work_ms: u64) {
         self.state.work_ms.store(work_ms, Ordering::Relaxed);
     }
 
-    /// Requests that reached it.
+    /// Returns the requests that arrived.
     pub fn received_requests(&self) -> Vec<ReceivedRequest> {
         lock(&self.state.received_requests).clone()
     }
 
-    /// Removes the entry, as the platform does when it hears no heartbeat.
+    /// Removes the entry, as the platform does when heartbeats stop.
     pub fn remove_entry(&self, store: &Store) {
         store.remove("servers", &self.id);
     }
 
-    /// Of so many orders one is not answered, and carried out two seconds later; 0 for none.
+    /// Leaves one in `every` orders unanswered and carries it out two seconds later; 0 for none.
     pub fn delay_orders(&self, every: u64) {
         self.state.late_order_every.store(every, Ordering::Relaxed);
     }
 
-    /// Most requests that arrived within a second, of those after a moment.
+    /// Returns the largest number of requests that arrived within one second after `since`.
     pub fn peak_requests_per_s(&self, since: Instant) -> usize {
         let arrivals = lock(&self.state.arrivals);
         let later: Vec<Instant> = arrivals
@@ -407,23 +432,23 @@
         later.iter().map(|first| within(*first)).max().unwrap_or(0)
     }
 
-    /// When the last request arrived.
+    /// Returns the time at which the last request arrived.
     pub fn last_arrival(&self) -> Option<Instant> {
         lock(&self.state.arrivals).last().copied()
     }
 
-    /// Ends the server as a crash would, and removes its entry.
+    /// Stops the server as a crash does, and removes its entry.
     pub fn crash(&self, store: &Store) {
         self.state.holdings.up.store(false, Ordering::Relaxed);
         self.state.silent.store(true, Ordering::Relaxed);
         self.task.abort();
         if self.stop.send(true).is_err() {
-            // The listener has ended with its task.
+            // The listener has already stopped with its task.
         }
         store.remove("servers", &self.id);
     }
 
-    /// Writes the entry of another server, of another service, that has this one's address.
+    /// Writes the entry of a server of another service that has this server's address.
     pub fn register_another(&self, store: &Store, id: &str) {
         let entry = json!({
             "addr": self.address.to_string(),
@@ -433,17 +458,17 @@
         store.put("servers", id, &entry);
     }
 
-    /// Lets the server answer nothing, or answer again. What it holds stays held.
+    /// Makes the server stop answering, or answer again. It keeps its keys.
     pub fn set_silent(&self, silent: bool) {
         self.state.silent.store(silent, Ordering::Relaxed);
     }
 
-    /// Loses each n-th answer.
+    /// Loses one in `every` responses; 0 for none.
     pub fn lose_answers(&self, every: u64) {
         self.state.lose_answer_every.store(every, Ordering::Relaxed);
     }
 
-    /// Holds all keys as if an earlier holder of the duty had granted them.
+    /// Makes the server hold all keys, as if an earlier duty holder had granted them.
     pub fn hold_all(&self, fence: u64, lease_ms: u64) {
         let until = Some(Instant::now() + Duration::from_millis(lease_ms));
         for state in lock(&self.state.holdings.keys).iter_mut() {
@@ -455,17 +480,17 @@
         }
     }
 
-    /// True if it was mortal and has ended.
+    /// Returns true if the server was crashable and has crashed.
     pub fn has_ended(&self) -> bool {
         !self.state.holdings.up.load(Ordering::Relaxed)
     }
 
-    /// Requests served.
+    /// Returns the number of requests that ran to their end.
     pub fn served(&self) -> u64 {
         self.state.served.load(Ordering::Relaxed)
     }
 
-    /// Number of keys that it holds now.
+    /// Returns the number of keys that the server holds now.
     pub fn keys_held(&self) -> usize {
         (0..=u16::MAX)
             .filter(|key| self.state.holdings.holds(*key))
@@ -555,7 +580,7 @@
                 state.until = Some(until);
             }
         }
-        // Ends of the range stand for all of it; a check of each key would take too long.
+        // Only the ends of the range are checked; a check of each key would take too long.
         if let (Some(first), Some(last)) = (taken.first(), taken.last()) {
             self.record.take(*first, fence, &self.holdings);
             self.record.take(*last, fence, &self.holdings);
@@ -572,7 +597,7 @@
                 state.until = None;
             }
         }
-        // All running work counts, which is more than the released keys' work.
+        // Waits for all running requests, which include those for the released keys.
         while self.running.load(Ordering::Relaxed) > 0 {
             time::sleep(Duration::from_millis(2)).await;
         }
@@ -631,7 +656,7 @@
         response
     }
 
-    /// Ends a mortal server, as a process ends: all of its sockets close.
+    /// Crashes a crashable server: all of its sockets close, as at the exit of a process.
     fn end(&self) {
         let Some(runtime) = lock(&self.runtime).take() else {
             return;
@@ -641,7 +666,7 @@
         runtime.shutdown_background();
     }
 
-    /// Notes a request; the rest that is asked for if it is turned away.
+    /// Records a request; returns the rest to ask for if the request is rejected.
     fn record_received(&self, id: &str) -> Option<Duration> {
         let rest_ms = self.rest_ms.load(Ordering::Relaxed);
         let rest = (rest_ms > 0).then(|| Duration::from_millis(rest_ms));
@@ -670,7 +695,7 @@
     }
 }
 
-/// Counts a run until dropped.
+/// Guard of a running request, which counts until the drop.
 struct Running<'a>(&'a AtomicU64);
 
 impl Drop for Running<'_> {
--- a/tests/platform_standin/site.rs
+++ b/tests/platform_standin/site.rs
@@ -16,14 +16,14 @@
     store::Store,
 };
 
-/// Service that is divided by key; its route is `/keyed/`, of repeatable requests.
+/// Sharded service. Its route is `/keyed/`, of repeatable requests.
 pub const KEYED: Kind<'static> = Kind {
     service: "keyed",
     zone: "a",
     sharded: true,
     work_ms: 5,
 };
-/// Service without keys; its route is `/orders/`, of unrepeatable requests.
+/// Service without keys. Its route is `/orders/`, of unrepeatable requests.
 pub const ORDERS: Kind<'static> = Kind {
     service: "orders",
     zone: "a",
@@ -31,23 +31,23 @@
     work_ms: 5,
 };
 
-/// A deployment.
+/// Store, servers and hosts of one test.
 #[derive(Debug)]
 pub struct Site {
-    /// Store.
+    /// Stand-in of the platform's store.
     pub store: Store,
-    /// What ran where.
+    /// Record of all runs, for the checks of invariants.
     pub record: Arc<Record>,
-    /// Servers with keys.
+    /// Servers of the sharded service.
     pub keyed: Vec<Server>,
-    /// Servers without keys.
+    /// Servers of the service without keys.
     pub orders: Vec<Server>,
     /// Entry hosts.
     pub hosts: Vec<Host>,
 }
 
 impl Site {
-    /// Starts everything and waits until all hosts are ready and all keys are served.
+    /// Starts a deployment and waits until all hosts are ready and all keys are served.
     pub async fn start(hosts: usize, servers: usize) -> Self {
         let mut site = Self::start_servers(servers).await;
         for _ in 0..hosts {
@@ -57,7 +57,7 @@
         site
     }
 
-    /// Starts everything but hosts.
+    /// Starts the store and the servers, but no host.
     pub async fn start_servers(servers: usize) -> Self {
         let store = Store::start().await;
         let record = Arc::new(Record::default());
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Waits until every host answers for keys and orders.
+    /// Waits until every host serves keys of the whole range.
     pub async fn await_ready(&self) {
         for host in &self.hosts {
             eventually("a host serves all keys", 8_000, async || {
@@ -93,7 +93,7 @@
     }
 }
 
-/// A configuration with the two routes, and more of them.
+/// Builds a configuration with the two routes and one more route for each further prefix.
 pub fn configuration(version: u32, more_prefixes: &[&str]) -> Value {
     let mut paths = vec![
         json!({"name": "r-keyed", "pathPrefix": "/keyed/", "kind": "safe", "timeout": "800ms",
@@ -120,7 +120,7 @@
     })
 }
 
-/// Asks for a key; the status of the answer.
+/// Sends a read of a key; returns the status of the response.
 pub async fn get(host: &Host, key: u16) -> Option<StatusCode> {
     let id = format!("{:016x}", rand::random::<u64>());
     let ask = TestRequest {
@@ -135,7 +135,7 @@
         .map(|answer| answer.status)
 }
 
-/// Waits until a condition holds; fails the test if it does not within the time.
+/// Waits until a condition holds; fails the test if it does not within `limit_ms`.
 pub async fn eventually(what: &str, limit_ms: u64, mut condition: impl AsyncFnMut() -> bool) {
     let until = Instant::now() + Duration::from_millis(limit_ms);
     while !condition().await {
--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's store: rows, conditional transactions and feeds, with faults.
+//! Stand-in of the platform's store: rows, conditional transactions and change feeds, with faults.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -22,61 +22,71 @@
 
 use super::fresh_address;
 
-/// What the store does wrong.
+/// Faults that the store injects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
     /// Calls are never answered and have no effect.
     pub silent: bool,
     /// Calls are answered with 503 and have no effect.
     pub refusing: bool,
-    /// Of so many transactions one takes effect and is never answered; 0 for none.
+    /// One in this many transactions takes effect but is never answered; 0 for none.
     pub lose_answer_every: u64,
-    /// Least time between two transactions of a named part; earlier ones are turned away with 429.
+    /// Minimum time between two transactions of a named partition; earlier ones are rejected with
+    /// 429. 0 for no limit.
     pub part_writes_every_ms: u64,
-    /// Time before each call takes effect.
+    /// Delay before each call takes effect.
     pub slow_ms: u64,
-    /// Time before a read takes effect, on top of that.
+    /// Additional delay before a read takes effect.
     pub slow_reads_ms: u64,
 }
 
+/// Contents of the store and its counters.
 #[derive(Debug, Default)]
 struct Rows {
+    /// Version of the latest change.
     version: u64,
     /// Value and version by table and key.
     rows: BTreeMap<(String, String), (String, u64)>,
-    /// Part by table and key; rows that are not named lie in the usual one.
+    /// Partition by table and key; rows that are missing here are in the default partition.
     parts: BTreeMap<(String, String), String>,
     /// Changes in order: version, table, key.
     changes: Vec<(u64, String, String)>,
-    /// Changes up to this version are forgotten.
+    /// Version up to which the history of changes is compacted; a feed from before it is answered
+    /// with 410.
     compacted_version: u64,
+    /// Faults that are in effect.
     faults: Faults,
+    /// Number of transactions, which selects those whose response is lost.
     transactions: u64,
-    /// When a transaction of a named part took effect.
+    /// Time of the last transaction of a named partition.
     part_written: Option<Instant>,
+    /// Number of calls.
     calls: u64,
-    /// Calls by path and query, without what differs between calls of one kind.
+    /// Number of calls by path and table.
     kinds: BTreeMap<String, u64>,
 }
 
-/// The store.
+/// A running store.
 #[derive(Debug)]
 pub struct Store {
-    /// Address it listens on.
+    /// Address that the store listens on.
     pub address: SocketAddr,
     state: Arc<State>,
     _stop: watch::Sender<bool>,
 }
 
+/// State that the store's handlers share.
 #[derive(Debug)]
 struct State {
     rows: Mutex<Rows>,
+    /// Wakes the feeds that wait for a change.
     changed: Notify,
+    /// Origin of the times that responses state.
     began: Instant,
 }
 
 impl Store {
-    /// Starts a store.
+    /// Starts a store without rows.
     pub async fn start() -> Self {
         let listener = TcpListener::bind(fresh_address(0)).await.expect("listener");
         let address = listener.local_addr().expect("address");
@@ -101,12 +111,12 @@
         }
     }
 
-    /// Writes a row as an operator or a server would.
+    /// Writes a JSON row, as an operator or a server does.
     pub fn put(&self, table: &str, key: &str, value: &Value) {
         self.put_bytes(table, key, value.to_string().as_bytes());
     }
 
-    /// Writes a row with any content.
+    /// Writes a row with arbitrary content.
     pub fn put_bytes(&self, table: &str, key: &str, value: &[u8]) {
         let text = BASE64_STANDARD.encode(value);
         let mut rows = self.state.rows();
@@ -125,12 +135,12 @@
         self.state.changed.notify_waiters();
     }
 
-    /// Sets what the store does wrong.
+    /// Replaces the faults that the store injects.
     pub fn set_faults(&self, faults: Faults) {
         self.state.rows().faults = faults;
     }
 
-    /// Forgets all history, as after a compaction.
+    /// Compacts the whole history, so that feeds from earlier versions have to start again.
     pub fn compact_history(&self) {
         let mut rows = self.state.rows();
         rows.compacted_version = rows.version;
@@ -139,12 +149,13 @@
         self.state.changed.notify_waiters();
     }
 
-    /// Calls so far by their kind, so that a test which counts too many says which.
+    /// Returns the number of calls by path and table, so that a test that counts too many shows
+    /// which they are.
     pub fn calls_by_kind(&self) -> BTreeMap<String, u64> {
         self.state.rows().kinds.clone()
     }
 
-    /// A row's content.
+    /// Returns a row's content; `None` if it is missing or no JSON.
     pub fn row(&self, table: &str, key: &str) -> Option<Value> {
         let rows = self.state.rows();
         let (value, _) = rows.rows.get(&(table.to_owned(), key.to_owned()))?;
@@ -152,13 +163,13 @@
         serde_json::from_slice(&bytes).ok()
     }
 
-    /// Calls so far.
+    /// Returns the number of calls.
     pub fn calls(&self) -> u64 {
         self.state.rows().calls
     }
 }
 
-/// Path and table of a call.
+/// Returns the path and table of a call.
 fn kind_of(request: &Request<Incoming>) -> String {
     let query = parse_query(request.uri().query().unwrap_or_default());
     let table = query.get("table").map_or("", String::as_str);
@@ -197,7 +208,7 @@
         Some(json!({"table": table, "part": "", "keyFile": key, "value": value, "ver": version}))
     }
 
-    /// True if a transaction comes too soon after another one of a named part.
+    /// Returns true if a transaction follows another one of a named partition too soon.
     fn is_over_write_rate(&mut self, body: &Value, faults: Faults) -> bool {
         let part = body["puts"][0]["part"].as_str().unwrap_or_default();
         if part.is_empty() || faults.part_writes_every_ms == 0 {
--- a/tests/platform_standin/traffic.rs
+++ b/tests/platform_standin/traffic.rs
@@ -1,4 +1,4 @@
-//! Steady traffic of callers at all hosts of a test, and what came of each request.
+//! Continuous traffic of callers at all hosts of a test, with the outcome of each request.
 
 use std::{
     collections::HashMap,
@@ -17,38 +17,38 @@
 
 /// Pause between two requests of one caller.
 const PAUSE: Duration = Duration::from_millis(15);
-/// Deadline of the requests.
+/// Deadline of the callers' requests.
 const DEADLINE_MS: u64 = 800;
 
-/// What is asked for.
+/// Kind of requests that the callers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Workload {
-    /// Keys of the divided service, drawn at random.
+    /// Reads of random keys of the sharded service.
     Keys,
-    /// Keys of the divided service of which few are busy, close together.
+    /// Reads of the sharded service in which a few adjacent keys get most requests.
     BusyKeys,
-    /// The service without keys.
+    /// Unrepeatable requests to the service without keys.
     Orders,
 }
 
-/// A request of a caller.
+/// Outcome of a caller's request.
 #[derive(Clone, Debug)]
 pub struct Sent {
-    /// Place of the host that it was sent to.
+    /// Index of the host that it was sent to.
     pub host: usize,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub at: Instant,
-    /// Status of the answer, if one came.
+    /// Status of the response; `None` if none arrived.
     pub status: Option<StatusCode>,
-    /// When the answer came, or the connection ended.
+    /// Time at which the response arrived or the connection closed.
     pub answered: Instant,
-    /// True if the answer says that its server leaves.
+    /// True if the response announces that its server leaves.
     pub announces_leaving: bool,
-    /// True if the answer names a rate limit.
+    /// True if the response advertises a rate limit.
     pub advertises_limit: bool,
 }
 
-/// Callers that send until this is dropped.
+/// Callers that send requests until this is dropped.
 #[derive(Debug)]
 pub struct Traffic {
     sent: Arc<Mutex<HashMap<String, Sent>>>,
@@ -57,7 +57,7 @@
 }
 
 impl Traffic {
-    /// Traffic without a caller.
+    /// Creates traffic without callers.
     pub fn new(workload: Workload) -> Self {
         Self {
             sent: Arc::default(),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Adds a caller of one host.
+    /// Starts a caller that sends its requests to one host.
     pub fn add(&self, host: usize, address: SocketAddr) {
         let (sent, stopped) = (self.sent.clone(), self.stopped.clone());
         let workload = self.workload;
@@ -89,12 +89,12 @@
         });
     }
 
-    /// All requests whose outcome is known, by identifier.
+    /// Returns the completed requests by their identifier.
     pub fn sent(&self) -> HashMap<String, Sent> {
         lock(&self.sent).clone()
     }
 
-    /// Share of the requests sent from one moment to another that were answered with success.
+    /// Returns the share of the requests sent between two times that were answered with 200.
     pub fn served(&self, from: Instant, until: Instant) -> f64 {
         let sent = lock(&self.sent);
         let within = |sent: &&Sent| (from..until).contains(&sent.at);
@@ -141,7 +141,8 @@
     (id, sent)
 }
 
-/// A key: three of four requests are for one of 400 neighbours, and of these half for a tenth.
+/// Draws a key. Three of four requests read one of 400 adjacent keys, and half of these read one of
+/// the first 40.
 fn busy_key() -> u16 {
     const FIRST: u16 = 41_500;
     const BUSY: u16 = 400;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,9 +1,9 @@
-//! Randomised soak of real entry hosts under faults from outside: proxies before the store,
-//! signals, servers and a store that misbehave. The promises are checked as callers and servers
-//! see them. Failed seeds stay as cases in [`REGRESSIONS`].
+//! Randomised soak test of real entry hosts under external faults: proxies in front of the store,
+//! signals, and faults of servers and of the store. Invariants are checked as callers and servers
+//! observe them. Seeds that failed are kept as cases in [`REGRESSIONS`].
 //!
-//! By hand: `ASHROAD_SOAK_SEEDS=50 cargo test --release --test soak -- --nocapture`; the first
-//! seed is `ASHROAD_SOAK_FIRST`, the length of one seed `ASHROAD_SOAK_SECONDS`.
+//! By hand: `ASHROAD_SOAK_SEEDS=50 cargo test --release --test soak -- --nocapture`. The first seed
+//! is `ASHROAD_SOAK_FIRST`, and each seed runs for `ASHROAD_SOAK_SECONDS`.
 
 mod platform_standin;
 
@@ -33,14 +33,16 @@
 const HOSTS: usize = 3;
 const SERVERS: usize = 4;
 const CALLERS: usize = 12;
-/// Servers of each kind that are never spoilt.
+/// Number of servers of each service that get no faults.
 const HEALTHY_SERVERS: usize = 2;
-/// Time in which grants of a process that was paused may still arrive; the platform excuses 300 ms.
+/// Time in which grants that a paused process had sent may still arrive; the platform allows 300
+/// ms.
 const RESUME_ALLOWANCE_MS: u64 = 300;
 
-/// Seeds that failed once, each with its cause.
+/// Seeds that once failed, each with the cause.
 const REGRESSIONS: [(u64, &str); 0] = [];
 
+/// Counts of requests by outcome, and of faults by kind.
 #[derive(Default)]
 struct Tally {
     asked: AtomicU64,
@@ -50,9 +52,11 @@
     faults: Mutex<HashMap<&'static str, u64>>,
 }
 
+/// Deployment under test with its sources of faults.
 struct Soak {
     site: Site,
     proxies: Vec<Proxy>,
+    /// Time since which each host is paused; `None` if it runs.
     stopped: Vec<Option<Instant>>,
     rng: StdRng,
     tally: Arc<Tally>,
@@ -111,6 +115,8 @@
     callers.join_all().await;
     // Earlier holders' time, a lease and the change of holder; far below the platform's bound.
     let hosts = &soak.site.hosts;
+    /// The limit covers the time of previous duty holders, a lease and a takeover. It is far below
+    /// the platform's bound.
     eventually("all keys are served again", 26_000, async || {
         for key in (0..=u16::MAX).step_by(5_003) {
             if get(&hosts[usize::from(key) % HOSTS], key).await != Some(StatusCode::OK) {
@@ -147,7 +153,7 @@
         *faults.entry(fault).or_default() += 1;
     }
 
-    /// One more fault, or the end of one; they overlap.
+    /// Injects another random fault or ends one; faults overlap.
     async fn inject_fault(&mut self) {
         let host = self.rng.random_range(0..HOSTS);
         match self.rng.random_range(0..10) {
@@ -190,7 +196,7 @@
                 self.proxies[host].set(Mode::Pass);
             }
         }
-        // A process that has ended is started again, as the platform does it.
+        // Restarts hosts whose process has exited, as the platform does.
         for host in 0..HOSTS {
             if self.stopped[host].is_none() && self.site.hosts[host].ended() {
                 self.site.hosts[host].restart();
@@ -260,7 +266,7 @@
             server.set_silent(false);
             server.lose_answers(0);
         }
-        // A host that was told to stop shortly before the end is replaced.
+        // Waits for hosts that got SIGTERM shortly before the end, and restarts them.
         time::sleep(Duration::from_millis(6_200)).await;
         for host in &mut self.site.hosts {
             if host.ended() {
@@ -270,7 +276,7 @@
     }
 }
 
-/// A caller that keeps its connection until the host closes it or is gone.
+/// Sends requests over one connection until the host closes it or fails, and then connects again.
 async fn call(
     (seed, number): (u64, u64),
     address: std::net::SocketAddr,
@@ -311,6 +317,7 @@
     }
 }
 
+/// Checks one response against the recorded runs of its request.
 fn check(
     record: &Record,
     tally: &Tally,
