--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -453,12 +453,16 @@
 #[tokio::test]
 async fn a_planned_stop_of_the_holder_hands_the_duty_over() {
     let site = Site::start(2, 2).await;
-    let is_holder = |host: &&Host| !host.events("duty_taken").is_empty();
-    let duty_holder = site.hosts.iter().find(is_holder).expect("a duty holder");
+    let is_duty_holder = |host: &&Host| !host.events("duty_taken").is_empty();
+    let duty_holder = site
+        .hosts
+        .iter()
+        .find(is_duty_holder)
+        .expect("a duty holder");
     let other = site
         .hosts
         .iter()
-        .find(|host| !is_holder(host))
+        .find(|host| !is_duty_holder(host))
         .expect("another");
     duty_holder.signal("TERM");
     eventually("the other host takes the duty", 2_500, async || {
