--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -575,7 +575,7 @@
 }
 
 #[tokio::test]
-async fn a_holder_remembers_its_leases_over_a_long_outage() {
+async fn the_duty_holder_remembers_its_leases_over_a_long_outage() {
     // The outage lasts longer than a duty holder may grant leases without a confirmation. A server
     // that drains after it still holds its keys when the store responds again.
     let site = Site::start(1, 3).await;
