--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -427,7 +427,7 @@
 }
 
 #[tokio::test]
-async fn a_restarted_holder_resumes_the_duty_at_once() {
+async fn a_restarted_duty_holder_resumes_the_duty_at_once() {
     let mut site = Site::start(3, 2).await;
     let taken = |host: &Host| host.events("duty_taken").len();
     let duty_holder = site.hosts.iter().position(|host| taken(host) > 0);
