--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -451,7 +451,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_of_the_holder_hands_the_duty_over() {
+async fn a_planned_stop_of_the_duty_holder_hands_the_duty_over() {
     let site = Site::start(2, 2).await;
     let is_duty_holder = |host: &&Host| !host.events("duty_taken").is_empty();
     let duty_holder = site
