--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -24,7 +24,7 @@
 /// announcement that it leaves.
 pub const DRAIN: Duration = Duration::from_millis(2_000);
 /// Contact grace period: time after a partition in which the bounds do not apply to a host.
-pub const CONTACT: Duration = Duration::from_secs(3);
+pub const CONTACT_GRACE: Duration = Duration::from_secs(3);
 /// Time within which a key must be served again after a loss.
 pub const SERVED_AGAIN: Duration = Duration::from_secs(3);
 /// Usual number of hosts.
@@ -74,7 +74,9 @@
         match self {
             // The lost host may be the duty holder; then another host takes the duty before it
             // moves the keys.
-            Self::FirstHostPartitioned | Self::DutyHolderPartitioned => CONTACT + SERVED_AGAIN,
+            Self::FirstHostPartitioned | Self::DutyHolderPartitioned => {
+                CONTACT_GRACE + SERVED_AGAIN
+            }
             _ => one_loss,
         }
     }
