--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -28,7 +28,7 @@
 use self::platform_standin::{
     caller::{Answer, Caller, TestRequest},
     hosts::Host,
-    server::{Kind, Server},
+    server::{Server, ServerKind},
     site::{KEYED, ORDERS, Site, configuration, eventually, get},
 };
 
@@ -96,7 +96,7 @@
     }
     let mut mortal = Vec::new();
     for _ in 0..servers {
-        let kind = Kind {
+        let kind = ServerKind {
             work_ms: 20,
             ..ORDERS
         };
--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -14,7 +14,7 @@
 use self::platform_standin::{
     caller::{TestRequest, ask_once},
     hosts::Host,
-    server::{Kind, Server},
+    server::{Server, ServerKind},
     site::{KEYED, ORDERS, Site, configuration, eventually, get},
 };
 
@@ -49,8 +49,8 @@
 
 /// Servers of both services in a second zone.
 async fn start_second_zone(site: &Site) -> [Server; 2] {
-    let keyed = Kind { zone: "b", ..KEYED };
-    let orders = Kind {
+    let keyed = ServerKind { zone: "b", ..KEYED };
+    let orders = ServerKind {
         zone: "b",
         ..ORDERS
     };
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -267,7 +267,7 @@
 
 /// Properties of a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind<'a> {
+pub struct ServerKind<'a> {
     /// Name of the service.
     pub service: &'a str,
     /// Availability zone.
@@ -281,7 +281,11 @@
 impl Server {
     /// Starts a server that crashes when it begins to run a crashing request. Its entry remains
     /// until the platform notices the crash, which this stand-in does not do.
-    pub async fn start_crashable(store: &Store, record: &Arc<Record>, kind: Kind<'_>) -> Self {
+    pub async fn start_crashable(
+        store: &Store,
+        record: &Arc<Record>,
+        kind: ServerKind<'_>,
+    ) -> Self {
         let mut builder = Builder::new_multi_thread();
         let runtime = builder.worker_threads(1).enable_all().build();
         let runtime = runtime.expect("runtime");
@@ -291,7 +295,7 @@
     }
 
     /// Starts a server and writes its entry.
-    pub async fn start(store: &Store, record: &Arc<Record>, kind: Kind<'_>) -> Self {
+    pub async fn start(store: &Store, record: &Arc<Record>, kind: ServerKind<'_>) -> Self {
         let runtime = Handle::current();
         Self::start_on(&runtime, store, record, kind).await
     }
@@ -301,7 +305,7 @@
         runtime: &Handle,
         store: &Store,
         record: &Arc<Record>,
-        kind: Kind<'_>,
+        kind: ServerKind<'_>,
     ) -> Self {
         let listener = {
             let _entered = runtime.enter();
--- a/tests/platform_standin/site.rs
+++ b/tests/platform_standin/site.rs
@@ -12,19 +12,19 @@
 use super::{
     caller::{TestRequest, ask_once},
     hosts::Host,
-    server::{Kind, Record, Server},
+    server::{Record, Server, ServerKind},
     store::Store,
 };
 
 /// Sharded service. Its route is `/keyed/`, of repeatable requests.
-pub const KEYED: Kind<'static> = Kind {
+pub const KEYED: ServerKind<'static> = ServerKind {
     service: "keyed",
     zone: "a",
     sharded: true,
     work_ms: 5,
 };
 /// Service without keys. Its route is `/orders/`, of unrepeatable requests.
-pub const ORDERS: Kind<'static> = Kind {
+pub const ORDERS: ServerKind<'static> = ServerKind {
     service: "orders",
     zone: "a",
     sharded: false,
