--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -42,7 +42,7 @@
 
 /// Record of the runs at all servers of a test. It checks that each key has a single owner.
 #[derive(Debug, Default)]
-pub struct Record {
+pub struct RunRecord {
     /// Number of runs by request id.
     runs: Mutex<HashMap<String, u32>>,
     /// Holdings of all servers, for the check of single ownership.
@@ -68,7 +68,7 @@
     ends: Vec<Instant>,
 }
 
-impl Record {
+impl RunRecord {
     /// Makes requests for a path crash each crashable server that begins to run them; `None` for no
     /// path.
     pub fn set_crash_path(&self, path: Option<&'static str>) {
@@ -218,7 +218,7 @@
 #[derive(Debug)]
 struct State {
     holdings: Arc<Holdings>,
-    record: Arc<Record>,
+    record: Arc<RunRecord>,
     /// Availability zone.
     zone: String,
     /// True if the server runs only requests for keys that it holds.
@@ -283,7 +283,7 @@
     /// until the platform notices the crash, which this stand-in does not do.
     pub async fn start_crashable(
         store: &Store,
-        record: &Arc<Record>,
+        record: &Arc<RunRecord>,
         kind: ServerKind<'_>,
     ) -> Self {
         let mut builder = Builder::new_multi_thread();
@@ -295,7 +295,7 @@
     }
 
     /// Starts a server and writes its entry.
-    pub async fn start(store: &Store, record: &Arc<Record>, kind: ServerKind<'_>) -> Self {
+    pub async fn start(store: &Store, record: &Arc<RunRecord>, kind: ServerKind<'_>) -> Self {
         let runtime = Handle::current();
         Self::start_on(&runtime, store, record, kind).await
     }
@@ -304,7 +304,7 @@
     async fn start_on(
         runtime: &Handle,
         store: &Store,
-        record: &Arc<Record>,
+        record: &Arc<RunRecord>,
         kind: ServerKind<'_>,
     ) -> Self {
         let listener = {
--- a/tests/platform_standin/site.rs
+++ b/tests/platform_standin/site.rs
@@ -12,7 +12,7 @@
 use super::{
     caller::{TestRequest, ask_once},
     hosts::Host,
-    server::{Record, Server, ServerKind},
+    server::{RunRecord, Server, ServerKind},
     store::Store,
 };
 
@@ -37,7 +37,7 @@
     /// Stand-in of the platform's store.
     pub store: Store,
     /// Record of all runs, for the checks of invariants.
-    pub record: Arc<Record>,
+    pub record: Arc<RunRecord>,
     /// Servers of the sharded service.
     pub keyed: Vec<Server>,
     /// Servers of the service without keys.
@@ -60,7 +60,7 @@
     /// Starts the store and the servers, but no host.
     pub async fn start_servers(servers: usize) -> Self {
         let store = Store::start().await;
-        let record = Arc::new(Record::default());
+        let record = Arc::new(RunRecord::default());
         let mut keyed = Vec::new();
         let mut orders = Vec::new();
         for _ in 0..servers {
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -25,7 +25,7 @@
     caller::{Caller, TestRequest},
     hosts::Host,
     proxy::{Mode, Proxy},
-    server::{Record, Server},
+    server::{RunRecord, Server},
     site::{KEYED, ORDERS, Site, eventually, get},
     store::Faults,
 };
@@ -280,7 +280,7 @@
 async fn call(
     (seed, number): (u64, u64),
     address: std::net::SocketAddr,
-    record: Arc<Record>,
+    record: Arc<RunRecord>,
     tally: Arc<Tally>,
     done: Arc<AtomicBool>,
 ) {
@@ -319,7 +319,7 @@
 
 /// Checks one response against the recorded runs of its request.
 fn check(
-    record: &Record,
+    record: &RunRecord,
     tally: &Tally,
     ask: TestRequest<'_>,
     answer: Option<(StatusCode, bytes::Bytes)>,
