--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -309,7 +309,7 @@
         }
         time::sleep(Duration::from_millis(200)).await;
         // The platform removes the entries of servers that have ended.
-        for server in servers.iter().filter(|server| server.has_ended()) {
+        for server in servers.iter().filter(|server| server.has_crashed()) {
             site.store.remove("servers", &server.id);
         }
     }
@@ -477,7 +477,7 @@
     while Instant::now() < until {
         time::sleep(Duration::from_millis(200)).await;
         // The platform removes the entries of servers that have ended.
-        for server in servers.iter().filter(|server| server.has_ended()) {
+        for server in servers.iter().filter(|server| server.has_crashed()) {
             site.store.remove("servers", &server.id);
         }
         // The last server that may end leaves the key without one, as each before it did.
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -485,7 +485,7 @@
     }
 
     /// Returns true if the server was crashable and has crashed.
-    pub fn has_ended(&self) -> bool {
+    pub fn has_crashed(&self) -> bool {
         !self.state.holdings.up.load(Ordering::Relaxed)
     }
 
