--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -132,7 +132,7 @@
     }
 
     /// Records a run, and a violation if another server holds the key.
-    fn begin(&self, id: &str, key: Option<u16>, server: &Holdings) {
+    fn record_run(&self, id: &str, key: Option<u16>, server: &Holdings) {
         *lock(&self.runs).entry(id.to_owned()).or_default() += 1;
         let Some(key) = key.filter(|_| !self.ownership_checks_paused()) else {
             return;
@@ -629,7 +629,7 @@
         self.running.fetch_add(1, Ordering::Relaxed);
         let running = Running(&self.running);
         let checked = if self.sharded { key } else { None };
-        self.record.begin(&id, checked, &self.holdings);
+        self.record.record_run(&id, checked, &self.holdings);
         lock(&self.record.heads).insert(id.clone(), request.headers().clone());
         let path = request.uri().path().to_owned();
         if self.record.note_crashing_run(&path) {
