--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -272,8 +272,8 @@
         server.set_work_ms(60);
     }
     for _ in 1..3 {
-        for (place, host) in deployment.site.hosts.iter().enumerate() {
-            deployment.traffic.add(place, host.callers);
+        for (index, host) in deployment.site.hosts.iter().enumerate() {
+            deployment.traffic.add(index, host.callers);
         }
     }
     time::sleep(Duration::from_secs(5)).await;
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -109,8 +109,8 @@
             deployment.add_host().await;
         }
         deployment.site.await_ready().await;
-        for (place, host) in deployment.site.hosts.iter().enumerate() {
-            deployment.traffic.add(place, host.callers);
+        for (index, host) in deployment.site.hosts.iter().enumerate() {
+            deployment.traffic.add(index, host.callers);
         }
         // Waits until each host has had responses of all servers and the initial rebalancing is
         // complete.
@@ -127,8 +127,8 @@
     /// Returns the index of the host that holds the duty.
     fn duty_holder(&self) -> usize {
         let has_duty = |host: &Host| !host.events("duty_taken").is_empty();
-        let place = self.site.hosts.iter().position(has_duty);
-        place.expect("a duty holder")
+        let index = self.site.hosts.iter().position(has_duty);
+        index.expect("a duty holder")
     }
 
     /// Returns the servers that get the requests of a workload.
@@ -186,8 +186,8 @@
             }
             Disturbance::HostStarts => {
                 self.add_host().await;
-                let place = self.site.hosts.len() - 1;
-                self.traffic.add(place, self.site.hosts[place].callers);
+                let index = self.site.hosts.len() - 1;
+                self.traffic.add(index, self.site.hosts[index].callers);
             }
         }
         time::sleep(end.saturating_duration_since(Instant::now())).await;
