--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -178,25 +178,25 @@
 
 impl Rows {
     fn write_in(&mut self, part: &str, table: &str, key: &str, value: Option<String>) {
-        let place = (table.to_owned(), key.to_owned());
-        self.parts.insert(place, part.to_owned());
+        let row_key = (table.to_owned(), key.to_owned());
+        self.parts.insert(row_key, part.to_owned());
         self.write(table, key, value);
     }
 
     fn part_of(&self, table: &str, key: &str) -> &str {
-        let place = (table.to_owned(), key.to_owned());
-        self.parts.get(&place).map_or("", String::as_str)
+        let row_key = (table.to_owned(), key.to_owned());
+        self.parts.get(&row_key).map_or("", String::as_str)
     }
 
     fn write(&mut self, table: &str, key: &str, value: Option<String>) {
         let version = self.version;
-        let place = (table.to_owned(), key.to_owned());
+        let row_key = (table.to_owned(), key.to_owned());
         match value {
             Some(value) => {
-                self.rows.insert(place, (value, version));
+                self.rows.insert(row_key, (value, version));
             }
             None => {
-                self.rows.remove(&place);
+                self.rows.remove(&row_key);
             }
         }
         self.changes
@@ -228,8 +228,8 @@
         let text = |value: &Value, name: &str| value[name].as_str().unwrap_or_default().to_owned();
         let expects = list("expectRev");
         let holds = expects.iter().all(|expect| {
-            let place = (text(expect, "table"), text(expect, "keyFile"));
-            let version = self.rows.get(&place).map_or(0, |(_, version)| *version);
+            let row_key = (text(expect, "table"), text(expect, "keyFile"));
+            let version = self.rows.get(&row_key).map_or(0, |(_, version)| *version);
             Some(version) == expect["ver"].as_u64()
         });
         if !holds {
