--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -234,15 +234,15 @@
     F: Future<Output = Result<(), String>> + 'static,
 {
     let _turn = RUN_LOCK.lock().await;
-    let mut playing = JoinSet::new();
+    let mut running = JoinSet::new();
     let local = LocalSet::new();
     for (disturbance, workload) in cases {
         let played = of(disturbance, workload);
-        playing.spawn_local_on(async move { (disturbance, workload, played.await) }, &local);
+        running.spawn_local_on(async move { (disturbance, workload, played.await) }, &local);
     }
     let mut failed = Vec::new();
     let all = async {
-        while let Some(played) = playing.join_next().await {
+        while let Some(played) = running.join_next().await {
             let (disturbance, workload, outcome) = played.expect("the case does not panic");
             if let Err(problem) = outcome {
                 failed.push(format!("{workload:?}, {disturbance:?}: {problem}"));
