--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -55,7 +55,7 @@
     registry: Registry,
     requests: Family<RequestLabels, Counter>,
     latency: Family<RequestLabels, Histogram>,
-    repeats: Counter,
+    retries: Counter,
     servers_ended: Counter,
     orders: Family<OrderLabels, Counter>,
     moves: Counter,
@@ -85,7 +85,7 @@
             registry: Registry::with_prefix("ashroad"),
             requests: Family::default(),
             latency,
-            repeats: Counter::default(),
+            retries: Counter::default(),
             servers_ended: Counter::default(),
             orders: Family::default(),
             moves: Counter::default(),
@@ -115,7 +115,7 @@
         let help = "Time from a request's arrival to the head of its answer";
         registry.register("request_duration_seconds", help, self.latency.clone());
         let help = "Attempts beyond the first";
-        registry.register("request_repeats", help, self.repeats.clone());
+        registry.register("request_repeats", help, self.retries.clone());
         let help = "Grants and releases by outcome";
         registry.register("server_orders", help, self.orders.clone());
         registry.register("key_moves", "Moves of keys", self.moves.clone());
@@ -162,7 +162,7 @@
 
     /// Counts a retry: an attempt beyond a request's first.
     pub fn repeat(&self) {
-        self.repeats.inc();
+        self.retries.inc();
     }
 
     /// Counts a server that crashed with requests of this host in flight.
