--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -158,16 +158,16 @@
 async fn a_request_that_ends_servers_reaches_few_of_them() {
     let (site, servers) = start(3, 14).await;
     send_again_and_again(&site, 12).await;
-    let ends = site.record.ends();
+    let crashes = site.record.crashes();
     assert!(
-        ends.len() <= ENDS_NEEDED + ENDS_ON_THE_WAY,
+        crashes.len() <= ENDS_NEEDED + ENDS_ON_THE_WAY,
         "{} of {} servers ended",
-        ends.len(),
+        crashes.len(),
         servers.len()
     );
-    let known = ends.get(ENDS_NEEDED - 1).copied();
+    let known = crashes.get(ENDS_NEEDED - 1).copied();
     let is_late = |end: &&Instant| known.is_some_and(|known| **end > known + CONTACT);
-    let late = ends.iter().filter(is_late);
+    let late = crashes.iter().filter(is_late);
     assert_eq!(late.count(), 0, "servers ended when all hosts must know");
     // Its caller learns at once that it has not run, and what others ask for is served.
     for host in &site.hosts {
@@ -194,7 +194,7 @@
 async fn what_ended_servers_is_known_after_the_loss_of_all_hosts() {
     let (mut site, _servers) = start(3, 14).await;
     send_again_and_again(&site, 6).await;
-    let before = site.record.ends().len();
+    let before = site.record.crashes().len();
     for host in &mut site.hosts {
         host.kill();
     }
@@ -208,7 +208,7 @@
         .await;
     }
     send_again_and_again(&site, 6).await;
-    let after = site.record.ends().len();
+    let after = site.record.crashes().len();
     assert!(before > 0, "no server ended before");
     assert_eq!(after, before, "servers ended after the loss of all hosts");
 }
@@ -228,10 +228,10 @@
     .await;
     time::sleep(CONTACT).await;
     send_again_and_again(&site, 8).await;
-    let ends = site.record.ends().len();
+    let crashes = site.record.crashes().len();
     assert!(
-        ends <= ENDS_NEEDED + ENDS_ON_THE_WAY,
-        "{ends} servers ended"
+        crashes <= ENDS_NEEDED + ENDS_ON_THE_WAY,
+        "{crashes} servers ended"
     );
 }
 
@@ -256,10 +256,10 @@
         read(host, CALLER, &format!("{DEADLY}?try={number}")).await;
         time::sleep(Duration::from_millis(300)).await;
     }
-    let ends = site.record.ends().len();
+    let crashes = site.record.crashes().len();
     assert!(
-        ends <= ENDS_NEEDED + ENDS_ON_THE_WAY,
-        "{ends} servers ended"
+        crashes <= ENDS_NEEDED + ENDS_ON_THE_WAY,
+        "{crashes} servers ended"
     );
 }
 
@@ -275,7 +275,7 @@
         assert_eq!(order(first, ORDER).await, Some(StatusCode::BAD_GATEWAY));
         time::sleep(Duration::from_millis(300)).await;
         site.record.set_crash_path(None);
-        assert_eq!(site.record.ends().len(), end);
+        assert_eq!(site.record.crashes().len(), end);
         let answered = order(second, ORDER).await;
         assert_eq!(answered, Some(StatusCode::OK), "after end {end}");
         time::sleep(Duration::from_millis(1_700)).await;
@@ -318,8 +318,8 @@
     let known = runs.get(ENDS_NEEDED - 1).expect("the third run");
     let late = runs.iter().filter(|run| **run > *known + CONTACT).count();
     assert!(late <= LATE_RUNS_MAX, "{late} of {} runs", runs.len());
-    let ends = site.record.ends().len();
-    assert!(ends < ENDS_NEEDED, "{ends} servers ended");
+    let crashes = site.record.crashes().len();
+    assert!(crashes < ENDS_NEEDED, "{crashes} servers ended");
     assert_eq!(site.record.violations(), Vec::<String>::new());
 }
 
@@ -423,9 +423,13 @@
         }
     }
     tries.join_all().await;
-    let ends = site.record.ends().len();
+    let crashes = site.record.crashes().len();
     let most = (ENDS_NEEDED + ENDS_ON_THE_WAY) * tried.paths.len();
-    assert!(ends <= most, "{ends} of {} servers ended", servers.len());
+    assert!(
+        crashes <= most,
+        "{crashes} of {} servers ended",
+        servers.len()
+    );
     // What others ask for is served, but for what was at the servers as they ended.
     let served = harmless.served(began);
     assert!(served > 0.9, "{served:.2} of the harmless reads served");
@@ -481,7 +485,7 @@
             site.store.remove("servers", &server.id);
         }
         // The last server that may end leaves the key without one, as each before it did.
-        let ended = site.record.ends().last().copied();
+        let ended = site.record.crashes().last().copied();
         until = until.max(ended.unwrap_or(began) + KEY_MOVES + SETTLED);
     }
     deadly.stop().await;
@@ -490,8 +494,8 @@
         let late = runs.iter().filter(|run| **run > *known + CONTACT).count();
         assert!(late <= LATE_RUNS_MAX, "{late} of {} runs", runs.len());
     }
-    let ends = site.record.ends().len();
-    assert!(ends <= ENDS_NEEDED, "{ends} servers ended");
+    let crashes = site.record.crashes().len();
+    assert!(crashes <= ENDS_NEEDED, "{crashes} servers ended");
     let settled = harmless.served(until - SETTLED);
     assert!(settled > 0.95, "{settled:.2} of the harmless reads served");
     harmless.stop().await;
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -65,7 +65,7 @@
     /// Times at which servers began to run one.
     runs: Vec<Instant>,
     /// Times at which servers crashed.
-    ends: Vec<Instant>,
+    crashes: Vec<Instant>,
 }
 
 impl RunRecord {
@@ -81,8 +81,8 @@
     }
 
     /// Returns the times of crashes under crashing requests.
-    pub fn ends(&self) -> Vec<Instant> {
-        lock(&self.crash_triggers).ends.clone()
+    pub fn crashes(&self) -> Vec<Instant> {
+        lock(&self.crash_triggers).crashes.clone()
     }
 
     /// Returns the times at which servers began to run crashing requests.
@@ -666,7 +666,9 @@
             return;
         };
         self.holdings.up.store(false, Ordering::Relaxed);
-        lock(&self.record.crash_triggers).ends.push(Instant::now());
+        lock(&self.record.crash_triggers)
+            .crashes
+            .push(Instant::now());
         runtime.shutdown_background();
     }
 
