--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -229,7 +229,7 @@
 /// cases.
 pub async fn run_cases<F>(
     cases: impl IntoIterator<Item = (Disturbance, Workload)>,
-    of: impl Fn(Disturbance, Workload) -> F,
+    run_case: impl Fn(Disturbance, Workload) -> F,
 ) where
     F: Future<Output = Result<(), String>> + 'static,
 {
@@ -237,7 +237,7 @@
     let mut running = JoinSet::new();
     let local = LocalSet::new();
     for (disturbance, workload) in cases {
-        let played = of(disturbance, workload);
+        let played = run_case(disturbance, workload);
         running.spawn_local_on(async move { (disturbance, workload, played.await) }, &local);
     }
     let mut failed = Vec::new();
