--- a/tests/platform_standin/hosts.rs
+++ b/tests/platform_standin/hosts.rs
@@ -110,9 +110,9 @@
     /// Returns the number of calls of a kind that the host has made to the store, from its metrics.
     pub fn store_calls(&self, kind: &str) -> u64 {
         let mut stream = TcpStream::connect(self.metrics).expect("metrics");
-        let question = "GET /metrics HTTP/1.1\r\nhost: metrics\r\nconnection: close\r\n\r\n";
+        let request = "GET /metrics HTTP/1.1\r\nhost: metrics\r\nconnection: close\r\n\r\n";
         stream
-            .write_all(question.as_bytes())
+            .write_all(request.as_bytes())
             .expect("the request is sent");
         let mut text = String::new();
         stream.read_to_string(&mut text).expect("a response");
