--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -96,7 +96,7 @@
     let mut callers = JoinSet::new();
     for number in 0..CALLERS {
         let host = &soak.site.hosts[number % HOSTS];
-        callers.spawn(call(
+        callers.spawn(run_caller(
             (seed, number as u64),
             host.callers,
             soak.site.record.clone(),
@@ -277,7 +277,7 @@
 }
 
 /// Sends requests over one connection until the host closes it or fails, and then connects again.
-async fn call(
+async fn run_caller(
     (seed, number): (u64, u64),
     address: std::net::SocketAddr,
     record: Arc<RunRecord>,
