--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -312,13 +312,13 @@
         if closes {
             connection = None;
         }
-        check(&record, &tally, ask, answer.map(|a| (a.status, a.body)));
+        check_response(&record, &tally, ask, answer.map(|a| (a.status, a.body)));
         time::sleep(Duration::from_millis(rng.random_range(5..40))).await;
     }
 }
 
 /// Checks one response against the recorded runs of its request.
-fn check(
+fn check_response(
     record: &RunRecord,
     tally: &Tally,
     ask: TestRequest<'_>,
