--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -179,7 +179,7 @@
     },
     /// The previous duty holder is known to grant no more leases.
     PredecessorEnded {
-        /// Number of the previous holder's term.
+        /// Number of the previous duty holder's term.
         term: u64,
     },
     /// This host no longer holds the duty.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -10,8 +10,8 @@
 
 use crate::configuration::{self, template::read_document};
 
-/// Upper limit of [`Ownership::lapse_ms`]: the time from a loss until keys must be served again, less
-/// the time for detection and for the new grant.
+/// Upper limit of [`Ownership::lapse_ms`]: the time from a loss until keys must be served again,
+/// less the time for detection and for the new grant.
 const LAPSE_MS_MAX: u64 = 2_600;
 
 /// Reason why a settings file is unusable.
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -190,9 +190,8 @@
         unanswered += u32::from(status == StatusCode::GATEWAY_TIMEOUT);
         late += u32::from(began.elapsed() > Duration::from_millis(1_000));
     }
-    // One answer may be late because the host got no processor time.
     assert!(unanswered > 0);
-    // One may meet a moment in which the host gets no processor time.
+    // One answer may be late because the host got no processor time.
     assert!(
         late <= 1,
         "{late} of 12 answers came over 0.2 s after their deadline"
@@ -397,8 +396,8 @@
     site.keyed[0].crash(&site.store);
     time::sleep(Duration::from_millis(1_000)).await;
     site.hosts[duty_holder].restart();
-    // If the end of the previous duty holder's term is not reported, the next one waits 13 s for it,
-    // and then for a lease.
+    // If the end of the previous duty holder's term is not reported, the next one waits 13 s for
+    // it, and then for a lease.
     eventually("all keys are held", 12_000, async || {
         site.keyed[1..].iter().map(Server::keys_held).sum::<usize>() == 1 << 16
     })
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -219,7 +219,7 @@
 struct State {
     holdings: Arc<Holdings>,
     record: Arc<RunRecord>,
-    /// Availability zone.
+    /// Availability zone of the server.
     zone: String,
     /// True if the server runs only requests for keys that it holds.
     sharded: bool,
@@ -270,7 +270,7 @@
 pub struct ServerKind<'a> {
     /// Name of the service.
     pub service: &'a str,
-    /// Availability zone.
+    /// Availability zone of the server.
     pub zone: &'a str,
     /// True if it runs only requests for keys that it holds.
     pub sharded: bool,
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -113,10 +113,9 @@
     soak.clear_faults().await;
     done.store(true, Ordering::Relaxed);
     callers.join_all().await;
-    // Earlier holders' time, a lease and the change of holder; far below the platform's bound.
+    // The limit covers the time of previous duty holders, a lease and a takeover. It is far below
+    // the platform's bound.
     let hosts = &soak.site.hosts;
-    /// The limit covers the time of previous duty holders, a lease and a takeover. It is far below
-    /// the platform's bound.
     eventually("all keys are served again", 26_000, async || {
         for key in (0..=u16::MAX).step_by(5_003) {
             if get(&hosts[usize::from(key) % HOSTS], key).await != Some(StatusCode::OK) {
