--- a/src/id.rs
+++ b/src/id.rs
@@ -28,7 +28,7 @@
     u64
 );
 number!(
-    /// Fencing token of a slot's grant; rises with each grant.
+    /// Fencing token of a slot's grant; never decreases.
     Epoch,
     u64
 );
