--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -111,7 +111,7 @@
     pub crashes: Crashes,
     /// Wakes the task that reports a server's announcement to the duty holder: that it leaves, or
     /// that it asks for a rest.
-    noticed: Notify,
+    notice_received: Notify,
     /// Rests that servers asked of hosts; collected while this host holds the duty.
     rests: Rests,
     /// Request rates that each host reports for servers with a rate limit; collected while this
@@ -163,7 +163,7 @@
             body_memory: BodyMemory::of_host(settings.memory_bytes()),
             quotas: Quotas::default(),
             crashes: Crashes::default(),
-            noticed: Notify::new(),
+            notice_received: Notify::new(),
             rests: Rests::default(),
             asked_by_host: Mutex::default(),
             kinds: Kinds::default(),
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -30,7 +30,7 @@
             return;
         }
         log_notice(server, notice, "its answer");
-        self.noticed.notify_one();
+        self.notice_received.notify_one();
     }
 
     /// Tells the holder what servers have said; the holder tells all hosts.
@@ -38,7 +38,10 @@
         loop {
             let pause = Duration::from_millis(TELL_EVERY_MS);
             // Either way what servers have said is told.
-            if time::timeout(pause, self.noticed.notified()).await.is_ok() {
+            if time::timeout(pause, self.notice_received.notified())
+                .await
+                .is_ok()
+            {
                 log::debug!("a server has said something new");
             }
             self.tell_leaving();
@@ -102,7 +105,7 @@
     /// Takes in, as the holder, that servers have told another host that they leave.
     pub(in crate::entry) fn take_said_leaving(&self, tags: &[u32]) {
         if self.duty.term() > 0 && self.note_leaving_elsewhere(tags) {
-            self.noticed.notify_one();
+            self.notice_received.notify_one();
         }
     }
 
