--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -40,7 +40,7 @@
 
 /// Answers one request of a caller.
 pub async fn answer(entry: Arc<Entry>, request: Request<Incoming>) -> Response<ResponseBody> {
-    let present = entry.enter();
+    let present = entry.track_request();
     let stopping_entry = entry.clone();
     let mut response = route(entry, request).await;
     if stopping_entry.stopping() {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -220,7 +220,7 @@
     }
 
     /// Counts a caller's request as in flight until the returned guard is dropped.
-    fn enter(self: &Arc<Self>) -> InFlightGuard {
+    fn track_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlightGuard(self.clone())
     }
