--- a/src/entry/log_writer.rs
+++ b/src/entry/log_writer.rs
@@ -26,9 +26,9 @@
 static WRITER: LazyLock<LogWriter> = LazyLock::new(LogWriter::start);
 
 /// Turns records of the `log` crate, from libraries and from this program, into `message` events.
-struct Bridge;
+struct LogBridge;
 
-impl Log for Bridge {
+impl Log for LogBridge {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         let own = metadata.target().starts_with("ashroad");
         own || metadata.level() <= Level::Warn
@@ -51,7 +51,7 @@
 /// Sets the process's logger. A second call has no effect.
 pub fn start(level: LevelFilter) {
     log::set_max_level(level);
-    if log::set_logger(&Bridge).is_err() {
+    if log::set_logger(&LogBridge).is_err() {
         log::debug!("a logger is already set");
     }
 }
