--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -158,7 +158,7 @@
         run_ms: f64,
         found_free_slot: bool,
     ) {
-        if let Some(told) = headers::told_load(&head.headers) {
+        if let Some(told) = headers::reported_load(&head.headers) {
             server.note_own_pace(told.pace);
         }
         if head.status.is_server_error() {
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -41,7 +41,7 @@
 }
 
 /// What an answer tells of its server's load; `None` if it tells nothing that can be read.
-pub fn told_load(headers: &HeaderMap) -> Option<ToldLoad> {
+pub fn reported_load(headers: &HeaderMap) -> Option<ToldLoad> {
     let text = headers.get(LOAD)?.to_str().ok()?;
     let mut figures = text.split(',').map(|figure| figure.trim().parse::<u32>());
     let running = figures.next()?.ok()?;
