--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -191,7 +191,7 @@
             return Err(Attempt::Unknown("the answer has another id".to_owned()));
         }
         // Not of an answer to another request: that may be an old one.
-        entry.note_told_limit(server, headers::told_limit(head.status, &head.headers));
+        entry.note_told_limit(server, headers::reported_limit(head.status, &head.headers));
         if headers::says_not_run(head.status, &head.headers) {
             return Err(Attempt::NotRun(head.status));
         }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -70,7 +70,7 @@
 
 /// What an answer says of the rate that its server takes from all hosts together. Only an answer that is surely its
 /// server's shows by a missing header that there is no limit.
-pub fn told_limit(status: StatusCode, headers: &HeaderMap) -> ToldLimit {
+pub fn reported_limit(status: StatusCode, headers: &HeaderMap) -> ToldLimit {
     let Some(value) = headers.get(LIMIT) else {
         let is_of_server = headers.contains_key(SIGNATURE) || says_not_run(status, headers);
         return if is_of_server {
--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -326,7 +326,7 @@
             map.insert(other, HeaderValue::from_static("1"));
         }
         let status = StatusCode::from_u16(case.status).expect("a status");
-        let told = headers::told_limit(status, &map);
+        let told = headers::reported_limit(status, &map);
         assert_eq!(told, case.told, "{:?}, {status}", case.named);
     }
 }
