--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -24,7 +24,7 @@
     routing::outcome::Reason,
     store::{
         Platform,
-        message::{Condition, Expect, Transacted, Transaction, Write},
+        message::{Condition, Expect, Transaction, TransactionOutcome, Write},
     },
 };
 
@@ -112,11 +112,11 @@
             let transaction = transaction(&group);
             self.counters.transactions.fetch_add(1, Ordering::Relaxed);
             match self.platform.transact(&transaction).await {
-                Ok(Transacted::Committed) => {
+                Ok(TransactionOutcome::Committed) => {
                     group.into_iter().for_each(Operation::succeeded);
                     group = Vec::new();
                 }
-                Ok(Transacted::Conflict { keys }) => {
+                Ok(TransactionOutcome::Conflict { keys }) => {
                     let (conflicting, rest) = split(group, &keys);
                     group = rest;
                     for operation in conflicting {
--- a/src/entry/crashes/stored.rs
+++ b/src/entry/crashes/stored.rs
@@ -16,7 +16,7 @@
             own_rows::{QUARANTINE_KEY, TABLE},
         },
     },
-    platform::store::{Expect, Put, Row, Transacted, Transaction},
+    platform::store::{Expect, Put, Row, Transaction, TransactionOutcome},
 };
 
 /// Interval at which the holder compares what is in quarantine with what the store has.
@@ -115,14 +115,14 @@
             ..Transaction::default()
         };
         match self.store.transact(&transaction).await {
-            Ok(Transacted::Done { version }) => {
+            Ok(TransactionOutcome::Done { version }) => {
                 *lock(&self.crashes.stored) = Stored {
                     digests: row.digests,
                     version,
                 };
                 self.freshness.note_change(Followed::Own, version);
             }
-            Ok(Transacted::Conflict { rows }) => self.apply_own(&rows),
+            Ok(TransactionOutcome::Conflict { rows }) => self.apply_own(&rows),
             Err(error) => log::debug!("the requests in quarantine are not stored yet: {error}"),
         }
     }
--- a/src/entry/duty/mod.rs
+++ b/src/entry/duty/mod.rs
@@ -23,7 +23,7 @@
 use super::{Entry, events::Event};
 use crate::{
     clock,
-    platform::store::{Expect, Put, Transacted, Transaction},
+    platform::store::{Expect, Put, Transaction, TransactionOutcome},
 };
 
 /// Table of the duty's row. It is apart from the other rows, because it changes often and nobody
@@ -217,8 +217,8 @@
         };
         let written = self.store.transact_within(&transaction, CONFIRM_TIMEOUT_MS);
         match written.await {
-            Ok(Transacted::Done { version }) => Some(version),
-            Ok(Transacted::Conflict { rows }) => {
+            Ok(TransactionOutcome::Done { version }) => Some(version),
+            Ok(TransactionOutcome::Conflict { rows }) => {
                 // An earlier try whose answer was lost may have taken effect.
                 let found = rows.into_iter().find(|r| r.key == DUTY_KEY)?;
                 (found.value == value).then_some(found.version)
--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -15,7 +15,7 @@
         owners::{Held, HeldRow},
         watch::pause,
     },
-    platform::store::{Expect, Put, Row, Transacted, Transaction},
+    platform::store::{Expect, Put, Row, Transaction, TransactionOutcome},
 };
 
 /// Why a write of the holder failed for good.
@@ -215,12 +215,12 @@
         loop {
             let sent_ms = clock::now_ms();
             match self.store.transact(&transaction).await {
-                Ok(Transacted::Done { version }) => {
+                Ok(TransactionOutcome::Done { version }) => {
                     // The transaction depends on the duty's row, so it confirms the duty too.
                     self.duty.confirmed_ms.store(sent_ms, Ordering::Relaxed);
                     return Settled::Done(version);
                 }
-                Ok(Transacted::Conflict { rows }) => return Settled::Conflict(rows),
+                Ok(TransactionOutcome::Conflict { rows }) => return Settled::Conflict(rows),
                 Err(error) if error.is_final() => {
                     log::error!("the store refuses a record of holdings: {error}");
                     return Settled::Refused;
--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -21,7 +21,7 @@
         news::own_rows::{HOST_PREFIX, HOSTS_PART, HostRow, TABLE},
         watch::pause,
     },
-    platform::store::{Expect, Put, Transacted, Transaction},
+    platform::store::{Expect, Put, Transaction, TransactionOutcome},
 };
 
 /// Interval at which newcomers that came together are registered.
@@ -176,8 +176,8 @@
             ..Transaction::default()
         };
         match self.store.transact(&transaction).await {
-            Ok(Transacted::Done { .. }) => Some(true),
-            Ok(Transacted::Conflict { rows }) => {
+            Ok(TransactionOutcome::Done { .. }) => Some(true),
+            Ok(TransactionOutcome::Conflict { rows }) => {
                 log::debug!("{} of the newcomers are registered already", rows.len());
                 Some(false)
             }
--- a/src/entry/register.rs
+++ b/src/entry/register.rs
@@ -13,7 +13,7 @@
     news::own_rows::{HOSTS_PART, HostRow, TABLE},
     watch::pause_for,
 };
-use crate::platform::store::{Expect, Put, Row, Transacted, Transaction};
+use crate::platform::store::{Expect, Put, Row, Transaction, TransactionOutcome};
 
 /// Time over which hosts that start spread their registration: the store takes some hundred writes a second.
 const SPREAD_MS: u64 = 2_000;
@@ -53,8 +53,8 @@
                 ..Transaction::default()
             };
             match self.store.transact(&transaction).await {
-                Ok(Transacted::Done { .. }) => break,
-                Ok(Transacted::Conflict { rows }) => {
+                Ok(TransactionOutcome::Done { .. }) => break,
+                Ok(TransactionOutcome::Conflict { rows }) => {
                     let found = rows.into_iter().find(|found| found.key == key);
                     if found.as_ref().is_some_and(|found| found.value == value) {
                         // An earlier try whose answer was lost.
--- a/src/entry/secret.rs
+++ b/src/entry/secret.rs
@@ -14,7 +14,7 @@
 };
 use crate::{
     clock,
-    platform::store::{Expect, Put, Row, Transacted, Transaction},
+    platform::store::{Expect, Put, Row, Transaction, TransactionOutcome},
 };
 
 /// Interval at which the holder of the duty looks at the secret's age.
@@ -67,13 +67,13 @@
             ..Transaction::default()
         };
         match self.store.transact(&transaction).await {
-            Ok(Transacted::Done { version }) => {
+            Ok(TransactionOutcome::Done { version }) => {
                 if let Err(error) = self.peers.seal.set(&value, version) {
                     log::error!("the new secret cannot be used: {error}");
                 }
                 self.freshness.note_change(Followed::Own, version);
             }
-            Ok(Transacted::Conflict { rows }) => self.apply_own(&rows),
+            Ok(TransactionOutcome::Conflict { rows }) => self.apply_own(&rows),
             Err(error) => log::debug!("the hosts' secret is not stored yet: {error}"),
         }
     }
--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -11,7 +11,7 @@
     clock,
     id::{HostKey, Incarnation},
     membership::{ring::Ring, tree},
-    store::message::{Condition, Expect, Row, Transacted, Transaction, Write},
+    store::message::{Condition, Expect, Row, Transaction, TransactionOutcome, Write},
 };
 
 const LEADER_ROW: &str = "leader";
@@ -128,7 +128,7 @@
             }],
         };
         let outcome = self.platform.transact(&transaction).await;
-        let holds = matches!(outcome, Ok(Transacted::Committed));
+        let holds = matches!(outcome, Ok(TransactionOutcome::Committed));
         if holds && !self.leading.swap(true, Ordering::Relaxed) {
             self.leader_term.store(term, Ordering::Relaxed);
             log::info!(term; "this host leads");
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -91,7 +91,7 @@
 
 /// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Transacted {
+pub enum TransactionOutcome {
     /// It took effect; its rows have this version now.
     Done {
         /// Version of the transaction.
@@ -261,7 +261,7 @@
 
     /// Runs a transaction. After an error for which [`Error::may_have_run`] holds it may have
     /// taken effect, or may do so seconds later if its conditions still hold then.
-    pub async fn transact(&self, transaction: &Transaction<'_>) -> Result<Transacted> {
+    pub async fn transact(&self, transaction: &Transaction<'_>) -> Result<TransactionOutcome> {
         self.transact_within(transaction, CALL_TIMEOUT_MS).await
     }
 
@@ -270,7 +270,7 @@
         &self,
         transaction: &Transaction<'_>,
         timeout_ms: u64,
-    ) -> Result<Transacted> {
+    ) -> Result<TransactionOutcome> {
         let body = serde_json::to_vec(&encode(transaction)).map_err(|error| Error::Document {
             what: "transaction".to_owned(),
             message: error.to_string(),
@@ -282,10 +282,10 @@
         if answer.status == StatusCode::PRECONDITION_FAILED {
             let found: WireRows = self.parse(&answer.body)?;
             let rows = decode_rows(found.rows);
-            return Ok(Transacted::Conflict { rows });
+            return Ok(TransactionOutcome::Conflict { rows });
         }
         let done: WireRows = self.decode(answer)?;
-        Ok(Transacted::Done { version: done.ver })
+        Ok(TransactionOutcome::Done { version: done.ver })
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str, timeout_ms: u64) -> Result<T> {
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -20,7 +20,7 @@
     clock,
     store::message::{
         Expect, HOSTS_PATH, HostList, OBJECT_PATH, RANGE_PATH, RangeRead, Row, Rows, TRANSACT_PATH,
-        Transacted, Transaction,
+        Transaction, TransactionOutcome,
     },
     transport::{self, AnswerBody, ListenerLimits},
 };
@@ -193,11 +193,11 @@
 
 impl Table {
     /// Runs a transaction; the flag tells whether its answer is to be lost.
-    fn transact(&mut self, transaction: Transaction) -> (Transacted, bool) {
+    fn transact(&mut self, transaction: Transaction) -> (TransactionOutcome, bool) {
         self.counters.transactions += 1;
         let conflicts = self.conflicts(&transaction);
         if !conflicts.is_empty() {
-            return (Transacted::Conflict { keys: conflicts }, false);
+            return (TransactionOutcome::Conflict { keys: conflicts }, false);
         }
         for write in transaction.writes {
             self.write(write.key, write.value);
@@ -206,7 +206,7 @@
         let every = self.faults.lose_answer_every;
         let lost = every > 0 && self.counters.transactions.is_multiple_of(every);
         self.counters.lost_answers += u64::from(lost);
-        (Transacted::Committed, lost)
+        (TransactionOutcome::Committed, lost)
     }
 
     fn conflicts(&self, transaction: &Transaction) -> Vec<String> {
--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -21,7 +21,7 @@
     id::{OperationId, Revision},
     store::{
         self, Platform,
-        message::{Condition, Expect, Row, Transacted, Transaction, Write},
+        message::{Condition, Expect, Row, Transaction, TransactionOutcome, Write},
     },
 };
 
@@ -133,12 +133,15 @@
         };
         let transaction = append_transaction(after, &entry)?;
         match self.transact_settled(&transaction).await? {
-            Transacted::Committed => Ok(Appended::Committed(entry)),
-            Transacted::Conflict { .. } => self.settle_conflict(entry).await,
+            TransactionOutcome::Committed => Ok(Appended::Committed(entry)),
+            TransactionOutcome::Conflict { .. } => self.settle_conflict(entry).await,
         }
     }
 
-    async fn transact_settled(&self, transaction: &Transaction) -> Result<Transacted, LogError> {
+    async fn transact_settled(
+        &self,
+        transaction: &Transaction,
+    ) -> Result<TransactionOutcome, LogError> {
         let deadline_ms = clock::now_ms() + self.settle_ms;
         loop {
             let source = match self.platform.transact(transaction).await {
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -10,7 +10,7 @@
     error::{CallSnafu, Result},
     message::{
         HOSTS_PATH, HostList, OBJECT_PATH, RANGE_PATH, RangeRead, Row, Rows, TRANSACT_PATH,
-        Transacted, Transaction,
+        Transaction, TransactionOutcome,
     },
 };
 use crate::transport::JsonClient;
@@ -32,7 +32,7 @@
     }
 
     /// Runs a conditional transaction. After an error it is unknown whether it took effect.
-    pub async fn transact(&self, transaction: &Transaction) -> Result<Transacted> {
+    pub async fn transact(&self, transaction: &Transaction) -> Result<TransactionOutcome> {
         self.client
             .post(self.address, TRANSACT_PATH, transaction)
             .await
--- a/src/store/message.rs
+++ b/src/store/message.rs
@@ -53,7 +53,7 @@
 /// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
-pub enum Transacted {
+pub enum TransactionOutcome {
     /// All writes took effect.
     Committed,
     /// Nothing took effect; these rows were not as expected.
