--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -19,7 +19,7 @@
     },
     platform::{
         self, Error,
-        orders::{self, Grant, Granted},
+        orders::{self, Grant, GrantOutcome},
     },
 };
 
@@ -115,9 +115,9 @@
                 handover: None,
             };
             match self.grant(server, order).await {
-                Some(Granted::Held) => {}
-                Some(Granted::Superseded) => self.raise_fence(service, server, holding).await,
-                Some(Granted::OtherServer) => return,
+                Some(GrantOutcome::Held) => {}
+                Some(GrantOutcome::Superseded) => self.raise_fence(service, server, holding).await,
+                Some(GrantOutcome::OtherServer) => return,
                 // Due again in the next round; meanwhile the others.
                 None => {}
             }
@@ -129,7 +129,7 @@
         &self,
         server: &Arc<Server>,
         order: LeaseOrder<'_>,
-    ) -> Option<Granted> {
+    ) -> Option<GrantOutcome> {
         if !self.lasts() {
             return None;
         }
@@ -154,7 +154,7 @@
         let is_in_doubt = self.note_grant(id, order, sent_ms, &answer);
         let error = match answer {
             Ok(granted) => {
-                let held = granted == Granted::Held;
+                let held = granted == GrantOutcome::Held;
                 let outcome = if held { "held" } else { "refused" };
                 self.entry.metrics.order("grant", outcome);
                 return Some(granted);
@@ -174,7 +174,7 @@
         id: &Arc<str>,
         order: LeaseOrder<'_>,
         sent_ms: u64,
-        answer: &platform::Result<Granted>,
+        answer: &platform::Result<GrantOutcome>,
     ) -> bool {
         let mut work = self.work();
         let record = work.servers.entry(id.clone()).or_default();
@@ -190,7 +190,7 @@
         };
         record.failures = 0;
         record.is_silent = false;
-        if *granted == Granted::Held {
+        if *granted == GrantOutcome::Held {
             let key = (order.service.clone(), order.fence);
             work.renewals.entry(key).or_default().renewed_ms = sent_ms;
         }
--- a/src/platform/orders.rs
+++ b/src/platform/orders.rs
@@ -18,7 +18,7 @@
 
 /// What a server said to a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Granted {
+pub enum GrantOutcome {
     /// It holds the keys for the time asked for, counted from the order's arrival.
     Held,
     /// It has seen a higher fence on one of the keys.
@@ -66,7 +66,7 @@
 }
 
 /// Grants or renews keys.
-pub async fn grant(link: &Link, grant: Grant<'_>, timeout_ms: u64) -> Result<Granted> {
+pub async fn grant(link: &Link, grant: Grant<'_>, timeout_ms: u64) -> Result<GrantOutcome> {
     let body = WireGrant {
         from: grant.range.first,
         to: grant.range.last,
@@ -76,9 +76,9 @@
     };
     let answer = order(link, GRANT_PATH, grant.server, &body, timeout_ms).await?;
     match answer.status {
-        StatusCode::OK => Ok(Granted::Held),
-        StatusCode::CONFLICT => Ok(Granted::Superseded),
-        StatusCode::MISDIRECTED_REQUEST => Ok(Granted::OtherServer),
+        StatusCode::OK => Ok(GrantOutcome::Held),
+        StatusCode::CONFLICT => Ok(GrantOutcome::Superseded),
+        StatusCode::MISDIRECTED_REQUEST => Ok(GrantOutcome::OtherServer),
         status => StatusSnafu {
             address: link.address(),
             status,
