--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -20,7 +20,7 @@
     },
     platform::{
         self, Link,
-        orders::{self, Release, Released},
+        orders::{self, Release, ReleaseOutcome},
     },
 };
 
@@ -302,11 +302,11 @@
                 fence,
             };
             match release(link, order, timeout_ms).await {
-                Ok(Released::Ended { handover }) => {
+                Ok(ReleaseOutcome::Ended { handover }) => {
                     self.entry.metrics.order("release", "ended");
                     return Some(handover);
                 }
-                Ok(Released::OtherServer) => return Some(None),
+                Ok(ReleaseOutcome::OtherServer) => return Some(None),
                 Err(error) => {
                     self.entry.metrics.order("release", "failed");
                     log::debug!("{id} did not release keys: {error}");
@@ -340,7 +340,11 @@
 
 /// Sends a release, and again beside it while no answer comes: a release may be repeated, and the
 /// first answer counts.
-async fn release(link: &Link, order: Release<'_>, timeout_ms: u64) -> platform::Result<Released> {
+async fn release(
+    link: &Link,
+    order: Release<'_>,
+    timeout_ms: u64,
+) -> platform::Result<ReleaseOutcome> {
     let began_ms = clock::now_ms();
     let Release { range, fence, .. } = order;
     let first = orders::release(link, order, timeout_ms);
--- a/src/platform/orders.rs
+++ b/src/platform/orders.rs
@@ -55,7 +55,7 @@
 
 /// What a server said to a release.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Released {
+pub enum ReleaseOutcome {
     /// All work on the keys has ended; the token warms the next owner.
     Ended {
         /// Token for the next owner.
@@ -88,7 +88,7 @@
 }
 
 /// Takes keys back; the answer comes when work on them has ended.
-pub async fn release(link: &Link, release: Release<'_>, timeout_ms: u64) -> Result<Released> {
+pub async fn release(link: &Link, release: Release<'_>, timeout_ms: u64) -> Result<ReleaseOutcome> {
     let body = WireRelease {
         from: release.range.first,
         to: release.range.last,
@@ -99,11 +99,11 @@
         StatusCode::OK => {
             let token = answer.headers.get(HANDOVER);
             let handover = token.and_then(|token| token.to_str().ok());
-            Ok(Released::Ended {
+            Ok(ReleaseOutcome::Ended {
                 handover: handover.map(str::to_owned),
             })
         }
-        StatusCode::MISDIRECTED_REQUEST => Ok(Released::OtherServer),
+        StatusCode::MISDIRECTED_REQUEST => Ok(ReleaseOutcome::OtherServer),
         status => StatusSnafu {
             address: link.address(),
             status,
