--- a/src/platform/link.rs
+++ b/src/platform/link.rs
@@ -30,7 +30,7 @@
 
 /// An answer that is whole in memory.
 #[derive(Debug)]
-pub struct Answer {
+pub struct BufferedResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -70,7 +70,11 @@
 
     /// Sends a request and reads the whole answer, which must begin within `timeout_ms`. Calls that
     /// overlap use connections of their own.
-    pub async fn call(&self, request: Request<Full<Bytes>>, timeout_ms: u64) -> Result<Answer> {
+    pub async fn call(
+        &self,
+        request: Request<Full<Bytes>>,
+        timeout_ms: u64,
+    ) -> Result<BufferedResponse> {
         let begun = AtomicBool::new(false);
         self.call_noting(request, timeout_ms, &begun).await
     }
@@ -81,7 +85,7 @@
         request: Request<Full<Bytes>>,
         timeout_ms: u64,
         begun: &AtomicBool,
-    ) -> Result<Answer> {
+    ) -> Result<BufferedResponse> {
         let mut sender = self.connection(timeout_ms).await?;
         let head = sender.send_request(request);
         let response = self.within(timeout_ms, head).await?;
@@ -92,7 +96,7 @@
             sender,
             since: Instant::now(),
         });
-        Ok(Answer {
+        Ok(BufferedResponse {
             status: head.status,
             headers: head.headers,
             body: body.to_bytes(),
--- a/src/platform/orders.rs
+++ b/src/platform/orders.rs
@@ -8,7 +8,7 @@
 use super::{
     error::{DecodeSnafu, Result, StatusSnafu},
     headers::{EXPECTED_SERVER, HANDOVER, SERVER_NAME},
-    link::{Answer, Link},
+    link::{BufferedResponse, Link},
     wire::{WireGrant, WireRelease},
 };
 use crate::entry::keys::KeyRange;
@@ -143,7 +143,7 @@
     server: &str,
     body: &B,
     timeout_ms: u64,
-) -> Result<Answer> {
+) -> Result<BufferedResponse> {
     let address = link.address();
     let unsent = |message: String| DecodeSnafu { address, message }.build();
     let body = serde_json::to_vec(body).map_err(|error| unsent(error.to_string()))?;
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -14,7 +14,7 @@
 
 use super::{
     error::{DecodeSnafu, Error, Result, StatusSnafu},
-    link::{Answer, Link},
+    link::{BufferedResponse, Link},
     wire::{WireExpect, WirePut, WireRemove, WireRow, WireRows, WireTransaction},
 };
 
@@ -301,7 +301,7 @@
         path: &str,
         body: Bytes,
         timeout_ms: u64,
-    ) -> Result<Answer> {
+    ) -> Result<BufferedResponse> {
         let request = self.request(method, path, body)?;
         self.link.call(request, timeout_ms).await
     }
@@ -320,7 +320,7 @@
         })
     }
 
-    fn decode<T: DeserializeOwned>(&self, answer: Answer) -> Result<T> {
+    fn decode<T: DeserializeOwned>(&self, answer: BufferedResponse) -> Result<T> {
         if answer.status != StatusCode::OK {
             return StatusSnafu {
                 address: self.link.address(),
