--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -15,7 +15,7 @@
 use crate::{
     clock,
     ownership::message::{DEADLINE_HEADER, IDEMPOTENCY_HEADER, OUTCOME_HEADER},
-    standin::backend::Answer,
+    standin::backend::EchoResponse,
     transport::header_text,
 };
 
@@ -106,7 +106,7 @@
         Some(_) => return Ending::Unknown,
         None => {}
     }
-    let answer: Option<Answer> = serde_json::from_slice(body).ok();
+    let answer: Option<EchoResponse> = serde_json::from_slice(body).ok();
     let own = answer.is_some_and(|answer| answer.path == path);
     if status == StatusCode::OK && own {
         return Ending::Answered;
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -21,7 +21,8 @@
 };
 
 pub use super::backend_message::{
-    Answer, FAULTS_PATH, Faults, HEALTH_PATH, LOAD_PATH, LoadAnswer, RECORD_PATH, Record, RunCount,
+    EchoResponse, FAULTS_PATH, Faults, HEALTH_PATH, LOAD_PATH, LoadAnswer, RECORD_PATH, Record,
+    RunCount,
 };
 use super::{
     Running,
@@ -329,7 +330,7 @@
         self.thaw().await;
         drop(occupied);
         drop(in_flight);
-        let answer = Answer {
+        let answer = EchoResponse {
             request: id,
             path,
             incarnation: self.incarnation,
@@ -423,7 +424,7 @@
 }
 
 /// An answer that announces its whole length and breaks off in the middle.
-fn cut(answer: &Answer) -> Response<AnswerBody> {
+fn cut(answer: &EchoResponse) -> Response<AnswerBody> {
     let mut whole = Bytes::from(serde_json::to_vec(answer).unwrap_or_default());
     let announced = HeaderValue::from(whole.len());
     let half = whole.split_to(whole.len() / 2);
--- a/src/standin/backend_message.rs
+++ b/src/standin/backend_message.rs
@@ -65,7 +65,7 @@
 
 /// Body of an answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Answer {
+pub struct EchoResponse {
     /// Identifier that the request came with.
     pub request: String,
     /// Path that was asked.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -447,7 +447,7 @@
 
 impl Answered {
     /// The stand-in's answer.
-    pub fn answer(&self) -> backend::Answer {
+    pub fn answer(&self) -> backend::EchoResponse {
         let read = serde_json::from_slice(&self.body);
         read.unwrap_or_else(|error| panic!("{error}: {self:?}"))
     }
--- a/tests/standins.rs
+++ b/tests/standins.rs
@@ -8,7 +8,7 @@
 use ashroad::{
     standin::{
         Running,
-        backend::{self, Answer, Config, Faults, LoadAnswer},
+        backend::{self, Config, EchoResponse, Faults, LoadAnswer},
     },
     transport::JsonClient,
 };
@@ -30,7 +30,7 @@
 async fn a_cold_server_takes_longer() {
     let server = start(60_000, 0).await;
     let asked = Instant::now();
-    let answer: Answer = JsonClient::new(2_000)
+    let answer: EchoResponse = JsonClient::new(2_000)
         .get(server.address, "/w/s/key")
         .await
         .expect("an answer");
@@ -54,7 +54,7 @@
         .expect("faults are set");
     assert_eq!(load().await.expect("an answer"), LoadAnswer::default());
     let (address, caller) = (server.address, client.clone());
-    let busy = tokio::spawn(async move { caller.get::<Answer>(address, "/w/s/key").await });
+    let busy = tokio::spawn(async move { caller.get::<EchoResponse>(address, "/w/s/key").await });
     time::sleep(Duration::from_millis(100)).await;
     assert_eq!(load().await.expect("an answer").running, 0, "it lags");
     let _: Faults = client
