--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -21,7 +21,7 @@
 };
 
 pub use super::backend_message::{
-    EchoResponse, FAULTS_PATH, Faults, HEALTH_PATH, LOAD_PATH, LoadAnswer, RECORD_PATH, Record,
+    EchoResponse, FAULTS_PATH, Faults, HEALTH_PATH, LOAD_PATH, LoadResponse, RECORD_PATH, Record,
     RunCount,
 };
 use super::{
@@ -71,7 +71,7 @@
     waiting: usize,
     faults: Faults,
     /// What the load endpoint last said, and when.
-    said_load: (u64, LoadAnswer),
+    said_load: (u64, LoadResponse),
 }
 
 #[derive(Clone, Debug)]
@@ -228,7 +228,7 @@
         let now_ms = clock::now_ms();
         let mut inner = self.lock();
         if now_ms >= inner.said_load.0 + inner.faults.load_lag_ms {
-            let load = LoadAnswer {
+            let load = LoadResponse {
                 running: inner.running,
                 waiting: inner.waiting,
             };
--- a/src/standin/backend_message.rs
+++ b/src/standin/backend_message.rs
@@ -34,7 +34,7 @@
 
 /// Answer of the load endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadAnswer {
+pub struct LoadResponse {
     /// Requests that run.
     pub running: usize,
     /// Requests that wait for a slot.
--- a/tests/standins.rs
+++ b/tests/standins.rs
@@ -8,7 +8,7 @@
 use ashroad::{
     standin::{
         Running,
-        backend::{self, Config, EchoResponse, Faults, LoadAnswer},
+        backend::{self, Config, EchoResponse, Faults, LoadResponse},
     },
     transport::JsonClient,
 };
@@ -43,7 +43,7 @@
 async fn the_load_endpoint_lags_as_told() {
     let server = start(0, 300).await;
     let client = JsonClient::new(2_000);
-    let load = || client.get::<LoadAnswer>(server.address, backend::LOAD_PATH);
+    let load = || client.get::<LoadResponse>(server.address, backend::LOAD_PATH);
     let lag = Faults {
         load_lag_ms: 60_000,
         ..Faults::default()
@@ -52,7 +52,7 @@
         .post(server.address, backend::FAULTS_PATH, &lag)
         .await
         .expect("faults are set");
-    assert_eq!(load().await.expect("an answer"), LoadAnswer::default());
+    assert_eq!(load().await.expect("an answer"), LoadResponse::default());
     let (address, caller) = (server.address, client.clone());
     let busy = tokio::spawn(async move { caller.get::<EchoResponse>(address, "/w/s/key").await });
     time::sleep(Duration::from_millis(100)).await;
