--- a/src/standin/backend_message.rs
+++ b/src/standin/backend_message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::grants::HeldSpan;
+use super::grants::OwnershipSpan;
 use crate::id::Incarnation;
 
 /// Path that sets faults (POST).
@@ -56,7 +56,7 @@
     /// Process that recorded.
     pub incarnation: Incarnation,
     /// Spans in which it owned a slot.
-    pub held: Vec<HeldSpan>,
+    pub held: Vec<OwnershipSpan>,
     /// Requests that ran.
     pub runs: Vec<RunCount>,
     /// Most requests that ran at a time.
--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -11,7 +11,7 @@
 
 /// A span of time in which a server held a slot, on the machine's wall clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldSpan {
+pub struct OwnershipSpan {
     /// Service.
     pub service: String,
     /// Slot.
@@ -48,7 +48,7 @@
     slots: HashMap<(String, Slot), Held>,
     digest: u64,
     leases_us: Vec<(u64, u64)>,
-    ended: Vec<HeldSpan>,
+    ended: Vec<OwnershipSpan>,
 }
 
 impl Grants {
@@ -144,7 +144,7 @@
             return;
         };
         self.digest ^= grant_hash(&key.0, key.1, held.epoch);
-        self.ended.push(HeldSpan {
+        self.ended.push(OwnershipSpan {
             service: key.0.clone(),
             slot: key.1,
             epoch: held.epoch,
@@ -170,9 +170,9 @@
     }
 
     /// Every span in which a slot was held under a valid lease, up to now.
-    pub fn record(&self, now: Reading) -> Vec<HeldSpan> {
+    pub fn record(&self, now: Reading) -> Vec<OwnershipSpan> {
         let open = self.slots.iter().filter_map(|((service, slot), held)| {
-            Some(HeldSpan {
+            Some(OwnershipSpan {
                 service: service.clone(),
                 slot: *slot,
                 epoch: held.epoch,
@@ -180,13 +180,13 @@
                 until_us: now.unix_us,
             })
         });
-        let spans: Vec<HeldSpan> = self.ended.iter().cloned().chain(open).collect();
+        let spans: Vec<OwnershipSpan> = self.ended.iter().cloned().chain(open).collect();
         let mut record = Vec::new();
         for (start_us, end_us) in &self.leases_us {
             record.extend(spans.iter().filter_map(|span| {
                 let from_us = span.from_us.max(*start_us);
                 let until_us = span.until_us.min(*end_us);
-                (from_us < until_us).then(|| HeldSpan {
+                (from_us < until_us).then(|| OwnershipSpan {
                     from_us,
                     until_us,
                     ..span.clone()
--- a/src/standin/verdict.rs
+++ b/src/standin/verdict.rs
@@ -4,21 +4,21 @@
 
 use super::{
     backend::{Record, RunCount},
-    grants::HeldSpan,
+    grants::OwnershipSpan,
 };
 
 /// Two servers that owned one slot at the same time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DoubleOwned {
     /// One span.
-    pub one: HeldSpan,
+    pub one: OwnershipSpan,
     /// Another span, of another server, that overlaps it.
-    pub other: HeldSpan,
+    pub other: OwnershipSpan,
 }
 
 /// Every pair of overlapping spans of different servers.
 pub fn double_owned(records: &[Record]) -> Vec<DoubleOwned> {
-    let mut spans: Vec<(usize, &HeldSpan)> = Vec::new();
+    let mut spans: Vec<(usize, &OwnershipSpan)> = Vec::new();
     for (server, record) in records.iter().enumerate() {
         spans.extend(record.held.iter().map(|span| (server, span)));
     }
@@ -37,11 +37,11 @@
     found
 }
 
-fn place(span: &HeldSpan) -> (&str, u32, u64) {
+fn place(span: &OwnershipSpan) -> (&str, u32, u64) {
     (&span.service, span.slot.0, span.from_us)
 }
 
-fn same_slot(one: &HeldSpan, other: &HeldSpan) -> bool {
+fn same_slot(one: &OwnershipSpan, other: &OwnershipSpan) -> bool {
     one.service == other.service && one.slot == other.slot
 }
 
