--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -26,7 +26,7 @@
 };
 use super::{
     Running,
-    grants::{Grants, Reading},
+    grants::{ClockReading, Grants},
 };
 use crate::{
     clock,
@@ -111,8 +111,8 @@
     Ok(Running::new(address, stop, task))
 }
 
-fn reading() -> Reading {
-    Reading {
+fn reading() -> ClockReading {
+    ClockReading {
         clock_ms: clock::now_ms(),
         unix_us: clock::unix_us(),
     }
--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -33,7 +33,7 @@
 
 /// A reading of the server's clock together with wall time.
 #[derive(Clone, Copy, Debug)]
-pub struct Reading {
+pub struct ClockReading {
     /// Monotonic time of the server.
     pub clock_ms: u64,
     /// Wall time, for the record.
@@ -63,7 +63,7 @@
     }
 
     /// Extends the lease and takes the grants; false if the order is outdated.
-    pub fn renew(&mut self, request: &LeaseRequest, now: Reading) -> bool {
+    pub fn renew(&mut self, request: &LeaseRequest, now: ClockReading) -> bool {
         if request.lease_epoch < self.lease_epoch {
             return false;
         }
@@ -79,7 +79,7 @@
     }
 
     /// A new membership period begins without grants: those of the last one may have moved on.
-    fn end_all(&mut self, now: Reading) {
+    fn end_all(&mut self, now: ClockReading) {
         let keys: Vec<(String, Slot)> = self.slots.keys().cloned().collect();
         for key in keys {
             self.end_tenure(&key, now);
@@ -87,7 +87,7 @@
         self.not_after_ms = 0;
     }
 
-    fn extend(&mut self, not_after_ms: u64, now: Reading) {
+    fn extend(&mut self, not_after_ms: u64, now: ClockReading) {
         if not_after_ms <= now.clock_ms || not_after_ms <= self.not_after_ms {
             return;
         }
@@ -100,7 +100,7 @@
         }
     }
 
-    fn grant(&mut self, grant: &SlotGrant, now: Reading) {
+    fn grant(&mut self, grant: &SlotGrant, now: ClockReading) {
         let key = (grant.service.clone(), grant.slot);
         if self
             .slots
@@ -119,7 +119,7 @@
     }
 
     /// Gives up a slot; grants below `next.epoch` are refused from now on.
-    pub fn revoke(&mut self, next: &SlotGrant, now: Reading) {
+    pub fn revoke(&mut self, next: &SlotGrant, now: ClockReading) {
         let key = (next.service.clone(), next.slot);
         if self
             .slots
@@ -136,7 +136,7 @@
         self.slots.insert(key, held);
     }
 
-    fn end_tenure(&mut self, key: &(String, Slot), now: Reading) {
+    fn end_tenure(&mut self, key: &(String, Slot), now: ClockReading) {
         let Some(held) = self.slots.get_mut(key) else {
             return;
         };
@@ -170,7 +170,7 @@
     }
 
     /// Every span in which a slot was held under a valid lease, up to now.
-    pub fn record(&self, now: Reading) -> Vec<OwnershipSpan> {
+    pub fn record(&self, now: ClockReading) -> Vec<OwnershipSpan> {
         let open = self.slots.iter().filter_map(|((service, slot), held)| {
             Some(OwnershipSpan {
                 service: service.clone(),
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -13,7 +13,7 @@
     id::{HostKey, Incarnation, OperationId, Revision, ServerKey, Slot},
     membership::freshness::PeerAnswer,
     ownership::message::{LeaseAnswer, LeaseRequest, SlotGrant},
-    standin::grants::{Grants, Reading},
+    standin::grants::{ClockReading, Grants},
     state::{Change, LogEntry, MoveDone, SlotMove, State},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -445,9 +445,9 @@
         }
     }
 
-    fn reading(&self, server: usize) -> Reading {
+    fn reading(&self, server: usize) -> ClockReading {
         let held = &self.servers[server];
-        Reading {
+        ClockReading {
             clock_ms: local_ms(self.now_ms, held.offset_ms, held.drift_ppt),
             unix_us: self.now_ms * 1_000,
         }
@@ -538,7 +538,7 @@
     }
 }
 
-fn renew(server: &mut Server, order: &mut LeaseRequest, now: Reading, broken: Broken) -> bool {
+fn renew(server: &mut Server, order: &mut LeaseRequest, now: ClockReading, broken: Broken) -> bool {
     if order.incarnation != Some(server.incarnation) {
         return false;
     }
@@ -551,7 +551,7 @@
     server.grants.renew(order, now)
 }
 
-fn lease_answer(server: &Server, now: Reading, accepted: bool) -> LeaseAnswer {
+fn lease_answer(server: &Server, now: ClockReading, accepted: bool) -> LeaseAnswer {
     LeaseAnswer {
         incarnation: server.incarnation,
         clock_ms: now.clock_ms,
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -11,7 +11,7 @@
         message::{LeaseAnswer, LeaseRequest, SlotGrant},
         renewal::Contact,
     },
-    standin::grants::{Grants, Reading},
+    standin::grants::{ClockReading, Grants},
     state::{Change, State},
 };
 
@@ -235,8 +235,8 @@
     }
 }
 
-fn reading(clock_ms: u64) -> Reading {
-    Reading {
+fn reading(clock_ms: u64) -> ClockReading {
+    ClockReading {
         clock_ms,
         unix_us: clock_ms * 1_000,
     }
