--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -34,7 +34,7 @@
     server::tag_of,
     watch::pause,
 };
-use crate::{clock, platform::store::PART};
+use crate::{clock, platform::store::DEFAULT_PARTITION};
 
 /// Pause between two questions.
 const ASK_EVERY_MS: u64 = 250;
@@ -185,7 +185,11 @@
 
     /// Guides of the own zone, or all of them if it has none; `None` if the store does not answer.
     async fn find_guides(&self) -> Option<Found> {
-        let rows = match self.store.range(TABLE, PART, SECRET_KEY, GUIDES_KEY).await {
+        let rows = match self
+            .store
+            .range(TABLE, DEFAULT_PARTITION, SECRET_KEY, GUIDES_KEY)
+            .await
+        {
             Ok(rows) => {
                 self.heard_store(clock::now_ms());
                 rows.rows
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -30,7 +30,7 @@
 /// Rows of one page.
 const PAGE_ROWS: usize = 500;
 /// The usual part: rows that one transaction can cover. Each part takes a bounded number of writes a second.
-pub const PART: &str = "";
+pub const DEFAULT_PARTITION: &str = "";
 
 /// A row.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -187,7 +187,7 @@
 
     /// Reads all rows of the usual part of a table at one version.
     pub async fn table(&self, table: &str) -> Result<Rows> {
-        self.table_part(table, PART).await
+        self.table_part(table, DEFAULT_PARTITION).await
     }
 
     /// Reads all rows of a part of a table at one version.
