--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -303,7 +303,7 @@
     async fn read_table(&self, followed: Followed) -> platform::Result<Rows> {
         let mut rows = self.store.table(followed.table()).await?;
         if followed == Followed::Own {
-            let hosts = self.store.table_part(TABLE, HOSTS_PART).await?;
+            let hosts = self.store.table_partition(TABLE, HOSTS_PART).await?;
             rows.rows.extend(hosts.rows);
         }
         Ok(rows)
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -187,11 +187,11 @@
 
     /// Reads all rows of the usual part of a table at one version.
     pub async fn table(&self, table: &str) -> Result<Rows> {
-        self.table_part(table, DEFAULT_PARTITION).await
+        self.table_partition(table, DEFAULT_PARTITION).await
     }
 
     /// Reads all rows of a part of a table at one version.
-    pub async fn table_part(&self, table: &str, part: &str) -> Result<Rows> {
+    pub async fn table_partition(&self, table: &str, part: &str) -> Result<Rows> {
         let mut all = Rows {
             rows: Vec::new(),
             version: 0,
