--- a/src/platform/link.rs
+++ b/src/platform/link.rs
@@ -76,11 +76,11 @@
         timeout_ms: u64,
     ) -> Result<BufferedResponse> {
         let begun = AtomicBool::new(false);
-        self.call_noting(request, timeout_ms, &begun).await
+        self.call_noting_start(request, timeout_ms, &begun).await
     }
 
     /// Does the same, and notes when the answer has begun.
-    pub async fn call_noting(
+    pub async fn call_noting_start(
         &self,
         request: Request<Full<Bytes>>,
         timeout_ms: u64,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -247,7 +247,9 @@
             FEED_SLACK_MS
         };
         let request = self.request(Method::GET, &path, Bytes::new())?;
-        let answer = self.link.call_noting(request, wait_ms + slack_ms, begun);
+        let answer = self
+            .link
+            .call_noting_start(request, wait_ms + slack_ms, begun);
         let answer = answer.await?;
         if answer.status == StatusCode::GONE {
             return Ok(Feed::HistoryGone);
