--- a/src/platform/link.rs
+++ b/src/platform/link.rs
@@ -26,7 +26,7 @@
 const BODY_TIMEOUT_MS: u64 = 3_000;
 /// Time after which a connection that was not used is not relied on: it may have fallen silent, and a call on it would
 /// wait out its whole timeout. Above the intervals at which leases are renewed, so that those keep theirs.
-const IDLE_MAX: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// An answer that is whole in memory.
 #[derive(Debug)]
@@ -129,7 +129,7 @@
     async fn connection(&self, timeout_ms: u64) -> Result<SendRequest<Full<Bytes>>> {
         let idle = self.idle().take();
         if let Some(Idle { mut sender, since }) = idle
-            && since.elapsed() < IDLE_MAX
+            && since.elapsed() < IDLE_TIMEOUT
             && sender.ready().await.is_ok()
         {
             return Ok(sender);
