--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -71,7 +71,7 @@
     waiting: usize,
     faults: Faults,
     /// What the load endpoint last said, and when.
-    said_load: (u64, LoadResponse),
+    last_load: (u64, LoadResponse),
 }
 
 #[derive(Clone, Debug)]
@@ -227,14 +227,14 @@
     fn load(&self) -> Response<AnswerBody> {
         let now_ms = clock::now_ms();
         let mut inner = self.lock();
-        if now_ms >= inner.said_load.0 + inner.faults.load_lag_ms {
+        if now_ms >= inner.last_load.0 + inner.faults.load_lag_ms {
             let load = LoadResponse {
                 running: inner.running,
                 waiting: inner.waiting,
             };
-            inner.said_load = (now_ms, load);
+            inner.last_load = (now_ms, load);
         }
-        transport::json(StatusCode::OK, &inner.said_load.1)
+        transport::json(StatusCode::OK, &inner.last_load.1)
     }
 
     /// Extra time of a request while the server is cold.
