--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -337,7 +337,7 @@
             body_bytes: body.to_bytes().len(),
         };
         if self.lock().faults.cut_answers {
-            return cut(&answer);
+            return truncated(&answer);
         }
         transport::json(StatusCode::OK, &answer)
     }
@@ -424,7 +424,7 @@
 }
 
 /// An answer that announces its whole length and breaks off in the middle.
-fn cut(answer: &EchoResponse) -> Response<AnswerBody> {
+fn truncated(answer: &EchoResponse) -> Response<AnswerBody> {
     let mut whole = Bytes::from(serde_json::to_vec(answer).unwrap_or_default());
     let announced = HeaderValue::from(whole.len());
     let half = whole.split_to(whole.len() / 2);
