--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -403,12 +403,12 @@
 }
 
 /// Body that ends before the announced length, a moment after its first half.
-struct CutBody {
+struct TruncatedBody {
     half: Option<Bytes>,
     pause: Pin<Box<time::Sleep>>,
 }
 
-impl Body for CutBody {
+impl Body for TruncatedBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -429,7 +429,7 @@
     let announced = HeaderValue::from(whole.len());
     let half = whole.split_to(whole.len() / 2);
     let mut response = Response::new(
-        CutBody {
+        TruncatedBody {
             half: Some(half),
             pause: Box::pin(time::sleep(Duration::from_millis(CUT_PAUSE_MS))),
         }
