--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -41,7 +41,7 @@
 
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
 const DRAIN_POLL_MS: u64 = 1;
-const CUT_PAUSE_MS: u64 = 30;
+const TRUNCATION_PAUSE_MS: u64 = 30;
 const COLD_EXTRA_MS: u64 = 20;
 
 /// Shape of one stand-in.
@@ -431,7 +431,7 @@
     let mut response = Response::new(
         TruncatedBody {
             half: Some(half),
-            pause: Box::pin(time::sleep(Duration::from_millis(CUT_PAUSE_MS))),
+            pause: Box::pin(time::sleep(Duration::from_millis(TRUNCATION_PAUSE_MS))),
         }
         .boxed(),
     );
