--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -370,7 +370,7 @@
         }))
     }
 
-    async fn occupy(&self, headers: &HeaderMap) -> Result<Slotted, &'static str> {
+    async fn occupy(&self, headers: &HeaderMap) -> Result<SlotGuard, &'static str> {
         let waiting = {
             let mut inner = self.lock();
             if inner.waiting >= self.config.queue + self.permits.available_permits() {
@@ -389,7 +389,7 @@
         let mut inner = self.lock();
         inner.running += 1;
         inner.running_max = inner.running_max.max(inner.running);
-        Ok(Slotted {
+        Ok(SlotGuard {
             _occupied: Occupied(self.clone()),
             _permit: permit,
         })
@@ -397,7 +397,7 @@
 }
 
 /// A running request's slot; given back when dropped.
-struct Slotted {
+struct SlotGuard {
     _occupied: Occupied,
     _permit: OwnedSemaphorePermit,
 }
