--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -311,7 +311,7 @@
             Ok(in_flight) => in_flight,
             Err(reason) => return not_run(StatusCode::CONFLICT, reason),
         };
-        let occupied = match self.occupy(&headers).await {
+        let occupied = match self.acquire_slot(&headers).await {
             Ok(occupied) => occupied,
             Err(reason) => return not_run(StatusCode::SERVICE_UNAVAILABLE, reason),
         };
@@ -370,7 +370,7 @@
         }))
     }
 
-    async fn occupy(&self, headers: &HeaderMap) -> Result<SlotGuard, &'static str> {
+    async fn acquire_slot(&self, headers: &HeaderMap) -> Result<SlotGuard, &'static str> {
         let waiting = {
             let mut inner = self.lock();
             if inner.waiting >= self.config.queue + self.permits.available_permits() {
