--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -146,9 +146,9 @@
 }
 
 /// Counts a request as running until dropped.
-struct Occupied(Backend);
+struct RunningGuard(Backend);
 
-impl Drop for Occupied {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.lock().running -= 1;
     }
@@ -390,7 +390,7 @@
         inner.running += 1;
         inner.running_max = inner.running_max.max(inner.running);
         Ok(SlotGuard {
-            _occupied: Occupied(self.clone()),
+            _occupied: RunningGuard(self.clone()),
             _permit: permit,
         })
     }
@@ -398,7 +398,7 @@
 
 /// A running request's slot; given back when dropped.
 struct SlotGuard {
-    _occupied: Occupied,
+    _occupied: RunningGuard,
     _permit: OwnedSemaphorePermit,
 }
 
