--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -155,9 +155,9 @@
 }
 
 /// Counts a request as waiting until dropped.
-struct Waiting(Backend);
+struct WaitingGuard(Backend);
 
-impl Drop for Waiting {
+impl Drop for WaitingGuard {
     fn drop(&mut self) {
         self.0.lock().waiting -= 1;
     }
@@ -377,7 +377,7 @@
                 return Err("shed");
             }
             inner.waiting += 1;
-            Waiting(self.clone())
+            WaitingGuard(self.clone())
         };
         let deadline_ms = header_number(headers, DEADLINE_HEADER).unwrap_or(60_000);
         let permit = self.permits.clone().acquire_owned();
