--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -127,12 +127,12 @@
 }
 
 /// Counts a request of a slot as in flight until dropped.
-struct InFlight {
+struct InFlightGuard {
     backend: Backend,
     key: (String, Slot),
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut inner = self.backend.lock();
         let Some(count) = inner.in_flight.get_mut(&self.key) else {
@@ -343,7 +343,7 @@
     }
 
     /// Checks the order and counts the request as in flight in one step.
-    fn admit(&self, headers: &HeaderMap) -> Result<Option<InFlight>, &'static str> {
+    fn admit(&self, headers: &HeaderMap) -> Result<Option<InFlightGuard>, &'static str> {
         let Some(service) = header_text(headers, SERVICE_HEADER) else {
             return Ok(None);
         };
@@ -364,7 +364,7 @@
         }
         let key = (service.to_owned(), slot);
         *inner.in_flight.entry(key.clone()).or_default() += 1;
-        Ok(Some(InFlight {
+        Ok(Some(InFlightGuard {
             backend: self.clone(),
             key,
         }))
