--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -62,7 +62,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct State {
     grants: Grants,
     in_flight: HashMap<(String, Slot), usize>,
     runs: HashMap<String, u64>,
@@ -79,7 +79,7 @@
     config: Arc<Config>,
     incarnation: Incarnation,
     started_ms: u64,
-    inner: Arc<Mutex<Inner>>,
+    inner: Arc<Mutex<State>>,
     permits: Arc<Semaphore>,
 }
 
@@ -164,7 +164,7 @@
 }
 
 impl Backend {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
