--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -250,8 +250,8 @@
         };
         let now = reading();
         let mut inner = self.lock();
-        let meant = order.incarnation == Some(self.incarnation);
-        let accepted = meant && inner.grants.renew(&order, now);
+        let is_for_this_incarnation = order.incarnation == Some(self.incarnation);
+        let accepted = is_for_this_incarnation && inner.grants.renew(&order, now);
         let answer = LeaseAnswer {
             incarnation: self.incarnation,
             clock_ms: now.clock_ms,
@@ -268,8 +268,8 @@
             Ok(order) => order,
             Err(answer) => return answer,
         };
-        let meant = order.incarnation == self.incarnation;
-        let released = meant && self.release(&order).await;
+        let is_for_this_incarnation = order.incarnation == self.incarnation;
+        let released = is_for_this_incarnation && self.release(&order).await;
         let answer = RevokeAnswer {
             incarnation: self.incarnation,
             released,
