--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -25,7 +25,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct SlotState {
     epoch: Epoch,
     /// Start of the tenure; none if the slot was given up at `epoch`.
     since_us: Option<u64>,
@@ -45,7 +45,7 @@
 pub struct Grants {
     lease_epoch: LeaseEpoch,
     not_after_ms: u64,
-    slots: HashMap<(String, Slot), Held>,
+    slots: HashMap<(String, Slot), SlotState>,
     digest: u64,
     leases_us: Vec<(u64, u64)>,
     ended: Vec<OwnershipSpan>,
@@ -111,7 +111,7 @@
         }
         self.end_tenure(&key, now);
         self.digest ^= grant_hash(&grant.service, grant.slot, grant.epoch);
-        let held = Held {
+        let held = SlotState {
             epoch: grant.epoch,
             since_us: Some(now.unix_us),
         };
@@ -129,7 +129,7 @@
             return;
         }
         self.end_tenure(&key, now);
-        let held = Held {
+        let held = SlotState {
             epoch: Epoch(next.epoch.0 - 1),
             since_us: None,
         };
