--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -7,7 +7,7 @@
 use super::undisturbed;
 use crate::{
     load::{Ending, LatencyReport, LoadReport, Sample},
-    standin::{backend::Record, verdict},
+    standin::{backend::Record, invariants},
 };
 
 /// A key of the server that was lost.
@@ -91,8 +91,8 @@
         not_run: report.not_run,
         unknown: report.unknown,
         wrong_answers: report.wrong_answers,
-        double_owned: verdict::double_owned(records).len() as u64,
-        double_run: verdict::double_runs(records).len() as u64,
+        double_owned: invariants::double_owned(records).len() as u64,
+        double_run: invariants::double_runs(records).len() as u64,
         false_not_run: false_not_run(samples, records),
         undisturbed_answered: undisturbed_answered(samples, happenings),
         unavailable_ms_p99: unavailable(samples, happenings).p99_us / 1_000,
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -5,7 +5,7 @@
 mod backend_message;
 pub mod grants;
 pub mod platform;
-pub mod verdict;
+pub mod invariants;
 
 use std::net::SocketAddr;
 
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -11,7 +11,7 @@
     time::{Duration, Instant},
 };
 
-use ashroad::standin::{platform, verdict};
+use ashroad::standin::{invariants, platform};
 use common::{Caller, Cluster, PLAIN};
 use tokio::{task::JoinHandle, time};
 
@@ -76,7 +76,7 @@
 
 async fn assert_single_owners(cluster: &Cluster, servers: &[usize]) {
     let records = cluster.records(servers).await;
-    let double = verdict::double_owned(&records);
+    let double = invariants::double_owned(&records);
     assert!(double.is_empty(), "owned twice: {double:#?}");
 }
 
--- a/tests/once_only.rs
+++ b/tests/once_only.rs
@@ -4,7 +4,7 @@
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
-use ashroad::standin::{backend, platform, verdict};
+use ashroad::standin::{backend, invariants, platform};
 use common::{Answered, Caller, Cluster, PLAIN};
 use tokio::{sync::Mutex, time};
 
@@ -29,7 +29,7 @@
     assert_eq!(reused.status, 422, "{reused:?}");
     assert_eq!(reused.outcome.as_deref(), Some("not-run"));
     let records = cluster.records(&[0, 1]).await;
-    assert!(verdict::double_runs(&records).is_empty());
+    assert!(invariants::double_runs(&records).is_empty());
 }
 
 #[tokio::test]
@@ -123,7 +123,7 @@
     let again = again.expect("an answer");
     assert_eq!(again.reason.as_deref(), Some("unsettled"), "{again:?}");
     let records = cluster.records(&[0]).await;
-    assert!(verdict::double_runs(&records).is_empty());
+    assert!(invariants::double_runs(&records).is_empty());
 }
 
 /// What callers were told of one order, over all its arrivals.
@@ -193,8 +193,8 @@
     cluster.servers[0].process.signal("CONT");
     time::sleep(Duration::from_millis(500)).await;
     let records = cluster.records(&[0, 1, 2]).await;
-    assert_eq!(verdict::double_runs(&records).len(), 0);
-    assert_eq!(verdict::double_owned(&records).len(), 0);
+    assert_eq!(invariants::double_runs(&records).len(), 0);
+    assert_eq!(invariants::double_owned(&records).len(), 0);
     let ran = |order: &str| {
         let mut runs = records.iter().flat_map(|record| &record.runs);
         runs.any(|run| run.request == order)
@@ -235,5 +235,5 @@
         assert!(statuses.contains(&200), "{statuses:?}");
     }
     let records = cluster.records(&[0]).await;
-    assert_eq!(verdict::double_runs(&records).len(), 0);
+    assert_eq!(invariants::double_runs(&records).len(), 0);
 }
