--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -168,7 +168,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn thaw(&self) {
+    async fn wait_while_frozen(&self) {
         while self.lock().faults.frozen {
             time::sleep(Duration::from_millis(5)).await;
         }
@@ -178,7 +178,7 @@
         match request.uri().path() {
             FAULTS_PATH => return self.set_faults(request).await,
             RECORD_PATH => return transport::json(StatusCode::OK, &self.record()),
-            _ => self.thaw().await,
+            _ => self.wait_while_frozen().await,
         }
         match request.uri().path() {
             LEASE_PATH => self.lease(request).await,
@@ -306,7 +306,7 @@
         let Ok(body) = request.into_body().collect().await else {
             return not_run(StatusCode::BAD_REQUEST, "broken-body");
         };
-        self.thaw().await;
+        self.wait_while_frozen().await;
         let in_flight = match self.admit(&headers) {
             Ok(in_flight) => in_flight,
             Err(reason) => return not_run(StatusCode::CONFLICT, reason),
@@ -327,7 +327,7 @@
         }
         let extra_ms = self.lock().faults.extra_ms + self.cold_extra_ms();
         time::sleep(Duration::from_millis(self.config.work_ms + extra_ms)).await;
-        self.thaw().await;
+        self.wait_while_frozen().await;
         drop(occupied);
         drop(in_flight);
         let answer = EchoResponse {
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -4,8 +4,8 @@
 pub mod backend;
 mod backend_message;
 pub mod grants;
-pub mod platform;
 pub mod invariants;
+pub mod platform;
 
 use std::net::SocketAddr;
 
