--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -6,7 +6,7 @@
 
 use super::undisturbed;
 use crate::{
-    load::{Ending, LatencyReport, LoadReport, Sample},
+    load::{LatencyReport, LoadReport, RequestOutcome, Sample},
     standin::{backend::Record, invariants},
 };
 
@@ -107,7 +107,7 @@
     for sample in samples {
         if let Some(key) = &sample.idempotency_key {
             let refused = told.entry(key).or_insert(true);
-            *refused &= sample.ending == Ending::NotRun;
+            *refused &= sample.ending == RequestOutcome::NotRun;
         }
     }
     let runs = records.iter().flat_map(|record| &record.runs);
@@ -129,7 +129,9 @@
         let samples = samples.iter().filter(single);
         samples.filter(|sample| undisturbed(sample, happenings))
     };
-    let answered = concerned().filter(|s| s.ending == Ending::Answered).count();
+    let answered = concerned()
+        .filter(|s| s.ending == RequestOutcome::Answered)
+        .count();
     answered as f64 / concerned().count().max(1) as f64
 }
 
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -24,7 +24,7 @@
 
 /// How a request ended, as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// It got its own whole answer.
     Answered,
     /// It was told that it did not run.
@@ -59,7 +59,7 @@
     pub(crate) async fn send(&self, planned: Planned) -> Sample {
         let patience = Duration::from_millis(self.deadline_ms + PATIENCE_MS);
         let exchange = time::timeout(patience, self.exchange(&planned));
-        let ending = exchange.await.unwrap_or(Ending::Unknown);
+        let ending = exchange.await.unwrap_or(RequestOutcome::Unknown);
         let ended_us = clock::unix_us();
         Sample {
             address: planned.address,
@@ -72,18 +72,18 @@
         }
     }
 
-    async fn exchange(&self, planned: &Planned) -> Ending {
+    async fn exchange(&self, planned: &Planned) -> RequestOutcome {
         let Some(request) = self.request(planned, planned.address) else {
-            return Ending::Unknown;
+            return RequestOutcome::Unknown;
         };
         let answer = match self.client.request(request).await {
             Ok(answer) => answer,
-            Err(error) if error.is_connect() => return Ending::NotRun,
-            Err(_) => return Ending::Unknown,
+            Err(error) if error.is_connect() => return RequestOutcome::NotRun,
+            Err(_) => return RequestOutcome::Unknown,
         };
         let (status, headers) = (answer.status(), answer.headers().clone());
         let Ok(body) = answer.into_body().collect().await else {
-            return Ending::Unknown;
+            return RequestOutcome::Unknown;
         };
         judge(status, &headers, &body.to_bytes(), &planned.path)
     }
@@ -100,16 +100,16 @@
     }
 }
 
-fn judge(status: StatusCode, headers: &HeaderMap, body: &[u8], path: &str) -> Ending {
+fn judge(status: StatusCode, headers: &HeaderMap, body: &[u8], path: &str) -> RequestOutcome {
     match header_text(headers, OUTCOME_HEADER) {
-        Some("not-run") => return Ending::NotRun,
-        Some(_) => return Ending::Unknown,
+        Some("not-run") => return RequestOutcome::NotRun,
+        Some(_) => return RequestOutcome::Unknown,
         None => {}
     }
     let answer: Option<EchoResponse> = serde_json::from_slice(body).ok();
     let own = answer.is_some_and(|answer| answer.path == path);
     if status == StatusCode::OK && own {
-        return Ending::Answered;
+        return RequestOutcome::Answered;
     }
-    Ending::Wrong
+    RequestOutcome::Wrong
 }
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -5,7 +5,7 @@
 mod report;
 
 pub use self::{
-    caller::{Caller, Ending},
+    caller::{Caller, RequestOutcome},
     report::{LatencyReport, LoadReport, Sample},
 };
 
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use super::Ending;
+use super::RequestOutcome;
 
 /// Longest latency that is told apart.
 const LATENCY_US_MAX: u64 = 600_000_000;
@@ -27,7 +27,7 @@
     /// Time from then to its end.
     pub latency_us: u64,
     /// How it ended.
-    pub ending: Ending,
+    pub ending: RequestOutcome,
 }
 
 /// Percentiles of answered requests.
@@ -83,13 +83,15 @@
     /// Figures of some samples.
     pub fn of(samples: &[Sample]) -> Self {
         let count = |ending| samples.iter().filter(|s| s.ending == ending).count() as u64;
-        let answered = samples.iter().filter(|s| s.ending == Ending::Answered);
+        let answered = samples
+            .iter()
+            .filter(|s| s.ending == RequestOutcome::Answered);
         Self {
             requests: samples.len() as u64,
-            answered: count(Ending::Answered),
-            not_run: count(Ending::NotRun),
-            unknown: count(Ending::Unknown),
-            wrong_answers: count(Ending::Wrong),
+            answered: count(RequestOutcome::Answered),
+            not_run: count(RequestOutcome::NotRun),
+            unknown: count(RequestOutcome::Unknown),
+            wrong_answers: count(RequestOutcome::Wrong),
             latency: LatencyReport::of(answered.map(|sample| sample.latency_us)),
         }
     }
