--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -107,7 +107,7 @@
     for sample in samples {
         if let Some(key) = &sample.idempotency_key {
             let refused = told.entry(key).or_insert(true);
-            *refused &= sample.ending == RequestOutcome::NotRun;
+            *refused &= sample.outcome == RequestOutcome::NotRun;
         }
     }
     let runs = records.iter().flat_map(|record| &record.runs);
@@ -130,7 +130,7 @@
         samples.filter(|sample| undisturbed(sample, happenings))
     };
     let answered = concerned()
-        .filter(|s| s.ending == RequestOutcome::Answered)
+        .filter(|s| s.outcome == RequestOutcome::Answered)
         .count();
     answered as f64 / concerned().count().max(1) as f64
 }
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -59,7 +59,7 @@
     pub(crate) async fn send(&self, planned: Planned) -> Sample {
         let patience = Duration::from_millis(self.deadline_ms + PATIENCE_MS);
         let exchange = time::timeout(patience, self.exchange(&planned));
-        let ending = exchange.await.unwrap_or(RequestOutcome::Unknown);
+        let outcome = exchange.await.unwrap_or(RequestOutcome::Unknown);
         let ended_us = clock::unix_us();
         Sample {
             address: planned.address,
@@ -68,7 +68,7 @@
             idempotency_key: planned.idempotency_key,
             intended_us: planned.intended_us,
             latency_us: ended_us.saturating_sub(planned.intended_us),
-            ending,
+            outcome,
         }
     }
 
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -27,7 +27,7 @@
     /// Time from then to its end.
     pub latency_us: u64,
     /// How it ended.
-    pub ending: RequestOutcome,
+    pub outcome: RequestOutcome,
 }
 
 /// Percentiles of answered requests.
@@ -82,10 +82,10 @@
 impl LoadReport {
     /// Figures of some samples.
     pub fn of(samples: &[Sample]) -> Self {
-        let count = |ending| samples.iter().filter(|s| s.ending == ending).count() as u64;
+        let count = |outcome| samples.iter().filter(|s| s.outcome == outcome).count() as u64;
         let answered = samples
             .iter()
-            .filter(|s| s.ending == RequestOutcome::Answered);
+            .filter(|s| s.outcome == RequestOutcome::Answered);
         Self {
             requests: samples.len() as u64,
             answered: count(RequestOutcome::Answered),
