--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -11,7 +11,7 @@
 };
 use tokio::time;
 
-use super::{Planned, report::Sample};
+use super::{PlannedRequest, report::Sample};
 use crate::{
     clock,
     ownership::message::{DEADLINE_HEADER, IDEMPOTENCY_HEADER, OUTCOME_HEADER},
@@ -56,7 +56,7 @@
         }
     }
 
-    pub(crate) async fn send(&self, planned: Planned) -> Sample {
+    pub(crate) async fn send(&self, planned: PlannedRequest) -> Sample {
         let patience = Duration::from_millis(self.deadline_ms + PATIENCE_MS);
         let exchange = time::timeout(patience, self.exchange(&planned));
         let outcome = exchange.await.unwrap_or(RequestOutcome::Unknown);
@@ -72,7 +72,7 @@
         }
     }
 
-    async fn exchange(&self, planned: &Planned) -> RequestOutcome {
+    async fn exchange(&self, planned: &PlannedRequest) -> RequestOutcome {
         let Some(request) = self.request(planned, planned.address) else {
             return RequestOutcome::Unknown;
         };
@@ -88,7 +88,11 @@
         judge(status, &headers, &body.to_bytes(), &planned.path)
     }
 
-    fn request(&self, planned: &Planned, address: SocketAddr) -> Option<Request<Full<Bytes>>> {
+    fn request(
+        &self,
+        planned: &PlannedRequest,
+        address: SocketAddr,
+    ) -> Option<Request<Full<Bytes>>> {
         let mut request = Request::builder()
             .method(planned.method.clone())
             .uri(format!("http://{address}{}", planned.path))
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -45,7 +45,7 @@
 
 /// One request to be sent.
 #[derive(Clone, Debug)]
-pub(crate) struct Planned {
+pub(crate) struct PlannedRequest {
     pub(crate) address: SocketAddr,
     pub(crate) method: Method,
     pub(crate) path: String,
@@ -111,7 +111,7 @@
     }
 
     /// The next request, and its duplicate if it has one.
-    fn next(&mut self, intended_us: u64) -> Vec<Planned> {
+    fn next(&mut self, intended_us: u64) -> Vec<PlannedRequest> {
         self.number += 1;
         let number = self.number;
         let key = self.key();
@@ -119,7 +119,7 @@
         let order = self.rng.random_bool(self.config.unrepeatable_share);
         let idempotency_key = order.then(|| format!("{}-{number}", self.run));
         let base = &self.config.services[service];
-        let planned = Planned {
+        let planned = PlannedRequest {
             address: self.address(number),
             method: if order { Method::POST } else { Method::GET },
             path: format!("{base}/key-{key}/{number}"),
@@ -131,7 +131,7 @@
         if !order || !self.rng.random_bool(self.config.duplicate_share) {
             return vec![planned];
         }
-        let duplicate = Planned {
+        let duplicate = PlannedRequest {
             address: self.address(number + 1),
             ..planned.clone()
         };
