--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -56,7 +56,7 @@
 }
 
 /// Chooses requests.
-struct Chooser {
+struct RequestGenerator {
     config: LoadConfig,
     run: String,
     rng: StdRng,
@@ -67,7 +67,7 @@
 /// Runs load and returns every request's sample.
 pub async fn run(config: LoadConfig) -> Vec<Sample> {
     let caller = Arc::new(Caller::new(config.deadline_ms));
-    let mut chooser = Chooser::new(config.clone());
+    let mut chooser = RequestGenerator::new(config.clone());
     let mut running = JoinSet::new();
     let mut samples = Vec::new();
     let start_us = clock::unix_us();
@@ -98,7 +98,7 @@
     }
 }
 
-impl Chooser {
+impl RequestGenerator {
     fn new(config: LoadConfig) -> Self {
         let zipf = Zipf::new(config.keys.max(1) as f64, config.zipf_exponent).ok();
         Self {
