--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -20,7 +20,7 @@
 };
 
 /// Time beyond the deadline after which the caller gives up.
-const PATIENCE_MS: u64 = 1_000;
+const RESPONSE_GRACE_MS: u64 = 1_000;
 
 /// How a request ended, as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,7 +57,7 @@
     }
 
     pub(crate) async fn send(&self, planned: PlannedRequest) -> Sample {
-        let patience = Duration::from_millis(self.deadline_ms + PATIENCE_MS);
+        let patience = Duration::from_millis(self.deadline_ms + RESPONSE_GRACE_MS);
         let exchange = time::timeout(patience, self.exchange(&planned));
         let outcome = exchange.await.unwrap_or(RequestOutcome::Unknown);
         let ended_us = clock::unix_us();
