--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -85,7 +85,7 @@
         let Ok(body) = answer.into_body().collect().await else {
             return RequestOutcome::Unknown;
         };
-        judge(status, &headers, &body.to_bytes(), &planned.path)
+        classify(status, &headers, &body.to_bytes(), &planned.path)
     }
 
     fn request(
@@ -104,7 +104,7 @@
     }
 }
 
-fn judge(status: StatusCode, headers: &HeaderMap, body: &[u8], path: &str) -> RequestOutcome {
+fn classify(status: StatusCode, headers: &HeaderMap, body: &[u8], path: &str) -> RequestOutcome {
     match header_text(headers, OUTCOME_HEADER) {
         Some("not-run") => return RequestOutcome::NotRun,
         Some(_) => return RequestOutcome::Unknown,
