--- a/src/bin/ashroad/load.rs
+++ b/src/bin/ashroad/load.rs
@@ -7,7 +7,7 @@
 
 /// Figures of a paired run.
 #[derive(Debug, Serialize)]
-struct Paired {
+struct LoadComparison {
     direct: Option<LoadReport>,
     through: LoadReport,
     ratio_p50: Option<f64>,
@@ -41,7 +41,7 @@
         let direct = direct.as_ref()?;
         Some(of(&through) as f64 / of(direct).max(1) as f64)
     };
-    let paired = Paired {
+    let paired = LoadComparison {
         ratio_p50: ratio(|report| report.latency.p50_us),
         ratio_p99: ratio(|report| report.latency.p99_us),
         direct,
@@ -55,7 +55,7 @@
     Ok(())
 }
 
-fn print(paired: &Paired) {
+fn print(paired: &LoadComparison) {
     if let Some(direct) = &paired.direct {
         output::line(&format!("direct   {direct}"));
     }
