--- a/src/bin/ashroad/load.rs
+++ b/src/bin/ashroad/load.rs
@@ -41,26 +41,26 @@
         let direct = direct.as_ref()?;
         Some(of(&through) as f64 / of(direct).max(1) as f64)
     };
-    let paired = LoadComparison {
+    let comparison = LoadComparison {
         ratio_p50: ratio(|report| report.latency.p50_us),
         ratio_p99: ratio(|report| report.latency.p99_us),
         direct,
         through,
     };
     if json {
-        output::json(&paired);
+        output::json(&comparison);
     } else {
-        print(&paired);
+        print(&comparison);
     }
     Ok(())
 }
 
-fn print(paired: &LoadComparison) {
-    if let Some(direct) = &paired.direct {
+fn print(comparison: &LoadComparison) {
+    if let Some(direct) = &comparison.direct {
         output::line(&format!("direct   {direct}"));
     }
-    output::line(&format!("through  {}", paired.through));
-    if let (Some(p50), Some(p99)) = (paired.ratio_p50, paired.ratio_p99) {
+    output::line(&format!("through  {}", comparison.through));
+    if let (Some(p50), Some(p99)) = (comparison.ratio_p50, comparison.ratio_p99) {
         output::line(&format!("ratio    p50 {p50:.2}, p99 {p99:.2}"));
     }
 }
