--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -111,8 +111,8 @@
         None => {}
     }
     let answer: Option<EchoResponse> = serde_json::from_slice(body).ok();
-    let own = answer.is_some_and(|answer| answer.path == path);
-    if status == StatusCode::OK && own {
+    let is_own = answer.is_some_and(|answer| answer.path == path);
+    if status == StatusCode::OK && is_own {
         return RequestOutcome::Answered;
     }
     RequestOutcome::Wrong
