--- a/src/platform/orders.rs
+++ b/src/platform/orders.rs
@@ -133,8 +133,8 @@
             .build()
         })?;
     let answer = link.call(request, timeout_ms).await?;
-    let told = answer.headers.get(SERVER_NAME);
-    Ok(told.is_none_or(|name| name.as_bytes() == server.as_bytes()))
+    let reported = answer.headers.get(SERVER_NAME);
+    Ok(reported.is_none_or(|name| name.as_bytes() == server.as_bytes()))
 }
 
 async fn order<B: Serialize>(
--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -267,20 +267,20 @@
     ];
     for Case {
         status,
-        headers: told,
+        headers: reported,
         leaves,
         rest_ms,
     } in cases
     {
         let mut answer = HeaderMap::new();
-        for (name, value) in told {
+        for (name, value) in reported {
             answer.insert(*name, HeaderValue::from_static(value));
         }
         let notice = headers::notice(status, &answer);
         assert_eq!(
             (notice.leaves, notice.rest_ms),
             (leaves, rest_ms),
-            "{told:?}"
+            "{reported:?}"
         );
     }
 }
@@ -291,7 +291,7 @@
         named: Option<&'static str>,
         status: u16,
         other: Option<&'static str>,
-        told: ToldLimit,
+        reported: ToldLimit,
     }
     let signed = Some("server-signature");
     let rows = [
@@ -311,11 +311,11 @@
         (None, 200, None, ToldLimit::Unknown),
         (None, 500, None, ToldLimit::Unknown),
     ];
-    let cases = rows.map(|(named, status, other, told)| Case {
+    let cases = rows.map(|(named, status, other, reported)| Case {
         named,
         status,
         other,
-        told,
+        reported,
     });
     for case in cases {
         let mut map = HeaderMap::new();
@@ -326,7 +326,7 @@
             map.insert(other, HeaderValue::from_static("1"));
         }
         let status = StatusCode::from_u16(case.status).expect("a status");
-        let told = headers::reported_limit(status, &map);
-        assert_eq!(told, case.told, "{:?}, {status}", case.named);
+        let reported = headers::reported_limit(status, &map);
+        assert_eq!(reported, case.reported, "{:?}, {status}", case.named);
     }
 }
