--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,4 +1,4 @@
-//! Decodes the operators' configuration document.
+//! Decodes the configuration document that operators write to the platform's store.
 
 use super::{
     error::{Error, Result},
@@ -10,21 +10,22 @@
     workspaces::{ApiKeyDigest, Workspace, Workspaces},
 };
 
-/// Table that holds what operators write.
+/// Store table of the rows that operators write.
 pub const TABLE: &str = "op";
-/// Key of the configuration document.
+/// Row key of the configuration document.
 pub const KEY: &str = "config";
 
-/// Beginning of the keys of rows that are there while an availability zone is evacuated; its name
-/// follows. Their content says nothing.
+/// Prefix of the row keys that mark evacuated availability zones; the zone's name follows it. A
+/// zone is evacuated while its row exists, whatever the row contains.
 const EVACUATION_PREFIX: &str = "evacuate/";
 
-/// The availability zone that a row of the table evacuates.
+/// Returns the availability zone that the row with this key evacuates; `None` for other rows.
 pub fn evacuated_zone(key: &str) -> Option<&str> {
     key.strip_prefix(EVACUATION_PREFIX)
 }
 
-/// Decodes the document.
+/// Decodes the configuration document; fails with a reason if any required field is missing or
+/// invalid.
 pub fn decode(value: &[u8]) -> Result<Configuration> {
     let bad = |message: String| Error::Document {
         what: "configuration".to_owned(),
@@ -83,8 +84,8 @@
     workspaces
 }
 
-/// Kinds of requests that may run more than once. A kind that this adapter does not know counts as one that may
-/// not.
+/// Kinds of routes whose requests may run more than once. Requests of any other kind, unknown ones
+/// included, run at most once.
 const REPEATABLE_KINDS: [&str; 2] = ["safe", "download"];
 
 fn decode_route(wire: WireRoute) -> Route {
--- a/src/platform/duration.rs
+++ b/src/platform/duration.rs
@@ -1,8 +1,9 @@
-//! Durations as the platform writes them: a number followed by `ms` or `s`.
+//! Parses durations in the platform's notation: a number followed by `ms` or `s`.
 
 use serde::{Deserialize, Deserializer, de::Error};
 
-/// Milliseconds in a text such as `1500ms` or `2.5s`.
+/// Parses a duration such as `1500ms` or `2.5s` into milliseconds; `None` if it has no unit, is
+/// negative or is not finite.
 pub fn parse_ms(text: &str) -> Option<u64> {
     let (number, factor) = match text.strip_suffix("ms") {
         Some(number) => (number, 1.0),
@@ -12,13 +13,13 @@
     (value.is_finite() && value >= 0.0).then_some((value * factor).round() as u64)
 }
 
-/// Reads a duration in milliseconds.
+/// Deserializes a duration into milliseconds.
 pub fn deserialize_ms<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     let text = String::deserialize(deserializer)?;
-    parse_ms(&text).ok_or_else(|| D::Error::custom(format!("'{text}' is no duration")))
+    parse_ms(&text).ok_or_else(|| D::Error::custom(format!("'{text}' is not a duration")))
 }
 
-/// Reads a duration in milliseconds that may be missing.
+/// Deserializes an optional duration into milliseconds.
 pub fn deserialize_optional_ms<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<u64>, D::Error> {
@@ -28,5 +29,5 @@
     let value = parse_ms(&text);
     value
         .map(Some)
-        .ok_or_else(|| D::Error::custom(format!("'{text}' is no duration")))
+        .ok_or_else(|| D::Error::custom(format!("'{text}' is not a duration")))
 }
--- a/src/platform/error.rs
+++ b/src/platform/error.rs
@@ -5,54 +5,56 @@
 use http::StatusCode;
 use snafu::Snafu;
 
-/// Failure of one call.
+/// Reason why one call failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// No connection could be made, so nothing was sent.
+    /// The connection could not be established, so the request was not sent.
     #[snafu(display("no connection to {address}: {message}"))]
     Connect {
-        /// Peer that was called.
+        /// Address of the peer that was called.
         address: SocketAddr,
-        /// Cause.
+        /// Description of the cause.
         message: String,
     },
-    /// The call was sent and got no usable answer; it may have taken effect, or may still do so.
-    #[snafu(display("{address} gave no answer: {message}"))]
+    /// The call was sent but no complete response arrived; it may have taken effect, or may still
+    /// do so.
+    #[snafu(display("{address} sent no complete response: {message}"))]
     Unanswered {
-        /// Peer that was called.
+        /// Address of the peer that was called.
         address: SocketAddr,
-        /// Cause.
+        /// Description of the cause.
         message: String,
     },
-    /// The peer answered with a status that the caller does not expect.
-    #[snafu(display("{address} answered {status}"))]
+    /// The peer responded with a status that the caller does not expect.
+    #[snafu(display("{address} responded with status {status}"))]
     Status {
-        /// Peer that was called.
+        /// Address of the peer that was called.
         address: SocketAddr,
-        /// Status of the answer.
+        /// Status of the response.
         status: StatusCode,
     },
-    /// The answer could not be decoded.
-    #[snafu(display("{address} sent an answer that cannot be read: {message}"))]
+    /// The response could not be decoded.
+    #[snafu(display("{address} sent a response that cannot be decoded: {message}"))]
     Decode {
-        /// Peer that was called.
+        /// Address of the peer that was called.
         address: SocketAddr,
-        /// Cause.
+        /// Description of the cause.
         message: String,
     },
-    /// A document in the store could not be decoded.
-    #[snafu(display("{what} cannot be read: {message}"))]
+    /// A document of the store could not be decoded or encoded.
+    #[snafu(display("{what} is invalid: {message}"))]
     Document {
-        /// Which document.
+        /// Kind of the document, with its name if it has one.
         what: String,
-        /// Cause.
+        /// Description of the cause.
         message: String,
     },
 }
 
 impl Error {
-    /// True if the same call would be refused again: the peer calls it faulty.
+    /// Returns true if a retry of the same call would be refused as well: the peer reported a
+    /// client error other than 429.
     pub fn is_final(&self) -> bool {
         match self {
             Self::Status { status, .. } => {
@@ -62,7 +64,7 @@
         }
     }
 
-    /// True if the call may have taken effect although it failed.
+    /// Returns true if the call may have taken effect although it failed.
     pub fn may_have_run(&self) -> bool {
         matches!(self, Self::Unanswered { .. } | Self::Decode { .. })
     }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -1,38 +1,39 @@
-//! Header names of the platform's protocol.
+//! Headers of the platform's protocol: their names, and the parsing of those that servers send.
 
 use http::{HeaderMap, HeaderName, StatusCode, header};
 
 use crate::entry::model::{Notice, ToldLimit, ToldLoad};
 
-/// Identifier of one attempt of a caller; returned in the answer.
+/// Identifier that a caller gives to one attempt of a request; the response repeats it.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
-/// Milliseconds that the caller still waits.
+/// Time in milliseconds until the caller gives up waiting.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
 /// Name of the only server that may run the request.
 pub const EXPECTED_SERVER: HeaderName = HeaderName::from_static("expect-instance");
-/// Name of the server that answers.
+/// Name of the server that sent the response.
 pub const SERVER_NAME: HeaderName = HeaderName::from_static("instance-id");
-/// Present if the server did not run the request.
+/// Header that a server sets if it did not run the request.
 const NOT_RUN: HeaderName = HeaderName::from_static("not-run");
-/// Key of a request to a service divided by key: a number from 0 to 65535.
+/// Key of a request to a sharded service: a number from 0 to 65535.
 pub const KEY: HeaderName = HeaderName::from_static("shard-key");
-/// Signature of the server over its answer.
+/// Signature of the server over its response.
 pub const SIGNATURE: HeaderName = HeaderName::from_static("server-signature");
-/// Load of the server that answers: requests running, requests waiting, slots and, where servers share
-/// machines, the present pace in hundredths.
+/// Load of the responding server: running requests, queued requests, slots and, where servers share
+/// machines, the current pace in percent.
 const LOAD: HeaderName = HeaderName::from_static("server-load");
-/// Present in every answer of a server that leaves.
+/// Header that a leaving server sets in every response; `0` means that it is not leaving.
 const LEAVING: HeaderName = HeaderName::from_static("server-leaving");
-/// Requests a second that a server in need takes from all hosts together; absent once it needs no limit.
+/// Rate limit, in requests per second from all hosts together, that a server under pressure asks
+/// for; absent when it needs none.
 const LIMIT: HeaderName = HeaderName::from_static("server-limit");
-/// Name of the workspace that the caller's key belongs to.
+/// Name of the workspace that the caller's API key belongs to.
 pub const WORKSPACE: HeaderName = HeaderName::from_static("tenant");
-/// Scheme of the header that carries a caller's key.
+/// Scheme of the `Authorization` header that carries a caller's API key.
 pub const API_KEY_SCHEME: &str = "Token";
-/// Token by which a server's next owner of keys starts warm.
+/// Token of a server that released keys; their next owner uses it to start warm.
 pub const HANDOVER: HeaderName = HeaderName::from_static("handover");
 
-/// API key of a caller; `None` if it sends none that can be read.
+/// Returns the caller's API key; `None` if the header is missing or malformed.
 pub fn api_key(headers: &HeaderMap) -> Option<&str> {
     let text = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
     let (scheme, key) = text.trim().split_once(' ')?;
@@ -40,7 +41,8 @@
     (scheme.eq_ignore_ascii_case(API_KEY_SCHEME) && !key.is_empty()).then_some(key)
 }
 
-/// What an answer tells of its server's load; `None` if it tells nothing that can be read.
+/// Parses the load that a server reports in a response; `None` if the header is missing or
+/// malformed.
 pub fn reported_load(headers: &HeaderMap) -> Option<ToldLoad> {
     let text = headers.get(LOAD)?.to_str().ok()?;
     let mut figures = text.split(',').map(|figure| figure.trim().parse::<u32>());
@@ -55,12 +57,14 @@
     })
 }
 
-/// True if an answer says that its server did not run the request.
+/// Returns true if the response states that the server did not run the request. Status 421 states
+/// it without the header.
 pub fn says_not_run(status: StatusCode, headers: &HeaderMap) -> bool {
     headers.contains_key(NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST
 }
 
-/// What an answer says of its server's wish for further requests of this host.
+/// Parses whether the responding server is leaving and how long it asks this host to send it no
+/// requests.
 pub fn notice(status: StatusCode, headers: &HeaderMap) -> Notice {
     Notice {
         leaves: headers.get(LEAVING).is_some_and(|value| value != "0"),
@@ -68,8 +72,9 @@
     }
 }
 
-/// What an answer says of the rate that its server takes from all hosts together. Only an answer that is surely its
-/// server's shows by a missing header that there is no limit.
+/// Parses the rate limit that a server reports in a response. A missing header means that there is
+/// no limit only if the response certainly comes from the server, i.e. is signed or marked as not
+/// run; otherwise the limit is unknown.
 pub fn reported_limit(status: StatusCode, headers: &HeaderMap) -> ToldLimit {
     let Some(value) = headers.get(LIMIT) else {
         let is_of_server = headers.contains_key(SIGNATURE) || says_not_run(status, headers);
@@ -89,8 +94,9 @@
     }
 }
 
-/// Rest that a server asks for as it turns a request away: seconds, fractions included. A date, which HTTP
-/// allows here, is none that the platform's servers send.
+/// Parses the rest that a server asks for when it rejects a request with 503 or 429, from
+/// `Retry-After` in seconds with fractions. HTTP also allows a date there, but the platform's
+/// servers never send one.
 fn rest_ms(status: StatusCode, headers: &HeaderMap) -> Option<u64> {
     let turned_away = [
         StatusCode::SERVICE_UNAVAILABLE,
--- a/src/platform/link.rs
+++ b/src/platform/link.rs
@@ -1,4 +1,4 @@
-//! A kept connection for small calls to one peer.
+//! HTTP client that makes small calls to one peer over a persistent connection.
 
 use std::{
     net::SocketAddr,
@@ -18,36 +18,38 @@
 
 use super::error::{ConnectSnafu, Error, Result, UnansweredSnafu};
 
-/// Time for a connection to come up. A lost opening packet is sent again after a second, so a
-/// longer wait gains nothing.
+/// Timeout for establishing a connection. TCP retransmits a lost SYN packet after one second, so a
+/// longer timeout gains nothing.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
-/// Time for the rest of an answer that has begun. The largest, a configuration of some thousand
-/// routes, takes over a second on a link of 10 Mbit/s with other traffic.
+/// Timeout for the body after the head of a response has arrived. The largest body, a configuration
+/// of some thousand routes, takes over a second on a link of 10 Mbit/s with other traffic.
 const BODY_TIMEOUT_MS: u64 = 3_000;
-/// Time after which a connection that was not used is not relied on: it may have fallen silent, and a call on it would
-/// wait out its whole timeout. Above the intervals at which leases are renewed, so that those keep theirs.
+/// Idle time after which a connection is replaced. The network may have dropped it silently, and a
+/// call on it would wait for its whole timeout. The limit exceeds the lease renewal intervals, so
+/// that renewals reuse their connections.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An answer that is whole in memory.
+/// HTTP response whose whole body is in memory.
 #[derive(Debug)]
 pub struct BufferedResponse {
-    /// Status.
+    /// HTTP status code.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body; empty if the response has none.
     pub body: Bytes,
 }
 
-/// A connection to one peer: opened when first needed, reused after a whole answer, reset after
-/// any failure so that bytes held up on the way are not delivered later.
+/// HTTP client of one peer that keeps its connection open. It connects on the first call, reuses
+/// the connection after a complete response and resets it after any failure, so that bytes delayed
+/// in the network are not delivered later.
 #[derive(Debug)]
 pub struct Link {
     address: SocketAddr,
     idle: Mutex<Option<Idle>>,
 }
 
-/// A connection that waits for the next call.
+/// Idle connection, kept for the next call.
 #[derive(Debug)]
 struct Idle {
     sender: SendRequest<Full<Bytes>>,
@@ -55,7 +57,7 @@
 }
 
 impl Link {
-    /// A link that is not connected yet.
+    /// Creates a client that connects on its first call.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -63,13 +65,13 @@
         }
     }
 
-    /// Peer of this link.
+    /// Returns the address of the peer.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends a request and reads the whole answer, which must begin within `timeout_ms`. Calls that
-    /// overlap use connections of their own.
+    /// Sends a request and reads the whole response, whose head must arrive within `timeout_ms`.
+    /// Concurrent calls use separate connections.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
@@ -79,7 +81,7 @@
         self.call_noting_start(request, timeout_ms, &begun).await
     }
 
-    /// Does the same, and notes when the answer has begun.
+    /// Does the same as [`Link::call`], and sets `begun` when the head of the response has arrived.
     pub async fn call_noting_start(
         &self,
         request: Request<Full<Bytes>>,
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,6 +1,7 @@
-//! Adapter to the users' platform: its store, its configuration documents, its server entries,
-//! its orders to servers and its header names. It translates and decides nothing; no name of the
-//! platform's protocol is used outside this folder.
+//! Adapter to the users' platform: the client of its store, the decoding of its configuration
+//! documents and server entries, the orders to its servers and its header names. The adapter only
+//! translates and takes no decisions; names of the platform's protocol are used only in this
+//! module.
 
 pub mod config;
 mod duration;
--- a/src/platform/orders.rs
+++ b/src/platform/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to backend servers: grants of keys and releases.
+//! Orders to backend servers. An order is a request by which an entry host makes a server hold keys
+//! (grant) or give them up (release); health checks are sent here as well.
 
 use bytes::Bytes;
 use http::{Method, Request, StatusCode, header};
@@ -16,56 +17,56 @@
 const GRANT_PATH: &str = "/grant";
 const RELEASE_PATH: &str = "/release";
 
-/// What a server said to a grant.
+/// Response of a server to a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantOutcome {
-    /// It holds the keys for the time asked for, counted from the order's arrival.
+    /// The server holds the keys for the requested time, counted from the arrival of the order.
     Held,
-    /// It has seen a higher fence on one of the keys.
+    /// The server has seen a higher fence for one of the keys.
     Superseded,
-    /// Another incarnation has the address: the one that was meant has ended.
+    /// Another server has the address now: the process of the intended one has ended.
     OtherServer,
 }
 
-/// Keys to be held by one server.
+/// Order that lets one server hold a range of keys.
 #[derive(Clone, Copy, Debug)]
 pub struct Grant<'a> {
-    /// Name of the server that is meant.
+    /// Name of the server that the order is for.
     pub server: &'a str,
-    /// Keys.
+    /// Range of keys, both ends included.
     pub range: KeyRange,
-    /// Fence.
+    /// Fencing token of the grant; the server refuses it after a higher one.
     pub fence: u64,
-    /// Length of the lease.
+    /// Length of the lease; the server stops serving the keys when it ends.
     pub lease_ms: u64,
-    /// Token of the last owner.
+    /// Token of the previous owner, by which the server starts warm; `None` if there is none.
     pub handover: Option<&'a str>,
 }
 
-/// Keys to be given back by one server.
+/// Order that makes one server release a range of keys.
 #[derive(Clone, Copy, Debug)]
 pub struct Release<'a> {
-    /// Name of the server that is meant.
+    /// Name of the server that the order is for.
     pub server: &'a str,
-    /// Keys.
+    /// Range of keys, both ends included.
     pub range: KeyRange,
-    /// Fence, above that of the grant.
+    /// Fence of the release; higher than that of the grant.
     pub fence: u64,
 }
 
-/// What a server said to a release.
+/// Response of a server to a release.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReleaseOutcome {
-    /// All work on the keys has ended; the token warms the next owner.
+    /// All requests for the keys have ended on the server.
     Ended {
-        /// Token for the next owner.
+        /// Token by which the next owner starts warm; `None` if the server sent none.
         handover: Option<String>,
     },
-    /// Another incarnation has the address: the one that was meant has ended.
+    /// Another server has the address now: the process of the intended one has ended.
     OtherServer,
 }
 
-/// Grants or renews keys.
+/// Grants keys to a server, or renews its lease on them.
 pub async fn grant(link: &Link, grant: Grant<'_>, timeout_ms: u64) -> Result<GrantOutcome> {
     let body = WireGrant {
         from: grant.range.first,
@@ -87,7 +88,7 @@
     }
 }
 
-/// Takes keys back; the answer comes when work on them has ended.
+/// Makes a server release keys; it responds once all requests for them have ended.
 pub async fn release(link: &Link, release: Release<'_>, timeout_ms: u64) -> Result<ReleaseOutcome> {
     let body = WireRelease {
         from: release.range.first,
@@ -112,8 +113,9 @@
     }
 }
 
-/// Asks a server for its health. The result is true if it is the one that is meant, however it feels:
-/// a server that is too busy for the question answers as well.
+/// Sends a health check and returns true if the expected server responded, whatever the status: an
+/// overloaded server is alive as well. A response without a server name counts as the expected
+/// server's.
 pub async fn is_alive(
     link: &Link,
     health_path: &str,
--- a/src/platform/servers.rs
+++ b/src/platform/servers.rs
@@ -1,4 +1,4 @@
-//! Decodes the entries that backend servers write about themselves.
+//! Decodes the entries that backend servers write to the platform's store.
 
 use super::{
     error::{Error, Result},
@@ -6,10 +6,10 @@
 };
 use crate::entry::model::{ServerEntry, incarnation_id};
 
-/// Table of the entries; the key is the server's name.
+/// Store table of the server entries; the row key is the server's name.
 pub const TABLE: &str = "servers";
 
-/// Decodes an entry.
+/// Decodes the entry of the server `name`; fails if a required field is missing or invalid.
 pub fn decode(name: &str, value: &[u8]) -> Result<ServerEntry> {
     let wire: WireServer = serde_json::from_slice(value).map_err(|error| Error::Document {
         what: format!("entry of server {name}"),
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,5 @@
-//! Client of the platform's store: reads, conditional transactions and change feeds.
+//! Client of the platform's store: reads, conditional transactions and change feeds (long polls
+//! that return the rows of a table that changed after a version).
 
 use std::{
     collections::BTreeMap,
@@ -18,130 +19,132 @@
     wire::{WireExpect, WirePut, WireRemove, WireRow, WireRows, WireTransaction},
 };
 
-/// Time for a transaction. The store takes 8 ms as a rule and 60 times as long on its slow days.
+/// Timeout of a transaction. The store usually takes 8 ms, and 60 times as long when it is slow.
 const CALL_TIMEOUT_MS: u64 = 2_000;
-/// Time for a read of a page, which takes half of that.
+/// Timeout for reading one page, which takes half as long as a transaction.
 const READ_TIMEOUT_MS: u64 = 1_000;
-/// Allowance on top of the time that a feed waits at the store.
+/// Additional timeout of a feed call, on top of the time for which the store holds it.
 pub const FEED_SLACK_MS: u64 = 1_000;
-/// Allowance for a feed that does not wait: it shows whether the store is back, and must not hang
-/// on a connection that a cut has swallowed.
+/// Timeout of a feed call that returns at once. Such calls probe whether the store is back, and
+/// must not hang on a connection that a network failure has silently broken.
 const PROBE_SLACK_MS: u64 = 500;
-/// Rows of one page.
+/// Largest number of rows that one read requests.
 const PAGE_ROWS: usize = 500;
-/// The usual part: rows that one transaction can cover. Each part takes a bounded number of writes a second.
+/// Default partition of a table. A transaction covers rows of one partition only, and each
+/// partition accepts a bounded number of writes per second.
 pub const DEFAULT_PARTITION: &str = "";
 
-/// A row.
+/// Row of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// Key.
+    /// Key, unique within table and partition.
     pub key: String,
-    /// Content; empty if the row was removed.
+    /// Content; empty if the row was removed or its encoding is invalid.
     pub value: Vec<u8>,
-    /// Version of the row's last change.
+    /// Version of the store at the row's last change.
     pub version: u64,
-    /// True if the row was removed.
+    /// True if the row was removed; only feeds return such rows.
     pub removed: bool,
 }
 
-/// Row that a transaction depends on.
+/// Condition of a transaction: a row must have a given version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Expect<'a> {
-    /// Table.
+    /// Table of the row.
     pub table: &'a str,
-    /// Key.
+    /// Key of the row.
     pub key: &'a str,
     /// Version that the row must have; 0 if it must not exist.
     pub version: u64,
 }
 
-/// Row that a transaction writes.
+/// Write of a transaction: a row is created or replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Put<'a> {
-    /// Table.
+    /// Table of the row.
     pub table: &'a str,
-    /// Key.
+    /// Key of the row.
     pub key: &'a str,
-    /// Content.
+    /// New content of the row.
     pub value: &'a [u8],
 }
 
-/// Row that a transaction removes.
+/// Removal of a row by a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Remove<'a> {
-    /// Table.
+    /// Table of the row.
     pub table: &'a str,
-    /// Key.
+    /// Key of the row.
     pub key: &'a str,
 }
 
-/// Transaction: all of it takes effect or nothing.
+/// Atomic transaction: if all conditions hold, all writes and removals take effect, otherwise none.
 #[derive(Clone, Debug, Default)]
 pub struct Transaction<'a> {
-    /// Part of the tables in which all rows lie; empty for the usual one.
+    /// Partition that contains all rows of the transaction; empty for [`DEFAULT_PARTITION`].
     pub part: &'a str,
-    /// Conditions.
+    /// Conditions, all of which must hold.
     pub expect: Vec<Expect<'a>>,
-    /// Writes.
+    /// Rows to write.
     pub puts: Vec<Put<'a>>,
-    /// Removals.
+    /// Rows to remove.
     pub removals: Vec<Remove<'a>>,
 }
 
 /// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransactionOutcome {
-    /// It took effect; its rows have this version now.
+    /// The transaction took effect.
     Done {
-        /// Version of the transaction.
+        /// Version of the store that all its rows have now.
         version: u64,
     },
-    /// A condition does not hold.
+    /// A condition did not hold, so nothing was changed.
     Conflict {
-        /// Rows of the conditions as they are; absent rows are missing.
+        /// Current rows of the conditions; rows that do not exist are left out.
         rows: Vec<Row>,
     },
 }
 
-/// All rows of a table, or what changed in it.
+/// Rows of a table, or the changes of a table after a version.
 #[derive(Clone, Debug)]
 pub struct Rows {
-    /// Rows.
+    /// Rows; changes are in the order of their versions.
     pub rows: Vec<Row>,
-    /// Version of the store at which they stood so.
+    /// Version of the store up to which the rows are current.
     pub version: u64,
 }
 
 impl Rows {
-    /// True if there are as many rows as an answer has at most, so that more may wait at the store.
+    /// Returns true if the response has as many rows as fit, so that the store may have more.
     pub fn is_full_page(&self) -> bool {
         self.rows.len() >= PAGE_ROWS
     }
 }
 
-/// Answer of a change feed.
+/// Response of a change feed.
 #[derive(Clone, Debug)]
 pub enum Feed {
-    /// Changes in order, possibly none.
+    /// Changes in the order of their versions, possibly none.
     Changes(Rows),
-    /// The store has forgotten what changed since the version asked for.
+    /// The store no longer has the changes after the requested version; the table must be read
+    /// anew.
     HistoryGone,
 }
 
-/// Kind of a call.
+/// Kind of a call to the store, for the count of calls by kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallKind {
-    /// Page of a table.
+    /// Read of one page of rows.
     Read,
-    /// Change feed.
+    /// Call of a change feed.
     Feed,
-    /// Transaction.
+    /// Conditional transaction.
     Transaction,
 }
 
 impl CallKind {
-    /// Name for metrics.
+    /// Returns the name of the kind in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Read => "read",
@@ -151,16 +154,17 @@
     }
 }
 
-/// Client of the store. Calls that overlap use connections of their own.
+/// Client of the store. Concurrent calls use separate connections.
 #[derive(Debug)]
 pub struct Store {
     link: Link,
-    /// Calls so far by kind and table; those of a transaction count for the first that it writes.
+    /// Number of calls so far by kind and table. A transaction counts for the table of its first
+    /// write.
     calls: Mutex<BTreeMap<(CallKind, String), u64>>,
 }
 
 impl Store {
-    /// A client that is not connected yet.
+    /// Creates a client that connects on its first call.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             link: Link::new(address),
@@ -168,7 +172,8 @@
         }
     }
 
-    /// Calls so far by kind and table, refused ones included: each is priced.
+    /// Returns the number of calls so far by kind and table. Refused calls count as well, because
+    /// the platform charges for each call.
     pub fn calls(&self) -> Vec<(CallKind, String, u64)> {
         let calls = self.counted();
         let calls = calls.iter();
@@ -185,12 +190,13 @@
         self.calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads all rows of the usual part of a table at one version.
+    /// Reads all rows of the default partition of a table.
     pub async fn table(&self, table: &str) -> Result<Rows> {
         self.table_partition(table, DEFAULT_PARTITION).await
     }
 
-    /// Reads all rows of a part of a table at one version.
+    /// Reads all rows of a partition of a table, page by page. The returned version is that of the
+    /// first page; the feed after it returns all changes made while the later pages were read.
     pub async fn table_partition(&self, table: &str, part: &str) -> Result<Rows> {
         let mut all = Rows {
             rows: Vec::new(),
@@ -201,14 +207,14 @@
             let path = format!("/rows-get?table={table}&part={part}&from={from}&limit={PAGE_ROWS}");
             self.count(CallKind::Read, table);
             let page: WireRows = self.get(&path, READ_TIMEOUT_MS).await?;
-            // Changes after the first page's version come again by the feed.
+            // The feed repeats all changes after the first page's version.
             if all.rows.is_empty() {
                 all.version = page.ver;
             }
             let Some(last) = page.rows.last() else {
                 return Ok(all);
             };
-            // The least key that is greater than the last one.
+            // Smallest key that is greater than the last one.
             from = format!("{}%00", last.key_file);
             all.rows.extend(decode_rows(page.rows));
             if !page.has_more {
@@ -217,7 +223,7 @@
         }
     }
 
-    /// Reads the rows of a table whose keys lie between two, both included: a page at most.
+    /// Reads the rows of a table with keys from `first` to `last`, both included; at most one page.
     pub async fn range(&self, table: &str, part: &str, first: &str, last: &str) -> Result<Rows> {
         let path = format!(
             "/rows-get?table={table}&part={part}&from={first}&toVersion={last}%00&limit={PAGE_ROWS}"
@@ -230,8 +236,8 @@
         })
     }
 
-    /// Waits up to `wait_ms` for changes of a table after a version, and notes when the answer has
-    /// begun.
+    /// Waits up to `wait_ms` for changes of a table after a version. Sets `begun` when the head of
+    /// the response has arrived.
     pub async fn feed(
         &self,
         table: &str,
@@ -261,13 +267,13 @@
         }))
     }
 
-    /// Runs a transaction. After an error for which [`Error::may_have_run`] holds it may have
-    /// taken effect, or may do so seconds later if its conditions still hold then.
+    /// Runs a transaction. After an error for which [`Error::may_have_run`] returns true, it may
+    /// have taken effect, or may do so seconds later if its conditions still hold then.
     pub async fn transact(&self, transaction: &Transaction<'_>) -> Result<TransactionOutcome> {
         self.transact_within(transaction, CALL_TIMEOUT_MS).await
     }
 
-    /// Does the same with a time of the caller's choice for the answer.
+    /// Does the same as [`Store::transact`], with a timeout chosen by the caller.
     pub async fn transact_within(
         &self,
         transaction: &Transaction<'_>,
@@ -344,7 +350,8 @@
     }
 }
 
-/// Rows of an answer. One whose content is no base64 has none, so that it does not sink the others.
+/// Decodes the rows of a response. A row whose content is not valid base64 gets empty content, so
+/// that it does not make the other rows unusable.
 fn decode_rows(rows: Vec<WireRow>) -> Vec<Row> {
     rows.into_iter().map(decode_row).collect()
 }
@@ -353,7 +360,7 @@
     let value = BASE64_STANDARD.decode(&row.value);
     let value = value.unwrap_or_else(|error| {
         log::warn!(
-            "the content of row {} cannot be read: {error}",
+            "the content of row {} is not valid base64: {error}",
             row.key_file
         );
         Vec::new()
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -1,4 +1,4 @@
-//! Messages of the platform's protocol, as they stand on the wire.
+//! Messages of the platform's protocol, in their JSON form.
 
 use std::{fmt, net::SocketAddr};
 
@@ -6,24 +6,24 @@
 
 use super::duration::{deserialize_ms, deserialize_optional_ms};
 
-/// Row of the store.
+/// Row of the store, as reads and feeds return it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireRow {
-    /// The row's key within table and part; has nothing to do with files.
+    /// Key of the row within table and partition; it does not name a file.
     pub key_file: String,
-    /// Content in base64; missing on deleted rows.
+    /// Content in base64; missing in deleted rows.
     #[serde(default)]
     pub value: String,
-    /// Version of the row's last change.
+    /// Version of the store at the row's last change.
     #[serde(default)]
     pub ver: u64,
-    /// True on a feed's row that was removed.
+    /// True if the row was removed; set only by feeds.
     #[serde(default)]
     pub deleted: bool,
 }
 
-/// Condition of a transaction.
+/// Condition of a transaction: a row must have a given version.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireExpect<'a> {
@@ -34,7 +34,7 @@
     pub ver: u64,
 }
 
-/// Write of a transaction.
+/// Write of a transaction; `value` is the new content in base64.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WirePut<'a> {
@@ -44,7 +44,7 @@
     pub value: String,
 }
 
-/// Removal of a transaction.
+/// Removal of a row by a transaction.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireRemove<'a> {
@@ -53,7 +53,7 @@
     pub key_file: &'a str,
 }
 
-/// Transaction.
+/// Atomic transaction of conditions, writes and removals.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireTransaction<'a> {
@@ -62,7 +62,7 @@
     pub remove: Vec<WireRemove<'a>>,
 }
 
-/// Answer to a transaction, a read or a feed.
+/// Response to a transaction, a read or a feed.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireRows {
@@ -70,47 +70,47 @@
     pub rows: Vec<WireRow>,
     #[serde(default)]
     pub has_more: bool,
-    /// Newest version of the store as a whole.
+    /// Newest version of the whole store.
     #[serde(default)]
     pub ver: u64,
 }
 
-/// Entry of a backend server. All fields but `born` and `warmupLeft` must be there: another writer
-/// may have left out or garbled any of them.
+/// Entry of a backend server. All fields but `born` and `warmupLeft` are required. Any of them may
+/// be missing or invalid, because other programs write entries as well; the entry is refused then.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WireServer {
     pub addr: SocketAddr,
-    /// Unix time of its start in milliseconds. Servers of older platforms do not tell it.
+    /// Unix time of the server's start in milliseconds; servers of older platforms do not write it.
     #[serde(default)]
     pub born: Option<u64>,
     pub info: WireServerInfo,
     pub status: WireServerStatus,
 }
 
-/// Fields of an entry that stay as they are while the server lives.
+/// Fields of an entry that do not change while the server runs.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WireServerInfo {
     pub service: String,
     pub zone: String,
-    /// Of its software.
+    /// Version of the server's software; required, but not used.
     #[serde(rename = "version")]
     pub _version: String,
     pub slots: u32,
 }
 
-/// Fields of an entry that change.
+/// Fields of an entry that change while the server runs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireServerStatus {
     pub state: WireServerState,
-    /// Number of the heartbeat.
+    /// Sequence number of the heartbeat; required, but not used.
     #[serde(rename = "seq")]
     pub _seq: u64,
     #[serde(default, deserialize_with = "deserialize_optional_ms")]
     pub warmup_left: Option<u64>,
 }
 
-/// What a server says of its readiness. Any other word makes the entry unreadable.
+/// Readiness of a server. An entry with any other value is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WireServerState {
@@ -118,20 +118,20 @@
     Draining,
 }
 
-/// Configuration document.
+/// Configuration document that operators write.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WireConfig {
-    /// Eight hexadecimal digits.
+    /// Version as eight hexadecimal digits.
     pub version: String,
     pub services: Vec<WireService>,
     pub limits: WireLimits,
     pub hosts: Vec<WireHost>,
-    /// Workspaces; missing if callers need no key.
+    /// Workspaces; missing if callers need no API key.
     #[serde(default)]
     pub tenants: Option<Vec<WireTenant>>,
 }
 
-/// Workspace.
+/// Workspace with its API keys and quota.
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireTenant {
@@ -140,10 +140,10 @@
     pub api_keys: Vec<String>,
     #[serde(default)]
     pub priority: u32,
-    /// Requests a second that it may send; 0 or missing for any number.
+    /// Quota in requests per second; 0 or missing for no quota.
     #[serde(default)]
     pub rate_per_s: f64,
-    /// Requests above that.
+    /// Requests that the workspace may send at once beyond its quota.
     #[serde(default)]
     pub burst: f64,
     #[serde(default)]
@@ -153,12 +153,12 @@
 impl fmt::Debug for WireTenant {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut shown = formatter.debug_struct("WireTenant");
-        // Keys are written nowhere.
+        // API keys are secret and must not appear in logs.
         shown.field("name", &self.name).finish_non_exhaustive()
     }
 }
 
-/// Service of a configuration.
+/// Service of the configuration, run by a group of servers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireService {
@@ -167,15 +167,15 @@
     pub max_conns: u32,
     #[serde(default)]
     pub sharded: bool,
-    /// Time for which a server is cold after it has turned so.
+    /// Time for which a server remains cold once it has become cold.
     #[serde(default, deserialize_with = "deserialize_optional_ms")]
     pub warmup: Option<u64>,
-    /// Requests a second that a cold server bears.
+    /// Requests per second that a cold server can serve.
     #[serde(default)]
     pub warmup_per_s: Option<f64>,
 }
 
-/// Limits of callers.
+/// Limits on the requests and connections of callers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireLimits {
@@ -187,20 +187,21 @@
     pub idle_timeout: u64,
 }
 
-/// Routes of one value of the `Host` header; not a machine.
+/// Routes for one value of the `Host` header; it does not stand for an entry host.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WireHost {
     pub host: String,
     pub paths: Vec<WireRoute>,
 }
 
-/// Route.
+/// Route: the settings of all requests whose path begins with a prefix.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireRoute {
     pub name: String,
     pub path_prefix: String,
-    /// `safe` or `download` if requests may run more than once, `unsafe` or `upload` if at most once.
+    /// `safe` or `download` if requests may run more than once; `unsafe` or `upload` if they run at
+    /// most once.
     #[serde(default)]
     pub kind: String,
     #[serde(deserialize_with = "deserialize_ms")]
@@ -215,41 +216,41 @@
     pub split: Vec<WireShare>,
     #[serde(default)]
     pub max_attempts: Option<u32>,
-    /// True if requests carry no key although there are workspaces.
+    /// True if requests need no API key even if there are workspaces.
     #[serde(default)]
     pub public: bool,
     #[serde(default)]
     pub allowed_regions: Vec<String>,
 }
 
-/// Share of a route that is divided among services.
+/// Weighted share of one service in a route that is split among services.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WireShare {
     pub service: String,
     pub weight: f64,
 }
 
-/// Order to hold keys.
+/// Order that makes a server hold a range of keys.
 #[derive(Clone, Debug, Serialize)]
 pub struct WireGrant<'a> {
-    /// First key.
+    /// First key of the range.
     pub from: u16,
-    /// Last key, included; not a version.
+    /// Last key, included; despite its name on the wire it is not a version.
     #[serde(rename = "toVersion")]
     pub to: u16,
     pub fence: u64,
-    /// Time from arrival after which the server stops, as a text with unit.
+    /// Length of the lease, counted from the arrival of the order; a duration with unit.
     pub hold_time: String,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub handover: Option<&'a str>,
 }
 
-/// Order to give keys back.
+/// Order that makes a server release a range of keys.
 #[derive(Clone, Debug, Serialize)]
 pub struct WireRelease {
-    /// First key.
+    /// First key of the range.
     pub from: u16,
-    /// Last key, included; not a version.
+    /// Last key, included; despite its name on the wire it is not a version.
     #[serde(rename = "toVersion")]
     pub to: u16,
     pub fence: u64,
