--- a/src/platform/orders.rs
+++ b/src/platform/orders.rs
@@ -75,8 +75,8 @@
         hold_time: format!("{}ms", grant.lease_ms),
         handover: grant.handover,
     };
-    let answer = order(link, GRANT_PATH, grant.server, &body, timeout_ms).await?;
-    match answer.status {
+    let response = order(link, GRANT_PATH, grant.server, &body, timeout_ms).await?;
+    match response.status {
         StatusCode::OK => Ok(GrantOutcome::Held),
         StatusCode::CONFLICT => Ok(GrantOutcome::Superseded),
         StatusCode::MISDIRECTED_REQUEST => Ok(GrantOutcome::OtherServer),
@@ -95,10 +95,10 @@
         to: release.range.last,
         fence: release.fence,
     };
-    let answer = order(link, RELEASE_PATH, release.server, &body, timeout_ms).await?;
-    match answer.status {
+    let response = order(link, RELEASE_PATH, release.server, &body, timeout_ms).await?;
+    match response.status {
         StatusCode::OK => {
-            let token = answer.headers.get(HANDOVER);
+            let token = response.headers.get(HANDOVER);
             let handover = token.and_then(|token| token.to_str().ok());
             Ok(ReleaseOutcome::Ended {
                 handover: handover.map(str::to_owned),
@@ -134,8 +134,8 @@
             }
             .build()
         })?;
-    let answer = link.call(request, timeout_ms).await?;
-    let reported = answer.headers.get(SERVER_NAME);
+    let response = link.call(request, timeout_ms).await?;
+    let reported = response.headers.get(SERVER_NAME);
     Ok(reported.is_none_or(|name| name.as_bytes() == server.as_bytes()))
 }
 
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -253,14 +253,14 @@
             FEED_SLACK_MS
         };
         let request = self.request(Method::GET, &path, Bytes::new())?;
-        let answer = self
+        let response = self
             .link
             .call_noting_start(request, wait_ms + slack_ms, begun);
-        let answer = answer.await?;
-        if answer.status == StatusCode::GONE {
+        let response = response.await?;
+        if response.status == StatusCode::GONE {
             return Ok(Feed::HistoryGone);
         }
-        let changes: WireRows = self.decode(answer)?;
+        let changes: WireRows = self.decode(response)?;
         Ok(Feed::Changes(Rows {
             rows: decode_rows(changes.rows),
             version: changes.ver,
@@ -285,22 +285,22 @@
         })?;
         let table = transaction.puts.first().map_or("", |put| put.table);
         self.count(CallKind::Transaction, table);
-        let answer = self.send(Method::POST, "/rows-tx", body.into(), timeout_ms);
-        let answer = answer.await?;
-        if answer.status == StatusCode::PRECONDITION_FAILED {
-            let found: WireRows = self.parse(&answer.body)?;
+        let response = self.send(Method::POST, "/rows-tx", body.into(), timeout_ms);
+        let response = response.await?;
+        if response.status == StatusCode::PRECONDITION_FAILED {
+            let found: WireRows = self.parse(&response.body)?;
             let rows = decode_rows(found.rows);
             return Ok(TransactionOutcome::Conflict { rows });
         }
-        let done: WireRows = self.decode(answer)?;
+        let done: WireRows = self.decode(response)?;
         Ok(TransactionOutcome::Done { version: done.ver })
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str, timeout_ms: u64) -> Result<T> {
-        let answer = self
+        let response = self
             .send(Method::GET, path, Bytes::new(), timeout_ms)
             .await?;
-        self.decode(answer)
+        self.decode(response)
     }
 
     async fn send(
@@ -328,15 +328,15 @@
         })
     }
 
-    fn decode<T: DeserializeOwned>(&self, answer: BufferedResponse) -> Result<T> {
-        if answer.status != StatusCode::OK {
+    fn decode<T: DeserializeOwned>(&self, response: BufferedResponse) -> Result<T> {
+        if response.status != StatusCode::OK {
             return StatusSnafu {
                 address: self.link.address(),
-                status: answer.status,
+                status: response.status,
             }
             .fail();
         }
-        self.parse(&answer.body)
+        self.parse(&response.body)
     }
 
     fn parse<T: DeserializeOwned>(&self, body: &[u8]) -> Result<T> {
