--- a/src/bin/ashroad/app.rs
+++ b/src/bin/ashroad/app.rs
@@ -1,4 +1,5 @@
-//! Flags and subcommands.
+//! Definition of the command line: subcommands and their flags. The doc comments here are the help
+//! texts that users see.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -6,8 +7,8 @@
 use clap_complete::Shell;
 
 const EXIT_CODES: &str = "\
-Exit codes: 0 done, 1 failed, 2 wrong usage, 3 faulty input (nothing changed), \
-4 another change came first (nothing changed), 5 unreachable, 6 an invariant broke.";
+Exit codes: 0 success, 1 failure, 2 usage error, 3 invalid input (nothing changed), \
+4 conflict with another change (nothing changed), 5 unreachable, 6 invariant violated.";
 
 /// A router for servers that own keys exclusively.
 #[derive(Debug, Parser)]
@@ -16,7 +17,7 @@
     /// Print one JSON value instead of text.
     #[arg(long, global = true)]
     pub json: bool,
-    /// What to do.
+    /// Subcommand to run.
     #[command(subcommand)]
     pub command: Command,
 }
@@ -28,11 +29,11 @@
     Serve(ServeArgs),
     /// Run an entry host on the users' platform.
     Entry(ServeArgs),
-    /// Tell what happened to a request, from the logs of entry hosts.
+    /// Show the timeline of one request, from the logs of entry hosts.
     Explain(ExplainArgs),
     /// Count lost requests by second, route and reason, from the logs of entry hosts.
     Losses(LossesArgs),
-    /// Check settings, templates and workspaces; print every problem.
+    /// Check settings, templates and workspaces, and print every problem.
     Check(CheckArgs),
     /// Submit, withdraw and show templates.
     Template(DeclarationArgs),
@@ -46,24 +47,24 @@
     Audit(AuditArgs),
     /// List hosts, or begin the planned stop of one.
     Host(HostArgs),
-    /// Make certificates for the connections between hosts.
+    /// Create certificates for the connections between hosts.
     Keys(KeysArgs),
     /// Run a stand-in of the platform or of a backend server.
     Standin(StandinArgs),
-    /// Show the whole system at work in one process, with faults, for half a minute.
+    /// Run the whole system in one process for half a minute, with injected faults.
     Demo,
     /// Send requests at a fixed rate and print latencies.
     Load(LoadArgs),
-    /// Measure the decisions and the cost of control.
+    /// Measure the planner and the cost of the control traffic.
     Bench(BenchArgs),
-    /// Print a shell's completion script.
+    /// Print a completion script for a shell.
     Completions(CompletionsArgs),
 }
 
-/// Flags of `serve`.
+/// Flags of `serve` and `entry`.
 #[derive(Debug, Args)]
 pub struct ServeArgs {
-    /// Settings of this host, in YAML.
+    /// Settings file of this host, in YAML.
     #[arg(long)]
     pub settings: PathBuf,
 }
@@ -71,7 +72,7 @@
 /// Flags of `explain`.
 #[derive(Debug, Args)]
 pub struct ExplainArgs {
-    /// Identifier of the request, as its caller gave it.
+    /// Request identifier that the caller sent.
     pub request_id: String,
     /// Logs of the hosts.
     #[arg(required = true)]
@@ -81,7 +82,7 @@
 /// Flags of `losses`.
 #[derive(Debug, Args)]
 pub struct LossesArgs {
-    /// Seconds that are counted together.
+    /// Length of the intervals by which requests are counted, in seconds.
     #[arg(long, default_value_t = 2)]
     pub step_s: u64,
     /// Logs of the hosts.
@@ -92,18 +93,18 @@
 /// Flags of `check`.
 #[derive(Debug, Args)]
 pub struct CheckArgs {
-    /// Files; workspaces are checked against the templates named with them.
+    /// Files to check; a workspace needs its template among them.
     #[arg(required = true)]
     pub files: Vec<PathBuf>,
 }
 
-/// Where a host's operators' API is.
+/// Flags that select an operators' API and authenticate to it.
 #[derive(Clone, Debug, Args)]
 pub struct ApiArgs {
-    /// Address of any host's operators' API.
+    /// Address of the operators' API of any host.
     #[arg(long, env = "ASHROAD_API")]
     pub api: SocketAddr,
-    /// File with the operators' token.
+    /// File whose first line is the operators' token.
     #[arg(long, env = "ASHROAD_TOKEN_FILE")]
     pub token_file: Option<PathBuf>,
 }
@@ -111,26 +112,26 @@
 /// Flags of `template` and `workspace`.
 #[derive(Debug, Args)]
 pub struct DeclarationArgs {
-    /// What to do.
+    /// Action on templates or workspaces.
     #[command(subcommand)]
     pub action: DeclarationAction,
 }
 
-/// Actions on declarations.
+/// Actions on declarations, i.e. on templates and workspaces.
 #[derive(Debug, Subcommand)]
 pub enum DeclarationAction {
-    /// Put a new declaration in force.
+    /// Submit a new declaration.
     Submit(SubmitArgs),
-    /// Change a declaration in force.
+    /// Change an existing declaration.
     Amend(SubmitArgs),
-    /// Take a declaration out of force.
+    /// Remove a declaration.
     Withdraw(WithdrawArgs),
     /// Print a declaration.
     Show {
-        /// Where to ask.
+        /// Operators' API to query.
         #[command(flatten)]
         api: ApiArgs,
-        /// Name.
+        /// Name of the declaration.
         name: String,
     },
     /// List declarations.
@@ -140,12 +141,12 @@
 /// Flags of `submit` and `amend`.
 #[derive(Debug, Args)]
 pub struct SubmitArgs {
-    /// Where to ask.
+    /// Operators' API to send the change to.
     #[command(flatten)]
     pub api: ApiArgs,
-    /// Declaration, in YAML.
+    /// File with the declaration, in YAML.
     pub file: PathBuf,
-    /// Flags of every change.
+    /// Flags common to all changes.
     #[command(flatten)]
     pub change: ChangeArgs,
     /// Only show what would change.
@@ -156,32 +157,32 @@
 /// Flags of `withdraw`.
 #[derive(Debug, Args)]
 pub struct WithdrawArgs {
-    /// Where to ask.
+    /// Operators' API to send the change to.
     #[command(flatten)]
     pub api: ApiArgs,
-    /// Name.
+    /// Name of the declaration.
     pub name: String,
-    /// Flags of every change.
+    /// Flags common to all changes.
     #[command(flatten)]
     pub change: ChangeArgs,
 }
 
-/// Flags of every change.
+/// Flags common to all changes.
 #[derive(Debug, Args)]
 pub struct ChangeArgs {
-    /// Refuse if the configuration is not at this revision.
+    /// Refuse the change unless the configuration is at this revision.
     #[arg(long)]
     pub expect_revision: Option<u64>,
-    /// Identifier of this change; repeated, it is not applied twice.
+    /// Identifier of this change; a repeated change with the same identifier is not applied again.
     #[arg(long)]
     pub operation_id: Option<String>,
-    /// Who makes the change, for the audit trail.
+    /// Name of the person who makes the change, for the audit trail.
     #[arg(long, env = "USER")]
     pub actor: Option<String>,
-    /// Return only when the change is in force on every fresh host.
+    /// Wait until the change is in force on every host that was heard from recently.
     #[arg(long)]
     pub wait: bool,
-    /// Longest wait.
+    /// Timeout of --wait, in milliseconds.
     #[arg(long, default_value_t = 10_000)]
     pub wait_ms: u64,
 }
@@ -189,20 +190,20 @@
 /// Flags of `owner`.
 #[derive(Debug, Args)]
 pub struct OwnerArgs {
-    /// Where to ask.
+    /// Operators' API to query.
     #[command(flatten)]
     pub api: ApiArgs,
     /// Service, as workspace/service.
     #[arg(long)]
     pub service: String,
-    /// Key.
+    /// Key whose owner is shown.
     pub key: String,
 }
 
 /// Flags of `audit`.
 #[derive(Debug, Args)]
 pub struct AuditArgs {
-    /// Where to ask.
+    /// Operators' API to query.
     #[command(flatten)]
     pub api: ApiArgs,
     /// Only entries after this revision.
@@ -213,7 +214,7 @@
 /// Flags of `host`.
 #[derive(Debug, Args)]
 pub struct HostArgs {
-    /// What to do.
+    /// Action on hosts.
     #[command(subcommand)]
     pub action: HostAction,
 }
@@ -223,27 +224,28 @@
 pub enum HostAction {
     /// List hosts.
     List(ApiArgs),
-    /// Begin the planned stop of the host at this address.
+    /// Begin the planned stop of the host at this address: it drains its requests and exits.
     Drain(ApiArgs),
 }
 
 /// Flags of `keys`.
 #[derive(Debug, Args)]
 pub struct KeysArgs {
-    /// What to make.
+    /// Kind of certificate to create.
     #[command(subcommand)]
     pub action: KeysAction,
 }
 
-/// Certificates to make.
+/// Kinds of certificates.
 #[derive(Debug, Subcommand)]
 pub enum KeysAction {
-    /// Make a certificate authority: ca.pem and ca-key.pem.
+    /// Create a certificate authority: ca.pem and ca-key.pem.
     Ca {
-        /// Existing directory.
+        /// Existing directory to write the files to.
         directory: PathBuf,
     },
-    /// Make a host's certificate, NAME.pem and NAME-key.pem, with the authority in the directory.
+    /// Create a host certificate, NAME.pem and NAME-key.pem, signed by the authority in the
+    /// directory.
     Host {
         /// Directory with ca.pem and ca-key.pem.
         directory: PathBuf,
@@ -255,15 +257,15 @@
 /// Flags of `standin`.
 #[derive(Debug, Args)]
 pub struct StandinArgs {
-    /// Which stand-in.
+    /// Kind of stand-in.
     #[command(subcommand)]
     pub kind: StandinKind,
 }
 
-/// Stand-ins.
+/// Kinds of stand-ins.
 #[derive(Debug, Subcommand)]
 pub enum StandinKind {
-    /// Table service, object store and list of hosts.
+    /// The platform: table service, object store and list of hosts.
     Platform {
         /// Listening address.
         #[arg(long, default_value = "127.0.0.1:0")]
@@ -274,19 +276,19 @@
         /// Listening address.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// Requests that run at a time.
+        /// Number of requests that run at the same time.
         #[arg(long, default_value_t = 4)]
         slots: usize,
-        /// Requests that wait for a slot.
+        /// Number of requests that wait for a slot; further ones are shed.
         #[arg(long, default_value_t = 64)]
         queue: usize,
-        /// Time that a request runs.
+        /// Run time of each request, in milliseconds.
         #[arg(long, default_value_t = 0)]
         work_ms: u64,
-        /// Time after the start in which requests take 20 ms longer.
+        /// Time after the start in which requests take 20 ms longer, in milliseconds.
         #[arg(long, default_value_t = 0)]
         cold_ms: u64,
-        /// Take orders from anyone, however old.
+        /// Run requests without checking their epoch and incarnation.
         #[arg(long)]
         no_checks: bool,
     },
@@ -298,31 +300,31 @@
     /// Addresses of entry hosts.
     #[arg(long, required = true, value_delimiter = ',')]
     pub to: Vec<SocketAddr>,
-    /// Addresses of backend servers, for the same requests without ashroad first.
+    /// Addresses of backend servers, to send the same load to them directly first.
     #[arg(long, value_delimiter = ',')]
     pub direct: Vec<SocketAddr>,
     /// Services, as /workspace/service, whose key is the path's first segment.
     #[arg(long, required = true, value_delimiter = ',')]
     pub service: Vec<String>,
-    /// Requests a second.
+    /// Requests per second.
     #[arg(long, default_value_t = 1_000)]
     pub rate_per_s: u64,
-    /// Length of each run.
+    /// Length of each run, in milliseconds.
     #[arg(long, default_value_t = 10_000)]
     pub duration_ms: u64,
     /// Number of keys.
     #[arg(long, default_value_t = 10_000)]
     pub keys: u64,
-    /// Exponent of the keys' Zipf distribution; 0 for all alike.
+    /// Exponent of the Zipf distribution of the keys; 0 for a uniform distribution.
     #[arg(long, default_value_t = 0.9)]
     pub zipf_exponent: f64,
-    /// Share of requests that are unrepeatable orders.
+    /// Share of requests that must not run twice (POST with an idempotency key).
     #[arg(long, default_value_t = 0.0)]
     pub unrepeatable_share: f64,
-    /// Share of the orders that are sent twice.
+    /// Share of the unrepeatable requests that are sent twice.
     #[arg(long, default_value_t = 0.0)]
     pub duplicate_share: f64,
-    /// Deadline of each request.
+    /// Deadline of each request, in milliseconds.
     #[arg(long, default_value_t = 5_000)]
     pub deadline_ms: u64,
     /// Seed of the random choices.
@@ -333,19 +335,19 @@
 /// Flags of `bench`.
 #[derive(Debug, Args)]
 pub struct BenchArgs {
-    /// What to measure.
+    /// Measurement to run.
     #[command(subcommand)]
     pub kind: BenchKind,
 }
 
-/// Measurements.
+/// Kinds of measurements.
 #[derive(Debug, Subcommand)]
 pub enum BenchKind {
-    /// The planner against baselines on generated days.
+    /// Compare the planner with baseline policies on generated days.
     Policy,
-    /// Time and memory against slots and servers.
+    /// Measure the planner's time and memory by number of slots and servers.
     Planner,
-    /// The cost of control against the number of hosts.
+    /// Measure the cost of the control traffic by number of hosts.
     Control {
         /// Numbers of hosts.
         #[arg(long, value_delimiter = ',', default_value = "8,32,128")]
@@ -356,11 +358,11 @@
 /// Flags of `completions`.
 #[derive(Debug, Args)]
 pub struct CompletionsArgs {
-    /// Shell.
+    /// Shell to print the script for.
     pub shell: Shell,
 }
 
-/// Prints a completion script.
+/// Prints the completion script for a shell.
 pub fn print_completions(shell: Shell) {
     let mut command = Cli::command();
     clap_complete::generate(shell, &mut command, "ashroad", &mut std::io::stdout());
--- a/src/bin/ashroad/bench.rs
+++ b/src/bin/ashroad/bench.rs
@@ -1,4 +1,4 @@
-//! `ashroad bench`
+//! Subcommand `ashroad bench`: runs a measurement and prints its figures.
 
 use ashroad::{
     bench::{control, planner, policy},
@@ -13,7 +13,7 @@
     output,
 };
 
-/// Runs one of the measurements.
+/// Runs the selected measurement and prints its figures as a table, or as JSON.
 pub async fn run(args: BenchArgs, json: bool) -> Result<()> {
     logging::start(log::LevelFilter::Error);
     match args.kind {
--- a/src/bin/ashroad/check.rs
+++ b/src/bin/ashroad/check.rs
@@ -1,4 +1,4 @@
-//! `ashroad check`
+//! Subcommand `ashroad check`: checks files offline and prints every problem found.
 
 use std::{
     fs,
@@ -19,21 +19,21 @@
     output,
 };
 
-/// One problem of one file.
+/// One problem found in one file.
 #[derive(Debug, Serialize)]
 struct Problem {
     file: PathBuf,
     problem: String,
 }
 
-/// A file by its kind.
+/// Content of a file by the kind of document.
 enum Document {
     Template(Template),
     Workspace(Workspace),
     Settings,
 }
 
-/// Checks files and prints every problem.
+/// Checks files and prints every problem; fails if there is any.
 pub fn run(args: &CheckArgs, json: bool) -> Result<()> {
     let mut problems = Vec::new();
     let mut templates = Vec::new();
@@ -74,7 +74,7 @@
     }));
 }
 
-/// Reads a file as what its first field says it is.
+/// Parses a file as the kind of document that its top-level fields indicate.
 fn read(file: &Path, bytes: &[u8]) -> std::result::Result<Document, String> {
     let text = String::from_utf8_lossy(bytes);
     let begins = |field: &str| text.lines().any(|line| line.starts_with(field));
@@ -86,7 +86,8 @@
         let read = Workspace::read(bytes).map(Document::Workspace);
         return read.map_err(|error| error.to_string());
     }
-    // Only the settings of an entry host on the users' platform name the store's heartbeat.
+    // The field server_heartbeat occurs only in the settings of an entry host on the users'
+    // platform.
     let read = if text.contains("server_heartbeat") {
         entry::Settings::read(file).map(|_| Document::Settings)
     } else {
--- a/src/bin/ashroad/declaration.rs
+++ b/src/bin/ashroad/declaration.rs
@@ -1,4 +1,4 @@
-//! `ashroad template` and `ashroad workspace`
+//! Subcommands `ashroad template` and `ashroad workspace`: submit, withdraw and show declarations.
 
 use std::{fs, path::Path, time::Duration};
 
@@ -19,6 +19,7 @@
     output,
 };
 
+/// Interval between status queries while waiting for a revision to be in force.
 const WAIT_POLL_MS: u64 = 20;
 
 /// Runs `ashroad template`.
@@ -96,7 +97,7 @@
     finish(&client, &args.change, &accepted, json).await
 }
 
-/// Reads a declaration; size and encoding are checked before it is sent.
+/// Reads a declaration and checks its size and encoding before it is sent.
 fn read(path: &Path) -> Result<String> {
     let bytes = fs::read(path).context(ReadSnafu { path })?;
     let checked = ashroad::configuration::template::check_text(&bytes);
@@ -127,7 +128,7 @@
     Ok(())
 }
 
-/// Waits until every host that was heard of late has the revision.
+/// Waits until every host that was heard from recently has the revision; fails after `wait_ms`.
 async fn wait(client: &OperatorClient, revision: u64, wait_ms: u64) -> Result<()> {
     let deadline_ms = clock::now_ms() + wait_ms;
     while clock::now_ms() < deadline_ms {
@@ -166,7 +167,7 @@
     }
 }
 
-/// A client of the API that the flags name.
+/// Creates a client of the operators' API that the flags select.
 pub fn client(api: &ApiArgs) -> Result<OperatorClient> {
     let token = match &api.token_file {
         Some(path) => {
--- a/src/bin/ashroad/demo.rs
+++ b/src/bin/ashroad/demo.rs
@@ -1,4 +1,4 @@
-//! `ashroad demo`
+//! Subcommand `ashroad demo`: runs the whole system in one process, with injected faults.
 
 use ashroad::{demo, logging};
 use snafu::{ResultExt, ensure};
@@ -8,7 +8,8 @@
     output,
 };
 
-/// Runs the demonstration; its last line is the summary as JSON.
+/// Runs the demonstration; the last line of output is the summary as JSON. Fails if an invariant
+/// was violated.
 pub async fn run(json: bool) -> Result<()> {
     logging::start(log::LevelFilter::Error);
     let tell = |text: &str| {
--- a/src/bin/ashroad/entry.rs
+++ b/src/bin/ashroad/entry.rs
@@ -1,4 +1,4 @@
-//! `ashroad entry`
+//! Subcommand `ashroad entry`: runs an entry host on the users' platform.
 
 use ashroad::entry;
 use snafu::ResultExt;
@@ -9,8 +9,8 @@
     error::{EntrySnafu, Result, RuntimeSnafu},
 };
 
-/// Runs an entry host on the users' platform until a signal asks for its planned stop. A host has
-/// one core, so one thread does all the work.
+/// Runs an entry host on the users' platform until a signal starts its planned stop. The runtime
+/// has a single thread, because a host has one core.
 pub fn run(args: &ServeArgs) -> Result<()> {
     let runtime = Builder::new_current_thread()
         .enable_all()
--- a/src/bin/ashroad/error.rs
+++ b/src/bin/ashroad/error.rs
@@ -1,4 +1,4 @@
-//! Errors that the person at the terminal reads, and their exit codes.
+//! Errors that the command line reports to its user, and their exit codes.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -6,113 +6,113 @@
 use http::StatusCode;
 use snafu::Snafu;
 
-/// A command failed.
+/// Exit code of a failure that no other code describes.
 const FAILED: u8 = 1;
-/// Settings or declarations are faulty; nothing was changed.
+/// Exit code for invalid settings, declarations or files; nothing was changed.
 const BAD_INPUT: u8 = 3;
-/// Another change came first; nothing was changed.
+/// Exit code if another change was applied first; nothing was changed.
 const RACED: u8 = 4;
-/// A host or the platform cannot be reached.
+/// Exit code if a host or the platform cannot be reached.
 const UNREACHABLE: u8 = 5;
-/// An invariant broke.
+/// Exit code if the demonstration violated an invariant.
 const BROKEN: u8 = 6;
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// No runtime.
+    /// The async runtime or a signal handler cannot be set up.
     #[snafu(display("cannot start: {source}"))]
     Runtime {
-        /// Cause.
+        /// Underlying error.
         source: std::io::Error,
     },
     /// A file cannot be read.
     #[snafu(display("{}: cannot be read: {source}", path.display()))]
     Read {
-        /// File.
+        /// Path of the file.
         path: PathBuf,
-        /// Cause.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// Settings are faulty.
+    /// The settings of a host are invalid.
     #[snafu(display("{source}"))]
     Settings {
-        /// Cause.
+        /// Underlying error.
         source: settings::Error,
     },
-    /// Files have faults, which were printed.
+    /// Checked files have problems, which were printed.
     #[snafu(display("{count} problems in {files} files"))]
     Problems {
-        /// Number of problems.
+        /// Number of problems in all files.
         count: usize,
-        /// Number of files.
+        /// Number of files checked.
         files: usize,
     },
-    /// A declaration is faulty.
+    /// The size or encoding of a declaration is invalid.
     #[snafu(display("{}: {source}", path.display()))]
     Declaration {
-        /// File.
+        /// Path of the file.
         path: PathBuf,
-        /// Cause.
+        /// Underlying error.
         source: configuration::Error,
     },
-    /// Certificates.
+    /// A certificate cannot be created.
     #[snafu(display("{source}"))]
     Keys {
-        /// Cause.
+        /// Underlying error.
         source: peer::Error,
     },
-    /// The entry host cannot run.
+    /// The entry host cannot start or failed.
     #[snafu(display("{source}"))]
     Entry {
-        /// Cause.
+        /// Underlying error.
         source: entry::Error,
     },
     /// The host cannot start.
     #[snafu(display("{source}"))]
     Host {
-        /// Cause.
+        /// Underlying error.
         source: host::Error,
     },
-    /// A host's task ended.
-    #[snafu(display("the host stopped by a fault; its log says why"))]
+    /// A task of the host ended unexpectedly.
+    #[snafu(display("the host stopped after an internal failure; see its log"))]
     HostFailed,
     /// A stand-in cannot start.
     #[snafu(display("the stand-in cannot listen: {source}"))]
     Standin {
-        /// Cause.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// A host refused or cannot be reached.
+    /// A host refused the call or cannot be reached.
     #[snafu(display("{}", call_message(source)))]
     Call {
-        /// Cause.
+        /// Underlying error.
         source: CallError,
     },
     /// The demonstration could not run.
     #[snafu(display("{source}"))]
     Demo {
-        /// Cause.
+        /// Underlying error.
         source: ashroad::demo::Error,
     },
-    /// An invariant broke.
-    #[snafu(display("an invariant broke; the summary says which"))]
+    /// The demonstration violated an invariant.
+    #[snafu(display("an invariant was violated; see the summary"))]
     Broken,
-    /// No such declaration.
+    /// No declaration has the requested name.
     #[snafu(display("there is no {kind} named {name}"))]
     NotFound {
-        /// Kind.
+        /// Kind of declaration, `template` or `workspace`.
         kind: &'static str,
-        /// Name.
+        /// Requested name.
         name: String,
     },
-    /// Not in force in time.
+    /// A change was accepted but was not in force on every host in time.
     #[snafu(display("revision {revision} is not in force on every host within {wait_ms} ms"))]
     NotInForce {
-        /// Revision.
+        /// Revision of the change.
         revision: u64,
-        /// Time waited.
+        /// Time waited, in milliseconds.
         wait_ms: u64,
     },
 }
@@ -121,7 +121,7 @@
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
-    /// Exit code of the process.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             Self::Settings { .. } | Self::Problems { .. } | Self::Declaration { .. } => BAD_INPUT,
@@ -142,7 +142,7 @@
     }
 }
 
-/// The host's own words where it gave any.
+/// Returns the message in the host's response if it has one, otherwise that of the error.
 fn call_message(error: &CallError) -> String {
     let CallError::Refused { body, .. } = error else {
         return error.to_string();
--- a/src/bin/ashroad/explain.rs
+++ b/src/bin/ashroad/explain.rs
@@ -1,4 +1,4 @@
-//! `ashroad explain`
+//! Subcommand `ashroad explain`: prints the timeline of one request.
 
 use ashroad::entry::explain::{self, Source, StoryLine};
 
@@ -9,8 +9,8 @@
     output,
 };
 
-/// Prints the story of one request. An unknown request has an empty story, which is no failure:
-/// requests that were served without event are only sampled.
+/// Prints the timeline of one request. An empty timeline is not an error, because the logs contain
+/// only a sample of the requests that were served without incident.
 pub fn run(args: &ExplainArgs, json: bool) -> Result<()> {
     let logs = logs::read(&args.logs)?;
     let sources: Vec<Source<'_>> = logs.iter().map(Log::source).collect();
@@ -20,7 +20,9 @@
         return Ok(());
     }
     if story.is_empty() {
-        output::line("no log has an event of this request; it was served, or its log is missing");
+        output::line(
+            "no event of this request found; it was served without incident, or a log is missing",
+        );
     }
     for line in &story {
         print_line(line);
--- a/src/bin/ashroad/keys.rs
+++ b/src/bin/ashroad/keys.rs
@@ -1,4 +1,4 @@
-//! `ashroad keys`
+//! Subcommand `ashroad keys`: creates certificates for the connections between hosts.
 
 use ashroad::peer::keys;
 use snafu::ResultExt;
@@ -8,7 +8,7 @@
     error::{KeysSnafu, Result},
 };
 
-/// Makes certificates.
+/// Creates a certificate authority or a host certificate.
 pub fn run(args: &KeysArgs) -> Result<()> {
     match &args.action {
         KeysAction::Ca { directory } => keys::create_ca(directory).context(KeysSnafu),
--- a/src/bin/ashroad/load.rs
+++ b/src/bin/ashroad/load.rs
@@ -1,11 +1,11 @@
-//! `ashroad load`
+//! Subcommand `ashroad load`: sends requests at a fixed rate and prints latencies.
 
 use ashroad::load::{self, LoadConfig, LoadReport};
 use serde::Serialize;
 
 use crate::{app::LoadArgs, error::Result, output};
 
-/// Figures of a paired run.
+/// Results of the load through entry hosts, and of the same load sent to the servers directly.
 #[derive(Debug, Serialize)]
 struct LoadComparison {
     direct: Option<LoadReport>,
@@ -14,7 +14,8 @@
     ratio_p99: Option<f64>,
 }
 
-/// Runs the load, and the same requests straight to the servers if their addresses are given.
+/// Runs the load through the entry hosts, preceded by a run straight to the servers if their
+/// addresses are given.
 pub async fn run(args: LoadArgs, json: bool) -> Result<()> {
     let through = LoadConfig {
         addresses: args.to,
--- a/src/bin/ashroad/logs.rs
+++ b/src/bin/ashroad/logs.rs
@@ -1,4 +1,4 @@
-//! Logs of entry hosts that a subcommand reads.
+//! Reads the logs of entry hosts for `explain` and `losses`.
 
 use std::{fs, path::PathBuf};
 
@@ -7,7 +7,7 @@
 
 use crate::error::{ReadSnafu, Result};
 
-/// A log with its name.
+/// Content of a log file with the path as its name.
 #[derive(Debug)]
 pub struct Log {
     name: String,
@@ -15,7 +15,7 @@
 }
 
 impl Log {
-    /// The log as the library takes it.
+    /// Returns the log in the form that the library reads.
     pub fn source(&self) -> Source<'_> {
         Source {
             name: &self.name,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Reads logs.
+/// Reads log files completely into memory.
 pub fn read(paths: &[PathBuf]) -> Result<Vec<Log>> {
     let mut logs = Vec::new();
     for path in paths {
--- a/src/bin/ashroad/losses.rs
+++ b/src/bin/ashroad/losses.rs
@@ -1,4 +1,4 @@
-//! `ashroad losses`
+//! Subcommand `ashroad losses`: counts lost requests.
 
 use ashroad::entry::{
     explain::Source,
@@ -12,7 +12,7 @@
     output,
 };
 
-/// Prints what was lost, by second, route and reason.
+/// Prints the lost requests by time interval, route, decision and reason.
 pub fn run(args: &LossesArgs, json: bool) -> Result<()> {
     let logs = logs::read(&args.logs)?;
     let sources: Vec<Source<'_>> = logs.iter().map(Log::source).collect();
--- a/src/bin/ashroad/main.rs
+++ b/src/bin/ashroad/main.rs
@@ -1,4 +1,4 @@
-//! The command line of ashroad.
+//! Command line of ashroad: runs hosts, and queries and changes a running system.
 
 mod app;
 mod bench;
--- a/src/bin/ashroad/output.rs
+++ b/src/bin/ashroad/output.rs
@@ -1,15 +1,15 @@
-//! Printing for people and for programs.
+//! Output on stdout, as text lines or as JSON.
 
 use std::io::{Write, stdout};
 
 use serde::Serialize;
 
-/// Prints a line; a reader that has gone away is no error.
+/// Prints a line. Errors are ignored, so that a closed pipe does not make the command fail.
 pub fn line(text: &str) {
     let _ = writeln!(stdout().lock(), "{text}");
 }
 
-/// Prints one JSON value on one line.
+/// Prints a value as JSON on one line.
 pub fn json<T: Serialize>(value: &T) {
     match serde_json::to_string(value) {
         Ok(text) => line(&text),
--- a/src/bin/ashroad/query.rs
+++ b/src/bin/ashroad/query.rs
@@ -1,4 +1,5 @@
-//! `ashroad status`, `owner`, `audit` and `host`
+//! Subcommands `ashroad status`, `owner`, `audit` and `host`: queries of the operators' API, and
+//! the planned stop of a host.
 
 use ashroad::operator::message::{HostStatus, StatusBody};
 use snafu::ResultExt;
@@ -10,7 +11,7 @@
     output,
 };
 
-/// Runs `ashroad status`.
+/// Runs `ashroad status`: prints the hosts, servers and services.
 pub async fn status(api: ApiArgs, json: bool) -> Result<()> {
     let status = client(&api)?.status().await.context(CallSnafu)?;
     if json {
@@ -58,7 +59,7 @@
     }
 }
 
-/// Runs `ashroad owner`.
+/// Runs `ashroad owner`: prints the server that owns a key, and the next one while the key moves.
 pub async fn owner(args: OwnerArgs, json: bool) -> Result<()> {
     let client = client(&args.api)?;
     let owner = client.owner(&args.service, &args.key).await;
@@ -82,7 +83,7 @@
     Ok(())
 }
 
-/// Runs `ashroad audit`.
+/// Runs `ashroad audit`: prints the audit trail.
 pub async fn audit(args: AuditArgs, json: bool) -> Result<()> {
     let page = client(&args.api)?.audit(args.after).await;
     let page = page.context(CallSnafu)?;
@@ -99,7 +100,7 @@
     Ok(())
 }
 
-/// Runs `ashroad host`.
+/// Runs `ashroad host`: lists hosts or begins the planned stop of one.
 pub async fn host(args: HostArgs, json: bool) -> Result<()> {
     match args.action {
         HostAction::List(api) => {
--- a/src/bin/ashroad/serve.rs
+++ b/src/bin/ashroad/serve.rs
@@ -1,4 +1,4 @@
-//! `ashroad serve`
+//! Subcommand `ashroad serve`: runs an entry host.
 
 use std::net::SocketAddr;
 
@@ -13,14 +13,14 @@
     output,
 };
 
-/// Addresses that a host listens on, printed when it has started.
+/// Addresses that a host listens on, printed as JSON when it has started.
 #[derive(Debug, Serialize)]
 struct Listening {
     callers: SocketAddr,
     operators: SocketAddr,
 }
 
-/// Runs a host until a signal or an operator asks for its planned stop.
+/// Runs a host until a signal or an operator starts its planned stop, or a task of it fails.
 pub async fn run(args: ServeArgs) -> Result<()> {
     let settings = Settings::read(&args.settings).context(SettingsSnafu)?;
     logging::start(settings.log.level);
--- a/src/bin/ashroad/standin.rs
+++ b/src/bin/ashroad/standin.rs
@@ -1,4 +1,4 @@
-//! `ashroad standin`
+//! Subcommand `ashroad standin`: runs a stand-in of the platform or of a backend server.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
     output,
 };
 
-/// Address that a stand-in listens on, printed when it has started.
+/// Address that a stand-in listens on, printed as JSON when it has started.
 #[derive(Debug, Serialize)]
 struct Listening {
     listen: SocketAddr,
