--- a/src/bin/ashroad/error.rs
+++ b/src/bin/ashroad/error.rs
@@ -11,7 +11,7 @@
 /// Exit code for invalid settings, declarations or files; nothing was changed.
 const BAD_INPUT: u8 = 3;
 /// Exit code if another change was applied first; nothing was changed.
-const RACED: u8 = 4;
+const CHANGE_CONFLICT: u8 = 4;
 /// Exit code if a host or the platform cannot be reached.
 const UNREACHABLE: u8 = 5;
 /// Exit code if the demonstration violated an invariant.
@@ -135,7 +135,7 @@
 
 fn call_code(error: &CallError) -> u8 {
     match error {
-        CallError::Refused { status, .. } if *status == StatusCode::CONFLICT => RACED,
+        CallError::Refused { status, .. } if *status == StatusCode::CONFLICT => CHANGE_CONFLICT,
         CallError::Refused { status, .. } if status.is_client_error() => BAD_INPUT,
         CallError::Connect { .. } | CallError::Timeout { .. } => UNREACHABLE,
         _ => FAILED,
