--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a backend server: accepts fenced grants, drains, sheds, honours deadlines and
-//! cancellation, and records who owned what and which request ran.
+//! Stand-in of a backend server: accepts fenced grants, drains, sheds load, honours deadlines and
+//! cancellation, and records when it owned which slot and which requests it ran.
 
 use std::{
     collections::HashMap,
@@ -39,25 +39,29 @@
     transport::{self, AnswerBody, ListenerLimits, header_number, header_text},
 };
 
+/// Largest body of a request to the stand-in's own endpoints.
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
+/// Interval between checks whether the requests for revoked slots have ended.
 const DRAIN_POLL_MS: u64 = 1;
+/// Pause between the first half of a truncated response and its end.
 const TRUNCATION_PAUSE_MS: u64 = 30;
+/// Extra run time of a request while the server is cold.
 const COLD_EXTRA_MS: u64 = 20;
 
-/// Shape of one stand-in.
+/// Configuration of one stand-in server.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Listening address.
+    /// Address to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// Requests that run at a time.
+    /// Number of requests that run at the same time.
     pub slots: usize,
-    /// Requests that wait for a slot; further ones are shed.
+    /// Number of requests that wait for a slot; further ones are shed.
     pub queue: usize,
-    /// Time that a request occupies its slot.
+    /// Time for which a request occupies its slot.
     pub work_ms: u64,
-    /// Time after the start in which requests take longer.
+    /// Time after the start in which requests take 20 ms longer.
     pub cold_ms: u64,
-    /// False for a server that takes orders from anyone, however old.
+    /// False for a server that runs requests without checking their epoch and incarnation.
     pub checks_orders: bool,
 }
 
@@ -70,7 +74,7 @@
     running_max: usize,
     waiting: usize,
     faults: Faults,
-    /// What the load endpoint last said, and when.
+    /// Time of the last load measurement, and the load that the endpoint reports until the next.
     last_load: (u64, LoadResponse),
 }
 
@@ -83,7 +87,7 @@
     permits: Arc<Semaphore>,
 }
 
-/// Starts a stand-in.
+/// Starts a stand-in server.
 pub async fn start(config: Config) -> std::io::Result<Running> {
     let listener = TcpListener::bind(config.listen).await?;
     let address = listener.local_addr()?;
@@ -126,7 +130,7 @@
     answer
 }
 
-/// Counts a request of a slot as in flight until dropped.
+/// Guard that counts a request for a slot as in flight until dropped.
 struct InFlightGuard {
     backend: Backend,
     key: (String, Slot),
@@ -145,7 +149,7 @@
     }
 }
 
-/// Counts a request as running until dropped.
+/// Guard that counts a request as running until dropped.
 struct RunningGuard(Backend);
 
 impl Drop for RunningGuard {
@@ -154,7 +158,7 @@
     }
 }
 
-/// Counts a request as waiting until dropped.
+/// Guard that counts a request as waiting for a slot until dropped.
 struct WaitingGuard(Backend);
 
 impl Drop for WaitingGuard {
@@ -237,7 +241,7 @@
         transport::json(StatusCode::OK, &inner.last_load.1)
     }
 
-    /// Extra time of a request while the server is cold.
+    /// Returns the extra run time of a request, which is 0 once the server is warm.
     fn cold_extra_ms(&self) -> u64 {
         let cold = clock::now_ms() < self.started_ms + self.config.cold_ms;
         if cold { COLD_EXTRA_MS } else { 0 }
@@ -321,7 +325,8 @@
         let run = header_text(&headers, IDEMPOTENCY_HEADER)
             .unwrap_or(&id)
             .to_owned();
-        // A request that came straight from a caller may have no name.
+        // A request sent directly by a caller may have neither an identifier nor an idempotency
+        // key.
         if !run.is_empty() {
             *self.lock().runs.entry(run).or_default() += 1;
         }
@@ -342,7 +347,8 @@
         transport::json(StatusCode::OK, &answer)
     }
 
-    /// Checks the order and counts the request as in flight in one step.
+    /// Checks the epoch and incarnation of a request and counts it as in flight, under one lock so
+    /// that a revocation in between cannot miss it. `None` for requests without service or slot.
     fn admit(&self, headers: &HeaderMap) -> Result<Option<InFlightGuard>, &'static str> {
         let Some(service) = header_text(headers, SERVICE_HEADER) else {
             return Ok(None);
@@ -396,13 +402,13 @@
     }
 }
 
-/// A running request's slot; given back when dropped.
+/// Guard of the slot of a running request; releases the slot when dropped.
 struct SlotGuard {
     _occupied: RunningGuard,
     _permit: OwnedSemaphorePermit,
 }
 
-/// Body that ends before the announced length, a moment after its first half.
+/// Body that ends before the announced length, a short pause after its first half.
 struct TruncatedBody {
     half: Option<Bytes>,
     pause: Pin<Box<time::Sleep>>,
@@ -423,7 +429,7 @@
     }
 }
 
-/// An answer that announces its whole length and breaks off in the middle.
+/// Builds a response that announces its full length but ends in the middle of the body.
 fn truncated(answer: &EchoResponse) -> Response<AnswerBody> {
     let mut whole = Bytes::from(serde_json::to_vec(answer).unwrap_or_default());
     let announced = HeaderValue::from(whole.len());
--- a/src/standin/backend_message.rs
+++ b/src/standin/backend_message.rs
@@ -1,43 +1,45 @@
-//! Messages of the backend server's stand-in: faults, records and answers.
+//! Messages of the stand-in backend server: faults, records and responses.
 
 use serde::{Deserialize, Serialize};
 
 use super::grants::OwnershipSpan;
 use crate::id::Incarnation;
 
-/// Path that sets faults (POST).
+/// Path of the endpoint that sets faults (POST).
 pub const FAULTS_PATH: &str = "/_server/faults";
-/// Path of the record of ownership and runs (GET).
+/// Path of the endpoint that returns the record of ownership and runs (GET).
 pub const RECORD_PATH: &str = "/_server/record";
 /// Path of the load endpoint (GET).
 pub const LOAD_PATH: &str = "/_server/load";
 /// Path of the health endpoint (GET).
 pub const HEALTH_PATH: &str = "/_server/health";
 
-/// Faults that the stand-in shows until told otherwise.
+/// Faults that the stand-in injects until other faults are set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Nothing is answered until this is lifted; then everything goes on where it was.
+    /// The server stops responding, except on the endpoints for faults and the record. When the
+    /// fault ends, all requests continue.
     pub frozen: bool,
-    /// The server asks to leave.
+    /// The server reports in lease responses and health checks that it drains.
     pub draining: bool,
-    /// The health endpoint says the opposite of the truth.
+    /// The health endpoint reports the opposite of the actual health.
     pub health_lies: bool,
-    /// Time by which the load endpoint lags.
+    /// Interval between updates of the load that the load endpoint reports; 0 to report the current
+    /// load.
     pub load_lag_ms: u64,
-    /// Extra time for each request.
+    /// Extra run time of each request.
     pub extra_ms: u64,
-    /// Answers are cut off in the middle of the body.
+    /// Responses end in the middle of the body.
     pub cut_answers: bool,
 }
 
-/// Answer of the load endpoint.
+/// Response of the load endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadResponse {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: usize,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub waiting: usize,
 }
 
@@ -46,32 +48,32 @@
 pub struct RunCount {
     /// Idempotency key if the request had one, else its request id.
     pub request: String,
-    /// Times that it ran.
+    /// Number of times that the server ran it.
     pub runs: u64,
 }
 
-/// What a server saw.
+/// Record of what a server process owned and ran.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Record {
-    /// Process that recorded.
+    /// Incarnation of the process that made the record.
     pub incarnation: Incarnation,
-    /// Spans in which it owned a slot.
+    /// Spans in which the server owned a slot.
     pub held: Vec<OwnershipSpan>,
-    /// Requests that ran.
+    /// Requests that the server ran, with the number of runs.
     pub runs: Vec<RunCount>,
-    /// Most requests that ran at a time.
+    /// Largest number of requests that ran at the same time.
     pub running_max: usize,
 }
 
-/// Body of an answer.
+/// Body of the response to a request; it repeats what the server received.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EchoResponse {
-    /// Identifier that the request came with.
+    /// Identifier of the request; empty if it had none.
     pub request: String,
-    /// Path that was asked.
+    /// Path of the request.
     pub path: String,
-    /// Process that ran the request.
+    /// Incarnation of the process that ran the request.
     pub incarnation: Incarnation,
-    /// Bytes of the request's body.
+    /// Length of the request's body.
     pub body_bytes: usize,
 }
--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -1,4 +1,5 @@
-//! The grants that a backend server holds, as a state machine that takes time as an argument.
+//! State machine of the grants that a backend server holds. It takes the time as an argument, so
+//! that tests control it.
 
 use std::collections::HashMap;
 
@@ -9,38 +10,38 @@
     ownership::message::{LeaseRequest, SlotGrant, grant_hash},
 };
 
-/// A span of time in which a server held a slot, on the machine's wall clock.
+/// Time span in which a server owned a slot, by the machine's wall clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnershipSpan {
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// Slot.
+    /// Slot of the service.
     pub slot: Slot,
     /// Epoch of the grant.
     pub epoch: Epoch,
-    /// Start.
+    /// Start of the span, as Unix time in microseconds.
     pub from_us: u64,
-    /// End.
+    /// End of the span, as Unix time in microseconds; not included.
     pub until_us: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct SlotState {
     epoch: Epoch,
-    /// Start of the tenure; none if the slot was given up at `epoch`.
+    /// Start of the ownership; `None` if the slot was released at `epoch`.
     since_us: Option<u64>,
 }
 
-/// A reading of the server's clock together with wall time.
+/// Time by the server's monotonic clock and by the wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
     /// Monotonic time of the server.
     pub clock_ms: u64,
-    /// Wall time, for the record.
+    /// Wall clock time, used for the record.
     pub unix_us: u64,
 }
 
-/// Grants of one server process.
+/// Lease and slot grants of one server process.
 #[derive(Clone, Debug, Default)]
 pub struct Grants {
     lease_epoch: LeaseEpoch,
@@ -52,17 +53,18 @@
 }
 
 impl Grants {
-    /// Highest membership period seen.
+    /// Returns the highest lease epoch (membership period) seen.
     pub fn lease_epoch(&self) -> LeaseEpoch {
         self.lease_epoch
     }
 
-    /// Digest over the grants held.
+    /// Returns the digest over the grants held, which is compared with that of the granting host.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Extends the lease and takes the grants; false if the order is outdated.
+    /// Extends the lease and adds the grants; returns false if the order is of an earlier lease
+    /// epoch.
     pub fn renew(&mut self, request: &LeaseRequest, now: ClockReading) -> bool {
         if request.lease_epoch < self.lease_epoch {
             return false;
@@ -78,7 +80,8 @@
         true
     }
 
-    /// A new membership period begins without grants: those of the last one may have moved on.
+    /// Ends all grants at the start of a new lease epoch, because slots of the previous one may
+    /// have moved to other servers.
     fn end_all(&mut self, now: ClockReading) {
         let keys: Vec<(String, Slot)> = self.slots.keys().cloned().collect();
         for key in keys {
@@ -118,7 +121,7 @@
         self.slots.insert(key, held);
     }
 
-    /// Gives up a slot; grants below `next.epoch` are refused from now on.
+    /// Releases a slot; grants with an epoch below `next.epoch` are refused afterwards.
     pub fn revoke(&mut self, next: &SlotGrant, now: ClockReading) {
         let key = (next.service.clone(), next.slot);
         if self
@@ -153,7 +156,7 @@
         });
     }
 
-    /// True if a request for `slot` at `epoch` may run at `clock_ms`.
+    /// Returns true if a request for `slot` at `epoch` may run at `clock_ms`.
     pub fn admits(&self, service: &str, slot: Slot, epoch: Epoch, clock_ms: u64) -> bool {
         if clock_ms >= self.not_after_ms {
             return false;
@@ -163,13 +166,13 @@
             .is_some_and(|held| held.since_us.is_some() && held.epoch == epoch)
     }
 
-    /// True if some request for `slot` would be admitted at `clock_ms`.
+    /// Returns true if requests for `slot` at some epoch would be admitted at `clock_ms`.
     pub fn owns(&self, service: &str, slot: Slot, clock_ms: u64) -> bool {
         let held = self.slots.get(&(service.to_owned(), slot));
         clock_ms < self.not_after_ms && held.is_some_and(|held| held.since_us.is_some())
     }
 
-    /// Every span in which a slot was held under a valid lease, up to now.
+    /// Returns every span up to `now` in which a slot was owned under a valid lease.
     pub fn record(&self, now: ClockReading) -> Vec<OwnershipSpan> {
         let open = self.slots.iter().filter_map(|((service, slot), held)| {
             Some(OwnershipSpan {
--- a/src/standin/invariants.rs
+++ b/src/standin/invariants.rs
@@ -1,4 +1,5 @@
-//! Judges the records of backend servers from outside: double ownership and double runs.
+//! Checks two invariants over the records of stand-in servers: no slot has two owners at a time,
+//! and no request runs twice.
 
 use std::collections::HashMap;
 
@@ -7,16 +8,16 @@
     grants::OwnershipSpan,
 };
 
-/// Two servers that owned one slot at the same time.
+/// Violation of exclusive ownership: two servers owned one slot at the same time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DoubleOwned {
-    /// One span.
+    /// Ownership span of the first server.
     pub one: OwnershipSpan,
-    /// Another span, of another server, that overlaps it.
+    /// Ownership span of another server that overlaps the first.
     pub other: OwnershipSpan,
 }
 
-/// Every pair of overlapping spans of different servers.
+/// Returns every pair of overlapping ownership spans of different servers.
 pub fn double_owned(records: &[Record]) -> Vec<DoubleOwned> {
     let mut spans: Vec<(usize, &OwnershipSpan)> = Vec::new();
     for (server, record) in records.iter().enumerate() {
@@ -45,7 +46,7 @@
     one.service == other.service && one.slot == other.slot
 }
 
-/// Requests that ran more than once, over all servers.
+/// Returns the requests that ran more than once, summed over all servers.
 pub fn double_runs(records: &[Record]) -> Vec<RunCount> {
     let mut runs: HashMap<&str, u64> = HashMap::new();
     for run in records.iter().flat_map(|record| &record.runs) {
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of the systems that ashroad meets: the platform and a backend server. They are
-//! small, keep everything in memory and take faults on command.
+//! Stand-ins (small test doubles) of the systems that ashroad works with: the platform and a
+//! backend server. They keep all state in memory and inject faults on request.
 
 pub mod backend;
 mod backend_message;
@@ -11,10 +11,10 @@
 
 use tokio::{sync::watch, task::JoinHandle};
 
-/// A stand-in that runs inside this process.
+/// Handle of a stand-in that runs inside this process.
 #[derive(Debug)]
 pub struct Running {
-    /// Address it listens on.
+    /// Address that the stand-in listens on.
     pub address: SocketAddr,
     stop: watch::Sender<bool>,
     task: JoinHandle<()>,
@@ -33,13 +33,13 @@
         }
     }
 
-    /// Stops accepting, finishes what is in flight and returns.
+    /// Stops accepting connections, waits for requests in flight and returns.
     pub async fn stop(self) {
         let _ = self.stop.send(true);
         let _ = self.task.await;
     }
 
-    /// Runs until the process ends.
+    /// Waits until the stand-in ends, which it only does with the process.
     pub async fn wait(self) {
         let _ = self.task.await;
     }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform: table service, object store and lagging list of hosts.
+//! Stand-in of the platform: table service, object store and a list of hosts that can lag.
 
 use std::{
     collections::BTreeMap,
@@ -25,37 +25,38 @@
     transport::{self, AnswerBody, ListenerLimits},
 };
 
-/// Path that sets faults (POST).
+/// Path of the endpoint that sets faults (POST).
 pub const FAULTS_PATH: &str = "/faults";
-/// Path of the counters (GET).
+/// Path of the endpoint that returns the counters (GET).
 pub const COUNTERS_PATH: &str = "/counters";
 
+/// Largest body of a request.
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
 
-/// Faults that the stand-in shows until told otherwise.
+/// Faults that the stand-in injects until other faults are set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Nothing is answered, nothing takes effect.
+    /// No call takes effect or gets a response until the fault ends.
     pub down: bool,
-    /// Extra time before each call takes effect.
+    /// Delay before each call takes effect.
     pub slow_ms: u64,
-    /// The answer of every n-th transaction is lost after it took effect; 0 for none.
+    /// Every n-th transaction gets no response although it took effect; 0 for none.
     pub lose_answer_every: u64,
-    /// Time by which the list of hosts lags.
+    /// Age of the list of hosts that readers get.
     pub list_lag_ms: u64,
 }
 
-/// Calls seen so far.
+/// Numbers of calls since the start.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Counters {
-    /// Range reads.
+    /// Number of range reads.
     pub reads: u64,
-    /// Transactions.
+    /// Number of transactions, refused ones included.
     pub transactions: u64,
-    /// Transactions that took effect.
+    /// Number of transactions that took effect.
     pub committed: u64,
-    /// Answers lost on purpose.
+    /// Number of responses dropped by the fault `lose_answer_every`.
     pub lost_answers: u64,
 }
 
@@ -128,7 +129,7 @@
         if faults.slow_ms > 0 {
             time::sleep(Duration::from_millis(faults.slow_ms)).await;
         }
-        // Silence, as of a cut network: callers notice by their own timeout.
+        // Stays silent as in a network partition: callers notice it by their own timeouts.
         while self.lock().faults.down {
             time::sleep(Duration::from_millis(20)).await;
         }
@@ -192,7 +193,7 @@
 }
 
 impl Table {
-    /// Runs a transaction; the flag tells whether its answer is to be lost.
+    /// Runs a transaction; the flag is true if its response must be dropped.
     fn transact(&mut self, transaction: Transaction) -> (TransactionOutcome, bool) {
         self.counters.transactions += 1;
         let conflicts = self.conflicts(&transaction);
