--- a/src/bin/ashroad/demo.rs
+++ b/src/bin/ashroad/demo.rs
@@ -12,12 +12,12 @@
 /// was violated.
 pub async fn run(json: bool) -> Result<()> {
     logging::start(log::LevelFilter::Error);
-    let tell = |text: &str| {
+    let print_step = |text: &str| {
         if !json {
             output::line(text);
         }
     };
-    let summary = demo::run(tell).await.context(DemoSnafu)?;
+    let summary = demo::run(print_step).await.context(DemoSnafu)?;
     if !json {
         output::line(&summary.to_string());
     }
