--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! Sends one request of the load and judges its answer.
+//! Caller of the load generator: sends a request and classifies the response.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -19,23 +19,24 @@
     transport::header_text,
 };
 
-/// Time beyond the deadline after which the caller gives up.
+/// Time after a request's deadline at which the caller gives up, so that a response that reports
+/// the missed deadline still arrives.
 const RESPONSE_GRACE_MS: u64 = 1_000;
 
-/// How a request ended, as its caller saw it.
+/// Outcome of a request as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It got its own whole answer.
+    /// The complete response of the requested path arrived.
     Answered,
-    /// It was told that it did not run.
+    /// The response stated that the request did not run, or no connection could be established.
     NotRun,
-    /// It was told that nobody knows, or the answer broke off, or none came.
+    /// The request may have run: the response said so, was incomplete or did not arrive.
     Unknown,
-    /// It got an answer that was not its own.
+    /// The response was an error without a stated outcome, or belonged to another request.
     Wrong,
 }
 
-/// A caller with pooled connections.
+/// HTTP caller with pooled connections.
 #[derive(Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -43,7 +44,7 @@
 }
 
 impl Caller {
-    /// A caller whose requests carry a deadline.
+    /// Creates a caller whose requests carry this deadline.
     pub fn new(deadline_ms: u64) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -1,5 +1,5 @@
-//! Open-loop load: requests are sent at their intended times whatever the answers do, and
-//! latencies count from these times, so a slow system cannot hide its queue.
+//! Open-loop load generator. Requests are sent at their intended times, regardless of earlier
+//! responses, and latencies count from these times, so that the queue of a slow system is measured.
 
 mod caller;
 mod report;
@@ -18,32 +18,32 @@
 
 use crate::{clock, id::OperationId};
 
-/// One run of load.
+/// Configuration of one load run.
 #[derive(Clone, Debug)]
 pub struct LoadConfig {
-    /// Addresses that take requests in turn.
+    /// Addresses of hosts or servers, to which requests are sent in turn.
     pub addresses: Vec<SocketAddr>,
-    /// Path of the services, as `/workspace/service`; each request picks one.
+    /// Paths of the services, as `/workspace/service`; each request picks one at random.
     pub services: Vec<String>,
-    /// Requests a second, over all addresses.
+    /// Requests per second, over all addresses.
     pub rate_per_s: u64,
     /// Length of the run.
     pub duration_ms: u64,
-    /// Number of keys.
+    /// Number of distinct keys per service.
     pub keys: u64,
-    /// Exponent of the keys' Zipf distribution; 0 for all alike.
+    /// Exponent of the Zipf distribution of the keys; 0 for a uniform distribution.
     pub zipf_exponent: f64,
-    /// Share of requests that are unrepeatable orders.
+    /// Share of requests that must not run twice (POST with an idempotency key); from 0 to 1.
     pub unrepeatable_share: f64,
-    /// Share of the orders that are sent twice, to two addresses.
+    /// Share of the unrepeatable requests that are sent twice, to two addresses; from 0 to 1.
     pub duplicate_share: f64,
-    /// Deadline that each request carries.
+    /// Deadline of each request, sent in its header.
     pub deadline_ms: u64,
-    /// Seed of the random choices.
+    /// Seed of the random choices of services, keys and kinds of requests.
     pub seed: u64,
 }
 
-/// One request to be sent.
+/// Request that is due at `intended_us`.
 #[derive(Clone, Debug)]
 pub(crate) struct PlannedRequest {
     pub(crate) address: SocketAddr,
@@ -55,7 +55,7 @@
     pub(crate) intended_us: u64,
 }
 
-/// Chooses requests.
+/// Generates the requests of a run.
 struct RequestGenerator {
     config: LoadConfig,
     run: String,
@@ -64,7 +64,7 @@
     number: u64,
 }
 
-/// Runs load and returns every request's sample.
+/// Runs the load and returns one sample per request.
 pub async fn run(config: LoadConfig) -> Vec<Sample> {
     let caller = Arc::new(Caller::new(config.deadline_ms));
     let mut chooser = RequestGenerator::new(config.clone());
@@ -89,8 +89,9 @@
     samples
 }
 
-/// The timer's grain is a millisecond; requests due within it go out together, and their latency
-/// still counts from the intended time.
+/// Sleeps until a Unix time in microseconds. The timer has a resolution of a millisecond, so
+/// requests due within the same millisecond are sent together; their latency still counts from
+/// their intended times.
 async fn sleep_until_us(at_us: u64) {
     let left_us = at_us.saturating_sub(clock::unix_us());
     if left_us > 0 {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The next request, and its duplicate if it has one.
+    /// Returns the next request, followed by its duplicate if it has one.
     fn next(&mut self, intended_us: u64) -> Vec<PlannedRequest> {
         self.number += 1;
         let number = self.number;
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -1,4 +1,4 @@
-//! Figures of a run of load.
+//! Samples and summary of a load run.
 
 use std::{fmt, net::SocketAddr};
 
@@ -7,61 +7,62 @@
 
 use super::RequestOutcome;
 
-/// Longest latency that is told apart.
+/// Largest latency that the histogram records; longer ones count as this.
 const LATENCY_US_MAX: u64 = 600_000_000;
+/// Precision of the recorded latencies, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// One request's end.
+/// Result of one request.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// Address that it was sent to.
+    /// Address that the request was sent to.
     pub address: SocketAddr,
-    /// Index of its service.
+    /// Index of the service in [`LoadConfig::services`](super::LoadConfig::services).
     pub service: usize,
-    /// Its key.
+    /// Key of the request.
     pub key: u64,
-    /// Its idempotency key, if it was an order.
+    /// Idempotency key; `None` for requests that may run twice.
     pub idempotency_key: Option<String>,
-    /// When it should have been sent, by the wall clock.
+    /// Intended time of sending, as Unix time in microseconds.
     pub intended_us: u64,
-    /// Time from then to its end.
+    /// Time from `intended_us` to the end of the request.
     pub latency_us: u64,
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: RequestOutcome,
 }
 
-/// Percentiles of answered requests.
+/// Latency percentiles of answered requests; all 0 if there are none.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct LatencyReport {
-    /// Median.
+    /// Median latency.
     pub p50_us: u64,
-    /// 99th percentile.
+    /// 99th percentile of the latencies.
     pub p99_us: u64,
-    /// 99.9th percentile.
+    /// 99.9th percentile of the latencies.
     pub p999_us: u64,
-    /// Longest.
+    /// Largest latency.
     pub max_us: u64,
 }
 
-/// Figures of a run.
+/// Summary of a load run.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct LoadReport {
-    /// Requests sent.
+    /// Number of requests sent, duplicates included.
     pub requests: u64,
-    /// Requests with their own whole answer.
+    /// Number of requests with the outcome [`RequestOutcome::Answered`].
     pub answered: u64,
-    /// Requests told that they did not run.
+    /// Number of requests with the outcome [`RequestOutcome::NotRun`].
     pub not_run: u64,
-    /// Requests whose end is unknown.
+    /// Number of requests with the outcome [`RequestOutcome::Unknown`].
     pub unknown: u64,
-    /// Requests with a wrong answer.
+    /// Number of requests with the outcome [`RequestOutcome::Wrong`].
     pub wrong_answers: u64,
     /// Latency of the answered requests.
     pub latency: LatencyReport,
 }
 
 impl LatencyReport {
-    /// Percentiles of some latencies.
+    /// Computes the percentiles of latencies in microseconds.
     pub fn of(latencies_us: impl Iterator<Item = u64>) -> Self {
         let histogram = Histogram::<u64>::new_with_max(LATENCY_US_MAX, SIGNIFICANT_DIGITS);
         let Ok(mut histogram) = histogram else {
@@ -80,7 +81,7 @@
 }
 
 impl LoadReport {
-    /// Figures of some samples.
+    /// Summarises the samples of a run.
     pub fn of(samples: &[Sample]) -> Self {
         let count = |outcome| samples.iter().filter(|s| s.outcome == outcome).count() as u64;
         let answered = samples
