--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line with good and bad input.
+//! Tests of the command line with valid and invalid input.
 
 mod common;
 
--- a/tests/platform_link.rs
+++ b/tests/platform_link.rs
@@ -1,8 +1,10 @@
-//! Calls to the store over a connection that has fallen silent while nobody used it.
+//! Tests of calls to the store over an idle connection that was silently broken.
 //!
-//! What users saw: a configuration in force 4.2 s after its acknowledgement at one host, where 4 s are allowed. Order of
-//! events: the store was silent for some hosts; later it turned the holder of the duty away, and the hosts followed the
-//! store by themselves. A feed that waits 3 s fails after 4 s on a connection that no longer carries anything.
+//! Guards against a configuration that comes into force too late: 4.2 s after its acknowledgement at
+//! one host, where 4 s are allowed. The store had stopped responding to some hosts, which broke their
+//! connections silently. Later it rejected the calls of the duty holder, so that the hosts followed
+//! the store by their own feeds. A feed call that waits 3 s fails only after 4 s on a broken
+//! connection.
 
 use std::{
     io::{Read, Write},
@@ -17,11 +19,12 @@
 use http_body_util::Full;
 use tokio::time;
 
+/// Timeout of a call; a call on a broken connection takes as long.
 const TIMEOUT_MS: u64 = 4_000;
-/// A call that does not wait for the dead connection.
+/// Longest time of a call that does not use the broken connection.
 const PROMPT: Duration = Duration::from_millis(1_000);
 
-/// Answers calls on a connection, up to a number of them; then it stays open and silent.
+/// Responds to `calls` requests on a connection and then keeps it open without responding.
 fn answer(mut stream: TcpStream, calls: usize) {
     for _ in 0..calls {
         let mut head = Vec::new();
@@ -38,7 +41,7 @@
     thread::sleep(Duration::from_secs(20));
 }
 
-/// A peer whose connections fall silent after so many calls each, in the order in which they come.
+/// Starts a peer whose n-th connection stops responding after `calls[n]` requests.
 fn peer(calls: &'static [usize]) -> Link {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let address = listener.local_addr().expect("an address");
--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of the platform are decoded into the product's types, and bad ones are refused.
+//! Tests that messages of the platform are decoded, and that invalid ones are refused.
 
 use ashroad::{
     entry::model::ToldLimit,
@@ -130,7 +130,7 @@
         let configuration = config::decode(text.as_bytes()).expect(case.kind);
         let route = configuration.route("a.example", "/x/1").expect(case.kind);
         assert_eq!(route.repeatable, case.repeatable, "{}", case.kind);
-        // The other route is there as before.
+        // The other route is not affected.
         assert!(configuration.route("a.example", "/x/y/1").is_some());
     }
 }
@@ -214,7 +214,7 @@
         let mut mutated = CONFIG.as_bytes().to_vec();
         let length = mutated.len();
         mutated[at % length] = with;
-        // Neither may panic; whether they are accepted is the parser's business.
+        // Decoding must not panic; arbitrary input may be accepted or refused.
         config::decode(&bytes).is_err() || config::decode(&mutated).is_ok()
             || servers::decode("i", &bytes).is_err()
     }
@@ -249,7 +249,7 @@
             true,
             Some(2_000),
         ),
-        // Not turned away, or no time that can be read.
+        // The request was not rejected, or the header has no valid number of seconds.
         case(500, &[("retry-after", "3")], false, None),
         case(200, &[("retry-after", "3")], false, None),
         case(503, &[], false, None),
--- a/tests/standins.rs
+++ b/tests/standins.rs
@@ -1,4 +1,4 @@
-//! The faults of the backend server's stand-in.
+//! Tests of the faults that the stand-in backend server injects.
 
 use std::{
     net::Ipv4Addr,
