--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -77,13 +77,13 @@
         let Some(request) = self.request(planned, planned.address) else {
             return RequestOutcome::Unknown;
         };
-        let answer = match self.client.request(request).await {
-            Ok(answer) => answer,
+        let response = match self.client.request(request).await {
+            Ok(response) => response,
             Err(error) if error.is_connect() => return RequestOutcome::NotRun,
             Err(_) => return RequestOutcome::Unknown,
         };
-        let (status, headers) = (answer.status(), answer.headers().clone());
-        let Ok(body) = answer.into_body().collect().await else {
+        let (status, headers) = (response.status(), response.headers().clone());
+        let Ok(body) = response.into_body().collect().await else {
             return RequestOutcome::Unknown;
         };
         classify(status, &headers, &body.to_bytes(), &planned.path)
@@ -111,8 +111,8 @@
         Some(_) => return RequestOutcome::Unknown,
         None => {}
     }
-    let answer: Option<EchoResponse> = serde_json::from_slice(body).ok();
-    let is_own = answer.is_some_and(|answer| answer.path == path);
+    let response: Option<EchoResponse> = serde_json::from_slice(body).ok();
+    let is_own = response.is_some_and(|response| response.path == path);
     if status == StatusCode::OK && is_own {
         return RequestOutcome::Answered;
     }
