--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -117,19 +117,23 @@
         let number = self.number;
         let key = self.key();
         let service = self.rng.random_range(0..self.config.services.len());
-        let order = self.rng.random_bool(self.config.unrepeatable_share);
-        let idempotency_key = order.then(|| format!("{}-{number}", self.run));
+        let is_unrepeatable = self.rng.random_bool(self.config.unrepeatable_share);
+        let idempotency_key = is_unrepeatable.then(|| format!("{}-{number}", self.run));
         let base = &self.config.services[service];
         let planned = PlannedRequest {
             address: self.address(number),
-            method: if order { Method::POST } else { Method::GET },
+            method: if is_unrepeatable {
+                Method::POST
+            } else {
+                Method::GET
+            },
             path: format!("{base}/key-{key}/{number}"),
             key,
             service,
             idempotency_key,
             intended_us,
         };
-        if !order || !self.rng.random_bool(self.config.duplicate_share) {
+        if !is_unrepeatable || !self.rng.random_bool(self.config.duplicate_share) {
             return vec![planned];
         }
         let duplicate = PlannedRequest {
