--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -115,7 +115,7 @@
     Ok(Running::new(address, stop, task))
 }
 
-fn reading() -> ClockReading {
+fn read_clocks() -> ClockReading {
     ClockReading {
         clock_ms: clock::now_ms(),
         unix_us: clock::unix_us(),
@@ -211,7 +211,7 @@
         };
         Record {
             incarnation: self.incarnation,
-            held: inner.grants.record(reading()),
+            held: inner.grants.record(read_clocks()),
             runs: inner.runs.iter().map(run).collect(),
             running_max: inner.running_max,
         }
@@ -252,7 +252,7 @@
             Ok(order) => order,
             Err(answer) => return answer,
         };
-        let now = reading();
+        let now = read_clocks();
         let mut inner = self.lock();
         let is_for_this_incarnation = order.incarnation == Some(self.incarnation);
         let accepted = is_for_this_incarnation && inner.grants.renew(&order, now);
@@ -282,7 +282,7 @@
     }
 
     async fn release(&self, order: &RevokeRequest) -> bool {
-        let now = reading();
+        let now = read_clocks();
         for next in &order.slots {
             self.lock().grants.revoke(next, now);
         }
