--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -7,7 +7,7 @@
 use ashroad::operator::message::{SubmitBody, WithdrawBody};
 use common::{Cluster, PLAIN, run};
 
-const FAULTY: Option<i32> = Some(3);
+const INVALID_INPUT: Option<i32> = Some(3);
 
 fn directory(name: &str) -> PathBuf {
     let directory = std::env::temp_dir().join(format!("ashroad-{name}-{}", std::process::id()));
@@ -116,7 +116,7 @@
         let path = path.display().to_string();
         let output = run(&["check", &path]);
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
-        assert_eq!(output.status.code(), FAULTY, "{}: {text}", case.name);
+        assert_eq!(output.status.code(), INVALID_INPUT, "{}: {text}", case.name);
         assert!(text.contains(&path), "{}: {text}", case.name);
         assert!(text.contains(case.said), "{}: {text}", case.name);
     }
@@ -194,7 +194,7 @@
     fs::write(&path, template(TARGETS, "")).expect("file");
     let path = path.display().to_string();
     let refused = run(&["template", "submit", "--api", &api, &path]);
-    assert_eq!(refused.status.code(), FAULTY);
+    assert_eq!(refused.status.code(), INVALID_INPUT);
     let said = String::from_utf8_lossy(&refused.stderr).into_owned();
     assert!(said.contains("token"), "{said}");
     let status = run(&["--json", "status", "--api", &api]);
