--- a/tests/platform_link.rs
+++ b/tests/platform_link.rs
@@ -22,7 +22,7 @@
 /// Timeout of a call; a call on a broken connection takes as long.
 const TIMEOUT_MS: u64 = 4_000;
 /// Longest time of a call that does not use the broken connection.
-const PROMPT: Duration = Duration::from_millis(1_000);
+const PROMPT_MAX: Duration = Duration::from_millis(1_000);
 
 /// Responds to `calls` requests on a connection and then keeps it open without responding.
 fn answer(mut stream: TcpStream, calls: usize) {
@@ -69,7 +69,7 @@
     time::sleep(Duration::from_millis(5_500)).await;
     let asked = Instant::now();
     assert_eq!(call(&link).await, StatusCode::OK);
-    assert!(asked.elapsed() < PROMPT, "{:?}", asked.elapsed());
+    assert!(asked.elapsed() < PROMPT_MAX, "{:?}", asked.elapsed());
 }
 
 #[tokio::test]
