--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn kinds_of_requests_tell_what_may_be_repeated() {
+fn only_known_safe_kinds_of_requests_may_be_repeated() {
     struct Case {
         kind: &'static str,
         repeatable: bool,
