--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn only_the_servers_word_or_421_mean_not_run() {
+fn only_the_not_run_header_or_421_mean_not_run() {
     let mut marked = HeaderMap::new();
     marked.insert("not-run", HeaderValue::from_static("1"));
     let plain = HeaderMap::new();
