--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn answers_tell_of_leaving_and_rest() {
+fn responses_report_leaving_and_rest() {
     struct Case {
         status: StatusCode,
         headers: &'static [(&'static str, &'static str)],
