--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_rate_limit_is_read_and_ends_only_by_an_answer_of_its_server() {
+fn a_rate_limit_ends_only_by_a_response_of_its_server() {
     struct Case {
         named: Option<&'static str>,
         status: u16,
