--- a/tests/platform_link.rs
+++ b/tests/platform_link.rs
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_was_not_used_for_long_is_not_relied_on() {
+async fn a_connection_that_was_idle_for_long_is_not_reused() {
     let link = peer(&[1, 1]);
     assert_eq!(call(&link).await, StatusCode::OK);
     time::sleep(Duration::from_millis(5_500)).await;
