--- a/tests/standins.rs
+++ b/tests/standins.rs
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn the_load_endpoint_lags_as_told() {
+async fn the_load_endpoint_lags_by_the_configured_time() {
     let server = start(0, 300).await;
     let client = JsonClient::new(2_000);
     let load = || client.get::<LoadResponse>(server.address, backend::LOAD_PATH);
