--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -288,7 +288,7 @@
 #[test]
 fn a_rate_limit_ends_only_by_a_response_of_its_server() {
     struct Case {
-        named: Option<&'static str>,
+        header_value: Option<&'static str>,
         status: u16,
         other: Option<&'static str>,
         reported: ToldLimit,
@@ -311,22 +311,22 @@
         (None, 200, None, ToldLimit::Unknown),
         (None, 500, None, ToldLimit::Unknown),
     ];
-    let cases = rows.map(|(named, status, other, reported)| Case {
-        named,
+    let cases = rows.map(|(header_value, status, other, reported)| Case {
+        header_value,
         status,
         other,
         reported,
     });
     for case in cases {
         let mut map = HeaderMap::new();
-        if let Some(named) = case.named {
-            map.insert("server-limit", HeaderValue::from_static(named));
+        if let Some(header_value) = case.header_value {
+            map.insert("server-limit", HeaderValue::from_static(header_value));
         }
         if let Some(other) = case.other {
             map.insert(other, HeaderValue::from_static("1"));
         }
         let status = StatusCode::from_u16(case.status).expect("a status");
         let reported = headers::reported_limit(status, &map);
-        assert_eq!(reported, case.reported, "{:?}, {status}", case.named);
+        assert_eq!(reported, case.reported, "{:?}, {status}", case.header_value);
     }
 }
