--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -290,7 +290,7 @@
     struct Case {
         header_value: Option<&'static str>,
         status: u16,
-        other: Option<&'static str>,
+        other_header: Option<&'static str>,
         reported: ToldLimit,
     }
     let signed = Some("server-signature");
@@ -311,10 +311,10 @@
         (None, 200, None, ToldLimit::Unknown),
         (None, 500, None, ToldLimit::Unknown),
     ];
-    let cases = rows.map(|(header_value, status, other, reported)| Case {
+    let cases = rows.map(|(header_value, status, other_header, reported)| Case {
         header_value,
         status,
-        other,
+        other_header,
         reported,
     });
     for case in cases {
@@ -322,8 +322,8 @@
         if let Some(header_value) = case.header_value {
             map.insert("server-limit", HeaderValue::from_static(header_value));
         }
-        if let Some(other) = case.other {
-            map.insert(other, HeaderValue::from_static("1"));
+        if let Some(other_header) = case.other_header {
+            map.insert(other_header, HeaderValue::from_static("1"));
         }
         let status = StatusCode::from_u16(case.status).expect("a status");
         let reported = headers::reported_limit(status, &map);
