--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -19,8 +19,7 @@
     transport::header_text,
 };
 
-/// Time after a request's deadline at which the caller gives up, so that a response that reports
-/// the missed deadline still arrives.
+/// Time after a request's deadline at which the caller stops waiting for the response.
 const RESPONSE_GRACE_MS: u64 = 1_000;
 
 /// Outcome of a request as its caller saw it.
--- a/tests/platform_link.rs
+++ b/tests/platform_link.rs
@@ -1,10 +1,10 @@
 //! Tests of calls to the store over an idle connection that was silently broken.
 //!
-//! Guards against a configuration that comes into force too late: 4.2 s after its acknowledgement at
-//! one host, where 4 s are allowed. The store had stopped responding to some hosts, which broke their
-//! connections silently. Later it rejected the calls of the duty holder, so that the hosts followed
-//! the store by their own feeds. A feed call that waits 3 s fails only after 4 s on a broken
-//! connection.
+//! Guards against a configuration that comes into force too late: 4.2 s after its acknowledgement
+//! at one host, where 4 s are allowed. The store had stopped responding to some hosts, which broke
+//! their connections silently. Later it rejected the calls of the duty holder, so that the hosts
+//! followed the store by their own feeds. A feed call that waits 3 s fails only after 4 s on a
+//! broken connection.
 
 use std::{
     io::{Read, Write},
