--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -57,8 +57,8 @@
     }
 
     pub(crate) async fn send(&self, planned: PlannedRequest) -> Sample {
-        let patience = Duration::from_millis(self.deadline_ms + RESPONSE_GRACE_MS);
-        let exchange = time::timeout(patience, self.exchange(&planned));
+        let give_up_after = Duration::from_millis(self.deadline_ms + RESPONSE_GRACE_MS);
+        let exchange = time::timeout(give_up_after, self.exchange(&planned));
         let outcome = exchange.await.unwrap_or(RequestOutcome::Unknown);
         let ended_us = clock::unix_us();
         Sample {
