--- a/src/bin/ashroad/app.rs
+++ b/src/bin/ashroad/app.rs
@@ -318,7 +318,7 @@
     /// Exponent of the Zipf distribution of the keys; 0 for a uniform distribution.
     #[arg(long, default_value_t = 0.9)]
     pub zipf_exponent: f64,
-    /// Share of requests that must not run twice (POST with an idempotency key).
+    /// Share of unrepeatable requests, which run at most once (POST with an idempotency key).
     #[arg(long, default_value_t = 0.0)]
     pub unrepeatable_share: f64,
     /// Share of the unrepeatable requests that are sent twice.
--- a/src/bin/ashroad/declaration.rs
+++ b/src/bin/ashroad/declaration.rs
@@ -91,7 +91,7 @@
     };
     let accepted = client.submit(kind, &body).await.context(CallSnafu)?;
     if args.dry_run {
-        show(&accepted, "tried on", json);
+        show(&accepted, "dry run at", json);
         return Ok(());
     }
     finish(&client, &args.change, &accepted, json).await
--- a/src/bin/ashroad/serve.rs
+++ b/src/bin/ashroad/serve.rs
@@ -38,7 +38,7 @@
         _ = host.stop_asked() => {}
         _ = running.failed() => return Err(Error::HostFailed),
     }
-    log::info!("planned stop");
+    log::info!("the planned stop begins");
     running.stop().await;
     Ok(())
 }
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -33,7 +33,8 @@
     pub keys: u64,
     /// Exponent of the Zipf distribution of the keys; 0 for a uniform distribution.
     pub zipf_exponent: f64,
-    /// Share of requests that must not run twice (POST with an idempotency key); from 0 to 1.
+    /// Share of unrepeatable requests, which run at most once (POST with an idempotency key); from 0
+    /// to 1.
     pub unrepeatable_share: f64,
     /// Share of the unrepeatable requests that are sent twice, to two addresses; from 0 to 1.
     pub duplicate_share: f64,
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -21,7 +21,7 @@
     pub service: usize,
     /// Key of the request.
     pub key: u64,
-    /// Idempotency key; `None` for requests that may run twice.
+    /// Idempotency key of an unrepeatable request; `None` for requests that may run twice.
     pub idempotency_key: Option<String>,
     /// Intended time of sending, as Unix time in microseconds.
     pub intended_us: u64,
