--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -175,7 +175,7 @@
     /// Returns the number of calls so far by kind and table. Refused calls count as well, because
     /// the platform charges for each call.
     pub fn calls(&self) -> Vec<(CallKind, String, u64)> {
-        let calls = self.counted();
+        let calls = self.call_counts();
         let calls = calls.iter();
         calls
             .map(|((kind, table), calls)| (*kind, table.clone(), *calls))
@@ -183,10 +183,13 @@
     }
 
     fn count(&self, kind: CallKind, table: &str) {
-        *self.counted().entry((kind, table.to_owned())).or_default() += 1;
+        *self
+            .call_counts()
+            .entry((kind, table.to_owned()))
+            .or_default() += 1;
     }
 
-    fn counted(&self) -> MutexGuard<'_, BTreeMap<(CallKind, String), u64>> {
+    fn call_counts(&self) -> MutexGuard<'_, BTreeMap<(CallKind, String), u64>> {
         self.calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
