--- a/src/platform/link.rs
+++ b/src/platform/link.rs
@@ -90,10 +90,10 @@
     ) -> Result<BufferedResponse> {
         let mut sender = self.connection(timeout_ms).await?;
         let head = sender.send_request(request);
-        let response = self.within(timeout_ms, head).await?;
+        let response = self.with_timeout(timeout_ms, head).await?;
         begun.store(true, Ordering::Relaxed);
         let (head, body) = response.into_parts();
-        let body = self.within(BODY_TIMEOUT_MS, body.collect()).await?;
+        let body = self.with_timeout(BODY_TIMEOUT_MS, body.collect()).await?;
         *self.idle() = Some(Idle {
             sender,
             since: Instant::now(),
@@ -105,7 +105,7 @@
         })
     }
 
-    async fn within<T>(
+    async fn with_timeout<T>(
         &self,
         timeout_ms: u64,
         step: impl Future<Output = hyper::Result<T>>,
