--- a/src/platform/orders.rs
+++ b/src/platform/orders.rs
@@ -147,8 +147,8 @@
     timeout_ms: u64,
 ) -> Result<BufferedResponse> {
     let address = link.address();
-    let unsent = |message: String| DecodeSnafu { address, message }.build();
-    let body = serde_json::to_vec(body).map_err(|error| unsent(error.to_string()))?;
+    let encode_error = |message: String| DecodeSnafu { address, message }.build();
+    let body = serde_json::to_vec(body).map_err(|error| encode_error(error.to_string()))?;
     let request = Request::builder()
         .method(Method::POST)
         .uri(path)
@@ -156,6 +156,6 @@
         .header(header::CONTENT_TYPE, "application/json")
         .header(EXPECTED_SERVER, server)
         .body(Full::new(Bytes::from(body)))
-        .map_err(|error| unsent(error.to_string()))?;
+        .map_err(|error| encode_error(error.to_string()))?;
     link.call(request, timeout_ms).await
 }
