--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -27,13 +27,14 @@
 /// Decodes the configuration document; fails with a reason if any required field is missing or
 /// invalid.
 pub fn decode(value: &[u8]) -> Result<Configuration> {
-    let bad = |message: String| Error::Document {
+    let document_error = |message: String| Error::Document {
         what: "configuration".to_owned(),
         message,
     };
-    let wire: WireConfig = serde_json::from_slice(value).map_err(|error| bad(error.to_string()))?;
+    let wire: WireConfig =
+        serde_json::from_slice(value).map_err(|error| document_error(error.to_string()))?;
     let version = u64::from_str_radix(&wire.version, 16)
-        .map_err(|_| bad(format!("version '{}' is not hexadecimal", wire.version)))?;
+        .map_err(|_| document_error(format!("version '{}' is not hexadecimal", wire.version)))?;
     let limits = CallerLimits {
         head_bytes: wire.limits.max_header_bytes,
         body_bytes: wire.limits.max_body_bytes,
