--- a/src/platform/link.rs
+++ b/src/platform/link.rs
@@ -149,15 +149,15 @@
 }
 
 async fn connect(address: SocketAddr) -> Result<SendRequest<Full<Bytes>>> {
-    let failed = |message: String| Error::Connect { address, message };
+    let connect_error = |message: String| Error::Connect { address, message };
     let stream = TcpStream::connect(address)
         .await
-        .map_err(|error| failed(error.to_string()))?;
+        .map_err(|error| connect_error(error.to_string()))?;
     let options = stream.set_nodelay(true).and(stream.set_zero_linger());
-    options.map_err(|error| failed(error.to_string()))?;
+    options.map_err(|error| connect_error(error.to_string()))?;
     let (sender, connection) = handshake(TokioIo::new(stream))
         .await
-        .map_err(|error| failed(error.to_string()))?;
+        .map_err(|error| connect_error(error.to_string()))?;
     tokio::spawn(async move {
         if let Err(error) = connection.await {
             log::debug!("connection to {address} ended: {error}");
