--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -85,7 +85,7 @@
     fn end_all(&mut self, now: ClockReading) {
         let keys: Vec<(String, Slot)> = self.slots.keys().cloned().collect();
         for key in keys {
-            self.end_tenure(&key, now);
+            self.end_ownership(&key, now);
         }
         self.not_after_ms = 0;
     }
@@ -112,7 +112,7 @@
         {
             return;
         }
-        self.end_tenure(&key, now);
+        self.end_ownership(&key, now);
         self.digest ^= grant_hash(&grant.service, grant.slot, grant.epoch);
         let held = SlotState {
             epoch: grant.epoch,
@@ -131,7 +131,7 @@
         {
             return;
         }
-        self.end_tenure(&key, now);
+        self.end_ownership(&key, now);
         let held = SlotState {
             epoch: Epoch(next.epoch.0 - 1),
             since_us: None,
@@ -139,7 +139,7 @@
         self.slots.insert(key, held);
     }
 
-    fn end_tenure(&mut self, key: &(String, Slot), now: ClockReading) {
+    fn end_ownership(&mut self, key: &(String, Slot), now: ClockReading) {
         let Some(held) = self.slots.get_mut(key) else {
             return;
         };
