--- a/src/standin/invariants.rs
+++ b/src/standin/invariants.rs
@@ -23,7 +23,7 @@
     for (server, record) in records.iter().enumerate() {
         spans.extend(record.held.iter().map(|span| (server, span)));
     }
-    spans.sort_by(|(_, a), (_, b)| place(a).cmp(&place(b)));
+    spans.sort_by(|(_, a), (_, b)| sort_key(a).cmp(&sort_key(b)));
     let mut found = Vec::new();
     for (index, (server, span)) in spans.iter().enumerate() {
         let later = spans[index + 1..].iter();
@@ -38,7 +38,7 @@
     found
 }
 
-fn place(span: &OwnershipSpan) -> (&str, u32, u64) {
+fn sort_key(span: &OwnershipSpan) -> (&str, u32, u64) {
     (&span.service, span.slot.0, span.from_us)
 }
 
