--- a/tests/platform_link.rs
+++ b/tests/platform_link.rs
@@ -67,9 +67,9 @@
     let link = peer(&[1, 1]);
     assert_eq!(call(&link).await, StatusCode::OK);
     time::sleep(Duration::from_millis(5_500)).await;
-    let asked = Instant::now();
+    let started = Instant::now();
     assert_eq!(call(&link).await, StatusCode::OK);
-    assert!(asked.elapsed() < PROMPT_MAX, "{:?}", asked.elapsed());
+    assert!(started.elapsed() < PROMPT_MAX, "{:?}", started.elapsed());
 }
 
 #[tokio::test]
--- a/tests/standins.rs
+++ b/tests/standins.rs
@@ -29,13 +29,13 @@
 #[tokio::test]
 async fn a_cold_server_takes_longer() {
     let server = start(60_000, 0).await;
-    let asked = Instant::now();
+    let started = Instant::now();
     let answer: EchoResponse = JsonClient::new(2_000)
         .get(server.address, "/w/s/key")
         .await
         .expect("an answer");
     assert_eq!(answer.path, "/w/s/key");
-    assert!(asked.elapsed() >= Duration::from_millis(20));
+    assert!(started.elapsed() >= Duration::from_millis(20));
     server.stop().await;
 }
 
