--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -30,7 +30,7 @@
     /// Lost servers whose lapse is waited for in this process.
     pub(super) lapsing: HashSet<ServerKey>,
     /// When servers without a lease were last asked.
-    pub(super) asked_ms: u64,
+    pub(super) joins_checked_ms: u64,
     /// When loads were last read.
     pub(super) loads_ms: u64,
     /// Smoothed loads by service and slot.
--- a/src/host/duties.rs
+++ b/src/host/duties.rs
@@ -117,10 +117,10 @@
     /// Asks the servers that have no lease whether they are there.
     pub(super) async fn join_servers(self: &Arc<Self>, controller: &mut Controller) {
         let now_ms = clock::now_ms();
-        if now_ms < controller.asked_ms + ASK_SERVERS_MS {
+        if now_ms < controller.joins_checked_ms + ASK_SERVERS_MS {
             return;
         }
-        controller.asked_ms = now_ms;
+        controller.joins_checked_ms = now_ms;
         let state = self.view.state();
         let mut calls = JoinSet::new();
         for (server, entry) in state.server_entries() {
@@ -132,8 +132,8 @@
             let address = entry.address;
             calls.spawn(async move { (server, host.ask(address).await) });
         }
-        while let Some(asked) = calls.join_next().await {
-            let Ok((server, Ok(answer))) = asked else {
+        while let Some(queried) = calls.join_next().await {
+            let Ok((server, Ok(answer))) = queried else {
                 continue;
             };
             if answer.draining {
@@ -216,16 +216,16 @@
         let hosts = tree::order(state);
         let asked = own.map(|own| tree::asked(&hosts, own)).unwrap_or_default();
         let silence = |host: HostKey, entry: &HostEntry| {
-            let asker = Voter {
+            let sender = Voter {
                 host,
                 incarnation: entry.incarnation,
             };
-            let asked_ms = self.view.asked_ms(asker);
-            let heard_ms = self.view.heard_ms(host).max(asked_ms);
+            let last_ping_ms = self.view.last_ping_ms(sender);
+            let heard_ms = self.view.heard_ms(host).max(last_ping_ms);
             let silent_ms = heard_ms.map(|heard_ms| clock::now_ms().saturating_sub(heard_ms));
             Silence {
                 silent_ms,
-                expected: asked_ms.is_some() || asked.contains(&host),
+                expected: last_ping_ms.is_some() || asked.contains(&host),
                 known_ms: self.view.applied_age_ms(entry.changed).unwrap_or_default(),
             }
         };
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -210,19 +210,19 @@
 
     /// Notes a question of another host.
     pub fn asked_by(&self, host: HostKey, incarnation: Incarnation) {
-        let asker = Voter { host, incarnation };
-        self.lock().askers.insert(asker, clock::now_ms());
+        let sender = Voter { host, incarnation };
+        self.lock().askers.insert(sender, clock::now_ms());
     }
 
     /// When a host last asked this one.
-    pub fn asked_ms(&self, asker: Voter) -> Option<u64> {
-        self.lock().askers.get(&asker).copied()
+    pub fn last_ping_ms(&self, sender: Voter) -> Option<u64> {
+        self.lock().askers.get(&sender).copied()
     }
 
     /// Forgets askers that are no longer registered.
     pub fn forget_askers(&self, registered: &[Voter]) {
         let mut inner = self.lock();
-        inner.askers.retain(|asker, _| registered.contains(asker));
+        inner.askers.retain(|sender, _| registered.contains(sender));
     }
 
     /// What `host` said of its revision.
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -15,10 +15,10 @@
 
 /// Hosts that count in the majority.
 pub fn voters(state: &State) -> Vec<Voter> {
-    let counted = |(_, host): &(HostKey, &HostEntry)| host.counted();
+    let is_voter = |(_, host): &(HostKey, &HostEntry)| host.counted();
     state
         .registered_hosts()
-        .filter(counted)
+        .filter(is_voter)
         .map(voter)
         .collect()
 }
@@ -57,8 +57,8 @@
     /// Takes the hosts that have applied the last change, as they said before `now_ms`.
     pub fn follow(&mut self, state: &State, applied: &[Voter], now_ms: u64, lapse_ms: u64) {
         let majority = |voters: &[Voter]| {
-            let counted = voters.iter().filter(|voter| applied.contains(voter));
-            voters.is_empty() || counted.count() * 2 > voters.len()
+            let confirmed = voters.iter().filter(|voter| applied.contains(voter));
+            voters.is_empty() || confirmed.count() * 2 > voters.len()
         };
         let registry = &state.registry;
         if majority(&voters(state)) && majority(&registry.previous_voters) {
@@ -141,12 +141,12 @@
     own: Option<HostKey>,
     silence: &impl Fn(HostKey, &HostEntry) -> Silence,
 ) -> bool {
-    let counted = || state.registered_hosts().filter(|(_, host)| host.counted());
-    let heard = counted().filter(|(key, entry)| {
+    let voters = || state.registered_hosts().filter(|(_, host)| host.counted());
+    let heard = voters().filter(|(key, entry)| {
         let silent_ms = silence(*key, entry).silent_ms;
         Some(*key) == own || silent_ms.is_some_and(|ms| ms <= PROMOTION_SILENCE_MS)
     });
-    heard.count() * 2 > counted().count()
+    heard.count() * 2 > voters().count()
 }
 
 /// True if a later process runs under the same name.
