--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -46,7 +46,7 @@
 
 /// What a finished task tells the controller.
 #[derive(Debug)]
-pub(super) enum Done {
+pub(super) enum FinishedTask {
     /// A group of moves has ended, well or not.
     Moved(MoveGroup),
     /// The wait for a lapse has ended, well or not.
@@ -125,10 +125,10 @@
 }
 
 impl Controller {
-    fn forget(&mut self, done: &Done) {
+    fn forget(&mut self, done: &FinishedTask) {
         match done {
-            Done::Moved(group) => self.moving.remove(group),
-            Done::Lapsed(server) => self.lapsing.remove(server),
+            FinishedTask::Moved(group) => self.moving.remove(group),
+            FinishedTask::Lapsed(server) => self.lapsing.remove(server),
         };
     }
 }
--- a/src/host/duties.rs
+++ b/src/host/duties.rs
@@ -6,7 +6,7 @@
 
 use super::{
     Host,
-    controller::{Controller, Done},
+    controller::{Controller, FinishedTask},
 };
 use crate::{
     clock,
@@ -30,7 +30,7 @@
     pub(super) fn wait_for_lapses(
         self: &Arc<Self>,
         controller: &mut Controller,
-        done: &UnboundedSender<Done>,
+        done: &UnboundedSender<FinishedTask>,
     ) {
         let state = self.view.state();
         for (server, entry) in state.server_entries() {
@@ -46,7 +46,7 @@
             };
             tokio::spawn(async move {
                 host.wait_for_lapse(lost).await;
-                let _ = done.send(Done::Lapsed(server));
+                let _ = done.send(FinishedTask::Lapsed(server));
             });
         }
     }
--- a/src/host/moves.rs
+++ b/src/host/moves.rs
@@ -9,7 +9,7 @@
 use super::{
     Host,
     commit::CommitError,
-    controller::{Controller, Done},
+    controller::{Controller, FinishedTask},
 };
 use crate::{
     id::ServerKey,
@@ -48,7 +48,7 @@
     pub(super) fn drive_moves(
         self: &Arc<Self>,
         controller: &mut Controller,
-        done: &UnboundedSender<Done>,
+        done: &UnboundedSender<FinishedTask>,
     ) {
         let state = self.view.state();
         for (group, slots) in ready_groups(&state) {
@@ -64,7 +64,7 @@
                     log::warn!(service = group.service.0 as u64; "a move waits: {error}");
                     time::sleep(Duration::from_millis(RETRY_MS)).await;
                 }
-                let _ = done.send(Done::Moved(group));
+                let _ = done.send(FinishedTask::Moved(group));
             });
         }
     }
