--- a/src/host/duties.rs
+++ b/src/host/duties.rs
@@ -39,7 +39,7 @@
             }
             let host = self.clone();
             let done = done.clone();
-            let lost = Loss {
+            let lost = LostServer {
                 server,
                 lease_epoch: entry.lease_epoch,
                 revision: entry.changed,
@@ -52,7 +52,7 @@
     }
 
     /// One round of questions, then the wait that they allow.
-    async fn wait_for_lapse(self: &Arc<Self>, lost: Loss) {
+    async fn wait_for_lapse(self: &Arc<Self>, lost: LostServer) {
         let reports = self.horizon_reports(lost).await;
         let state = self.view.state();
         // An age that is not known counts as none, which only makes the wait longer.
@@ -88,7 +88,7 @@
         }
     }
 
-    async fn horizon_reports(self: &Arc<Self>, lost: Loss) -> Vec<HorizonReport> {
+    async fn horizon_reports(self: &Arc<Self>, lost: LostServer) -> Vec<HorizonReport> {
         let request = PeerRequest::LeaseHorizon {
             server: lost.server,
             lease_epoch: lost.lease_epoch,
@@ -236,7 +236,7 @@
 
 /// A lost server.
 #[derive(Clone, Copy, Debug)]
-struct Loss {
+struct LostServer {
     server: ServerKey,
     lease_epoch: LeaseEpoch,
     revision: Revision,
