--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -31,14 +31,14 @@
 
 /// A server as one renewal addresses it.
 #[derive(Clone, Copy, Debug)]
-struct Leased {
+struct LeasedServer {
     server: ServerKey,
     address: std::net::SocketAddr,
     incarnation: Incarnation,
     lease_epoch: LeaseEpoch,
 }
 
-impl Leased {
+impl LeasedServer {
     fn of(server: ServerKey, entry: &ServerEntry) -> Self {
         Self {
             server,
@@ -75,7 +75,7 @@
     }
 
     /// Live servers whose leases this host renews.
-    fn assigned_servers(&self) -> Vec<Leased> {
+    fn assigned_servers(&self) -> Vec<LeasedServer> {
         let Some(own) = self.key() else {
             return Vec::new();
         };
@@ -89,11 +89,11 @@
             .server_entries()
             .filter(|(_, entry)| entry.state == ServerState::Live)
             .filter(|(server, _)| mine(*server))
-            .map(|(server, entry)| Leased::of(server, entry))
+            .map(|(server, entry)| LeasedServer::of(server, entry))
             .collect()
     }
 
-    fn renew_due(self: &Arc<Self>, assigned: &[Leased]) {
+    fn renew_due(self: &Arc<Self>, assigned: &[LeasedServer]) {
         for leased in assigned.iter().copied() {
             if self.claim_turn(leased) {
                 let host = self.clone();
@@ -119,7 +119,7 @@
     }
 
     /// True if a renewal is due; the next one is then postponed while this one is under way.
-    fn claim_turn(&self, leased: Leased) -> bool {
+    fn claim_turn(&self, leased: LeasedServer) -> bool {
         let now_ms = clock::now_ms();
         let mut contacts = self.contacts();
         let index = leased.server.0 as usize;
@@ -135,7 +135,7 @@
         due
     }
 
-    async fn renew(self: Arc<Self>, leased: Leased) {
+    async fn renew(self: Arc<Self>, leased: LeasedServer) {
         let Some(order) = self.order(leased) else {
             return;
         };
@@ -149,7 +149,7 @@
 
     /// The order to send; none if this host must not renew any more. The state and the freshness
     /// are checked under the lock under which [`Host::horizon`] answers.
-    fn order(&self, leased: Leased) -> Option<LeaseRequest> {
+    fn order(&self, leased: LeasedServer) -> Option<LeaseRequest> {
         let mut contacts = self.contacts();
         let state = self.view.state();
         // Only registered hosts are asked for their horizon.
@@ -174,7 +174,7 @@
         })
     }
 
-    async fn renewed(self: &Arc<Self>, leased: Leased, ordered: bool, answer: &LeaseAnswer) {
+    async fn renewed(self: &Arc<Self>, leased: LeasedServer, ordered: bool, answer: &LeaseAnswer) {
         let finding = {
             let mut contacts = self.contacts();
             let Some(contact) = contacts.get_mut(leased.server.0 as usize) else {
@@ -191,7 +191,7 @@
         }
     }
 
-    async fn note_draining(self: &Arc<Self>, leased: Leased, draining: bool) {
+    async fn note_draining(self: &Arc<Self>, leased: LeasedServer, draining: bool) {
         let state = self.view.state();
         let Some(entry) = state.server(leased.server) else {
             return;
@@ -207,7 +207,7 @@
         let _ = self.commit_own(change).await;
     }
 
-    async fn renewal_failed(self: &Arc<Self>, leased: Leased, error: &CallError) {
+    async fn renewal_failed(self: &Arc<Self>, leased: LeasedServer, error: &CallError) {
         log::debug!(server = leased.server.0 as u64; "renewal failed: {error}");
         let suspected = {
             let mut contacts = self.contacts();
@@ -268,7 +268,7 @@
         self.servers.post(address, LEASE_PATH, &question).await
     }
 
-    async fn report_lost(self: &Arc<Self>, leased: Leased, reason: &str) {
+    async fn report_lost(self: &Arc<Self>, leased: LeasedServer, reason: &str) {
         let state = self.view.state();
         let entry = state.server(leased.server);
         let live =
