--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -32,7 +32,7 @@
 
 /// What a candidate saw of the row.
 #[derive(Clone, Copy, Debug, Default)]
-struct Watched {
+struct ObservedRow {
     version: u64,
     since_ms: u64,
 }
@@ -42,7 +42,7 @@
     pub(super) async fn keep_leading(self: Arc<Self>) {
         let lease_ms = self.settings.ownership.leader_lease_ms;
         let pause = Duration::from_millis(lease_ms / BEATS_PER_LEASE);
-        let mut watched = Watched::default();
+        let mut watched = ObservedRow::default();
         let mut renewed_ms = 0;
         loop {
             time::sleep(pause).await;
@@ -85,14 +85,19 @@
     }
 
     /// True if this host holds the row afterwards.
-    async fn take_or_renew(&self, row: Option<Row>, watched: &mut Watched, now_ms: u64) -> bool {
+    async fn take_or_renew(
+        &self,
+        row: Option<Row>,
+        watched: &mut ObservedRow,
+        now_ms: u64,
+    ) -> bool {
         let version = row.as_ref().map_or(0, |row| row.version);
         let held = row.and_then(|row| serde_json::from_str::<LeaderRow>(&row.value).ok());
         let term = held.as_ref().map_or(0, |held| held.term);
         self.leader_term.store(term, Ordering::Relaxed);
         let own = held.is_some_and(|held| held.incarnation == self.incarnation);
         if !own && watched.version != version {
-            *watched = Watched {
+            *watched = ObservedRow {
                 version,
                 since_ms: now_ms,
             };
