--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -42,7 +42,7 @@
     pub(super) async fn keep_leading(self: Arc<Self>) {
         let lease_ms = self.settings.ownership.leader_lease_ms;
         let pause = Duration::from_millis(lease_ms / BEATS_PER_LEASE);
-        let mut watched = ObservedRow::default();
+        let mut observed = ObservedRow::default();
         let mut renewed_ms = 0;
         loop {
             time::sleep(pause).await;
@@ -56,7 +56,7 @@
             let Ok(row) = self.platform.row(LEADER_ROW).await else {
                 continue;
             };
-            if self.take_or_renew(row, &mut watched, asked_ms).await {
+            if self.take_or_renew(row, &mut observed, asked_ms).await {
                 renewed_ms = asked_ms;
             }
         }
@@ -88,7 +88,7 @@
     async fn take_or_renew(
         &self,
         row: Option<Row>,
-        watched: &mut ObservedRow,
+        observed: &mut ObservedRow,
         now_ms: u64,
     ) -> bool {
         let version = row.as_ref().map_or(0, |row| row.version);
@@ -96,14 +96,14 @@
         let term = held.as_ref().map_or(0, |held| held.term);
         self.leader_term.store(term, Ordering::Relaxed);
         let own = held.is_some_and(|held| held.incarnation == self.incarnation);
-        if !own && watched.version != version {
-            *watched = ObservedRow {
+        if !own && observed.version != version {
+            *observed = ObservedRow {
                 version,
                 since_ms: now_ms,
             };
         }
         let lease_ms = self.settings.ownership.leader_lease_ms;
-        let lapsed = version == 0 || now_ms >= watched.since_ms + lease_ms;
+        let lapsed = version == 0 || now_ms >= observed.since_ms + lease_ms;
         if !own && !lapsed {
             self.leading.store(false, Ordering::Relaxed);
             return false;
