--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -49,7 +49,7 @@
             if self.leading() && clock::now_ms() > renewed_ms + lease_ms {
                 self.leading.store(false, Ordering::Relaxed);
             }
-            if !self.candidate() {
+            if !self.is_candidate() {
                 continue;
             }
             let asked_ms = clock::now_ms();
@@ -63,7 +63,7 @@
     }
 
     /// The leader goes on; otherwise the first hosts heard watch.
-    fn candidate(&self) -> bool {
+    fn is_candidate(&self) -> bool {
         let Some(own) = self.key() else { return false };
         if self.leading() {
             return true;
