--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -56,7 +56,7 @@
             let Ok(row) = self.platform.row(LEADER_ROW).await else {
                 continue;
             };
-            if self.take_or_renew(row, &mut observed, asked_ms).await {
+            if self.acquire_or_renew(row, &mut observed, asked_ms).await {
                 renewed_ms = asked_ms;
             }
         }
@@ -85,7 +85,7 @@
     }
 
     /// True if this host holds the row afterwards.
-    async fn take_or_renew(
+    async fn acquire_or_renew(
         &self,
         row: Option<Row>,
         observed: &mut ObservedRow,
