--- a/src/host/moves.rs
+++ b/src/host/moves.rs
@@ -59,7 +59,7 @@
             let state = state.clone();
             let done = done.clone();
             tokio::spawn(async move {
-                let moved = host.carry_out(&state, group, &slots).await;
+                let moved = host.complete_group(&state, group, &slots).await;
                 if let Err(error) = moved {
                     log::warn!(service = group.service.0 as u64; "a move waits: {error}");
                     time::sleep(Duration::from_millis(RETRY_MS)).await;
@@ -69,7 +69,7 @@
         }
     }
 
-    async fn carry_out(
+    async fn complete_group(
         self: &Arc<Self>,
         state: &State,
         group: MoveGroup,
