--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -95,7 +95,7 @@
 
     fn renew_due(self: &Arc<Self>, assigned: &[LeasedServer]) {
         for leased in assigned.iter().copied() {
-            if self.claim_turn(leased) {
+            if self.start_if_due(leased) {
                 let host = self.clone();
                 tokio::spawn(async move { host.renew(leased).await });
             }
@@ -119,7 +119,7 @@
     }
 
     /// True if a renewal is due; the next one is then postponed while this one is under way.
-    fn claim_turn(&self, leased: LeasedServer) -> bool {
+    fn start_if_due(&self, leased: LeasedServer) -> bool {
         let now_ms = clock::now_ms();
         let mut contacts = self.contacts();
         let index = leased.server.0 as usize;
