--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -14,7 +14,7 @@
 
 impl Host {
     /// Runs until the process ends.
-    pub(super) async fn keep_beating(self: Arc<Self>) {
+    pub(super) async fn keep_sending_heartbeats(self: Arc<Self>) {
         let pause = Duration::from_millis(self.settings.ownership.heartbeat_ms);
         let mut ticks = time::interval(pause);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -77,7 +77,7 @@
     tasks.spawn(host.clone().answer_peers(inbox));
     tasks.spawn(host.clone().keep_synced());
     tasks.spawn(host.clone().keep_registered());
-    tasks.spawn(host.clone().keep_beating());
+    tasks.spawn(host.clone().keep_sending_heartbeats());
     tasks.spawn(host.clone().keep_renewing());
     tasks.spawn(host.clone().keep_leading());
     tasks.spawn(host.clone().keep_controlling());
