--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -20,13 +20,13 @@
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            self.beat();
+            self.on_heartbeat();
         }
     }
 
-    fn beat(self: &Arc<Self>) {
+    fn on_heartbeat(self: &Arc<Self>) {
         let Some(own) = self.key() else { return };
-        self.view.beat(Voter {
+        self.view.on_heartbeat(Voter {
             host: own,
             incarnation: self.incarnation,
         });
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -196,7 +196,7 @@
     }
 
     /// Called with each heartbeat.
-    pub fn beat(&self, own: Voter) {
+    pub fn on_heartbeat(&self, own: Voter) {
         let mut inner = self.lock();
         let voters = voters(&self.state.load());
         inner.freshness.alone(clock::now_ms(), own, &voters);
