--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -62,7 +62,7 @@
 
 impl Host {
     /// Runs until the process ends.
-    pub(super) async fn keep_controlling(self: Arc<Self>) {
+    pub(super) async fn run_controller(self: Arc<Self>) {
         let mut ticks = time::interval(Duration::from_millis(TICK_MS));
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         let mut controller = Controller::default();
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -80,7 +80,7 @@
     tasks.spawn(host.clone().keep_sending_heartbeats());
     tasks.spawn(host.clone().keep_renewing());
     tasks.spawn(host.clone().keep_leading());
-    tasks.spawn(host.clone().keep_controlling());
+    tasks.spawn(host.clone().run_controller());
     Ok(RunningHost {
         callers,
         operators: operators_server.address,
