--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -39,7 +39,7 @@
 
 impl Host {
     /// Runs until the process ends.
-    pub(super) async fn keep_leading(self: Arc<Self>) {
+    pub(super) async fn run_leader_election(self: Arc<Self>) {
         let lease_ms = self.settings.ownership.leader_lease_ms;
         let pause = Duration::from_millis(lease_ms / BEATS_PER_LEASE);
         let mut observed = ObservedRow::default();
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -79,7 +79,7 @@
     tasks.spawn(host.clone().keep_registered());
     tasks.spawn(host.clone().keep_sending_heartbeats());
     tasks.spawn(host.clone().keep_renewing());
-    tasks.spawn(host.clone().keep_leading());
+    tasks.spawn(host.clone().run_leader_election());
     tasks.spawn(host.clone().run_controller());
     Ok(RunningHost {
         callers,
