--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -56,7 +56,7 @@
 
 impl Host {
     /// Runs until the process ends.
-    pub(super) async fn keep_renewing(self: Arc<Self>) {
+    pub(super) async fn run_lease_renewal(self: Arc<Self>) {
         let mut ticks = time::interval(Duration::from_millis(TICK_MS));
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         let mut assigned = Vec::new();
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -78,7 +78,7 @@
     tasks.spawn(host.clone().keep_synced());
     tasks.spawn(host.clone().keep_registered());
     tasks.spawn(host.clone().keep_sending_heartbeats());
-    tasks.spawn(host.clone().keep_renewing());
+    tasks.spawn(host.clone().run_lease_renewal());
     tasks.spawn(host.clone().run_leader_election());
     tasks.spawn(host.clone().run_controller());
     Ok(RunningHost {
