--- a/src/host/duties.rs
+++ b/src/host/duties.rs
@@ -130,7 +130,7 @@
             }
             let host = self.clone();
             let address = entry.address;
-            calls.spawn(async move { (server, host.ask(address).await) });
+            calls.spawn(async move { (server, host.query_server(address).await) });
         }
         while let Some(queried) = calls.join_next().await {
             let Ok((server, Ok(answer))) = queried else {
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -248,14 +248,14 @@
         let Some(entry) = state.server(server) else {
             return false;
         };
-        match self.ask(entry.address).await {
+        match self.query_server(entry.address).await {
             Ok(answer) => answer.incarnation == entry.incarnation,
             Err(_) => false,
         }
     }
 
     /// Asks a server for its facts.
-    pub(super) async fn ask(
+    pub(super) async fn query_server(
         &self,
         address: std::net::SocketAddr,
     ) -> Result<LeaseAnswer, CallError> {
