--- a/src/bin/ashroad/serve.rs
+++ b/src/bin/ashroad/serve.rs
@@ -35,7 +35,7 @@
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        _ = host.stop_asked() => {}
+        _ = host.stop_requested() => {}
         _ = running.failed() => return Err(Error::HostFailed),
     }
     log::info!("planned stop");
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -93,7 +93,7 @@
     }
 
     /// Returns when a planned stop was asked for.
-    pub async fn stop_asked(&self) {
+    pub async fn stop_requested(&self) {
         self.stop_wanted.notified().await;
     }
 
