--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -88,7 +88,7 @@
     }
 
     /// Asks for the planned stop of this host.
-    pub fn ask_to_stop(&self) {
+    pub fn request_stop(&self) {
         self.stop_wanted.notify_one();
     }
 
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -341,7 +341,7 @@
 async fn drain_host(context: RequestContext<Context>) -> Answer<Draining> {
     authorize(&context)?;
     let host = &context.context().host;
-    host.ask_to_stop();
+    host.request_stop();
     Ok(HttpResponseOk(Draining {
         host: host.settings.name.clone(),
     }))
