--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -41,7 +41,7 @@
                 asked_ms,
                 revision,
             } => {
-                self.view.asked_by(host, incarnation);
+                self.view.record_ping(host, incarnation);
                 let pong = self.pong(asked_ms).map(|pong| encode(&pong));
                 if let Some(Ok(bytes)) = pong {
                     let _ = connection.send_datagram(bytes.into());
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -209,7 +209,7 @@
     }
 
     /// Notes a question of another host.
-    pub fn asked_by(&self, host: HostKey, incarnation: Incarnation) {
+    pub fn record_ping(&self, host: HostKey, incarnation: Incarnation) {
         let sender = Voter { host, incarnation };
         self.lock().askers.insert(sender, clock::now_ms());
     }
