--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     /// Hosts that ask this one, and when they last did.
-    askers: HashMap<Voter, u64>,
+    last_pings: HashMap<Voter, u64>,
     recent: VecDeque<Applied>,
     freshness: Freshness,
     /// When a whole state was last taken over, and at which revision.
@@ -211,18 +211,20 @@
     /// Notes a question of another host.
     pub fn record_ping(&self, host: HostKey, incarnation: Incarnation) {
         let sender = Voter { host, incarnation };
-        self.lock().askers.insert(sender, clock::now_ms());
+        self.lock().last_pings.insert(sender, clock::now_ms());
     }
 
     /// When a host last asked this one.
     pub fn last_ping_ms(&self, sender: Voter) -> Option<u64> {
-        self.lock().askers.get(&sender).copied()
+        self.lock().last_pings.get(&sender).copied()
     }
 
     /// Forgets askers that are no longer registered.
     pub fn forget_askers(&self, registered: &[Voter]) {
         let mut inner = self.lock();
-        inner.askers.retain(|sender, _| registered.contains(sender));
+        inner
+            .last_pings
+            .retain(|sender, _| registered.contains(sender));
     }
 
     /// What `host` said of its revision.
