--- a/src/host/duties.rs
+++ b/src/host/duties.rs
@@ -229,7 +229,7 @@
                 known_ms: self.view.applied_age_ms(entry.changed).unwrap_or_default(),
             }
         };
-        self.view.forget_askers(&registered(state));
+        self.view.forget_unregistered(&registered(state));
         registry::next_change(state, own, limits, silence)
     }
 }
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -220,7 +220,7 @@
     }
 
     /// Forgets askers that are no longer registered.
-    pub fn forget_askers(&self, registered: &[Voter]) {
+    pub fn forget_unregistered(&self, registered: &[Voter]) {
         let mut inner = self.lock();
         inner
             .last_pings
