--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -76,7 +76,7 @@
             if !self.leading() {
                 rounds += 1;
                 if rounds.is_multiple_of(WATCH_EVERY_ROUNDS) {
-                    self.remove_silent_askers().await;
+                    self.remove_silent_hosts().await;
                 }
                 controller = Controller {
                     moving: controller.moving,
--- a/src/host/duties.rs
+++ b/src/host/duties.rs
@@ -196,7 +196,7 @@
 
     /// A host outside of the witnesses watches over those that ask it, which the leader may not
     /// hear.
-    pub(super) async fn remove_silent_askers(self: &Arc<Self>) {
+    pub(super) async fn remove_silent_hosts(self: &Arc<Self>) {
         let state = self.view.state();
         if self.leading() || !self.view.fresh() || !state.registry.is_settled() {
             return;
