--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -217,13 +217,13 @@
             let suspect_ms = self.settings.ownership.suspect_ms;
             contact.failed(clock::now_ms(), suspect_ms)
         };
-        if suspected && !self.answers_others(leased.server).await {
+        if suspected && !self.is_reachable_by_others(leased.server).await {
             self.report_lost(leased, "it does not answer").await;
         }
     }
 
     /// True if another host reaches the server.
-    async fn answers_others(&self, server: ServerKey) -> bool {
+    async fn is_reachable_by_others(&self, server: ServerKey) -> bool {
         let mut probes = tokio::task::JoinSet::new();
         let request = PeerRequest::Probe { server };
         let heard = |key: &HostKey| self.view.heard_ms(*key).is_some();
