--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -60,7 +60,7 @@
                 if revision > self.view.revision() {
                     self.catch_up_with(connection.remote_address(), revision);
                 }
-                self.take_pong(PeerAnswer {
+                self.receive_pong(PeerAnswer {
                     host,
                     incarnation,
                     asked_ms,
@@ -71,7 +71,7 @@
         }
     }
 
-    fn take_pong(&self, answer: PeerAnswer) {
+    fn receive_pong(&self, answer: PeerAnswer) {
         let Some(host) = self.key() else { return };
         let own = Voter {
             host,
