--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -89,7 +89,7 @@
         let answer = match request {
             PeerRequest::Push { entries, relay } => {
                 self.push(&entries, &relay);
-                self.take_push(&entries)
+                self.receive_push(&entries)
             }
             PeerRequest::Entries { after } => match self.view.entries(after) {
                 Some(entries) => PeerReply::Entries { entries },
@@ -121,7 +121,7 @@
         let _ = reply.send(answer);
     }
 
-    fn take_push(&self, entries: &[crate::state::LogEntry]) -> PeerReply {
+    fn receive_push(&self, entries: &[crate::state::LogEntry]) -> PeerReply {
         self.apply(entries);
         let last = entries.last().map(|entry| entry.revision);
         if last > Some(self.view.revision()) {
