--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -96,7 +96,7 @@
         };
         match self.peers.call(address, &request, PEER_TIMEOUT_MS).await {
             Ok(PeerReply::Entries { entries }) => self.apply(&entries),
-            Ok(PeerReply::Truncated) => self.take_snapshot_of(address).await,
+            Ok(PeerReply::Truncated) => self.fetch_snapshot(address).await,
             _ => {}
         }
         if self.view.revision() < revision {
@@ -105,7 +105,7 @@
     }
 
     /// Takes over the whole state of a peer, if it is newer.
-    pub(super) async fn take_snapshot_of(&self, address: std::net::SocketAddr) {
+    pub(super) async fn fetch_snapshot(&self, address: std::net::SocketAddr) {
         let request = PeerRequest::Snapshot;
         let reply = self.peers.call(address, &request, PEER_TIMEOUT_MS).await;
         let Ok(PeerReply::Snapshot { pointer, body }) = reply else {
