--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -47,7 +47,7 @@
                     let _ = connection.send_datagram(bytes.into());
                 }
                 if revision > self.view.revision() {
-                    self.catch_up_with(connection.remote_address(), revision);
+                    self.spawn_catch_up(connection.remote_address(), revision);
                 }
             }
             Datagram::Pong {
@@ -58,7 +58,7 @@
                 basis_age_ms,
             } => {
                 if revision > self.view.revision() {
-                    self.catch_up_with(connection.remote_address(), revision);
+                    self.spawn_catch_up(connection.remote_address(), revision);
                 }
                 self.receive_pong(PeerAnswer {
                     host,
@@ -80,7 +80,7 @@
         self.view.peer_answered(answer, own);
     }
 
-    fn catch_up_with(self: &Arc<Self>, address: std::net::SocketAddr, revision: Revision) {
+    fn spawn_catch_up(self: &Arc<Self>, address: std::net::SocketAddr, revision: Revision) {
         let host = self.clone();
         tokio::spawn(async move { host.catch_up(address, revision).await });
     }
