--- a/src/host/duties.rs
+++ b/src/host/duties.rs
@@ -151,7 +151,7 @@
     pub(super) async fn keep_registry(self: &Arc<Self>, controller: &mut Controller) {
         let state = self.view.state();
         if controller.registry.pending(&state) {
-            let applied = self.hosts_at(state.registry.changed).await;
+            let applied = self.hosts_with_revision(state.registry.changed).await;
             let lapse_ms = self.settings.ownership.lapse_ms();
             controller
                 .registry
@@ -168,7 +168,7 @@
     }
 
     /// Hosts that have applied a revision.
-    async fn hosts_at(&self, revision: Revision) -> Vec<Voter> {
+    async fn hosts_with_revision(&self, revision: Revision) -> Vec<Voter> {
         let mut calls = JoinSet::new();
         for (host, incarnation, address) in self.other_hosts() {
             let peers = self.peers.clone();
