--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -90,7 +90,7 @@
             }
             self.wait_for_lapses(&mut controller, &done);
             self.drive_moves(&mut controller, &done);
-            self.keep_registry(&mut controller).await;
+            self.update_registry(&mut controller).await;
             self.join_servers(&mut controller).await;
             self.read_loads(&mut controller).await;
             self.begin_moves(&mut controller).await;
--- a/src/host/duties.rs
+++ b/src/host/duties.rs
@@ -148,7 +148,7 @@
     }
 
     /// Promotes and removes hosts, one change at a time (see [`crate::membership::registry`]).
-    pub(super) async fn keep_registry(self: &Arc<Self>, controller: &mut Controller) {
+    pub(super) async fn update_registry(self: &Arc<Self>, controller: &mut Controller) {
         let state = self.view.state();
         if controller.registry.pending(&state) {
             let applied = self.hosts_with_revision(state.registry.changed).await;
