--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -94,7 +94,7 @@
             self.join_servers(&mut controller).await;
             self.read_loads(&mut controller).await;
             self.begin_moves(&mut controller).await;
-            self.keep_snapshot(&mut controller).await;
+            self.store_snapshot_if_due(&mut controller).await;
             self.sweep_claims(&mut controller).await;
         }
     }
@@ -112,7 +112,7 @@
         }
     }
 
-    async fn keep_snapshot(&self, controller: &mut Controller) {
+    async fn store_snapshot_if_due(&self, controller: &mut Controller) {
         let state = self.view.state();
         if state.revision.0 < controller.snapshot.0 + SNAPSHOT_EVERY {
             return;
