--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -97,7 +97,7 @@
             match appended.map_err(|source| CommitError::Log { source })? {
                 Appended::Committed(entry) => {
                     let revision = entry.revision;
-                    self.committed(entry);
+                    self.publish_commit(entry);
                     return Ok(revision);
                 }
                 Appended::Conflict => {
@@ -108,7 +108,7 @@
         Err(CommitError::Contention)
     }
 
-    fn committed(self: &Arc<Self>, entry: LogEntry) {
+    fn publish_commit(self: &Arc<Self>, entry: LogEntry) {
         log::info!(revision = entry.revision.0; "committed {:?}", entry.change);
         let entries = vec![entry];
         self.apply(&entries);
