--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -16,7 +16,7 @@
 
 const LEADER_ROW: &str = "leader";
 /// Renewals within one lease.
-const BEATS_PER_LEASE: u64 = 4;
+const RENEWALS_PER_LEASE: u64 = 4;
 /// Place of the leader's duty in the ring.
 const LEADER_WORK: u32 = 0;
 /// Hosts that watch the row to take over.
@@ -41,7 +41,7 @@
     /// Runs until the process ends.
     pub(super) async fn run_leader_election(self: Arc<Self>) {
         let lease_ms = self.settings.ownership.leader_lease_ms;
-        let pause = Duration::from_millis(lease_ms / BEATS_PER_LEASE);
+        let pause = Duration::from_millis(lease_ms / RENEWALS_PER_LEASE);
         let mut observed = ObservedRow::default();
         let mut renewed_ms = 0;
         loop {
