--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -18,7 +18,7 @@
 /// Renewals within one lease.
 const RENEWALS_PER_LEASE: u64 = 4;
 /// Place of the leader's duty in the ring.
-const LEADER_WORK: u32 = 0;
+const LEADER_RING_KEY: u32 = 0;
 /// Hosts that watch the row to take over.
 const CANDIDATES: usize = 3;
 
@@ -80,7 +80,7 @@
         };
         let hosts = state.registered_hosts().map(|(key, _)| key);
         let ring = Ring::new(hosts.filter(|key| heard(*key)));
-        let mut candidates = ring.successors(LEADER_WORK).take(CANDIDATES);
+        let mut candidates = ring.successors(LEADER_RING_KEY).take(CANDIDATES);
         candidates.any(|host| host == own)
     }
 
