--- a/src/host/planning.rs
+++ b/src/host/planning.rs
@@ -128,7 +128,7 @@
         })
         .collect();
     let total: f64 = loads.map(|loads| loads.iter().sum()).unwrap_or_default();
-    let thin = total < LOAD_REQUESTS_MIN;
+    let too_few = total < LOAD_REQUESTS_MIN;
     let slots: Vec<PlannerSlot> = service
         .slots
         .iter()
@@ -136,7 +136,7 @@
         .map(|(index, slot)| PlannerSlot {
             owner: slot.next.or(slot.owner).map(|server| server.0),
             load: match loads {
-                Some(loads) if !thin => loads.get(index).copied().unwrap_or_default(),
+                Some(loads) if !too_few => loads.get(index).copied().unwrap_or_default(),
                 _ => 0.0,
             },
             moving: slot.next.is_some(),
