--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -93,7 +93,7 @@
             self.update_registry(&mut controller).await;
             self.join_servers(&mut controller).await;
             self.read_loads(&mut controller).await;
-            self.begin_moves(&mut controller).await;
+            self.plan_moves(&mut controller).await;
             self.store_snapshot_if_due(&mut controller).await;
             self.sweep_claims(&mut controller).await;
         }
--- a/src/host/planning.rs
+++ b/src/host/planning.rs
@@ -29,7 +29,7 @@
 
 impl Host {
     /// Plans each service and records the moves.
-    pub(super) async fn begin_moves(self: &Arc<Self>, controller: &mut Controller) {
+    pub(super) async fn plan_moves(self: &Arc<Self>, controller: &mut Controller) {
         let state = self.view.state();
         let basis = (state.revision, controller.loads_ms);
         if controller.planned == Some(basis) {
