--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -2,7 +2,7 @@
 
 mod commit;
 mod controller;
-mod duties;
+mod leader_tasks;
 mod error;
 mod heartbeat;
 mod leader;
