--- a/src/host/duties.rs
+++ b/src/host/duties.rs
@@ -214,7 +214,7 @@
         };
         let own = self.key();
         let hosts = tree::order(state);
-        let asked = own.map(|own| tree::asked(&hosts, own)).unwrap_or_default();
+        let heartbeat_targets = own.map(|own| tree::heartbeat_targets(&hosts, own)).unwrap_or_default();
         let silence = |host: HostKey, entry: &HostEntry| {
             let sender = Voter {
                 host,
@@ -225,7 +225,7 @@
             let silent_ms = heard_ms.map(|heard_ms| clock::now_ms().saturating_sub(heard_ms));
             Silence {
                 silent_ms,
-                expected: last_ping_ms.is_some() || asked.contains(&host),
+                expected: last_ping_ms.is_some() || heartbeat_targets.contains(&host),
                 known_ms: self.view.applied_age_ms(entry.changed).unwrap_or_default(),
             }
         };
--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -33,7 +33,7 @@
         let state = self.view.state();
         let hosts = tree::order(&state);
         self.claims.share_store(hosts.len());
-        for key in tree::asked(&hosts, own) {
+        for key in tree::heartbeat_targets(&hosts, own) {
             let Some(entry) = state.host(key) else {
                 continue;
             };
--- a/src/membership/tree.rs
+++ b/src/membership/tree.rs
@@ -36,7 +36,7 @@
 }
 
 /// The hosts that `own` asks; `hosts` are the registered ones in the order of the tree.
-pub fn asked(hosts: &[HostKey], own: HostKey) -> Vec<HostKey> {
+pub fn heartbeat_targets(hosts: &[HostKey], own: HostKey) -> Vec<HostKey> {
     let Some(position) = hosts.iter().position(|host| *host == own) else {
         return hosts.iter().copied().take(WITNESSES).collect();
     };
