--- a/src/host/duties.rs
+++ b/src/host/duties.rs
@@ -14,7 +14,7 @@
     membership::{
         freshness::Voter,
         registry::{self, RegistryLimits, Silence, registered, voters},
-        tree,
+        heartbeat_tree,
     },
     ownership::lapse::{Holders, HorizonReport, lapsed_at_ms},
     peer::message::{PeerReply, PeerRequest},
@@ -213,8 +213,8 @@
             leaving_ms: ownership.lapse_ms(),
         };
         let own = self.key();
-        let hosts = tree::order(state);
-        let heartbeat_targets = own.map(|own| tree::heartbeat_targets(&hosts, own)).unwrap_or_default();
+        let hosts = heartbeat_tree::order(state);
+        let heartbeat_targets = own.map(|own| heartbeat_tree::heartbeat_targets(&hosts, own)).unwrap_or_default();
         let silence = |host: HostKey, entry: &HostEntry| {
             let sender = Voter {
                 host,
--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -8,7 +8,7 @@
 use super::Host;
 use crate::{
     clock,
-    membership::{freshness::Voter, tree},
+    membership::{freshness::Voter, heartbeat_tree},
     peer::message::Datagram,
 };
 
@@ -31,9 +31,9 @@
             incarnation: self.incarnation,
         });
         let state = self.view.state();
-        let hosts = tree::order(&state);
+        let hosts = heartbeat_tree::order(&state);
         self.claims.share_store(hosts.len());
-        for key in tree::heartbeat_targets(&hosts, own) {
+        for key in heartbeat_tree::heartbeat_targets(&hosts, own) {
             let Some(entry) = state.host(key) else {
                 continue;
             };
--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -10,7 +10,7 @@
 use crate::{
     clock,
     id::{HostKey, Incarnation},
-    membership::{ring::Ring, tree},
+    membership::{ring::Ring, heartbeat_tree},
     store::message::{Condition, Expect, Row, Transacted, Transaction, Write},
 };
 
@@ -69,7 +69,7 @@
             return true;
         }
         let state = self.view.state();
-        if !tree::is_witness(&tree::order(&state), own) {
+        if !heartbeat_tree::is_witness(&heartbeat_tree::order(&state), own) {
             return false;
         }
         let now_ms = clock::now_ms();
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -9,7 +9,7 @@
 use crate::{
     clock,
     id::Revision,
-    membership::tree,
+    membership::heartbeat_tree,
     peer::message::{PeerReply, PeerRequest},
     state::{LogEntry, LogError, Snapshot},
 };
@@ -49,8 +49,8 @@
     fn is_witness(&self) -> bool {
         let Some(own) = self.key() else { return true };
         let state = self.view.state();
-        let hosts = tree::order(&state);
-        tree::is_witness(&hosts, own)
+        let hosts = heartbeat_tree::order(&state);
+        heartbeat_tree::is_witness(&hosts, own)
     }
 
     /// Reads the log to its end; false if that failed.
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -3,4 +3,4 @@
 pub mod freshness;
 pub mod registry;
 pub mod ring;
-pub mod tree;
+pub mod heartbeat_tree;
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -4,7 +4,7 @@
 //! has been applied by more than half of the counted hosts and the rest has stopped acting on
 //! earlier registries. So the majorities of any two registries that hosts act on share a host.
 
-use super::{freshness::Voter, tree};
+use super::{freshness::Voter, heartbeat_tree};
 use crate::{
     id::{HostKey, Revision},
     state::{Change, HostEntry, HostState, State},
@@ -108,14 +108,14 @@
     silence: impl Fn(HostKey, &HostEntry) -> Silence,
 ) -> Option<Change> {
     let majority = majority_heard(state, own, &silence);
-    let hosts = tree::order(state);
+    let hosts = heartbeat_tree::order(state);
     for (host, entry) in state.registered_hosts() {
         let incarnation = entry.incarnation;
         let is_own = Some(host) == own;
         let silence = silence(host, entry);
         let heard_within = |span_ms| silence.silent_ms.is_some_and(|ms| ms <= span_ms);
         let heard = is_own || heard_within(PROMOTION_SILENCE_MS);
-        let wanted = entry.state == HostState::Joining && tree::is_witness(&hosts, host);
+        let wanted = entry.state == HostState::Joining && heartbeat_tree::is_witness(&hosts, host);
         if wanted && heard {
             return Some(Change::HostPromoted { host, incarnation });
         }
