--- a/src/membership/tree.rs
+++ b/src/membership/tree.rs
@@ -8,7 +8,7 @@
 use crate::{id::HostKey, state::State};
 
 /// Hosts that ask each other.
-pub const WITNESSES: usize = 15;
+pub const ROOT_HOSTS: usize = 15;
 /// Children of one host below the witnesses.
 const FANOUT: usize = 8;
 /// Parents of one host.
@@ -32,19 +32,19 @@
 
 /// True if `own` is one of the hosts that ask each other and count in the majority.
 pub fn is_witness(hosts: &[HostKey], own: HostKey) -> bool {
-    hosts.iter().take(WITNESSES).any(|host| *host == own)
+    hosts.iter().take(ROOT_HOSTS).any(|host| *host == own)
 }
 
 /// The hosts that `own` asks; `hosts` are the registered ones in the order of the tree.
 pub fn heartbeat_targets(hosts: &[HostKey], own: HostKey) -> Vec<HostKey> {
     let Some(position) = hosts.iter().position(|host| *host == own) else {
-        return hosts.iter().copied().take(WITNESSES).collect();
+        return hosts.iter().copied().take(ROOT_HOSTS).collect();
     };
-    if position < WITNESSES {
-        let others = hosts.iter().take(WITNESSES).filter(|host| **host != own);
+    if position < ROOT_HOSTS {
+        let others = hosts.iter().take(ROOT_HOSTS).filter(|host| **host != own);
         return others.copied().collect();
     }
-    let parent = (position - WITNESSES) / FANOUT;
+    let parent = (position - ROOT_HOSTS) / FANOUT;
     (0..PARENTS)
         .map(|offset| (parent + offset) % position)
         .map(|index| hosts[index])
