--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -69,7 +69,7 @@
             return true;
         }
         let state = self.view.state();
-        if !heartbeat_tree::is_witness(&heartbeat_tree::order(&state), own) {
+        if !heartbeat_tree::is_root(&heartbeat_tree::order(&state), own) {
             return false;
         }
         let now_ms = clock::now_ms();
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -34,7 +34,7 @@
             let wanted = wanted.await.is_ok();
             // Spread, so that not every host reads at the same moment.
             let spread_ms = rand::rng().random_range(0..=percent_ms(SPREAD_PERCENT));
-            let read_at_ms = match self.is_witness() {
+            let read_at_ms = match self.is_root() {
                 true => percent_ms(WITNESS_READS_AT_PERCENT),
                 false => percent_ms(OTHER_READS_AT_PERCENT),
             };
@@ -46,11 +46,11 @@
     }
 
     /// True until it is known that enough other hosts are witnesses.
-    fn is_witness(&self) -> bool {
+    fn is_root(&self) -> bool {
         let Some(own) = self.key() else { return true };
         let state = self.view.state();
         let hosts = heartbeat_tree::order(&state);
-        heartbeat_tree::is_witness(&hosts, own)
+        heartbeat_tree::is_root(&hosts, own)
     }
 
     /// Reads the log to its end; false if that failed.
--- a/src/membership/tree.rs
+++ b/src/membership/tree.rs
@@ -31,7 +31,7 @@
 }
 
 /// True if `own` is one of the hosts that ask each other and count in the majority.
-pub fn is_witness(hosts: &[HostKey], own: HostKey) -> bool {
+pub fn is_root(hosts: &[HostKey], own: HostKey) -> bool {
     hosts.iter().take(ROOT_HOSTS).any(|host| *host == own)
 }
 
