--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -10,7 +10,7 @@
 use crate::{
     clock,
     id::{HostKey, Incarnation},
-    membership::{ring::Ring, heartbeat_tree},
+    membership::{ring::HashRing, heartbeat_tree},
     store::message::{Condition, Expect, Row, Transacted, Transaction, Write},
 };
 
@@ -79,7 +79,7 @@
             key == own || heard_ms.is_some_and(|heard_ms| now_ms < heard_ms + lease_ms)
         };
         let hosts = state.registered_hosts().map(|(key, _)| key);
-        let ring = Ring::new(hosts.filter(|key| heard(*key)));
+        let ring = HashRing::new(hosts.filter(|key| heard(*key)));
         let mut candidates = ring.successors(LEADER_RING_KEY).take(CANDIDATES);
         candidates.any(|host| host == own)
     }
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -8,7 +8,7 @@
 use crate::{
     clock,
     id::{HostKey, Incarnation, LeaseEpoch, ServerKey},
-    membership::ring::Ring,
+    membership::ring::HashRing,
     ownership::{
         message::{LEASE_PATH, LeaseAnswer, LeaseRequest, SlotGrant, grant_hash},
         renewal::Finding,
@@ -80,7 +80,7 @@
             return Vec::new();
         };
         let state = self.view.state();
-        let ring = Ring::new(self.heard_hosts(&state, own).into_iter());
+        let ring = HashRing::new(self.heard_hosts(&state, own).into_iter());
         let mine = |server: ServerKey| {
             let mut renewers = ring.successors(server.0).take(RENEWERS);
             renewers.any(|host| host == own)
--- a/src/membership/ring.rs
+++ b/src/membership/ring.rs
@@ -10,11 +10,11 @@
 
 /// Hosts in the order of their hashes.
 #[derive(Clone, Debug, Default)]
-pub struct Ring {
+pub struct HashRing {
     points: Vec<(u64, HostKey)>,
 }
 
-impl Ring {
+impl HashRing {
     /// A ring of `hosts`.
     pub fn new(hosts: impl Iterator<Item = HostKey>) -> Self {
         let point = |host: HostKey| (hash(host.0, HOST_SEED), host);
