--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -40,7 +40,7 @@
             let ping = Datagram::Ping {
                 host: own,
                 incarnation: self.incarnation,
-                asked_ms: clock::now_ms(),
+                sent_ms: clock::now_ms(),
                 revision: state.revision,
             };
             let address = entry.peer_address;
@@ -52,11 +52,11 @@
     }
 
     /// Answer to a ping; none before this host is registered.
-    pub(super) fn pong(&self, asked_ms: u64) -> Option<Datagram> {
+    pub(super) fn pong(&self, sent_ms: u64) -> Option<Datagram> {
         Some(Datagram::Pong {
             host: self.key()?,
             incarnation: self.incarnation,
-            asked_ms,
+            sent_ms,
             revision: self.view.revision(),
             basis_age_ms: self.view.basis_age_ms(),
         })
--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -52,12 +52,12 @@
             if !self.is_candidate() {
                 continue;
             }
-            let asked_ms = clock::now_ms();
+            let sent_ms = clock::now_ms();
             let Ok(row) = self.platform.row(LEADER_ROW).await else {
                 continue;
             };
-            if self.acquire_or_renew(row, &mut observed, asked_ms).await {
-                renewed_ms = asked_ms;
+            if self.acquire_or_renew(row, &mut observed, sent_ms).await {
+                renewed_ms = sent_ms;
             }
         }
     }
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -38,11 +38,11 @@
             Datagram::Ping {
                 host,
                 incarnation,
-                asked_ms,
+                sent_ms,
                 revision,
             } => {
                 self.view.record_ping(host, incarnation);
-                let pong = self.pong(asked_ms).map(|pong| encode(&pong));
+                let pong = self.pong(sent_ms).map(|pong| encode(&pong));
                 if let Some(Ok(bytes)) = pong {
                     let _ = connection.send_datagram(bytes.into());
                 }
@@ -53,7 +53,7 @@
             Datagram::Pong {
                 host,
                 incarnation,
-                asked_ms,
+                sent_ms,
                 revision,
                 basis_age_ms,
             } => {
@@ -63,7 +63,7 @@
                 self.receive_pong(PeerAnswer {
                     host,
                     incarnation,
-                    asked_ms,
+                    sent_ms,
                     revision,
                     basis_age_ms,
                 });
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -56,11 +56,11 @@
     /// Reads the log to its end; false if that failed.
     pub(super) async fn read_log(&self) -> bool {
         loop {
-            let asked_ms = clock::now_ms();
+            let sent_ms = clock::now_ms();
             let before = self.view.revision();
             match self.log.tail(before).await {
                 Ok(entries) if entries.is_empty() => {
-                    self.view.log_read(asked_ms);
+                    self.view.log_read(sent_ms);
                     return true;
                 }
                 Ok(entries) => {
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -177,10 +177,10 @@
         Some(newer.map(|applied| applied.entry.clone()).collect())
     }
 
-    /// The change log was read to its end by a read that was sent at `asked_ms`.
-    pub fn log_read(&self, asked_ms: u64) {
+    /// The change log was read to its end by a read that was sent at `sent_ms`.
+    pub fn log_read(&self, sent_ms: u64) {
         let mut inner = self.lock();
-        inner.freshness.log_read(asked_ms);
+        inner.freshness.log_read(sent_ms);
         self.store_basis(&inner);
     }
 
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -23,7 +23,7 @@
 struct Heard {
     host: HostKey,
     incarnation: Incarnation,
-    asked_ms: u64,
+    sent_ms: u64,
     revision: Revision,
     /// When this revision was first heard of.
     since_ms: u64,
@@ -48,7 +48,7 @@
     /// Its process.
     pub incarnation: Incarnation,
     /// When this host sent the question.
-    pub asked_ms: u64,
+    pub sent_ms: u64,
     /// Revision that the peer has applied.
     pub revision: Revision,
     /// Age of the peer's own basis; none if it has none.
@@ -72,9 +72,9 @@
 }
 
 impl Freshness {
-    /// The change log was read to its end by a read that was sent at `asked_ms`.
-    pub fn log_read(&mut self, asked_ms: u64) {
-        self.raise(asked_ms);
+    /// The change log was read to its end by a read that was sent at `sent_ms`.
+    pub fn log_read(&mut self, sent_ms: u64) {
+        self.raise(sent_ms);
     }
 
     /// Takes a peer's answer; `applied` is this host's revision and `voters` are the counted hosts
@@ -91,7 +91,7 @@
         }
         self.note(answer);
         if let Some(age_ms) = answer.basis_age_ms {
-            self.raise(answer.asked_ms.saturating_sub(age_ms));
+            self.raise(answer.sent_ms.saturating_sub(age_ms));
         }
         if let Some(oldest_ms) = self.majority_ms(own, voters) {
             self.raise(oldest_ms);
@@ -109,15 +109,15 @@
         let mut heard = Heard {
             host: answer.host,
             incarnation: answer.incarnation,
-            asked_ms: answer.asked_ms,
+            sent_ms: answer.sent_ms,
             revision: answer.revision,
-            since_ms: answer.asked_ms,
+            since_ms: answer.sent_ms,
         };
         let Some(held) = self.heard.iter_mut().find(|h| h.host == answer.host) else {
             self.heard.push(heard);
             return;
         };
-        if held.asked_ms >= heard.asked_ms {
+        if held.sent_ms >= heard.sent_ms {
             return;
         }
         if held.incarnation == heard.incarnation && held.revision == heard.revision {
@@ -141,7 +141,7 @@
                 };
                 voter != own && voters.contains(&voter)
             })
-            .map(|heard| heard.asked_ms)
+            .map(|heard| heard.sent_ms)
             .collect();
         if needed == 0 || asked.len() < needed {
             return None;
@@ -170,7 +170,7 @@
         Some(HeardRevision {
             revision: heard.revision,
             since_ms: heard.since_ms,
-            heard_ms: heard.asked_ms,
+            heard_ms: heard.sent_ms,
         })
     }
 }
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -25,7 +25,7 @@
         /// Its process.
         incarnation: Incarnation,
         /// Time of the sender, returned unread.
-        asked_ms: u64,
+        sent_ms: u64,
         /// Revision that the sender has applied.
         revision: Revision,
     },
@@ -36,7 +36,7 @@
         /// Its process.
         incarnation: Incarnation,
         /// Time from the question.
-        asked_ms: u64,
+        sent_ms: u64,
         /// Revision that it has applied.
         revision: Revision,
         /// Age of its basis.
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -133,12 +133,12 @@
         Some(clock_ms - applied.1)
     }
 
-    fn pong(&self, asked_ms: u64, clock_ms: u64) -> Option<PeerAnswer> {
+    fn pong(&self, sent_ms: u64, clock_ms: u64) -> Option<PeerAnswer> {
         let basis_ms = self.freshness.basis_ms();
         Some(PeerAnswer {
             host: self.key()?,
             incarnation: self.incarnation,
-            asked_ms,
+            sent_ms,
             revision: self.state.revision,
             basis_age_ms: basis_ms.map(|basis_ms| clock_ms - basis_ms),
         })
@@ -255,8 +255,8 @@
         let clock_ms = host.clock_ms(self.now_ms);
         let me = Party::Host(index);
         match message {
-            Message::Ping { from, asked_ms } => {
-                if let Some(pong) = host.pong(asked_ms, clock_ms) {
+            Message::Ping { from, sent_ms } => {
+                if let Some(pong) = host.pong(sent_ms, clock_ms) {
                     self.reply(me, from, Message::Pong(pong));
                 }
             }
@@ -266,11 +266,11 @@
                     host.freshness.peer_answered(answer, applied, own, &voters);
                 }
             }
-            Message::LogRead { entries, asked_ms } => {
+            Message::LogRead { entries, sent_ms } => {
                 host.apply(&entries, clock_ms);
                 let end = entries.last().map(|entry| entry.revision);
                 if end.is_none_or(|end| host.state.revision >= end) {
-                    host.freshness.log_read(asked_ms);
+                    host.freshness.log_read(sent_ms);
                 }
             }
             Message::Appended(entry) => {
@@ -438,7 +438,7 @@
             let read = Message::ReadLog {
                 from: self.asker(index),
                 after,
-                asked_ms: clock_ms,
+                sent_ms: clock_ms,
             };
             self.send(Party::Host(index), Party::Store, read);
         }
@@ -446,7 +446,7 @@
             if peer != index {
                 let ping = Message::Ping {
                     from: self.asker(index),
-                    asked_ms: clock_ms,
+                    sent_ms: clock_ms,
                 };
                 self.send(Party::Host(index), Party::Host(peer), ping);
             }
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -61,17 +61,17 @@
 pub enum Message {
     Ping {
         from: Asker,
-        asked_ms: u64,
+        sent_ms: u64,
     },
     Pong(PeerAnswer),
     ReadLog {
         from: Asker,
         after: Revision,
-        asked_ms: u64,
+        sent_ms: u64,
     },
     LogRead {
         entries: Vec<LogEntry>,
-        asked_ms: u64,
+        sent_ms: u64,
     },
     Append {
         from: Asker,
@@ -423,10 +423,10 @@
             Message::ReadLog {
                 from,
                 after,
-                asked_ms,
+                sent_ms,
             } => {
                 let entries = self.log[after.0 as usize..].to_vec();
-                let answer = Message::LogRead { entries, asked_ms };
+                let answer = Message::LogRead { entries, sent_ms };
                 self.reply(Party::Store, from, answer);
             }
             Message::Append { from, mut entry } => {
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -225,7 +225,7 @@
         let answer = PeerAnswer {
             host: HostKey(1),
             incarnation: Incarnation(1),
-            asked_ms: 1_000,
+            sent_ms: 1_000,
             revision: Revision(case.revision),
             basis_age_ms: case.basis_age_ms,
         };
