--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -8,7 +8,7 @@
 use crate::{
     clock,
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
-    membership::freshness::{PeerAnswer, Voter},
+    membership::freshness::{HeartbeatReply, Voter},
     peer::{
         Inbound,
         message::{Datagram, PeerReply, PeerRequest, encode},
@@ -60,7 +60,7 @@
                 if revision > self.view.revision() {
                     self.spawn_catch_up(connection.remote_address(), revision);
                 }
-                self.receive_pong(PeerAnswer {
+                self.receive_pong(HeartbeatReply {
                     host,
                     incarnation,
                     sent_ms,
@@ -71,7 +71,7 @@
         }
     }
 
-    fn receive_pong(&self, answer: PeerAnswer) {
+    fn receive_pong(&self, answer: HeartbeatReply) {
         let Some(host) = self.key() else { return };
         let own = Voter {
             host,
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -15,7 +15,7 @@
     clock,
     id::{HostKey, Incarnation, Revision},
     membership::{
-        freshness::{Freshness, HeardRevision, PeerAnswer, Voter},
+        freshness::{Freshness, HeardRevision, HeartbeatReply, Voter},
         registry::voters,
     },
     state::{self, LogEntry, State},
@@ -185,7 +185,7 @@
     }
 
     /// Takes a peer's answer to a heartbeat.
-    pub fn peer_answered(&self, answer: PeerAnswer, own: Voter) {
+    pub fn peer_answered(&self, answer: HeartbeatReply, own: Voter) {
         let mut inner = self.lock();
         let state = self.state.load();
         let voters = voters(&state);
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -42,7 +42,7 @@
 
 /// Answer of a peer to a heartbeat.
 #[derive(Clone, Copy, Debug)]
-pub struct PeerAnswer {
+pub struct HeartbeatReply {
     /// Peer.
     pub host: HostKey,
     /// Its process.
@@ -81,7 +81,7 @@
     /// at it.
     pub fn peer_answered(
         &mut self,
-        answer: PeerAnswer,
+        answer: HeartbeatReply,
         applied: Revision,
         own: Voter,
         voters: &[Voter],
@@ -105,7 +105,7 @@
         }
     }
 
-    fn note(&mut self, answer: PeerAnswer) {
+    fn note(&mut self, answer: HeartbeatReply) {
         let mut heard = Heard {
             host: answer.host,
             incarnation: answer.incarnation,
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -3,7 +3,7 @@
 use ashroad::{
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
     membership::{
-        freshness::{Freshness, PeerAnswer, Voter},
+        freshness::{Freshness, HeartbeatReply, Voter},
         registry::{self, RegistryLimits, RegistryWatch, Silence, registered, voters},
     },
     ownership::{
@@ -133,9 +133,9 @@
         Some(clock_ms - applied.1)
     }
 
-    fn pong(&self, sent_ms: u64, clock_ms: u64) -> Option<PeerAnswer> {
+    fn pong(&self, sent_ms: u64, clock_ms: u64) -> Option<HeartbeatReply> {
         let basis_ms = self.freshness.basis_ms();
-        Some(PeerAnswer {
+        Some(HeartbeatReply {
             host: self.key()?,
             incarnation: self.incarnation,
             sent_ms,
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -11,7 +11,7 @@
 
 use ashroad::{
     id::{HostKey, Incarnation, OperationId, Revision, ServerKey, Slot},
-    membership::freshness::PeerAnswer,
+    membership::freshness::HeartbeatReply,
     ownership::message::{LeaseAnswer, LeaseRequest, SlotGrant},
     standin::grants::{Grants, Reading},
     state::{Change, LogEntry, MoveDone, SlotMove, State},
@@ -63,7 +63,7 @@
         from: Asker,
         sent_ms: u64,
     },
-    Pong(PeerAnswer),
+    Pong(HeartbeatReply),
     ReadLog {
         from: Asker,
         after: Revision,
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -3,7 +3,7 @@
 use ashroad::{
     id::{Epoch, HostKey, Incarnation, LeaseEpoch, Revision, Slot},
     membership::{
-        freshness::{Freshness, PeerAnswer, Voter},
+        freshness::{Freshness, HeartbeatReply, Voter},
         registry::{RegistryWatch, voters},
     },
     ownership::{
@@ -222,7 +222,7 @@
     ];
     for case in cases {
         let mut freshness = Freshness::default();
-        let answer = PeerAnswer {
+        let answer = HeartbeatReply {
             host: HostKey(1),
             incarnation: Incarnation(1),
             sent_ms: 1_000,
