--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -77,7 +77,7 @@
             host,
             incarnation: self.incarnation,
         };
-        self.view.peer_answered(answer, own);
+        self.view.record_heartbeat_reply(answer, own);
     }
 
     fn spawn_catch_up(self: &Arc<Self>, address: std::net::SocketAddr, revision: Revision) {
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -185,13 +185,13 @@
     }
 
     /// Takes a peer's answer to a heartbeat.
-    pub fn peer_answered(&self, answer: HeartbeatReply, own: Voter) {
+    pub fn record_heartbeat_reply(&self, answer: HeartbeatReply, own: Voter) {
         let mut inner = self.lock();
         let state = self.state.load();
         let voters = voters(&state);
         inner
             .freshness
-            .peer_answered(answer, state.revision, own, &voters);
+            .record_heartbeat_reply(answer, state.revision, own, &voters);
         self.store_basis(&inner);
     }
 
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -79,7 +79,7 @@
 
     /// Takes a peer's answer; `applied` is this host's revision and `voters` are the counted hosts
     /// at it.
-    pub fn peer_answered(
+    pub fn record_heartbeat_reply(
         &mut self,
         answer: HeartbeatReply,
         applied: Revision,
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -263,7 +263,8 @@
             Message::Pong(answer) => {
                 let (applied, voters) = (host.state.revision, voters(&host.state));
                 if let Some(own) = host.own() {
-                    host.freshness.peer_answered(answer, applied, own, &voters);
+                    host.freshness
+                        .record_heartbeat_reply(answer, applied, own, &voters);
                 }
             }
             Message::LogRead { entries, sent_ms } => {
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -230,7 +230,7 @@
             basis_age_ms: case.basis_age_ms,
         };
         let voters: Vec<Voter> = (0..case.voters).map(voter).collect();
-        freshness.peer_answered(answer, Revision(5), voter(0), &voters);
+        freshness.record_heartbeat_reply(answer, Revision(5), voter(0), &voters);
         assert_eq!(freshness.basis_ms(), case.basis_ms, "{}", case.name);
     }
 }
