--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -60,7 +60,7 @@
             let before = self.view.revision();
             match self.log.tail(before).await {
                 Ok(entries) if entries.is_empty() => {
-                    self.view.log_read(sent_ms);
+                    self.view.record_log_read(sent_ms);
                     return true;
                 }
                 Ok(entries) => {
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -178,9 +178,9 @@
     }
 
     /// The change log was read to its end by a read that was sent at `sent_ms`.
-    pub fn log_read(&self, sent_ms: u64) {
+    pub fn record_log_read(&self, sent_ms: u64) {
         let mut inner = self.lock();
-        inner.freshness.log_read(sent_ms);
+        inner.freshness.record_log_read(sent_ms);
         self.store_basis(&inner);
     }
 
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -73,7 +73,7 @@
 
 impl Freshness {
     /// The change log was read to its end by a read that was sent at `sent_ms`.
-    pub fn log_read(&mut self, sent_ms: u64) {
+    pub fn record_log_read(&mut self, sent_ms: u64) {
         self.raise(sent_ms);
     }
 
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -271,7 +271,7 @@
                 host.apply(&entries, clock_ms);
                 let end = entries.last().map(|entry| entry.revision);
                 if end.is_none_or(|end| host.state.revision >= end) {
-                    host.freshness.log_read(sent_ms);
+                    host.freshness.record_log_read(sent_ms);
                 }
             }
             Message::Appended(entry) => {
