--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -199,7 +199,7 @@
     pub fn on_heartbeat(&self, own: Voter) {
         let mut inner = self.lock();
         let voters = voters(&self.state.load());
-        inner.freshness.alone(clock::now_ms(), own, &voters);
+        inner.freshness.raise_if_only_voter(clock::now_ms(), own, &voters);
         self.store_basis(&inner);
     }
 
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -99,7 +99,7 @@
     }
 
     /// A host that is the only counted one is a majority by itself.
-    pub fn alone(&mut self, now_ms: u64, own: Voter, voters: &[Voter]) {
+    pub fn raise_if_only_voter(&mut self, now_ms: u64, own: Voter, voters: &[Voter]) {
         if voters == [own] {
             self.raise(now_ms);
         }
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -431,7 +431,7 @@
         let clock_ms = host.clock_ms(self.now_ms);
         if let Some(own) = host.own() {
             let voters = voters(&host.state);
-            host.freshness.alone(clock_ms, own, &voters);
+            host.freshness.raise_if_only_voter(clock_ms, own, &voters);
         }
         let after = host.state.revision;
         if clock_ms >= host.read_ms + READ_MS {
