--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -74,7 +74,7 @@
 impl Freshness {
     /// The change log was read to its end by a read that was sent at `sent_ms`.
     pub fn record_log_read(&mut self, sent_ms: u64) {
-        self.raise(sent_ms);
+        self.raise_basis(sent_ms);
     }
 
     /// Takes a peer's answer; `applied` is this host's revision and `voters` are the counted hosts
@@ -91,17 +91,17 @@
         }
         self.note(answer);
         if let Some(age_ms) = answer.basis_age_ms {
-            self.raise(answer.sent_ms.saturating_sub(age_ms));
+            self.raise_basis(answer.sent_ms.saturating_sub(age_ms));
         }
         if let Some(oldest_ms) = self.majority_ms(own, voters) {
-            self.raise(oldest_ms);
+            self.raise_basis(oldest_ms);
         }
     }
 
     /// A host that is the only counted one is a majority by itself.
     pub fn raise_if_only_voter(&mut self, now_ms: u64, own: Voter, voters: &[Voter]) {
         if voters == [own] {
-            self.raise(now_ms);
+            self.raise_basis(now_ms);
         }
     }
 
@@ -150,7 +150,7 @@
         Some(asked[needed - 1])
     }
 
-    fn raise(&mut self, basis_ms: u64) {
+    fn raise_basis(&mut self, basis_ms: u64) {
         self.basis_ms = self.basis_ms.max(Some(basis_ms));
     }
 
