--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -89,7 +89,7 @@
         if answer.revision > applied {
             return;
         }
-        self.note(answer);
+        self.store_reply(answer);
         if let Some(age_ms) = answer.basis_age_ms {
             self.raise_basis(answer.sent_ms.saturating_sub(age_ms));
         }
@@ -105,7 +105,7 @@
         }
     }
 
-    fn note(&mut self, answer: HeartbeatReply) {
+    fn store_reply(&mut self, answer: HeartbeatReply) {
         let mut heard = Heard {
             host: answer.host,
             incarnation: answer.incarnation,
