--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -20,7 +20,7 @@
 
 /// What one peer said last.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct LastReply {
     host: HostKey,
     incarnation: Incarnation,
     sent_ms: u64,
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Freshness {
     basis_ms: Option<u64>,
-    heard: Vec<Heard>,
+    heard: Vec<LastReply>,
 }
 
 impl Freshness {
@@ -106,7 +106,7 @@
     }
 
     fn store_reply(&mut self, answer: HeartbeatReply) {
-        let mut heard = Heard {
+        let mut heard = LastReply {
             host: answer.host,
             incarnation: answer.incarnation,
             sent_ms: answer.sent_ms,
