--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -15,7 +15,7 @@
     clock,
     id::{HostKey, Incarnation, Revision},
     membership::{
-        freshness::{Freshness, HeardRevision, HeartbeatReply, Voter},
+        freshness::{Freshness, PeerRevision, HeartbeatReply, Voter},
         registry::voters,
     },
     state::{self, LogEntry, State},
@@ -228,7 +228,7 @@
     }
 
     /// What `host` said of its revision.
-    pub fn heard_revision(&self, host: HostKey) -> Option<HeardRevision> {
+    pub fn heard_revision(&self, host: HostKey) -> Option<PeerRevision> {
         self.lock().freshness.heard_revision(host)
     }
 
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -31,7 +31,7 @@
 
 /// A peer's revision as heard by heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeardRevision {
+pub struct PeerRevision {
     /// Revision.
     pub revision: Revision,
     /// When this host first heard that the peer has it.
@@ -165,9 +165,9 @@
     }
 
     /// What `host` said of its revision.
-    pub fn heard_revision(&self, host: HostKey) -> Option<HeardRevision> {
+    pub fn heard_revision(&self, host: HostKey) -> Option<PeerRevision> {
         let heard = self.heard.iter().find(|heard| heard.host == host)?;
-        Some(HeardRevision {
+        Some(PeerRevision {
             revision: heard.revision,
             since_ms: heard.since_ms,
             heard_ms: heard.sent_ms,
