--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -228,8 +228,8 @@
     }
 
     /// What `host` said of its revision.
-    pub fn heard_revision(&self, host: HostKey) -> Option<PeerRevision> {
-        self.lock().freshness.heard_revision(host)
+    pub fn peer_revision(&self, host: HostKey) -> Option<PeerRevision> {
+        self.lock().freshness.peer_revision(host)
     }
 
     /// When `host` was last asked a question that it answered.
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -161,11 +161,11 @@
 
     /// When `host` was last asked a question that it answered.
     pub fn heard_ms(&self, host: HostKey) -> Option<u64> {
-        self.heard_revision(host).map(|heard| heard.heard_ms)
+        self.peer_revision(host).map(|heard| heard.heard_ms)
     }
 
     /// What `host` said of its revision.
-    pub fn heard_revision(&self, host: HostKey) -> Option<PeerRevision> {
+    pub fn peer_revision(&self, host: HostKey) -> Option<PeerRevision> {
         let heard = self.heard.iter().find(|heard| heard.host == host)?;
         Some(PeerRevision {
             revision: heard.revision,
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -152,7 +152,7 @@
     let own = host.key();
     let now_ms = clock::now_ms();
     let status = |(key, entry): (HostKey, &state::HostEntry)| {
-        let heard = host.view.heard_revision(key);
+        let heard = host.view.peer_revision(key);
         let is_own = Some(key) == own;
         let own_age = host.view.applied_age_ms(state.revision);
         let since = heard.map(|heard| now_ms.saturating_sub(heard.since_ms));
