--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -10,7 +10,7 @@
     claims::Sweep,
     clock,
     id::{Revision, ServerKey, ServiceKey},
-    membership::registry::RegistryWatch,
+    membership::registry::SettlementTracker,
     ownership::{moves::MoveGroup, planner::PlannedMove},
 };
 
@@ -38,7 +38,7 @@
     /// Revision and loads that the last plan was made for.
     pub(super) planned: Option<(Revision, u64)>,
     /// Progress of the last change of the registry.
-    pub(super) registry: RegistryWatch,
+    pub(super) registry: SettlementTracker,
     snapshot: Revision,
     sweep: Sweep,
     swept_ms: u64,
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -37,12 +37,12 @@
 
 /// One leader's watch over the settlement of the registry's last change.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RegistryWatch {
+pub struct SettlementTracker {
     changed: Revision,
     settled_ms: Option<u64>,
 }
 
-impl RegistryWatch {
+impl SettlementTracker {
     /// True while the hosts must be asked whether they have applied the last change.
     pub fn pending(&mut self, state: &State) -> bool {
         if self.changed != state.registry.changed {
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -4,7 +4,7 @@
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
     membership::{
         freshness::{Freshness, HeartbeatReply, Voter},
-        registry::{self, RegistryLimits, RegistryWatch, Silence, registered, voters},
+        registry::{self, RegistryLimits, SettlementTracker, Silence, registered, voters},
     },
     ownership::{
         lapse::{Holders, HorizonReport, lapsed_at_ms},
@@ -52,7 +52,7 @@
     waiting: Vec<Option<u64>>,
     applied_ms: Vec<(Revision, u64)>,
     reports: Vec<(ServerKey, Revision, HorizonReport)>,
-    registry: RegistryWatch,
+    registry: SettlementTracker,
     read_ms: u64,
     append_ms: u64,
     move_ms: u64,
@@ -75,7 +75,7 @@
             waiting: vec![None; SERVERS],
             applied_ms: Vec::new(),
             reports: Vec::new(),
-            registry: RegistryWatch::default(),
+            registry: SettlementTracker::default(),
             read_ms: 0,
             append_ms: 0,
             move_ms: 0,
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -4,7 +4,7 @@
     id::{Epoch, HostKey, Incarnation, LeaseEpoch, Revision, Slot},
     membership::{
         freshness::{Freshness, HeartbeatReply, Voter},
-        registry::{RegistryWatch, voters},
+        registry::{SettlementTracker, voters},
     },
     ownership::{
         lapse::{Holders, HorizonReport, lapsed_at_ms},
@@ -162,7 +162,7 @@
     let host = HostKey(0);
     let incarnation = Incarnation(0);
     apply(&mut state, Change::HostRemoved { host, incarnation });
-    let mut watch = RegistryWatch::default();
+    let mut watch = SettlementTracker::default();
     assert!(watch.pending(&state));
     watch.follow(&state, &[voter(1)], 5_000, LAPSE_MS);
     let settlement = watch.settlement(&state, 60_000);
@@ -180,7 +180,7 @@
         incarnation: Incarnation(7),
     };
     assert_eq!(voters(&state), [successor]);
-    let mut watch = RegistryWatch::default();
+    let mut watch = SettlementTracker::default();
     assert!(watch.pending(&state));
     watch.follow(&state, &[successor], 5_000, LAPSE_MS);
     let early = watch.settlement(&state, 5_000);
