--- a/src/host/duties.rs
+++ b/src/host/duties.rs
@@ -155,7 +155,7 @@
             let lapse_ms = self.settings.ownership.lapse_ms();
             controller
                 .registry
-                .follow(&state, &applied, clock::now_ms(), lapse_ms);
+                .record_applied(&state, &applied, clock::now_ms(), lapse_ms);
         }
         let settlement = controller.registry.settlement(&state, clock::now_ms());
         let change = match settlement {
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -55,7 +55,7 @@
     }
 
     /// Takes the hosts that have applied the last change, as they said before `now_ms`.
-    pub fn follow(&mut self, state: &State, applied: &[Voter], now_ms: u64, lapse_ms: u64) {
+    pub fn record_applied(&mut self, state: &State, applied: &[Voter], now_ms: u64, lapse_ms: u64) {
         let majority = |voters: &[Voter]| {
             let confirmed = voters.iter().filter(|voter| applied.contains(voter));
             voters.is_empty() || confirmed.count() * 2 > voters.len()
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -529,7 +529,7 @@
                 .filter_map(|peer| self.hosts[peer].own())
                 .chain(own)
                 .collect();
-            watch.follow(&self.hosts[index].state, &applied, clock_ms, LAPSE_MS);
+            watch.record_applied(&self.hosts[index].state, &applied, clock_ms, LAPSE_MS);
         }
         self.hosts[index].registry = watch;
         let host = &self.hosts[index];
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -164,7 +164,7 @@
     apply(&mut state, Change::HostRemoved { host, incarnation });
     let mut watch = SettlementTracker::default();
     assert!(watch.pending(&state));
-    watch.follow(&state, &[voter(1)], 5_000, LAPSE_MS);
+    watch.record_applied(&state, &[voter(1)], 5_000, LAPSE_MS);
     let settlement = watch.settlement(&state, 60_000);
     assert!(settlement.is_none(), "host 0 may be fresh by itself");
 }
@@ -182,7 +182,7 @@
     assert_eq!(voters(&state), [successor]);
     let mut watch = SettlementTracker::default();
     assert!(watch.pending(&state));
-    watch.follow(&state, &[successor], 5_000, LAPSE_MS);
+    watch.record_applied(&state, &[successor], 5_000, LAPSE_MS);
     let early = watch.settlement(&state, 5_000);
     assert!(early.is_none(), "a late order of the dead one may arrive");
     assert!(watch.settlement(&state, 5_000 + LAPSE_MS).is_some());
