--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -274,8 +274,8 @@
     /// Hosts that count in the majority.
     pub(crate) fn counted_hosts(&self) -> usize {
         let state = self.hosts[0].host.view.state();
-        let counted = state.registered_hosts().filter(|(_, host)| host.counted());
-        counted.count()
+        let is_voter = state.registered_hosts().filter(|(_, host)| host.is_voter());
+        is_voter.count()
     }
 
     /// Calls that the platform has seen.
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -15,7 +15,7 @@
 
 /// Hosts that count in the majority.
 pub fn voters(state: &State) -> Vec<Voter> {
-    let is_voter = |(_, host): &(HostKey, &HostEntry)| host.counted();
+    let is_voter = |(_, host): &(HostKey, &HostEntry)| host.is_voter();
     state
         .registered_hosts()
         .filter(is_voter)
@@ -127,7 +127,7 @@
         };
         let silent_ms = silence.silent_ms.unwrap_or(silence.known_ms);
         // Without a majority the removal of a counted host would never be settled.
-        let allowed = majority || !entry.counted();
+        let allowed = majority || !entry.is_voter();
         if !is_own && silence.expected && silent_ms > limit_ms && allowed {
             return Some(Change::HostRemoved { host, incarnation });
         }
@@ -141,7 +141,7 @@
     own: Option<HostKey>,
     silence: &impl Fn(HostKey, &HostEntry) -> Silence,
 ) -> bool {
-    let voters = || state.registered_hosts().filter(|(_, host)| host.counted());
+    let voters = || state.registered_hosts().filter(|(_, host)| host.is_voter());
     let heard = voters().filter(|(key, entry)| {
         let silent_ms = silence(*key, entry).silent_ms;
         Some(*key) == own || silent_ms.is_some_and(|ms| ms <= PROMOTION_SILENCE_MS)
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -293,7 +293,7 @@
         // Two processes cannot hold one address, so the earlier one is dead. Its successor takes
         // its place in the majority: it has applied everything that the dead one had confirmed.
         if let Some(dead) = self.hosts.iter_mut().find(is_predecessor) {
-            if dead.counted() {
+            if dead.is_voter() {
                 entry.state = HostState::Live;
                 self.registry.changed = self.revision;
                 self.registry.removal = self.revision;
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -58,7 +58,7 @@
 
 impl HostEntry {
     /// True if the host counts in the majority.
-    pub fn counted(&self) -> bool {
+    pub fn is_voter(&self) -> bool {
         matches!(self.state, HostState::Live | HostState::Leaving)
     }
 
