--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -9,7 +9,7 @@
     clock,
     id::{HostKey, OperationId, Revision},
     peer::message::PeerRequest,
-    state::{self, Appended, Change, LogEntry, LogError, Proposal, State},
+    state::{self, AppendOutcome, Change, LogEntry, LogError, Proposal, State},
 };
 
 /// Attempts of one change that loses against other writers.
@@ -95,12 +95,12 @@
             };
             let appended = self.log.append(state.revision, proposal).await;
             match appended.map_err(|source| CommitError::Log { source })? {
-                Appended::Committed(entry) => {
+                AppendOutcome::Committed(entry) => {
                     let revision = entry.revision;
                     self.publish_commit(entry);
                     return Ok(revision);
                 }
-                Appended::Conflict => {
+                AppendOutcome::Conflict => {
                     self.read_log().await;
                 }
             }
--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -81,7 +81,7 @@
 
 /// Outcome of an append.
 #[derive(Clone, Debug)]
-pub enum Appended {
+pub enum AppendOutcome {
     /// The entry is in the log.
     Committed(LogEntry),
     /// Another entry took the place; read on and decide again.
@@ -123,7 +123,7 @@
     }
 
     /// Appends a change right after `after`.
-    pub async fn append(&self, after: Revision, proposal: Proposal) -> Result<Appended, LogError> {
+    pub async fn append(&self, after: Revision, proposal: Proposal) -> Result<AppendOutcome, LogError> {
         let entry = LogEntry {
             revision: after.next(),
             operation_id: proposal.operation_id,
@@ -133,7 +133,7 @@
         };
         let transaction = append_transaction(after, &entry)?;
         match self.transact_settled(&transaction).await? {
-            Transacted::Committed => Ok(Appended::Committed(entry)),
+            Transacted::Committed => Ok(AppendOutcome::Committed(entry)),
             Transacted::Conflict { .. } => self.settle_conflict(entry).await,
         }
     }
@@ -152,18 +152,18 @@
         }
     }
 
-    async fn settle_conflict(&self, entry: LogEntry) -> Result<Appended, LogError> {
+    async fn settle_conflict(&self, entry: LogEntry) -> Result<AppendOutcome, LogError> {
         let key = log_row(entry.revision);
         let row = self.platform.row(&key).await;
         let row = row.context(UnsettledSnafu)?;
         let Some(row) = row else {
-            return Ok(Appended::Conflict);
+            return Ok(AppendOutcome::Conflict);
         };
         let found: LogEntry = read_row(&row)?;
         if found.operation_id == entry.operation_id {
-            return Ok(Appended::Committed(found));
+            return Ok(AppendOutcome::Committed(found));
         }
-        Ok(Appended::Conflict)
+        Ok(AppendOutcome::Conflict)
     }
 
     /// The latest snapshot's state, or the empty state.
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -17,6 +17,6 @@
         ServiceEntry, SlotEntry, State,
     },
     error::{Error, Result},
-    log::{Appended, ChangeLog, LogError, Proposal},
+    log::{AppendOutcome, ChangeLog, LogError, Proposal},
     snapshot::{Snapshot, SnapshotPointer},
 };
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -274,7 +274,7 @@
                     host.freshness.record_log_read(sent_ms);
                 }
             }
-            Message::Appended(entry) => {
+            Message::AppendOutcome(entry) => {
                 host.append_ms = 0;
                 host.apply(&[entry], clock_ms);
             }
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -77,7 +77,7 @@
         from: Asker,
         entry: LogEntry,
     },
-    Appended(LogEntry),
+    AppendOutcome(LogEntry),
     Lease {
         from: Asker,
         order: LeaseRequest,
@@ -439,7 +439,7 @@
                     entry.revision = Revision(next);
                 }
                 self.log.push(entry.clone());
-                self.reply(Party::Store, from, Message::Appended(entry));
+                self.reply(Party::Store, from, Message::AppendOutcome(entry));
             }
             _ => {}
         }
