--- a/src/host/duties.rs
+++ b/src/host/duties.rs
@@ -56,7 +56,7 @@
         let reports = self.horizon_reports(lost).await;
         let state = self.view.state();
         // An age that is not known counts as none, which only makes the wait longer.
-        let since_age_ms = self.view.applied_age_ms(state.registry.since());
+        let since_age_ms = self.view.applied_age_ms(state.registry.majority_since());
         let holders = Holders {
             registered: &registered(&state),
             voters: &voters(&state),
--- a/src/ownership/lapse.rs
+++ b/src/ownership/lapse.rs
@@ -32,7 +32,7 @@
     pub voters: &'a [Voter],
     /// Those that counted before the registry's last change; none once that is settled.
     pub previous: &'a [Voter],
-    /// No earlier than this did [`crate::state::Registry::since`] come into force.
+    /// No earlier than this did [`crate::state::Registry::majority_since`] come into force.
     pub since_ms: u64,
     /// True if the registry is settled, so that no host besides the registered ones acts.
     pub settled: bool,
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -102,7 +102,7 @@
     }
 
     /// Revision from which on a majority counts.
-    pub fn since(&self) -> Revision {
+    pub fn majority_since(&self) -> Revision {
         if self.previous_voters.is_empty() {
             self.settled
         } else {
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -205,7 +205,7 @@
             } else {
                 &self.state.registry.previous_voters
             },
-            since_ms: self.applied_at(self.state.registry.since()),
+            since_ms: self.applied_at(self.state.registry.majority_since()),
             settled: self.state.registry.is_settled(),
         };
         let at_ms = lapsed_at_ms(holders, &reports, LAPSE_MS);
