--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -380,7 +380,7 @@
                 continue;
             }
             for slot in &mut Arc::make_mut(service).slots {
-                slot.orphan(server);
+                slot.remove_server(server);
             }
         }
     }
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -144,7 +144,7 @@
 impl SlotEntry {
     /// Takes a lapsed server out. A move towards it turns back to the present owner, at a new
     /// epoch because the lapsed server may have held the last one.
-    pub(super) fn orphan(&mut self, server: ServerKey) {
+    pub(super) fn remove_server(&mut self, server: ServerKey) {
         if self.owner == Some(server) {
             self.owner = None;
         }
