--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -129,7 +129,7 @@
             } => {
                 let entry = self.server_in(*server, *lease_epoch, ServerState::Lost)?;
                 entry.state = ServerState::Absent;
-                self.orphan_slots(*server);
+                self.remove_server_from_slots(*server);
                 Ok(())
             }
             Change::MovesBegun { service, moves } => self.begin_moves(*service, moves),
@@ -373,7 +373,7 @@
     }
 
     /// Takes a lapsed server out of every slot. A move towards it turns back to the old owner.
-    fn orphan_slots(&mut self, server: ServerKey) {
+    fn remove_server_from_slots(&mut self, server: ServerKey) {
         let concerns = |slot: &SlotEntry| slot.owner == Some(server) || slot.next == Some(server);
         for service in &mut self.services {
             if !service.slots.iter().any(concerns) {
