--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -164,6 +164,6 @@
             found: state.configuration,
         });
     }
-    let applied = state.clone().apply_trial(request.change.clone());
+    let applied = state.clone().apply_dry_run(request.change.clone());
     applied.map_err(|source| CommitError::Refused { source })
 }
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -391,7 +391,7 @@
 
 fn tried(before: &State, change: &Change) -> state::Result<super::message::Effect> {
     let mut after = before.clone();
-    after.apply_trial(change.clone())?;
+    after.apply_dry_run(change.clone())?;
     Ok(dry_run::effect(before, &after))
 }
 
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -51,7 +51,7 @@
     }
 
     /// Applies a change as the next entry, outside of any log: to try what it would do.
-    pub fn apply_trial(&mut self, change: Change) -> Result<()> {
+    pub fn apply_dry_run(&mut self, change: Change) -> Result<()> {
         self.apply(&LogEntry {
             revision: self.revision.next(),
             operation_id: OperationId::random(),
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -132,7 +132,7 @@
 }
 
 fn apply(state: &mut State, change: Change) {
-    state.apply_trial(change).expect("the change fits");
+    state.apply_dry_run(change).expect("the change fits");
 }
 
 fn register(state: &mut State, number: u32, port: u16) {
