--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -92,15 +92,15 @@
 #[derive(Clone, Debug)]
 pub struct ChangeLog {
     platform: Platform,
-    settle_ms: u64,
+    resolve_timeout_ms: u64,
 }
 
 impl ChangeLog {
-    /// A log that tries for `settle_ms` to find out about a lost answer.
-    pub fn new(platform: Platform, settle_ms: u64) -> Self {
+    /// A log that tries for `resolve_timeout_ms` to find out about a lost answer.
+    pub fn new(platform: Platform, resolve_timeout_ms: u64) -> Self {
         Self {
             platform,
-            settle_ms,
+            resolve_timeout_ms,
         }
     }
 
@@ -139,7 +139,7 @@
     }
 
     async fn transact_settled(&self, transaction: &Transaction) -> Result<Transacted, LogError> {
-        let deadline_ms = clock::now_ms() + self.settle_ms;
+        let deadline_ms = clock::now_ms() + self.resolve_timeout_ms;
         loop {
             let source = match self.platform.transact(transaction).await {
                 Ok(outcome) => return Ok(outcome),
