--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -132,13 +132,13 @@
             change: proposal.change,
         };
         let transaction = append_transaction(after, &entry)?;
-        match self.transact_settled(&transaction).await? {
+        match self.transact_until_known(&transaction).await? {
             Transacted::Committed => Ok(AppendOutcome::Committed(entry)),
             Transacted::Conflict { .. } => self.settle_conflict(entry).await,
         }
     }
 
-    async fn transact_settled(&self, transaction: &Transaction) -> Result<Transacted, LogError> {
+    async fn transact_until_known(&self, transaction: &Transaction) -> Result<Transacted, LogError> {
         let deadline_ms = clock::now_ms() + self.resolve_timeout_ms;
         loop {
             let source = match self.platform.transact(transaction).await {
