--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -134,7 +134,7 @@
         let transaction = append_transaction(after, &entry)?;
         match self.transact_until_known(&transaction).await? {
             Transacted::Committed => Ok(AppendOutcome::Committed(entry)),
-            Transacted::Conflict { .. } => self.settle_conflict(entry).await,
+            Transacted::Conflict { .. } => self.resolve_conflict(entry).await,
         }
     }
 
@@ -152,7 +152,7 @@
         }
     }
 
-    async fn settle_conflict(&self, entry: LogEntry) -> Result<AppendOutcome, LogError> {
+    async fn resolve_conflict(&self, entry: LogEntry) -> Result<AppendOutcome, LogError> {
         let key = log_row(entry.revision);
         let row = self.platform.row(&key).await;
         let row = row.context(UnsettledSnafu)?;
