--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -29,7 +29,7 @@
 const LOG_PREFIX: &str = "log/";
 const SNAPSHOT_ROW: &str = "snapshot";
 const TAIL_ROWS: usize = 1_000;
-const SETTLE_PAUSE_MS: u64 = 50;
+const TRANSACT_RETRY_MS: u64 = 50;
 
 /// Failure of the change log.
 #[derive(Debug, Snafu)]
@@ -148,7 +148,7 @@
             if clock::now_ms() >= deadline_ms {
                 return Err(LogError::Unsettled { source });
             }
-            time::sleep(Duration::from_millis(SETTLE_PAUSE_MS)).await;
+            time::sleep(Duration::from_millis(TRANSACT_RETRY_MS)).await;
         }
     }
 
