--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -39,7 +39,7 @@
 };
 
 /// Time for the log to find out about a lost answer.
-const SETTLE_MS: u64 = 5_000;
+const RESOLVE_TIMEOUT_MS: u64 = 5_000;
 /// Connections kept open to one backend server while idle.
 const IDLE_CONNECTIONS: usize = 8;
 const REGISTER_PAUSE_MS: u64 = 100;
@@ -102,7 +102,7 @@
         targets: Targets::new(IDLE_CONNECTIONS),
         claims: Claims::start(platform.clone()),
         metrics,
-        log: ChangeLog::new(platform.clone(), SETTLE_MS),
+        log: ChangeLog::new(platform.clone(), RESOLVE_TIMEOUT_MS),
         platform,
         peers: Arc::new(peers),
         servers: order_client(),
