--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -117,7 +117,7 @@
     Ok(api)
 }
 
-type Answer<T> = Result<HttpResponseOk<T>, HttpError>;
+type ApiResult<T> = Result<HttpResponseOk<T>, HttpError>;
 
 fn error(status: ErrorStatusCode, message: String) -> HttpError {
     HttpError {
@@ -130,7 +130,7 @@
 }
 
 #[endpoint { method = GET, path = "/v1/status" }]
-async fn get_status(context: RequestContext<Context>) -> Answer<StatusBody> {
+async fn get_status(context: RequestContext<Context>) -> ApiResult<StatusBody> {
     let host = &context.context().host;
     let state = host.view.state();
     Ok(HttpResponseOk(StatusBody {
@@ -212,7 +212,7 @@
 async fn get_owner(
     context: RequestContext<Context>,
     query: Query<OwnerQuery>,
-) -> Answer<OwnerBody> {
+) -> ApiResult<OwnerBody> {
     let query = query.into_inner();
     let state = context.context().host.view.state();
     let service = state.service_key(&query.service);
@@ -240,7 +240,7 @@
 async fn get_audit(
     context: RequestContext<Context>,
     query: Query<AuditQuery>,
-) -> Answer<AuditPage> {
+) -> ApiResult<AuditPage> {
     let after = Revision(query.into_inner().after);
     let entries = context.context().host.audit(after).await;
     let entries =
@@ -260,13 +260,13 @@
 }
 
 #[endpoint { method = GET, path = "/v1/templates" }]
-async fn get_templates(context: RequestContext<Context>) -> Answer<DocumentList> {
+async fn get_templates(context: RequestContext<Context>) -> ApiResult<DocumentList> {
     let state = context.context().host.view.state();
     Ok(HttpResponseOk(documents(&state, state.templates.iter())))
 }
 
 #[endpoint { method = GET, path = "/v1/workspaces" }]
-async fn get_workspaces(context: RequestContext<Context>) -> Answer<DocumentList> {
+async fn get_workspaces(context: RequestContext<Context>) -> ApiResult<DocumentList> {
     let state = context.context().host.view.state();
     Ok(HttpResponseOk(documents(&state, state.workspaces.iter())))
 }
@@ -290,7 +290,7 @@
 async fn submit_template(
     context: RequestContext<Context>,
     body: TypedBody<SubmitBody>,
-) -> Answer<Accepted> {
+) -> ApiResult<Accepted> {
     let body = body.into_inner();
     let document = body.document.clone();
     submit(&context, body, Change::TemplateSubmitted { document }).await
@@ -300,7 +300,7 @@
 async fn submit_workspace(
     context: RequestContext<Context>,
     body: TypedBody<SubmitBody>,
-) -> Answer<Accepted> {
+) -> ApiResult<Accepted> {
     let body = body.into_inner();
     let document = body.document.clone();
     submit(&context, body, Change::WorkspaceSubmitted { document }).await
@@ -310,7 +310,7 @@
 async fn withdraw_template(
     context: RequestContext<Context>,
     body: TypedBody<WithdrawBody>,
-) -> Answer<Accepted> {
+) -> ApiResult<Accepted> {
     let body = body.into_inner();
     let name = body.name.clone();
     submit(
@@ -325,7 +325,7 @@
 async fn withdraw_workspace(
     context: RequestContext<Context>,
     body: TypedBody<WithdrawBody>,
-) -> Answer<Accepted> {
+) -> ApiResult<Accepted> {
     let body = body.into_inner();
     let name = body.name.clone();
     submit(
@@ -338,7 +338,7 @@
 
 /// Begins the planned stop of the host that is asked.
 #[endpoint { method = POST, path = "/v1/host/drain" }]
-async fn drain_host(context: RequestContext<Context>) -> Answer<Draining> {
+async fn drain_host(context: RequestContext<Context>) -> ApiResult<Draining> {
     authorize(&context)?;
     let host = &context.context().host;
     host.request_stop();
@@ -361,7 +361,7 @@
     context: &RequestContext<Context>,
     body: SubmitBody,
     change: Change,
-) -> Answer<Accepted> {
+) -> ApiResult<Accepted> {
     authorize(context)?;
     let host = &context.context().host;
     let before = host.view.state();
