--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -366,7 +366,7 @@
     let host = &context.context().host;
     let before = host.view.state();
     if body.dry_run {
-        let effect = tried(&before, &change).map_err(|e| refused(&e))?;
+        let effect = tried(&before, &change).map_err(|e| refusal(&e))?;
         return Ok(HttpResponseOk(Accepted {
             revision: before.revision.0,
             effect,
@@ -416,7 +416,7 @@
     one.len() == other.len() && differ == 0
 }
 
-fn refused(failure: &state::Error) -> HttpError {
+fn refusal(failure: &state::Error) -> HttpError {
     let status = match failure {
         state::Error::Declaration { .. } => ErrorStatusCode::UNPROCESSABLE_ENTITY,
         state::Error::Unknown { .. } => ErrorStatusCode::NOT_FOUND,
@@ -427,7 +427,7 @@
 
 async fn commit_error(host: &Host, failure: CommitError) -> HttpError {
     match failure {
-        CommitError::Refused { source } => refused(&source),
+        CommitError::Refused { source } => refusal(&source),
         CommitError::Raced { expected, found } => {
             let other = host.other_change(found).await;
             let message = format!(
