--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -366,13 +366,13 @@
     let host = &context.context().host;
     let before = host.view.state();
     if body.dry_run {
-        let effect = tried(&before, &change).map_err(|e| refusal(&e))?;
+        let effect = dry_run_effect(&before, &change).map_err(|e| refusal(&e))?;
         return Ok(HttpResponseOk(Accepted {
             revision: before.revision.0,
             effect,
         }));
     }
-    let effect = tried(&before, &change).unwrap_or_default();
+    let effect = dry_run_effect(&before, &change).unwrap_or_default();
     let operation_id = body.operation_id.map(OperationId);
     let request = CommitRequest {
         operation_id: operation_id.unwrap_or_else(OperationId::random),
@@ -389,7 +389,7 @@
     }
 }
 
-fn tried(before: &State, change: &Change) -> state::Result<super::message::Effect> {
+fn dry_run_effect(before: &State, change: &Change) -> state::Result<super::message::Effect> {
     let mut after = before.clone();
     after.apply_dry_run(change.clone())?;
     Ok(dry_run::effect(before, &after))
