--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -403,7 +403,7 @@
     let sent = context.request.headers().get(header::AUTHORIZATION);
     let sent = sent.and_then(|value| value.to_str().ok());
     let sent = sent.and_then(|value| value.strip_prefix("Bearer "));
-    if !sent.is_some_and(|sent| same(sent.as_bytes(), token.as_bytes())) {
+    if !sent.is_some_and(|sent| constant_time_eq(sent.as_bytes(), token.as_bytes())) {
         let message = "changes need the operators' token";
         return Err(error(ErrorStatusCode::UNAUTHORIZED, message.to_owned()));
     }
@@ -411,7 +411,7 @@
 }
 
 /// Compares without telling by its duration where the texts differ.
-fn same(one: &[u8], other: &[u8]) -> bool {
+fn constant_time_eq(one: &[u8], other: &[u8]) -> bool {
     let differ = one.iter().zip(other).fold(0, |all, (a, b)| all | (a ^ b));
     one.len() == other.len() && differ == 0
 }
