--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -160,7 +160,7 @@
         HostStatus {
             name: entry.name.clone(),
             availability_zone: entry.availability_zone.clone(),
-            state: lower(&entry.state),
+            state: lowercase_name(&entry.state),
             revision: if is_own {
                 Some(state.revision.0)
             } else {
@@ -183,7 +183,7 @@
     let status = |(entry, slots): (&ServerEntry, u64)| ServerStatus {
         address: entry.address.to_string(),
         availability_zone: entry.availability_zone.clone(),
-        state: lower(&entry.state),
+        state: lowercase_name(&entry.state),
         draining: entry.draining,
         slots,
     };
@@ -204,7 +204,7 @@
     statuses
 }
 
-fn lower(state: &impl std::fmt::Debug) -> String {
+fn lowercase_name(state: &impl std::fmt::Debug) -> String {
     format!("{state:?}").to_lowercase()
 }
 
