--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -74,7 +74,7 @@
         ..ConfigDropshot::default()
     };
     let context = Context { host, token };
-    let api = describe().map_err(|message| HostError::Operators { message })?;
+    let api = api_description().map_err(|message| HostError::Operators { message })?;
     let server = ServerBuilder::new(api, context, logging::slog_bridge())
         .config(config)
         .start()
@@ -97,7 +97,7 @@
     Ok(token)
 }
 
-fn describe() -> Result<ApiDescription<Context>, String> {
+fn api_description() -> Result<ApiDescription<Context>, String> {
     let mut api = ApiDescription::new();
     let registered = [
         api.register(get_status),
