--- a/src/operator/dry_run.rs
+++ b/src/operator/dry_run.rs
@@ -15,7 +15,7 @@
             Some(_) => continue,
         }
         effect.slots += service.slots.len() as u64;
-        effect.slots_moved += misplaced(service);
+        effect.slots_moved += unplaced_slots(service);
     }
     for (key, service) in before.active_services() {
         if !after.service(key).is_some_and(|kept| kept.active) {
@@ -26,7 +26,7 @@
 }
 
 /// Slots whose owner is not, or no longer, among the service's servers.
-fn misplaced(service: &ServiceEntry) -> u64 {
+fn unplaced_slots(service: &ServiceEntry) -> u64 {
     let placed = |owner: Option<_>| owner.is_some_and(|owner| service.targets.contains(&owner));
     let slots = service.slots.iter();
     slots.filter(|slot| !placed(slot.owner)).count() as u64
