--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -72,7 +72,7 @@
 
     /// Owner of a key.
     pub async fn owner(&self, service: &str, key: &str) -> Result<OwnerBody, CallError> {
-        let path = format!("/v1/owner?service={}&key={}", escape(service), escape(key));
+        let path = format!("/v1/owner?service={}&key={}", percent_encode(service), percent_encode(key));
         self.client.get(self.address, &path).await
     }
 
@@ -88,7 +88,7 @@
 }
 
 /// Escapes a value for a query.
-fn escape(text: &str) -> String {
+fn percent_encode(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for byte in text.bytes() {
         if byte.is_ascii_alphanumeric() || b"-._~".contains(&byte) {
