--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -376,7 +376,7 @@
 
 /// A whole answer.
 #[derive(Debug)]
-pub struct Answered {
+pub struct CallerResponse {
     pub status: u16,
     pub outcome: Option<String>,
     pub reason: Option<String>,
@@ -393,7 +393,7 @@
 }
 
 impl Caller {
-    pub async fn get(&self, host: SocketAddr, path: &str) -> Result<Answered, String> {
+    pub async fn get(&self, host: SocketAddr, path: &str) -> Result<CallerResponse, String> {
         self.send(Method::GET, host, path, &[], Bytes::new()).await
     }
 
@@ -402,7 +402,7 @@
         host: SocketAddr,
         path: &str,
         idempotency_key: &str,
-    ) -> Result<Answered, String> {
+    ) -> Result<CallerResponse, String> {
         let headers = [("idempotency-key", idempotency_key)];
         let body = Bytes::from_static(b"order");
         self.send(Method::POST, host, path, &headers, body).await
@@ -415,7 +415,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: Bytes,
-    ) -> Result<Answered, String> {
+    ) -> Result<CallerResponse, String> {
         let mut request = Request::builder()
             .method(method)
             .uri(format!("http://{host}{path}"));
@@ -428,7 +428,7 @@
     }
 }
 
-async fn whole(answer: Response<hyper::body::Incoming>) -> Result<Answered, String> {
+async fn whole(answer: Response<hyper::body::Incoming>) -> Result<CallerResponse, String> {
     let header = |name: &str| {
         let value = answer.headers().get(name)?;
         value.to_str().ok().map(str::to_owned)
@@ -436,7 +436,7 @@
     let (status, outcome) = (answer.status().as_u16(), header("ashroad-outcome"));
     let (reason, retry_after) = (header("ashroad-reason"), header("retry-after"));
     let body = answer.into_body().collect().await;
-    Ok(Answered {
+    Ok(CallerResponse {
         status,
         outcome,
         reason,
@@ -445,7 +445,7 @@
     })
 }
 
-impl Answered {
+impl CallerResponse {
     /// The stand-in's answer.
     pub fn answer(&self) -> backend::Answer {
         let read = serde_json::from_slice(&self.body);
