--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -424,11 +424,11 @@
         }
         let request = request.body(Full::new(body)).expect("a request");
         let answer = self.client.request(request).await;
-        whole(answer.map_err(|error| error.to_string())?).await
+        read_response(answer.map_err(|error| error.to_string())?).await
     }
 }
 
-async fn whole(answer: Response<hyper::body::Incoming>) -> Result<CallerResponse, String> {
+async fn read_response(answer: Response<hyper::body::Incoming>) -> Result<CallerResponse, String> {
     let header = |name: &str| {
         let value = answer.headers().get(name)?;
         value.to_str().ok().map(str::to_owned)
