--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -176,7 +176,7 @@
 }
 
 fn apply(state: &mut State, change: Change) {
-    if let Err(error) = state.apply_trial(change) {
+    if let Err(error) = state.apply_dry_run(change) {
         log::error!("the measured state is not as meant: {error}");
     }
 }
--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -10,7 +10,7 @@
 use crate::{
     clock,
     id::{HostKey, Incarnation},
-    membership::{ring::HashRing, heartbeat_tree},
+    membership::{heartbeat_tree, ring::HashRing},
     store::message::{Condition, Expect, Row, Transacted, Transaction, Write},
 };
 
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -13,8 +13,8 @@
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
     membership::{
         freshness::Voter,
-        registry::{self, RegistryLimits, Silence, registered, voters},
         heartbeat_tree,
+        registry::{self, RegistryLimits, Silence, registered, voters},
     },
     ownership::lapse::{Holders, HorizonReport, lapsed_at_ms},
     peer::message::{PeerReply, PeerRequest},
@@ -214,7 +214,9 @@
         };
         let own = self.key();
         let hosts = heartbeat_tree::order(state);
-        let heartbeat_targets = own.map(|own| heartbeat_tree::heartbeat_targets(&hosts, own)).unwrap_or_default();
+        let heartbeat_targets = own
+            .map(|own| heartbeat_tree::heartbeat_targets(&hosts, own))
+            .unwrap_or_default();
         let silence = |host: HostKey, entry: &HostEntry| {
             let sender = Voter {
                 host,
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -2,10 +2,10 @@
 
 mod commit;
 mod controller;
-mod leader_tasks;
 mod error;
 mod heartbeat;
 mod leader;
+mod leader_tasks;
 mod moves;
 mod peers;
 mod planning;
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -15,7 +15,7 @@
     clock,
     id::{HostKey, Incarnation, Revision},
     membership::{
-        freshness::{Freshness, PeerRevision, HeartbeatReply, Voter},
+        freshness::{Freshness, HeartbeatReply, PeerRevision, Voter},
         registry::voters,
     },
     state::{self, LogEntry, State},
@@ -199,7 +199,9 @@
     pub fn on_heartbeat(&self, own: Voter) {
         let mut inner = self.lock();
         let voters = voters(&self.state.load());
-        inner.freshness.raise_if_only_voter(clock::now_ms(), own, &voters);
+        inner
+            .freshness
+            .raise_if_only_voter(clock::now_ms(), own, &voters);
         self.store_basis(&inner);
     }
 
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -72,7 +72,11 @@
 
     /// Owner of a key.
     pub async fn owner(&self, service: &str, key: &str) -> Result<OwnerBody, CallError> {
-        let path = format!("/v1/owner?service={}&key={}", percent_encode(service), percent_encode(key));
+        let path = format!(
+            "/v1/owner?service={}&key={}",
+            percent_encode(service),
+            percent_encode(key)
+        );
         self.client.get(self.address, &path).await
     }
 
--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -123,7 +123,11 @@
     }
 
     /// Appends a change right after `after`.
-    pub async fn append(&self, after: Revision, proposal: Proposal) -> Result<AppendOutcome, LogError> {
+    pub async fn append(
+        &self,
+        after: Revision,
+        proposal: Proposal,
+    ) -> Result<AppendOutcome, LogError> {
         let entry = LogEntry {
             revision: after.next(),
             operation_id: proposal.operation_id,
@@ -138,7 +142,10 @@
         }
     }
 
-    async fn transact_until_known(&self, transaction: &Transaction) -> Result<Transacted, LogError> {
+    async fn transact_until_known(
+        &self,
+        transaction: &Transaction,
+    ) -> Result<Transacted, LogError> {
         let deadline_ms = clock::now_ms() + self.resolve_timeout_ms;
         loop {
             let source = match self.platform.transact(transaction).await {
