--- a/src/bin/ashroad/declaration.rs
+++ b/src/bin/ashroad/declaration.rs
@@ -6,7 +6,7 @@
     clock,
     id::OperationId,
     operator::{
-        client::{Kind, OperatorClient},
+        client::{DeclarationKind, OperatorClient},
         message::{Accepted, SubmitBody, WithdrawBody},
     },
 };
@@ -23,15 +23,20 @@
 
 /// Runs `ashroad template`.
 pub async fn run_template(args: DeclarationArgs, json: bool) -> Result<()> {
-    run(Kind::Template, "template", args, json).await
+    run(DeclarationKind::Template, "template", args, json).await
 }
 
 /// Runs `ashroad workspace`.
 pub async fn run_workspace(args: DeclarationArgs, json: bool) -> Result<()> {
-    run(Kind::Workspace, "workspace", args, json).await
+    run(DeclarationKind::Workspace, "workspace", args, json).await
 }
 
-async fn run(kind: Kind, name: &'static str, args: DeclarationArgs, json: bool) -> Result<()> {
+async fn run(
+    kind: DeclarationKind,
+    name: &'static str,
+    args: DeclarationArgs,
+    json: bool,
+) -> Result<()> {
     match args.action {
         DeclarationAction::Submit(args) | DeclarationAction::Amend(args) => {
             submit(kind, args, json).await
@@ -78,7 +83,7 @@
     }
 }
 
-async fn submit(kind: Kind, args: SubmitArgs, json: bool) -> Result<()> {
+async fn submit(kind: DeclarationKind, args: SubmitArgs, json: bool) -> Result<()> {
     let document = read(&args.file)?;
     let client = client(&args.api)?;
     let body = SubmitBody {
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -17,7 +17,7 @@
     clock,
     host::{self, RunningHost},
     operator::{
-        client::{Kind, OperatorClient},
+        client::{DeclarationKind, OperatorClient},
         message::SubmitBody,
     },
     peer::keys,
@@ -138,11 +138,13 @@
 
     /// Declares both workspaces and waits until every slot has an owner on every host.
     pub(crate) async fn declare(&self) -> Result<(), Error> {
-        self.submit(Kind::Template, DRAINAGE.to_owned()).await?;
-        self.submit(Kind::Template, RESORT.to_owned()).await?;
+        self.submit(DeclarationKind::Template, DRAINAGE.to_owned())
+            .await?;
+        self.submit(DeclarationKind::Template, RESORT.to_owned())
+            .await?;
         for workspace in ["mittelland", "etna"] {
             let document = self.workspace(workspace, None);
-            self.submit(Kind::Workspace, document).await?;
+            self.submit(DeclarationKind::Workspace, document).await?;
         }
         let settled = |host: &RunningHost| {
             let state = host.host.view.state();
@@ -189,7 +191,7 @@
         text
     }
 
-    async fn submit(&self, kind: Kind, document: String) -> Result<(), Error> {
+    async fn submit(&self, kind: DeclarationKind, document: String) -> Result<(), Error> {
         let client = OperatorClient::new(self.hosts[0].operators, Some("demo".to_owned()));
         let body = SubmitBody {
             document,
@@ -258,7 +260,7 @@
     /// Amends a workspace so that one server leaves it.
     pub(crate) async fn withdraw_target(&self) -> Result<(), Error> {
         let document = self.workspace("mittelland", Some(LEAVING_SERVER));
-        self.submit(Kind::Workspace, document).await
+        self.submit(DeclarationKind::Workspace, document).await
     }
 
     /// Stops one host in order.
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -13,7 +13,7 @@
 
 /// Kind of declaration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum DeclarationKind {
     /// A template.
     Template,
     /// A workspace.
@@ -27,7 +27,7 @@
     client: JsonClient,
 }
 
-impl Kind {
+impl DeclarationKind {
     fn path(self, action: &str) -> String {
         match self {
             Self::Template => format!("/v1/templates{action}"),
@@ -46,17 +46,25 @@
     }
 
     /// Submits or amends a declaration.
-    pub async fn submit(&self, kind: Kind, body: &SubmitBody) -> Result<Accepted, CallError> {
+    pub async fn submit(
+        &self,
+        kind: DeclarationKind,
+        body: &SubmitBody,
+    ) -> Result<Accepted, CallError> {
         self.post(&kind.path("/submit"), body).await
     }
 
     /// Withdraws a declaration.
-    pub async fn withdraw(&self, kind: Kind, body: &WithdrawBody) -> Result<Accepted, CallError> {
+    pub async fn withdraw(
+        &self,
+        kind: DeclarationKind,
+        body: &WithdrawBody,
+    ) -> Result<Accepted, CallError> {
         self.post(&kind.path("/withdraw"), body).await
     }
 
     /// Declarations in force.
-    pub async fn list(&self, kind: Kind) -> Result<DocumentList, CallError> {
+    pub async fn list(&self, kind: DeclarationKind) -> Result<DocumentList, CallError> {
         self.client.get(self.address, &kind.path("")).await
     }
 
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -152,7 +152,7 @@
         actor: None,
         dry_run: false,
     };
-    let kind = ashroad::operator::client::Kind::Workspace;
+    let kind = ashroad::operator::client::DeclarationKind::Workspace;
     let first = client
         .submit(kind, &body("a", None))
         .await
@@ -180,7 +180,7 @@
         expect_revision: None,
         actor: None,
     };
-    let kind = ashroad::operator::client::Kind::Template;
+    let kind = ashroad::operator::client::DeclarationKind::Template;
     let in_use = client.withdraw(kind, &withdraw).await;
     let message = in_use.expect_err("refused").to_string();
     assert!(message.contains("still used by workspace w"), "{message}");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,7 +13,7 @@
 
 use ashroad::{
     operator::{
-        client::{Kind, OperatorClient},
+        client::{DeclarationKind, OperatorClient},
         message::{Accepted, StatusBody, SubmitBody},
     },
     standin::{backend, platform},
@@ -201,9 +201,10 @@
              services:\n  - name: s\n    targets: targets\n    key: {{ path: 0 }}\n    \
              slots: 64\n    server_slots: 4\n    server_connections: 100\n{service_extra}"
         );
-        self.submit(Kind::Template, &template).await;
+        self.submit(DeclarationKind::Template, &template).await;
         let all: Vec<usize> = (0..self.servers.len()).collect();
-        self.submit(Kind::Workspace, &self.workspace(&all)).await;
+        self.submit(DeclarationKind::Workspace, &self.workspace(&all))
+            .await;
         self.settled().await;
     }
 
@@ -217,7 +218,7 @@
         text
     }
 
-    pub async fn submit(&self, kind: Kind, document: &str) -> Accepted {
+    pub async fn submit(&self, kind: DeclarationKind, document: &str) -> Accepted {
         let body = SubmitBody {
             document: document.to_owned(),
             operation_id: None,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -205,7 +205,7 @@
     cluster.platform_faults(platform::Faults::default()).await;
     cluster
         .submit(
-            ashroad::operator::client::Kind::Workspace,
+            ashroad::operator::client::DeclarationKind::Workspace,
             &cluster.workspace(&[0, 1]),
         )
         .await;
@@ -244,7 +244,7 @@
     cluster.hosts[2].process.signal("STOP");
     cluster
         .submit(
-            ashroad::operator::client::Kind::Workspace,
+            ashroad::operator::client::DeclarationKind::Workspace,
             &cluster.workspace(&[0, 1]),
         )
         .await;
@@ -348,7 +348,7 @@
         let servers: &[usize] = if round % 2 == 0 { &[0, 1] } else { &[0, 1, 2] };
         cluster
             .submit(
-                ashroad::operator::client::Kind::Workspace,
+                ashroad::operator::client::DeclarationKind::Workspace,
                 &cluster.workspace(servers),
             )
             .await;
@@ -362,7 +362,7 @@
     }
     cluster
         .submit(
-            ashroad::operator::client::Kind::Workspace,
+            ashroad::operator::client::DeclarationKind::Workspace,
             &cluster.workspace(&[0, 1]),
         )
         .await;
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use ashroad::operator::client::Kind;
+use ashroad::operator::client::DeclarationKind;
 use common::{Caller, Cluster, PLAIN};
 
 #[tokio::test]
@@ -92,7 +92,7 @@
         }));
     }
     cluster
-        .submit(Kind::Workspace, &cluster.workspace(&[0, 1]))
+        .submit(DeclarationKind::Workspace, &cluster.workspace(&[0, 1]))
         .await;
     let gone = cluster.servers[2].address.to_string();
     cluster
