--- a/tests/once_only.rs
+++ b/tests/once_only.rs
@@ -5,7 +5,7 @@
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
 use ashroad::standin::{backend, platform, verdict};
-use common::{Answered, Caller, Cluster, PLAIN};
+use common::{Caller, CallerResponse, Cluster, PLAIN};
 use tokio::{sync::Mutex, time};
 
 const RULE: &str = "    unrepeatable:\n      - { method: POST, path_prefix: / }\n";
@@ -144,8 +144,8 @@
     let mut told = told.lock().await;
     let told = told.entry(order.to_owned()).or_default();
     match answer {
-        Ok(Answered { status: 200, .. }) => told.answered = true,
-        Ok(Answered { outcome, .. }) if outcome.as_deref() == Some("not-run") => {}
+        Ok(CallerResponse { status: 200, .. }) => told.answered = true,
+        Ok(CallerResponse { outcome, .. }) if outcome.as_deref() == Some("not-run") => {}
         _ => told.unknown = true,
     }
 }
