--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -1,4 +1,5 @@
-//! Makes changes: decides on the present state, appends to the change log, and tells the peers.
+//! Commits changes: checks each one against the current state, appends it to the change log and
+//! pushes the new entry to the other hosts.
 
 use std::sync::Arc;
 
@@ -12,55 +13,59 @@
     state::{self, AppendOutcome, Change, LogEntry, LogError, Proposal, State},
 };
 
-/// Attempts of one change that loses against other writers.
+/// Limit of the attempts to append one change while other writers win the race.
 const ATTEMPTS_MAX: usize = 50;
-/// Hosts that one host passes a push on to.
+/// Limit of the hosts that one host pushes entries to directly; each of them relays the entries to
+/// its share of the remaining hosts.
 const PUSH_FANOUT: usize = 16;
+/// Timeout of one push. A host that misses a push learns of the revision by the next heartbeat.
 const PUSH_TIMEOUT_MS: u64 = 500;
 
-/// Why a change was not made.
+/// Reason why a change was not committed.
 #[derive(Debug, Snafu)]
 pub enum CommitError {
-    /// It does not fit the state.
+    /// The change is not valid in the current state.
     #[snafu(display("{source}"))]
     Refused {
-        /// Cause.
+        /// Rule of the state that the change violates.
         source: state::Error,
     },
-    /// The writer's expected revision is not the present one.
+    /// The configuration is not at the revision that the writer expects.
     #[snafu(display("the configuration is at revision {found}, not {expected}"))]
     Raced {
-        /// Revision expected.
+        /// Configuration revision that the writer based its decision on.
         expected: Revision,
-        /// Revision found.
+        /// Current configuration revision.
         found: Revision,
     },
-    /// The change log failed.
+    /// The entry could not be appended to the change log.
     #[snafu(display("{source}"))]
     Log {
-        /// Cause.
+        /// Failure of the store, or an entry that cannot be read.
         source: LogError,
     },
-    /// Other writers kept winning.
+    /// Other writers won the race in every attempt.
     #[snafu(display("other changes took precedence {ATTEMPTS_MAX} times; try again"))]
     Contention,
 }
 
-/// What a writer asks for.
+/// Request of an operator or of a host to commit a change.
 #[derive(Clone, Debug)]
 pub struct CommitRequest {
-    /// Identifier; a change with an identifier that was accepted before is not made again.
+    /// Identifier chosen by the writer. A change whose identifier was accepted before is not
+    /// applied again, so that a writer may retry it.
     pub operation_id: OperationId,
-    /// Who asks.
+    /// Operator or host that requests the change, for the audit trail.
     pub actor: String,
-    /// Configuration revision that the writer's decision was based on, if it insists.
+    /// Configuration revision that the writer's decision was based on. The change is refused at
+    /// any other revision; `None` accepts every revision.
     pub expect_revision: Option<Revision>,
-    /// The change.
+    /// Change to append to the log.
     pub change: Change,
 }
 
 impl Host {
-    /// Makes a change of the system's own.
+    /// Commits a change that this host itself decided on, with a random identifier.
     pub(super) async fn commit_own(self: &Arc<Self>, change: Change) -> Result<(), CommitError> {
         let request = CommitRequest {
             operation_id: OperationId::random(),
@@ -72,16 +77,16 @@
         Ok(())
     }
 
-    /// Makes a change; returns the revision that it became.
+    /// Commits a change and returns the revision at which it was appended.
     pub async fn commit(self: &Arc<Self>, request: CommitRequest) -> Result<Revision, CommitError> {
-        // One change at a time per host: they would only lose against each other.
+        // Each host commits one change at a time; concurrent ones would only conflict.
         let _turn = self.commits.lock().await;
         for _ in 0..ATTEMPTS_MAX {
             let state = self.view.state();
             if let Some(revision) = state.operation(&request.operation_id) {
                 return Ok(revision);
             }
-            // An outdated view must not refuse a change, so it is brought up to date first.
+            // A stale view must not refuse a change, so the log is read before the refusal counts.
             if let Err(error) = check(&state, &request) {
                 if !self.read_log().await || self.view.revision() == state.revision {
                     return Err(error);
@@ -119,7 +124,8 @@
         self.push(&entries, &others);
     }
 
-    /// Sends entries down the tree of hosts: each of the first ones gets a part of the rest.
+    /// Pushes entries to `hosts` along a tree: up to [`PUSH_FANOUT`] hosts get them directly, and
+    /// each of those relays them to its share of the rest.
     pub(super) fn push(self: &Arc<Self>, entries: &[LogEntry], hosts: &[HostKey]) {
         if hosts.is_empty() {
             return;
@@ -149,7 +155,7 @@
             .await;
         match reply {
             Ok(_) => self.metrics.time_ms("push", clock::now_ms() - sent_ms),
-            // The host will learn of the revision by the next heartbeat.
+            // The host learns of the revision by the next heartbeat.
             Err(error) => log::debug!("push to {}: {error}", entry.name),
         }
     }
--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -1,5 +1,5 @@
-//! What the leader does: joins servers, declares lost leases lapsed, keeps the registry of hosts,
-//! plans moves and stores snapshots.
+//! The control loop of the leader: joins servers, records when the leases of lost servers have
+//! lapsed, updates the registry of hosts, plans moves and stores snapshots.
 
 use std::{collections::HashSet, sync::Arc, time::Duration};
 
@@ -14,46 +14,49 @@
     ownership::{moves::MoveGroup, planner::PlannedMove},
 };
 
+/// Interval of the control loop.
 const TICK_MS: u64 = 25;
-/// Rounds between two looks of a host that does not lead at the hosts that ask it.
+/// Rounds of a host that does not lead between two checks for silent hosts among those that ping
+/// it.
 const WATCH_EVERY_ROUNDS: u64 = 80;
-/// Pause between two pages of the sweep over old claims.
+/// Pause between two pages of the sweep that deletes old claims.
 const SWEEP_MS: u64 = 1_000;
-/// Entries after which a new snapshot is stored.
+/// Log entries between two snapshots.
 const SNAPSHOT_EVERY: u64 = 500;
 
-/// The leader's memory between rounds; a new leader starts with an empty one.
+/// State of the control loop between rounds. It is kept in memory only, so a new leader starts
+/// with the default.
 #[derive(Debug, Default)]
 pub(super) struct Controller {
-    /// Groups of moves under way in this process.
+    /// Groups of moves that a task of this process is carrying out.
     pub(super) moving: HashSet<MoveGroup>,
-    /// Lost servers whose lapse is waited for in this process.
+    /// Lost servers for whose lapse a task of this process is waiting.
     pub(super) lapsing: HashSet<ServerKey>,
-    /// When servers without a lease were last asked.
+    /// Time at which the servers without a lease were last queried.
     pub(super) joins_checked_ms: u64,
-    /// When loads were last read.
+    /// Time at which the loads were last read from the hosts.
     pub(super) loads_ms: u64,
-    /// Smoothed loads by service and slot.
+    /// Exponentially smoothed requests per reading, by service and slot.
     pub(super) loads: Vec<Vec<f64>>,
-    /// Revision and loads that the last plan was made for.
+    /// Revision of the state and time of the loads from which the last plan was made.
     pub(super) planned: Option<(Revision, u64)>,
-    /// Progress of the last change of the registry.
+    /// Settlement of the last change of the registry.
     pub(super) registry: SettlementTracker,
     snapshot: Revision,
     sweep: Sweep,
     swept_ms: u64,
 }
 
-/// What a finished task tells the controller.
+/// Message of a task to the controller when it has ended.
 #[derive(Debug)]
 pub(super) enum FinishedTask {
-    /// A group of moves has ended, well or not.
+    /// The task of a group of moves has ended, with success or failure.
     Moved(MoveGroup),
-    /// The wait for a lapse has ended, well or not.
+    /// The task that waits for the lapse of a server's lease has ended, with success or failure.
     Lapsed(ServerKey),
 }
 
-/// A plan for one service.
+/// Planned moves of the slots of one service.
 #[derive(Debug)]
 pub(super) struct ServicePlan {
     pub(super) service: ServiceKey,
@@ -61,7 +64,8 @@
 }
 
 impl Host {
-    /// Runs until the process ends.
+    /// Runs the control loop until the process ends. It acts only while this host leads and its
+    /// view is fresh.
     pub(super) async fn run_controller(self: Arc<Self>) {
         let mut ticks = time::interval(Duration::from_millis(TICK_MS));
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
@@ -99,7 +103,7 @@
         }
     }
 
-    /// Removes old claims, one page at a time.
+    /// Deletes claims past their retention time, one page per [`SWEEP_MS`].
     async fn sweep_claims(&self, controller: &mut Controller) {
         let now_ms = clock::now_ms();
         if now_ms < controller.swept_ms + SWEEP_MS {
@@ -108,10 +112,11 @@
         controller.swept_ms = now_ms;
         let retention_ms = self.settings.claims.retention_ms;
         if let Err(error) = controller.sweep.step(&self.platform, retention_ms).await {
-            log::debug!("claims were not swept: {error}");
+            log::debug!("cannot delete old claims: {error}");
         }
     }
 
+    /// Stores a snapshot when the log has grown by [`SNAPSHOT_EVERY`] entries since the last one.
     async fn store_snapshot_if_due(&self, controller: &mut Controller) {
         let state = self.view.state();
         if state.revision.0 < controller.snapshot.0 + SNAPSHOT_EVERY {
@@ -119,7 +124,7 @@
         }
         match self.log.store_snapshot(&state).await {
             Ok(()) => controller.snapshot = state.revision,
-            Err(error) => log::warn!("no snapshot was stored: {error}"),
+            Err(error) => log::warn!("cannot store a snapshot: {error}"),
         }
     }
 }
--- a/src/host/error.rs
+++ b/src/host/error.rs
@@ -1,4 +1,4 @@
-//! Errors that keep a host from starting.
+//! Errors that prevent a host from starting.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -6,42 +6,42 @@
 
 use crate::peer;
 
-/// Why a host cannot start.
+/// Reason why a host cannot start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// The peer endpoint cannot be opened.
+    /// The endpoint for other hosts cannot be opened.
     #[snafu(display("{source}"))]
     Peer {
-        /// Cause.
+        /// Certificate or key that cannot be read, or address that cannot be bound.
         source: peer::Error,
     },
-    /// A listener cannot be opened.
+    /// The listener for callers cannot be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Address.
+        /// Address from the settings.
         address: SocketAddr,
-        /// Cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// The operators' API cannot be started.
     #[snafu(display("the operators' API cannot be started: {message}"))]
     Operators {
-        /// Cause.
+        /// Message of the HTTP server, or the problem of the token file.
         message: String,
     },
-    /// The token file cannot be read.
+    /// The file with the operators' token cannot be read.
     #[snafu(display("{}: cannot be read: {source}", path.display()))]
     Token {
-        /// File.
+        /// Path of the token file.
         path: PathBuf,
-        /// Cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Metrics cannot be sent.
+    /// The socket for metrics cannot be opened.
     #[snafu(display("metrics cannot be sent: {source}"))]
     Metrics {
-        /// Cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -1,5 +1,6 @@
-//! Heartbeats between hosts. They carry revisions and the age of the basis, so a missed push is
-//! noticed and a host whose own reads fail stays fresh through its peers.
+//! Heartbeats between hosts: a ping and its reply. They carry the revision and the age of the
+//! basis, so that a host notices a missed push, and stays fresh through its peers while its own
+//! reads of the log fail.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,7 +14,7 @@
 };
 
 impl Host {
-    /// Runs until the process ends.
+    /// Sends heartbeats at a fixed interval until the process ends.
     pub(super) async fn keep_sending_heartbeats(self: Arc<Self>) {
         let pause = Duration::from_millis(self.settings.ownership.heartbeat_ms);
         let mut ticks = time::interval(pause);
@@ -24,6 +25,7 @@
         }
     }
 
+    /// Sends one ping to each host that this host has to ping in the heartbeat tree.
     fn on_heartbeat(self: &Arc<Self>) {
         let Some(own) = self.key() else { return };
         self.view.on_heartbeat(Voter {
@@ -51,7 +53,8 @@
         }
     }
 
-    /// Answer to a ping; none before this host is registered.
+    /// Returns the reply to a ping that was sent at `sent_ms` on the sender's clock; `None` before
+    /// this host is registered.
     pub(super) fn pong(&self, sent_ms: u64) -> Option<Datagram> {
         Some(Datagram::Pong {
             host: self.key()?,
--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -1,5 +1,5 @@
-//! The leader row: a lease in the table service that says which host plans and moves. It saves
-//! contention; no safety rests on it.
+//! Leader election by a lease in a row of the table service. The leader plans and carries out
+//! moves. The election only avoids contention: the system stays safe if two hosts act as leader.
 
 use std::{sync::Arc, sync::atomic::Ordering, time::Duration};
 
@@ -14,15 +14,16 @@
     store::message::{Condition, Expect, Row, Transacted, Transaction, Write},
 };
 
+/// Key of the leader row.
 const LEADER_ROW: &str = "leader";
-/// Renewals within one lease.
+/// Renewals of the leader row within one lease.
 const RENEWALS_PER_LEASE: u64 = 4;
-/// Place of the leader's duty in the ring.
+/// Key in the hash ring that selects the candidates for the leader.
 const LEADER_RING_KEY: u32 = 0;
-/// Hosts that watch the row to take over.
+/// Number of hosts that watch the leader row to take over when its lease lapses.
 const CANDIDATES: usize = 3;
 
-/// Content of the leader row.
+/// Content of the leader row, stored as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct LeaderRow {
     term: u64,
@@ -30,7 +31,9 @@
     incarnation: Incarnation,
 }
 
-/// What a candidate saw of the row.
+/// Version of the leader row as a candidate last read it, and when it first read that version. The
+/// lease has lapsed once the version stays the same for the length of a lease, so the candidate
+/// needs no clock but its own.
 #[derive(Clone, Copy, Debug, Default)]
 struct ObservedRow {
     version: u64,
@@ -38,7 +41,8 @@
 }
 
 impl Host {
-    /// Runs until the process ends.
+    /// Renews the leader row while this host leads, and tries to take it over while this host is a
+    /// candidate, until the process ends.
     pub(super) async fn run_leader_election(self: Arc<Self>) {
         let lease_ms = self.settings.ownership.leader_lease_ms;
         let pause = Duration::from_millis(lease_ms / RENEWALS_PER_LEASE);
@@ -62,7 +66,8 @@
         }
     }
 
-    /// The leader goes on; otherwise the first hosts heard watch.
+    /// Decides whether this host reads the leader row: it leads, or it is a root host and one of
+    /// the first [`CANDIDATES`] hosts in the ring that were heard within the last lease.
     fn is_candidate(&self) -> bool {
         let Some(own) = self.key() else { return false };
         if self.leading() {
@@ -84,7 +89,8 @@
         candidates.any(|host| host == own)
     }
 
-    /// True if this host holds the row afterwards.
+    /// Renews the row, or takes it over if its lease has lapsed. Returns true if this host holds
+    /// the row afterwards.
     async fn acquire_or_renew(
         &self,
         row: Option<Row>,
@@ -112,6 +118,7 @@
         self.write_leader(version, term).await
     }
 
+    /// Writes the row if it is still at `version`; returns true if this host holds it afterwards.
     async fn write_leader(&self, version: u64, term: u64) -> bool {
         let row = LeaderRow {
             term,
@@ -136,7 +143,7 @@
         let holds = matches!(outcome, Ok(Transacted::Committed));
         if holds && !self.leading.swap(true, Ordering::Relaxed) {
             self.leader_term.store(term, Ordering::Relaxed);
-            log::info!(term; "this host leads");
+            log::info!(term; "this host is now the leader");
         }
         holds
     }
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -1,4 +1,4 @@
-//! The leader's other duties: servers that come, lost servers, and the registry of hosts.
+//! Tasks of the leader other than moves: joining servers, lost servers and the registry of hosts.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,12 +21,16 @@
     state::{Change, HostEntry, ServerState, State},
 };
 
+/// Interval at which servers without a lease are queried.
 const ASK_SERVERS_MS: u64 = 300;
+/// Timeout of a query to another host for its lease horizon or its applied revision.
 const HORIZON_TIMEOUT_MS: u64 = 200;
+/// Longest pause between two rounds of horizon queries for one lost server.
 const HORIZON_PAUSE_MS: u64 = 50;
 
 impl Host {
-    /// Starts a task for each lost server that has none.
+    /// Starts a task for each lost server that waits until the server's lease has lapsed, unless
+    /// one runs already.
     pub(super) fn wait_for_lapses(
         self: &Arc<Self>,
         controller: &mut Controller,
@@ -51,11 +55,12 @@
         }
     }
 
-    /// One round of questions, then the wait that they allow.
+    /// Queries all hosts once for their lease horizons, waits at most [`HORIZON_PAUSE_MS`], and
+    /// records the lapse if it is then certain.
     async fn wait_for_lapse(self: &Arc<Self>, lost: LostServer) {
         let reports = self.horizon_reports(lost).await;
         let state = self.view.state();
-        // An age that is not known counts as none, which only makes the wait longer.
+        // An unknown age counts as zero, which only lengthens the wait.
         let since_age_ms = self.view.applied_age_ms(state.registry.majority_since());
         let holders = Holders {
             registered: &registered(&state),
@@ -71,7 +76,8 @@
             time::sleep(Duration::from_millis(HORIZON_PAUSE_MS)).await;
             return;
         };
-        // A short wait is taken whole; a long one may be cut by hosts that answer later.
+        // Hosts that reply in a later round can shorten a long wait, so only a short one is
+        // waited for in full here.
         if at_ms > now_ms {
             let wait_ms = (at_ms - now_ms).min(HORIZON_PAUSE_MS);
             time::sleep(Duration::from_millis(wait_ms)).await;
@@ -84,7 +90,7 @@
             lease_epoch: lost.lease_epoch,
         };
         if let Err(error) = self.commit_own(change).await {
-            log::warn!("a lapse cannot be recorded: {error}");
+            log::warn!("cannot record that the lease of a lost server has lapsed: {error}");
         }
     }
 
@@ -114,7 +120,8 @@
         reports
     }
 
-    /// Asks the servers that have no lease whether they are there.
+    /// Queries the servers that have no lease, and records those that reply and are not draining
+    /// as joined.
     pub(super) async fn join_servers(self: &Arc<Self>, controller: &mut Controller) {
         let now_ms = clock::now_ms();
         if now_ms < controller.joins_checked_ms + ASK_SERVERS_MS {
@@ -147,7 +154,8 @@
         }
     }
 
-    /// Promotes and removes hosts, one change at a time (see [`crate::membership::registry`]).
+    /// Promotes and removes hosts and settles the registry, one change at a time (see
+    /// [`crate::membership::registry`]).
     pub(super) async fn update_registry(self: &Arc<Self>, controller: &mut Controller) {
         let state = self.view.state();
         if controller.registry.pending(&state) {
@@ -167,7 +175,7 @@
         }
     }
 
-    /// Hosts that have applied a revision.
+    /// Returns the hosts that report that they have applied `revision`, this host included.
     async fn hosts_with_revision(&self, revision: Revision) -> Vec<Voter> {
         let mut calls = JoinSet::new();
         for (host, incarnation, address) in self.other_hosts() {
@@ -194,8 +202,8 @@
         applied
     }
 
-    /// A host outside of the witnesses watches over those that ask it, which the leader may not
-    /// hear.
+    /// Removes hosts that have stopped pinging this one. Hosts that do not lead do this for the
+    /// hosts below them in the heartbeat tree, which the leader may not hear.
     pub(super) async fn remove_silent_hosts(self: &Arc<Self>) {
         let state = self.view.state();
         if self.leading() || !self.view.fresh() || !state.registry.is_settled() {
@@ -206,6 +214,7 @@
         }
     }
 
+    /// Returns the next promotion or removal that follows from the heartbeats of this host.
     fn registry_change(&self, state: &State) -> Option<Change> {
         let ownership = &self.settings.ownership;
         let limits = RegistryLimits {
@@ -236,7 +245,7 @@
     }
 }
 
-/// A lost server.
+/// A lost server whose lease may still be valid.
 #[derive(Clone, Copy, Debug)]
 struct LostServer {
     server: ServerKey,
@@ -256,7 +265,7 @@
     Some(HorizonReport {
         host,
         incarnation,
-        // The age was taken before now, so this is no earlier than the truth.
+        // The age was measured before the reply arrived, so this time is never too early.
         applied_ms: now_ms - applied_age_ms?,
         horizon_ms: now_ms + remaining_ms,
     })
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -1,4 +1,5 @@
-//! The entry host: its view of the agreed state, and the tasks that keep it fresh and act on it.
+//! The entry host: its view of the replicated state, the tasks that keep the view fresh, and those
+//! that act on it.
 
 mod commit;
 mod controller;
@@ -41,22 +42,22 @@
     transport::JsonClient,
 };
 
-/// Everything that the tasks of one host share.
+/// Shared context of all tasks of one host.
 #[derive(Debug)]
 pub struct Host {
-    /// Settings.
+    /// Settings read at the start of the process.
     pub settings: Settings,
-    /// This process.
+    /// Random identifier of this process; a restarted host has a new one.
     pub incarnation: Incarnation,
-    /// The agreed state and its freshness.
+    /// Replicated state as this host has applied it, and its freshness.
     pub view: View,
-    /// Requests counted by slot.
+    /// Counters of the requests routed to each slot since the leader last read them.
     pub traffic: Traffic,
-    /// Connections and permits of backend servers.
+    /// Connections to backend servers, and the limits of requests in flight.
     pub targets: Targets,
     /// Records of unrepeatable requests.
     pub claims: Claims,
-    /// Metrics.
+    /// Sender of metrics to statsd.
     pub metrics: Metrics,
     pub(crate) log: ChangeLog,
     pub(crate) platform: Platform,
@@ -72,32 +73,34 @@
 }
 
 impl Host {
-    /// True while this host holds the leader row, as far as it knows.
+    /// Returns true while this host believes that it holds the leader row. Two hosts may do so for
+    /// a short time, which is safe.
     pub fn leading(&self) -> bool {
         self.leading.load(Ordering::Relaxed)
     }
 
-    /// Number of the leader's term that this host last saw.
+    /// Returns the term of the leader row as this host last read it; 0 before the first read.
     pub fn leader_term(&self) -> u64 {
         self.leader_term.load(Ordering::Relaxed)
     }
 
-    /// True if the balancer should send requests here.
+    /// Returns true if the load balancer should send requests to this host: it is not stopping and
+    /// its view is fresh.
     pub fn ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed) && self.view.fresh()
     }
 
-    /// Asks for the planned stop of this host.
+    /// Requests the planned stop of this host; [`Host::stop_requested`] then returns.
     pub fn request_stop(&self) {
         self.stop_wanted.notify_one();
     }
 
-    /// Returns when a planned stop was asked for.
+    /// Waits until a planned stop is requested.
     pub async fn stop_requested(&self) {
         self.stop_wanted.notified().await;
     }
 
-    /// Key of this host once it is registered.
+    /// Returns the key of this host in the state; `None` until it is registered.
     pub fn key(&self) -> Option<HostKey> {
         self.view.peek().host_key(self.incarnation)
     }
--- a/src/host/moves.rs
+++ b/src/host/moves.rs
@@ -1,5 +1,6 @@
-//! Carries moves to their end. Every step is read from the state and can
-//! be repeated, so any leader can finish what another began.
+//! Completes moves of slots: revokes the slots from the old owner, grants them to the new one and
+//! records the result. Each step depends only on the state and is idempotent, so any leader can
+//! complete a move that another one began.
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,18 +25,19 @@
     transport::{CallError, JsonClient},
 };
 
+/// Pause before a failed group of moves is tried again.
 const RETRY_MS: u64 = 50;
 
-/// Why a move did not come to its end yet.
+/// Reason why a group of moves is not completed yet.
 #[derive(Debug, Snafu)]
 enum MoveError {
-    #[snafu(display("the old owner does not answer: {source}"))]
+    #[snafu(display("the old owner does not respond: {source}"))]
     Revoke { source: CallError },
-    #[snafu(display("the old owner has not given the slots up"))]
+    #[snafu(display("the old owner has not released the slots"))]
     NotReleased,
-    #[snafu(display("the new owner does not answer: {source}"))]
+    #[snafu(display("the new owner does not respond: {source}"))]
     Grant { source: CallError },
-    #[snafu(display("the new owner refused"))]
+    #[snafu(display("the new owner refused the grant"))]
     NotGranted,
     #[snafu(display("{source}"))]
     Commit { source: CommitError },
@@ -44,7 +46,7 @@
 }
 
 impl Host {
-    /// Starts a task for each group of moving slots that has none.
+    /// Starts a task for each group of moving slots, unless one runs already.
     pub(super) fn drive_moves(
         self: &Arc<Self>,
         controller: &mut Controller,
@@ -61,7 +63,7 @@
             tokio::spawn(async move {
                 let moved = host.complete_group(&state, group, &slots).await;
                 if let Err(error) = moved {
-                    log::warn!(service = group.service.0 as u64; "a move waits: {error}");
+                    log::warn!(service = group.service.0 as u64; "cannot complete a move yet: {error}");
                     time::sleep(Duration::from_millis(RETRY_MS)).await;
                 }
                 let _ = done.send(FinishedTask::Moved(group));
@@ -69,6 +71,8 @@
         }
     }
 
+    /// Revokes the slots of a group from the old owner, if there is one, grants them to the new
+    /// owner and commits the completed moves.
     async fn complete_group(
         self: &Arc<Self>,
         state: &State,
@@ -91,6 +95,8 @@
         committed.map_err(|source| MoveError::Commit { source })
     }
 
+    /// Orders the old owner to release the slots; its requests in flight may run on for the drain
+    /// time of the settings.
     async fn revoke(&self, from: &ServerEntry, grants: &[SlotGrant]) -> Result<(), MoveError> {
         let drain_ms = self.settings.ownership.drain_ms;
         let order = RevokeRequest {
@@ -109,8 +115,8 @@
         Ok(())
     }
 
-    /// Gives grants to the new owner. The grants are fenced by their epochs and the lease by its
-    /// renewals, so this order extends no lease.
+    /// Sends the grants to the new owner. The order does not extend the server's lease: the epochs
+    /// fence the grants, and only renewals keep the lease valid.
     async fn grant(
         &self,
         key: ServerKey,
@@ -123,7 +129,7 @@
             not_after_ms: 0,
             grants,
         };
-        // A host that is not fresh must not order anything.
+        // A host with a stale view must not send orders.
         let state = self.view.state();
         if !self.view.fresh() || !is_live(&state, key) {
             return Err(MoveError::Changed);
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -1,4 +1,4 @@
-//! Answers what arrives from peers.
+//! Handles heartbeats and requests from other hosts.
 
 use std::sync::Arc;
 
@@ -17,7 +17,8 @@
 };
 
 impl Host {
-    /// Runs until the endpoint closes.
+    /// Handles messages of other hosts until the endpoint closes. Requests are handled in tasks of
+    /// their own, so that a slow one delays no heartbeat.
     pub(super) async fn answer_peers(self: Arc<Self>, mut inbox: mpsc::Receiver<Inbound>) {
         while let Some(inbound) = inbox.recv().await {
             match inbound {
@@ -71,6 +72,7 @@
         }
     }
 
+    /// Records the reply to a heartbeat, which may raise the basis of this host's view.
     fn receive_pong(&self, answer: HeartbeatReply) {
         let Some(host) = self.key() else { return };
         let own = Voter {
@@ -80,6 +82,7 @@
         self.view.record_heartbeat_reply(answer, own);
     }
 
+    /// Starts a task that fetches the missing entries from the peer that has `revision`.
     fn spawn_catch_up(self: &Arc<Self>, address: std::net::SocketAddr, revision: Revision) {
         let host = self.clone();
         tokio::spawn(async move { host.catch_up(address, revision).await });
@@ -121,6 +124,7 @@
         let _ = reply.send(answer);
     }
 
+    /// Applies pushed entries. If entries before them are missing, it requests a read of the log.
     fn receive_push(&self, entries: &[crate::state::LogEntry]) -> PeerReply {
         self.apply(entries);
         let last = entries.last().map(|entry| entry.revision);
@@ -132,8 +136,9 @@
         }
     }
 
-    /// How long this host's renewals of a lost server may still hold. Renewals are decided on
-    /// under the same lock, so none can follow this answer.
+    /// Returns the time for which this host's renewals may still keep the lease of a lost server
+    /// valid. New renewals are decided on under the same lock, so none can follow a reply that says
+    /// that the loss is applied.
     pub(super) fn horizon(
         &self,
         server: ServerKey,
@@ -152,7 +157,7 @@
         }
     }
 
-    /// Registered hosts other than this one.
+    /// Returns the registered hosts other than this one, with their processes and peer addresses.
     pub(super) fn other_hosts(&self) -> Vec<(HostKey, Incarnation, std::net::SocketAddr)> {
         let own = self.key();
         let state = self.view.state();
--- a/src/host/planning.rs
+++ b/src/host/planning.rs
@@ -1,4 +1,5 @@
-//! Reads the hosts' loads, plans moves and records them.
+//! Planning of moves: reads the loads from all hosts, plans moves for each service and commits
+//! them.
 
 use std::sync::Arc;
 
@@ -16,19 +17,23 @@
     state::{Change, ServerState, ServiceEntry, SlotMove, State},
 };
 
-/// Slots of one service that move for balance at a time.
+/// Limit of the slots of one service that may be moving when moves for balance are added.
 const BALANCE_IN_FLIGHT_MAX: usize = 8;
-/// Slots in one change, which keeps a row of the log small.
+/// Limit of the slots in one change, which bounds the size of a row of the log.
 const SLOTS_PER_CHANGE: usize = 2_000;
+/// Interval at which the leader reads the loads.
 const READ_LOADS_MS: u64 = 2_000;
+/// Timeout of reading the loads of one host.
 const LOADS_TIMEOUT_MS: u64 = 500;
-/// Weight of the latest reading in the smoothed load.
+/// Weight of the latest reading in the exponentially smoothed load.
 const LOAD_SMOOTHING: f64 = 0.2;
-/// Requests in one reading below which loads are too thin to balance on.
+/// Smoothed requests of a service, over all slots, below which there are too few of them to
+/// balance on.
 const LOAD_REQUESTS_MIN: f64 = 200.0;
 
 impl Host {
-    /// Plans each service and records the moves.
+    /// Plans moves for each service and commits them. Nothing is planned again until the state or
+    /// the loads change.
     pub(super) async fn plan_moves(self: &Arc<Self>, controller: &mut Controller) {
         let state = self.view.state();
         let basis = (state.revision, controller.loads_ms);
@@ -55,14 +60,14 @@
                     moves: chunk.to_vec(),
                 };
                 if let Err(error) = self.commit_own(change).await {
-                    log::debug!("moves were not begun: {error}");
+                    log::debug!("cannot begin planned moves: {error}");
                     return;
                 }
             }
         }
     }
 
-    /// Reads every host's loads and smooths them.
+    /// Reads the requests per slot from every host, and adds them to the smoothed loads.
     pub(super) async fn read_loads(self: &Arc<Self>, controller: &mut Controller) {
         let now_ms = clock::now_ms();
         if now_ms < controller.loads_ms + READ_LOADS_MS {
@@ -116,6 +121,7 @@
     plans
 }
 
+/// Plans the moves of one service. If it has too few requests, all its slots count with load 0.
 fn plan_service(state: &State, service: &ServiceEntry, loads: Option<&[f64]>) -> Vec<PlannedMove> {
     let capacity = service.spec.server_slots as f64;
     let servers: Vec<PlannerServer> = state
@@ -149,6 +155,7 @@
         weights: service.spec.weights,
         balance_moves: BALANCE_IN_FLIGHT_MAX.saturating_sub(in_flight),
     };
-    // A slot whose owner is lost is planned at once: its move waits for the lapse anyway.
+    // A slot whose owner is lost is planned at once, because its move waits until the lease has
+    // lapsed anyway.
     plan(input)
 }
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -1,4 +1,4 @@
-//! Renews the leases of backend servers, and finds out which of them are lost.
+//! Renews the leases of backend servers, and detects lost servers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,18 +18,22 @@
     transport::{CallError, JsonClient},
 };
 
+/// Interval at which due renewals are looked for.
 const TICK_MS: u64 = 25;
-/// Hosts that renew one server's lease at the same time.
+/// Number of hosts that renew the lease of one server independently of each other.
 const RENEWERS: usize = 2;
-/// Heartbeats without an answer after which another host takes a silent one's renewals.
+/// Heartbeats without a reply after which the renewals of a silent host are assigned to another
+/// host.
 const SILENT_HEARTBEATS: u64 = 5;
-/// Hosts that are asked to probe a suspected server.
+/// Number of other hosts that probe a server before it is reported as lost.
 const INDIRECT_PROBES: usize = 2;
-/// Time for one order to a server.
+/// Timeout of one order to a server.
 pub(super) const ORDER_TIMEOUT_MS: u64 = 200;
+/// Timeout of a probe by another host. It is longer than [`ORDER_TIMEOUT_MS`], because the other
+/// host sends an order of its own within it.
 const PROBE_TIMEOUT_MS: u64 = 250;
 
-/// A server as one renewal addresses it.
+/// A server with a lease: address, process and membership period that a renewal is meant for.
 #[derive(Clone, Copy, Debug)]
 struct LeasedServer {
     server: ServerKey,
@@ -49,13 +53,13 @@
     }
 }
 
-/// Client for orders to servers.
+/// Returns an HTTP client for orders to servers.
 pub(super) fn order_client() -> JsonClient {
     JsonClient::new(ORDER_TIMEOUT_MS)
 }
 
 impl Host {
-    /// Runs until the process ends.
+    /// Renews the leases assigned to this host until the process ends, while its view is fresh.
     pub(super) async fn run_lease_renewal(self: Arc<Self>) {
         let mut ticks = time::interval(Duration::from_millis(TICK_MS));
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
@@ -74,7 +78,8 @@
         }
     }
 
-    /// Live servers whose leases this host renews.
+    /// Returns the live servers whose leases this host renews: those for which it is among the
+    /// first [`RENEWERS`] hosts in the hash ring.
     fn assigned_servers(&self) -> Vec<LeasedServer> {
         let Some(own) = self.key() else {
             return Vec::new();
@@ -102,7 +107,8 @@
         }
     }
 
-    /// This host and those that answered heartbeats of late; unasked ones count as well.
+    /// Returns this host and the hosts that replied to a heartbeat of this host lately. Hosts that
+    /// this host does not ping are included.
     fn heard_hosts(&self, state: &State, own: HostKey) -> Vec<HostKey> {
         let heartbeat_ms = self.settings.ownership.heartbeat_ms;
         let silent_ms = heartbeat_ms * SILENT_HEARTBEATS;
@@ -118,7 +124,8 @@
             .collect()
     }
 
-    /// True if a renewal is due; the next one is then postponed while this one is under way.
+    /// Returns true if a renewal is due, and then postpones the next one while this one is in
+    /// flight.
     fn start_if_due(&self, leased: LeasedServer) -> bool {
         let now_ms = clock::now_ms();
         let mut contacts = self.contacts();
@@ -147,12 +154,14 @@
         }
     }
 
-    /// The order to send; none if this host must not renew any more. The state and the freshness
-    /// are checked under the lock under which [`Host::horizon`] answers.
+    /// Returns the order to send; `None` if this host must not renew the lease any more. The state
+    /// and the freshness are checked under the lock that [`Host::horizon`] also takes, so that no
+    /// renewal follows its reply.
     fn order(&self, leased: LeasedServer) -> Option<LeaseRequest> {
         let mut contacts = self.contacts();
         let state = self.view.state();
-        // Only registered hosts are asked for their horizon.
+        // Only registered hosts are queried for their horizons before a lapse is recorded, so an
+        // unregistered host must not renew.
         state.host_key(self.incarnation)?;
         let entry = state.server(leased.server)?;
         let current = entry.state == ServerState::Live && entry.lease_epoch == leased.lease_epoch;
@@ -186,11 +195,15 @@
         };
         match finding {
             Finding::Renewed => self.note_draining(leased, answer.draining).await,
-            Finding::Replaced => self.report_lost(leased, "another process answers").await,
+            Finding::Replaced => {
+                self.report_lost(leased, "another process responds at its address")
+                    .await
+            }
             Finding::Outdated => self.sync_wanted.notify_one(),
         }
     }
 
+    /// Commits that a server has begun or ended draining, if the state does not say so already.
     async fn note_draining(self: &Arc<Self>, leased: LeasedServer, draining: bool) {
         let state = self.view.state();
         let Some(entry) = state.server(leased.server) else {
@@ -207,6 +220,8 @@
         let _ = self.commit_own(change).await;
     }
 
+    /// Records a failed renewal, and reports the server as lost if it has not responded to this
+    /// host for the suspicion time and does not respond to other hosts either.
     async fn renewal_failed(self: &Arc<Self>, leased: LeasedServer, error: &CallError) {
         log::debug!(server = leased.server.0 as u64; "renewal failed: {error}");
         let suspected = {
@@ -218,11 +233,11 @@
             contact.failed(clock::now_ms(), suspect_ms)
         };
         if suspected && !self.is_reachable_by_others(leased.server).await {
-            self.report_lost(leased, "it does not answer").await;
+            self.report_lost(leased, "it does not respond").await;
         }
     }
 
-    /// True if another host reaches the server.
+    /// Returns true if one of up to [`INDIRECT_PROBES`] other hosts reaches the server.
     async fn is_reachable_by_others(&self, server: ServerKey) -> bool {
         let mut probes = tokio::task::JoinSet::new();
         let request = PeerRequest::Probe { server };
@@ -242,7 +257,7 @@
         false
     }
 
-    /// Tries whether the process that holds the server's lease answers.
+    /// Probes a server; returns true if the process that holds the lease responds.
     pub(super) async fn probe(&self, server: ServerKey) -> bool {
         let state = self.view.state();
         let Some(entry) = state.server(server) else {
@@ -254,7 +269,7 @@
         }
     }
 
-    /// Asks a server for its facts.
+    /// Queries the process, clock, grants and draining of a server, by a request without an order.
     pub(super) async fn query_server(
         &self,
         address: std::net::SocketAddr,
@@ -268,6 +283,7 @@
         self.servers.post(address, LEASE_PATH, &question).await
     }
 
+    /// Commits the loss of a server, if it is still live in the same membership period.
     async fn report_lost(self: &Arc<Self>, leased: LeasedServer, reason: &str) {
         let state = self.view.state();
         let entry = state.server(leased.server);
@@ -282,12 +298,13 @@
             lease_epoch: leased.lease_epoch,
         };
         if let Err(error) = self.commit_own(change).await {
-            log::warn!("the loss cannot be recorded: {error}");
+            log::warn!("cannot record the loss of a server: {error}");
         }
     }
 }
 
-/// The grants that a server should hold, if it said that it holds others.
+/// Returns all grants that a server should hold if the digest that it reported is of other grants.
+/// Returns none if the digest matches, or before the server has reported one.
 fn missing_grants(state: &State, server: ServerKey, digest: Option<u64>) -> Vec<SlotGrant> {
     let Some(digest) = digest else {
         return Vec::new();
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -38,21 +38,24 @@
     transport::{self, ListenerLimits},
 };
 
-/// Time for the log to find out about a lost answer.
+/// Time limit for the change log to find out if a transaction whose response was lost took effect.
 const RESOLVE_TIMEOUT_MS: u64 = 5_000;
-/// Connections kept open to one backend server while idle.
+/// Limit of the idle connections kept open to one backend server.
 const IDLE_CONNECTIONS: usize = 8;
+/// Pause between two attempts to register this host.
 const REGISTER_PAUSE_MS: u64 = 100;
+/// Time limit of the announcement of a planned stop, so that the stop goes on while the store is
+/// down.
 const LEAVE_TIMEOUT_MS: u64 = 2_000;
 
-/// A host that runs in this process.
+/// A host that runs in this process, with its tasks.
 #[derive(Debug)]
 pub struct RunningHost {
-    /// The host.
+    /// Context that the tasks of the host share.
     pub host: Arc<Host>,
-    /// Address for callers.
+    /// Address on which the listener for callers is bound.
     pub callers: SocketAddr,
-    /// Address for operators.
+    /// Address on which the listener of the operators' API is bound.
     pub operators: SocketAddr,
     stop_callers: watch::Sender<bool>,
     callers_done: tokio::task::JoinHandle<()>,
@@ -60,7 +63,7 @@
     tasks: JoinSet<()>,
 }
 
-/// Starts a host.
+/// Starts a host: opens its listeners and spawns its tasks. It registers in the background.
 pub async fn start(settings: Settings) -> Result<RunningHost> {
     let tls = keys::load(&settings.peers).context(PeerSnafu)?;
     let bound = PeerEndpoint::bind(settings.peers.listen, tls);
@@ -132,7 +135,7 @@
 }
 
 impl Host {
-    /// Registers this process, until that has succeeded.
+    /// Retries the registration of this process until it has succeeded.
     async fn keep_registered(self: Arc<Self>) {
         let Ok(peer_address) = self.peers.address() else {
             return;
@@ -151,13 +154,14 @@
         while self.key().is_none() {
             let read = self.read_log().await;
             if read && let Err(error) = self.commit(request.clone()).await {
-                log::warn!("this host is not registered yet: {error}");
+                log::warn!("cannot register this host yet: {error}");
             }
             time::sleep(Duration::from_millis(REGISTER_PAUSE_MS)).await;
         }
         log::info!(host = self.settings.name.as_str(); "registered");
     }
 
+    /// Commits that this host leaves, so that it is removed soon after it has stopped.
     async fn announce_leaving(self: &Arc<Self>) {
         let Some(host) = self.key() else { return };
         let change = Change::HostLeaving {
@@ -167,13 +171,14 @@
         let announced = self.commit_own(change);
         let limit = Duration::from_millis(LEAVE_TIMEOUT_MS);
         if !matches!(time::timeout(limit, announced).await, Ok(Ok(()))) {
-            log::warn!("the planned stop could not be announced");
+            log::warn!("cannot announce the planned stop of this host");
         }
     }
 }
 
 impl RunningHost {
-    /// Planned stop: readiness goes first, then the requests in flight finish, then the rest ends.
+    /// Stops the host as planned: withdraws readiness, announces the stop, waits for the notice
+    /// time, lets the requests in flight finish, and then ends all tasks.
     pub async fn stop(mut self) {
         let host = &self.host;
         host.ready.store(false, Ordering::Relaxed);
@@ -188,7 +193,7 @@
         self.host.peers.close();
     }
 
-    /// Ends the host as a crash would: nothing is announced, nothing finishes.
+    /// Ends the host as a crash would: the stop is not announced and requests are cut off.
     pub async fn kill(mut self) {
         self.callers_done.abort();
         self.tasks.shutdown().await;
@@ -196,7 +201,7 @@
         self.operators_server.stop().await;
     }
 
-    /// Runs until a task of the host fails; one that has done its work is no failure.
+    /// Waits until a task of the host panics; a task that returns is no failure.
     pub async fn failed(&mut self) {
         while let Some(ended) = self.tasks.join_next().await {
             if ended.is_err() {
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -1,4 +1,4 @@
-//! Keeps the view up to date from the change log, or from peers while the platform is down.
+//! Keeps the view up to date from the change log, and from peers while the store is down.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,25 +14,27 @@
     state::{LogEntry, LogError, Snapshot},
 };
 
-/// Pause between looks at the own basis.
+/// Interval at which the age of the basis is checked.
 const TICK_MS: u64 = 20;
-/// Age of the basis at which a host reads the log itself, in percent of the freshness allowed;
-/// while peers' answers keep the basis younger, it does not read. The witnesses read early, so that
-/// the hosts below them in the tree need not.
+/// Age of the basis at which a root host reads the log, in percent of the freshness limit. Root
+/// hosts read early, so that the hosts below them in the heartbeat tree need not read.
 const WITNESS_READS_AT_PERCENT: u64 = 25;
+/// Age of the basis at which any other host reads the log, in percent of the freshness limit. It
+/// does not read while replies to its heartbeats keep the basis younger.
 const OTHER_READS_AT_PERCENT: u64 = 75;
-/// Spread of these ages, in percent of the freshness allowed.
+/// Upper bound of the random delay that is added to these ages, in percent of the freshness limit.
 const SPREAD_PERCENT: u64 = 12;
+/// Timeout of fetching entries or a snapshot from a peer.
 const PEER_TIMEOUT_MS: u64 = 500;
 
 impl Host {
-    /// Runs until the process ends.
+    /// Reads the log when the basis is too old or a read is requested, until the process ends.
     pub(super) async fn keep_synced(self: Arc<Self>) {
         let percent_ms = |percent| self.settings.ownership.freshness_ms * percent / 100;
         loop {
             let wanted = time::timeout(Duration::from_millis(TICK_MS), self.sync_wanted.notified());
             let wanted = wanted.await.is_ok();
-            // Spread, so that not every host reads at the same moment.
+            // The random delay keeps the hosts from reading at the same moment.
             let spread_ms = rand::rng().random_range(0..=percent_ms(SPREAD_PERCENT));
             let read_at_ms = match self.is_root() {
                 true => percent_ms(WITNESS_READS_AT_PERCENT),
@@ -45,7 +47,7 @@
         }
     }
 
-    /// True until it is known that enough other hosts are witnesses.
+    /// Returns true if this host is a root host of the heartbeat tree, or is not registered yet.
     fn is_root(&self) -> bool {
         let Some(own) = self.key() else { return true };
         let state = self.view.state();
@@ -53,7 +55,7 @@
         heartbeat_tree::is_root(&hosts, own)
     }
 
-    /// Reads the log to its end; false if that failed.
+    /// Reads the log to its end and applies it; returns false on failure.
     pub(super) async fn read_log(&self) -> bool {
         loop {
             let sent_ms = clock::now_ms();
@@ -81,15 +83,16 @@
         }
     }
 
-    /// Applies entries. One that cannot be applied means that this program and the log disagree,
-    /// so the host must not act on.
+    /// Applies entries to the view. Panics if an entry cannot be applied: this program and the log
+    /// then disagree, so the host must not go on acting.
     pub(super) fn apply(&self, entries: &[LogEntry]) {
         if let Err(error) = self.view.apply(entries) {
             panic!("invariant: an entry of the log cannot be applied: {error}");
         }
     }
 
-    /// Brings the view to `revision` from the peer at `address`, or else from the log.
+    /// Fetches the missing entries up to `revision` from the peer at `address`, or requests a read
+    /// of the log if that does not succeed.
     pub(super) async fn catch_up(&self, address: std::net::SocketAddr, revision: Revision) {
         let request = PeerRequest::Entries {
             after: self.view.revision(),
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Takes over the whole state of a peer, if it is newer.
+    /// Fetches the whole state of a peer and replaces the view with it if it is newer.
     pub(super) async fn fetch_snapshot(&self, address: std::net::SocketAddr) {
         let request = PeerRequest::Snapshot;
         let reply = self.peers.call(address, &request, PEER_TIMEOUT_MS).await;
@@ -113,7 +116,7 @@
         };
         match Snapshot::decode(&pointer, &body) {
             Ok(state) => self.view.replace(state),
-            Err(error) => log::warn!("a peer's snapshot: {error}"),
+            Err(error) => log::warn!("cannot decode the snapshot of a peer: {error}"),
         }
     }
 }
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -1,4 +1,4 @@
-//! The host's view: the agreed state at one revision, when it was applied, and its freshness.
+//! The host's view: the replicated state at one revision, when it was applied, and its freshness.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -21,10 +21,11 @@
     state::{self, LogEntry, State},
 };
 
-/// Entries kept for peers that ask.
+/// Limit of the latest entries kept in memory for peers that request them. A peer that is further
+/// behind gets a snapshot.
 const ENTRIES_KEPT: usize = 1_024;
 
-/// An entry and when this host applied it.
+/// A log entry, and when this host applied it.
 #[derive(Clone, Debug)]
 struct Applied {
     entry: LogEntry,
@@ -33,15 +34,16 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// Hosts that ask this one, and when they last did.
+    /// Time of the last ping received from each host.
     last_pings: HashMap<Voter, u64>,
     recent: VecDeque<Applied>,
     freshness: Freshness,
-    /// When a whole state was last taken over, and at which revision.
+    /// Revision and time at which a snapshot last replaced the state.
     replaced: Option<(Revision, u64)>,
 }
 
-/// A host's view.
+/// The replicated state as one host has applied it. A host may act on it only while it is fresh:
+/// while its basis is no older than the freshness limit (see [`crate::membership::freshness`]).
 #[derive(Debug)]
 pub struct View {
     state: ArcSwap<State>,
@@ -52,7 +54,7 @@
 }
 
 impl View {
-    /// An empty view that acts on a basis no older than `freshness_ms`.
+    /// Returns an empty view that is fresh while its basis is no older than `freshness_ms`.
     pub fn new(freshness_ms: u64) -> Self {
         Self {
             state: ArcSwap::from_pointee(State::default()),
@@ -67,39 +69,40 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The state, for longer use.
+    /// Returns the state for use across awaits or for a long time.
     pub fn state(&self) -> Arc<State> {
         self.state.load_full()
     }
 
-    /// The state, for a short look.
+    /// Returns a guard of the state, which is cheaper than [`View::state`] and should be dropped
+    /// soon.
     pub fn peek(&self) -> Guard<Arc<State>> {
         self.state.load()
     }
 
-    /// Revision applied.
+    /// Returns the last revision that was applied.
     pub fn revision(&self) -> Revision {
         self.state.load().revision
     }
 
-    /// Tells of each new revision.
+    /// Returns a receiver that is notified of each new revision.
     pub fn watch(&self) -> watch::Receiver<Revision> {
         self.changed.subscribe()
     }
 
-    /// True if this host may act now.
+    /// Returns true if the basis is recent enough for this host to act on the state.
     pub fn fresh(&self) -> bool {
         clock::now_ms() <= self.basis_ms.load(Ordering::Acquire) + self.freshness_ms
     }
 
-    /// Age of the basis; none before the first one.
+    /// Returns the age of the basis; `None` before the first one.
     pub fn basis_age_ms(&self) -> Option<u64> {
         let basis_ms = self.basis_ms.load(Ordering::Acquire);
         (basis_ms > 0).then(|| clock::now_ms().saturating_sub(basis_ms))
     }
 
-    /// Applies entries that follow the view; earlier ones are passed over, and entries after a gap
-    /// are left for a later read.
+    /// Applies the entries that follow the current revision. Entries applied before are skipped,
+    /// and entries after a gap are ignored; a later read of the log brings them.
     pub fn apply(&self, entries: &[LogEntry]) -> state::Result<()> {
         let mut inner = self.lock();
         let mut state = State::clone(&self.state.load());
@@ -126,7 +129,7 @@
         Ok(())
     }
 
-    /// Takes over a whole state if it is newer.
+    /// Replaces the state with a snapshot if that is newer.
     pub fn replace(&self, state: State) {
         let mut inner = self.lock();
         if state.revision <= self.state.load().revision {
@@ -137,7 +140,8 @@
         self.publish(state);
     }
 
-    /// Puts a state in force. Called under the lock, so revisions follow each other.
+    /// Publishes a new state to readers and watchers. The caller holds the lock, so that revisions
+    /// only rise.
     fn publish(&self, state: State) {
         let revision = state.revision;
         let previous = self.state.swap(Arc::new(state));
@@ -148,7 +152,9 @@
         self.changed.send_replace(revision);
     }
 
-    /// Time since this host applied `revision`; none if it has not.
+    /// Returns the time since this host applied `revision`; `None` if it has not. For an entry that
+    /// is no longer kept, the time since a snapshot last replaced the state counts instead, or 0 if
+    /// none has.
     pub fn applied_age_ms(&self, revision: Revision) -> Option<u64> {
         let inner = self.lock();
         if self.state.load().revision < revision {
@@ -163,7 +169,7 @@
         Some(clock::now_ms().saturating_sub(applied_ms))
     }
 
-    /// Entries after `after`; none if they are no longer kept.
+    /// Returns the entries after `after`; `None` if they are no longer kept.
     pub fn entries(&self, after: Revision) -> Option<Vec<LogEntry>> {
         let inner = self.lock();
         if after >= self.state.load().revision {
@@ -177,14 +183,14 @@
         Some(newer.map(|applied| applied.entry.clone()).collect())
     }
 
-    /// The change log was read to its end by a read that was sent at `sent_ms`.
+    /// Records that a read of the change log, sent at `sent_ms`, found no further entries.
     pub fn record_log_read(&self, sent_ms: u64) {
         let mut inner = self.lock();
         inner.freshness.record_log_read(sent_ms);
         self.store_basis(&inner);
     }
 
-    /// Takes a peer's answer to a heartbeat.
+    /// Records the reply of a peer to a heartbeat, which may raise the basis.
     pub fn record_heartbeat_reply(&self, answer: HeartbeatReply, own: Voter) {
         let mut inner = self.lock();
         let state = self.state.load();
@@ -195,7 +201,7 @@
         self.store_basis(&inner);
     }
 
-    /// Called with each heartbeat.
+    /// Raises the basis to now if this host is the only voter. Called at each heartbeat.
     pub fn on_heartbeat(&self, own: Voter) {
         let mut inner = self.lock();
         let voters = voters(&self.state.load());
@@ -210,18 +216,18 @@
         self.basis_ms.fetch_max(basis_ms, Ordering::AcqRel);
     }
 
-    /// Notes a question of another host.
+    /// Records a ping received from another host.
     pub fn record_ping(&self, host: HostKey, incarnation: Incarnation) {
         let sender = Voter { host, incarnation };
         self.lock().last_pings.insert(sender, clock::now_ms());
     }
 
-    /// When a host last asked this one.
+    /// Returns the time of the last ping received from a host; `None` if there was none.
     pub fn last_ping_ms(&self, sender: Voter) -> Option<u64> {
         self.lock().last_pings.get(&sender).copied()
     }
 
-    /// Forgets askers that are no longer registered.
+    /// Forgets the pings of hosts that are no longer registered.
     pub fn forget_unregistered(&self, registered: &[Voter]) {
         let mut inner = self.lock();
         inner
@@ -229,12 +235,12 @@
             .retain(|sender, _| registered.contains(sender));
     }
 
-    /// What `host` said of its revision.
+    /// Returns the revision that `host` last reported in a reply to a heartbeat.
     pub fn peer_revision(&self, host: HostKey) -> Option<PeerRevision> {
         self.lock().freshness.peer_revision(host)
     }
 
-    /// When `host` was last asked a question that it answered.
+    /// Returns the time at which the last ping that `host` replied to was sent.
     pub fn heard_ms(&self, host: HostKey) -> Option<u64> {
         self.lock().freshness.heard_ms(host)
     }
