--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -1,70 +1,73 @@
-//! When a host may act on its view.
+//! Freshness of a host's view, which decides if the host may act on it.
 //!
-//! A host's *basis* is the latest time for which it knows that it has applied every change that
-//! was in force then. It comes from one of three sources:
+//! A host's *basis* is the latest time for which the host knows that it has applied every change
+//! that was in force then. The view is fresh while the basis is recent enough. The basis comes from
+//! one of three sources:
 //!
 //! - a read of the change log: the time at which the read was sent;
-//! - an answer of one peer that has a basis itself: the time at which the question was sent, less
-//!   the age of the peer's basis;
-//! - answers of more than half of the counted hosts, the own one included: the time at which the
-//!   oldest of these questions was sent.
+//! - the reply to a heartbeat by one peer that has a basis itself: the time at which the ping was
+//!   sent, less the age of the peer's basis;
+//! - replies to heartbeats by more than half of the voters, this host included: the time at which
+//!   the oldest of these pings was sent.
 //!
-//! The last one holds while the platform's store is down: a lost server's lease is declared lapsed
-//! only after more than half of the counted hosts have applied the loss, and two majorities share
-//! a host. Every source takes the time of the question, so that a delayed answer makes the basis
-//! no younger. An answer counts only if this host has applied the revision that it carries.
+//! The last source is valid also while the platform's store is down: the lease of a lost server is
+//! recorded as lapsed only after more than half of the voters have applied the loss, and any two
+//! majorities share a host. Every source counts from the sending of the read or the ping, so that a
+//! delayed reply does not make the basis younger. A reply counts only if this host has applied the
+//! revision that it carries.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{HostKey, Incarnation, Revision};
 
-/// What one peer said last.
+/// Latest reply of one peer to a heartbeat.
 #[derive(Clone, Copy, Debug)]
 struct LastReply {
     host: HostKey,
     incarnation: Incarnation,
     sent_ms: u64,
     revision: Revision,
-    /// When this revision was first heard of.
+    /// Time at which the first ping that the peer answered with this revision was sent.
     since_ms: u64,
 }
 
-/// A peer's revision as heard by heartbeats.
+/// Revision of a peer, as reported in its replies to heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerRevision {
-    /// Revision.
+    /// Revision that the peer has applied.
     pub revision: Revision,
-    /// When this host first heard that the peer has it.
+    /// Time at which the first ping that the peer answered with this revision was sent.
     pub since_ms: u64,
-    /// When the peer was last asked a question that it answered.
+    /// Time at which the last ping that the peer replied to was sent.
     pub heard_ms: u64,
 }
 
-/// Answer of a peer to a heartbeat.
+/// Reply of a peer to a heartbeat of this host.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatReply {
-    /// Peer.
+    /// Host that replied.
     pub host: HostKey,
-    /// Its process.
+    /// Process that replied.
     pub incarnation: Incarnation,
-    /// When this host sent the question.
+    /// Time at which this host sent the ping, on its own clock.
     pub sent_ms: u64,
     /// Revision that the peer has applied.
     pub revision: Revision,
-    /// Age of the peer's own basis; none if it has none.
+    /// Age of the peer's basis when it replied; `None` if it has no basis.
     pub basis_age_ms: Option<u64>,
 }
 
-/// A host that counts in the majority.
+/// A host process that counts in majorities. The type also names registered hosts that are no
+/// voters where their processes matter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Voter {
-    /// Host.
+    /// Key of the host; a restarted host may get the same one.
     pub host: HostKey,
-    /// Its process.
+    /// Process of the host; a restarted one is another voter.
     pub incarnation: Incarnation,
 }
 
-/// The basis of one host.
+/// Basis of one host's view, and the replies to its heartbeats.
 #[derive(Clone, Debug, Default)]
 pub struct Freshness {
     basis_ms: Option<u64>,
@@ -72,13 +75,13 @@
 }
 
 impl Freshness {
-    /// The change log was read to its end by a read that was sent at `sent_ms`.
+    /// Records that a read of the change log, sent at `sent_ms`, found no further entries.
     pub fn record_log_read(&mut self, sent_ms: u64) {
         self.raise_basis(sent_ms);
     }
 
-    /// Takes a peer's answer; `applied` is this host's revision and `voters` are the counted hosts
-    /// at it.
+    /// Records the reply of a peer; `applied` is this host's revision, and `voters` are the voters
+    /// of the state at that revision.
     pub fn record_heartbeat_reply(
         &mut self,
         answer: HeartbeatReply,
@@ -98,13 +101,14 @@
         }
     }
 
-    /// A host that is the only counted one is a majority by itself.
+    /// Raises the basis to `now_ms` if this host is the only voter, and so a majority by itself.
     pub fn raise_if_only_voter(&mut self, now_ms: u64, own: Voter, voters: &[Voter]) {
         if voters == [own] {
             self.raise_basis(now_ms);
         }
     }
 
+    /// Keeps the reply if its ping was sent later than that of the last reply of the same peer.
     fn store_reply(&mut self, answer: HeartbeatReply) {
         let mut heard = LastReply {
             host: answer.host,
@@ -126,7 +130,8 @@
         *held = heard;
     }
 
-    /// Time of the oldest question among the youngest answers that make a majority.
+    /// Returns the time of the oldest ping among the latest replies that form a majority with this
+    /// host; `None` if too few voters have replied.
     fn majority_ms(&self, own: Voter, voters: &[Voter]) -> Option<u64> {
         let needed = voters.len() / 2 + 1;
         let own_counts = voters.contains(&own);
@@ -154,17 +159,17 @@
         self.basis_ms = self.basis_ms.max(Some(basis_ms));
     }
 
-    /// The basis; none before the first one.
+    /// Returns the basis; `None` before the first one.
     pub fn basis_ms(&self) -> Option<u64> {
         self.basis_ms
     }
 
-    /// When `host` was last asked a question that it answered.
+    /// Returns the time at which the last ping that `host` replied to was sent.
     pub fn heard_ms(&self, host: HostKey) -> Option<u64> {
         self.peer_revision(host).map(|heard| heard.heard_ms)
     }
 
-    /// What `host` said of its revision.
+    /// Returns the revision that `host` reported last; `None` if it has not replied yet.
     pub fn peer_revision(&self, host: HostKey) -> Option<PeerRevision> {
         let heard = self.heard.iter().find(|heard| heard.host == host)?;
         Some(PeerRevision {
--- a/src/membership/heartbeat_tree.rs
+++ b/src/membership/heartbeat_tree.rs
@@ -1,21 +1,24 @@
-//! Whom a host asks by heartbeats, so that its cost stays flat as hosts grow.
+//! The heartbeat tree, which selects the hosts that each host pings. Its shape keeps the number of
+//! heartbeats per host constant as the number of hosts grows.
 //!
-//! The first hosts, taken from the availability zones in turn, are witnesses and ask each other. Every other host asks a few
-//! parents in a tree below them; the age of the basis adds up along the way.
+//! The first 15 hosts, taken from the availability zones in turn, are the *root hosts*. They ping
+//! each other and become voters. Every other host pings two parents that stand above it in the
+//! tree. The age of the basis adds up on the way down from the root hosts.
 
 use std::collections::HashMap;
 
 use crate::{id::HostKey, state::State};
 
-/// Hosts that ask each other.
+/// Number of root hosts, which all ping each other.
 pub const ROOT_HOSTS: usize = 15;
-/// Children of one host below the witnesses.
+/// Number of hosts that have the same first parent.
 const FANOUT: usize = 8;
-/// Parents of one host.
+/// Number of parents that a host below the root hosts pings, so that it can lose one of them.
 const PARENTS: usize = 2;
 
-/// The registered hosts in the order of the tree: the first one of each availability zone, then the
-/// second ones, and so on, so that the loss of a zone leaves a majority of the witnesses.
+/// Returns the registered hosts in the order of the tree: the first host of each availability zone,
+/// then the second of each, and so on, so that the loss of a zone leaves a majority of the root
+/// hosts.
 pub fn order(state: &State) -> Vec<HostKey> {
     let mut ranks: HashMap<&str, u32> = HashMap::new();
     let mut ranked: Vec<(u32, HostKey)> = state
@@ -30,12 +33,13 @@
     ranked.into_iter().map(|(_, key)| key).collect()
 }
 
-/// True if `own` is one of the hosts that ask each other and count in the majority.
+/// Returns true if `own` is a root host; `hosts` are the registered ones in the order of the tree.
 pub fn is_root(hosts: &[HostKey], own: HostKey) -> bool {
     hosts.iter().take(ROOT_HOSTS).any(|host| *host == own)
 }
 
-/// The hosts that `own` asks; `hosts` are the registered ones in the order of the tree.
+/// Returns the hosts that `own` pings; `hosts` are the registered ones in the order of the tree. A
+/// host that is not among them pings all root hosts.
 pub fn heartbeat_targets(hosts: &[HostKey], own: HostKey) -> Vec<HostKey> {
     let Some(position) = hosts.iter().position(|host| *host == own) else {
         return hosts.iter().copied().take(ROOT_HOSTS).collect();
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,4 +1,5 @@
-//! Which hosts there are, which of them are heard, and how fresh a host's view is.
+//! Membership of hosts: the registry and its voters, the heartbeat tree, the hash ring that divides
+//! work among hosts, and the freshness of a host's view.
 
 pub mod freshness;
 pub mod heartbeat_tree;
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -1,8 +1,8 @@
-//! The registry of hosts, and the rule by which it changes.
+//! The registry of hosts, and the rules by which it changes.
 //!
-//! Promotions and removals follow each other one at a time. The next one waits until the last one
-//! has been applied by more than half of the counted hosts and the rest has stopped acting on
-//! earlier registries. So the majorities of any two registries that hosts act on share a host.
+//! Hosts are promoted and removed one at a time. The next change waits until the last one is
+//! *settled*: more than half of the voters have applied it, and no other host acts on an earlier
+//! registry any more. Hence the majorities of any two registries that hosts act on share a host.
 
 use super::{freshness::Voter, heartbeat_tree};
 use crate::{
@@ -10,10 +10,11 @@
     state::{Change, HostEntry, HostState, State},
 };
 
-/// Silence of a joining host within which it is promoted.
+/// Longest silence with which a host counts as heard. Only heard hosts are promoted, and only heard
+/// voters count in the majority that the removal of a voter needs.
 const PROMOTION_SILENCE_MS: u64 = 1_000;
 
-/// Hosts that count in the majority.
+/// Returns the voters: the hosts that count in majorities.
 pub fn voters(state: &State) -> Vec<Voter> {
     let is_voter = |(_, host): &(HostKey, &HostEntry)| host.is_voter();
     state
@@ -23,7 +24,7 @@
         .collect()
 }
 
-/// Every registered host.
+/// Returns all registered hosts, the voters and the others.
 pub fn registered(state: &State) -> Vec<Voter> {
     state.registered_hosts().map(voter).collect()
 }
@@ -35,7 +36,8 @@
     }
 }
 
-/// One leader's watch over the settlement of the registry's last change.
+/// A leader's record of the settlement of the last change of the registry. It is kept in memory
+/// only; a new leader starts again.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SettlementTracker {
     changed: Revision,
@@ -43,7 +45,7 @@
 }
 
 impl SettlementTracker {
-    /// True while the hosts must be asked whether they have applied the last change.
+    /// Returns true while the hosts must still be queried for the revision of the last change.
     pub fn pending(&mut self, state: &State) -> bool {
         if self.changed != state.registry.changed {
             *self = Self {
@@ -54,7 +56,9 @@
         !state.registry.is_settled() && self.settled_ms.is_none()
     }
 
-    /// Takes the hosts that have applied the last change, as they said before `now_ms`.
+    /// Takes the hosts that have reported before `now_ms` that they have applied the last change.
+    /// Once they are a majority, the settlement is due at once if they are all hosts and none was
+    /// removed, and otherwise after `lapse_ms`, when hosts that missed the change cannot act.
     pub fn record_applied(&mut self, state: &State, applied: &[Voter], now_ms: u64, lapse_ms: u64) {
         let majority = |voters: &[Voter]| {
             let confirmed = voters.iter().filter(|voter| applied.contains(voter));
@@ -63,13 +67,13 @@
         let registry = &state.registry;
         if majority(&voters(state)) && majority(&registry.previous_voters) {
             let all = registered(state).iter().all(|host| applied.contains(host));
-            // A removed host is not asked, so its silence proves nothing.
+            // A removed host is not queried, so it may still act on an earlier registry.
             let at_once = all && registry.removal < registry.changed;
             self.settled_ms = Some(if at_once { now_ms } else { now_ms + lapse_ms });
         }
     }
 
-    /// The settlement, once it is due.
+    /// Returns the change that settles the registry, once it is due.
     pub fn settlement(&self, state: &State, now_ms: u64) -> Option<Change> {
         let registry = state.registry.changed;
         let due = self
@@ -80,27 +84,29 @@
     }
 }
 
-/// How long a host has been silent.
+/// Time without heartbeats of a host, as one host sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Silence {
-    /// Time since it was last heard; none if it never was.
+    /// Time since the host was last heard; `None` if it never was.
     pub silent_ms: Option<u64>,
-    /// True if it should be heard here: it asks this host, or this host asks it.
+    /// True if heartbeats are expected: the host has pinged this one, or this host pings it.
     pub expected: bool,
-    /// Time since its present entry is known here.
+    /// Time since this host applied the entry of the host; it counts if the host was never heard.
     pub known_ms: u64,
 }
 
-/// Silence after which hosts are removed.
+/// Limits of the silence after which hosts are removed.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryLimits {
-    /// For a host that should be there.
+    /// Limit for a host that has not announced its stop, in milliseconds.
     pub removal_ms: u64,
-    /// For a host that has announced its stop, or has a successor of the same name.
+    /// Limit for a host that has announced its stop or was replaced by a later process of the same
+    /// name, in milliseconds.
     pub leaving_ms: u64,
 }
 
-/// The next change of the registry, if one is wanted.
+/// Returns the next change of the registry: the promotion of a joining root host that is heard, or
+/// the removal of a silent host. `None` if neither is due.
 pub fn next_change(
     state: &State,
     own: Option<HostKey>,
@@ -126,7 +132,7 @@
             limits.removal_ms
         };
         let silent_ms = silence.silent_ms.unwrap_or(silence.known_ms);
-        // Without a majority the removal of a counted host would never be settled.
+        // Without a majority the removal of a voter would never be settled.
         let allowed = majority || !entry.is_voter();
         if !is_own && silence.expected && silent_ms > limit_ms && allowed {
             return Some(Change::HostRemoved { host, incarnation });
@@ -135,7 +141,7 @@
     None
 }
 
-/// True if more than half of the counted hosts are heard.
+/// Returns true if more than half of the voters are heard, this host included.
 fn majority_heard(
     state: &State,
     own: Option<HostKey>,
@@ -149,7 +155,7 @@
     heard.count() * 2 > voters().count()
 }
 
-/// True if a later process runs under the same name.
+/// Returns true if a later process with the same name is registered.
 fn is_replaced(state: &State, entry: &HostEntry) -> bool {
     let mut hosts = state.registered_hosts();
     hosts.any(|(_, other)| other.name == entry.name && other.changed > entry.changed)
--- a/src/membership/ring.rs
+++ b/src/membership/ring.rs
@@ -1,21 +1,25 @@
-//! Consistent hashing of work over hosts: who renews which server's lease, and who watches for a
-//! leader's loss. A host that comes or goes changes only its neighbours' share.
+//! Consistent hashing of work over hosts. It selects the hosts that renew a server's lease, and the
+//! candidates for the leader. A host that joins or leaves changes only the shares of its neighbours
+//! in the ring.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::id::HostKey;
 
+/// Seed of the hashes of hosts.
 const HOST_SEED: u64 = 1;
+/// Seed of the hashes of work. It differs from that of hosts, so that a host and a work item with
+/// the same number have unrelated positions.
 const WORK_SEED: u64 = 2;
 
-/// Hosts in the order of their hashes.
+/// Hash ring: hosts in the order of their hashes.
 #[derive(Clone, Debug, Default)]
 pub struct HashRing {
     points: Vec<(u64, HostKey)>,
 }
 
 impl HashRing {
-    /// A ring of `hosts`.
+    /// Builds the ring of `hosts`.
     pub fn new(hosts: impl Iterator<Item = HostKey>) -> Self {
         let point = |host: HostKey| (hash(host.0, HOST_SEED), host);
         let mut points: Vec<(u64, HostKey)> = hosts.map(point).collect();
@@ -23,7 +27,8 @@
         Self { points }
     }
 
-    /// All hosts, beginning with the one that comes first for `work`.
+    /// Iterates over all hosts in the order of the ring, beginning at the position of `work`. The
+    /// caller takes as many hosts as the work needs.
     pub fn successors(&self, work: u32) -> impl Iterator<Item = HostKey> {
         let position = hash(work, WORK_SEED);
         let start = self.points.partition_point(|point| point.0 < position);
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -1,4 +1,4 @@
-//! Endpoints of the operators' API.
+//! Endpoints of the operators' API. Reading needs no token; changes need the operators' token.
 
 use std::{fs, net::SocketAddr, sync::Arc};
 
@@ -27,20 +27,20 @@
     state::{self, Change, Document, LogEntry, ServerEntry, State},
 };
 
-/// Room for JSON around a document.
+/// Bytes allowed in a request body for the JSON around a document.
 const BODY_EXTRA_BYTES: usize = 512 * 1024;
 
-/// What the endpoints work on.
+/// Shared context of the endpoints.
 #[derive(Debug)]
 pub struct Context {
     host: Arc<Host>,
     token: Option<String>,
 }
 
-/// The running API.
+/// The running HTTP server of the operators' API.
 #[derive(Debug)]
 pub struct OperatorServer {
-    /// Address.
+    /// Address on which it listens.
     pub address: SocketAddr,
     server: Server,
 }
@@ -54,15 +54,15 @@
 }
 
 impl OperatorServer {
-    /// Finishes the requests in flight and ends.
+    /// Stops the server after the requests in flight have finished.
     pub async fn stop(self) {
         if let Err(error) = self.server.0.close().await {
-            log::warn!("the operators' API did not end well: {error}");
+            log::warn!("the operators' API stopped with an error: {error}");
         }
     }
 }
 
-/// Starts the API of a host.
+/// Starts the operators' API of a host.
 pub async fn start(host: Arc<Host>) -> Result<OperatorServer, HostError> {
     let token = match &host.settings.operators.token_file {
         Some(path) => Some(read_token(path)?),
@@ -87,6 +87,7 @@
     })
 }
 
+/// Reads the token from the first line of a file.
 fn read_token(path: &std::path::Path) -> Result<String, HostError> {
     let text = fs::read_to_string(path).context(TokenSnafu { path })?;
     let token = text.lines().next().unwrap_or_default().trim().to_owned();
@@ -204,6 +205,7 @@
     statuses
 }
 
+/// Returns the name of an enum variant in lower case, as the API shows it.
 fn lowercase_name(state: &impl std::fmt::Debug) -> String {
     format!("{state:?}").to_lowercase()
 }
@@ -336,7 +338,7 @@
     .await
 }
 
-/// Begins the planned stop of the host that is asked.
+/// Begins the planned stop of the host that receives the request.
 #[endpoint { method = POST, path = "/v1/host/drain" }]
 async fn drain_host(context: RequestContext<Context>) -> ApiResult<Draining> {
     authorize(&context)?;
@@ -395,6 +397,7 @@
     Ok(dry_run::effect(before, &after))
 }
 
+/// Checks the bearer token of a request. Without a token in the settings all changes are refused.
 fn authorize(context: &RequestContext<Context>) -> Result<(), HttpError> {
     let Some(token) = &context.context().token else {
         let message = "changes are refused: the host's settings name no token_file";
@@ -410,12 +413,14 @@
     Ok(())
 }
 
-/// Compares without telling by its duration where the texts differ.
+/// Compares two texts in a time that does not depend on where they differ, so that the time reveals
+/// nothing about the token.
 fn constant_time_eq(one: &[u8], other: &[u8]) -> bool {
     let differ = one.iter().zip(other).fold(0, |all, (a, b)| all | (a ^ b));
     one.len() == other.len() && differ == 0
 }
 
+/// Returns the HTTP error for a change that the state refuses.
 fn refusal(failure: &state::Error) -> HttpError {
     let status = match failure {
         state::Error::Declaration { .. } => ErrorStatusCode::UNPROCESSABLE_ENTITY,
@@ -441,12 +446,12 @@
 }
 
 impl Host {
-    /// Entries of the audit trail after a revision, from the platform.
+    /// Reads the entries of the audit trail after a revision from the change log.
     async fn audit(&self, after: Revision) -> Result<Vec<LogEntry>, state::LogError> {
         self.log.tail(after).await
     }
 
-    /// The change that became `revision`, for the operator who lost against it.
+    /// Describes the change at `revision`, for the operator whose own change conflicts with it.
     async fn other_change(&self, revision: Revision) -> String {
         let before = Revision(revision.0.saturating_sub(1));
         let entries = self.log.tail(before).await.unwrap_or_default();
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -1,4 +1,4 @@
-//! Client of the operators' API, for the command line.
+//! Client of the operators' API, used by the command line.
 
 use std::net::SocketAddr;
 
@@ -9,18 +9,20 @@
 };
 use crate::transport::{CallError, JsonClient};
 
+/// Timeout of one call. It exceeds the time for which the host tries to find out if a change took
+/// effect.
 const TIMEOUT_MS: u64 = 15_000;
 
-/// Kind of declaration.
+/// Kind of document that operators declare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeclarationKind {
-    /// A template.
+    /// Template of services with parameters.
     Template,
-    /// A workspace.
+    /// Workspace, which sets the parameters of a template.
     Workspace,
 }
 
-/// Client of one host's API.
+/// Client of the API of one host.
 #[derive(Clone, Debug)]
 pub struct OperatorClient {
     address: SocketAddr,
@@ -37,7 +39,7 @@
 }
 
 impl OperatorClient {
-    /// A client that sends `token` with each call.
+    /// Returns a client that sends `token` with each call. Reading calls need no token.
     pub fn new(address: SocketAddr, token: Option<String>) -> Self {
         Self {
             address,
@@ -63,22 +65,22 @@
         self.post(&kind.path("/withdraw"), body).await
     }
 
-    /// Declarations in force.
+    /// Lists the declarations in force.
     pub async fn list(&self, kind: DeclarationKind) -> Result<DocumentList, CallError> {
         self.client.get(self.address, &kind.path("")).await
     }
 
-    /// Begins the planned stop of the host that this client talks to.
+    /// Begins the planned stop of the host that this client calls.
     pub async fn drain_host(&self) -> Result<Draining, CallError> {
         self.client.post(self.address, "/v1/host/drain", &()).await
     }
 
-    /// State of the system.
+    /// Reads the state of the system as the host sees it.
     pub async fn status(&self) -> Result<StatusBody, CallError> {
         self.client.get(self.address, "/v1/status").await
     }
 
-    /// Owner of a key.
+    /// Reads which server owns a key of a service.
     pub async fn owner(&self, service: &str, key: &str) -> Result<OwnerBody, CallError> {
         let path = format!(
             "/v1/owner?service={}&key={}",
@@ -88,7 +90,7 @@
         self.client.get(self.address, &path).await
     }
 
-    /// Entries of the audit trail after a revision.
+    /// Reads a page of the audit trail, from the entry after a revision.
     pub async fn audit(&self, after: u64) -> Result<AuditPage, CallError> {
         let path = format!("/v1/audit?after={after}");
         self.client.get(self.address, &path).await
@@ -99,7 +101,7 @@
     }
 }
 
-/// Escapes a value for a query.
+/// Percent-encodes a value for the query part of a URL.
 fn percent_encode(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/src/operator/dry_run.rs
+++ b/src/operator/dry_run.rs
@@ -1,9 +1,9 @@
-//! What a change would do, found by applying it to a copy of the state.
+//! Effects of a change, computed by comparing the state with a copy that the change was applied to.
 
 use super::message::Effect;
 use crate::state::{ServiceEntry, State};
 
-/// Compares two states.
+/// Computes the effects of a change from the states before and after it.
 pub fn effect(before: &State, after: &State) -> Effect {
     let mut effect = Effect::default();
     for (key, service) in after.active_services() {
@@ -25,7 +25,7 @@
     effect
 }
 
-/// Slots whose owner is not, or no longer, among the service's servers.
+/// Counts the slots without an owner among the declared servers of the service.
 fn unplaced_slots(service: &ServiceEntry) -> u64 {
     let placed = |owner: Option<_>| owner.is_some_and(|owner| service.targets.contains(&owner));
     let slots = service.slots.iter();
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -1,191 +1,197 @@
-//! Messages of the operators' API.
+//! Request and response bodies of the operators' API.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A template or workspace to submit or amend.
+/// Request to submit or amend a template or workspace.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct SubmitBody {
-    /// YAML text.
+    /// YAML text of the template or workspace.
     pub document: String,
-    /// Identifier of this submission; sent again after a lost answer, it is not applied twice.
+    /// Identifier of this submission. A retry with the same identifier, for example after a lost
+    /// response, is not applied twice. By default the host chooses a random one.
     #[serde(default)]
     pub operation_id: Option<String>,
-    /// Configuration revision that the change was made for; another one is refused.
+    /// Configuration revision that the change is based on; at any other revision it is refused. By
+    /// default every revision is accepted.
     #[serde(default)]
     pub expect_revision: Option<u64>,
-    /// Who submits, for the audit trail.
+    /// Name of the operator, for the audit trail; `operator` by default.
     #[serde(default)]
     pub actor: Option<String>,
-    /// Only shows what would change.
+    /// Computes the effects without applying the change.
     #[serde(default)]
     pub dry_run: bool,
 }
 
-/// A template or workspace to withdraw.
+/// Request to withdraw a template or workspace.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct WithdrawBody {
-    /// Name.
+    /// Name of the template or workspace.
     pub name: String,
-    /// Identifier of this change.
+    /// Identifier of this withdrawal. A retry with the same identifier is not applied twice.
     #[serde(default)]
     pub operation_id: Option<String>,
-    /// Configuration revision that the change was made for; another one is refused.
+    /// Configuration revision that the change is based on; at any other revision it is refused. By
+    /// default every revision is accepted.
     #[serde(default)]
     pub expect_revision: Option<u64>,
-    /// Who withdraws, for the audit trail.
+    /// Name of the operator, for the audit trail; `operator` by default.
     #[serde(default)]
     pub actor: Option<String>,
 }
 
-/// An accepted change.
+/// Response to an accepted change or a dry run.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Accepted {
-    /// Revision that it became; for a dry run the one it was tried on.
+    /// Revision at which the change was committed; for a dry run the revision of the state that it
+    /// was tried on.
     pub revision: u64,
-    /// What it does.
+    /// Effects on services and slots, computed on the view of the host before the change.
     pub effect: Effect,
 }
 
-/// What a change does.
+/// Effects of a change on services and slots.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Effect {
-    /// Services that it brings.
+    /// Full names of the services that the change adds.
     pub services_added: Vec<String>,
-    /// Services that it takes away.
+    /// Full names of the services that the change withdraws.
     pub services_withdrawn: Vec<String>,
-    /// Services whose declaration it changes.
+    /// Full names of the services whose declaration the change modifies.
     pub services_changed: Vec<String>,
-    /// Slots that must move for it.
+    /// Number of slots of the added and changed services that have no owner among the declared
+    /// servers, and so have to move.
     pub slots_moved: u64,
-    /// Slots of the services concerned.
+    /// Number of all slots of the added and changed services.
     pub slots: u64,
 }
 
-/// A declaration in force.
+/// A template or workspace in force.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct DocumentBody {
-    /// Name.
+    /// Name of the template or workspace.
     pub name: String,
-    /// Revision that brought it.
+    /// Revision of its last submission.
     pub revision: u64,
-    /// YAML text.
+    /// YAML text as submitted.
     pub document: String,
 }
 
-/// Declarations in force.
+/// All templates or all workspaces in force.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct DocumentList {
-    /// Configuration revision.
+    /// Revision of the last change of any template or workspace.
     pub configuration: u64,
-    /// Declarations.
+    /// Templates or workspaces in the order of their names.
     pub documents: Vec<DocumentBody>,
 }
 
 /// State of the system as one host sees it.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct StatusBody {
-    /// Host that answers.
+    /// Name of the host that responds.
     pub host: String,
-    /// Revision that it has applied.
+    /// Revision that the host has applied.
     pub revision: u64,
-    /// Configuration revision.
+    /// Revision of the last change of any template or workspace.
     pub configuration: u64,
-    /// True if it may act on its view.
+    /// True if the host's view is recent enough to act on.
     pub fresh: bool,
-    /// Age of its basis.
+    /// Age of the view's basis, the latest time for which the host knows that it had applied every
+    /// change; `None` before the first one.
     pub basis_age_ms: Option<u64>,
-    /// True if it leads.
+    /// True if the host believes that it is the leader.
     pub leading: bool,
-    /// Leader's term.
+    /// Term of the leader row as the host last read it.
     pub term: u64,
-    /// True if the last promotion or removal of a host is settled.
+    /// True if no host acts any more on the registry from before its last change.
     pub registry_settled: bool,
-    /// Hosts.
+    /// All registered hosts.
     pub hosts: Vec<HostStatus>,
-    /// Backend servers.
+    /// All backend servers that were ever declared.
     pub servers: Vec<ServerStatus>,
-    /// Services.
+    /// Services in force.
     pub services: Vec<ServiceStatus>,
 }
 
-/// One host.
+/// State of one host, as the responding host sees it.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct HostStatus {
-    /// Name.
+    /// Name from the settings of the host.
     pub name: String,
-    /// Availability zone.
+    /// Availability zone from the settings of the host.
     pub availability_zone: String,
-    /// Stage.
+    /// Life cycle: `joining`, `live` or `leaving`.
     pub state: String,
-    /// Revision as last heard; none if it was not heard.
+    /// Revision that the host last reported; `None` if the responding host did not hear it.
     pub revision: Option<u64>,
-    /// Time since it was first heard with this revision.
+    /// Time since the host was first heard with this revision.
     pub since_ms: Option<u64>,
-    /// Time since it was last heard.
+    /// Time since the host was last heard; 0 for the responding host itself.
     pub heard_ms: Option<u64>,
 }
 
-/// One backend server.
+/// State of one backend server.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct ServerStatus {
-    /// Address.
+    /// Address from the workspace.
     pub address: String,
-    /// Availability zone.
+    /// Availability zone from the workspace.
     pub availability_zone: String,
-    /// Stage.
+    /// Life cycle: `absent`, `live` or `lost`.
     pub state: String,
-    /// True if it wants to leave.
+    /// True if the server wants to leave, so that its slots are moved away.
     pub draining: bool,
-    /// Slots that it owns, over all services.
+    /// Number of slots that it owns, over all services.
     pub slots: u64,
 }
 
-/// One service.
+/// State of one service.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct ServiceStatus {
-    /// Full name.
+    /// Full name, `workspace/service`.
     pub name: String,
-    /// Slots.
+    /// Number of all slots.
     pub slots: u64,
-    /// Slots that have an owner and do not move.
+    /// Number of slots that have an owner and do not move.
     pub settled: u64,
-    /// Slots that move.
+    /// Number of slots that are moving to a next owner.
     pub moving: u64,
 }
 
-/// A host whose planned stop has begun.
+/// Response to the request for a planned stop.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Draining {
-    /// Name.
+    /// Name of the host that has begun to stop.
     pub host: String,
 }
 
-/// Owner of a key.
+/// Slot and owner of a key.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct OwnerBody {
-    /// Slot of the key.
+    /// Slot that the key belongs to.
     pub slot: u32,
-    /// Epoch.
+    /// Highest epoch issued for the slot.
     pub epoch: u64,
-    /// Address of the owner; none while the slot has none.
+    /// Address of the owner; `None` while the slot has no owner.
     pub owner: Option<String>,
-    /// Address of the next owner while the slot moves.
+    /// Address of the next owner while the slot moves; `None` otherwise.
     pub next: Option<String>,
 }
 
 /// One entry of the audit trail.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct AuditEntry {
-    /// Revision.
+    /// Position of the change in the log.
     pub revision: u64,
-    /// Wall time of the writer.
+    /// Wall-clock time of the writer, in milliseconds since 1970.
     pub at_unix_ms: u64,
-    /// Who made the change.
+    /// Operator or host that made the change.
     pub actor: String,
-    /// Identifier of the change.
+    /// Identifier that the writer chose.
     pub operation_id: String,
     /// The change, as JSON.
     pub change: String,
@@ -198,19 +204,19 @@
     pub entries: Vec<AuditEntry>,
 }
 
-/// Question for a key's owner.
+/// Query for the owner of a key.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct OwnerQuery {
     /// Full name of the service, `workspace/service`.
     pub service: String,
-    /// Key.
+    /// Key as requests carry it.
     pub key: String,
 }
 
-/// Question for a page of the audit trail.
+/// Query for a page of the audit trail.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct AuditQuery {
-    /// Only entries after this revision.
+    /// Revision after which the page begins; 0 for the begin of the log.
     #[serde(default)]
     pub after: u64,
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' API, by dropshot, and its client.
+//! The HTTP API for operators, built with dropshot, and its client.
 
 pub mod api;
 pub mod client;
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -1,4 +1,4 @@
-//! Applies changes. A change that does not fit the state is refused and leaves it untouched.
+//! Application of changes to the state. An invalid change is refused and leaves the state as it is.
 
 use std::sync::Arc;
 
@@ -18,11 +18,11 @@
     membership::registry::voters,
 };
 
-/// Identifiers of changes that are remembered.
+/// Limit of the identifiers kept to recognise retried changes.
 const OPERATIONS_KEPT: usize = 4096;
 
 impl State {
-    /// Applies the next entry of the log.
+    /// Applies the next entry of the log; on an error the state is unchanged.
     pub fn apply(&mut self, entry: &LogEntry) -> Result<()> {
         ensure!(
             entry.revision == self.revision.next(),
@@ -31,7 +31,7 @@
                 applied: self.revision.0,
             }
         );
-        // Fields changed by this entry are stamped with its revision.
+        // The revision is raised first, because changed entries are stamped with it.
         self.revision = entry.revision;
         if let Err(error) = self.change(&entry.change) {
             self.revision.0 -= 1;
@@ -50,7 +50,8 @@
         Ok(())
     }
 
-    /// Applies a change as the next entry, outside of any log: to try what it would do.
+    /// Applies a change as if it were the next entry of the log, to find out its effect or the
+    /// reason of a refusal. The caller applies it to a copy of the state.
     pub fn apply_dry_run(&mut self, change: Change) -> Result<()> {
         self.apply(&LogEntry {
             revision: self.revision.next(),
@@ -137,6 +138,8 @@
         }
     }
 
+    /// Puts a template in force and expands it again for each workspace that uses it. All
+    /// workspaces must still be valid.
     fn submit_template(&mut self, document: &str) -> Result<()> {
         let template = Template::read(document.as_bytes()).map_err(declaration)?;
         let mut problems = Vec::new();
@@ -217,6 +220,7 @@
         }
     }
 
+    /// Refuses a new number of slots for an existing service.
     fn check_slots(&self, specs: &[ServiceSpec]) -> Result<()> {
         for spec in specs {
             let held = self
@@ -233,7 +237,8 @@
         Ok(())
     }
 
-    /// Puts the services of a workspace in force; its other services are withdrawn.
+    /// Adds or updates the services of a workspace, and withdraws its services that are not in
+    /// `specs`.
     fn put_services(&mut self, workspace: &str, specs: Vec<ServiceSpec>) {
         let prefix = format!("{workspace}/");
         for service in &mut self.services {
@@ -290,8 +295,8 @@
         let address = entry.peer_address;
         let is_predecessor =
             |host: &&mut HostEntry| host.registered() && host.peer_address == address;
-        // Two processes cannot hold one address, so the earlier one is dead. Its successor takes
-        // its place in the majority: it has applied everything that the dead one had confirmed.
+        // Two processes cannot bind one address, so the earlier one is dead. Its successor replaces
+        // it as a voter, because it has applied everything that the dead one had confirmed.
         if let Some(dead) = self.hosts.iter_mut().find(is_predecessor) {
             if dead.is_voter() {
                 entry.state = HostState::Live;
@@ -305,14 +310,16 @@
             *dead = entry;
             return;
         }
-        // An earlier process of the same name stays counted until its removal is settled.
+        // An earlier process of the same name at another address remains a voter until its removal
+        // is settled.
         match self.hosts.iter_mut().find(|host| !host.registered()) {
             Some(free) => *free = entry,
             None => self.hosts.push(entry),
         }
     }
 
-    /// Promotes or removes a host. The last such change must be settled.
+    /// Promotes or removes a host, which changes the voters. The last change of the registry must
+    /// be settled, so that at most two sets of voters are in use.
     fn change_voters(
         &mut self,
         key: HostKey,
@@ -329,6 +336,7 @@
         Ok(())
     }
 
+    /// Changes the state of a host, unless it has restarted or is in that state.
     fn set_host(&mut self, key: HostKey, incarnation: Incarnation, to: HostState) -> Result<()> {
         let revision = self.revision;
         let entry = self.hosts.get_mut(key.0 as usize);
@@ -341,6 +349,8 @@
         Ok(())
     }
 
+    /// Returns a server to be changed if it is in the given membership period and state, and stamps
+    /// it with the revision.
     fn server_in(
         &mut self,
         key: ServerKey,
@@ -357,6 +367,7 @@
         Ok(entry)
     }
 
+    /// Begins a new membership period for a server that has no lease.
     fn join_server(&mut self, key: ServerKey, incarnation: Incarnation) -> Result<()> {
         let revision = self.revision;
         let entry = self.servers.get_mut(key.0 as usize);
@@ -372,7 +383,8 @@
         Ok(())
     }
 
-    /// Takes a lapsed server out of every slot. A move towards it turns back to the old owner.
+    /// Removes a server whose lease has lapsed from every slot. A move to that server is turned
+    /// into a move back to the old owner.
     fn remove_server_from_slots(&mut self, server: ServerKey) {
         let concerns = |slot: &SlotEntry| slot.owner == Some(server) || slot.next == Some(server);
         for service in &mut self.services {
@@ -385,6 +397,7 @@
         }
     }
 
+    /// Begins moves of slots. All of them are checked before the first is applied.
     fn begin_moves(&mut self, service: ServiceKey, moves: &[SlotMove]) -> Result<()> {
         for begun in moves {
             let server = self.server(begun.to);
@@ -404,6 +417,7 @@
         Ok(())
     }
 
+    /// Completes moves of slots. All of them are checked before the first is applied.
     fn complete_moves(&mut self, service: ServiceKey, done: &[MoveDone]) -> Result<()> {
         for done in done {
             let slot = self.slot(service, done.slot)?;
@@ -433,7 +447,7 @@
         entry.context(OutdatedSnafu { reason })
     }
 
-    /// The next epoch of a slot.
+    /// Returns the epoch of the next grant of a slot.
     pub fn next_epoch(&self, service: ServiceKey, slot: Slot) -> Epoch {
         let epoch = self.slot(service, slot).map(|entry| entry.epoch);
         epoch.unwrap_or_default().next()
--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -1,4 +1,4 @@
-//! The changes that the log holds.
+//! Changes of the state, as stored in the change log.
 
 use std::net::SocketAddr;
 
@@ -8,130 +8,132 @@
     Epoch, HostKey, Incarnation, LeaseEpoch, OperationId, Revision, ServerKey, ServiceKey, Slot,
 };
 
-/// One accepted change, as stored in the platform's table service; also its audit entry.
+/// One accepted change, as stored in the platform's table service. It is also the entry of the
+/// audit trail.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Position in the log.
+    /// Position in the log; the first entry has 1, and there are no gaps.
     pub revision: Revision,
-    /// Identifier chosen by the writer.
+    /// Identifier chosen by the writer, by which retries are recognised.
     pub operation_id: OperationId,
     /// Operator or host that made the change.
     pub actor: String,
-    /// Wall time of the writer.
+    /// Wall-clock time of the writer in milliseconds since 1970; used for the audit trail only.
     pub at_unix_ms: u64,
-    /// The change.
+    /// Change that was accepted.
     pub change: Change,
 }
 
-/// One change of the agreed state.
+/// One change of the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
     /// A template was submitted or amended.
     TemplateSubmitted {
-        /// YAML text.
+        /// YAML text of the template.
         document: String,
     },
     /// A template was withdrawn.
     TemplateWithdrawn {
-        /// Name.
+        /// Name of the template.
         name: String,
     },
     /// A workspace was submitted or amended.
     WorkspaceSubmitted {
-        /// YAML text.
+        /// YAML text of the workspace.
         document: String,
     },
     /// A workspace was withdrawn.
     WorkspaceWithdrawn {
-        /// Name.
+        /// Name of the workspace.
         name: String,
     },
-    /// A host process started.
+    /// A host process has started and registers.
     HostRegistered {
         /// Name from its settings.
         name: String,
-        /// Process.
+        /// Random identifier of the process.
         incarnation: Incarnation,
-        /// Address for its peers.
+        /// Address at which other hosts reach it.
         peer_address: SocketAddr,
-        /// Availability zone.
+        /// Availability zone from its settings.
         availability_zone: String,
     },
-    /// A host counts from now on in the majority of [`crate::membership::freshness`].
+    /// A host has become a voter: it counts in the majorities of
+    /// [`crate::membership::freshness`].
     HostPromoted {
-        /// Host.
+        /// Host that changes.
         host: HostKey,
-        /// Process.
+        /// Process that is meant; the change is refused if the host has restarted.
         incarnation: Incarnation,
     },
-    /// A host began its planned stop.
+    /// A host has begun its planned stop.
     HostLeaving {
-        /// Host.
+        /// Host that changes.
         host: HostKey,
-        /// Process.
+        /// Process that is meant; the change is refused if the host has restarted.
         incarnation: Incarnation,
     },
-    /// A host is gone.
+    /// A host was silent for too long and no longer belongs to the registry.
     HostRemoved {
-        /// Host.
+        /// Host that changes.
         host: HostKey,
-        /// Process.
+        /// Process that is meant; the change is refused if the host has restarted.
         incarnation: Incarnation,
     },
-    /// No host acts on an earlier registry any more.
+    /// No host acts on an earlier version of the registry any more.
     RegistrySettled {
-        /// Revision of the registry's last change.
+        /// Revision of the last change of the registry; settling an earlier one is refused.
         registry: Revision,
     },
-    /// A server process was found and gets a new membership period.
+    /// A server process has responded and begins a new membership period.
     ServerJoined {
-        /// Server.
+        /// Server that joins.
         server: ServerKey,
-        /// Process.
+        /// Process that responded.
         incarnation: Incarnation,
     },
-    /// A server asks to leave, or no longer does.
+    /// A server has begun or ended draining.
     ServerDraining {
-        /// Server.
+        /// Server that changes.
         server: ServerKey,
-        /// Membership period.
+        /// Membership period that is meant; the change is refused in any other one.
         lease_epoch: LeaseEpoch,
-        /// True if it wants to leave.
+        /// True if the server wants to leave and its slots are to be moved away.
         draining: bool,
     },
-    /// A server does not answer; nobody renews its lease from this revision on.
+    /// A server does not respond; no host that has applied this revision renews its lease.
     ServerLost {
-        /// Server.
+        /// Server that changes.
         server: ServerKey,
-        /// Membership period.
+        /// Membership period that is meant; the change is refused in any other one.
         lease_epoch: LeaseEpoch,
     },
-    /// The lease of a lost server has lapsed for certain; its slots have no owner.
+    /// The lease of a lost server has lapsed for certain, so its slots have no owner any more.
     ServerLapsed {
-        /// Server.
+        /// Server that changes.
         server: ServerKey,
-        /// Membership period.
+        /// Membership period that is meant; the change is refused in any other one.
         lease_epoch: LeaseEpoch,
     },
-    /// Slots are to get new owners.
+    /// Moves of slots to new owners have begun.
     MovesBegun {
-        /// Service.
+        /// Service of the slots.
         service: ServiceKey,
-        /// Slots and their next owners.
+        /// Slots, their next owners and the epochs of their next grants.
         moves: Vec<SlotMove>,
     },
-    /// Slots have their new owners.
+    /// Moves are completed: the new owners hold the slots.
     MovesCompleted {
-        /// Service.
+        /// Service of the slots.
         service: ServiceKey,
-        /// Slots and the epoch that their new owner holds.
+        /// Slots, and the epochs at which they were granted to the new owners.
         done: Vec<MoveDone>,
     },
 }
 
 impl Change {
-    /// True for a change that an operator declares.
+    /// Returns true for a change of a template or workspace, which only operators make.
     pub fn is_declaration(&self) -> bool {
         matches!(
             self,
@@ -143,22 +145,22 @@
     }
 }
 
-/// One slot's next owner.
+/// Begin of the move of one slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotMove {
-    /// Slot.
+    /// Slot that moves.
     pub slot: Slot,
-    /// Next owner.
+    /// Server that is to own the slot.
     pub to: ServerKey,
-    /// Epoch of the next grant.
+    /// Epoch of the grant to the next owner, one above the last epoch issued for the slot.
     pub epoch: Epoch,
 }
 
-/// One slot whose move has ended.
+/// Completion of the move of one slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveDone {
-    /// Slot.
+    /// Slot that has moved.
     pub slot: Slot,
-    /// Epoch that the new owner holds.
+    /// Epoch at which the slot was granted to the new owner.
     pub epoch: Epoch,
 }
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -1,4 +1,5 @@
-//! What the state holds: arenas of hosts, servers and services, and the declarations.
+//! Types of the state: tables of hosts, servers and services, which keys index, and the declared
+//! templates and workspaces.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -16,92 +17,97 @@
     membership::freshness::Voter,
 };
 
-/// A declaration in force.
+/// A template or workspace in force, as it was submitted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// YAML text.
+    /// YAML text as submitted.
     pub text: String,
-    /// Revision that brought it.
+    /// Revision of its last submission.
     pub revision: Revision,
 }
 
-/// Stage of an entry host.
+/// Life cycle of an entry host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// Registered, not counted in the majority: it is not one of the first hosts, or not yet.
+    /// Registered, but not a voter: the host is no root host of the heartbeat tree, or is not yet
+    /// promoted.
     Joining,
-    /// Registered and counted.
+    /// Registered and a voter.
     Live,
-    /// In its planned stop; still counted.
+    /// In its planned stop; still a voter.
     Leaving,
-    /// Gone.
+    /// No longer registered.
     Removed,
 }
 
-/// One entry host.
+/// One process of an entry host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// Name.
+    /// Name from its settings, the same for later processes of the host.
     pub name: String,
-    /// Process.
+    /// Random identifier of the process.
     pub incarnation: Incarnation,
-    /// Address for its peers.
+    /// Address at which other hosts reach it.
     pub peer_address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone from its settings.
     pub availability_zone: String,
-    /// Stage.
+    /// Life cycle.
     pub state: HostState,
     /// Revision of the last change of this entry.
     pub changed: Revision,
 }
 
 impl HostEntry {
-    /// True if the host counts in the majority.
+    /// Returns true if the host is a voter, which counts in majorities.
     pub fn is_voter(&self) -> bool {
         matches!(self.state, HostState::Live | HostState::Leaving)
     }
 
-    /// True unless the host is gone.
+    /// Returns true unless the host was removed.
     pub fn registered(&self) -> bool {
         self.state != HostState::Removed
     }
 }
 
-/// Stage of a backend server.
+/// Life cycle of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerState {
-    /// Never seen, or its last lease lapsed.
+    /// The server has not joined yet, or its last lease has lapsed.
     Absent,
-    /// Holds a lease that hosts renew.
+    /// The server has a lease that hosts renew.
     Live,
-    /// Its lease is no longer renewed but may still be valid.
+    /// The lease is no longer renewed, but may still be valid.
     Lost,
 }
 
-/// Progress of the registry of hosts.
+/// Revisions at which the registry of hosts changed and was settled.
+///
+/// The registry is *settled* when no host acts on an earlier version of it any more. Only then may
+/// the voters change again (see [`crate::membership::registry`]).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registry {
-    /// Last promotion, removal or replacement of a counted host.
+    /// Revision of the last promotion, removal or replacement of a voter.
     pub changed: Revision,
-    /// Last removal or replacement.
+    /// Revision of the last removal of a host or replacement of a voter.
     pub removal: Revision,
-    /// Last promotion or removal.
+    /// Revision of the last promotion or removal.
     pub voters_changed: Revision,
-    /// Last settlement: since then no host acts on a registry from before `changed`.
+    /// Revision of the last settlement. From then on no host acts on a registry from before
+    /// `changed`.
     pub settled: Revision,
-    /// Hosts that counted before the last promotion or removal, until that is settled.
+    /// Voters from before the last promotion or removal, until that is settled; then empty.
     pub previous_voters: Vec<Voter>,
 }
 
 impl Registry {
-    /// True if no host acts on an earlier registry any more.
+    /// Returns true if no host acts on an earlier version of the registry any more.
     pub fn is_settled(&self) -> bool {
         self.settled >= self.changed
     }
 
-    /// Revision from which on a majority counts.
+    /// Returns the revision from which on a majority of the present voters is conclusive.
     pub fn majority_since(&self) -> Revision {
         if self.previous_voters.is_empty() {
             self.settled
@@ -111,20 +117,20 @@
     }
 }
 
-/// One backend server.
+/// One backend server, identified by its address.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEntry {
-    /// Address.
+    /// Address at which hosts reach it.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone from the workspace that declared it last.
     pub availability_zone: String,
-    /// Process that holds the lease.
+    /// Process that has the lease, or had the last one.
     pub incarnation: Incarnation,
-    /// Membership period.
+    /// Number of its membership period; it rises with each join.
     pub lease_epoch: LeaseEpoch,
-    /// Stage.
+    /// Life cycle.
     pub state: ServerState,
-    /// The server wants to leave.
+    /// True if the server wants to leave, so that its slots are moved away.
     pub draining: bool,
     /// Revision of the last change of this entry.
     pub changed: Revision,
@@ -133,17 +139,19 @@
 /// Ownership of one slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotEntry {
-    /// Present owner.
+    /// Current owner; `None` before the first grant and after its lease has lapsed.
     pub owner: Option<ServerKey>,
-    /// Next owner while the slot moves.
+    /// Next owner while the slot moves; `None` otherwise.
     pub next: Option<ServerKey>,
-    /// Highest epoch issued: of the owner's grant, or of the next one's while the slot moves.
+    /// Highest epoch issued: that of the owner's grant, or of the next owner's while the slot
+    /// moves.
     pub epoch: Epoch,
 }
 
 impl SlotEntry {
-    /// Takes a lapsed server out. A move towards it turns back to the present owner, at a new
-    /// epoch because the lapsed server may have held the last one.
+    /// Removes a server whose lease has lapsed. A move to that server is turned into a move back to
+    /// the current owner, at a new epoch because the lapsed server may hold a grant of the last
+    /// one.
     pub(super) fn remove_server(&mut self, server: ServerKey) {
         if self.owner == Some(server) {
             self.owner = None;
@@ -154,7 +162,7 @@
         }
     }
 
-    /// The owner, unless the slot moves or has none.
+    /// Returns the owner; `None` while the slot moves or has no owner.
     pub fn settled(&self) -> Option<ServerKey> {
         match self.next {
             Some(_) => None,
@@ -166,102 +174,103 @@
 /// One service of one workspace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceEntry {
-    /// Declaration with all parameters filled in.
+    /// Declaration, expanded from the template with the parameters of the workspace.
     pub spec: ServiceSpec,
     /// Servers of `spec.targets`, in that order.
     pub targets: Vec<ServerKey>,
-    /// Slots.
+    /// Ownership by slot number.
     pub slots: Vec<SlotEntry>,
-    /// False once withdrawn; epochs are kept so that they never repeat.
+    /// False once the service is withdrawn. The entry is kept so that its epochs never repeat.
     pub active: bool,
 }
 
-/// A change that was accepted not long ago.
+/// A recently accepted change, kept to recognise its retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecentOperation {
-    /// Hash of its identifier.
+    /// Hash of the identifier that the writer chose.
     pub id_hash: u128,
-    /// Revision that it became.
+    /// Revision at which the change was appended.
     pub revision: Revision,
 }
 
-/// The agreed state at one revision.
+/// The replicated state at one revision. All hosts at that revision have the same state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// Last change applied.
+    /// Revision of the last change applied; 0 before the first.
     pub revision: Revision,
-    /// Last change of a template or workspace.
+    /// Revision of the last change of a template or workspace.
     pub configuration: Revision,
-    /// Templates by name.
+    /// Templates in force, by name.
     pub templates: BTreeMap<String, Document>,
-    /// Workspaces by name.
+    /// Workspaces in force, by name.
     pub workspaces: BTreeMap<String, Document>,
-    /// The registry of hosts.
+    /// Changes and settlement of the registry of hosts.
     pub registry: Registry,
-    /// Entry hosts, one entry a process; entries of removed ones are used again.
+    /// Entry hosts by [`HostKey`], one entry per process. Entries of removed hosts are reused.
     pub hosts: Vec<HostEntry>,
-    /// Backend servers.
+    /// Backend servers by [`ServerKey`]; entries are never removed.
     pub servers: Vec<ServerEntry>,
-    /// Services, shared between successive states.
+    /// Services by [`ServiceKey`]. Successive states share the unchanged ones.
     pub services: Vec<Arc<ServiceEntry>>,
-    /// Identifiers of the latest changes, so that a repeated submission is recognised.
+    /// Latest changes, oldest first, so that a retried submission is recognised.
     pub recent_operations: VecDeque<RecentOperation>,
 }
 
 impl State {
-    /// The host `key`.
+    /// Returns the host `key`, also if it was removed.
     pub fn host(&self, key: HostKey) -> Option<&HostEntry> {
         self.hosts.get(key.0 as usize)
     }
 
-    /// The server `key`.
+    /// Returns the server `key`.
     pub fn server(&self, key: ServerKey) -> Option<&ServerEntry> {
         self.servers.get(key.0 as usize)
     }
 
-    /// The service `key`.
+    /// Returns the service `key`, also if it was withdrawn.
     pub fn service(&self, key: ServiceKey) -> Option<&ServiceEntry> {
         self.services.get(key.0 as usize).map(Arc::as_ref)
     }
 
-    /// Key of a registered host process.
+    /// Returns the key of a registered host process; `None` if it is not registered.
     pub fn host_key(&self, incarnation: Incarnation) -> Option<HostKey> {
         let is_it = |host: &HostEntry| host.incarnation == incarnation && host.registered();
         let index = self.hosts.iter().position(is_it)?;
         Some(HostKey(index as u32))
     }
 
-    /// Key of the server at `address`.
+    /// Returns the key of the server at `address`.
     pub fn server_key(&self, address: SocketAddr) -> Option<ServerKey> {
         let index = self.servers.iter().position(|s| s.address == address)?;
         Some(ServerKey(index as u32))
     }
 
-    /// Key of the service with the full name `name`.
+    /// Returns the key of the service with the full name `workspace/service`.
     pub fn service_key(&self, name: &str) -> Option<ServiceKey> {
         let index = self.services.iter().position(|s| s.spec.name == name)?;
         Some(ServiceKey(index as u32))
     }
 
-    /// Hosts with their keys, the removed ones left out.
+    /// Iterates over the registered hosts and their keys.
     pub fn registered_hosts(&self) -> impl Iterator<Item = (HostKey, &HostEntry)> {
         let keys = (0..).map(HostKey);
         keys.zip(&self.hosts).filter(|(_, host)| host.registered())
     }
 
-    /// Servers with their keys.
+    /// Iterates over all servers and their keys.
     pub fn server_entries(&self) -> impl Iterator<Item = (ServerKey, &ServerEntry)> {
         (0..).map(ServerKey).zip(&self.servers)
     }
 
-    /// Services in force with their keys.
+    /// Iterates over the services in force and their keys.
     pub fn active_services(&self) -> impl Iterator<Item = (ServiceKey, &ServiceEntry)> {
         let keys = (0..).map(ServiceKey);
         let services = self.services.iter().map(Arc::as_ref);
         keys.zip(services).filter(|(_, service)| service.active)
     }
 
-    /// Revision of a recent change, by its identifier.
+    /// Returns the revision of a recent change by its identifier; `None` if it is unknown or was
+    /// too long ago.
     pub fn operation(&self, id: &OperationId) -> Option<Revision> {
         let hash = id.hash();
         let found = self
@@ -274,7 +283,7 @@
 }
 
 impl ServiceEntry {
-    /// Slots with their numbers.
+    /// Iterates over the slots and their numbers.
     pub fn slot_entries(&self) -> impl Iterator<Item = (Slot, &SlotEntry)> {
         (0..).map(Slot).zip(&self.slots)
     }
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -1,61 +1,61 @@
-//! Reasons why a change cannot be applied.
+//! Errors of applying a change and of reading a snapshot.
 
 use snafu::Snafu;
 
 use crate::configuration;
 
-/// Why a change is refused.
+/// Reason why a change is refused, or a snapshot cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// A declaration has faults.
+    /// The template or workspace is invalid.
     #[snafu(display("{}", join(problems)))]
     Declaration {
-        /// All faults found.
+        /// All problems found, so that they can be corrected at once.
         problems: Vec<configuration::Error>,
     },
-    /// The named thing does not exist.
+    /// The named template or workspace does not exist.
     #[snafu(display("there is no {kind} named {name}"))]
     Unknown {
-        /// Kind of thing.
+        /// `template` or `workspace`.
         kind: &'static str,
-        /// Its name.
+        /// Name in the change.
         name: String,
     },
-    /// The template is filled in by a workspace.
+    /// The template cannot be withdrawn because a workspace uses it.
     #[snafu(display("template {template} is still used by workspace {workspace}"))]
     InUse {
-        /// Template.
+        /// Name of the template.
         template: String,
-        /// A workspace that uses it.
+        /// Name of one workspace that uses it.
         workspace: String,
     },
-    /// The slots of a service are fixed for its life.
+    /// The number of slots differs from that of the existing service, which is fixed.
     #[snafu(display("service {service} has {slots} slots, which cannot change"))]
     SlotsFixed {
-        /// Service.
+        /// Full name of the service.
         service: String,
-        /// Its slots.
+        /// Number of slots of the existing service.
         slots: u32,
     },
-    /// The change was made for a state that has passed.
+    /// The change was decided on a state that has changed since.
     #[snafu(display("the change is outdated: {reason}"))]
     Outdated {
-        /// What no longer holds.
+        /// Condition that does not hold any more.
         reason: &'static str,
     },
-    /// The revision is not the next one.
+    /// The entry is not the next one of the log.
     #[snafu(display("revision {found} does not follow {applied}"))]
     Order {
-        /// Revision of the change.
+        /// Revision of the entry.
         found: u64,
         /// Last revision applied.
         applied: u64,
     },
-    /// A stored snapshot cannot be read.
+    /// A snapshot cannot be read.
     #[snafu(display("the snapshot cannot be read: {message}"))]
     Snapshot {
-        /// Cause.
+        /// Wrong hash or revision, or an error of the decoder.
         message: String,
     },
 }
--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -1,9 +1,10 @@
 //! The change log in the platform's table service.
 //!
 //! The row `head` is written with every entry, so its version equals the last revision. An entry
-//! is appended by one transaction on that version: of two writers at one revision only one can
-//! commit. An answer that was lost is settled by sending the same transaction again: it either
-//! takes effect now, or conflicts, and then the entry's operation id tells whose it is.
+//! is appended by one transaction that requires that version, so only one of two writers at the
+//! same revision can commit. If the response is lost, the same transaction is sent again: it either
+//! takes effect then, or conflicts, and the operation id of the entry in the log shows whose change
+//! was committed.
 
 use std::time::Duration;
 
@@ -25,70 +26,75 @@
     },
 };
 
+/// Row whose version is the last revision.
 const HEAD_ROW: &str = "head";
+/// Prefix of the rows of entries.
 const LOG_PREFIX: &str = "log/";
+/// Row of the pointer to the latest snapshot.
 const SNAPSHOT_ROW: &str = "snapshot";
+/// Limit of the entries that one read returns.
 const TAIL_ROWS: usize = 1_000;
+/// Pause before a transaction without a response is sent again.
 const TRANSACT_RETRY_MS: u64 = 50;
 
 /// Failure of the change log.
 #[derive(Debug, Snafu)]
 pub enum LogError {
-    /// The platform failed.
+    /// A call of the platform failed.
     #[snafu(display("{source}"))]
     Platform {
-        /// Cause.
+        /// Error of the store's client.
         source: store::Error,
     },
-    /// It could not be found out whether the change took effect.
+    /// The time limit was reached before it was known if the change took effect.
     #[snafu(display("it is unknown whether the change took effect: {source}"))]
     Unsettled {
-        /// Last failure.
+        /// Error of the last attempt.
         source: store::Error,
     },
-    /// A row cannot be read.
+    /// The content of a row cannot be encoded or decoded.
     #[snafu(display("the row {key} cannot be read"))]
     Row {
-        /// Row.
+        /// Key of the row.
         key: String,
-        /// Cause.
+        /// Error of the JSON library.
         source: serde_json::Error,
     },
-    /// Entries after this revision are no longer in the log.
+    /// The log no longer holds the next entry, so a snapshot is needed.
     #[snafu(display("the log no longer holds the entry after revision {after}"))]
     Truncated {
-        /// Revision asked for.
+        /// Revision after which entries were requested.
         after: Revision,
     },
-    /// A change cannot be applied.
+    /// A snapshot cannot be encoded or decoded.
     #[snafu(display("{source}"))]
     State {
-        /// Cause.
+        /// Error of the snapshot.
         source: super::Error,
     },
 }
 
-/// A change about to be appended.
+/// A change to be appended, without the revision that it will get.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    /// Identifier.
+    /// Identifier chosen by the writer, by which its own entry is recognised after a lost response.
     pub operation_id: OperationId,
-    /// Who makes it.
+    /// Operator or host that makes the change.
     pub actor: String,
-    /// The change.
+    /// Change to append.
     pub change: Change,
 }
 
-/// Outcome of an append.
+/// Result of an append.
 #[derive(Clone, Debug)]
 pub enum AppendOutcome {
     /// The entry is in the log.
     Committed(LogEntry),
-    /// Another entry took the place; read on and decide again.
+    /// Another entry has this revision; the caller has to read the log and decide again.
     Conflict,
 }
 
-/// Access to the change log.
+/// Client of the change log and of the snapshots of the state.
 #[derive(Clone, Debug)]
 pub struct ChangeLog {
     platform: Platform,
@@ -96,7 +102,8 @@
 }
 
 impl ChangeLog {
-    /// A log that tries for `resolve_timeout_ms` to find out about a lost answer.
+    /// Returns a client that retries a transaction without a response for at most
+    /// `resolve_timeout_ms`.
     pub fn new(platform: Platform, resolve_timeout_ms: u64) -> Self {
         Self {
             platform,
@@ -104,7 +111,7 @@
         }
     }
 
-    /// Entries after `after`, oldest first, at most 1,000.
+    /// Reads the entries after `after`, oldest first, at most 1,000.
     pub async fn tail(&self, after: Revision) -> Result<Vec<LogEntry>, LogError> {
         let rows = self
             .platform
@@ -122,7 +129,7 @@
         Ok(entries)
     }
 
-    /// Appends a change right after `after`.
+    /// Appends a change as the next revision after `after`.
     pub async fn append(
         &self,
         after: Revision,
@@ -142,6 +149,8 @@
         }
     }
 
+    /// Sends a transaction until the store responds or the time limit is reached. Sending it again
+    /// is safe, because its condition holds at most once.
     async fn transact_until_known(
         &self,
         transaction: &Transaction,
@@ -159,6 +168,8 @@
         }
     }
 
+    /// Finds out if the entry that caused a conflict is this writer's own, committed by an earlier
+    /// attempt whose response was lost.
     async fn resolve_conflict(&self, entry: LogEntry) -> Result<AppendOutcome, LogError> {
         let key = log_row(entry.revision);
         let row = self.platform.row(&key).await;
@@ -173,7 +184,7 @@
         Ok(AppendOutcome::Conflict)
     }
 
-    /// The latest snapshot's state, or the empty state.
+    /// Returns the state of the latest snapshot, or the empty state if there is none.
     pub async fn load_snapshot(&self) -> Result<State, LogError> {
         let row = self.platform.row(SNAPSHOT_ROW).await;
         let Some(row) = row.context(PlatformSnafu)? else {
@@ -185,7 +196,7 @@
         Snapshot::decode(&pointer, &body).context(StateSnafu)
     }
 
-    /// Stores a snapshot; an older one never replaces a newer one.
+    /// Stores a snapshot of the state, unless a snapshot of this or a later revision is stored.
     pub async fn store_snapshot(&self, state: &State) -> Result<(), LogError> {
         let held = self.platform.row(SNAPSHOT_ROW).await;
         let held = held.context(PlatformSnafu)?;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,7 +1,7 @@
-//! The agreed state: a fold over the change log that the platform's table service holds.
+//! The replicated state: the result of applying the change log in the platform's table service.
 //!
-//! Every entry host applies the same changes in the same order, so all hosts at one revision hold
-//! the same state. A host keeps it in memory only.
+//! Every entry host applies the same changes in the same order, so all hosts at one revision have
+//! the same state. A host keeps the state in memory only.
 
 mod apply;
 mod change;
--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -10,28 +10,28 @@
 };
 use crate::id::Revision;
 
-/// Row that points at the latest snapshot.
+/// Pointer to the latest snapshot in the object store, kept as JSON in a row of the table service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotPointer {
-    /// Revision of the snapshot.
+    /// Revision of the state in the snapshot.
     pub revision: Revision,
-    /// Name of the object.
+    /// Name of the object, which contains the revision and the begin of the hash.
     pub object: String,
     /// SHA-256 of the object, in hexadecimal.
     pub sha256: String,
 }
 
-/// An encoded state.
+/// An encoded state with its pointer.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// Where to find and how to check it.
+    /// Name, revision and hash, by which the body is found and verified.
     pub pointer: SnapshotPointer,
-    /// Encoded state.
+    /// State in the postcard encoding.
     pub body: Vec<u8>,
 }
 
 impl Snapshot {
-    /// Encodes a state.
+    /// Encodes a state and computes its pointer.
     pub fn encode(state: &State) -> Result<Self> {
         let body = postcard::to_allocvec(state).map_err(unreadable)?;
         let sha256 = digest(&body);
@@ -43,7 +43,7 @@
         Ok(Self { pointer, body })
     }
 
-    /// Decodes an object after checking it against its pointer.
+    /// Decodes a state after verifying the hash and the revision of its pointer.
     pub fn decode(pointer: &SnapshotPointer, body: &[u8]) -> Result<State> {
         let message = "its hash differs from the pointer's";
         ensure!(digest(body) == pointer.sha256, SnapshotSnafu { message });
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Real processes of the built binary, and calls to them.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Starts processes of the built binary for tests, and sends requests to them.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::{
     fs,
@@ -38,7 +38,7 @@
 }
 
 impl Process {
-    /// Starts the binary and reads the first line that it prints.
+    /// Starts the binary and parses the first line that it prints, which has its addresses.
     fn start<T: DeserializeOwned>(args: &[&str], log: &Path) -> (Self, T) {
         let log = fs::File::create(log).expect("log file");
         let mut child = Command::new(BINARY)
@@ -56,20 +56,21 @@
         (Self { child }, listening)
     }
 
-    /// Sends a signal by its name.
+    /// Sends the signal with this name, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let sent = Command::new("kill").args(["-s", name, &id]).status();
         assert!(sent.expect("kill runs").success());
     }
 
-    /// SIGKILL.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for the process to end by itself, while the test's other tasks go on.
+    /// Waits until the process exits and returns its exit code; panics after `limit`. It does not
+    /// block the other tasks of the test.
     pub async fn wait(&mut self, limit: Duration) -> Option<i32> {
         let end = Instant::now() + limit;
         while Instant::now() < end {
@@ -99,7 +100,7 @@
     operators: SocketAddr,
 }
 
-/// A stand-in in a process of its own.
+/// A stand-in for the platform or a backend server, in a process of its own.
 pub struct Standin {
     pub process: Process,
     pub address: SocketAddr,
@@ -113,7 +114,8 @@
     pub name: String,
 }
 
-/// A whole system of processes.
+/// A system of processes: one platform, backend servers and entry hosts. They are killed and their
+/// directory is deleted when it is dropped.
 pub struct Cluster {
     pub directory: PathBuf,
     pub platform: Standin,
@@ -121,11 +123,11 @@
     pub hosts: Vec<HostProcess>,
 }
 
-/// Flags of the servers of a cluster.
+/// No further flags for the servers of a cluster.
 pub const PLAIN: &[&str] = &[];
 
 impl Cluster {
-    /// Starts a platform, servers and hosts; nothing is declared yet.
+    /// Starts a platform, servers and hosts; no template or workspace is declared yet.
     pub fn start(servers: usize, hosts: usize, server_flags: &[&str]) -> Self {
         ashroad::peer::keys::install_crypto_provider();
         let directory = new_directory();
@@ -160,7 +162,7 @@
         self.hosts.push(host);
     }
 
-    /// Starts a host process with a name.
+    /// Starts a host process with this name, and with settings and certificates of its own.
     pub fn host_process(&self, name: &str) -> HostProcess {
         ashroad::peer::keys::create_host(&self.directory, name).expect("certificate");
         let directory = self.directory.display();
@@ -194,7 +196,8 @@
         OperatorClient::new(self.hosts[host].operators, Some(TOKEN.to_owned()))
     }
 
-    /// A template with one service `s` of 64 slots, and a workspace `w` with all servers.
+    /// Submits a template `t` with one service `s` of 64 slots, and a workspace `w` with all
+    /// servers, and waits until all slots are owned. `service_extra` is added to the service.
     pub async fn declare(&self, service_extra: &str) {
         let template = format!(
             "template: t\nparameters:\n  - {{ name: targets, type: targets, max: 100 }}\n\
@@ -208,7 +211,7 @@
         self.settled().await;
     }
 
-    /// The workspace `w` with some of the servers.
+    /// Returns the document of the workspace `w` with these servers.
     pub fn workspace(&self, servers: &[usize]) -> String {
         let mut text = "workspace: w\ntemplate: t\nparameters:\n  targets:\n".to_owned();
         for index in servers {
@@ -241,7 +244,7 @@
         status.unwrap_or_else(|error| panic!("no status of host {host}: {error}"))
     }
 
-    /// Waits until every slot has an owner on every host, and every host counts.
+    /// Waits until every host reports that all slots have an owner and that all hosts are voters.
     pub async fn settled(&self) {
         let all: Vec<usize> = (0..self.hosts.len()).collect();
         self.settled_on(&all).await;
@@ -256,7 +259,7 @@
         .await;
     }
 
-    /// Waits until a number of servers own all slots, as some hosts see it.
+    /// Waits until these hosts report that exactly `servers` servers own slots.
     pub async fn owned_by(&self, servers: usize, hosts: &[usize]) {
         let what = format!("{servers} servers own all slots");
         self.wait_for(&what, hosts, |status| {
@@ -266,7 +269,7 @@
         .await;
     }
 
-    /// Waits until a condition holds on some hosts.
+    /// Waits until a condition holds for the status of each of these hosts; panics after 20 s.
     pub async fn wait_for(&self, what: &str, hosts: &[usize], holds: impl Fn(&StatusBody) -> bool) {
         let end = Instant::now() + Duration::from_secs(20);
         for host in hosts {
@@ -308,7 +311,7 @@
         record.expect("the record is read")
     }
 
-    /// Records of some servers.
+    /// Reads the records of these stand-in servers.
     pub async fn records(&self, servers: &[usize]) -> Vec<backend::Record> {
         let mut records = Vec::new();
         for server in servers {
@@ -317,7 +320,7 @@
         records
     }
 
-    /// Index of the server at an address.
+    /// Returns the index of the server at an address.
     pub fn server_at(&self, address: &str) -> usize {
         let found = self
             .servers
@@ -326,7 +329,7 @@
         found.expect("a known server")
     }
 
-    /// Index of the server that owns a key, as host 0 sees it.
+    /// Returns the index of the server that owns a key, as host 0 reports it.
     pub async fn owner(&self, key: &str) -> usize {
         let owner = self.operator(0).owner("w/s", key).await.expect("owner");
         self.server_at(&owner.owner.expect("owned"))
@@ -335,7 +338,7 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        // The logs of a failed test are kept.
+        // The directory with the logs is kept if the test has failed.
         if !std::thread::panicking() {
             let _ = fs::remove_dir_all(&self.directory);
         }
@@ -361,7 +364,7 @@
     }
 }
 
-/// Runs the binary to its end.
+/// Runs the binary until it exits, and returns its output.
 pub fn run(args: &[&str]) -> Output {
     Command::new(BINARY)
         .args(args)
@@ -369,13 +372,13 @@
         .expect("the binary runs")
 }
 
-/// A caller of the system.
+/// HTTP client that sends requests to hosts.
 #[derive(Clone)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// A whole answer.
+/// Complete response of a host, with the headers that the tests check.
 #[derive(Debug)]
 pub struct CallerResponse {
     pub status: u16,
@@ -447,7 +450,7 @@
 }
 
 impl CallerResponse {
-    /// The stand-in's answer.
+    /// Parses the body as the response of the stand-in server.
     pub fn answer(&self) -> backend::Answer {
         let read = serde_json::from_slice(&self.body);
         read.unwrap_or_else(|error| panic!("{error}: {self:?}"))
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,5 @@
-//! Losses, freezes and outages on real processes, each judged by the servers' own records.
+//! Losses and freezes of processes and outages of the store, tested with real processes. Most tests
+//! also check the records of the stand-in servers for slots that two servers owned at once.
 
 mod common;
 
@@ -15,13 +16,15 @@
 use common::{Caller, Cluster, PLAIN};
 use tokio::{task::JoinHandle, time};
 
-/// Calls until stopped; every answer must be a success or a truthful refusal.
-/// Length of the outage in which service must go on, and of the time before that it is compared with.
+/// Length of the outage in which requests must still be served, and of the period before it that it
+/// is compared with.
 const OUTAGE: Duration = Duration::from_secs(6);
-/// Share of the answers before an outage that must come in it. Callers wait for each answer, so that hosts
-/// which are slower by half would show.
+/// Lowest ratio of the requests answered during the outage to those answered before it. Callers
+/// send the next request only after a response, so hosts that become slower by half fail the test.
 const SERVED_SHARE: f64 = 0.5;
 
+/// Callers that send requests to all given hosts until they are stopped. Every response other than
+/// 200 is returned as a failure.
 struct Load {
     stop: Arc<AtomicBool>,
     answered: Arc<AtomicU64>,
@@ -74,6 +77,7 @@
     cluster.hosts.iter().map(|host| host.callers).collect()
 }
 
+/// Checks that no slot was owned by two servers at once, by the servers' own records.
 async fn assert_single_owners(cluster: &Cluster, servers: &[usize]) {
     let records = cluster.records(servers).await;
     let double = verdict::double_owned(&records);
@@ -118,7 +122,7 @@
 async fn a_host_and_a_server_lost_together_leave_keys_served_within_3_s() {
     let mut cluster = Cluster::start(3, 3, PLAIN);
     cluster.declare("").await;
-    // The leader is the worst host to lose.
+    // The loss of the leader takes longest, because another host must take over first.
     let mut leader = 0;
     for host in 0..3 {
         if cluster.status(host).await.leading {
@@ -177,7 +181,7 @@
     cluster.declare("").await;
     let before = cluster.status(0).await;
     let load = Load::start(&addresses(&cluster)[..2]);
-    // What the machine gives the callers while nothing is wrong.
+    // The requests answered without a fault are the reference for the outage.
     time::sleep(OUTAGE).await;
     let usual = load.answered.load(Ordering::Relaxed);
     cluster
@@ -278,7 +282,7 @@
         tasks.push(tokio::spawn(async move {
             let caller = Caller::default();
             let mut answered = 0;
-            // As the balancer does: no new request after readiness is gone.
+            // Like a load balancer, the caller sends no request to a host that is not ready.
             while !stop.load(Ordering::Relaxed) {
                 let ready = caller.get(leaving, "/_ashroad/ready").await;
                 if !ready.is_ok_and(|ready| ready.status == 200) {
