--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -113,6 +113,7 @@
         Err(CommitError::Contention)
     }
 
+    /// Applies an entry that this host has appended, and pushes it to all other hosts.
     fn publish_commit(self: &Arc<Self>, entry: LogEntry) {
         log::info!(revision = entry.revision.0; "committed {:?}", entry.change);
         let entries = vec![entry];
@@ -161,6 +162,7 @@
     }
 }
 
+/// Checks the expected revision of a request, and applies its change to a copy of the state.
 fn check(state: &State, request: &CommitRequest) -> Result<(), CommitError> {
     if let Some(expected) = request.expect_revision
         && expected != state.configuration
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -29,8 +29,8 @@
 const HORIZON_PAUSE_MS: u64 = 50;
 
 impl Host {
-    /// Starts a task for each lost server that waits until the server's lease has lapsed, unless
-    /// one runs already.
+    /// Starts one task per lost server, which waits until the server's lease has lapsed; a task that
+    /// is already running is not started again.
     pub(super) fn wait_for_lapses(
         self: &Arc<Self>,
         controller: &mut Controller,
@@ -55,8 +55,9 @@
         }
     }
 
-    /// Queries all hosts once for their lease horizons, waits at most [`HORIZON_PAUSE_MS`], and
-    /// records the lapse if it is then certain.
+    /// Queries all hosts once for their lease horizons (the latest time at which their renewals may
+    /// still keep the lease valid), waits at most [`HORIZON_PAUSE_MS`], and records the lapse if it
+    /// is then certain.
     async fn wait_for_lapse(self: &Arc<Self>, lost: LostServer) {
         let reports = self.horizon_reports(lost).await;
         let state = self.view.state();
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -269,7 +269,8 @@
         }
     }
 
-    /// Queries the process, clock, grants and draining of a server, by a request without an order.
+    /// Queries a server for its process, clock, grants and draining state, by a request that orders
+    /// nothing.
     pub(super) async fn query_server(
         &self,
         address: std::net::SocketAddr,
@@ -303,8 +304,8 @@
     }
 }
 
-/// Returns all grants that a server should hold if the digest that it reported is of other grants.
-/// Returns none if the digest matches, or before the server has reported one.
+/// Returns all grants that a server should hold, if the digest that it reported does not match
+/// them. Returns an empty list if it matches, or before the server has reported a digest.
 fn missing_grants(state: &State, server: ServerKey, digest: Option<u64>) -> Vec<SlotGrant> {
     let Some(digest) = digest else {
         return Vec::new();
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -391,6 +391,7 @@
     }
 }
 
+/// Computes the effect of a change by applying it to a copy of the state.
 fn dry_run_effect(before: &State, change: &Change) -> state::Result<super::message::Effect> {
     let mut after = before.clone();
     after.apply_dry_run(change.clone())?;
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -124,7 +124,7 @@
     pub name: String,
     /// Availability zone from the settings of the host.
     pub availability_zone: String,
-    /// Life cycle: `joining`, `live` or `leaving`.
+    /// Stage of the life cycle: `joining`, `live` or `leaving`.
     pub state: String,
     /// Revision that the host last reported; `None` if the responding host did not hear it.
     pub revision: Option<u64>,
@@ -141,7 +141,7 @@
     pub address: String,
     /// Availability zone from the workspace.
     pub availability_zone: String,
-    /// Life cycle: `absent`, `live` or `lost`.
+    /// Stage of the life cycle: `absent`, `live` or `lost`.
     pub state: String,
     /// True if the server wants to leave, so that its slots are moved away.
     pub draining: bool,
@@ -216,7 +216,7 @@
 /// Query for a page of the audit trail.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct AuditQuery {
-    /// Revision after which the page begins; 0 for the begin of the log.
+    /// Revision after which the page begins; 0 for the start of the log.
     #[serde(default)]
     pub after: u64,
 }
--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -62,23 +62,23 @@
     /// A host has become a voter: it counts in the majorities of
     /// [`crate::membership::freshness`].
     HostPromoted {
-        /// Host that changes.
+        /// Host to promote.
         host: HostKey,
-        /// Process that is meant; the change is refused if the host has restarted.
+        /// Process of the host; the change is refused if it is another one by now.
         incarnation: Incarnation,
     },
     /// A host has begun its planned stop.
     HostLeaving {
-        /// Host that changes.
+        /// Host that leaves.
         host: HostKey,
-        /// Process that is meant; the change is refused if the host has restarted.
+        /// Process of the host; the change is refused if it is another one by now.
         incarnation: Incarnation,
     },
     /// A host was silent for too long and no longer belongs to the registry.
     HostRemoved {
-        /// Host that changes.
+        /// Host to remove.
         host: HostKey,
-        /// Process that is meant; the change is refused if the host has restarted.
+        /// Process of the host; the change is refused if it is another one by now.
         incarnation: Incarnation,
     },
     /// No host acts on an earlier version of the registry any more.
@@ -95,25 +95,25 @@
     },
     /// A server has begun or ended draining.
     ServerDraining {
-        /// Server that changes.
+        /// Server whose draining changes.
         server: ServerKey,
-        /// Membership period that is meant; the change is refused in any other one.
+        /// Membership period of the server; the change is refused in any other one.
         lease_epoch: LeaseEpoch,
         /// True if the server wants to leave and its slots are to be moved away.
         draining: bool,
     },
     /// A server does not respond; no host that has applied this revision renews its lease.
     ServerLost {
-        /// Server that changes.
+        /// Server that was lost.
         server: ServerKey,
-        /// Membership period that is meant; the change is refused in any other one.
+        /// Membership period of the server; the change is refused in any other one.
         lease_epoch: LeaseEpoch,
     },
     /// The lease of a lost server has lapsed for certain, so its slots have no owner any more.
     ServerLapsed {
-        /// Server that changes.
+        /// Server whose lease has lapsed.
         server: ServerKey,
-        /// Membership period that is meant; the change is refused in any other one.
+        /// Membership period of the server; the change is refused in any other one.
         lease_epoch: LeaseEpoch,
     },
     /// Moves of slots to new owners have begun.
@@ -145,7 +145,7 @@
     }
 }
 
-/// Begin of the move of one slot.
+/// Start of the move of one slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotMove {
     /// Slot that moves.
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -26,7 +26,7 @@
     pub revision: Revision,
 }
 
-/// Life cycle of an entry host.
+/// Stage of the life cycle of an entry host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
@@ -52,7 +52,7 @@
     pub peer_address: SocketAddr,
     /// Availability zone from its settings.
     pub availability_zone: String,
-    /// Life cycle.
+    /// Stage of the host's life cycle.
     pub state: HostState,
     /// Revision of the last change of this entry.
     pub changed: Revision,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Life cycle of a backend server.
+/// Stage of the life cycle of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerState {
@@ -128,7 +128,7 @@
     pub incarnation: Incarnation,
     /// Number of its membership period; it rises with each join.
     pub lease_epoch: LeaseEpoch,
-    /// Life cycle.
+    /// Stage of the server's life cycle.
     pub state: ServerState,
     /// True if the server wants to leave, so that its slots are moved away.
     pub draining: bool,
--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -15,7 +15,7 @@
 pub struct SnapshotPointer {
     /// Revision of the state in the snapshot.
     pub revision: Revision,
-    /// Name of the object, which contains the revision and the begin of the hash.
+    /// Name of the object, which contains the revision and the start of the hash.
     pub object: String,
     /// SHA-256 of the object, in hexadecimal.
     pub sha256: String,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -122,7 +122,7 @@
 async fn a_host_and_a_server_lost_together_leave_keys_served_within_3_s() {
     let mut cluster = Cluster::start(3, 3, PLAIN);
     cluster.declare("").await;
-    // The loss of the leader takes longest, because another host must take over first.
+    // The leader is the worst host to lose, because another one must take over before keys move.
     let mut leader = 0;
     for host in 0..3 {
         if cluster.status(host).await.leading {
