--- a/src/operator/dry_run.rs
+++ b/src/operator/dry_run.rs
@@ -8,10 +8,10 @@
     let mut effect = Effect::default();
     for (key, service) in after.active_services() {
         let name = service.spec.name.clone();
-        let held = before.service(key).filter(|held| held.active);
-        match held {
+        let existing = before.service(key).filter(|existing| existing.active);
+        match existing {
             None => effect.services_added.push(name),
-            Some(held) if held.spec != service.spec => effect.services_changed.push(name),
+            Some(existing) if existing.spec != service.spec => effect.services_changed.push(name),
             Some(_) => continue,
         }
         effect.slots += service.slots.len() as u64;
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -144,8 +144,8 @@
         let template = Template::read(document.as_bytes()).map_err(declaration)?;
         let mut problems = Vec::new();
         let mut specs = Vec::new();
-        for held in self.workspaces.values() {
-            let workspace = Workspace::read(held.text.as_bytes()).map_err(declaration)?;
+        for existing in self.workspaces.values() {
+            let workspace = Workspace::read(existing.text.as_bytes()).map_err(declaration)?;
             if workspace.template != template.template {
                 continue;
             }
@@ -172,8 +172,8 @@
             self.templates.contains_key(name),
             UnknownSnafu { kind, name }
         );
-        for (workspace, held) in &self.workspaces {
-            let read = Workspace::read(held.text.as_bytes()).map_err(declaration)?;
+        for (workspace, existing) in &self.workspaces {
+            let read = Workspace::read(existing.text.as_bytes()).map_err(declaration)?;
             ensure!(
                 read.template != name,
                 InUseSnafu {
@@ -188,12 +188,12 @@
 
     fn submit_workspace(&mut self, document: &str) -> Result<()> {
         let workspace = Workspace::read(document.as_bytes()).map_err(declaration)?;
-        let held = self.templates.get(&workspace.template);
-        let held = held.context(UnknownSnafu {
+        let existing = self.templates.get(&workspace.template);
+        let existing = existing.context(UnknownSnafu {
             kind: "template",
             name: &workspace.template,
         })?;
-        let template = Template::read(held.text.as_bytes()).map_err(declaration)?;
+        let template = Template::read(existing.text.as_bytes()).map_err(declaration)?;
         let specs =
             expand(&template, &workspace).map_err(|problems| Error::Declaration { problems })?;
         self.check_slots(&specs)?;
@@ -223,14 +223,14 @@
     /// Refuses a new number of slots for an existing service.
     fn check_slots(&self, specs: &[ServiceSpec]) -> Result<()> {
         for spec in specs {
-            let held = self
+            let existing = self
                 .service_key(&spec.name)
                 .and_then(|key| self.service(key));
-            let Some(held) = held else { continue };
-            if held.spec.slots != spec.slots {
+            let Some(existing) = existing else { continue };
+            if existing.spec.slots != spec.slots {
                 return Err(Error::SlotsFixed {
                     service: spec.name.clone(),
-                    slots: held.spec.slots,
+                    slots: existing.spec.slots,
                 });
             }
         }
