--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -198,9 +198,9 @@
 
     /// Stores a snapshot of the state, unless a snapshot of this or a later revision is stored.
     pub async fn store_snapshot(&self, state: &State) -> Result<(), LogError> {
-        let held = self.platform.row(SNAPSHOT_ROW).await;
-        let held = held.context(PlatformSnafu)?;
-        let expect = match &held {
+        let pointer_row = self.platform.row(SNAPSHOT_ROW).await;
+        let pointer_row = pointer_row.context(PlatformSnafu)?;
+        let expect = match &pointer_row {
             None => Expect::Absent,
             Some(row) => {
                 let pointer: SnapshotPointer = read_row(row)?;
