--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -117,17 +117,17 @@
             revision: answer.revision,
             since_ms: answer.sent_ms,
         };
-        let Some(held) = self.heard.iter_mut().find(|h| h.host == answer.host) else {
+        let Some(previous) = self.heard.iter_mut().find(|h| h.host == answer.host) else {
             self.heard.push(heard);
             return;
         };
-        if held.sent_ms >= heard.sent_ms {
+        if previous.sent_ms >= heard.sent_ms {
             return;
         }
-        if held.incarnation == heard.incarnation && held.revision == heard.revision {
-            heard.since_ms = held.since_ms;
+        if previous.incarnation == heard.incarnation && previous.revision == heard.revision {
+            heard.since_ms = previous.since_ms;
         }
-        *held = heard;
+        *previous = heard;
     }
 
     /// Returns the time of the oldest ping among the latest replies that form a majority with this
