--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -98,10 +98,10 @@
         now_ms: u64,
     ) -> bool {
         let version = row.as_ref().map_or(0, |row| row.version);
-        let held = row.and_then(|row| serde_json::from_str::<LeaderRow>(&row.value).ok());
-        let term = held.as_ref().map_or(0, |held| held.term);
+        let content = row.and_then(|row| serde_json::from_str::<LeaderRow>(&row.value).ok());
+        let term = content.as_ref().map_or(0, |content| content.term);
         self.leader_term.store(term, Ordering::Relaxed);
-        let own = held.is_some_and(|held| held.incarnation == self.incarnation);
+        let own = content.is_some_and(|content| content.incarnation == self.incarnation);
         if !own && observed.version != version {
             *observed = ObservedRow {
                 version,
