--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -275,7 +275,7 @@
 
 fn documents<'a>(
     state: &State,
-    held: impl Iterator<Item = (&'a String, &'a Document)>,
+    declared: impl Iterator<Item = (&'a String, &'a Document)>,
 ) -> DocumentList {
     let body = |(name, document): (&String, &Document)| DocumentBody {
         name: name.clone(),
@@ -284,7 +284,7 @@
     };
     DocumentList {
         configuration: state.configuration.0,
-        documents: held.map(body).collect(),
+        documents: declared.map(body).collect(),
     }
 }
 
