--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -29,8 +29,8 @@
 const HORIZON_PAUSE_MS: u64 = 50;
 
 impl Host {
-    /// Starts one task per lost server, which waits until the server's lease has lapsed; a task that
-    /// is already running is not started again.
+    /// Starts one task per lost server, which waits until the server's lease has lapsed; a task
+    /// that is already running is not started again.
     pub(super) fn wait_for_lapses(
         self: &Arc<Self>,
         controller: &mut Controller,
