--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -107,7 +107,9 @@
         self.settled >= self.changed
     }
 
-    /// Returns the revision from which on a majority of the present voters is conclusive.
+    /// Returns the revision before which majorities of the voters do not count towards a lapse
+    /// (see [`crate::ownership::lapse`]): the change of the voters while that is not settled, and
+    /// the last settlement otherwise.
     pub fn majority_since(&self) -> Revision {
         if self.previous_voters.is_empty() {
             self.settled
