--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -136,7 +136,7 @@
         let needed = voters.len() / 2 + 1;
         let own_counts = voters.contains(&own);
         let needed = needed - usize::from(own_counts);
-        let mut asked: Vec<u64> = self
+        let mut ping_times_ms: Vec<u64> = self
             .heard
             .iter()
             .filter(|heard| {
@@ -148,11 +148,11 @@
             })
             .map(|heard| heard.sent_ms)
             .collect();
-        if needed == 0 || asked.len() < needed {
+        if needed == 0 || ping_times_ms.len() < needed {
             return None;
         }
-        asked.sort_unstable_by(|a, b| b.cmp(a));
-        Some(asked[needed - 1])
+        ping_times_ms.sort_unstable_by(|a, b| b.cmp(a));
+        Some(ping_times_ms[needed - 1])
     }
 
     fn raise_basis(&mut self, basis_ms: u64) {
