--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -5,7 +5,7 @@
 use std::{fs, path::PathBuf};
 
 use ashroad::operator::message::{SubmitBody, WithdrawBody};
-use common::{Cluster, PLAIN, run};
+use common::{Cluster, NO_FLAGS, run};
 
 const FAULTY: Option<i32> = Some(3);
 
@@ -142,7 +142,7 @@
 
 #[tokio::test]
 async fn a_change_is_made_once_and_only_on_the_expected_revision() {
-    let cluster = Cluster::start(1, 1, PLAIN);
+    let cluster = Cluster::start(1, 1, NO_FLAGS);
     cluster.declare("").await;
     let client = cluster.operator(0);
     let body = |operation_id: &str, expect_revision: Option<u64>| SubmitBody {
@@ -188,7 +188,7 @@
 
 #[tokio::test]
 async fn changes_need_the_token() {
-    let cluster = Cluster::start(1, 1, PLAIN);
+    let cluster = Cluster::start(1, 1, NO_FLAGS);
     let api = cluster.hosts[0].operators.to_string();
     let path = cluster.directory.join("t.yaml");
     fs::write(&path, template(TARGETS, "")).expect("file");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -124,7 +124,7 @@
 }
 
 /// No further flags for the servers of a cluster.
-pub const PLAIN: &[&str] = &[];
+pub const NO_FLAGS: &[&str] = &[];
 
 impl Cluster {
     /// Starts a platform, servers and hosts; no template or workspace is declared yet.
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -13,7 +13,7 @@
 };
 
 use ashroad::standin::{platform, verdict};
-use common::{Caller, Cluster, PLAIN};
+use common::{Caller, Cluster, NO_FLAGS};
 use tokio::{task::JoinHandle, time};
 
 /// Length of the outage in which requests must still be served, and of the period before it that it
@@ -86,7 +86,7 @@
 
 #[tokio::test]
 async fn keys_of_a_killed_server_are_served_again_within_3_s() {
-    let mut cluster = Cluster::start(3, 3, PLAIN);
+    let mut cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
     let key = (0..).map(|n| format!("key-{n}"));
     let mut owned = Vec::new();
@@ -120,7 +120,7 @@
 
 #[tokio::test]
 async fn a_host_and_a_server_lost_together_leave_keys_served_within_3_s() {
-    let mut cluster = Cluster::start(3, 3, PLAIN);
+    let mut cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
     // The leader is the worst host to lose, because another one must take over before keys move.
     let mut leader = 0;
@@ -152,7 +152,7 @@
 
 #[tokio::test]
 async fn a_server_frozen_past_its_lease_owns_nothing_when_it_goes_on() {
-    let cluster = Cluster::start(3, 3, PLAIN);
+    let cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
     let load = Load::start(&addresses(&cluster));
     let frozen = cluster.owner("key-1").await;
@@ -177,7 +177,7 @@
 
 #[tokio::test]
 async fn an_outage_of_the_store_stops_changes_but_not_service() {
-    let mut cluster = Cluster::start(3, 3, PLAIN);
+    let mut cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
     let before = cluster.status(0).await;
     let load = Load::start(&addresses(&cluster)[..2]);
@@ -221,7 +221,7 @@
 
 #[tokio::test]
 async fn a_host_started_in_an_outage_of_the_store_learns_the_state_from_a_peer_later() {
-    let mut cluster = Cluster::start(2, 2, PLAIN);
+    let mut cluster = Cluster::start(2, 2, NO_FLAGS);
     cluster.declare("").await;
     cluster
         .platform_faults(platform::Faults {
@@ -242,7 +242,7 @@
 
 #[tokio::test]
 async fn a_paused_host_does_not_act_on_its_old_view() {
-    let cluster = Cluster::start(3, 3, PLAIN);
+    let cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
     let load = Load::start(&addresses(&cluster)[..2]);
     cluster.hosts[2].process.signal("STOP");
@@ -308,7 +308,7 @@
 
 #[tokio::test]
 async fn a_server_that_wants_to_leave_gets_no_new_work_after_seconds() {
-    let cluster = Cluster::start(3, 2, PLAIN);
+    let cluster = Cluster::start(3, 2, NO_FLAGS);
     cluster.declare("").await;
     let load = Load::start(&addresses(&cluster));
     let leaving = cluster.owner("key-1").await;
@@ -339,7 +339,7 @@
 
 #[tokio::test]
 async fn moves_go_on_while_answers_of_the_store_are_lost_and_the_leader_dies() {
-    let mut cluster = Cluster::start(3, 3, PLAIN);
+    let mut cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
     cluster
         .platform_faults(platform::Faults {
--- a/tests/once_only.rs
+++ b/tests/once_only.rs
@@ -5,14 +5,14 @@
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
 use ashroad::standin::{backend, platform, verdict};
-use common::{Caller, CallerResponse, Cluster, PLAIN};
+use common::{Caller, CallerResponse, Cluster, NO_FLAGS};
 use tokio::{sync::Mutex, time};
 
 const RULE: &str = "    unrepeatable:\n      - { method: POST, path_prefix: / }\n";
 
 #[tokio::test]
 async fn a_duplicate_at_another_host_gets_the_stored_answer() {
-    let cluster = Cluster::start(2, 2, PLAIN);
+    let cluster = Cluster::start(2, 2, NO_FLAGS);
     cluster.declare(RULE).await;
     let caller = Caller::default();
     let (one, other) = (cluster.hosts[0].callers, cluster.hosts[1].callers);
@@ -34,7 +34,7 @@
 
 #[tokio::test]
 async fn an_idempotency_key_that_cannot_be_kept_is_refused() {
-    let cluster = Cluster::start(1, 1, PLAIN);
+    let cluster = Cluster::start(1, 1, NO_FLAGS);
     cluster.declare(RULE).await;
     let caller = Caller::default();
     for key in ["", "Pe\u{f1}a"] {
@@ -76,7 +76,7 @@
 
 #[tokio::test]
 async fn without_the_store_an_unrepeatable_request_is_refused_as_not_run() {
-    let cluster = Cluster::start(1, 1, PLAIN);
+    let cluster = Cluster::start(1, 1, NO_FLAGS);
     cluster.declare(RULE).await;
     cluster
         .platform_faults(platform::Faults {
@@ -99,7 +99,7 @@
 
 #[tokio::test]
 async fn a_cut_answer_is_not_taken_as_whole_and_its_request_not_run_again() {
-    let cluster = Cluster::start(1, 1, PLAIN);
+    let cluster = Cluster::start(1, 1, NO_FLAGS);
     cluster.declare(RULE).await;
     cluster
         .server_faults(
@@ -152,7 +152,7 @@
 
 #[tokio::test]
 async fn orders_run_at_most_once_through_kills_and_lost_answers() {
-    let mut cluster = Cluster::start(3, 3, PLAIN);
+    let mut cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare(RULE).await;
     cluster
         .platform_faults(platform::Faults {
@@ -218,7 +218,7 @@
 
 #[tokio::test]
 async fn two_arrivals_at_one_host_in_the_same_moment_run_once() {
-    let cluster = Cluster::start(1, 1, PLAIN);
+    let cluster = Cluster::start(1, 1, NO_FLAGS);
     cluster.declare(RULE).await;
     let host = cluster.hosts[0].callers;
     for round in 0..50 {
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use ashroad::operator::client::DeclarationKind;
-use common::{Caller, Cluster, PLAIN};
+use common::{Caller, Cluster, NO_FLAGS};
 
 #[tokio::test]
 async fn a_request_gets_its_whole_answer_from_the_owner_of_its_key() {
-    let cluster = Cluster::start(3, 2, PLAIN);
+    let cluster = Cluster::start(3, 2, NO_FLAGS);
     cluster.declare("").await;
     let caller = Caller::default();
     for number in 0..40 {
@@ -54,7 +54,7 @@
             reason: "no-key",
         },
     ];
-    let cluster = Cluster::start(1, 1, PLAIN);
+    let cluster = Cluster::start(1, 1, NO_FLAGS);
     cluster.declare("").await;
     let caller = Caller::default();
     for case in cases {
@@ -73,7 +73,7 @@
 
 #[tokio::test]
 async fn a_server_that_leaves_the_workspace_hands_its_slots_over_under_load() {
-    let cluster = Cluster::start(3, 2, PLAIN);
+    let cluster = Cluster::start(3, 2, NO_FLAGS);
     cluster.declare("").await;
     let (stop, stopped) = tokio::sync::watch::channel(false);
     let mut callers = Vec::new();
