--- a/src/host/duties.rs
+++ b/src/host/duties.rs
@@ -16,7 +16,7 @@
         registry::{self, RegistryLimits, Silence, registered, voters},
         tree,
     },
-    ownership::lapse::{Holders, HorizonReport, lapsed_at_ms},
+    ownership::lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
     peer::message::{PeerReply, PeerRequest},
     state::{Change, HostEntry, ServerState, State},
 };
@@ -57,7 +57,7 @@
         let state = self.view.state();
         // An age that is not known counts as none, which only makes the wait longer.
         let since_age_ms = self.view.applied_age_ms(state.registry.since());
-        let holders = Holders {
+        let holders = RenewingHosts {
             registered: &registered(&state),
             voters: &voters(&state),
             previous: &state.registry.previous_voters,
--- a/src/ownership/lapse.rs
+++ b/src/ownership/lapse.rs
@@ -25,7 +25,7 @@
 
 /// Hosts whose renewals may hold the lease.
 #[derive(Clone, Copy, Debug)]
-pub struct Holders<'a> {
+pub struct RenewingHosts<'a> {
     /// Every registered host.
     pub registered: &'a [Voter],
     /// Those that count in the majority.
@@ -43,7 +43,11 @@
 /// A host may act on the last registry or, until that is settled, on the one before it. So before
 /// then a majority of each is needed, and no majority counts from before its registry was the only
 /// one of its predecessors to act on.
-pub fn lapsed_at_ms(holders: Holders<'_>, reports: &[HorizonReport], lapse_ms: u64) -> Option<u64> {
+pub fn lapsed_at_ms(
+    holders: RenewingHosts<'_>,
+    reports: &[HorizonReport],
+    lapse_ms: u64,
+) -> Option<u64> {
     let majority = majority_ms(holders.voters, reports);
     let previous = match holders.previous {
         [] => Some(0),
@@ -55,7 +59,7 @@
     [joint, by_all].into_iter().flatten().min()
 }
 
-fn all_reported(holders: Holders<'_>, reports: &[HorizonReport]) -> Option<u64> {
+fn all_reported(holders: RenewingHosts<'_>, reports: &[HorizonReport]) -> Option<u64> {
     if !holders.settled {
         return None;
     }
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -7,7 +7,7 @@
         registry::{self, RegistryLimits, RegistryWatch, Silence, registered, voters},
     },
     ownership::{
-        lapse::{Holders, HorizonReport, lapsed_at_ms},
+        lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
         message::{LeaseRequest, SlotGrant, grant_hash},
         moves::{next_grants, ready_groups},
         renewal::{Contact, Finding},
@@ -193,7 +193,7 @@
             .into_iter()
             .flatten()
             .collect::<Vec<_>>();
-        let holders = Holders {
+        let holders = RenewingHosts {
             registered: &registered,
             voters: if broken == Broken::Majority {
                 &few
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -7,7 +7,7 @@
         registry::{RegistryWatch, voters},
     },
     ownership::{
-        lapse::{Holders, HorizonReport, lapsed_at_ms},
+        lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
         message::{LeaseAnswer, LeaseRequest, SlotGrant},
         renewal::Contact,
     },
@@ -98,7 +98,7 @@
         let previous: Vec<Voter> = case.previous.iter().copied().map(voter).collect();
         let reports = case.reports.iter();
         let reports: Vec<HorizonReport> = reports.map(|r| report(r.0, r.1, r.2)).collect();
-        let holders = Holders {
+        let holders = RenewingHosts {
             registered: &voters,
             voters: &voters,
             previous: &previous,
