--- a/src/host/duties.rs
+++ b/src/host/duties.rs
@@ -57,7 +57,7 @@
         let state = self.view.state();
         // An age that is not known counts as none, which only makes the wait longer.
         let since_age_ms = self.view.applied_age_ms(state.registry.since());
-        let holders = RenewingHosts {
+        let renewing_hosts = RenewingHosts {
             registered: &registered(&state),
             voters: &voters(&state),
             previous: &state.registry.previous_voters,
@@ -65,7 +65,7 @@
             settled: state.registry.is_settled(),
         };
         let lapse_ms = self.settings.ownership.lapse_ms();
-        let at_ms = lapsed_at_ms(holders, &reports, lapse_ms);
+        let at_ms = lapsed_at_ms(renewing_hosts, &reports, lapse_ms);
         let now_ms = clock::now_ms();
         let Some(at_ms) = at_ms else {
             time::sleep(Duration::from_millis(HORIZON_PAUSE_MS)).await;
--- a/src/ownership/lapse.rs
+++ b/src/ownership/lapse.rs
@@ -44,27 +44,27 @@
 /// then a majority of each is needed, and no majority counts from before its registry was the only
 /// one of its predecessors to act on.
 pub fn lapsed_at_ms(
-    holders: RenewingHosts<'_>,
+    renewing_hosts: RenewingHosts<'_>,
     reports: &[HorizonReport],
     lapse_ms: u64,
 ) -> Option<u64> {
-    let majority = majority_ms(holders.voters, reports);
-    let previous = match holders.previous {
+    let majority = majority_ms(renewing_hosts.voters, reports);
+    let previous = match renewing_hosts.previous {
         [] => Some(0),
         previous => majority_ms(previous, reports),
     };
     let joint = majority.zip(previous).map(|(one, other)| one.max(other));
-    let joint = joint.map(|at_ms| at_ms.max(holders.since_ms) + lapse_ms);
-    let by_all = all_reported(holders, reports);
+    let joint = joint.map(|at_ms| at_ms.max(renewing_hosts.since_ms) + lapse_ms);
+    let by_all = all_reported(renewing_hosts, reports);
     [joint, by_all].into_iter().flatten().min()
 }
 
-fn all_reported(holders: RenewingHosts<'_>, reports: &[HorizonReport]) -> Option<u64> {
-    if !holders.settled {
+fn all_reported(renewing_hosts: RenewingHosts<'_>, reports: &[HorizonReport]) -> Option<u64> {
+    if !renewing_hosts.settled {
         return None;
     }
     let mut latest_ms = 0;
-    for voter in holders.registered {
+    for voter in renewing_hosts.registered {
         let report = reports.iter().find(|report| says(report, voter))?;
         latest_ms = latest_ms.max(report.horizon_ms);
     }
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -193,7 +193,7 @@
             .into_iter()
             .flatten()
             .collect::<Vec<_>>();
-        let holders = RenewingHosts {
+        let renewing_hosts = RenewingHosts {
             registered: &registered,
             voters: if broken == Broken::Majority {
                 &few
@@ -208,7 +208,7 @@
             since_ms: self.applied_at(self.state.registry.since()),
             settled: self.state.registry.is_settled(),
         };
-        let at_ms = lapsed_at_ms(holders, &reports, LAPSE_MS);
+        let at_ms = lapsed_at_ms(renewing_hosts, &reports, LAPSE_MS);
         broken == Broken::LapseWait || at_ms.is_some_and(|at_ms| clock_ms >= at_ms)
     }
 
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -98,14 +98,14 @@
         let previous: Vec<Voter> = case.previous.iter().copied().map(voter).collect();
         let reports = case.reports.iter();
         let reports: Vec<HorizonReport> = reports.map(|r| report(r.0, r.1, r.2)).collect();
-        let holders = RenewingHosts {
+        let renewing_hosts = RenewingHosts {
             registered: &voters,
             voters: &voters,
             previous: &previous,
             since_ms: case.since_ms,
             settled: case.settled,
         };
-        let lapsed = lapsed_at_ms(holders, &reports, LAPSE_MS);
+        let lapsed = lapsed_at_ms(renewing_hosts, &reports, LAPSE_MS);
         assert_eq!(lapsed, case.lapsed_at_ms, "{}", case.name);
     }
 }
