--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -32,7 +32,7 @@
     claims::Claims,
     id::{HostKey, Incarnation},
     metrics::Metrics,
-    ownership::renewal::Contact,
+    ownership::renewal::RenewalState,
     peer::PeerEndpoint,
     routing::{Traffic, target::Targets},
     settings::Settings,
@@ -62,7 +62,7 @@
     pub(crate) platform: Platform,
     pub(crate) peers: Arc<PeerEndpoint>,
     pub(crate) servers: JsonClient,
-    contacts: Mutex<Vec<Contact>>,
+    contacts: Mutex<Vec<RenewalState>>,
     commits: tokio::sync::Mutex<()>,
     sync_wanted: Notify,
     leading: AtomicBool,
@@ -102,7 +102,7 @@
         self.view.peek().host_key(self.incarnation)
     }
 
-    fn contacts(&self) -> MutexGuard<'_, Vec<Contact>> {
+    fn contacts(&self) -> MutexGuard<'_, Vec<RenewalState>> {
         self.contacts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -29,7 +29,7 @@
 
 /// One host's contact with one server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Contact {
+pub struct RenewalState {
     lease_epoch: LeaseEpoch,
     reading: Option<ClockReading>,
     answered_ms: u64,
@@ -40,7 +40,7 @@
     pub digest: Option<u64>,
 }
 
-impl Contact {
+impl RenewalState {
     /// Begins a membership period, if it is a new one.
     pub fn enter(&mut self, lease_epoch: LeaseEpoch, now_ms: u64) {
         if self.lease_epoch == lease_epoch {
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -9,7 +9,7 @@
     ownership::{
         lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
         message::{LeaseAnswer, LeaseRequest, SlotGrant},
-        renewal::Contact,
+        renewal::RenewalState,
     },
     standin::grants::{Grants, Reading},
     state::{Change, State},
@@ -112,7 +112,7 @@
 
 #[test]
 fn a_renewal_holds_a_margin_longer_than_its_lease_and_then_no_more() {
-    let mut contact = Contact::default();
+    let mut contact = RenewalState::default();
     let (period, process) = (LeaseEpoch(1), Incarnation(4));
     contact.enter(period, 1_000);
     let answer = LeaseAnswer {
