--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -142,10 +142,10 @@
     ) -> PeerReply {
         let contacts = self.contacts();
         let applied_age_ms = self.view.applied_age_ms(lost);
-        let contact = contacts.get(server.0 as usize);
+        let renewal_state = contacts.get(server.0 as usize);
         let now_ms = clock::now_ms();
         let margin_ms = self.settings.ownership.margin_ms;
-        let remaining = contact.map(|c| c.remaining_ms(lease_epoch, now_ms, margin_ms));
+        let remaining = renewal_state.map(|c| c.remaining_ms(lease_epoch, now_ms, margin_ms));
         PeerReply::Horizon {
             applied_age_ms,
             remaining_ms: remaining.unwrap_or_default(),
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -126,11 +126,11 @@
         if contacts.len() <= index {
             contacts.resize_with(index + 1, Default::default);
         }
-        let contact = &mut contacts[index];
-        contact.enter(leased.lease_epoch, now_ms);
-        let due = contact.due(now_ms);
+        let renewal_state = &mut contacts[index];
+        renewal_state.enter(leased.lease_epoch, now_ms);
+        let due = renewal_state.due(now_ms);
         if due {
-            contact.sent(now_ms, ORDER_TIMEOUT_MS);
+            renewal_state.sent(now_ms, ORDER_TIMEOUT_MS);
         }
         due
     }
@@ -159,11 +159,11 @@
         if !current || !self.view.fresh() {
             return None;
         }
-        let contact = contacts.get_mut(leased.server.0 as usize)?;
+        let renewal_state = contacts.get_mut(leased.server.0 as usize)?;
         let now_ms = clock::now_ms();
         let ttl_ms = self.settings.ownership.lease_ttl_ms;
-        let not_after_ms = contact.order(leased.incarnation, now_ms, ttl_ms);
-        let digest = contact.digest;
+        let not_after_ms = renewal_state.order(leased.incarnation, now_ms, ttl_ms);
+        let digest = renewal_state.digest;
         drop(contacts);
         let grants = missing_grants(&state, leased.server, digest);
         Some(LeaseRequest {
@@ -177,12 +177,12 @@
     async fn renewed(self: &Arc<Self>, leased: Leased, ordered: bool, answer: &LeaseAnswer) {
         let finding = {
             let mut contacts = self.contacts();
-            let Some(contact) = contacts.get_mut(leased.server.0 as usize) else {
+            let Some(renewal_state) = contacts.get_mut(leased.server.0 as usize) else {
                 return;
             };
             let now_ms = clock::now_ms();
             let every_ms = self.settings.ownership.renew_every_ms;
-            contact.answered(answer, leased.incarnation, ordered, now_ms, every_ms)
+            renewal_state.answered(answer, leased.incarnation, ordered, now_ms, every_ms)
         };
         match finding {
             Finding::Renewed => self.note_draining(leased, answer.draining).await,
@@ -211,11 +211,11 @@
         log::debug!(server = leased.server.0 as u64; "renewal failed: {error}");
         let suspected = {
             let mut contacts = self.contacts();
-            let Some(contact) = contacts.get_mut(leased.server.0 as usize) else {
+            let Some(renewal_state) = contacts.get_mut(leased.server.0 as usize) else {
                 return;
             };
             let suspect_ms = self.settings.ownership.suspect_ms;
-            contact.failed(clock::now_ms(), suspect_ms)
+            renewal_state.failed(clock::now_ms(), suspect_ms)
         };
         if suspected && !self.answers_others(leased.server).await {
             self.report_lost(leased, "it does not answer").await;
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -146,14 +146,14 @@
 
     fn reported(&self, server: ServerKey, lost: Revision, clock_ms: u64) -> Option<Reported> {
         let lease_epoch = self.state.server(server)?.lease_epoch;
-        let contact = self.contacts[server.0 as usize];
+        let renewal_state = self.contacts[server.0 as usize];
         Some(Reported {
             host: self.key()?,
             incarnation: self.incarnation,
             server,
             lost,
             applied_age_ms: self.applied_age_ms(lost, clock_ms)?,
-            remaining_ms: contact.remaining_ms(lease_epoch, clock_ms, MARGIN_MS),
+            remaining_ms: renewal_state.remaining_ms(lease_epoch, clock_ms, MARGIN_MS),
         })
     }
 
@@ -165,14 +165,14 @@
         if entry.state != ServerState::Live || !self.fresh(clock_ms, broken) {
             return None;
         }
-        let contact = &mut self.contacts[server];
-        contact.enter(entry.lease_epoch, clock_ms);
-        if !contact.due(clock_ms) {
+        let renewal_state = &mut self.contacts[server];
+        renewal_state.enter(entry.lease_epoch, clock_ms);
+        if !renewal_state.due(clock_ms) {
             return None;
         }
-        contact.sent(clock_ms, ORDER_MS);
-        let not_after_ms = contact.order(entry.incarnation, clock_ms, TTL_MS);
-        let grants = missing(&self.state, key, contact.digest);
+        renewal_state.sent(clock_ms, ORDER_MS);
+        let not_after_ms = renewal_state.order(entry.incarnation, clock_ms, TTL_MS);
+        let grants = missing(&self.state, key, renewal_state.digest);
         Some(LeaseRequest {
             incarnation: not_after_ms.map(|_| entry.incarnation),
             lease_epoch: entry.lease_epoch,
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -112,9 +112,9 @@
 
 #[test]
 fn a_renewal_holds_a_margin_longer_than_its_lease_and_then_no_more() {
-    let mut contact = RenewalState::default();
+    let mut renewal_state = RenewalState::default();
     let (period, process) = (LeaseEpoch(1), Incarnation(4));
-    contact.enter(period, 1_000);
+    renewal_state.enter(period, 1_000);
     let answer = LeaseAnswer {
         incarnation: process,
         clock_ms: 50,
@@ -123,12 +123,12 @@
         draining: false,
         grants_digest: 0,
     };
-    contact.answered(&answer, process, false, 1_000, 300);
-    assert_eq!(contact.order(process, 1_010, 1_200), Some(50 + 1_210));
-    assert_eq!(contact.remaining_ms(period, 2_210, 100), 100);
+    renewal_state.answered(&answer, process, false, 1_000, 300);
+    assert_eq!(renewal_state.order(process, 1_010, 1_200), Some(50 + 1_210));
+    assert_eq!(renewal_state.remaining_ms(period, 2_210, 100), 100);
     // Asked again and again, the answer must come to nothing, or the lapse is never reached.
-    assert_eq!(contact.remaining_ms(period, 2_310, 100), 0);
-    assert_eq!(contact.remaining_ms(LeaseEpoch(2), 1_010, 100), 0);
+    assert_eq!(renewal_state.remaining_ms(period, 2_310, 100), 0);
+    assert_eq!(renewal_state.remaining_ms(LeaseEpoch(2), 1_010, 100), 0);
 }
 
 fn apply(state: &mut State, change: Change) {
