--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -62,7 +62,7 @@
     pub(crate) platform: Platform,
     pub(crate) peers: Arc<PeerEndpoint>,
     pub(crate) servers: JsonClient,
-    contacts: Mutex<Vec<RenewalState>>,
+    renewal_states: Mutex<Vec<RenewalState>>,
     commits: tokio::sync::Mutex<()>,
     sync_wanted: Notify,
     leading: AtomicBool,
@@ -102,7 +102,9 @@
         self.view.peek().host_key(self.incarnation)
     }
 
-    fn contacts(&self) -> MutexGuard<'_, Vec<RenewalState>> {
-        self.contacts.lock().unwrap_or_else(PoisonError::into_inner)
+    fn renewal_states(&self) -> MutexGuard<'_, Vec<RenewalState>> {
+        self.renewal_states
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -140,9 +140,9 @@
         lease_epoch: LeaseEpoch,
         lost: Revision,
     ) -> PeerReply {
-        let contacts = self.contacts();
+        let renewal_states = self.renewal_states();
         let applied_age_ms = self.view.applied_age_ms(lost);
-        let renewal_state = contacts.get(server.0 as usize);
+        let renewal_state = renewal_states.get(server.0 as usize);
         let now_ms = clock::now_ms();
         let margin_ms = self.settings.ownership.margin_ms;
         let remaining = renewal_state.map(|c| c.remaining_ms(lease_epoch, now_ms, margin_ms));
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -121,12 +121,12 @@
     /// True if a renewal is due; the next one is then postponed while this one is under way.
     fn claim_turn(&self, leased: Leased) -> bool {
         let now_ms = clock::now_ms();
-        let mut contacts = self.contacts();
+        let mut renewal_states = self.renewal_states();
         let index = leased.server.0 as usize;
-        if contacts.len() <= index {
-            contacts.resize_with(index + 1, Default::default);
+        if renewal_states.len() <= index {
+            renewal_states.resize_with(index + 1, Default::default);
         }
-        let renewal_state = &mut contacts[index];
+        let renewal_state = &mut renewal_states[index];
         renewal_state.enter(leased.lease_epoch, now_ms);
         let due = renewal_state.due(now_ms);
         if due {
@@ -150,7 +150,7 @@
     /// The order to send; none if this host must not renew any more. The state and the freshness
     /// are checked under the lock under which [`Host::horizon`] answers.
     fn order(&self, leased: Leased) -> Option<LeaseRequest> {
-        let mut contacts = self.contacts();
+        let mut renewal_states = self.renewal_states();
         let state = self.view.state();
         // Only registered hosts are asked for their horizon.
         state.host_key(self.incarnation)?;
@@ -159,12 +159,12 @@
         if !current || !self.view.fresh() {
             return None;
         }
-        let renewal_state = contacts.get_mut(leased.server.0 as usize)?;
+        let renewal_state = renewal_states.get_mut(leased.server.0 as usize)?;
         let now_ms = clock::now_ms();
         let ttl_ms = self.settings.ownership.lease_ttl_ms;
         let not_after_ms = renewal_state.order(leased.incarnation, now_ms, ttl_ms);
         let digest = renewal_state.digest;
-        drop(contacts);
+        drop(renewal_states);
         let grants = missing_grants(&state, leased.server, digest);
         Some(LeaseRequest {
             incarnation: not_after_ms.map(|_| leased.incarnation),
@@ -176,8 +176,8 @@
 
     async fn renewed(self: &Arc<Self>, leased: Leased, ordered: bool, answer: &LeaseAnswer) {
         let finding = {
-            let mut contacts = self.contacts();
-            let Some(renewal_state) = contacts.get_mut(leased.server.0 as usize) else {
+            let mut renewal_states = self.renewal_states();
+            let Some(renewal_state) = renewal_states.get_mut(leased.server.0 as usize) else {
                 return;
             };
             let now_ms = clock::now_ms();
@@ -210,8 +210,8 @@
     async fn renewal_failed(self: &Arc<Self>, leased: Leased, error: &CallError) {
         log::debug!(server = leased.server.0 as u64; "renewal failed: {error}");
         let suspected = {
-            let mut contacts = self.contacts();
-            let Some(renewal_state) = contacts.get_mut(leased.server.0 as usize) else {
+            let mut renewal_states = self.renewal_states();
+            let Some(renewal_state) = renewal_states.get_mut(leased.server.0 as usize) else {
                 return;
             };
             let suspect_ms = self.settings.ownership.suspect_ms;
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -106,7 +106,7 @@
         platform,
         peers: Arc::new(peers),
         servers: order_client(),
-        contacts: Mutex::default(),
+        renewal_states: Mutex::default(),
         commits: tokio::sync::Mutex::default(),
         sync_wanted: Notify::new(),
         leading: AtomicBool::new(false),
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -48,7 +48,7 @@
     offset_ms: u64,
     drift_ppt: u64,
     freshness: Freshness,
-    contacts: Vec<RenewalState>,
+    renewal_states: Vec<RenewalState>,
     waiting: Vec<Option<u64>>,
     applied_ms: Vec<(Revision, u64)>,
     reports: Vec<(ServerKey, Revision, HorizonReport)>,
@@ -71,7 +71,7 @@
             offset_ms: rng.random_range(0..1_000_000),
             drift_ppt: rng.random_range(0..5),
             freshness: Freshness::default(),
-            contacts: vec![RenewalState::default(); SERVERS],
+            renewal_states: vec![RenewalState::default(); SERVERS],
             waiting: vec![None; SERVERS],
             applied_ms: Vec::new(),
             reports: Vec::new(),
@@ -146,7 +146,7 @@
 
     fn reported(&self, server: ServerKey, lost: Revision, clock_ms: u64) -> Option<Reported> {
         let lease_epoch = self.state.server(server)?.lease_epoch;
-        let renewal_state = self.contacts[server.0 as usize];
+        let renewal_state = self.renewal_states[server.0 as usize];
         Some(Reported {
             host: self.key()?,
             incarnation: self.incarnation,
@@ -165,7 +165,7 @@
         if entry.state != ServerState::Live || !self.fresh(clock_ms, broken) {
             return None;
         }
-        let renewal_state = &mut self.contacts[server];
+        let renewal_state = &mut self.renewal_states[server];
         renewal_state.enter(entry.lease_epoch, clock_ms);
         if !renewal_state.due(clock_ms) {
             return None;
@@ -338,7 +338,8 @@
         }
         host.waiting[server] = None;
         let meant = if ordered { meant } else { entry.incarnation };
-        let finding = host.contacts[server].answered(answer, meant, ordered, clock_ms, RENEW_MS);
+        let finding =
+            host.renewal_states[server].answered(answer, meant, ordered, clock_ms, RENEW_MS);
         if finding == Finding::Replaced && answer.incarnation != entry.incarnation {
             let lease_epoch = entry.lease_epoch;
             self.append(
@@ -461,7 +462,7 @@
             let mut lost = std::mem::take(&mut host.suspect_wrongly);
             if host.waiting[server].is_some_and(|sent_ms| clock_ms > sent_ms + ORDER_MS) {
                 host.waiting[server] = None;
-                lost |= host.contacts[server].failed(clock_ms, SUSPECT_MS);
+                lost |= host.renewal_states[server].failed(clock_ms, SUSPECT_MS);
             }
             let key = ServerKey(server as u32);
             let lease_epoch = host.state.server(key).map(|entry| entry.lease_epoch);
