--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -11,7 +11,7 @@
     membership::ring::Ring,
     ownership::{
         message::{LEASE_PATH, LeaseAnswer, LeaseRequest, SlotGrant, grant_hash},
-        renewal::Finding,
+        renewal::RenewalOutcome,
     },
     peer::message::{PeerReply, PeerRequest},
     state::{Change, ServerEntry, ServerState, State},
@@ -185,9 +185,9 @@
             renewal_state.answered(answer, leased.incarnation, ordered, now_ms, every_ms)
         };
         match finding {
-            Finding::Renewed => self.note_draining(leased, answer.draining).await,
-            Finding::Replaced => self.report_lost(leased, "another process answers").await,
-            Finding::Outdated => self.sync_wanted.notify_one(),
+            RenewalOutcome::Renewed => self.note_draining(leased, answer.draining).await,
+            RenewalOutcome::Replaced => self.report_lost(leased, "another process answers").await,
+            RenewalOutcome::Outdated => self.sync_wanted.notify_one(),
         }
     }
 
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -18,7 +18,7 @@
 
 /// What an answer means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finding {
+pub enum RenewalOutcome {
     /// The lease is renewed.
     Renewed,
     /// Another process answers at the server's address.
@@ -82,20 +82,20 @@
         ordered: bool,
         now_ms: u64,
         renew_every_ms: u64,
-    ) -> Finding {
+    ) -> RenewalOutcome {
         self.reading = Some(ClockReading {
             incarnation: answer.incarnation,
             clock_ms: answer.clock_ms,
             received_ms: now_ms,
         });
         if answer.incarnation != meant {
-            return Finding::Replaced;
+            return RenewalOutcome::Replaced;
         }
         self.answered_ms = now_ms;
         self.digest = Some(answer.grants_digest);
         if ordered && !answer.accepted {
             self.due_ms = now_ms + RETRY_MS;
-            return Finding::Outdated;
+            return RenewalOutcome::Outdated;
         }
         // The first answer only brings the clock; the order follows at once.
         self.due_ms = if ordered {
@@ -103,7 +103,7 @@
         } else {
             now_ms
         };
-        Finding::Renewed
+        RenewalOutcome::Renewed
     }
 
     /// Takes a failure; true if the server is to be suspected.
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -10,7 +10,7 @@
         lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
         message::{LeaseRequest, SlotGrant, grant_hash},
         moves::{next_grants, ready_groups},
-        renewal::{Finding, RenewalState},
+        renewal::{RenewalOutcome, RenewalState},
     },
     state::{Change, LogEntry, MoveDone, ServerState, State},
 };
@@ -340,7 +340,7 @@
         let meant = if ordered { meant } else { entry.incarnation };
         let finding =
             host.renewal_states[server].answered(answer, meant, ordered, clock_ms, RENEW_MS);
-        if finding == Finding::Replaced && answer.incarnation != entry.incarnation {
+        if finding == RenewalOutcome::Replaced && answer.incarnation != entry.incarnation {
             let lease_epoch = entry.lease_epoch;
             self.append(
                 index,
