--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -175,7 +175,7 @@
     }
 
     async fn renewed(self: &Arc<Self>, leased: Leased, ordered: bool, answer: &LeaseAnswer) {
-        let finding = {
+        let outcome = {
             let mut renewal_states = self.renewal_states();
             let Some(renewal_state) = renewal_states.get_mut(leased.server.0 as usize) else {
                 return;
@@ -184,7 +184,7 @@
             let every_ms = self.settings.ownership.renew_every_ms;
             renewal_state.answered(answer, leased.incarnation, ordered, now_ms, every_ms)
         };
-        match finding {
+        match outcome {
             RenewalOutcome::Renewed => self.note_draining(leased, answer.draining).await,
             RenewalOutcome::Replaced => self.report_lost(leased, "another process answers").await,
             RenewalOutcome::Outdated => self.sync_wanted.notify_one(),
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -338,9 +338,9 @@
         }
         host.waiting[server] = None;
         let meant = if ordered { meant } else { entry.incarnation };
-        let finding =
+        let outcome =
             host.renewal_states[server].answered(answer, meant, ordered, clock_ms, RENEW_MS);
-        if finding == RenewalOutcome::Replaced && answer.incarnation != entry.incarnation {
+        if outcome == RenewalOutcome::Replaced && answer.incarnation != entry.incarnation {
             let lease_epoch = entry.lease_epoch;
             self.append(
                 index,
