--- a/src/host/moves.rs
+++ b/src/host/moves.rs
@@ -15,7 +15,7 @@
     id::ServerKey,
     ownership::{
         message::{
-            LEASE_PATH, LeaseAnswer, LeaseRequest, REVOKE_PATH, RevokeAnswer, RevokeRequest,
+            LEASE_PATH, LeaseRequest, LeaseResponse, REVOKE_PATH, RevokeAnswer, RevokeRequest,
             SlotGrant,
         },
         moves::{MoveGroup, is_live, next_grants, ready_groups},
@@ -128,7 +128,7 @@
         if !self.view.fresh() || !is_live(&state, key) {
             return Err(MoveError::Changed);
         }
-        let answer: LeaseAnswer = self
+        let answer: LeaseResponse = self
             .servers
             .post(to.address, LEASE_PATH, &order)
             .await
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -10,7 +10,7 @@
     id::{HostKey, Incarnation, LeaseEpoch, ServerKey},
     membership::ring::Ring,
     ownership::{
-        message::{LEASE_PATH, LeaseAnswer, LeaseRequest, SlotGrant, grant_hash},
+        message::{LEASE_PATH, LeaseRequest, LeaseResponse, SlotGrant, grant_hash},
         renewal::RenewalOutcome,
     },
     peer::message::{PeerReply, PeerRequest},
@@ -174,7 +174,7 @@
         })
     }
 
-    async fn renewed(self: &Arc<Self>, leased: Leased, ordered: bool, answer: &LeaseAnswer) {
+    async fn renewed(self: &Arc<Self>, leased: Leased, ordered: bool, answer: &LeaseResponse) {
         let outcome = {
             let mut renewal_states = self.renewal_states();
             let Some(renewal_state) = renewal_states.get_mut(leased.server.0 as usize) else {
@@ -258,7 +258,7 @@
     pub(super) async fn ask(
         &self,
         address: std::net::SocketAddr,
-    ) -> Result<LeaseAnswer, CallError> {
+    ) -> Result<LeaseResponse, CallError> {
         let question = LeaseRequest {
             incarnation: None,
             lease_epoch: LeaseEpoch::default(),
--- a/src/ownership/message.rs
+++ b/src/ownership/message.rs
@@ -60,7 +60,7 @@
 
 /// Facts about a server and its lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct LeaseAnswer {
+pub struct LeaseResponse {
     /// Process that answers.
     pub incarnation: Incarnation,
     /// Its monotonic clock.
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     id::{Incarnation, LeaseEpoch},
-    ownership::message::LeaseAnswer,
+    ownership::message::LeaseResponse,
 };
 
 /// Pause before a failed renewal is tried again.
@@ -77,7 +77,7 @@
     /// Takes an answer.
     pub fn answered(
         &mut self,
-        answer: &LeaseAnswer,
+        answer: &LeaseResponse,
         meant: Incarnation,
         ordered: bool,
         now_ms: u64,
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -32,7 +32,7 @@
     id::{Epoch, Incarnation, Slot},
     ownership::message::{
         DEADLINE_HEADER, EPOCH_HEADER, IDEMPOTENCY_HEADER, INCARNATION_HEADER, LEASE_PATH,
-        LeaseAnswer, LeaseRequest, OUTCOME_HEADER, REASON_HEADER, REQUEST_HEADER, REVOKE_PATH,
+        LeaseRequest, LeaseResponse, OUTCOME_HEADER, REASON_HEADER, REQUEST_HEADER, REVOKE_PATH,
         RevokeAnswer, RevokeRequest, SERVICE_HEADER, SLOT_HEADER,
     },
     transport::{self, AnswerBody, ListenerLimits, header_number, header_text},
@@ -251,7 +251,7 @@
         let mut inner = self.lock();
         let meant = order.incarnation == Some(self.incarnation);
         let accepted = meant && inner.grants.renew(&order, now);
-        let answer = LeaseAnswer {
+        let answer = LeaseResponse {
             incarnation: self.incarnation,
             clock_ms: now.clock_ms,
             lease_epoch: inner.grants.lease_epoch(),
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -317,7 +317,7 @@
         server: usize,
         ordered: bool,
         meant: Incarnation,
-        answer: &ashroad::ownership::message::LeaseAnswer,
+        answer: &ashroad::ownership::message::LeaseResponse,
     ) {
         let host = &mut self.hosts[index];
         let clock_ms = host.clock_ms(self.now_ms);
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -12,7 +12,7 @@
 use ashroad::{
     id::{HostKey, Incarnation, OperationId, Revision, ServerKey, Slot},
     membership::freshness::PeerAnswer,
-    ownership::message::{LeaseAnswer, LeaseRequest, SlotGrant},
+    ownership::message::{LeaseRequest, LeaseResponse, SlotGrant},
     standin::grants::{Grants, Reading},
     state::{Change, LogEntry, MoveDone, SlotMove, State},
 };
@@ -86,7 +86,7 @@
         server: usize,
         ordered: bool,
         meant: Incarnation,
-        answer: LeaseAnswer,
+        answer: LeaseResponse,
     },
     Revoke {
         from: Asker,
@@ -497,7 +497,13 @@
         }
     }
 
-    fn answer_lease(&mut self, index: usize, to: Asker, order: &LeaseRequest, answer: LeaseAnswer) {
+    fn answer_lease(
+        &mut self,
+        index: usize,
+        to: Asker,
+        order: &LeaseRequest,
+        answer: LeaseResponse,
+    ) {
         let message = Message::LeaseAnswered {
             server: index,
             ordered: order.incarnation.is_some(),
@@ -551,8 +557,8 @@
     server.grants.renew(order, now)
 }
 
-fn lease_answer(server: &Server, now: Reading, accepted: bool) -> LeaseAnswer {
-    LeaseAnswer {
+fn lease_answer(server: &Server, now: Reading, accepted: bool) -> LeaseResponse {
+    LeaseResponse {
         incarnation: server.incarnation,
         clock_ms: now.clock_ms,
         lease_epoch: server.grants.lease_epoch(),
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -8,7 +8,7 @@
     },
     ownership::{
         lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
-        message::{LeaseAnswer, LeaseRequest, SlotGrant},
+        message::{LeaseRequest, LeaseResponse, SlotGrant},
         renewal::RenewalState,
     },
     standin::grants::{Grants, Reading},
@@ -115,7 +115,7 @@
     let mut renewal_state = RenewalState::default();
     let (period, process) = (LeaseEpoch(1), Incarnation(4));
     renewal_state.enter(period, 1_000);
-    let answer = LeaseAnswer {
+    let answer = LeaseResponse {
         incarnation: process,
         clock_ms: 50,
         lease_epoch: period,
