--- a/src/host/moves.rs
+++ b/src/host/moves.rs
@@ -15,7 +15,7 @@
     id::ServerKey,
     ownership::{
         message::{
-            LEASE_PATH, LeaseRequest, LeaseResponse, REVOKE_PATH, RevokeAnswer, RevokeRequest,
+            LEASE_PATH, LeaseRequest, LeaseResponse, REVOKE_PATH, RevokeRequest, RevokeResponse,
             SlotGrant,
         },
         moves::{MoveGroup, is_live, next_grants, ready_groups},
@@ -99,7 +99,7 @@
             drain_ms,
         };
         let client = JsonClient::new(drain_ms + super::renew::ORDER_TIMEOUT_MS);
-        let answer: RevokeAnswer = client
+        let answer: RevokeResponse = client
             .post(from.address, REVOKE_PATH, &order)
             .await
             .map_err(|source| MoveError::Revoke { source })?;
--- a/src/ownership/message.rs
+++ b/src/ownership/message.rs
@@ -88,7 +88,7 @@
 
 /// Answer to a revocation.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct RevokeAnswer {
+pub struct RevokeResponse {
     /// Process that answers.
     pub incarnation: Incarnation,
     /// True if the slots are given up and none of their requests runs any more.
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -33,7 +33,7 @@
     ownership::message::{
         DEADLINE_HEADER, EPOCH_HEADER, IDEMPOTENCY_HEADER, INCARNATION_HEADER, LEASE_PATH,
         LeaseRequest, LeaseResponse, OUTCOME_HEADER, REASON_HEADER, REQUEST_HEADER, REVOKE_PATH,
-        RevokeAnswer, RevokeRequest, SERVICE_HEADER, SLOT_HEADER,
+        RevokeRequest, RevokeResponse, SERVICE_HEADER, SLOT_HEADER,
     },
     transport::{self, AnswerBody, ListenerLimits, header_number, header_text},
 };
@@ -269,7 +269,7 @@
         };
         let meant = order.incarnation == self.incarnation;
         let released = meant && self.release(&order).await;
-        let answer = RevokeAnswer {
+        let answer = RevokeResponse {
             incarnation: self.incarnation,
             released,
         };
