--- a/src/ownership/lapse.rs
+++ b/src/ownership/lapse.rs
@@ -65,7 +65,7 @@
     }
     let mut latest_ms = 0;
     for voter in renewing_hosts.registered {
-        let report = reports.iter().find(|report| says(report, voter))?;
+        let report = reports.iter().find(|report| is_from(report, voter))?;
         latest_ms = latest_ms.max(report.horizon_ms);
     }
     Some(latest_ms)
@@ -75,7 +75,7 @@
 fn majority_ms(voters: &[Voter], reports: &[HorizonReport]) -> Option<u64> {
     let mut applied: Vec<u64> = voters
         .iter()
-        .filter_map(|voter| reports.iter().find(|report| says(report, voter)))
+        .filter_map(|voter| reports.iter().find(|report| is_from(report, voter)))
         .map(|report| report.applied_ms)
         .collect();
     let needed = voters.len() / 2 + 1;
@@ -86,6 +86,6 @@
     Some(applied[needed - 1])
 }
 
-fn says(report: &HorizonReport, voter: &Voter) -> bool {
+fn is_from(report: &HorizonReport, voter: &Voter) -> bool {
     report.host == voter.host && report.incarnation == voter.incarnation
 }
