--- a/src/ownership/planner.rs
+++ b/src/ownership/planner.rs
@@ -68,20 +68,20 @@
 
 /// A server's load in a heap whose greatest element is wanted first.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Ranked {
+struct RankedServer {
     key: f64,
     server: u32,
 }
 
-impl Eq for Ranked {}
+impl Eq for RankedServer {}
 
-impl PartialOrd for Ranked {
+impl PartialOrd for RankedServer {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Ranked {
+impl Ord for RankedServer {
     fn cmp(&self, other: &Self) -> Ordering {
         let by_key = self.key.total_cmp(&other.key);
         by_key.then(other.server.cmp(&self.server))
@@ -91,7 +91,7 @@
 struct Plan<'a> {
     input: PlannerInput<'a>,
     loads: Vec<f64>,
-    least: BinaryHeap<Ranked>,
+    least: BinaryHeap<RankedServer>,
     moves: Vec<PlannedMove>,
     mean: f64,
     slot_load: f64,
@@ -183,7 +183,7 @@
     fn rank_least(&mut self, server: u32) {
         if self.eligible(server) {
             let key = -self.excess(server, 0.0);
-            self.least.push(Ranked { key, server });
+            self.least.push(RankedServer { key, server });
         }
     }
 
@@ -235,9 +235,9 @@
 
     fn balance(&mut self) {
         let mut owned = self.slots_by_owner();
-        let mut most: BinaryHeap<Ranked> = (0..self.input.servers.len() as u32)
+        let mut most: BinaryHeap<RankedServer> = (0..self.input.servers.len() as u32)
             .filter(|server| self.eligible(*server))
-            .map(|server| Ranked {
+            .map(|server| RankedServer {
                 key: self.excess(server, 0.0),
                 server,
             })
@@ -257,7 +257,7 @@
             self.push(slot, to, Cause::Balance, gain);
             left -= 1;
             let key = self.excess(from, 0.0);
-            most.push(Ranked { key, server: from });
+            most.push(RankedServer { key, server: from });
         }
     }
 
