--- a/src/ownership/planner.rs
+++ b/src/ownership/planner.rs
@@ -46,7 +46,7 @@
 
 /// Why a slot moves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum MoveCause {
     /// It has no eligible owner.
     Orphaned,
     /// The move lowers the price.
@@ -61,7 +61,7 @@
     /// Index of the next owner.
     pub to: u32,
     /// Why.
-    pub cause: Cause,
+    pub cause: MoveCause,
     /// Amount by which it lowers the price.
     pub gain: f64,
 }
@@ -207,7 +207,7 @@
             let Some(to) = self.least_loaded() else {
                 return;
             };
-            self.push(slot, to, Cause::Orphaned, 0.0);
+            self.push(slot, to, MoveCause::Orphaned, 0.0);
         }
     }
 
@@ -217,7 +217,7 @@
         !slot.moving && !owned
     }
 
-    fn push(&mut self, slot: u32, to: u32, cause: Cause, gain: f64) {
+    fn push(&mut self, slot: u32, to: u32, cause: MoveCause, gain: f64) {
         let load = self.load(slot);
         if let Some(from) = self.input.slots[slot as usize].owner {
             self.loads[from as usize] -= load;
@@ -254,7 +254,7 @@
                 continue;
             };
             let slot = owned[from as usize].remove(position);
-            self.push(slot, to, Cause::Balance, gain);
+            self.push(slot, to, MoveCause::Balance, gain);
             left -= 1;
             let key = self.excess(from, 0.0);
             most.push(RankedServer { key, server: from });
