--- a/src/ownership/planner.rs
+++ b/src/ownership/planner.rs
@@ -249,7 +249,7 @@
             let Some(to) = self.least_loaded() else {
                 return;
             };
-            let Some((position, gain)) = self.best(&owned[from as usize], from, to) else {
+            let Some((position, gain)) = self.best_slot(&owned[from as usize], from, to) else {
                 // Nothing on this server pays; the next one may hold smaller slots.
                 continue;
             };
@@ -277,7 +277,7 @@
     }
 
     /// The slot whose move from `from` to `to` gains most, if any gains.
-    fn best(&self, slots: &[u32], from: u32, to: u32) -> Option<(usize, f64)> {
+    fn best_slot(&self, slots: &[u32], from: u32, to: u32) -> Option<(usize, f64)> {
         if from == to || slots.is_empty() {
             return None;
         }
