--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -13,12 +13,12 @@
 
 /// A request's place; given back when dropped.
 #[derive(Debug)]
-pub struct Place(Arc<AtomicU64>);
+pub struct AdmissionGuard(Arc<AtomicU64>);
 
 impl Admission {
     /// Takes a place, unless `max` are taken.
-    pub fn enter(&self, max: u64) -> Option<Place> {
-        let place = Place(self.present.clone());
+    pub fn enter(&self, max: u64) -> Option<AdmissionGuard> {
+        let place = AdmissionGuard(self.present.clone());
         let before = self.present.fetch_add(1, Ordering::Relaxed);
         // On refusal the place is dropped and so given back.
         (before < max).then_some(place)
@@ -30,7 +30,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for AdmissionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
