--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -127,7 +127,7 @@
             renewal_states.resize_with(index + 1, Default::default);
         }
         let renewal_state = &mut renewal_states[index];
-        renewal_state.enter(leased.lease_epoch, now_ms);
+        renewal_state.start_period(leased.lease_epoch, now_ms);
         let due = renewal_state.due(now_ms);
         if due {
             renewal_state.sent(now_ms, ORDER_TIMEOUT_MS);
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -42,7 +42,7 @@
 
 impl RenewalState {
     /// Begins a membership period, if it is a new one.
-    pub fn enter(&mut self, lease_epoch: LeaseEpoch, now_ms: u64) {
+    pub fn start_period(&mut self, lease_epoch: LeaseEpoch, now_ms: u64) {
         if self.lease_epoch == lease_epoch {
             return;
         }
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -166,7 +166,7 @@
             return None;
         }
         let renewal_state = &mut self.renewal_states[server];
-        renewal_state.enter(entry.lease_epoch, clock_ms);
+        renewal_state.start_period(entry.lease_epoch, clock_ms);
         if !renewal_state.due(clock_ms) {
             return None;
         }
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -114,7 +114,7 @@
 fn a_renewal_holds_a_margin_longer_than_its_lease_and_then_no_more() {
     let mut renewal_state = RenewalState::default();
     let (period, process) = (LeaseEpoch(1), Incarnation(4));
-    renewal_state.enter(period, 1_000);
+    renewal_state.start_period(period, 1_000);
     let answer = LeaseResponse {
         incarnation: process,
         clock_ms: 50,
