--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -17,7 +17,7 @@
 
 impl Admission {
     /// Takes a place, unless `max` are taken.
-    pub fn enter(&self, max: u64) -> Option<AdmissionGuard> {
+    pub fn admit(&self, max: u64) -> Option<AdmissionGuard> {
         let place = AdmissionGuard(self.present.clone());
         let before = self.present.fetch_add(1, Ordering::Relaxed);
         // On refusal the place is dropped and so given back.
