--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -8,7 +8,7 @@
 /// Requests of one service that are in the host.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
-    present: Arc<AtomicU64>,
+    in_flight: Arc<AtomicU64>,
 }
 
 /// A request's place; given back when dropped.
@@ -18,15 +18,15 @@
 impl Admission {
     /// Takes a place, unless `max` are taken.
     pub fn admit(&self, max: u64) -> Option<AdmissionGuard> {
-        let place = AdmissionGuard(self.present.clone());
-        let before = self.present.fetch_add(1, Ordering::Relaxed);
+        let place = AdmissionGuard(self.in_flight.clone());
+        let before = self.in_flight.fetch_add(1, Ordering::Relaxed);
         // On refusal the place is dropped and so given back.
         (before < max).then_some(place)
     }
 
     /// Requests present.
-    pub fn present(&self) -> u64 {
-        self.present.load(Ordering::Relaxed)
+    pub fn in_flight(&self) -> u64 {
+        self.in_flight.load(Ordering::Relaxed)
     }
 }
 
