--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -229,7 +229,7 @@
         Claimed::Refused(reason) => return Err(Failure::unknown(reason)),
     };
     // The claim is ended even if the caller goes away.
-    let ended = EndClaim::new(host.clone(), claim);
+    let ended = ClaimGuard::new(host.clone(), claim);
     match run(host, routed).await {
         Ok(answer) => ended.answered(answer).await,
         Err(failure) => {
@@ -240,12 +240,12 @@
 }
 
 /// A claim whose request runs; when dropped without an end, the end is unknown.
-struct EndClaim {
+struct ClaimGuard {
     host: Arc<Host>,
     claim: Option<Claim>,
 }
 
-impl EndClaim {
+impl ClaimGuard {
     fn new(host: Arc<Host>, claim: Claim) -> Self {
         Self {
             host,
@@ -288,7 +288,7 @@
     }
 }
 
-impl Drop for EndClaim {
+impl Drop for ClaimGuard {
     fn drop(&mut self) {
         if let Some(claim) = self.claim.take() {
             self.host.claims.unknown(claim);
