--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -53,7 +53,7 @@
 ];
 
 /// A request with everything that its attempts need.
-struct Routed {
+struct RoutedRequest {
     request_id: String,
     service: ServiceKey,
     service_name: String,
@@ -142,7 +142,7 @@
         traffic,
     )?;
     let body = read_body(request, host.settings.callers.body_bytes).await?;
-    let routed = Routed { body, ..routed };
+    let routed = RoutedRequest { body, ..routed };
     routed.traffic.count(routed.slot);
     routed.traffic.retries.request();
     if !routed.headers.contains_key(IDEMPOTENCY_HEADER) {
@@ -162,7 +162,7 @@
     request: &Request<Incoming>,
     request_id: &str,
     traffic: Arc<ServiceTraffic>,
-) -> Result<Routed, Failure> {
+) -> Result<RoutedRequest, Failure> {
     let no_service = Failure::not_run(Reason::NoSuchService);
     let spec = &state.service(service).ok_or(no_service)?.spec;
     let headers = request.headers();
@@ -174,7 +174,7 @@
     let idempotent_key = headers.contains_key(IDEMPOTENCY_HEADER);
     let marked = key::unrepeatable(spec, request.method(), caller_path.rest);
     host.metrics.count("requests");
-    Ok(Routed {
+    Ok(RoutedRequest {
         request_id: request_id.to_owned(),
         service,
         service_name: spec.name.clone(),
@@ -207,7 +207,7 @@
 /// Runs an unrepeatable request under a claim.
 async fn run_once(
     host: &Arc<Host>,
-    routed: &Routed,
+    routed: &RoutedRequest,
     idempotency_key: &str,
 ) -> Result<Response<AnswerBody>, Failure> {
     let path = &routed.path_and_query;
@@ -310,7 +310,7 @@
 }
 
 /// Makes attempts until one is answered, the deadline passes, or none may follow.
-async fn run(host: &Arc<Host>, routed: &Routed) -> Result<Response<AnswerBody>, Failure> {
+async fn run(host: &Arc<Host>, routed: &RoutedRequest) -> Result<Response<AnswerBody>, Failure> {
     loop {
         let owner = owner(host, routed).await?;
         let deadline = Failure::not_run(Reason::Deadline);
@@ -365,7 +365,7 @@
 }
 
 /// Pauses, unless the deadline comes first.
-async fn pause(routed: &Routed, pause_ms: u64) -> Result<(), Failure> {
+async fn pause(routed: &RoutedRequest, pause_ms: u64) -> Result<(), Failure> {
     if clock::now_ms() + pause_ms >= routed.deadline_ms {
         return Err(Failure::not_run(Reason::Deadline));
     }
@@ -374,7 +374,7 @@
 }
 
 /// Waits until the slot has an owner and this host may act, but not past the deadline.
-async fn owner(host: &Arc<Host>, routed: &Routed) -> Result<Owner, Failure> {
+async fn owner(host: &Arc<Host>, routed: &RoutedRequest) -> Result<Owner, Failure> {
     if host.view.fresh()
         && let Some(owner) = look_up(&host.view.peek(), routed)
     {
@@ -423,7 +423,7 @@
     }
 }
 
-fn look_up(state: &State, routed: &Routed) -> Option<Owner> {
+fn look_up(state: &State, routed: &RoutedRequest) -> Option<Owner> {
     let service = state.service(routed.service)?;
     let slot = service.slots.get(routed.slot.0 as usize)?;
     let key = slot.settled()?;
@@ -441,13 +441,13 @@
     })
 }
 
-fn still_owner(host: &Host, routed: &Routed, owner: Owner) -> bool {
+fn still_owner(host: &Host, routed: &RoutedRequest, owner: Owner) -> bool {
     let found = look_up(&host.view.peek(), routed);
     let same = found.is_some_and(|f| f.epoch == owner.epoch && f.incarnation == owner.incarnation);
     same && host.view.fresh()
 }
 
-fn attempt(routed: &Routed, owner: Owner) -> Request<Full<Bytes>> {
+fn attempt(routed: &RoutedRequest, owner: Owner) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(routed.body.clone()));
     *request.method_mut() = routed.method.clone();
     let uri = format!("http://{}{}", owner.address, routed.path_and_query);
