--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -117,7 +117,7 @@
 fn classify(answer: Response<Incoming>, permit: Permit) -> Attempt {
     let headers = answer.headers();
     if header_text(headers, OUTCOME_HEADER) != Some("not-run") {
-        let held = |body| Held { body, permit }.boxed();
+        let held = |body| BodyWithPermit { body, permit }.boxed();
         return Attempt::Answered(answer.map(held));
     }
     match header_text(headers, REASON_HEADER) {
@@ -128,13 +128,13 @@
 }
 
 /// An answer's body together with the permit that it occupies.
-struct Held {
+struct BodyWithPermit {
     body: Incoming,
     #[allow(dead_code, reason = "held until the body is dropped")]
     permit: Permit,
 }
 
-impl Body for Held {
+impl Body for BodyWithPermit {
     type Data = Bytes;
     type Error = hyper::Error;
 
