--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -12,7 +12,7 @@
 use super::{
     key::{self, CallerPath},
     outcome::{Failure, Outcome, Reason},
-    target::Attempt,
+    target::AttemptOutcome,
     traffic::ServiceTraffic,
 };
 use crate::{
@@ -327,11 +327,11 @@
         let sent = host.targets.send(request, permit, routed.deadline_ms);
         let attempt = tokio::select! {
             attempt = sent => attempt,
-            () = lost(host, owner) => Attempt::Unknown(Reason::ServerLost),
+            () = lost(host, owner) => AttemptOutcome::Unknown(Reason::ServerLost),
         };
         match attempt {
-            Attempt::Answered(answer) => return Ok(answer),
-            Attempt::Unknown(reason) => {
+            AttemptOutcome::Answered(answer) => return Ok(answer),
+            AttemptOutcome::Unknown(reason) => {
                 if routed.unrepeatable || !idempotent(&routed.method) {
                     return Err(Failure::unknown(reason));
                 }
@@ -344,10 +344,12 @@
                 }
                 time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
             }
-            Attempt::Stale => pause(routed, STALE_PAUSE_MS).await?,
+            AttemptOutcome::Stale => pause(routed, STALE_PAUSE_MS).await?,
             // Nothing was sent, and a lost server's keys are served elsewhere within seconds.
-            Attempt::NotRun(Reason::NoConnection) => pause(routed, RECONNECT_PAUSE_MS).await?,
-            Attempt::NotRun(reason) => {
+            AttemptOutcome::NotRun(Reason::NoConnection) => {
+                pause(routed, RECONNECT_PAUSE_MS).await?
+            }
+            AttemptOutcome::NotRun(reason) => {
                 if !routed.traffic.retries.retry() {
                     return Err(Failure::not_run(reason));
                 }
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -34,7 +34,7 @@
 
 /// What came of one attempt.
 #[derive(Debug)]
-pub enum Attempt {
+pub enum AttemptOutcome {
     /// The server answered.
     Answered(Response<AnswerBody>),
     /// The attempt provably did not run, because the server's view or the slot's owner differs.
@@ -101,29 +101,29 @@
         request: Request<Full<Bytes>>,
         permit: Permit,
         deadline_ms: u64,
-    ) -> Attempt {
+    ) -> AttemptOutcome {
         let left_ms = deadline_ms.saturating_sub(clock::now_ms());
         let answer = time::timeout(Duration::from_millis(left_ms), self.client.request(request));
         match answer.await {
             // Dropping the exchange closes its connection, so the server sees it cancelled.
-            Err(_) => Attempt::Unknown(Reason::NoAnswer),
-            Ok(Err(error)) if error.is_connect() => Attempt::NotRun(Reason::NoConnection),
-            Ok(Err(_)) => Attempt::Unknown(Reason::Broken),
+            Err(_) => AttemptOutcome::Unknown(Reason::NoAnswer),
+            Ok(Err(error)) if error.is_connect() => AttemptOutcome::NotRun(Reason::NoConnection),
+            Ok(Err(_)) => AttemptOutcome::Unknown(Reason::Broken),
             Ok(Ok(answer)) => classify(answer, permit),
         }
     }
 }
 
-fn classify(answer: Response<Incoming>, permit: Permit) -> Attempt {
+fn classify(answer: Response<Incoming>, permit: Permit) -> AttemptOutcome {
     let headers = answer.headers();
     if header_text(headers, OUTCOME_HEADER) != Some("not-run") {
         let held = |body| BodyWithPermit { body, permit }.boxed();
-        return Attempt::Answered(answer.map(held));
+        return AttemptOutcome::Answered(answer.map(held));
     }
     match header_text(headers, REASON_HEADER) {
-        Some("stale-epoch" | "stale-incarnation" | "draining") => Attempt::Stale,
-        Some("deadline") => Attempt::NotRun(Reason::Deadline),
-        _ => Attempt::NotRun(Reason::Shed),
+        Some("stale-epoch" | "stale-incarnation" | "draining") => AttemptOutcome::Stale,
+        Some("deadline") => AttemptOutcome::NotRun(Reason::Deadline),
+        _ => AttemptOutcome::NotRun(Reason::Shed),
     }
 }
 
