--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -16,7 +16,7 @@
 };
 
 use super::{
-    Claim, ClaimCounters, Claimed,
+    Claim, ClaimCounters, ClaimResult,
     row::{ClaimRow, ClaimState},
 };
 use crate::{
@@ -46,7 +46,7 @@
         key: String,
         row: ClaimRow,
         give_up_ms: u64,
-        reply: oneshot::Sender<Claimed>,
+        reply: oneshot::Sender<ClaimResult>,
     },
     /// Record a claim's end.
     End {
@@ -151,22 +151,22 @@
         }
     }
 
-    async fn settle_insert(&self, key: String, row: ClaimRow, give_up_ms: u64) -> Claimed {
+    async fn settle_insert(&self, key: String, row: ClaimRow, give_up_ms: u64) -> ClaimResult {
         while clock::now_ms() < give_up_ms {
             let found = match self.platform.row(&key).await {
                 Ok(Some(found)) => found,
-                Ok(None) => return Claimed::Unavailable,
+                Ok(None) => return ClaimResult::Unavailable,
                 Err(_) => {
                     time::sleep(Duration::from_millis(RETRY_MS)).await;
                     continue;
                 }
             };
             let Ok(held) = serde_json::from_str::<ClaimRow>(&found.value) else {
-                return Claimed::Refused(Reason::Unsettled);
+                return ClaimResult::Refused(Reason::Unsettled);
             };
             if held.nonce == row.nonce {
                 let version = found.version;
-                return Claimed::Granted(Claim { key, row, version });
+                return ClaimResult::Granted(Claim { key, row, version });
             }
             if held.state != ClaimState::Released || held.fingerprint != row.fingerprint {
                 return duplicate(held, &row);
@@ -176,7 +176,7 @@
             self.counters.transactions.fetch_add(1, Ordering::Relaxed);
             let _ = self.platform.transact(&transaction).await;
         }
-        Claimed::Unavailable
+        ClaimResult::Unavailable
     }
 }
 
@@ -189,7 +189,7 @@
             return;
         };
         let version = 1;
-        let _ = reply.send(Claimed::Granted(Claim { key, row, version }));
+        let _ = reply.send(ClaimResult::Granted(Claim { key, row, version }));
     }
 
     fn key(&self) -> &str {
@@ -208,18 +208,18 @@
 }
 
 /// What a second arrival is told.
-fn duplicate(held: ClaimRow, row: &ClaimRow) -> Claimed {
+fn duplicate(held: ClaimRow, row: &ClaimRow) -> ClaimResult {
     if held.fingerprint != row.fingerprint {
-        return Claimed::Refused(Reason::KeyReused);
+        return ClaimResult::Refused(Reason::KeyReused);
     }
     match held.state {
-        ClaimState::Answered(answer) => Claimed::Answered(answer),
-        ClaimState::AnswerNotKept => Claimed::Refused(Reason::AnswerNotKept),
+        ClaimState::Answered(answer) => ClaimResult::Answered(answer),
+        ClaimState::AnswerNotKept => ClaimResult::Refused(Reason::AnswerNotKept),
         ClaimState::Pending if clock::unix_ms() <= held.until_unix_ms => {
-            Claimed::Refused(Reason::InProgress)
+            ClaimResult::Refused(Reason::InProgress)
         }
         ClaimState::Pending | ClaimState::Unknown | ClaimState::Released => {
-            Claimed::Refused(Reason::Unsettled)
+            ClaimResult::Refused(Reason::Unsettled)
         }
     }
 }
@@ -275,7 +275,7 @@
     let (expired, rest): (Vec<_>, Vec<_>) = group.into_iter().partition(Operation::expired);
     for operation in expired {
         if let Operation::Insert { reply, .. } = operation {
-            let _ = reply.send(Claimed::Unavailable);
+            let _ = reply.send(ClaimResult::Unavailable);
         }
     }
     rest
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -58,7 +58,7 @@
 
 /// What became of the wish to run a request.
 #[derive(Debug)]
-pub enum Claimed {
+pub enum ClaimResult {
     /// It may run, once.
     Granted(Claim),
     /// It was answered before.
@@ -106,7 +106,7 @@
         idempotency_key: &str,
         fingerprint: Fingerprint,
         deadline_ms: u64,
-    ) -> Claimed {
+    ) -> ClaimResult {
         let now_ms = clock::now_ms();
         let row = ClaimRow {
             nonce: rand::rng().random::<u64>() >> 11,
@@ -124,10 +124,10 @@
             reply,
         };
         if self.operations.try_send(operation).is_err() {
-            return Claimed::Unavailable;
+            return ClaimResult::Unavailable;
         }
-        let claimed = replied.await.unwrap_or(Claimed::Unavailable);
-        if let Claimed::Granted(_) = claimed {
+        let claimed = replied.await.unwrap_or(ClaimResult::Unavailable);
+        if let ClaimResult::Granted(_) = claimed {
             self.counters.claims.fetch_add(1, Ordering::Relaxed);
         }
         claimed
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -16,7 +16,7 @@
     traffic::ServiceTraffic,
 };
 use crate::{
-    claims::{Claim, Claimed, Fingerprint, KEPT_BODY_BYTES, StoredAnswer, request_id},
+    claims::{Claim, ClaimResult, Fingerprint, KEPT_BODY_BYTES, StoredAnswer, request_id},
     clock,
     host::Host,
     id::{Epoch, Incarnation, LeaseEpoch, ServerKey, ServiceKey, Slot},
@@ -222,11 +222,11 @@
         )
         .await;
     let claim = match claimed {
-        Claimed::Granted(claim) => claim,
-        Claimed::Answered(answer) => return stored(&answer),
-        Claimed::Unavailable => return Err(Failure::not_run(Reason::ClaimsUnavailable)),
-        Claimed::Refused(Reason::KeyReused) => return Err(Failure::not_run(Reason::KeyReused)),
-        Claimed::Refused(reason) => return Err(Failure::unknown(reason)),
+        ClaimResult::Granted(claim) => claim,
+        ClaimResult::Answered(answer) => return stored(&answer),
+        ClaimResult::Unavailable => return Err(Failure::not_run(Reason::ClaimsUnavailable)),
+        ClaimResult::Refused(Reason::KeyReused) => return Err(Failure::not_run(Reason::KeyReused)),
+        ClaimResult::Refused(reason) => return Err(Failure::unknown(reason)),
     };
     // The claim is ended even if the caller goes away.
     let ended = ClaimGuard::new(host.clone(), claim);
