--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -6,7 +6,7 @@
 mod sweep;
 
 pub use self::{
-    row::{Fingerprint, StoredAnswer},
+    row::{Fingerprint, StoredResponse},
     sweep::Sweep,
 };
 
@@ -62,7 +62,7 @@
     /// It may run, once.
     Granted(Claim),
     /// It was answered before.
-    Answered(StoredAnswer),
+    Answered(StoredResponse),
     /// It must not run.
     Refused(Reason),
     /// The record cannot be reached, so it does not run.
@@ -134,7 +134,7 @@
     }
 
     /// The request was answered.
-    pub fn answered(&self, claim: Claim, answer: Option<StoredAnswer>) {
+    pub fn answered(&self, claim: Claim, answer: Option<StoredResponse>) {
         let state = match answer {
             Some(answer) => ClaimState::Answered(answer),
             None => ClaimState::AnswerNotKept,
--- a/src/claims/row.rs
+++ b/src/claims/row.rs
@@ -27,7 +27,7 @@
 
 /// An answer kept for duplicates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoredAnswer {
+pub struct StoredResponse {
     /// Status.
     pub status: u16,
     /// Content type.
@@ -43,7 +43,7 @@
     /// The request may be running.
     Pending,
     /// It was answered.
-    Answered(StoredAnswer),
+    Answered(StoredResponse),
     /// It was answered, but the answer was too long to keep.
     AnswerNotKept,
     /// It provably did not run.
