--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -22,7 +22,7 @@
 use crate::{clock, id::OperationId, routing::outcome::Reason, store::Platform};
 
 /// Longest answer that is kept for duplicates.
-pub const KEPT_BODY_BYTES: usize = 64 * 1024;
+pub const STORED_BODY_BYTES_MAX: usize = 64 * 1024;
 /// Time for a claim to be recorded before its request is refused.
 const CLAIM_TIMEOUT_MS: u64 = 1_000;
 const QUEUE_OPERATIONS: usize = 10_000;
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -16,7 +16,7 @@
     traffic::ServiceTraffic,
 };
 use crate::{
-    claims::{Claim, ClaimResult, Fingerprint, KEPT_BODY_BYTES, StoredResponse, request_id},
+    claims::{Claim, ClaimResult, Fingerprint, STORED_BODY_BYTES_MAX, StoredResponse, request_id},
     clock,
     host::Host,
     id::{Epoch, Incarnation, LeaseEpoch, ServerKey, ServiceKey, Slot},
@@ -275,7 +275,7 @@
         let body = body.to_bytes();
         let content_type = parts.headers.get(header::CONTENT_TYPE);
         let content_type = content_type.and_then(|value| value.to_str().ok());
-        let kept = (body.len() <= KEPT_BODY_BYTES).then(|| StoredResponse {
+        let kept = (body.len() <= STORED_BODY_BYTES_MAX).then(|| StoredResponse {
             status: parts.status.as_u16(),
             content_type: content_type.map(str::to_owned),
             body_base64: STANDARD.encode(&body),
