--- a/src/routing/outcome.rs
+++ b/src/routing/outcome.rs
@@ -10,7 +10,7 @@
 };
 
 /// Longest extra time by which callers that come back are spread.
-const SPREAD_S: u64 = 2;
+const RETRY_AFTER_JITTER_S: u64 = 2;
 
 /// Outcome of a request that got no plain answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -126,7 +126,8 @@
     /// The answer to the caller.
     pub fn answer(self, request_id: &str) -> Response<AnswerBody> {
         let wait_s = self.reason.retry_after_s();
-        let wait_s = wait_s.map(|wait_s| wait_s + rand::rng().random_range(0..=SPREAD_S));
+        let wait_s =
+            wait_s.map(|wait_s| wait_s + rand::rng().random_range(0..=RETRY_AFTER_JITTER_S));
         let body = FailureBody {
             outcome: self.outcome,
             reason: self.reason,
