--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -5,7 +5,7 @@
 /// Cost of a retry, in units that each request pays in one of.
 const RETRY_COST: i64 = 20;
 /// Most units that are saved up.
-const SAVED_MAX: i64 = 10 * RETRY_COST;
+const BUDGET_UNITS_MAX: i64 = 10 * RETRY_COST;
 
 /// Budget of one service on one host: one retry for every 20 requests, and a few at the start.
 #[derive(Debug)]
@@ -16,7 +16,7 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            units: AtomicI64::new(SAVED_MAX),
+            units: AtomicI64::new(BUDGET_UNITS_MAX),
         }
     }
 }
@@ -25,7 +25,7 @@
     /// Pays in for a request.
     pub fn request(&self) {
         let saved = self.units.load(Ordering::Relaxed);
-        if saved < SAVED_MAX {
+        if saved < BUDGET_UNITS_MAX {
             self.units.fetch_add(1, Ordering::Relaxed);
         }
     }
