--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -223,7 +223,7 @@
         .await;
     let claim = match claimed {
         ClaimResult::Granted(claim) => claim,
-        ClaimResult::Answered(answer) => return stored(&answer),
+        ClaimResult::Answered(answer) => return stored_response(&answer),
         ClaimResult::Unavailable => return Err(Failure::not_run(Reason::ClaimsUnavailable)),
         ClaimResult::Refused(Reason::KeyReused) => return Err(Failure::not_run(Reason::KeyReused)),
         ClaimResult::Refused(reason) => return Err(Failure::unknown(reason)),
@@ -296,7 +296,7 @@
     }
 }
 
-fn stored(answer: &StoredResponse) -> Result<Response<AnswerBody>, Failure> {
+fn stored_response(answer: &StoredResponse) -> Result<Response<AnswerBody>, Failure> {
     let unsettled = Failure::unknown(Reason::Unsettled);
     let body = STANDARD.decode(&answer.body_base64);
     let body = body.map_err(|_| unsettled)?;
