--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -327,7 +327,7 @@
         let sent = host.targets.send(request, permit, routed.deadline_ms);
         let attempt = tokio::select! {
             attempt = sent => attempt,
-            () = lost(host, owner) => AttemptOutcome::Unknown(Reason::ServerLost),
+            () = owner_lost(host, owner) => AttemptOutcome::Unknown(Reason::ServerLost),
         };
         match attempt {
             AttemptOutcome::Answered(answer) => return Ok(answer),
@@ -412,7 +412,7 @@
 }
 
 /// Returns when the owner's membership period has ended.
-async fn lost(host: &Host, owner: Owner) {
+async fn owner_lost(host: &Host, owner: Owner) {
     let mut changes = host.view.watch();
     loop {
         let period = host.view.peek().server(owner.server).map(|server| {
