--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -378,7 +378,7 @@
 /// Waits until the slot has an owner and this host may act, but not past the deadline.
 async fn owner(host: &Arc<Host>, routed: &RoutedRequest) -> Result<Owner, Failure> {
     if host.view.fresh()
-        && let Some(owner) = look_up(&host.view.peek(), routed)
+        && let Some(owner) = find_owner(&host.view.peek(), routed)
     {
         return Ok(owner);
     }
@@ -386,7 +386,7 @@
     let mut changes = host.view.watch();
     loop {
         let fresh = host.view.fresh();
-        if fresh && let Some(owner) = look_up(&host.view.peek(), routed) {
+        if fresh && let Some(owner) = find_owner(&host.view.peek(), routed) {
             return Ok(owner);
         }
         let left_ms = routed.deadline_ms.saturating_sub(clock::now_ms());
@@ -425,7 +425,7 @@
     }
 }
 
-fn look_up(state: &State, routed: &RoutedRequest) -> Option<Owner> {
+fn find_owner(state: &State, routed: &RoutedRequest) -> Option<Owner> {
     let service = state.service(routed.service)?;
     let slot = service.slots.get(routed.slot.0 as usize)?;
     let key = slot.settled()?;
@@ -444,7 +444,7 @@
 }
 
 fn still_owner(host: &Host, routed: &RoutedRequest, owner: Owner) -> bool {
-    let found = look_up(&host.view.peek(), routed);
+    let found = find_owner(&host.view.peek(), routed);
     let same = found.is_some_and(|f| f.epoch == owner.epoch && f.incarnation == owner.incarnation);
     same && host.view.fresh()
 }
