--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -320,7 +320,7 @@
             .await;
         let permit = permit.ok_or(deadline)?;
         // The wait for the permit may have been long: look at the owner again before sending.
-        if !still_owner(host, routed, owner) {
+        if !is_still_owner(host, routed, owner) {
             continue;
         }
         let request = attempt(routed, owner);
@@ -443,7 +443,7 @@
     })
 }
 
-fn still_owner(host: &Host, routed: &RoutedRequest, owner: Owner) -> bool {
+fn is_still_owner(host: &Host, routed: &RoutedRequest, owner: Owner) -> bool {
     let found = find_owner(&host.view.peek(), routed);
     let same = found.is_some_and(|f| f.epoch == owner.epoch && f.incarnation == owner.incarnation);
     same && host.view.fresh()
