--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -61,7 +61,7 @@
     platform: Platform,
     mut queue: mpsc::Receiver<Operation>,
     counters: Arc<ClaimCounters>,
-    pace_ms: Arc<AtomicU64>,
+    transaction_interval_ms: Arc<AtomicU64>,
 ) {
     let mut last_ms = 0;
     let turns = Arc::new(Semaphore::new(IN_FLIGHT));
@@ -74,7 +74,7 @@
             return;
         }
         // A lone claim goes out almost at once; under load groups fill until the pace allows one.
-        let due_ms = last_ms + pace_ms.load(Ordering::Relaxed);
+        let due_ms = last_ms + transaction_interval_ms.load(Ordering::Relaxed);
         let wait_ms = due_ms.saturating_sub(clock::now_ms()).max(GATHER_MS);
         if group.len() < GROUP_MAX {
             time::sleep(Duration::from_millis(wait_ms)).await;
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -43,7 +43,7 @@
 /// Claims of one host.
 #[derive(Debug)]
 pub struct Claims {
-    pace_ms: std::sync::Arc<AtomicU64>,
+    transaction_interval_ms: std::sync::Arc<AtomicU64>,
     operations: mpsc::Sender<Operation>,
     counters: std::sync::Arc<ClaimCounters>,
 }
@@ -74,15 +74,16 @@
     pub fn start(platform: Platform) -> Self {
         let (operations, queue) = mpsc::channel(QUEUE_OPERATIONS);
         let counters = std::sync::Arc::new(ClaimCounters::default());
-        let pace_ms = std::sync::Arc::new(AtomicU64::new(1_000 / TRANSACTIONS_PER_S));
+        let transaction_interval_ms =
+            std::sync::Arc::new(AtomicU64::new(1_000 / TRANSACTIONS_PER_S));
         tokio::spawn(batch::run(
             platform,
             queue,
             counters.clone(),
-            pace_ms.clone(),
+            transaction_interval_ms.clone(),
         ));
         Self {
-            pace_ms,
+            transaction_interval_ms,
             operations,
             counters,
         }
@@ -90,8 +91,9 @@
 
     /// Takes this host's share of the table service's writes, for a number of hosts.
     pub fn share_store(&self, hosts: usize) {
-        let pace_ms = hosts as u64 * 1_000 / TRANSACTIONS_PER_S;
-        self.pace_ms.store(pace_ms, Ordering::Relaxed);
+        let transaction_interval_ms = hosts as u64 * 1_000 / TRANSACTIONS_PER_S;
+        self.transaction_interval_ms
+            .store(transaction_interval_ms, Ordering::Relaxed);
     }
 
     /// Counters so far.
