--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -90,7 +90,7 @@
     }
 
     /// Takes this host's share of the table service's writes, for a number of hosts.
-    pub fn share_store(&self, hosts: usize) {
+    pub fn set_host_count(&self, hosts: usize) {
         let transaction_interval_ms = hosts as u64 * 1_000 / TRANSACTIONS_PER_S;
         self.transaction_interval_ms
             .store(transaction_interval_ms, Ordering::Relaxed);
--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -32,7 +32,7 @@
         });
         let state = self.view.state();
         let hosts = tree::order(&state);
-        self.claims.share_store(hosts.len());
+        self.claims.set_host_count(hosts.len());
         for key in tree::asked(&hosts, own) {
             let Some(entry) = state.host(key) else {
                 continue;
