--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -120,7 +120,7 @@
                     let (conflicting, rest) = split(group, &keys);
                     group = rest;
                     for operation in conflicting {
-                        self.settle(operation).await;
+                        self.resolve_conflict(operation).await;
                     }
                 }
                 // It may have taken effect: the next round's conflicts will tell.
@@ -135,7 +135,7 @@
     }
 
     /// Finds out what stands in the way of one operation.
-    async fn settle(&self, operation: Operation) {
+    async fn resolve_conflict(&self, operation: Operation) {
         match operation {
             Operation::Insert {
                 key,
