--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -143,7 +143,7 @@
                 give_up_ms,
                 reply,
             } => {
-                let claimed = self.settle_insert(key, row, give_up_ms).await;
+                let claimed = self.resolve_insert_conflict(key, row, give_up_ms).await;
                 let _ = reply.send(claimed);
             }
             // An earlier round took effect, or the row was swept.
@@ -151,7 +151,12 @@
         }
     }
 
-    async fn settle_insert(&self, key: String, row: ClaimRow, give_up_ms: u64) -> ClaimResult {
+    async fn resolve_insert_conflict(
+        &self,
+        key: String,
+        row: ClaimRow,
+        give_up_ms: u64,
+    ) -> ClaimResult {
         while clock::now_ms() < give_up_ms {
             let found = match self.platform.row(&key).await {
                 Ok(Some(found)) => found,
