--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -64,9 +64,9 @@
     transaction_interval_ms: Arc<AtomicU64>,
 ) {
     let mut last_ms = 0;
-    let turns = Arc::new(Semaphore::new(IN_FLIGHT));
+    let permits = Arc::new(Semaphore::new(IN_FLIGHT));
     loop {
-        let Ok(turn) = turns.clone().acquire_owned().await else {
+        let Ok(turn) = permits.clone().acquire_owned().await else {
             return;
         };
         let mut group = Vec::new();
