--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -66,7 +66,7 @@
     let mut last_ms = 0;
     let permits = Arc::new(Semaphore::new(IN_FLIGHT));
     loop {
-        let Ok(turn) = permits.clone().acquire_owned().await else {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
         let mut group = Vec::new();
@@ -91,7 +91,7 @@
         };
         tokio::spawn(async move {
             writer.write(group).await;
-            drop(turn);
+            drop(permit);
         });
     }
 }
