--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -29,7 +29,7 @@
 };
 
 /// Most claims in one transaction.
-const GROUP_MAX: usize = 256;
+const BATCH_OPERATIONS_MAX: usize = 256;
 /// Transactions under way at a time.
 const IN_FLIGHT: usize = 2;
 /// Time to let a group gather.
@@ -70,15 +70,15 @@
             return;
         };
         let mut group = Vec::new();
-        if queue.recv_many(&mut group, GROUP_MAX).await == 0 {
+        if queue.recv_many(&mut group, BATCH_OPERATIONS_MAX).await == 0 {
             return;
         }
         // A lone claim goes out almost at once; under load groups fill until the pace allows one.
         let due_ms = last_ms + transaction_interval_ms.load(Ordering::Relaxed);
         let wait_ms = due_ms.saturating_sub(clock::now_ms()).max(GATHER_MS);
-        if group.len() < GROUP_MAX {
+        if group.len() < BATCH_OPERATIONS_MAX {
             time::sleep(Duration::from_millis(wait_ms)).await;
-            while group.len() < GROUP_MAX
+            while group.len() < BATCH_OPERATIONS_MAX
                 && let Ok(operation) = queue.try_recv()
             {
                 group.push(operation);
