--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -33,7 +33,7 @@
 /// Transactions under way at a time.
 const IN_FLIGHT: usize = 2;
 /// Time to let a group gather.
-const GATHER_MS: u64 = 2;
+const BATCH_DELAY_MS: u64 = 2;
 const RETRY_MS: u64 = 25;
 /// Time for the end of a claim to be recorded.
 const END_TIMEOUT_MS: u64 = 10_000;
@@ -75,7 +75,7 @@
         }
         // A lone claim goes out almost at once; under load groups fill until the pace allows one.
         let due_ms = last_ms + transaction_interval_ms.load(Ordering::Relaxed);
-        let wait_ms = due_ms.saturating_sub(clock::now_ms()).max(GATHER_MS);
+        let wait_ms = due_ms.saturating_sub(clock::now_ms()).max(BATCH_DELAY_MS);
         if group.len() < BATCH_OPERATIONS_MAX {
             time::sleep(Duration::from_millis(wait_ms)).await;
             while group.len() < BATCH_OPERATIONS_MAX
