--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -69,19 +69,19 @@
         let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
-        let mut group = Vec::new();
-        if queue.recv_many(&mut group, BATCH_OPERATIONS_MAX).await == 0 {
+        let mut batch = Vec::new();
+        if queue.recv_many(&mut batch, BATCH_OPERATIONS_MAX).await == 0 {
             return;
         }
         // A lone claim goes out almost at once; under load groups fill until the pace allows one.
         let due_ms = last_ms + transaction_interval_ms.load(Ordering::Relaxed);
         let wait_ms = due_ms.saturating_sub(clock::now_ms()).max(BATCH_DELAY_MS);
-        if group.len() < BATCH_OPERATIONS_MAX {
+        if batch.len() < BATCH_OPERATIONS_MAX {
             time::sleep(Duration::from_millis(wait_ms)).await;
-            while group.len() < BATCH_OPERATIONS_MAX
+            while batch.len() < BATCH_OPERATIONS_MAX
                 && let Ok(operation) = queue.try_recv()
             {
-                group.push(operation);
+                batch.push(operation);
             }
         }
         last_ms = clock::now_ms();
@@ -90,7 +90,7 @@
             counters: counters.clone(),
         };
         tokio::spawn(async move {
-            writer.write(group).await;
+            writer.write(batch).await;
             drop(permit);
         });
     }
@@ -104,21 +104,21 @@
 
 impl Writer {
     /// Writes the group, taking out in each round what conflicts.
-    async fn write(&self, mut group: Vec<Operation>) {
-        while !group.is_empty() {
+    async fn write(&self, mut batch: Vec<Operation>) {
+        while !batch.is_empty() {
             // Two claims on one key must not pass in one transaction: the second waits a round.
-            let (first, mut repeated) = take_repeated(group);
-            group = first;
-            let transaction = transaction(&group);
+            let (first, mut repeated) = take_repeated(batch);
+            batch = first;
+            let transaction = transaction(&batch);
             self.counters.transactions.fetch_add(1, Ordering::Relaxed);
             match self.platform.transact(&transaction).await {
                 Ok(Transacted::Committed) => {
-                    group.into_iter().for_each(Operation::succeeded);
-                    group = Vec::new();
+                    batch.into_iter().for_each(Operation::succeeded);
+                    batch = Vec::new();
                 }
                 Ok(Transacted::Conflict { keys }) => {
-                    let (conflicting, rest) = split(group, &keys);
-                    group = rest;
+                    let (conflicting, rest) = split(batch, &keys);
+                    batch = rest;
                     for operation in conflicting {
                         self.resolve_conflict(operation).await;
                     }
@@ -126,11 +126,11 @@
                 // It may have taken effect: the next round's conflicts will tell.
                 Err(error) => {
                     log::debug!("claims cannot be recorded: {error}");
-                    group = give_up(group);
+                    batch = give_up(batch);
                     time::sleep(Duration::from_millis(RETRY_MS)).await;
                 }
             }
-            group.append(&mut repeated);
+            batch.append(&mut repeated);
         }
     }
 
@@ -229,12 +229,12 @@
     }
 }
 
-fn transaction(group: &[Operation]) -> Transaction {
+fn transaction(batch: &[Operation]) -> Transaction {
     let mut whole = Transaction {
-        conditions: Vec::with_capacity(group.len()),
-        writes: Vec::with_capacity(group.len()),
+        conditions: Vec::with_capacity(batch.len()),
+        writes: Vec::with_capacity(batch.len()),
     };
-    for operation in group {
+    for operation in batch {
         let one = match operation {
             Operation::Insert { key, row, .. } => put(key, Expect::Absent, row),
             Operation::End { key, version, row } => put(key, Expect::Version(*version), row),
@@ -261,23 +261,23 @@
 }
 
 /// Takes out every operation on a key that an earlier one is on.
-fn take_repeated(group: Vec<Operation>) -> (Vec<Operation>, Vec<Operation>) {
+fn take_repeated(batch: Vec<Operation>) -> (Vec<Operation>, Vec<Operation>) {
     let mut keys = HashSet::new();
     let is_first = |operation: &Operation| keys.insert(operation.key().to_owned());
-    group.into_iter().partition(is_first)
+    batch.into_iter().partition(is_first)
 }
 
 /// Takes the operations on `keys` out; of several on one key, all.
-fn split(group: Vec<Operation>, keys: &[String]) -> (Vec<Operation>, Vec<Operation>) {
-    group
+fn split(batch: Vec<Operation>, keys: &[String]) -> (Vec<Operation>, Vec<Operation>) {
+    batch
         .into_iter()
         .partition(|operation| keys.iter().any(|key| key == operation.key()))
 }
 
 /// Answers what has waited too long. A claim that may have been recorded all the same stays
 /// pending: its request never runs, and says so.
-fn give_up(group: Vec<Operation>) -> Vec<Operation> {
-    let (expired, rest): (Vec<_>, Vec<_>) = group.into_iter().partition(Operation::expired);
+fn give_up(batch: Vec<Operation>) -> Vec<Operation> {
+    let (expired, rest): (Vec<_>, Vec<_>) = batch.into_iter().partition(Operation::expired);
     for operation in expired {
         if let Operation::Insert { reply, .. } = operation {
             let _ = reply.send(ClaimResult::Unavailable);
