--- a/src/peer/endpoint.rs
+++ b/src/peer/endpoint.rs
@@ -78,7 +78,7 @@
         let connection = self.connect(address).await?;
         let bytes = encode(&datagram)?;
         let sent = connection.send_datagram(bytes.into());
-        sent.map_err(|error| self.broken(address, &error))
+        sent.map_err(|error| self.unreachable(address, &error))
     }
 
     /// Sends a request and waits for its reply.
@@ -105,16 +105,16 @@
         let (mut send, mut receive) = connection
             .open_bi()
             .await
-            .map_err(|error| self.broken(address, &error))?;
+            .map_err(|error| self.unreachable(address, &error))?;
         send.write_all(&bytes)
             .await
-            .map_err(|error| self.broken(address, &error))?;
+            .map_err(|error| self.unreachable(address, &error))?;
         send.finish()
-            .map_err(|error| self.broken(address, &error))?;
+            .map_err(|error| self.unreachable(address, &error))?;
         let reply = receive
             .read_to_end(MESSAGE_BYTES_MAX)
             .await
-            .map_err(|error| self.broken(address, &error))?;
+            .map_err(|error| self.unreachable(address, &error))?;
         decode(&reply)
     }
 
@@ -125,10 +125,10 @@
         let connecting = self
             .endpoint
             .connect(address, HOST_NAME)
-            .map_err(|error| self.broken(address, &error))?;
+            .map_err(|error| self.unreachable(address, &error))?;
         let connection = connecting
             .await
-            .map_err(|error| self.broken(address, &error))?;
+            .map_err(|error| self.unreachable(address, &error))?;
         tokio::spawn(read_datagrams(connection.clone(), self.inbox.clone()));
         self.lock().insert(address, connection.clone());
         Ok(connection)
@@ -144,7 +144,7 @@
         Some(connection)
     }
 
-    fn broken(&self, address: SocketAddr, error: &impl std::error::Error) -> Error {
+    fn unreachable(&self, address: SocketAddr, error: &impl std::error::Error) -> Error {
         Error::Unreachable {
             address,
             message: error.to_string(),
