--- a/src/peer/endpoint.rs
+++ b/src/peer/endpoint.rs
@@ -172,7 +172,7 @@
             };
             tokio::spawn(read_datagrams(connection.clone(), inbox.clone()));
             while let Ok((send, receive)) = connection.accept_bi().await {
-                tokio::spawn(answer(send, receive, inbox.clone()));
+                tokio::spawn(serve_request(send, receive, inbox.clone()));
             }
         });
     }
@@ -192,7 +192,7 @@
     }
 }
 
-async fn answer(
+async fn serve_request(
     mut send: SendStream,
     mut receive: RecvStream,
     inbox: mpsc::Sender<Inbound>,
