--- a/tests/once_only.rs
+++ b/tests/once_only.rs
@@ -128,13 +128,13 @@
 
 /// What callers were told of one order, over all its arrivals.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
+struct ReportedOutcomes {
     answered: bool,
     unknown: bool,
 }
 
 async fn send_order(
-    told: &Mutex<HashMap<String, Told>>,
+    told: &Mutex<HashMap<String, ReportedOutcomes>>,
     caller: &Caller,
     host: SocketAddr,
     order: &str,
