--- a/tests/once_only.rs
+++ b/tests/once_only.rs
@@ -134,19 +134,19 @@
 }
 
 async fn send_order(
-    told: &Mutex<HashMap<String, ReportedOutcomes>>,
+    reported: &Mutex<HashMap<String, ReportedOutcomes>>,
     caller: &Caller,
     host: SocketAddr,
     order: &str,
 ) {
     let path = format!("/w/s/{order}");
     let answer = caller.post(host, &path, order).await;
-    let mut told = told.lock().await;
-    let told = told.entry(order.to_owned()).or_default();
+    let mut reported = reported.lock().await;
+    let reported = reported.entry(order.to_owned()).or_default();
     match answer {
-        Ok(Answered { status: 200, .. }) => told.answered = true,
+        Ok(Answered { status: 200, .. }) => reported.answered = true,
         Ok(Answered { outcome, .. }) if outcome.as_deref() == Some("not-run") => {}
-        _ => told.unknown = true,
+        _ => reported.unknown = true,
     }
 }
 
@@ -160,23 +160,23 @@
             ..platform::Faults::default()
         })
         .await;
-    let told = Arc::new(Mutex::new(HashMap::new()));
+    let reported = Arc::new(Mutex::new(HashMap::new()));
     let hosts: Vec<SocketAddr> = cluster.hosts.iter().map(|host| host.callers).collect();
     let mut tasks = Vec::new();
     for task in 0..20_usize {
-        let (told, hosts) = (told.clone(), hosts.clone());
+        let (reported, hosts) = (reported.clone(), hosts.clone());
         tasks.push(tokio::spawn(async move {
             let caller = Caller::default();
             for number in 0..60_usize {
                 let order = format!("order-{task}-{number}");
                 let host = hosts[(task + number) % 3];
                 if number % 3 > 0 {
-                    send_order(&told, &caller, host, &order).await;
+                    send_order(&reported, &caller, host, &order).await;
                     continue;
                 }
                 let other = hosts[(task + number + 1) % 3];
-                let one = send_order(&told, &caller, host, &order);
-                let two = send_order(&told, &caller, other, &order);
+                let one = send_order(&reported, &caller, host, &order);
+                let two = send_order(&reported, &caller, other, &order);
                 tokio::join!(one, two);
                 time::sleep(Duration::from_millis(20)).await;
             }
@@ -199,21 +199,24 @@
         let mut runs = records.iter().flat_map(|record| &record.runs);
         runs.any(|run| run.request == order)
     };
-    let told = told.lock().await;
-    assert_eq!(told.len(), 1_200);
-    for (order, told) in told.iter() {
+    let reported = reported.lock().await;
+    assert_eq!(reported.len(), 1_200);
+    for (order, reported) in reported.iter() {
         assert!(
-            !told.answered || ran(order),
+            !reported.answered || ran(order),
             "{order} was answered but never ran"
         );
-        let only_not_run = !told.answered && !told.unknown;
+        let only_not_run = !reported.answered && !reported.unknown;
         assert!(
             !only_not_run || !ran(order),
             "{order} ran but was told not run"
         );
     }
-    let answered = told.values().filter(|told| told.answered).count();
-    assert!(answered > 600, "{answered} of {} answered", told.len());
+    let answered = reported
+        .values()
+        .filter(|reported| reported.answered)
+        .count();
+    assert!(answered > 600, "{answered} of {} answered", reported.len());
 }
 
 #[tokio::test]
