--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -17,7 +17,7 @@
 use rand::{Rng, rngs::StdRng};
 
 use super::{
-    Broken, FRESHNESS_MS, LAPSE_MS, MARGIN_MS, Message, Party, SERVERS, SERVICE, TTL_MS, World,
+    BrokenRule, FRESHNESS_MS, LAPSE_MS, MARGIN_MS, Message, Party, SERVERS, SERVICE, TTL_MS, World,
     local_ms, wanted_moves,
 };
 
@@ -107,9 +107,9 @@
         local_ms(now_ms, self.offset_ms, self.drift_ppt)
     }
 
-    fn fresh(&self, clock_ms: u64, broken: Broken) -> bool {
+    fn fresh(&self, clock_ms: u64, broken: BrokenRule) -> bool {
         let basis_ms = self.freshness.basis_ms();
-        broken == Broken::Freshness || basis_ms.is_some_and(|b| clock_ms <= b + FRESHNESS_MS)
+        broken == BrokenRule::Freshness || basis_ms.is_some_and(|b| clock_ms <= b + FRESHNESS_MS)
     }
 
     fn apply(&mut self, entries: &[LogEntry], clock_ms: u64) {
@@ -158,7 +158,7 @@
     }
 
     /// The order of a renewal, decided as the real host does.
-    fn order(&mut self, server: usize, clock_ms: u64, broken: Broken) -> Option<LeaseRequest> {
+    fn order(&mut self, server: usize, clock_ms: u64, broken: BrokenRule) -> Option<LeaseRequest> {
         let key = ServerKey(server as u32);
         self.key()?;
         let entry = self.state.server(key)?.clone();
@@ -181,7 +181,7 @@
         })
     }
 
-    fn lapsed(&self, server: ServerKey, lost: Revision, clock_ms: u64, broken: Broken) -> bool {
+    fn lapsed(&self, server: ServerKey, lost: Revision, clock_ms: u64, broken: BrokenRule) -> bool {
         let reports: Vec<HorizonReport> = self
             .reports
             .iter()
@@ -195,12 +195,12 @@
             .collect::<Vec<_>>();
         let renewing_hosts = RenewingHosts {
             registered: &registered,
-            voters: if broken == Broken::Majority {
+            voters: if broken == BrokenRule::Majority {
                 &few
             } else {
                 &voters
             },
-            previous: if broken == Broken::Majority {
+            previous: if broken == BrokenRule::Majority {
                 &[]
             } else {
                 &self.state.registry.previous_voters
@@ -209,7 +209,7 @@
             settled: self.state.registry.is_settled(),
         };
         let at_ms = lapsed_at_ms(renewing_hosts, &reports, LAPSE_MS);
-        broken == Broken::LapseWait || at_ms.is_some_and(|at_ms| clock_ms >= at_ms)
+        broken == BrokenRule::LapseWait || at_ms.is_some_and(|at_ms| clock_ms >= at_ms)
     }
 
     fn registry_change(&self, clock_ms: u64) -> Option<Change> {
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -31,7 +31,7 @@
 
 /// Rules that a test can take away, to show that the check sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum BrokenRule {
     Nothing,
     /// A server forgets what was revoked.
     Fence,
@@ -135,7 +135,7 @@
 }
 
 pub struct World {
-    pub broken: Broken,
+    pub broken: BrokenRule,
     pub now_ms: u64,
     pub hosts: Vec<Host>,
     pub servers: Vec<Server>,
@@ -155,7 +155,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, broken: Broken) -> Self {
+    pub fn new(seed: u64, broken: BrokenRule) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let hosts = rng.random_range(1..=5);
         let mut world = Self {
@@ -433,7 +433,7 @@
                 let next = self.log.len() as u64 + 1;
                 if entry.revision.0 != next {
                     let own = |held: &LogEntry| held.operation_id == entry.operation_id;
-                    if self.broken != Broken::OperationId || !self.log.iter().any(own) {
+                    if self.broken != BrokenRule::OperationId || !self.log.iter().any(own) {
                         return;
                     }
                     entry.revision = Revision(next);
@@ -487,7 +487,7 @@
                 slots,
             } if incarnation == server.incarnation => {
                 for done in &slots {
-                    if broken != Broken::Fence {
+                    if broken != BrokenRule::Fence {
                         server.grants.revoke(&slot_grant(done), now);
                     }
                 }
@@ -544,14 +544,14 @@
     }
 }
 
-fn renew(server: &mut Server, order: &mut LeaseRequest, now: Reading, broken: Broken) -> bool {
+fn renew(server: &mut Server, order: &mut LeaseRequest, now: Reading, broken: BrokenRule) -> bool {
     if order.incarnation != Some(server.incarnation) {
         return false;
     }
-    if broken == Broken::LeaseEpoch && server.grants.lease_epoch().0 > 0 {
+    if broken == BrokenRule::LeaseEpoch && server.grants.lease_epoch().0 > 0 {
         order.lease_epoch = server.grants.lease_epoch();
     }
-    if broken == Broken::ClockBound && order.not_after_ms > 0 {
+    if broken == BrokenRule::ClockBound && order.not_after_ms > 0 {
         order.not_after_ms = now.clock_ms + TTL_MS;
     }
     server.grants.renew(order, now)
--- a/tests/ownership_model.rs
+++ b/tests/ownership_model.rs
@@ -11,7 +11,7 @@
 };
 
 use ashroad::id::Slot;
-use model::{Broken, SLOTS, World};
+use model::{BrokenRule, SLOTS, World};
 use quickcheck::{Gen, QuickCheck};
 
 const STEPS: usize = 200;
@@ -28,12 +28,12 @@
 }
 
 /// One case: random steps, then calm, after which every slot must have one owner again.
-fn case(seed: u64, broken: Broken) {
+fn case(seed: u64, broken: BrokenRule) {
     let mut world = World::new(seed, broken);
     for _ in 0..STEPS {
         world.step();
     }
-    if broken == Broken::Nothing {
+    if broken == BrokenRule::Nothing {
         world.settle();
         for slot in (0..SLOTS).map(Slot) {
             let owners = world.owners(slot).len();
@@ -47,7 +47,7 @@
     }
 }
 
-fn fails(seed: u64, broken: Broken) -> bool {
+fn fails(seed: u64, broken: BrokenRule) -> bool {
     panic::catch_unwind(AssertUnwindSafe(|| case(seed, broken))).is_err()
 }
 
@@ -70,7 +70,7 @@
                     if seed >= first + cases {
                         return failed;
                     }
-                    if fails(seed, Broken::Nothing) {
+                    if fails(seed, BrokenRule::Nothing) {
                         failed.push(seed);
                     }
                 }
@@ -91,7 +91,7 @@
 #[test]
 fn quickcheck_finds_no_seed_with_a_double_owner() {
     fn property(seed: u64) -> bool {
-        case(seed, Broken::Nothing);
+        case(seed, BrokenRule::Nothing);
         true
     }
     QuickCheck::new()
@@ -103,13 +103,13 @@
 #[test]
 fn the_check_notices_each_broken_rule() {
     let broken = [
-        Broken::Fence,
-        Broken::LeaseEpoch,
-        Broken::LapseWait,
-        Broken::Majority,
-        Broken::Freshness,
-        Broken::ClockBound,
-        Broken::OperationId,
+        BrokenRule::Fence,
+        BrokenRule::LeaseEpoch,
+        BrokenRule::LapseWait,
+        BrokenRule::Majority,
+        BrokenRule::Freshness,
+        BrokenRule::ClockBound,
+        BrokenRule::OperationId,
     ];
     thread::scope(|scope| {
         for rule in broken {
