--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -51,7 +51,7 @@
 
 /// A host process that asked. Answers go back on its connection, so a successor gets none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Asker {
+pub struct Requester {
     host: usize,
     incarnation: Incarnation,
 }
@@ -60,12 +60,12 @@
 #[derive(Clone, Debug)]
 pub enum Message {
     Ping {
-        from: Asker,
+        from: Requester,
         asked_ms: u64,
     },
     Pong(PeerAnswer),
     ReadLog {
-        from: Asker,
+        from: Requester,
         after: Revision,
         asked_ms: u64,
     },
@@ -74,12 +74,12 @@
         asked_ms: u64,
     },
     Append {
-        from: Asker,
+        from: Requester,
         entry: LogEntry,
     },
     Appended(LogEntry),
     Lease {
-        from: Asker,
+        from: Requester,
         order: LeaseRequest,
     },
     LeaseAnswered {
@@ -89,7 +89,7 @@
         answer: LeaseResponse,
     },
     Revoke {
-        from: Asker,
+        from: Requester,
         incarnation: Incarnation,
         slots: Vec<MoveDone>,
     },
@@ -97,7 +97,7 @@
         slots: Vec<MoveDone>,
     },
     Grant {
-        from: Asker,
+        from: Requester,
         order: LeaseRequest,
         slots: Vec<MoveDone>,
     },
@@ -105,7 +105,7 @@
         slots: Vec<MoveDone>,
     },
     AskHorizon {
-        from: Asker,
+        from: Requester,
         server: ServerKey,
         lost: Revision,
     },
@@ -359,14 +359,14 @@
         self.post(to, message);
     }
 
-    pub fn asker(&self, host: usize) -> Asker {
-        Asker {
+    pub fn asker(&self, host: usize) -> Requester {
+        Requester {
             host,
             incarnation: self.hosts[host].incarnation,
         }
     }
 
-    pub fn reply(&mut self, from: Party, to: Asker, message: Message) {
+    pub fn reply(&mut self, from: Party, to: Requester, message: Message) {
         if self.hosts[to.host].incarnation == to.incarnation {
             self.send(from, Party::Host(to.host), message);
         }
@@ -500,7 +500,7 @@
     fn answer_lease(
         &mut self,
         index: usize,
-        to: Asker,
+        to: Requester,
         order: &LeaseRequest,
         answer: LeaseResponse,
     ) {
