--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -365,7 +365,7 @@
         }
         host.append_ms = now_ms + 100;
         let message = Message::Append {
-            from: self.asker(index),
+            from: self.requester(index),
             entry,
         };
         // Written again after a lost answer: the condition on the head settles it.
@@ -402,7 +402,7 @@
         };
         let slots = slots.to_vec();
         let message = Message::Grant {
-            from: self.asker(index),
+            from: self.requester(index),
             order,
             slots,
         };
@@ -437,7 +437,7 @@
         if clock_ms >= host.read_ms + READ_MS {
             host.read_ms = clock_ms;
             let read = Message::ReadLog {
-                from: self.asker(index),
+                from: self.requester(index),
                 after,
                 asked_ms: clock_ms,
             };
@@ -446,7 +446,7 @@
         for peer in 0..self.hosts.len() {
             if peer != index {
                 let ping = Message::Ping {
-                    from: self.asker(index),
+                    from: self.requester(index),
                     asked_ms: clock_ms,
                 };
                 self.send(Party::Host(index), Party::Host(peer), ping);
@@ -479,7 +479,7 @@
             if let Some(order) = host.order(server, clock_ms, broken) {
                 host.waiting[server] = Some(clock_ms);
                 let message = Message::Lease {
-                    from: self.asker(index),
+                    from: self.requester(index),
                     order,
                 };
                 self.send(Party::Host(index), Party::Server(server), message);
@@ -573,7 +573,7 @@
             for peer in 0..self.hosts.len() {
                 if peer != index {
                     let ask = Message::AskHorizon {
-                        from: self.asker(index),
+                        from: self.requester(index),
                         server,
                         lost: revision,
                     };
@@ -595,7 +595,7 @@
                     grants: Vec::new(),
                 };
                 let message = Message::Lease {
-                    from: self.asker(index),
+                    from: self.requester(index),
                     order,
                 };
                 self.send(Party::Host(index), Party::Server(server), message);
@@ -614,7 +614,7 @@
                 continue;
             };
             let message = Message::Revoke {
-                from: self.asker(index),
+                from: self.requester(index),
                 incarnation: entry.incarnation,
                 slots,
             };
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -359,7 +359,7 @@
         self.post(to, message);
     }
 
-    pub fn asker(&self, host: usize) -> Requester {
+    pub fn requester(&self, host: usize) -> Requester {
         Requester {
             host,
             incarnation: self.hosts[host].incarnation,
