--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -17,8 +17,8 @@
 use rand::{Rng, rngs::StdRng};
 
 use super::{
-    BrokenRule, FRESHNESS_MS, LAPSE_MS, MARGIN_MS, Message, Party, SERVERS, SERVICE, TTL_MS, World,
-    local_ms, wanted_moves,
+    BrokenRule, FRESHNESS_MS, LAPSE_MS, MARGIN_MS, Message, Party, SERVERS, SERVICE, Simulation,
+    TTL_MS, local_ms, wanted_moves,
 };
 
 const RENEW_MS: u64 = 300;
@@ -249,7 +249,7 @@
     grants
 }
 
-impl World {
+impl Simulation {
     pub fn host_receives(&mut self, index: usize, message: Message) {
         let host = &mut self.hosts[index];
         let clock_ms = host.clock_ms(self.now_ms);
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -134,7 +134,7 @@
     drift_ppt: u64,
 }
 
-pub struct World {
+pub struct Simulation {
     pub broken: BrokenRule,
     pub now_ms: u64,
     pub hosts: Vec<Host>,
@@ -154,7 +154,7 @@
     offset_ms + now_ms * (1_000 + drift_ppt) / 1_000
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, broken: BrokenRule) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let hosts = rng.random_range(1..=5);
--- a/tests/ownership_model.rs
+++ b/tests/ownership_model.rs
@@ -11,7 +11,7 @@
 };
 
 use ashroad::id::Slot;
-use model::{BrokenRule, SLOTS, World};
+use model::{BrokenRule, SLOTS, Simulation};
 use quickcheck::{Gen, QuickCheck};
 
 const STEPS: usize = 200;
@@ -29,7 +29,7 @@
 
 /// One case: random steps, then calm, after which every slot must have one owner again.
 fn case(seed: u64, broken: BrokenRule) {
-    let mut world = World::new(seed, broken);
+    let mut world = Simulation::new(seed, broken);
     for _ in 0..STEPS {
         world.step();
     }
