--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -158,7 +158,7 @@
     pub fn new(seed: u64, broken: BrokenRule) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let hosts = rng.random_range(1..=5);
-        let mut world = Self {
+        let mut simulation = Self {
             broken,
             now_ms: 10_000,
             hosts: Vec::new(),
@@ -174,24 +174,24 @@
             rng,
         };
         for index in 0..hosts {
-            let host = Host::new(index, &mut world.rng);
-            world.hosts.push(host);
+            let host = Host::new(index, &mut simulation.rng);
+            simulation.hosts.push(host);
         }
         // Most cases begin with a formed system, so that the steps go into its faults.
-        if world.rng.random_bool(0.8) {
-            world.form();
+        if simulation.rng.random_bool(0.8) {
+            simulation.form();
         }
         for _ in 0..SERVERS {
             let server = Server {
-                incarnation: Incarnation(world.rng.random()),
+                incarnation: Incarnation(simulation.rng.random()),
                 grants: Grants::default(),
                 frozen_until_ms: 0,
-                offset_ms: world.rng.random_range(0..1_000_000),
-                drift_ppt: world.rng.random_range(0..5),
+                offset_ms: simulation.rng.random_range(0..1_000_000),
+                drift_ppt: simulation.rng.random_range(0..5),
             };
-            world.servers.push(server);
+            simulation.servers.push(server);
         }
-        world
+        simulation
     }
 
     /// Registers and counts every host.
--- a/tests/ownership_model.rs
+++ b/tests/ownership_model.rs
@@ -29,19 +29,19 @@
 
 /// One case: random steps, then calm, after which every slot must have one owner again.
 fn case(seed: u64, broken: BrokenRule) {
-    let mut world = Simulation::new(seed, broken);
+    let mut simulation = Simulation::new(seed, broken);
     for _ in 0..STEPS {
-        world.step();
+        simulation.step();
     }
     if broken == BrokenRule::Nothing {
-        world.settle();
+        simulation.settle();
         for slot in (0..SLOTS).map(Slot) {
-            let owners = world.owners(slot).len();
+            let owners = simulation.owners(slot).len();
             assert_eq!(
                 owners,
                 1,
                 "{slot:?} has no owner in the end: {}",
-                world.describe()
+                simulation.describe()
             );
         }
     }
