--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -17,7 +17,7 @@
 use rand::{Rng, rngs::StdRng};
 
 use super::{
-    BrokenRule, FRESHNESS_MS, LAPSE_MS, MARGIN_MS, Message, Party, SERVERS, SERVICE, Simulation,
+    BrokenRule, FRESHNESS_MS, LAPSE_MS, MARGIN_MS, Message, Node, SERVERS, SERVICE, Simulation,
     TTL_MS, local_ms, wanted_moves,
 };
 
@@ -253,7 +253,7 @@
     pub fn host_receives(&mut self, index: usize, message: Message) {
         let host = &mut self.hosts[index];
         let clock_ms = host.clock_ms(self.now_ms);
-        let me = Party::Host(index);
+        let me = Node::Host(index);
         match message {
             Message::Ping { from, asked_ms } => {
                 if let Some(pong) = host.pong(asked_ms, clock_ms) {
@@ -370,9 +370,9 @@
         };
         // Written again after a lost answer: the condition on the head settles it.
         if self.rng.random_bool(0.1) {
-            self.send(Party::Host(index), Party::Store, message.clone());
+            self.send(Node::Host(index), Node::Store, message.clone());
         }
-        self.send(Party::Host(index), Party::Store, message);
+        self.send(Node::Host(index), Node::Store, message);
     }
 
     fn grant(&mut self, index: usize, slots: &[MoveDone]) {
@@ -406,7 +406,7 @@
             order,
             slots,
         };
-        self.send(Party::Host(index), Party::Server(to.0 as usize), message);
+        self.send(Node::Host(index), Node::Server(to.0 as usize), message);
     }
 
     pub fn tick(&mut self, index: usize) {
@@ -441,7 +441,7 @@
                 after,
                 asked_ms: clock_ms,
             };
-            self.send(Party::Host(index), Party::Store, read);
+            self.send(Node::Host(index), Node::Store, read);
         }
         for peer in 0..self.hosts.len() {
             if peer != index {
@@ -449,7 +449,7 @@
                     from: self.requester(index),
                     asked_ms: clock_ms,
                 };
-                self.send(Party::Host(index), Party::Host(peer), ping);
+                self.send(Node::Host(index), Node::Host(peer), ping);
             }
         }
     }
@@ -482,7 +482,7 @@
                     from: self.requester(index),
                     order,
                 };
-                self.send(Party::Host(index), Party::Server(server), message);
+                self.send(Node::Host(index), Node::Server(server), message);
             }
         }
     }
@@ -518,8 +518,8 @@
             let own = host.own();
             // Asked in one instant here; cut and paused hosts do not answer.
             let reach = |peer: usize| {
-                let link = (Party::Host(index), Party::Host(peer));
-                let back = (Party::Host(peer), Party::Host(index));
+                let link = (Node::Host(index), Node::Host(peer));
+                let back = (Node::Host(peer), Node::Host(index));
                 let cut = |link| self.cut.get(link).is_some_and(|ms| *ms > self.now_ms);
                 !cut(&link) && !cut(&back) && self.hosts[peer].paused_until_ms <= self.now_ms
             };
@@ -577,7 +577,7 @@
                         server,
                         lost: revision,
                     };
-                    self.send(Party::Host(index), Party::Host(peer), ask);
+                    self.send(Node::Host(index), Node::Host(peer), ask);
                 }
             }
         }
@@ -598,7 +598,7 @@
                     from: self.requester(index),
                     order,
                 };
-                self.send(Party::Host(index), Party::Server(server), message);
+                self.send(Node::Host(index), Node::Server(server), message);
             }
         }
     }
@@ -618,7 +618,7 @@
                 incarnation: entry.incarnation,
                 slots,
             };
-            self.send(Party::Host(index), Party::Server(from.0 as usize), message);
+            self.send(Node::Host(index), Node::Server(from.0 as usize), message);
         }
     }
 }
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -113,7 +113,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Party {
+pub enum Node {
     Host(usize),
     Server(usize),
     Store,
@@ -121,7 +121,7 @@
 
 #[derive(Clone, Debug)]
 struct Envelope {
-    to: Party,
+    to: Node,
     incarnation: Incarnation,
     message: Message,
 }
@@ -145,7 +145,7 @@
     envelopes: HashMap<u64, Envelope>,
     next_envelope: u64,
     store_down_until_ms: u64,
-    cut: BTreeMap<(Party, Party), u64>,
+    cut: BTreeMap<(Node, Node), u64>,
     pub calm: bool,
     trace: bool,
 }
@@ -288,8 +288,8 @@
             5 => {
                 let number = self.rng.random_range(0..3);
                 for peer in 0..self.hosts.len() {
-                    let cut = Party::Host(peer);
-                    self.cut.insert((cut, Party::Server(number)), until_ms);
+                    let cut = Node::Host(peer);
+                    self.cut.insert((cut, Node::Server(number)), until_ms);
                 }
             }
             6 => self.hosts[host].leading ^= true,
@@ -317,36 +317,36 @@
             host.suspect_wrongly = true;
         }
         for (one, one_away) in away.iter().enumerate() {
-            let host = Party::Host(one);
+            let host = Node::Host(one);
             if *one_away {
-                self.cut.insert((host, Party::Store), until_ms);
-                self.cut.insert((Party::Store, host), until_ms);
+                self.cut.insert((host, Node::Store), until_ms);
+                self.cut.insert((Node::Store, host), until_ms);
             }
             for (other, other_away) in away.iter().enumerate() {
                 if one_away != other_away {
-                    self.cut.insert((host, Party::Host(other)), until_ms);
+                    self.cut.insert((host, Node::Host(other)), until_ms);
                 }
             }
         }
     }
 
-    fn any_party(&mut self) -> Party {
+    fn any_party(&mut self) -> Node {
         match self.rng.random_range(0..5) {
-            0 => Party::Store,
-            1 | 2 => Party::Server(self.rng.random_range(0..SERVERS)),
-            _ => Party::Host(self.rng.random_range(0..self.hosts.len())),
+            0 => Node::Store,
+            1 | 2 => Node::Server(self.rng.random_range(0..SERVERS)),
+            _ => Node::Host(self.rng.random_range(0..self.hosts.len())),
         }
     }
 
-    fn incarnation(&self, party: Party) -> Incarnation {
+    fn incarnation(&self, party: Node) -> Incarnation {
         match party {
-            Party::Host(host) => self.hosts[host].incarnation,
-            Party::Server(server) => self.servers[server].incarnation,
-            Party::Store => Incarnation::default(),
+            Node::Host(host) => self.hosts[host].incarnation,
+            Node::Server(server) => self.servers[server].incarnation,
+            Node::Store => Incarnation::default(),
         }
     }
 
-    pub fn send(&mut self, from: Party, to: Party, message: Message) {
+    pub fn send(&mut self, from: Node, to: Node, message: Message) {
         if !self.calm {
             let cut_ms = self.cut.get(&(from, to)).copied().unwrap_or_default();
             if cut_ms > self.now_ms || self.rng.random_bool(0.02) {
@@ -366,13 +366,13 @@
         }
     }
 
-    pub fn reply(&mut self, from: Party, to: Requester, message: Message) {
+    pub fn reply(&mut self, from: Node, to: Requester, message: Message) {
         if self.hosts[to.host].incarnation == to.incarnation {
-            self.send(from, Party::Host(to.host), message);
+            self.send(from, Node::Host(to.host), message);
         }
     }
 
-    fn post(&mut self, to: Party, message: Message) {
+    fn post(&mut self, to: Node, message: Message) {
         let slow = !self.calm && self.rng.random_bool(0.03);
         let delay_ms = self.rng.random_range(if slow { 100..3_000 } else { 0..15 });
         let id = self.next_envelope;
@@ -395,9 +395,9 @@
             );
         }
         let held_until_ms = match envelope.to {
-            Party::Host(host) => self.hosts[host].paused_until_ms,
-            Party::Server(server) => self.servers[server].frozen_until_ms,
-            Party::Store => self.store_down_until_ms,
+            Node::Host(host) => self.hosts[host].paused_until_ms,
+            Node::Server(server) => self.servers[server].frozen_until_ms,
+            Node::Store => self.store_down_until_ms,
         };
         if held_until_ms > self.now_ms {
             // A paused process reads what had arrived once it goes on.
@@ -408,13 +408,13 @@
             return;
         }
         match envelope.to {
-            Party::Store => self.store(envelope.message),
-            Party::Server(server) => self.server(server, envelope.message),
+            Node::Store => self.store(envelope.message),
+            Node::Server(server) => self.server(server, envelope.message),
             // Connections end with their process, unlike a server's orders.
-            Party::Host(host) if envelope.incarnation == self.hosts[host].incarnation => {
+            Node::Host(host) if envelope.incarnation == self.hosts[host].incarnation => {
                 self.host_receives(host, envelope.message);
             }
-            Party::Host(_) => {}
+            Node::Host(_) => {}
         }
     }
 
@@ -427,7 +427,7 @@
             } => {
                 let entries = self.log[after.0 as usize..].to_vec();
                 let answer = Message::LogRead { entries, asked_ms };
-                self.reply(Party::Store, from, answer);
+                self.reply(Node::Store, from, answer);
             }
             Message::Append { from, mut entry } => {
                 let next = self.log.len() as u64 + 1;
@@ -439,7 +439,7 @@
                     entry.revision = Revision(next);
                 }
                 self.log.push(entry.clone());
-                self.reply(Party::Store, from, Message::Appended(entry));
+                self.reply(Node::Store, from, Message::Appended(entry));
             }
             _ => {}
         }
@@ -478,7 +478,7 @@
             } => {
                 let accepted = renew(server, &mut order, now, broken);
                 if accepted {
-                    self.reply(Party::Server(index), from, Message::Granted { slots });
+                    self.reply(Node::Server(index), from, Message::Granted { slots });
                 }
             }
             Message::Revoke {
@@ -491,7 +491,7 @@
                         server.grants.revoke(&slot_grant(done), now);
                     }
                 }
-                self.reply(Party::Server(index), from, Message::Released { slots });
+                self.reply(Node::Server(index), from, Message::Released { slots });
             }
             _ => {}
         }
@@ -510,7 +510,7 @@
             meant: order.incarnation.unwrap_or_default(),
             answer,
         };
-        self.reply(Party::Server(index), to, message);
+        self.reply(Node::Server(index), to, message);
     }
 
     /// The invariant: no slot is owned by two servers.
