--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -277,8 +277,8 @@
             1 => self.servers[server].frozen_until_ms = until_ms,
             2 => self.store_down_until_ms = until_ms,
             3..5 => {
-                let one = self.any_party();
-                let other = self.any_party();
+                let one = self.any_node();
+                let other = self.any_node();
                 // One way only, every second time.
                 self.cut.insert((one, other), until_ms);
                 if self.rng.random() {
@@ -330,7 +330,7 @@
         }
     }
 
-    fn any_party(&mut self) -> Node {
+    fn any_node(&mut self) -> Node {
         match self.rng.random_range(0..5) {
             0 => Node::Store,
             1 | 2 => Node::Server(self.rng.random_range(0..SERVERS)),
