--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -338,8 +338,8 @@
         }
     }
 
-    fn incarnation(&self, party: Node) -> Incarnation {
-        match party {
+    fn incarnation(&self, node: Node) -> Incarnation {
+        match node {
             Node::Host(host) => self.hosts[host].incarnation,
             Node::Server(server) => self.servers[server].incarnation,
             Node::Store => Incarnation::default(),
