--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -179,7 +179,7 @@
         }
         // Most cases begin with a formed system, so that the steps go into its faults.
         if simulation.rng.random_bool(0.8) {
-            simulation.form();
+            simulation.register_all_hosts();
         }
         for _ in 0..SERVERS {
             let server = Server {
@@ -195,7 +195,7 @@
     }
 
     /// Registers and counts every host.
-    fn form(&mut self) {
+    fn register_all_hosts(&mut self) {
         let changes: Vec<Change> = self.hosts.iter().map(Host::registration).collect();
         let promote = |(key, host): (u32, &Host)| Change::HostPromoted {
             host: HostKey(key),
