--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -29,7 +29,7 @@
 
 /// Answer to a question for a horizon.
 #[derive(Clone, Copy, Debug)]
-pub struct Reported {
+pub struct HorizonReply {
     pub host: HostKey,
     pub incarnation: Incarnation,
     pub server: ServerKey,
@@ -144,10 +144,10 @@
         })
     }
 
-    fn reported(&self, server: ServerKey, lost: Revision, clock_ms: u64) -> Option<Reported> {
+    fn reported(&self, server: ServerKey, lost: Revision, clock_ms: u64) -> Option<HorizonReply> {
         let lease_epoch = self.state.server(server)?.lease_epoch;
         let renewal_state = self.renewal_states[server.0 as usize];
-        Some(Reported {
+        Some(HorizonReply {
             host: self.key()?,
             incarnation: self.incarnation,
             server,
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -109,7 +109,7 @@
         server: ServerKey,
         lost: Revision,
     },
-    Horizon(host::Reported),
+    Horizon(host::HorizonReply),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
