--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -144,7 +144,12 @@
         })
     }
 
-    fn reported(&self, server: ServerKey, lost: Revision, clock_ms: u64) -> Option<HorizonReply> {
+    fn horizon_reply(
+        &self,
+        server: ServerKey,
+        lost: Revision,
+        clock_ms: u64,
+    ) -> Option<HorizonReply> {
         let lease_epoch = self.state.server(server)?.lease_epoch;
         let renewal_state = self.renewal_states[server.0 as usize];
         Some(HorizonReply {
@@ -294,18 +299,19 @@
                 }
             }
             Message::AskHorizon { from, server, lost } => {
-                if let Some(reported) = host.reported(server, lost, clock_ms) {
-                    self.reply(me, from, Message::Horizon(reported));
+                if let Some(horizon_reply) = host.horizon_reply(server, lost, clock_ms) {
+                    self.reply(me, from, Message::Horizon(horizon_reply));
                 }
             }
-            Message::Horizon(reported) => {
+            Message::Horizon(horizon_reply) => {
                 let report = HorizonReport {
-                    host: reported.host,
-                    incarnation: reported.incarnation,
-                    applied_ms: clock_ms - reported.applied_age_ms,
-                    horizon_ms: clock_ms + reported.remaining_ms,
+                    host: horizon_reply.host,
+                    incarnation: horizon_reply.incarnation,
+                    applied_ms: clock_ms - horizon_reply.applied_age_ms,
+                    horizon_ms: clock_ms + horizon_reply.remaining_ms,
                 };
-                host.reports.push((reported.server, reported.lost, report));
+                host.reports
+                    .push((horizon_reply.server, horizon_reply.lost, report));
             }
             _ => {}
         }
@@ -551,7 +557,7 @@
             .collect();
         for (server, lease_epoch, revision) in lost {
             let host = &mut self.hosts[index];
-            if let Some(own) = host.reported(server, revision, clock_ms) {
+            if let Some(own) = host.horizon_reply(server, revision, clock_ms) {
                 let report = HorizonReport {
                     host: own.host,
                     incarnation: own.incarnation,
