--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -419,7 +419,7 @@
         if self.hosts[index].paused_until_ms > self.now_ms {
             return;
         }
-        self.read_and_beat(index);
+        self.read_log_and_ping(index);
         let host = &self.hosts[index];
         if host.state.revision.0 > 0 && host.key().is_none() {
             let change = host.registration();
@@ -432,7 +432,7 @@
         }
     }
 
-    fn read_and_beat(&mut self, index: usize) {
+    fn read_log_and_ping(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         let clock_ms = host.clock_ms(self.now_ms);
         if let Some(own) = host.own() {
