--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -503,7 +503,7 @@
         }
         if clock_ms >= host.ask_ms + RENEW_MS {
             host.ask_ms = clock_ms;
-            self.ask_absent(index);
+            self.query_absent_servers(index);
         }
         let host = &mut self.hosts[index];
         if clock_ms >= host.move_ms + MOVE_MS {
@@ -589,7 +589,7 @@
         }
     }
 
-    fn ask_absent(&mut self, index: usize) {
+    fn query_absent_servers(&mut self, index: usize) {
         for server in 0..SERVERS {
             let key = ServerKey(server as u32);
             let entry = self.hosts[index].state.server(key);
