--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -510,7 +510,7 @@
             host.move_ms = clock_ms;
             self.lead_moves(index);
         }
-        let change = wanted_moves(&self.hosts[index].state, &mut self.rng, self.calm);
+        let change = wanted_moves(&self.hosts[index].state, &mut self.rng, self.faults_ended);
         if let Some(change) = change {
             self.append(index, change);
         }
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -146,7 +146,7 @@
     next_envelope: u64,
     store_down_until_ms: u64,
     cut: BTreeMap<(Node, Node), u64>,
-    pub calm: bool,
+    pub faults_ended: bool,
     trace: bool,
 }
 
@@ -169,7 +169,7 @@
             next_envelope: 0,
             store_down_until_ms: 0,
             cut: BTreeMap::new(),
-            calm: false,
+            faults_ended: false,
             trace: std::env::var_os("ASHROAD_TRACE").is_some(),
             rng,
         };
@@ -216,7 +216,7 @@
 
     /// One step: a fault perhaps, then some time.
     pub fn step(&mut self) {
-        if !self.calm {
+        if !self.faults_ended {
             self.fault();
         }
         let span_ms = self.rng.random_range(1..=150);
@@ -255,7 +255,7 @@
 
     /// Ends all faults, gives the lead to one host and lets things settle.
     pub fn settle(&mut self) {
-        self.calm = true;
+        self.faults_ended = true;
         self.cut.clear();
         self.store_down_until_ms = 0;
         for server in &mut self.servers {
@@ -347,7 +347,7 @@
     }
 
     pub fn send(&mut self, from: Node, to: Node, message: Message) {
-        if !self.calm {
+        if !self.faults_ended {
             let cut_ms = self.cut.get(&(from, to)).copied().unwrap_or_default();
             if cut_ms > self.now_ms || self.rng.random_bool(0.02) {
                 return;
@@ -373,7 +373,7 @@
     }
 
     fn post(&mut self, to: Node, message: Message) {
-        let slow = !self.calm && self.rng.random_bool(0.03);
+        let slow = !self.faults_ended && self.rng.random_bool(0.03);
         let delay_ms = self.rng.random_range(if slow { 100..3_000 } else { 0..15 });
         let id = self.next_envelope;
         self.next_envelope += 1;
@@ -611,7 +611,7 @@
 }
 
 /// Moves of slots that have no owner, and now and then of others.
-pub fn wanted_moves(state: &State, rng: &mut StdRng, calm: bool) -> Option<Change> {
+pub fn wanted_moves(state: &State, rng: &mut StdRng, faults_ended: bool) -> Option<Change> {
     let live: Vec<ServerKey> = state
         .server_entries()
         .filter(|(_, server)| server.state == ashroad::state::ServerState::Live)
@@ -624,7 +624,7 @@
             continue;
         }
         let owned = held.owner.is_some_and(|owner| live.contains(&owner));
-        if owned && (calm || !rng.random_bool(0.02)) {
+        if owned && (faults_ended || !rng.random_bool(0.02)) {
             continue;
         }
         moves.push(SlotMove {
