--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -29,19 +29,19 @@
 const KEYS: u64 = 2_000;
 const SEED: u64 = 11;
 
-/// Runs the demonstration; `tell` gets a line for each thing that happens.
-pub async fn run(tell: impl Fn(&str)) -> Result<Summary, Error> {
-    tell("starting a platform, 12 backend servers and 3 entry hosts");
+/// Runs the demonstration; `report_event` gets a line for each thing that happens.
+pub async fn run(report_event: impl Fn(&str)) -> Result<Summary, Error> {
+    report_event("starting a platform, 12 backend servers and 3 entry hosts");
     let mut system = System::start(HOSTS).await?;
-    tell("declaring both users' templates and workspaces");
+    report_event("declaring both users' templates and workspaces");
     system.declare().await?;
-    let baseline = paired(&system, &tell).await;
-    tell(&format!(
+    let baseline = paired(&system, &report_event).await;
+    report_event(&format!(
         "{RATE_PER_S} requests/s for {} s, mixed",
         RUN_MS / 1_000
     ));
     let loading = tokio::spawn(load::run(mixed(&system)));
-    let happenings = disturb(&mut system, &tell).await?;
+    let happenings = disturb(&mut system, &report_event).await?;
     let samples = loading.await.unwrap_or_default();
     // Every record is written a moment after its answer.
     time::sleep(Duration::from_millis(300)).await;
@@ -51,7 +51,7 @@
 }
 
 /// The same requests straight to their servers and through the hosts.
-async fn paired(system: &System, tell: &impl Fn(&str)) -> Baseline {
+async fn paired(system: &System, report_event: &impl Fn(&str)) -> Baseline {
     let through = LoadConfig {
         unrepeatable_share: 0.0,
         duration_ms: PAIRED_MS,
@@ -63,8 +63,8 @@
     };
     let direct = LoadReport::of(&load::run(direct).await);
     let through = LoadReport::of(&load::run(through).await);
-    tell(&format!("direct:  {direct}"));
-    tell(&format!("through: {through}"));
+    report_event(&format!("direct:  {direct}"));
+    report_event(&format!("through: {through}"));
     Baseline { direct, through }
 }
 
@@ -83,7 +83,7 @@
     }
 }
 
-async fn disturb(system: &mut System, tell: &impl Fn(&str)) -> Result<Happenings, Error> {
+async fn disturb(system: &mut System, report_event: &impl Fn(&str)) -> Result<Happenings, Error> {
     let start_ms = clock::now_ms();
     let wait_until = |at_ms: u64| {
         let left_ms = (start_ms + at_ms).saturating_sub(clock::now_ms());
@@ -92,14 +92,14 @@
     wait_until(LOSS_AT_MS).await;
     let lost_keys = system.keys_of_lost_server(KEYS);
     let lost_us = clock::unix_us();
-    tell("a backend server freezes and is lost");
+    report_event("a backend server freezes and is lost");
     system.freeze_server().await?;
     wait_until(MOVE_AT_MS).await;
-    tell("the lost server goes on, and another one leaves its workspace");
+    report_event("the lost server goes on, and another one leaves its workspace");
     system.thaw_server().await?;
     system.withdraw_target().await?;
     wait_until(STOP_AT_MS).await;
-    tell("a host makes its planned stop");
+    report_event("a host makes its planned stop");
     let stopped = system.stop_host().await;
     Ok(Happenings {
         lost_us,
