--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -13,7 +13,7 @@
 
 use tokio::time;
 
-use self::verdict::{Baseline, Happenings};
+use self::verdict::{Baseline, Disturbances};
 use crate::{
     clock,
     load::{self, LoadConfig, LoadReport, Sample},
@@ -83,7 +83,7 @@
     }
 }
 
-async fn disturb(system: &mut System, report_event: &impl Fn(&str)) -> Result<Happenings, Error> {
+async fn disturb(system: &mut System, report_event: &impl Fn(&str)) -> Result<Disturbances, Error> {
     let start_ms = clock::now_ms();
     let wait_until = |at_ms: u64| {
         let left_ms = (start_ms + at_ms).saturating_sub(clock::now_ms());
@@ -101,7 +101,7 @@
     wait_until(STOP_AT_MS).await;
     report_event("a host makes its planned stop");
     let stopped = system.stop_host().await;
-    Ok(Happenings {
+    Ok(Disturbances {
         lost_us,
         lost_keys,
         stopped,
@@ -109,7 +109,7 @@
 }
 
 /// True if a sample's request had no fault in its way.
-pub(crate) fn undisturbed(sample: &Sample, happenings: &Happenings) -> bool {
+pub(crate) fn undisturbed(sample: &Sample, happenings: &Disturbances) -> bool {
     let after_stop = happenings.stopped.address == sample.address
         && sample.intended_us + sample.latency_us >= happenings.stopped.at_us;
     let lost = happenings
--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -26,7 +26,7 @@
 
 /// What happened to the system in the run.
 #[derive(Clone, Debug)]
-pub(crate) struct Happenings {
+pub(crate) struct Disturbances {
     pub(crate) lost_us: u64,
     pub(crate) lost_keys: Vec<LostKey>,
     pub(crate) stopped: Stopped,
@@ -80,7 +80,7 @@
     samples: &[Sample],
     records: &[Record],
     baseline: Baseline,
-    happenings: &Happenings,
+    happenings: &Disturbances,
 ) -> Summary {
     let report = LoadReport::of(samples);
     let added = |through: u64, direct: u64| through as i64 - direct as i64;
@@ -116,7 +116,7 @@
 }
 
 /// Requests without a fault in their way; a duplicate is expected to be refused now and then.
-fn undisturbed_answered(samples: &[Sample], happenings: &Happenings) -> f64 {
+fn undisturbed_answered(samples: &[Sample], happenings: &Disturbances) -> f64 {
     let mut arrivals: HashMap<&str, u64> = HashMap::new();
     for key in samples.iter().filter_map(|s| s.idempotency_key.as_deref()) {
         *arrivals.entry(key).or_default() += 1;
@@ -134,7 +134,7 @@
 }
 
 /// Latency of the first request of each key of the lost server after its loss.
-fn unavailable(samples: &[Sample], happenings: &Happenings) -> LatencyReport {
+fn unavailable(samples: &[Sample], happenings: &Disturbances) -> LatencyReport {
     let firsts = happenings.lost_keys.iter().filter_map(|lost| {
         let of_key = samples.iter().filter(|sample| {
             let same = sample.service == lost.service && sample.key == lost.key;
