--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -41,13 +41,13 @@
         RUN_MS / 1_000
     ));
     let loading = tokio::spawn(load::run(mixed(&system)));
-    let happenings = disturb(&mut system, &report_event).await?;
+    let disturbances = disturb(&mut system, &report_event).await?;
     let samples = loading.await.unwrap_or_default();
     // Every record is written a moment after its answer.
     time::sleep(Duration::from_millis(300)).await;
     let records = system.records().await;
     system.stop().await;
-    Ok(verdict::judge(&samples, &records, baseline, &happenings))
+    Ok(verdict::judge(&samples, &records, baseline, &disturbances))
 }
 
 /// The same requests straight to their servers and through the hosts.
@@ -109,10 +109,10 @@
 }
 
 /// True if a sample's request had no fault in its way.
-pub(crate) fn undisturbed(sample: &Sample, happenings: &Disturbances) -> bool {
-    let after_stop = happenings.stopped.address == sample.address
-        && sample.intended_us + sample.latency_us >= happenings.stopped.at_us;
-    let lost = happenings
+pub(crate) fn undisturbed(sample: &Sample, disturbances: &Disturbances) -> bool {
+    let after_stop = disturbances.stopped.address == sample.address
+        && sample.intended_us + sample.latency_us >= disturbances.stopped.at_us;
+    let lost = disturbances
         .lost_keys
         .iter()
         .any(|lost| lost.service == sample.service && lost.key == sample.key);
--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -80,7 +80,7 @@
     samples: &[Sample],
     records: &[Record],
     baseline: Baseline,
-    happenings: &Disturbances,
+    disturbances: &Disturbances,
 ) -> Summary {
     let report = LoadReport::of(samples);
     let added = |through: u64, direct: u64| through as i64 - direct as i64;
@@ -94,8 +94,8 @@
         double_owned: verdict::double_owned(records).len() as u64,
         double_run: verdict::double_runs(records).len() as u64,
         false_not_run: false_not_run(samples, records),
-        undisturbed_answered: undisturbed_answered(samples, happenings),
-        unavailable_ms_p99: unavailable(samples, happenings).p99_us / 1_000,
+        undisturbed_answered: undisturbed_answered(samples, disturbances),
+        unavailable_ms_p99: unavailable(samples, disturbances).p99_us / 1_000,
         added_latency_us_p50: added(through.p50_us, direct.p50_us),
         added_latency_us_p99: added(through.p99_us, direct.p99_us),
     }
@@ -116,7 +116,7 @@
 }
 
 /// Requests without a fault in their way; a duplicate is expected to be refused now and then.
-fn undisturbed_answered(samples: &[Sample], happenings: &Disturbances) -> f64 {
+fn undisturbed_answered(samples: &[Sample], disturbances: &Disturbances) -> f64 {
     let mut arrivals: HashMap<&str, u64> = HashMap::new();
     for key in samples.iter().filter_map(|s| s.idempotency_key.as_deref()) {
         *arrivals.entry(key).or_default() += 1;
@@ -127,18 +127,18 @@
     };
     let concerned = || {
         let samples = samples.iter().filter(single);
-        samples.filter(|sample| undisturbed(sample, happenings))
+        samples.filter(|sample| undisturbed(sample, disturbances))
     };
     let answered = concerned().filter(|s| s.ending == Ending::Answered).count();
     answered as f64 / concerned().count().max(1) as f64
 }
 
 /// Latency of the first request of each key of the lost server after its loss.
-fn unavailable(samples: &[Sample], happenings: &Disturbances) -> LatencyReport {
-    let firsts = happenings.lost_keys.iter().filter_map(|lost| {
+fn unavailable(samples: &[Sample], disturbances: &Disturbances) -> LatencyReport {
+    let firsts = disturbances.lost_keys.iter().filter_map(|lost| {
         let of_key = samples.iter().filter(|sample| {
             let same = sample.service == lost.service && sample.key == lost.key;
-            same && sample.intended_us >= happenings.lost_us
+            same && sample.intended_us >= disturbances.lost_us
         });
         let first = of_key.min_by_key(|sample| sample.intended_us)?;
         Some(first.latency_us)
