--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -41,7 +41,7 @@
         RUN_MS / 1_000
     ));
     let loading = tokio::spawn(load::run(mixed(&system)));
-    let disturbances = disturb(&mut system, &report_event).await?;
+    let disturbances = inject_disturbances(&mut system, &report_event).await?;
     let samples = loading.await.unwrap_or_default();
     // Every record is written a moment after its answer.
     time::sleep(Duration::from_millis(300)).await;
@@ -83,7 +83,10 @@
     }
 }
 
-async fn disturb(system: &mut System, report_event: &impl Fn(&str)) -> Result<Disturbances, Error> {
+async fn inject_disturbances(
+    system: &mut System,
+    report_event: &impl Fn(&str),
+) -> Result<Disturbances, Error> {
     let start_ms = clock::now_ms();
     let wait_until = |at_ms: u64| {
         let left_ms = (start_ms + at_ms).saturating_sub(clock::now_ms());
