--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -47,7 +47,12 @@
     time::sleep(Duration::from_millis(300)).await;
     let records = system.records().await;
     system.stop().await;
-    Ok(verdict::judge(&samples, &records, baseline, &disturbances))
+    Ok(verdict::summarize(
+        &samples,
+        &records,
+        baseline,
+        &disturbances,
+    ))
 }
 
 /// The same requests straight to their servers and through the hosts.
--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -76,7 +76,7 @@
     }
 }
 
-pub(crate) fn judge(
+pub(crate) fn summarize(
     samples: &[Sample],
     records: &[Record],
     baseline: Baseline,
