--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -35,7 +35,7 @@
     let mut system = System::start(HOSTS).await?;
     report_event("declaring both users' templates and workspaces");
     system.declare().await?;
-    let baseline = paired(&system, &report_event).await;
+    let baseline = measure_baseline(&system, &report_event).await;
     report_event(&format!(
         "{RATE_PER_S} requests/s for {} s, mixed",
         RUN_MS / 1_000
@@ -56,7 +56,7 @@
 }
 
 /// The same requests straight to their servers and through the hosts.
-async fn paired(system: &System, report_event: &impl Fn(&str)) -> Baseline {
+async fn measure_baseline(system: &System, report_event: &impl Fn(&str)) -> Baseline {
     let through = LoadConfig {
         unrepeatable_share: 0.0,
         duration_ms: PAIRED_MS,
