--- a/src/bin/ashroad/demo.rs
+++ b/src/bin/ashroad/demo.rs
@@ -21,6 +21,6 @@
         output::line(&summary.to_string());
     }
     output::json(&summary);
-    ensure!(summary.sound(), BrokenSnafu);
+    ensure!(summary.invariants_hold(), BrokenSnafu);
     Ok(())
 }
--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -70,7 +70,7 @@
 
 impl Summary {
     /// True if every invariant held.
-    pub fn sound(&self) -> bool {
+    pub fn invariants_hold(&self) -> bool {
         let broken = self.wrong_answers + self.double_owned + self.double_run + self.false_not_run;
         broken == 0
     }
