--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -40,7 +40,7 @@
         "{RATE_PER_S} requests/s for {} s, mixed",
         RUN_MS / 1_000
     ));
-    let loading = tokio::spawn(load::run(mixed(&system)));
+    let loading = tokio::spawn(load::run(mixed_load(&system)));
     let disturbances = inject_disturbances(&mut system, &report_event).await?;
     let samples = loading.await.unwrap_or_default();
     // Every record is written a moment after its answer.
@@ -60,7 +60,7 @@
     let through = LoadConfig {
         unrepeatable_share: 0.0,
         duration_ms: PAIRED_MS,
-        ..mixed(system)
+        ..mixed_load(system)
     };
     let direct = LoadConfig {
         addresses: system.server_addresses(),
@@ -73,7 +73,7 @@
     Baseline { direct, through }
 }
 
-fn mixed(system: &System) -> LoadConfig {
+fn mixed_load(system: &System) -> LoadConfig {
     LoadConfig {
         addresses: system.caller_addresses(),
         services: system::service_paths(),
