--- a/src/bench/control.rs
+++ b/src/bench/control.rs
@@ -46,9 +46,9 @@
     ))
     .await;
     let counted = system.counted_hosts();
-    let before = Reading::take(&system).await;
+    let before = CounterSnapshot::take(&system).await;
     time::sleep(Duration::from_millis(MEASURE_MS)).await;
-    let after = Reading::take(&system).await;
+    let after = CounterSnapshot::take(&system).await;
     let resident = process::resident_bytes().saturating_sub(memory);
     system.stop().await;
     let seconds = MEASURE_MS as f64 / 1_000.0;
@@ -66,13 +66,13 @@
 }
 
 /// Counters at one moment.
-struct Reading {
+struct CounterSnapshot {
     cpu_ms: u64,
     sent_bytes: u64,
     counters: Counters,
 }
 
-impl Reading {
+impl CounterSnapshot {
     async fn take(system: &System) -> Self {
         Self {
             cpu_ms: process::cpu_ms(),
