--- a/src/bench/day.rs
+++ b/src/bench/day.rs
@@ -71,7 +71,7 @@
 
     /// Load of a slot.
     pub fn load(&self, minute: usize, slot: usize) -> f64 {
-        self.base[slot] * self.swing(minute) * self.heat(minute, slot)
+        self.base[slot] * self.swing(minute) * self.hot_slot_factor(minute, slot)
     }
 
     /// Load as the planner sees it: a minute old and up to 20% off.
@@ -86,7 +86,7 @@
         1.0 - 0.6 * angle.cos()
     }
 
-    fn heat(&self, minute: usize, slot: usize) -> f64 {
+    fn hot_slot_factor(&self, minute: usize, slot: usize) -> f64 {
         let hour = minute / 60;
         match self.event {
             Event::Thaw if (6..10).contains(&hour) && self.hot[..SLOTS / 10].contains(&slot) => {
