--- a/src/bench/day.rs
+++ b/src/bench/day.rs
@@ -71,7 +71,7 @@
 
     /// Load of a slot.
     pub fn load(&self, minute: usize, slot: usize) -> f64 {
-        self.base[slot] * self.swing(minute) * self.hot_slot_factor(minute, slot)
+        self.base[slot] * self.daily_factor(minute) * self.hot_slot_factor(minute, slot)
     }
 
     /// Load as the planner sees it: a minute old and up to 20% off.
@@ -81,7 +81,7 @@
     }
 
     /// Quiet nights.
-    fn swing(&self, minute: usize) -> f64 {
+    fn daily_factor(&self, minute: usize) -> f64 {
         let angle = minute as f64 / MINUTES as f64 * std::f64::consts::TAU;
         1.0 - 0.6 * angle.cos()
     }
