--- a/src/bench/day.rs
+++ b/src/bench/day.rs
@@ -41,7 +41,7 @@
     event: Event,
     servers: usize,
     base: Vec<f64>,
-    hot: Vec<usize>,
+    hot_order: Vec<usize>,
     seed: u64,
 }
 
@@ -56,7 +56,7 @@
             event,
             servers,
             base,
-            hot: order,
+            hot_order: order,
             seed,
         }
     }
@@ -89,10 +89,14 @@
     fn hot_slot_factor(&self, minute: usize, slot: usize) -> f64 {
         let hour = minute / 60;
         match self.event {
-            Event::Thaw if (6..10).contains(&hour) && self.hot[..SLOTS / 10].contains(&slot) => {
+            Event::Thaw
+                if (6..10).contains(&hour) && self.hot_order[..SLOTS / 10].contains(&slot) =>
+            {
                 10.0
             }
-            Event::SunnySunday if (8..12).contains(&hour) && self.hot[hour - 8] == slot => 40.0,
+            Event::SunnySunday if (8..12).contains(&hour) && self.hot_order[hour - 8] == slot => {
+                40.0
+            }
             _ => 1.0,
         }
     }
