--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -86,14 +86,14 @@
     let (mut moved, mut forced, mut lost) = (0_usize, 0_usize, 0_usize);
     let (mut sum, mut high) = (0.0, 0_usize);
     // Smoothed as the hosts do with their readings.
-    let mut seen: Vec<f64> = (0..SLOTS).map(|slot| day.observed(0, slot)).collect();
+    let mut smoothed_loads: Vec<f64> = (0..SLOTS).map(|slot| day.observed(0, slot)).collect();
     for minute in 0..MINUTES {
         let servers = servers(day, minute);
         let before = owners.clone();
-        for (slot, load) in seen.iter_mut().enumerate() {
+        for (slot, load) in smoothed_loads.iter_mut().enumerate() {
             *load += SMOOTHING * (day.observed(minute, slot) - *load);
         }
-        place(policy, &seen, &servers, &mut owners);
+        place(policy, &smoothed_loads, &servers, &mut owners);
         if minute > 0 {
             let gone = |owner: &&Option<u32>| owner.is_some_and(|o| !servers[o as usize].eligible);
             let gone = before.iter().filter(gone).count();
@@ -136,13 +136,18 @@
     owners.iter().enumerate().map(slot).collect()
 }
 
-fn place(policy: Policy, seen: &[f64], servers: &[PlannerServer], owners: &mut [Option<u32>]) {
+fn place(
+    policy: Policy,
+    smoothed_loads: &[f64],
+    servers: &[PlannerServer],
+    owners: &mut [Option<u32>],
+) {
     let up: Vec<u32> = (0..servers.len() as u32)
         .filter(|server| servers[*server as usize].eligible)
         .collect();
     match policy {
         Policy::Planner(_, weights) => {
-            let slots = slots(owners, |slot| seen[slot]);
+            let slots = slots(owners, |slot| smoothed_loads[slot]);
             let moves = plan(PlannerInput {
                 servers,
                 slots: &slots,
@@ -166,18 +171,18 @@
                     .max_by_key(|server| weight(*server, slot));
             }
         }
-        Policy::BoundedLoads => place_bounded(seen, &up, owners),
+        Policy::BoundedLoads => place_bounded(smoothed_loads, &up, owners),
     }
 }
 
 /// Consistent hashing with bounded loads: each slot goes to the first server behind it on the ring
 /// that stays within the bound.
-fn place_bounded(seen: &[f64], up: &[u32], owners: &mut [Option<u32>]) {
-    let total: f64 = seen.iter().sum();
+fn place_bounded(smoothed_loads: &[f64], up: &[u32], owners: &mut [Option<u32>]) {
+    let total: f64 = smoothed_loads.iter().sum();
     let most = total / up.len() as f64 * BOUND;
     let mut loads = vec![0.0; up.len()];
     for (slot, owner) in owners.iter_mut().enumerate() {
-        let load = seen[slot];
+        let load = smoothed_loads[slot];
         let mut order: Vec<usize> = (0..up.len()).collect();
         order.sort_by_key(|index| std::cmp::Reverse(weight(up[*index], slot)));
         let fits = order
