--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -13,7 +13,7 @@
 
 const SERVERS: usize = 10;
 const SEED: u64 = 5;
-const BOUND: f64 = 1.25;
+const LOAD_BOUND: f64 = 1.25;
 const HIGH_IMBALANCE: f64 = 1.25;
 /// Weight of the latest observation in the smoothed load.
 const SMOOTHING: f64 = 0.2;
@@ -179,7 +179,7 @@
 /// that stays within the bound.
 fn place_bounded(smoothed_loads: &[f64], up: &[u32], owners: &mut [Option<u32>]) {
     let total: f64 = smoothed_loads.iter().sum();
-    let most = total / up.len() as f64 * BOUND;
+    let most = total / up.len() as f64 * LOAD_BOUND;
     let mut loads = vec![0.0; up.len()];
     for (slot, owner) in owners.iter_mut().enumerate() {
         let load = smoothed_loads[slot];
