--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -43,7 +43,7 @@
 const LEAVING_SERVER: usize = 1;
 const STOPPED_HOST: usize = 2;
 
-const DRAINAGE: &str = include_str!("../../examples/mittelland/template.yaml");
+const DRAINAGE_TEMPLATE: &str = include_str!("../../examples/mittelland/template.yaml");
 const RESORT: &str = include_str!("../../examples/etna/template.yaml");
 
 /// A service of the demonstration and its servers.
@@ -138,7 +138,8 @@
 
     /// Declares both workspaces and waits until every slot has an owner on every host.
     pub(crate) async fn declare(&self) -> Result<(), Error> {
-        self.submit(Kind::Template, DRAINAGE.to_owned()).await?;
+        self.submit(Kind::Template, DRAINAGE_TEMPLATE.to_owned())
+            .await?;
         self.submit(Kind::Template, RESORT.to_owned()).await?;
         for workspace in ["mittelland", "etna"] {
             let document = self.workspace(workspace, None);
