--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -44,7 +44,7 @@
 const STOPPED_HOST: usize = 2;
 
 const DRAINAGE_TEMPLATE: &str = include_str!("../../examples/mittelland/template.yaml");
-const RESORT: &str = include_str!("../../examples/etna/template.yaml");
+const RESORT_TEMPLATE: &str = include_str!("../../examples/etna/template.yaml");
 
 /// A service of the demonstration and its servers.
 struct Placement {
@@ -140,7 +140,8 @@
     pub(crate) async fn declare(&self) -> Result<(), Error> {
         self.submit(Kind::Template, DRAINAGE_TEMPLATE.to_owned())
             .await?;
-        self.submit(Kind::Template, RESORT.to_owned()).await?;
+        self.submit(Kind::Template, RESORT_TEMPLATE.to_owned())
+            .await?;
         for workspace in ["mittelland", "etna"] {
             let document = self.workspace(workspace, None);
             self.submit(Kind::Workspace, document).await?;
