--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -95,7 +95,7 @@
         double_run: verdict::double_runs(records).len() as u64,
         false_not_run: false_not_run(samples, records),
         undisturbed_answered: undisturbed_answered(samples, disturbances),
-        unavailable_ms_p99: unavailable(samples, disturbances).p99_us / 1_000,
+        unavailable_ms_p99: unavailability(samples, disturbances).p99_us / 1_000,
         added_latency_us_p50: added(through.p50_us, direct.p50_us),
         added_latency_us_p99: added(through.p99_us, direct.p99_us),
     }
@@ -134,7 +134,7 @@
 }
 
 /// Latency of the first request of each key of the lost server after its loss.
-fn unavailable(samples: &[Sample], disturbances: &Disturbances) -> LatencyReport {
+fn unavailability(samples: &[Sample], disturbances: &Disturbances) -> LatencyReport {
     let firsts = disturbances.lost_keys.iter().filter_map(|lost| {
         let of_key = samples.iter().filter(|sample| {
             let same = sample.service == lost.service && sample.key == lost.key;
