--- a/src/ownership/lapse.rs
+++ b/src/ownership/lapse.rs
@@ -1,48 +1,51 @@
-//! When the lease of a lost server has lapsed for certain.
+//! Decides when the lease of a lost server has lapsed for certain, so that its slots may move.
 //!
-//! A host that has applied the loss never renews the lease again, and tells how long its earlier
-//! renewals may still hold. A host that has not applied it is bounded by its freshness: its basis
-//! is older than the moment at which more than half of the counted hosts had applied the loss (see
-//! [`crate::membership::freshness`]), so its last renewal ends at most freshness + TTL after that.
+//! A host that has applied the loss never renews the lease again, and it reports how long its
+//! earlier renewals may keep the lease valid. A host that has not applied the loss is bounded by
+//! its freshness: its basis (see [`crate::membership::freshness`]) is older than the moment at
+//! which more than half of the voters had applied the loss. Its last renewal therefore ends at most
+//! freshness + TTL after that moment.
 
 use crate::{
     id::{HostKey, Incarnation},
     membership::freshness::Voter,
 };
 
-/// What one host said about a lost server, on the asking host's clock.
+/// Report of one host on a lost server, with times on the clock of the host that asked for it.
 #[derive(Clone, Copy, Debug)]
 pub struct HorizonReport {
-    /// Host.
+    /// Host that sent the report.
     pub host: HostKey,
-    /// Its process.
+    /// Process of that host.
     pub incarnation: Incarnation,
-    /// No later than this had the host applied the loss.
+    /// Time by which the host had applied the loss at the latest.
     pub applied_ms: u64,
-    /// After this none of its renewals holds, clock drift allowed for.
+    /// Time after which no renewal of the host keeps the lease valid, with allowance for clock
+    /// drift.
     pub horizon_ms: u64,
 }
 
-/// Hosts whose renewals may hold the lease.
+/// Hosts whose renewals may keep the lease valid.
 #[derive(Clone, Copy, Debug)]
 pub struct RenewingHosts<'a> {
     /// Every registered host.
     pub registered: &'a [Voter],
-    /// Those that count in the majority.
+    /// Voters of the current registry: the hosts that count in majorities.
     pub voters: &'a [Voter],
-    /// Those that counted before the registry's last change; none once that is settled.
+    /// Voters before the last change of the registry; empty once that change is settled.
     pub previous: &'a [Voter],
-    /// No earlier than this did [`crate::state::Registry::since`] come into force.
+    /// Earliest time at which [`crate::state::Registry::since`] may have come into force.
     pub since_ms: u64,
-    /// True if the registry is settled, so that no host besides the registered ones acts.
+    /// True if the registry is settled, so that only registered hosts act.
     pub settled: bool,
 }
 
-/// Time at which the lease has lapsed for certain; none as long as too few hosts have reported.
+/// Returns the time at which the lease has lapsed for certain, or `None` while too few hosts have
+/// reported.
 ///
-/// A host may act on the last registry or, until that is settled, on the one before it. So before
-/// then a majority of each is needed, and no majority counts from before its registry was the only
-/// one of its predecessors to act on.
+/// Until a change of the registry is settled, a host may act on the new or on the previous
+/// registry. So a majority of the voters of each is needed. A majority counts only from the time at
+/// which no host acts on a registry older than these two.
 pub fn lapsed_at_ms(
     renewing_hosts: RenewingHosts<'_>,
     reports: &[HorizonReport],
@@ -71,7 +74,7 @@
     Some(latest_ms)
 }
 
-/// When more than half of `voters` had applied the loss.
+/// Returns the time at which more than half of `voters` had applied the loss.
 fn majority_ms(voters: &[Voter], reports: &[HorizonReport]) -> Option<u64> {
     let mut applied: Vec<u64> = voters
         .iter()
--- a/src/ownership/message.rs
+++ b/src/ownership/message.rs
@@ -1,10 +1,10 @@
-//! Messages of the backend servers' control protocol, and the headers of a routed request.
+//! Messages of the control protocol of backend servers, and the headers of a routed request.
 //!
-//! A server holds one lease for itself and a grant for each slot. It serves a slot while its lease
-//! is valid and the request carries the epoch of the grant. The lease's end is given on the
-//! server's own monotonic clock, so that a renewal that was delayed on its way cannot extend the
-//! lease past the time that its sender vouched for. A lease of a higher membership period ends all
-//! grants held so far: a server that was given up as lost may find its slots elsewhere.
+//! A server holds one lease for itself and one grant for each slot. It serves a slot while its
+//! lease is valid and the request carries the epoch of the grant. The end of the lease is given on
+//! the server's own monotonic clock, so that a delayed renewal cannot extend the lease past the
+//! time that its sender intended. A lease of a higher membership period ends all grants that were
+//! made before: the server had been declared lost, and its slots may have moved to other servers.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,7 +12,7 @@
 
 /// Path that renews the lease and adds grants (POST).
 pub const LEASE_PATH: &str = "/_server/lease";
-/// Path that takes grants back (POST).
+/// Path that revokes grants (POST).
 pub const REVOKE_PATH: &str = "/_server/revoke";
 
 /// Header with the service, as `workspace/service`.
@@ -21,36 +21,37 @@
 pub const SLOT_HEADER: &str = "ashroad-slot";
 /// Header with the epoch of the slot's grant.
 pub const EPOCH_HEADER: &str = "ashroad-epoch";
-/// Header with the incarnation of the server that is meant.
+/// Header with the incarnation of the server that the request is for.
 pub const INCARNATION_HEADER: &str = "ashroad-incarnation";
-/// Header with the request's identifier, unique to the attempt's request.
+/// Header with the identifier of the request; all attempts of one request carry the same.
 pub const REQUEST_HEADER: &str = "ashroad-request-id";
-/// Header with the time left for the request.
+/// Header with the time left for the request, in milliseconds.
 pub const DEADLINE_HEADER: &str = "ashroad-deadline-ms";
-/// Header of an answer that tells the outcome when it is not a plain answer.
+/// Header of a response that is not a regular one: the outcome of the request.
 pub const OUTCOME_HEADER: &str = "ashroad-outcome";
-/// Header of an answer that tells the reason of the outcome.
+/// Header with the reason of the outcome, next to [`OUTCOME_HEADER`].
 pub const REASON_HEADER: &str = "ashroad-reason";
-/// Header by which a caller names an unrepeatable request.
+/// Header with the caller's key for an unrepeatable request, which runs at most once per key.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
-/// Right to serve one slot.
+/// Right of a server to serve one slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotGrant {
     /// Service, as `workspace/service`.
     pub service: String,
-    /// Slot.
+    /// Slot that may be served.
     pub slot: Slot,
-    /// Fencing number.
+    /// Fencing token of the grant; it rises with every grant of the slot.
     pub epoch: Epoch,
 }
 
-/// Order to extend the lease and to hold these grants besides those held.
+/// Order to extend the lease and to hold these grants in addition to those held.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Process that is meant; another one refuses. None only asks for the answer's facts.
+    /// Process that the order is for; any other refuses it. `None` asks for the state of the server
+    /// only.
     pub incarnation: Option<Incarnation>,
-    /// Membership period that is meant; a lower one than seen is refused.
+    /// Membership period of the order. The server refuses it if it has seen a higher one.
     pub lease_epoch: LeaseEpoch,
     /// End of the lease on the server's clock.
     pub not_after_ms: u64,
@@ -58,44 +59,45 @@
     pub grants: Vec<SlotGrant>,
 }
 
-/// Facts about a server and its lease.
+/// State of a server and its lease, in response to a [`LeaseRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// Process that answers.
+    /// Process that responds.
     pub incarnation: Incarnation,
-    /// Its monotonic clock.
+    /// Monotonic clock of the process.
     pub clock_ms: u64,
-    /// Highest membership period seen.
+    /// Highest membership period that the process has seen.
     pub lease_epoch: LeaseEpoch,
     /// True if the order was for this process and not outdated.
     pub accepted: bool,
-    /// The server wants to leave and should get no new work.
+    /// True if the server is leaving and should get no new work.
     pub draining: bool,
     /// Combination of [`grant_hash`] over all grants held.
     pub grants_digest: u64,
 }
 
-/// Order to give up slots: requests in flight finish, then the answer follows.
+/// Order to release slots. The server responds after the requests in flight have finished.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RevokeRequest {
-    /// Process that is meant.
+    /// Process that the order is for.
     pub incarnation: Incarnation,
-    /// Slots with the epoch of their next grant; every lower epoch is refused from now on.
+    /// Slots, each with the epoch of its next grant; the server refuses every lower epoch from now
+    /// on.
     pub slots: Vec<SlotGrant>,
     /// Time for requests in flight to finish.
     pub drain_ms: u64,
 }
 
-/// Answer to a revocation.
+/// Response to a [`RevokeRequest`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct RevokeResponse {
-    /// Process that answers.
+    /// Process that responds.
     pub incarnation: Incarnation,
-    /// True if the slots are given up and none of their requests runs any more.
+    /// True if the slots are released and none of their requests runs any more.
     pub released: bool,
 }
 
-/// Hash of one grant; grants are combined by exclusive or.
+/// Returns the hash of one grant. The hashes of several grants are combined by exclusive or.
 pub fn grant_hash(service: &str, slot: Slot, epoch: Epoch) -> u64 {
     let mut hasher = xxhash_rust::xxh3::Xxh3::new();
     hasher.update(service.as_bytes());
--- a/src/ownership/mod.rs
+++ b/src/ownership/mod.rs
@@ -1,4 +1,4 @@
-//! Who owns which slot: leases, moves and the planner.
+//! Ownership of slots by backend servers: leases, moves and the planner.
 
 pub mod lapse;
 pub mod message;
--- a/src/ownership/moves.rs
+++ b/src/ownership/moves.rs
@@ -1,4 +1,5 @@
-//! The steps of a move, read from the state: any leader can carry on what another began.
+//! Next steps of the moves of slots, derived from the state alone, so that any leader can continue
+//! a move that another one began.
 
 use std::collections::HashMap;
 
@@ -8,19 +9,19 @@
     state::{MoveDone, ServerState, ServiceEntry, State},
 };
 
-/// Slots that move together: of one service, between the same two servers.
+/// Slots that move together: they belong to one service and move between the same two servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct MoveGroup {
-    /// Service.
+    /// Service of the slots.
     pub service: ServiceKey,
-    /// Present owner; none if the slots have none, or their owner's lease has lapsed.
+    /// Current owner; `None` if the slots have none or if the lease of their owner has lapsed.
     pub from: Option<ServerKey>,
     /// Next owner.
     pub to: ServerKey,
 }
 
-/// Groups whose next step can be taken now. The slots of a lost owner wait until its lease has
-/// lapsed for certain, when the state no longer names it as their owner.
+/// Returns the groups whose next step can be taken now. Slots of a lost owner wait until its lease
+/// has lapsed for certain; then the state no longer names it as their owner.
 pub fn ready_groups(state: &State) -> HashMap<MoveGroup, Vec<MoveDone>> {
     let mut groups: HashMap<MoveGroup, Vec<MoveDone>> = HashMap::new();
     let services = (0..).map(ServiceKey).zip(&state.services);
@@ -42,13 +43,13 @@
     groups
 }
 
-/// True if the server holds a lease that hosts renew.
+/// Returns true if the server holds a lease that hosts renew.
 pub fn is_live(state: &State, server: ServerKey) -> bool {
     let entry = state.server(server);
     entry.is_some_and(|entry| entry.state == ServerState::Live)
 }
 
-/// The grants that the slots' next owner gets.
+/// Returns the grants that the next owner of `slots` gets.
 pub fn next_grants(service: &ServiceEntry, slots: &[MoveDone]) -> Vec<SlotGrant> {
     let grant = |done: &MoveDone| SlotGrant {
         service: service.spec.name.clone(),
--- a/src/ownership/planner.rs
+++ b/src/ownership/planner.rs
@@ -1,55 +1,57 @@
-//! Decides which slots move where. A pure function of loads, servers and prices.
+//! Planner: decides which slots move to which server. A pure function of loads, servers and
+//! weights.
 //!
-//! With `x` for a server's load per capacity over the mean, less one, the plan's price is
-//! `imbalance * sum(x * x) + churn * keys moved + unavailable * load held up`. A move is made only
-//! if it lowers that price. Slots without an eligible owner are placed whatever it costs.
+//! Let `x` be the load per capacity of a server divided by the mean, minus one. The cost of a plan
+//! is `imbalance * sum(x * x) + churn * keys moved + unavailable * load held up`. A move is made
+//! only if it lowers this cost. Slots without an eligible owner are placed at any cost.
 
 use std::{cmp::Ordering, collections::BinaryHeap};
 
 use crate::configuration::template::Weights;
 
-/// Time for which requests of a moving slot wait, as expected by the price.
+/// Expected time for which requests of a moving slot wait, used in the cost of a move.
 pub const EXPECTED_HOLD_S: f64 = 0.02;
 
-/// One server as the planner sees it.
+/// One server as input of the planner.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerServer {
-    /// Requests that it runs at a time, less what a cold start takes off.
+    /// Requests that it runs at a time, reduced during a cold start.
     pub capacity: f64,
-    /// False if it must not own slots.
+    /// False if the server must not own slots.
     pub eligible: bool,
 }
 
-/// One slot as the planner sees it.
+/// One slot as input of the planner.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerSlot {
     /// Index of its owner.
     pub owner: Option<u32>,
-    /// Smoothed load.
+    /// Smoothed load; only the proportion to other slots matters.
     pub load: f64,
-    /// True while it moves already; its load counts at its next owner, given as `owner`.
+    /// True while the slot is being moved. Its load then counts for the next owner, given as
+    /// `owner`.
     pub moving: bool,
 }
 
-/// Question to the planner.
+/// Inputs of the planner.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerInput<'a> {
-    /// Servers.
+    /// Servers; owners and targets of moves are indices into this slice.
     pub servers: &'a [PlannerServer],
-    /// Slots.
+    /// Slots of one service.
     pub slots: &'a [PlannerSlot],
-    /// Prices.
+    /// Weights of the cost function.
     pub weights: Weights,
-    /// Most moves that are made only for balance.
+    /// Maximum number of moves that are made only for balance.
     pub balance_moves: usize,
 }
 
-/// Why a slot moves.
+/// Reason of a planned move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveCause {
-    /// It has no eligible owner.
+    /// The slot has no eligible owner.
     Orphaned,
-    /// The move lowers the price.
+    /// The move lowers the cost.
     Balance,
 }
 
@@ -60,13 +62,13 @@
     pub slot: u32,
     /// Index of the next owner.
     pub to: u32,
-    /// Why.
+    /// Reason of the move.
     pub cause: MoveCause,
-    /// Amount by which it lowers the price.
+    /// Amount by which the move lowers the cost; 0 for an orphaned slot.
     pub gain: f64,
 }
 
-/// A server's load in a heap whose greatest element is wanted first.
+/// Entry of a max-heap of servers, ordered by `key`; of equal keys the lower server comes first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct RankedServer {
     key: f64,
@@ -98,7 +100,7 @@
     keys_per_move: f64,
 }
 
-/// Plans moves; an empty plan means that nothing pays for itself.
+/// Plans moves. Returns an empty plan if no move lowers the cost and no slot is orphaned.
 pub fn plan(input: PlannerInput<'_>) -> Vec<PlannedMove> {
     let Some(mut plan) = Plan::new(input) else {
         return Vec::new();
@@ -108,7 +110,7 @@
     plan.moves
 }
 
-/// Peak over mean of load per capacity, over the eligible servers.
+/// Returns the highest load per capacity among the eligible servers, divided by the mean.
 pub fn imbalance(servers: &[PlannerServer], slots: &[PlannerSlot]) -> f64 {
     let mut loads = vec![0.0; servers.len()];
     for slot in slots {
@@ -142,7 +144,7 @@
         }
         let eligible = input.servers.iter().filter(|s| s.eligible).count();
         let total: f64 = input.slots.iter().map(|slot| slot.load).sum();
-        // Without any load yet, every slot counts the same.
+        // Before any load has been measured, every slot counts the same.
         let slot_load = if total > 0.0 { 0.0 } else { 1.0 };
         let total = total + slot_load * input.slots.len() as f64;
         let mut loads = vec![0.0; input.servers.len()];
@@ -174,7 +176,7 @@
         self.input.servers[server as usize].eligible
     }
 
-    /// Load per capacity over the mean, less one, after `extra` load came on top.
+    /// Returns the load per capacity divided by the mean, minus one, with `extra` load added.
     fn excess(&self, server: u32, extra: f64) -> f64 {
         let capacity = self.input.servers[server as usize].capacity;
         (self.loads[server as usize] + extra) / capacity / self.mean - 1.0
@@ -187,7 +189,7 @@
         }
     }
 
-    /// The eligible server with the least load per capacity.
+    /// Returns the eligible server with the lowest load per capacity.
     fn least_loaded(&mut self) -> Option<u32> {
         while let Some(top) = self.least.peek().copied() {
             if top.key == -self.excess(top.server, 0.0) {
@@ -250,7 +252,7 @@
                 return;
             };
             let Some((position, gain)) = self.best_slot(&owned[from as usize], from, to) else {
-                // Nothing on this server pays; the next one may hold smaller slots.
+                // No move off this server pays; the next server may hold smaller slots.
                 continue;
             };
             let slot = owned[from as usize].remove(position);
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Movable slots of each server, least loaded first.
+    /// Returns the movable slots of each server, lowest load first.
     fn slots_by_owner(&self) -> Vec<Vec<u32>> {
         let mut owned = vec![Vec::new(); self.input.servers.len()];
         for (index, slot) in self.input.slots.iter().enumerate() {
@@ -276,7 +278,7 @@
         owned
     }
 
-    /// The slot whose move from `from` to `to` gains most, if any gains.
+    /// Returns the slot whose move from `from` to `to` gains most, or `None` if no move gains.
     fn best_slot(&self, slots: &[u32], from: u32, to: u32) -> Option<(usize, f64)> {
         if from == to || slots.is_empty() {
             return None;
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -1,14 +1,15 @@
-//! Renewal of one server's lease by one host, as a state machine that takes time as an argument.
+//! Renewal of one server's lease by one host, as a state machine that takes the time as an
+//! argument.
 
 use crate::{
     id::{Incarnation, LeaseEpoch},
     ownership::message::LeaseResponse,
 };
 
-/// Pause before a failed renewal is tried again.
+/// Delay before a failed renewal is retried.
 const RETRY_MS: u64 = 75;
 
-/// A reading of the server's clock.
+/// Reading of the server's clock, with the time of its receipt on this host's clock.
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     incarnation: Incarnation,
@@ -16,32 +17,32 @@
     received_ms: u64,
 }
 
-/// What an answer means.
+/// Meaning of a server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RenewalOutcome {
     /// The lease is renewed.
     Renewed,
-    /// Another process answers at the server's address.
+    /// Another process responds at the server's address.
     Replaced,
-    /// The order was refused as outdated; this host's view is behind.
+    /// The order was refused as outdated: this host's view of the state is behind.
     Outdated,
 }
 
-/// One host's contact with one server.
+/// State of the lease renewals that one host sends to one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RenewalState {
     lease_epoch: LeaseEpoch,
     reading: Option<ClockReading>,
     answered_ms: u64,
     due_ms: u64,
-    /// End of the lease, on this host's clock, by all renewals sent so far.
+    /// End of the lease on this host's clock, over all renewals sent so far.
     horizon_ms: u64,
-    /// Digest of the grants that the server said it holds.
+    /// Digest of the grants that the server last reported.
     pub digest: Option<u64>,
 }
 
 impl RenewalState {
-    /// Begins a membership period, if it is a new one.
+    /// Resets the state if `lease_epoch` is a new membership period.
     pub fn start_period(&mut self, lease_epoch: LeaseEpoch, now_ms: u64) {
         if self.lease_epoch == lease_epoch {
             return;
@@ -54,19 +55,19 @@
         };
     }
 
-    /// True if the next renewal should be sent.
+    /// Returns true if the next renewal should be sent.
     pub fn due(&self, now_ms: u64) -> bool {
         now_ms >= self.due_ms
     }
 
-    /// Postpones the next renewal while one is under way.
+    /// Postpones the next renewal while one is in flight.
     pub fn sent(&mut self, now_ms: u64, timeout_ms: u64) {
         self.due_ms = now_ms + timeout_ms + RETRY_MS;
     }
 
-    /// End of the lease to ask for, on the server's clock, so that it is over at `now + ttl` on
-    /// this host's clock, and no later however long the order takes on its way. None before the
-    /// first reading of the server's clock.
+    /// Returns the end of the lease to request, on the server's clock. It corresponds to `now +
+    /// ttl` on this host's clock, and a delay of the order in the network does not move it. `None`
+    /// before the first reading of the server's clock.
     pub fn order(&mut self, incarnation: Incarnation, now_ms: u64, ttl_ms: u64) -> Option<u64> {
         let reading = self.reading.filter(|r| r.incarnation == incarnation)?;
         let end_ms = now_ms + ttl_ms;
@@ -74,7 +75,7 @@
         Some(reading.clock_ms + (end_ms - reading.received_ms))
     }
 
-    /// Takes an answer.
+    /// Applies a response; `meant` is the process that the order was for.
     pub fn answered(
         &mut self,
         answer: &LeaseResponse,
@@ -97,7 +98,7 @@
             self.due_ms = now_ms + RETRY_MS;
             return RenewalOutcome::Outdated;
         }
-        // The first answer only brings the clock; the order follows at once.
+        // The first response only supplies the clock; the order follows at once.
         self.due_ms = if ordered {
             now_ms + renew_every_ms
         } else {
@@ -106,14 +107,14 @@
         RenewalOutcome::Renewed
     }
 
-    /// Takes a failure; true if the server is to be suspected.
+    /// Records a failed renewal. Returns true if the server is to be suspected.
     pub fn failed(&mut self, now_ms: u64, suspect_ms: u64) -> bool {
         self.due_ms = now_ms + RETRY_MS;
         now_ms >= self.answered_ms + suspect_ms
     }
 
-    /// Time for which renewals sent in this membership period may still hold, with `margin_ms` for
-    /// the drift between the clocks.
+    /// Returns the time for which renewals sent in this membership period may still be valid, plus
+    /// `margin_ms` for drift between the clocks.
     pub fn remaining_ms(&self, lease_epoch: LeaseEpoch, now_ms: u64, margin_ms: u64) -> u64 {
         if self.lease_epoch != lease_epoch {
             return 0;
--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -1,30 +1,30 @@
-//! How many requests of one service may be in one host at a time.
+//! Limit on the requests of one service that may be in flight in one host.
 
 use std::sync::{
     Arc,
     atomic::{AtomicU64, Ordering},
 };
 
-/// Requests of one service that are in the host.
+/// Counter of the requests of one service that are in flight in this host.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
     in_flight: Arc<AtomicU64>,
 }
 
-/// A request's place; given back when dropped.
+/// Guard that counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct AdmissionGuard(Arc<AtomicU64>);
 
 impl Admission {
-    /// Takes a place, unless `max` are taken.
+    /// Admits a request, or returns `None` if `max` requests are in flight.
     pub fn admit(&self, max: u64) -> Option<AdmissionGuard> {
         let place = AdmissionGuard(self.in_flight.clone());
         let before = self.in_flight.fetch_add(1, Ordering::Relaxed);
-        // On refusal the place is dropped and so given back.
+        // On refusal the guard is dropped here, which takes the request off the count again.
         (before < max).then_some(place)
     }
 
-    /// Requests present.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Ordering::Relaxed)
     }
--- a/src/routing/key.rs
+++ b/src/routing/key.rs
@@ -1,4 +1,4 @@
-//! From a request to its service, key and slot.
+//! Maps a request to its service, key and slot.
 
 use http::{HeaderMap, Method};
 use xxhash_rust::xxh3::xxh3_64;
@@ -11,16 +11,16 @@
     id::Slot,
 };
 
-/// A caller's path, `/workspace/service/rest`.
+/// Path of a caller's request, `/workspace/service/rest`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerPath<'a> {
-    /// `workspace/service`.
+    /// Full name of the service, `workspace/service`.
     pub service: &'a str,
-    /// The rest, beginning with a slash, or empty.
+    /// Rest of the path: it begins with a slash or is empty.
     pub rest: &'a str,
 }
 
-/// Splits a caller's path.
+/// Splits a caller's path; `None` if it names no service.
 pub fn split(path: &str) -> Option<CallerPath<'_>> {
     let path = path.strip_prefix('/')?;
     let workspace = path.find('/')?;
@@ -30,7 +30,7 @@
     Some(CallerPath { service, rest })
 }
 
-/// The key of a request.
+/// Returns the key of a request; `None` if it is missing or empty.
 pub fn key<'a>(source: &KeySource, rest: &'a str, headers: &'a HeaderMap) -> Option<&'a str> {
     let found = match source {
         KeySource::Path(segment) => rest.split('/').nth(segment + 1),
@@ -39,13 +39,13 @@
     found.filter(|key| !key.is_empty())
 }
 
-/// The slot of a key. The hash is part of the agreed state: it must never change.
+/// Returns the slot of a key. All hosts must compute the same slot, so the hash must never change.
 pub fn slot(key: &str, slots: u32) -> Slot {
     let hash = u128::from(xxh3_64(key.as_bytes()));
     Slot(((hash * u128::from(slots)) >> 64) as u32)
 }
 
-/// True if the request must run at most once.
+/// Returns true if a rule of the service marks the request as unrepeatable (run at most once).
 pub fn unrepeatable(spec: &ServiceSpec, method: &Method, rest: &str) -> bool {
     let applies = |rule: &UnrepeatableRule| {
         method.as_str() == rule.method && rest.starts_with(&rule.path_prefix)
--- a/src/routing/outcome.rs
+++ b/src/routing/outcome.rs
@@ -1,4 +1,4 @@
-//! What callers are told when a request was not simply answered.
+//! Responses to callers whose request got no regular response from its server.
 
 use http::{HeaderValue, Response, StatusCode, header};
 use rand::Rng;
@@ -9,16 +9,16 @@
     transport::{self, AnswerBody},
 };
 
-/// Longest extra time by which callers that come back are spread.
+/// Upper bound of the random time added to `Retry-After`, so that callers do not retry all at once.
 const RETRY_AFTER_JITTER_S: u64 = 2;
 
-/// Outcome of a request that got no plain answer.
+/// Outcome of a request that got no regular response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It provably did not run.
+    /// The request provably did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
@@ -26,41 +26,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// No such workspace or service.
+    /// The workspace or service does not exist.
     NoSuchService,
     /// The request has no key where the service expects it.
     NoKey,
-    /// The idempotency key is empty or not text.
+    /// The idempotency key is empty or is not text.
     BadIdempotencyKey,
-    /// The body is longer than allowed.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// The caller broke the body off.
+    /// The caller ended the body early.
     BodyBroken,
-    /// Too many requests wait already.
+    /// Too many requests of the service are in flight in this host.
     Overloaded,
     /// The deadline passed before the request could be sent.
     Deadline,
-    /// The host cannot vouch for its view of the owners.
+    /// The host's view of the owners may be outdated, so it must not route.
     NotFresh,
-    /// The server's slots are taken.
+    /// The server is at its limit of concurrent requests and shed this one.
     Shed,
-    /// The server cannot be connected to.
+    /// The connection to the server could not be established.
     NoConnection,
     /// The connection broke after the request was sent.
     Broken,
-    /// The server was lost while the request may have been running.
+    /// The server was declared lost while the request may have been running.
     ServerLost,
     /// The deadline passed after the request was sent.
     NoAnswer,
-    /// The record of unrepeatable requests cannot be reached.
+    /// The claim of an unrepeatable request cannot be recorded because the store is unreachable.
     ClaimsUnavailable,
-    /// The same unrepeatable request runs at the moment.
+    /// The same unrepeatable request is still running.
     InProgress,
-    /// The same unrepeatable request was sent before, and its end is not known.
+    /// The same unrepeatable request was sent before, and its outcome is unknown.
     Unsettled,
-    /// The same unrepeatable request was answered, but the answer was too long to keep.
+    /// The same unrepeatable request was answered, but the response was too long to be stored.
     AnswerNotKept,
-    /// The idempotency key was used for another request.
+    /// The idempotency key was used for a different request.
     KeyReused,
 }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Least time after which the caller should come back; none if that makes no sense.
+    /// Returns the minimum time after which the caller should retry; `None` if a retry cannot help.
     fn retry_after_s(self) -> Option<u64> {
         match self {
             Self::Overloaded | Self::Shed | Self::Deadline | Self::InProgress => Some(1),
@@ -97,17 +97,17 @@
     }
 }
 
-/// A request's end without a plain answer.
+/// Failure of a request, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Outcome.
+    /// Tells if the request may have run.
     pub outcome: Outcome,
-    /// Reason.
+    /// Cause of the failure.
     pub reason: Reason,
 }
 
 impl Failure {
-    /// The request provably did not run.
+    /// Returns the failure of a request that provably did not run.
     pub fn not_run(reason: Reason) -> Self {
         Self {
             outcome: Outcome::NotRun,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The request may have run.
+    /// Returns the failure of a request that may have run.
     pub fn unknown(reason: Reason) -> Self {
         Self {
             outcome: Outcome::Unknown,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The answer to the caller.
+    /// Builds the response to the caller.
     pub fn answer(self, request_id: &str) -> Response<AnswerBody> {
         let wait_s = self.reason.retry_after_s();
         let wait_s =
@@ -154,7 +154,7 @@
 }
 
 impl Outcome {
-    /// Name in headers.
+    /// Returns the name used in headers.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -164,12 +164,12 @@
 }
 
 impl Reason {
-    /// Name in headers.
+    /// Returns the name used in headers.
     pub fn name(self) -> String {
         match serde_json::to_value(self) {
             Ok(serde_json::Value::String(name)) => name,
             other => {
-                log::error!("a reason has no name: {other:?}");
+                log::error!("the name of a reason cannot be serialized: {other:?}");
                 String::new()
             }
         }
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -1,13 +1,14 @@
-//! Budget of retries: a share of the requests of late, so that retries never become a storm.
+//! Retry budget: limits retries to a share of recent requests, which prevents retry storms.
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
-/// Cost of a retry, in units that each request pays in one of.
+/// Cost of a retry in units; every request adds one unit to the budget.
 const RETRY_COST: i64 = 20;
-/// Most units that are saved up.
+/// Maximum number of units that can accumulate.
 const BUDGET_UNITS_MAX: i64 = 10 * RETRY_COST;
 
-/// Budget of one service on one host: one retry for every 20 requests, and a few at the start.
+/// Retry budget of one service on one host: one retry per 20 requests, and a few in reserve at the
+/// start.
 #[derive(Debug)]
 pub struct RetryBudget {
     units: AtomicI64,
@@ -22,7 +23,7 @@
 }
 
 impl RetryBudget {
-    /// Pays in for a request.
+    /// Adds one unit for a request.
     pub fn request(&self) {
         let saved = self.units.load(Ordering::Relaxed);
         if saved < BUDGET_UNITS_MAX {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Takes out a retry; false if the budget is spent.
+    /// Takes the cost of one retry; returns false if the budget is exhausted.
     pub fn retry(&self) -> bool {
         let taken = self.units.fetch_sub(RETRY_COST, Ordering::Relaxed);
         if taken < RETRY_COST {
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! The way of one caller's request: service, key, slot, owner, attempts, outcome.
+//! Routing of one caller's request: service, key, slot, owner, attempts and outcome.
 
 use std::{sync::Arc, time::Duration};
 
@@ -28,20 +28,20 @@
     transport::{self, AnswerBody},
 };
 
-/// Path on which the balancer asks whether to send requests here.
+/// Path at which the load balancer checks if this host should get requests.
 pub const READY_PATH: &str = "/_ashroad/ready";
-/// Path on which the platform asks whether the process lives.
+/// Path at which the platform checks if the process is alive.
 pub const ALIVE_PATH: &str = "/_ashroad/alive";
-/// Longest deadline that a caller may ask for.
+/// Longest deadline that a caller may request.
 const DEADLINE_MS_MAX: u64 = 300_000;
-/// Pause before a slot's owner is looked up again when the server's view differs.
+/// Delay before the owner of a slot is looked up again after the server disagreed with this host.
 const STALE_PAUSE_MS: u64 = 3;
-/// Pause before a retry.
+/// Delay before a retry.
 const RETRY_PAUSE_MS: u64 = 10;
-/// Pause before a connection that failed is tried again.
+/// Delay before a new attempt after a failed connection.
 const RECONNECT_PAUSE_MS: u64 = 25;
 
-/// Headers that concern only one connection, and those that ashroad sets itself.
+/// Headers that concern one connection only, and those that ashroad sets itself.
 const DROPPED_HEADERS: [HeaderName; 7] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -52,7 +52,7 @@
     header::EXPECT,
 ];
 
-/// A request with everything that its attempts need.
+/// One request with all that its attempts need.
 struct RoutedRequest {
     request_id: String,
     service: ServiceKey,
@@ -67,7 +67,7 @@
     traffic: Arc<ServiceTraffic>,
 }
 
-/// The owner of a slot at one moment.
+/// Owner of a slot at one moment.
 #[derive(Clone, Copy, Debug)]
 struct Owner {
     server: ServerKey,
@@ -78,7 +78,7 @@
     permits: usize,
 }
 
-/// Answers one caller's request.
+/// Handles one caller's request and returns the response.
 pub async fn answer(host: Arc<Host>, request: Request<Incoming>) -> Response<AnswerBody> {
     match request.uri().path() {
         READY_PATH => return readiness(host.ready()),
@@ -228,7 +228,7 @@
         ClaimResult::Refused(Reason::KeyReused) => return Err(Failure::not_run(Reason::KeyReused)),
         ClaimResult::Refused(reason) => return Err(Failure::unknown(reason)),
     };
-    // The claim is ended even if the caller goes away.
+    // The guard ends the claim even if the caller disconnects.
     let ended = ClaimGuard::new(host.clone(), claim);
     match run(host, routed).await {
         Ok(answer) => ended.answered(answer).await,
@@ -239,7 +239,7 @@
     }
 }
 
-/// A claim whose request runs; when dropped without an end, the end is unknown.
+/// Guard of the claim of a running request; if dropped early, it records an unknown outcome.
 struct ClaimGuard {
     host: Arc<Host>,
     claim: Option<Claim>,
@@ -263,7 +263,8 @@
         }
     }
 
-    /// Keeps the answer and gives it to the caller. An answer that breaks off is unknown.
+    /// Stores the response and returns it to the caller. A response that ends early leaves the
+    /// outcome unknown.
     async fn answered(
         mut self,
         answer: Response<AnswerBody>,
@@ -309,7 +310,7 @@
     Ok(response)
 }
 
-/// Makes attempts until one is answered, the deadline passes, or none may follow.
+/// Makes attempts until one is answered, the deadline passes or no further attempt is allowed.
 async fn run(host: &Arc<Host>, routed: &RoutedRequest) -> Result<Response<AnswerBody>, Failure> {
     loop {
         let owner = owner(host, routed).await?;
@@ -319,7 +320,7 @@
             .permit(owner.address, owner.permits, routed.deadline_ms)
             .await;
         let permit = permit.ok_or(deadline)?;
-        // The wait for the permit may have been long: look at the owner again before sending.
+        // The wait for the permit may have been long, so the owner is checked again before sending.
         if !is_still_owner(host, routed, owner) {
             continue;
         }
@@ -335,7 +336,7 @@
                 if routed.unrepeatable || !idempotent(&routed.method) {
                     return Err(Failure::unknown(reason));
                 }
-                // Its keys get another owner, which has not seen this request.
+                // The key gets another owner, which has not seen this request.
                 if reason == Reason::ServerLost {
                     continue;
                 }
@@ -345,7 +346,7 @@
                 time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
             }
             AttemptOutcome::Stale => pause(routed, STALE_PAUSE_MS).await?,
-            // Nothing was sent, and a lost server's keys are served elsewhere within seconds.
+            // Nothing was sent, and the keys of a lost server are served by others within seconds.
             AttemptOutcome::NotRun(Reason::NoConnection) => {
                 pause(routed, RECONNECT_PAUSE_MS).await?
             }
@@ -366,7 +367,7 @@
     )
 }
 
-/// Pauses, unless the deadline comes first.
+/// Sleeps for `pause_ms`, or fails at once if the deadline comes first.
 async fn pause(routed: &RoutedRequest, pause_ms: u64) -> Result<(), Failure> {
     if clock::now_ms() + pause_ms >= routed.deadline_ms {
         return Err(Failure::not_run(Reason::Deadline));
@@ -375,14 +376,14 @@
     Ok(())
 }
 
-/// Waits until the slot has an owner and this host may act, but not past the deadline.
+/// Waits until the slot has an owner and this host is fresh enough to route, up to the deadline.
 async fn owner(host: &Arc<Host>, routed: &RoutedRequest) -> Result<Owner, Failure> {
     if host.view.fresh()
         && let Some(owner) = find_owner(&host.view.peek(), routed)
     {
         return Ok(owner);
     }
-    // Subscribed before the next look, so that no change falls between look and wait.
+    // Subscribes before the next lookup, so that no change is missed between lookup and wait.
     let mut changes = host.view.watch();
     loop {
         let fresh = host.view.fresh();
@@ -398,7 +399,7 @@
             };
             return Err(Failure::not_run(reason));
         }
-        // Freshness comes without a change, so it is polled for.
+        // A host becomes fresh without a change of the state, so freshness is polled.
         let wait_ms = if fresh {
             left_ms
         } else {
@@ -406,7 +407,7 @@
         };
         let wait = time::timeout(Duration::from_millis(wait_ms), changes.changed());
         if let Ok(Err(closed)) = wait.await {
-            log::debug!("the view has ended: {closed}");
+            log::debug!("the channel of state changes is closed: {closed}");
         }
     }
 }
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -1,4 +1,4 @@
-//! Sending one attempt to one backend server: its permits, its connections, and what came of it.
+//! Sends one attempt of a request to one backend server: permits, connections and the outcome.
 
 use std::{
     collections::HashMap,
@@ -32,12 +32,13 @@
 const CONNECT_TIMEOUT_MS: u64 = 500;
 const IDLE_CONNECTION_MS: u64 = 30_000;
 
-/// What came of one attempt.
+/// Outcome of one attempt.
 #[derive(Debug)]
 pub enum AttemptOutcome {
     /// The server answered.
     Answered(Response<AnswerBody>),
-    /// The attempt provably did not run, because the server's view or the slot's owner differs.
+    /// The attempt provably did not run, because server and host disagree on the owner of the slot
+    /// or on its epoch.
     Stale,
     /// The attempt provably did not run.
     NotRun(Reason),
@@ -45,18 +46,18 @@
     Unknown(Reason),
 }
 
-/// Backend servers as one host sees them.
+/// Connections and permits of all backend servers in one host.
 #[derive(Debug)]
 pub struct Targets {
     client: Client<HttpConnector, Full<Bytes>>,
     permits: Mutex<HashMap<SocketAddr, Arc<Semaphore>>>,
 }
 
-/// The right to send one request to a server; given back when dropped.
+/// Right to send one request to a server; released when dropped.
 pub type Permit = OwnedSemaphorePermit;
 
 impl Targets {
-    /// No connections yet; at most `idle_connections` idle ones are kept for each server.
+    /// Creates the client; it keeps at most `idle_connections` idle connections to each server.
     pub fn new(idle_connections: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Waits for a permit of `address` until `deadline_ms`.
+    /// Waits until `deadline_ms` for one of the `permits` of the server at `address`.
     pub async fn permit(
         &self,
         address: SocketAddr,
@@ -94,8 +95,8 @@
         acquired.await.ok()?.ok()
     }
 
-    /// Sends one attempt and waits for the head of its answer until `deadline_ms`. The permit is
-    /// held until the caller has the whole answer.
+    /// Sends one attempt and waits until `deadline_ms` for the head of its response. The permit is
+    /// held until the caller has received the whole response.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -105,7 +106,7 @@
         let left_ms = deadline_ms.saturating_sub(clock::now_ms());
         let answer = time::timeout(Duration::from_millis(left_ms), self.client.request(request));
         match answer.await {
-            // Dropping the exchange closes its connection, so the server sees it cancelled.
+            // Dropping the exchange closes its connection, which cancels the request at the server.
             Err(_) => AttemptOutcome::Unknown(Reason::NoAnswer),
             Ok(Err(error)) if error.is_connect() => AttemptOutcome::NotRun(Reason::NoConnection),
             Ok(Err(_)) => AttemptOutcome::Unknown(Reason::Broken),
@@ -127,7 +128,7 @@
     }
 }
 
-/// An answer's body together with the permit that it occupies.
+/// Body of a response together with the permit that it occupies.
 struct BodyWithPermit {
     body: Incoming,
     #[allow(dead_code, reason = "held until the body is dropped")]
--- a/src/routing/traffic.rs
+++ b/src/routing/traffic.rs
@@ -1,4 +1,4 @@
-//! Requests counted by slot, for the planner, and each service's admission and retry budget.
+//! Request counts by slot, for the planner, and the admission and retry budget of each service.
 
 use std::sync::{
     Arc, RwLock,
@@ -11,17 +11,17 @@
     peer::message::SlotLoad,
 };
 
-/// What one host keeps for one service.
+/// Counters and limits of one service in one host.
 #[derive(Debug, Default)]
 pub struct ServiceTraffic {
     counts: Vec<AtomicU32>,
-    /// Requests in the host.
+    /// Limit on the requests of the service in flight in this host.
     pub admission: Admission,
-    /// Budget of retries.
+    /// Retry budget of the service in this host.
     pub retries: RetryBudget,
 }
 
-/// What one host keeps for every service.
+/// Counters and limits of all services in one host.
 #[derive(Debug, Default)]
 pub struct Traffic {
     services: RwLock<Vec<Arc<ServiceTraffic>>>,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Counts a request.
+    /// Counts one request for `slot`.
     pub fn count(&self, slot: Slot) {
         if let Some(count) = self.counts.get(slot.0 as usize) {
             count.fetch_add(1, Ordering::Relaxed);
@@ -44,7 +44,8 @@
 }
 
 impl Traffic {
-    /// What is kept for `service`, which has `slots` slots.
+    /// Returns the counters and limits of `service`, which has `slots` slots, creating them if
+    /// needed.
     pub fn of(&self, service: ServiceKey, slots: usize) -> Arc<ServiceTraffic> {
         let index = service.0 as usize;
         if let Ok(services) = self.services.read()
@@ -65,7 +66,7 @@
         services[index].clone()
     }
 
-    /// Requests by slot since the last call.
+    /// Returns the number of requests by slot since the last call, and resets it.
     pub fn take(&self) -> Vec<SlotLoad> {
         let Ok(services) = self.services.read() else {
             return Vec::new();
