--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -1,5 +1,5 @@
-//! Writes claims in groups: one transaction for all that arrived while earlier ones were under
-//! way, because the table service takes only several hundred writes a second.
+//! Writes claims in batches. One transaction covers all operations that arrived while earlier ones
+//! were in flight, because the table service accepts only several hundred writes a second.
 
 use std::{
     collections::HashSet,
@@ -28,27 +28,27 @@
     },
 };
 
-/// Most claims in one transaction.
+/// Maximum number of operations in one transaction.
 const BATCH_OPERATIONS_MAX: usize = 256;
-/// Transactions under way at a time.
+/// Maximum number of transactions in flight.
 const IN_FLIGHT: usize = 2;
-/// Time to let a group gather.
+/// Minimum time for which a batch is collected.
 const BATCH_DELAY_MS: u64 = 2;
 const RETRY_MS: u64 = 25;
-/// Time for the end of a claim to be recorded.
+/// Time limit for recording the end of a claim.
 const END_TIMEOUT_MS: u64 = 10_000;
 
-/// One wish of the router.
+/// Operation on the record of one claim.
 #[derive(Debug)]
 pub(super) enum Operation {
-    /// Make a claim.
+    /// Records a new claim.
     Insert {
         key: String,
         row: ClaimRow,
         give_up_ms: u64,
         reply: oneshot::Sender<ClaimResult>,
     },
-    /// Record a claim's end.
+    /// Records the end of a claim.
     End {
         key: String,
         version: u64,
@@ -73,7 +73,8 @@
         if queue.recv_many(&mut batch, BATCH_OPERATIONS_MAX).await == 0 {
             return;
         }
-        // A lone claim goes out almost at once; under load groups fill until the pace allows one.
+        // A single claim is written almost at once; under load, batches grow until the interval
+        // between transactions has passed.
         let due_ms = last_ms + transaction_interval_ms.load(Ordering::Relaxed);
         let wait_ms = due_ms.saturating_sub(clock::now_ms()).max(BATCH_DELAY_MS);
         if batch.len() < BATCH_OPERATIONS_MAX {
@@ -96,17 +97,18 @@
     }
 }
 
-/// Writes one group.
+/// Writer of one batch.
 struct Writer {
     platform: Platform,
     counters: Arc<ClaimCounters>,
 }
 
 impl Writer {
-    /// Writes the group, taking out in each round what conflicts.
+    /// Writes the batch; each round takes out the operations whose condition failed.
     async fn write(&self, mut batch: Vec<Operation>) {
         while !batch.is_empty() {
-            // Two claims on one key must not pass in one transaction: the second waits a round.
+            // Two operations on one key must not be in one transaction: the second waits for a
+            // round.
             let (first, mut repeated) = take_repeated(batch);
             batch = first;
             let transaction = transaction(&batch);
@@ -123,7 +125,7 @@
                         self.resolve_conflict(operation).await;
                     }
                 }
-                // It may have taken effect: the next round's conflicts will tell.
+                // The transaction may have taken effect; then the next round reports a conflict.
                 Err(error) => {
                     log::debug!("claims cannot be recorded: {error}");
                     batch = give_up(batch);
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Finds out what stands in the way of one operation.
+    /// Finds out why the condition of an operation failed, and reports the result.
     async fn resolve_conflict(&self, operation: Operation) {
         match operation {
             Operation::Insert {
@@ -176,7 +178,8 @@
             if held.state != ClaimState::Released || held.fingerprint != row.fingerprint {
                 return duplicate(held, &row);
             }
-            // Taking a released row over; whatever the answer, the next look tells.
+            // Takes over a released row. The next read of the row shows if that succeeded, so the
+            // result of the transaction is not needed.
             let transaction = put(&key, Expect::Version(found.version), &row);
             self.counters.transactions.fetch_add(1, Ordering::Relaxed);
             let _ = self.platform.transact(&transaction).await;
@@ -212,7 +215,7 @@
     }
 }
 
-/// What a second arrival is told.
+/// Returns the outcome of a claim whose row was made by an earlier request.
 fn duplicate(held: ClaimRow, row: &ClaimRow) -> ClaimResult {
     if held.fingerprint != row.fingerprint {
         return ClaimResult::Refused(Reason::KeyReused);
@@ -260,22 +263,22 @@
     }
 }
 
-/// Takes out every operation on a key that an earlier one is on.
+/// Separates the first operation on each key from all later ones on the same key.
 fn take_repeated(batch: Vec<Operation>) -> (Vec<Operation>, Vec<Operation>) {
     let mut keys = HashSet::new();
     let is_first = |operation: &Operation| keys.insert(operation.key().to_owned());
     batch.into_iter().partition(is_first)
 }
 
-/// Takes the operations on `keys` out; of several on one key, all.
+/// Separates the operations on `keys` from the others.
 fn split(batch: Vec<Operation>, keys: &[String]) -> (Vec<Operation>, Vec<Operation>) {
     batch
         .into_iter()
         .partition(|operation| keys.iter().any(|key| key == operation.key()))
 }
 
-/// Answers what has waited too long. A claim that may have been recorded all the same stays
-/// pending: its request never runs, and says so.
+/// Refuses the claims that have waited too long. If a refused claim was recorded all the same, its
+/// row stays pending and the request never runs, which matches the response to its caller.
 fn give_up(batch: Vec<Operation>) -> Vec<Operation> {
     let (expired, rest): (Vec<_>, Vec<_>) = batch.into_iter().partition(Operation::expired);
     for operation in expired {
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -1,5 +1,5 @@
-//! Records of unrepeatable requests: a claim is in the table service before a request's first
-//! byte goes out, so a second arrival at any host never runs.
+//! Claims on unrepeatable requests. A claim is recorded in the table service before the first byte
+//! of its request is sent, so that a duplicate at any host never runs.
 
 mod batch;
 mod row;
@@ -21,9 +21,9 @@
 };
 use crate::{clock, id::OperationId, routing::outcome::Reason, store::Platform};
 
-/// Longest answer that is kept for duplicates.
+/// Maximum length of a response body that is stored for duplicates.
 pub const STORED_BODY_BYTES_MAX: usize = 64 * 1024;
-/// Time for a claim to be recorded before its request is refused.
+/// Time limit for recording a claim; after it the request is refused.
 const CLAIM_TIMEOUT_MS: u64 = 1_000;
 const QUEUE_OPERATIONS: usize = 10_000;
 
@@ -36,11 +36,11 @@
     pub transactions: AtomicU64,
 }
 
-/// Transactions a second that all hosts together make for claims; the table service takes several
-/// hundred writes a second in all.
+/// Transactions per second that all hosts together may make for claims; the table service accepts
+/// several hundred writes a second in total.
 const TRANSACTIONS_PER_S: u64 = 200;
 
-/// Claims of one host.
+/// Claims of one host, and the queue of their writer.
 #[derive(Debug)]
 pub struct Claims {
     transaction_interval_ms: std::sync::Arc<AtomicU64>,
@@ -48,7 +48,8 @@
     counters: std::sync::Arc<ClaimCounters>,
 }
 
-/// Right to run one unrepeatable request; it must be ended with one of its methods.
+/// Right to run one unrepeatable request; the owner must end it with one of the methods of
+/// [`Claims`].
 #[derive(Debug)]
 pub struct Claim {
     key: String,
@@ -56,21 +57,21 @@
     version: u64,
 }
 
-/// What became of the wish to run a request.
+/// Result of an attempt to claim a request.
 #[derive(Debug)]
 pub enum ClaimResult {
-    /// It may run, once.
+    /// The request may run, once.
     Granted(Claim),
-    /// It was answered before.
+    /// The request was answered before; this is the stored response.
     Answered(StoredResponse),
-    /// It must not run.
+    /// The request must not run.
     Refused(Reason),
-    /// The record cannot be reached, so it does not run.
+    /// The store cannot be reached, so the request does not run.
     Unavailable,
 }
 
 impl Claims {
-    /// Starts the writer of claims.
+    /// Starts the task that writes claims.
     pub fn start(platform: Platform) -> Self {
         let (operations, queue) = mpsc::channel(QUEUE_OPERATIONS);
         let counters = std::sync::Arc::new(ClaimCounters::default());
@@ -89,14 +90,14 @@
         }
     }
 
-    /// Takes this host's share of the table service's writes, for a number of hosts.
+    /// Sets the number of hosts, over which the writes of the table service are divided equally.
     pub fn set_host_count(&self, hosts: usize) {
         let transaction_interval_ms = hosts as u64 * 1_000 / TRANSACTIONS_PER_S;
         self.transaction_interval_ms
             .store(transaction_interval_ms, Ordering::Relaxed);
     }
 
-    /// Counters so far.
+    /// Returns the counters since the start of the process.
     pub fn counters(&self) -> &ClaimCounters {
         &self.counters
     }
@@ -135,7 +136,7 @@
         claimed
     }
 
-    /// The request was answered.
+    /// Ends a claim whose request was answered; `None` if the response is too long to be stored.
     pub fn answered(&self, claim: Claim, answer: Option<StoredResponse>) {
         let state = match answer {
             Some(answer) => ClaimState::Answered(answer),
@@ -144,12 +145,12 @@
         self.end(claim, state);
     }
 
-    /// The request provably did not run; it may be claimed again.
+    /// Ends a claim whose request provably did not run; the request may be claimed again.
     pub fn released(&self, claim: Claim) {
         self.end(claim, ClaimState::Released);
     }
 
-    /// Nobody knows whether the request ran; it never runs again.
+    /// Ends a claim whose request may or may not have run; the request never runs again.
     pub fn unknown(&self, claim: Claim) {
         self.end(claim, ClaimState::Unknown);
     }
@@ -161,13 +162,13 @@
             row: ClaimRow { state, ..claim.row },
         };
         if self.operations.try_send(operation).is_err() {
-            // The row stays pending, which duplicates are told as unknown.
-            log::warn!("the end of a claim was not recorded: too many wait");
+            // The row stays pending; after its deadline, duplicates get an unknown outcome.
+            log::warn!("the end of a claim was not recorded: the queue of operations is full");
         }
     }
 }
 
-/// Identifier of one attempt's request.
+/// Returns a random identifier for one request of a caller.
 pub fn request_id() -> String {
     OperationId::random().0
 }
--- a/src/claims/row.rs
+++ b/src/claims/row.rs
@@ -1,18 +1,18 @@
-//! The row of one unrepeatable request.
+//! Stored row of one unrepeatable request.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Prefix of the rows of claims.
+/// Prefix of the keys of these rows.
 pub const CLAIM_PREFIX: &str = "claim/";
 
-/// Hash over what must be the same in a repeated request.
+/// Hash over the parts of a request that a duplicate must share with the original.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// Fingerprint of a request.
+    /// Returns the fingerprint of a request.
     pub fn of(method: &str, path: &str, body: &[u8]) -> Self {
         let mut hasher = xxhash_rust::xxh3::Xxh3::new();
         hasher.update(method.as_bytes());
@@ -25,49 +25,49 @@
     }
 }
 
-/// An answer kept for duplicates.
+/// Response stored for duplicates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResponse {
-    /// Status.
+    /// HTTP status code.
     pub status: u16,
-    /// Content type.
+    /// Value of the `Content-Type` header, if there was one.
     pub content_type: Option<String>,
     /// Body in Base64.
     pub body_base64: String,
 }
 
-/// Stage of a claim.
+/// State of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
     /// The request may be running.
     Pending,
-    /// It was answered.
+    /// The request was answered, and this is the response.
     Answered(StoredResponse),
-    /// It was answered, but the answer was too long to keep.
+    /// The request was answered, but the response was too long to be stored.
     AnswerNotKept,
-    /// It provably did not run.
+    /// The request provably did not run.
     Released,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// One claim.
+/// Stored value of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
-    /// Random number of the arrival that made the claim.
+    /// Random number of the request that made the claim; it tells that request from its duplicates.
     pub nonce: u64,
-    /// What was asked.
+    /// Fingerprint of the request; a duplicate must have the same.
     pub fingerprint: Fingerprint,
-    /// When the claim was made.
+    /// Time of the claim; the row is removed when its retention has passed.
     pub at_unix_ms: u64,
-    /// Deadline of the request; a claim that is still pending then has an unknown end.
+    /// Deadline of the request. A claim that is still pending after it has an unknown outcome.
     pub until_unix_ms: u64,
-    /// Stage.
+    /// State of the claim.
     pub state: ClaimState,
 }
 
-/// Key of the row of an unrepeatable request.
+/// Returns the key of the row of an unrepeatable request.
 pub fn claim_key(service: &str, idempotency_key: &str) -> String {
     let text = format!("{service}\n{idempotency_key}");
     format!("{CLAIM_PREFIX}{:032x}", xxh3_128(text.as_bytes()))
--- a/src/claims/sweep.rs
+++ b/src/claims/sweep.rs
@@ -1,4 +1,4 @@
-//! Removes claims after their retention, a page at a time.
+//! Removes claims whose retention has passed, one page of rows at a time.
 
 use super::row::{CLAIM_PREFIX, ClaimRow};
 use crate::{
@@ -9,18 +9,18 @@
     },
 };
 
-/// Rows looked at in one step.
+/// Maximum number of rows that one step reads.
 pub const PAGE_ROWS: usize = 200;
 
-/// A sweep over all claims, step by step.
+/// Position of a sweep over all claims.
 #[derive(Clone, Debug, Default)]
 pub struct Sweep {
     after: String,
 }
 
 impl Sweep {
-    /// Looks at the next page and removes what is older than `retention_ms`; returns the number of
-    /// rows removed.
+    /// Reads the next page of claims and removes those older than `retention_ms`. Returns the
+    /// number of rows removed.
     pub async fn step(&mut self, platform: &Platform, retention_ms: u64) -> store::Result<usize> {
         let rows = platform.range(CLAIM_PREFIX, &self.after, PAGE_ROWS).await?;
         let Some(last) = rows.last() else {
--- a/src/configuration/error.rs
+++ b/src/configuration/error.rs
@@ -1,50 +1,51 @@
-//! Errors of declarations; each reads as a sentence to the operator who wrote the file.
+//! Errors in templates and workspaces. Each message is complete enough for the operator who wrote
+//! the file.
 
 use snafu::Snafu;
 
-/// What is wrong with a declaration.
+/// Error in a template or workspace.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The file is larger than allowed.
+    /// The document exceeds the size limit.
     #[snafu(display("the document has {bytes} bytes; at most {max} are allowed"))]
     TooLarge {
-        /// Size.
+        /// Size of the document in bytes.
         bytes: usize,
-        /// Limit.
+        /// Maximum size in bytes.
         max: usize,
     },
-    /// The file is empty.
+    /// The document has no text.
     #[snafu(display("the document is empty; expected a template or a workspace"))]
     Empty,
-    /// The file is not UTF-8.
+    /// The document is not UTF-8.
     #[snafu(display("the document is not UTF-8 text (first bad byte at {offset})"))]
     NotText {
-        /// Offset of the first bad byte.
+        /// Offset of the first invalid byte.
         offset: usize,
     },
-    /// The YAML cannot be read as the expected document.
+    /// The YAML does not match the expected structure.
     #[snafu(display("{message}"))]
     Syntax {
-        /// The library's message, with line and column.
+        /// Message of the YAML library, with line and column.
         message: String,
     },
-    /// A field has a value that cannot work.
+    /// A field has an invalid value.
     #[snafu(display("{path}: {found}; expected {expected}"))]
     Field {
-        /// Path of the field.
+        /// Path of the field in the document.
         path: String,
-        /// What was found.
+        /// Description of the value found.
         found: String,
-        /// What was expected.
+        /// Description of the values allowed.
         expected: String,
     },
 }
 
-/// Result of reading a declaration.
+/// Result of reading or checking a document.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A [`Error::Field`].
+/// Returns an [`Error::Field`].
 pub fn field(
     path: impl Into<String>,
     found: impl Into<String>,
--- a/src/configuration/expand.rs
+++ b/src/configuration/expand.rs
@@ -1,4 +1,4 @@
-//! Fills a template with a workspace's parameters.
+//! Expands a template with the parameters of a workspace.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,34 +8,34 @@
     workspace::{Target, Value, Workspace},
 };
 
-/// A service of one workspace with every parameter filled in.
+/// Service of one workspace with every parameter filled in.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
     /// Full name, `workspace/service`.
     pub name: String,
-    /// Where a request's key is found.
+    /// Location of the key in a request.
     pub key: KeySource,
-    /// Number of slots.
+    /// Number of slots over which the keys are spread.
     pub slots: u32,
-    /// Backend servers.
+    /// Backend servers of the service.
     pub targets: Vec<Target>,
-    /// Requests that one server runs at a time.
+    /// Maximum number of requests that one server runs concurrently.
     pub server_slots: u64,
-    /// Connections that one server takes, over all entry hosts.
+    /// Maximum number of connections to one server, over all entry hosts.
     pub server_connections: u64,
-    /// Requests that may wait at one entry host.
+    /// Maximum number of requests in flight in one entry host, waiting ones included.
     pub queue_requests: u64,
-    /// Time for a request that brings no deadline of its own.
+    /// Deadline of a request whose caller sets none.
     pub deadline_ms: u64,
-    /// False for servers that take orders from anyone.
+    /// False for servers that accept orders of any sender; not supported yet, so always true.
     pub checks_orders: bool,
-    /// Requests that must run at most once.
+    /// Rules for requests that must run at most once.
     pub unrepeatable: Vec<UnrepeatableRule>,
-    /// Prices of the planner.
+    /// Weights of the planner's cost function.
     pub weights: Weights,
 }
 
-/// Expands every service of a workspace, or tells everything that is wrong with it.
+/// Expands every service of a workspace, or returns all errors found.
 pub fn expand(
     template: &Template,
     workspace: &Workspace,
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! Templates and workspaces: what operators declare, checked and expanded.
+//! Templates and workspaces: the declarations of operators, which are checked and expanded here.
 
 mod error;
 pub mod expand;
@@ -12,5 +12,5 @@
     workspace::Workspace,
 };
 
-/// Largest declaration that is read.
+/// Maximum size of a document in bytes.
 pub const DOCUMENT_BYTES_MAX: usize = 1024 * 1024;
--- a/src/configuration/template.rs
+++ b/src/configuration/template.rs
@@ -1,4 +1,4 @@
-//! A template: the services of a workspace and their routing, with parameters left open.
+//! Template of workspaces: services and their routing, with parameters that each workspace sets.
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use snafu::ensure;
@@ -8,41 +8,41 @@
     error::{EmptySnafu, Error, FieldSnafu, Result, TooLargeSnafu, field},
 };
 
-/// Most slots of one service.
+/// Maximum number of slots of one service.
 pub const SLOTS_MAX: u32 = 1_000_000;
 const NAME_CHARS_MAX: usize = 63;
 
-/// A template as written by an operator.
+/// Template as written by an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
     /// Name, unique among templates.
     pub template: String,
-    /// Parameters that a workspace may or must set.
+    /// Parameters that a workspace sets; those without a default must be set.
     #[serde(default)]
     pub parameters: Vec<Parameter>,
-    /// Prices of the planner.
+    /// Weights of the planner's cost function.
     #[serde(default)]
     pub weights: Weights,
     /// Services of each workspace.
     pub services: Vec<Service>,
 }
 
-/// One parameter.
+/// Parameter of a template.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Parameter {
     /// Name by which services refer to it.
     pub name: String,
-    /// Type.
+    /// Type of its values.
     #[serde(rename = "type")]
     pub kind: ParameterKind,
-    /// Least value, or fewest targets.
+    /// Minimum value, or minimum number of targets.
     #[serde(default = "one")]
     pub min: u64,
-    /// Greatest value, or most targets.
+    /// Maximum value, or maximum number of targets.
     pub max: u64,
-    /// Value of a workspace that sets none; integers only.
+    /// Value for a workspace that sets none; for integers only.
     #[serde(default)]
     pub default: Option<u64>,
 }
@@ -51,21 +51,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ParameterKind {
-    /// A whole number within bounds.
+    /// Integer within bounds.
     Integer,
-    /// A list of backend servers.
+    /// List of backend servers.
     Targets,
 }
 
-/// Prices that the planner puts on its three measures.
+/// Weights of the three terms of the planner's cost function.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Weights {
-    /// Price of load above the mean, per server capacity and hour.
+    /// Weight of load above the mean, per server capacity and hour.
     pub imbalance: f64,
-    /// Price of moving the whole of one server's share of keys once.
+    /// Weight of moving as many keys as one server owns on average.
     pub churn: f64,
-    /// Price of a second in which a server's share of keys cannot be served.
+    /// Weight of one second in which the keys of one server cannot be served.
     pub unavailable: f64,
 }
 
@@ -79,64 +79,64 @@
     }
 }
 
-/// A number, or a reference to an integer parameter written `${name}`.
+/// Number, or a reference to an integer parameter, written `${name}`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Number {
     /// The number itself.
     Value(u64),
-    /// A reference.
+    /// Reference to a parameter, with its `${` and `}`.
     Reference(String),
 }
 
-/// One service.
+/// Service as declared in a template.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     /// Name, unique in the template; part of callers' paths.
     pub name: String,
-    /// Name of the parameter with the backend servers.
+    /// Name of the parameter that lists the backend servers.
     pub targets: String,
-    /// Where a request's key is found.
+    /// Location of the key in a request.
     pub key: KeySource,
-    /// Slots over which keys are spread; fixed for the life of a workspace.
+    /// Number of slots over which the keys are spread; fixed for the life of a workspace.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Requests that one server runs at a time.
+    /// Maximum number of requests that one server runs concurrently.
     pub server_slots: Number,
-    /// Connections that one server takes, over all entry hosts.
+    /// Maximum number of connections to one server, over all entry hosts.
     pub server_connections: Number,
-    /// Requests that may wait at one entry host.
+    /// Maximum number of requests in flight in one entry host, waiting ones included.
     #[serde(default = "default_queue")]
     pub queue_requests: Number,
-    /// Time for a request that brings no deadline of its own.
+    /// Deadline of a request whose caller sets none.
     #[serde(default = "default_deadline")]
     pub deadline_ms: Number,
-    /// False for servers that take orders from anyone, however old.
+    /// False for servers that accept orders of any sender and any age; not supported yet.
     #[serde(default = "yes")]
     pub checks_orders: bool,
-    /// Requests that must run at most once.
+    /// Rules for requests that must run at most once.
     #[serde(default)]
     pub unrepeatable: Vec<UnrepeatableRule>,
 }
 
-/// Where a request's key is found.
+/// Location of the key in a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeySource {
-    /// A segment of the path behind the service, counted from 0.
+    /// Segment of the path after the service, counted from 0.
     Path(usize),
-    /// A header, by name.
+    /// Header with this name.
     Header(String),
 }
 
-/// Marks requests as unrepeatable.
+/// Rule that marks requests as unrepeatable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UnrepeatableRule {
-    /// Method of the requests.
+    /// HTTP method of the requests.
     pub method: String,
-    /// Prefix of the path behind the service.
+    /// Prefix of the path after the service; empty for all paths.
     #[serde(default)]
     pub path_prefix: String,
 }
@@ -161,7 +161,7 @@
     Number::Value(5_000)
 }
 
-/// Checks a document's size and encoding.
+/// Checks the size and encoding of a document.
 pub fn check_text(bytes: &[u8]) -> Result<&str> {
     ensure!(
         bytes.len() <= DOCUMENT_BYTES_MAX,
@@ -177,7 +177,7 @@
     Ok(text)
 }
 
-/// Reads any document: size and encoding are checked before the YAML is.
+/// Parses a document, after checking its size and encoding.
 pub fn read_document<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
     let text = check_text(bytes)?;
     serde_saphyr::from_str(text).map_err(|error| Error::Syntax {
@@ -201,7 +201,7 @@
 }
 
 impl Template {
-    /// Reads and checks a template.
+    /// Parses and checks a template. Returns the first error.
     pub fn read(bytes: &[u8]) -> Result<Self> {
         let template: Self = read_document(bytes)?;
         match template.problems().into_iter().next() {
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Everything that is wrong beyond the syntax.
+    /// Returns all errors beyond the syntax.
     pub fn problems(&self) -> Vec<Error> {
         let mut problems = Vec::new();
         problems.extend(check_name("template", &self.template).err());
@@ -270,7 +270,7 @@
             problems.push(field(path("slots"), service.slots.to_string(), expected));
         }
         if !service.checks_orders {
-            let expected = "true: servers that check nobody are not supported yet";
+            let expected = "true: servers that accept orders of any sender are not supported yet";
             problems.push(field(path("checks_orders"), "false", expected));
         }
         let target = self.parameter(&service.targets);
@@ -305,13 +305,13 @@
         }
     }
 
-    /// The parameter `name`.
+    /// Returns the parameter `name`.
     pub fn parameter(&self, name: &str) -> Option<&Parameter> {
         self.parameters.iter().find(|p| p.name == name)
     }
 }
 
-/// Name in a reference `${name}`.
+/// Returns the name in a reference `${name}`.
 pub fn reference(text: &str) -> Option<&str> {
     text.strip_prefix("${")?.strip_suffix('}')
 }
--- a/src/configuration/workspace.rs
+++ b/src/configuration/workspace.rs
@@ -1,4 +1,4 @@
-//! A workspace: a template with its parameters filled in.
+//! Workspace: a template with values for its parameters.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -9,13 +9,13 @@
     template::{check_name, read_document},
 };
 
-/// A workspace as written by an operator.
+/// Workspace as written by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
     /// Name, unique among workspaces; part of callers' paths.
     pub workspace: String,
-    /// Template that it fills in.
+    /// Name of the template that the workspace instantiates.
     pub template: String,
     /// Values of the template's parameters, by name.
     #[serde(default)]
@@ -26,24 +26,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Value {
-    /// An integer.
+    /// Value of an integer parameter.
     Integer(u64),
-    /// Backend servers.
+    /// Value of a parameter that lists backend servers.
     Targets(Vec<Target>),
 }
 
-/// One backend server.
+/// Backend server of a workspace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Address by number.
+    /// IP address and port; host names are not accepted.
     pub address: SocketAddr,
-    /// Availability zone.
+    /// Availability zone of the server.
     pub availability_zone: String,
 }
 
 impl Workspace {
-    /// Reads a workspace; [`super::expand`] checks it against its template.
+    /// Parses a workspace. Its parameters are checked by [`super::expand`] against the template.
     pub fn read(bytes: &[u8]) -> Result<Self> {
         let workspace: Self = read_document(bytes)?;
         check_name("workspace", &workspace.workspace)?;
--- a/src/peer/endpoint.rs
+++ b/src/peer/endpoint.rs
@@ -1,4 +1,4 @@
-//! The QUIC endpoint of one host: its connections to peers, and what arrives on them.
+//! QUIC endpoint of one host: connections to its peers, and the messages that arrive on them.
 
 use std::{
     collections::HashMap,
@@ -20,29 +20,29 @@
     message::{Datagram, MESSAGE_BYTES_MAX, PeerReply, PeerRequest, decode, encode},
 };
 
-/// Messages that wait to be handled; further streams wait, further datagrams are dropped.
+/// Messages that may wait to be handled. Beyond that, streams wait and datagrams are dropped.
 const INBOX_MESSAGES: usize = 4_096;
 
-/// What arrives from peers.
+/// Message received from a peer.
 #[derive(Debug)]
 pub enum Inbound {
-    /// A heartbeat; answers go back on the same connection.
+    /// Heartbeat; replies are sent on the same connection.
     Datagram {
-        /// Connection that it came on.
+        /// Connection that the message arrived on.
         connection: Connection,
-        /// Message.
+        /// Decoded message.
         datagram: Datagram,
     },
-    /// A request; the reply goes into the channel.
+    /// Request on a stream; the reply is sent through the channel.
     Request {
-        /// Message.
+        /// Decoded message.
         request: PeerRequest,
-        /// Where the reply goes.
+        /// Channel for the reply; the stream is reset if it is dropped unused.
         reply: oneshot::Sender<PeerReply>,
     },
 }
 
-/// Endpoint of one host.
+/// QUIC endpoint of one host, with its open connections to peers.
 #[derive(Debug)]
 pub struct PeerEndpoint {
     endpoint: Endpoint,
@@ -51,7 +51,7 @@
 }
 
 impl PeerEndpoint {
-    /// Opens the endpoint; what arrives comes out of the receiver.
+    /// Opens the endpoint and returns it with a receiver of incoming messages.
     pub fn bind(address: SocketAddr, tls: TlsConfigs) -> Result<(Self, mpsc::Receiver<Inbound>)> {
         let opened = Endpoint::server(tls.server, address);
         let mut endpoint = opened.context(BindSnafu { address })?;
@@ -66,14 +66,14 @@
         Ok((peer, received))
     }
 
-    /// Address that the endpoint listens on.
+    /// Returns the address that the endpoint listens on.
     pub fn address(&self) -> Result<SocketAddr> {
         self.endpoint.local_addr().map_err(|error| Error::Tls {
             message: error.to_string(),
         })
     }
 
-    /// Sends a heartbeat. Loss is not reported.
+    /// Sends a heartbeat. Its loss in the network is not reported.
     pub async fn send(&self, address: SocketAddr, datagram: Datagram) -> Result<()> {
         let connection = self.connect(address).await?;
         let bytes = encode(&datagram)?;
@@ -81,7 +81,7 @@
         sent.map_err(|error| self.unreachable(address, &error))
     }
 
-    /// Sends a request and waits for its reply.
+    /// Sends a request and waits for the reply, at most `timeout_ms`.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -93,7 +93,7 @@
             Ok(result) => result,
             Err(_) => UnreachableSnafu {
                 address,
-                message: format!("no answer within {timeout_ms} ms"),
+                message: format!("no reply within {timeout_ms} ms"),
             }
             .fail(),
         }
@@ -157,7 +157,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Closes every connection.
+    /// Closes all connections.
     pub fn close(&self) {
         self.endpoint.close(0u32.into(), b"stopped");
     }
@@ -181,7 +181,7 @@
 async fn read_datagrams(connection: Connection, inbox: mpsc::Sender<Inbound>) {
     while let Ok(bytes) = connection.read_datagram().await {
         let Ok(datagram) = decode(&bytes) else {
-            log::warn!("a peer's heartbeat cannot be read");
+            log::warn!("a peer's heartbeat cannot be decoded");
             continue;
         };
         let connection = connection.clone();
@@ -203,7 +203,7 @@
     let request = decode(&bytes)?;
     let (reply, replied) = oneshot::channel();
     let _ = inbox.send(Inbound::Request { request, reply }).await;
-    // Dropping the stream resets it, so that the caller sees a failure and not an empty reply.
+    // Dropping the stream resets it, so that the peer sees a failure instead of an empty reply.
     let Ok(reply) = replied.await else {
         return Ok(());
     };
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -11,46 +11,46 @@
     /// A certificate or key file cannot be used.
     #[snafu(display("{}: {message}", path.display()))]
     Key {
-        /// File.
+        /// Path of the file.
         path: PathBuf,
-        /// Cause.
+        /// Description of the cause.
         message: String,
     },
-    /// Certificates could not be made.
-    #[snafu(display("certificates could not be made: {source}"))]
+    /// Certificates could not be generated.
+    #[snafu(display("certificates could not be generated: {source}"))]
     Generate {
-        /// Cause.
+        /// Error of the certificate generator.
         source: rcgen::Error,
     },
     /// TLS cannot be set up.
     #[snafu(display("TLS cannot be set up: {message}"))]
     Tls {
-        /// Cause.
+        /// Description of the cause.
         message: String,
     },
     /// The endpoint cannot be opened.
     #[snafu(display("cannot listen for peers on {address}: {source}"))]
     Bind {
-        /// Address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// Cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The peer cannot be reached or broke off.
+    /// The peer cannot be reached, or the connection to it failed.
     #[snafu(display("host at {address}: {message}"))]
     Unreachable {
-        /// Peer.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Cause.
+        /// Description of the cause.
         message: String,
     },
-    /// A message cannot be read.
-    #[snafu(display("a peer's message cannot be read: {message}"))]
+    /// A message cannot be decoded.
+    #[snafu(display("a peer's message cannot be decoded: {message}"))]
     Decode {
-        /// Cause.
+        /// Description of the cause.
         message: String,
     },
 }
 
-/// Result of the peer protocol.
+/// Result of an operation of the peer protocol.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/src/peer/keys.rs
+++ b/src/peer/keys.rs
@@ -1,4 +1,5 @@
-//! Certificates: reading them, and making a certificate authority and hosts' certificates.
+//! TLS certificates between hosts: loading them, and generating a certificate authority and host
+//! certificates.
 
 use std::{fs, path::Path, sync::Arc};
 
@@ -18,32 +19,32 @@
 use super::error::{Error, GenerateSnafu, Result};
 use crate::settings::Peers;
 
-/// Name in every host's certificate: what matters is the authority that signed it.
+/// Name in every host's certificate. Hosts trust the authority that signed it, not the name.
 pub const HOST_NAME: &str = "ashroad-host";
-/// File of the authority's certificate.
+/// File name of the authority's certificate.
 pub const CA_FILE: &str = "ca.pem";
-/// File of the authority's private key.
+/// File name of the authority's private key.
 pub const CA_KEY_FILE: &str = "ca-key.pem";
 const PROTOCOL: &[u8] = b"ashroad/1";
 const IDLE_MS: u32 = 1_000;
 const KEEP_ALIVE_MS: u64 = 300;
 const STREAMS_MAX: u32 = 256;
 
-/// Both directions' TLS set-up.
+/// TLS configurations for both directions.
 #[derive(Clone, Debug)]
 pub struct TlsConfigs {
-    /// For accepted connections.
+    /// Configuration for incoming connections.
     pub server: ServerConfig,
-    /// For own connections.
+    /// Configuration for outgoing connections.
     pub client: ClientConfig,
 }
 
-/// Installs the process's crypto provider; needed once before any TLS.
+/// Installs the crypto provider of the process; needed once before any use of TLS.
 pub fn install_crypto_provider() {
     let _ = ring::default_provider().install_default();
 }
 
-/// Reads the files that the settings name.
+/// Loads the certificates and the key named in the settings.
 pub fn load(peers: &Peers) -> Result<TlsConfigs> {
     let mut roots = RootCertStore::empty();
     for certificate in certificates(&peers.ca_file)? {
@@ -132,7 +133,7 @@
     }
 }
 
-/// Makes a certificate authority in `directory`.
+/// Generates a certificate authority and writes it to `directory`.
 pub fn create_ca(directory: &Path) -> Result<()> {
     let key = KeyPair::generate().context(GenerateSnafu)?;
     let mut params = CertificateParams::new(Vec::new()).context(GenerateSnafu)?;
@@ -143,7 +144,8 @@
     write(&directory.join(CA_KEY_FILE), &key.serialize_pem())
 }
 
-/// Makes a certificate `NAME.pem` and a key `NAME-key.pem` in `directory`, signed by its authority.
+/// Generates a certificate `NAME.pem` and a key `NAME-key.pem` in `directory`, signed by its
+/// authority.
 pub fn create_host(directory: &Path, name: &str) -> Result<()> {
     let ca = read(&directory.join(CA_FILE))?;
     let ca_key = read(&directory.join(CA_KEY_FILE))?;
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -1,5 +1,5 @@
-//! The peer protocol: heartbeats as datagrams, everything else as one request and one answer on a
-//! stream of its own. Each message starts with a version byte; the rest is postcard.
+//! Messages of the peer protocol. Heartbeats are datagrams; everything else is one request and one
+//! reply on a stream of its own. Each message starts with a version byte; the rest is postcard.
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use snafu::{OptionExt, ensure};
@@ -10,36 +10,36 @@
     state::{LogEntry, SnapshotPointer},
 };
 
-/// Version of the protocol.
+/// Version of the protocol; messages of other versions are rejected.
 pub const VERSION: u8 = 1;
-/// Largest message.
+/// Maximum size of an encoded message.
 pub const MESSAGE_BYTES_MAX: usize = 64 * 1024 * 1024;
 
 /// Heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Question.
+    /// Asks a peer for its revision.
     Ping {
-        /// Host that asks.
+        /// Host that sends the ping.
         host: HostKey,
-        /// Its process.
+        /// Process of that host.
         incarnation: Incarnation,
-        /// Time of the sender, returned unread.
+        /// Time at which the ping was sent, on the sender's clock; returned unchanged.
         asked_ms: u64,
         /// Revision that the sender has applied.
         revision: Revision,
     },
-    /// Answer.
+    /// Reply to a ping.
     Pong {
-        /// Host that answers.
+        /// Host that replies.
         host: HostKey,
-        /// Its process.
+        /// Process of that host.
         incarnation: Incarnation,
-        /// Time from the question.
+        /// Time copied from the ping.
         asked_ms: u64,
-        /// Revision that it has applied.
+        /// Revision that the host has applied.
         revision: Revision,
-        /// Age of its basis.
+        /// Age of the host's basis (see [`crate::membership::freshness`]); `None` if it has none.
         basis_age_ms: Option<u64>,
     },
 }
@@ -47,75 +47,75 @@
 /// Requests on streams.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// New entries, to be passed on to the hosts of `relay`.
+    /// Delivers new log entries, which the receiver passes on to the hosts in `relay`.
     Push {
-        /// Entries in order.
+        /// Entries in order of revision.
         entries: Vec<LogEntry>,
-        /// Hosts still to be told.
+        /// Hosts that the receiver must pass the entries on to.
         relay: Vec<HostKey>,
     },
-    /// Asks for the entries after a revision.
+    /// Requests the log entries after a revision.
     Entries {
-        /// Revision.
+        /// Last revision that the sender has applied.
         after: Revision,
     },
-    /// Asks for the whole state.
+    /// Requests a snapshot of the whole state.
     Snapshot,
-    /// Asks how long a lost server's lease may still be valid by this host's renewals.
+    /// Asks for how long this host's renewals may keep the lease of a lost server valid.
     LeaseHorizon {
-        /// Server.
+        /// Server that was declared lost.
         server: ServerKey,
-        /// Membership period.
+        /// Membership period that ended with the loss.
         lease_epoch: LeaseEpoch,
         /// Revision of the loss.
         lost: Revision,
     },
-    /// Asks to try whether a server answers.
+    /// Asks the host to check if a server responds.
     Probe {
-        /// Server.
+        /// Server to check.
         server: ServerKey,
     },
-    /// Asks for the requests seen since the last such question.
+    /// Requests the load counted since the last such request.
     Loads,
 }
 
-/// Answers on streams.
+/// Replies on streams.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// Revision that the host has applied now.
+    /// Revision that the host has applied, in reply to a push.
     Applied {
-        /// Revision.
+        /// Revision after the pushed entries were applied.
         revision: Revision,
     },
-    /// Entries after the revision asked for.
+    /// Log entries after the requested revision.
     Entries {
-        /// Entries in order.
+        /// Entries in order of revision.
         entries: Vec<LogEntry>,
     },
-    /// The host no longer holds these entries.
+    /// The host no longer holds the requested entries.
     Truncated,
-    /// The whole state.
+    /// Snapshot of the whole state.
     Snapshot {
-        /// Revision and hash.
+        /// Revision and hash of the snapshot.
         pointer: SnapshotPointer,
         /// Encoded state.
         body: Vec<u8>,
     },
-    /// Facts for [`crate::ownership::lapse`].
+    /// Renewals of this host, as needed by [`crate::ownership::lapse`].
     Horizon {
-        /// Time since the host applied the loss; none if it has not.
+        /// Time since the host applied the loss; `None` if it has not applied it.
         applied_age_ms: Option<u64>,
-        /// Time for which its own renewals may still hold.
+        /// Time for which the host's renewals may still keep the lease valid.
         remaining_ms: u64,
     },
-    /// Outcome of a probe.
+    /// Result of a probe.
     Probed {
-        /// True if the server answered.
+        /// True if the server responded.
         alive: bool,
     },
-    /// Requests by slot.
+    /// Load by slot.
     Loads {
-        /// Slots with requests.
+        /// Slots with at least one request.
         loads: Vec<SlotLoad>,
     },
 }
@@ -123,21 +123,21 @@
 /// Requests that one host routed to one slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotLoad {
-    /// Service.
+    /// Service of the slot.
     pub service: ServiceKey,
-    /// Slot.
+    /// Slot that the requests were for.
     pub slot: Slot,
-    /// Requests.
+    /// Number of requests since the last reading.
     pub requests: u32,
 }
 
-/// Encodes a message.
+/// Encodes a message, with the version byte first.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>> {
     let buffer = vec![VERSION];
     postcard::to_extend(message, buffer).map_err(unreadable)
 }
 
-/// Decodes a message.
+/// Decodes a message and checks its version.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
     let (version, body) = bytes.split_first().context(DecodeSnafu {
         message: "it is empty",
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform.
+//! HTTP client of the platform.
 
 use std::net::SocketAddr;
 
@@ -23,7 +23,7 @@
 }
 
 impl Platform {
-    /// A client whose calls take at most `timeout_ms`.
+    /// Creates a client whose calls time out after `timeout_ms`.
     pub fn new(address: SocketAddr, timeout_ms: u64) -> Self {
         Self {
             address,
@@ -39,7 +39,7 @@
             .context(CallSnafu)
     }
 
-    /// Reads at most `limit` rows with `prefix` whose key is greater than `after`.
+    /// Reads at most `limit` rows whose key starts with `prefix` and is greater than `after`.
     pub async fn range(&self, prefix: &str, after: &str, limit: usize) -> Result<Vec<Row>> {
         let read = RangeRead {
             prefix: prefix.to_owned(),
@@ -79,7 +79,7 @@
             .context(CallSnafu)
     }
 
-    /// Reads the lagging list of hosts.
+    /// Reads the list of hosts, which lags behind the hosts that really run.
     pub async fn hosts(&self) -> Result<HostList> {
         self.client
             .get(self.address, HOSTS_PATH)
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -11,7 +11,7 @@
     /// The call failed; a write may have taken effect all the same.
     #[snafu(display("the platform cannot be reached: {source}"))]
     Call {
-        /// Cause.
+        /// Error of the HTTP call.
         source: CallError,
     },
 }
--- a/src/store/message.rs
+++ b/src/store/message.rs
@@ -1,4 +1,4 @@
-//! Messages of the platform's published protocol.
+//! Messages of the platform's public API, as JSON.
 
 use std::net::SocketAddr;
 
@@ -13,31 +13,31 @@
 /// Path of the list of hosts (GET).
 pub const HOSTS_PATH: &str = "/v1/hosts";
 
-/// What a row must look like for a transaction to take effect.
+/// Expected state of a row, without which a transaction does not take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Expect {
-    /// No such row.
+    /// The row does not exist.
     Absent,
-    /// The row was written this many times.
+    /// The row has been written this many times.
     Version(u64),
 }
 
-/// One condition of a transaction.
+/// Condition of a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Condition {
-    /// Row.
+    /// Key of the row.
     pub key: String,
     /// Expected state of the row.
     pub expect: Expect,
 }
 
-/// One write of a transaction; no value deletes the row.
+/// Write of one row in a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Write {
-    /// Row.
+    /// Key of the row.
     pub key: String,
-    /// New value.
+    /// New value; `None` deletes the row.
     pub value: Option<String>,
 }
 
@@ -46,7 +46,7 @@
 pub struct Transaction {
     /// Conditions, all of which must hold.
     pub conditions: Vec<Condition>,
-    /// Writes.
+    /// Writes that are made if they do.
     pub writes: Vec<Write>,
 }
 
@@ -56,36 +56,36 @@
 pub enum Transacted {
     /// All writes took effect.
     Committed,
-    /// Nothing took effect; these rows were not as expected.
+    /// No write took effect, because a condition failed.
     Conflict {
-        /// Rows whose condition failed.
+        /// Keys of the rows whose condition failed.
         keys: Vec<String>,
     },
 }
 
-/// Read of the rows after `after` whose key starts with `prefix`, in key order.
+/// Request for the rows after `after` whose key starts with `prefix`, in key order.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RangeRead {
-    /// Common prefix.
+    /// Prefix of the keys.
     pub prefix: String,
-    /// Exclusive lower bound.
+    /// Exclusive lower bound of the keys; empty for none.
     pub after: String,
-    /// Most rows to return.
+    /// Maximum number of rows to return.
     pub limit: usize,
 }
 
-/// One row.
+/// Row of the table service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Row {
-    /// Key.
+    /// Key, unique in the table service.
     pub key: String,
-    /// Number of writes so far.
+    /// Number of writes of the row so far.
     pub version: u64,
-    /// Value.
+    /// Value of the row, as text.
     pub value: String,
 }
 
-/// Rows of a range read.
+/// Rows that a range read returned.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Rows {
     /// Rows in key order.
@@ -96,24 +96,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
-    /// Running.
+    /// The host is running.
     Live,
-    /// About to be taken away.
+    /// The host is about to be removed by the platform.
     Leaving,
 }
 
-/// One host of the platform's list, which lags.
+/// Entry of the platform's list of hosts, which lags behind the real state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListedHost {
-    /// Address of the process on it.
+    /// Address of the process on the host.
     pub address: SocketAddr,
-    /// State.
+    /// State of the host when the list was made.
     pub state: ListedState,
 }
 
 /// The platform's list of hosts.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HostList {
-    /// Hosts.
+    /// Hosts in no particular order.
     pub hosts: Vec<ListedHost>,
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,5 +1,4 @@
-//! Client side of the platform: its transactional table service, its object store and its list
-//! of hosts.
+//! Client of the platform: its transactional table service, its object store and its list of hosts.
 
 mod client;
 mod error;
