--- a/src/peer/endpoint.rs
+++ b/src/peer/endpoint.rs
@@ -119,7 +119,7 @@
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Connection> {
-        if let Some(connection) = self.open_connection(address) {
+        if let Some(connection) = self.existing_connection(address) {
             return Ok(connection);
         }
         let connecting = self
@@ -134,7 +134,7 @@
         Ok(connection)
     }
 
-    fn open_connection(&self, address: SocketAddr) -> Option<Connection> {
+    fn existing_connection(&self, address: SocketAddr) -> Option<Connection> {
         let mut connections = self.lock();
         let connection = connections.get(&address)?.clone();
         if connection.close_reason().is_some() {
