--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -134,7 +134,7 @@
 /// Encodes a message, with the version byte first.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>> {
     let buffer = vec![VERSION];
-    postcard::to_extend(message, buffer).map_err(unreadable)
+    postcard::to_extend(message, buffer).map_err(decode_error)
 }
 
 /// Decodes a message and checks its version.
@@ -148,10 +148,10 @@
             message: format!("its version is {version}, not {VERSION}")
         }
     );
-    postcard::from_bytes(body).map_err(unreadable)
+    postcard::from_bytes(body).map_err(decode_error)
 }
 
-fn unreadable(error: postcard::Error) -> Error {
+fn decode_error(error: postcard::Error) -> Error {
     Error::Decode {
         message: error.to_string(),
     }
