--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -18,10 +18,10 @@
 impl Admission {
     /// Admits a request, or returns `None` if `max` requests are in flight.
     pub fn admit(&self, max: u64) -> Option<AdmissionGuard> {
-        let place = AdmissionGuard(self.in_flight.clone());
+        let guard = AdmissionGuard(self.in_flight.clone());
         let before = self.in_flight.fetch_add(1, Ordering::Relaxed);
         // On refusal the guard is dropped here, which takes the request off the count again.
-        (before < max).then_some(place)
+        (before < max).then_some(guard)
     }
 
     /// Returns the number of requests in flight.
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -130,8 +130,8 @@
     let spec = &entry.spec;
     let traffic = host.traffic.of(service, entry.slots.len());
     let overloaded = Failure::not_run(Reason::Overloaded);
-    let place = traffic.admission.admit(spec.queue_requests);
-    let _place = place.ok_or(overloaded)?;
+    let guard = traffic.admission.admit(spec.queue_requests);
+    let _place = guard.ok_or(overloaded)?;
     let routed = prepare(
         host,
         &state,
