--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -131,7 +131,7 @@
     let traffic = host.traffic.of(service, entry.slots.len());
     let overloaded = Failure::not_run(Reason::Overloaded);
     let guard = traffic.admission.admit(spec.queue_requests);
-    let _place = guard.ok_or(overloaded)?;
+    let _guard = guard.ok_or(overloaded)?;
     let routed = prepare(
         host,
         &state,
