--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -23,7 +23,7 @@
 const LOSS_S: f64 = 2.5;
 
 /// Weights of the Verband's template.
-pub const VERBAND: Weights = Weights {
+pub const DRAINAGE_WEIGHTS: Weights = Weights {
     imbalance: 1.0,
     churn: 2.4,
     unavailable: 1.0,
@@ -45,7 +45,7 @@
 }
 
 const POLICIES: [Policy; 5] = [
-    Policy::Planner("planner, verband", VERBAND),
+    Policy::Planner("planner, verband", DRAINAGE_WEIGHTS),
     Policy::Planner("planner, cartaneve", CARTANEVE),
     Policy::Modulo,
     Policy::Rendezvous,
