--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -29,7 +29,7 @@
     unavailable: 1.0,
 };
 /// Weights of Cartaneve's template.
-pub const CARTANEVE: Weights = Weights {
+pub const RESORT_WEIGHTS: Weights = Weights {
     imbalance: 4.0,
     churn: 1.0,
     unavailable: 4.0,
@@ -46,7 +46,7 @@
 
 const POLICIES: [Policy; 5] = [
     Policy::Planner("planner, verband", DRAINAGE_WEIGHTS),
-    Policy::Planner("planner, cartaneve", CARTANEVE),
+    Policy::Planner("planner, cartaneve", RESORT_WEIGHTS),
     Policy::Modulo,
     Policy::Rendezvous,
     Policy::BoundedLoads,
