--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_renewal_holds_a_margin_longer_than_its_lease_and_then_no_more() {
+fn a_renewal_is_valid_for_its_lease_plus_the_margin() {
     let mut renewal_state = RenewalState::default();
     let (period, process) = (LeaseEpoch(1), Incarnation(4));
     renewal_state.start_period(period, 1_000);
