--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_process_restarted_at_its_address_takes_its_predecessors_place() {
+fn a_process_restarted_at_its_address_replaces_its_predecessor() {
     let mut state = State::default();
     register(&mut state, 0, 1);
     promote(&mut state, 0);
