--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn an_answer_counts_from_its_question_and_only_at_a_revision_that_was_applied() {
+fn a_heartbeat_reply_counts_from_its_ping_and_only_at_an_applied_revision() {
     struct Case {
         name: &'static str,
         revision: u64,
