--- a/tests/ownership_model.rs
+++ b/tests/ownership_model.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_check_notices_each_broken_rule() {
+fn the_model_detects_each_broken_rule() {
     let broken = [
         BrokenRule::Fence,
         BrokenRule::LeaseEpoch,
