--- a/tests/once_only.rs
+++ b/tests/once_only.rs
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_answer_is_not_taken_as_whole_and_its_request_not_run_again() {
+async fn a_truncated_response_is_an_error_and_its_request_does_not_run_again() {
     let cluster = Cluster::start(1, 1, PLAIN);
     cluster.declare(RULE).await;
     cluster
