--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn requests_that_cannot_be_routed_are_told_so() {
+async fn requests_that_cannot_be_routed_get_the_reason() {
     struct Case {
         path: &'static str,
         status: u16,
