--- a/src/bench/control.rs
+++ b/src/bench/control.rs
@@ -1,5 +1,5 @@
-//! What control costs a host, against the number of hosts: real hosts, a platform stand-in and
-//! backend servers in this process, without any caller.
+//! Cost per host of the coordination between hosts, by the number of hosts. Real hosts, a platform
+//! stand-in and backend servers run in this process, without callers.
 
 use std::time::Duration;
 
@@ -12,31 +12,31 @@
     standin::platform::Counters,
 };
 
-/// Time for hosts to register and settle before the measurement, per host.
+/// Time for hosts to register and settle before the measurement, added per host.
 const SETTLE_MS_PER_HOST: u64 = 60;
 const SETTLE_MS: u64 = 6_000;
 const MEASURE_MS: u64 = 10_000;
 
-/// Figures at one number of hosts.
+/// Measurements at one number of hosts.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ControlFigures {
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Hosts that are counted at the time of the measurement.
+    /// Number of hosts that were voters during the measurement.
     pub counted: usize,
-    /// Bytes that one host sends in a second, its share of the stand-ins' included.
+    /// Bytes that one host sends per second, including its share of the stand-ins' traffic.
     pub sent_bytes_per_s: f64,
-    /// Share of one processor core, its share of the stand-ins' included.
+    /// Share of one processor core that one host uses, including its share of the stand-ins' work.
     pub core_share: f64,
-    /// Memory of the process, per host.
+    /// Resident memory of the process, divided by the number of hosts.
     pub resident_bytes: f64,
-    /// Reads of the table service in a second, all hosts together.
+    /// Reads of the table service per second, over all hosts.
     pub reads_per_s: f64,
-    /// Transactions in a second, all hosts together.
+    /// Transactions per second, over all hosts.
     pub transactions_per_s: f64,
 }
 
-/// Measures one number of hosts.
+/// Runs the measurement with `hosts` hosts.
 pub async fn run(hosts: usize) -> Result<ControlFigures, Error> {
     let memory = process::resident_bytes();
     let system = System::start(hosts).await?;
@@ -65,7 +65,7 @@
     })
 }
 
-/// Counters at one moment.
+/// Values of all counters at one moment.
 struct CounterSnapshot {
     cpu_ms: u64,
     sent_bytes: u64,
--- a/src/bench/day.rs
+++ b/src/bench/day.rs
@@ -1,31 +1,31 @@
-//! Generated days of both users: loads by slot and which servers there are, minute by minute.
+//! Generated days of both example templates: load by slot and available servers, minute by minute.
 
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::SliceRandom};
 
-/// Minutes of a day.
+/// Number of minutes in a day.
 pub const MINUTES: usize = 24 * 60;
-/// Slots of the generated service.
+/// Number of slots of the generated service.
 pub const SLOTS: usize = 256;
 
-/// What happens on a day.
+/// Scenario of a day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
-    /// A quiet day.
+    /// Nothing but the daily load curve.
     Steady,
     /// A tenth of the slots gets ten times its load for four hours.
     Thaw,
     /// Four slots get forty times their load, one after the other, in the morning.
     SunnySunday,
-    /// A server leaves every hour, and one comes half an hour later.
+    /// Every hour one server leaves, and it returns half an hour later.
     JoinsAndLeaves,
-    /// A third of the servers is lost at noon and back at two.
+    /// A third of the servers is lost at noon and returns at two.
     ZoneLoss,
     /// All servers are replaced one by one between eight and noon.
     Migration,
 }
 
-/// Every day that is run.
+/// Scenarios that every policy runs.
 pub const EVENTS: [Event; 6] = [
     Event::Steady,
     Event::Thaw,
@@ -35,7 +35,7 @@
     Event::Migration,
 ];
 
-/// A generated day.
+/// Generated day.
 #[derive(Clone, Debug)]
 pub struct Day {
     event: Event,
@@ -46,7 +46,7 @@
 }
 
 impl Day {
-    /// A day with `servers` servers.
+    /// Generates a day with `servers` servers; the same seed gives the same day.
     pub fn new(event: Event, servers: usize, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut order: Vec<usize> = (0..SLOTS).collect();
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Servers that ever exist.
+    /// Returns the number of servers that exist at any time of the day.
     pub fn servers_max(&self) -> usize {
         match self.event {
             Event::Migration => self.servers * 2,
@@ -69,18 +69,18 @@
         }
     }
 
-    /// Load of a slot.
+    /// Returns the load of a slot.
     pub fn load(&self, minute: usize, slot: usize) -> f64 {
         self.base[slot] * self.daily_factor(minute) * self.hot_slot_factor(minute, slot)
     }
 
-    /// Load as the planner sees it: a minute old and up to 20% off.
+    /// Returns the load that the planner sees: one minute old and with an error of up to 20%.
     pub fn observed(&self, minute: usize, slot: usize) -> f64 {
         let mut rng = StdRng::seed_from_u64(self.seed ^ ((minute * SLOTS + slot) as u64) << 8);
         self.load(minute.saturating_sub(1), slot) * rng.random_range(0.8..1.2)
     }
 
-    /// Quiet nights.
+    /// Returns the factor of the daily load curve, from 0.4 at midnight to 1.6 at noon.
     fn daily_factor(&self, minute: usize) -> f64 {
         let angle = minute as f64 / MINUTES as f64 * std::f64::consts::TAU;
         1.0 - 0.6 * angle.cos()
@@ -101,7 +101,7 @@
         }
     }
 
-    /// True if a server is there.
+    /// Returns true if a server is available.
     pub fn is_up(&self, minute: usize, server: usize) -> bool {
         let hour = minute / 60;
         match self.event {
--- a/src/bench/mod.rs
+++ b/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements of the decisions and of the cost of control.
+//! Benchmarks of the planner and of the cost of coordination.
 
 pub mod control;
 mod day;
--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -1,4 +1,4 @@
-//! Time and memory of the planner and the state against slots and servers.
+//! Time and memory of the planner and the state, by the number of slots and servers.
 
 use std::{sync::Arc, time::Instant};
 
@@ -13,7 +13,7 @@
     state::{Change, MoveDone, Snapshot, State},
 };
 
-/// Sizes that are measured: slots and servers.
+/// Sizes to measure, as numbers of slots and servers.
 const SIZES: [(u32, u32); 4] = [
     (10_000, 40),
     (50_000, 200),
@@ -23,28 +23,28 @@
 const SEED: u64 = 3;
 const TARGETS_PER_DOCUMENT: u32 = 4_000;
 
-/// Figures at one size.
+/// Measurements at one size.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct SizeFigures {
-    /// Slots.
+    /// Number of slots.
     pub slots: u32,
-    /// Servers.
+    /// Number of servers.
     pub servers: u32,
-    /// First placement of all slots.
+    /// Time to place all slots for the first time.
     pub place_ms: f64,
-    /// Plan after one server was lost.
+    /// Time to plan after the loss of one server.
     pub loss_ms: f64,
-    /// Plan when nothing needs to move.
+    /// Time to plan when nothing needs to move.
     pub idle_ms: f64,
-    /// Memory of the state, per slot.
+    /// Memory of the state per slot.
     pub state_bytes_per_slot: f64,
-    /// Size of the snapshot, per slot.
+    /// Size of the snapshot per slot.
     pub snapshot_bytes_per_slot: f64,
-    /// Applying the end of one slot's move to the state.
+    /// Time to apply the completion of one slot's move to the state.
     pub apply_ms: f64,
 }
 
-/// Measures every size.
+/// Runs the measurement at every size.
 pub fn run() -> Vec<SizeFigures> {
     SIZES
         .iter()
@@ -115,7 +115,7 @@
     }
 }
 
-/// A state whose slots are owned in turn.
+/// Builds a state whose slots are assigned to the servers in turn.
 fn build(slots: u32, servers: u32) -> State {
     let mut state = State::default();
     let template = format!(
@@ -165,7 +165,7 @@
         epoch,
     }];
     apply(&mut state, Change::MovesBegun { service, moves });
-    // As on a host, where readers still hold the state before.
+    // Keeps a reference to the old state, as readers on a host do, so that the change has to copy.
     let held = state.clone();
     let start = Instant::now();
     let done = vec![MoveDone { slot, epoch }];
@@ -177,6 +177,6 @@
 
 fn apply(state: &mut State, change: Change) {
     if let Err(error) = state.apply_trial(change) {
-        log::error!("the measured state is not as meant: {error}");
+        log::error!("a change to the measured state was refused: {error}");
     }
 }
--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -1,4 +1,4 @@
-//! The planner against baselines on the same generated days.
+//! Compares the planner with other placement policies on the same generated days.
 
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -17,25 +17,26 @@
 const HIGH_IMBALANCE: f64 = 1.25;
 /// Weight of the latest observation in the smoothed load.
 const SMOOTHING: f64 = 0.2;
-/// Balance moves in a minute.
+/// Maximum number of balance moves per minute.
 const MOVES_PER_MINUTE: usize = 64;
-/// Time from the loss of a server to the service of its keys, as measured by the demonstration.
+/// Time from the loss of a server until its keys are served again, as measured by the
+/// demonstration.
 const LOSS_S: f64 = 2.5;
 
-/// Weights of the Verband's template.
+/// Weights of the `drainage` example template.
 pub const DRAINAGE_WEIGHTS: Weights = Weights {
     imbalance: 1.0,
     churn: 2.4,
     unavailable: 1.0,
 };
-/// Weights of Cartaneve's template.
+/// Weights of the `resort` example template.
 pub const RESORT_WEIGHTS: Weights = Weights {
     imbalance: 4.0,
     churn: 1.0,
     unavailable: 4.0,
 };
 
-/// A way to place slots.
+/// Policy for the placement of slots.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Policy {
     Planner(&'static str, Weights),
@@ -52,20 +53,20 @@
     Policy::BoundedLoads,
 ];
 
-/// Figures of one policy on one day.
+/// Measurements of one policy on one day.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct PolicyFigures {
-    /// Day.
+    /// Scenario of the day.
     pub event: Event,
-    /// Policy.
+    /// Name of the policy.
     pub policy: &'static str,
-    /// Mean over the day of peak over mean load.
+    /// Mean over the day of the highest load divided by the mean load.
     pub imbalance_mean: f64,
     /// Share of the day with an imbalance over 1.25.
     pub imbalanced_share: f64,
-    /// Share of all keys moved in an hour.
+    /// Share of all keys moved per hour.
     pub churn_per_h: f64,
-    /// Keys moved over the keys that had to move; none if none had to.
+    /// Number of keys moved, divided by the number that had to move; `None` if none had to.
     pub churn_ratio: Option<f64>,
     /// Seconds in which a key could not be served, summed over the day, per 1,000 keys.
     pub unavailable_s: f64,
@@ -85,7 +86,7 @@
     let mut owners: Vec<Option<u32>> = vec![None; SLOTS];
     let (mut moved, mut forced, mut lost) = (0_usize, 0_usize, 0_usize);
     let (mut sum, mut high) = (0.0, 0_usize);
-    // Smoothed as the hosts do with their readings.
+    // Smoothed in the same way as the load readings of hosts.
     let mut smoothed_loads: Vec<f64> = (0..SLOTS).map(|slot| day.observed(0, slot)).collect();
     for minute in 0..MINUTES {
         let servers = servers(day, minute);
@@ -175,8 +176,8 @@
     }
 }
 
-/// Consistent hashing with bounded loads: each slot goes to the first server behind it on the ring
-/// that stays within the bound.
+/// Places slots by consistent hashing with bounded loads: each slot goes to the first server in its
+/// hash order that stays within the bound.
 fn place_bounded(smoothed_loads: &[f64], up: &[u32], owners: &mut [Option<u32>]) {
     let total: f64 = smoothed_loads.iter().sum();
     let most = total / up.len() as f64 * LOAD_BOUND;
--- a/src/bench/process.rs
+++ b/src/bench/process.rs
@@ -1,16 +1,16 @@
-//! Readings of this process and machine, from `/proc`.
+//! Resource usage of this process and of the machine, from `/proc`.
 
 use std::fs;
 
-/// Kernel ticks of processor time in a second, as Linux reports them to programs.
+/// Clock ticks per second in the processor times that Linux reports.
 const TICKS_PER_S: u64 = 100;
 const FIELDS_BEFORE_USER_TIME: usize = 11;
 const LOOPBACK: &str = "lo:";
 
-/// Processor time that this process has used.
+/// Returns the processor time that this process has used.
 pub fn cpu_ms() -> u64 {
     let text = fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    // The name in brackets may hold blanks, so fields are counted behind it.
+    // The process name in parentheses may contain spaces, so fields are counted after it.
     let fields = text.rsplit(')').next().unwrap_or_default();
     let mut fields = fields.split_whitespace().skip(FIELDS_BEFORE_USER_TIME);
     let mut ticks = || {
@@ -22,7 +22,7 @@
     (ticks() + ticks()) * 1_000 / TICKS_PER_S
 }
 
-/// Memory that this process holds.
+/// Returns the resident memory of this process.
 pub fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with("VmRSS:"));
@@ -30,7 +30,7 @@
     kib.and_then(|kib| kib.parse::<u64>().ok()).unwrap_or(0) * 1024
 }
 
-/// Bytes that all processes of the machine have sent over loopback.
+/// Returns the number of bytes that all processes of the machine have sent over loopback.
 pub fn loopback_sent_bytes() -> u64 {
     let text = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text
--- a/src/demo/error.rs
+++ b/src/demo/error.rs
@@ -4,46 +4,46 @@
 
 use crate::{host, peer, transport::CallError};
 
-/// Why the demonstration could not run.
+/// Failure that ends the demonstration.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// No directory for certificates.
-    #[snafu(display("no directory for certificates: {source}"))]
+    /// The directory for certificates cannot be created or written.
+    #[snafu(display("the directory for certificates cannot be used: {source}"))]
     Directory {
-        /// Cause.
+        /// Error of the file system.
         source: std::io::Error,
     },
-    /// A stand-in cannot start.
+    /// A stand-in of the platform or of a server cannot start.
     #[snafu(display("a stand-in cannot start: {source}"))]
     Standin {
-        /// Cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Certificates.
+    /// The certificates cannot be generated.
     #[snafu(display("{source}"))]
     Keys {
-        /// Cause.
+        /// Error of the certificate generation.
         source: peer::Error,
     },
     /// A host cannot start.
     #[snafu(display("{source}"))]
     Host {
-        /// Cause.
+        /// Error of the host.
         source: host::Error,
     },
-    /// A call failed.
+    /// A call to a host or a stand-in failed.
     #[snafu(display("{source}"))]
     Call {
-        /// Cause.
+        /// Error of the HTTP call.
         source: CallError,
     },
-    /// Something did not come about in time.
-    #[snafu(display("not within {limit_ms} ms: {what}"))]
+    /// A condition did not hold within its time limit.
+    #[snafu(display("timed out after {limit_ms} ms while waiting until {what}"))]
     Late {
-        /// What was waited for.
+        /// Condition that was waited for.
         what: &'static str,
-        /// Limit.
+        /// Time limit of the wait.
         limit_ms: u64,
     },
 }
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -1,6 +1,6 @@
-//! The main job on an embedded default, in one process: a platform stand-in, backend servers, three
-//! entry hosts and both users' templates under a mixed load, with a server lost, a range of keys
-//! moved and a host stopped.
+//! Demonstration in one process: a platform stand-in, backend servers, three entry hosts and both
+//! example templates under a mixed load. During the load a server is lost, a range of keys is moved
+//! and a host is stopped.
 
 mod error;
 mod system;
@@ -29,11 +29,11 @@
 const KEYS: u64 = 2_000;
 const SEED: u64 = 11;
 
-/// Runs the demonstration; `report_event` gets a line for each thing that happens.
+/// Runs the demonstration; `report_event` gets one line of text for each event.
 pub async fn run(report_event: impl Fn(&str)) -> Result<Summary, Error> {
     report_event("starting a platform, 12 backend servers and 3 entry hosts");
     let mut system = System::start(HOSTS).await?;
-    report_event("declaring both users' templates and workspaces");
+    report_event("declaring both example templates and their workspaces");
     system.declare().await?;
     let baseline = measure_baseline(&system, &report_event).await;
     report_event(&format!(
@@ -43,7 +43,7 @@
     let loading = tokio::spawn(load::run(mixed_load(&system)));
     let disturbances = inject_disturbances(&mut system, &report_event).await?;
     let samples = loading.await.unwrap_or_default();
-    // Every record is written a moment after its answer.
+    // A server writes its record shortly after it sends the response.
     time::sleep(Duration::from_millis(300)).await;
     let records = system.records().await;
     system.stop().await;
@@ -55,7 +55,7 @@
     ))
 }
 
-/// The same requests straight to their servers and through the hosts.
+/// Measures the same load twice, directly at the servers and through the hosts.
 async fn measure_baseline(system: &System, report_event: &impl Fn(&str)) -> Baseline {
     let through = LoadConfig {
         unrepeatable_share: 0.0,
@@ -100,14 +100,14 @@
     wait_until(LOSS_AT_MS).await;
     let lost_keys = system.keys_of_lost_server(KEYS);
     let lost_us = clock::unix_us();
-    report_event("a backend server freezes and is lost");
+    report_event("a backend server freezes and is declared lost");
     system.freeze_server().await?;
     wait_until(MOVE_AT_MS).await;
-    report_event("the lost server goes on, and another one leaves its workspace");
+    report_event("the lost server resumes; another server is withdrawn from its workspace");
     system.thaw_server().await?;
     system.withdraw_target().await?;
     wait_until(STOP_AT_MS).await;
-    report_event("a host makes its planned stop");
+    report_event("a host shuts down gracefully");
     let stopped = system.stop_host().await;
     Ok(Disturbances {
         lost_us,
@@ -116,7 +116,7 @@
     })
 }
 
-/// True if a sample's request had no fault in its way.
+/// Returns true if no disturbance can have affected the request of a sample.
 pub(crate) fn undisturbed(sample: &Sample, disturbances: &Disturbances) -> bool {
     let after_stop = disturbances.stopped.address == sample.address
         && sample.intended_us + sample.latency_us >= disturbances.stopped.at_us;
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -1,4 +1,4 @@
-//! The processes of the demonstration, as tasks of one process.
+//! Components of the demonstration, which run as tasks of one process.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -46,7 +46,7 @@
 const DRAINAGE_TEMPLATE: &str = include_str!("../../examples/mittelland/template.yaml");
 const RESORT_TEMPLATE: &str = include_str!("../../examples/etna/template.yaml");
 
-/// A service of the demonstration and its servers.
+/// Service of the demonstration, with the indices of its servers.
 struct Placement {
     workspace: &'static str,
     service: &'static str,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Paths of the services that find their key in the path.
+/// Returns the paths of the services whose key is in the path.
 pub(crate) fn service_paths() -> Vec<String> {
     let by_path = PLACEMENTS.iter().filter(|p| p.service != "beitrag");
     by_path
@@ -84,7 +84,7 @@
         .collect()
 }
 
-/// The running processes.
+/// Running platform, servers and hosts.
 pub(crate) struct System {
     platform: Running,
     servers: Vec<Running>,
@@ -93,7 +93,7 @@
 }
 
 impl System {
-    /// Starts everything.
+    /// Starts the platform, the servers and `hosts` hosts.
     pub(crate) async fn start(hosts: usize) -> Result<Self, Error> {
         let name = format!("ashroad-demo-{}-{hosts}", std::process::id());
         let directory = std::env::temp_dir().join(name);
@@ -136,7 +136,8 @@
         self.servers.iter().map(|server| server.address).collect()
     }
 
-    /// Declares both workspaces and waits until every slot has an owner on every host.
+    /// Submits templates and workspaces, and waits until every slot has an owner in every host's
+    /// state.
     pub(crate) async fn declare(&self) -> Result<(), Error> {
         self.submit(Kind::Template, DRAINAGE_TEMPLATE.to_owned())
             .await?;
@@ -173,7 +174,7 @@
         Ok(())
     }
 
-    /// A workspace's document, perhaps without one of the servers.
+    /// Returns the document of a workspace, optionally without one of its servers.
     fn workspace(&self, name: &str, without: Option<usize>) -> String {
         let template = if name == "etna" { "resort" } else { "drainage" };
         let mut text = format!("workspace: {name}\ntemplate: {template}\nparameters:\n");
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Keys of the load whose owner is the server that will be lost.
+    /// Returns the keys of the load that are owned by the server that will be lost.
     pub(crate) fn keys_of_lost_server(&self, keys: u64) -> Vec<LostKey> {
         let state = self.hosts[0].host.view.state();
         let lost = state.server_key(self.servers[LOST_SERVER].address);
@@ -257,37 +258,38 @@
         Ok(())
     }
 
-    /// Amends a workspace so that one server leaves it.
+    /// Submits a workspace again without one of its servers, whose slots then move to others.
     pub(crate) async fn withdraw_target(&self) -> Result<(), Error> {
         let document = self.workspace("mittelland", Some(LEAVING_SERVER));
         self.submit(Kind::Workspace, document).await
     }
 
-    /// Stops one host in order.
+    /// Shuts one host down gracefully.
     pub(crate) async fn stop_host(&mut self) -> Stopped {
         let host = self.hosts.remove(STOPPED_HOST);
         let address = host.callers;
-        // Its notice to the balancer begins now; a request that comes after it may be refused.
+        // From here on the host reports to the load balancer that it is not ready, and it may
+        // refuse a request that arrives later.
         let at_us = clock::unix_us();
         host.stop().await;
         Stopped { address, at_us }
     }
 
-    /// Hosts that count in the majority.
+    /// Returns the number of hosts that are voters.
     pub(crate) fn counted_hosts(&self) -> usize {
         let state = self.hosts[0].host.view.state();
         let counted = state.registered_hosts().filter(|(_, host)| host.counted());
         counted.count()
     }
 
-    /// Calls that the platform has seen.
+    /// Returns the number of calls by type that the platform has received.
     pub(crate) async fn platform_counters(&self) -> platform::Counters {
         let client = JsonClient::new(SUBMIT_LIMIT_MS);
         let counters = client.get(self.platform.address, platform::COUNTERS_PATH);
         counters.await.unwrap_or_default()
     }
 
-    /// Records of all servers.
+    /// Returns the records of all servers that can be reached.
     pub(crate) async fn records(&self) -> Vec<Record> {
         let client = JsonClient::new(SUBMIT_LIMIT_MS);
         let mut records = Vec::new();
--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -1,4 +1,4 @@
-//! Judges the demonstration: the callers' view against the servers' own records.
+//! Result of the demonstration: compares the responses to callers with the servers' own records.
 
 use std::{collections::HashMap, fmt, net::SocketAddr};
 
@@ -10,21 +10,21 @@
     standin::{backend::Record, verdict},
 };
 
-/// A key of the server that was lost.
+/// Key owned by the server that was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LostKey {
     pub(crate) service: usize,
     pub(crate) key: u64,
 }
 
-/// The host that was stopped.
+/// Host that was shut down, with the time at which the shutdown began.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stopped {
     pub(crate) address: SocketAddr,
     pub(crate) at_us: u64,
 }
 
-/// What happened to the system in the run.
+/// Disturbances during the run.
 #[derive(Clone, Debug)]
 pub(crate) struct Disturbances {
     pub(crate) lost_us: u64,
@@ -32,44 +32,44 @@
     pub(crate) stopped: Stopped,
 }
 
-/// The paired run.
+/// Reports of the same load, sent directly to the servers and through the hosts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Baseline {
     pub(crate) direct: LoadReport,
     pub(crate) through: LoadReport,
 }
 
-/// Outcome of the demonstration.
+/// Result of the demonstration.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Summary {
     /// Requests sent.
     pub requests: u64,
-    /// Requests with their own whole answer.
+    /// Requests that got their own complete response.
     pub answered: u64,
-    /// Requests told that they did not run.
+    /// Requests whose callers were told that they did not run.
     pub not_run: u64,
-    /// Requests whose end is unknown.
+    /// Requests with an unknown outcome.
     pub unknown: u64,
-    /// Requests that got another's answer.
+    /// Requests that got the response to another request.
     pub wrong_answers: u64,
-    /// Pairs of spans in which two servers owned one slot.
+    /// Pairs of time spans in which two servers owned the same slot.
     pub double_owned: u64,
     /// Unrepeatable requests that ran more than once.
     pub double_run: u64,
-    /// Unrepeatable requests that ran although every arrival was told that it did not.
+    /// Unrepeatable requests that ran although all their callers were told that they did not.
     pub false_not_run: u64,
-    /// Share of requests without a fault in their way that were answered.
+    /// Share of requests answered, among those that no disturbance can have affected.
     pub undisturbed_answered: f64,
-    /// Wait of the lost server's keys for their next answer, 99th percentile.
+    /// Time until the keys of the lost server were served again, 99th percentile.
     pub unavailable_ms_p99: u64,
-    /// Median latency that the hosts add.
+    /// Median latency through the hosts minus the median latency directly at the servers.
     pub added_latency_us_p50: i64,
-    /// Difference of the 99th percentiles of latency.
+    /// The same difference of the 99th percentiles.
     pub added_latency_us_p99: i64,
 }
 
 impl Summary {
-    /// True if every invariant held.
+    /// Returns true if no invariant was violated.
     pub fn invariants_hold(&self) -> bool {
         let broken = self.wrong_answers + self.double_owned + self.double_run + self.false_not_run;
         broken == 0
@@ -101,7 +101,8 @@
     }
 }
 
-/// Orders that ran although no arrival was answered or told 'unknown'.
+/// Counts unrepeatable requests that ran although every response to them said that they did not
+/// run.
 fn false_not_run(samples: &[Sample], records: &[Record]) -> u64 {
     let mut told: HashMap<&str, bool> = HashMap::new();
     for sample in samples {
@@ -115,7 +116,8 @@
     false_ones.count() as u64
 }
 
-/// Requests without a fault in their way; a duplicate is expected to be refused now and then.
+/// Returns the share of undisturbed requests that were answered. Requests with duplicates are left
+/// out, because a duplicate may rightly be refused.
 fn undisturbed_answered(samples: &[Sample], disturbances: &Disturbances) -> f64 {
     let mut arrivals: HashMap<&str, u64> = HashMap::new();
     for key in samples.iter().filter_map(|s| s.idempotency_key.as_deref()) {
@@ -133,7 +135,7 @@
     answered as f64 / concerned().count().max(1) as f64
 }
 
-/// Latency of the first request of each key of the lost server after its loss.
+/// Returns the latency of the first request after the loss, for each key of the lost server.
 fn unavailability(samples: &[Sample], disturbances: &Disturbances) -> LatencyReport {
     let firsts = disturbances.lost_keys.iter().filter_map(|lost| {
         let of_key = samples.iter().filter(|sample| {
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -1,4 +1,4 @@
-//! A host of the model: the real decisions, with the timers of the real tasks around them.
+//! Simulated host: the real decision code, with the timers of the real tasks around it.
 
 use ashroad::{
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
@@ -27,7 +27,7 @@
 const MOVE_MS: u64 = 150;
 const READ_MS: u64 = 150;
 
-/// Answer to a question for a horizon.
+/// Reply to a query for a lease horizon.
 #[derive(Clone, Copy, Debug)]
 pub struct HorizonReply {
     pub host: HostKey,
@@ -162,7 +162,7 @@
         })
     }
 
-    /// The order of a renewal, decided as the real host does.
+    /// Returns the order of a renewal, decided as in the real host.
     fn order(&mut self, server: usize, clock_ms: u64, broken: BrokenRule) -> Option<LeaseRequest> {
         let key = ServerKey(server as u32);
         self.key()?;
@@ -358,7 +358,7 @@
         }
     }
 
-    /// Appends a change that fits the host's present state, as one conditional write.
+    /// Appends a change that fits the state this host has applied, as one conditional write.
     fn append(&mut self, index: usize, change: Change) {
         let now_ms = self.now_ms;
         let host = &mut self.hosts[index];
@@ -374,7 +374,8 @@
             from: self.requester(index),
             entry,
         };
-        // Written again after a lost answer: the condition on the head settles it.
+        // Some writes are sent twice, as after a lost response. The condition on the head of the
+        // log lets only one of them succeed.
         if self.rng.random_bool(0.1) {
             self.send(Node::Host(index), Node::Store, message.clone());
         }
@@ -390,7 +391,8 @@
         let Some((_, service)) = host.state.active_services().next() else {
             return;
         };
-        // The slots as this host sees them now must be those that were given up.
+        // The slots must still have the epochs for which they were released, in this host's current
+        // state.
         let same = |done: &MoveDone| service.slots[done.slot.0 as usize].epoch == done.epoch;
         let Some(first) = slots.first().filter(|_| slots.iter().all(same)) else {
             return;
@@ -522,7 +524,8 @@
         if watch.pending(&host.state) {
             let latest = host.state.registry.changed;
             let own = host.own();
-            // Asked in one instant here; cut and paused hosts do not answer.
+            // All peers are queried at the same instant here; hosts that are cut off or paused do
+            // not reply.
             let reach = |peer: usize| {
                 let link = (Node::Host(index), Node::Host(peer));
                 let back = (Node::Host(peer), Node::Host(index));
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -1,6 +1,6 @@
-//! A small world around the real decisions of ownership: the state, freshness, renewals, lapses,
-//! the registry and a server's grants. Time is virtual; messages are delayed, lost, doubled and
-//! reordered; processes are paused, killed and restarted; the store is down or loses answers.
+//! Simulation around the real ownership code: state, freshness, renewals, lapses, registry and the
+//! grants of a server. Time is virtual. Messages are delayed, lost, duplicated and reordered;
+//! processes are paused, killed and restarted; the store is down or its responses are lost.
 
 mod host;
 
@@ -29,34 +29,35 @@
 const TICK_MS: u64 = 50;
 const SERVERS: usize = 3;
 
-/// Rules that a test can take away, to show that the check sees it.
+/// Rule that a test can disable, to show that the invariant check detects its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenRule {
     Nothing,
-    /// A server forgets what was revoked.
+    /// A server forgets which slots were revoked.
     Fence,
     /// A server keeps its grants in a new membership period.
     LeaseEpoch,
-    /// Leases are declared lapsed without any wait.
+    /// Leases are declared lapsed without waiting.
     LapseWait,
-    /// The wait ends when one host has reported.
+    /// The wait for a lapse ends when one host has reported.
     Majority,
-    /// Hosts renew however old their view is.
+    /// Hosts renew leases however old their view is.
     Freshness,
-    /// The lease's end is counted from the order's arrival.
+    /// The end of a lease is counted from the arrival of the order.
     ClockBound,
-    /// A writer whose answer was lost writes again behind the present head.
+    /// A writer whose response was lost writes the same change again after the current head of the
+    /// log.
     OperationId,
 }
 
-/// A host process that asked. Answers go back on its connection, so a successor gets none.
+/// Host process that sent a request. Replies use its connection, so a restarted process gets none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Requester {
     host: usize,
     incarnation: Incarnation,
 }
 
-/// Messages; each is between processes that may have been replaced since it was sent.
+/// Messages between processes, each of which may have been replaced since the message was sent.
 #[derive(Clone, Debug)]
 pub enum Message {
     Ping {
@@ -177,7 +178,8 @@
             let host = Host::new(index, &mut simulation.rng);
             simulation.hosts.push(host);
         }
-        // Most cases begin with a formed system, so that the steps go into its faults.
+        // Most cases begin with all hosts registered, so that the steps are spent on faults of a
+        // complete system.
         if simulation.rng.random_bool(0.8) {
             simulation.register_all_hosts();
         }
@@ -194,7 +196,7 @@
         simulation
     }
 
-    /// Registers and counts every host.
+    /// Registers every host and makes it a voter.
     fn register_all_hosts(&mut self) {
         let changes: Vec<Change> = self.hosts.iter().map(Host::registration).collect();
         let promote = |(key, host): (u32, &Host)| Change::HostPromoted {
@@ -214,7 +216,7 @@
         }
     }
 
-    /// One step: a fault perhaps, then some time.
+    /// Runs one step: possibly a fault, then a random span of time.
     pub fn step(&mut self) {
         if !self.faults_ended {
             self.fault();
@@ -223,7 +225,7 @@
         self.run(span_ms);
     }
 
-    /// Runs for a while, checking after each event.
+    /// Runs for `span_ms`, checking the invariant after each event.
     pub fn run(&mut self, span_ms: u64) {
         let end_ms = self.now_ms + span_ms;
         while self.now_ms < end_ms {
@@ -253,7 +255,8 @@
         }
     }
 
-    /// Ends all faults, gives the lead to one host and lets things settle.
+    /// Ends all faults, makes one host the leader and runs until moves and registrations are
+    /// complete.
     pub fn settle(&mut self) {
         self.faults_ended = true;
         self.cut.clear();
@@ -279,7 +282,7 @@
             3..5 => {
                 let one = self.any_node();
                 let other = self.any_node();
-                // One way only, every second time.
+                // Half of these cuts affect one direction only.
                 self.cut.insert((one, other), until_ms);
                 if self.rng.random() {
                     self.cut.insert((other, one), until_ms);
@@ -307,10 +310,11 @@
         }
     }
 
-    /// Cuts some hosts off from the store and from the other hosts; servers stay in reach of all.
+    /// Cuts some hosts off from the store and from the other hosts, while all servers stay
+    /// reachable.
     fn split(&mut self, until_ms: u64) {
         let away: Vec<bool> = self.hosts.iter().map(|_| self.rng.random()).collect();
-        // The others go on to make changes, long enough to carry them out.
+        // The remaining hosts continue to make changes, and have enough time to complete them.
         let until_ms = until_ms + LAPSE_MS * 2;
         for (host, _) in self.hosts.iter_mut().zip(&away).filter(|(_, away)| !**away) {
             host.leading = true;
@@ -379,7 +383,8 @@
         self.next_envelope += 1;
         let envelope = Envelope {
             to,
-            // An address outlives a process, so a late message reaches the successor.
+            // An address outlives a process, so a delayed message reaches the process that replaced
+            // it.
             incarnation: self.incarnation(to),
             message,
         };
@@ -400,7 +405,7 @@
             Node::Store => self.store_down_until_ms,
         };
         if held_until_ms > self.now_ms {
-            // A paused process reads what had arrived once it goes on.
+            // A paused process receives the messages that arrived meanwhile once it resumes.
             let id = self.next_envelope;
             self.next_envelope += 1;
             self.envelopes.insert(id, envelope);
@@ -410,7 +415,8 @@
         match envelope.to {
             Node::Store => self.store(envelope.message),
             Node::Server(server) => self.server(server, envelope.message),
-            // Connections end with their process, unlike a server's orders.
+            // A connection to a host ends with its process, whereas an order to a server reaches
+            // any process at its address.
             Node::Host(host) if envelope.incarnation == self.hosts[host].incarnation => {
                 self.host_receives(host, envelope.message);
             }
@@ -513,7 +519,7 @@
         self.reply(Node::Server(index), to, message);
     }
 
-    /// The invariant: no slot is owned by two servers.
+    /// Checks the invariant: no slot is owned by two servers.
     fn check(&self) {
         for slot in (0..SLOTS).map(Slot) {
             let owners = self.owners(slot);
@@ -521,7 +527,7 @@
         }
     }
 
-    /// The leader's view, for the report of a failed case.
+    /// Describes the state of the first host, for the report of a failed case.
     pub fn describe(&self) -> String {
         let state = &self.hosts[0].state;
         let (hosts, servers) = (&state.hosts, &state.servers);
@@ -534,7 +540,7 @@
         format!("log {log}, hosts {hosts:#?}, servers {servers:#?}, slots {slots:#?}")
     }
 
-    /// Servers that would serve a slot now.
+    /// Returns the servers that would serve a slot now.
     pub fn owners(&self, slot: Slot) -> Vec<usize> {
         let owns = |index: &usize| {
             let clock_ms = self.reading(*index).clock_ms;
@@ -610,7 +616,7 @@
     }
 }
 
-/// Moves of slots that have no owner, and now and then of others.
+/// Returns moves for all slots without an owner, and now and then for slots with one.
 pub fn wanted_moves(state: &State, rng: &mut StdRng, faults_ended: bool) -> Option<Change> {
     let live: Vec<ServerKey> = state
         .server_entries()
--- a/tests/once_only.rs
+++ b/tests/once_only.rs
@@ -1,4 +1,5 @@
-//! Unrepeatable requests on real processes: duplicates, kills and lost answers of the store.
+//! Unrepeatable requests with real processes: duplicates, killed processes and lost responses of
+//! the store.
 
 mod common;
 
@@ -19,7 +20,7 @@
     let first = caller.post(one, "/w/s/parcel-7", "order-1").await;
     let first = first.expect("an answer");
     assert_eq!(first.status, 200);
-    // The answer is recorded a moment after it was given.
+    // The response is recorded shortly after it was sent to the caller.
     time::sleep(Duration::from_millis(300)).await;
     let second = caller.post(other, "/w/s/parcel-7", "order-1").await;
     let second = second.expect("an answer");
@@ -113,7 +114,7 @@
     let caller = Caller::default();
     let host = cluster.hosts[0].callers;
     let cut = caller.get(host, "/w/s/parcel-7").await;
-    assert!(cut.is_err(), "taken as whole: {cut:?}");
+    assert!(cut.is_err(), "a truncated response was accepted: {cut:?}");
     let order = caller.post(host, "/w/s/parcel-7", "order-1").await;
     let order = order.expect("an answer");
     assert_eq!(order.outcome.as_deref(), Some("unknown"), "{order:?}");
@@ -126,7 +127,7 @@
     assert!(verdict::double_runs(&records).is_empty());
 }
 
-/// What callers were told of one order, over all its arrivals.
+/// Outcomes that callers of one order received, over all its duplicates.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportedOutcomes {
     answered: bool,
@@ -185,7 +186,7 @@
     time::sleep(Duration::from_millis(500)).await;
     cluster.hosts[2].process.kill();
     time::sleep(Duration::from_millis(300)).await;
-    // Frozen and not killed, so that its record can be read afterwards.
+    // The server is frozen instead of killed, so that its record can be read afterwards.
     cluster.servers[0].process.signal("STOP");
     for task in tasks {
         task.await.expect("a caller ends");
--- a/tests/ownership_model.rs
+++ b/tests/ownership_model.rs
@@ -1,5 +1,5 @@
-//! Randomised runs of the real decisions of ownership under faults. `ASHROAD_CASES` sets the
-//! number of cases and `ASHROAD_SEED` the first seed; both are printed.
+//! Randomised runs of the real ownership code under faults. `ASHROAD_CASES` sets the number of
+//! cases and `ASHROAD_SEED` the first seed; both are printed.
 
 mod model;
 
@@ -17,7 +17,7 @@
 const STEPS: usize = 200;
 const CASES_IN_CI: u64 = 400;
 const FIRST_SEED: u64 = 1;
-/// Cases within which each broken rule must be noticed.
+/// Number of cases within which the model must detect each broken rule.
 const MUTATION_CASES: u64 = 1_500;
 
 fn number(name: &str, default: u64) -> u64 {
@@ -27,7 +27,8 @@
         .unwrap_or(default)
 }
 
-/// One case: random steps, then calm, after which every slot must have one owner again.
+/// Runs one case: random steps with faults, then a time without faults, after which every slot must
+/// have one owner again.
 fn case(seed: u64, broken: BrokenRule) {
     let mut simulation = Simulation::new(seed, broken);
     for _ in 0..STEPS {
@@ -116,8 +117,8 @@
             scope.spawn(move || {
                 let mut seeds = FIRST_SEED..FIRST_SEED + MUTATION_CASES;
                 let noticed = seeds.find(|seed| fails(*seed, rule));
-                println!("{rule:?} noticed at seed {noticed:?}");
-                assert!(noticed.is_some(), "{rule:?} went unnoticed");
+                println!("{rule:?} detected at seed {noticed:?}");
+                assert!(noticed.is_some(), "{rule:?} was not detected");
             });
         }
     });
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -1,4 +1,4 @@
-//! Rules of ownership, each with the case that taught it.
+//! Rules of ownership, each with the sequence of events that it guards against.
 
 use ashroad::{
     id::{Epoch, HostKey, Incarnation, LeaseEpoch, Revision, Slot},
@@ -47,7 +47,7 @@
 fn a_lease_is_lapsed_only_when_no_host_can_have_renewed_it() {
     let cases = [
         LapseCase {
-            name: "all hosts say when their last renewal ends",
+            name: "all hosts report when their last renewal ends",
             voters: &[0, 1, 2],
             previous: &[],
             since_ms: 0,
@@ -56,7 +56,7 @@
             lapsed_at_ms: Some(5_900),
         },
         LapseCase {
-            name: "a majority has applied the loss; the rest is bounded by its freshness",
+            name: "a majority has applied the loss; the other hosts are bounded by their freshness",
             voters: &[0, 1, 2],
             previous: &[],
             since_ms: 0,
@@ -126,7 +126,7 @@
     renewal_state.answered(&answer, process, false, 1_000, 300);
     assert_eq!(renewal_state.order(process, 1_010, 1_200), Some(50 + 1_210));
     assert_eq!(renewal_state.remaining_ms(period, 2_210, 100), 100);
-    // Asked again and again, the answer must come to nothing, or the lapse is never reached.
+    // The remaining time must reach 0 on later queries, or the lease would never count as lapsed.
     assert_eq!(renewal_state.remaining_ms(period, 2_310, 100), 0);
     assert_eq!(renewal_state.remaining_ms(LeaseEpoch(2), 1_010, 100), 0);
 }
@@ -184,7 +184,10 @@
     assert!(watch.pending(&state));
     watch.follow(&state, &[successor], 5_000, LAPSE_MS);
     let early = watch.settlement(&state, 5_000);
-    assert!(early.is_none(), "a late order of the dead one may arrive");
+    assert!(
+        early.is_none(),
+        "a late order of the previous process may arrive"
+    );
     assert!(watch.settlement(&state, 5_000 + LAPSE_MS).is_some());
 }
 
@@ -199,7 +202,7 @@
     }
     let cases = [
         Case {
-            name: "a peer with a basis lends it",
+            name: "a peer's basis counts, less its age",
             revision: 5,
             basis_age_ms: Some(40),
             voters: 5,
@@ -276,8 +279,8 @@
         "a delayed grant of an older epoch"
     );
     grants.renew(&order(1, 1_500, &[4]), reading(600));
-    assert!(admits(&grants, 4, 700), "the slot came back");
-    // The server was lost, its slot moved on, and it joined again.
+    assert!(admits(&grants, 4, 700), "the slot was granted again");
+    // The server was declared lost, its slot moved to another server, and it joined again.
     grants.renew(&order(2, 9_000, &[]), reading(8_000));
     assert!(
         !admits(&grants, 4, 8_500),
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! The whole path in separate processes: callers, entry hosts, backend servers and the platform.
+//! End-to-end tests with separate processes: callers, entry hosts, backend servers and the
+//! platform.
 
 mod common;
 
