--- a/src/peer/keys.rs
+++ b/src/peer/keys.rs
@@ -26,7 +26,7 @@
 /// File name of the authority's private key.
 pub const CA_KEY_FILE: &str = "ca-key.pem";
 const PROTOCOL: &[u8] = b"ashroad/1";
-const IDLE_MS: u32 = 1_000;
+const IDLE_TIMEOUT_MS: u32 = 1_000;
 const KEEP_ALIVE_MS: u64 = 300;
 const STREAMS_MAX: u32 = 256;
 
@@ -106,7 +106,9 @@
 fn transport() -> Arc<TransportConfig> {
     let mut transport = TransportConfig::default();
     transport
-        .max_idle_timeout(Some(IdleTimeout::from(quinn::VarInt::from_u32(IDLE_MS))))
+        .max_idle_timeout(Some(IdleTimeout::from(quinn::VarInt::from_u32(
+            IDLE_TIMEOUT_MS,
+        ))))
         .keep_alive_interval(Some(std::time::Duration::from_millis(KEEP_ALIVE_MS)))
         .max_concurrent_bidi_streams(STREAMS_MAX.into())
         .max_concurrent_uni_streams(0u32.into());
