--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -20,7 +20,7 @@
 };
 
 const HOSTS: usize = 3;
-const PAIRED_MS: u64 = 2_000;
+const BASELINE_MS: u64 = 2_000;
 const LOSS_AT_MS: u64 = 4_000;
 const MOVE_AT_MS: u64 = 10_000;
 const STOP_AT_MS: u64 = 14_000;
@@ -59,7 +59,7 @@
 async fn measure_baseline(system: &System, report_event: &impl Fn(&str)) -> Baseline {
     let through = LoadConfig {
         unrepeatable_share: 0.0,
-        duration_ms: PAIRED_MS,
+        duration_ms: BASELINE_MS,
         ..mixed_load(system)
     };
     let direct = LoadConfig {
