--- a/src/demo/error.rs
+++ b/src/demo/error.rs
@@ -40,7 +40,7 @@
     },
     /// A condition did not hold within its time limit.
     #[snafu(display("timed out after {limit_ms} ms while waiting until {what}"))]
-    Late {
+    Timeout {
         /// Condition that was waited for.
         what: &'static str,
         /// Time limit of the wait.
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -167,7 +167,7 @@
         while !self.hosts.iter().all(&holds) {
             if clock::now_ms() > deadline_ms {
                 let limit_ms = SETTLE_LIMIT_MS;
-                return Err(Error::Late { what, limit_ms });
+                return Err(Error::Timeout { what, limit_ms });
             }
             time::sleep(Duration::from_millis(POLL_MS)).await;
         }
