--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -298,7 +298,7 @@
                     self.append(index, Change::MovesCompleted { service, done });
                 }
             }
-            Message::AskHorizon { from, server, lost } => {
+            Message::QueryHorizon { from, server, lost } => {
                 if let Some(horizon_reply) = host.horizon_reply(server, lost, clock_ms) {
                     self.reply(me, from, Message::Horizon(horizon_reply));
                 }
@@ -581,7 +581,7 @@
             }
             for peer in 0..self.hosts.len() {
                 if peer != index {
-                    let ask = Message::AskHorizon {
+                    let ask = Message::QueryHorizon {
                         from: self.requester(index),
                         server,
                         lost: revision,
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -105,7 +105,7 @@
     Granted {
         slots: Vec<MoveDone>,
     },
-    AskHorizon {
+    QueryHorizon {
         from: Requester,
         server: ServerKey,
         lost: Revision,
