--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -56,7 +56,7 @@
     read_ms: u64,
     append_ms: u64,
     move_ms: u64,
-    ask_ms: u64,
+    query_ms: u64,
 }
 
 impl Host {
@@ -79,7 +79,7 @@
             read_ms: 0,
             append_ms: 0,
             move_ms: 0,
-            ask_ms: 0,
+            query_ms: 0,
         }
     }
 
@@ -503,8 +503,8 @@
         if !host.fresh(clock_ms, self.broken) {
             return;
         }
-        if clock_ms >= host.ask_ms + RENEW_MS {
-            host.ask_ms = clock_ms;
+        if clock_ms >= host.query_ms + RENEW_MS {
+            host.query_ms = clock_ms;
             self.query_absent_servers(index);
         }
         let host = &mut self.hosts[index];
