--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -313,20 +313,25 @@
     /// Cuts some hosts off from the store and from the other hosts, while all servers stay
     /// reachable.
     fn split(&mut self, until_ms: u64) {
-        let away: Vec<bool> = self.hosts.iter().map(|_| self.rng.random()).collect();
+        let isolated: Vec<bool> = self.hosts.iter().map(|_| self.rng.random()).collect();
         // The remaining hosts continue to make changes, and have enough time to complete them.
         let until_ms = until_ms + LAPSE_MS * 2;
-        for (host, _) in self.hosts.iter_mut().zip(&away).filter(|(_, away)| !**away) {
+        for (host, _) in self
+            .hosts
+            .iter_mut()
+            .zip(&isolated)
+            .filter(|(_, isolated)| !**isolated)
+        {
             host.leading = true;
             host.suspect_wrongly = true;
         }
-        for (one, one_away) in away.iter().enumerate() {
+        for (one, one_away) in isolated.iter().enumerate() {
             let host = Node::Host(one);
             if *one_away {
                 self.cut.insert((host, Node::Store), until_ms);
                 self.cut.insert((Node::Store, host), until_ms);
             }
-            for (other, other_away) in away.iter().enumerate() {
+            for (other, other_away) in isolated.iter().enumerate() {
                 if one_away != other_away {
                     self.cut.insert((host, Node::Host(other)), until_ms);
                 }
