--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -325,14 +325,14 @@
             host.leading = true;
             host.suspect_wrongly = true;
         }
-        for (one, one_away) in isolated.iter().enumerate() {
+        for (one, one_isolated) in isolated.iter().enumerate() {
             let host = Node::Host(one);
-            if *one_away {
+            if *one_isolated {
                 self.cut.insert((host, Node::Store), until_ms);
                 self.cut.insert((Node::Store, host), until_ms);
             }
             for (other, other_away) in isolated.iter().enumerate() {
-                if one_away != other_away {
+                if one_isolated != other_away {
                     self.cut.insert((host, Node::Host(other)), until_ms);
                 }
             }
