--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -331,8 +331,8 @@
                 self.cut.insert((host, Node::Store), until_ms);
                 self.cut.insert((Node::Store, host), until_ms);
             }
-            for (other, other_away) in isolated.iter().enumerate() {
-                if one_isolated != other_away {
+            for (other, other_isolated) in isolated.iter().enumerate() {
+                if one_isolated != other_isolated {
                     self.cut.insert((host, Node::Host(other)), until_ms);
                 }
             }
