--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -305,14 +305,14 @@
                 self.servers[server].incarnation = Incarnation(self.rng.random());
             }
             9 => self.hosts[host].suspect_wrongly = true,
-            10 => self.split(until_ms),
+            10 => self.isolate_hosts(until_ms),
             _ => {}
         }
     }
 
     /// Cuts some hosts off from the store and from the other hosts, while all servers stay
     /// reachable.
-    fn split(&mut self, until_ms: u64) {
+    fn isolate_hosts(&mut self, until_ms: u64) {
         let isolated: Vec<bool> = self.hosts.iter().map(|_| self.rng.random()).collect();
         // The remaining hosts continue to make changes, and have enough time to complete them.
         let until_ms = until_ms + LAPSE_MS * 2;
