--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -276,7 +276,7 @@
     }
 
     /// Returns the number of hosts that are voters.
-    pub(crate) fn counted_hosts(&self) -> usize {
+    pub(crate) fn voter_count(&self) -> usize {
         let state = self.hosts[0].host.view.state();
         let counted = state.registered_hosts().filter(|(_, host)| host.counted());
         counted.count()
