--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -128,11 +128,11 @@
         }
         let renewal_state = &mut renewal_states[index];
         renewal_state.start_period(leased.lease_epoch, now_ms);
-        let due = renewal_state.due(now_ms);
-        if due {
+        let is_due = renewal_state.is_due(now_ms);
+        if is_due {
             renewal_state.sent(now_ms, ORDER_TIMEOUT_MS);
         }
-        due
+        is_due
     }
 
     async fn renew(self: Arc<Self>, leased: Leased) {
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns true if the next renewal should be sent.
-    pub fn due(&self, now_ms: u64) -> bool {
+    pub fn is_due(&self, now_ms: u64) -> bool {
         now_ms >= self.due_ms
     }
 
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -172,7 +172,7 @@
         }
         let renewal_state = &mut self.renewal_states[server];
         renewal_state.start_period(entry.lease_epoch, clock_ms);
-        if !renewal_state.due(clock_ms) {
+        if !renewal_state.is_due(clock_ms) {
             return None;
         }
         renewal_state.sent(clock_ms, ORDER_MS);
