--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -13,7 +13,9 @@
 
 const SERVERS: usize = 10;
 const SEED: u64 = 5;
+/// Maximum load of a server under bounded loads, relative to the mean.
 const LOAD_BOUND: f64 = 1.25;
+/// Imbalance above which a minute counts as imbalanced.
 const HIGH_IMBALANCE: f64 = 1.25;
 /// Weight of the latest observation in the smoothed load.
 const SMOOTHING: f64 = 0.2;
--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -34,6 +34,7 @@
 const IN_FLIGHT: usize = 2;
 /// Minimum time for which a batch is collected.
 const BATCH_DELAY_MS: u64 = 2;
+/// Delay before a failed read or transaction is retried.
 const RETRY_MS: u64 = 25;
 /// Time limit for recording the end of a claim.
 const END_TIMEOUT_MS: u64 = 10_000;
--- a/src/configuration/template.rs
+++ b/src/configuration/template.rs
@@ -10,6 +10,7 @@
 
 /// Maximum number of slots of one service.
 pub const SLOTS_MAX: u32 = 1_000_000;
+/// Maximum length of a name in characters.
 const NAME_CHARS_MAX: usize = 63;
 
 /// Template as written by an operator.
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -20,6 +20,7 @@
 };
 
 const HOSTS: usize = 3;
+/// Duration of each of the two baseline measurements.
 const BASELINE_MS: u64 = 2_000;
 const LOSS_AT_MS: u64 = 4_000;
 const MOVE_AT_MS: u64 = 10_000;
--- a/src/peer/keys.rs
+++ b/src/peer/keys.rs
@@ -25,9 +25,13 @@
 pub const CA_FILE: &str = "ca.pem";
 /// File name of the authority's private key.
 pub const CA_KEY_FILE: &str = "ca-key.pem";
+/// ALPN identifier of the peer protocol.
 const PROTOCOL: &[u8] = b"ashroad/1";
+/// Time without a packet after which a connection is closed.
 const IDLE_TIMEOUT_MS: u32 = 1_000;
+/// Interval of keep-alive packets; below the idle timeout, so that idle connections stay open.
 const KEEP_ALIVE_MS: u64 = 300;
+/// Maximum number of concurrent requests on one connection.
 const STREAMS_MAX: u32 = 256;
 
 /// TLS configurations for both directions.
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -29,7 +29,9 @@
     transport::{AnswerBody, header_text},
 };
 
+/// Time limit for a connection to a server to be established.
 const CONNECT_TIMEOUT_MS: u64 = 500;
+/// Time after which an unused connection is closed.
 const IDLE_CONNECTION_MS: u64 = 30_000;
 
 /// Outcome of one attempt.
