--- a/src/bench/control.rs
+++ b/src/bench/control.rs
@@ -14,7 +14,7 @@
 
 /// Time for hosts to register and settle before the measurement, added per host.
 const SETTLE_MS_PER_HOST: u64 = 60;
-/// Fixed part of that time.
+/// Time to register and settle that does not depend on the number of hosts.
 const SETTLE_MS: u64 = 6_000;
 const MEASURE_MS: u64 = 10_000;
 
--- a/src/bench/mod.rs
+++ b/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! Benchmarks of the planner and of the cost of coordination.
+//! Benchmarks of the planner and of the cost of coordination between hosts.
 
 pub mod control;
 mod day;
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -25,7 +25,7 @@
 pub const STORED_BODY_BYTES_MAX: usize = 64 * 1024;
 /// Time limit for recording a claim; after it the request is refused.
 const CLAIM_TIMEOUT_MS: u64 = 1_000;
-/// Maximum number of operations that wait for the writer; beyond it, claims are refused.
+/// Maximum number of operations that wait for the writer; beyond it, new claims are refused.
 const QUEUE_OPERATIONS: usize = 10_000;
 
 /// Counters of the claims of one host.
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -38,7 +38,7 @@
 const ZONES: [&str; 3] = ["bern-ost", "solothurn", "aarau"];
 /// Time limit for all slots to get an owner.
 const SETTLE_LIMIT_MS: u64 = 15_000;
-/// Time limit for a submission, with its retries.
+/// Time limit for a submission with its retries, and for each call to a stand-in.
 const SUBMIT_LIMIT_MS: u64 = 10_000;
 const POLL_MS: u64 = 50;
 const LOST_SERVER: usize = 0;
--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -64,7 +64,7 @@
     pub unavailable_ms_p99: u64,
     /// Median latency through the hosts minus the median latency directly at the servers.
     pub added_latency_us_p50: i64,
-    /// The same difference of the 99th percentiles.
+    /// 99th percentile of latency through the hosts minus that directly at the servers.
     pub added_latency_us_p99: i64,
 }
 
