--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -1,10 +1,11 @@
-//! What the duty's holder does: gives and renews leases, moves keys by plan, and frees the keys of
-//! servers that leave or fall silent.
+//! Work of the duty holder: grants and renews the leases of servers, moves keys to balance load,
+//! and reassigns the keys of servers that leave or stop answering.
 //!
-//! A move is recorded first, with the server that may still hold the keys. That server is then
-//! asked to release them under the new fence. If it does not answer, the keys are granted to the
-//! new server only when the last lease that anyone may have given the old one has run out. A later
-//! holder of the duty finds the move in the record and finishes it in the same way.
+//! A move is recorded in the store first, together with the server that may still hold the keys.
+//! That server is then asked to release them under the new fence. If it does not answer, the keys
+//! are granted to the new server only after the last lease that any duty holder may have granted to
+//! the old one has expired. A later duty holder finds the move among the recorded holdings and
+//! completes it in the same way.
 
 mod moves;
 mod renewal;
@@ -21,10 +22,10 @@
     Entry,
     decide::{
         admission,
-        first::{self, FirstWait},
+        first::{self, FirstAssignmentWait},
         hot_keys,
         key_loads::KeyCounts,
-        plan::{self, PlanServer, Question},
+        plan::{self, Inputs, PlanServer},
         rests,
     },
     duty::Change,
@@ -34,53 +35,58 @@
 };
 use crate::clock;
 
-/// Interval of the holder's rounds.
+/// Interval of the duty holder's rounds of renewals and planning.
 const ROUND_MS: u64 = 100;
-/// Rounds between plans for balance. Hosts report their counts about as often.
+/// Number of rounds between plans that move keys to balance load. Hosts report their request counts
+/// about as often.
 const BALANCE_EVERY_ROUNDS: u64 = 2;
-/// Time for a server to answer a grant; it answers within a few ms as a rule, and one lost packet is
-/// sent again in it. Nine grants fit into what a lease lasts beyond the interval of renewals: where
-/// half of the answers are lost, two leases of a thousand end.
+/// Timeout of a grant. A server usually answers within a few ms, and a lost packet is retransmitted
+/// within the timeout. Nine grants fit into the time from the renewal of a lease to its expiry: if
+/// half of the answers are lost, two leases in a thousand expire.
 const GRANT_TIMEOUT_MS: u64 = 300;
-/// Failed orders in a row after which it is asked whether a server lives.
-const FAILURES_DOUBT: u32 = 2;
-/// Moves under way at a time: this many, and more with many servers.
-const MOVES_MIN: usize = 8;
-/// Servers of a service for each move under way.
+/// Number of consecutive failed grants after which the server is probed.
+const FAILURES_BEFORE_PROBE: u32 = 2;
+/// Maximum number of concurrent moves of a service with few servers.
+const CONCURRENT_MOVES_MIN: usize = 8;
+/// Number of servers of a service for which one concurrent move is allowed, once that is more than
+/// `CONCURRENT_MOVES_MIN` moves.
 const SERVERS_PER_MOVE: usize = 4;
-/// A server's clock may run slow by 2%, and a grant may arrive until it is given up.
+/// Factor by which the wait for the end of a lease is longer than the lease, since a server's clock
+/// may run slow by 2%. `LEASE_MARGIN_MS` is added, since a grant may arrive until its timeout.
 const LEASE_CLOCK_FACTOR: f64 = 1.03;
 const LEASE_MARGIN_MS: u64 = GRANT_TIMEOUT_MS + 250;
-/// Rounds a second: counts are taken in once a round.
+/// Rounds per second. Reported request counts are added up once per round.
 const ROUNDS_PER_S: f32 = 1_000.0 / ROUND_MS as f32;
-/// Store silence above which no planned move begins, since it could not be recorded.
+/// Age of the last answer of the store above which no planned move begins, since it could not be
+/// recorded.
 const STORE_AGE_MAX_MS: u64 = 3_600;
 
-/// What the holder knows of the leases of one server.
+/// State of the leases of one server in this term.
 #[derive(Clone, Copy, Debug, Default)]
-struct LeaseRecord {
-    /// When the last grant was sent that may have arrived.
+struct ServerLeaseState {
+    /// Time at which the last grant was sent that may have arrived; 0 if none was.
     granted_ms: u64,
-    /// Grants that are on their way.
-    under_way: u32,
-    /// Failed orders in a row.
+    /// Number of grants in flight.
+    grants_in_flight: u32,
+    /// Number of consecutive failed grants.
     failures: u32,
-    /// It answers neither orders nor anything else.
+    /// True if the server answered neither grants nor a probe. It gets no grants and no keys then.
     is_silent: bool,
 }
 
-/// Renewals of one holding.
+/// State of the renewals of one holding.
 #[derive(Clone, Copy, Debug, Default)]
 struct Renewal {
-    /// When the last one that succeeded was sent.
+    /// Time at which the last successful renewal was sent; 0 if none was.
     renewed_ms: u64,
-    is_under_way: bool,
+    is_in_flight: bool,
 }
 
-impl LeaseRecord {
-    /// Time of the last grant that the server may take, or may have taken.
+impl ServerLeaseState {
+    /// Returns the latest time at which the server may have received a grant: now, while one is in
+    /// flight.
     fn last_grant_ms(&self, now_ms: u64) -> u64 {
-        if self.under_way > 0 {
+        if self.grants_in_flight > 0 {
             now_ms
         } else {
             self.granted_ms
@@ -88,55 +94,56 @@
     }
 }
 
-/// A move under way.
+/// A move of keys that is being carried out.
 #[derive(Clone, Debug)]
 struct Moving {
     service: Arc<str>,
     range: KeyRange,
-    /// True while it waits for the last lease of a silent server to run out.
-    waits: bool,
+    /// True while the move waits for the last lease of a silent server to expire. It does not count
+    /// towards the maximum of concurrent moves then.
+    waits_for_lease: bool,
 }
 
-/// State of the holder's work; void when the term ends.
+/// State of one term of the duty holder, discarded when the term ends.
 #[derive(Debug, Default)]
-struct Work {
-    servers: HashMap<Arc<str>, LeaseRecord>,
-    /// By service and fence.
+struct TermState {
+    servers: HashMap<Arc<str>, ServerLeaseState>,
+    /// Renewals by service and fence.
     renewals: HashMap<(Arc<str>, u64), Renewal>,
     moving: Vec<Moving>,
     counts: HashMap<Arc<str>, KeyCounts>,
-    first_waits: HashMap<Arc<str>, FirstWait>,
-    /// Fences of finished moves whose record still names the former server, by service.
-    finished: HashMap<Arc<str>, Vec<u64>>,
-    /// When finished moves were last recorded.
-    settled_ms: u64,
+    first_assignment_waits: HashMap<Arc<str>, FirstAssignmentWait>,
+    /// Fences of completed moves whose recorded holding still names the former server, by service.
+    completed_fences: HashMap<Arc<str>, Vec<u64>>,
+    /// Time at which completed moves were last recorded.
+    completed_recorded_ms: u64,
 }
 
-impl Work {
+impl TermState {
     fn is_moving(&self, service: &str, range: KeyRange) -> bool {
         let mut moving = self.moving.iter();
         moving.any(|m| *m.service == *service && m.range.overlaps(&range))
     }
 
-    /// True if the former server of a holding may still hold its keys.
+    /// Returns true if the former server of a holding may still hold its keys.
     fn is_unfinished(&self, service: &str, holding: &Holding) -> bool {
-        let finished = self.finished.get(service);
-        let done = finished.is_some_and(|fences| fences.contains(&holding.fence));
+        let completed_fences = self.completed_fences.get(service);
+        let done = completed_fences.is_some_and(|fences| fences.contains(&holding.fence));
         holding.from.is_some() && !done
     }
 }
 
-/// A term of this host as the duty's holder.
+/// A term in which this host has the duty.
 #[derive(Debug)]
 struct Term {
     entry: Arc<Entry>,
     number: u64,
-    work: Mutex<Work>,
+    state: Mutex<TermState>,
 }
 
 impl Entry {
-    /// Does the holder's work while this host has the duty.
-    pub(super) async fn keep_leasing(self: Arc<Self>) {
+    /// Does the work of the duty holder while this host has the duty.
+    pub(super) async fn manage_leases(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(ROUND_MS)).await;
             let number = self.duty.term();
@@ -146,7 +153,7 @@
             let term = Arc::new(Term {
                 entry: self.clone(),
                 number,
-                work: Mutex::default(),
+                state: Mutex::default(),
             });
             term.run().await;
         }
@@ -163,12 +170,13 @@
             if self.entry.duty.term() != self.number {
                 return;
             }
-            // What is known of leases is kept while the store is away for too long.
-            if !self.lasts() {
+            // The state of the leases is kept while the store is unavailable for too long to grant
+            // any.
+            if !self.may_send_orders() {
                 continue;
             }
-            self.count_loads();
-            for service in self.divided_services() {
+            self.add_reported_counts();
+            for service in self.sharded_services() {
                 self.renew(&service, &mut tasks);
                 self.plan(&service, round, &mut tasks);
             }
@@ -176,72 +184,74 @@
         }
     }
 
-    /// True while orders may be given in this term.
-    fn lasts(&self) -> bool {
+    /// Returns true while this host may send orders to servers in this term.
+    fn may_send_orders(&self) -> bool {
         let duty = &self.entry.duty;
         duty.term() == self.number && duty.may_lease(self.entry.settings.leases.outage_ms)
     }
 
-    fn work(&self) -> MutexGuard<'_, Work> {
-        self.work.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, TermState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn divided_services(&self) -> Vec<Arc<str>> {
+    fn sharded_services(&self) -> Vec<Arc<str>> {
         let Some(configuration) = self.entry.view.configuration() else {
             return Vec::new();
         };
-        let services = configuration.services().filter(|s| s.divided_by_key);
+        let services = configuration.services().filter(|s| s.sharded);
         services.map(|service| service.name.clone()).collect()
     }
 
-    fn count_loads(&self) {
+    fn add_reported_counts(&self) {
         let reported = self.entry.peers.take_reported();
         let names: HashMap<u32, Arc<str>> = self
-            .divided_services()
+            .sharded_services()
             .into_iter()
             .map(|name| (tag_of(&name), name))
             .collect();
-        let mut work = self.work();
-        for counts in work.counts.values_mut() {
+        let mut state = self.state();
+        for counts in state.counts.values_mut() {
             counts.decay();
         }
         for count in reported {
             let Some(name) = names.get(&count.service_tag) else {
                 continue;
             };
-            let counts = work.counts.entry(name.clone()).or_default();
+            let counts = state.counts.entry(name.clone()).or_default();
             counts.add(count.key, count.requests, ROUNDS_PER_S);
         }
     }
 
-    /// Marks keys as moving; false if some of them are on their way already.
+    /// Marks keys as moving. Returns false if some of them are being moved already.
     fn mark_moving(&self, service: &Arc<str>, range: KeyRange) -> bool {
-        let mut work = self.work();
-        if work.is_moving(service, range) {
+        let mut state = self.state();
+        if state.is_moving(service, range) {
             return false;
         }
-        work.moving.push(Moving {
+        state.moving.push(Moving {
             service: service.clone(),
             range,
-            waits: false,
+            waits_for_lease: false,
         });
         true
     }
 
-    /// Servers that may hold keys of a service. Cold ones bear too little, as long as there are others.
+    /// Returns the servers that may hold keys of a service, sorted by incarnation. Cold servers are
+    /// left out as long as there are warm ones, if their service limits their requests during
+    /// warm-up.
     fn usable(&self, service: &str) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
-        let work = self.work();
+        let state = self.state();
         let servers = registry.of_service(service).iter();
         let mut usable: Vec<&Arc<Server>> = servers
             .filter(|server| {
-                let record = work.servers.get(&server.entry.id);
+                let record = state.servers.get(&server.entry.id);
                 let silent = record.is_some_and(|r| r.is_silent);
                 server.takes_new_work() && !silent
             })
             .collect();
-        let is_warm = |server: &&Arc<Server>| server.cold_rest_ms() == 0;
-        if self.bounds_cold_servers(service) && usable.iter().any(is_warm) {
+        let is_warm = |server: &&Arc<Server>| server.cold_remaining_ms() == 0;
+        if self.limits_cold_servers(service) && usable.iter().any(is_warm) {
             usable.retain(is_warm);
         }
         let typical_ms = registry.typical_run_ms(service);
@@ -263,19 +273,20 @@
         servers
     }
 
-    /// Those of a service's servers that should hold keys now: without the ones that many hosts must let rest.
-    fn awake(&self, servers: Vec<PlanServer>) -> Vec<PlanServer> {
+    /// Removes the servers that rest for so many hosts that others should hold their keys, unless
+    /// too few servers would remain.
+    fn not_resting(&self, servers: Vec<PlanServer>) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
         let hosts = self.entry.peers.hosts();
         let now_ms = clock::now_ms();
-        rests::awake(servers, |planned| {
+        rests::not_resting(servers, |planned| {
             let server = registry.server(&planned.id);
-            server.is_some_and(|server| self.entry.rests.is_wide(server.tag, hosts, now_ms))
+            server.is_some_and(|server| self.entry.rests.is_widespread(server.tag, hosts, now_ms))
         })
     }
 
-    /// True if the servers of a service bear a bounded number of requests while they are cold.
-    fn bounds_cold_servers(&self, service: &str) -> bool {
+    /// Returns true if a service limits the requests of its servers during their warm-up.
+    fn limits_cold_servers(&self, service: &str) -> bool {
         let Some(configuration) = self.entry.view.configuration() else {
             return false;
         };
@@ -284,8 +295,8 @@
     }
 
     fn plan(self: &Arc<Self>, service: &Arc<str>, round: u64, tasks: &mut JoinSet<()>) {
-        self.revive_silent(service);
-        let servers = self.awake(self.usable(service));
+        self.retry_silent_servers(service);
+        let servers = self.not_resting(self.usable(service));
         if servers.is_empty() {
             return;
         }
@@ -296,20 +307,20 @@
         if store_age_ms(&self.entry) > STORE_AGE_MAX_MS {
             return;
         }
-        // First, so that no plan touches what an earlier holder has not finished.
-        self.finish_found(service, &held.assignment, tasks);
+        // Moves of an earlier duty holder are resumed first, so that no plan touches their keys.
+        self.resume_unfinished_moves(service, &held.assignment, tasks);
         let moves = {
-            let mut work = self.work();
-            let of_service = || work.moving.iter().filter(|m| m.service == *service);
-            let active = of_service().filter(|m| !m.waits).count();
+            let mut state = self.state();
+            let of_service = || state.moving.iter().filter(|m| m.service == *service);
+            let active = of_service().filter(|m| !m.waits_for_lease).count();
             let mut moving: Vec<KeyRange> = of_service().map(|m| m.range).collect();
             let holdings = held.assignment.holdings.iter();
-            let unfinished = holdings.filter(|h| work.is_unfinished(service, h));
+            let unfinished = holdings.filter(|h| state.is_unfinished(service, h));
             moving.extend(unfinished.map(|holding| holding.range));
-            let moves_max = MOVES_MIN.max(servers.len() / SERVERS_PER_MOVE);
+            let moves_max = CONCURRENT_MOVES_MIN.max(servers.len() / SERVERS_PER_MOVE);
             let room = moves_max.saturating_sub(active);
             let balance = round.is_multiple_of(BALANCE_EVERY_ROUNDS);
-            let counts = work.counts.entry(service.clone()).or_default();
+            let counts = state.counts.entry(service.clone()).or_default();
             let holdings = &held.assignment.holdings;
             let loads = counts.loads(holdings, f64::from(ROUNDS_PER_S));
             let tag = tag_of(service);
@@ -317,7 +328,7 @@
             let hot = hot_keys::find(tag, &held.assignment, &servers, &loads, policy);
             let hot_keys: Vec<u16> = hot.iter().map(|hot| hot.key).collect();
             self.entry.hot_keys.note_found(tag, hot);
-            plan::plan(Question {
+            plan::plan(Inputs {
                 assignment: &held.assignment,
                 servers: &servers,
                 loads: &loads,
@@ -328,11 +339,11 @@
             })
         };
         self.begin_moves(service, moves, &held.assignment, tasks);
-        self.settle(service, tasks);
+        self.record_completed_moves(service, tasks);
     }
 
-    /// Tells all hosts the first holdings, so that they do not all read the record.
-    fn announce_all(&self, service: &Arc<str>) {
+    /// Announces the first holdings to all hosts, so that they do not all read them from the store.
+    fn announce_holdings(&self, service: &Arc<str>) {
         let Some(held) = self.entry.view.held(service) else {
             return;
         };
@@ -342,17 +353,18 @@
         }
     }
 
-    /// Lets silent servers hold keys again once their entries are fresh and they answer requests.
-    fn revive_silent(&self, service: &str) {
+    /// Lets silent servers hold keys again after a while. If they still do not answer, they are
+    /// marked as silent again.
+    fn retry_silent_servers(&self, service: &str) {
         let registry = self.entry.view.registry();
         let now_ms = clock::now_ms();
         let lease_ms = self.entry.settings.leases.lease_ms;
-        let mut work = self.work();
+        let mut state = self.state();
         for server in registry.of_service(service) {
-            let Some(record) = work.servers.get_mut(&server.entry.id) else {
+            let Some(record) = state.servers.get_mut(&server.entry.id) else {
                 continue;
             };
-            // After its lease has run out and its keys have gone, it may try anew.
+            // By then the last lease of the server has expired and its keys have moved to others.
             if record.is_silent && now_ms > record.last_grant_ms(now_ms) + 2 * lease_ms {
                 record.failures = 0;
                 record.is_silent = false;
@@ -368,10 +380,10 @@
     ) {
         let now_ms = clock::now_ms();
         let is_over = {
-            let mut work = self.work();
-            let requested = work.counts.contains_key(service);
-            let wait = work.first_waits.entry(service.clone());
-            let wait = wait.or_insert_with(|| FirstWait::new(now_ms));
+            let mut state = self.state();
+            let requested = state.counts.contains_key(service);
+            let wait = state.first_assignment_waits.entry(service.clone());
+            let wait = wait.or_insert_with(|| FirstAssignmentWait::new(now_ms));
             wait.is_over(servers.len(), requested, now_ms)
         };
         if !is_over || !self.mark_moving(service, KeyRange::ALL) {
@@ -383,9 +395,9 @@
             let ranges = first::first_assignment(&servers);
             let change = Change::Distribute(ranges);
             match term.entry.record(&service, &change).await {
-                Ok(_) => term.announce_all(&service),
+                Ok(_) => term.announce_holdings(&service),
                 Err(failure) => {
-                    log::warn!("the first holdings of {service} are not recorded: {failure:?}");
+                    log::warn!("cannot record the first holdings of {service}: {failure:?}");
                 }
             }
             term.end_move(&service, KeyRange::ALL);
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -1,4 +1,5 @@
-//! Carries out moves: records them, frees the keys, grants them, and records that they are finished.
+//! Moves of keys. Records a move, has the former server release the keys, grants them to the new
+//! server, and records the completion.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,46 +10,47 @@
     clock,
     entry::{
         decide::{
-            hold::{MoveRest, MoveWait},
+            hold::{MoveTimeLeft, MoveWait},
             plan::Move,
         },
         duty::{Change, Reassignment},
         events::Event,
         keys::{Assignment, Holding, KeyRange},
-        news::announcement::Announcement,
         server::tag_of,
+        updates::announcement::MoveAnnouncement,
     },
     platform::{
         self, Link,
-        orders::{self, Release, Released},
+        orders::{self, Release, ReleaseOutcome},
     },
 };
 
-/// Interval at which finished moves are recorded.
-const SETTLE_EVERY_MS: u64 = 1_000;
-/// Least time for a release, when the server's lease is about to run out or has.
+/// Interval at which the completion of moves is recorded.
+const RECORD_COMPLETED_EVERY_MS: u64 = 1_000;
+/// Minimum timeout of a release order, used when the lease of the server is about to expire or has
+/// expired.
 const RELEASE_TIMEOUT_MIN_MS: u64 = 300;
-/// Time for a server to end its work on released keys.
+/// Maximum timeout of a release order: a server answers only when its work on the keys has ended.
 const RELEASE_TIMEOUT_MS: u64 = 2_500;
-/// Time after which a release is sent once more beside the first: its answer may be lost, and the keys
-/// have no server until it comes. Most work on keys ends within it.
+/// Delay until a release order is sent again in parallel, as its answer may be lost and the keys
+/// have no server until it arrives. Most work on keys ends within this time.
 const RELEASE_REPEAT_MS: u64 = 600;
-/// Times that one release is sent. Of a hundred servers that lose half of the answers, six do not
-/// answer four releases.
+/// Maximum number of times that one release order is sent. Of a hundred servers that lose half of
+/// their answers, six do not answer any of four.
 const RELEASES_MAX: usize = 4;
 
 impl Term {
-    /// Finishes moves that an earlier holder of the duty recorded.
-    pub(super) fn finish_found(
+    /// Resumes moves that an earlier duty holder recorded but did not complete.
+    pub(super) fn resume_unfinished_moves(
         self: &Arc<Self>,
         service: &Arc<str>,
         assignment: &Assignment,
         tasks: &mut JoinSet<()>,
     ) {
         let unfinished: Vec<Holding> = {
-            let work = self.work();
+            let state = self.state();
             let holdings = assignment.holdings.iter();
-            let found = holdings.filter(|h| work.is_unfinished(service, h));
+            let found = holdings.filter(|h| state.is_unfinished(service, h));
             found.cloned().collect()
         };
         for holding in unfinished {
@@ -59,40 +61,48 @@
             let term = self.clone();
             let service = service.clone();
             tasks.spawn(async move {
-                term.finish(&service, &holding, "found unfinished", clock::now_ms())
+                term.complete_move(&service, &holding, "found unfinished", clock::now_ms())
                     .await;
                 term.end_move(&service, holding.range);
             });
         }
     }
 
-    /// Records from time to time which moves are finished.
-    pub(super) fn settle(self: &Arc<Self>, service: &Arc<str>, tasks: &mut JoinSet<()>) {
+    /// Records which moves are completed, at most once per `RECORD_COMPLETED_EVERY_MS`.
+    pub(super) fn record_completed_moves(
+        self: &Arc<Self>,
+        service: &Arc<str>,
+        tasks: &mut JoinSet<()>,
+    ) {
         let now_ms = clock::now_ms();
         let fences = {
-            let mut work = self.work();
-            let due = now_ms >= work.settled_ms + SETTLE_EVERY_MS;
-            let finished = work.finished.get(service).cloned().unwrap_or_default();
-            if !due || finished.is_empty() {
+            let mut state = self.state();
+            let due = now_ms >= state.completed_recorded_ms + RECORD_COMPLETED_EVERY_MS;
+            let completed_fences = state
+                .completed_fences
+                .get(service)
+                .cloned()
+                .unwrap_or_default();
+            if !due || completed_fences.is_empty() {
                 return;
             }
-            work.settled_ms = now_ms;
-            finished
+            state.completed_recorded_ms = now_ms;
+            completed_fences
         };
         let term = self.clone();
         let service = service.clone();
         tasks.spawn(async move {
-            let change = Change::Settle(fences.clone());
+            let change = Change::CompleteMoves(fences.clone());
             if term.entry.record(&service, &change).await.is_err() {
                 return;
             }
-            if let Some(finished) = term.work().finished.get_mut(&service) {
-                finished.retain(|fence| !fences.contains(fence));
+            if let Some(completed_fences) = term.state().completed_fences.get_mut(&service) {
+                completed_fences.retain(|fence| !fences.contains(fence));
             }
         });
     }
 
-    /// Records moves in one write, then carries out each by itself.
+    /// Starts planned moves: records them in one write, then carries out each independently.
     pub(super) fn begin_moves(
         self: &Arc<Self>,
         service: &Arc<str>,
@@ -108,16 +118,17 @@
         let owners = moves.iter().map(owner).collect();
         let term = self.clone();
         let service = service.clone();
-        tasks.spawn(async move { term.carry_out(&service, &moves, owners).await });
+        tasks.spawn(async move { term.run_moves(&service, &moves, owners).await });
     }
 
     pub(super) fn end_move(&self, service: &Arc<str>, range: KeyRange) {
-        let mut work = self.work();
-        work.moving
+        let mut state = self.state();
+        state
+            .moving
             .retain(|m| m.service != *service || m.range != range);
     }
 
-    async fn carry_out(
+    async fn run_moves(
         self: &Arc<Self>,
         service: &Arc<str>,
         moves: &[Move],
@@ -134,7 +145,7 @@
         let holdings = match self.entry.record(service, &change).await {
             Ok(holdings) => holdings,
             Err(failure) => {
-                log::warn!("moves of {service} are not recorded: {failure:?}");
+                log::warn!("cannot record moves of {service}: {failure:?}");
                 for planned in moves {
                     self.end_move(service, planned.range);
                 }
@@ -150,47 +161,48 @@
             let service = service.clone();
             let cause = planned.cause;
             finishing.spawn(async move {
-                term.finish(&service, &holding, cause, began_ms).await;
+                term.complete_move(&service, &holding, cause, began_ms)
+                    .await;
                 term.end_move(&service, holding.range);
             });
         }
         finishing.join_all().await;
     }
 
-    /// Tells all hosts that keys are on their way, and how long that may take.
+    /// Announces to all hosts that keys are being moved, and how long that may take.
     fn announce(&self, service: &Arc<str>, holding: &Holding, above_fence: u64) {
         let Some(from) = &holding.from else {
             return;
         };
         let registry = self.entry.view.registry();
         let is_silent = {
-            let work = self.work();
-            let record = work.servers.get(from);
+            let state = self.state();
+            let record = state.servers.get(from);
             record.is_some_and(|record| record.is_silent)
         };
         let answers = registry.server(from).is_some() && !is_silent;
         let rest = if answers {
-            MoveRest {
+            MoveTimeLeft {
                 wait: MoveWait::Work,
                 rest_ms: RELEASE_TIMEOUT_MS,
             }
         } else {
-            MoveRest {
+            MoveTimeLeft {
                 wait: MoveWait::Lease,
                 rest_ms: self.lease_end_ms(from).saturating_sub(clock::now_ms()),
             }
         };
-        self.announce_rest(service, holding, above_fence, rest);
+        self.announce_time_left(service, holding, above_fence, rest);
     }
 
-    fn announce_rest(
+    fn announce_time_left(
         &self,
         service: &Arc<str>,
         holding: &Holding,
         above_fence: u64,
-        rest: MoveRest,
+        rest: MoveTimeLeft,
     ) {
-        let move_ahead = Announcement {
+        let move_ahead = MoveAnnouncement {
             range: holding.range,
             above_fence,
             rest,
@@ -200,16 +212,16 @@
         outbox.announce_move(tag_of(service), move_ahead);
     }
 
-    /// Notes that a move waits for a lease to run out; false if that was known.
-    fn note_waiting(&self, range: KeyRange) -> bool {
-        let mut work = self.work();
-        let mut concerned = work.moving.iter_mut().filter(|m| m.range == range);
-        concerned.any(|moving| !std::mem::replace(&mut moving.waits, true))
+    /// Marks a move as waiting for a lease to expire. Returns false if it was marked already.
+    fn mark_waiting_for_lease(&self, range: KeyRange) -> bool {
+        let mut state = self.state();
+        let mut concerned = state.moving.iter_mut().filter(|m| m.range == range);
+        concerned.any(|moving| !std::mem::replace(&mut moving.waits_for_lease, true))
     }
 
-    /// Carries out a recorded move: frees the keys, then grants them. Whatever fails here, the
-    /// renewals of the new server make up for it or the planner finds another.
-    async fn finish(
+    /// Carries out a recorded move: has the keys released, then grants them. If the grant fails,
+    /// the renewals of the new server repeat it, or the planner chooses another server.
+    async fn complete_move(
         &self,
         service: &Arc<str>,
         holding: &Holding,
@@ -219,7 +231,7 @@
         let range = holding.range;
         let mut handover = None;
         if let Some(from) = &holding.from {
-            let Some(token) = self.free(service, holding, from).await else {
+            let Some(token) = self.release_keys(service, holding, from).await else {
                 return;
             };
             handover = token;
@@ -238,10 +250,11 @@
             outbox.announce_holding(tag_of(service), holding);
         }
         if holding.from.is_some() {
-            // Only now, so that no renewal comes before the grant that has the token.
-            let mut work = self.work();
-            let finished = work.finished.entry(service.clone()).or_default();
-            finished.push(holding.fence);
+            // The move counts as completed only after the grant. Otherwise a renewal, which has no
+            // handover token, could arrive before the grant that has it.
+            let mut state = self.state();
+            let completed_fences = state.completed_fences.entry(service.clone()).or_default();
+            completed_fences.push(holding.fence);
         }
         self.entry.metrics.moved();
         Event::Moved {
@@ -257,10 +270,12 @@
         .log();
     }
 
-    /// Makes sure that a server no longer holds a range: by its own word, or by waiting until its
-    /// last lease has run out. The result is the token for the next owner; `None` if the term has
-    /// ended meanwhile.
-    async fn free(
+    /// Ensures that the server `id` no longer holds a range: the server confirms the release, or
+    /// its last lease has expired.
+    ///
+    /// Returns the handover token for the next server if the old one gave one, or the outer `None`
+    /// if the term has ended meanwhile.
+    async fn release_keys(
         &self,
         service: &Arc<str>,
         holding: &Holding,
@@ -269,8 +284,9 @@
         let Holding { range, fence, .. } = *holding;
         let registry = self.entry.view.registry();
         let server = registry.server(id).cloned();
-        // A server whose entry is gone may still serve: it is asked by a connection of its own. A later
-        // incarnation of its name at its address answers for it.
+        // A server whose entry is gone may still serve, so the release order goes there on a new
+        // connection. If a later incarnation of the server answers at the same address, the earlier
+        // one has ended.
         let former = registry.former(id).cloned();
         let former_link = former.as_ref().map(|former| Link::new(former.address));
         let link = match (&server, &former, &former_link) {
@@ -280,17 +296,18 @@
         };
         let mut asked = server.is_none();
         loop {
-            if !self.lasts() {
+            if !self.may_send_orders() {
                 return None;
             }
             let free_ms = self.lease_end_ms(id);
             let now_ms = clock::now_ms();
-            // A server that is known is asked once in any case: its token warms the next one.
+            // A known server is asked at least once, even if its leases have expired: its handover
+            // token warms up the next server.
             if now_ms >= free_ms && std::mem::replace(&mut asked, true) {
                 return Some(None);
             }
             let Some((link, name)) = link else {
-                self.note_waiting(range);
+                self.mark_waiting_for_lease(range);
                 time::sleep(Duration::from_millis(free_ms.saturating_sub(now_ms))).await;
                 continue;
             };
@@ -302,20 +319,20 @@
                 fence,
             };
             match release(link, order, timeout_ms).await {
-                Ok(Released::Ended { handover }) => {
+                Ok(ReleaseOutcome::Ended { handover }) => {
                     self.entry.metrics.order("release", "ended");
                     return Some(handover);
                 }
-                Ok(Released::OtherServer) => return Some(None),
+                Ok(ReleaseOutcome::OtherServer) => return Some(None),
                 Err(error) => {
                     self.entry.metrics.order("release", "failed");
-                    log::debug!("{id} did not release keys: {error}");
-                    if self.note_waiting(range) {
-                        let rest = MoveRest {
+                    log::debug!("server {id} did not release its keys: {error}");
+                    if self.mark_waiting_for_lease(range) {
+                        let rest = MoveTimeLeft {
                             wait: MoveWait::Lease,
                             rest_ms: self.lease_end_ms(id).saturating_sub(clock::now_ms()),
                         };
-                        self.announce_rest(service, holding, fence - 1, rest);
+                        self.announce_time_left(service, holding, fence - 1, rest);
                     }
                     let pause_ms = 200.min(free_ms.saturating_sub(clock::now_ms()).max(1));
                     time::sleep(Duration::from_millis(pause_ms)).await;
@@ -324,23 +341,28 @@
         }
     }
 
-    /// Time at which the last lease that any holder may have given a server has run out.
+    /// Returns the time at which the last lease that any duty holder may have granted to a server
+    /// has expired.
     fn lease_end_ms(&self, id: &Arc<str>) -> u64 {
         let now_ms = clock::now_ms();
         let own_ms = self
-            .work()
+            .state()
             .servers
             .get(id)
             .map_or(0, |record| record.last_grant_ms(now_ms));
-        let others_ms = self.entry.duty.predecessors_until_ms();
+        let others_ms = self.entry.duty.earlier_leases_until_ms();
         let lease_ms = self.entry.settings.leases.lease_ms as f64 * LEASE_CLOCK_FACTOR;
         own_ms.max(others_ms) + lease_ms as u64 + LEASE_MARGIN_MS
     }
 }
 
-/// Sends a release, and again beside it while no answer comes: a release may be repeated, and the
-/// first answer counts.
-async fn release(link: &Link, order: Release<'_>, timeout_ms: u64) -> platform::Result<Released> {
+/// Sends a release order, and repeats it in parallel while no answer arrives. The first answer
+/// counts; the order is idempotent.
+async fn release(
+    link: &Link,
+    order: Release<'_>,
+    timeout_ms: u64,
+) -> platform::Result<ReleaseOutcome> {
     let began_ms = clock::now_ms();
     let Release { range, fence, .. } = order;
     let first = orders::release(link, order, timeout_ms);
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -1,4 +1,5 @@
-//! Renews leases, and gives them anew where a server has seen a higher fence.
+//! Renewal of leases. If a server has seen a higher fence than the recorded one, its keys are
+//! granted again under a fence that is higher still.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -7,7 +8,7 @@
 
 use tokio::task::JoinSet;
 
-use super::{FAILURES_DOUBT, GRANT_TIMEOUT_MS, Term};
+use super::{FAILURES_BEFORE_PROBE, GRANT_TIMEOUT_MS, Term};
 use crate::{
     clock,
     entry::{
@@ -19,38 +20,39 @@
     },
     platform::{
         self, Error,
-        orders::{self, Grant, Granted},
+        orders::{self, Grant, GrantOutcome},
     },
 };
 
-/// Distance of a raised fence from the last one, above what an earlier holder may have used
-/// without recording it.
+/// Increment of a raised fence. It skips fences that an earlier duty holder may have used without
+/// recording them.
 const FENCE_STEP: u64 = 16;
 
-/// Keys that a server is to hold.
+/// Lease of a key range that a server is to be granted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseOrder<'a> {
     pub service: &'a Arc<str>,
     pub range: KeyRange,
     pub fence: u64,
-    /// Token of the last owner.
+    /// Handover token that the previous server of the keys returned; `None` for renewals.
     pub handover: Option<&'a str>,
 }
 
-/// Time for a server to answer the question whether it lives. It may have to wait for a slot.
-const ALIVE_TIMEOUT_MS: u64 = 400;
-/// Age of a server's last answer to a request up to which it lives without being asked.
-const ANSWERED_LATELY_MS: u64 = 1_000;
+/// Timeout of a probe of a server. The probe may have to wait for a free slot there.
+const PROBE_TIMEOUT_MS: u64 = 400;
+/// Age of a server's last answer to a request up to which the server counts as alive without a
+/// probe.
+const RECENT_ANSWER_MS: u64 = 1_000;
 
 impl Term {
-    /// Starts the renewals that are due.
+    /// Starts the due renewals of a service's leases.
     pub(super) fn renew(self: &Arc<Self>, service: &Arc<str>, tasks: &mut JoinSet<()>) {
         let Some(held) = self.entry.view.held(service) else {
             return;
         };
         let registry = self.entry.view.registry();
         for (id, holdings) in self.due_renewals(service, &held.assignment) {
-            // A server without an entry gets nothing more; its lease runs out.
+            // A server without an entry gets no renewal, so its leases expire.
             let server = registry.server(&id).cloned();
             let term = self.clone();
             let service = service.clone();
@@ -63,9 +65,9 @@
         }
     }
 
-    /// Holdings whose renewal is due, by server; they count as under way. Each is renewed for itself: of
-    /// five ranges of a server that loses half of the answers, all are renewed in a row only once in 32
-    /// tries.
+    /// Returns the holdings whose renewal is due, by server, and marks their renewals as in flight.
+    /// Each holding has a renewal time of its own: if a server with five ranges loses half of its
+    /// answers, five renewals in a row succeed only once in 32 attempts.
     fn due_renewals(
         &self,
         service: &Arc<str>,
@@ -74,22 +76,23 @@
         let now_ms = clock::now_ms();
         let every_ms = self.entry.settings.leases.renew_every_ms;
         let mut due: HashMap<Arc<str>, Vec<Holding>> = HashMap::new();
-        let mut work = self.work();
+        let mut state = self.state();
         let fences: HashSet<u64> = assignment.holdings.iter().map(|h| h.fence).collect();
-        work.renewals
+        state
+            .renewals
             .retain(|(of, fence), _| of != service || fences.contains(fence));
         for holding in &assignment.holdings {
-            let record = work.servers.get(&holding.server);
+            let record = state.servers.get(&holding.server);
             let is_silent = record.is_some_and(|record| record.is_silent);
-            if is_silent || work.is_unfinished(service, holding) {
+            if is_silent || state.is_unfinished(service, holding) {
                 continue;
             }
             let key = (service.clone(), holding.fence);
-            let renewal = work.renewals.entry(key).or_default();
-            if renewal.is_under_way || now_ms < renewal.renewed_ms + every_ms {
+            let renewal = state.renewals.entry(key).or_default();
+            if renewal.is_in_flight || now_ms < renewal.renewed_ms + every_ms {
                 continue;
             }
-            renewal.is_under_way = true;
+            renewal.is_in_flight = true;
             let holdings = due.entry(holding.server.clone()).or_default();
             holdings.push(holding.clone());
         }
@@ -97,11 +100,11 @@
     }
 
     fn end_renewals(&self, service: &Arc<str>, holdings: &[Holding]) {
-        let mut work = self.work();
+        let mut state = self.state();
         for holding in holdings {
             let key = (service.clone(), holding.fence);
-            if let Some(renewal) = work.renewals.get_mut(&key) {
-                renewal.is_under_way = false;
+            if let Some(renewal) = state.renewals.get_mut(&key) {
+                renewal.is_in_flight = false;
             }
         }
     }
@@ -115,33 +118,35 @@
                 handover: None,
             };
             match self.grant(server, order).await {
-                Some(Granted::Held) => {}
-                Some(Granted::Superseded) => self.raise_fence(service, server, holding).await,
-                Some(Granted::OtherServer) => return,
-                // Due again in the next round; meanwhile the others.
+                Some(GrantOutcome::Held) => {}
+                Some(GrantOutcome::Superseded) => self.raise_fence(service, server, holding).await,
+                Some(GrantOutcome::OtherServer) => return,
+                // This renewal is due again in the next round. The remaining holdings are renewed
+                // now.
                 None => {}
             }
         }
     }
 
-    /// Gives one lease. `None` if the server gave no answer.
+    /// Grants or renews one lease. Returns `None` if the server did not answer or may not be sent
+    /// an order.
     pub(super) async fn grant(
         &self,
         server: &Arc<Server>,
         order: LeaseOrder<'_>,
-    ) -> Option<Granted> {
-        if !self.lasts() {
+    ) -> Option<GrantOutcome> {
+        if !self.may_send_orders() {
             return None;
         }
         let id = &server.entry.id;
         let sent_ms = clock::now_ms();
         {
-            let mut work = self.work();
-            let record = work.servers.entry(id.clone()).or_default();
+            let mut state = self.state();
+            let record = state.servers.entry(id.clone()).or_default();
             if record.is_silent {
                 return None;
             }
-            record.under_way += 1;
+            record.grants_in_flight += 1;
         }
         let grant = Grant {
             server: &server.entry.name,
@@ -151,10 +156,10 @@
             handover: order.handover,
         };
         let answer = orders::grant(&server.orders, grant, GRANT_TIMEOUT_MS).await;
-        let is_in_doubt = self.note_grant(id, order, sent_ms, &answer);
+        let needs_probe = self.note_grant(id, order, sent_ms, &answer);
         let error = match answer {
             Ok(granted) => {
-                let held = granted == Granted::Held;
+                let held = granted == GrantOutcome::Held;
                 let outcome = if held { "held" } else { "refused" };
                 self.entry.metrics.order("grant", outcome);
                 return Some(granted);
@@ -162,49 +167,50 @@
             Err(error) => error,
         };
         self.order_failed(server, "grant", error.to_string());
-        if is_in_doubt {
-            self.resolve_doubt(order.service, server).await;
+        if needs_probe {
+            self.probe_server(order.service, server).await;
         }
         None
     }
 
-    /// Notes what came of a grant; true if the server may be gone.
+    /// Records the outcome of a grant. Returns true if the server should be probed, as it may have
+    /// ended.
     fn note_grant(
         &self,
         id: &Arc<str>,
         order: LeaseOrder<'_>,
         sent_ms: u64,
-        answer: &platform::Result<Granted>,
+        answer: &platform::Result<GrantOutcome>,
     ) -> bool {
-        let mut work = self.work();
-        let record = work.servers.entry(id.clone()).or_default();
-        record.under_way -= 1;
-        // What was never sent prolongs nothing, so that the keys are free earlier.
+        let mut state = self.state();
+        let record = state.servers.entry(id.clone()).or_default();
+        record.grants_in_flight -= 1;
+        // A grant that was never sent extends no lease, so the keys become free earlier.
         let sent = answer.as_ref().err().is_none_or(Error::may_have_run);
         if sent {
             record.granted_ms = record.granted_ms.max(sent_ms);
         }
         let Ok(granted) = answer else {
             record.failures += 1;
-            return record.failures >= FAILURES_DOUBT && !record.is_silent;
+            return record.failures >= FAILURES_BEFORE_PROBE && !record.is_silent;
         };
         record.failures = 0;
         record.is_silent = false;
-        if *granted == Granted::Held {
+        if *granted == GrantOutcome::Held {
             let key = (order.service.clone(), order.fence);
-            work.renewals.entry(key).or_default().renewed_ms = sent_ms;
+            state.renewals.entry(key).or_default().renewed_ms = sent_ms;
         }
         false
     }
 
-    /// Finds out whether a server that does not answer grants is gone, or lives and only its answers
-    /// are lost. Keys of a live server stay there: while half of the orders went unanswered, live
-    /// servers were taken for lost and all keys of a service changed hands three to five times a
-    /// minute.
-    async fn resolve_doubt(&self, service: &str, server: &Server) {
+    /// Probes a server that does not answer grants, to tell a server that has ended from a live one
+    /// whose answers are lost. The keys of a live server stay there. Without the probe, when half
+    /// of the orders went unanswered, live servers were taken for lost and all keys of a service
+    /// changed their server three to five times a minute.
+    async fn probe_server(&self, service: &str, server: &Server) {
         let lives = self.is_alive(service, server).await;
-        let mut work = self.work();
-        let record = work.servers.entry(server.entry.id.clone()).or_default();
+        let mut state = self.state();
+        let record = state.servers.entry(server.entry.id.clone()).or_default();
         if lives {
             record.failures = 0;
         } else {
@@ -213,7 +219,7 @@
     }
 
     async fn is_alive(&self, service: &str, server: &Server) -> bool {
-        if clock::now_ms() < server.answered_ms() + ANSWERED_LATELY_MS {
+        if clock::now_ms() < server.answered_ms() + RECENT_ANSWER_MS {
             return true;
         }
         let Some(configuration) = self.entry.view.configuration() else {
@@ -224,10 +230,10 @@
         };
         let ServerEntry { id, name, .. } = &server.entry;
         let path = &service.health_path;
-        match orders::is_alive(&server.orders, path, name, ALIVE_TIMEOUT_MS).await {
+        match orders::is_alive(&server.orders, path, name, PROBE_TIMEOUT_MS).await {
             Ok(lives) => lives,
             Err(error) => {
-                log::debug!("{id} does not answer: {error}");
+                log::debug!("server {id} does not answer the probe: {error}");
                 false
             }
         }
@@ -243,14 +249,15 @@
         .log();
     }
 
-    /// The server has seen a higher fence than the record's: an earlier holder released the keys
-    /// and did not come to record more. Gives them to the same server again. Counts as a move, so
-    /// that no other move of these keys begins before the new lease is certain.
+    /// Grants a holding to the same server again under a higher fence. Needed when the server has
+    /// seen a higher fence than the recorded one, because an earlier duty holder released the keys
+    /// but recorded nothing more. Counts as a move, so that no other move of these keys begins
+    /// before the new lease is certain.
     async fn raise_fence(&self, service: &Arc<str>, server: &Arc<Server>, holding: &Holding) {
         if !self.mark_moving(service, holding.range) {
             return;
         }
-        let change = Change::Raise {
+        let change = Change::RaiseFence {
             holding: holding.clone(),
             step: FENCE_STEP,
         };
@@ -266,7 +273,7 @@
                     self.grant(server, order).await;
                 }
             }
-            Err(failure) => log::warn!("a raised fence of {service} is not recorded: {failure:?}"),
+            Err(failure) => log::warn!("cannot record a raised fence of {service}: {failure:?}"),
         }
         self.end_move(service, holding.range);
     }
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -1,7 +1,7 @@
-//! What hosts tell each other, by datagrams: their requests at each server, requests by key for
-//! the planner, moves and grants. All of that is best effort and only improves decisions. One
-//! message does more: an earlier holder's word that it gives no more leases ends a wait that keeps
-//! ownership single. All are sealed with a secret that the hosts share.
+//! Datagrams between hosts: their load on each server, request counts by key for the planner, moves
+//! and grants of keys. All of them are best effort and only improve decisions, with one exception:
+//! the statement of a previous duty holder that it grants no more leases ends a wait that keeps
+//! ownership exclusive. All datagrams are sealed with a secret that the hosts share.
 
 pub mod fanout;
 mod intervals;
@@ -32,12 +32,14 @@
     intervals::report_age_max_ms,
     message::{Message, RunTime, ServerLoad, ServerPace, VERSION},
     outbox::Outbox,
-    zone_loads::{ZoneLoads, ZoneNews},
+    zone_loads::{ZoneLoadChanges, ZoneLoads},
+};
+use super::{
+    decide::choice::HostCount, seal::Seal, server::tag_of, updates::snapshot::SnapshotHost,
 };
-use super::{decide::choice::HostCount, news::snapshot::KnownHost, seal::Seal, server::tag_of};
 use crate::clock;
 
-/// What the other hosts reported of a server.
+/// Sum of the other hosts' reports about one server.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportedLoad {
     in_flight: u32,
@@ -45,54 +47,54 @@
     reporters: f64,
 }
 
-/// What another host reported of a server's pace.
+/// Pace of a server as reported by another host.
 #[derive(Clone, Copy, Debug)]
 struct ReportedPace {
     server_tag: u32,
     pace: f64,
-    /// When the server told that, by this host's clock.
+    /// Time at which the server announced the pace, by this host's clock.
     at_ms: u64,
 }
 
-/// A host that others may ask.
+/// Seed host: a host listed in the store that starting hosts fetch a snapshot from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Guide {
-    /// Address for other hosts.
+pub struct SeedHost {
+    /// Address for messages and queries of other hosts.
     pub address: SocketAddr,
-    /// Short name of its availability zone.
+    /// Hash of the name of its availability zone.
     pub zone_tag: u32,
 }
 
-/// What a host's row tells of it.
+/// Properties of a host from its row in the store, or from its own messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostFacts {
-    /// Process that runs there, if its row was read.
+    /// Incarnation of the process on the host; `None` until its row was read.
     pub incarnation: Option<u64>,
-    /// Short name of its availability zone.
+    /// Hash of the name of its availability zone.
     pub zone_tag: u32,
-    /// True if that is the own zone.
+    /// True if the host is in the availability zone of this host.
     pub is_near: bool,
-    /// Share of a processor that it has.
+    /// Share of a processor that the host has.
     pub processor_share: f32,
 }
 
 #[derive(Debug)]
 struct Peer {
     facts: HostFacts,
-    /// When it was first given a message to relay since it was last heard; 0 if it was not.
-    asked_ms: u64,
+    /// Time of the first message to relay that the host has not acknowledged; 0 if there is none.
+    relay_since_ms: u64,
     heard_ms: u64,
     loads: Vec<ServerLoad>,
     run_times: Vec<RunTime>,
 }
 
 impl Peer {
-    fn view(&self, address: SocketAddr, now_ms: u64) -> RelayCandidate {
+    fn relay_candidate(&self, address: SocketAddr, now_ms: u64) -> RelayCandidate {
         RelayCandidate {
             address,
             zone_tag: self.facts.zone_tag,
             processor_share: self.facts.processor_share,
-            is_silent: self.asked_ms > 0 && now_ms > self.asked_ms + RELAY_SILENT_MS,
+            is_silent: self.relay_since_ms > 0 && now_ms > self.relay_since_ms + RELAY_SILENT_MS,
         }
     }
 
@@ -112,38 +114,38 @@
     }
 }
 
-/// The other hosts.
+/// Other hosts that this host knows, and the messages exchanged with them.
 #[derive(Debug, Default)]
 pub struct Peers {
-    /// Seals and opens datagrams.
+    /// Seals and opens datagrams with the secret of the hosts.
     pub seal: Seal,
-    /// Word of moves and grants that waits to be sent.
+    /// Announcements of moves and grants that wait to be sent.
     pub outbox: Outbox,
     peers: Mutex<HashMap<SocketAddr, Peer>>,
     socket: std::sync::OnceLock<Arc<UdpSocket>>,
     /// Requests by service tag and key since the last report.
     counted: Mutex<HashMap<(u32, u16), u16>>,
-    /// Requests that other hosts reported to this one, while it has the duty.
+    /// Request counts that other hosts reported to this one while it has the duty.
     reported: Mutex<Vec<KeyCount>>,
-    holder: Mutex<Option<SocketAddr>>,
+    duty_holder: Mutex<Option<SocketAddr>>,
     holder_term: AtomicU64,
-    told_hosts: AtomicUsize,
+    duty_holder_hosts: AtomicUsize,
     holder_heard_ms: AtomicU64,
-    /// Paces that other hosts reported, until they are taken in.
+    /// Paces that other hosts reported and that are not applied yet.
     paces: Mutex<Vec<ReportedPace>>,
     one_way_delay: Mutex<OneWayDelay>,
     zone_loads: Mutex<ZoneLoads>,
-    /// What this host has told the other zones, if it speaks for its own.
-    zone_news: Mutex<ZoneNews>,
+    /// Loads that this host has sent to other zones as the aggregator of its zone.
+    zone_load_changes: Mutex<ZoneLoadChanges>,
 }
 
 impl Peers {
-    /// Notes a host.
+    /// Adds a host, or updates its properties.
     pub fn add(&self, address: SocketAddr, facts: HostFacts) {
         let mut peers = self.peers();
         let peer = peers.entry(address).or_insert_with(|| Peer {
             facts,
-            asked_ms: 0,
+            relay_since_ms: 0,
             heard_ms: 0,
             loads: Vec::new(),
             run_times: Vec::new(),
@@ -151,17 +153,17 @@
         peer.facts = facts;
     }
 
-    /// Notes that a host was heard.
+    /// Records that a host has sent a datagram, which counts as an acknowledgement.
     fn note_heard(&self, address: SocketAddr) {
         if let Some(peer) = self.peers().get_mut(&address) {
-            peer.asked_ms = 0;
+            peer.relay_since_ms = 0;
         }
     }
 
-    /// What is known of the other hosts, for one that starts.
-    pub fn known_hosts(&self) -> Vec<KnownHost> {
+    /// Returns the other hosts, for a host that starts.
+    pub fn known_hosts(&self) -> Vec<SnapshotHost> {
         let peers = self.peers();
-        let hosts = peers.iter().map(|(address, peer)| KnownHost {
+        let hosts = peers.iter().map(|(address, peer)| SnapshotHost {
             address: *address,
             incarnation: peer.facts.incarnation,
             zone_tag: peer.facts.zone_tag,
@@ -170,77 +172,81 @@
         hosts.collect()
     }
 
-    /// Hosts that others may ask when they start: those that get messages for all, and this one.
-    pub fn guides(&self, own: Guide) -> Vec<Guide> {
-        let Fanout { direct, relays } = self.present_fanout();
+    /// Returns the seed hosts: the hosts that receive messages to all directly or as relays, and
+    /// this host.
+    pub fn seed_hosts(&self, own: SeedHost) -> Vec<SeedHost> {
+        let Fanout { direct, relays } = self.current_fanout();
         let peers = self.peers();
         let zone_tag = |address: &SocketAddr| peers.get(address).map(|peer| peer.facts.zone_tag);
         let others = direct.iter().chain(&relays);
         let others = others.filter_map(|address| {
-            Some(Guide {
+            Some(SeedHost {
                 address: *address,
                 zone_tag: zone_tag(address)?,
             })
         });
-        let mut guides: Vec<Guide> = others.chain([own]).collect();
-        guides.sort_unstable();
-        guides
+        let mut seed_hosts: Vec<SeedHost> = others.chain([own]).collect();
+        seed_hosts.sort_unstable();
+        seed_hosts
     }
 
-    /// The hosts that pass messages on to the zone of this one, which may be one of them.
-    pub(in crate::entry) fn zone_relays(&self, own: RelayCandidate) -> Vec<SocketAddr> {
+    /// Returns the relays of this host's zone, which may include this host.
+    pub(in crate::entry) fn own_zone_relays(&self, own: RelayCandidate) -> Vec<SocketAddr> {
         let now_ms = clock::now_ms();
         let near: Vec<RelayCandidate> = {
             let peers = self.peers();
             let near = peers.iter().filter(|(_, peer)| peer.facts.is_near);
-            near.map(|(address, peer)| peer.view(*address, now_ms))
+            near.map(|(address, peer)| peer.relay_candidate(*address, now_ms))
                 .collect()
         };
         let term = self.holder_term.load(Ordering::Relaxed);
         let zone: Vec<RelayCandidate> = near.into_iter().chain([own]).collect();
-        fanout::zone_pair(&zone, term)
+        fanout::choose_zone_relays(&zone, term)
     }
 
-    /// The host that this one asks for what it has missed: among many, one that passes messages on to its zone; the holder
-    /// of the duty among few, and for those that others ask.
-    pub fn guide_for(&self, own: RelayCandidate) -> Option<SocketAddr> {
+    /// Returns the host to fetch missed changes from: with many hosts, a relay of the own zone;
+    /// with few hosts, or on a relay itself, the duty holder.
+    pub fn sync_peer(&self, own: RelayCandidate) -> Option<SocketAddr> {
         if !self.are_many() {
-            return *self.holder();
+            return *self.duty_holder();
         }
-        let relays = self.zone_relays(own);
+        let relays = self.own_zone_relays(own);
         if relays.contains(&own.address) {
-            return *self.holder();
+            return *self.duty_holder();
         }
         relays.choose(&mut rand::rng()).copied()
     }
 
-    /// True if a host at this address is known.
+    /// Returns true if a host at this address is known.
     pub fn knows(&self, address: SocketAddr) -> bool {
         self.peers().contains_key(&address)
     }
 
-    /// Forgets a host.
+    /// Removes a host.
     pub fn remove(&self, address: SocketAddr) {
         self.peers().remove(&address);
     }
 
-    /// Number of hosts, this one included: those that this host knows, or more if the holder of the duty knows more.
-    /// What all hosts share is divided by it, so that too many are better than too few.
+    /// Returns the number of hosts, this one included: the larger of the numbers that this host and
+    /// the duty holder know. Limits that all hosts share are divided by it, so that a number too
+    /// large is safer than one too small.
     pub fn hosts(&self) -> usize {
-        self.known().max(self.told_hosts.load(Ordering::Relaxed))
+        self.known()
+            .max(self.duty_holder_hosts.load(Ordering::Relaxed))
     }
 
-    /// Number of hosts that this host knows, itself included.
+    /// Returns the number of hosts that this host knows, itself included.
     pub fn known(&self) -> usize {
         self.peers().len() + 1
     }
 
-    /// Notes how many hosts the holder of the duty knows.
-    fn note_told_hosts(&self, hosts: u32) {
-        self.told_hosts.store(hosts as usize, Ordering::Relaxed);
+    /// Records the number of hosts that the duty holder knows.
+    fn note_duty_holder_hosts(&self, hosts: u32) {
+        self.duty_holder_hosts
+            .store(hosts as usize, Ordering::Relaxed);
     }
 
-    /// Numbers of hosts in the own zone and in all.
+    /// Returns the numbers of hosts in this host's zone and in all zones.
     pub fn host_count(&self) -> HostCount {
         let peers = self.peers();
         HostCount {
@@ -249,10 +255,10 @@
         }
     }
 
-    /// Number of hosts that come before the one at `own` in the order in which they look after the
-    /// duty: those with a larger share of a processor first, since the holder has messages for all and
-    /// orders for all servers with keys. Among equals the order is another one for each term, so that
-    /// hosts that are gone do not always come first.
+    /// Returns the number of hosts that come before the host at `own` in the takeover order. Hosts
+    /// with a larger share of a processor come first, since the duty holder sends messages to all
+    /// hosts and orders to all servers that hold keys. The order of equally strong hosts differs by
+    /// term, so that hosts that are gone do not always come first.
     pub fn takeover_rank(&self, own: SocketAddr, processor_share: f32) -> usize {
         let term = self.holder_term.load(Ordering::Relaxed);
         let place = |address: &SocketAddr| tag_of(&format!("{address} {term}"));
@@ -267,12 +273,12 @@
             .count()
     }
 
-    /// True if messages for all hosts go by relays.
+    /// Returns true if messages to all hosts are sent through relays.
     pub(in crate::entry) fn are_many(&self) -> bool {
         self.hosts() > DIRECT_HOSTS_MAX
     }
 
-    /// Number of hosts that hear each other's reports, this one included.
+    /// Returns the number of hosts that receive each other's reports, this one included.
     fn reporting_hosts(&self) -> usize {
         let hosts = self.host_count();
         if self.are_many() {
@@ -282,12 +288,12 @@
         }
     }
 
-    /// Term of the latest holder of the duty that was heard.
+    /// Returns the latest term for which a heartbeat of the duty holder was received.
     pub fn holder_term(&self) -> u64 {
         self.holder_term.load(Ordering::Relaxed)
     }
 
-    /// When the duty's holder was last heard.
+    /// Returns the time of the last heartbeat received from the duty holder.
     pub fn holder_heard_ms(&self) -> u64 {
         self.holder_heard_ms.load(Ordering::Relaxed)
     }
@@ -298,7 +304,7 @@
         *counted.entry((service_tag, key)).or_default() += 1;
     }
 
-    /// Requests by key that all hosts reported since the last call.
+    /// Takes the request counts by key that all hosts reported since the last call.
     pub fn take_reported(&self) -> Vec<KeyCount> {
         let mut reported = self.reported.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut *reported)
@@ -335,16 +341,18 @@
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn holder(&self) -> MutexGuard<'_, Option<SocketAddr>> {
-        self.holder.lock().unwrap_or_else(PoisonError::into_inner)
+    fn duty_holder(&self) -> MutexGuard<'_, Option<SocketAddr>> {
+        self.duty_holder
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a message to the holder of the duty; false if none is known.
+    /// Sends a message to the duty holder. Returns false if none is known.
     pub(in crate::entry) fn send_to_holder(&self, message: &Message) -> bool {
-        let Some(holder) = *self.holder() else {
+        let Some(duty_holder) = *self.duty_holder() else {
             return false;
         };
-        self.send(message, &[holder]);
+        self.send(message, &[duty_holder]);
         true
     }
 
@@ -356,18 +364,18 @@
         match postcard::to_stdvec(message) {
             Ok(encoded) => bytes.extend(encoded),
             Err(error) => {
-                log::warn!("a message to hosts cannot be encoded: {error}");
+                log::warn!("a message to other hosts cannot be encoded: {error}");
                 return;
             }
         }
-        // Before the secret is read nothing is sent.
+        // Nothing is sent before the secret of the hosts was read.
         let Some(datagram) = self.seal.seal(&bytes) else {
             return;
         };
         for address in to {
-            // Best effort: the next report makes up for a lost one.
+            // Best effort: the next report replaces a lost one.
             if let Err(error) = socket.try_send_to(&datagram, *address) {
-                log::debug!("no datagram to {address}: {error}");
+                log::debug!("sending a datagram to {address} failed: {error}");
             }
         }
     }
@@ -387,15 +395,15 @@
 
     fn note_paces(&self, paces: &[ServerPace]) {
         let now_ms = clock::now_ms();
-        let told = paces.iter().map(|pace| ReportedPace {
+        let announced = paces.iter().map(|pace| ReportedPace {
             server_tag: pace.server_tag,
             pace: f64::from(pace.percent) / 100.0,
             at_ms: now_ms.saturating_sub(u64::from(pace.age_ms)),
         });
-        self.paces().extend(told);
+        self.paces().extend(announced);
     }
 
-    /// Paces that other hosts reported since the last call.
+    /// Takes the paces that other hosts reported since the last call.
     fn take_paces(&self) -> Vec<ReportedPace> {
         std::mem::take(&mut *self.paces())
     }
@@ -404,7 +412,8 @@
         self.paces.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a host that says that it has the duty; true if no later holder is known.
+    /// Records a heartbeat of the duty holder. Returns false and ignores it if a later term is
+    /// known.
     fn note_holder(&self, from: SocketAddr, term: u64) -> bool {
         if term < self.holder_term.load(Ordering::Relaxed) {
             return false;
@@ -412,11 +421,12 @@
         self.holder_term.store(term, Ordering::Relaxed);
         self.holder_heard_ms
             .store(clock::now_ms(), Ordering::Relaxed);
-        *self.holder() = Some(from);
+        *self.duty_holder() = Some(from);
         true
     }
 
-    /// Load and average run time by server tag, as the other hosts reported them.
+    /// Returns the loads and run times by server tag that other hosts reported and that are not
+    /// stale.
     fn loads(&self) -> HashMap<u32, ReportedLoad> {
         let now_ms = clock::now_ms();
         let age_max_ms = report_age_max_ms(self.reporting_hosts());
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -1,4 +1,4 @@
-//! Takes in what the other hosts send.
+//! Receives datagrams of the other hosts and dispatches their messages.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,43 +14,45 @@
         Entry,
         decide::hot_keys::HotKey,
         keys::Holding,
-        news::{announcement::Announcement, followed::Followed, freshness::StoreNews},
         owners::Owner,
         server::tag_of,
+        updates::{
+            announcement::MoveAnnouncement, followed::FollowedTable, freshness::StoreStateReport,
+        },
     },
 };
 
-/// Pause after a failed reading of the socket.
+/// Pause after a failed read of the socket, so that a lasting error does not cause a busy loop.
 const READ_PAUSE_MS: u64 = 100;
 
 impl Entry {
-    /// Takes in what the other hosts send.
+    /// Receives and handles datagrams of the other hosts.
     pub(in crate::entry) async fn keep_listening(self: Arc<Self>, socket: UdpSocket) {
         let socket = Arc::new(socket);
         if self.peers.socket.set(socket.clone()).is_err() {
-            log::warn!("the socket for hosts is set already");
+            log::warn!("the socket for messages between hosts is already set");
         }
         let mut buffer = vec![0; DATAGRAM_BYTES_MAX];
         loop {
             let (length, from) = match socket.recv_from(&mut buffer).await {
                 Ok(received) => received,
                 Err(error) => {
-                    log::debug!("no datagram: {error}");
+                    log::debug!("receiving a datagram failed: {error}");
                     time::sleep(Duration::from_millis(READ_PAUSE_MS)).await;
                     continue;
                 }
             };
-            self.take_in(&buffer[..length], from);
+            self.handle_datagram(&buffer[..length], from);
         }
     }
 
-    fn take_in(&self, datagram: &[u8], from: SocketAddr) {
+    fn handle_datagram(&self, datagram: &[u8], from: SocketAddr) {
         let Some(message) = self.peers.seal.open(datagram) else {
-            // Another secret may be in use, if it was a host.
-            log::debug!("datagram of {from} has no known seal");
+            // If the sender is a host, the hosts may use another secret by now.
+            log::debug!("datagram of {from} is not sealed with the known secret");
             if self.peers.knows(from) {
-                self.join.doubt_secret();
-                self.view.want_reading(Followed::Own);
+                self.join.flag_stale_secret();
+                self.view.request_read(FollowedTable::Own);
             }
             return;
         };
@@ -65,30 +67,35 @@
         match decoded {
             Ok(Message::Relay(message)) => {
                 self.peers.forward(from, (*message).clone());
-                if matches!(*message, Message::Holder { .. } | Message::ZoneLoads { .. }) {
+                if matches!(
+                    *message,
+                    Message::Heartbeat { .. } | Message::ZoneLoads { .. }
+                ) {
                     self.peers.send(&Message::RelayAck, &[from]);
                 }
-                self.take(*message, from);
+                self.handle_message(*message, from);
             }
             Ok(Message::Relayed { origin, message }) => {
                 if origin != self.settings.listen.peers {
-                    self.take(*message, origin);
+                    self.handle_message(*message, origin);
                 }
             }
-            Ok(message) => self.take(message, from),
-            Err(error) => log::debug!("datagram of {from} cannot be read: {error}"),
+            Ok(message) => self.handle_message(message, from),
+            Err(error) => log::debug!("datagram of {from} cannot be decoded: {error}"),
         }
     }
 
-    /// Takes up a host whose row was not read yet. It tells what it is in its reports and
-    /// questions, so that not each host reads the rows for each new one.
+    /// Adds a host whose row was not read yet. A host describes itself in its reports and
+    /// queries, so that not every host reads the rows for each new one.
     fn learn_sender(&self, from: SocketAddr, message: Option<&Message>) {
-        let Some(Message::Report { sender, .. } | Message::AskWord { sender, .. }) = message else {
-            self.view.want_reading(Followed::Own);
+        let Some(Message::Report { sender, .. } | Message::QueryStoreState { sender, .. }) =
+            message
+        else {
+            self.view.request_read(FollowedTable::Own);
             return;
         };
         let facts = HostFacts {
-            // Only its row proves which process runs there.
+            // Only the host's row proves which process runs there.
             incarnation: None,
             zone_tag: sender.zone_tag,
             is_near: sender.zone_tag == tag_of(&self.settings.availability_zone),
@@ -97,24 +104,24 @@
         self.peers.add(from, facts);
     }
 
-    /// Takes in a message of the host at `from`, sent by it or by a relay.
-    fn take(&self, message: Message, from: SocketAddr) {
+    /// Handles a message of the host at `from`, received from it directly or through a relay.
+    fn handle_message(&self, message: Message, from: SocketAddr) {
         match message {
-            Message::Holder {
+            Message::Heartbeat {
                 term,
                 sent_ms,
-                news,
+                updates,
                 hosts,
                 hot,
                 evacuations,
                 quarantined,
             } => {
-                self.peers.note_told_hosts(hosts);
-                // A later state counts, however it came here.
+                self.peers.note_duty_holder_hosts(hosts);
+                // The later state wins, whichever way it arrived.
                 self.view.evacuate(evacuations);
                 self.put_in_quarantine(&quarantined, "the holder of the duty tells it");
-                let news = news.aged_by(self.peers.excess_delay_ms(term, sent_ms));
-                self.note_holder(from, term, news, hot);
+                let updates = updates.aged_by(self.peers.excess_delay_ms(term, sent_ms));
+                self.note_holder(from, term, updates, hot);
             }
             Message::Report { servers, paces, .. } => {
                 self.peers.note_report(from, servers);
@@ -125,9 +132,11 @@
                 zone_tag,
                 summaries,
             } => self.peers.note_zone_loads(zone_tag, summaries),
-            Message::Servers(changes) => self.take_servers(changes),
-            Message::Configuration(piece) => self.take_configuration(piece),
-            Message::WhoHolds { service_tag, key } => self.tell_holder(from, service_tag, key),
+            Message::Servers(changes) => self.receive_server_changes(changes),
+            Message::Configuration(piece) => self.receive_configuration_piece(piece),
+            Message::QueryKeyOwner { service_tag, key } => {
+                self.send_key_owner(from, service_tag, key)
+            }
             Message::Stopped { term } => self.duty.note_stopped(from, term),
             Message::Keys(keys) => {
                 if self.duty.term() > 0 {
@@ -147,62 +156,68 @@
                 digests,
                 shared,
             } => self.note_suspects(server_tag, &digests, &shared),
-            Message::Cleared {
+            Message::SuspectCleared {
                 digest,
                 sent_ago_ms,
             } => {
                 let sent_ms = clock::now_ms().saturating_sub(u64::from(sent_ago_ms));
                 self.clear_suspect(digest, sent_ms);
             }
-            Message::Trying(claimed) => self.note_trial(claimed, from),
-            Message::Tried(claimed) => self.note_tried(claimed),
-            Message::Resting(rests) => self.take_rests(from, &rests),
-            Message::Asked(rates) => self.take_rates(from, &rates),
-            Message::Rates(rates) => self.take_sums(&rates),
-            Message::Used(reports) => self.take_used(&reports),
-            Message::Admitted(told) => self.quotas.note_told(&told),
-            Message::AskWord { nonce, .. } => {
-                if let Some(word) = self.word_for(nonce) {
+            Message::TrialStarted(claimed) => self.note_trial(claimed, from),
+            Message::TrialPassed(claimed) => self.note_trial_end(claimed),
+            Message::ReportRests(rests) => self.take_rests(from, &rests),
+            Message::ReportRates(rates) => self.handle_rate_report(from, &rates),
+            Message::RateTotals(rates) => self.apply_rate_totals(&rates),
+            Message::ReportUsage(reports) => self.handle_usage_report(&reports),
+            Message::AdmittedShare(told) => self.quotas.note_announced(&told),
+            Message::QueryStoreState { nonce, .. } => {
+                if let Some(word) = self.store_state_for(nonce) {
                     self.peers.send(&word, &[from]);
                 }
             }
-            Message::Word {
+            Message::StoreState {
                 nonce,
-                news,
+                updates,
                 evacuations,
-            } => self.note_word(nonce, news, evacuations),
-            Message::AskProof { nonce } => {
-                if let Some(proof) = self.proof_for(nonce) {
+            } => self.note_relay_report(nonce, updates, evacuations),
+            Message::QueryConfigurationAge { nonce } => {
+                if let Some(proof) = self.confirmation_for(nonce) {
                     self.peers.send(&proof, &[from]);
                 }
             }
-            Message::Proof {
+            Message::ConfigurationAge {
                 nonce,
                 age_ms,
                 changed,
-            } => self.note_proof(nonce, age_ms, changed),
-            Message::SaidLeaving(tags) => self.take_said_leaving(&tags),
-            Message::Leaving(tags) => {
+            } => self.note_confirmation(nonce, age_ms, changed),
+            Message::ReportLeaving(tags) => self.take_reported_leaving(&tags),
+            Message::AnnounceLeaving(tags) => {
                 self.note_leaving_elsewhere(&tags);
             }
             Message::RelayAck => {}
             Message::Relay(_) | Message::Relayed { .. } => {
-                log::debug!("message of {from} that was relayed twice");
+                log::debug!("ignoring a message of {from} that was relayed twice");
             }
         }
     }
 
-    fn note_holder(&self, from: SocketAddr, term: u64, news: StoreNews, hot: Vec<HotKey>) {
+    fn note_holder(
+        &self,
+        from: SocketAddr,
+        term: u64,
+        updates: StoreStateReport,
+        hot: Vec<HotKey>,
+    ) {
         if let Some(term) = self.duty.note_other_term(term) {
             self.peers.send(&Message::Stopped { term }, &[from]);
         }
         if self.peers.note_holder(from, term) {
-            self.heard_store(self.freshness.note_told(news));
-            self.hot_keys.note_told(hot, clock::now_ms());
+            self.note_store_answer(self.freshness.note_announced(updates));
+            self.hot_keys.note_announced(hot, clock::now_ms());
         }
     }
 
-    fn note_moves(&self, service_tag: u32, announcements: &[Announcement]) {
+    fn note_moves(&self, service_tag: u32, announcements: &[MoveAnnouncement]) {
         let Some(service) = self.service_of(service_tag) else {
             return;
         };
@@ -220,8 +235,9 @@
         }
     }
 
-    /// Tells a host that met a server without a key who holds it, while this host has the duty.
-    fn tell_holder(&self, to: SocketAddr, service_tag: u32, key: u16) {
+    /// Answers a host whose request reached a server that does not hold the key: sends it the key's
+    /// holding, if this host has the duty.
+    fn send_key_owner(&self, to: SocketAddr, service_tag: u32, key: u16) {
         if self.duty.term() == 0 {
             return;
         }
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -1,4 +1,5 @@
-//! Sends messages for all hosts and sums for the other zones on the ways that [`fanout`] chooses.
+//! Sends messages to all hosts, and the loads of a zone to the other zones, to the recipients that
+//! [`fanout`] chooses.
 
 use std::{
     collections::HashMap,
@@ -16,7 +17,7 @@
 use crate::clock;
 
 impl Peers {
-    /// Sends a message to all other hosts, by relays if they are many.
+    /// Sends a message to all other hosts, through relays if there are many.
     pub(in crate::entry) fn send_to_all(&self, message: Message) {
         let Fanout { direct, relays } = self.fanout();
         if !direct.is_empty() {
@@ -27,35 +28,38 @@
         }
     }
 
-    /// The fan-out to all hosts; its relays must acknowledge.
+    /// Chooses the recipients of a message to all hosts and expects acknowledgements of the relays.
     fn fanout(&self) -> Fanout {
-        let fanout = self.present_fanout();
-        self.note_asked(&fanout.relays);
+        let fanout = self.current_fanout();
+        self.expect_relay_acks(&fanout.relays);
         fanout
     }
 
-    /// The fan-out to all hosts, as it is chosen now.
-    pub(super) fn present_fanout(&self) -> Fanout {
+    /// Returns the current recipients of a message to all hosts.
+    pub(super) fn current_fanout(&self) -> Fanout {
         let now_ms = clock::now_ms();
         let term = self.holder_term.load(Ordering::Relaxed);
         let peers = self.peers();
-        let views = peers.iter();
-        let views = views.map(|(address, peer)| peer.view(*address, now_ms));
-        fanout::fanout(&views.collect::<Vec<_>>(), term)
+        let candidates = peers.iter();
+        let candidates = candidates.map(|(address, peer)| peer.relay_candidate(*address, now_ms));
+        fanout::fanout(&candidates.collect::<Vec<_>>(), term)
     }
 
-    /// Notes that relays owe an acknowledgement.
-    pub(super) fn note_asked(&self, relays: &[SocketAddr]) {
+    /// Records that relays have a message to acknowledge.
+    pub(super) fn expect_relay_acks(&self, relays: &[SocketAddr]) {
         let now_ms = clock::now_ms();
         let mut peers = self.peers();
         for address in relays {
-            if let Some(peer) = peers.get_mut(address).filter(|peer| peer.asked_ms == 0) {
-                peer.asked_ms = now_ms;
+            if let Some(peer) = peers
+                .get_mut(address)
+                .filter(|peer| peer.relay_since_ms == 0)
+            {
+                peer.relay_since_ms = now_ms;
             }
         }
     }
 
-    /// Forwards a message of another host to the own zone.
+    /// Forwards a message of another host to the hosts of this zone.
     pub(super) fn forward(&self, origin: SocketAddr, message: Message) {
         let mut to = self.near_addresses();
         to.retain(|address| *address != origin);
@@ -63,7 +67,7 @@
         self.send(&Message::Relayed { origin, message }, &to);
     }
 
-    /// Delay of a heartbeat of the holder beyond the shortest one.
+    /// Returns the excess delay of a heartbeat of the duty holder over the shortest one seen.
     pub(super) fn excess_delay_ms(&self, term: u64, sent_ms: u64) -> u64 {
         let mut one_way_delay = self
             .one_way_delay
@@ -72,8 +76,7 @@
         one_way_delay.delay_ms(term, sent_ms, clock::now_ms())
     }
 
-    /// Sends the loads of servers by the hosts of the own zone to the other zones, if this host is its
-    /// aggregator.
+    /// Sends the summed loads of this zone to the other zones, if this host is the zone aggregator.
     pub(super) fn send_zone_loads(
         &self,
         own: RelayCandidate,
@@ -91,7 +94,7 @@
             let heard: Vec<_> = heard.collect();
             let others = heard
                 .iter()
-                .map(|(address, peer)| peer.view(**address, now_ms));
+                .map(|(address, peer)| peer.relay_candidate(**address, now_ms));
             let zone: Vec<RelayCandidate> = std::iter::once(own).chain(others).collect();
             if fanout::zone_aggregator(&zone) != Some(own.address) {
                 return;
@@ -100,11 +103,11 @@
             let mut others: Vec<RelayCandidate> = peers
                 .iter()
                 .filter(|(_, peer)| !peer.facts.is_near)
-                .map(|(address, peer)| peer.view(*address, now_ms))
+                .map(|(address, peer)| peer.relay_candidate(*address, now_ms))
                 .collect();
-            relays.extend(fanout::zone_relays(&mut others));
+            relays.extend(fanout::one_relay_per_zone(&mut others));
         }
-        self.note_asked(&relays);
+        self.expect_relay_acks(&relays);
         let (own_loads, own_run_times) = own_report();
         add_report(&mut sums, &own_loads, &own_run_times);
         let mut summaries: Vec<ServerSummary> = sums
@@ -117,10 +120,10 @@
             .collect();
         summaries.sort_unstable_by_key(|summary| summary.server_tag);
         let summaries = self
-            .zone_news
+            .zone_load_changes
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .news(summaries, now_ms);
+            .updates(summaries, now_ms);
         for summaries in parts(&summaries) {
             let zone_tag = own.zone_tag;
             let message = Message::ZoneLoads {
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -1,5 +1,5 @@
-//! Quotas of workspaces: each host reports what it was asked for and what it sent; the holder of the duty keeps the
-//! ledgers and tells all hosts what they may admit.
+//! Quotas of workspaces across hosts. Each host reports its requests to the duty holder, which adds
+//! them up in ledgers and announces which share of the requests all hosts may admit.
 
 use std::{
     collections::HashMap,
@@ -11,154 +11,161 @@
 
 use super::{
     Entry,
-    decide::quota::{Admitted, HostShare, Ledger, Quota, Sharing, Use},
+    decide::quota::{AdmittedShare, HostShare, Ledger, Quota, QuotaContext, QuotaUsage},
     events::Event,
     peers::message::{Message, QUOTAS_MAX, WorkspaceAdmitted, WorkspaceUse},
     workspaces::{Workspace, Workspaces},
 };
 use crate::clock;
 
-/// Interval of reports and of the holder's word among few hosts. What is sent beyond a quota while a surge is not
-/// known yet grows with it.
-const TELL_EVERY_MS: u64 = 150;
-/// The same for each host, among many: the holder hears all of them.
-const TELL_EVERY_MS_BY_HOST: u64 = 1;
-/// Intervals without the holder's word after which it counts as not heard.
-const MISSED_WORDS: u64 = 4;
-/// Every so many intervals the holder tells of workspaces that ask for less than their quota.
-const TELL_ALL_EVERY: u64 = 6;
-
-fn tell_every_ms(hosts: usize) -> u64 {
-    TELL_EVERY_MS.max(TELL_EVERY_MS_BY_HOST * hosts as u64)
+/// Interval of reports and announcements among few hosts. The excess over a quota, while a surge is
+/// not known yet, grows with it.
+const REPORT_INTERVAL_MS: u64 = 150;
+/// Interval of reports per host: among many hosts the interval grows with their number, which bounds
+/// the messages that the duty holder gets.
+const REPORT_INTERVAL_MS_PER_HOST: u64 = 1;
+/// Intervals without an announcement after which a host no longer relies on the last one.
+const MISSED_ANNOUNCEMENTS: u64 = 4;
+/// Number of intervals after which an announcement includes workspaces below their quota too.
+const FULL_ANNOUNCEMENT_EVERY: u64 = 6;
+
+/// Returns the interval of reports and announcements among this number of hosts.
+fn report_interval_ms(hosts: usize) -> u64 {
+    REPORT_INTERVAL_MS.max(REPORT_INTERVAL_MS_PER_HOST * hosts as u64)
 }
 
-/// Quotas as one host knows them.
+/// State of all quotas at one host.
 #[derive(Debug, Default)]
 pub struct Quotas {
-    known: Mutex<Known>,
+    state: Mutex<QuotaState>,
 }
 
 #[derive(Debug, Default)]
-struct Known {
-    /// This host's shares, by workspace.
+struct QuotaState {
+    /// This host's shares of the quotas, by workspace tag.
     shares: HashMap<u32, HostShare>,
-    /// Kept while this host has the duty.
+    /// Ledgers of all hosts' requests, by workspace tag; kept while this host has the duty.
     ledgers: HashMap<u32, Ledger>,
-    /// When the holder's word came last.
+    /// Time of the last announcement; `None` before the first.
     heard_ms: Option<u64>,
 }
 
 impl Quotas {
-    /// True if a request of a workspace is within its quota, which so many hosts share.
+    /// Returns true if the quota of the workspace, which this number of hosts share, admits a
+    /// request.
     pub fn admits(&self, workspace: &Workspace, hosts: usize) -> bool {
         let Some(quota) = workspace.quota else {
             return true;
         };
         let now_ms = clock::now_ms();
-        let mut known = self.known();
-        let kept_ms = MISSED_WORDS * tell_every_ms(hosts);
-        let heard_ms = known.heard_ms;
-        let sharing = Sharing {
+        let mut state = self.state();
+        let kept_ms = MISSED_ANNOUNCEMENTS * report_interval_ms(hosts);
+        let heard_ms = state.heard_ms;
+        let context = QuotaContext {
             hosts,
-            is_told: heard_ms.is_some_and(|heard_ms| now_ms <= heard_ms + kept_ms),
+            is_confirmed: heard_ms.is_some_and(|heard_ms| now_ms <= heard_ms + kept_ms),
         };
-        let share = known.shares.entry(workspace.tag).or_default();
-        share.admits(quota, sharing, rand::random(), now_ms)
+        let share = state.shares.entry(workspace.tag).or_default();
+        share.admits(quota, context, rand::random(), now_ms)
     }
 
-    /// Notes that a request of a workspace goes to a server.
+    /// Counts a request of a workspace that is sent to a server.
     pub fn note_sent(&self, workspace: &Workspace) {
         if workspace.quota.is_some() {
-            let mut known = self.known();
-            known.shares.entry(workspace.tag).or_default().note_sent();
+            let mut state = self.state();
+            state.shares.entry(workspace.tag).or_default().note_sent();
         }
     }
 
-    /// What this host was asked for and has sent since the last report.
+    /// Returns the requests of each workspace since the last report, received and sent.
     fn take_report(&self) -> Vec<WorkspaceUse> {
-        let mut known = self.known();
-        let reports = known.shares.iter_mut().map(|(tag, share)| WorkspaceUse {
+        let mut state = self.state();
+        let reports = state.shares.iter_mut().map(|(tag, share)| WorkspaceUse {
             workspace_tag: *tag,
             used: share.take_report(),
         });
         reports
-            .filter(|report| report.used != Use::default())
+            .filter(|report| report.used != QuotaUsage::default())
             .collect()
     }
 
-    /// Takes in, as the holder, what a host reported.
+    /// Adds a host's report to the ledgers of the duty holder.
     fn note_report(&self, workspaces: &Workspaces, reports: &[WorkspaceUse]) {
         let now_ms = clock::now_ms();
-        let mut known = self.known();
+        let mut state = self.state();
         for report in reports {
             let Some(quota) = quota_of(workspaces, report.workspace_tag) else {
                 continue;
             };
-            let ledgers = &mut known.ledgers;
+            let ledgers = &mut state.ledgers;
             let ledger = ledgers.entry(report.workspace_tag);
             let ledger = ledger.or_insert_with(|| Ledger::new(now_ms));
             ledger.note(quota, report.used, now_ms);
         }
     }
 
-    /// What hosts may admit, as the holder; all of it at times, else only what binds.
+    /// Returns the shares that hosts may admit, by the ledgers of the duty holder: those of all
+    /// workspaces if `is_for_all`, else only those that limit a workspace or have just ceased to.
     fn admitted(&self, workspaces: &Workspaces, is_for_all: bool) -> Vec<WorkspaceAdmitted> {
         let now_ms = clock::now_ms();
-        let mut known = self.known();
-        let Known {
+        let mut state = self.state();
+        let QuotaState {
             shares, ledgers, ..
-        } = &mut *known;
-        let mut told = Vec::new();
+        } = &mut *state;
+        let mut announced = Vec::new();
         for (tag, ledger) in ledgers.iter_mut() {
             let Some(quota) = quota_of(workspaces, *tag) else {
                 continue;
             };
             let admitted = ledger.admitted(quota, now_ms);
-            let bound = shares.get(tag).is_some_and(HostShare::is_bound);
-            if admitted.binds() != bound {
+            let bound = shares.get(tag).is_some_and(HostShare::is_limited);
+            if admitted.is_limiting() != bound {
                 log_change(workspaces, *tag, quota, admitted);
             }
-            if admitted.binds() || bound || is_for_all {
-                told.push(WorkspaceAdmitted {
+            if admitted.is_limiting() || bound || is_for_all {
+                announced.push(WorkspaceAdmitted {
                     workspace_tag: *tag,
                     admitted,
                 });
             }
         }
         ledgers.retain(|_, ledger| !ledger.is_idle());
-        told
+        announced
     }
 
-    /// Takes in the holder's word.
-    pub(super) fn note_told(&self, told: &[WorkspaceAdmitted]) {
+    /// Applies an announcement of the duty holder.
+    pub(super) fn note_announced(&self, announced: &[WorkspaceAdmitted]) {
         let now_ms = clock::now_ms();
-        let mut known = self.known();
-        known.heard_ms = Some(now_ms);
-        for word in told {
-            let share = known.shares.entry(word.workspace_tag).or_default();
-            share.note_told(word.admitted, now_ms);
+        let mut state = self.state();
+        state.heard_ms = Some(now_ms);
+        for word in announced {
+            let share = state.shares.entry(word.workspace_tag).or_default();
+            share.note_announced(word.admitted, now_ms);
         }
     }
 
-    /// What may be admitted of a workspace's requests by the holder's latest word.
-    pub fn told(&self, workspace_tag: u32) -> Option<Admitted> {
-        self.known().shares.get(&workspace_tag)?.told()
+    /// Returns the share that the latest announcement lets hosts admit of a workspace's requests.
+    pub fn announced(&self, workspace_tag: u32) -> Option<AdmittedShare> {
+        self.state().shares.get(&workspace_tag)?.announced()
     }
 
+    /// Discards the ledgers of a host that does not have the duty.
     fn forget_ledgers(&self) {
-        self.known().ledgers.clear();
+        self.state().ledgers.clear();
     }
 
-    fn known(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, QuotaState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
+/// Returns the quota of a workspace; `None` if it has none or is not known.
 fn quota_of(workspaces: &Workspaces, tag: u32) -> Option<Quota> {
     workspaces.by_tag(tag)?.quota
 }
 
-fn log_change(workspaces: &Workspaces, tag: u32, quota: Quota, admitted: Admitted) {
+/// Logs that a workspace has reached its quota, or is below it again.
+fn log_change(workspaces: &Workspaces, tag: u32, quota: Quota, admitted: AdmittedShare) {
     let Some(workspace) = workspaces.by_tag(tag) else {
         return;
     };
@@ -172,11 +179,12 @@
 }
 
 impl Entry {
-    /// Reports to the holder what workspaces have used; as the holder, tells all hosts what they may admit.
-    pub(in crate::entry) async fn keep_telling_quotas(self: Arc<Self>) {
+    /// Reports the usage of workspaces to the duty holder; as the duty holder, announces to all
+    /// hosts what they may admit.
+    pub(in crate::entry) async fn exchange_quota_usage(self: Arc<Self>) {
         let mut round: u64 = 0;
         loop {
-            let every_ms = tell_every_ms(self.peers.hosts());
+            let every_ms = report_interval_ms(self.peers.hosts());
             time::sleep(Duration::from_millis(every_ms)).await;
             round += 1;
             let Some(configuration) = self.view.configuration() else {
@@ -192,33 +200,39 @@
                 continue;
             }
             self.quotas.note_report(workspaces, &reports);
-            let is_for_all = round.is_multiple_of(TELL_ALL_EVERY);
-            let told = self.quotas.admitted(workspaces, is_for_all);
-            self.tell_quotas(&told);
+            let is_for_all = round.is_multiple_of(FULL_ANNOUNCEMENT_EVERY);
+            let announced = self.quotas.admitted(workspaces, is_for_all);
+            self.announce_quotas(&announced);
         }
     }
 
+    /// Sends this host's usage report to the duty holder.
     fn report_quotas(&self, reports: &[WorkspaceUse]) {
         for reports in reports.chunks(QUOTAS_MAX) {
-            if !self.peers.send_to_holder(&Message::Used(reports.to_vec())) {
-                log::debug!("no holder hears what workspaces use");
+            if !self
+                .peers
+                .send_to_holder(&Message::ReportUsage(reports.to_vec()))
+            {
+                log::debug!("usage report not sent: no duty holder can be reached");
             }
         }
     }
 
-    /// Tells all hosts what they may admit. Word that names no workspace shows that the holder lives.
-    fn tell_quotas(&self, told: &[WorkspaceAdmitted]) {
-        self.quotas.note_told(told);
-        if told.is_empty() {
-            self.peers.send_to_all(Message::Admitted(Vec::new()));
+    /// Announces to all hosts what they may admit. An announcement without workspaces shows that
+    /// the duty holder is alive.
+    fn announce_quotas(&self, announced: &[WorkspaceAdmitted]) {
+        self.quotas.note_announced(announced);
+        if announced.is_empty() {
+            self.peers.send_to_all(Message::AdmittedShare(Vec::new()));
         }
-        for told in told.chunks(QUOTAS_MAX) {
-            self.peers.send_to_all(Message::Admitted(told.to_vec()));
+        for announced in announced.chunks(QUOTAS_MAX) {
+            self.peers
+                .send_to_all(Message::AdmittedShare(announced.to_vec()));
         }
     }
 
-    /// Takes in, as the holder, what a host reported of workspaces.
-    pub(in crate::entry) fn take_used(&self, reports: &[WorkspaceUse]) {
+    /// Handles a host's usage report, if this host has the duty.
+    pub(in crate::entry) fn handle_usage_report(&self, reports: &[WorkspaceUse]) {
         if self.duty.term() == 0 {
             return;
         }
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -1,6 +1,6 @@
-//! Rates that servers take from all hosts together: each host tells the holder of the duty what servers have named
-//! and what its callers ask of them; the holder tells all hosts the latest word and the sum, by which each takes its
-//! part.
+//! Rate limits that servers advertise for all hosts together. Each host reports to the duty holder
+//! the limits that servers have sent it, and the demand of its callers. The duty holder announces
+//! the latest limits and the total demand, from which each host computes its share.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -8,52 +8,58 @@
 
 use super::{
     Entry,
-    decide::rate_limit::LimitWord,
+    decide::rate_limit::AdvertisedLimit,
     events::Event,
-    model::ToldLimit,
-    peers::message::{Message, RATES_MAX, ServerRate, ToldRate},
+    model::ReportedLimit,
+    peers::message::{AdvertisedRate, Message, RATES_MAX, ServerRate},
     server::Server,
 };
 use crate::clock;
 
-/// Interval of reports among few hosts.
-const TELL_EVERY_MS: u64 = 150;
-/// The same for each host, among many: the holder hears all of them.
-const TELL_EVERY_MS_BY_HOST: u64 = 2;
+/// Interval of reports and announcements among few hosts.
+const REPORT_INTERVAL_MS: u64 = 150;
+/// Interval of reports per host: among many hosts the interval grows with their number, which bounds
+/// the messages that the duty holder gets.
+const REPORT_INTERVAL_MS_PER_HOST: u64 = 2;
 
 impl Entry {
-    /// Takes in what a server's answer to a request of this host said of the rate that it takes.
-    pub(in crate::entry) fn note_told_limit(&self, server: &Server, told: ToldLimit) {
+    /// Notes the rate limit that a server advertised in a response to this host.
+    pub(in crate::entry) fn note_advertised_limit(&self, server: &Server, told: ReportedLimit) {
         let per_s = match told {
-            ToldLimit::Unlimited => None,
-            ToldLimit::PerS(per_s) => Some(per_s),
-            ToldLimit::Unknown => return,
+            ReportedLimit::Unlimited => None,
+            ReportedLimit::PerS(per_s) => Some(per_s),
+            ReportedLimit::Unknown => return,
         };
         let at_ms = clock::now_ms();
-        let is_change = server.rate.note_own_word(LimitWord { per_s, at_ms });
+        let is_change = server.rate.note_own_limit(AdvertisedLimit { per_s, at_ms });
         log_change(server, is_change, "its answer");
     }
 
-    /// Tells the holder what this host knows of servers' rates; as the holder, tells all hosts.
-    pub(in crate::entry) async fn keep_telling_rates(self: Arc<Self>) {
+    /// Reports this host's limits and demand to the duty holder; as the duty holder, announces the
+    /// totals to all hosts.
+    pub(in crate::entry) async fn exchange_rate_limits(self: Arc<Self>) {
         loop {
-            let every_ms = TELL_EVERY_MS.max(TELL_EVERY_MS_BY_HOST * self.peers.hosts() as u64);
+            let every_ms =
+                REPORT_INTERVAL_MS.max(REPORT_INTERVAL_MS_PER_HOST * self.peers.hosts() as u64);
             time::sleep(Duration::from_millis(every_ms)).await;
             let rates = self.own_rates();
             if self.duty.term() == 0 {
                 self.report_rates(rates);
             } else {
-                self.take_rates(self.settings.listen.peers, &rates);
-                self.tell_rates();
+                self.handle_rate_report(self.settings.listen.peers, &rates);
+                self.announce_rates();
             }
         }
     }
 
-    /// What servers told this host of their rates, with what its own callers ask for.
+    /// Returns the limits that servers have advertised to this host, with the demand of its own
+    /// callers.
     fn own_rates(&self) -> Vec<ServerRate> {
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
-        let limited = registry.servers().filter(|s| s.rate.is_news(now_ms));
+        let limited = registry
+            .servers()
+            .filter(|s| s.rate.should_announce(now_ms));
         let rates = limited.map(|server| ServerRate {
             server_tag: server.tag,
             told: told(server.rate.own(), now_ms),
@@ -62,33 +68,39 @@
         rates.collect()
     }
 
+    /// Sends this host's report to the duty holder.
     fn report_rates(&self, rates: Vec<ServerRate>) {
         for rates in rates.chunks(RATES_MAX) {
-            if !self.peers.send_to_holder(&Message::Asked(rates.to_vec())) {
-                log::debug!("no holder hears what is asked of limited servers");
+            if !self
+                .peers
+                .send_to_holder(&Message::ReportRates(rates.to_vec()))
+            {
+                log::debug!("rate report not sent: no duty holder can be reached");
             }
         }
     }
 
-    /// Takes in, as the holder, what a host knows of the rates of servers.
-    pub(in crate::entry) fn take_rates(&self, host: SocketAddr, rates: &[ServerRate]) {
+    /// Handles a host's report of limits and demand, if this host has the duty.
+    pub(in crate::entry) fn handle_rate_report(&self, host: SocketAddr, rates: &[ServerRate]) {
         if self.duty.term() == 0 {
             return;
         }
         let now_ms = clock::now_ms();
-        self.note_words(rates, now_ms);
+        self.note_limits(rates, now_ms);
         let mut asked = self.asked_by_host();
         for rate in rates {
             asked.note(rate.server_tag, host, rate.asked, now_ms);
         }
     }
 
-    /// Tells all hosts, as the holder, the rates of servers, and what the callers of all hosts ask for.
-    fn tell_rates(&self) {
+    /// Announces, as the duty holder, the latest limits and the total demand to all hosts.
+    fn announce_rates(&self) {
         let now_ms = clock::now_ms();
         let rates: Vec<ServerRate> = {
             let registry = self.view.registry();
-            let limited = registry.servers().filter(|s| s.rate.is_news(now_ms));
+            let limited = registry
+                .servers()
+                .filter(|s| s.rate.should_announce(now_ms));
             let mut asked = self.asked_by_host();
             let rates = limited.map(|server| ServerRate {
                 server_tag: server.tag,
@@ -99,16 +111,16 @@
         };
         let is_limited = |tag| rates.iter().any(|rate| rate.server_tag == tag);
         self.asked_by_host().retain(is_limited);
-        self.take_sums(&rates);
+        self.apply_rate_totals(&rates);
         for rates in rates.chunks(RATES_MAX) {
-            self.peers.send_to_all(Message::Rates(rates.to_vec()));
+            self.peers.send_to_all(Message::RateTotals(rates.to_vec()));
         }
     }
 
-    /// Takes in what the holder knows of the rates of servers, and what the callers of all hosts ask for.
-    pub(in crate::entry) fn take_sums(&self, rates: &[ServerRate]) {
+    /// Applies an announcement of the duty holder: the latest limits and the total demand.
+    pub(in crate::entry) fn apply_rate_totals(&self, rates: &[ServerRate]) {
         let now_ms = clock::now_ms();
-        self.note_words(rates, now_ms);
+        self.note_limits(rates, now_ms);
         let registry = self.view.registry();
         for rate in rates {
             let named = registry.servers().filter(|s| s.tag == rate.server_tag);
@@ -116,29 +128,32 @@
         }
     }
 
-    fn note_words(&self, rates: &[ServerRate], now_ms: u64) {
+    /// Notes the limits that another host reported or announced.
+    fn note_limits(&self, rates: &[ServerRate], now_ms: u64) {
         let registry = self.view.registry();
         for rate in rates {
             let Some(told) = rate.told else { continue };
-            let word = LimitWord {
+            let word = AdvertisedLimit {
                 per_s: told.limit_per_s,
                 at_ms: now_ms.saturating_sub(u64::from(told.age_ms)),
             };
             for server in registry.servers().filter(|s| s.tag == rate.server_tag) {
-                log_change(server, server.rate.note_word(word), "another host");
+                log_change(server, server.rate.note_limit(word), "another host");
             }
         }
     }
 }
 
-fn told(word: Option<LimitWord>, now_ms: u64) -> Option<ToldRate> {
+/// Converts an advertised limit into its form in messages, with its age.
+fn told(word: Option<AdvertisedLimit>, now_ms: u64) -> Option<AdvertisedRate> {
     let word = word?;
-    Some(ToldRate {
+    Some(AdvertisedRate {
         limit_per_s: word.per_s,
         age_ms: now_ms.saturating_sub(word.at_ms) as u32,
     })
 }
 
+/// Logs a change of a server's limit; `source` names where it was learned from.
 fn log_change(server: &Server, is_change: bool, source: &'static str) {
     if !is_change {
         return;
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -1,4 +1,4 @@
-//! Takes rows of the followed tables into what the host believes.
+//! Applies rows of the followed tables to the view of this host.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -11,16 +11,16 @@
 use super::{
     Entry,
     events::Event,
-    keys::{self, Assignment, KeyPart},
-    news::{
+    keys::{self, Assignment, KeyPartition},
+    owners::HoldingsRow,
+    peers::HostFacts,
+    server::tag_of,
+    updates::{
         evacuation::Evacuations,
-        followed::Followed,
+        followed::FollowedTable,
         own_rows::{HOST_PREFIX, HostRow, QUARANTINE_KEY, SECRET_KEY, parse_holdings_key},
-        server_changes::{ServerChange, ServerNews},
+        server_changes::{ServerChange, ServerUpdate},
     },
-    owners::HeldRow,
-    peers::HostFacts,
-    server::tag_of,
 };
 use crate::platform::{
     Error, config, servers,
@@ -28,12 +28,12 @@
 };
 
 impl Entry {
-    /// Applies a whole table: what is not in it is gone.
-    pub(super) fn apply_whole(&self, followed: Followed, Rows { rows, version }: Rows) {
-        if followed == Followed::Configuration {
-            self.view.evacuate(whole_evacuations(&rows, version));
+    /// Applies a complete table. Entries that are not in it are removed.
+    pub(super) fn apply_table(&self, followed: FollowedTable, Rows { rows, version }: Rows) {
+        if followed == FollowedTable::Configuration {
+            self.view.evacuate(evacuations_in_table(&rows, version));
         }
-        if followed == Followed::Servers {
+        if followed == FollowedTable::Servers {
             let present: HashSet<Arc<str>> =
                 rows.iter().map(|row| row.key.as_str().into()).collect();
             let returned_ms = self.view.store_returned_ms();
@@ -41,25 +41,25 @@
                 .update_registry(|registry| registry.retain(&present, returned_ms));
         }
         self.apply(followed, rows);
-        if followed == Followed::Servers {
+        if followed == FollowedTable::Servers {
             self.view.set_servers_known();
         }
-        if followed == Followed::Own {
+        if followed == FollowedTable::Own {
             self.view.set_hosts_known();
         }
     }
 
-    pub(super) fn apply(&self, followed: Followed, rows: Vec<Row>) {
+    pub(super) fn apply(&self, followed: FollowedTable, rows: Vec<Row>) {
         for row in rows.iter().filter(|row| !is_evacuation(followed, row)) {
             self.freshness.note_change(followed, row.version);
         }
         match followed {
-            Followed::Configuration => {
+            FollowedTable::Configuration => {
                 self.apply_configuration(&rows);
                 self.apply_evacuations(&rows);
             }
-            Followed::Servers => self.apply_servers(&rows),
-            Followed::Own => self.apply_own(&rows),
+            FollowedTable::Servers => self.apply_servers(&rows),
+            FollowedTable::Own => self.apply_own(&rows),
         }
     }
 
@@ -68,8 +68,9 @@
         let Some(row) = rows.iter().rfind(current) else {
             return;
         };
-        // Handed on as it is: the others must know too that it cannot be read.
-        self.relay.note_configuration(row);
+        // An undecodable row is forwarded as well: other hosts must know too that the configuration
+        // cannot be read.
+        self.broadcast.note_configuration(row);
         match config::decode(&row.value) {
             Ok(configuration) => {
                 self.proof.set_unreadable(false);
@@ -100,30 +101,30 @@
         self.change_servers(changes);
     }
 
-    /// Takes changes of servers' entries into the view.
+    /// Applies changes of server entries to the view.
     pub(super) fn change_servers(&self, changes: Vec<ServerChange>) {
         let returned_ms = self.view.store_returned_ms();
         self.view.update_registry(|registry| {
             for change in changes {
                 if change.is_end() {
-                    self.freshness.note_left(change.version);
+                    self.freshness.note_leave(change.version);
                 }
                 match change.what {
-                    ServerNews::Entry(entry) => registry.put(entry),
-                    ServerNews::Removed(name) => registry.remove(&name, returned_ms),
-                    ServerNews::Unreadable(name) => registry.drop_server(&name),
+                    ServerUpdate::Entry(entry) => registry.put(entry),
+                    ServerUpdate::Removed(name) => registry.remove(&name, returned_ms),
+                    ServerUpdate::Unreadable(name) => registry.drop_server(&name),
                 }
             }
             registry.drop_overdue();
         });
     }
 
-    /// Removes servers whose entries have not come back in time.
+    /// Removes servers whose entries have not returned in time after an outage of the store.
     pub(super) async fn drop_overdue_servers(self: Arc<Self>) {
         loop {
             let missing = self.view.registry().has_missing();
-            let look_every_ms = if missing { 20 } else { 100 };
-            time::sleep(Duration::from_millis(look_every_ms)).await;
+            let check_every_ms = if missing { 20 } else { 100 };
+            time::sleep(Duration::from_millis(check_every_ms)).await;
             if self.view.registry().has_overdue() {
                 self.view
                     .update_registry(|registry| registry.drop_overdue());
@@ -146,7 +147,7 @@
 
     fn apply_host(&self, address: &str, row: &Row) {
         let Ok(address) = address.parse() else {
-            log::warn!("host row {address} has no address");
+            log::warn!("host row {address} has no valid address in its key");
             return;
         };
         let own = address == self.settings.listen.peers;
@@ -167,15 +168,16 @@
                 self.peers.add(address, facts);
                 self.duty.note_process(address, host.incarnation);
             }
-            Err(error) => log::warn!("host row {address} cannot be read: {error}"),
+            Err(error) => log::warn!("cannot decode host row {address}: {error}"),
         }
     }
 
-    /// Takes in rows with holdings, those of a service together: one change may have written several.
+    /// Applies rows with holdings. Rows of one service are applied together, since one change may
+    /// have written several of them.
     fn apply_holdings(&self, rows: &[Row]) {
         let (held, unreadable) = decode_holdings(rows);
         for (row, error) in unreadable {
-            log::warn!("holdings in {row} cannot be read: {error}");
+            log::warn!("cannot decode holdings in row {row}: {error}");
         }
         for (service, rows) in held {
             self.view.hold(&service, rows);
@@ -183,9 +185,10 @@
     }
 }
 
-/// Rows with holdings by service, and the keys of those that cannot be read.
-pub(super) fn decode_holdings(rows: &[Row]) -> (HeldByService, Vec<(&str, keys::DecodeError)>) {
-    let mut held = HeldByService::new();
+/// Decodes rows with holdings. Returns them by service, and the keys of the rows that cannot be
+/// decoded.
+pub(super) fn decode_holdings(rows: &[Row]) -> (HoldingsByService, Vec<(&str, keys::DecodeError)>) {
+    let mut held = HoldingsByService::new();
     let mut unreadable = Vec::new();
     for row in rows.iter().filter(|row| !row.removed) {
         let Some((service, part)) = parse_holdings_key(&row.key) else {
@@ -194,7 +197,7 @@
         match Assignment::decode(&row.value) {
             Ok(assignment) => {
                 let version = row.version;
-                let row = HeldRow {
+                let row = HoldingsRow {
                     assignment,
                     version,
                 };
@@ -207,15 +210,16 @@
 }
 
 /// Rows with holdings, by service.
-pub(super) type HeldByService = HashMap<Arc<str>, Vec<(KeyPart, HeldRow)>>;
+pub(super) type HoldingsByService = HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>>;
 
-/// True for a row whose news the holder tells in each heartbeat, so that no host asks for it.
-fn is_evacuation(followed: Followed, row: &Row) -> bool {
-    followed == Followed::Configuration && config::evacuated_zone(&row.key).is_some()
+/// Returns true for a row of an evacuated zone. The duty holder sends the evacuated zones in each
+/// heartbeat, so hosts need not read the store for the versions of these rows.
+fn is_evacuation(followed: FollowedTable, row: &Row) -> bool {
+    followed == FollowedTable::Configuration && config::evacuated_zone(&row.key).is_some()
 }
 
-/// Zones that are evacuated by a whole table.
-fn whole_evacuations(rows: &[Row], version: u64) -> Evacuations {
+/// Returns the evacuated zones according to a complete table.
+fn evacuations_in_table(rows: &[Row], version: u64) -> Evacuations {
     let present = rows.iter().filter(|row| !row.removed);
     let zones = present.filter_map(|row| config::evacuated_zone(&row.key));
     let mut zones: Vec<Arc<str>> = zones.map(Arc::from).collect();
@@ -223,19 +227,19 @@
     Evacuations { version, zones }
 }
 
-/// Rows of servers' entries. One that cannot be read names no server to use, also if an earlier one
-/// did.
+/// Decodes rows of server entries. A row that cannot be decoded is a change to an unusable server,
+/// even if an earlier version of the row was readable.
 pub(super) fn decode_servers(rows: &[Row]) -> Vec<ServerChange> {
     let mut changes = Vec::with_capacity(rows.len());
     for row in rows {
         let what = if row.removed {
-            ServerNews::Removed(row.key.as_str().into())
+            ServerUpdate::Removed(row.key.as_str().into())
         } else {
             match servers::decode(&row.key, &row.value) {
-                Ok(entry) => ServerNews::Entry(entry),
+                Ok(entry) => ServerUpdate::Entry(entry),
                 Err(error) => {
                     bad_row(servers::TABLE, &row.key, &error);
-                    ServerNews::Unreadable(row.key.as_str().into())
+                    ServerUpdate::Unreadable(row.key.as_str().into())
                 }
             }
         };
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -1,4 +1,4 @@
-//! Starts an entry host and stops it.
+//! Start, tasks and planned stop of an entry host.
 
 use std::{net::SocketAddr, path::Path, sync::Arc, sync::atomic::Ordering, time::Duration};
 
@@ -16,50 +16,51 @@
 use super::{Entry, Settings, events::Event, forward, log_writer, watch};
 use crate::{
     clock,
-    transport::{self, AnswerBody, ListenerLimits},
+    transport::{self, ListenerLimits, ResponseBody},
 };
 
-/// Connections that wait to be accepted. A full queue costs a caller seconds.
+/// Length of the accept queue. A full queue drops connection attempts, which delays a caller by
+/// seconds.
 const BACKLOG: u32 = 4_096;
-/// Time after SIGTERM in which new connections are still accepted: the balancer asks every
-/// second and takes a host out after two misses.
-const NOTICE_MS: u64 = 2_300;
-/// Time kept free before the end of the grace.
+/// Time after SIGTERM in which new connections are still accepted. The balancer probes readiness
+/// every second and removes a host after two failed probes.
+const READINESS_NOTICE_MS: u64 = 2_300;
+/// Margin that is kept free before the end of the stop grace period.
 const GRACE_MARGIN_MS: u64 = 250;
-/// Time for a caller to send a head, which also bounds a connection's idle time; above the
-/// callers' own bound, so that they close first.
+/// Time for a caller to send a request head, which also limits a connection's idle time. It is
+/// above the callers' own limit, so that callers close idle connections first.
 const HEAD_TIMEOUT_MS: u64 = 16_000;
-/// Type of the metrics' text exposition.
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Interval at which idle connections to servers are checked.
+/// Content type of the metrics' text exposition format.
+const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+/// Interval at which closed and expired idle connections to servers are removed from the pools.
 const SWEEP_EVERY_MS: u64 = 1_000;
 
-/// Why a host cannot run.
+/// Reason why a host cannot run.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The settings are wrong.
+    /// The settings file is missing or invalid.
     #[snafu(display("{source}"))]
     Settings {
-        /// Cause.
+        /// Cause, which names the file.
         source: crate::settings::Error,
     },
-    /// A listener cannot be opened.
+    /// A listening socket cannot be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Address.
+        /// Address from the settings.
         address: SocketAddr,
-        /// Cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Signals cannot be received.
-    #[snafu(display("signals cannot be received: {source}"))]
+    /// A signal handler cannot be installed.
+    #[snafu(display("cannot install a signal handler: {source}"))]
     Signal {
-        /// Cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Runs an entry host until SIGTERM or SIGINT.
+/// Runs an entry host until SIGTERM or SIGINT; SIGHUP reloads the settings.
 pub async fn run(path: &Path) -> Result<(), Error> {
     let settings = Settings::read(path).context(SettingsSnafu)?;
     log_writer::start(settings.log_level);
@@ -106,41 +107,41 @@
     }
     stop(&entry, &stop_callers, callers_done).await;
     if stop_readiness.send(true).is_err() {
-        log::debug!("the readiness listener has ended");
+        log::debug!("the readiness listener has already stopped");
     }
     log_writer::flush();
-    // The writing thread gets a moment; nothing waits for it otherwise.
+    // Leaves the writer thread time to write the last lines; nothing else waits for it.
     time::sleep(Duration::from_millis(20)).await;
     Ok(())
 }
 
 fn spawn_tasks(entry: &Arc<Entry>, peers: UdpSocket) {
     tokio::spawn(entry.clone().join());
-    tokio::spawn(entry.clone().keep_naming_guides());
+    tokio::spawn(entry.clone().keep_naming_seed_hosts());
     tokio::spawn(entry.clone().keep_registering_newcomers());
-    tokio::spawn(entry.clone().keep_learning_hosts());
+    tokio::spawn(entry.clone().keep_querying_hosts());
     tokio::spawn(entry.clone().watch_configuration());
     tokio::spawn(entry.clone().watch_servers());
-    tokio::spawn(entry.clone().keep_proving());
-    tokio::spawn(entry.clone().keep_word());
+    tokio::spawn(entry.clone().maintain_configuration_proof());
+    tokio::spawn(entry.clone().keep_asking_relays());
     tokio::spawn(entry.clone().watch_own());
     tokio::spawn(entry.clone().register());
     tokio::spawn(entry.clone().drop_overdue_servers());
     tokio::spawn(entry.clone().keep_listening(peers));
     tokio::spawn(entry.clone().keep_reporting());
-    tokio::spawn(entry.clone().keep_taking_in_reports());
+    tokio::spawn(entry.clone().keep_applying_reports());
     tokio::spawn(entry.clone().keep_sending_zone_loads());
-    tokio::spawn(entry.clone().keep_counting());
+    tokio::spawn(entry.clone().keep_reporting_keys());
     tokio::spawn(entry.clone().keep_announcing());
-    tokio::spawn(entry.clone().keep_showing_duty());
-    tokio::spawn(entry.clone().keep_duty());
-    tokio::spawn(entry.clone().keep_secret());
-    tokio::spawn(entry.clone().keep_leasing());
-    tokio::spawn(entry.clone().keep_telling_crashes());
+    tokio::spawn(entry.clone().keep_sending_heartbeats());
+    tokio::spawn(entry.clone().maintain_duty());
+    tokio::spawn(entry.clone().maintain_secret());
+    tokio::spawn(entry.clone().manage_leases());
+    tokio::spawn(entry.clone().report_crashes());
     tokio::spawn(entry.clone().keep_quarantine_stored());
-    tokio::spawn(entry.clone().keep_telling_notices());
-    tokio::spawn(entry.clone().keep_telling_rates());
-    tokio::spawn(entry.clone().keep_telling_quotas());
+    tokio::spawn(entry.clone().keep_reporting_notices());
+    tokio::spawn(entry.clone().exchange_rate_limits());
+    tokio::spawn(entry.clone().exchange_quota_usage());
     tokio::spawn(sweep_connections(entry.clone()));
     tokio::spawn(async {
         loop {
@@ -182,7 +183,7 @@
 async fn serve_metrics(entry: Arc<Entry>, listener: TcpListener, stop: stop::Receiver<bool>) {
     let handler = move |_: Request<Incoming>| {
         let text = metrics_text(&entry);
-        async move { transport::whole(StatusCode::OK, METRICS_TYPE, text.into()) }
+        async move { transport::whole(StatusCode::OK, METRICS_CONTENT_TYPE, text.into()) }
     };
     transport::serve(listener, ListenerLimits::default(), stop, handler).await;
 }
@@ -203,7 +204,7 @@
     let registry = entry.view.registry();
     let cold = registry
         .servers()
-        .filter(|server| server.cold_rest_ms() > 0);
+        .filter(|server| server.cold_remaining_ms() > 0);
     metrics.cold_servers.set(cold.count() as i64);
     let dropped = log_writer::dropped_in_total();
     metrics.log_lines_dropped.set(dropped as i64);
@@ -213,7 +214,7 @@
     metrics.text()
 }
 
-fn readiness(ready: bool) -> Response<AnswerBody> {
+fn readiness(ready: bool) -> Response<ResponseBody> {
     let status = if ready {
         StatusCode::OK
     } else {
@@ -231,7 +232,7 @@
     }
 }
 
-/// Reads the settings again; only what the log says changes while the process runs.
+/// Reads the settings again. Only the log level takes effect while the process runs.
 fn reload(path: &Path) {
     let problem = match Settings::read(path) {
         Ok(settings) => {
@@ -243,31 +244,34 @@
     Event::Reloaded { problem }.log();
 }
 
-/// Planned stop: readiness goes first, then the duty; the listener follows when the balancer has
-/// noticed, and the process ends when no request is left.
+/// Carries out a planned stop: fails readiness first and gives up the duty, closes the callers'
+/// listener once the balancer has noticed, and returns when no request is in flight or the grace
+/// period ends.
 async fn stop(
     entry: &Arc<Entry>,
     stop_callers: &stop::Sender<bool>,
     callers_done: tokio::task::JoinHandle<()>,
 ) {
     let grace_ms = entry.settings.bounds.stop_grace_ms;
-    let ends_ms = clock::now_ms() + grace_ms - GRACE_MARGIN_MS;
-    entry.ends_ms.store(ends_ms, Ordering::Relaxed);
+    let stop_deadline_ms = clock::now_ms() + grace_ms - GRACE_MARGIN_MS;
+    entry
+        .stop_deadline_ms
+        .store(stop_deadline_ms, Ordering::Relaxed);
     entry.stopping.store(true, Ordering::Relaxed);
     let in_flight = entry.in_flight.load(Ordering::Relaxed);
     Event::Stopping { in_flight }.log();
-    let notice_ms = NOTICE_MS.min(grace_ms / 2);
+    let notice_ms = READINESS_NOTICE_MS.min(grace_ms / 2);
     let giving_up = entry.give_up_duty();
     let notice = time::sleep(Duration::from_millis(notice_ms));
     tokio::join!(giving_up, notice);
     if stop_callers.send(true).is_err() {
-        log::debug!("the callers' listener has ended");
+        log::debug!("the callers' listener has already stopped");
     }
     let left_ms = grace_ms.saturating_sub(notice_ms + GRACE_MARGIN_MS);
     let drained = time::timeout(Duration::from_millis(left_ms), callers_done).await;
     let in_flight = entry.in_flight.load(Ordering::Relaxed);
     if drained.is_err() {
-        log::warn!("{in_flight} requests were cut off at the end of the grace");
+        log::warn!("{in_flight} requests were aborted at the end of the stop grace period");
     }
     Event::Stopped { in_flight }.log();
 }
--- /dev/null
+++ b/src/entry/store_confirmation.rs
@@ -0,0 +1,135 @@
+//! Relays that confirm the store's state in place of the duty holder. Hosts rely on the duty holder
+//! to learn that nothing has changed in the store. When it is lost, or the store rejects its calls,
+//! each of a thousand hosts would call the store until there is another duty holder. With many
+//! hosts, the relays of each zone do so a little earlier than the other hosts would, and the other
+//! hosts query them.
+
+use std::{sync::Arc, time::Duration};
+
+use tokio::time;
+
+use super::{
+    Entry,
+    limits::POLL_EVERY_MS,
+    peers::message::Message,
+    updates::{
+        evacuation::Evacuations,
+        followed::{FollowedTable, SyncRole},
+        freshness::StoreStateReport,
+    },
+};
+use crate::clock;
+
+/// Longer pause after a failed call while the duty holder reports that nothing has changed in the
+/// store: the store may reject this host only.
+const CONFIRMED_PAUSE_MS: u64 = 1_500;
+
+impl Entry {
+    /// Returns the source from which this host learns of changes.
+    pub(super) fn sync_role(&self) -> SyncRole {
+        if self.duty.term() > 0 {
+            SyncRole::Holder
+        } else if self.freshness.is_store_confirmed() {
+            SyncRole::Follower
+        } else if self.freshness.is_relay() {
+            SyncRole::Relay
+        } else {
+            SyncRole::Alone
+        }
+    }
+
+    /// Extends the pause after a failed call while other hosts call the store on behalf of this
+    /// one. Hundreds of hosts that each check for the store's return are thousands of calls.
+    pub(super) async fn pause_while_others_call(&self) {
+        self.pause_while_relays_call().await;
+        self.pause_while_confirmed().await;
+    }
+
+    /// Leaves it to the relays of the zone to detect the store's return. This host still calls the
+    /// store now and then, since all relays may be lost.
+    pub(super) async fn pause_while_relays_call(&self) {
+        if !self.peers.are_many() {
+            return;
+        }
+        let until_ms = clock::now_ms() + self.limits.alone_pause_ms;
+        while clock::now_ms() < until_ms && self.sync_role() == SyncRole::Alone {
+            time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
+        }
+    }
+
+    /// Extends the pause while this host has all changes that the duty holder has reported.
+    async fn pause_while_confirmed(&self) {
+        let until_ms = clock::now_ms() + CONFIRMED_PAUSE_MS;
+        let is_behind = |followed| {
+            let applied = self.freshness.applied(followed);
+            self.freshness.is_behind(followed, applied)
+        };
+        while clock::now_ms() < until_ms && self.freshness.is_store_confirmed() {
+            if is_behind(FollowedTable::Configuration) || is_behind(FollowedTable::Servers) {
+                return;
+            }
+            time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
+        }
+    }
+
+    /// Queries the relays of the own zone while the duty holder's report becomes stale, and
+    /// determines whether this host is a relay.
+    pub(super) async fn keep_asking_relays(self: Arc<Self>) {
+        loop {
+            let is_asking = self.ask_relays();
+            let every_ms = if is_asking {
+                self.limits.ask_relay_every_ms
+            } else {
+                self.limits.holder_heartbeat_ms
+            };
+            time::sleep(Duration::from_millis(every_ms)).await;
+        }
+    }
+
+    /// Queries the relays of the zone if the state of the store must be confirmed. Returns true if
+    /// it did.
+    fn ask_relays(&self) -> bool {
+        let is_apart = self.duty.term() > 0 || !self.peers.are_many();
+        let relays = if is_apart {
+            Vec::new()
+        } else {
+            self.peers.own_zone_relays(self.as_relay_candidate())
+        };
+        let is_relay = relays.contains(&self.settings.listen.peers);
+        self.freshness.set_relay(is_relay);
+        if is_relay || relays.is_empty() || !self.freshness.needs_relay() {
+            return false;
+        }
+        let nonce = rand::random();
+        let sender = self.as_sender();
+        self.freshness.ask(nonce, clock::now_ms());
+        self.peers
+            .send(&Message::QueryStoreState { nonce, sender }, &relays);
+        true
+    }
+
+    /// Returns the state of the store as this host sees it, for a host that receives no heartbeats
+    /// of the duty holder.
+    pub(super) fn store_state_for(&self, nonce: u64) -> Option<Message> {
+        let updates = self.freshness.store_state(self.view.store_answered_ms())?;
+        Some(Message::StoreState {
+            nonce,
+            updates,
+            evacuations: self.view.evacuations(),
+        })
+    }
+
+    /// Applies the answer of a relay.
+    pub(super) fn note_relay_report(
+        &self,
+        nonce: u64,
+        updates: StoreStateReport,
+        evacuations: Evacuations,
+    ) {
+        // The later state wins, whichever way it arrived.
+        self.view.evacuate(evacuations);
+        if let Some(answered_ms) = self.freshness.note_relay_report(nonce, updates) {
+            self.note_store_answer(answered_ms);
+        }
+    }
+}
--- /dev/null
+++ b/src/entry/updates/announcement.rs
@@ -0,0 +1,16 @@
+//! Announcements by the duty holder that keys are being moved between servers.
+
+use serde::{Deserialize, Serialize};
+
+use crate::entry::{decide::hold::MoveTimeLeft, keys::KeyRange};
+
+/// Message of the duty holder that a range of keys is being moved to another server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct MoveAnnouncement {
+    /// Range of keys being moved.
+    pub range: KeyRange,
+    /// The move is complete once a grant of the range under a higher fence is announced.
+    pub above_fence: u64,
+    /// Remaining time after which the announcement expires, even if no grant was announced.
+    pub rest: MoveTimeLeft,
+}
--- /dev/null
+++ b/src/entry/updates/followed.rs
@@ -0,0 +1,164 @@
+//! Tables of the store that a host follows by change feeds, and the wait and pause times of these
+//! feeds.
+
+use super::own_rows::TABLE;
+use crate::{
+    entry::limits::TimeLimits,
+    platform::{config, servers},
+};
+
+/// Longest wait of a feed call at the store while no other host confirms the store. A store that
+/// stopped answering is detected within a second after that, early enough to apply the
+/// configuration within its bound once a network partition has healed.
+const ALONE_WAIT_MS: u64 = 3_000;
+/// Longest wait of a feed call that is abandoned and repeated as soon as another host reports a
+/// change that the feed did not deliver. Calls are billed, so the wait is long; the store allows up
+/// to 30 s.
+const FOLLOWER_WAIT_MS: u64 = 25_000;
+/// Longest pause of a feed while the duty holder broadcasts all changes. A host that has missed a
+/// change notices it by the versions in the duty holder's heartbeat, or when it meets an unknown
+/// host or secret, or a server that no longer holds a key.
+pub const FOLLOWER_PAUSE_MAX_MS: u64 = 120_000;
+/// Time after its start that a host waits for a heartbeat of the duty holder before it reads the
+/// product's own rows again.
+const OWN_START_WAIT_MS: u64 = 2_500;
+/// Shortest pause of the feed of the product's own rows.
+const OWN_PAUSE_MIN_MS: u64 = 300;
+/// Time without a feed call after which the whole table is read. The store keeps 20 s of history,
+/// and a feed call that comes too late costs an extra call.
+pub const HISTORY_MS: u64 = 15_000;
+/// Number of hosts up to which feeds use their shortest pause.
+const FEW_HOSTS: u64 = 11;
+
+/// How a host learns that the store has changed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SyncRole {
+    /// This host is the duty holder; the others depend on its feeds.
+    Holder,
+    /// This host is a relay without confirmation of the store by the duty holder; the hosts of its
+    /// zone depend on its feeds.
+    Relay,
+    /// This host depends on the duty holder or a relay, which confirms the store.
+    Follower,
+    /// Nobody confirms the store; this host depends on its own feeds alone.
+    Alone,
+}
+
+/// A table of the store that hosts follow by a change feed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum FollowedTable {
+    /// Operators' table with the configuration and the evacuated zones.
+    Configuration,
+    /// Entries by which servers register.
+    Servers,
+    /// The product's own rows: holdings and hosts.
+    Own,
+}
+
+impl FollowedTable {
+    /// All followed tables, in the order of [`Self::index`].
+    pub const ALL: [Self; 3] = [Self::Configuration, Self::Servers, Self::Own];
+
+    /// Longest time until a store that stopped answering is detected while no other host confirms
+    /// it.
+    pub const NOTICED_MS: u64 = ALONE_WAIT_MS + 500;
+
+    /// Returns the index of the table in per-table arrays.
+    pub fn index(self) -> usize {
+        self as usize
+    }
+
+    /// Returns the name of the table in the store.
+    pub fn table(self) -> &'static str {
+        match self {
+            Self::Configuration => config::TABLE,
+            Self::Servers => servers::TABLE,
+            Self::Own => TABLE,
+        }
+    }
+
+    /// Returns how long a feed call may wait at the store. The duty holder and hosts that hear no
+    /// duty holder use short waits, since nobody else can tell them that their connection has
+    /// failed silently.
+    pub fn wait_ms(self, sync_role: SyncRole, limits: &TimeLimits) -> u64 {
+        match (self, sync_role) {
+            (Self::Own, _) | (_, SyncRole::Follower) => FOLLOWER_WAIT_MS,
+            (_, SyncRole::Holder) => limits.holder_wait_ms,
+            (_, SyncRole::Relay) => limits.relay_wait_ms,
+            (_, SyncRole::Alone) => ALONE_WAIT_MS,
+        }
+    }
+
+    /// Returns how long a host that has just read the table waits for a heartbeat of the duty
+    /// holder before it asks for changes. Hosts that start together would otherwise all fetch each
+    /// other's rows; these are written after 2 s, when the first duty holder is there as well. The
+    /// wait lies within the contact grace period, in which the bounds do not apply.
+    pub fn start_wait_ms(self, limits: &TimeLimits) -> u64 {
+        match self {
+            Self::Own => OWN_START_WAIT_MS,
+            Self::Configuration | Self::Servers => limits.start_wait_ms,
+        }
+    }
+
+    /// Returns the pause between two feed calls. Each change wakes the feeds of all hosts, so the
+    /// pause grows with the number of hosts, up to the limit at which changes still take effect in
+    /// time.
+    pub fn feed_pause(self, hosts: usize, sync_role: SyncRole, limits: &TimeLimits) -> FeedPause {
+        let scaled = |few_hosts_ms: u64, many_hosts_ms: u64| {
+            let scaled_ms = few_hosts_ms * hosts as u64 / FEW_HOSTS;
+            scaled_ms.clamp(few_hosts_ms.min(many_hosts_ms), many_hosts_ms)
+        };
+        match (self, sync_role) {
+            // The other hosts learn of changes from the duty holder or a relay, so the feeds of
+            // these pause only briefly.
+            (Self::Configuration | Self::Servers, SyncRole::Holder | SyncRole::Relay) => {
+                FeedPause::fixed(limits.holder_pause_ms)
+            }
+            (Self::Configuration, SyncRole::Follower) => FeedPause {
+                min_ms: limits.configuration_pause_ms,
+                max_ms: FOLLOWER_PAUSE_MAX_MS,
+            },
+            (Self::Configuration, SyncRole::Alone) => {
+                FeedPause::fixed(scaled(150, limits.configuration_pause_ms))
+            }
+            (Self::Servers, SyncRole::Follower) => FeedPause {
+                min_ms: scaled(SERVERS_PAUSE_MS, 1_000),
+                max_ms: FOLLOWER_PAUSE_MAX_MS,
+            },
+            (Self::Servers, SyncRole::Alone) => {
+                FeedPause::fixed(scaled(SERVERS_PAUSE_MS, limits.servers_pause_ms))
+            }
+            // Holdings also arrive by datagram once the duty holder knows this host.
+            (Self::Own, SyncRole::Follower) => FeedPause {
+                min_ms: OWN_PAUSE_MIN_MS,
+                max_ms: FOLLOWER_PAUSE_MAX_MS,
+            },
+            (Self::Own, _) => FeedPause {
+                min_ms: OWN_PAUSE_MIN_MS,
+                max_ms: scaled(1_000, 2_000),
+            },
+        }
+    }
+}
+
+/// Pause of the feed of servers' entries while there are few hosts.
+const SERVERS_PAUSE_MS: u64 = 250;
+
+/// Pause between two feed calls, which lets changes in quick succession share one call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FeedPause {
+    /// Shortest pause, kept even if there is a reason to call early, such as a read request or a
+    /// missed change.
+    pub min_ms: u64,
+    /// Longest pause, if no such reason arises.
+    pub max_ms: u64,
+}
+
+impl FeedPause {
+    fn fixed(pause_ms: u64) -> Self {
+        Self {
+            min_ms: pause_ms,
+            max_ms: pause_ms,
+        }
+    }
+}
--- /dev/null
+++ b/src/entry/updates/freshness.rs
@@ -0,0 +1,381 @@
+//! Tracks how recent a host's view of the store is. The duty holder writes to the store
+//! continuously. It reports to the other hosts how long ago the store answered it and up to which
+//! version it has seen each table. The feeds of the others can therefore wait for long: a feed that
+//! lags behind the reported version has failed silently and is called again.
+
+use std::{
+    sync::{
+        Mutex, MutexGuard, PoisonError,
+        atomic::{AtomicBool, AtomicU64, Ordering},
+    },
+    time::Duration,
+};
+
+use serde::{Deserialize, Serialize};
+use tokio::time;
+
+use super::{followed::FollowedTable, query::PendingQuery, snapshot::TableVersions};
+use crate::{
+    clock,
+    entry::limits::{POLL_EVERY_MS, TimeLimits},
+};
+
+/// Number of followed tables.
+const TABLES: usize = FollowedTable::ALL.len();
+/// Age of a report that is too old to be trusted.
+const TOO_OLD_MS: u32 = u32::MAX;
+
+/// Report of the duty holder, or of a relay, on its view of the store.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct StoreStateReport {
+    /// Time since the store's last answer, or since the servers' entries or the configuration were
+    /// last followed if that is longer ago. All changes up to then are known to the sender.
+    pub age_ms: u32,
+    /// Version of the latest change seen, by table.
+    pub changed: [u64; TABLES],
+    /// Version of the latest change after which some server takes no new work.
+    pub leave_version: u64,
+    /// Version up to which the sender has read each table, whether or not anything changed.
+    pub up_to: [u64; TABLES],
+}
+
+impl StoreStateReport {
+    /// Returns the report with the age increased by a delay in the network.
+    pub fn aged_by(self, excess_delay_ms: u64) -> Self {
+        let excess_delay_ms = u32::try_from(excess_delay_ms).unwrap_or(TOO_OLD_MS);
+        Self {
+            age_ms: self.age_ms.saturating_add(excess_delay_ms),
+            ..self
+        }
+    }
+
+    /// Merges the changes known from an earlier report: a later report may come from another host
+    /// that has not seen all of them.
+    fn with_changes_of(self, earlier: Self) -> Self {
+        Self {
+            changed: std::array::from_fn(|table| self.changed[table].max(earlier.changed[table])),
+            leave_version: self.leave_version.max(earlier.leave_version),
+            ..self
+        }
+    }
+}
+
+/// Versions and times of a host's own feeds, and the latest report of the store's state by another
+/// host.
+#[derive(Debug)]
+pub struct Freshness {
+    /// Age up to which a report of another host is trusted.
+    trust_ms: u64,
+    /// Time for which a feed may lag behind a reported version.
+    lag_grace_ms: u64,
+    /// Time until which this host has followed each table; `u64::MAX` while a call waits at the
+    /// store, 0 before the first call.
+    followed_ms: [AtomicU64; TABLES],
+    /// Version up to which this host has applied each table.
+    applied: [AtomicU64; TABLES],
+    changed: [AtomicU64; TABLES],
+    leave_version: AtomicU64,
+    received: Mutex<Option<ReceivedReport>>,
+    /// Query to a relay that was not answered yet.
+    query: PendingQuery,
+    /// True while this host reports the store's state to its zone in place of the duty holder.
+    is_relay: AtomicBool,
+}
+
+/// Report of another host, with the time of the store's answer by this host's clock.
+#[derive(Clone, Copy, Debug)]
+struct ReceivedReport {
+    answered_ms: u64,
+    updates: StoreStateReport,
+}
+
+impl ReceivedReport {
+    /// Returns the later one of two reports, with all changes that either contains.
+    fn or_later(self, other: Self) -> Self {
+        let (later, earlier) = if self.answered_ms >= other.answered_ms {
+            (self, other)
+        } else {
+            (other, self)
+        };
+        Self {
+            updates: later.updates.with_changes_of(earlier.updates),
+            ..later
+        }
+    }
+}
+
+/// Reason to abandon a waiting feed call and to repeat it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RecallReason {
+    /// Another host has reported a change that the feed did not deliver.
+    Behind,
+    /// No other host confirms the store any more.
+    Unconfirmed,
+    /// Another feed has found the store unavailable, and the store has not answered since.
+    StoreLost,
+}
+
+impl Freshness {
+    /// Returns the state of a host that has neither read a table nor received a report.
+    pub fn new(limits: &TimeLimits) -> Self {
+        Self {
+            trust_ms: limits.trust_ms,
+            lag_grace_ms: limits.lag_grace_ms,
+            followed_ms: Default::default(),
+            applied: Default::default(),
+            changed: Default::default(),
+            leave_version: AtomicU64::new(0),
+            received: Mutex::default(),
+            query: PendingQuery::default(),
+            is_relay: AtomicBool::new(false),
+        }
+    }
+
+    /// Records whether this host reports the store's state to its zone in place of the duty holder.
+    pub fn set_relay(&self, is_relay: bool) {
+        self.is_relay.store(is_relay, Ordering::Relaxed);
+    }
+
+    /// Returns whether this host reports the store's state to its zone in place of the duty holder.
+    pub fn is_relay(&self) -> bool {
+        self.is_relay.load(Ordering::Relaxed)
+    }
+
+    /// Records a query to a relay.
+    pub fn ask(&self, nonce: u64, at_ms: u64) {
+        self.query.ask(nonce, at_ms);
+    }
+
+    /// Records that a feed call for a table waits at the store, until the returned guard is
+    /// dropped.
+    pub fn follow(&self, followed: FollowedTable) -> FollowGuard<'_> {
+        let followed_ms = &self.followed_ms[followed.index()];
+        followed_ms.store(u64::MAX, Ordering::Relaxed);
+        FollowGuard(followed_ms)
+    }
+
+    /// Records that this host has applied all changes of a table up to a version.
+    pub fn note_applied(&self, followed: FollowedTable, version: u64) {
+        self.applied[followed.index()].fetch_max(version, Ordering::Relaxed);
+    }
+
+    /// Returns the version up to which this host has applied a table; 0 if the table was never
+    /// read.
+    pub fn applied(&self, followed: FollowedTable) -> u64 {
+        self.applied[followed.index()].load(Ordering::Relaxed)
+    }
+
+    /// Records the version of a change that was seen.
+    pub fn note_change(&self, followed: FollowedTable, version: u64) {
+        self.changed[followed.index()].fetch_max(version, Ordering::Relaxed);
+    }
+
+    /// Returns the version of the latest change seen; 0 before the first.
+    pub fn changed(&self, followed: FollowedTable) -> u64 {
+        self.changed[followed.index()].load(Ordering::Relaxed)
+    }
+
+    /// Returns the versions up to which this host has a table.
+    pub fn known(&self, followed: FollowedTable) -> TableVersions {
+        TableVersions {
+            up_to: self.applied(followed),
+            changed: self.changed(followed),
+        }
+    }
+
+    /// Returns the version of the latest change after which some server takes no new work.
+    pub fn leave_version(&self) -> u64 {
+        self.leave_version.load(Ordering::Relaxed)
+    }
+
+    /// Records the version of a change after which some server takes no new work.
+    pub fn note_leave(&self, version: u64) {
+        self.leave_version.fetch_max(version, Ordering::Relaxed);
+    }
+
+    /// Returns this host's own report for the others, sent while it has the duty. `heard_ms` is the
+    /// time of the store's last answer.
+    pub fn updates(&self, heard_ms: u64) -> StoreStateReport {
+        let followed_ms = |followed: FollowedTable| {
+            let followed_ms = &self.followed_ms[followed.index()];
+            followed_ms.load(Ordering::Relaxed)
+        };
+        let known_ms = heard_ms
+            .min(followed_ms(FollowedTable::Servers))
+            .min(followed_ms(FollowedTable::Configuration));
+        let age_ms = clock::now_ms().saturating_sub(known_ms);
+        StoreStateReport {
+            age_ms: u32::try_from(age_ms).unwrap_or(TOO_OLD_MS),
+            changed: std::array::from_fn(|table| self.changed[table].load(Ordering::Relaxed)),
+            leave_version: self.leave_version.load(Ordering::Relaxed),
+            up_to: std::array::from_fn(|table| self.applied[table].load(Ordering::Relaxed)),
+        }
+    }
+
+    /// Returns the report that this host can give as a relay: its own or the one it received,
+    /// whichever is more recent. Returns `None` if that is too old to be trusted.
+    pub fn store_state(&self, heard_ms: u64) -> Option<StoreStateReport> {
+        let received = *self.received();
+        let own = self.updates(heard_ms);
+        let store_state = match received {
+            Some(received) => {
+                let age_ms = clock::now_ms().saturating_sub(received.answered_ms);
+                let age_ms = u32::try_from(age_ms).unwrap_or(TOO_OLD_MS);
+                let received = StoreStateReport {
+                    age_ms,
+                    ..received.updates
+                };
+                if own.age_ms < age_ms {
+                    own.with_changes_of(received)
+                } else {
+                    received
+                }
+            }
+            None => own,
+        };
+        (u64::from(store_state.age_ms) < self.trust_ms).then_some(store_state)
+    }
+
+    /// Records a relay's answer. Returns when the store answered the relay; `None` if that is not
+    /// later than what is known.
+    pub fn note_relay_report(&self, nonce: u64, updates: StoreStateReport) -> Option<u64> {
+        let asked_ms = self.query.answered(nonce)?;
+        let answered_ms = asked_ms.saturating_sub(u64::from(updates.age_ms));
+        let store_state = ReceivedReport {
+            answered_ms,
+            updates,
+        };
+        let earlier = *self.received();
+        let is_new = earlier.is_none_or(|received| received.answered_ms < answered_ms);
+        self.apply_received(earlier.map_or(store_state, |earlier| store_state.or_later(earlier)));
+        is_new.then_some(answered_ms)
+    }
+
+    /// Records a report of the duty holder. Returns when the store answered it.
+    pub fn note_announced(&self, updates: StoreStateReport) -> u64 {
+        let answered_ms = clock::now_ms().saturating_sub(u64::from(updates.age_ms));
+        let received = ReceivedReport {
+            answered_ms,
+            updates,
+        };
+        let earlier = *self.received();
+        let latest = earlier.map_or(received, |earlier| received.or_later(earlier));
+        self.apply_received(latest);
+        latest.answered_ms
+    }
+
+    fn apply_received(&self, received: ReceivedReport) {
+        *self.received() = Some(received);
+        let updates = received.updates;
+        for followed in [FollowedTable::Servers, FollowedTable::Configuration] {
+            let applied = self.applied(followed);
+            if applied > 0 && applied >= updates.changed[followed.index()] {
+                // Nothing has changed since the applied version, so the feed can continue from the
+                // reported one and does not depend on the store's older history.
+                self.note_applied(followed, updates.up_to[followed.index()]);
+            }
+        }
+    }
+
+    /// Returns whether the duty holder, or a relay in its place, has reported a recent answer of
+    /// the store. A relay stops trusting the duty holder earlier than other hosts do, so that it
+    /// can answer them by the time they ask.
+    pub fn is_store_confirmed(&self) -> bool {
+        let trust_ms = if self.is_relay() {
+            self.doubt_ms()
+        } else {
+            self.trust_ms
+        };
+        self.received_age_ms() < trust_ms
+    }
+
+    /// Returns whether a relay should be asked because the last report will soon be too old to be
+    /// trusted.
+    pub fn needs_relay(&self) -> bool {
+        self.received_age_ms() >= self.doubt_ms()
+    }
+
+    fn received_age_ms(&self) -> u64 {
+        let received = *self.received();
+        received.map_or(u64::MAX, |received| {
+            clock::now_ms().saturating_sub(received.answered_ms)
+        })
+    }
+
+    /// Age of the last report from which relays are asked. It lies above the usual age of the duty
+    /// holder's reports, which is at most half of the trust period plus a quarter of it for one
+    /// heartbeat.
+    fn doubt_ms(&self) -> u64 {
+        self.trust_ms * 3 / 4
+    }
+
+    /// Returns whether the store is confirmed by an answer that it gave at `at_ms` or later.
+    pub fn is_store_confirmed_since(&self, at_ms: u64) -> bool {
+        let received = *self.received();
+        self.is_store_confirmed() && received.is_some_and(|received| received.answered_ms >= at_ms)
+    }
+
+    /// Returns the version of the latest change of a table that another host has reported; 0 before
+    /// the first report.
+    pub fn reported_change(&self, followed: FollowedTable) -> u64 {
+        let received = *self.received();
+        received.map_or(0, |received| received.updates.changed[followed.index()])
+    }
+
+    /// Returns whether another host has reported a later change of a table than the version
+    /// `asked_after` that a feed call asked for.
+    pub fn is_behind(&self, followed: FollowedTable, asked_after: u64) -> bool {
+        self.reported_change(followed) > asked_after
+    }
+
+    /// Returns whether another host has reported that a server leaves, by a change after a version.
+    pub fn has_leave_since(&self, version: u64) -> bool {
+        let received = *self.received();
+        received.is_some_and(|received| received.updates.leave_version > version)
+    }
+
+    /// Completes when a feed call that waits for changes after `asked_after` should be abandoned
+    /// and repeated. `relies_on_holder` is true if its long wait depends on the duty holder's
+    /// confirmation of the store; `is_silent` returns true while no response has begun.
+    pub async fn recall_reason(
+        &self,
+        followed: FollowedTable,
+        asked_after: u64,
+        relies_on_holder: bool,
+        is_silent: impl Fn() -> bool,
+    ) -> RecallReason {
+        let mut behind_ms = 0;
+        loop {
+            time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
+            if !is_silent() {
+                continue;
+            }
+            if relies_on_holder && !self.is_store_confirmed() {
+                return RecallReason::Unconfirmed;
+            }
+            if self.is_behind(followed, asked_after) {
+                behind_ms += POLL_EVERY_MS;
+            } else {
+                behind_ms = 0;
+            }
+            if behind_ms > self.lag_grace_ms {
+                return RecallReason::Behind;
+            }
+        }
+    }
+
+    fn received(&self) -> MutexGuard<'_, Option<ReceivedReport>> {
+        self.received.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+/// Guard of a feed call that waits at the store; stores the end of the call when dropped.
+#[derive(Debug)]
+pub struct FollowGuard<'a>(&'a AtomicU64);
+
+impl Drop for FollowGuard<'_> {
+    fn drop(&mut self) {
+        let now_ms = clock::now_ms();
+        self.0.store(now_ms, Ordering::Relaxed);
+    }
+}
--- /dev/null
+++ b/src/entry/updates/own_rows.rs
@@ -0,0 +1,57 @@
+//! Layout of the product's own rows in the store: table names, keys, and the content of host rows.
+
+use serde::{Deserialize, Serialize};
+
+use crate::entry::{bounds::default_processor_share, keys::KeyPartition};
+
+/// Table of the product's own rows: holdings by service and key partition, and hosts.
+pub const TABLE: &str = "ashroad";
+/// Prefix of the keys of holdings. The name of the service follows, then the number of the key
+/// partition unless that is 0.
+const HOLDINGS_PREFIX: &str = "keys/";
+/// Separator between the name of the service and the number of the key partition.
+const PARTITION_SEPARATOR: char = '#';
+/// Partition of the table with the rows of hosts. It is separate so that hundreds of hosts that
+/// register at once do not delay the duty holder's writes.
+pub const HOSTS_PARTITION: &str = "hosts";
+/// Prefix of the keys of host rows; the host's address follows.
+pub const HOST_PREFIX: &str = "host/";
+/// Key of the row with the secret that the hosts share.
+pub const SECRET_KEY: &str = "secret";
+/// Key of the row with the seed hosts, which other hosts ask when they start. It sorts right after
+/// [`SECRET_KEY`], so that one call reads both rows.
+pub const SEED_HOSTS_KEY: &str = "secret-guides";
+/// Key of the row with the quarantined requests: they are sent to no server, since several servers
+/// have crashed while running them.
+pub const QUARANTINE_KEY: &str = "quarantine";
+
+/// Returns the key of the row with one key partition of a service's holdings.
+pub fn holdings_key(service: &str, part: KeyPartition) -> String {
+    match part.number() {
+        0 => format!("{HOLDINGS_PREFIX}{service}"),
+        number => format!("{HOLDINGS_PREFIX}{service}{PARTITION_SEPARATOR}{number}"),
+    }
+}
+
+/// Parses the key of a holdings row into service and key partition. Returns `None` if it is no such
+/// key.
+pub fn parse_holdings_key(key: &str) -> Option<(&str, KeyPartition)> {
+    let name = key.strip_prefix(HOLDINGS_PREFIX)?;
+    let Some((service, number)) = name.rsplit_once(PARTITION_SEPARATOR) else {
+        return Some((name, KeyPartition::new(0)?));
+    };
+    Some((service, KeyPartition::new(number.parse().ok()?)?))
+}
+
+/// Row by which a host registers, so that other hosts find it.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct HostRow {
+    /// Incarnation of the process that runs on the host.
+    pub incarnation: u64,
+    /// Availability zone of the host; empty in rows that lack the field.
+    #[serde(default)]
+    pub availability_zone: String,
+    /// Share of a processor that the host may use; 1.0 is a whole one.
+    #[serde(default = "default_processor_share")]
+    pub processor_share: f32,
+}
--- /dev/null
+++ b/src/entry/updates/proof.rs
@@ -0,0 +1,57 @@
+//! Tracks how recent a host's configuration provably is. If operators set a bound for the
+//! revocation of API keys, a key is accepted only while the configuration that contains it is
+//! proved to be no older than that bound. A host that was partitioned, was suspended, or got its
+//! configuration from another host must not trust it any longer than that.
+//!
+//! A proof is dated from the sending of the answered query. An answer of the store proves the
+//! configuration as of that time; an answer of the duty holder proves it as of that time minus the
+//! age of the duty holder's own proof.
+
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+
+use super::query::PendingQuery;
+
+/// Latest time at which this host's configuration was proved to be the current one.
+#[derive(Debug, Default)]
+pub struct ConfigurationProof {
+    /// Time of the latest proof; 0 before the first.
+    proved_ms: AtomicU64,
+    /// True while the latest configuration cannot be decoded: the one in force is then outdated and
+    /// proves nothing.
+    unreadable: AtomicBool,
+    /// Query to the duty holder that was not answered yet.
+    query: PendingQuery,
+}
+
+impl ConfigurationProof {
+    /// Records that the configuration in force was the current one at a time.
+    pub fn note(&self, at_ms: u64) {
+        self.proved_ms.fetch_max(at_ms, Ordering::Relaxed);
+    }
+
+    /// Records whether the latest configuration cannot be decoded.
+    pub fn set_unreadable(&self, unreadable: bool) {
+        self.unreadable.store(unreadable, Ordering::Relaxed);
+    }
+
+    /// Returns the time since the configuration was last proved to be the current one; `None` if it
+    /// never was.
+    pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
+        let proved_ms = self.proved_ms.load(Ordering::Relaxed);
+        let proves = proved_ms > 0 && !self.unreadable.load(Ordering::Relaxed);
+        proves.then(|| now_ms.saturating_sub(proved_ms))
+    }
+
+    /// Records a query to the duty holder.
+    pub fn ask(&self, nonce: u64, at_ms: u64) {
+        self.query.ask(nonce, at_ms);
+    }
+
+    /// Records the duty holder's answer: its configuration, which this host has as well, was the
+    /// current one `age_ms` before the answer. Answers to earlier queries are ignored.
+    pub fn note_answer(&self, nonce: u64, age_ms: u64) {
+        if let Some(asked_ms) = self.query.answered(nonce) {
+            self.note(asked_ms.saturating_sub(age_ms));
+        }
+    }
+}
--- a/src/entry/news/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -1,28 +1,28 @@
-//! What a host knows of servers, holdings and hosts, in one piece for a host that starts. Reading the tables costs each
-//! host a call for some hundred rows; among a thousand hosts with ten thousand servers that is 20,000 calls and 2.5 GB
-//! whenever all of them start.
+//! Snapshot of a host's view of servers, holdings and hosts, sent to a host that starts. Reading
+//! the tables from the store takes each host one call for some hundred rows: with a thousand hosts
+//! and ten thousand servers that would be 20,000 calls and 2.5 GB whenever all hosts start.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-use super::followed::Followed;
+use super::followed::FollowedTable;
 use crate::entry::{
-    keys::{Assignment, KeyPart},
+    keys::{Assignment, KeyPartition},
     model::{ServerEntry, incarnation_id},
-    owners::HeldRow,
+    owners::HoldingsRow,
 };
 
-/// Place of a text in a snapshot.
+/// Index of a string in the string table of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TextKey(u16);
+pub struct TextIndex(u16);
 
-/// Texts that many servers share, each once.
+/// String table: strings that many servers share, each stored once.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Texts(Vec<Arc<str>>);
 
 impl Texts {
-    fn get(&self, key: TextKey) -> Option<Arc<str>> {
+    fn get(&self, key: TextIndex) -> Option<Arc<str>> {
         self.0.get(usize::from(key.0)).cloned()
     }
 }
@@ -30,83 +30,83 @@
 #[derive(Default)]
 struct TextWriter {
     texts: Texts,
-    places: HashMap<Arc<str>, TextKey>,
+    places: HashMap<Arc<str>, TextIndex>,
 }
 
 impl TextWriter {
-    fn key(&mut self, text: &Arc<str>) -> TextKey {
+    fn key(&mut self, text: &Arc<str>) -> TextIndex {
         *self.places.entry(text.clone()).or_insert_with(|| {
             self.texts.0.push(text.clone());
-            TextKey((self.texts.0.len() - 1) as u16)
+            TextIndex((self.texts.0.len() - 1) as u16)
         })
     }
 }
 
-/// A backend server.
+/// Entry of a server in a snapshot; service and zone are in the string table.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct KnownServer {
+struct SnapshotServer {
     name: Arc<str>,
     started_ms: u64,
-    service: TextKey,
+    service: TextIndex,
     address: SocketAddr,
-    availability_zone: TextKey,
+    availability_zone: TextIndex,
     slots: u32,
     leaving: bool,
     cold_ms: u64,
 }
 
-/// A host.
+/// Host known to the sender of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KnownHost {
-    /// Address for other hosts.
+pub struct SnapshotHost {
+    /// Address at which the host receives messages of other hosts.
     pub address: SocketAddr,
-    /// Process that runs there, if that is known.
+    /// Incarnation of the process that runs there; `None` if it is not known.
     pub incarnation: Option<u64>,
-    /// Short name of its availability zone.
+    /// Tag of its availability zone, as in messages between hosts.
     pub zone_tag: u32,
-    /// Share of a processor that it has.
+    /// Share of a processor that the host may use; 1.0 is a whole one.
     pub processor_share: f32,
 }
 
-/// Row with a part of a service's holdings.
+/// Row with one key partition of a service's holdings, in the encoding of the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct KnownHoldings {
+struct SnapshotHoldings {
     service: Arc<str>,
     part: u8,
     version: u64,
     record: Vec<u8>,
 }
 
-/// How far a table is known.
+/// Versions up to which a host has a table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
-    /// Version up to which all changes are in.
+pub struct TableVersions {
+    /// Version up to which all changes are applied.
     pub up_to: u64,
     /// Version of the latest change.
     pub changed: u64,
 }
 
-/// What a host knows.
+/// A host's view of servers, holdings and hosts.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The servers' entries.
-    pub servers_known: Known,
-    /// Version of the latest change by which a server was to get no new work.
-    pub left: u64,
-    /// The product's own rows.
-    pub own_known: Known,
-    /// Hosts, the sender included.
-    pub hosts: Vec<KnownHost>,
+    /// Versions of the table of servers' entries.
+    pub servers_known: TableVersions,
+    /// Version of the latest change after which some server takes no new work.
+    pub leave_version: u64,
+    /// Versions of the table of the product's own rows.
+    pub own_versions: TableVersions,
+    /// Known hosts, including the sender.
+    pub hosts: Vec<SnapshotHost>,
     texts: Texts,
-    servers: Vec<KnownServer>,
-    holdings: Vec<KnownHoldings>,
+    servers: Vec<SnapshotServer>,
+    holdings: Vec<SnapshotHoldings>,
 }
 
 impl Snapshot {
-    /// Puts servers in.
+    /// Stores the servers' entries in the snapshot.
     pub fn set_servers(&mut self, entries: impl Iterator<Item = ServerEntry>) {
         let mut texts = TextWriter::default();
-        let servers = entries.map(|entry| KnownServer {
+        let servers = entries.map(|entry| SnapshotServer {
             service: texts.key(&entry.service),
             availability_zone: texts.key(&entry.availability_zone),
             name: entry.name,
@@ -120,7 +120,8 @@
         self.texts = texts.texts;
     }
 
-    /// The servers; one whose service or zone is missing is left out.
+    /// Returns the servers' entries. An entry whose service or zone is missing from the string
+    /// table is skipped.
     pub fn servers(&self) -> impl Iterator<Item = ServerEntry> {
         self.servers.iter().filter_map(|server| {
             Some(ServerEntry {
@@ -137,33 +138,33 @@
         })
     }
 
-    /// Puts a row with holdings in; one that cannot be encoded is left out.
-    pub fn add_holdings(&mut self, service: &Arc<str>, part: KeyPart, row: &HeldRow) {
+    /// Adds a row of holdings. A row that cannot be encoded is skipped with a warning.
+    pub fn add_holdings(&mut self, service: &Arc<str>, part: KeyPartition, row: &HoldingsRow) {
         match row.assignment.encode() {
-            Ok(record) => self.holdings.push(KnownHoldings {
+            Ok(record) => self.holdings.push(SnapshotHoldings {
                 service: service.clone(),
                 part: part.number(),
                 version: row.version,
                 record,
             }),
-            Err(error) => log::warn!("holdings of {service} are not handed on: {error}"),
+            Err(error) => log::warn!("cannot encode holdings of {service} for a snapshot: {error}"),
         }
     }
 
-    /// Rows with holdings, by service.
-    pub fn holdings(&self) -> HashMap<Arc<str>, Vec<(KeyPart, HeldRow)>> {
-        let mut rows: HashMap<Arc<str>, Vec<(KeyPart, HeldRow)>> = HashMap::new();
+    /// Returns the rows of holdings by service.
+    pub fn holdings(&self) -> HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>> {
+        let mut rows: HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>> = HashMap::new();
         for known in &self.holdings {
-            let part = KeyPart::new(known.part);
+            let part = KeyPartition::new(known.part);
             let assignment = Assignment::decode(&known.record).ok();
             let Some((part, assignment)) = part.zip(assignment) else {
                 log::warn!(
-                    "holdings of {} that were handed on cannot be read",
+                    "cannot decode holdings of {} in a received snapshot",
                     known.service
                 );
                 continue;
             };
-            let row = HeldRow {
+            let row = HoldingsRow {
                 assignment,
                 version: known.version,
             };
@@ -174,12 +175,12 @@
         rows
     }
 
-    /// How far a table is known.
-    pub fn known(&self, followed: Followed) -> Known {
+    /// Returns the versions of a table; 0 for the configuration, which snapshots do not contain.
+    pub fn known(&self, followed: FollowedTable) -> TableVersions {
         match followed {
-            Followed::Servers => self.servers_known,
-            Followed::Own => self.own_known,
-            Followed::Configuration => Known::default(),
+            FollowedTable::Servers => self.servers_known,
+            FollowedTable::Own => self.own_versions,
+            FollowedTable::Configuration => TableVersions::default(),
         }
     }
 }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -1,4 +1,4 @@
-//! Keeps the view up to date by the store's change feeds.
+//! Keeps the host's view up to date by the change feeds of the store.
 
 use std::{
     sync::{
@@ -13,14 +13,14 @@
 use super::{
     Entry,
     events::Event,
-    limits::LOOK_EVERY_MS,
-    news::{
-        followed::{Followed, HISTORY_MS, Reliance},
-        freshness::Doubt,
-        own_rows::{HOSTS_PART, TABLE},
+    limits::POLL_EVERY_MS,
+    rows::decode_servers,
+    updates::{
+        followed::{FollowedTable, HISTORY_MS, SyncRole},
+        freshness::RecallReason,
+        own_rows::{HOSTS_PARTITION, TABLE},
         server_changes::ServerChanges,
     },
-    rows::decode_servers,
 };
 use crate::{
     clock,
@@ -30,98 +30,98 @@
     },
 };
 
-/// Wait of a feed that shows whether the store answers: a silent store swallows calls, so the next
-/// one must follow soon after its return.
+/// Wait of a feed call that probes whether the store answers. A failed store drops calls without a
+/// response, so the next one must follow soon after its return.
 const PROBE_WAIT_MS: u64 = 0;
-/// Pause after a failed call, with half of it at random on top.
+/// Pause after a failed call; up to half of it is added at random.
 const RETRY_PAUSE_MS: u64 = 150;
-/// Longest pause of a feed whose calls go on failing. Calls are priced, also refused ones; the
-/// store's return must be noticed within a second.
+/// Longest pause of a feed whose calls keep failing. Calls are billed, including refused ones, but
+/// the store's return must be noticed within a second.
 const RETRY_PAUSE_MAX_MS: u64 = 400;
-/// The same with what chance adds.
+/// Longest pause including its random addition.
 pub(super) const RETRY_PAUSE_LONGEST_MS: u64 = RETRY_PAUSE_MAX_MS + RETRY_PAUSE_MAX_MS / 2;
-/// Missed heartbeats after which the platform removes a server's entry.
+/// Number of missed heartbeats after which the platform removes a server's entry.
 const MISSED_HEARTBEATS: u64 = 3;
 
-/// How far a feed can be trusted to tell of changes.
+/// State of a feed, which decides how long its next call may wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trust {
+enum FeedTrust {
     Full,
-    /// Another host has seen a change that the feed did not bring.
+    /// Another host has reported a change that the feed did not deliver.
     Doubted,
     /// The last call failed.
     Lost,
 }
 
 impl Entry {
-    /// Follows the configuration.
+    /// Follows the operators' table with the configuration.
     pub(super) async fn watch_configuration(self: Arc<Self>) {
-        self.follow(Followed::Configuration).await;
+        self.follow(FollowedTable::Configuration).await;
     }
 
-    /// Follows the servers' entries.
+    /// Follows the table of servers' entries.
     pub(super) async fn watch_servers(self: Arc<Self>) {
-        self.follow(Followed::Servers).await;
+        self.follow(FollowedTable::Servers).await;
     }
 
-    /// Follows holdings and hosts.
+    /// Follows the table of holdings and hosts.
     pub(super) async fn watch_own(self: Arc<Self>) {
-        self.follow(Followed::Own).await;
+        self.follow(FollowedTable::Own).await;
     }
 
-    async fn follow(&self, followed: Followed) {
-        let mut was_told = self.join.was_told(followed).await;
+    async fn follow(&self, followed: FollowedTable) {
+        let mut was_synced_from_peer = self.join.was_synced_from_peer(followed).await;
         loop {
-            self.relay.begin_reading(followed);
-            if !std::mem::take(&mut was_told) && !self.read_whole(followed).await {
+            self.broadcast.begin_reading(followed);
+            if !std::mem::take(&mut was_synced_from_peer) && !self.read_whole(followed).await {
                 pause().await;
                 self.pause_while_relays_call().await;
                 continue;
             }
-            self.relay.end_reading(followed);
-            self.rest_at_start(followed).await;
+            self.broadcast.end_reading(followed);
+            self.wait_for_holder_at_start(followed).await;
             let mut called_ms = clock::now_ms();
-            let mut trust = Trust::Full;
+            let mut trust = FeedTrust::Full;
             let mut pause_ms = RETRY_PAUSE_MS;
             loop {
                 let began_ms = clock::now_ms();
-                if followed == Followed::Own && began_ms > called_ms + HISTORY_MS {
+                if followed == FollowedTable::Own && began_ms > called_ms + HISTORY_MS {
                     break;
                 }
                 called_ms = began_ms;
-                if self.is_caught_up_by_others(followed).await {
-                    self.rest(followed, began_ms).await;
+                if self.catch_up_from_peers(followed).await {
+                    self.feed_pause(followed, began_ms).await;
                     continue;
                 }
                 let after = self.freshness.applied(followed);
                 let feed = match self.next_changes(followed, after, trust).await {
                     Ok(feed) => feed,
-                    Err(Doubt::Behind) => {
-                        trust = Trust::Doubted;
+                    Err(RecallReason::Behind) => {
+                        trust = FeedTrust::Doubted;
                         continue;
                     }
-                    Err(Doubt::Unvouched | Doubt::StoreLost) => continue,
+                    Err(RecallReason::Unconfirmed | RecallReason::StoreLost) => continue,
                 };
                 match feed {
                     Ok(Feed::Changes(changes)) => {
                         self.answered(followed);
-                        trust = Trust::Full;
+                        trust = FeedTrust::Full;
                         pause_ms = RETRY_PAUSE_MS;
                         let has_more = changes.is_full_page();
-                        self.take_changes(followed, after, changes);
+                        self.apply_changes(followed, after, changes);
                         self.note_proof_of_store(followed, began_ms);
                         if !has_more {
-                            self.rest(followed, began_ms).await;
+                            self.feed_pause(followed, began_ms).await;
                         }
                     }
                     Ok(Feed::HistoryGone) => {
                         self.answered(followed);
-                        was_told = self.is_told_anew(followed).await;
+                        was_synced_from_peer = self.resync_from_peer(followed).await;
                         break;
                     }
                     Err(error) => {
                         self.store_failed(followed, &error, trust);
-                        trust = Trust::Lost;
+                        trust = FeedTrust::Lost;
                         pause_for(pause_ms).await;
                         pause_ms = (pause_ms * 2).min(RETRY_PAUSE_MAX_MS);
                         self.pause_while_others_call().await;
@@ -131,118 +131,131 @@
         }
     }
 
-    /// Waits for changes, as long as the feed can be trusted to speak up. While another feed has
-    /// found the store silent, only the servers' feed asks whether it is back.
+    /// Waits for the next changes of a table. The wait is short if the feed is in doubt. While the
+    /// store is known to be unavailable, only the feed of servers' entries probes whether it is
+    /// back.
     async fn next_changes(
         &self,
-        followed: Followed,
+        followed: FollowedTable,
         after: u64,
-        trust: Trust,
-    ) -> Result<platform::Result<Feed>, Doubt> {
+        trust: FeedTrust,
+    ) -> Result<platform::Result<Feed>, RecallReason> {
         let mut store_lost = self.view.store_lost();
-        if followed != Followed::Servers {
-            // Not for good: others may have what is missed here.
+        if followed != FollowedTable::Servers {
+            // The wait is limited because other hosts may have the changes that this one misses.
             let returned = store_lost.wait_for(|lost| !lost);
             let patience = Duration::from_millis(self.limits.lag_grace_ms);
             if !matches!(time::timeout(patience, returned).await, Ok(Ok(_))) {
-                return Err(Doubt::StoreLost);
+                return Err(RecallReason::StoreLost);
             }
         }
         let begun = AtomicBool::new(false);
         let table = followed.table();
         let _following = self.freshness.follow(followed);
-        if trust != Trust::Full || *store_lost.borrow() {
+        if trust != FeedTrust::Full || *store_lost.borrow() {
             return Ok(self.store.feed(table, after, PROBE_WAIT_MS, &begun).await);
         }
-        let reliance = self.reliance();
-        let wait_ms = followed.wait_ms(reliance, &self.limits);
-        let relies = self.freshness.is_vouched() && followed != Followed::Own;
+        let sync_role = self.sync_role();
+        let wait_ms = followed.wait_ms(sync_role, &self.limits);
+        let relies_on_holder =
+            self.freshness.is_store_confirmed() && followed != FollowedTable::Own;
         let is_silent = || !begun.load(Ordering::Relaxed);
         tokio::select! {
             feed = self.store.feed(table, after, wait_ms, &begun) => Ok(feed),
-            doubt = self.freshness.doubt(followed, after, relies, is_silent) => Err(doubt),
-            _ = store_lost.wait_for(|lost| *lost) => Err(Doubt::Behind),
+            recall_reason = self.freshness.recall_reason(
+                followed,
+                after,
+                relies_on_holder,
+                is_silent,
+            ) => Err(recall_reason),
+            _ = store_lost.wait_for(|lost| *lost) => Err(RecallReason::Behind),
         }
     }
 
-    /// Waits for the holder of the duty to be heard, and rests if it is.
-    async fn rest_at_start(&self, followed: Followed) {
-        // Only then the relays are known that vouch for the store.
-        self.join.ended().await;
+    /// Waits until the store is confirmed by the duty holder or the start period ends. Pauses the
+    /// feed if the store is confirmed.
+    async fn wait_for_holder_at_start(&self, followed: FollowedTable) {
+        // The relays that could confirm the store are known only after the join.
+        self.join.sync_outcome().await;
         let began_ms = clock::now_ms();
-        let until_ms = began_ms + followed.start_rest_ms(&self.limits);
-        // The others rely on what the holder of the duty follows.
+        let until_ms = began_ms + followed.start_wait_ms(&self.limits);
+        // A duty holder does not wait: the other hosts depend on its feeds.
         let is_holder = || self.duty.term() > 0;
-        while !is_holder() && !self.freshness.is_vouched() && clock::now_ms() < until_ms {
-            time::sleep(Duration::from_millis(LOOK_EVERY_MS)).await;
+        while !is_holder() && !self.freshness.is_store_confirmed() && clock::now_ms() < until_ms {
+            time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
         }
-        if !is_holder() && self.freshness.is_vouched() {
-            self.rest(followed, began_ms).await;
+        if !is_holder() && self.freshness.is_store_confirmed() {
+            self.feed_pause(followed, began_ms).await;
         }
     }
 
-    /// Applies what a feed has brought, and passes it on while this host has the duty.
-    pub(super) fn take_changes(&self, followed: Followed, after: u64, mut changes: Rows) {
-        if followed == Followed::Servers {
-            self.take_server_rows(after, &changes);
+    /// Applies the changes that a feed delivered, and broadcasts them while this host has the duty.
+    pub(super) fn apply_changes(&self, followed: FollowedTable, after: u64, mut changes: Rows) {
+        if followed == FollowedTable::Servers {
+            self.apply_server_rows(after, &changes);
             return;
         }
         let applied = self.freshness.applied(followed);
-        if self.duty.term() > 0 && followed == Followed::Configuration {
-            self.pass_configuration_on(&changes);
+        if self.duty.term() > 0 && followed == FollowedTable::Configuration {
+            self.broadcast_configuration(&changes);
         }
         let evacuated = self.view.evacuations().version;
-        // Another host may have passed some of them on meanwhile, and later ones.
+        // Changes that arrived by broadcast meanwhile, and later ones, are applied already.
         changes.rows.retain(|row| row.version > applied);
         self.apply(followed, changes.rows);
         self.freshness.note_applied(followed, changes.version);
         if self.view.evacuations().version != evacuated {
-            self.show_duty();
+            self.send_heartbeat();
         }
     }
 
-    fn take_server_rows(&self, after: u64, rows: &Rows) {
-        let news = ServerChanges {
+    fn apply_server_rows(&self, after: u64, rows: &Rows) {
+        let updates = ServerChanges {
             after,
             up_to: rows.version,
             changes: decode_servers(&rows.rows),
         };
         if self.duty.term() > 0 {
-            self.pass_servers_on(&news);
+            self.broadcast_server_changes(&updates);
         }
-        self.take_news_of_servers(news);
+        self.apply_server_changes(updates);
     }
 
-    /// Notes that the store has told all changes of a table up to a time.
-    fn note_proof_of_store(&self, followed: Followed, asked_ms: u64) {
-        if followed == Followed::Configuration {
+    /// Records that the store has delivered all changes of a table up to the time of the call; for
+    /// the configuration that is the proof of its age.
+    fn note_proof_of_store(&self, followed: FollowedTable, asked_ms: u64) {
+        if followed == FollowedTable::Configuration {
             self.proof.note(asked_ms);
         }
     }
 
-    /// Rests before the next call of a feed.
-    async fn rest(&self, followed: Followed, began_ms: u64) {
+    /// Pauses before the next call of a feed, and returns early if there is a reason to call now.
+    async fn feed_pause(&self, followed: FollowedTable, began_ms: u64) {
         let mut behind_ms = 0;
-        let reliance = self.reliance();
-        let rest = followed.rest(self.peers.hosts(), reliance, &self.limits);
-        sleep_until(began_ms + rest.least_ms).await;
-        while clock::now_ms() < began_ms + rest.most_ms {
-            let look_ms = began_ms + rest.most_ms.min(clock::now_ms() - began_ms + LOOK_EVERY_MS);
+        let sync_role = self.sync_role();
+        let feed_pause = followed.feed_pause(self.peers.hosts(), sync_role, &self.limits);
+        sleep_until(began_ms + feed_pause.min_ms).await;
+        while clock::now_ms() < began_ms + feed_pause.max_ms {
+            let look_ms = began_ms
+                + feed_pause
+                    .max_ms
+                    .min(clock::now_ms() - began_ms + POLL_EVERY_MS);
             tokio::select! {
                 () = sleep_until(look_ms) => {}
-                () = self.view.reading_wanted(followed) => return,
+                () = self.view.read_requested(followed) => return,
             }
             let after = self.freshness.applied(followed);
-            let now = self.reliance();
-            let other_rest = (now == Reliance::Holder) != (reliance == Reliance::Holder)
-                || reliance == Reliance::Told && now != Reliance::Told;
-            if other_rest || self.must_hurry(followed, after) {
+            let now = self.sync_role();
+            let role_changed = (now == SyncRole::Holder) != (sync_role == SyncRole::Holder)
+                || sync_role == SyncRole::Follower && now != SyncRole::Follower;
+            if role_changed || self.should_call_now(followed, after) {
                 return;
             }
-            // What the holder passed on did not arrive.
-            let is_behind = followed != Followed::Own && self.freshness.is_behind(followed, after);
+            // A change that was broadcast did not arrive within the grace period.
+            let is_behind =
+                followed != FollowedTable::Own && self.freshness.is_behind(followed, after);
             behind_ms = if is_behind {
-                behind_ms + LOOK_EVERY_MS
+                behind_ms + POLL_EVERY_MS
             } else {
                 0
             };
@@ -252,79 +265,85 @@
         }
     }
 
-    /// True if a resting feed should be called: for servers that leave, when nobody vouches for the
-    /// store, and for the first holdings of a service.
-    fn must_hurry(&self, followed: Followed, after: u64) -> bool {
+    /// Returns whether a pausing feed should be called now: because a server leaves, because no
+    /// other host confirms the store, or to get the first holdings of a service.
+    fn should_call_now(&self, followed: FollowedTable, after: u64) -> bool {
         match followed {
-            Followed::Configuration => !self.freshness.is_vouched(),
-            Followed::Servers => {
-                // It finds out for all feeds when the store is back.
+            FollowedTable::Configuration => !self.freshness.is_store_confirmed(),
+            FollowedTable::Servers => {
+                // The feed of servers' entries detects the store's return on behalf of all feeds.
                 let store_lost = *self.view.store_lost().borrow();
-                store_lost || self.freshness.has_left_since(after) || !self.freshness.is_vouched()
+                store_lost
+                    || self.freshness.has_leave_since(after)
+                    || !self.freshness.is_store_confirmed()
             }
-            Followed::Own => {
+            FollowedTable::Own => {
                 let lacks = self.view.lacks_holdings();
                 lacks && self.freshness.is_behind(followed, after) || !self.peers.seal.is_known()
             }
         }
     }
 
-    fn store_failed(&self, followed: Followed, error: &Error, trust: Trust) {
-        if trust != Trust::Lost {
+    fn store_failed(&self, followed: FollowedTable, error: &Error, trust: FeedTrust) {
+        if trust != FeedTrust::Lost {
             Event::StoreLost {
                 table: followed.table(),
                 problem: error.to_string(),
             }
             .log();
         }
-        // A feed that failed in doubt shows more than its own connection's end.
-        if followed == Followed::Servers || trust == Trust::Doubted {
+        // A call that was made to check a doubtful feed and fails as well shows that the store is
+        // unavailable, and not just one connection.
+        if followed == FollowedTable::Servers || trust == FeedTrust::Doubted {
             self.view.set_store_lost(true);
         }
     }
 
-    /// Notes an answer of a feed.
-    fn answered(&self, followed: Followed) {
-        self.heard_store(clock::now_ms());
-        if followed == Followed::Servers {
+    /// Records that a feed call was answered.
+    fn answered(&self, followed: FollowedTable) {
+        self.note_store_answer(clock::now_ms());
+        if followed == FollowedTable::Servers {
             self.view.set_store_lost(false);
         }
     }
 
-    /// Notes that the store answered this host, or the holder of the duty.
-    pub(super) fn heard_store(&self, at_ms: u64) {
+    /// Records that the store answered this host or the duty holder.
+    pub(super) fn note_store_answer(&self, at_ms: u64) {
         let lapse_ms = MISSED_HEARTBEATS * self.settings.store.server_heartbeat_ms;
-        let lapse_ms = lapse_ms.max(Followed::NOTICED_MS);
-        if let Some(away_ms) = self.view.heard_store(at_ms, lapse_ms) {
+        let lapse_ms = lapse_ms.max(FollowedTable::NOTICED_MS);
+        if let Some(away_ms) = self.view.note_store_answer(at_ms, lapse_ms) {
             Event::StoreBack { away_ms }.log();
         }
     }
 
-    async fn read_table(&self, followed: Followed) -> platform::Result<Rows> {
+    async fn read_table(&self, followed: FollowedTable) -> platform::Result<Rows> {
         let mut rows = self.store.table(followed.table()).await?;
-        if followed == Followed::Own {
-            let hosts = self.store.table_part(TABLE, HOSTS_PART).await?;
+        if followed == FollowedTable::Own {
+            let hosts = self.store.table_partition(TABLE, HOSTS_PARTITION).await?;
             rows.rows.extend(hosts.rows);
         }
         Ok(rows)
     }
 
-    async fn read_whole(&self, followed: Followed) -> bool {
+    async fn read_whole(&self, followed: FollowedTable) -> bool {
         let asked_ms = clock::now_ms();
         match self.read_table(followed).await {
             Ok(rows) => {
-                self.heard_store(clock::now_ms());
+                self.note_store_answer(clock::now_ms());
                 let version = rows.version;
                 if self.duty.term() > 0 {
-                    self.pass_difference_on(followed, &rows);
+                    self.broadcast_difference(followed, &rows);
                 }
-                self.apply_whole(followed, rows);
+                self.apply_table(followed, rows);
                 self.freshness.note_applied(followed, version);
                 self.note_proof_of_store(followed, asked_ms);
                 true
             }
             Err(error) => {
-                log::debug!("{} cannot be read: {error}", followed.table());
+                log::debug!(
+                    "cannot read table {} from the store: {error}",
+                    followed.table()
+                );
                 false
             }
         }
@@ -336,17 +355,17 @@
     time::sleep(Duration::from_millis(left_ms)).await;
 }
 
-/// Waits a moment after a failure, not in step with the other hosts.
+/// Waits for the retry pause, with a random part so that hosts do not retry in step.
 pub(super) async fn pause() {
     pause_for(RETRY_PAUSE_MS).await;
 }
 
-pub(super) async fn pause_for(least_ms: u64) {
-    let pause_ms = least_ms + rand::random_range(0..least_ms / 2);
+pub(super) async fn pause_for(min_ms: u64) {
+    let pause_ms = min_ms + rand::random_range(0..min_ms / 2);
     time::sleep(Duration::from_millis(pause_ms)).await;
 }
 
-/// Time of the last answer of the store, as an age.
+/// Returns the time since the store's last answer.
 pub(super) fn store_age_ms(entry: &Entry) -> u64 {
-    clock::now_ms().saturating_sub(entry.view.store_heard_ms())
+    clock::now_ms().saturating_sub(entry.view.store_answered_ms())
 }
--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -1,5 +1,6 @@
-//! Heartbeats between hosts. They carry revisions and the age of the basis, so a missed push is
-//! noticed and a host whose own reads fail stays fresh through its peers.
+//! Heartbeats between hosts: a ping and its reply. They carry the revision and the age of the
+//! basis, so that a host notices a missed push, and stays fresh through its peers while its own
+//! reads of the log fail.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,39 +9,40 @@
 use super::Host;
 use crate::{
     clock,
-    membership::{freshness::Voter, tree},
+    membership::{freshness::Voter, heartbeat_tree},
     peer::message::Datagram,
 };
 
 impl Host {
-    /// Runs until the process ends.
-    pub(super) async fn keep_beating(self: Arc<Self>) {
+    /// Sends heartbeats at a fixed interval until the process ends.
+    pub(super) async fn keep_sending_heartbeats(self: Arc<Self>) {
         let pause = Duration::from_millis(self.settings.ownership.heartbeat_ms);
         let mut ticks = time::interval(pause);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            self.beat();
+            self.on_heartbeat();
         }
     }
 
-    fn beat(self: &Arc<Self>) {
+    /// Sends one ping to each host that this host has to ping in the heartbeat tree.
+    fn on_heartbeat(self: &Arc<Self>) {
         let Some(own) = self.key() else { return };
-        self.view.beat(Voter {
+        self.view.on_heartbeat(Voter {
             host: own,
             incarnation: self.incarnation,
         });
         let state = self.view.state();
-        let hosts = tree::order(&state);
-        self.claims.share_store(hosts.len());
-        for key in tree::asked(&hosts, own) {
+        let hosts = heartbeat_tree::order(&state);
+        self.claims.set_host_count(hosts.len());
+        for key in heartbeat_tree::heartbeat_targets(&hosts, own) {
             let Some(entry) = state.host(key) else {
                 continue;
             };
             let ping = Datagram::Ping {
                 host: own,
                 incarnation: self.incarnation,
-                asked_ms: clock::now_ms(),
+                sent_ms: clock::now_ms(),
                 revision: state.revision,
             };
             let address = entry.peer_address;
@@ -51,12 +53,13 @@
         }
     }
 
-    /// Answer to a ping; none before this host is registered.
-    pub(super) fn pong(&self, asked_ms: u64) -> Option<Datagram> {
+    /// Returns the reply to a ping that was sent at `sent_ms` on the sender's clock; `None` before
+    /// this host is registered.
+    pub(super) fn pong(&self, sent_ms: u64) -> Option<Datagram> {
         Some(Datagram::Pong {
             host: self.key()?,
             incarnation: self.incarnation,
-            asked_ms,
+            sent_ms,
             revision: self.view.revision(),
             basis_age_ms: self.view.basis_age_ms(),
         })
