--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -1,5 +1,5 @@
-//! The leader row: a lease in the table service that says which host plans and moves. It saves
-//! contention; no safety rests on it.
+//! Leader election by a lease in a row of the table service. The leader plans and carries out
+//! moves. The election only avoids contention: the system stays safe if two hosts act as leader.
 
 use std::{sync::Arc, sync::atomic::Ordering, time::Duration};
 
@@ -10,19 +10,20 @@
 use crate::{
     clock,
     id::{HostKey, Incarnation},
-    membership::{ring::Ring, tree},
-    store::message::{Condition, Expect, Row, Transacted, Transaction, Write},
+    membership::{heartbeat_tree, ring::HashRing},
+    store::message::{Condition, Expect, Row, Transaction, TransactionOutcome, Write},
 };
 
+/// Key of the leader row.
 const LEADER_ROW: &str = "leader";
-/// Renewals within one lease.
-const BEATS_PER_LEASE: u64 = 4;
-/// Place of the leader's duty in the ring.
-const LEADER_WORK: u32 = 0;
-/// Hosts that watch the row to take over.
+/// Renewals of the leader row within one lease.
+const RENEWALS_PER_LEASE: u64 = 4;
+/// Key in the hash ring that selects the candidates for the leader.
+const LEADER_RING_KEY: u32 = 0;
+/// Number of hosts that watch the leader row to take over when its lease lapses.
 const CANDIDATES: usize = 3;
 
-/// Content of the leader row.
+/// Content of the leader row, stored as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct LeaderRow {
     term: u64,
@@ -30,46 +31,50 @@
     incarnation: Incarnation,
 }
 
-/// What a candidate saw of the row.
+/// Version of the leader row as a candidate last read it, and when it first read that version. The
+/// lease has lapsed once the version stays the same for the length of a lease, so the candidate
+/// needs no clock but its own.
 #[derive(Clone, Copy, Debug, Default)]
-struct Watched {
+struct ObservedRow {
     version: u64,
     since_ms: u64,
 }
 
 impl Host {
-    /// Runs until the process ends.
-    pub(super) async fn keep_leading(self: Arc<Self>) {
+    /// Renews the leader row while this host leads, and tries to take it over while this host is a
+    /// candidate, until the process ends.
+    pub(super) async fn run_leader_election(self: Arc<Self>) {
         let lease_ms = self.settings.ownership.leader_lease_ms;
-        let pause = Duration::from_millis(lease_ms / BEATS_PER_LEASE);
-        let mut watched = Watched::default();
+        let pause = Duration::from_millis(lease_ms / RENEWALS_PER_LEASE);
+        let mut observed = ObservedRow::default();
         let mut renewed_ms = 0;
         loop {
             time::sleep(pause).await;
             if self.leading() && clock::now_ms() > renewed_ms + lease_ms {
                 self.leading.store(false, Ordering::Relaxed);
             }
-            if !self.candidate() {
+            if !self.is_candidate() {
                 continue;
             }
-            let asked_ms = clock::now_ms();
+            let sent_ms = clock::now_ms();
             let Ok(row) = self.platform.row(LEADER_ROW).await else {
                 continue;
             };
-            if self.take_or_renew(row, &mut watched, asked_ms).await {
-                renewed_ms = asked_ms;
+            if self.acquire_or_renew(row, &mut observed, sent_ms).await {
+                renewed_ms = sent_ms;
             }
         }
     }
 
-    /// The leader goes on; otherwise the first hosts heard watch.
-    fn candidate(&self) -> bool {
+    /// Decides whether this host reads the leader row: it leads, or it is a root host and one of
+    /// the first [`CANDIDATES`] hosts in the ring that were heard within the last lease.
+    fn is_candidate(&self) -> bool {
         let Some(own) = self.key() else { return false };
         if self.leading() {
             return true;
         }
         let state = self.view.state();
-        if !tree::is_witness(&tree::order(&state), own) {
+        if !heartbeat_tree::is_root(&heartbeat_tree::order(&state), own) {
             return false;
         }
         let now_ms = clock::now_ms();
@@ -79,26 +84,32 @@
             key == own || heard_ms.is_some_and(|heard_ms| now_ms < heard_ms + lease_ms)
         };
         let hosts = state.registered_hosts().map(|(key, _)| key);
-        let ring = Ring::new(hosts.filter(|key| heard(*key)));
-        let mut candidates = ring.successors(LEADER_WORK).take(CANDIDATES);
+        let ring = HashRing::new(hosts.filter(|key| heard(*key)));
+        let mut candidates = ring.successors(LEADER_RING_KEY).take(CANDIDATES);
         candidates.any(|host| host == own)
     }
 
-    /// True if this host holds the row afterwards.
-    async fn take_or_renew(&self, row: Option<Row>, watched: &mut Watched, now_ms: u64) -> bool {
+    /// Renews the row, or takes it over if its lease has lapsed. Returns true if this host holds
+    /// the row afterwards.
+    async fn acquire_or_renew(
+        &self,
+        row: Option<Row>,
+        observed: &mut ObservedRow,
+        now_ms: u64,
+    ) -> bool {
         let version = row.as_ref().map_or(0, |row| row.version);
-        let held = row.and_then(|row| serde_json::from_str::<LeaderRow>(&row.value).ok());
-        let term = held.as_ref().map_or(0, |held| held.term);
+        let content = row.and_then(|row| serde_json::from_str::<LeaderRow>(&row.value).ok());
+        let term = content.as_ref().map_or(0, |content| content.term);
         self.leader_term.store(term, Ordering::Relaxed);
-        let own = held.is_some_and(|held| held.incarnation == self.incarnation);
-        if !own && watched.version != version {
-            *watched = Watched {
+        let own = content.is_some_and(|content| content.incarnation == self.incarnation);
+        if !own && observed.version != version {
+            *observed = ObservedRow {
                 version,
                 since_ms: now_ms,
             };
         }
         let lease_ms = self.settings.ownership.leader_lease_ms;
-        let lapsed = version == 0 || now_ms >= watched.since_ms + lease_ms;
+        let lapsed = version == 0 || now_ms >= observed.since_ms + lease_ms;
         if !own && !lapsed {
             self.leading.store(false, Ordering::Relaxed);
             return false;
@@ -107,6 +118,7 @@
         self.write_leader(version, term).await
     }
 
+    /// Writes the row if it is still at `version`; returns true if this host holds it afterwards.
     async fn write_leader(&self, version: u64, term: u64) -> bool {
         let row = LeaderRow {
             term,
@@ -128,10 +140,10 @@
             }],
         };
         let outcome = self.platform.transact(&transaction).await;
-        let holds = matches!(outcome, Ok(Transacted::Committed));
+        let holds = matches!(outcome, Ok(TransactionOutcome::Committed));
         if holds && !self.leading.swap(true, Ordering::Relaxed) {
             self.leader_term.store(term, Ordering::Relaxed);
-            log::info!(term; "this host leads");
+            log::info!(term; "this host is now the leader");
         }
         holds
     }
--- a/src/host/duties.rs
+++ b/src/host/leader_tasks.rs
@@ -1,4 +1,4 @@
-//! The leader's other duties: servers that come, lost servers, and the registry of hosts.
+//! Tasks of the leader other than moves: joining servers, lost servers and the registry of hosts.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,31 +6,35 @@
 
 use super::{
     Host,
-    controller::{Controller, Done},
+    controller::{Controller, FinishedTask},
 };
 use crate::{
     clock,
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
     membership::{
         freshness::Voter,
+        heartbeat_tree,
         registry::{self, RegistryLimits, Silence, registered, voters},
-        tree,
     },
-    ownership::lapse::{Holders, HorizonReport, lapsed_at_ms},
+    ownership::lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
     peer::message::{PeerReply, PeerRequest},
     state::{Change, HostEntry, ServerState, State},
 };
 
+/// Interval at which servers without a lease are queried.
 const ASK_SERVERS_MS: u64 = 300;
+/// Timeout of a query to another host for its lease horizon or its applied revision.
 const HORIZON_TIMEOUT_MS: u64 = 200;
+/// Longest pause between two rounds of horizon queries for one lost server.
 const HORIZON_PAUSE_MS: u64 = 50;
 
 impl Host {
-    /// Starts a task for each lost server that has none.
+    /// Starts one task per lost server, which waits until the server's lease has lapsed; a task
+    /// that is already running is not started again.
     pub(super) fn wait_for_lapses(
         self: &Arc<Self>,
         controller: &mut Controller,
-        done: &UnboundedSender<Done>,
+        done: &UnboundedSender<FinishedTask>,
     ) {
         let state = self.view.state();
         for (server, entry) in state.server_entries() {
@@ -39,25 +43,27 @@
             }
             let host = self.clone();
             let done = done.clone();
-            let lost = Loss {
+            let lost = LostServer {
                 server,
                 lease_epoch: entry.lease_epoch,
                 revision: entry.changed,
             };
             tokio::spawn(async move {
                 host.wait_for_lapse(lost).await;
-                let _ = done.send(Done::Lapsed(server));
+                let _ = done.send(FinishedTask::Lapsed(server));
             });
         }
     }
 
-    /// One round of questions, then the wait that they allow.
-    async fn wait_for_lapse(self: &Arc<Self>, lost: Loss) {
+    /// Queries all hosts once for their lease horizons (the latest time at which their renewals may
+    /// still keep the lease valid), waits at most [`HORIZON_PAUSE_MS`], and records the lapse if it
+    /// is then certain.
+    async fn wait_for_lapse(self: &Arc<Self>, lost: LostServer) {
         let reports = self.horizon_reports(lost).await;
         let state = self.view.state();
-        // An age that is not known counts as none, which only makes the wait longer.
-        let since_age_ms = self.view.applied_age_ms(state.registry.since());
-        let holders = Holders {
+        // An unknown age counts as zero, which only lengthens the wait.
+        let since_age_ms = self.view.applied_age_ms(state.registry.majority_since());
+        let renewing_hosts = RenewingHosts {
             registered: &registered(&state),
             voters: &voters(&state),
             previous: &state.registry.previous_voters,
@@ -65,13 +71,14 @@
             settled: state.registry.is_settled(),
         };
         let lapse_ms = self.settings.ownership.lapse_ms();
-        let at_ms = lapsed_at_ms(holders, &reports, lapse_ms);
+        let at_ms = lapsed_at_ms(renewing_hosts, &reports, lapse_ms);
         let now_ms = clock::now_ms();
         let Some(at_ms) = at_ms else {
             time::sleep(Duration::from_millis(HORIZON_PAUSE_MS)).await;
             return;
         };
-        // A short wait is taken whole; a long one may be cut by hosts that answer later.
+        // Hosts that reply in a later round can shorten a long wait, so only a short one is
+        // waited for in full here.
         if at_ms > now_ms {
             let wait_ms = (at_ms - now_ms).min(HORIZON_PAUSE_MS);
             time::sleep(Duration::from_millis(wait_ms)).await;
@@ -84,11 +91,11 @@
             lease_epoch: lost.lease_epoch,
         };
         if let Err(error) = self.commit_own(change).await {
-            log::warn!("a lapse cannot be recorded: {error}");
+            log::warn!("cannot record that the lease of a lost server has lapsed: {error}");
         }
     }
 
-    async fn horizon_reports(self: &Arc<Self>, lost: Loss) -> Vec<HorizonReport> {
+    async fn horizon_reports(self: &Arc<Self>, lost: LostServer) -> Vec<HorizonReport> {
         let request = PeerRequest::LeaseHorizon {
             server: lost.server,
             lease_epoch: lost.lease_epoch,
@@ -114,13 +121,14 @@
         reports
     }
 
-    /// Asks the servers that have no lease whether they are there.
+    /// Queries the servers that have no lease, and records those that reply and are not draining
+    /// as joined.
     pub(super) async fn join_servers(self: &Arc<Self>, controller: &mut Controller) {
         let now_ms = clock::now_ms();
-        if now_ms < controller.asked_ms + ASK_SERVERS_MS {
+        if now_ms < controller.joins_checked_ms + ASK_SERVERS_MS {
             return;
         }
-        controller.asked_ms = now_ms;
+        controller.joins_checked_ms = now_ms;
         let state = self.view.state();
         let mut calls = JoinSet::new();
         for (server, entry) in state.server_entries() {
@@ -130,10 +138,10 @@
             }
             let host = self.clone();
             let address = entry.address;
-            calls.spawn(async move { (server, host.ask(address).await) });
+            calls.spawn(async move { (server, host.query_server(address).await) });
         }
-        while let Some(asked) = calls.join_next().await {
-            let Ok((server, Ok(answer))) = asked else {
+        while let Some(queried) = calls.join_next().await {
+            let Ok((server, Ok(answer))) = queried else {
                 continue;
             };
             if answer.draining {
@@ -147,15 +155,16 @@
         }
     }
 
-    /// Promotes and removes hosts, one change at a time (see [`crate::membership::registry`]).
-    pub(super) async fn keep_registry(self: &Arc<Self>, controller: &mut Controller) {
+    /// Promotes and removes hosts and settles the registry, one change at a time (see
+    /// [`crate::membership::registry`]).
+    pub(super) async fn update_registry(self: &Arc<Self>, controller: &mut Controller) {
         let state = self.view.state();
         if controller.registry.pending(&state) {
-            let applied = self.hosts_at(state.registry.changed).await;
+            let applied = self.hosts_with_revision(state.registry.changed).await;
             let lapse_ms = self.settings.ownership.lapse_ms();
             controller
                 .registry
-                .follow(&state, &applied, clock::now_ms(), lapse_ms);
+                .record_applied(&state, &applied, clock::now_ms(), lapse_ms);
         }
         let settlement = controller.registry.settlement(&state, clock::now_ms());
         let change = match settlement {
@@ -167,8 +176,8 @@
         }
     }
 
-    /// Hosts that have applied a revision.
-    async fn hosts_at(&self, revision: Revision) -> Vec<Voter> {
+    /// Returns the hosts that report that they have applied `revision`, this host included.
+    async fn hosts_with_revision(&self, revision: Revision) -> Vec<Voter> {
         let mut calls = JoinSet::new();
         for (host, incarnation, address) in self.other_hosts() {
             let peers = self.peers.clone();
@@ -194,9 +203,9 @@
         applied
     }
 
-    /// A host outside of the witnesses watches over those that ask it, which the leader may not
-    /// hear.
-    pub(super) async fn remove_silent_askers(self: &Arc<Self>) {
+    /// Removes hosts that have stopped pinging this one. Hosts that do not lead do this for the
+    /// hosts below them in the heartbeat tree, which the leader may not hear.
+    pub(super) async fn remove_silent_hosts(self: &Arc<Self>) {
         let state = self.view.state();
         if self.leading() || !self.view.fresh() || !state.registry.is_settled() {
             return;
@@ -206,6 +215,7 @@
         }
     }
 
+    /// Returns the next promotion or removal that follows from the heartbeats of this host.
     fn registry_change(&self, state: &State) -> Option<Change> {
         let ownership = &self.settings.ownership;
         let limits = RegistryLimits {
@@ -213,30 +223,32 @@
             leaving_ms: ownership.lapse_ms(),
         };
         let own = self.key();
-        let hosts = tree::order(state);
-        let asked = own.map(|own| tree::asked(&hosts, own)).unwrap_or_default();
+        let hosts = heartbeat_tree::order(state);
+        let heartbeat_targets = own
+            .map(|own| heartbeat_tree::heartbeat_targets(&hosts, own))
+            .unwrap_or_default();
         let silence = |host: HostKey, entry: &HostEntry| {
-            let asker = Voter {
+            let sender = Voter {
                 host,
                 incarnation: entry.incarnation,
             };
-            let asked_ms = self.view.asked_ms(asker);
-            let heard_ms = self.view.heard_ms(host).max(asked_ms);
+            let last_ping_ms = self.view.last_ping_ms(sender);
+            let heard_ms = self.view.heard_ms(host).max(last_ping_ms);
             let silent_ms = heard_ms.map(|heard_ms| clock::now_ms().saturating_sub(heard_ms));
             Silence {
                 silent_ms,
-                expected: asked_ms.is_some() || asked.contains(&host),
+                expected: last_ping_ms.is_some() || heartbeat_targets.contains(&host),
                 known_ms: self.view.applied_age_ms(entry.changed).unwrap_or_default(),
             }
         };
-        self.view.forget_askers(&registered(state));
+        self.view.forget_unregistered(&registered(state));
         registry::next_change(state, own, limits, silence)
     }
 }
 
-/// A lost server.
+/// A lost server whose lease may still be valid.
 #[derive(Clone, Copy, Debug)]
-struct Loss {
+struct LostServer {
     server: ServerKey,
     lease_epoch: LeaseEpoch,
     revision: Revision,
@@ -254,7 +266,7 @@
     Some(HorizonReport {
         host,
         incarnation,
-        // The age was taken before now, so this is no earlier than the truth.
+        // The age was measured before the reply arrived, so this time is never too early.
         applied_ms: now_ms - applied_age_ms?,
         horizon_ms: now_ms + remaining_ms,
     })
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -1,4 +1,4 @@
-//! Answers what arrives from peers.
+//! Handles heartbeats and requests from other hosts.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::{
     clock,
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
-    membership::freshness::{PeerAnswer, Voter},
+    membership::freshness::{HeartbeatReply, Voter},
     peer::{
         Inbound,
         message::{Datagram, PeerReply, PeerRequest, encode},
@@ -17,7 +17,8 @@
 };
 
 impl Host {
-    /// Runs until the endpoint closes.
+    /// Handles messages of other hosts until the endpoint closes. Requests are handled in tasks of
+    /// their own, so that a slow one delays no heartbeat.
     pub(super) async fn answer_peers(self: Arc<Self>, mut inbox: mpsc::Receiver<Inbound>) {
         while let Some(inbound) = inbox.recv().await {
             match inbound {
@@ -38,32 +39,32 @@
             Datagram::Ping {
                 host,
                 incarnation,
-                asked_ms,
+                sent_ms,
                 revision,
             } => {
-                self.view.asked_by(host, incarnation);
-                let pong = self.pong(asked_ms).map(|pong| encode(&pong));
+                self.view.record_ping(host, incarnation);
+                let pong = self.pong(sent_ms).map(|pong| encode(&pong));
                 if let Some(Ok(bytes)) = pong {
                     let _ = connection.send_datagram(bytes.into());
                 }
                 if revision > self.view.revision() {
-                    self.catch_up_with(connection.remote_address(), revision);
+                    self.spawn_catch_up(connection.remote_address(), revision);
                 }
             }
             Datagram::Pong {
                 host,
                 incarnation,
-                asked_ms,
+                sent_ms,
                 revision,
                 basis_age_ms,
             } => {
                 if revision > self.view.revision() {
-                    self.catch_up_with(connection.remote_address(), revision);
+                    self.spawn_catch_up(connection.remote_address(), revision);
                 }
-                self.take_pong(PeerAnswer {
+                self.receive_pong(HeartbeatReply {
                     host,
                     incarnation,
-                    asked_ms,
+                    sent_ms,
                     revision,
                     basis_age_ms,
                 });
@@ -71,16 +72,18 @@
         }
     }
 
-    fn take_pong(&self, answer: PeerAnswer) {
+    /// Records the reply to a heartbeat, which may raise the basis of this host's view.
+    fn receive_pong(&self, answer: HeartbeatReply) {
         let Some(host) = self.key() else { return };
         let own = Voter {
             host,
             incarnation: self.incarnation,
         };
-        self.view.peer_answered(answer, own);
+        self.view.record_heartbeat_reply(answer, own);
     }
 
-    fn catch_up_with(self: &Arc<Self>, address: std::net::SocketAddr, revision: Revision) {
+    /// Starts a task that fetches the missing entries from the peer that has `revision`.
+    fn spawn_catch_up(self: &Arc<Self>, address: std::net::SocketAddr, revision: Revision) {
         let host = self.clone();
         tokio::spawn(async move { host.catch_up(address, revision).await });
     }
@@ -89,7 +92,7 @@
         let answer = match request {
             PeerRequest::Push { entries, relay } => {
                 self.push(&entries, &relay);
-                self.take_push(&entries)
+                self.receive_push(&entries)
             }
             PeerRequest::Entries { after } => match self.view.entries(after) {
                 Some(entries) => PeerReply::Entries { entries },
@@ -121,7 +124,8 @@
         let _ = reply.send(answer);
     }
 
-    fn take_push(&self, entries: &[crate::state::LogEntry]) -> PeerReply {
+    /// Applies pushed entries. If entries before them are missing, it requests a read of the log.
+    fn receive_push(&self, entries: &[crate::state::LogEntry]) -> PeerReply {
         self.apply(entries);
         let last = entries.last().map(|entry| entry.revision);
         if last > Some(self.view.revision()) {
@@ -132,27 +136,28 @@
         }
     }
 
-    /// How long this host's renewals of a lost server may still hold. Renewals are decided on
-    /// under the same lock, so none can follow this answer.
+    /// Returns the time for which this host's renewals may still keep the lease of a lost server
+    /// valid. New renewals are decided on under the same lock, so none can follow a reply that says
+    /// that the loss is applied.
     pub(super) fn horizon(
         &self,
         server: ServerKey,
         lease_epoch: LeaseEpoch,
         lost: Revision,
     ) -> PeerReply {
-        let contacts = self.contacts();
+        let renewal_states = self.renewal_states();
         let applied_age_ms = self.view.applied_age_ms(lost);
-        let contact = contacts.get(server.0 as usize);
+        let renewal_state = renewal_states.get(server.0 as usize);
         let now_ms = clock::now_ms();
         let margin_ms = self.settings.ownership.margin_ms;
-        let remaining = contact.map(|c| c.remaining_ms(lease_epoch, now_ms, margin_ms));
+        let remaining = renewal_state.map(|c| c.remaining_ms(lease_epoch, now_ms, margin_ms));
         PeerReply::Horizon {
             applied_age_ms,
             remaining_ms: remaining.unwrap_or_default(),
         }
     }
 
-    /// Registered hosts other than this one.
+    /// Returns the registered hosts other than this one, with their processes and peer addresses.
     pub(super) fn other_hosts(&self) -> Vec<(HostKey, Incarnation, std::net::SocketAddr)> {
         let own = self.key();
         let state = self.view.state();
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -1,4 +1,4 @@
-//! Renews the leases of backend servers, and finds out which of them are lost.
+//! Renews the leases of backend servers, and detects lost servers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,37 +8,41 @@
 use crate::{
     clock,
     id::{HostKey, Incarnation, LeaseEpoch, ServerKey},
-    membership::ring::Ring,
+    membership::ring::HashRing,
     ownership::{
-        message::{LEASE_PATH, LeaseAnswer, LeaseRequest, SlotGrant, grant_hash},
-        renewal::Finding,
+        message::{LEASE_PATH, LeaseRequest, LeaseResponse, SlotGrant, grant_hash},
+        renewal::RenewalOutcome,
     },
     peer::message::{PeerReply, PeerRequest},
     state::{Change, ServerEntry, ServerState, State},
     transport::{CallError, JsonClient},
 };
 
+/// Interval at which due renewals are looked for.
 const TICK_MS: u64 = 25;
-/// Hosts that renew one server's lease at the same time.
+/// Number of hosts that renew the lease of one server independently of each other.
 const RENEWERS: usize = 2;
-/// Heartbeats without an answer after which another host takes a silent one's renewals.
+/// Heartbeats without a reply after which the renewals of a silent host are assigned to another
+/// host.
 const SILENT_HEARTBEATS: u64 = 5;
-/// Hosts that are asked to probe a suspected server.
+/// Number of other hosts that probe a server before it is reported as lost.
 const INDIRECT_PROBES: usize = 2;
-/// Time for one order to a server.
+/// Timeout of one order to a server.
 pub(super) const ORDER_TIMEOUT_MS: u64 = 200;
+/// Timeout of a probe by another host. It is longer than [`ORDER_TIMEOUT_MS`], because the other
+/// host sends an order of its own within it.
 const PROBE_TIMEOUT_MS: u64 = 250;
 
-/// A server as one renewal addresses it.
+/// A server with a lease: address, process and membership period that a renewal is meant for.
 #[derive(Clone, Copy, Debug)]
-struct Leased {
+struct LeasedServer {
     server: ServerKey,
     address: std::net::SocketAddr,
     incarnation: Incarnation,
     lease_epoch: LeaseEpoch,
 }
 
-impl Leased {
+impl LeasedServer {
     fn of(server: ServerKey, entry: &ServerEntry) -> Self {
         Self {
             server,
@@ -49,14 +53,14 @@
     }
 }
 
-/// Client for orders to servers.
+/// Returns an HTTP client for orders to servers.
 pub(super) fn order_client() -> JsonClient {
     JsonClient::new(ORDER_TIMEOUT_MS)
 }
 
 impl Host {
-    /// Runs until the process ends.
-    pub(super) async fn keep_renewing(self: Arc<Self>) {
+    /// Renews the leases assigned to this host until the process ends, while its view is fresh.
+    pub(super) async fn run_lease_renewal(self: Arc<Self>) {
         let mut ticks = time::interval(Duration::from_millis(TICK_MS));
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         let mut assigned = Vec::new();
@@ -74,13 +78,14 @@
         }
     }
 
-    /// Live servers whose leases this host renews.
-    fn assigned_servers(&self) -> Vec<Leased> {
+    /// Returns the live servers whose leases this host renews: those for which it is among the
+    /// first [`RENEWERS`] hosts in the hash ring.
+    fn assigned_servers(&self) -> Vec<LeasedServer> {
         let Some(own) = self.key() else {
             return Vec::new();
         };
         let state = self.view.state();
-        let ring = Ring::new(self.heard_hosts(&state, own).into_iter());
+        let ring = HashRing::new(self.heard_hosts(&state, own).into_iter());
         let mine = |server: ServerKey| {
             let mut renewers = ring.successors(server.0).take(RENEWERS);
             renewers.any(|host| host == own)
@@ -89,20 +94,21 @@
             .server_entries()
             .filter(|(_, entry)| entry.state == ServerState::Live)
             .filter(|(server, _)| mine(*server))
-            .map(|(server, entry)| Leased::of(server, entry))
+            .map(|(server, entry)| LeasedServer::of(server, entry))
             .collect()
     }
 
-    fn renew_due(self: &Arc<Self>, assigned: &[Leased]) {
+    fn renew_due(self: &Arc<Self>, assigned: &[LeasedServer]) {
         for leased in assigned.iter().copied() {
-            if self.claim_turn(leased) {
+            if self.start_if_due(leased) {
                 let host = self.clone();
                 tokio::spawn(async move { host.renew(leased).await });
             }
         }
     }
 
-    /// This host and those that answered heartbeats of late; unasked ones count as well.
+    /// Returns this host and the hosts that replied to a heartbeat of this host lately. Hosts that
+    /// this host does not ping are included.
     fn heard_hosts(&self, state: &State, own: HostKey) -> Vec<HostKey> {
         let heartbeat_ms = self.settings.ownership.heartbeat_ms;
         let silent_ms = heartbeat_ms * SILENT_HEARTBEATS;
@@ -118,24 +124,25 @@
             .collect()
     }
 
-    /// True if a renewal is due; the next one is then postponed while this one is under way.
-    fn claim_turn(&self, leased: Leased) -> bool {
+    /// Returns true if a renewal is due, and then postpones the next one while this one is in
+    /// flight.
+    fn start_if_due(&self, leased: LeasedServer) -> bool {
         let now_ms = clock::now_ms();
-        let mut contacts = self.contacts();
+        let mut renewal_states = self.renewal_states();
         let index = leased.server.0 as usize;
-        if contacts.len() <= index {
-            contacts.resize_with(index + 1, Default::default);
+        if renewal_states.len() <= index {
+            renewal_states.resize_with(index + 1, Default::default);
         }
-        let contact = &mut contacts[index];
-        contact.enter(leased.lease_epoch, now_ms);
-        let due = contact.due(now_ms);
-        if due {
-            contact.sent(now_ms, ORDER_TIMEOUT_MS);
+        let renewal_state = &mut renewal_states[index];
+        renewal_state.start_period(leased.lease_epoch, now_ms);
+        let is_due = renewal_state.is_due(now_ms);
+        if is_due {
+            renewal_state.sent(now_ms, ORDER_TIMEOUT_MS);
         }
-        due
+        is_due
     }
 
-    async fn renew(self: Arc<Self>, leased: Leased) {
+    async fn renew(self: Arc<Self>, leased: LeasedServer) {
         let Some(order) = self.order(leased) else {
             return;
         };
@@ -147,24 +154,26 @@
         }
     }
 
-    /// The order to send; none if this host must not renew any more. The state and the freshness
-    /// are checked under the lock under which [`Host::horizon`] answers.
-    fn order(&self, leased: Leased) -> Option<LeaseRequest> {
-        let mut contacts = self.contacts();
+    /// Returns the order to send; `None` if this host must not renew the lease any more. The state
+    /// and the freshness are checked under the lock that [`Host::horizon`] also takes, so that no
+    /// renewal follows its reply.
+    fn order(&self, leased: LeasedServer) -> Option<LeaseRequest> {
+        let mut renewal_states = self.renewal_states();
         let state = self.view.state();
-        // Only registered hosts are asked for their horizon.
+        // Only registered hosts are queried for their horizons before a lapse is recorded, so an
+        // unregistered host must not renew.
         state.host_key(self.incarnation)?;
         let entry = state.server(leased.server)?;
         let current = entry.state == ServerState::Live && entry.lease_epoch == leased.lease_epoch;
         if !current || !self.view.fresh() {
             return None;
         }
-        let contact = contacts.get_mut(leased.server.0 as usize)?;
+        let renewal_state = renewal_states.get_mut(leased.server.0 as usize)?;
         let now_ms = clock::now_ms();
         let ttl_ms = self.settings.ownership.lease_ttl_ms;
-        let not_after_ms = contact.order(leased.incarnation, now_ms, ttl_ms);
-        let digest = contact.digest;
-        drop(contacts);
+        let not_after_ms = renewal_state.order(leased.incarnation, now_ms, ttl_ms);
+        let digest = renewal_state.digest;
+        drop(renewal_states);
         let grants = missing_grants(&state, leased.server, digest);
         Some(LeaseRequest {
             incarnation: not_after_ms.map(|_| leased.incarnation),
@@ -174,24 +183,33 @@
         })
     }
 
-    async fn renewed(self: &Arc<Self>, leased: Leased, ordered: bool, answer: &LeaseAnswer) {
-        let finding = {
-            let mut contacts = self.contacts();
-            let Some(contact) = contacts.get_mut(leased.server.0 as usize) else {
+    async fn renewed(
+        self: &Arc<Self>,
+        leased: LeasedServer,
+        ordered: bool,
+        answer: &LeaseResponse,
+    ) {
+        let outcome = {
+            let mut renewal_states = self.renewal_states();
+            let Some(renewal_state) = renewal_states.get_mut(leased.server.0 as usize) else {
                 return;
             };
             let now_ms = clock::now_ms();
             let every_ms = self.settings.ownership.renew_every_ms;
-            contact.answered(answer, leased.incarnation, ordered, now_ms, every_ms)
+            renewal_state.answered(answer, leased.incarnation, ordered, now_ms, every_ms)
         };
-        match finding {
-            Finding::Renewed => self.note_draining(leased, answer.draining).await,
-            Finding::Replaced => self.report_lost(leased, "another process answers").await,
-            Finding::Outdated => self.sync_wanted.notify_one(),
+        match outcome {
+            RenewalOutcome::Renewed => self.note_draining(leased, answer.draining).await,
+            RenewalOutcome::Replaced => {
+                self.report_lost(leased, "another process responds at its address")
+                    .await
+            }
+            RenewalOutcome::Outdated => self.sync_wanted.notify_one(),
         }
     }
 
-    async fn note_draining(self: &Arc<Self>, leased: Leased, draining: bool) {
+    /// Commits that a server has begun or ended draining, if the state does not say so already.
+    async fn note_draining(self: &Arc<Self>, leased: LeasedServer, draining: bool) {
         let state = self.view.state();
         let Some(entry) = state.server(leased.server) else {
             return;
@@ -207,23 +225,25 @@
         let _ = self.commit_own(change).await;
     }
 
-    async fn renewal_failed(self: &Arc<Self>, leased: Leased, error: &CallError) {
+    /// Records a failed renewal, and reports the server as lost if it has not responded to this
+    /// host for the suspicion time and does not respond to other hosts either.
+    async fn renewal_failed(self: &Arc<Self>, leased: LeasedServer, error: &CallError) {
         log::debug!(server = leased.server.0 as u64; "renewal failed: {error}");
         let suspected = {
-            let mut contacts = self.contacts();
-            let Some(contact) = contacts.get_mut(leased.server.0 as usize) else {
+            let mut renewal_states = self.renewal_states();
+            let Some(renewal_state) = renewal_states.get_mut(leased.server.0 as usize) else {
                 return;
             };
             let suspect_ms = self.settings.ownership.suspect_ms;
-            contact.failed(clock::now_ms(), suspect_ms)
+            renewal_state.failed(clock::now_ms(), suspect_ms)
         };
-        if suspected && !self.answers_others(leased.server).await {
-            self.report_lost(leased, "it does not answer").await;
+        if suspected && !self.is_reachable_by_others(leased.server).await {
+            self.report_lost(leased, "it does not respond").await;
         }
     }
 
-    /// True if another host reaches the server.
-    async fn answers_others(&self, server: ServerKey) -> bool {
+    /// Returns true if one of up to [`INDIRECT_PROBES`] other hosts reaches the server.
+    async fn is_reachable_by_others(&self, server: ServerKey) -> bool {
         let mut probes = tokio::task::JoinSet::new();
         let request = PeerRequest::Probe { server };
         let heard = |key: &HostKey| self.view.heard_ms(*key).is_some();
@@ -242,23 +262,24 @@
         false
     }
 
-    /// Tries whether the process that holds the server's lease answers.
+    /// Probes a server; returns true if the process that holds the lease responds.
     pub(super) async fn probe(&self, server: ServerKey) -> bool {
         let state = self.view.state();
         let Some(entry) = state.server(server) else {
             return false;
         };
-        match self.ask(entry.address).await {
+        match self.query_server(entry.address).await {
             Ok(answer) => answer.incarnation == entry.incarnation,
             Err(_) => false,
         }
     }
 
-    /// Asks a server for its facts.
-    pub(super) async fn ask(
+    /// Queries a server for its process, clock, grants and draining state, by a request that orders
+    /// nothing.
+    pub(super) async fn query_server(
         &self,
         address: std::net::SocketAddr,
-    ) -> Result<LeaseAnswer, CallError> {
+    ) -> Result<LeaseResponse, CallError> {
         let question = LeaseRequest {
             incarnation: None,
             lease_epoch: LeaseEpoch::default(),
@@ -268,7 +289,8 @@
         self.servers.post(address, LEASE_PATH, &question).await
     }
 
-    async fn report_lost(self: &Arc<Self>, leased: Leased, reason: &str) {
+    /// Commits the loss of a server, if it is still live in the same membership period.
+    async fn report_lost(self: &Arc<Self>, leased: LeasedServer, reason: &str) {
         let state = self.view.state();
         let entry = state.server(leased.server);
         let live =
@@ -282,12 +304,13 @@
             lease_epoch: leased.lease_epoch,
         };
         if let Err(error) = self.commit_own(change).await {
-            log::warn!("the loss cannot be recorded: {error}");
+            log::warn!("cannot record the loss of a server: {error}");
         }
     }
 }
 
-/// The grants that a server should hold, if it said that it holds others.
+/// Returns all grants that a server should hold, if the digest that it reported does not match
+/// them. Returns an empty list if it matches, or before the server has reported a digest.
 fn missing_grants(state: &State, server: ServerKey, digest: Option<u64>) -> Vec<SlotGrant> {
     let Some(digest) = digest else {
         return Vec::new();
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! Sends one request of the load and judges its answer.
+//! Caller of the load generator: sends a request and classifies the response.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,31 +11,31 @@
 };
 use tokio::time;
 
-use super::{Planned, report::Sample};
+use super::{PlannedRequest, report::Sample};
 use crate::{
     clock,
     ownership::message::{DEADLINE_HEADER, IDEMPOTENCY_HEADER, OUTCOME_HEADER},
-    standin::backend::Answer,
+    standin::backend::EchoResponse,
     transport::header_text,
 };
 
-/// Time beyond the deadline after which the caller gives up.
-const PATIENCE_MS: u64 = 1_000;
+/// Time after a request's deadline at which the caller stops waiting for the response.
+const RESPONSE_GRACE_MS: u64 = 1_000;
 
-/// How a request ended, as its caller saw it.
+/// Outcome of a request as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// It got its own whole answer.
+pub enum RequestOutcome {
+    /// The complete response of the requested path arrived.
     Answered,
-    /// It was told that it did not run.
+    /// The response stated that the request did not run, or no connection could be established.
     NotRun,
-    /// It was told that nobody knows, or the answer broke off, or none came.
+    /// The request may have run: the response said so, was incomplete or did not arrive.
     Unknown,
-    /// It got an answer that was not its own.
+    /// The response was an error without a stated outcome, or belonged to another request.
     Wrong,
 }
 
-/// A caller with pooled connections.
+/// HTTP caller with pooled connections.
 #[derive(Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -43,7 +43,7 @@
 }
 
 impl Caller {
-    /// A caller whose requests carry a deadline.
+    /// Creates a caller whose requests carry this deadline.
     pub fn new(deadline_ms: u64) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -56,10 +56,10 @@
         }
     }
 
-    pub(crate) async fn send(&self, planned: Planned) -> Sample {
-        let patience = Duration::from_millis(self.deadline_ms + PATIENCE_MS);
-        let exchange = time::timeout(patience, self.exchange(&planned));
-        let ending = exchange.await.unwrap_or(Ending::Unknown);
+    pub(crate) async fn send(&self, planned: PlannedRequest) -> Sample {
+        let give_up_after = Duration::from_millis(self.deadline_ms + RESPONSE_GRACE_MS);
+        let exchange = time::timeout(give_up_after, self.exchange(&planned));
+        let outcome = exchange.await.unwrap_or(RequestOutcome::Unknown);
         let ended_us = clock::unix_us();
         Sample {
             address: planned.address,
@@ -68,27 +68,31 @@
             idempotency_key: planned.idempotency_key,
             intended_us: planned.intended_us,
             latency_us: ended_us.saturating_sub(planned.intended_us),
-            ending,
+            outcome,
         }
     }
 
-    async fn exchange(&self, planned: &Planned) -> Ending {
+    async fn exchange(&self, planned: &PlannedRequest) -> RequestOutcome {
         let Some(request) = self.request(planned, planned.address) else {
-            return Ending::Unknown;
+            return RequestOutcome::Unknown;
         };
-        let answer = match self.client.request(request).await {
-            Ok(answer) => answer,
-            Err(error) if error.is_connect() => return Ending::NotRun,
-            Err(_) => return Ending::Unknown,
+        let response = match self.client.request(request).await {
+            Ok(response) => response,
+            Err(error) if error.is_connect() => return RequestOutcome::NotRun,
+            Err(_) => return RequestOutcome::Unknown,
         };
-        let (status, headers) = (answer.status(), answer.headers().clone());
-        let Ok(body) = answer.into_body().collect().await else {
-            return Ending::Unknown;
+        let (status, headers) = (response.status(), response.headers().clone());
+        let Ok(body) = response.into_body().collect().await else {
+            return RequestOutcome::Unknown;
         };
-        judge(status, &headers, &body.to_bytes(), &planned.path)
+        classify(status, &headers, &body.to_bytes(), &planned.path)
     }
 
-    fn request(&self, planned: &Planned, address: SocketAddr) -> Option<Request<Full<Bytes>>> {
+    fn request(
+        &self,
+        planned: &PlannedRequest,
+        address: SocketAddr,
+    ) -> Option<Request<Full<Bytes>>> {
         let mut request = Request::builder()
             .method(planned.method.clone())
             .uri(format!("http://{address}{}", planned.path))
@@ -100,16 +104,16 @@
     }
 }
 
-fn judge(status: StatusCode, headers: &HeaderMap, body: &[u8], path: &str) -> Ending {
+fn classify(status: StatusCode, headers: &HeaderMap, body: &[u8], path: &str) -> RequestOutcome {
     match header_text(headers, OUTCOME_HEADER) {
-        Some("not-run") => return Ending::NotRun,
-        Some(_) => return Ending::Unknown,
+        Some("not-run") => return RequestOutcome::NotRun,
+        Some(_) => return RequestOutcome::Unknown,
         None => {}
     }
-    let answer: Option<Answer> = serde_json::from_slice(body).ok();
-    let own = answer.is_some_and(|answer| answer.path == path);
-    if status == StatusCode::OK && own {
-        return Ending::Answered;
+    let response: Option<EchoResponse> = serde_json::from_slice(body).ok();
+    let is_own = response.is_some_and(|response| response.path == path);
+    if status == StatusCode::OK && is_own {
+        return RequestOutcome::Answered;
     }
-    Ending::Wrong
+    RequestOutcome::Wrong
 }
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -1,11 +1,11 @@
-//! Open-loop load: requests are sent at their intended times whatever the answers do, and
-//! latencies count from these times, so a slow system cannot hide its queue.
+//! Open-loop load generator. Requests are sent at their intended times, regardless of earlier
+//! responses, and latencies count from these times, so that the queue of a slow system is measured.
 
 mod caller;
 mod report;
 
 pub use self::{
-    caller::{Caller, Ending},
+    caller::{Caller, RequestOutcome},
     report::{LatencyReport, LoadReport, Sample},
 };
 
@@ -18,34 +18,35 @@
 
 use crate::{clock, id::OperationId};
 
-/// One run of load.
+/// Configuration of one load run.
 #[derive(Clone, Debug)]
 pub struct LoadConfig {
-    /// Addresses that take requests in turn.
+    /// Addresses of hosts or servers, to which requests are sent in turn.
     pub addresses: Vec<SocketAddr>,
-    /// Path of the services, as `/workspace/service`; each request picks one.
+    /// Paths of the services, as `/workspace/service`; each request picks one at random.
     pub services: Vec<String>,
-    /// Requests a second, over all addresses.
+    /// Requests per second, over all addresses.
     pub rate_per_s: u64,
     /// Length of the run.
     pub duration_ms: u64,
-    /// Number of keys.
+    /// Number of distinct keys per service.
     pub keys: u64,
-    /// Exponent of the keys' Zipf distribution; 0 for all alike.
+    /// Exponent of the Zipf distribution of the keys; 0 for a uniform distribution.
     pub zipf_exponent: f64,
-    /// Share of requests that are unrepeatable orders.
+    /// Share of unrepeatable requests, which run at most once (POST with an idempotency key); from 0
+    /// to 1.
     pub unrepeatable_share: f64,
-    /// Share of the orders that are sent twice, to two addresses.
+    /// Share of the unrepeatable requests that are sent twice, to two addresses; from 0 to 1.
     pub duplicate_share: f64,
-    /// Deadline that each request carries.
+    /// Deadline of each request, sent in its header.
     pub deadline_ms: u64,
-    /// Seed of the random choices.
+    /// Seed of the random choices of services, keys and kinds of requests.
     pub seed: u64,
 }
 
-/// One request to be sent.
+/// Request that is due at `intended_us`.
 #[derive(Clone, Debug)]
-pub(crate) struct Planned {
+pub(crate) struct PlannedRequest {
     pub(crate) address: SocketAddr,
     pub(crate) method: Method,
     pub(crate) path: String,
@@ -55,8 +56,8 @@
     pub(crate) intended_us: u64,
 }
 
-/// Chooses requests.
-struct Chooser {
+/// Generates the requests of a run.
+struct RequestGenerator {
     config: LoadConfig,
     run: String,
     rng: StdRng,
@@ -64,10 +65,10 @@
     number: u64,
 }
 
-/// Runs load and returns every request's sample.
+/// Runs the load and returns one sample per request.
 pub async fn run(config: LoadConfig) -> Vec<Sample> {
     let caller = Arc::new(Caller::new(config.deadline_ms));
-    let mut chooser = Chooser::new(config.clone());
+    let mut chooser = RequestGenerator::new(config.clone());
     let mut running = JoinSet::new();
     let mut samples = Vec::new();
     let start_us = clock::unix_us();
@@ -89,8 +90,9 @@
     samples
 }
 
-/// The timer's grain is a millisecond; requests due within it go out together, and their latency
-/// still counts from the intended time.
+/// Sleeps until a Unix time in microseconds. The timer has a resolution of a millisecond, so
+/// requests due within the same millisecond are sent together; their latency still counts from
+/// their intended times.
 async fn sleep_until_us(at_us: u64) {
     let left_us = at_us.saturating_sub(clock::unix_us());
     if left_us > 0 {
@@ -98,7 +100,7 @@
     }
 }
 
-impl Chooser {
+impl RequestGenerator {
     fn new(config: LoadConfig) -> Self {
         let zipf = Zipf::new(config.keys.max(1) as f64, config.zipf_exponent).ok();
         Self {
@@ -110,28 +112,32 @@
         }
     }
 
-    /// The next request, and its duplicate if it has one.
-    fn next(&mut self, intended_us: u64) -> Vec<Planned> {
+    /// Returns the next request, followed by its duplicate if it has one.
+    fn next(&mut self, intended_us: u64) -> Vec<PlannedRequest> {
         self.number += 1;
         let number = self.number;
         let key = self.key();
         let service = self.rng.random_range(0..self.config.services.len());
-        let order = self.rng.random_bool(self.config.unrepeatable_share);
-        let idempotency_key = order.then(|| format!("{}-{number}", self.run));
+        let is_unrepeatable = self.rng.random_bool(self.config.unrepeatable_share);
+        let idempotency_key = is_unrepeatable.then(|| format!("{}-{number}", self.run));
         let base = &self.config.services[service];
-        let planned = Planned {
+        let planned = PlannedRequest {
             address: self.address(number),
-            method: if order { Method::POST } else { Method::GET },
+            method: if is_unrepeatable {
+                Method::POST
+            } else {
+                Method::GET
+            },
             path: format!("{base}/key-{key}/{number}"),
             key,
             service,
             idempotency_key,
             intended_us,
         };
-        if !order || !self.rng.random_bool(self.config.duplicate_share) {
+        if !is_unrepeatable || !self.rng.random_bool(self.config.duplicate_share) {
             return vec![planned];
         }
-        let duplicate = Planned {
+        let duplicate = PlannedRequest {
             address: self.address(number + 1),
             ..planned.clone()
         };
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -1,4 +1,4 @@
-//! Endpoints of the operators' API.
+//! Endpoints of the operators' API. Reading needs no token; changes need the operators' token.
 
 use std::{fs, net::SocketAddr, sync::Arc};
 
@@ -27,20 +27,20 @@
     state::{self, Change, Document, LogEntry, ServerEntry, State},
 };
 
-/// Room for JSON around a document.
+/// Bytes allowed in a request body for the JSON around a document.
 const BODY_EXTRA_BYTES: usize = 512 * 1024;
 
-/// What the endpoints work on.
+/// Shared context of the endpoints.
 #[derive(Debug)]
 pub struct Context {
     host: Arc<Host>,
     token: Option<String>,
 }
 
-/// The running API.
+/// The running HTTP server of the operators' API.
 #[derive(Debug)]
 pub struct OperatorServer {
-    /// Address.
+    /// Address on which it listens.
     pub address: SocketAddr,
     server: Server,
 }
@@ -54,15 +54,15 @@
 }
 
 impl OperatorServer {
-    /// Finishes the requests in flight and ends.
+    /// Stops the server after the requests in flight have finished.
     pub async fn stop(self) {
         if let Err(error) = self.server.0.close().await {
-            log::warn!("the operators' API did not end well: {error}");
+            log::warn!("the operators' API stopped with an error: {error}");
         }
     }
 }
 
-/// Starts the API of a host.
+/// Starts the operators' API of a host.
 pub async fn start(host: Arc<Host>) -> Result<OperatorServer, HostError> {
     let token = match &host.settings.operators.token_file {
         Some(path) => Some(read_token(path)?),
@@ -74,7 +74,7 @@
         ..ConfigDropshot::default()
     };
     let context = Context { host, token };
-    let api = describe().map_err(|message| HostError::Operators { message })?;
+    let api = api_description().map_err(|message| HostError::Operators { message })?;
     let server = ServerBuilder::new(api, context, logging::slog_bridge())
         .config(config)
         .start()
@@ -87,6 +87,7 @@
     })
 }
 
+/// Reads the token from the first line of a file.
 fn read_token(path: &std::path::Path) -> Result<String, HostError> {
     let text = fs::read_to_string(path).context(TokenSnafu { path })?;
     let token = text.lines().next().unwrap_or_default().trim().to_owned();
@@ -97,7 +98,7 @@
     Ok(token)
 }
 
-fn describe() -> Result<ApiDescription<Context>, String> {
+fn api_description() -> Result<ApiDescription<Context>, String> {
     let mut api = ApiDescription::new();
     let registered = [
         api.register(get_status),
@@ -117,7 +118,7 @@
     Ok(api)
 }
 
-type Answer<T> = Result<HttpResponseOk<T>, HttpError>;
+type ApiResult<T> = Result<HttpResponseOk<T>, HttpError>;
 
 fn error(status: ErrorStatusCode, message: String) -> HttpError {
     HttpError {
@@ -130,7 +131,7 @@
 }
 
 #[endpoint { method = GET, path = "/v1/status" }]
-async fn get_status(context: RequestContext<Context>) -> Answer<StatusBody> {
+async fn get_status(context: RequestContext<Context>) -> ApiResult<StatusBody> {
     let host = &context.context().host;
     let state = host.view.state();
     Ok(HttpResponseOk(StatusBody {
@@ -152,7 +153,7 @@
     let own = host.key();
     let now_ms = clock::now_ms();
     let status = |(key, entry): (HostKey, &state::HostEntry)| {
-        let heard = host.view.heard_revision(key);
+        let heard = host.view.peer_revision(key);
         let is_own = Some(key) == own;
         let own_age = host.view.applied_age_ms(state.revision);
         let since = heard.map(|heard| now_ms.saturating_sub(heard.since_ms));
@@ -160,7 +161,7 @@
         HostStatus {
             name: entry.name.clone(),
             availability_zone: entry.availability_zone.clone(),
-            state: lower(&entry.state),
+            state: lowercase_name(&entry.state),
             revision: if is_own {
                 Some(state.revision.0)
             } else {
@@ -183,7 +184,7 @@
     let status = |(entry, slots): (&ServerEntry, u64)| ServerStatus {
         address: entry.address.to_string(),
         availability_zone: entry.availability_zone.clone(),
-        state: lower(&entry.state),
+        state: lowercase_name(&entry.state),
         draining: entry.draining,
         slots,
     };
@@ -204,7 +205,8 @@
     statuses
 }
 
-fn lower(state: &impl std::fmt::Debug) -> String {
+/// Returns the name of an enum variant in lower case, as the API shows it.
+fn lowercase_name(state: &impl std::fmt::Debug) -> String {
     format!("{state:?}").to_lowercase()
 }
 
@@ -212,7 +214,7 @@
 async fn get_owner(
     context: RequestContext<Context>,
     query: Query<OwnerQuery>,
-) -> Answer<OwnerBody> {
+) -> ApiResult<OwnerBody> {
     let query = query.into_inner();
     let state = context.context().host.view.state();
     let service = state.service_key(&query.service);
@@ -240,7 +242,7 @@
 async fn get_audit(
     context: RequestContext<Context>,
     query: Query<AuditQuery>,
-) -> Answer<AuditPage> {
+) -> ApiResult<AuditPage> {
     let after = Revision(query.into_inner().after);
     let entries = context.context().host.audit(after).await;
     let entries =
@@ -260,20 +262,20 @@
 }
 
 #[endpoint { method = GET, path = "/v1/templates" }]
-async fn get_templates(context: RequestContext<Context>) -> Answer<DocumentList> {
+async fn get_templates(context: RequestContext<Context>) -> ApiResult<DocumentList> {
     let state = context.context().host.view.state();
     Ok(HttpResponseOk(documents(&state, state.templates.iter())))
 }
 
 #[endpoint { method = GET, path = "/v1/workspaces" }]
-async fn get_workspaces(context: RequestContext<Context>) -> Answer<DocumentList> {
+async fn get_workspaces(context: RequestContext<Context>) -> ApiResult<DocumentList> {
     let state = context.context().host.view.state();
     Ok(HttpResponseOk(documents(&state, state.workspaces.iter())))
 }
 
 fn documents<'a>(
     state: &State,
-    held: impl Iterator<Item = (&'a String, &'a Document)>,
+    declared: impl Iterator<Item = (&'a String, &'a Document)>,
 ) -> DocumentList {
     let body = |(name, document): (&String, &Document)| DocumentBody {
         name: name.clone(),
@@ -282,7 +284,7 @@
     };
     DocumentList {
         configuration: state.configuration.0,
-        documents: held.map(body).collect(),
+        documents: declared.map(body).collect(),
     }
 }
 
@@ -290,7 +292,7 @@
 async fn submit_template(
     context: RequestContext<Context>,
     body: TypedBody<SubmitBody>,
-) -> Answer<Accepted> {
+) -> ApiResult<Accepted> {
     let body = body.into_inner();
     let document = body.document.clone();
     submit(&context, body, Change::TemplateSubmitted { document }).await
@@ -300,7 +302,7 @@
 async fn submit_workspace(
     context: RequestContext<Context>,
     body: TypedBody<SubmitBody>,
-) -> Answer<Accepted> {
+) -> ApiResult<Accepted> {
     let body = body.into_inner();
     let document = body.document.clone();
     submit(&context, body, Change::WorkspaceSubmitted { document }).await
@@ -310,7 +312,7 @@
 async fn withdraw_template(
     context: RequestContext<Context>,
     body: TypedBody<WithdrawBody>,
-) -> Answer<Accepted> {
+) -> ApiResult<Accepted> {
     let body = body.into_inner();
     let name = body.name.clone();
     submit(
@@ -325,7 +327,7 @@
 async fn withdraw_workspace(
     context: RequestContext<Context>,
     body: TypedBody<WithdrawBody>,
-) -> Answer<Accepted> {
+) -> ApiResult<Accepted> {
     let body = body.into_inner();
     let name = body.name.clone();
     submit(
@@ -336,12 +338,12 @@
     .await
 }
 
-/// Begins the planned stop of the host that is asked.
+/// Begins the planned stop of the host that receives the request.
 #[endpoint { method = POST, path = "/v1/host/drain" }]
-async fn drain_host(context: RequestContext<Context>) -> Answer<Draining> {
+async fn drain_host(context: RequestContext<Context>) -> ApiResult<Draining> {
     authorize(&context)?;
     let host = &context.context().host;
-    host.ask_to_stop();
+    host.request_stop();
     Ok(HttpResponseOk(Draining {
         host: host.settings.name.clone(),
     }))
@@ -361,18 +363,18 @@
     context: &RequestContext<Context>,
     body: SubmitBody,
     change: Change,
-) -> Answer<Accepted> {
+) -> ApiResult<Accepted> {
     authorize(context)?;
     let host = &context.context().host;
     let before = host.view.state();
     if body.dry_run {
-        let effect = tried(&before, &change).map_err(|e| refused(&e))?;
+        let effect = dry_run_effect(&before, &change).map_err(|e| refusal(&e))?;
         return Ok(HttpResponseOk(Accepted {
             revision: before.revision.0,
             effect,
         }));
     }
-    let effect = tried(&before, &change).unwrap_or_default();
+    let effect = dry_run_effect(&before, &change).unwrap_or_default();
     let operation_id = body.operation_id.map(OperationId);
     let request = CommitRequest {
         operation_id: operation_id.unwrap_or_else(OperationId::random),
@@ -389,12 +391,14 @@
     }
 }
 
-fn tried(before: &State, change: &Change) -> state::Result<super::message::Effect> {
+/// Computes the effect of a change by applying it to a copy of the state.
+fn dry_run_effect(before: &State, change: &Change) -> state::Result<super::message::Effect> {
     let mut after = before.clone();
-    after.apply_trial(change.clone())?;
+    after.apply_dry_run(change.clone())?;
     Ok(dry_run::effect(before, &after))
 }
 
+/// Checks the bearer token of a request. Without a token in the settings all changes are refused.
 fn authorize(context: &RequestContext<Context>) -> Result<(), HttpError> {
     let Some(token) = &context.context().token else {
         let message = "changes are refused: the host's settings name no token_file";
@@ -403,20 +407,22 @@
     let sent = context.request.headers().get(header::AUTHORIZATION);
     let sent = sent.and_then(|value| value.to_str().ok());
     let sent = sent.and_then(|value| value.strip_prefix("Bearer "));
-    if !sent.is_some_and(|sent| same(sent.as_bytes(), token.as_bytes())) {
+    if !sent.is_some_and(|sent| constant_time_eq(sent.as_bytes(), token.as_bytes())) {
         let message = "changes need the operators' token";
         return Err(error(ErrorStatusCode::UNAUTHORIZED, message.to_owned()));
     }
     Ok(())
 }
 
-/// Compares without telling by its duration where the texts differ.
-fn same(one: &[u8], other: &[u8]) -> bool {
+/// Compares two texts in a time that does not depend on where they differ, so that the time reveals
+/// nothing about the token.
+fn constant_time_eq(one: &[u8], other: &[u8]) -> bool {
     let differ = one.iter().zip(other).fold(0, |all, (a, b)| all | (a ^ b));
     one.len() == other.len() && differ == 0
 }
 
-fn refused(failure: &state::Error) -> HttpError {
+/// Returns the HTTP error for a change that the state refuses.
+fn refusal(failure: &state::Error) -> HttpError {
     let status = match failure {
         state::Error::Declaration { .. } => ErrorStatusCode::UNPROCESSABLE_ENTITY,
         state::Error::Unknown { .. } => ErrorStatusCode::NOT_FOUND,
@@ -427,7 +433,7 @@
 
 async fn commit_error(host: &Host, failure: CommitError) -> HttpError {
     match failure {
-        CommitError::Refused { source } => refused(&source),
+        CommitError::Refused { source } => refusal(&source),
         CommitError::Raced { expected, found } => {
             let other = host.other_change(found).await;
             let message = format!(
@@ -441,12 +447,12 @@
 }
 
 impl Host {
-    /// Entries of the audit trail after a revision, from the platform.
+    /// Reads the entries of the audit trail after a revision from the change log.
     async fn audit(&self, after: Revision) -> Result<Vec<LogEntry>, state::LogError> {
         self.log.tail(after).await
     }
 
-    /// The change that became `revision`, for the operator who lost against it.
+    /// Describes the change at `revision`, for the operator whose own change conflicts with it.
     async fn other_change(&self, revision: Revision) -> String {
         let before = Revision(revision.0.saturating_sub(1));
         let entries = self.log.tail(before).await.unwrap_or_default();
--- a/src/operator/dry_run.rs
+++ b/src/operator/dry_run.rs
@@ -1,21 +1,21 @@
-//! What a change would do, found by applying it to a copy of the state.
+//! Effects of a change, computed by comparing the state with a copy that the change was applied to.
 
 use super::message::Effect;
 use crate::state::{ServiceEntry, State};
 
-/// Compares two states.
+/// Computes the effects of a change from the states before and after it.
 pub fn effect(before: &State, after: &State) -> Effect {
     let mut effect = Effect::default();
     for (key, service) in after.active_services() {
         let name = service.spec.name.clone();
-        let held = before.service(key).filter(|held| held.active);
-        match held {
+        let existing = before.service(key).filter(|existing| existing.active);
+        match existing {
             None => effect.services_added.push(name),
-            Some(held) if held.spec != service.spec => effect.services_changed.push(name),
+            Some(existing) if existing.spec != service.spec => effect.services_changed.push(name),
             Some(_) => continue,
         }
         effect.slots += service.slots.len() as u64;
-        effect.slots_moved += misplaced(service);
+        effect.slots_moved += unplaced_slots(service);
     }
     for (key, service) in before.active_services() {
         if !after.service(key).is_some_and(|kept| kept.active) {
@@ -25,8 +25,8 @@
     effect
 }
 
-/// Slots whose owner is not, or no longer, among the service's servers.
-fn misplaced(service: &ServiceEntry) -> u64 {
+/// Counts the slots without an owner among the declared servers of the service.
+fn unplaced_slots(service: &ServiceEntry) -> u64 {
     let placed = |owner: Option<_>| owner.is_some_and(|owner| service.targets.contains(&owner));
     let slots = service.slots.iter();
     slots.filter(|slot| !placed(slot.owner)).count() as u64
--- a/src/peer/keys.rs
+++ b/src/peer/keys.rs
@@ -1,4 +1,5 @@
-//! Certificates: reading them, and making a certificate authority and hosts' certificates.
+//! TLS certificates between hosts: loading them, and generating a certificate authority and host
+//! certificates.
 
 use std::{fs, path::Path, sync::Arc};
 
@@ -18,32 +19,36 @@
 use super::error::{Error, GenerateSnafu, Result};
 use crate::settings::Peers;
 
-/// Name in every host's certificate: what matters is the authority that signed it.
+/// Name in every host's certificate. Hosts trust the authority that signed it, not the name.
 pub const HOST_NAME: &str = "ashroad-host";
-/// File of the authority's certificate.
+/// File name of the authority's certificate.
 pub const CA_FILE: &str = "ca.pem";
-/// File of the authority's private key.
+/// File name of the authority's private key.
 pub const CA_KEY_FILE: &str = "ca-key.pem";
+/// ALPN identifier of the peer protocol.
 const PROTOCOL: &[u8] = b"ashroad/1";
-const IDLE_MS: u32 = 1_000;
+/// Time without a packet after which a connection is closed.
+const IDLE_TIMEOUT_MS: u32 = 1_000;
+/// Interval of keep-alive packets; below the idle timeout, so that idle connections stay open.
 const KEEP_ALIVE_MS: u64 = 300;
+/// Maximum number of concurrent requests on one connection.
 const STREAMS_MAX: u32 = 256;
 
-/// Both directions' TLS set-up.
+/// TLS configurations for both directions.
 #[derive(Clone, Debug)]
 pub struct TlsConfigs {
-    /// For accepted connections.
+    /// Configuration for incoming connections.
     pub server: ServerConfig,
-    /// For own connections.
+    /// Configuration for outgoing connections.
     pub client: ClientConfig,
 }
 
-/// Installs the process's crypto provider; needed once before any TLS.
+/// Installs the crypto provider of the process; needed once before any use of TLS.
 pub fn install_crypto_provider() {
     let _ = ring::default_provider().install_default();
 }
 
-/// Reads the files that the settings name.
+/// Loads the certificates and the key named in the settings.
 pub fn load(peers: &Peers) -> Result<TlsConfigs> {
     let mut roots = RootCertStore::empty();
     for certificate in certificates(&peers.ca_file)? {
@@ -105,7 +110,9 @@
 fn transport() -> Arc<TransportConfig> {
     let mut transport = TransportConfig::default();
     transport
-        .max_idle_timeout(Some(IdleTimeout::from(quinn::VarInt::from_u32(IDLE_MS))))
+        .max_idle_timeout(Some(IdleTimeout::from(quinn::VarInt::from_u32(
+            IDLE_TIMEOUT_MS,
+        ))))
         .keep_alive_interval(Some(std::time::Duration::from_millis(KEEP_ALIVE_MS)))
         .max_concurrent_bidi_streams(STREAMS_MAX.into())
         .max_concurrent_uni_streams(0u32.into());
@@ -132,7 +139,7 @@
     }
 }
 
-/// Makes a certificate authority in `directory`.
+/// Generates a certificate authority and writes it to `directory`.
 pub fn create_ca(directory: &Path) -> Result<()> {
     let key = KeyPair::generate().context(GenerateSnafu)?;
     let mut params = CertificateParams::new(Vec::new()).context(GenerateSnafu)?;
@@ -143,7 +150,8 @@
     write(&directory.join(CA_KEY_FILE), &key.serialize_pem())
 }
 
-/// Makes a certificate `NAME.pem` and a key `NAME-key.pem` in `directory`, signed by its authority.
+/// Generates a certificate `NAME.pem` and a key `NAME-key.pem` in `directory`, signed by its
+/// authority.
 pub fn create_host(directory: &Path, name: &str) -> Result<()> {
     let ca = read(&directory.join(CA_FILE))?;
     let ca_key = read(&directory.join(CA_KEY_FILE))?;
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,4 +1,4 @@
-//! Decodes the operators' configuration document.
+//! Decodes the configuration document that operators write to the platform's store.
 
 use super::{
     error::{Error, Result},
@@ -6,33 +6,35 @@
 };
 use crate::entry::{
     decide::quota::Quota,
-    model::{CallerLimits, Configuration, Part, Route, Service, Warmup},
+    model::{CallerLimits, Configuration, Route, RouteTarget, Service, Warmup},
     workspaces::{ApiKeyDigest, Workspace, Workspaces},
 };
 
-/// Table that holds what operators write.
+/// Store table of the rows that operators write.
 pub const TABLE: &str = "op";
-/// Key of the configuration document.
+/// Row key of the configuration document.
 pub const KEY: &str = "config";
 
-/// Beginning of the keys of rows that are there while an availability zone is evacuated; its name
-/// follows. Their content says nothing.
+/// Prefix of the row keys that mark evacuated availability zones; the zone's name follows it. A
+/// zone is evacuated while its row exists, whatever the row contains.
 const EVACUATION_PREFIX: &str = "evacuate/";
 
-/// The availability zone that a row of the table evacuates.
+/// Returns the availability zone that the row with this key evacuates; `None` for other rows.
 pub fn evacuated_zone(key: &str) -> Option<&str> {
     key.strip_prefix(EVACUATION_PREFIX)
 }
 
-/// Decodes the document.
+/// Decodes the configuration document; fails with a reason if any required field is missing or
+/// invalid.
 pub fn decode(value: &[u8]) -> Result<Configuration> {
-    let bad = |message: String| Error::Document {
+    let document_error = |message: String| Error::Document {
         what: "configuration".to_owned(),
         message,
     };
-    let wire: WireConfig = serde_json::from_slice(value).map_err(|error| bad(error.to_string()))?;
+    let wire: WireConfig =
+        serde_json::from_slice(value).map_err(|error| document_error(error.to_string()))?;
     let version = u64::from_str_radix(&wire.version, 16)
-        .map_err(|_| bad(format!("version '{}' is not hexadecimal", wire.version)))?;
+        .map_err(|_| document_error(format!("version '{}' is not hexadecimal", wire.version)))?;
     let limits = CallerLimits {
         head_bytes: wire.limits.max_header_bytes,
         body_bytes: wire.limits.max_body_bytes,
@@ -43,7 +45,7 @@
         name: service.name.into(),
         health_path: service.health_path,
         connections_max: service.max_conns,
-        divided_by_key: service.sharded,
+        sharded: service.sharded,
         warmup: service.warmup_per_s.map(|per_s| Warmup {
             time_ms: service.warmup.unwrap_or(0),
             per_s,
@@ -83,21 +85,21 @@
     workspaces
 }
 
-/// Kinds of requests that may run more than once. A kind that this adapter does not know counts as one that may
-/// not.
+/// Kinds of routes whose requests may run more than once. Requests of any other kind, unknown ones
+/// included, run at most once.
 const REPEATABLE_KINDS: [&str; 2] = ["safe", "download"];
 
 fn decode_route(wire: WireRoute) -> Route {
-    let mut parts: Vec<Part> = wire
+    let mut parts: Vec<RouteTarget> = wire
         .split
         .into_iter()
-        .map(|share| Part {
+        .map(|share| RouteTarget {
             service: share.service.into(),
             weight: share.weight,
         })
         .collect();
     if let Some(service) = wire.service {
-        parts = vec![Part {
+        parts = vec![RouteTarget {
             service: service.into(),
             weight: 1.0,
         }];
@@ -108,7 +110,7 @@
         repeatable: REPEATABLE_KINDS.contains(&wire.kind.as_str()),
         timeout_ms: wire.timeout,
         aim_ms: wire.aim.unwrap_or(wire.timeout),
-        urgency: wire.priority,
+        priority: wire.priority,
         is_public: wire.public,
         regions: wire
             .allowed_regions
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! The way of one caller's request: service, key, slot, owner, attempts, outcome.
+//! Routing of one caller's request: service, key, slot, owner, attempts and outcome.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,11 +12,11 @@
 use super::{
     key::{self, CallerPath},
     outcome::{Failure, Outcome, Reason},
-    target::Attempt,
+    target::AttemptOutcome,
     traffic::ServiceTraffic,
 };
 use crate::{
-    claims::{Claim, Claimed, Fingerprint, KEPT_BODY_BYTES, StoredAnswer, request_id},
+    claims::{Claim, ClaimResult, Fingerprint, STORED_BODY_BYTES_MAX, StoredResponse, request_id},
     clock,
     host::Host,
     id::{Epoch, Incarnation, LeaseEpoch, ServerKey, ServiceKey, Slot},
@@ -25,23 +25,23 @@
         SERVICE_HEADER, SLOT_HEADER,
     },
     state::{ServerState, State},
-    transport::{self, AnswerBody},
+    transport::{self, ResponseBody},
 };
 
-/// Path on which the balancer asks whether to send requests here.
+/// Path at which the load balancer checks if this host should get requests.
 pub const READY_PATH: &str = "/_ashroad/ready";
-/// Path on which the platform asks whether the process lives.
+/// Path at which the platform checks if the process is alive.
 pub const ALIVE_PATH: &str = "/_ashroad/alive";
-/// Longest deadline that a caller may ask for.
+/// Longest deadline that a caller may request.
 const DEADLINE_MS_MAX: u64 = 300_000;
-/// Pause before a slot's owner is looked up again when the server's view differs.
+/// Delay before the owner of a slot is looked up again after the server disagreed with this host.
 const STALE_PAUSE_MS: u64 = 3;
-/// Pause before a retry.
+/// Delay before a retry.
 const RETRY_PAUSE_MS: u64 = 10;
-/// Pause before a connection that failed is tried again.
+/// Delay before a new attempt after a failed connection.
 const RECONNECT_PAUSE_MS: u64 = 25;
 
-/// Headers that concern only one connection, and those that ashroad sets itself.
+/// Headers that concern one connection only, and those that ashroad sets itself.
 const DROPPED_HEADERS: [HeaderName; 7] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -52,8 +52,8 @@
     header::EXPECT,
 ];
 
-/// A request with everything that its attempts need.
-struct Routed {
+/// One request with all that its attempts need.
+struct RoutedRequest {
     request_id: String,
     service: ServiceKey,
     service_name: String,
@@ -67,7 +67,7 @@
     traffic: Arc<ServiceTraffic>,
 }
 
-/// The owner of a slot at one moment.
+/// Owner of a slot at one moment.
 #[derive(Clone, Copy, Debug)]
 struct Owner {
     server: ServerKey,
@@ -78,8 +78,8 @@
     permits: usize,
 }
 
-/// Answers one caller's request.
-pub async fn answer(host: Arc<Host>, request: Request<Incoming>) -> Response<AnswerBody> {
+/// Handles one caller's request and returns the response.
+pub async fn answer(host: Arc<Host>, request: Request<Incoming>) -> Response<ResponseBody> {
     match request.uri().path() {
         READY_PATH => return readiness(host.ready()),
         ALIVE_PATH => return readiness(true),
@@ -99,7 +99,7 @@
     }
 }
 
-fn readiness(ready: bool) -> Response<AnswerBody> {
+fn readiness(ready: bool) -> Response<ResponseBody> {
     let status = if ready {
         StatusCode::OK
     } else {
@@ -119,7 +119,7 @@
     host: &Arc<Host>,
     request: Request<Incoming>,
     request_id: &str,
-) -> Result<Response<AnswerBody>, Failure> {
+) -> Result<Response<ResponseBody>, Failure> {
     let path = request.uri().path();
     let no_service = Failure::not_run(Reason::NoSuchService);
     let caller_path = key::split(path).ok_or(no_service)?;
@@ -130,8 +130,8 @@
     let spec = &entry.spec;
     let traffic = host.traffic.of(service, entry.slots.len());
     let overloaded = Failure::not_run(Reason::Overloaded);
-    let place = traffic.admission.enter(spec.queue_requests);
-    let _place = place.ok_or(overloaded)?;
+    let guard = traffic.admission.admit(spec.queue_requests);
+    let _guard = guard.ok_or(overloaded)?;
     let routed = prepare(
         host,
         &state,
@@ -142,7 +142,7 @@
         traffic,
     )?;
     let body = read_body(request, host.settings.callers.body_bytes).await?;
-    let routed = Routed { body, ..routed };
+    let routed = RoutedRequest { body, ..routed };
     routed.traffic.count(routed.slot);
     routed.traffic.retries.request();
     if !routed.headers.contains_key(IDEMPOTENCY_HEADER) {
@@ -162,7 +162,7 @@
     request: &Request<Incoming>,
     request_id: &str,
     traffic: Arc<ServiceTraffic>,
-) -> Result<Routed, Failure> {
+) -> Result<RoutedRequest, Failure> {
     let no_service = Failure::not_run(Reason::NoSuchService);
     let spec = &state.service(service).ok_or(no_service)?.spec;
     let headers = request.headers();
@@ -174,7 +174,7 @@
     let idempotent_key = headers.contains_key(IDEMPOTENCY_HEADER);
     let marked = key::unrepeatable(spec, request.method(), caller_path.rest);
     host.metrics.count("requests");
-    Ok(Routed {
+    Ok(RoutedRequest {
         request_id: request_id.to_owned(),
         service,
         service_name: spec.name.clone(),
@@ -207,9 +207,9 @@
 /// Runs an unrepeatable request under a claim.
 async fn run_once(
     host: &Arc<Host>,
-    routed: &Routed,
+    routed: &RoutedRequest,
     idempotency_key: &str,
-) -> Result<Response<AnswerBody>, Failure> {
+) -> Result<Response<ResponseBody>, Failure> {
     let path = &routed.path_and_query;
     let fingerprint = Fingerprint::of(routed.method.as_str(), path, &routed.body);
     let claimed = host
@@ -222,14 +222,14 @@
         )
         .await;
     let claim = match claimed {
-        Claimed::Granted(claim) => claim,
-        Claimed::Answered(answer) => return stored(&answer),
-        Claimed::Unavailable => return Err(Failure::not_run(Reason::ClaimsUnavailable)),
-        Claimed::Refused(Reason::KeyReused) => return Err(Failure::not_run(Reason::KeyReused)),
-        Claimed::Refused(reason) => return Err(Failure::unknown(reason)),
+        ClaimResult::Granted(claim) => claim,
+        ClaimResult::Answered(answer) => return stored_response(&answer),
+        ClaimResult::Unavailable => return Err(Failure::not_run(Reason::ClaimsUnavailable)),
+        ClaimResult::Refused(Reason::KeyReused) => return Err(Failure::not_run(Reason::KeyReused)),
+        ClaimResult::Refused(reason) => return Err(Failure::unknown(reason)),
     };
-    // The claim is ended even if the caller goes away.
-    let ended = EndClaim::new(host.clone(), claim);
+    // The guard ends the claim even if the caller disconnects.
+    let ended = ClaimGuard::new(host.clone(), claim);
     match run(host, routed).await {
         Ok(answer) => ended.answered(answer).await,
         Err(failure) => {
@@ -239,13 +239,13 @@
     }
 }
 
-/// A claim whose request runs; when dropped without an end, the end is unknown.
-struct EndClaim {
+/// Guard of the claim of a running request; if dropped early, it records an unknown outcome.
+struct ClaimGuard {
     host: Arc<Host>,
     claim: Option<Claim>,
 }
 
-impl EndClaim {
+impl ClaimGuard {
     fn new(host: Arc<Host>, claim: Claim) -> Self {
         Self {
             host,
@@ -263,11 +263,12 @@
         }
     }
 
-    /// Keeps the answer and gives it to the caller. An answer that breaks off is unknown.
+    /// Stores the response and returns it to the caller. A response that ends early leaves the
+    /// outcome unknown.
     async fn answered(
         mut self,
-        answer: Response<AnswerBody>,
-    ) -> Result<Response<AnswerBody>, Failure> {
+        answer: Response<ResponseBody>,
+    ) -> Result<Response<ResponseBody>, Failure> {
         let (parts, body) = answer.into_parts();
         let Ok(body) = body.collect().await else {
             return Err(Failure::unknown(Reason::Broken));
@@ -275,7 +276,7 @@
         let body = body.to_bytes();
         let content_type = parts.headers.get(header::CONTENT_TYPE);
         let content_type = content_type.and_then(|value| value.to_str().ok());
-        let kept = (body.len() <= KEPT_BODY_BYTES).then(|| StoredAnswer {
+        let kept = (body.len() <= STORED_BODY_BYTES_MAX).then(|| StoredResponse {
             status: parts.status.as_u16(),
             content_type: content_type.map(str::to_owned),
             body_base64: STANDARD.encode(&body),
@@ -288,7 +289,7 @@
     }
 }
 
-impl Drop for EndClaim {
+impl Drop for ClaimGuard {
     fn drop(&mut self) {
         if let Some(claim) = self.claim.take() {
             self.host.claims.unknown(claim);
@@ -296,7 +297,7 @@
     }
 }
 
-fn stored(answer: &StoredAnswer) -> Result<Response<AnswerBody>, Failure> {
+fn stored_response(answer: &StoredResponse) -> Result<Response<ResponseBody>, Failure> {
     let unsettled = Failure::unknown(Reason::Unsettled);
     let body = STANDARD.decode(&answer.body_base64);
     let body = body.map_err(|_| unsettled)?;
@@ -309,8 +310,8 @@
     Ok(response)
 }
 
-/// Makes attempts until one is answered, the deadline passes, or none may follow.
-async fn run(host: &Arc<Host>, routed: &Routed) -> Result<Response<AnswerBody>, Failure> {
+/// Makes attempts until one is answered, the deadline passes or no further attempt is allowed.
+async fn run(host: &Arc<Host>, routed: &RoutedRequest) -> Result<Response<ResponseBody>, Failure> {
     loop {
         let owner = owner(host, routed).await?;
         let deadline = Failure::not_run(Reason::Deadline);
@@ -319,23 +320,23 @@
             .permit(owner.address, owner.permits, routed.deadline_ms)
             .await;
         let permit = permit.ok_or(deadline)?;
-        // The wait for the permit may have been long: look at the owner again before sending.
-        if !still_owner(host, routed, owner) {
+        // The wait for the permit may have been long, so the owner is checked again before sending.
+        if !is_still_owner(host, routed, owner) {
             continue;
         }
         let request = attempt(routed, owner);
         let sent = host.targets.send(request, permit, routed.deadline_ms);
         let attempt = tokio::select! {
             attempt = sent => attempt,
-            () = lost(host, owner) => Attempt::Unknown(Reason::ServerLost),
+            () = owner_lost(host, owner) => AttemptOutcome::Unknown(Reason::ServerLost),
         };
         match attempt {
-            Attempt::Answered(answer) => return Ok(answer),
-            Attempt::Unknown(reason) => {
+            AttemptOutcome::Answered(answer) => return Ok(answer),
+            AttemptOutcome::Unknown(reason) => {
                 if routed.unrepeatable || !idempotent(&routed.method) {
                     return Err(Failure::unknown(reason));
                 }
-                // Its keys get another owner, which has not seen this request.
+                // The key gets another owner, which has not seen this request.
                 if reason == Reason::ServerLost {
                     continue;
                 }
@@ -344,10 +345,12 @@
                 }
                 time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
             }
-            Attempt::Stale => pause(routed, STALE_PAUSE_MS).await?,
-            // Nothing was sent, and a lost server's keys are served elsewhere within seconds.
-            Attempt::NotRun(Reason::NoConnection) => pause(routed, RECONNECT_PAUSE_MS).await?,
-            Attempt::NotRun(reason) => {
+            AttemptOutcome::Stale => pause(routed, STALE_PAUSE_MS).await?,
+            // Nothing was sent, and the keys of a lost server are served by others within seconds.
+            AttemptOutcome::NotRun(Reason::NoConnection) => {
+                pause(routed, RECONNECT_PAUSE_MS).await?
+            }
+            AttemptOutcome::NotRun(reason) => {
                 if !routed.traffic.retries.retry() {
                     return Err(Failure::not_run(reason));
                 }
@@ -364,8 +367,8 @@
     )
 }
 
-/// Pauses, unless the deadline comes first.
-async fn pause(routed: &Routed, pause_ms: u64) -> Result<(), Failure> {
+/// Sleeps for `pause_ms`, or fails at once if the deadline comes first.
+async fn pause(routed: &RoutedRequest, pause_ms: u64) -> Result<(), Failure> {
     if clock::now_ms() + pause_ms >= routed.deadline_ms {
         return Err(Failure::not_run(Reason::Deadline));
     }
@@ -373,18 +376,18 @@
     Ok(())
 }
 
-/// Waits until the slot has an owner and this host may act, but not past the deadline.
-async fn owner(host: &Arc<Host>, routed: &Routed) -> Result<Owner, Failure> {
+/// Waits until the slot has an owner and this host is fresh enough to route, up to the deadline.
+async fn owner(host: &Arc<Host>, routed: &RoutedRequest) -> Result<Owner, Failure> {
     if host.view.fresh()
-        && let Some(owner) = look_up(&host.view.peek(), routed)
+        && let Some(owner) = find_owner(&host.view.peek(), routed)
     {
         return Ok(owner);
     }
-    // Subscribed before the next look, so that no change falls between look and wait.
+    // Subscribes before the next lookup, so that no change is missed between lookup and wait.
     let mut changes = host.view.watch();
     loop {
         let fresh = host.view.fresh();
-        if fresh && let Some(owner) = look_up(&host.view.peek(), routed) {
+        if fresh && let Some(owner) = find_owner(&host.view.peek(), routed) {
             return Ok(owner);
         }
         let left_ms = routed.deadline_ms.saturating_sub(clock::now_ms());
@@ -396,7 +399,7 @@
             };
             return Err(Failure::not_run(reason));
         }
-        // Freshness comes without a change, so it is polled for.
+        // A host becomes fresh without a change of the state, so freshness is polled.
         let wait_ms = if fresh {
             left_ms
         } else {
@@ -404,13 +407,13 @@
         };
         let wait = time::timeout(Duration::from_millis(wait_ms), changes.changed());
         if let Ok(Err(closed)) = wait.await {
-            log::debug!("the view has ended: {closed}");
+            log::debug!("the channel of state changes is closed: {closed}");
         }
     }
 }
 
 /// Returns when the owner's membership period has ended.
-async fn lost(host: &Host, owner: Owner) {
+async fn owner_lost(host: &Host, owner: Owner) {
     let mut changes = host.view.watch();
     loop {
         let period = host.view.peek().server(owner.server).map(|server| {
@@ -423,7 +426,7 @@
     }
 }
 
-fn look_up(state: &State, routed: &Routed) -> Option<Owner> {
+fn find_owner(state: &State, routed: &RoutedRequest) -> Option<Owner> {
     let service = state.service(routed.service)?;
     let slot = service.slots.get(routed.slot.0 as usize)?;
     let key = slot.settled()?;
@@ -441,13 +444,13 @@
     })
 }
 
-fn still_owner(host: &Host, routed: &Routed, owner: Owner) -> bool {
-    let found = look_up(&host.view.peek(), routed);
+fn is_still_owner(host: &Host, routed: &RoutedRequest, owner: Owner) -> bool {
+    let found = find_owner(&host.view.peek(), routed);
     let same = found.is_some_and(|f| f.epoch == owner.epoch && f.incarnation == owner.incarnation);
     same && host.view.fresh()
 }
 
-fn attempt(routed: &Routed, owner: Owner) -> Request<Full<Bytes>> {
+fn attempt(routed: &RoutedRequest, owner: Owner) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(routed.body.clone()));
     *request.method_mut() = routed.method.clone();
     let uri = format!("http://{}{}", owner.address, routed.path_and_query);
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -1,4 +1,4 @@
-//! Sending one attempt to one backend server: its permits, its connections, and what came of it.
+//! Sends one attempt of a request to one backend server: permits, connections and the outcome.
 
 use std::{
     collections::HashMap,
@@ -26,18 +26,21 @@
 use crate::{
     clock,
     ownership::message::{OUTCOME_HEADER, REASON_HEADER},
-    transport::{AnswerBody, header_text},
+    transport::{ResponseBody, header_text},
 };
 
+/// Time limit for a connection to a server to be established.
 const CONNECT_TIMEOUT_MS: u64 = 500;
+/// Time after which an unused connection is closed.
 const IDLE_CONNECTION_MS: u64 = 30_000;
 
-/// What came of one attempt.
+/// Outcome of one attempt.
 #[derive(Debug)]
-pub enum Attempt {
+pub enum AttemptOutcome {
     /// The server answered.
-    Answered(Response<AnswerBody>),
-    /// The attempt provably did not run, because the server's view or the slot's owner differs.
+    Answered(Response<ResponseBody>),
+    /// The attempt provably did not run, because server and host disagree on the owner of the slot
+    /// or on its epoch.
     Stale,
     /// The attempt provably did not run.
     NotRun(Reason),
@@ -45,18 +48,18 @@
     Unknown(Reason),
 }
 
-/// Backend servers as one host sees them.
+/// Connections and permits of all backend servers in one host.
 #[derive(Debug)]
 pub struct Targets {
     client: Client<HttpConnector, Full<Bytes>>,
     permits: Mutex<HashMap<SocketAddr, Arc<Semaphore>>>,
 }
 
-/// The right to send one request to a server; given back when dropped.
+/// Right to send one request to a server; released when dropped.
 pub type Permit = OwnedSemaphorePermit;
 
 impl Targets {
-    /// No connections yet; at most `idle_connections` idle ones are kept for each server.
+    /// Creates the client; it keeps at most `idle_connections` idle connections to each server.
     pub fn new(idle_connections: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Waits for a permit of `address` until `deadline_ms`.
+    /// Waits until `deadline_ms` for one of the `permits` of the server at `address`.
     pub async fn permit(
         &self,
         address: SocketAddr,
@@ -94,47 +97,47 @@
         acquired.await.ok()?.ok()
     }
 
-    /// Sends one attempt and waits for the head of its answer until `deadline_ms`. The permit is
-    /// held until the caller has the whole answer.
+    /// Sends one attempt and waits until `deadline_ms` for the head of its response. The permit is
+    /// held until the caller has received the whole response.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
         permit: Permit,
         deadline_ms: u64,
-    ) -> Attempt {
+    ) -> AttemptOutcome {
         let left_ms = deadline_ms.saturating_sub(clock::now_ms());
         let answer = time::timeout(Duration::from_millis(left_ms), self.client.request(request));
         match answer.await {
-            // Dropping the exchange closes its connection, so the server sees it cancelled.
-            Err(_) => Attempt::Unknown(Reason::NoAnswer),
-            Ok(Err(error)) if error.is_connect() => Attempt::NotRun(Reason::NoConnection),
-            Ok(Err(_)) => Attempt::Unknown(Reason::Broken),
+            // Dropping the exchange closes its connection, which cancels the request at the server.
+            Err(_) => AttemptOutcome::Unknown(Reason::NoAnswer),
+            Ok(Err(error)) if error.is_connect() => AttemptOutcome::NotRun(Reason::NoConnection),
+            Ok(Err(_)) => AttemptOutcome::Unknown(Reason::Broken),
             Ok(Ok(answer)) => classify(answer, permit),
         }
     }
 }
 
-fn classify(answer: Response<Incoming>, permit: Permit) -> Attempt {
+fn classify(answer: Response<Incoming>, permit: Permit) -> AttemptOutcome {
     let headers = answer.headers();
     if header_text(headers, OUTCOME_HEADER) != Some("not-run") {
-        let held = |body| Held { body, permit }.boxed();
-        return Attempt::Answered(answer.map(held));
+        let held = |body| BodyWithPermit { body, permit }.boxed();
+        return AttemptOutcome::Answered(answer.map(held));
     }
     match header_text(headers, REASON_HEADER) {
-        Some("stale-epoch" | "stale-incarnation" | "draining") => Attempt::Stale,
-        Some("deadline") => Attempt::NotRun(Reason::Deadline),
-        _ => Attempt::NotRun(Reason::Shed),
+        Some("stale-epoch" | "stale-incarnation" | "draining") => AttemptOutcome::Stale,
+        Some("deadline") => AttemptOutcome::NotRun(Reason::Deadline),
+        _ => AttemptOutcome::NotRun(Reason::Shed),
     }
 }
 
-/// An answer's body together with the permit that it occupies.
-struct Held {
+/// Body of a response together with the permit that it occupies.
+struct BodyWithPermit {
     body: Incoming,
     #[allow(dead_code, reason = "held until the body is dropped")]
     permit: Permit,
 }
 
-impl Body for Held {
+impl Body for BodyWithPermit {
     type Data = Bytes;
     type Error = hyper::Error;
 
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a backend server: accepts fenced grants, drains, sheds, honours deadlines and
-//! cancellation, and records who owned what and which request ran.
+//! Stand-in of a backend server: accepts fenced grants, drains, sheds load, honours deadlines and
+//! cancellation, and records when it owned which slot and which requests it ran.
 
 use std::{
     collections::HashMap,
@@ -21,47 +21,52 @@
 };
 
 pub use super::backend_message::{
-    Answer, FAULTS_PATH, Faults, HEALTH_PATH, LOAD_PATH, LoadAnswer, RECORD_PATH, Record, RunCount,
+    EchoResponse, FAULTS_PATH, Faults, HEALTH_PATH, LOAD_PATH, LoadResponse, RECORD_PATH, Record,
+    RunCount,
 };
 use super::{
     Running,
-    grants::{Grants, Reading},
+    grants::{ClockReading, Grants},
 };
 use crate::{
     clock,
     id::{Epoch, Incarnation, Slot},
     ownership::message::{
         DEADLINE_HEADER, EPOCH_HEADER, IDEMPOTENCY_HEADER, INCARNATION_HEADER, LEASE_PATH,
-        LeaseAnswer, LeaseRequest, OUTCOME_HEADER, REASON_HEADER, REQUEST_HEADER, REVOKE_PATH,
-        RevokeAnswer, RevokeRequest, SERVICE_HEADER, SLOT_HEADER,
+        LeaseRequest, LeaseResponse, OUTCOME_HEADER, REASON_HEADER, REQUEST_HEADER, REVOKE_PATH,
+        RevokeRequest, RevokeResponse, SERVICE_HEADER, SLOT_HEADER,
     },
-    transport::{self, AnswerBody, ListenerLimits, header_number, header_text},
+    transport::{self, ListenerLimits, ResponseBody, header_number, header_text},
 };
 
+/// Largest body of a request to the stand-in's own endpoints.
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
+/// Interval between checks whether the requests for revoked slots have ended.
 const DRAIN_POLL_MS: u64 = 1;
-const CUT_PAUSE_MS: u64 = 30;
+/// Pause between the first half of a truncated response and its end.
+const TRUNCATION_PAUSE_MS: u64 = 30;
+/// Extra run time of a request while the server is cold.
 const COLD_EXTRA_MS: u64 = 20;
 
-/// Shape of one stand-in.
+/// Configuration of one stand-in server.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Listening address.
+    /// Address to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// Requests that run at a time.
+    /// Number of requests that run at the same time.
     pub slots: usize,
-    /// Requests that wait for a slot; further ones are shed.
+    /// Number of requests that wait for a slot; further ones are shed.
     pub queue: usize,
-    /// Time that a request occupies its slot.
+    /// Time for which a request occupies its slot.
     pub work_ms: u64,
-    /// Time after the start in which requests take longer.
+    /// Time after the start in which requests take 20 ms longer.
     pub cold_ms: u64,
-    /// False for a server that takes orders from anyone, however old.
+    /// False for a server that runs requests without checking their epoch and incarnation.
     pub checks_orders: bool,
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct State {
     grants: Grants,
     in_flight: HashMap<(String, Slot), usize>,
     runs: HashMap<String, u64>,
@@ -69,8 +74,8 @@
     running_max: usize,
     waiting: usize,
     faults: Faults,
-    /// What the load endpoint last said, and when.
-    said_load: (u64, LoadAnswer),
+    /// Time of the last load measurement, and the load that the endpoint reports until the next.
+    last_load: (u64, LoadResponse),
 }
 
 #[derive(Clone, Debug)]
@@ -78,11 +83,11 @@
     config: Arc<Config>,
     incarnation: Incarnation,
     started_ms: u64,
-    inner: Arc<Mutex<Inner>>,
+    inner: Arc<Mutex<State>>,
     permits: Arc<Semaphore>,
 }
 
-/// Starts a stand-in.
+/// Starts a stand-in server.
 pub async fn start(config: Config) -> std::io::Result<Running> {
     let listener = TcpListener::bind(config.listen).await?;
     let address = listener.local_addr()?;
@@ -110,14 +115,14 @@
     Ok(Running::new(address, stop, task))
 }
 
-fn reading() -> Reading {
-    Reading {
+fn read_clocks() -> ClockReading {
+    ClockReading {
         clock_ms: clock::now_ms(),
         unix_us: clock::unix_us(),
     }
 }
 
-fn not_run(status: StatusCode, reason: &'static str) -> Response<AnswerBody> {
+fn not_run(status: StatusCode, reason: &'static str) -> Response<ResponseBody> {
     let mut answer = transport::whole(status, "text/plain", Bytes::from_static(reason.as_bytes()));
     let headers = answer.headers_mut();
     headers.insert(OUTCOME_HEADER, HeaderValue::from_static("not-run"));
@@ -125,13 +130,13 @@
     answer
 }
 
-/// Counts a request of a slot as in flight until dropped.
-struct InFlight {
+/// Guard that counts a request for a slot as in flight until dropped.
+struct InFlightGuard {
     backend: Backend,
     key: (String, Slot),
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut inner = self.backend.lock();
         let Some(count) = inner.in_flight.get_mut(&self.key) else {
@@ -144,40 +149,40 @@
     }
 }
 
-/// Counts a request as running until dropped.
-struct Occupied(Backend);
+/// Guard that counts a request as running until dropped.
+struct RunningGuard(Backend);
 
-impl Drop for Occupied {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.lock().running -= 1;
     }
 }
 
-/// Counts a request as waiting until dropped.
-struct Waiting(Backend);
+/// Guard that counts a request as waiting for a slot until dropped.
+struct WaitingGuard(Backend);
 
-impl Drop for Waiting {
+impl Drop for WaitingGuard {
     fn drop(&mut self) {
         self.0.lock().waiting -= 1;
     }
 }
 
 impl Backend {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn thaw(&self) {
+    async fn wait_while_frozen(&self) {
         while self.lock().faults.frozen {
             time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         match request.uri().path() {
             FAULTS_PATH => return self.set_faults(request).await,
             RECORD_PATH => return transport::json(StatusCode::OK, &self.record()),
-            _ => self.thaw().await,
+            _ => self.wait_while_frozen().await,
         }
         match request.uri().path() {
             LEASE_PATH => self.lease(request).await,
@@ -188,7 +193,7 @@
         }
     }
 
-    async fn set_faults(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn set_faults(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         match transport::read_json::<Faults>(request, BODY_BYTES_MAX).await {
             Ok(faults) => {
                 self.lock().faults = faults;
@@ -206,13 +211,13 @@
         };
         Record {
             incarnation: self.incarnation,
-            held: inner.grants.record(reading()),
+            held: inner.grants.record(read_clocks()),
             runs: inner.runs.iter().map(run).collect(),
             running_max: inner.running_max,
         }
     }
 
-    fn health(&self) -> Response<AnswerBody> {
+    fn health(&self) -> Response<ResponseBody> {
         let faults = self.lock().faults;
         let healthy = !faults.draining;
         let status = if healthy != faults.health_lies {
@@ -223,35 +228,35 @@
         transport::whole(status, "text/plain", Bytes::new())
     }
 
-    fn load(&self) -> Response<AnswerBody> {
+    fn load(&self) -> Response<ResponseBody> {
         let now_ms = clock::now_ms();
         let mut inner = self.lock();
-        if now_ms >= inner.said_load.0 + inner.faults.load_lag_ms {
-            let load = LoadAnswer {
+        if now_ms >= inner.last_load.0 + inner.faults.load_lag_ms {
+            let load = LoadResponse {
                 running: inner.running,
                 waiting: inner.waiting,
             };
-            inner.said_load = (now_ms, load);
+            inner.last_load = (now_ms, load);
         }
-        transport::json(StatusCode::OK, &inner.said_load.1)
+        transport::json(StatusCode::OK, &inner.last_load.1)
     }
 
-    /// Extra time of a request while the server is cold.
+    /// Returns the extra run time of a request, which is 0 once the server is warm.
     fn cold_extra_ms(&self) -> u64 {
         let cold = clock::now_ms() < self.started_ms + self.config.cold_ms;
         if cold { COLD_EXTRA_MS } else { 0 }
     }
 
-    async fn lease(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn lease(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let order: LeaseRequest = match transport::read_json(request, BODY_BYTES_MAX).await {
             Ok(order) => order,
             Err(answer) => return answer,
         };
-        let now = reading();
+        let now = read_clocks();
         let mut inner = self.lock();
-        let meant = order.incarnation == Some(self.incarnation);
-        let accepted = meant && inner.grants.renew(&order, now);
-        let answer = LeaseAnswer {
+        let is_for_this_incarnation = order.incarnation == Some(self.incarnation);
+        let accepted = is_for_this_incarnation && inner.grants.renew(&order, now);
+        let answer = LeaseResponse {
             incarnation: self.incarnation,
             clock_ms: now.clock_ms,
             lease_epoch: inner.grants.lease_epoch(),
@@ -262,14 +267,14 @@
         transport::json(StatusCode::OK, &answer)
     }
 
-    async fn revoke(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn revoke(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let order: RevokeRequest = match transport::read_json(request, BODY_BYTES_MAX).await {
             Ok(order) => order,
             Err(answer) => return answer,
         };
-        let meant = order.incarnation == self.incarnation;
-        let released = meant && self.release(&order).await;
-        let answer = RevokeAnswer {
+        let is_for_this_incarnation = order.incarnation == self.incarnation;
+        let released = is_for_this_incarnation && self.release(&order).await;
+        let answer = RevokeResponse {
             incarnation: self.incarnation,
             released,
         };
@@ -277,7 +282,7 @@
     }
 
     async fn release(&self, order: &RevokeRequest) -> bool {
-        let now = reading();
+        let now = read_clocks();
         for next in &order.slots {
             self.lock().grants.revoke(next, now);
         }
@@ -299,18 +304,18 @@
         true
     }
 
-    async fn run(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn run(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let headers = request.headers().clone();
         let path = request.uri().path().to_owned();
         let Ok(body) = request.into_body().collect().await else {
             return not_run(StatusCode::BAD_REQUEST, "broken-body");
         };
-        self.thaw().await;
+        self.wait_while_frozen().await;
         let in_flight = match self.admit(&headers) {
             Ok(in_flight) => in_flight,
             Err(reason) => return not_run(StatusCode::CONFLICT, reason),
         };
-        let occupied = match self.occupy(&headers).await {
+        let occupied = match self.acquire_slot(&headers).await {
             Ok(occupied) => occupied,
             Err(reason) => return not_run(StatusCode::SERVICE_UNAVAILABLE, reason),
         };
@@ -320,29 +325,31 @@
         let run = header_text(&headers, IDEMPOTENCY_HEADER)
             .unwrap_or(&id)
             .to_owned();
-        // A request that came straight from a caller may have no name.
+        // A request sent directly by a caller may have neither an identifier nor an idempotency
+        // key.
         if !run.is_empty() {
             *self.lock().runs.entry(run).or_default() += 1;
         }
         let extra_ms = self.lock().faults.extra_ms + self.cold_extra_ms();
         time::sleep(Duration::from_millis(self.config.work_ms + extra_ms)).await;
-        self.thaw().await;
+        self.wait_while_frozen().await;
         drop(occupied);
         drop(in_flight);
-        let answer = Answer {
+        let answer = EchoResponse {
             request: id,
             path,
             incarnation: self.incarnation,
             body_bytes: body.to_bytes().len(),
         };
         if self.lock().faults.cut_answers {
-            return cut(&answer);
+            return truncated(&answer);
         }
         transport::json(StatusCode::OK, &answer)
     }
 
-    /// Checks the order and counts the request as in flight in one step.
-    fn admit(&self, headers: &HeaderMap) -> Result<Option<InFlight>, &'static str> {
+    /// Checks the epoch and incarnation of a request and counts it as in flight, under one lock so
+    /// that a revocation in between cannot miss it. `None` for requests without service or slot.
+    fn admit(&self, headers: &HeaderMap) -> Result<Option<InFlightGuard>, &'static str> {
         let Some(service) = header_text(headers, SERVICE_HEADER) else {
             return Ok(None);
         };
@@ -363,20 +370,20 @@
         }
         let key = (service.to_owned(), slot);
         *inner.in_flight.entry(key.clone()).or_default() += 1;
-        Ok(Some(InFlight {
+        Ok(Some(InFlightGuard {
             backend: self.clone(),
             key,
         }))
     }
 
-    async fn occupy(&self, headers: &HeaderMap) -> Result<Slotted, &'static str> {
+    async fn acquire_slot(&self, headers: &HeaderMap) -> Result<SlotGuard, &'static str> {
         let waiting = {
             let mut inner = self.lock();
             if inner.waiting >= self.config.queue + self.permits.available_permits() {
                 return Err("shed");
             }
             inner.waiting += 1;
-            Waiting(self.clone())
+            WaitingGuard(self.clone())
         };
         let deadline_ms = header_number(headers, DEADLINE_HEADER).unwrap_or(60_000);
         let permit = self.permits.clone().acquire_owned();
@@ -388,26 +395,26 @@
         let mut inner = self.lock();
         inner.running += 1;
         inner.running_max = inner.running_max.max(inner.running);
-        Ok(Slotted {
-            _occupied: Occupied(self.clone()),
+        Ok(SlotGuard {
+            _occupied: RunningGuard(self.clone()),
             _permit: permit,
         })
     }
 }
 
-/// A running request's slot; given back when dropped.
-struct Slotted {
-    _occupied: Occupied,
+/// Guard of the slot of a running request; releases the slot when dropped.
+struct SlotGuard {
+    _occupied: RunningGuard,
     _permit: OwnedSemaphorePermit,
 }
 
-/// Body that ends before the announced length, a moment after its first half.
-struct CutBody {
+/// Body that ends before the announced length, a short pause after its first half.
+struct TruncatedBody {
     half: Option<Bytes>,
     pause: Pin<Box<time::Sleep>>,
 }
 
-impl Body for CutBody {
+impl Body for TruncatedBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -422,15 +429,15 @@
     }
 }
 
-/// An answer that announces its whole length and breaks off in the middle.
-fn cut(answer: &Answer) -> Response<AnswerBody> {
+/// Builds a response that announces its full length but ends in the middle of the body.
+fn truncated(answer: &EchoResponse) -> Response<ResponseBody> {
     let mut whole = Bytes::from(serde_json::to_vec(answer).unwrap_or_default());
     let announced = HeaderValue::from(whole.len());
     let half = whole.split_to(whole.len() / 2);
     let mut response = Response::new(
-        CutBody {
+        TruncatedBody {
             half: Some(half),
-            pause: Box::pin(time::sleep(Duration::from_millis(CUT_PAUSE_MS))),
+            pause: Box::pin(time::sleep(Duration::from_millis(TRUNCATION_PAUSE_MS))),
         }
         .boxed(),
     );
--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -1,4 +1,5 @@
-//! The grants that a backend server holds, as a state machine that takes time as an argument.
+//! State machine of the grants that a backend server holds. It takes the time as an argument, so
+//! that tests control it.
 
 use std::collections::HashMap;
 
@@ -9,61 +10,62 @@
     ownership::message::{LeaseRequest, SlotGrant, grant_hash},
 };
 
-/// A span of time in which a server held a slot, on the machine's wall clock.
+/// Time span in which a server owned a slot, by the machine's wall clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldSpan {
-    /// Service.
+pub struct OwnershipSpan {
+    /// Name of the service.
     pub service: String,
-    /// Slot.
+    /// Slot of the service.
     pub slot: Slot,
     /// Epoch of the grant.
     pub epoch: Epoch,
-    /// Start.
+    /// Start of the span, as Unix time in microseconds.
     pub from_us: u64,
-    /// End.
+    /// End of the span, as Unix time in microseconds; not included.
     pub until_us: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct SlotState {
     epoch: Epoch,
-    /// Start of the tenure; none if the slot was given up at `epoch`.
+    /// Start of the ownership; `None` if the slot was released at `epoch`.
     since_us: Option<u64>,
 }
 
-/// A reading of the server's clock together with wall time.
+/// Time by the server's monotonic clock and by the wall clock.
 #[derive(Clone, Copy, Debug)]
-pub struct Reading {
+pub struct ClockReading {
     /// Monotonic time of the server.
     pub clock_ms: u64,
-    /// Wall time, for the record.
+    /// Wall clock time, used for the record.
     pub unix_us: u64,
 }
 
-/// Grants of one server process.
+/// Lease and slot grants of one server process.
 #[derive(Clone, Debug, Default)]
 pub struct Grants {
     lease_epoch: LeaseEpoch,
     not_after_ms: u64,
-    slots: HashMap<(String, Slot), Held>,
+    slots: HashMap<(String, Slot), SlotState>,
     digest: u64,
     leases_us: Vec<(u64, u64)>,
-    ended: Vec<HeldSpan>,
+    ended: Vec<OwnershipSpan>,
 }
 
 impl Grants {
-    /// Highest membership period seen.
+    /// Returns the highest lease epoch (membership period) seen.
     pub fn lease_epoch(&self) -> LeaseEpoch {
         self.lease_epoch
     }
 
-    /// Digest over the grants held.
+    /// Returns the digest over the grants held, which is compared with that of the granting host.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Extends the lease and takes the grants; false if the order is outdated.
-    pub fn renew(&mut self, request: &LeaseRequest, now: Reading) -> bool {
+    /// Extends the lease and adds the grants; returns false if the order is of an earlier lease
+    /// epoch.
+    pub fn renew(&mut self, request: &LeaseRequest, now: ClockReading) -> bool {
         if request.lease_epoch < self.lease_epoch {
             return false;
         }
@@ -78,16 +80,17 @@
         true
     }
 
-    /// A new membership period begins without grants: those of the last one may have moved on.
-    fn end_all(&mut self, now: Reading) {
+    /// Ends all grants at the start of a new lease epoch, because slots of the previous one may
+    /// have moved to other servers.
+    fn end_all(&mut self, now: ClockReading) {
         let keys: Vec<(String, Slot)> = self.slots.keys().cloned().collect();
         for key in keys {
-            self.end_tenure(&key, now);
+            self.end_ownership(&key, now);
         }
         self.not_after_ms = 0;
     }
 
-    fn extend(&mut self, not_after_ms: u64, now: Reading) {
+    fn extend(&mut self, not_after_ms: u64, now: ClockReading) {
         if not_after_ms <= now.clock_ms || not_after_ms <= self.not_after_ms {
             return;
         }
@@ -100,7 +103,7 @@
         }
     }
 
-    fn grant(&mut self, grant: &SlotGrant, now: Reading) {
+    fn grant(&mut self, grant: &SlotGrant, now: ClockReading) {
         let key = (grant.service.clone(), grant.slot);
         if self
             .slots
@@ -109,17 +112,17 @@
         {
             return;
         }
-        self.end_tenure(&key, now);
+        self.end_ownership(&key, now);
         self.digest ^= grant_hash(&grant.service, grant.slot, grant.epoch);
-        let held = Held {
+        let held = SlotState {
             epoch: grant.epoch,
             since_us: Some(now.unix_us),
         };
         self.slots.insert(key, held);
     }
 
-    /// Gives up a slot; grants below `next.epoch` are refused from now on.
-    pub fn revoke(&mut self, next: &SlotGrant, now: Reading) {
+    /// Releases a slot; grants with an epoch below `next.epoch` are refused afterwards.
+    pub fn revoke(&mut self, next: &SlotGrant, now: ClockReading) {
         let key = (next.service.clone(), next.slot);
         if self
             .slots
@@ -128,15 +131,15 @@
         {
             return;
         }
-        self.end_tenure(&key, now);
-        let held = Held {
+        self.end_ownership(&key, now);
+        let held = SlotState {
             epoch: Epoch(next.epoch.0 - 1),
             since_us: None,
         };
         self.slots.insert(key, held);
     }
 
-    fn end_tenure(&mut self, key: &(String, Slot), now: Reading) {
+    fn end_ownership(&mut self, key: &(String, Slot), now: ClockReading) {
         let Some(held) = self.slots.get_mut(key) else {
             return;
         };
@@ -144,7 +147,7 @@
             return;
         };
         self.digest ^= grant_hash(&key.0, key.1, held.epoch);
-        self.ended.push(HeldSpan {
+        self.ended.push(OwnershipSpan {
             service: key.0.clone(),
             slot: key.1,
             epoch: held.epoch,
@@ -153,7 +156,7 @@
         });
     }
 
-    /// True if a request for `slot` at `epoch` may run at `clock_ms`.
+    /// Returns true if a request for `slot` at `epoch` may run at `clock_ms`.
     pub fn admits(&self, service: &str, slot: Slot, epoch: Epoch, clock_ms: u64) -> bool {
         if clock_ms >= self.not_after_ms {
             return false;
@@ -163,16 +166,16 @@
             .is_some_and(|held| held.since_us.is_some() && held.epoch == epoch)
     }
 
-    /// True if some request for `slot` would be admitted at `clock_ms`.
+    /// Returns true if requests for `slot` at some epoch would be admitted at `clock_ms`.
     pub fn owns(&self, service: &str, slot: Slot, clock_ms: u64) -> bool {
         let held = self.slots.get(&(service.to_owned(), slot));
         clock_ms < self.not_after_ms && held.is_some_and(|held| held.since_us.is_some())
     }
 
-    /// Every span in which a slot was held under a valid lease, up to now.
-    pub fn record(&self, now: Reading) -> Vec<HeldSpan> {
+    /// Returns every span up to `now` in which a slot was owned under a valid lease.
+    pub fn record(&self, now: ClockReading) -> Vec<OwnershipSpan> {
         let open = self.slots.iter().filter_map(|((service, slot), held)| {
-            Some(HeldSpan {
+            Some(OwnershipSpan {
                 service: service.clone(),
                 slot: *slot,
                 epoch: held.epoch,
@@ -180,13 +183,13 @@
                 until_us: now.unix_us,
             })
         });
-        let spans: Vec<HeldSpan> = self.ended.iter().cloned().chain(open).collect();
+        let spans: Vec<OwnershipSpan> = self.ended.iter().cloned().chain(open).collect();
         let mut record = Vec::new();
         for (start_us, end_us) in &self.leases_us {
             record.extend(spans.iter().filter_map(|span| {
                 let from_us = span.from_us.max(*start_us);
                 let until_us = span.until_us.min(*end_us);
-                (from_us < until_us).then(|| HeldSpan {
+                (from_us < until_us).then(|| OwnershipSpan {
                     from_us,
                     until_us,
                     ..span.clone()
--- a/src/standin/verdict.rs
+++ b/src/standin/invariants.rs
@@ -1,28 +1,29 @@
-//! Judges the records of backend servers from outside: double ownership and double runs.
+//! Checks two invariants over the records of stand-in servers: no slot has two owners at a time,
+//! and no request runs twice.
 
 use std::collections::HashMap;
 
 use super::{
     backend::{Record, RunCount},
-    grants::HeldSpan,
+    grants::OwnershipSpan,
 };
 
-/// Two servers that owned one slot at the same time.
+/// Violation of exclusive ownership: two servers owned one slot at the same time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DoubleOwned {
-    /// One span.
-    pub one: HeldSpan,
-    /// Another span, of another server, that overlaps it.
-    pub other: HeldSpan,
+    /// Ownership span of the first server.
+    pub one: OwnershipSpan,
+    /// Ownership span of another server that overlaps the first.
+    pub other: OwnershipSpan,
 }
 
-/// Every pair of overlapping spans of different servers.
+/// Returns every pair of overlapping ownership spans of different servers.
 pub fn double_owned(records: &[Record]) -> Vec<DoubleOwned> {
-    let mut spans: Vec<(usize, &HeldSpan)> = Vec::new();
+    let mut spans: Vec<(usize, &OwnershipSpan)> = Vec::new();
     for (server, record) in records.iter().enumerate() {
         spans.extend(record.held.iter().map(|span| (server, span)));
     }
-    spans.sort_by(|(_, a), (_, b)| place(a).cmp(&place(b)));
+    spans.sort_by(|(_, a), (_, b)| sort_key(a).cmp(&sort_key(b)));
     let mut found = Vec::new();
     for (index, (server, span)) in spans.iter().enumerate() {
         let later = spans[index + 1..].iter();
@@ -37,15 +38,15 @@
     found
 }
 
-fn place(span: &HeldSpan) -> (&str, u32, u64) {
+fn sort_key(span: &OwnershipSpan) -> (&str, u32, u64) {
     (&span.service, span.slot.0, span.from_us)
 }
 
-fn same_slot(one: &HeldSpan, other: &HeldSpan) -> bool {
+fn same_slot(one: &OwnershipSpan, other: &OwnershipSpan) -> bool {
     one.service == other.service && one.slot == other.slot
 }
 
-/// Requests that ran more than once, over all servers.
+/// Returns the requests that ran more than once, summed over all servers.
 pub fn double_runs(records: &[Record]) -> Vec<RunCount> {
     let mut runs: HashMap<&str, u64> = HashMap::new();
     for run in records.iter().flat_map(|record| &record.runs) {
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform: table service, object store and lagging list of hosts.
+//! Stand-in of the platform: table service, object store and a list of hosts that can lag.
 
 use std::{
     collections::BTreeMap,
@@ -20,42 +20,43 @@
     clock,
     store::message::{
         Expect, HOSTS_PATH, HostList, OBJECT_PATH, RANGE_PATH, RangeRead, Row, Rows, TRANSACT_PATH,
-        Transacted, Transaction,
+        Transaction, TransactionOutcome,
     },
-    transport::{self, AnswerBody, ListenerLimits},
+    transport::{self, ListenerLimits, ResponseBody},
 };
 
-/// Path that sets faults (POST).
+/// Path of the endpoint that sets faults (POST).
 pub const FAULTS_PATH: &str = "/faults";
-/// Path of the counters (GET).
+/// Path of the endpoint that returns the counters (GET).
 pub const COUNTERS_PATH: &str = "/counters";
 
+/// Largest body of a request.
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
 
-/// Faults that the stand-in shows until told otherwise.
+/// Faults that the stand-in injects until other faults are set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Nothing is answered, nothing takes effect.
+    /// No call takes effect or gets a response until the fault ends.
     pub down: bool,
-    /// Extra time before each call takes effect.
+    /// Delay before each call takes effect.
     pub slow_ms: u64,
-    /// The answer of every n-th transaction is lost after it took effect; 0 for none.
+    /// Every n-th transaction gets no response although it took effect; 0 for none.
     pub lose_answer_every: u64,
-    /// Time by which the list of hosts lags.
+    /// Age of the list of hosts that readers get.
     pub list_lag_ms: u64,
 }
 
-/// Calls seen so far.
+/// Numbers of calls since the start.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Counters {
-    /// Range reads.
+    /// Number of range reads.
     pub reads: u64,
-    /// Transactions.
+    /// Number of transactions, refused ones included.
     pub transactions: u64,
-    /// Transactions that took effect.
+    /// Number of transactions that took effect.
     pub committed: u64,
-    /// Answers lost on purpose.
+    /// Number of responses dropped by the fault `lose_answer_every`.
     pub lost_answers: u64,
 }
 
@@ -100,7 +101,7 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         match request.uri().path() {
             FAULTS_PATH => return self.set_faults(request).await,
             COUNTERS_PATH => return transport::json(StatusCode::OK, &self.lock().counters),
@@ -113,7 +114,7 @@
         }
     }
 
-    async fn set_faults(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn set_faults(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         match transport::read_json::<Faults>(request, BODY_BYTES_MAX).await {
             Ok(faults) => {
                 self.lock().faults = faults;
@@ -128,7 +129,7 @@
         if faults.slow_ms > 0 {
             time::sleep(Duration::from_millis(faults.slow_ms)).await;
         }
-        // Silence, as of a cut network: callers notice by their own timeout.
+        // Stays silent as in a network partition: callers notice it by their own timeouts.
         while self.lock().faults.down {
             time::sleep(Duration::from_millis(20)).await;
         }
@@ -137,7 +138,7 @@
     async fn dispatch(
         &self,
         request: Request<Incoming>,
-    ) -> Result<Response<AnswerBody>, Response<AnswerBody>> {
+    ) -> Result<Response<ResponseBody>, Response<ResponseBody>> {
         let path = request.uri().path().to_owned();
         match (request.method().clone(), path.as_str()) {
             (Method::POST, TRANSACT_PATH) => {
@@ -167,7 +168,7 @@
         method: Method,
         path: &str,
         request: Request<Incoming>,
-    ) -> Result<Response<AnswerBody>, Response<AnswerBody>> {
+    ) -> Result<Response<ResponseBody>, Response<ResponseBody>> {
         let not_found = || transport::whole(StatusCode::NOT_FOUND, "text/plain", Bytes::new());
         let name = path.strip_prefix(OBJECT_PATH).ok_or_else(not_found)?;
         if method != Method::PUT {
@@ -192,12 +193,12 @@
 }
 
 impl Table {
-    /// Runs a transaction; the flag tells whether its answer is to be lost.
-    fn transact(&mut self, transaction: Transaction) -> (Transacted, bool) {
+    /// Runs a transaction; the flag is true if its response must be dropped.
+    fn transact(&mut self, transaction: Transaction) -> (TransactionOutcome, bool) {
         self.counters.transactions += 1;
         let conflicts = self.conflicts(&transaction);
         if !conflicts.is_empty() {
-            return (Transacted::Conflict { keys: conflicts }, false);
+            return (TransactionOutcome::Conflict { keys: conflicts }, false);
         }
         for write in transaction.writes {
             self.write(write.key, write.value);
@@ -206,7 +207,7 @@
         let every = self.faults.lose_answer_every;
         let lost = every > 0 && self.counters.transactions.is_multiple_of(every);
         self.counters.lost_answers += u64::from(lost);
-        (Transacted::Committed, lost)
+        (TransactionOutcome::Committed, lost)
     }
 
     fn conflicts(&self, transaction: &Transaction) -> Vec<String> {
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -1,19 +1,19 @@
-//! The clock that leases and deadlines go by.
+//! Tests of the clock that leases and deadlines use.
 
 use std::{thread, time::Duration};
 
-use ashroad::clock::{self, SOURCE};
+use ashroad::clock::{self, CLOCK_ID};
 use nix::time::ClockId;
 
-/// No test can suspend its machine, so this one holds on to the source: of the clocks that never go back, only
-/// this one counts the time of a suspension.
+/// A test cannot suspend its machine, so this one pins the clock source. It is the only monotonic
+/// clock of Linux that includes the time of a suspension.
 #[test]
-fn time_for_which_the_machine_was_suspended_counts() {
-    assert_eq!(SOURCE, ClockId::CLOCK_BOOTTIME);
+fn suspended_time_counts() {
+    assert_eq!(CLOCK_ID, ClockId::CLOCK_BOOTTIME);
 }
 
 #[test]
-fn time_goes_on() {
+fn time_advances() {
     let before_ms = clock::now_ms();
     thread::sleep(Duration::from_millis(30));
     let elapsed_ms = clock::now_ms() - before_ms;
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,13 +1,13 @@
-//! The command line with good and bad input.
+//! Tests of the command line with valid and invalid input.
 
 mod common;
 
 use std::{fs, path::PathBuf};
 
 use ashroad::operator::message::{SubmitBody, WithdrawBody};
-use common::{Cluster, PLAIN, run};
+use common::{Cluster, NO_FLAGS, run};
 
-const FAULTY: Option<i32> = Some(3);
+const INVALID_INPUT: Option<i32> = Some(3);
 
 fn directory(name: &str) -> PathBuf {
     let directory = std::env::temp_dir().join(format!("ashroad-{name}-{}", std::process::id()));
@@ -116,7 +116,7 @@
         let path = path.display().to_string();
         let output = run(&["check", &path]);
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
-        assert_eq!(output.status.code(), FAULTY, "{}: {text}", case.name);
+        assert_eq!(output.status.code(), INVALID_INPUT, "{}: {text}", case.name);
         assert!(text.contains(&path), "{}: {text}", case.name);
         assert!(text.contains(case.said), "{}: {text}", case.name);
     }
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn the_examples_are_sound() {
+fn the_examples_are_valid() {
     let examples = concat!(env!("CARGO_MANIFEST_DIR"), "/examples");
     let file = |name: &str| format!("{examples}/{name}");
     let output = run(&[
@@ -142,7 +142,7 @@
 
 #[tokio::test]
 async fn a_change_is_made_once_and_only_on_the_expected_revision() {
-    let cluster = Cluster::start(1, 1, PLAIN);
+    let cluster = Cluster::start(1, 1, NO_FLAGS);
     cluster.declare("").await;
     let client = cluster.operator(0);
     let body = |operation_id: &str, expect_revision: Option<u64>| SubmitBody {
@@ -152,7 +152,7 @@
         actor: None,
         dry_run: false,
     };
-    let kind = ashroad::operator::client::Kind::Workspace;
+    let kind = ashroad::operator::client::DeclarationKind::Workspace;
     let first = client
         .submit(kind, &body("a", None))
         .await
@@ -180,7 +180,7 @@
         expect_revision: None,
         actor: None,
     };
-    let kind = ashroad::operator::client::Kind::Template;
+    let kind = ashroad::operator::client::DeclarationKind::Template;
     let in_use = client.withdraw(kind, &withdraw).await;
     let message = in_use.expect_err("refused").to_string();
     assert!(message.contains("still used by workspace w"), "{message}");
@@ -188,13 +188,13 @@
 
 #[tokio::test]
 async fn changes_need_the_token() {
-    let cluster = Cluster::start(1, 1, PLAIN);
+    let cluster = Cluster::start(1, 1, NO_FLAGS);
     let api = cluster.hosts[0].operators.to_string();
     let path = cluster.directory.join("t.yaml");
     fs::write(&path, template(TARGETS, "")).expect("file");
     let path = path.display().to_string();
     let refused = run(&["template", "submit", "--api", &api, &path]);
-    assert_eq!(refused.status.code(), FAULTY);
+    assert_eq!(refused.status.code(), INVALID_INPUT);
     let said = String::from_utf8_lossy(&refused.stderr).into_owned();
     assert!(said.contains("token"), "{said}");
     let status = run(&["--json", "status", "--api", &api]);
--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -1,17 +1,18 @@
-//! A request that ends each backend server which begins to run it.
+//! Requests that crash each backend server that begins to run them must reach few servers.
 //!
-//! What users saw: over a tenth of their requests failed for seconds, again and again, and one backend server of a
-//! service after the other ended, 3.3 to 3.9 s apart. Order of events: a caller's request came; the server that
-//! ran it ended with all that it had in flight; its keys went to another server; the caller's request came
-//! again, at any host, and ended that one. Cause: no host knew that the request had been there before, since each
-//! try has an id of its own, and none told the others. Evidence: each server that ended held the same small range of
-//! keys, granted to it just before, while others with as many requests lived through the day.
+//! The first failure: over a tenth of the requests failed for seconds, again and again, while the
+//! servers of a service crashed one after the other, 3.3 to 3.9 s apart. A caller's request crashed
+//! its server with all requests in flight there; the keys moved to another server; the caller
+//! retried at any host and crashed that server too. No host recognised the request, since each
+//! retry has an id of its own and hosts did not report crashes to each other. Each crashed server
+//! held the same small range of keys, granted to it just before; others with as many requests
+//! survived.
 //!
-//! What users saw later: the same, with one path that many callers read. Three servers had ended, and it was sent to seven to
-//! eleven more. Order of events: as before, but each try came from another caller. Cause: a request was known by its caller
-//! too, which has nothing to do with what ends a server, so each caller's was a first suspect. Evidence: of 18 digests under
-//! which servers ended, none twice, ten were of the same path from ten callers; and no server too many ends once the path counts
-//! for itself.
+//! The second failure: the same with one path that many callers read. After three servers had
+//! crashed, the request still reached seven to eleven more. Digests included the caller, so each
+//! caller's request was a suspect for the first time: of 18 digests under which servers
+//! crashed none occurred twice, but ten were of one path from ten callers. Digests of the path
+//! alone prevent it.
 
 mod platform_standin;
 
@@ -26,32 +27,33 @@
 use tokio::{task::JoinSet, time};
 
 use self::platform_standin::{
-    caller::{Answer, Ask, Caller},
+    caller::{Answer, Caller, TestRequest},
     hosts::Host,
-    server::{Kind, Server},
+    server::{Server, ServerKind},
     site::{KEYED, ORDERS, Site, configuration, eventually, get},
 };
 
-const DEADLY: &str = "/reads/deadly";
+const CRASH_PATH: &str = "/reads/deadly";
 const HARMLESS: &str = "/reads/harmless";
 const CALLER: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 const OTHER_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2));
-/// Servers that may end under one request before hosts must know.
-const ENDS_NEEDED: usize = 3;
-/// Runs after that and the contact time that the users allow.
+/// Crashes under one request after which hosts must quarantine it.
+const CRASHES_NEEDED: usize = 3;
+/// Runs that the users allow after those crashes and the detection time.
 const LATE_RUNS_MAX: usize = 3;
-/// Servers that may end after that, by tries that were on their way.
-const ENDS_ON_THE_WAY: usize = 1;
-/// Time in which all hosts must know.
-const CONTACT: Duration = Duration::from_millis(3_000);
-/// Time in which a key has a server again after its server has ended: the lease, and the grant to the next one.
-const KEY_MOVES: Duration = Duration::from_secs(6);
-/// Time at the end of a play for which what others ask for counts as settled.
-const SETTLED: Duration = Duration::from_secs(3);
+/// Further crashes allowed, by attempts that were in flight.
+const CRASHES_IN_FLIGHT: usize = 1;
+/// Time within which all hosts must know of a crash.
+const DETECTION_TIME: Duration = Duration::from_millis(3_000);
+/// Time within which a key has a server again after a crash: the lease, and the grant to the next
+/// server.
+const KEY_FAILOVER_TIME: Duration = Duration::from_secs(6);
+/// Time at the end of a test in which harmless requests must be served without disturbance.
+const STEADY_TIME: Duration = Duration::from_secs(3);
 
 async fn send(host: &Host, caller: IpAddr, method: &str, path: &str) -> Option<Answer> {
     let id = format!("{:016x}", rand::random::<u64>());
-    let ask = Ask {
+    let ask = TestRequest {
         method,
         path,
         id: &id,
@@ -66,7 +68,7 @@
     send(host, caller, "GET", path).await
 }
 
-/// Sends an unrepeatable request.
+/// Sends an unrepeatable request and returns the status of the response.
 async fn order(host: &Host, path: &str) -> Option<StatusCode> {
     let answer = send(host, CALLER, "POST", path).await;
     answer.map(|answer| answer.status)
@@ -81,26 +83,27 @@
     !host.events("duty_taken").is_empty()
 }
 
-/// Place of the host that has the duty.
-fn holder(site: &Site) -> usize {
+/// Returns the index of the host that has the duty.
+fn duty_holder(site: &Site) -> usize {
     let place = site.hosts.iter().position(has_taken_duty);
-    place.expect("a holder")
+    place.expect("a duty holder")
 }
 
-/// Hosts, and servers that end under requests for [`DEADLY`], whose entries stay.
+/// Starts hosts, and servers that crash under requests for [`CRASH_PATH`] and whose entries stay in the
+/// store.
 async fn start(hosts: usize, servers: usize) -> (Site, Vec<Server>) {
     let mut site = Site::start_servers(1).await;
-    // Only mortal servers get the reads.
+    // Drains the other servers, so that only those that can crash get the reads.
     for server in &site.orders {
-        server.declare(&site.store, "draining");
+        server.write_entry(&site.store, "draining");
     }
     let mut mortal = Vec::new();
     for _ in 0..servers {
-        let kind = Kind {
+        let kind = ServerKind {
             work_ms: 20,
             ..ORDERS
         };
-        mortal.push(Server::start_mortal(&site.store, &site.record, kind).await);
+        mortal.push(Server::start_crashable(&site.store, &site.record, kind).await);
     }
     site.store
         .put("op", "config", &configuration(2, &["/reads/"]));
@@ -113,23 +116,24 @@
         })
         .await;
     }
-    // Hosts know each other, and one of them has the duty.
+    // Waits until the hosts know each other and one of them has the duty.
     eventually("a host has the duty", 8_000, async || {
         site.hosts.iter().any(has_taken_duty)
     })
     .await;
-    // Hosts that have just started owe nothing: they have read no secret yet and hear nobody.
-    time::sleep(CONTACT).await;
-    site.record.set_deadly_path(Some(DEADLY));
+    // The bounds do not apply to hosts that have just started: they have not read the shared secret
+    // yet and receive no messages.
+    time::sleep(DETECTION_TIME).await;
+    site.record.set_crash_path(Some(CRASH_PATH));
     (site, mortal)
 }
 
-/// Three hosts, and servers with keys that end under requests for a deadly path.
+/// Starts three hosts, and servers with keys that crash under requests for a crash path.
 async fn start_keyed(servers: usize) -> (Site, Vec<Server>) {
     let mut site = Site::start_servers(0).await;
     let mut mortal = Vec::new();
     for _ in 0..servers {
-        mortal.push(Server::start_mortal(&site.store, &site.record, KEYED).await);
+        mortal.push(Server::start_crashable(&site.store, &site.record, KEYED).await);
     }
     for _ in 0..3 {
         site.hosts.push(Host::start(&site.store));
@@ -140,15 +144,16 @@
         })
         .await;
     }
-    time::sleep(CONTACT).await;
+    time::sleep(DETECTION_TIME).await;
     (site, mortal)
 }
 
-/// Sends the deadly request to the hosts by turns, each time with another id, beside harmless ones.
-async fn send_again_and_again(site: &Site, tries: usize) {
+/// Sends the crashing request to the hosts in turn, each time with a new id, and a harmless request
+/// after each.
+async fn retry_crashing_request(site: &Site, tries: usize) {
     for number in 0..tries {
         let host = &site.hosts[number % site.hosts.len()];
-        read(host, CALLER, DEADLY).await;
+        read(host, CALLER, CRASH_PATH).await;
         time::sleep(Duration::from_millis(300)).await;
         status(host, OTHER_CALLER, HARMLESS).await;
     }
@@ -157,22 +162,23 @@
 #[tokio::test]
 async fn a_request_that_ends_servers_reaches_few_of_them() {
     let (site, servers) = start(3, 14).await;
-    send_again_and_again(&site, 12).await;
-    let ends = site.record.ends();
+    retry_crashing_request(&site, 12).await;
+    let crashes = site.record.crashes();
     assert!(
-        ends.len() <= ENDS_NEEDED + ENDS_ON_THE_WAY,
-        "{} of {} servers ended",
-        ends.len(),
+        crashes.len() <= CRASHES_NEEDED + CRASHES_IN_FLIGHT,
+        "{} of {} servers crashed",
+        crashes.len(),
         servers.len()
     );
-    let known = ends.get(ENDS_NEEDED - 1).copied();
-    let is_late = |end: &&Instant| known.is_some_and(|known| **end > known + CONTACT);
-    let late = ends.iter().filter(is_late);
-    assert_eq!(late.count(), 0, "servers ended when all hosts must know");
-    // Its caller learns at once that it has not run, and what others ask for is served.
+    let known = crashes.get(CRASHES_NEEDED - 1).copied();
+    let is_late = |end: &&Instant| known.is_some_and(|known| **end > known + DETECTION_TIME);
+    let late = crashes.iter().filter(is_late);
+    assert_eq!(late.count(), 0, "servers crashed after all hosts must know");
+    // The caller is told at once that the request has not run, and the requests of others are
+    // served.
     for host in &site.hosts {
         let asked = Instant::now();
-        let answer = read(host, CALLER, DEADLY).await.expect("an answer");
+        let answer = read(host, CALLER, CRASH_PATH).await.expect("an answer");
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(answer.headers.contains_key("retry-after"));
         assert!(asked.elapsed() < Duration::from_millis(400), "held back");
@@ -191,10 +197,10 @@
 }
 
 #[tokio::test]
-async fn what_ended_servers_is_known_after_the_loss_of_all_hosts() {
+async fn quarantine_survives_the_loss_of_all_hosts() {
     let (mut site, _servers) = start(3, 14).await;
-    send_again_and_again(&site, 6).await;
-    let before = site.record.ends().len();
+    retry_crashing_request(&site, 6).await;
+    let before = site.record.crashes().len();
     for host in &mut site.hosts {
         host.kill();
     }
@@ -207,18 +213,18 @@
         })
         .await;
     }
-    send_again_and_again(&site, 6).await;
-    let after = site.record.ends().len();
-    assert!(before > 0, "no server ended before");
-    assert_eq!(after, before, "servers ended after the loss of all hosts");
+    retry_crashing_request(&site, 6).await;
+    let after = site.record.crashes().len();
+    assert!(before > 0, "no server crashed before");
+    assert_eq!(after, before, "servers crashed after the loss of all hosts");
 }
 
 #[tokio::test]
-async fn ends_count_that_the_holder_before_was_told_of() {
+async fn crash_reports_to_the_previous_duty_holder_still_count() {
     let (mut site, _servers) = start(4, 14).await;
-    let holder = holder(&site);
-    site.hosts.swap(0, holder);
-    read(&site.hosts[1], CALLER, DEADLY).await;
+    let duty_holder = duty_holder(&site);
+    site.hosts.swap(0, duty_holder);
+    read(&site.hosts[1], CALLER, CRASH_PATH).await;
     time::sleep(Duration::from_millis(1_500)).await;
     site.hosts[0].kill();
     site.hosts.remove(0);
@@ -226,24 +232,24 @@
         site.hosts.iter().any(has_taken_duty)
     })
     .await;
-    time::sleep(CONTACT).await;
-    send_again_and_again(&site, 8).await;
-    let ends = site.record.ends().len();
+    time::sleep(DETECTION_TIME).await;
+    retry_crashing_request(&site, 8).await;
+    let crashes = site.record.crashes().len();
     assert!(
-        ends <= ENDS_NEEDED + ENDS_ON_THE_WAY,
-        "{ends} servers ended"
+        crashes <= CRASHES_NEEDED + CRASHES_IN_FLIGHT,
+        "{crashes} servers crashed"
     );
 }
 
 #[tokio::test]
 async fn the_same_path_of_another_caller_is_served() {
     let (site, _servers) = start(2, 10).await;
-    send_again_and_again(&site, 6).await;
-    site.record.set_deadly_path(None);
+    retry_crashing_request(&site, 6).await;
+    site.record.set_crash_path(None);
     for host in &site.hosts {
-        let refused = status(host, CALLER, DEADLY).await;
+        let refused = status(host, CALLER, CRASH_PATH).await;
         assert_eq!(refused, Some(StatusCode::SERVICE_UNAVAILABLE));
-        let served = status(host, OTHER_CALLER, DEADLY).await;
+        let served = status(host, OTHER_CALLER, CRASH_PATH).await;
         assert_eq!(served, Some(StatusCode::OK));
     }
 }
@@ -253,43 +259,45 @@
     let (site, _servers) = start(2, 12).await;
     for number in 0..8 {
         let host = &site.hosts[number % 2];
-        read(host, CALLER, &format!("{DEADLY}?try={number}")).await;
+        read(host, CALLER, &format!("{CRASH_PATH}?try={number}")).await;
         time::sleep(Duration::from_millis(300)).await;
     }
-    let ends = site.record.ends().len();
+    let crashes = site.record.crashes().len();
     assert!(
-        ends <= ENDS_NEEDED + ENDS_ON_THE_WAY,
-        "{ends} servers ended"
+        crashes <= CRASHES_NEEDED + CRASHES_IN_FLIGHT,
+        "{crashes} servers crashed"
     );
 }
 
-/// A harmless request that was at a server which ended: it is answered at another host, and that counts also
-/// while the first host tells again of the end.
+/// Guards against a harmless request becoming suspect again: it was in flight at a server that
+/// crashed, and is answered at another host. The success must count even while the first host sends
+/// its crash report again.
 #[tokio::test]
 async fn an_answer_at_any_host_clears_a_request_for_good() {
     const ORDER: &str = "/orders/deadly";
     let (site, _servers) = start(2, 6).await;
     let [first, second] = [&site.hosts[0], &site.hosts[1]];
     for end in 1..=2 {
-        site.record.set_deadly_path(Some(ORDER));
+        site.record.set_crash_path(Some(ORDER));
         assert_eq!(order(first, ORDER).await, Some(StatusCode::BAD_GATEWAY));
         time::sleep(Duration::from_millis(300)).await;
-        site.record.set_deadly_path(None);
-        assert_eq!(site.record.ends().len(), end);
+        site.record.set_crash_path(None);
+        assert_eq!(site.record.crashes().len(), end);
         let answered = order(second, ORDER).await;
         assert_eq!(answered, Some(StatusCode::OK), "after end {end}");
         time::sleep(Duration::from_millis(1_700)).await;
     }
 }
 
-/// Its tries come together: while its key has no server they wait, and all reach the next one before that
-/// has ended. The users count runs, so two servers may be too many. What they saw after a first mend that waited
-/// for three servers: two runs on each of the first two, four on the third.
+/// Guards against concurrent attempts of a crashing request that crash several servers. The attempts
+/// wait while the key has no server, and then all reach the next server before it has crashed. The
+/// users count runs, so even two servers may be too many. When hosts waited for three crashes,
+/// there were two runs on each of the first two servers and four on the third.
 #[tokio::test]
 async fn tries_that_come_together_do_not_run_together_once_a_server_has_ended() {
-    const DEADLY_READ: &str = "/keyed/deadly";
+    const CRASH_READ_PATH: &str = "/keyed/deadly";
     let (site, servers) = start_keyed(5).await;
-    site.record.set_deadly_path(Some(DEADLY_READ));
+    site.record.set_crash_path(Some(CRASH_READ_PATH));
     let mut tries = JoinSet::new();
     let until = Instant::now() + Duration::from_secs(14);
     while Instant::now() < until {
@@ -297,9 +305,9 @@
             let address = host.callers;
             tries.spawn(async move {
                 let id = format!("{:016x}", rand::random::<u64>());
-                let ask = Ask {
+                let ask = TestRequest {
                     method: "GET",
-                    path: DEADLY_READ,
+                    path: CRASH_READ_PATH,
                     id: &id,
                     key: Some(7),
                     deadline_ms: 800,
@@ -308,22 +316,25 @@
             });
         }
         time::sleep(Duration::from_millis(200)).await;
-        // The platform removes the entries of servers that have ended.
-        for server in servers.iter().filter(|server| server.has_ended()) {
+        // The platform removes the entries of crashed servers.
+        for server in servers.iter().filter(|server| server.has_crashed()) {
             site.store.remove("servers", &server.id);
         }
     }
     tries.join_all().await;
-    let runs = site.record.deadly_runs();
-    let known = runs.get(ENDS_NEEDED - 1).expect("the third run");
-    let late = runs.iter().filter(|run| **run > *known + CONTACT).count();
+    let runs = site.record.crashing_runs();
+    let known = runs.get(CRASHES_NEEDED - 1).expect("the third run");
+    let late = runs
+        .iter()
+        .filter(|run| **run > *known + DETECTION_TIME)
+        .count();
     assert!(late <= LATE_RUNS_MAX, "{late} of {} runs", runs.len());
-    let ends = site.record.ends().len();
-    assert!(ends < ENDS_NEEDED, "{ends} servers ended");
+    let crashes = site.record.crashes().len();
+    assert!(crashes < CRASHES_NEEDED, "{crashes} servers crashed");
     assert_eq!(site.record.violations(), Vec::<String>::new());
 }
 
-/// Callers that differ in their addresses.
+/// Returns the address of a caller; each number has its own.
 fn caller(number: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(127, 0, 1, number as u8))
 }
@@ -335,7 +346,7 @@
     key: Option<u16>,
 ) -> Option<StatusCode> {
     let id = format!("{:016x}", rand::random::<u64>());
-    let ask = Ask {
+    let ask = TestRequest {
         method: "GET",
         path,
         id: &id,
@@ -346,10 +357,10 @@
     Some(answer.status)
 }
 
-/// When reads were sent, and what came of them.
+/// Time at which each read was sent, and the status of its response.
 type Outcomes = Arc<Mutex<Vec<(Instant, Option<StatusCode>)>>>;
 
-/// Callers that read a path again and again, each from an address of its own, until they are stopped.
+/// Callers that read a path repeatedly until they are stopped, each from its own address.
 struct Readers {
     outcomes: Outcomes,
     tasks: JoinSet<()>,
@@ -380,7 +391,7 @@
         Self { outcomes, tasks }
     }
 
-    /// Share of the reads from a moment on that were answered with success.
+    /// Returns the share of the reads sent since `from` that succeeded.
     fn served(&self, from: Instant) -> f64 {
         let outcomes = self.outcomes.lock().expect("outcomes");
         let later = outcomes.iter().filter(|(asked, _)| *asked >= from);
@@ -395,19 +406,19 @@
     }
 }
 
-/// Tries of deadly paths, each by another caller.
+/// Attempts of crash paths, each by another caller.
 #[derive(Clone, Copy, Debug)]
 struct ManyCallers {
     paths: &'static [&'static str],
-    /// True if each try has a query of its own.
+    /// True if each attempt has a query of its own.
     has_queries: bool,
-    /// Tries at a time, at the hosts by turns.
+    /// Number of concurrent attempts, sent to the hosts in turn.
     at_once: usize,
 }
 
-async fn play(tried: ManyCallers) {
+async fn run_many_callers(tried: ManyCallers) {
     let (site, servers) = start(3, 16).await;
-    site.record.set_deadly_paths(tried.paths.to_vec());
+    site.record.set_crash_paths(tried.paths.to_vec());
     let harmless = Readers::start(&site.hosts, 100, 6, HARMLESS, None);
     let began = Instant::now();
     let mut tries = JoinSet::new();
@@ -423,10 +434,14 @@
         }
     }
     tries.join_all().await;
-    let ends = site.record.ends().len();
-    let most = (ENDS_NEEDED + ENDS_ON_THE_WAY) * tried.paths.len();
-    assert!(ends <= most, "{ends} of {} servers ended", servers.len());
-    // What others ask for is served, but for what was at the servers as they ended.
+    let crashes = site.record.crashes().len();
+    let most = (CRASHES_NEEDED + CRASHES_IN_FLIGHT) * tried.paths.len();
+    assert!(
+        crashes <= most,
+        "{crashes} of {} servers crashed",
+        servers.len()
+    );
+    // Harmless requests are served, except for those in flight at the servers that crashed.
     let served = harmless.served(began);
     assert!(served > 0.9, "{served:.2} of the harmless reads served");
     let settled = harmless.served(Instant::now() - Duration::from_secs(2));
@@ -437,62 +452,66 @@
 #[tokio::test]
 async fn a_path_that_ends_servers_for_many_callers_reaches_few_of_them() {
     let tried = ManyCallers {
-        paths: &[DEADLY],
+        paths: &[CRASH_PATH],
         has_queries: false,
         at_once: 1,
     };
-    play(tried).await;
+    run_many_callers(tried).await;
 }
 
 #[tokio::test]
 async fn a_path_that_ends_servers_with_any_query_reaches_few_of_them() {
     let tried = ManyCallers {
-        paths: &[DEADLY],
+        paths: &[CRASH_PATH],
         has_queries: true,
         at_once: 1,
     };
-    play(tried).await;
+    run_many_callers(tried).await;
 }
 
 #[tokio::test]
 async fn two_paths_that_end_servers_for_many_callers_reach_few_of_them() {
     let tried = ManyCallers {
-        paths: &[DEADLY, "/reads/deadly-too"],
+        paths: &[CRASH_PATH, "/reads/deadly-too"],
         has_queries: false,
         at_once: 2,
     };
-    play(tried).await;
+    run_many_callers(tried).await;
 }
 
-/// Many callers read the same key at a time; one path ends its servers, and one that as many of them read does not.
+/// Many callers read the same key at the same time; one path crashes its servers, while another
+/// that as many callers read does not.
 #[tokio::test]
 async fn a_key_is_served_while_one_of_its_paths_ends_servers_for_many_callers() {
-    const DEADLY_READ: &str = "/keyed/deadly";
+    const CRASH_READ_PATH: &str = "/keyed/deadly";
     let (site, servers) = start_keyed(6).await;
     let harmless = Readers::start(&site.hosts, 100, 6, "/keyed/level", Some(7));
-    site.record.set_deadly_path(Some(DEADLY_READ));
-    let deadly = Readers::start(&site.hosts, 1, 6, DEADLY_READ, Some(7));
+    site.record.set_crash_path(Some(CRASH_READ_PATH));
+    let deadly = Readers::start(&site.hosts, 1, 6, CRASH_READ_PATH, Some(7));
     let began = Instant::now();
     let mut until = began + Duration::from_secs(14);
     while Instant::now() < until {
         time::sleep(Duration::from_millis(200)).await;
-        // The platform removes the entries of servers that have ended.
-        for server in servers.iter().filter(|server| server.has_ended()) {
+        // The platform removes the entries of crashed servers.
+        for server in servers.iter().filter(|server| server.has_crashed()) {
             site.store.remove("servers", &server.id);
         }
-        // The last server that may end leaves the key without one, as each before it did.
-        let ended = site.record.ends().last().copied();
-        until = until.max(ended.unwrap_or(began) + KEY_MOVES + SETTLED);
+        // Waits for the failover of the key after the last crash.
+        let ended = site.record.crashes().last().copied();
+        until = until.max(ended.unwrap_or(began) + KEY_FAILOVER_TIME + STEADY_TIME);
     }
     deadly.stop().await;
-    let runs = site.record.deadly_runs();
-    if let Some(known) = runs.get(ENDS_NEEDED - 1) {
-        let late = runs.iter().filter(|run| **run > *known + CONTACT).count();
+    let runs = site.record.crashing_runs();
+    if let Some(known) = runs.get(CRASHES_NEEDED - 1) {
+        let late = runs
+            .iter()
+            .filter(|run| **run > *known + DETECTION_TIME)
+            .count();
         assert!(late <= LATE_RUNS_MAX, "{late} of {} runs", runs.len());
     }
-    let ends = site.record.ends().len();
-    assert!(ends <= ENDS_NEEDED, "{ends} servers ended");
-    let settled = harmless.served(until - SETTLED);
+    let crashes = site.record.crashes().len();
+    assert!(crashes <= CRASHES_NEEDED, "{crashes} servers crashed");
+    let settled = harmless.served(until - STEADY_TIME);
     assert!(settled > 0.95, "{settled:.2} of the harmless reads served");
     harmless.stop().await;
     assert_eq!(site.record.violations(), Vec::<String>::new());
--- a/tests/entry_digest.rs
+++ b/tests/entry_digest.rs
@@ -1,9 +1,10 @@
-//! What makes two tries of a caller the same request.
+//! Tests which parts of a request its digests cover.
 
 use ashroad::{entry::digest::RequestDigests, transport::CallerAddress};
 use http::Request;
 
-struct Try {
+/// Parts of a request that the digests are computed from.
+struct TestRequest {
     what: &'static str,
     method: &'static str,
     path: &'static str,
@@ -12,7 +13,7 @@
     body: &'static str,
 }
 
-const FIRST: Try = Try {
+const FIRST: TestRequest = TestRequest {
     what: "the first try",
     method: "PUT",
     path: "/a/b?page=2",
@@ -21,7 +22,7 @@
     body: "a body",
 };
 
-fn digests(made: &Try, id: &str) -> RequestDigests {
+fn digests(made: &TestRequest, id: &str) -> RequestDigests {
     let request = Request::builder()
         .method(made.method)
         .uri(made.path)
@@ -34,40 +35,40 @@
 }
 
 #[test]
-fn a_digest_outlasts_ids_and_deadlines_and_tells_all_else_apart() {
+fn digests_ignore_ids_and_deadlines_and_cover_all_else() {
     assert_eq!(digests(&FIRST, "id-1"), digests(&FIRST, "another id"));
     let others = [
-        Try {
+        TestRequest {
             what: "another method",
             method: "POST",
             ..FIRST
         },
-        Try {
+        TestRequest {
             what: "another path",
             path: "/a/c?page=2",
             ..FIRST
         },
-        Try {
+        TestRequest {
             what: "another query",
             path: "/a/b?page=3",
             ..FIRST
         },
-        Try {
+        TestRequest {
             what: "another host",
             host: "other.example",
             ..FIRST
         },
-        Try {
+        TestRequest {
             what: "another caller",
             caller: [100, 64, 0, 8],
             ..FIRST
         },
-        Try {
+        TestRequest {
             what: "another body",
             body: "a_body",
             ..FIRST
         },
-        Try {
+        TestRequest {
             what: "a border that has moved",
             path: "/a/b?page=2a",
             body: " body",
@@ -93,7 +94,7 @@
 
 #[test]
 fn a_request_without_a_query_has_one_digest() {
-    let plain = Try {
+    let plain = TestRequest {
         path: "/a/b",
         ..FIRST
     };
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn of_long_bodies_the_beginning_counts() {
+fn digests_cover_the_beginning_of_long_bodies() {
     let body = |length: usize, last: &str| "x".repeat(length) + last;
     let digests = |body: &str| {
         let request = Request::builder().uri("/a").body(()).expect("request");
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -1,4 +1,5 @@
-//! Entry hosts as real processes against stand-ins of the platform's store and of backend servers.
+//! Entry hosts as real processes, tested against stand-ins of the platform's store and of backend
+//! servers.
 
 mod platform_standin;
 
@@ -9,7 +10,7 @@
 use tokio::time;
 
 use self::platform_standin::{
-    caller::{Ask, Caller, ask_once},
+    caller::{Caller, TestRequest, ask_once},
     hosts::Host,
     proxy::{Mode, Proxy},
     server::Server,
@@ -17,9 +18,9 @@
     store::Faults,
 };
 
-/// A keyed read with a fresh id.
-fn read<'a>(id: &'a str, path: &'a str) -> Ask<'a> {
-    Ask {
+/// A read of key 7 with the given request id.
+fn read<'a>(id: &'a str, path: &'a str) -> TestRequest<'a> {
+    TestRequest {
         method: "GET",
         path,
         id,
@@ -28,8 +29,9 @@
     }
 }
 
-fn order<'a>(id: &'a str) -> Ask<'a> {
-    Ask {
+/// An unrepeatable request with the given id.
+fn order<'a>(id: &'a str) -> TestRequest<'a> {
+    TestRequest {
         method: "POST",
         path: "/orders/new?count=2",
         id,
@@ -41,7 +43,7 @@
 #[tokio::test]
 async fn requests_are_routed_and_answers_are_exact() {
     struct Case {
-        ask: Ask<'static>,
+        ask: TestRequest<'static>,
         status: StatusCode,
         body: &'static str,
         signed: bool,
@@ -119,9 +121,9 @@
         })
         .await;
     }
-    // An older version, as a stale read would show it, and a forgotten history.
+    // An older version, as a stale read would return it, followed by a compaction of the history.
     site.store.put("op", "config", &configuration(0x0f, &[]));
-    site.store.forget_history();
+    site.store.compact_history();
     time::sleep(Duration::from_millis(600)).await;
     for host in &site.hosts {
         let answer = ask_once(host.callers, added("id"))
@@ -134,7 +136,7 @@
 #[tokio::test]
 async fn a_configuration_is_in_force_soon_after_a_silent_store_is_back() {
     let site = Site::start(1, 1).await;
-    // At several moments of the feeds' own rhythm.
+    // The lengths end the outage at different phases of the feeds' retry interval.
     for (version, outage_ms) in [(0x10, 5_000), (0x20, 6_300), (0x30, 7_700)] {
         site.store.set_faults(Faults {
             silent: true,
@@ -154,11 +156,11 @@
 }
 
 #[tokio::test]
-async fn hosts_that_hear_the_holder_of_the_duty_ask_the_store_rarely() {
+async fn hosts_that_hear_the_duty_holder_rarely_call_the_store() {
     let site = Site::start(5, 2).await;
     time::sleep(Duration::from_millis(4_000)).await;
-    // The least of three spans: a holder that gets no processor time for 2 s is taken as silent, and the
-    // others ask for themselves.
+    // Takes the least of three periods: a duty holder that gets no processor time for 2 s is
+    // considered unresponsive, and the other hosts then call the store themselves.
     let mut least = u64::MAX;
     for _ in 0..3 {
         let before = site.store.calls();
@@ -168,7 +170,7 @@
             break;
         }
     }
-    // The holder's confirmations, every 0.7 s, and its feeds, every 3 s; with few calls to spare.
+    // Allows for the duty holder's renewals every 0.7 s, its feeds every 3 s, and a few calls more.
     assert!(least <= 22, "{least} calls");
 }
 
@@ -189,7 +191,7 @@
         late += u32::from(began.elapsed() > Duration::from_millis(1_000));
     }
     assert!(unanswered > 0);
-    // One may meet a moment in which the host gets no processor time.
+    // One answer may be late because the host got no processor time.
     assert!(
         late <= 1,
         "{late} of 12 answers came over 0.2 s after their deadline"
@@ -213,11 +215,11 @@
 }
 
 #[tokio::test]
-async fn datagrams_of_strangers_change_nothing() {
+async fn unauthenticated_datagrams_change_nothing() {
     let site = Site::start(2, 1).await;
     let stranger = tokio::net::UdpSocket::bind("127.0.0.1:0").await;
     let stranger = stranger.expect("a socket");
-    // "I have the duty in term 99", without a seal and with a guessed one.
+    // The message claims the duty for term 99. It is sent without a seal and with a guessed one.
     let claim = [5, 0, 99, 0, 0, 0, 0, 0, 0];
     let guessed = [&[7; 8], &claim[..]].concat();
     for host in &site.hosts {
@@ -233,7 +235,7 @@
 }
 
 #[tokio::test]
-async fn an_absent_store_is_called_rarely() {
+async fn an_unavailable_store_is_called_rarely() {
     let site = Site::start(5, 2).await;
     time::sleep(Duration::from_millis(3_000)).await;
     site.store.set_faults(Faults {
@@ -244,18 +246,19 @@
     let before = site.store.calls();
     time::sleep(Duration::from_millis(4_000)).await;
     let calls = site.store.calls() - before;
-    // Each host every 0.4 to 0.6 s, and the holder's confirmations with their readings.
+    // Allows for a call of each host every 0.4 to 0.6 s, and for the duty holder's renewals and
+    // reads.
     assert!(calls <= 5 * 10 + 14, "{calls} calls");
 }
 
 #[tokio::test]
-async fn a_host_learns_from_the_holder_that_its_feeds_are_deaf() {
+async fn a_host_detects_stalled_feeds_from_the_duty_holders_reports() {
     let mut site = Site::start(1, 1).await;
     let proxy = Proxy::start(site.store.address).await;
     site.hosts.push(Host::start_at(proxy.address));
     site.await_ready().await;
     time::sleep(Duration::from_millis(4_000)).await;
-    // The feeds now wait for long. What the store says meanwhile never arrives.
+    // The feeds are in a long poll now. Changes that the store sends during the fault never arrive.
     proxy.set(Mode::Silent);
     time::sleep(Duration::from_millis(300)).await;
     let added = configuration(0x10, &["/added/"]);
@@ -270,17 +273,17 @@
 }
 
 #[tokio::test]
-async fn a_large_configuration_comes_through_a_narrow_link() {
+async fn a_large_configuration_arrives_over_a_slow_link() {
     let mut site = Site::start(1, 1).await;
     let proxy = Proxy::start(site.store.address).await;
     site.hosts.push(Host::start_at(proxy.address));
     site.await_ready().await;
     time::sleep(Duration::from_millis(4_000)).await;
-    proxy.set(Mode::Narrow);
+    proxy.set(Mode::Throttled);
     let prefixes: Vec<String> = (0..600).map(|number| format!("/added-{number}/")).collect();
     let prefixes: Vec<&str> = prefixes.iter().map(String::as_str).collect();
     let large = configuration(0x10, &prefixes);
-    // It takes over a second, while the holder has seen it at once.
+    // The transfer takes over a second, while the duty holder has the configuration at once.
     assert!(large.to_string().len() > 80_000);
     site.store.put("op", "config", &large);
     eventually("the new route is served", 2_500, async || {
@@ -291,7 +294,7 @@
 }
 
 #[tokio::test]
-async fn a_host_that_was_cut_off_soon_knows_who_left_meanwhile() {
+async fn a_host_notices_removed_servers_soon_after_a_partition() {
     let mut site = Site::start_servers(2).await;
     let proxy = Proxy::start(site.store.address).await;
     site.hosts.push(Host::start_at(proxy.address));
@@ -300,9 +303,9 @@
     time::sleep(Duration::from_millis(6_000)).await;
     let gone = &site.orders[0];
     site.store.remove("servers", &gone.id);
-    site.store.forget_history();
+    site.store.compact_history();
     time::sleep(Duration::from_millis(500)).await;
-    // What the cut has swallowed is not delivered later.
+    // Resets the connections, so that data held back by the proxy is not delivered later.
     proxy.set(Mode::Reset);
     time::sleep(Duration::from_millis(50)).await;
     proxy.set(Mode::Pass);
@@ -316,7 +319,7 @@
 }
 
 #[tokio::test]
-async fn a_stopping_host_cuts_nothing_off_and_refuses_what_it_cannot_finish() {
+async fn a_stopping_host_finishes_requests_in_flight_and_refuses_late_ones() {
     let mut site = Site::start(2, 1).await;
     let mut unused = Caller::connect(site.hosts[0].callers)
         .await
@@ -336,7 +339,8 @@
     let answer = kept.ask(order("during")).await.expect("an answer");
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(answer.headers["connection"], "close");
-    // A connection that was opened early and never used outlives the listener.
+    // A connection that was opened before the stop and never used stays open after the listener
+    // closed.
     time::sleep(Duration::from_millis(5_150).saturating_sub(began.elapsed())).await;
     if let Some(answer) = unused.ask(order("late")).await {
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -352,19 +356,19 @@
 }
 
 #[tokio::test]
-async fn the_duty_survives_its_holder() {
+async fn keys_stay_served_when_the_duty_holder_is_killed() {
     let mut site = Site::start(3, 3).await;
-    let holder = site
+    let duty_holder = site
         .hosts
         .iter()
         .position(|host| !host.events("duty_taken").is_empty())
-        .expect("a holder");
-    site.hosts[holder].kill();
+        .expect("a duty holder");
+    site.hosts[duty_holder].kill();
     let others: Vec<&Host> = (0..3)
-        .filter(|i| *i != holder)
+        .filter(|i| *i != duty_holder)
         .map(|i| &site.hosts[i])
         .collect();
-    // Leases last longer than the change of holder, so no key is ever out of service.
+    // Leases last longer than a takeover of the duty, so every key is served throughout.
     let until = Instant::now() + Duration::from_millis(7_000);
     while Instant::now() < until {
         for key in [3, 30_000, 60_000] {
@@ -381,18 +385,19 @@
 }
 
 #[tokio::test]
-async fn keys_of_a_lost_server_do_not_wait_long_for_a_holder_that_was_restarted() {
+async fn a_restarted_duty_holder_soon_moves_keys_of_a_crashed_server() {
     let mut site = Site::start(2, 3).await;
-    let holder = site
+    let duty_holder = site
         .hosts
         .iter()
         .position(|host| !host.events("duty_taken").is_empty())
-        .expect("a holder");
-    site.hosts[holder].kill();
+        .expect("a duty holder");
+    site.hosts[duty_holder].kill();
     site.keyed[0].crash(&site.store);
     time::sleep(Duration::from_millis(1_000)).await;
-    site.hosts[holder].restart();
-    // Without word of the former holder's end this takes its 13 s and a lease.
+    site.hosts[duty_holder].restart();
+    // If the end of the previous duty holder's term is not reported, the next one waits 13 s for
+    // it, and then for a lease.
     eventually("all keys are held", 12_000, async || {
         site.keyed[1..].iter().map(Server::keys_held).sum::<usize>() == 1 << 16
     })
@@ -401,12 +406,12 @@
 }
 
 #[tokio::test]
-async fn a_late_heartbeat_of_an_earlier_life_takes_nothing_from_a_server() {
+async fn a_late_heartbeat_of_an_earlier_incarnation_takes_no_keys() {
     let site = Site::start(2, 3).await;
     let living = &site.keyed[0];
     let held = living.keys_held();
     assert!(held > 0);
-    // The store takes in an entry of an earlier life at the address.
+    // The store accepts a late entry of an earlier incarnation at the same address.
     living.register_another(&site.store, "i-earlier");
     time::sleep(Duration::from_millis(2_000)).await;
     site.store.remove("servers", "i-earlier");
@@ -421,37 +426,44 @@
 }
 
 #[tokio::test]
-async fn a_restarted_holder_resumes_the_duty_at_once() {
+async fn a_restarted_duty_holder_resumes_the_duty_at_once() {
     let mut site = Site::start(3, 2).await;
     let taken = |host: &Host| host.events("duty_taken").len();
-    let holder = site.hosts.iter().position(|host| taken(host) > 0);
-    let holder = holder.expect("a holder");
+    let duty_holder = site.hosts.iter().position(|host| taken(host) > 0);
+    let duty_holder = duty_holder.expect("a duty holder");
     for host in &mut site.hosts {
         host.kill();
     }
     for host in &mut site.hosts {
         host.restart();
     }
-    // Well before the row has stood still for long enough to be taken.
-    eventually("the former holder has the duty", 1_200, async || {
-        taken(&site.hosts[holder]) == 2
-    })
+    // The limit is well below the time without a change of the row after which any host may take
+    // the duty.
+    eventually(
+        "the previous duty holder has the duty again",
+        1_200,
+        async || taken(&site.hosts[duty_holder]) == 2,
+    )
     .await;
     site.await_ready().await;
     assert_eq!(site.record.violations(), Vec::<String>::new());
 }
 
 #[tokio::test]
-async fn a_planned_stop_of_the_holder_hands_the_duty_over() {
+async fn a_planned_stop_of_the_duty_holder_hands_the_duty_over() {
     let site = Site::start(2, 2).await;
-    let is_holder = |host: &&Host| !host.events("duty_taken").is_empty();
-    let holder = site.hosts.iter().find(is_holder).expect("a holder");
+    let is_duty_holder = |host: &&Host| !host.events("duty_taken").is_empty();
+    let duty_holder = site
+        .hosts
+        .iter()
+        .find(is_duty_holder)
+        .expect("a duty holder");
     let other = site
         .hosts
         .iter()
-        .find(|host| !is_holder(host))
+        .find(|host| !is_duty_holder(host))
         .expect("another");
-    holder.signal("TERM");
+    duty_holder.signal("TERM");
     eventually("the other host takes the duty", 2_500, async || {
         let taken = other.events("duty_taken");
         taken
@@ -473,7 +485,7 @@
         Case {
             name: "drains",
             limit_ms: 1_500,
-            leave: |site, server| server.declare(&site.store, "draining"),
+            leave: |site, server| server.write_entry(&site.store, "draining"),
         },
         Case {
             name: "its entry is removed and it serves on",
@@ -547,7 +559,7 @@
             time::sleep(Duration::from_millis(100)).await;
         }
         site.store.set_faults(Faults::default());
-        // Changes are possible again soon after the store's return.
+        // Changes are possible again soon after the store responds.
         let joined = Server::start(&site.store, &site.record, ORDERS).await;
         eventually("a server that joined is used", 6_000, async || {
             for _ in 0..8 {
@@ -562,9 +574,9 @@
 }
 
 #[tokio::test]
-async fn a_holder_remembers_its_leases_over_a_long_outage() {
-    // Longer than a holder may give leases without confirmation; a server is paused meanwhile and
-    // still holds its keys when the store is back.
+async fn the_duty_holder_remembers_its_leases_over_a_long_outage() {
+    // The outage lasts longer than a duty holder may grant leases without a confirmation. A server
+    // that drains after it still holds its keys when the store responds again.
     let site = Site::start(1, 3).await;
     site.store.set_faults(Faults {
         refusing: true,
@@ -573,7 +585,7 @@
     time::sleep(Duration::from_millis(13_200)).await;
     site.store.set_faults(Faults::default());
     let leaving = &site.keyed[0];
-    leaving.declare(&site.store, "draining");
+    leaving.write_entry(&site.store, "draining");
     let until = Instant::now() + Duration::from_millis(4_000);
     while Instant::now() < until {
         for key in (0..=u16::MAX).step_by(2_003) {
@@ -586,8 +598,8 @@
 
 #[tokio::test]
 async fn an_unfinished_move_is_finished_before_its_keys_move_again() {
-    // The record of an earlier holder: all keys go from the first server to the second, which
-    // leaves meanwhile. The first one still holds them.
+    // The stored record of an earlier duty holder moves all keys from the first server to the
+    // second, which drains in the meantime. The first server still holds them.
     let mut site = Site::start_servers(3).await;
     site.keyed[0].hold_all(4, 20_000);
     let assignment = Assignment {
@@ -601,7 +613,7 @@
     };
     let record = assignment.encode().expect("a record");
     site.store.put_bytes("ashroad", "keys/keyed", &record);
-    site.keyed[1].declare(&site.store, "draining");
+    site.keyed[1].write_entry(&site.store, "draining");
     site.hosts.push(Host::start(&site.store));
     site.await_ready().await;
     assert_eq!(site.keyed[1].keys_held(), 0);
@@ -623,7 +635,7 @@
         site.keyed.iter().map(Server::keys_held).sum::<usize>() == 1 << 16
     })
     .await;
-    site.keyed[0].declare(&site.store, "draining");
+    site.keyed[0].write_entry(&site.store, "draining");
     eventually("the keys have moved", 10_000, async || {
         site.keyed[0].keys_held() == 0
             && site.keyed[1..].iter().map(Server::keys_held).sum::<usize>() == 1 << 16
@@ -631,7 +643,7 @@
     .await;
     let status = get(&hosts[0], 9).await;
     if status != Some(StatusCode::OK) {
-        // The host's reason is in its log, which it writes every 0.2 s.
+        // The host's log, written every 0.2 s, has the reason of the failure.
         time::sleep(Duration::from_millis(500)).await;
         panic!("{status:?}: {:#?}", hosts[0].events("request"));
     }
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -1,9 +1,10 @@
-//! API keys that are added and revoked while hosts are cut off, stand still, start again or are told by others, played in
-//! virtual time on the deciding code, over drawn orders of events.
+//! Simulates the acceptance of API keys in virtual time, with random sequences of events: operators
+//! add and revoke keys while hosts are partitioned, suspended, restarted, or receive configurations
+//! from each other.
 
 use ashroad::entry::{
-    decide::trust::{TrustLimits, Verdict, judge},
-    news::proof::ConfigurationProof,
+    decide::trust::{KeyVerdict, TrustLimits, judge},
+    updates::proof::ConfigurationProof,
 };
 use quickcheck::quickcheck;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -14,24 +15,24 @@
     revocation_ms: Some(REVOCATION_MS),
     configuration_ms: CONFIGURATION_MS,
 };
-const PLAY_MS: u64 = 30_000;
+const SIMULATION_MS: u64 = 30_000;
 const STEP_MS: u64 = 50;
-/// Interval of questions of a host.
+/// Interval at which a host queries the duty holder or the store.
 const ASK_EVERY_MS: u64 = REVOCATION_MS / 8;
-/// Longest time that a message is on its way, or waits at a host that stands still.
+/// Longest delay of a message, in the network or in the inbox of a suspended host.
 const DELAY_MAX_MS: u64 = 4_000;
 const HOSTS: usize = 4;
-/// Host that has the duty and asks the store; the others ask it.
+/// Index of the duty holder, which queries the store; the other hosts query it.
 const HOLDER: usize = 0;
 
-/// A key that operators add, and revoke later.
+/// API key with the times at which operators add and revoke it.
 #[derive(Clone, Copy, Debug)]
 struct Key {
     added_ms: u64,
     revoked_ms: u64,
 }
 
-/// Versions of the configuration by when they were written: each second one has the key.
+/// History of the configuration; every second version contains a key.
 #[derive(Debug)]
 struct Operators {
     keys: Vec<Key>,
@@ -41,7 +42,7 @@
     fn draw(rng: &mut StdRng) -> Self {
         let mut keys = Vec::new();
         let mut at_ms = 1_000;
-        while at_ms < PLAY_MS {
+        while at_ms < SIMULATION_MS {
             let added_ms = at_ms + rng.random_range(0..4_000);
             let revoked_ms = added_ms + rng.random_range(100..6_000);
             keys.push(Key {
@@ -53,7 +54,7 @@
         Self { keys }
     }
 
-    /// Version in force at a time: odd ones have the key.
+    /// Returns the version in force at a time; odd versions contain a key.
     fn version(&self, at_ms: u64) -> u64 {
         let changes = self
             .keys
@@ -62,7 +63,7 @@
         changes.filter(|change_ms| *change_ms <= at_ms).count() as u64
     }
 
-    /// When a version was written.
+    /// Returns when a version was written; 0 for the first.
     fn written_ms(&self, version: u64) -> u64 {
         let changes = self
             .keys
@@ -75,18 +76,18 @@
     }
 }
 
-/// What is on its way to a host.
+/// Message on its way to a host.
 #[derive(Clone, Copy, Debug)]
-enum News {
-    /// The store's answer to a question.
+enum Delivery {
+    /// Response of the store to a query.
     Store { asked_ms: u64, version: u64 },
-    /// The holder's answer.
+    /// Response of the duty holder to a query.
     Holder {
         nonce: u64,
         age_ms: u64,
         version: u64,
     },
-    /// A configuration that another host hands on.
+    /// Configuration sent by another host, which proves nothing about its age.
     Relayed { version: u64 },
 }
 
@@ -96,7 +97,7 @@
     version: u64,
     cut_until_ms: u64,
     frozen_until_ms: u64,
-    inbox: Vec<(u64, News)>,
+    inbox: Vec<(u64, Delivery)>,
 }
 
 impl Host {
@@ -106,33 +107,33 @@
             .drain(..)
             .partition(|(at_ms, _)| *at_ms <= now_ms);
         self.inbox = later;
-        let due: Vec<(u64, News)> = due;
-        for (_, news) in due {
-            match news {
-                News::Store { asked_ms, version } => {
+        let due: Vec<(u64, Delivery)> = due;
+        for (_, updates) in due {
+            match updates {
+                Delivery::Store { asked_ms, version } => {
                     self.version = self.version.max(version);
                     self.proof.note(asked_ms);
                 }
-                News::Holder {
+                Delivery::Holder {
                     nonce,
                     age_ms,
                     version,
                 } if self.version >= version => self.proof.note_answer(nonce, age_ms),
-                News::Holder { .. } => {}
-                News::Relayed { version } => self.version = self.version.max(version),
+                Delivery::Holder { .. } => {}
+                Delivery::Relayed { version } => self.version = self.version.max(version),
             }
         }
     }
 }
 
-struct Play {
+struct Simulation {
     operators: Operators,
     hosts: Vec<Host>,
     rng: StdRng,
     honoured: u64,
 }
 
-impl Play {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         Self {
@@ -164,20 +165,20 @@
             2 => *host = Host::default(),
             3..24 => host
                 .inbox
-                .push((now_ms + delay_ms, News::Relayed { version: relayed })),
+                .push((now_ms + delay_ms, Delivery::Relayed { version: relayed })),
             _ => {}
         }
     }
 
-    /// A question of a host, and its answer on its way.
+    /// Sends a query of a host and schedules the response.
     fn ask(&mut self, place: usize, now_ms: u64) {
         if now_ms < self.hosts[place].cut_until_ms {
             return;
         }
         let [to_ms, back_ms] = [self.delay_ms(), self.delay_ms()];
         let answered_ms = now_ms + to_ms;
-        let news = if place == HOLDER {
-            News::Store {
+        let updates = if place == HOLDER {
+            Delivery::Store {
                 asked_ms: now_ms,
                 version: self.operators.version(answered_ms),
             }
@@ -185,17 +186,20 @@
             let nonce = self.rng.random();
             self.hosts[place].proof.ask(nonce, now_ms);
             let holder = &self.hosts[HOLDER];
-            // The holder answers by what it knows now; the answer may take long.
+            // The duty holder answers with its state at the time of the query; the response may be
+            // delayed.
             let Some(age_ms) = holder.proof.age_ms(now_ms) else {
                 return;
             };
-            News::Holder {
+            Delivery::Holder {
                 nonce,
                 age_ms,
                 version: holder.version,
             }
         };
-        self.hosts[place].inbox.push((answered_ms + back_ms, news));
+        self.hosts[place]
+            .inbox
+            .push((answered_ms + back_ms, updates));
     }
 
     fn check(&mut self, place: usize, now_ms: u64) -> Result<(), String> {
@@ -203,38 +207,39 @@
         let is_known = host.version % 2 == 1;
         let verdict = judge(is_known, host.proof.age_ms(now_ms), LIMITS);
         let latest = self.operators.version(now_ms);
-        // When the host's version was replaced by the next one.
+        // Time at which the version on the host was replaced by the next one.
         let outdated_ms = self.operators.written_ms(host.version + 1);
         let is_outdated = latest > host.version;
         match verdict {
-            Verdict::Honoured => {
+            KeyVerdict::Honoured => {
                 self.honoured += 1;
                 if is_outdated && now_ms > outdated_ms + REVOCATION_MS {
                     return Err(format!(
-                        "a key revoked at {outdated_ms} is honoured at {now_ms}"
+                        "a key revoked at {outdated_ms} is accepted at {now_ms}"
                     ));
                 }
             }
-            Verdict::Unknown => {
+            KeyVerdict::Unknown => {
                 if is_outdated && now_ms > outdated_ms + CONFIGURATION_MS {
                     return Err(format!(
                         "a key added at {outdated_ms} is unknown at {now_ms}"
                     ));
                 }
             }
-            Verdict::Unproved => {}
+            KeyVerdict::Unverified => {}
         }
         Ok(())
     }
 
     fn run(&mut self) -> Result<(), String> {
-        for now_ms in (0..PLAY_MS).step_by(STEP_MS as usize) {
+        for now_ms in (0..SIMULATION_MS).step_by(STEP_MS as usize) {
             self.disturb(now_ms);
             for place in 0..HOSTS {
                 if now_ms < self.hosts[place].frozen_until_ms {
                     continue;
                 }
-                // A host that has just stood still may answer a caller before it reads what waits for it.
+                // A host that resumes after a suspension may handle a request before it reads its
+                // inbox.
                 self.check(place, now_ms)?;
                 self.hosts[place].take_in(now_ms);
                 self.check(place, now_ms)?;
@@ -248,22 +253,22 @@
 }
 
 quickcheck! {
-    fn no_order_of_events_lets_a_host_honour_a_revoked_key_or_disown_a_good_one(seed: u64) -> Result<(), String> {
-        Play::new(seed).run()
+    fn no_order_of_events_makes_a_host_accept_a_revoked_key_or_reject_a_valid_one(seed: u64) -> Result<(), String> {
+        Simulation::new(seed).run()
     }
 }
 
 #[test]
 fn keys_are_honoured_most_of_the_time() {
-    const PLAYS: u64 = 20;
-    let honoured: u64 = (0..PLAYS)
+    const SIMULATIONS: u64 = 20;
+    let honoured: u64 = (0..SIMULATIONS)
         .map(|seed| {
-            let mut play = Play::new(seed);
-            play.run().expect("no key is misjudged");
-            play.honoured
+            let mut simulation = Simulation::new(seed);
+            simulation.run().expect("no key is misjudged");
+            simulation.honoured
         })
         .sum();
-    // Two checks of each of four hosts at each step; keys are there for some half of the time.
-    let checks = 2 * HOSTS as u64 * PLAYS * PLAY_MS / STEP_MS;
+    // Each of four hosts checks twice in each step; a key exists for about half of the time.
+    let checks = 2 * HOSTS as u64 * SIMULATIONS * SIMULATION_MS / STEP_MS;
     assert!(honoured > checks / 8, "{honoured} of {checks}");
 }
--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -1,4 +1,4 @@
-//! Time limits that follow from the users' bounds.
+//! Tests that the time limits derived from the bounds in the settings keep these bounds.
 
 use ashroad::entry::{bounds::Bounds, limits::TimeLimits, settings::Settings};
 use quickcheck::quickcheck;
@@ -18,7 +18,7 @@
     }
 }
 
-/// Bounds from the tightest that can be kept.
+/// Returns bounds from 800 ms, the tightest that can be kept, upwards.
 fn drawn(drain: u16, configuration: u16) -> Bounds {
     bounds(
         800 + u64::from(drain) / 4,
@@ -27,22 +27,22 @@
 }
 
 quickcheck! {
-    fn every_way_keeps_its_bound(drain: u16, configuration: u16) -> bool {
+    fn every_path_keeps_its_bound(drain: u16, configuration: u16) -> bool {
         let bounds = drawn(drain, configuration);
         let limits = TimeLimits::new(&bounds);
         limits.paths(&bounds).iter().all(|path| path.is_met())
     }
 
-    fn the_holder_is_heard_three_times_while_it_is_relied_on(drain: u16) -> bool {
+    fn the_duty_holder_is_heard_three_times_within_the_trust_period(drain: u16) -> bool {
         let limits = TimeLimits::new(&drawn(drain, 0));
         let confirm_every_ms = limits.confirm_every_ms(700);
-        let two_words_ms = confirm_every_ms + 2 * limits.holder_heartbeat_ms;
-        two_words_ms <= limits.trust_ms
+        let two_heartbeats_ms = confirm_every_ms + 2 * limits.holder_heartbeat_ms;
+        two_heartbeats_ms <= limits.trust_ms
     }
 }
 
 #[test]
-fn a_limit_that_is_raised_past_its_bound_breaks_a_way() {
+fn a_limit_raised_past_its_bound_breaks_a_path() {
     let bounds = bounds(1_900, 900);
     let limits = TimeLimits::new(&bounds);
     struct Case {
@@ -52,11 +52,11 @@
     let case = |name, raise| Case { name, raise };
     let cases = [
         case("trust_ms", |limits| limits.trust_ms += 1),
-        case("servers_rest_ms", |limits| limits.servers_rest_ms += 101),
-        case("configuration_rest_ms", |limits| {
-            limits.configuration_rest_ms += 101;
+        case("servers_pause_ms", |limits| limits.servers_pause_ms += 101),
+        case("configuration_pause_ms", |limits| {
+            limits.configuration_pause_ms += 101;
         }),
-        case("holder_rest_ms", |limits| limits.holder_rest_ms += 1_000),
+        case("holder_pause_ms", |limits| limits.holder_pause_ms += 1_000),
         case("notice_hold_ms", |limits| limits.notice_hold_ms += 1),
         case("holder_heartbeat_ms", |limits| {
             limits.holder_heartbeat_ms += 500
@@ -88,15 +88,15 @@
             configuration: "600ms",
             problems: &[
                 "bounds.configuration of 600 ms cannot be kept when the configuration changes \
-                 while its feed rests: that takes 700 ms",
+                 while its feed pauses: that takes 700 ms",
             ],
         },
         Case {
             drain: "790ms",
             configuration: "2s",
             problems: &[
-                "bounds.drain of 790 ms cannot be kept when the holder is lost before it passes \
-                 on that a server leaves: that takes 800 ms",
+                "bounds.drain of 790 ms cannot be kept when the duty holder fails before it \
+                 broadcasts that a server leaves: that takes 800 ms",
             ],
         },
     ];
