--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -1,4 +1,4 @@
-//! What callers get from the decisions under load; no sockets and no clock.
+//! Results of the decisions under simulated load; no sockets and no clock.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -8,33 +8,33 @@
 use ashroad::entry::{
     decide::{
         Candidate, Demand, Policy, admission,
-        behaviour::Behaviour,
+        attempt_stats::AttemptStats,
         choice::{self, HostCount},
-        hold::{self, Hold, MoveRest, MoveWait},
+        hold::{self, Hold, MoveTimeLeft, MoveWait},
         key_loads::KeyLoads,
-        kinds::Kinds,
         pace::Pace,
-        plan::{self, PlanServer, Question},
+        plan::{self, Inputs, PlanServer},
+        run_shares::RunShares,
     },
     keys::{Assignment, Holding, KeyRange},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// A warm server with free slots of which nothing is known.
+/// A warm server with free slots and without samples.
 const SERVER: Candidate = Candidate {
     slots: 6,
     load: 0,
     run_ms: 0.0,
-    unheard_ms: 0,
+    since_outcome_ms: 0,
     pace: 1.0,
     failures: 0.0,
     is_paused: false,
-    is_near: true,
-    is_far: false,
+    is_same_zone: true,
+    is_other_region: false,
     has_idle_connection: true,
 };
 
-/// A request like the average of its service, which serves no less urgent ones.
+/// A request with the average run time of its service, all of whose requests are equally urgent.
 const DEMAND: Demand = Demand {
     objective_ms: 400,
     deadline_ms: 1_500,
@@ -44,20 +44,20 @@
 
 #[test]
 fn a_server_that_was_slow_for_a_moment_is_not_left_idle() {
-    // The only server of some keys: requests took 900 ms for a moment, and take 120 ms since. What
-    // this host remembers of it can only be corrected by requests that get there.
+    // The only server of some keys was slow for a moment, with 900 ms for a request, and now takes
+    // 120 ms. Only requests that reach it can correct this host's statistics.
     let policy = Policy::default();
-    let mut behaviour = Behaviour::default();
+    let mut attempt_stats = AttemptStats::default();
     let mut now_ms = 1_000_000;
     for _ in 0..20 {
         now_ms += 50;
-        behaviour.answered(900.0, true, now_ms);
+        attempt_stats.answered(900.0, true, now_ms);
     }
     let (mut asked, mut refused) = (0, 0);
     for _ in 0..200 {
         now_ms += 20;
         let seen = Candidate {
-            run_ms: behaviour.run_ms(now_ms),
+            run_ms: attempt_stats.run_ms(now_ms),
             ..SERVER
         };
         let demand = Demand {
@@ -67,7 +67,7 @@
         };
         asked += 1;
         if admission::has_room(&seen, 120.0, demand, &policy) {
-            behaviour.answered(120.0, true, now_ms);
+            attempt_stats.answered(120.0, true, now_ms);
         } else {
             refused += 1;
         }
@@ -90,8 +90,9 @@
     assert!(!admission::has_room(&slow, 120.0, demand, &policy));
 }
 
-/// A host's only answer of a server took longer than the deadline, by a pause of the machine. The server is idle
-/// and quick, and a caller asks every 50 ms.
+/// Guards against a single slow response that keeps a host away from a server. The response took
+/// longer than the deadline because the machine was paused; the server is idle and fast, and a
+/// request arrives every 50 ms.
 #[test]
 fn one_slow_answer_does_not_keep_requests_from_an_idle_server() {
     let policy = Policy::default();
@@ -100,25 +101,25 @@
         deadline_ms: 800,
         ..DEMAND
     };
-    let mut behaviour = Behaviour::default();
+    let mut attempt_stats = AttemptStats::default();
     let mut now_ms = 10_000;
-    behaviour.answered(820.0, true, now_ms);
+    attempt_stats.answered(820.0, true, now_ms);
     let mut refused = 0;
     for _ in 0..200 {
         now_ms += 50;
         let seen = Candidate {
-            run_ms: behaviour.run_ms(now_ms),
-            unheard_ms: behaviour.unheard_ms(now_ms),
+            run_ms: attempt_stats.run_ms(now_ms),
+            since_outcome_ms: attempt_stats.since_outcome_ms(now_ms),
             load: 0,
             ..SERVER
         };
         if admission::has_room(&seen, 60.0, demand, &policy) {
-            behaviour.answered(5.0, true, now_ms);
+            attempt_stats.answered(5.0, true, now_ms);
         } else {
             refused += 1;
         }
     }
-    // It was 120 of 200 while nothing but time corrected the belief.
+    // Without a probe request, 120 of 200 were refused until the sample expired.
     assert!(refused <= 17, "{refused} of 200 are refused");
 }
 
@@ -133,7 +134,7 @@
         result: Hold,
     }
     let cases = [
-        // The former server is at work: most such moves end soon.
+        // The former server still runs requests: most such moves complete soon.
         Case {
             wait: MoveWait::Work,
             rest_ms: 2_500,
@@ -150,7 +151,7 @@
             aim_ms: 400,
             result: Hold::Refuse,
         },
-        // Slow requests may wait longer.
+        // Requests with a long objective may wait longer.
         Case {
             wait: MoveWait::Work,
             rest_ms: 2_500,
@@ -159,7 +160,7 @@
             aim_ms: 2_000,
             result: Hold::For(500),
         },
-        // A lease takes just as long as it does: waiting for a part of that is in vain.
+        // A lease expires exactly at its end, so waiting for a part of that time is useless.
         Case {
             wait: MoveWait::Lease,
             rest_ms: 2_500,
@@ -186,7 +187,7 @@
         },
     ];
     for case in cases {
-        let rest = MoveRest {
+        let rest = MoveTimeLeft {
             wait: case.wait,
             rest_ms: case.rest_ms,
         };
@@ -196,7 +197,7 @@
     }
 }
 
-/// Servers of a service, some faster than the others, with equal parts of the keys.
+/// Creates servers with the given capacities, and an assignment with equal parts of the keys.
 fn uneven_servers(capacities_per_s: &[f64]) -> (Vec<PlanServer>, Assignment) {
     let servers: Vec<PlanServer> = capacities_per_s
         .iter()
@@ -228,7 +229,7 @@
     (servers, assignment)
 }
 
-/// Plans until nothing moves any more, and gives the load by server.
+/// Applies plans until they contain no more moves, and returns the load by server.
 fn settle(
     servers: &[PlanServer],
     assignment: &mut Assignment,
@@ -238,7 +239,7 @@
     let policy = Policy::default();
     for round in 0.. {
         assert!(round < 12, "the plan does not settle");
-        let moves = plan::plan(Question {
+        let moves = plan::plan(Inputs {
             assignment,
             servers,
             loads,
@@ -269,8 +270,8 @@
 
 #[test]
 fn a_hot_key_has_the_fastest_server_and_the_others_stay_balanced() {
-    // Eight servers of which the last is the fastest; one key of the first gets five times what any
-    // of them can serve, and the neighbours of another server are busy.
+    // Eight servers, of which the last is the fastest. One key of the first server gets five times
+    // the load that any server can serve, and a range of another server is busy.
     let (servers, mut assignment) =
         uneven_servers(&[50.0, 50.0, 45.0, 50.0, 55.0, 50.0, 50.0, 70.0]);
     let mut loads = KeyLoads::default();
@@ -301,7 +302,7 @@
     struct Case {
         name: &'static str,
         limits_per_s: &'static [f64],
-        /// Requests a second of one key of the first server.
+        /// Requests a second for one key of the first server.
         key_per_s: f32,
     }
     let cases = [
@@ -335,7 +336,7 @@
         for key in (0..=u16::MAX).step_by(64) {
             loads.add(key, 0.2);
         }
-        // Besides, one of the others has more than its part.
+        // In addition, one of the other servers has more than its share.
         for key in 60_000..60_100 {
             loads.add(key, 0.5);
         }
@@ -379,7 +380,7 @@
     for key in (0..=u16::MAX).step_by(64) {
         loads.add(key, 0.2);
     }
-    let moves = plan::plan(Question {
+    let moves = plan::plan(Inputs {
         assignment: &assignment,
         servers: &servers,
         loads: &loads,
@@ -402,21 +403,21 @@
     assert_eq!(&*assignment.holding(1_000).expect("a holder").server, "s0");
 }
 
-/// What becomes of requests whose hosts hear of each other's requests late.
+/// Results for hosts that learn of each other's requests with a delay.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
     asked: u32,
     /// Answered within the objective.
     in_time: u32,
-    /// Sent to a server that had no room, which resets the connection: an unrepeatable request is
-    /// lost then.
+    /// Sent to a server with a full queue, which resets the connection: an unrepeatable request is
+    /// then lost.
     reset: u32,
     refused: u32,
 }
 
-/// Plays 12 s of requests of 59 hosts for the 46 servers of their zone at 92% of its capacity. What
-/// a host knows of the others' requests is up to `word_age_ms` old.
-fn play_late_word(word_age_ms: u64) -> Outcome {
+/// Simulates 12 s of requests of 59 hosts to the 46 servers of their zone at 92% of its capacity. A
+/// host's data on the requests of other hosts is up to `load_age_ms` old.
+fn simulate_load_age(load_age_ms: u64) -> Outcome {
     const HOSTS: usize = 59;
     const SERVERS: usize = 46;
     const SLOTS: usize = 4;
@@ -425,7 +426,7 @@
     const OBJECTIVE_MS: u64 = 1_200;
     let mut rng = StdRng::seed_from_u64(7);
     let policy = Policy::default();
-    // When each request at a server began or will begin to run, and ends; its host.
+    // For each server, the end times of its running and queued requests, with their hosts.
     let mut ends: Vec<Vec<(u64, usize)>> = vec![Vec::new(); SERVERS];
     let mut told = vec![vec![0u32; SERVERS]; HOSTS];
     let mut outcome = Outcome::default();
@@ -435,7 +436,7 @@
         for server in &mut ends {
             server.retain(|(end_ms, _)| *end_ms > now_ms);
         }
-        if now_ms.is_multiple_of(word_age_ms) {
+        if now_ms.is_multiple_of(load_age_ms) {
             for (host, told) in told.iter_mut().enumerate() {
                 for (server, load) in told.iter_mut().enumerate() {
                     let others = ends[server].iter().filter(|(_, by)| *by != host);
@@ -457,7 +458,7 @@
                     }
                 })
                 .collect();
-            let question = choice::Question {
+            let inputs = choice::Inputs {
                 servers: &seen,
                 typical_ms: MEAN_RUN_MS,
                 demand: Demand {
@@ -471,7 +472,7 @@
                 },
             };
             outcome.asked += 1;
-            let Some(server) = choice::pick(question, &policy, &mut rng) else {
+            let Some(server) = choice::pick(inputs, &policy, &mut rng) else {
                 outcome.refused += 1;
                 continue;
             };
@@ -493,17 +494,17 @@
 }
 
 #[test]
-fn fresh_word_of_loads_serves_more_in_time_than_old_word() {
-    // Sums of a zone are up to 0.25 s old, reports to other zones were up to 4 s old.
-    let fresh = play_late_word(250);
-    let old = play_late_word(4_000);
+fn fresh_loads_serve_more_in_time_than_stale_ones() {
+    // Sums within a zone are up to 0.25 s old; reports between zones were up to 4 s old.
+    let fresh = simulate_load_age(250);
+    let old = simulate_load_age(4_000);
     let share = |outcome: Outcome| f64::from(outcome.in_time) / f64::from(outcome.asked);
     assert!(share(fresh) > 0.95, "{fresh:?}");
     assert!(share(old) < share(fresh) - 0.05, "{old:?}, {fresh:?}");
     assert_eq!(fresh.reset, 0, "{fresh:?}");
 }
 
-/// A request at a server of [`play_noisy`].
+/// A request at a server of [`simulate_noisy_servers`].
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     host: usize,
@@ -511,7 +512,7 @@
     work_ms: f64,
 }
 
-/// A server that shares its machine: a fifth of the time it runs three times slower.
+/// A server that shares its machine with others: a fifth of the time it runs three times slower.
 #[derive(Debug, Default)]
 struct NoisyServer {
     speed: f64,
@@ -539,11 +540,11 @@
     }
 }
 
-/// What callers get of 20 s of requests for 11 servers of one zone with three slots each, at 1.25 times
-/// what they can serve: the share of the worth that answers in the objective, and half of it that late
-/// ones have. 25 hosts tell each other every 100 ms how many requests they have at each server and
-/// what the servers told them of their pace.
-fn play_noisy(policy: &Policy) -> f64 {
+/// Simulates 20 s of requests for 11 servers of one zone with three slots each, at 1.25 times their
+/// capacity, and returns the earned share of the possible value: a response within the objective
+/// counts 1, a late one 0.5. 25 hosts report to each other every 100 ms how many requests they have
+/// at each server and which pace the servers reported.
+fn simulate_noisy_servers(policy: &Policy) -> f64 {
     const HOSTS: usize = 25;
     const SERVERS: usize = 11;
     const MEAN_WORK_MS: f64 = 90.0;
@@ -612,7 +613,7 @@
                     }
                 })
                 .collect();
-            let question = choice::Question {
+            let inputs = choice::Inputs {
                 servers: &seen,
                 typical_ms: MEAN_WORK_MS * 1.4,
                 demand: Demand {
@@ -625,14 +626,14 @@
                     all: 3 * HOSTS,
                 },
             };
-            let Some(chosen) = choice::pick(question, policy, &mut rng) else {
+            let Some(chosen) = choice::pick(inputs, policy, &mut rng) else {
                 continue;
             };
             if servers[chosen].load() >= NoisyServer::SLOTS + NoisyServer::QUEUE {
                 continue;
             }
             own[host][chosen] += 1;
-            // Work differs by a factor of some between requests.
+            // The run times of requests vary by a factor of several.
             let work_ms = MEAN_WORK_MS * 0.78 * (0.7 * normal(&mut rng)).exp();
             servers[chosen].queue.push_back(Waiting {
                 host,
@@ -644,7 +645,7 @@
     worth / asked
 }
 
-/// A draw of the standard normal distribution, by the sum of twelve.
+/// Draws from the standard normal distribution, approximated by the sum of twelve uniform draws.
 fn normal(rng: &mut StdRng) -> f64 {
     (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0
 }
@@ -652,35 +653,35 @@
 #[test]
 fn servers_that_are_slow_for_a_moment_get_less_and_no_server_gets_what_all_send() {
     let default = Policy::default();
-    let known = play_noisy(&default);
-    let unknown = play_noisy(&Policy {
+    let known = simulate_noisy_servers(&default);
+    let unknown = simulate_noisy_servers(&Policy {
         pace_memory_ms: 0,
         ..default
     });
-    // With ten servers compared in place of three, all hosts choose the same few ones: 0.87.
+    // With ten servers compared instead of three, all hosts choose the same few servers: 0.87.
     assert!(known > 0.92, "{known}");
     assert!(unknown < known - 0.01, "{unknown}, {known}");
 }
 
-/// Worth that short and long requests earn at one server, as shares of what is asked.
+/// Value earned by short and long requests at one server, as shares of the possible value.
 #[derive(Clone, Copy, Debug, Default)]
 struct Earned {
     short: f64,
     long: f64,
 }
 
-/// Plays 60 s of the only server of some keys: three slots, long requests of 500 ms that fill 85% of
-/// them and are worth 1 within a second, and a few short ones of 90 ms, worth 3 within 250 ms and half
-/// of that until 600 ms.
-fn play_short_and_long(policy: &Policy) -> Earned {
+/// Simulates 60 s at the only server of some keys. It has three slots; long requests of 500 ms fill
+/// 85% of them and are worth 1 if answered within a second. A few short ones of 90 ms are urgent,
+/// and worth 3 if answered within 250 ms; their deadline is 600 ms. Late responses count half.
+fn simulate_short_and_long(policy: &Policy) -> Earned {
     const SLOTS: usize = 3;
     const SHORT_EVERY_MS: f64 = 700.0;
     const LONG_EVERY_MS: f64 = 500.0 / (0.85 * SLOTS as f64);
     let mut rng = StdRng::seed_from_u64(11);
-    let kinds = Kinds::default();
+    let run_shares = RunShares::default();
     let (service, short): (Arc<str>, Arc<str>) = ("s".into(), "short".into());
     for _ in 0..20 {
-        kinds.note(&service, &short, 90.0, 460.0);
+        run_shares.note(&service, &short, 90.0, 460.0);
     }
     let mut ends_ms: Vec<f64> = Vec::new();
     let (mut earned, mut asked) = (Earned::default(), Earned::default());
@@ -706,7 +707,7 @@
                 objective_ms: 250,
                 deadline_ms: 600,
                 run_share: if policy.runs_by_route {
-                    kinds.run_share(&service, &short)
+                    run_shares.run_share(&service, &short)
                 } else {
                     1.0
                 },
@@ -753,13 +754,13 @@
 #[test]
 fn short_urgent_requests_are_served_beside_long_ones() {
     let default = Policy::default();
-    let both = play_short_and_long(&default);
-    let neither = play_short_and_long(&Policy {
+    let both = simulate_short_and_long(&default);
+    let neither = simulate_short_and_long(&Policy {
         runs_by_route: false,
         urgent_may_be_late: false,
         ..default
     });
-    // Refused whenever no slot is free, they earned half.
+    // When they were refused unless a slot was free, they earned half of the value.
     assert!(neither.short < 0.65, "{neither:?}");
     assert!(both.short > neither.short + 0.1, "{both:?}, {neither:?}");
     assert!(both.long > neither.long - 0.02, "{both:?}, {neither:?}");
@@ -769,25 +770,25 @@
 fn servers_of_another_region_get_what_the_own_one_has_no_room_for() {
     struct Case {
         name: &'static str,
-        /// Requests at each of the own region's servers.
+        /// Requests at each server of the host's own region.
         own_load: u32,
-        is_far_taken: bool,
+        is_other_region_chosen: bool,
     }
     let cases = [
         Case {
             name: "idle servers in the own region",
             own_load: 0,
-            is_far_taken: false,
+            is_other_region_chosen: false,
         },
         Case {
             name: "servers without a free slot, which answer in time",
             own_load: 7,
-            is_far_taken: false,
+            is_other_region_chosen: false,
         },
         Case {
             name: "full servers",
             own_load: 40,
-            is_far_taken: true,
+            is_other_region_chosen: true,
         },
     ];
     let policy = Policy::default();
@@ -801,20 +802,24 @@
         let far = Candidate {
             load: 0,
             run_ms: 60.0,
-            is_near: false,
-            is_far: true,
+            is_same_zone: false,
+            is_other_region: true,
             ..SERVER
         };
         let servers = [own, far, own, far, far];
         for _ in 0..100 {
-            let question = choice::Question {
+            let inputs = choice::Inputs {
                 servers: &servers,
                 typical_ms: 100.0,
                 demand: DEMAND,
                 hosts: choice::HostCount { near: 20, all: 75 },
             };
-            let place = choice::pick(question, &policy, &mut rng).expect(case.name);
-            assert_eq!(servers[place].is_far, case.is_far_taken, "{}", case.name);
+            let place = choice::pick(inputs, &policy, &mut rng).expect(case.name);
+            assert_eq!(
+                servers[place].is_other_region, case.is_other_region_chosen,
+                "{}",
+                case.name
+            );
         }
     }
 }
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -1,4 +1,5 @@
-//! Evidence against requests under which servers end, without processes.
+//! Tests the evidence, trials, reports and quarantine of requests that crash servers, without
+//! processes and sockets.
 
 use std::net::SocketAddr;
 
@@ -6,25 +7,25 @@
     crashes::reports::Reports,
     decide::{
         crash_tally::{CrashTally, SERVERS_NEEDED},
-        path_tally::{PathTally, SharedSuspect, Width},
+        path_tally::{DigestScope, PathTally, SharedSuspect},
         quarantine::{ANY_CALLER_QUARANTINE_MS, QUARANTINE_MS, Quarantine},
-        trials::{CLAIM_MS, Claimed, Trials},
+        trials::{CLAIM_MS, ClaimSubject, TrialClaims},
     },
     digest::{RequestDigest, RequestDigests},
     explain::{Source, explain},
-    runs::Runs,
+    running_requests::RunningRequests,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-const DEADLY: RequestDigest = RequestDigest(1);
-const CHANCE: RequestDigest = RequestDigest(2);
+const CRASHING: RequestDigest = RequestDigest(1);
+const HARMLESS: RequestDigest = RequestDigest(2);
 const MINUTE_MS: u64 = 60_000;
 
 #[test]
 fn a_request_is_the_cause_once_enough_servers_have_ended_under_it() {
     struct Case {
         what: &'static str,
-        /// Server, and time in ms.
+        /// Crashes as `(server, time in ms)`.
         ends: &'static [(u32, u64)],
         reached: bool,
     }
@@ -45,7 +46,7 @@
             reached: true,
         },
         Case {
-            what: "one server, told by three hosts",
+            what: "one server, reported by three hosts",
             ends: &[(1, 0), (1, 1), (1, 2)],
             reached: false,
         },
@@ -64,14 +65,15 @@
         let mut tally = CrashTally::default();
         let mut reached = Vec::new();
         for (server_tag, at_ms) in case.ends {
-            reached.extend(tally.note(*server_tag, &[DEADLY], *at_ms));
+            reached.extend(tally.note(*server_tag, &[CRASHING], *at_ms));
         }
-        assert_eq!(reached.contains(&DEADLY), case.reached, "{}", case.what);
+        assert_eq!(reached.contains(&CRASHING), case.reached, "{}", case.what);
     }
 }
 
-/// A zone of twelve servers is lost. A harmless request is at three of them, since its host and its caller send
-/// it again at once; none of its hosts has had an answer for it.
+/// Guards against quarantining a harmless request when a zone is lost. Twelve servers crash at
+/// once; the request is at three of them, since its host and its caller retry it at once, and none
+/// of its hosts has had a response.
 #[test]
 fn the_loss_of_a_zone_is_no_evidence_against_a_request() {
     let mut tally = CrashTally::default();
@@ -84,29 +86,33 @@
         ));
     }
     for server_tag in 9..12 {
-        reached.extend(tally.note(server_tag, &[CHANCE], 60));
+        reached.extend(tally.note(server_tag, &[HARMLESS], 60));
     }
     assert_eq!(reached, []);
-    assert!(!tally.is_suspect(CHANCE, 100), "tried as often as it comes");
-    // Where it goes on, it is the cause after all.
-    assert_eq!(tally.note(20, &[CHANCE], 4_000), [CHANCE]);
+    assert!(
+        !tally.is_suspect(HARMLESS, 100),
+        "tried as often as it comes"
+    );
+    // It is the cause if a server crashes under it later.
+    assert_eq!(tally.note(20, &[HARMLESS], 4_000), [HARMLESS]);
 }
 
 #[test]
-fn a_request_that_a_server_has_run_to_a_good_end_is_not_the_cause() {
+fn a_request_that_a_server_has_answered_is_not_the_cause() {
     let mut tally = CrashTally::default();
     for server_tag in 0..10 {
         let now_ms = u64::from(server_tag) * 3_500;
-        let reached = tally.note(server_tag, &[DEADLY, CHANCE], now_ms);
-        assert!(!reached.contains(&CHANCE));
-        assert_eq!(reached.contains(&DEADLY), server_tag >= 1);
-        assert!(tally.clear(CHANCE));
-        assert!(!tally.clear(CHANCE), "cleared before");
+        let reached = tally.note(server_tag, &[CRASHING, HARMLESS], now_ms);
+        assert!(!reached.contains(&HARMLESS));
+        assert_eq!(reached.contains(&CRASHING), server_tag >= 1);
+        assert!(tally.clear(HARMLESS));
+        assert!(!tally.clear(HARMLESS), "cleared before");
     }
 }
 
-/// A service of 60 servers, of which one ends every 3 s by chance for ten minutes. 2,000 callers ask the
-/// same thing once a second, for 90 ms, at a drawn server.
+/// Guards against quarantining repeated harmless requests while servers crash by chance. One of 60
+/// servers crashes every 3 s for ten minutes; 2,000 callers send the same request once a second,
+/// each taking 90 ms at a random server.
 #[test]
 fn callers_who_ask_the_same_thing_again_and_again_are_served_while_servers_end_by_chance() {
     const SERVERS: u32 = 60;
@@ -122,7 +128,7 @@
             .map(RequestDigest)
             .collect();
         reached += tally.note(end as u32, &in_flight, now_ms).len();
-        // They ask again a second later, and others answer.
+        // Callers retry a second later, and other servers answer.
         for digest in in_flight {
             tally.clear(digest);
         }
@@ -134,9 +140,9 @@
 #[test]
 fn suspects_are_bounded_and_those_with_the_most_evidence_stay() {
     let mut tally = CrashTally::default();
-    tally.note(1, &[DEADLY], 0);
-    tally.note(2, &[DEADLY], 1);
-    assert!(tally.is_suspect(DEADLY, 1));
+    tally.note(1, &[CRASHING], 0);
+    tally.note(2, &[CRASHING], 1);
+    assert!(tally.is_suspect(CRASHING, 1));
     for end in 0..1_000u32 {
         let digests: Vec<RequestDigest> = (0..12)
             .map(|number| RequestDigest(1_000 + u64::from(end * 12 + number)))
@@ -144,51 +150,51 @@
         tally.note(10 + end, &digests, 2);
         assert!(tally.len() <= 4_096);
     }
-    assert_eq!(tally.note(3, &[DEADLY], 3_500), [DEADLY]);
+    assert_eq!(tally.note(3, &[CRASHING], 3_500), [CRASHING]);
     assert_eq!(SERVERS_NEEDED, 2);
 }
 
 #[test]
 fn quarantine_ends_and_is_bounded() {
     let mut quarantine = Quarantine::default();
-    assert!(quarantine.add(DEADLY, 5));
-    assert!(!quarantine.add(DEADLY, 6), "it is there");
-    assert_eq!(quarantine.rest_ms(DEADLY, 5), Some(QUARANTINE_MS));
-    assert_eq!(quarantine.rest_ms(CHANCE, 5), None);
-    assert_eq!(quarantine.rest_ms(DEADLY, 5 + QUARANTINE_MS), None);
-    assert!(quarantine.add(DEADLY, 5 + QUARANTINE_MS), "once more");
+    assert!(quarantine.add(CRASHING, 5));
+    assert!(!quarantine.add(CRASHING, 6), "it is there");
+    assert_eq!(quarantine.rest_ms(CRASHING, 5), Some(QUARANTINE_MS));
+    assert_eq!(quarantine.rest_ms(HARMLESS, 5), None);
+    assert_eq!(quarantine.rest_ms(CRASHING, 5 + QUARANTINE_MS), None);
+    assert!(quarantine.add(CRASHING, 5 + QUARANTINE_MS), "once more");
     for number in 0..1_000 {
         quarantine.add(RequestDigest(100 + number), QUARANTINE_MS + number);
     }
     assert_eq!(quarantine.len(), 256);
     let latest = quarantine.latest(QUARANTINE_MS + 1_000);
     assert_eq!(latest.first(), Some(&RequestDigest(1_099)));
-    assert!(!latest.contains(&DEADLY));
+    assert!(!latest.contains(&CRASHING));
     assert!(quarantine.latest(3 * QUARANTINE_MS).is_empty());
 }
 
 #[test]
-fn all_hosts_are_told_of_an_end_and_a_later_holder_again() {
+fn crash_reports_go_to_all_hosts_and_again_to_a_new_duty_holder() {
     let mut reports = Reports::default();
-    reports.add(7, vec![DEADLY, CHANCE], true);
+    reports.add(7, vec![CRASHING, HARMLESS], true);
     for _ in 0..3 {
         let due = reports.due(1);
         assert_eq!(due.len(), 1);
         assert_eq!((due[0].server_tag, due[0].digests.len()), (7, 2));
         assert!(due[0].to_all);
     }
-    assert!(reports.due(1).is_empty(), "told often enough");
-    reports.clear(CHANCE);
+    assert!(reports.due(1).is_empty(), "sent often enough");
+    reports.clear(HARMLESS);
     let due = reports.due(2);
-    assert_eq!((&*due[0].digests, due[0].to_all), (&[DEADLY][..], false));
+    assert_eq!((&*due[0].digests, due[0].to_all), (&[CRASHING][..], false));
     for server_tag in 0..1_000 {
         reports.add(server_tag, Vec::new(), false);
     }
     assert_eq!(reports.due(3).len(), 64);
 }
 
-/// A request without a query.
-fn plain(digest: u64) -> RequestDigests {
+/// Digests of a request without a query.
+fn without_query(digest: u64) -> RequestDigests {
     let digest = RequestDigest(digest);
     RequestDigests {
         whole: digest,
@@ -200,34 +206,34 @@
 }
 
 #[test]
-fn requests_whose_callers_left_stay_under_suspicion_for_a_moment() {
-    let mut runs = Runs::default();
+fn abandoned_requests_stay_suspect_for_a_moment() {
+    let mut running_requests = RunningRequests::default();
     for digest in 0..5 {
-        runs.begin(plain(digest));
+        running_requests.begin(without_query(digest));
     }
-    runs.answered(plain(0));
-    runs.cut_off(plain(1), 1_000);
-    runs.begin(plain(2));
-    runs.answered(plain(2));
+    running_requests.answered(without_query(0));
+    running_requests.abandoned(without_query(1), 1_000);
+    running_requests.begin(without_query(2));
+    running_requests.answered(without_query(2));
     let all = [1, 2, 3, 4].map(RequestDigest);
-    assert_eq!(runs.suspects(2_900), all);
-    assert_eq!(runs.suspects(3_100), all[1..]);
+    assert_eq!(running_requests.suspects(2_900), all);
+    assert_eq!(running_requests.suspects(3_100), all[1..]);
 }
 
 #[test]
 fn a_request_with_a_query_is_under_suspicion_with_and_without_it() {
-    let mut runs = Runs::default();
+    let mut running_requests = RunningRequests::default();
     for whole in [10, 11] {
-        runs.begin(RequestDigests {
+        running_requests.begin(RequestDigests {
             whole: RequestDigest(whole),
-            ..plain(1)
+            ..without_query(1)
         });
     }
-    assert_eq!(runs.suspects(0), [1, 10, 11].map(RequestDigest));
+    assert_eq!(running_requests.suspects(0), [1, 10, 11].map(RequestDigest));
 }
 
 #[test]
-fn the_story_of_a_refusal_names_the_servers_that_ended() {
+fn the_explanation_of_a_refusal_names_the_crashed_servers() {
     let first = r#"
         {"at_unix_ms":1000,"event":"server_ended","server":"i-1","digests":["0a","0b"]}
         {"at_unix_ms":1500,"event":"server_ended","server":"i-9","digests":["0b"]}
@@ -237,107 +243,107 @@
         {"at_unix_ms":8010,"event":"quarantined","digest":"0c","source":"the store has it"}
         {"at_unix_ms":90000,"event":"request","request_id":"id-1","digest":"0a","decision":"refused"}"#;
     let sources = [("a", first), ("b", second)].map(|(name, text)| Source { name, text });
-    let story = explain("id-1", &sources);
-    let times: Vec<u64> = story.iter().map(|line| line.at_unix_ms).collect();
+    let explanation = explain("id-1", &sources);
+    let times: Vec<u64> = explanation.iter().map(|line| line.at_unix_ms).collect();
     assert_eq!(times, [1_000, 4_500, 8_000, 90_000]);
 }
 
 #[test]
 fn one_host_at_a_time_tries_a_suspect() {
     let [first, second] = [1, 2].map(|last| SocketAddr::from(([10, 0, 0, last], 7_620)));
-    // Both claim before they hear each other.
-    let (mut of_first, mut of_second) = (Trials::default(), Trials::default());
-    assert_eq!(of_first.claim(DEADLY, first, 0), Ok(()));
-    assert_eq!(of_second.claim(DEADLY, second, 1), Ok(()));
-    of_first.note(DEADLY, second, 3);
-    of_second.note(DEADLY, first, 3);
-    assert!(of_first.has(DEADLY, first, 25));
-    assert!(!of_second.has(DEADLY, second, 26));
-    // Neither that host nor another one tries it until the outcome is known, or should be.
-    assert_eq!(of_second.claim(DEADLY, second, 103), Err(CLAIM_MS - 100));
-    assert_eq!(of_first.claim(DEADLY, first, 100), Err(CLAIM_MS - 100));
-    of_second.end(DEADLY);
-    assert_eq!(of_second.claim(DEADLY, second, 104), Ok(()));
-    assert_eq!(of_first.claim(DEADLY, first, CLAIM_MS), Ok(()));
+    // Both hosts claim before they receive each other's claim.
+    let (mut of_first, mut of_second) = (TrialClaims::default(), TrialClaims::default());
+    assert_eq!(of_first.claim(CRASHING, first, 0), Ok(()));
+    assert_eq!(of_second.claim(CRASHING, second, 1), Ok(()));
+    of_first.note(CRASHING, second, 3);
+    of_second.note(CRASHING, first, 3);
+    assert!(of_first.has(CRASHING, first, 25));
+    assert!(!of_second.has(CRASHING, second, 26));
+    // Neither host may try it again until the outcome is known or the claim expires.
+    assert_eq!(of_second.claim(CRASHING, second, 103), Err(CLAIM_MS - 100));
+    assert_eq!(of_first.claim(CRASHING, first, 100), Err(CLAIM_MS - 100));
+    of_second.end(CRASHING);
+    assert_eq!(of_second.claim(CRASHING, second, 104), Ok(()));
+    assert_eq!(of_first.claim(CRASHING, first, CLAIM_MS), Ok(()));
     assert_eq!(
-        of_first.claim(CHANCE, first, CLAIM_MS),
+        of_first.claim(HARMLESS, first, CLAIM_MS),
         Ok(()),
         "another one"
     );
 }
 
-/// A request of a caller for what many ask for.
-fn shared(caller_tag: u32, width: Width, is_trial: bool) -> SharedSuspect {
+/// A suspect across callers, from one caller.
+fn shared(caller_tag: u32, scope: DigestScope, is_trial: bool) -> SharedSuspect {
     SharedSuspect {
-        digest: DEADLY,
-        width,
+        digest: CRASHING,
+        scope,
         caller_tag,
         is_trial,
     }
 }
 
 #[test]
-fn what_many_callers_ask_for_is_the_cause_only_by_more_than_one_caller_and_a_trial() {
+fn a_request_of_many_callers_needs_several_callers_and_a_trial_as_evidence() {
     struct Case {
         what: &'static str,
-        width: Width,
-        /// Server, caller, whether it was a trial, and time in ms.
+        scope: DigestScope,
+        /// Crashes as `(server, caller, whether it was a trial, time in ms)`.
         ends: &'static [(u32, u32, bool, u64)],
         reached: bool,
     }
-    use Width::{Content, Path};
+    use DigestScope::{Content, Path};
     let cases = [
         Case {
             what: "two servers under one caller",
-            width: Content,
+            scope: Content,
             ends: &[(1, 7, false, 0), (2, 7, true, 3_500), (3, 7, true, 7_000)],
             reached: false,
         },
         Case {
             what: "a trial of another caller",
-            width: Content,
+            scope: Content,
             ends: &[(1, 7, false, 0), (2, 8, true, 3_500)],
             reached: true,
         },
         Case {
             what: "two callers at the first server, a trial of one of them",
-            width: Content,
+            scope: Content,
             ends: &[(1, 7, false, 0), (1, 8, false, 0), (2, 7, true, 3_500)],
             reached: true,
         },
         Case {
             what: "two callers at one server",
-            width: Content,
+            scope: Content,
             ends: &[(1, 7, false, 0), (1, 8, false, 0)],
             reached: false,
         },
         Case {
-            what: "two callers, no trial: another request may have ended the servers",
-            width: Content,
+            what: "two callers, no trial: another request may have crashed the servers",
+            scope: Content,
             ends: &[(1, 7, false, 0), (2, 8, false, 40), (3, 9, false, 80)],
             reached: false,
         },
         Case {
             what: "a trial 16 minutes later",
-            width: Content,
+            scope: Content,
             ends: &[(1, 7, false, 0), (2, 8, true, 16 * MINUTE_MS)],
             reached: false,
         },
         Case {
             what: "three servers under different requests for a path",
-            width: Path,
+            scope: Path,
             ends: &[(1, 7, false, 0), (2, 8, false, 600), (3, 9, false, 1_200)],
             reached: true,
         },
         Case {
             what: "the same at once",
-            width: Path,
+            scope: Path,
             ends: &[(1, 7, false, 0), (2, 8, false, 60), (3, 9, false, 120)],
             reached: false,
         },
         Case {
             what: "two servers under different requests for a path",
-            width: Path,
+            scope: Path,
             ends: &[(1, 7, false, 0), (2, 8, false, 3_500)],
             reached: false,
         },
@@ -346,30 +352,30 @@
         let mut tally = PathTally::default();
         let mut reached = Vec::new();
         for (server_tag, caller_tag, is_trial, at_ms) in case.ends {
-            let suspect = shared(*caller_tag, case.width, *is_trial);
+            let suspect = shared(*caller_tag, case.scope, *is_trial);
             reached.extend(tally.note(*server_tag, &[suspect], false, *at_ms));
         }
-        assert_eq!(reached.contains(&DEADLY), case.reached, "{}", case.what);
+        assert_eq!(reached.contains(&CRASHING), case.reached, "{}", case.what);
     }
 }
 
 #[test]
-fn a_good_end_of_a_later_request_clears_a_path_and_one_in_flight_before_does_not() {
+fn only_a_success_sent_after_the_crash_clears_a_path() {
     let mut tally = PathTally::default();
-    tally.note(1, &[shared(7, Width::Content, false)], false, 1_000);
-    assert!(!tally.clear(DEADLY, 990), "sent before the end");
-    assert!(tally.is_suspect(DEADLY, 1_100));
-    assert!(tally.clear(DEADLY, 1_010));
+    tally.note(1, &[shared(7, DigestScope::Content, false)], false, 1_000);
+    assert!(!tally.clear(CRASHING, 990), "sent before the crash");
+    assert!(tally.is_suspect(CRASHING, 1_100));
+    assert!(tally.clear(CRASHING, 1_010));
     assert!(tally.is_empty());
-    let reached = tally.note(2, &[shared(8, Width::Content, true)], false, 2_000);
-    assert_eq!(reached, [], "the first end no longer counts");
+    let reached = tally.note(2, &[shared(8, DigestScope::Content, true)], false, 2_000);
+    assert_eq!(reached, [], "the first crash no longer counts");
 }
 
 #[test]
-fn the_loss_of_many_servers_speaks_against_no_path() {
+fn a_mass_crash_is_no_evidence_against_a_path() {
     let mut tally = PathTally::default();
     for server_tag in 0..12 {
-        let suspects = [7, 8].map(|caller_tag| shared(caller_tag, Width::Path, false));
+        let suspects = [7, 8].map(|caller_tag| shared(caller_tag, DigestScope::Path, false));
         let at_ms = u64::from(server_tag) * 400;
         assert_eq!(tally.note(server_tag, &suspects, true, at_ms), []);
     }
@@ -379,74 +385,74 @@
 #[test]
 fn suspected_paths_are_bounded() {
     let mut tally = PathTally::default();
-    tally.note(1, &[shared(7, Width::Content, false)], false, 0);
-    tally.note(2, &[shared(7, Width::Content, true)], false, 1);
+    tally.note(1, &[shared(7, DigestScope::Content, false)], false, 0);
+    tally.note(2, &[shared(7, DigestScope::Content, true)], false, 1);
     for end in 0..1_000u32 {
         let suspects: Vec<SharedSuspect> = (0..12)
             .map(|number| SharedSuspect {
                 digest: RequestDigest(1_000 + u64::from(end * 12 + number)),
-                ..shared(7, Width::Content, false)
+                ..shared(7, DigestScope::Content, false)
             })
             .collect();
         tally.note(10 + end, &suspects, false, 2);
         assert!(tally.len() <= 4_096);
     }
-    assert!(tally.is_suspect(DEADLY, 2), "the one with most evidence");
+    assert!(tally.is_suspect(CRASHING, 2), "the one with most evidence");
 }
 
 #[test]
-fn what_all_callers_are_refused_is_tried_again_sooner() {
+fn quarantine_for_all_callers_is_shorter() {
     let any_caller = RequestDigest(1 << 63 | 5);
     let mut quarantine = Quarantine::default();
     quarantine.add(any_caller, 0);
-    quarantine.add(DEADLY, 0);
+    quarantine.add(CRASHING, 0);
     assert_eq!(
         quarantine.rest_ms(any_caller, ANY_CALLER_QUARANTINE_MS),
         None
     );
     assert!(
         quarantine
-            .rest_ms(DEADLY, ANY_CALLER_QUARANTINE_MS)
+            .rest_ms(CRASHING, ANY_CALLER_QUARANTINE_MS)
             .is_some()
     );
-    // Its evidence is there still, so that one host at a time tries it.
+    // The evidence outlasts the quarantine, so that only one host at a time tries the request.
     let mut tally = PathTally::default();
-    tally.note(1, &[shared(7, Width::Content, false)], false, 0);
-    assert!(tally.is_suspect(DEADLY, ANY_CALLER_QUARANTINE_MS));
+    tally.note(1, &[shared(7, DigestScope::Content, false)], false, 0);
+    assert!(tally.is_suspect(CRASHING, ANY_CALLER_QUARANTINE_MS));
 }
 
 #[test]
-fn a_server_that_ends_in_a_trial_has_one_trial() {
-    let mut runs = Runs::default();
-    runs.begin(plain(3));
-    runs.begin_trial(plain(4));
-    let is_trial = |runs: &Runs, digest| {
-        let suspects = runs.shared_suspects(1_000);
+fn a_broken_trial_remains_a_trial_until_it_is_answered() {
+    let mut running_requests = RunningRequests::default();
+    running_requests.begin(without_query(3));
+    running_requests.begin_trial(without_query(4));
+    let is_trial = |running_requests: &RunningRequests, digest| {
+        let suspects = running_requests.shared_suspects(1_000);
         let found = suspects.iter().find(|s| s.digest == RequestDigest(digest));
         found.map(|suspect| suspect.is_trial)
     };
     assert_eq!(
-        [3, 4].map(|digest| is_trial(&runs, digest)),
+        [3, 4].map(|digest| is_trial(&running_requests, digest)),
         [Some(false), Some(true)]
     );
-    // Its connection breaks off as the server ends.
-    runs.cut_off(plain(4), 990);
-    assert_eq!(is_trial(&runs, 4), Some(true));
-    runs.begin_trial(plain(5));
-    runs.answered(plain(5));
-    runs.begin(plain(5));
-    assert_eq!(is_trial(&runs, 5), Some(false));
+    // The connection breaks when the server crashes.
+    running_requests.abandoned(without_query(4), 990);
+    assert_eq!(is_trial(&running_requests, 4), Some(true));
+    running_requests.begin_trial(without_query(5));
+    running_requests.answered(without_query(5));
+    running_requests.begin(without_query(5));
+    assert_eq!(is_trial(&running_requests, 5), Some(false));
 }
 
 #[test]
 fn one_suspect_at_a_time_is_tried_at_a_server() {
     let [first, second] = [1, 2].map(|last| SocketAddr::from(([10, 0, 0, last], 7_620)));
-    let mut trials = Trials::default();
-    assert_eq!(trials.claim(Claimed::Server(9), first, 0), Ok(()));
-    trials.note(Claimed::Server(8), second, 0);
-    assert!(trials.claim(Claimed::Server(9), first, 10).is_err());
-    assert!(trials.claim(Claimed::Server(8), first, 10).is_err());
-    assert_eq!(trials.claim(Claimed::Server(7), first, 10), Ok(()));
-    trials.end(Claimed::Server(8));
-    assert_eq!(trials.claim(Claimed::Server(8), first, 20), Ok(()));
+    let mut trials = TrialClaims::default();
+    assert_eq!(trials.claim(ClaimSubject::Server(9), first, 0), Ok(()));
+    trials.note(ClaimSubject::Server(8), second, 0);
+    assert!(trials.claim(ClaimSubject::Server(9), first, 10).is_err());
+    assert!(trials.claim(ClaimSubject::Server(8), first, 10).is_err());
+    assert_eq!(trials.claim(ClaimSubject::Server(7), first, 10), Ok(()));
+    trials.end(ClaimSubject::Server(8));
+    assert_eq!(trials.claim(ClaimSubject::Server(8), first, 20), Ok(()));
 }
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -1,23 +1,26 @@
-//! Quotas of workspaces over all hosts, played in virtual time on the code that decides: never more than the users'
-//! bound, and no less than what is allowed.
+//! Simulates workspace quotas over all hosts in virtual time, with the real decision code. Admitted
+//! requests must stay within the users' bound, and at least 90 % of what the quota allows must be
+//! served.
 
-use ashroad::entry::decide::quota::{Admitted, HostShare, Ledger, Quota, Sharing, Use};
+use ashroad::entry::decide::quota::{
+    AdmittedShare, HostShare, Ledger, Quota, QuotaContext, QuotaUsage,
+};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// Window over which the users count, and what they allow on top of a quota.
+/// Window over which the users count requests, and the excess over a quota that they allow.
 const WINDOW_MS: u64 = 5_000;
 const OVERSHOOT: f64 = 0.1;
 const SLACK: f64 = 20.0;
-/// Share of what is allowed that must be served.
+/// Least share of the allowed requests that must be admitted.
 const SERVED_MIN: f64 = 0.9;
 const STEP_MS: u64 = 5;
-/// Most requests that come again in one step.
-const AGAIN_MAX: usize = 15;
-const DAY_MS: u64 = 30_000;
-/// Datagrams that are lost.
-const LOST: f64 = 0.02;
+/// Most refused requests that are retried in one step.
+const RETRIES_PER_STEP_MAX: usize = 15;
+const SIMULATED_MS: u64 = 30_000;
+/// Share of the datagrams that are lost.
+const DATAGRAM_LOSS: f64 = 0.02;
 
-/// Hosts that get the requests.
+/// Distribution of requests over hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Spread {
     Even,
@@ -28,13 +31,13 @@
     name: &'static str,
     hosts: usize,
     quota: Quota,
-    /// What callers ask for before and after the tenth second, in quotas.
+    /// Demand of callers before and after the tenth second, as a multiple of the quota.
     asked: (f64, f64),
     spread: Spread,
-    /// True if callers that were refused ask again at once.
-    asks_again: bool,
-    /// Time in which no holder is heard.
-    holder_away: std::ops::Range<u64>,
+    /// True if callers retry refused requests at once.
+    retries_at_once: bool,
+    /// Time span in ms without a duty holder.
+    without_duty_holder: std::ops::Range<u64>,
 }
 
 impl Default for Case {
@@ -48,21 +51,21 @@
             },
             asked: (0.6, 0.6),
             spread: Spread::Even,
-            asks_again: false,
-            holder_away: 0..0,
+            retries_at_once: false,
+            without_duty_holder: 0..0,
         }
     }
 }
 
 #[derive(Default)]
-struct Played {
+struct Simulated {
     asked: Vec<u64>,
     admitted: Vec<u64>,
 }
 
 impl Case {
-    /// Interval at which hosts and holder speak, as in service.
-    fn tell_every_ms(&self) -> u64 {
+    /// Interval of reports and announcements, as in production.
+    fn report_interval_ms(&self) -> u64 {
         150.max(self.hosts as u64)
     }
 
@@ -82,67 +85,67 @@
         }
     }
 
-    fn play(&self, seed: u64) -> Played {
+    fn simulate(&self, seed: u64) -> Simulated {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut shares = vec![HostShare::default(); self.hosts];
         let mut heard_ms: Option<u64> = None;
         let mut ledger = Ledger::new(0);
-        let mut played = Played::default();
-        let every_ms = self.tell_every_ms();
-        let mut again = 0;
-        for now_ms in (0..DAY_MS).step_by(STEP_MS as usize) {
-            let is_away = self.holder_away.contains(&now_ms);
-            if now_ms == self.holder_away.end {
+        let mut simulated = Simulated::default();
+        let every_ms = self.report_interval_ms();
+        let mut retries = 0;
+        for now_ms in (0..SIMULATED_MS).step_by(STEP_MS as usize) {
+            let is_away = self.without_duty_holder.contains(&now_ms);
+            if now_ms == self.without_duty_holder.end {
                 ledger = Ledger::new(now_ms);
             }
             if now_ms.is_multiple_of(every_ms - every_ms % STEP_MS) && !is_away {
                 self.report(&mut shares, &mut ledger, now_ms, &mut rng);
-                let told = ledger.admitted(self.quota, now_ms);
-                tell(&mut shares, told, now_ms, &mut rng);
+                let announced = ledger.admitted(self.quota, now_ms);
+                tell(&mut shares, announced, now_ms, &mut rng);
                 heard_ms = Some(now_ms);
             }
             let expected = self.asked_per_s(now_ms) * STEP_MS as f64 / 1_000.0;
-            let repeated = std::mem::take(&mut again).min(AGAIN_MAX);
+            let repeated = std::mem::take(&mut retries).min(RETRIES_PER_STEP_MAX);
             let arrivals =
                 repeated + expected as usize + usize::from(rng.random::<f64>() < expected.fract());
             for _ in 0..arrivals {
                 let kept = heard_ms.is_some_and(|at_ms| now_ms <= at_ms + 4 * every_ms);
-                let sharing = Sharing {
+                let context = QuotaContext {
                     hosts: self.hosts,
-                    is_told: kept,
+                    is_confirmed: kept,
                 };
                 let share = &mut shares[self.host(&mut rng)];
-                played.asked.push(now_ms);
-                if share.admits(self.quota, sharing, rng.random(), now_ms) {
+                simulated.asked.push(now_ms);
+                if share.admits(self.quota, context, rng.random(), now_ms) {
                     share.note_sent();
-                    played.admitted.push(now_ms);
-                } else if self.asks_again {
-                    again += 1;
+                    simulated.admitted.push(now_ms);
+                } else if self.retries_at_once {
+                    retries += 1;
                 }
             }
         }
-        played
+        simulated
     }
 
     fn report(&self, shares: &mut [HostShare], ledger: &mut Ledger, now_ms: u64, rng: &mut StdRng) {
         for share in shares {
             let used = share.take_report();
-            if used != Use::default() && rng.random::<f64>() >= LOST {
+            if used != QuotaUsage::default() && rng.random::<f64>() >= DATAGRAM_LOSS {
                 ledger.note(self.quota, used, now_ms);
             }
         }
     }
 }
 
-fn tell(shares: &mut [HostShare], told: Admitted, now_ms: u64, rng: &mut StdRng) {
+fn tell(shares: &mut [HostShare], announced: AdmittedShare, now_ms: u64, rng: &mut StdRng) {
     for share in shares {
-        if rng.random::<f64>() >= LOST {
-            share.note_told(told, now_ms);
+        if rng.random::<f64>() >= DATAGRAM_LOSS {
+            share.note_announced(announced, now_ms);
         }
     }
 }
 
-/// Most of the times that lie in one window.
+/// Returns the largest number of times within one window.
 fn most_in_window(times: &[u64]) -> usize {
     let mut first = 0;
     let mut most = 0;
@@ -155,21 +158,22 @@
     most
 }
 
-/// What a workspace is owed: no more than its quota lets through, one bucket for all hosts.
-fn owed(quota: Quota, asked: &[u64]) -> usize {
+/// Returns the number of requests that the quota entitles a workspace to: those that a single token
+/// bucket for all hosts would admit.
+fn entitled(quota: Quota, asked: &[u64]) -> usize {
     let mut tokens = quota.burst;
     let mut at_ms = 0;
-    let mut owed = 0;
+    let mut entitled = 0;
     for now_ms in asked {
         tokens =
             (tokens + quota.per_s * (now_ms - at_ms) as f64 / 1_000.0).min(quota.burst.max(1.0));
         at_ms = *now_ms;
         if tokens >= 1.0 {
             tokens -= 1.0;
-            owed += 1;
+            entitled += 1;
         }
     }
-    owed
+    entitled
 }
 
 fn small() -> Quota {
@@ -211,7 +215,7 @@
         Case {
             name: "a surge of callers that ask again at once",
             asked: surge,
-            asks_again: true,
+            retries_at_once: true,
             ..Case::default()
         },
         Case {
@@ -222,7 +226,7 @@
                 burst: 20.0,
             },
             asked: (0.0, 7.0),
-            asks_again: true,
+            retries_at_once: true,
             ..Case::default()
         },
         Case {
@@ -238,14 +242,14 @@
             ..Case::default()
         },
         Case {
-            name: "a quiet workspace while the holder is lost",
-            holder_away: 12_000..15_000,
+            name: "a quiet workspace without a duty holder",
+            without_duty_holder: 12_000..15_000,
             ..Case::default()
         },
         Case {
-            name: "a surge while the holder is lost",
+            name: "a surge without a duty holder",
             asked: surge,
-            holder_away: 9_000..12_000,
+            without_duty_holder: 9_000..12_000,
             ..Case::default()
         },
     ]
@@ -255,18 +259,18 @@
 fn hosts_together_keep_a_quota_and_use_it() {
     for case in cases() {
         for seed in 0..3 {
-            let played = case.play(seed);
+            let simulated = case.simulate(seed);
             let Quota { per_s, burst } = case.quota;
             let window_s = WINDOW_MS as f64 / 1_000.0;
             let bound = (per_s * window_s + burst) * (1.0 + OVERSHOOT) + SLACK;
-            let most = most_in_window(&played.admitted);
+            let most = most_in_window(&simulated.admitted);
             assert!(
                 most as f64 <= bound,
                 "{}: {most} in a window, {bound} are allowed, seed {seed}",
                 case.name
             );
-            let owed = owed(case.quota, &played.asked);
-            let served = played.admitted.len() as f64 / owed as f64;
+            let entitled = entitled(case.quota, &simulated.asked);
+            let served = simulated.admitted.len() as f64 / entitled as f64;
             assert!(
                 served >= SERVED_MIN,
                 "{}: {served:.3} of what is allowed, seed {seed}",
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -1,10 +1,10 @@
-//! Servers that name in their answers the requests a second that they take from all hosts together.
+//! Servers advertise in their responses a limit on the requests a second from all hosts together.
 //!
-//! What users saw: two of nine servers of a service named limits of 7.6 and 9.7 requests a second, and three seconds later
-//! they still got 118 and 109 requests in 4 s from the hosts that they had told. Order of events: the servers began to name
-//! limits; hosts went on sending all requests for their keys there, as many as before. Cause: no host read the header, so that
-//! neither the choice of a server nor the planner knew of a rate. Evidence: the servers' rates are the same before and
-//! after; no host wrote a line about it; and hosts that read it hold the bound in the same course.
+//! The failure that these tests guard against: two of nine servers of a service advertised limits
+//! of 7.6 and 9.7 requests a second, and three seconds later they still got 118 and 109 requests in
+//! 4 s from the hosts that had received the limits. No host read the header, so neither the choice of a
+//! server nor the planner of key moves knew the limit, and hosts went on sending all requests for
+//! the servers' keys there. No host logged the limits; hosts that read the header keep the bound.
 
 mod platform_standin;
 
@@ -16,34 +16,40 @@
 use tokio::time;
 
 use self::platform_standin::{
-    deployment::{ALL, Beside, Deployment, HOSTS, SERVERS, play, violations, visits_by_host},
+    deployment::{
+        ALL, Deployment, Disturbance, HOSTS, SERVERS, received_by_host, run_cases, violations,
+    },
     server::Server,
-    traffic::{Asked, Traffic},
+    traffic::{Traffic, Workload},
 };
 
-/// Time after a host has passed on an answer that names a limit from which its requests count.
-const TOLD_AFTER: Duration = Duration::from_millis(500);
-/// Time after a server first named a limit from which the bound holds. The users give three seconds.
+/// Time after a host has forwarded a response with a limit from which its requests count.
+const PROPAGATION_TIME: Duration = Duration::from_millis(500);
+/// Time after a server first advertised a limit from which the bound holds. The users allow three
+/// seconds.
 const SETTLED_AFTER: Duration = Duration::from_secs(2);
-/// Length of the windows; every one of them counts.
+/// Length of the windows in which requests are counted; every window must be within the bound.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Requests that may come in a window as a multiple of what the limit allows, and besides. The users allow 1.5 times.
+/// Allowed requests in a window: a multiple of the limit, plus a constant. The users allow 1.5
+/// times the limit.
 const EXCESS_MAX: f64 = 1.3;
 const SLACK: f64 = 5.0;
-/// Share of the limits that must be used while callers ask for twice as much and no server has room besides.
+/// Least share of the limits that must be used while demand is twice as high and no server has
+/// spare capacity.
 const USED_MIN: f64 = 0.8;
-/// Share of the requests that must be served while other servers have room for them.
+/// Least share of requests that must be served while other servers have capacity.
 const SERVED_MIN: f64 = 0.9;
-/// Time within which the keys that are too many for a limited server have gone to others.
+/// Time within which the keys that exceed a server's limit have moved to other servers.
 const MOVED_AFTER: Duration = Duration::from_secs(3);
-/// Time for which servers name limits.
+/// Time for which servers advertise limits.
 const LIMITED: Duration = Duration::from_secs(9);
 
 /// Limits of one server over time, as `(time, requests a second)`.
-struct Named(Vec<(Instant, f64)>);
+struct AdvertisedLimits(Vec<(Instant, f64)>);
 
-impl Named {
-    /// Requests that the limits allow from one moment to another; `None` if there is none for a part of it.
+impl AdvertisedLimits {
+    /// Returns the number of requests that the limits allow in a time span; `None` if it begins
+    /// before the first limit.
     fn allowed(&self, from: Instant, until: Instant) -> Option<f64> {
         let (first, _) = *self.0.first()?;
         if from < first {
@@ -57,21 +63,26 @@
         Some(spans.sum())
     }
 
-    /// What is wrong in the worst window, of the requests from hosts that had been told.
+    /// Checks that no window has too many requests from hosts that had received a limit; `Err`
+    /// describes the first such window.
     fn check(&self, server: &Server, traffic: &Traffic, excused: &[usize]) -> Result<(), String> {
         let Some((first, _)) = self.0.first() else {
             return Ok(());
         };
         let mut counted = Vec::new();
-        let by_host: HashMap<usize, Vec<_>> = visits_by_host(server, traffic);
-        for (host, visits) in by_host {
-            let told = visits.iter().filter(|(_, sent)| sent.names_limit);
+        let by_host: HashMap<usize, Vec<_>> = received_by_host(server, traffic);
+        for (host, received_requests) in by_host {
+            let told = received_requests
+                .iter()
+                .filter(|(_, sent)| sent.advertises_limit);
             let Some(told) = told.map(|(_, sent)| sent.answered).min() else {
                 continue;
             };
-            let from = (told + TOLD_AFTER).max(*first + SETTLED_AFTER);
+            let from = (told + PROPAGATION_TIME).max(*first + SETTLED_AFTER);
             if !excused.contains(&host) {
-                let later = visits.iter().filter(|(visit, _)| visit.at >= from);
+                let later = received_requests
+                    .iter()
+                    .filter(|(visit, _)| visit.at >= from);
                 counted.extend(later.map(|(visit, _)| visit.at));
             }
         }
@@ -96,36 +107,38 @@
     }
 }
 
-/// Lets a server name limits one after the other, each for a time.
-async fn name_in_turn(server: &Server, limits: &[f64], each: Duration) -> Named {
+/// Lets a server advertise limits one after the other, each for the same time.
+async fn advertise_in_turn(server: &Server, limits: &[f64], each: Duration) -> AdvertisedLimits {
     let mut named = Vec::new();
     for limit in limits {
-        server.name_limit(Some(&limit.to_string()));
+        server.advertise_limit(Some(&limit.to_string()));
         named.push((Instant::now(), *limit));
         time::sleep(each).await;
     }
-    Named(named)
+    AdvertisedLimits(named)
 }
 
-/// One of three servers names a limit of a fifth of what it gets.
-async fn one_of_three(beside: Beside, asked: Asked) -> Result<(), String> {
-    let mut deployment = Deployment::start(asked).await;
-    deployment.server(asked).name_limit(Some("10"));
+/// One of three servers advertises a limit of a fifth of its requests.
+async fn one_of_three(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
+    let mut deployment = Deployment::start(workload).await;
+    deployment.server(workload).advertise_limit(Some("10"));
     let began = Instant::now();
-    deployment.suffer(beside, asked, LIMITED).await;
-    let named = Named(vec![(began, 10.0)]);
-    // A host that was frozen owes nothing.
-    let excused: &[usize] = if beside == Beside::HostFrozen {
+    deployment
+        .apply_disturbance(disturbance, workload, LIMITED)
+        .await;
+    let named = AdvertisedLimits(vec![(began, 10.0)]);
+    // The bound does not apply to a host that was frozen.
+    let excused: &[usize] = if disturbance == Disturbance::FirstHostPaused {
         &[0]
     } else {
         &[]
     };
-    named.check(deployment.server(asked), &deployment.traffic, excused)?;
-    // Without the store no key can get another server.
-    if beside == Beside::StoreAway && asked == Asked::Keys {
+    named.check(deployment.server(workload), &deployment.traffic, excused)?;
+    // Without the store keys cannot move to other servers.
+    if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
     }
-    let owed = began + beside.owed_after(MOVED_AFTER);
+    let owed = began + disturbance.recovery_limit(MOVED_AFTER);
     served_at_least(&deployment, owed, began + LIMITED)?;
     violations(&deployment)
 }
@@ -140,34 +153,48 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_with_keys_gets_what_its_limit_allows() {
-    play(ALL.map(|beside| (beside, Asked::Keys)), one_of_three).await;
+    run_cases(
+        ALL.map(|disturbance| (disturbance, Workload::Keys)),
+        one_of_three,
+    )
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_without_keys_gets_what_its_limit_allows() {
-    play(ALL.map(|beside| (beside, Asked::Orders)), one_of_three).await;
+    run_cases(
+        ALL.map(|disturbance| (disturbance, Workload::Orders)),
+        one_of_three,
+    )
+    .await;
 }
 
-/// All servers name limits, each of a third of what it gets: their sum is used, and none gets too much. One host has
-/// half of the callers.
-async fn all_servers(asked: Asked) -> Result<(), String> {
+/// All servers advertise limits, each of a third of its requests: the sum must be used, and no
+/// server may get too many. One host has half of the callers.
+async fn all_servers(workload: Workload) -> Result<(), String> {
     const LIMIT: f64 = 20.0;
-    let deployment = Deployment::start(asked).await;
+    let deployment = Deployment::start(workload).await;
     for _ in 1..HOSTS {
         deployment.traffic.add(0, deployment.site.hosts[0].callers);
     }
     time::sleep(Duration::from_secs(1)).await;
     let began = Instant::now();
-    for server in deployment.servers(asked) {
-        server.name_limit(Some(&LIMIT.to_string()));
+    for server in deployment.servers(workload) {
+        server.advertise_limit(Some(&LIMIT.to_string()));
     }
     time::sleep(SETTLED_AFTER).await;
-    let served = || -> u64 { deployment.servers(asked).iter().map(Server::served).sum() };
+    let served = || -> u64 {
+        deployment
+            .servers(workload)
+            .iter()
+            .map(Server::served)
+            .sum()
+    };
     let (before, from) = (served(), Instant::now());
     time::sleep(LIMITED).await;
     let used = (served() - before) as f64 / from.elapsed().as_secs_f64();
-    for server in deployment.servers(asked) {
-        Named(vec![(began, LIMIT)]).check(server, &deployment.traffic, &[])?;
+    for server in deployment.servers(workload) {
+        AdvertisedLimits(vec![(began, LIMIT)]).check(server, &deployment.traffic, &[])?;
     }
     if used < USED_MIN * LIMIT * SERVERS as f64 {
         return Err(format!("{used:.1} requests a second served"));
@@ -177,38 +204,40 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_limits_of_all_servers_are_used() {
-    let cases = [Asked::Keys, Asked::Orders].map(|asked| (Beside::Nothing, asked));
-    play(cases, |_, asked| all_servers(asked)).await;
+    let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
+    run_cases(cases, |_, workload| all_servers(workload)).await;
 }
 
-/// A limit falls to a third, to a fraction, to nothing, rises again and ends.
-async fn falls_and_ends(asked: Asked) -> Result<(), String> {
-    let deployment = Deployment::start(asked).await;
-    let server = deployment.server(asked);
+/// A limit falls to a third, to a fraction and to zero, rises again and is withdrawn.
+async fn falls_and_ends(workload: Workload) -> Result<(), String> {
+    let deployment = Deployment::start(workload).await;
+    let server = deployment.server(workload);
     let each = Duration::from_millis(4_500);
-    let named = name_in_turn(server, &[30.0, 10.0, 0.5, 0.0, 20.0], each).await;
+    let named = advertise_in_turn(server, &[30.0, 10.0, 0.5, 0.0, 20.0], each).await;
     let ended = Instant::now();
     named.check(server, &deployment.traffic, &[])?;
-    server.name_limit(Some("a lot"));
+    server.advertise_limit(Some("a lot"));
     time::sleep(Duration::from_secs(2)).await;
-    server.name_limit(None);
+    server.advertise_limit(None);
     time::sleep(Duration::from_secs(7)).await;
-    // How many requests it gets then shows nothing: others have idle connections, and keys come back only as far as the
-    // other servers are busy.
+    // The number of requests that the server gets afterwards proves nothing: others have idle
+    // connections, and keys return only as far as the other servers are busy.
     let got_keys = server
-        .visits()
+        .received_requests()
         .iter()
         .any(|visit| visit.at > ended + Duration::from_secs(2));
     for host in deployment
         .site
         .hosts
         .iter()
-        .filter(|_| asked == Asked::Orders || got_keys)
+        .filter(|_| workload == Workload::Orders || got_keys)
     {
         let lines = host.events("server_rate_limit");
         let latest = lines.iter().rfind(|line| line.contains(&server.id));
         if latest.is_none_or(|line| !line.contains("\"per_s\":null")) {
-            return Err(format!("the end is not known: {latest:?}"));
+            return Err(format!(
+                "the withdrawal of the limit is not known: {latest:?}"
+            ));
         }
     }
     served_at_least(&deployment, ended + Duration::from_secs(3), Instant::now())?;
@@ -217,20 +246,20 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_that_changes_holds_as_it_is_and_ends() {
-    let cases = [Asked::Keys, Asked::Orders].map(|asked| (Beside::Nothing, asked));
-    play(cases, |_, asked| falls_and_ends(asked)).await;
+    let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
+    run_cases(cases, |_, workload| falls_and_ends(workload)).await;
 }
 
 /// Twelve hosts share a small limit.
-async fn twelve_hosts(asked: Asked) -> Result<(), String> {
-    let deployment = Deployment::start_sized(asked, 12, SERVERS).await;
-    let named = name_in_turn(
-        deployment.server(asked),
+async fn twelve_hosts(workload: Workload) -> Result<(), String> {
+    let deployment = Deployment::start_sized(workload, 12, SERVERS).await;
+    let named = advertise_in_turn(
+        deployment.server(workload),
         &[10.0, 2.0],
         Duration::from_secs(7),
     )
     .await;
-    named.check(deployment.server(asked), &deployment.traffic, &[])?;
+    named.check(deployment.server(workload), &deployment.traffic, &[])?;
     let until = Instant::now();
     served_at_least(&deployment, until - Duration::from_secs(4), until)?;
     violations(&deployment)
@@ -238,31 +267,31 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn twelve_hosts_share_a_limit() {
-    let cases = [Asked::Keys, Asked::Orders].map(|asked| (Beside::Nothing, asked));
-    play(cases, |_, asked| twelve_hosts(asked)).await;
+    let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
+    run_cases(cases, |_, workload| twelve_hosts(workload)).await;
 }
 
-/// Two of nine servers name limits of a third of what they get, where few keys are busy: their keys go to the others,
-/// which have room for them, and stay there.
-async fn busy_keys(asked: Asked) -> Result<(), String> {
-    let deployment = Deployment::start_sized(asked, 8, 9).await;
-    for server in deployment.servers(asked) {
+/// Two of nine servers advertise limits of a third of their requests, with few busy keys: the keys
+/// must move to the other servers, which have capacity, and stay there.
+async fn busy_keys(workload: Workload) -> Result<(), String> {
+    let deployment = Deployment::start_sized(workload, 8, 9).await;
+    for server in deployment.servers(workload) {
         server.set_work_ms(60);
     }
     for _ in 1..3 {
-        for (place, host) in deployment.site.hosts.iter().enumerate() {
-            deployment.traffic.add(place, host.callers);
+        for (index, host) in deployment.site.hosts.iter().enumerate() {
+            deployment.traffic.add(index, host.callers);
         }
     }
     time::sleep(Duration::from_secs(5)).await;
     let began = Instant::now();
-    let limited = &deployment.servers(asked)[..2];
+    let limited = &deployment.servers(workload)[..2];
     for server in limited {
-        server.name_limit(Some("8"));
+        server.advertise_limit(Some("8"));
     }
     time::sleep(LIMITED).await;
     for server in limited {
-        Named(vec![(began, 8.0)]).check(server, &deployment.traffic, &[])?;
+        AdvertisedLimits(vec![(began, 8.0)]).check(server, &deployment.traffic, &[])?;
     }
     let owed = began + MOVED_AFTER;
     served_at_least(&deployment, owed, Instant::now())?;
@@ -271,8 +300,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn busy_keys_of_limited_servers_go_to_others() {
-    play([(Beside::Nothing, Asked::BusyKeys)], |_, asked| {
-        busy_keys(asked)
-    })
+    run_cases(
+        [(Disturbance::Nothing, Workload::BusyKeys)],
+        |_, workload| busy_keys(workload),
+    )
     .await;
 }
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -1,11 +1,11 @@
-//! Decisions about servers that want a rest. No processes, no clock.
+//! Decisions about servers that ask hosts for a rest; no processes, no clock.
 
 use std::net::SocketAddr;
 
 use ashroad::entry::decide::{
     Policy,
-    rests::{Rests, awake},
-    return_time::Refused,
+    rests::{Rests, not_resting},
+    retry_after::Refused,
 };
 
 const SERVER: u32 = 7;
@@ -15,11 +15,11 @@
 }
 
 #[test]
-fn a_rest_is_wide_when_a_third_of_the_hosts_are_turned_away() {
+fn a_rest_is_widespread_when_a_third_of_the_hosts_are_refused() {
     struct Case {
         name: &'static str,
         hosts: usize,
-        /// Hosts that are turned away, each at a time, for a time.
+        /// Hosts that are refused: number, time of the refusal, and length of the rest.
         turned_away: &'static [(u8, u64, u64)],
         at_ms: u64,
         wide: bool,
@@ -33,7 +33,7 @@
             wide: true,
         },
         Case {
-            name: "one of eight may be the trouble itself",
+            name: "one of eight may itself be the cause",
             hosts: 8,
             turned_away: &[(1, 0, 3_000), (1, 50, 3_000)],
             at_ms: 100,
@@ -54,14 +54,14 @@
             wide: true,
         },
         Case {
-            name: "to the end of the rest",
+            name: "just before the end of the rest",
             hosts: 3,
             turned_away: &[(1, 0, 3_000)],
             at_ms: 2_999,
             wide: true,
         },
         Case {
-            name: "and not longer",
+            name: "after the rest",
             hosts: 3,
             turned_away: &[(1, 0, 3_000)],
             at_ms: 3_000,
@@ -87,9 +87,9 @@
         for (number, now_ms, rest_ms) in case.turned_away {
             rests.note(SERVER, host(*number), *rest_ms, *now_ms);
         }
-        let wide = rests.is_wide(SERVER, case.hosts, case.at_ms);
+        let wide = rests.is_widespread(SERVER, case.hosts, case.at_ms);
         assert_eq!(wide, case.wide, "{}", case.name);
-        assert!(!rests.is_wide(SERVER + 1, case.hosts, case.at_ms));
+        assert!(!rests.is_widespread(SERVER + 1, case.hosts, case.at_ms));
     }
 }
 
@@ -98,18 +98,18 @@
     struct Case {
         servers: u32,
         resting: u32,
-        awake: u32,
+        not_resting: u32,
     }
-    let case = |servers, resting, awake| Case {
+    let case = |servers, resting, not_resting| Case {
         servers,
         resting,
-        awake,
+        not_resting,
     };
     let cases = [
         case(9, 0, 9),
         case(9, 3, 6),
         case(9, 4, 5),
-        // All are overloaded: nobody is spared, and no key moves for it.
+        // All are overloaded: no server is spared, and no key moves because of it.
         case(9, 5, 9),
         case(9, 9, 9),
         case(2, 1, 1),
@@ -118,15 +118,18 @@
     ];
     for case in cases {
         let servers: Vec<u32> = (0..case.servers).collect();
-        let left = awake(servers, |server| *server < case.resting);
-        assert_eq!(left.len() as u32, case.awake, "{} rest", case.resting);
+        let left = not_resting(servers, |server| *server < case.resting);
+        assert_eq!(left.len() as u32, case.not_resting, "{} rest", case.resting);
     }
 }
 
 #[test]
-fn callers_come_back_when_the_keys_have_moved_or_the_rest_is_over() {
+fn callers_retry_when_the_keys_have_moved_or_the_rest_is_over() {
     let policy = Policy::default();
-    for (rest_ms, return_ms) in [(3_000, 150), (150, 150), (120, 120), (5, 100)] {
-        assert_eq!(Refused::resting(rest_ms, &policy).return_ms, return_ms);
+    for (rest_ms, retry_after_ms) in [(3_000, 150), (150, 150), (120, 120), (5, 100)] {
+        assert_eq!(
+            Refused::resting(rest_ms, &policy).retry_after_ms,
+            retry_after_ms
+        );
     }
 }
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -1,4 +1,5 @@
-//! Rules of entry hosts that need no processes: holdings, plans, routes, choice, retries.
+//! Rules of entry hosts that need no processes: holdings, plans, routes, choice of servers,
+//! retries.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -8,28 +9,28 @@
         bounds::Bounds,
         decide::{
             Candidate, Demand, Policy, admission,
-            behaviour::Behaviour,
+            attempt_stats::AttemptStats,
             budget::RetryBudget,
             choice::{self, HostCount},
-            first::{self, FirstWait},
-            hold::{MoveRest, MoveWait},
+            first::{self, FirstAssignmentWait},
+            hold::{MoveTimeLeft, MoveWait},
             hot_keys::{self, HotKey, HotKeys},
             key_loads::{KeyCounts, KeyLoads},
-            plan::{self, Move, PlanServer, Question},
+            plan::{self, Inputs, Move, PlanServer},
         },
         explain::Source,
-        keys::{Assignment, Holding, KeyPart, KeyRange},
+        keys::{Assignment, Holding, KeyPartition, KeyRange},
         losses::{Loss, losses},
-        model::{CallerLimits, Configuration, Part, Route, ServerEntry},
-        news::{
-            announcement::Announcement,
-            server_changes::{ServerChange, ServerChanges, ServerNews},
-        },
+        model::{CallerLimits, Configuration, Route, RouteTarget, ServerEntry},
         peers::{message::Message, outbox::Outbox, report_every_ms},
         registry::Registry,
         seal::{Seal, SecretRow},
         server::Server,
         settings::Settings,
+        updates::{
+            announcement::MoveAnnouncement,
+            server_changes::{ServerChange, ServerChanges, ServerUpdate},
+        },
     },
     platform::store::{Row, Rows},
 };
@@ -99,7 +100,7 @@
     }
 }
 
-/// Holdings as a plain table of keys.
+/// Expands holdings into a table with the server and fence of each key.
 fn by_key(assignment: &Assignment) -> Vec<Option<(Arc<str>, u64)>> {
     let mut keys = vec![None; 1 << 16];
     for holding in &assignment.holdings {
@@ -133,7 +134,7 @@
     assert!(Assignment::decode(&bytes[..bytes.len() / 2]).is_err());
 }
 
-/// Bytes of a row that the store takes.
+/// Largest row that the store accepts, in bytes.
 const ROW_BYTES_MAX: usize = 65_536;
 
 #[test]
@@ -151,7 +152,7 @@
             holdings: 13_760,
             servers: 6_880,
         },
-        // Each key by itself.
+        // One holding for each key.
         Case {
             holdings: 65_536,
             servers: 20_000,
@@ -170,7 +171,7 @@
             fence: u64::from(case.holdings),
             holdings: holdings.collect(),
         };
-        let rows: Vec<Assignment> = KeyPart::all().map(|part| many.part(part)).collect();
+        let rows: Vec<Assignment> = KeyPartition::all().map(|part| many.part(part)).collect();
         for row in &rows {
             let bytes = row.encode().expect("a record");
             assert!(bytes.len() <= ROW_BYTES_MAX, "{} bytes", bytes.len());
@@ -182,13 +183,14 @@
 
 #[test]
 fn rows_that_were_read_at_different_times_make_one_whole() {
-    // The whole of an earlier version of ashroad in the first row, and a later move in the row of its keys.
+    // The first row holds all keys, as an earlier version of ashroad wrote it; a later move is in
+    // the row of its keys.
     let mut whole = Assignment::default();
     whole.put(holding(0, 39_999, "a", 1));
     whole.put(holding(40_000, 65_535, "b", 2));
     let mut moved = whole.clone();
     moved.put(holding(41_000, 41_999, "c", 3));
-    let rows: Vec<Assignment> = KeyPart::all().map(|part| moved.part(part)).collect();
+    let rows: Vec<Assignment> = KeyPartition::all().map(|part| moved.part(part)).collect();
     let later = rows.iter().filter(|row| !row.holdings.is_empty()).skip(1);
     let joined = Assignment::join(std::iter::once(&whole).chain(later));
     assert_eq!(by_key(&joined), by_key(&moved));
@@ -235,7 +237,7 @@
         for (key, load) in loads {
             key_loads.add(key, f32::from(load));
         }
-        let moves = plan::plan(Question {
+        let moves = plan::plan(Inputs {
             assignment: &assignment,
             servers: &servers,
             loads: &key_loads,
@@ -297,7 +299,7 @@
     }
     let mut rounds = 0;
     loop {
-        let moves = plan::plan(Question {
+        let moves = plan::plan(Inputs {
             assignment: &assignment,
             servers: &servers,
             loads: &loads,
@@ -322,7 +324,7 @@
     assert!(most <= mean * 1.25, "{most} over a mean of {mean}");
 }
 
-/// Holdings of all keys in equal parts.
+/// Distributes all keys in equal parts.
 fn equal_parts(servers: &[PlanServer]) -> Assignment {
     let mut assignment = Assignment::default();
     for (range, server) in first::first_assignment(servers) {
@@ -342,7 +344,7 @@
         loads.add(key, 0.01);
     }
     for _ in 0..2 {
-        let moves = plan::plan(Question {
+        let moves = plan::plan(Inputs {
             assignment: &assignment,
             servers: &servers,
             loads: &loads,
@@ -364,7 +366,8 @@
     }
 }
 
-/// Each of the intervals has a request for `per_interval` keys that a fixed sequence draws.
+/// Counts `per_interval` requests in each interval, for keys drawn from a fixed pseudo-random
+/// sequence.
 fn count_drawn(counts: &mut KeyCounts, intervals: u32, per_interval: u32, keys: KeyRange) {
     let mut state = 88_172_645_463_325_252u64;
     for _ in 0..intervals {
@@ -384,7 +387,7 @@
     struct Case {
         name: &'static str,
         servers: usize,
-        /// Requests of an interval; a server can do 1.5.
+        /// Requests in an interval; a server can run 1.5.
         requests: u32,
         moves_max: usize,
     }
@@ -417,7 +420,7 @@
         let assignment = equal_parts(&servers);
         let mut counts = KeyCounts::default();
         count_drawn(&mut counts, 400, case.requests, KeyRange::ALL);
-        let moves = plan::plan(Question {
+        let moves = plan::plan(Inputs {
             assignment: &assignment,
             servers: &servers,
             loads: &counts.loads(&assignment.holdings, 10.0),
@@ -434,10 +437,10 @@
 #[test]
 fn the_first_keys_wait_for_servers_that_are_starting() {
     struct Case {
-        /// When a server starts, and when the first request comes.
+        /// Start times of the servers, and the time of the first request.
         starts_ms: Vec<u64>,
         requested_ms: u64,
-        /// When the keys are distributed, and over how many servers.
+        /// Time at which the keys are distributed, and the number of servers.
         result: (u64, usize),
     }
     let cases = [
@@ -463,7 +466,7 @@
         },
     ];
     for case in cases {
-        let mut wait = FirstWait::new(0);
+        let mut wait = FirstAssignmentWait::new(0);
         let started = |now_ms| case.starts_ms.iter().filter(|at| **at <= now_ms).count();
         let mut times = (0..).step_by(100).map(|now_ms| (now_ms, started(now_ms)));
         let requested = |now_ms| now_ms >= case.requested_ms;
@@ -473,7 +476,7 @@
 }
 
 #[test]
-fn a_sudden_load_is_believed_at_once_and_chance_is_not() {
+fn a_surge_counts_at_once_and_random_variation_does_not() {
     struct Case {
         intervals: u32,
         per_interval: u32,
@@ -524,7 +527,7 @@
             hot: &[],
         },
         Case {
-            // Together too much for one server, and each by itself bearable: these can be moved.
+            // Too much for one server together, but not each by itself, so these keys can be moved.
             loads: &[(5, 50.0), (6, 50.0)],
             hot: &[],
         },
@@ -549,7 +552,7 @@
 }
 
 #[test]
-fn a_hot_key_is_forgotten_without_the_holders_word() {
+fn a_hot_key_expires_without_announcements_of_the_duty_holder() {
     let known = HotKeys::default();
     let hot = HotKey {
         service_tag: 9,
@@ -558,13 +561,13 @@
         capacity_per_s: 66.0,
     };
     known.note_found(9, vec![hot]);
-    assert_eq!(known.get(9, 5, 100), None, "not told yet");
-    assert_eq!(known.tell(100), [hot]);
+    assert_eq!(known.get(9, 5, 100), None, "not announced yet");
+    assert_eq!(known.announce(100), [hot]);
     assert_eq!(known.get(9, 5, 1_000), Some(hot));
-    assert_eq!(known.get(9, 5, 1_200), None, "the word is too old");
+    assert_eq!(known.get(9, 5, 1_200), None, "the announcement has expired");
     assert_eq!(known.get(8, 5, 1_000), None);
     assert_eq!(known.get(9, 6, 1_000), None);
-    known.note_told(Vec::new(), 1_000);
+    known.note_announced(Vec::new(), 1_000);
     assert_eq!(known.get(9, 5, 1_000), None);
 }
 
@@ -645,7 +648,7 @@
     }
     let day_ms = 24 * 3_600 * 1_000;
     let row = SecretRow::generate(1_000);
-    assert!(!row.is_old(day_ms) && row.is_old(day_ms + 2_000));
+    assert!(!row.is_due_for_rotation(day_ms) && row.is_due_for_rotation(day_ms + 2_000));
     assert!(!format!("{row:?}").contains("secret\":"));
 }
 
@@ -665,10 +668,10 @@
             repeatable: true,
             timeout_ms: 500,
             aim_ms: 200,
-            urgency: 0,
+            priority: 0,
             is_public: false,
             regions: Vec::new(),
-            parts: vec![Part {
+            parts: vec![RouteTarget {
                 service: "s".into(),
                 weight: 1.0,
             }],
@@ -747,14 +750,14 @@
 }
 
 #[test]
-fn word_of_many_moves_takes_few_datagrams() {
+fn announcements_of_many_moves_take_few_datagrams() {
     let outbox = Outbox::default();
     let now_ms = clock::now_ms();
     for number in 0..40u16 {
-        let announcement = Announcement {
+        let announcement = MoveAnnouncement {
             range: range(number, number),
             above_fence: 1,
-            rest: MoveRest {
+            rest: MoveTimeLeft {
                 wait: MoveWait::Work,
                 rest_ms: 2_500,
             },
@@ -768,7 +771,7 @@
     assert_eq!(first.len(), 4, "30 and 10 of each");
     assert!(is_move(&first[0]) && is_move(&first[1]) && !is_move(&first[2]));
     assert_eq!(outbox.take_due(later_ms).len(), 0);
-    // Grants are told twice more.
+    // Announcements of grants are repeated twice.
     assert_eq!(outbox.take_due(now_ms + 5_000).len(), 3);
     assert_eq!(outbox.take_due(now_ms + 9_000).len(), 0);
     for message in first {
@@ -781,7 +784,7 @@
 fn changes_of_servers_are_taken_only_in_order() {
     let change = |version| ServerChange {
         version,
-        what: ServerNews::Entry(
+        what: ServerUpdate::Entry(
             server(&format!("i-{version:010}"), "oslo-a", false)
                 .entry
                 .clone(),
@@ -833,7 +836,7 @@
 }
 
 #[test]
-fn a_whole_table_tells_what_has_changed_since() {
+fn a_full_table_yields_the_changes_since_the_known_version() {
     let row = |id: &str, version| Row {
         key: id.to_owned(),
         value: Vec::new(),
@@ -844,7 +847,7 @@
     for id in ["a", "b", "c"] {
         registry.put(server(id, "z", false).entry.clone());
     }
-    // Known up to version 10; then "b" was removed, "c" changed and "d" came.
+    // Version 10 is known; since then "b" was removed, "c" changed and "d" was added.
     let whole = Rows {
         rows: vec![row("a", 4), row("c", 12), row("d", 11)],
         version: 15,
@@ -860,14 +863,14 @@
 }
 
 #[test]
-fn an_entry_at_the_address_of_another_ends_nobody() {
+fn an_entry_at_the_address_of_another_server_removes_neither() {
     let entry = |id: &str, port| ServerEntry {
         id: id.into(),
         name: id.into(),
         address: ([127, 0, 0, 1], port).into(),
         ..server(id, "z", false).entry.clone()
     };
-    // Either may be the late heartbeat of an earlier life.
+    // Either entry may be a late heartbeat of an earlier incarnation.
     for puts in [
         [("a", 1), ("b", 1)],
         [("b", 1), ("a", 1)],
@@ -889,18 +892,18 @@
     slots: 4,
     load: 0,
     run_ms: 50.0,
-    unheard_ms: 0,
+    since_outcome_ms: 0,
     pace: 1.0,
     failures: 0.0,
     is_paused: false,
-    is_near: true,
-    is_far: false,
+    is_same_zone: true,
+    is_other_region: false,
     has_idle_connection: false,
 };
 
-/// Picks one of some servers for a request with a second left.
+/// Picks a server for a request with one second left.
 fn pick(servers: &[Candidate]) -> Option<usize> {
-    let question = choice::Question {
+    let inputs = choice::Inputs {
         servers,
         typical_ms: admission::typical_run_ms(servers.iter().map(|server| server.run_ms)),
         demand: Demand {
@@ -911,16 +914,16 @@
         },
         hosts: FEW_HOSTS,
     };
-    choice::pick(question, &Policy::default(), &mut rand::rng())
+    choice::pick(inputs, &Policy::default(), &mut rand::rng())
 }
 
-/// A server's failures and pause by its latest attempts.
-fn after(attempts: fn(&mut Behaviour)) -> Candidate {
-    let mut behaviour = Behaviour::default();
-    attempts(&mut behaviour);
+/// Returns a candidate with the failures and the pause that the attempts result in.
+fn after(attempts: fn(&mut AttemptStats)) -> Candidate {
+    let mut attempt_stats = AttemptStats::default();
+    attempts(&mut attempt_stats);
     Candidate {
-        failures: behaviour.failures(10),
-        is_paused: behaviour.is_paused(10),
+        failures: attempt_stats.failures(10),
+        is_paused: attempt_stats.is_paused(10),
         ..GOOD
     }
 }
@@ -976,16 +979,16 @@
 }
 
 #[test]
-fn what_a_server_did_long_ago_is_forgotten() {
-    let mut behaviour = Behaviour::default();
-    behaviour.answered(50.0, true, 1_000);
-    behaviour.failed(1_000);
-    behaviour.not_connected(1_000);
-    assert_eq!(behaviour.run_ms(2_000), 50.0);
-    assert!(behaviour.is_paused(1_100) && !behaviour.is_paused(1_300));
-    assert!(behaviour.failures(1_000) > 0.2);
-    assert!(behaviour.failures(10_000) < 0.05);
-    assert_eq!(behaviour.run_ms(10_000), 0.0);
+fn samples_of_a_server_expire() {
+    let mut attempt_stats = AttemptStats::default();
+    attempt_stats.answered(50.0, true, 1_000);
+    attempt_stats.failed(1_000);
+    attempt_stats.not_connected(1_000);
+    assert_eq!(attempt_stats.run_ms(2_000), 50.0);
+    assert!(attempt_stats.is_paused(1_100) && !attempt_stats.is_paused(1_300));
+    assert!(attempt_stats.failures(1_000) > 0.2);
+    assert!(attempt_stats.failures(10_000) < 0.05);
+    assert_eq!(attempt_stats.run_ms(10_000), 0.0);
 }
 
 #[test]
@@ -1028,17 +1031,17 @@
     assert_eq!(pick(&[]), None);
     assert_eq!(pick(&[full, full]), None);
     let far = Candidate {
-        is_near: false,
+        is_same_zone: false,
         ..GOOD
     };
     let picks = (0..100).filter(|_| pick(&[GOOD, far]) == Some(0));
     assert_eq!(picks.count(), 100, "the near one of two equal servers");
     let unknown = Candidate { run_ms: 0.0, ..far };
-    assert_eq!(pick(&[GOOD, unknown]), Some(1), "a server that joined");
+    assert_eq!(pick(&[GOOD, unknown]), Some(1), "a server without samples");
 }
 
 #[test]
-fn what_a_host_sends_in_reports_does_not_grow_with_the_hosts() {
+fn report_traffic_is_bounded_for_any_number_of_hosts() {
     struct Case {
         hosts: usize,
         every_ms: u64,
@@ -1086,7 +1089,7 @@
                 let budget = RetryBudget::new(&bounds);
                 for _ in 0..requests {
                     budget.request(&service, hosts, 0);
-                    // Each request asks for more repeats than any route allows.
+                    // Each request asks for more retries than any route allows.
                     repeats += (0..3).filter(|_| budget.repeat(&service, hosts, 0)).count();
                 }
             }
@@ -1104,7 +1107,7 @@
 }
 
 #[test]
-fn settings_tell_all_their_problems() {
+fn settings_report_all_their_problems() {
     let good = "name: h\navailability_zone: z\nlisten: {callers: '127.0.0.1:1', \
         readiness: '127.0.0.1:2', peers: '127.0.0.1:3', metrics: '127.0.0.1:4'}\n\
         store: {address: '127.0.0.1:5', server_heartbeat: 870ms}\n\
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -1,7 +1,8 @@
-//! Hosts that cannot rely on the holder of the duty rely on the relays of their zone.
+//! Hosts that cannot rely on the duty holder rely on the relays of their zone.
 //!
-//! What users saw: 34 calls to the store of each of 985 hosts on a day. Order of events: the store turned the holder away;
-//! its word grew old, so each host followed the store by itself until there was another holder.
+//! Guards against many hosts calling the store at once: with 985 hosts, each made 34 calls to the
+//! store in a day. The store rejected the duty holder's calls, its reports became stale, and each
+//! host followed the store by itself until there was another duty holder.
 
 mod platform_standin;
 
@@ -13,21 +14,22 @@
 use ashroad::entry::{
     bounds::Bounds,
     limits::TimeLimits,
-    news::{
-        followed::Followed,
-        freshness::{Freshness, StoreNews},
+    updates::{
+        followed::FollowedTable,
+        freshness::{Freshness, StoreStateReport},
     },
 };
 use tokio::time;
 
 use self::platform_standin::{
-    deployment::{Beside, Deployment},
-    traffic::Asked,
+    deployment::{Deployment, Disturbance},
+    traffic::Workload,
 };
 
-/// More than the hosts to which the holder speaks directly.
+/// More hosts than the duty holder addresses directly.
 const HOSTS: usize = 24;
-/// Hosts that may follow the store: the relays of the zone, those that watch the duty's row, and holders.
+/// Maximum number of hosts that follow the store: the relays of the zone, the hosts that watch the
+/// duty's row, and duty holders.
 const CALLERS_MAX: usize = 8;
 
 fn limits() -> TimeLimits {
@@ -37,84 +39,103 @@
     TimeLimits::new(&bounds)
 }
 
-fn news(age_ms: u32, changed: u64) -> StoreNews {
-    StoreNews {
+fn updates(age_ms: u32, changed: u64) -> StoreStateReport {
+    StoreStateReport {
         age_ms,
         changed: [changed; 3],
-        left: changed,
+        leave_version: changed,
         up_to: [changed; 3],
     }
 }
 
 #[test]
-fn a_relay_doubts_the_holder_before_the_others_do() {
+fn a_relay_distrusts_the_duty_holder_earlier_than_other_hosts() {
     let limits = limits();
     let age_ms = (limits.trust_ms * 9 / 10) as u32;
     let [relay, other] = [Freshness::new(&limits), Freshness::new(&limits)];
     relay.set_relay(true);
     for host in [&relay, &other] {
-        host.note_told(news(age_ms, 5));
-        assert!(host.needs_word());
+        host.note_announced(updates(age_ms, 5));
+        assert!(host.needs_relay());
     }
-    assert!(!relay.is_vouched());
-    assert!(other.is_vouched());
-    // Several questions fit into the time that is left.
+    assert!(!relay.is_store_confirmed());
+    assert!(other.is_store_confirmed());
+    // The remaining time suffices for several queries.
     assert!(limits.trust_ms / 4 >= 3 * limits.ask_relay_every_ms);
 }
 
 #[test]
-fn word_of_a_relay_counts_from_the_question_and_only_once() {
+fn a_relay_answer_is_dated_from_the_query_and_counts_once() {
     let limits = limits();
     let host = Freshness::new(&limits);
     let now_ms = ashroad::clock::now_ms();
     host.ask(1, now_ms);
-    assert_eq!(host.note_word(2, news(0, 9)), None, "no such question");
-    assert_eq!(host.note_word(1, news(300, 9)), Some(now_ms - 300));
-    assert!(host.is_vouched());
-    assert!(host.is_behind(Followed::Servers, 8));
-    assert_eq!(host.note_word(1, news(0, 9)), None, "answered already");
-    // An answer that was on its way for as long as the host stood still.
+    assert_eq!(
+        host.note_relay_report(2, updates(0, 9)),
+        None,
+        "unknown nonce"
+    );
+    assert_eq!(
+        host.note_relay_report(1, updates(300, 9)),
+        Some(now_ms - 300)
+    );
+    assert!(host.is_store_confirmed());
+    assert!(host.is_behind(FollowedTable::Servers, 8));
+    assert_eq!(
+        host.note_relay_report(1, updates(0, 9)),
+        None,
+        "already answered"
+    );
+    // An answer that was delayed while the host was frozen.
     let frozen = Freshness::new(&limits);
     frozen.ask(1, now_ms - limits.trust_ms);
-    frozen.note_word(1, news(0, 9));
-    assert!(!frozen.is_vouched());
+    frozen.note_relay_report(1, updates(0, 9));
+    assert!(!frozen.is_store_confirmed());
 }
 
 #[test]
-fn later_word_keeps_the_changes_that_earlier_word_told() {
+fn a_later_report_keeps_the_changes_of_an_earlier_one() {
     let limits = limits();
     let host = Freshness::new(&limits);
-    host.note_told(news(1_000, 20));
+    host.note_announced(updates(1_000, 20));
     host.ask(1, ashroad::clock::now_ms());
-    host.note_word(1, news(100, 10));
-    assert!(host.is_behind(Followed::Servers, 19));
-    assert!(host.has_left_since(19));
-    // Word of the holder that is older than the relay's does not make the host doubt.
-    host.note_told(news(limits.trust_ms as u32, 20));
-    assert!(host.is_vouched());
+    host.note_relay_report(1, updates(100, 10));
+    assert!(host.is_behind(FollowedTable::Servers, 19));
+    assert!(host.has_leave_since(19));
+    // A report of the duty holder that is older than the relay's does not make the host distrust
+    // the relay's.
+    host.note_announced(updates(limits.trust_ms as u32, 20));
+    assert!(host.is_store_confirmed());
 }
 
 #[test]
-fn a_relay_that_does_not_follow_the_store_tells_nothing() {
+fn a_relay_that_does_not_follow_the_store_reports_nothing() {
     let limits = limits();
     let relay = Freshness::new(&limits);
     let heard_ms = ashroad::clock::now_ms();
-    assert_eq!(relay.word(heard_ms), None);
-    for followed in [Followed::Servers, Followed::Configuration] {
+    assert_eq!(relay.store_state(heard_ms), None);
+    for followed in [FollowedTable::Servers, FollowedTable::Configuration] {
         relay.note_applied(followed, 7);
         drop(relay.follow(followed));
     }
-    let word = relay.word(ashroad::clock::now_ms()).expect("word");
-    assert!(word.age_ms < 100);
-    assert_eq!(word.up_to[Followed::Servers.index()], 7);
+    let store_state = relay
+        .store_state(ashroad::clock::now_ms())
+        .expect("store state");
+    assert!(store_state.age_ms < 100);
+    assert_eq!(store_state.up_to[FollowedTable::Servers.index()], 7);
     thread::sleep(Duration::from_millis(50));
-    let later = relay.word(ashroad::clock::now_ms()).expect("word");
-    assert!(later.age_ms >= 50, "followed no more for 50 ms");
+    let later = relay
+        .store_state(ashroad::clock::now_ms())
+        .expect("store state");
+    assert!(
+        later.age_ms >= 50,
+        "the store has not been followed for 50 ms"
+    );
 }
 
 #[tokio::test]
 async fn few_hosts_call_the_store_while_it_turns_the_holder_away() {
-    let mut deployment = Deployment::start_sized(Asked::Orders, HOSTS, 2).await;
+    let mut deployment = Deployment::start_sized(Workload::Orders, HOSTS, 2).await;
     let feeds = |deployment: &Deployment| -> Vec<u64> {
         let hosts = deployment.site.hosts.iter();
         hosts.map(|host| host.store_calls("feed")).collect()
@@ -122,7 +143,11 @@
     let before = feeds(&deployment);
     let cut = Instant::now();
     deployment
-        .suffer(Beside::HolderCut, Asked::Orders, Duration::from_secs(5))
+        .apply_disturbance(
+            Disturbance::DutyHolderPartitioned,
+            Workload::Orders,
+            Duration::from_secs(5),
+        )
         .await;
     let after = feeds(&deployment);
     let calls = before
@@ -135,9 +160,9 @@
         "{callers} of {HOSTS} hosts called: {:?}",
         calls.collect::<Vec<_>>()
     );
-    // What changes meanwhile is known all the same.
+    // Changes in the meantime still become known.
     let leaving = &deployment.site.orders[0];
-    leaving.declare(&deployment.site.store, "draining");
+    leaving.write_entry(&deployment.site.store, "draining");
     time::sleep(Duration::from_secs(3)).await;
     let served = leaving.served();
     time::sleep(Duration::from_secs(1)).await;
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -1,26 +1,28 @@
-//! Word between many hosts: who passes it on, how old it is, and configurations in pieces.
+//! Messages between many hosts: choice of relays, age of delayed messages, configurations sent in
+//! pieces, loads by zone and sizes of datagrams.
 
 use std::net::SocketAddr;
 
 use ashroad::entry::{
     decide::{
-        path_tally::{SharedSuspect, Width},
-        rate_parts::AskedRates,
+        path_tally::{DigestScope, SharedSuspect},
+        rate_shares::AskedRates,
     },
     digest::RequestDigest,
-    news::configuration_pieces::{Assembly, Piece, cut},
     peers::{
         fanout::{
-            DIRECT_HOSTS_MAX, OneWayDelay, RelayCandidate, fanout, zone_aggregator, zone_relays,
+            DIRECT_HOSTS_MAX, OneWayDelay, RelayCandidate, fanout, one_relay_per_zone,
+            zone_aggregator,
         },
         message::{
-            DATAGRAM_BYTES_MAX, ENTRIES_MAX, Message, PACES_MAX, RATES_MAX, RunTime,
-            SHARED_SUSPECTS_MAX, Sender, ServerLoad, ServerPace, ServerRate, ServerSummary,
-            ToldRate,
+            AdvertisedRate, DATAGRAM_BYTES_MAX, ENTRIES_MAX, Message, PACES_MAX, RATES_MAX,
+            RunTime, SHARED_SUSPECTS_MAX, Sender, ServerLoad, ServerPace, ServerRate,
+            ServerSummary,
         },
-        zone_loads::{ZoneLoads, ZoneNews, parts},
+        zone_loads::{ZoneLoadChanges, ZoneLoads, parts},
     },
     server::tag_of,
+    updates::configuration_pieces::{Piece, PieceAssembly, split_into_pieces},
 };
 use quickcheck::quickcheck;
 
@@ -45,7 +47,7 @@
 }
 
 #[test]
-fn word_goes_by_two_hosts_of_each_zone_among_many_only() {
+fn many_hosts_get_messages_through_two_relays_per_zone() {
     struct Case {
         zones: u32,
         of_each: usize,
@@ -65,7 +67,7 @@
             direct: 0,
             relays: 10,
         },
-        // What a host sends does not grow with the number of hosts.
+        // The number of messages per sender does not grow with the number of hosts.
         Case {
             zones: 5,
             of_each: 880,
@@ -92,7 +94,7 @@
 }
 
 #[test]
-fn strong_hosts_that_are_heard_pass_word_on() {
+fn strong_responsive_hosts_are_chosen_as_relays() {
     let mut hosts = hosts(2, 30);
     hosts[7].processor_share = 0.5;
     hosts[11].processor_share = 0.5;
@@ -104,10 +106,10 @@
         relays
     };
     assert_eq!(chosen(&hosts), [hosts[7].address, hosts[11].address]);
-    // One that was given word and fell silent is replaced at once.
+    // A relay that does not acknowledge messages is replaced at once.
     hosts[7].is_silent = true;
     assert_eq!(chosen(&hosts), [hosts[11].address, hosts[13].address]);
-    // Where nobody is heard, word is still sent.
+    // If no host responds, messages are still sent to relays.
     for host in &mut hosts {
         host.is_silent = true;
     }
@@ -115,7 +117,7 @@
 }
 
 #[test]
-fn terms_choose_among_equal_hosts_in_turn() {
+fn relays_among_equal_hosts_vary_by_term() {
     let hosts = hosts(1, 60);
     let choices: std::collections::HashSet<Vec<SocketAddr>> =
         (1..20).map(|term| fanout(&hosts, term).relays).collect();
@@ -123,20 +125,20 @@
 }
 
 #[test]
-fn word_that_a_relay_held_back_counts_as_old() {
+fn messages_that_a_relay_delayed_count_as_old() {
     let mut one_way_delay = OneWayDelay::default();
-    // The clocks of the two hosts have nothing to do with each other.
+    // The clocks of the two hosts are unrelated.
     assert_eq!(one_way_delay.delay_ms(4, 9_000_000, 1_000_003), 0);
     assert_eq!(one_way_delay.delay_ms(4, 9_000_300, 1_000_301), 0);
-    // One that was frozen for 6 s passes on what it got before, after younger word of the other.
+    // A relay that was frozen for 6 s forwards an old message after a newer one of the other relay.
     assert_eq!(one_way_delay.delay_ms(4, 9_006_300, 1_006_301), 0);
     assert_eq!(one_way_delay.delay_ms(4, 9_000_600, 1_006_600), 5_999);
-    // Clocks may drift apart by a millisecond in a second.
+    // Clocks may drift apart by 1 ms per second.
     assert_eq!(one_way_delay.delay_ms(4, 9_600_300, 1_600_600), 0);
-    // A later holder has another clock.
+    // The duty holder of a later term has another clock.
     assert_eq!(one_way_delay.delay_ms(5, 100, 1_600_900), 0);
     assert_eq!(one_way_delay.delay_ms(5, 400, 1_601_250), 50);
-    // A late message of the earlier one changes nothing.
+    // A late message of the previous duty holder changes nothing.
     assert_eq!(one_way_delay.delay_ms(4, 9_600_400, 1_601_300), u64::MAX);
     assert_eq!(one_way_delay.delay_ms(5, 700, 1_601_550), 50);
 }
@@ -146,7 +148,7 @@
         content: Vec<u8>, order: Vec<u16>
     ) -> bool {
         let content = content.repeat(40);
-        let mut pieces = cut(7, 3, &content);
+        let mut pieces = split_into_pieces(7, 3, &content);
         if pieces.is_empty() {
             return content.is_empty() || content.len() > 12 * 1_200;
         }
@@ -154,10 +156,10 @@
             let count = pieces.len();
             pieces.swap(place % count, usize::from(*key) % count);
         }
-        let mut assembly = Assembly::default();
+        let mut assembly = PieceAssembly::default();
         let last = pieces.len() - 1;
         for piece in &pieces[..last] {
-            // A relay repeats what the other one has sent.
+            // Both relays of the zone forward the same piece.
             if assembly.take(piece.clone()).is_some() || assembly.take(piece.clone()).is_some() {
                 return false;
             }
@@ -175,7 +177,7 @@
         count: 2,
         bytes: bytes.as_bytes().to_vec(),
     };
-    let mut assembly = Assembly::default();
+    let mut assembly = PieceAssembly::default();
     assert_eq!(assembly.take(piece(5, 0, "old ")), None);
     assert_eq!(assembly.take(piece(6, 1, "end")), None);
     assert_eq!(assembly.take(piece(5, 1, "one")), None);
@@ -183,7 +185,7 @@
         assembly.take(piece(6, 0, "new ")),
         Some(b"new end".to_vec())
     );
-    // A piece that claims another place than there are is no part of it.
+    // A piece whose index is out of range is ignored.
     assert_eq!(assembly.take(piece(6, 9, "x")), None);
 }
 
@@ -196,7 +198,7 @@
 }
 
 #[test]
-fn sums_of_zones_replace_each_other_and_are_forgotten() {
+fn zone_sums_replace_earlier_ones_and_expire() {
     let mut loads = ZoneLoads::default();
     let total = |loads: &ZoneLoads, now_ms: u64| -> u16 {
         loads.latest(now_ms).map(|summary| summary.in_flight).sum()
@@ -204,22 +206,22 @@
     loads.note(1, vec![summary(7, 3), summary(8, 1)], 1_000);
     loads.note(2, vec![summary(7, 5)], 1_100);
     assert_eq!(total(&loads, 1_200), 9);
-    // Of two hosts that speak for a zone the last one counts, not both.
+    // If two hosts act as aggregator of a zone, their sums replace each other and are not added.
     loads.note(1, vec![summary(7, 2)], 1_400);
     loads.note(1, vec![summary(7, 2)], 1_410);
     assert_eq!(total(&loads, 1_500), 8);
-    // A part that was lost leaves the others; a zone that is silent counts no more.
+    // The loss of one part does not affect the others; sums of a silent zone expire.
     assert_eq!(total(&loads, 2_800), 2);
     assert_eq!(total(&loads, 3_100), 0);
 }
 
 #[test]
 fn a_zone_tells_the_others_only_what_is_new() {
-    /// Servers of a zone that have run requests lately, of which few run some now.
+    /// Servers of a zone that have run requests lately; only a few of them run requests now.
     const SERVERS: u32 = 3_000;
     const BUSY: u32 = 300;
     const SUM_EVERY_MS: u64 = 250;
-    let mut news = ZoneNews::default();
+    let mut updates = ZoneLoadChanges::default();
     let mut heard = ZoneLoads::default();
     let mut told = 0;
     let rounds = 40;
@@ -228,14 +230,14 @@
         let busy = |tag: u32| (tag + round * 60) % SERVERS < BUSY;
         let sums = (0..SERVERS).map(|tag| summary(tag, u16::from(busy(tag))));
         let sums: Vec<ServerSummary> = sums.collect();
-        let new = news.news(sums.clone(), now_ms);
+        let new = updates.updates(sums.clone(), now_ms);
         if round > 0 {
             told += new.len();
         }
         for part in parts(&new) {
             heard.note(1, part, now_ms);
         }
-        // Who hears all of it knows what it would know if all were told.
+        // A receiver of all changes has the same state as if all sums had been sent.
         let mut known: Vec<ServerSummary> = heard.latest(now_ms).collect();
         known.sort_unstable_by_key(|sum| sum.server_tag);
         assert_eq!(known, sums, "round {round}");
@@ -246,7 +248,8 @@
 
 #[test]
 fn servers_do_not_share_a_short_name() {
-    // 10,003 servers had 700 pairs with the same name of 16 bits, whose loads were added up.
+    // With tags of 16 bits, 10,003 servers had 700 pairs with the same tag, whose loads were added
+    // up.
     let tags: std::collections::HashSet<u32> = (0..10_003u32)
         .map(|number| tag_of(&format!("i-{number:010x}@19abcdef012")))
         .collect();
@@ -261,25 +264,25 @@
 }
 
 #[test]
-fn one_host_speaks_for_a_zone_and_one_passes_word_on_in_each_other() {
+fn an_aggregator_sends_to_one_relay_of_each_other_zone() {
     let mut hosts = hosts(4, 50);
     hosts[20].processor_share = 0.5;
     hosts[70].processor_share = 0.5;
     assert_eq!(zone_aggregator(&hosts[..50]), Some(hosts[20].address));
     let mut others = hosts[50..].to_vec();
-    let relays = zone_relays(&mut others);
+    let relays = one_relay_per_zone(&mut others);
     assert_eq!(relays.len(), 3);
     assert!(relays.contains(&hosts[70].address));
     hosts[70].is_silent = true;
-    let relays = zone_relays(&mut hosts[50..].to_vec());
+    let relays = one_relay_per_zone(&mut hosts[50..].to_vec());
     assert!(!relays.contains(&hosts[70].address));
 }
 
 #[test]
-fn what_hosts_tell_of_rates_and_suspects_fits_a_datagram() {
+fn messages_with_the_most_entries_fit_a_datagram() {
     let rate = ServerRate {
         server_tag: u32::MAX,
-        told: Some(ToldRate {
+        told: Some(AdvertisedRate {
             limit_per_s: Some(1.0 / 3.0),
             age_ms: u32::MAX,
         }),
@@ -290,7 +293,7 @@
     };
     let suspect = SharedSuspect {
         digest: RequestDigest(u64::MAX),
-        width: Width::Path,
+        scope: DigestScope::Path,
         caller_tag: u32::MAX,
         is_trial: true,
     };
@@ -326,14 +329,14 @@
             zone_tag: u32::MAX,
             summaries: parts(&vec![sum; 1_000]).next().expect("a part"),
         },
-        Message::Rates(vec![rate; RATES_MAX]),
+        Message::RateTotals(vec![rate; RATES_MAX]),
         Message::ServerEnded {
             server_tag: u32::MAX,
             digests: Vec::new(),
             shared: vec![suspect; SHARED_SUSPECTS_MAX],
         },
     ];
-    /// Version and seal around a message, and what a relay adds.
+    /// Overhead of version, seal and relaying, in bytes.
     const AROUND_BYTES: usize = 100;
     for message in messages {
         let bytes = postcard::to_stdvec(&message).expect("encoded").len();
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -1,29 +1,30 @@
-//! Callers with API keys: whose requests run, on behalf of which workspace, and what becomes of revoked keys.
+//! Callers with API keys: which requests run and for which workspace, the bound on revoked keys,
+//! and quotas.
 
 mod platform_standin;
 
 use std::time::Duration;
 
-use ashroad::entry::decide::trust::{TrustLimits, Verdict, judge};
+use ashroad::entry::decide::trust::{KeyVerdict, TrustLimits, judge};
 use http::StatusCode;
 use serde_json::{Value, json};
 use tokio::time;
 
 use self::platform_standin::{
-    caller::{Answer, Ask, Caller},
+    caller::{Answer, Caller, TestRequest},
     hosts::Host,
     site::{Site, configuration, eventually},
     store::Faults,
 };
 
-/// Bound of revocations.
+/// Time within which a revoked key must no longer be honoured.
 const REVOCATION_MS: u64 = 2_000;
-/// Time after its first start in which a host learns of the others.
-const KNOWN_MS: u64 = 4_000;
+/// Time after the first start of a host in which it discovers the others.
+const DISCOVERY_MS: u64 = 4_000;
 const SECRET: &str = "ftimaj3nr26tta828m82";
 const OTHER_SECRET: &str = "thhkmgjqnirth5mgjy5r";
 
-/// A configuration with a workspace whose callers have these API keys, and a public route.
+/// Returns a configuration with a public route and a workspace with these API keys.
 fn with_workspace(version: u32, api_keys: &[&str], more: Value) -> Value {
     let mut wire = configuration(version, &["/open/"]);
     wire["hosts"][0]["paths"][2]["public"] = json!(true);
@@ -59,10 +60,10 @@
     format!("Token {api_key}")
 }
 
-/// Asks a host with more headers; the answer, and the request's id.
+/// Sends a request with additional headers; returns the response and the request's id.
 async fn ask(host: &Host, path: &str, more: &[(&str, &str)]) -> Option<(Answer, String)> {
     let id = format!("{:016x}", rand::random::<u64>());
-    let ask = Ask {
+    let ask = TestRequest {
         method: "POST",
         path,
         id: &id,
@@ -71,7 +72,7 @@
     };
     let answer = {
         let mut caller = Caller::connect(host.callers).await?;
-        caller.ask_with(ask, more).await?
+        caller.ask_with_headers(ask, more).await?
     };
     Some((answer, id))
 }
@@ -178,7 +179,7 @@
 async fn revoked_keys_are_not_honoured_past_the_bound() {
     let site = start(2, json!({})).await;
     let revoked = with_workspace(3, &["a later key"], json!({}));
-    // One host stands still as the key is revoked, and wakes up after the bound.
+    // One host is stopped while the key is revoked, and continues after the bound.
     site.hosts[1].signal("STOP");
     site.store.put("op", "config", &revoked);
     time::sleep(Duration::from_millis(REVOCATION_MS + 200)).await;
@@ -230,8 +231,8 @@
 async fn requests_beyond_a_quota_are_refused_and_others_served() {
     let quota = json!({"ratePerS": 20, "burst": 20});
     let site = start(2, quota).await;
-    // Hosts that start together at the first start of a deployment know each other by then.
-    time::sleep(Duration::from_millis(KNOWN_MS)).await;
+    // Waits until the hosts, which started together, have discovered each other.
+    time::sleep(Duration::from_millis(DISCOVERY_MS)).await;
     let mut served = 0;
     let mut refused = 0;
     let began = time::Instant::now();
@@ -248,7 +249,7 @@
         let other = order(&site.hosts[0], &[("authorization", &token(OTHER_SECRET))]).await;
         assert_eq!(other.expect("an answer").0.status, StatusCode::OK);
     }
-    // The users' bound on what is over, and nine tenths of what is allowed.
+    // The users' bound on the excess over the quota, and nine tenths of what it allows.
     let allowed = 20.0 * asks_for.as_secs_f64() + 20.0;
     assert!(refused > 0, "{served} served, none refused");
     assert!(f64::from(served) <= allowed * 1.1 + 20.0, "{served} served");
@@ -259,12 +260,12 @@
 }
 
 #[test]
-fn keys_are_judged_by_the_proof_of_the_configuration() {
+fn keys_are_judged_by_the_age_of_the_configuration() {
     struct Case {
         known: bool,
         age_ms: Option<u64>,
         revocation_ms: Option<u64>,
-        verdict: Verdict,
+        verdict: KeyVerdict,
     }
     let strict = Some(5_000);
     let case = |known, age_ms, revocation_ms, verdict| Case {
@@ -274,15 +275,15 @@
         verdict,
     };
     let cases = [
-        case(true, Some(0), strict, Verdict::Honoured),
-        case(true, Some(4_800), strict, Verdict::Honoured),
-        case(true, Some(5_000), strict, Verdict::Unproved),
-        case(true, None, strict, Verdict::Unproved),
-        case(true, None, None, Verdict::Honoured),
-        case(false, Some(1_000), strict, Verdict::Unknown),
-        case(false, Some(1_000), None, Verdict::Unknown),
-        case(false, Some(3_000), strict, Verdict::Unproved),
-        case(false, None, None, Verdict::Unproved),
+        case(true, Some(0), strict, KeyVerdict::Honoured),
+        case(true, Some(4_800), strict, KeyVerdict::Honoured),
+        case(true, Some(5_000), strict, KeyVerdict::Unverified),
+        case(true, None, strict, KeyVerdict::Unverified),
+        case(true, None, None, KeyVerdict::Honoured),
+        case(false, Some(1_000), strict, KeyVerdict::Unknown),
+        case(false, Some(1_000), None, KeyVerdict::Unknown),
+        case(false, Some(3_000), strict, KeyVerdict::Unverified),
+        case(false, None, None, KeyVerdict::Unverified),
     ];
     for case in cases {
         let limits = TrustLimits {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,5 @@
-//! Losses, freezes and outages on real processes, each judged by the servers' own records.
+//! Losses and freezes of processes and outages of the store, tested with real processes. Most tests
+//! also check the records of the stand-in servers for slots that two servers owned at once.
 
 mod common;
 
@@ -11,17 +12,19 @@
     time::{Duration, Instant},
 };
 
-use ashroad::standin::{platform, verdict};
-use common::{Caller, Cluster, PLAIN};
+use ashroad::standin::{invariants, platform};
+use common::{Caller, Cluster, NO_FLAGS};
 use tokio::{task::JoinHandle, time};
 
-/// Calls until stopped; every answer must be a success or a truthful refusal.
-/// Length of the outage in which service must go on, and of the time before that it is compared with.
+/// Length of the outage in which requests must still be served, and of the period before it that it
+/// is compared with.
 const OUTAGE: Duration = Duration::from_secs(6);
-/// Share of the answers before an outage that must come in it. Callers wait for each answer, so that hosts
-/// which are slower by half would show.
+/// Lowest ratio of the requests answered during the outage to those answered before it. Callers
+/// send the next request only after a response, so hosts that become slower by half fail the test.
 const SERVED_SHARE: f64 = 0.5;
 
+/// Callers that send requests to all given hosts until they are stopped. Every response other than
+/// 200 is returned as a failure.
 struct Load {
     stop: Arc<AtomicBool>,
     answered: Arc<AtomicU64>,
@@ -74,15 +77,16 @@
     cluster.hosts.iter().map(|host| host.callers).collect()
 }
 
+/// Checks that no slot was owned by two servers at once, by the servers' own records.
 async fn assert_single_owners(cluster: &Cluster, servers: &[usize]) {
     let records = cluster.records(servers).await;
-    let double = verdict::double_owned(&records);
+    let double = invariants::double_owned(&records);
     assert!(double.is_empty(), "owned twice: {double:#?}");
 }
 
 #[tokio::test]
 async fn keys_of_a_killed_server_are_served_again_within_3_s() {
-    let mut cluster = Cluster::start(3, 3, PLAIN);
+    let mut cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
     let key = (0..).map(|n| format!("key-{n}"));
     let mut owned = Vec::new();
@@ -116,9 +120,9 @@
 
 #[tokio::test]
 async fn a_host_and_a_server_lost_together_leave_keys_served_within_3_s() {
-    let mut cluster = Cluster::start(3, 3, PLAIN);
+    let mut cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
-    // The leader is the worst host to lose.
+    // The leader is the worst host to lose, because another one must take over before keys move.
     let mut leader = 0;
     for host in 0..3 {
         if cluster.status(host).await.leading {
@@ -148,7 +152,7 @@
 
 #[tokio::test]
 async fn a_server_frozen_past_its_lease_owns_nothing_when_it_goes_on() {
-    let cluster = Cluster::start(3, 3, PLAIN);
+    let cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
     let load = Load::start(&addresses(&cluster));
     let frozen = cluster.owner("key-1").await;
@@ -173,11 +177,11 @@
 
 #[tokio::test]
 async fn an_outage_of_the_store_stops_changes_but_not_service() {
-    let mut cluster = Cluster::start(3, 3, PLAIN);
+    let mut cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
     let before = cluster.status(0).await;
     let load = Load::start(&addresses(&cluster)[..2]);
-    // What the machine gives the callers while nothing is wrong.
+    // The requests answered without a fault are the reference for the outage.
     time::sleep(OUTAGE).await;
     let usual = load.answered.load(Ordering::Relaxed);
     cluster
@@ -205,7 +209,7 @@
     cluster.platform_faults(platform::Faults::default()).await;
     cluster
         .submit(
-            ashroad::operator::client::Kind::Workspace,
+            ashroad::operator::client::DeclarationKind::Workspace,
             &cluster.workspace(&[0, 1]),
         )
         .await;
@@ -217,7 +221,7 @@
 
 #[tokio::test]
 async fn a_host_started_in_an_outage_of_the_store_learns_the_state_from_a_peer_later() {
-    let mut cluster = Cluster::start(2, 2, PLAIN);
+    let mut cluster = Cluster::start(2, 2, NO_FLAGS);
     cluster.declare("").await;
     cluster
         .platform_faults(platform::Faults {
@@ -238,13 +242,13 @@
 
 #[tokio::test]
 async fn a_paused_host_does_not_act_on_its_old_view() {
-    let cluster = Cluster::start(3, 3, PLAIN);
+    let cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
     let load = Load::start(&addresses(&cluster)[..2]);
     cluster.hosts[2].process.signal("STOP");
     cluster
         .submit(
-            ashroad::operator::client::Kind::Workspace,
+            ashroad::operator::client::DeclarationKind::Workspace,
             &cluster.workspace(&[0, 1]),
         )
         .await;
@@ -278,7 +282,7 @@
         tasks.push(tokio::spawn(async move {
             let caller = Caller::default();
             let mut answered = 0;
-            // As the balancer does: no new request after readiness is gone.
+            // Like a load balancer, the caller sends no request to a host that is not ready.
             while !stop.load(Ordering::Relaxed) {
                 let ready = caller.get(leaving, "/_ashroad/ready").await;
                 if !ready.is_ok_and(|ready| ready.status == 200) {
@@ -304,7 +308,7 @@
 
 #[tokio::test]
 async fn a_server_that_wants_to_leave_gets_no_new_work_after_seconds() {
-    let cluster = Cluster::start(3, 2, PLAIN);
+    let cluster = Cluster::start(3, 2, NO_FLAGS);
     cluster.declare("").await;
     let load = Load::start(&addresses(&cluster));
     let leaving = cluster.owner("key-1").await;
@@ -335,7 +339,7 @@
 
 #[tokio::test]
 async fn moves_go_on_while_answers_of_the_store_are_lost_and_the_leader_dies() {
-    let mut cluster = Cluster::start(3, 3, PLAIN);
+    let mut cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
     cluster
         .platform_faults(platform::Faults {
@@ -348,7 +352,7 @@
         let servers: &[usize] = if round % 2 == 0 { &[0, 1] } else { &[0, 1, 2] };
         cluster
             .submit(
-                ashroad::operator::client::Kind::Workspace,
+                ashroad::operator::client::DeclarationKind::Workspace,
                 &cluster.workspace(servers),
             )
             .await;
@@ -362,7 +366,7 @@
     }
     cluster
         .submit(
-            ashroad::operator::client::Kind::Workspace,
+            ashroad::operator::client::DeclarationKind::Workspace,
             &cluster.workspace(&[0, 1]),
         )
         .await;
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -1,24 +1,24 @@
-//! A host of the model: the real decisions, with the timers of the real tasks around them.
+//! Simulated host: the real decision code, with the timers of the real tasks around it.
 
 use ashroad::{
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
     membership::{
-        freshness::{Freshness, PeerAnswer, Voter},
-        registry::{self, RegistryLimits, RegistryWatch, Silence, registered, voters},
+        freshness::{Freshness, HeartbeatReply, Voter},
+        registry::{self, RegistryLimits, SettlementTracker, Silence, registered, voters},
     },
     ownership::{
-        lapse::{Holders, HorizonReport, lapsed_at_ms},
+        lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
         message::{LeaseRequest, SlotGrant, grant_hash},
         moves::{next_grants, ready_groups},
-        renewal::{Contact, Finding},
+        renewal::{RenewalOutcome, RenewalState},
     },
     state::{Change, LogEntry, MoveDone, ServerState, State},
 };
 use rand::{Rng, rngs::StdRng};
 
 use super::{
-    Broken, FRESHNESS_MS, LAPSE_MS, MARGIN_MS, Message, Party, SERVERS, SERVICE, TTL_MS, World,
-    local_ms, wanted_moves,
+    BrokenRule, FRESHNESS_MS, LAPSE_MS, MARGIN_MS, Message, Node, SERVERS, SERVICE, Simulation,
+    TTL_MS, local_ms, wanted_moves,
 };
 
 const RENEW_MS: u64 = 300;
@@ -27,9 +27,9 @@
 const MOVE_MS: u64 = 150;
 const READ_MS: u64 = 150;
 
-/// Answer to a question for a horizon.
+/// Reply to a query for a lease horizon.
 #[derive(Clone, Copy, Debug)]
-pub struct Reported {
+pub struct HorizonReply {
     pub host: HostKey,
     pub incarnation: Incarnation,
     pub server: ServerKey,
@@ -48,15 +48,15 @@
     offset_ms: u64,
     drift_ppt: u64,
     freshness: Freshness,
-    contacts: Vec<Contact>,
+    renewal_states: Vec<RenewalState>,
     waiting: Vec<Option<u64>>,
     applied_ms: Vec<(Revision, u64)>,
     reports: Vec<(ServerKey, Revision, HorizonReport)>,
-    registry: RegistryWatch,
+    registry: SettlementTracker,
     read_ms: u64,
     append_ms: u64,
     move_ms: u64,
-    ask_ms: u64,
+    query_ms: u64,
 }
 
 impl Host {
@@ -71,15 +71,15 @@
             offset_ms: rng.random_range(0..1_000_000),
             drift_ppt: rng.random_range(0..5),
             freshness: Freshness::default(),
-            contacts: vec![Contact::default(); SERVERS],
+            renewal_states: vec![RenewalState::default(); SERVERS],
             waiting: vec![None; SERVERS],
             applied_ms: Vec::new(),
             reports: Vec::new(),
-            registry: RegistryWatch::default(),
+            registry: SettlementTracker::default(),
             read_ms: 0,
             append_ms: 0,
             move_ms: 0,
-            ask_ms: 0,
+            query_ms: 0,
         }
     }
 
@@ -107,9 +107,9 @@
         local_ms(now_ms, self.offset_ms, self.drift_ppt)
     }
 
-    fn fresh(&self, clock_ms: u64, broken: Broken) -> bool {
+    fn fresh(&self, clock_ms: u64, broken: BrokenRule) -> bool {
         let basis_ms = self.freshness.basis_ms();
-        broken == Broken::Freshness || basis_ms.is_some_and(|b| clock_ms <= b + FRESHNESS_MS)
+        broken == BrokenRule::Freshness || basis_ms.is_some_and(|b| clock_ms <= b + FRESHNESS_MS)
     }
 
     fn apply(&mut self, entries: &[LogEntry], clock_ms: u64) {
@@ -133,46 +133,51 @@
         Some(clock_ms - applied.1)
     }
 
-    fn pong(&self, asked_ms: u64, clock_ms: u64) -> Option<PeerAnswer> {
+    fn pong(&self, sent_ms: u64, clock_ms: u64) -> Option<HeartbeatReply> {
         let basis_ms = self.freshness.basis_ms();
-        Some(PeerAnswer {
+        Some(HeartbeatReply {
             host: self.key()?,
             incarnation: self.incarnation,
-            asked_ms,
+            sent_ms,
             revision: self.state.revision,
             basis_age_ms: basis_ms.map(|basis_ms| clock_ms - basis_ms),
         })
     }
 
-    fn reported(&self, server: ServerKey, lost: Revision, clock_ms: u64) -> Option<Reported> {
+    fn horizon_reply(
+        &self,
+        server: ServerKey,
+        lost: Revision,
+        clock_ms: u64,
+    ) -> Option<HorizonReply> {
         let lease_epoch = self.state.server(server)?.lease_epoch;
-        let contact = self.contacts[server.0 as usize];
-        Some(Reported {
+        let renewal_state = self.renewal_states[server.0 as usize];
+        Some(HorizonReply {
             host: self.key()?,
             incarnation: self.incarnation,
             server,
             lost,
             applied_age_ms: self.applied_age_ms(lost, clock_ms)?,
-            remaining_ms: contact.remaining_ms(lease_epoch, clock_ms, MARGIN_MS),
+            remaining_ms: renewal_state.remaining_ms(lease_epoch, clock_ms, MARGIN_MS),
         })
     }
 
-    /// The order of a renewal, decided as the real host does.
-    fn order(&mut self, server: usize, clock_ms: u64, broken: Broken) -> Option<LeaseRequest> {
+    /// Returns the order of a renewal, decided as in the real host.
+    fn order(&mut self, server: usize, clock_ms: u64, broken: BrokenRule) -> Option<LeaseRequest> {
         let key = ServerKey(server as u32);
         self.key()?;
         let entry = self.state.server(key)?.clone();
         if entry.state != ServerState::Live || !self.fresh(clock_ms, broken) {
             return None;
         }
-        let contact = &mut self.contacts[server];
-        contact.enter(entry.lease_epoch, clock_ms);
-        if !contact.due(clock_ms) {
+        let renewal_state = &mut self.renewal_states[server];
+        renewal_state.start_period(entry.lease_epoch, clock_ms);
+        if !renewal_state.is_due(clock_ms) {
             return None;
         }
-        contact.sent(clock_ms, ORDER_MS);
-        let not_after_ms = contact.order(entry.incarnation, clock_ms, TTL_MS);
-        let grants = missing(&self.state, key, contact.digest);
+        renewal_state.sent(clock_ms, ORDER_MS);
+        let not_after_ms = renewal_state.order(entry.incarnation, clock_ms, TTL_MS);
+        let grants = missing(&self.state, key, renewal_state.digest);
         Some(LeaseRequest {
             incarnation: not_after_ms.map(|_| entry.incarnation),
             lease_epoch: entry.lease_epoch,
@@ -181,7 +186,7 @@
         })
     }
 
-    fn lapsed(&self, server: ServerKey, lost: Revision, clock_ms: u64, broken: Broken) -> bool {
+    fn lapsed(&self, server: ServerKey, lost: Revision, clock_ms: u64, broken: BrokenRule) -> bool {
         let reports: Vec<HorizonReport> = self
             .reports
             .iter()
@@ -193,23 +198,23 @@
             .into_iter()
             .flatten()
             .collect::<Vec<_>>();
-        let holders = Holders {
+        let renewing_hosts = RenewingHosts {
             registered: &registered,
-            voters: if broken == Broken::Majority {
+            voters: if broken == BrokenRule::Majority {
                 &few
             } else {
                 &voters
             },
-            previous: if broken == Broken::Majority {
+            previous: if broken == BrokenRule::Majority {
                 &[]
             } else {
                 &self.state.registry.previous_voters
             },
-            since_ms: self.applied_at(self.state.registry.since()),
+            since_ms: self.applied_at(self.state.registry.majority_since()),
             settled: self.state.registry.is_settled(),
         };
-        let at_ms = lapsed_at_ms(holders, &reports, LAPSE_MS);
-        broken == Broken::LapseWait || at_ms.is_some_and(|at_ms| clock_ms >= at_ms)
+        let at_ms = lapsed_at_ms(renewing_hosts, &reports, LAPSE_MS);
+        broken == BrokenRule::LapseWait || at_ms.is_some_and(|at_ms| clock_ms >= at_ms)
     }
 
     fn registry_change(&self, clock_ms: u64) -> Option<Change> {
@@ -249,31 +254,32 @@
     grants
 }
 
-impl World {
+impl Simulation {
     pub fn host_receives(&mut self, index: usize, message: Message) {
         let host = &mut self.hosts[index];
         let clock_ms = host.clock_ms(self.now_ms);
-        let me = Party::Host(index);
+        let me = Node::Host(index);
         match message {
-            Message::Ping { from, asked_ms } => {
-                if let Some(pong) = host.pong(asked_ms, clock_ms) {
+            Message::Ping { from, sent_ms } => {
+                if let Some(pong) = host.pong(sent_ms, clock_ms) {
                     self.reply(me, from, Message::Pong(pong));
                 }
             }
             Message::Pong(answer) => {
                 let (applied, voters) = (host.state.revision, voters(&host.state));
                 if let Some(own) = host.own() {
-                    host.freshness.peer_answered(answer, applied, own, &voters);
+                    host.freshness
+                        .record_heartbeat_reply(answer, applied, own, &voters);
                 }
             }
-            Message::LogRead { entries, asked_ms } => {
+            Message::LogRead { entries, sent_ms } => {
                 host.apply(&entries, clock_ms);
                 let end = entries.last().map(|entry| entry.revision);
                 if end.is_none_or(|end| host.state.revision >= end) {
-                    host.freshness.log_read(asked_ms);
+                    host.freshness.record_log_read(sent_ms);
                 }
             }
-            Message::Appended(entry) => {
+            Message::AppendOutcome(entry) => {
                 host.append_ms = 0;
                 host.apply(&[entry], clock_ms);
             }
@@ -293,19 +299,20 @@
                     self.append(index, Change::MovesCompleted { service, done });
                 }
             }
-            Message::AskHorizon { from, server, lost } => {
-                if let Some(reported) = host.reported(server, lost, clock_ms) {
-                    self.reply(me, from, Message::Horizon(reported));
+            Message::QueryHorizon { from, server, lost } => {
+                if let Some(horizon_reply) = host.horizon_reply(server, lost, clock_ms) {
+                    self.reply(me, from, Message::Horizon(horizon_reply));
                 }
             }
-            Message::Horizon(reported) => {
+            Message::Horizon(horizon_reply) => {
                 let report = HorizonReport {
-                    host: reported.host,
-                    incarnation: reported.incarnation,
-                    applied_ms: clock_ms - reported.applied_age_ms,
-                    horizon_ms: clock_ms + reported.remaining_ms,
+                    host: horizon_reply.host,
+                    incarnation: horizon_reply.incarnation,
+                    applied_ms: clock_ms - horizon_reply.applied_age_ms,
+                    horizon_ms: clock_ms + horizon_reply.remaining_ms,
                 };
-                host.reports.push((reported.server, reported.lost, report));
+                host.reports
+                    .push((horizon_reply.server, horizon_reply.lost, report));
             }
             _ => {}
         }
@@ -317,7 +324,7 @@
         server: usize,
         ordered: bool,
         meant: Incarnation,
-        answer: &ashroad::ownership::message::LeaseAnswer,
+        answer: &ashroad::ownership::message::LeaseResponse,
     ) {
         let host = &mut self.hosts[index];
         let clock_ms = host.clock_ms(self.now_ms);
@@ -338,8 +345,9 @@
         }
         host.waiting[server] = None;
         let meant = if ordered { meant } else { entry.incarnation };
-        let finding = host.contacts[server].answered(answer, meant, ordered, clock_ms, RENEW_MS);
-        if finding == Finding::Replaced && answer.incarnation != entry.incarnation {
+        let outcome =
+            host.renewal_states[server].answered(answer, meant, ordered, clock_ms, RENEW_MS);
+        if outcome == RenewalOutcome::Replaced && answer.incarnation != entry.incarnation {
             let lease_epoch = entry.lease_epoch;
             self.append(
                 index,
@@ -351,7 +359,7 @@
         }
     }
 
-    /// Appends a change that fits the host's present state, as one conditional write.
+    /// Appends a change that fits the state this host has applied, as one conditional write.
     fn append(&mut self, index: usize, change: Change) {
         let now_ms = self.now_ms;
         let host = &mut self.hosts[index];
@@ -364,14 +372,15 @@
         }
         host.append_ms = now_ms + 100;
         let message = Message::Append {
-            from: self.asker(index),
+            from: self.requester(index),
             entry,
         };
-        // Written again after a lost answer: the condition on the head settles it.
+        // Some writes are sent twice, as after a lost response. The condition on the head of the
+        // log lets only one of them succeed.
         if self.rng.random_bool(0.1) {
-            self.send(Party::Host(index), Party::Store, message.clone());
+            self.send(Node::Host(index), Node::Store, message.clone());
         }
-        self.send(Party::Host(index), Party::Store, message);
+        self.send(Node::Host(index), Node::Store, message);
     }
 
     fn grant(&mut self, index: usize, slots: &[MoveDone]) {
@@ -383,7 +392,8 @@
         let Some((_, service)) = host.state.active_services().next() else {
             return;
         };
-        // The slots as this host sees them now must be those that were given up.
+        // The slots must still have the epochs for which they were released, in this host's current
+        // state.
         let same = |done: &MoveDone| service.slots[done.slot.0 as usize].epoch == done.epoch;
         let Some(first) = slots.first().filter(|_| slots.iter().all(same)) else {
             return;
@@ -401,18 +411,18 @@
         };
         let slots = slots.to_vec();
         let message = Message::Grant {
-            from: self.asker(index),
+            from: self.requester(index),
             order,
             slots,
         };
-        self.send(Party::Host(index), Party::Server(to.0 as usize), message);
+        self.send(Node::Host(index), Node::Server(to.0 as usize), message);
     }
 
     pub fn tick(&mut self, index: usize) {
         if self.hosts[index].paused_until_ms > self.now_ms {
             return;
         }
-        self.read_and_beat(index);
+        self.read_log_and_ping(index);
         let host = &self.hosts[index];
         if host.state.revision.0 > 0 && host.key().is_none() {
             let change = host.registration();
@@ -425,30 +435,30 @@
         }
     }
 
-    fn read_and_beat(&mut self, index: usize) {
+    fn read_log_and_ping(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         let clock_ms = host.clock_ms(self.now_ms);
         if let Some(own) = host.own() {
             let voters = voters(&host.state);
-            host.freshness.alone(clock_ms, own, &voters);
+            host.freshness.raise_if_only_voter(clock_ms, own, &voters);
         }
         let after = host.state.revision;
         if clock_ms >= host.read_ms + READ_MS {
             host.read_ms = clock_ms;
             let read = Message::ReadLog {
-                from: self.asker(index),
+                from: self.requester(index),
                 after,
-                asked_ms: clock_ms,
+                sent_ms: clock_ms,
             };
-            self.send(Party::Host(index), Party::Store, read);
+            self.send(Node::Host(index), Node::Store, read);
         }
         for peer in 0..self.hosts.len() {
             if peer != index {
                 let ping = Message::Ping {
-                    from: self.asker(index),
-                    asked_ms: clock_ms,
+                    from: self.requester(index),
+                    sent_ms: clock_ms,
                 };
-                self.send(Party::Host(index), Party::Host(peer), ping);
+                self.send(Node::Host(index), Node::Host(peer), ping);
             }
         }
     }
@@ -461,7 +471,7 @@
             let mut lost = std::mem::take(&mut host.suspect_wrongly);
             if host.waiting[server].is_some_and(|sent_ms| clock_ms > sent_ms + ORDER_MS) {
                 host.waiting[server] = None;
-                lost |= host.contacts[server].failed(clock_ms, SUSPECT_MS);
+                lost |= host.renewal_states[server].failed(clock_ms, SUSPECT_MS);
             }
             let key = ServerKey(server as u32);
             let lease_epoch = host.state.server(key).map(|entry| entry.lease_epoch);
@@ -478,10 +488,10 @@
             if let Some(order) = host.order(server, clock_ms, broken) {
                 host.waiting[server] = Some(clock_ms);
                 let message = Message::Lease {
-                    from: self.asker(index),
+                    from: self.requester(index),
                     order,
                 };
-                self.send(Party::Host(index), Party::Server(server), message);
+                self.send(Node::Host(index), Node::Server(server), message);
             }
         }
     }
@@ -494,16 +504,16 @@
         if !host.fresh(clock_ms, self.broken) {
             return;
         }
-        if clock_ms >= host.ask_ms + RENEW_MS {
-            host.ask_ms = clock_ms;
-            self.ask_absent(index);
+        if clock_ms >= host.query_ms + RENEW_MS {
+            host.query_ms = clock_ms;
+            self.query_absent_servers(index);
         }
         let host = &mut self.hosts[index];
         if clock_ms >= host.move_ms + MOVE_MS {
             host.move_ms = clock_ms;
             self.lead_moves(index);
         }
-        let change = wanted_moves(&self.hosts[index].state, &mut self.rng, self.calm);
+        let change = wanted_moves(&self.hosts[index].state, &mut self.rng, self.faults_ended);
         if let Some(change) = change {
             self.append(index, change);
         }
@@ -515,10 +525,11 @@
         if watch.pending(&host.state) {
             let latest = host.state.registry.changed;
             let own = host.own();
-            // Asked in one instant here; cut and paused hosts do not answer.
+            // All peers are queried at the same instant here; hosts that are cut off or paused do
+            // not reply.
             let reach = |peer: usize| {
-                let link = (Party::Host(index), Party::Host(peer));
-                let back = (Party::Host(peer), Party::Host(index));
+                let link = (Node::Host(index), Node::Host(peer));
+                let back = (Node::Host(peer), Node::Host(index));
                 let cut = |link| self.cut.get(link).is_some_and(|ms| *ms > self.now_ms);
                 !cut(&link) && !cut(&back) && self.hosts[peer].paused_until_ms <= self.now_ms
             };
@@ -528,7 +539,7 @@
                 .filter_map(|peer| self.hosts[peer].own())
                 .chain(own)
                 .collect();
-            watch.follow(&self.hosts[index].state, &applied, clock_ms, LAPSE_MS);
+            watch.record_applied(&self.hosts[index].state, &applied, clock_ms, LAPSE_MS);
         }
         self.hosts[index].registry = watch;
         let host = &self.hosts[index];
@@ -550,7 +561,7 @@
             .collect();
         for (server, lease_epoch, revision) in lost {
             let host = &mut self.hosts[index];
-            if let Some(own) = host.reported(server, revision, clock_ms) {
+            if let Some(own) = host.horizon_reply(server, revision, clock_ms) {
                 let report = HorizonReport {
                     host: own.host,
                     incarnation: own.incarnation,
@@ -571,18 +582,18 @@
             }
             for peer in 0..self.hosts.len() {
                 if peer != index {
-                    let ask = Message::AskHorizon {
-                        from: self.asker(index),
+                    let ask = Message::QueryHorizon {
+                        from: self.requester(index),
                         server,
                         lost: revision,
                     };
-                    self.send(Party::Host(index), Party::Host(peer), ask);
+                    self.send(Node::Host(index), Node::Host(peer), ask);
                 }
             }
         }
     }
 
-    fn ask_absent(&mut self, index: usize) {
+    fn query_absent_servers(&mut self, index: usize) {
         for server in 0..SERVERS {
             let key = ServerKey(server as u32);
             let entry = self.hosts[index].state.server(key);
@@ -594,10 +605,10 @@
                     grants: Vec::new(),
                 };
                 let message = Message::Lease {
-                    from: self.asker(index),
+                    from: self.requester(index),
                     order,
                 };
-                self.send(Party::Host(index), Party::Server(server), message);
+                self.send(Node::Host(index), Node::Server(server), message);
             }
         }
     }
@@ -613,11 +624,11 @@
                 continue;
             };
             let message = Message::Revoke {
-                from: self.asker(index),
+                from: self.requester(index),
                 incarnation: entry.incarnation,
                 slots,
             };
-            self.send(Party::Host(index), Party::Server(from.0 as usize), message);
+            self.send(Node::Host(index), Node::Server(from.0 as usize), message);
         }
     }
 }
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -1,6 +1,6 @@
-//! A small world around the real decisions of ownership: the state, freshness, renewals, lapses,
-//! the registry and a server's grants. Time is virtual; messages are delayed, lost, doubled and
-//! reordered; processes are paused, killed and restarted; the store is down or loses answers.
+//! Simulation around the real ownership code: state, freshness, renewals, lapses, registry and the
+//! grants of a server. Time is virtual. Messages are delayed, lost, duplicated and reordered;
+//! processes are paused, killed and restarted; the store is down or its responses are lost.
 
 mod host;
 
@@ -11,9 +11,9 @@
 
 use ashroad::{
     id::{HostKey, Incarnation, OperationId, Revision, ServerKey, Slot},
-    membership::freshness::PeerAnswer,
-    ownership::message::{LeaseAnswer, LeaseRequest, SlotGrant},
-    standin::grants::{Grants, Reading},
+    membership::freshness::HeartbeatReply,
+    ownership::message::{LeaseRequest, LeaseResponse, SlotGrant},
+    standin::grants::{ClockReading, Grants},
     state::{Change, LogEntry, MoveDone, SlotMove, State},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -29,67 +29,68 @@
 const TICK_MS: u64 = 50;
 const SERVERS: usize = 3;
 
-/// Rules that a test can take away, to show that the check sees it.
+/// Rule that a test can disable, to show that the invariant check detects its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum BrokenRule {
     Nothing,
-    /// A server forgets what was revoked.
+    /// A server forgets which slots were revoked.
     Fence,
     /// A server keeps its grants in a new membership period.
     LeaseEpoch,
-    /// Leases are declared lapsed without any wait.
+    /// Leases are declared lapsed without waiting.
     LapseWait,
-    /// The wait ends when one host has reported.
+    /// The wait for a lapse ends when one host has reported.
     Majority,
-    /// Hosts renew however old their view is.
+    /// Hosts renew leases however old their view is.
     Freshness,
-    /// The lease's end is counted from the order's arrival.
+    /// The end of a lease is counted from the arrival of the order.
     ClockBound,
-    /// A writer whose answer was lost writes again behind the present head.
+    /// A writer whose response was lost writes the same change again after the current head of the
+    /// log.
     OperationId,
 }
 
-/// A host process that asked. Answers go back on its connection, so a successor gets none.
+/// Host process that sent a request. Replies use its connection, so a restarted process gets none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Asker {
+pub struct Requester {
     host: usize,
     incarnation: Incarnation,
 }
 
-/// Messages; each is between processes that may have been replaced since it was sent.
+/// Messages between processes, each of which may have been replaced since the message was sent.
 #[derive(Clone, Debug)]
 pub enum Message {
     Ping {
-        from: Asker,
-        asked_ms: u64,
+        from: Requester,
+        sent_ms: u64,
     },
-    Pong(PeerAnswer),
+    Pong(HeartbeatReply),
     ReadLog {
-        from: Asker,
+        from: Requester,
         after: Revision,
-        asked_ms: u64,
+        sent_ms: u64,
     },
     LogRead {
         entries: Vec<LogEntry>,
-        asked_ms: u64,
+        sent_ms: u64,
     },
     Append {
-        from: Asker,
+        from: Requester,
         entry: LogEntry,
     },
-    Appended(LogEntry),
+    AppendOutcome(LogEntry),
     Lease {
-        from: Asker,
+        from: Requester,
         order: LeaseRequest,
     },
     LeaseAnswered {
         server: usize,
         ordered: bool,
         meant: Incarnation,
-        answer: LeaseAnswer,
+        answer: LeaseResponse,
     },
     Revoke {
-        from: Asker,
+        from: Requester,
         incarnation: Incarnation,
         slots: Vec<MoveDone>,
     },
@@ -97,23 +98,23 @@
         slots: Vec<MoveDone>,
     },
     Grant {
-        from: Asker,
+        from: Requester,
         order: LeaseRequest,
         slots: Vec<MoveDone>,
     },
     Granted {
         slots: Vec<MoveDone>,
     },
-    AskHorizon {
-        from: Asker,
+    QueryHorizon {
+        from: Requester,
         server: ServerKey,
         lost: Revision,
     },
-    Horizon(host::Reported),
+    Horizon(host::HorizonReply),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Party {
+pub enum Node {
     Host(usize),
     Server(usize),
     Store,
@@ -121,7 +122,7 @@
 
 #[derive(Clone, Debug)]
 struct Envelope {
-    to: Party,
+    to: Node,
     incarnation: Incarnation,
     message: Message,
 }
@@ -134,8 +135,8 @@
     drift_ppt: u64,
 }
 
-pub struct World {
-    pub broken: Broken,
+pub struct Simulation {
+    pub broken: BrokenRule,
     pub now_ms: u64,
     pub hosts: Vec<Host>,
     pub servers: Vec<Server>,
@@ -145,8 +146,8 @@
     envelopes: HashMap<u64, Envelope>,
     next_envelope: u64,
     store_down_until_ms: u64,
-    cut: BTreeMap<(Party, Party), u64>,
-    pub calm: bool,
+    cut: BTreeMap<(Node, Node), u64>,
+    pub faults_ended: bool,
     trace: bool,
 }
 
@@ -154,11 +155,11 @@
     offset_ms + now_ms * (1_000 + drift_ppt) / 1_000
 }
 
-impl World {
-    pub fn new(seed: u64, broken: Broken) -> Self {
+impl Simulation {
+    pub fn new(seed: u64, broken: BrokenRule) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let hosts = rng.random_range(1..=5);
-        let mut world = Self {
+        let mut simulation = Self {
             broken,
             now_ms: 10_000,
             hosts: Vec::new(),
@@ -169,33 +170,34 @@
             next_envelope: 0,
             store_down_until_ms: 0,
             cut: BTreeMap::new(),
-            calm: false,
+            faults_ended: false,
             trace: std::env::var_os("ASHROAD_TRACE").is_some(),
             rng,
         };
         for index in 0..hosts {
-            let host = Host::new(index, &mut world.rng);
-            world.hosts.push(host);
+            let host = Host::new(index, &mut simulation.rng);
+            simulation.hosts.push(host);
         }
-        // Most cases begin with a formed system, so that the steps go into its faults.
-        if world.rng.random_bool(0.8) {
-            world.form();
+        // Most cases begin with all hosts registered, so that the steps are spent on faults of a
+        // complete system.
+        if simulation.rng.random_bool(0.8) {
+            simulation.register_all_hosts();
         }
         for _ in 0..SERVERS {
             let server = Server {
-                incarnation: Incarnation(world.rng.random()),
+                incarnation: Incarnation(simulation.rng.random()),
                 grants: Grants::default(),
                 frozen_until_ms: 0,
-                offset_ms: world.rng.random_range(0..1_000_000),
-                drift_ppt: world.rng.random_range(0..5),
+                offset_ms: simulation.rng.random_range(0..1_000_000),
+                drift_ppt: simulation.rng.random_range(0..5),
             };
-            world.servers.push(server);
+            simulation.servers.push(server);
         }
-        world
+        simulation
     }
 
-    /// Registers and counts every host.
-    fn form(&mut self) {
+    /// Registers every host and makes it a voter.
+    fn register_all_hosts(&mut self) {
         let changes: Vec<Change> = self.hosts.iter().map(Host::registration).collect();
         let promote = |(key, host): (u32, &Host)| Change::HostPromoted {
             host: HostKey(key),
@@ -214,16 +216,16 @@
         }
     }
 
-    /// One step: a fault perhaps, then some time.
+    /// Runs one step: possibly a fault, then a random span of time.
     pub fn step(&mut self) {
-        if !self.calm {
+        if !self.faults_ended {
             self.fault();
         }
         let span_ms = self.rng.random_range(1..=150);
         self.run(span_ms);
     }
 
-    /// Runs for a while, checking after each event.
+    /// Runs for `span_ms`, checking the invariant after each event.
     pub fn run(&mut self, span_ms: u64) {
         let end_ms = self.now_ms + span_ms;
         while self.now_ms < end_ms {
@@ -253,9 +255,10 @@
         }
     }
 
-    /// Ends all faults, gives the lead to one host and lets things settle.
+    /// Ends all faults, makes one host the leader and runs until moves and registrations are
+    /// complete.
     pub fn settle(&mut self) {
-        self.calm = true;
+        self.faults_ended = true;
         self.cut.clear();
         self.store_down_until_ms = 0;
         for server in &mut self.servers {
@@ -277,9 +280,9 @@
             1 => self.servers[server].frozen_until_ms = until_ms,
             2 => self.store_down_until_ms = until_ms,
             3..5 => {
-                let one = self.any_party();
-                let other = self.any_party();
-                // One way only, every second time.
+                let one = self.any_node();
+                let other = self.any_node();
+                // Half of these cuts affect one direction only.
                 self.cut.insert((one, other), until_ms);
                 if self.rng.random() {
                     self.cut.insert((other, one), until_ms);
@@ -288,8 +291,8 @@
             5 => {
                 let number = self.rng.random_range(0..3);
                 for peer in 0..self.hosts.len() {
-                    let cut = Party::Host(peer);
-                    self.cut.insert((cut, Party::Server(number)), until_ms);
+                    let cut = Node::Host(peer);
+                    self.cut.insert((cut, Node::Server(number)), until_ms);
                 }
             }
             6 => self.hosts[host].leading ^= true,
@@ -302,52 +305,58 @@
                 self.servers[server].incarnation = Incarnation(self.rng.random());
             }
             9 => self.hosts[host].suspect_wrongly = true,
-            10 => self.split(until_ms),
+            10 => self.isolate_hosts(until_ms),
             _ => {}
         }
     }
 
-    /// Cuts some hosts off from the store and from the other hosts; servers stay in reach of all.
-    fn split(&mut self, until_ms: u64) {
-        let away: Vec<bool> = self.hosts.iter().map(|_| self.rng.random()).collect();
-        // The others go on to make changes, long enough to carry them out.
+    /// Cuts some hosts off from the store and from the other hosts, while all servers stay
+    /// reachable.
+    fn isolate_hosts(&mut self, until_ms: u64) {
+        let isolated: Vec<bool> = self.hosts.iter().map(|_| self.rng.random()).collect();
+        // The remaining hosts continue to make changes, and have enough time to complete them.
         let until_ms = until_ms + LAPSE_MS * 2;
-        for (host, _) in self.hosts.iter_mut().zip(&away).filter(|(_, away)| !**away) {
+        for (host, _) in self
+            .hosts
+            .iter_mut()
+            .zip(&isolated)
+            .filter(|(_, isolated)| !**isolated)
+        {
             host.leading = true;
             host.suspect_wrongly = true;
         }
-        for (one, one_away) in away.iter().enumerate() {
-            let host = Party::Host(one);
-            if *one_away {
-                self.cut.insert((host, Party::Store), until_ms);
-                self.cut.insert((Party::Store, host), until_ms);
+        for (one, one_isolated) in isolated.iter().enumerate() {
+            let host = Node::Host(one);
+            if *one_isolated {
+                self.cut.insert((host, Node::Store), until_ms);
+                self.cut.insert((Node::Store, host), until_ms);
             }
-            for (other, other_away) in away.iter().enumerate() {
-                if one_away != other_away {
-                    self.cut.insert((host, Party::Host(other)), until_ms);
+            for (other, other_isolated) in isolated.iter().enumerate() {
+                if one_isolated != other_isolated {
+                    self.cut.insert((host, Node::Host(other)), until_ms);
                 }
             }
         }
     }
 
-    fn any_party(&mut self) -> Party {
+    fn any_node(&mut self) -> Node {
         match self.rng.random_range(0..5) {
-            0 => Party::Store,
-            1 | 2 => Party::Server(self.rng.random_range(0..SERVERS)),
-            _ => Party::Host(self.rng.random_range(0..self.hosts.len())),
+            0 => Node::Store,
+            1 | 2 => Node::Server(self.rng.random_range(0..SERVERS)),
+            _ => Node::Host(self.rng.random_range(0..self.hosts.len())),
         }
     }
 
-    fn incarnation(&self, party: Party) -> Incarnation {
-        match party {
-            Party::Host(host) => self.hosts[host].incarnation,
-            Party::Server(server) => self.servers[server].incarnation,
-            Party::Store => Incarnation::default(),
+    fn incarnation(&self, node: Node) -> Incarnation {
+        match node {
+            Node::Host(host) => self.hosts[host].incarnation,
+            Node::Server(server) => self.servers[server].incarnation,
+            Node::Store => Incarnation::default(),
         }
     }
 
-    pub fn send(&mut self, from: Party, to: Party, message: Message) {
-        if !self.calm {
+    pub fn send(&mut self, from: Node, to: Node, message: Message) {
+        if !self.faults_ended {
             let cut_ms = self.cut.get(&(from, to)).copied().unwrap_or_default();
             if cut_ms > self.now_ms || self.rng.random_bool(0.02) {
                 return;
@@ -359,27 +368,28 @@
         self.post(to, message);
     }
 
-    pub fn asker(&self, host: usize) -> Asker {
-        Asker {
+    pub fn requester(&self, host: usize) -> Requester {
+        Requester {
             host,
             incarnation: self.hosts[host].incarnation,
         }
     }
 
-    pub fn reply(&mut self, from: Party, to: Asker, message: Message) {
+    pub fn reply(&mut self, from: Node, to: Requester, message: Message) {
         if self.hosts[to.host].incarnation == to.incarnation {
-            self.send(from, Party::Host(to.host), message);
+            self.send(from, Node::Host(to.host), message);
         }
     }
 
-    fn post(&mut self, to: Party, message: Message) {
-        let slow = !self.calm && self.rng.random_bool(0.03);
+    fn post(&mut self, to: Node, message: Message) {
+        let slow = !self.faults_ended && self.rng.random_bool(0.03);
         let delay_ms = self.rng.random_range(if slow { 100..3_000 } else { 0..15 });
         let id = self.next_envelope;
         self.next_envelope += 1;
         let envelope = Envelope {
             to,
-            // An address outlives a process, so a late message reaches the successor.
+            // An address outlives a process, so a delayed message reaches the process that replaced
+            // it.
             incarnation: self.incarnation(to),
             message,
         };
@@ -395,12 +405,12 @@
             );
         }
         let held_until_ms = match envelope.to {
-            Party::Host(host) => self.hosts[host].paused_until_ms,
-            Party::Server(server) => self.servers[server].frozen_until_ms,
-            Party::Store => self.store_down_until_ms,
+            Node::Host(host) => self.hosts[host].paused_until_ms,
+            Node::Server(server) => self.servers[server].frozen_until_ms,
+            Node::Store => self.store_down_until_ms,
         };
         if held_until_ms > self.now_ms {
-            // A paused process reads what had arrived once it goes on.
+            // A paused process receives the messages that arrived meanwhile once it resumes.
             let id = self.next_envelope;
             self.next_envelope += 1;
             self.envelopes.insert(id, envelope);
@@ -408,13 +418,14 @@
             return;
         }
         match envelope.to {
-            Party::Store => self.store(envelope.message),
-            Party::Server(server) => self.server(server, envelope.message),
-            // Connections end with their process, unlike a server's orders.
-            Party::Host(host) if envelope.incarnation == self.hosts[host].incarnation => {
+            Node::Store => self.store(envelope.message),
+            Node::Server(server) => self.server(server, envelope.message),
+            // A connection to a host ends with its process, whereas an order to a server reaches
+            // any process at its address.
+            Node::Host(host) if envelope.incarnation == self.hosts[host].incarnation => {
                 self.host_receives(host, envelope.message);
             }
-            Party::Host(_) => {}
+            Node::Host(_) => {}
         }
     }
 
@@ -423,31 +434,31 @@
             Message::ReadLog {
                 from,
                 after,
-                asked_ms,
+                sent_ms,
             } => {
                 let entries = self.log[after.0 as usize..].to_vec();
-                let answer = Message::LogRead { entries, asked_ms };
-                self.reply(Party::Store, from, answer);
+                let answer = Message::LogRead { entries, sent_ms };
+                self.reply(Node::Store, from, answer);
             }
             Message::Append { from, mut entry } => {
                 let next = self.log.len() as u64 + 1;
                 if entry.revision.0 != next {
                     let own = |held: &LogEntry| held.operation_id == entry.operation_id;
-                    if self.broken != Broken::OperationId || !self.log.iter().any(own) {
+                    if self.broken != BrokenRule::OperationId || !self.log.iter().any(own) {
                         return;
                     }
                     entry.revision = Revision(next);
                 }
                 self.log.push(entry.clone());
-                self.reply(Party::Store, from, Message::Appended(entry));
+                self.reply(Node::Store, from, Message::AppendOutcome(entry));
             }
             _ => {}
         }
     }
 
-    fn reading(&self, server: usize) -> Reading {
+    fn reading(&self, server: usize) -> ClockReading {
         let held = &self.servers[server];
-        Reading {
+        ClockReading {
             clock_ms: local_ms(self.now_ms, held.offset_ms, held.drift_ppt),
             unix_us: self.now_ms * 1_000,
         }
@@ -478,7 +489,7 @@
             } => {
                 let accepted = renew(server, &mut order, now, broken);
                 if accepted {
-                    self.reply(Party::Server(index), from, Message::Granted { slots });
+                    self.reply(Node::Server(index), from, Message::Granted { slots });
                 }
             }
             Message::Revoke {
@@ -487,27 +498,33 @@
                 slots,
             } if incarnation == server.incarnation => {
                 for done in &slots {
-                    if broken != Broken::Fence {
+                    if broken != BrokenRule::Fence {
                         server.grants.revoke(&slot_grant(done), now);
                     }
                 }
-                self.reply(Party::Server(index), from, Message::Released { slots });
+                self.reply(Node::Server(index), from, Message::Released { slots });
             }
             _ => {}
         }
     }
 
-    fn answer_lease(&mut self, index: usize, to: Asker, order: &LeaseRequest, answer: LeaseAnswer) {
+    fn answer_lease(
+        &mut self,
+        index: usize,
+        to: Requester,
+        order: &LeaseRequest,
+        answer: LeaseResponse,
+    ) {
         let message = Message::LeaseAnswered {
             server: index,
             ordered: order.incarnation.is_some(),
             meant: order.incarnation.unwrap_or_default(),
             answer,
         };
-        self.reply(Party::Server(index), to, message);
+        self.reply(Node::Server(index), to, message);
     }
 
-    /// The invariant: no slot is owned by two servers.
+    /// Checks the invariant: no slot is owned by two servers.
     fn check(&self) {
         for slot in (0..SLOTS).map(Slot) {
             let owners = self.owners(slot);
@@ -515,7 +532,7 @@
         }
     }
 
-    /// The leader's view, for the report of a failed case.
+    /// Describes the state of the first host, for the report of a failed case.
     pub fn describe(&self) -> String {
         let state = &self.hosts[0].state;
         let (hosts, servers) = (&state.hosts, &state.servers);
@@ -528,7 +545,7 @@
         format!("log {log}, hosts {hosts:#?}, servers {servers:#?}, slots {slots:#?}")
     }
 
-    /// Servers that would serve a slot now.
+    /// Returns the servers that would serve a slot now.
     pub fn owners(&self, slot: Slot) -> Vec<usize> {
         let owns = |index: &usize| {
             let clock_ms = self.reading(*index).clock_ms;
@@ -538,21 +555,26 @@
     }
 }
 
-fn renew(server: &mut Server, order: &mut LeaseRequest, now: Reading, broken: Broken) -> bool {
+fn renew(
+    server: &mut Server,
+    order: &mut LeaseRequest,
+    now: ClockReading,
+    broken: BrokenRule,
+) -> bool {
     if order.incarnation != Some(server.incarnation) {
         return false;
     }
-    if broken == Broken::LeaseEpoch && server.grants.lease_epoch().0 > 0 {
+    if broken == BrokenRule::LeaseEpoch && server.grants.lease_epoch().0 > 0 {
         order.lease_epoch = server.grants.lease_epoch();
     }
-    if broken == Broken::ClockBound && order.not_after_ms > 0 {
+    if broken == BrokenRule::ClockBound && order.not_after_ms > 0 {
         order.not_after_ms = now.clock_ms + TTL_MS;
     }
     server.grants.renew(order, now)
 }
 
-fn lease_answer(server: &Server, now: Reading, accepted: bool) -> LeaseAnswer {
-    LeaseAnswer {
+fn lease_answer(server: &Server, now: ClockReading, accepted: bool) -> LeaseResponse {
+    LeaseResponse {
         incarnation: server.incarnation,
         clock_ms: now.clock_ms,
         lease_epoch: server.grants.lease_epoch(),
@@ -604,8 +626,8 @@
     }
 }
 
-/// Moves of slots that have no owner, and now and then of others.
-pub fn wanted_moves(state: &State, rng: &mut StdRng, calm: bool) -> Option<Change> {
+/// Returns moves for all slots without an owner, and now and then for slots with one.
+pub fn wanted_moves(state: &State, rng: &mut StdRng, faults_ended: bool) -> Option<Change> {
     let live: Vec<ServerKey> = state
         .server_entries()
         .filter(|(_, server)| server.state == ashroad::state::ServerState::Live)
@@ -618,7 +640,7 @@
             continue;
         }
         let owned = held.owner.is_some_and(|owner| live.contains(&owner));
-        if owned && (calm || !rng.random_bool(0.02)) {
+        if owned && (faults_ended || !rng.random_bool(0.02)) {
             continue;
         }
         moves.push(SlotMove {
--- a/tests/once_only.rs
+++ b/tests/once_only.rs
@@ -1,25 +1,26 @@
-//! Unrepeatable requests on real processes: duplicates, kills and lost answers of the store.
+//! Unrepeatable requests with real processes: duplicates, killed processes and lost responses of
+//! the store.
 
 mod common;
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
-use ashroad::standin::{backend, platform, verdict};
-use common::{Answered, Caller, Cluster, PLAIN};
+use ashroad::standin::{backend, invariants, platform};
+use common::{Caller, CallerResponse, Cluster, NO_FLAGS};
 use tokio::{sync::Mutex, time};
 
 const RULE: &str = "    unrepeatable:\n      - { method: POST, path_prefix: / }\n";
 
 #[tokio::test]
 async fn a_duplicate_at_another_host_gets_the_stored_answer() {
-    let cluster = Cluster::start(2, 2, PLAIN);
+    let cluster = Cluster::start(2, 2, NO_FLAGS);
     cluster.declare(RULE).await;
     let caller = Caller::default();
     let (one, other) = (cluster.hosts[0].callers, cluster.hosts[1].callers);
     let first = caller.post(one, "/w/s/parcel-7", "order-1").await;
     let first = first.expect("an answer");
     assert_eq!(first.status, 200);
-    // The answer is recorded a moment after it was given.
+    // The response is recorded shortly after it was sent to the caller.
     time::sleep(Duration::from_millis(300)).await;
     let second = caller.post(other, "/w/s/parcel-7", "order-1").await;
     let second = second.expect("an answer");
@@ -29,12 +30,12 @@
     assert_eq!(reused.status, 422, "{reused:?}");
     assert_eq!(reused.outcome.as_deref(), Some("not-run"));
     let records = cluster.records(&[0, 1]).await;
-    assert!(verdict::double_runs(&records).is_empty());
+    assert!(invariants::double_runs(&records).is_empty());
 }
 
 #[tokio::test]
 async fn an_idempotency_key_that_cannot_be_kept_is_refused() {
-    let cluster = Cluster::start(1, 1, PLAIN);
+    let cluster = Cluster::start(1, 1, NO_FLAGS);
     cluster.declare(RULE).await;
     let caller = Caller::default();
     for key in ["", "Pe\u{f1}a"] {
@@ -76,7 +77,7 @@
 
 #[tokio::test]
 async fn without_the_store_an_unrepeatable_request_is_refused_as_not_run() {
-    let cluster = Cluster::start(1, 1, PLAIN);
+    let cluster = Cluster::start(1, 1, NO_FLAGS);
     cluster.declare(RULE).await;
     cluster
         .platform_faults(platform::Faults {
@@ -98,8 +99,8 @@
 }
 
 #[tokio::test]
-async fn a_cut_answer_is_not_taken_as_whole_and_its_request_not_run_again() {
-    let cluster = Cluster::start(1, 1, PLAIN);
+async fn a_truncated_response_is_an_error_and_its_request_does_not_run_again() {
+    let cluster = Cluster::start(1, 1, NO_FLAGS);
     cluster.declare(RULE).await;
     cluster
         .server_faults(
@@ -113,7 +114,7 @@
     let caller = Caller::default();
     let host = cluster.hosts[0].callers;
     let cut = caller.get(host, "/w/s/parcel-7").await;
-    assert!(cut.is_err(), "taken as whole: {cut:?}");
+    assert!(cut.is_err(), "a truncated response was accepted: {cut:?}");
     let order = caller.post(host, "/w/s/parcel-7", "order-1").await;
     let order = order.expect("an answer");
     assert_eq!(order.outcome.as_deref(), Some("unknown"), "{order:?}");
@@ -123,36 +124,36 @@
     let again = again.expect("an answer");
     assert_eq!(again.reason.as_deref(), Some("unsettled"), "{again:?}");
     let records = cluster.records(&[0]).await;
-    assert!(verdict::double_runs(&records).is_empty());
+    assert!(invariants::double_runs(&records).is_empty());
 }
 
-/// What callers were told of one order, over all its arrivals.
+/// Outcomes that callers of one order received, over all its duplicates.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
+struct ReportedOutcomes {
     answered: bool,
     unknown: bool,
 }
 
 async fn send_order(
-    told: &Mutex<HashMap<String, Told>>,
+    reported: &Mutex<HashMap<String, ReportedOutcomes>>,
     caller: &Caller,
     host: SocketAddr,
     order: &str,
 ) {
     let path = format!("/w/s/{order}");
     let answer = caller.post(host, &path, order).await;
-    let mut told = told.lock().await;
-    let told = told.entry(order.to_owned()).or_default();
+    let mut reported = reported.lock().await;
+    let reported = reported.entry(order.to_owned()).or_default();
     match answer {
-        Ok(Answered { status: 200, .. }) => told.answered = true,
-        Ok(Answered { outcome, .. }) if outcome.as_deref() == Some("not-run") => {}
-        _ => told.unknown = true,
+        Ok(CallerResponse { status: 200, .. }) => reported.answered = true,
+        Ok(CallerResponse { outcome, .. }) if outcome.as_deref() == Some("not-run") => {}
+        _ => reported.unknown = true,
     }
 }
 
 #[tokio::test]
 async fn orders_run_at_most_once_through_kills_and_lost_answers() {
-    let mut cluster = Cluster::start(3, 3, PLAIN);
+    let mut cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare(RULE).await;
     cluster
         .platform_faults(platform::Faults {
@@ -160,23 +161,23 @@
             ..platform::Faults::default()
         })
         .await;
-    let told = Arc::new(Mutex::new(HashMap::new()));
+    let reported = Arc::new(Mutex::new(HashMap::new()));
     let hosts: Vec<SocketAddr> = cluster.hosts.iter().map(|host| host.callers).collect();
     let mut tasks = Vec::new();
     for task in 0..20_usize {
-        let (told, hosts) = (told.clone(), hosts.clone());
+        let (reported, hosts) = (reported.clone(), hosts.clone());
         tasks.push(tokio::spawn(async move {
             let caller = Caller::default();
             for number in 0..60_usize {
                 let order = format!("order-{task}-{number}");
                 let host = hosts[(task + number) % 3];
                 if number % 3 > 0 {
-                    send_order(&told, &caller, host, &order).await;
+                    send_order(&reported, &caller, host, &order).await;
                     continue;
                 }
                 let other = hosts[(task + number + 1) % 3];
-                let one = send_order(&told, &caller, host, &order);
-                let two = send_order(&told, &caller, other, &order);
+                let one = send_order(&reported, &caller, host, &order);
+                let two = send_order(&reported, &caller, other, &order);
                 tokio::join!(one, two);
                 time::sleep(Duration::from_millis(20)).await;
             }
@@ -185,7 +186,7 @@
     time::sleep(Duration::from_millis(500)).await;
     cluster.hosts[2].process.kill();
     time::sleep(Duration::from_millis(300)).await;
-    // Frozen and not killed, so that its record can be read afterwards.
+    // The server is frozen instead of killed, so that its record can be read afterwards.
     cluster.servers[0].process.signal("STOP");
     for task in tasks {
         task.await.expect("a caller ends");
@@ -193,32 +194,35 @@
     cluster.servers[0].process.signal("CONT");
     time::sleep(Duration::from_millis(500)).await;
     let records = cluster.records(&[0, 1, 2]).await;
-    assert_eq!(verdict::double_runs(&records).len(), 0);
-    assert_eq!(verdict::double_owned(&records).len(), 0);
+    assert_eq!(invariants::double_runs(&records).len(), 0);
+    assert_eq!(invariants::double_owned(&records).len(), 0);
     let ran = |order: &str| {
         let mut runs = records.iter().flat_map(|record| &record.runs);
         runs.any(|run| run.request == order)
     };
-    let told = told.lock().await;
-    assert_eq!(told.len(), 1_200);
-    for (order, told) in told.iter() {
+    let reported = reported.lock().await;
+    assert_eq!(reported.len(), 1_200);
+    for (order, reported) in reported.iter() {
         assert!(
-            !told.answered || ran(order),
+            !reported.answered || ran(order),
             "{order} was answered but never ran"
         );
-        let only_not_run = !told.answered && !told.unknown;
+        let only_not_run = !reported.answered && !reported.unknown;
         assert!(
             !only_not_run || !ran(order),
             "{order} ran but was told not run"
         );
     }
-    let answered = told.values().filter(|told| told.answered).count();
-    assert!(answered > 600, "{answered} of {} answered", told.len());
+    let answered = reported
+        .values()
+        .filter(|reported| reported.answered)
+        .count();
+    assert!(answered > 600, "{answered} of {} answered", reported.len());
 }
 
 #[tokio::test]
 async fn two_arrivals_at_one_host_in_the_same_moment_run_once() {
-    let cluster = Cluster::start(1, 1, PLAIN);
+    let cluster = Cluster::start(1, 1, NO_FLAGS);
     cluster.declare(RULE).await;
     let host = cluster.hosts[0].callers;
     for round in 0..50 {
@@ -235,5 +239,5 @@
         assert!(statuses.contains(&200), "{statuses:?}");
     }
     let records = cluster.records(&[0]).await;
-    assert_eq!(verdict::double_runs(&records).len(), 0);
+    assert_eq!(invariants::double_runs(&records).len(), 0);
 }
--- a/tests/ownership_model.rs
+++ b/tests/ownership_model.rs
@@ -1,5 +1,5 @@
-//! Randomised runs of the real decisions of ownership under faults. `ASHROAD_CASES` sets the
-//! number of cases and `ASHROAD_SEED` the first seed; both are printed.
+//! Randomised runs of the real ownership code under faults. `ASHROAD_CASES` sets the number of
+//! cases and `ASHROAD_SEED` the first seed; both are printed.
 
 mod model;
 
@@ -11,13 +11,13 @@
 };
 
 use ashroad::id::Slot;
-use model::{Broken, SLOTS, World};
+use model::{BrokenRule, SLOTS, Simulation};
 use quickcheck::{Gen, QuickCheck};
 
 const STEPS: usize = 200;
 const CASES_IN_CI: u64 = 400;
 const FIRST_SEED: u64 = 1;
-/// Cases within which each broken rule must be noticed.
+/// Number of cases within which the model must detect each broken rule.
 const MUTATION_CASES: u64 = 1_500;
 
 fn number(name: &str, default: u64) -> u64 {
@@ -27,27 +27,28 @@
         .unwrap_or(default)
 }
 
-/// One case: random steps, then calm, after which every slot must have one owner again.
-fn case(seed: u64, broken: Broken) {
-    let mut world = World::new(seed, broken);
+/// Runs one case: random steps with faults, then a time without faults, after which every slot must
+/// have one owner again.
+fn case(seed: u64, broken: BrokenRule) {
+    let mut simulation = Simulation::new(seed, broken);
     for _ in 0..STEPS {
-        world.step();
+        simulation.step();
     }
-    if broken == Broken::Nothing {
-        world.settle();
+    if broken == BrokenRule::Nothing {
+        simulation.settle();
         for slot in (0..SLOTS).map(Slot) {
-            let owners = world.owners(slot).len();
+            let owners = simulation.owners(slot).len();
             assert_eq!(
                 owners,
                 1,
                 "{slot:?} has no owner in the end: {}",
-                world.describe()
+                simulation.describe()
             );
         }
     }
 }
 
-fn fails(seed: u64, broken: Broken) -> bool {
+fn fails(seed: u64, broken: BrokenRule) -> bool {
     panic::catch_unwind(AssertUnwindSafe(|| case(seed, broken))).is_err()
 }
 
@@ -70,7 +71,7 @@
                     if seed >= first + cases {
                         return failed;
                     }
-                    if fails(seed, Broken::Nothing) {
+                    if fails(seed, BrokenRule::Nothing) {
                         failed.push(seed);
                     }
                 }
@@ -91,7 +92,7 @@
 #[test]
 fn quickcheck_finds_no_seed_with_a_double_owner() {
     fn property(seed: u64) -> bool {
-        case(seed, Broken::Nothing);
+        case(seed, BrokenRule::Nothing);
         true
     }
     QuickCheck::new()
@@ -101,23 +102,23 @@
 }
 
 #[test]
-fn the_check_notices_each_broken_rule() {
+fn the_model_detects_each_broken_rule() {
     let broken = [
-        Broken::Fence,
-        Broken::LeaseEpoch,
-        Broken::LapseWait,
-        Broken::Majority,
-        Broken::Freshness,
-        Broken::ClockBound,
-        Broken::OperationId,
+        BrokenRule::Fence,
+        BrokenRule::LeaseEpoch,
+        BrokenRule::LapseWait,
+        BrokenRule::Majority,
+        BrokenRule::Freshness,
+        BrokenRule::ClockBound,
+        BrokenRule::OperationId,
     ];
     thread::scope(|scope| {
         for rule in broken {
             scope.spawn(move || {
                 let mut seeds = FIRST_SEED..FIRST_SEED + MUTATION_CASES;
                 let noticed = seeds.find(|seed| fails(*seed, rule));
-                println!("{rule:?} noticed at seed {noticed:?}");
-                assert!(noticed.is_some(), "{rule:?} went unnoticed");
+                println!("{rule:?} detected at seed {noticed:?}");
+                assert!(noticed.is_some(), "{rule:?} was not detected");
             });
         }
     });
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -1,17 +1,17 @@
-//! Rules of ownership, each with the case that taught it.
+//! Rules of ownership, each with the sequence of events that it guards against.
 
 use ashroad::{
     id::{Epoch, HostKey, Incarnation, LeaseEpoch, Revision, Slot},
     membership::{
-        freshness::{Freshness, PeerAnswer, Voter},
-        registry::{RegistryWatch, voters},
+        freshness::{Freshness, HeartbeatReply, Voter},
+        registry::{SettlementTracker, voters},
     },
     ownership::{
-        lapse::{Holders, HorizonReport, lapsed_at_ms},
-        message::{LeaseAnswer, LeaseRequest, SlotGrant},
-        renewal::Contact,
+        lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
+        message::{LeaseRequest, LeaseResponse, SlotGrant},
+        renewal::RenewalState,
     },
-    standin::grants::{Grants, Reading},
+    standin::grants::{ClockReading, Grants},
     state::{Change, State},
 };
 
@@ -47,7 +47,7 @@
 fn a_lease_is_lapsed_only_when_no_host_can_have_renewed_it() {
     let cases = [
         LapseCase {
-            name: "all hosts say when their last renewal ends",
+            name: "all hosts report when their last renewal ends",
             voters: &[0, 1, 2],
             previous: &[],
             since_ms: 0,
@@ -56,7 +56,7 @@
             lapsed_at_ms: Some(5_900),
         },
         LapseCase {
-            name: "a majority has applied the loss; the rest is bounded by its freshness",
+            name: "a majority has applied the loss; the other hosts are bounded by their freshness",
             voters: &[0, 1, 2],
             previous: &[],
             since_ms: 0,
@@ -98,24 +98,24 @@
         let previous: Vec<Voter> = case.previous.iter().copied().map(voter).collect();
         let reports = case.reports.iter();
         let reports: Vec<HorizonReport> = reports.map(|r| report(r.0, r.1, r.2)).collect();
-        let holders = Holders {
+        let renewing_hosts = RenewingHosts {
             registered: &voters,
             voters: &voters,
             previous: &previous,
             since_ms: case.since_ms,
             settled: case.settled,
         };
-        let lapsed = lapsed_at_ms(holders, &reports, LAPSE_MS);
+        let lapsed = lapsed_at_ms(renewing_hosts, &reports, LAPSE_MS);
         assert_eq!(lapsed, case.lapsed_at_ms, "{}", case.name);
     }
 }
 
 #[test]
-fn a_renewal_holds_a_margin_longer_than_its_lease_and_then_no_more() {
-    let mut contact = Contact::default();
+fn a_renewal_is_valid_for_its_lease_plus_the_margin() {
+    let mut renewal_state = RenewalState::default();
     let (period, process) = (LeaseEpoch(1), Incarnation(4));
-    contact.enter(period, 1_000);
-    let answer = LeaseAnswer {
+    renewal_state.start_period(period, 1_000);
+    let answer = LeaseResponse {
         incarnation: process,
         clock_ms: 50,
         lease_epoch: period,
@@ -123,16 +123,16 @@
         draining: false,
         grants_digest: 0,
     };
-    contact.answered(&answer, process, false, 1_000, 300);
-    assert_eq!(contact.order(process, 1_010, 1_200), Some(50 + 1_210));
-    assert_eq!(contact.remaining_ms(period, 2_210, 100), 100);
-    // Asked again and again, the answer must come to nothing, or the lapse is never reached.
-    assert_eq!(contact.remaining_ms(period, 2_310, 100), 0);
-    assert_eq!(contact.remaining_ms(LeaseEpoch(2), 1_010, 100), 0);
+    renewal_state.answered(&answer, process, false, 1_000, 300);
+    assert_eq!(renewal_state.order(process, 1_010, 1_200), Some(50 + 1_210));
+    assert_eq!(renewal_state.remaining_ms(period, 2_210, 100), 100);
+    // The remaining time must reach 0 on later queries, or the lease would never count as lapsed.
+    assert_eq!(renewal_state.remaining_ms(period, 2_310, 100), 0);
+    assert_eq!(renewal_state.remaining_ms(LeaseEpoch(2), 1_010, 100), 0);
 }
 
 fn apply(state: &mut State, change: Change) {
-    state.apply_trial(change).expect("the change fits");
+    state.apply_dry_run(change).expect("the change fits");
 }
 
 fn register(state: &mut State, number: u32, port: u16) {
@@ -162,15 +162,15 @@
     let host = HostKey(0);
     let incarnation = Incarnation(0);
     apply(&mut state, Change::HostRemoved { host, incarnation });
-    let mut watch = RegistryWatch::default();
+    let mut watch = SettlementTracker::default();
     assert!(watch.pending(&state));
-    watch.follow(&state, &[voter(1)], 5_000, LAPSE_MS);
+    watch.record_applied(&state, &[voter(1)], 5_000, LAPSE_MS);
     let settlement = watch.settlement(&state, 60_000);
     assert!(settlement.is_none(), "host 0 may be fresh by itself");
 }
 
 #[test]
-fn a_process_restarted_at_its_address_takes_its_predecessors_place() {
+fn a_process_restarted_at_its_address_replaces_its_predecessor() {
     let mut state = State::default();
     register(&mut state, 0, 1);
     promote(&mut state, 0);
@@ -180,16 +180,19 @@
         incarnation: Incarnation(7),
     };
     assert_eq!(voters(&state), [successor]);
-    let mut watch = RegistryWatch::default();
+    let mut watch = SettlementTracker::default();
     assert!(watch.pending(&state));
-    watch.follow(&state, &[successor], 5_000, LAPSE_MS);
+    watch.record_applied(&state, &[successor], 5_000, LAPSE_MS);
     let early = watch.settlement(&state, 5_000);
-    assert!(early.is_none(), "a late order of the dead one may arrive");
+    assert!(
+        early.is_none(),
+        "a late order of the previous process may arrive"
+    );
     assert!(watch.settlement(&state, 5_000 + LAPSE_MS).is_some());
 }
 
 #[test]
-fn an_answer_counts_from_its_question_and_only_at_a_revision_that_was_applied() {
+fn a_heartbeat_reply_counts_from_its_ping_and_only_at_an_applied_revision() {
     struct Case {
         name: &'static str,
         revision: u64,
@@ -199,7 +202,7 @@
     }
     let cases = [
         Case {
-            name: "a peer with a basis lends it",
+            name: "a peer's basis counts, less its age",
             revision: 5,
             basis_age_ms: Some(40),
             voters: 5,
@@ -222,21 +225,21 @@
     ];
     for case in cases {
         let mut freshness = Freshness::default();
-        let answer = PeerAnswer {
+        let answer = HeartbeatReply {
             host: HostKey(1),
             incarnation: Incarnation(1),
-            asked_ms: 1_000,
+            sent_ms: 1_000,
             revision: Revision(case.revision),
             basis_age_ms: case.basis_age_ms,
         };
         let voters: Vec<Voter> = (0..case.voters).map(voter).collect();
-        freshness.peer_answered(answer, Revision(5), voter(0), &voters);
+        freshness.record_heartbeat_reply(answer, Revision(5), voter(0), &voters);
         assert_eq!(freshness.basis_ms(), case.basis_ms, "{}", case.name);
     }
 }
 
-fn reading(clock_ms: u64) -> Reading {
-    Reading {
+fn reading(clock_ms: u64) -> ClockReading {
+    ClockReading {
         clock_ms,
         unix_us: clock_ms * 1_000,
     }
@@ -276,8 +279,8 @@
         "a delayed grant of an older epoch"
     );
     grants.renew(&order(1, 1_500, &[4]), reading(600));
-    assert!(admits(&grants, 4, 700), "the slot came back");
-    // The server was lost, its slot moved on, and it joined again.
+    assert!(admits(&grants, 4, 700), "the slot was granted again");
+    // The server was declared lost, its slot moved to another server, and it joined again.
     grants.renew(&order(2, 9_000, &[]), reading(8_000));
     assert!(
         !admits(&grants, 4, 8_500),
--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -1,7 +1,7 @@
-//! Messages of the platform are decoded into the product's types, and bad ones are refused.
+//! Tests that messages of the platform are decoded, and that invalid ones are refused.
 
 use ashroad::{
-    entry::model::ToldLimit,
+    entry::model::ReportedLimit,
     platform::{config, headers, parse_ms, servers},
 };
 use http::{HeaderMap, HeaderValue, StatusCode};
@@ -27,22 +27,12 @@
     let configuration = config::decode(CONFIG.as_bytes()).expect("a configuration");
     assert_eq!(configuration.version, 0x1f);
     assert_eq!(configuration.limits.idle_timeout_ms, 15_000);
-    assert!(
-        configuration
-            .service("pegel1")
-            .expect("service")
-            .divided_by_key
-    );
-    assert!(
-        !configuration
-            .service("beitrag2")
-            .expect("service")
-            .divided_by_key
-    );
+    assert!(configuration.service("pegel1").expect("service").sharded);
+    assert!(!configuration.service("beitrag2").expect("service").sharded);
     let single = configuration.route("a.example", "/x/1").expect("route");
     assert!(!single.repeatable);
     assert_eq!(
-        (single.timeout_ms, single.aim_ms, single.urgency),
+        (single.timeout_ms, single.aim_ms, single.priority),
         (600, 250, 1)
     );
     assert_eq!(single.attempts_max, 2);
@@ -98,7 +88,7 @@
 }
 
 #[test]
-fn kinds_of_requests_tell_what_may_be_repeated() {
+fn only_known_safe_kinds_of_requests_may_be_repeated() {
     struct Case {
         kind: &'static str,
         repeatable: bool,
@@ -130,7 +120,7 @@
         let configuration = config::decode(text.as_bytes()).expect(case.kind);
         let route = configuration.route("a.example", "/x/1").expect(case.kind);
         assert_eq!(route.repeatable, case.repeatable, "{}", case.kind);
-        // The other route is there as before.
+        // The other route is not affected.
         assert!(configuration.route("a.example", "/x/y/1").is_some());
     }
 }
@@ -186,7 +176,7 @@
 }
 
 #[test]
-fn only_the_servers_word_or_421_mean_not_run() {
+fn only_the_not_run_header_or_421_mean_not_run() {
     let mut marked = HeaderMap::new();
     marked.insert("not-run", HeaderValue::from_static("1"));
     let plain = HeaderMap::new();
@@ -214,14 +204,14 @@
         let mut mutated = CONFIG.as_bytes().to_vec();
         let length = mutated.len();
         mutated[at % length] = with;
-        // Neither may panic; whether they are accepted is the parser's business.
+        // Decoding must not panic; arbitrary input may be accepted or refused.
         config::decode(&bytes).is_err() || config::decode(&mutated).is_ok()
             || servers::decode("i", &bytes).is_err()
     }
 }
 
 #[test]
-fn answers_tell_of_leaving_and_rest() {
+fn responses_report_leaving_and_rest() {
     struct Case {
         status: StatusCode,
         headers: &'static [(&'static str, &'static str)],
@@ -249,7 +239,7 @@
             true,
             Some(2_000),
         ),
-        // Not turned away, or no time that can be read.
+        // The request was not rejected, or the header has no valid number of seconds.
         case(500, &[("retry-after", "3")], false, None),
         case(200, &[("retry-after", "3")], false, None),
         case(503, &[], false, None),
@@ -267,66 +257,71 @@
     ];
     for Case {
         status,
-        headers: told,
+        headers: reported,
         leaves,
         rest_ms,
     } in cases
     {
         let mut answer = HeaderMap::new();
-        for (name, value) in told {
+        for (name, value) in reported {
             answer.insert(*name, HeaderValue::from_static(value));
         }
         let notice = headers::notice(status, &answer);
         assert_eq!(
             (notice.leaves, notice.rest_ms),
             (leaves, rest_ms),
-            "{told:?}"
+            "{reported:?}"
         );
     }
 }
 
 #[test]
-fn a_rate_limit_is_read_and_ends_only_by_an_answer_of_its_server() {
+fn a_rate_limit_ends_only_by_a_response_of_its_server() {
     struct Case {
-        named: Option<&'static str>,
+        header_value: Option<&'static str>,
         status: u16,
-        other: Option<&'static str>,
-        told: ToldLimit,
+        other_header: Option<&'static str>,
+        reported: ReportedLimit,
     }
     let signed = Some("server-signature");
     let rows = [
-        (Some("10.7"), 200, signed, ToldLimit::PerS(10.7)),
-        (Some(" 0.5 "), 503, Some("not-run"), ToldLimit::PerS(0.5)),
-        (Some("0"), 500, None, ToldLimit::PerS(0.0)),
-        (Some("1e12"), 200, signed, ToldLimit::PerS(1e12)),
-        (Some("-3"), 200, signed, ToldLimit::Unknown),
-        (Some("NaN"), 200, signed, ToldLimit::Unknown),
-        (Some("inf"), 200, signed, ToldLimit::Unknown),
-        (Some("ten"), 200, signed, ToldLimit::Unknown),
-        (Some(""), 200, signed, ToldLimit::Unknown),
-        (None, 200, signed, ToldLimit::Unlimited),
-        (None, 500, signed, ToldLimit::Unlimited),
-        (None, 503, Some("not-run"), ToldLimit::Unlimited),
-        (None, 421, None, ToldLimit::Unlimited),
-        (None, 200, None, ToldLimit::Unknown),
-        (None, 500, None, ToldLimit::Unknown),
+        (Some("10.7"), 200, signed, ReportedLimit::PerS(10.7)),
+        (
+            Some(" 0.5 "),
+            503,
+            Some("not-run"),
+            ReportedLimit::PerS(0.5),
+        ),
+        (Some("0"), 500, None, ReportedLimit::PerS(0.0)),
+        (Some("1e12"), 200, signed, ReportedLimit::PerS(1e12)),
+        (Some("-3"), 200, signed, ReportedLimit::Unknown),
+        (Some("NaN"), 200, signed, ReportedLimit::Unknown),
+        (Some("inf"), 200, signed, ReportedLimit::Unknown),
+        (Some("ten"), 200, signed, ReportedLimit::Unknown),
+        (Some(""), 200, signed, ReportedLimit::Unknown),
+        (None, 200, signed, ReportedLimit::Unlimited),
+        (None, 500, signed, ReportedLimit::Unlimited),
+        (None, 503, Some("not-run"), ReportedLimit::Unlimited),
+        (None, 421, None, ReportedLimit::Unlimited),
+        (None, 200, None, ReportedLimit::Unknown),
+        (None, 500, None, ReportedLimit::Unknown),
     ];
-    let cases = rows.map(|(named, status, other, told)| Case {
-        named,
+    let cases = rows.map(|(header_value, status, other_header, reported)| Case {
+        header_value,
         status,
-        other,
-        told,
+        other_header,
+        reported,
     });
     for case in cases {
         let mut map = HeaderMap::new();
-        if let Some(named) = case.named {
-            map.insert("server-limit", HeaderValue::from_static(named));
+        if let Some(header_value) = case.header_value {
+            map.insert("server-limit", HeaderValue::from_static(header_value));
         }
-        if let Some(other) = case.other {
-            map.insert(other, HeaderValue::from_static("1"));
+        if let Some(other_header) = case.other_header {
+            map.insert(other_header, HeaderValue::from_static("1"));
         }
         let status = StatusCode::from_u16(case.status).expect("a status");
-        let told = headers::told_limit(status, &map);
-        assert_eq!(told, case.told, "{:?}, {status}", case.named);
+        let reported = headers::reported_limit(status, &map);
+        assert_eq!(reported, case.reported, "{:?}, {status}", case.header_value);
     }
 }
