--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -1,5 +1,5 @@
-//! A deployment whose hosts each reach the store through a proxy of their own, with callers at all of them, and what
-//! happens besides the fault that a test is about.
+//! A deployment in which each host reaches the store through its own proxy and each host has a
+//! caller, with disturbances that can accompany the fault that a test is about.
 
 use std::{
     collections::HashMap,
@@ -15,98 +15,105 @@
 use super::{
     hosts::Host,
     proxy::{Mode, Proxy},
-    server::{Server, Visit},
+    server::{ReceivedRequest, Server},
     site::Site,
-    traffic::{Asked, Sent, Traffic},
+    traffic::{Sent, Traffic, Workload},
 };
 
-/// Time after a host has passed on that a server leaves in which it may still send it requests.
+/// Time for which a host may still send requests to a server after it forwarded the server's
+/// announcement that it leaves.
 pub const DRAIN: Duration = Duration::from_millis(2_000);
-/// Time after a cut in which a host owes nobody a bound.
-pub const CONTACT: Duration = Duration::from_secs(3);
-/// Time within which a key is served again after a loss.
+/// Contact grace period: time after a partition in which the bounds do not apply to a host.
+pub const CONTACT_GRACE: Duration = Duration::from_secs(3);
+/// Time within which a key must be served again after a loss.
 pub const SERVED_AGAIN: Duration = Duration::from_secs(3);
-/// Hosts, and servers of each service.
+/// Usual number of hosts.
 pub const HOSTS: usize = 3;
+/// Usual number of servers of each service.
 pub const SERVERS: usize = 3;
-/// One test plays at a time: together they would be over a hundred processes.
-static TURN: Mutex<()> = Mutex::const_new(());
+/// Lets one test run its cases at a time; all together would start over a hundred processes.
+static RUN_LOCK: Mutex<()> = Mutex::const_new(());
 
-/// What happens besides.
+/// Fault or event in addition to the one that a test is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Beside {
-    /// Nothing.
+pub enum Disturbance {
+    /// No disturbance.
     Nothing,
-    /// The store answers no host.
-    StoreAway,
-    /// The store answers all hosts but the first.
-    HostCut,
-    /// The store answers all hosts but the one that has the duty.
-    HolderCut,
-    /// The server's entry is written again, as of one that is ready.
-    ReadyAgain,
-    /// The server's entry is removed, and comes back as of one that is ready.
-    EntryLapses,
-    /// The first host is frozen for a while.
-    HostFrozen,
-    /// A host starts.
-    HostNew,
+    /// The store responds to no host.
+    StoreUnavailable,
+    /// The store responds to all hosts but the first.
+    FirstHostPartitioned,
+    /// The store responds to all hosts but the duty holder.
+    DutyHolderPartitioned,
+    /// The server's entry is rewritten repeatedly and states that the server is ready.
+    ReadyEntryRewritten,
+    /// The server's entry is removed and later written again, as that of a ready server.
+    EntryExpires,
+    /// The process of the first host is paused for 1.2 s.
+    FirstHostPaused,
+    /// Another host starts.
+    HostStarts,
 }
 
-/// All of them.
-pub const ALL: [Beside; 8] = [
-    Beside::Nothing,
-    Beside::StoreAway,
-    Beside::HostCut,
-    Beside::HolderCut,
-    Beside::ReadyAgain,
-    Beside::EntryLapses,
-    Beside::HostFrozen,
-    Beside::HostNew,
+/// All disturbances, for tests that run a case with each.
+pub const ALL: [Disturbance; 8] = [
+    Disturbance::Nothing,
+    Disturbance::StoreUnavailable,
+    Disturbance::FirstHostPartitioned,
+    Disturbance::DutyHolderPartitioned,
+    Disturbance::ReadyEntryRewritten,
+    Disturbance::EntryExpires,
+    Disturbance::FirstHostPaused,
+    Disturbance::HostStarts,
 ];
 
-impl Beside {
-    /// Time after which callers must be served by other servers, given the time that one loss takes.
-    pub fn owed_after(self, one_loss: Duration) -> Duration {
+impl Disturbance {
+    /// Returns the time after which other servers must serve the callers, given the time that a
+    /// single loss takes.
+    pub fn recovery_limit(self, one_loss: Duration) -> Duration {
         match self {
-            // The holder of the duty may be lost as well: another one takes the duty, then moves the keys.
-            Self::HostCut | Self::HolderCut => CONTACT + SERVED_AGAIN,
+            // The lost host may be the duty holder; then another host takes the duty before it
+            // moves the keys.
+            Self::FirstHostPartitioned | Self::DutyHolderPartitioned => {
+                CONTACT_GRACE + SERVED_AGAIN
+            }
             _ => one_loss,
         }
     }
 }
 
-/// A deployment whose hosts each reach the store through a proxy of their own.
+/// Deployment in which each host reaches the store through its own proxy.
 pub struct Deployment {
     /// Store, servers and hosts.
     pub site: Site,
-    /// Callers.
+    /// Callers' requests and their outcomes.
     pub traffic: Traffic,
     proxies: Vec<Proxy>,
 }
 
 impl Deployment {
-    /// Starts one of the usual size.
-    pub async fn start(asked: Asked) -> Self {
-        Self::start_sized(asked, HOSTS, SERVERS).await
+    /// Starts a deployment with [`HOSTS`] hosts and [`SERVERS`] servers of each service.
+    pub async fn start(workload: Workload) -> Self {
+        Self::start_sized(workload, HOSTS, SERVERS).await
     }
 
     /// Starts hosts, servers of each service, and one caller at each host.
-    pub async fn start_sized(asked: Asked, hosts: usize, servers: usize) -> Self {
+    pub async fn start_sized(workload: Workload, hosts: usize, servers: usize) -> Self {
         let site = Site::start_servers(servers).await;
         let mut deployment = Self {
             site,
             proxies: Vec::new(),
-            traffic: Traffic::new(asked),
+            traffic: Traffic::new(workload),
         };
         for _ in 0..hosts {
             deployment.add_host().await;
         }
         deployment.site.await_ready().await;
-        for (place, host) in deployment.site.hosts.iter().enumerate() {
-            deployment.traffic.add(place, host.callers);
+        for (index, host) in deployment.site.hosts.iter().enumerate() {
+            deployment.traffic.add(index, host.callers);
         }
-        // Each host has had answers of all servers, and the first moves for balance are over.
+        // Waits until each host has had responses of all servers and the initial rebalancing is
+        // complete.
         time::sleep(Duration::from_secs(2)).await;
         deployment
     }
@@ -117,62 +124,70 @@
         self.proxies.push(proxy);
     }
 
-    /// Place of the host that has the duty.
-    fn holder(&self) -> usize {
+    /// Returns the index of the host that holds the duty.
+    fn duty_holder(&self) -> usize {
         let has_duty = |host: &Host| !host.events("duty_taken").is_empty();
-        let place = self.site.hosts.iter().position(has_duty);
-        place.expect("a holder")
+        let index = self.site.hosts.iter().position(has_duty);
+        index.expect("a duty holder")
     }
 
-    /// Servers that get the requests.
-    pub fn servers(&self, asked: Asked) -> &[Server] {
-        match asked {
-            Asked::Keys | Asked::BusyKeys => &self.site.keyed,
-            Asked::Orders => &self.site.orders,
+    /// Returns the servers that get the requests of a workload.
+    pub fn servers(&self, workload: Workload) -> &[Server] {
+        match workload {
+            Workload::Keys | Workload::BusyKeys => &self.site.keyed,
+            Workload::Orders => &self.site.orders,
         }
     }
 
-    /// The server that a test is about.
-    pub fn server(&self, asked: Asked) -> &Server {
-        &self.servers(asked)[0]
+    /// Returns the server whose fault a test is about.
+    pub fn server(&self, workload: Workload) -> &Server {
+        &self.servers(workload)[0]
     }
 
-    /// Lets `beside` happen for as long as `time`.
-    pub async fn suffer(&mut self, beside: Beside, asked: Asked, time: Duration) {
+    /// Applies a disturbance for the given time.
+    pub async fn apply_disturbance(
+        &mut self,
+        disturbance: Disturbance,
+        workload: Workload,
+        time: Duration,
+    ) {
         let end = Instant::now() + time;
         let hosts = self.proxies.len();
         let store = |deployment: &Self, mode: Mode, hosts: usize| {
             let proxies = deployment.proxies.iter().take(hosts);
             proxies.for_each(|proxy| proxy.set(mode));
         };
-        match beside {
-            Beside::Nothing => {}
-            Beside::StoreAway => store(self, Mode::Silent, hosts),
-            Beside::HostCut => store(self, Mode::Silent, 1),
-            Beside::HolderCut => self.proxies[self.holder()].set(Mode::Silent),
-            Beside::ReadyAgain => {
+        match disturbance {
+            Disturbance::Nothing => {}
+            Disturbance::StoreUnavailable => store(self, Mode::Silent, hosts),
+            Disturbance::FirstHostPartitioned => store(self, Mode::Silent, 1),
+            Disturbance::DutyHolderPartitioned => {
+                self.proxies[self.duty_holder()].set(Mode::Silent)
+            }
+            Disturbance::ReadyEntryRewritten => {
                 while Instant::now() < end {
-                    self.server(asked).declare(&self.site.store, "ready");
+                    self.server(workload).write_entry(&self.site.store, "ready");
                     time::sleep(Duration::from_millis(400)).await;
                 }
             }
-            Beside::EntryLapses => {
+            Disturbance::EntryExpires => {
                 time::sleep(Duration::from_millis(300)).await;
-                self.server(asked).lapse(&self.site.store);
-                // Back only after the bound of what was told before.
+                self.server(workload).remove_entry(&self.site.store);
+                // The entry is written again only after the time for which the server's own
+                // announcement applies.
                 time::sleep(DRAIN).await;
-                self.server(asked).declare(&self.site.store, "ready");
+                self.server(workload).write_entry(&self.site.store, "ready");
             }
-            Beside::HostFrozen => {
+            Disturbance::FirstHostPaused => {
                 time::sleep(Duration::from_millis(300)).await;
                 self.site.hosts[0].signal("STOP");
                 time::sleep(Duration::from_millis(1_200)).await;
                 self.site.hosts[0].signal("CONT");
             }
-            Beside::HostNew => {
+            Disturbance::HostStarts => {
                 self.add_host().await;
-                let place = self.site.hosts.len() - 1;
-                self.traffic.add(place, self.site.hosts[place].callers);
+                let index = self.site.hosts.len() - 1;
+                self.traffic.add(index, self.site.hosts[index].callers);
             }
         }
         time::sleep(end.saturating_duration_since(Instant::now())).await;
@@ -180,12 +195,16 @@
     }
 }
 
-/// Requests that reached a server, each with what its caller knows of it.
-pub fn visits_by_host(server: &Server, traffic: &Traffic) -> HashMap<usize, Vec<(Visit, Sent)>> {
+/// Returns the requests that a server received, each with its outcome at the caller, by the index
+/// of the host that forwarded it.
+pub fn received_by_host(
+    server: &Server,
+    traffic: &Traffic,
+) -> HashMap<usize, Vec<(ReceivedRequest, Sent)>> {
     let sent = traffic.sent();
-    let mut by_host: HashMap<usize, Vec<(Visit, Sent)>> = HashMap::new();
-    for visit in server.visits() {
-        // What is still on its way, or came from the test itself, is left out.
+    let mut by_host: HashMap<usize, Vec<(ReceivedRequest, Sent)>> = HashMap::new();
+    for visit in server.received_requests() {
+        // Requests that are in flight, or that the test itself sent, are left out.
         if let Some(sent) = sent.get(&visit.id) {
             by_host
                 .entry(sent.host)
@@ -196,7 +215,7 @@
     by_host
 }
 
-/// Promises that were broken, as the servers saw it.
+/// Returns the violated invariants that servers recorded as an error.
 pub fn violations(deployment: &Deployment) -> Result<(), String> {
     let violations = deployment.site.record.violations();
     if violations.is_empty() {
@@ -206,26 +225,27 @@
     }
 }
 
-/// Plays every case at the same time, each with a deployment of its own; tells all that failed.
-pub async fn play<F>(
-    cases: impl IntoIterator<Item = (Beside, Asked)>,
-    of: impl Fn(Beside, Asked) -> F,
+/// Runs all cases concurrently, each with its own deployment, and fails with the list of all failed
+/// cases.
+pub async fn run_cases<F>(
+    cases: impl IntoIterator<Item = (Disturbance, Workload)>,
+    run_case: impl Fn(Disturbance, Workload) -> F,
 ) where
     F: Future<Output = Result<(), String>> + 'static,
 {
-    let _turn = TURN.lock().await;
-    let mut playing = JoinSet::new();
+    let _turn = RUN_LOCK.lock().await;
+    let mut running = JoinSet::new();
     let local = LocalSet::new();
-    for (beside, asked) in cases {
-        let played = of(beside, asked);
-        playing.spawn_local_on(async move { (beside, asked, played.await) }, &local);
+    for (disturbance, workload) in cases {
+        let played = run_case(disturbance, workload);
+        running.spawn_local_on(async move { (disturbance, workload, played.await) }, &local);
     }
     let mut failed = Vec::new();
     let all = async {
-        while let Some(played) = playing.join_next().await {
-            let (beside, asked, outcome) = played.expect("a case ends");
+        while let Some(played) = running.join_next().await {
+            let (disturbance, workload, outcome) = played.expect("the case does not panic");
             if let Err(problem) = outcome {
-                failed.push(format!("{asked:?}, {beside:?}: {problem}"));
+                failed.push(format!("{workload:?}, {disturbance:?}: {problem}"));
             }
         }
     };
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a backend server that holds keys under fences and leases, and a record of what ran
-//! where that all servers of a test share.
+//! Stand-in of a backend server that holds keys under fences and leases, and a record of all runs
+//! that the servers of a test share.
 
 use std::{
     collections::HashMap,
@@ -13,7 +13,7 @@
 
 use ashroad::{
     platform::parse_ms,
-    transport::{self, AnswerBody, ListenerLimits, header_text},
+    transport::{self, ListenerLimits, ResponseBody, header_text},
 };
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode};
@@ -29,122 +29,130 @@
 
 use super::{fresh_address, store::Store};
 
+/// Number of keys of a service.
 const KEYS: usize = 1 << 16;
-/// Beginning of the paths whose answers are large, and their length.
+/// Prefix of the paths that are answered with a large body.
 pub const LARGE_PATH: &str = "/large/";
+/// Length of a large body.
 pub const LARGE_BYTES: usize = 2_000_000;
-/// Time that a deadly request runs until it ends its server.
-const DEADLY_MS: u64 = 40;
-/// Time after which an order is carried out that was not answered.
+/// Time from the beginning of a crashing request to the crash of its server.
+const CRASH_DELAY_MS: u64 = 40;
+/// Delay after which an unanswered order is carried out.
 const LATE_ORDER_MS: u64 = 2_000;
 
-/// What ran where, over all servers of a test.
+/// Record of the runs at all servers of a test. It checks that each key has a single owner.
 #[derive(Debug, Default)]
-pub struct Record {
-    /// Runs by request id.
+pub struct RunRecord {
+    /// Number of runs by request id.
     runs: Mutex<HashMap<String, u32>>,
-    /// Servers that hold keys, for the check of single ownership.
-    holders: Mutex<Vec<Arc<Holdings>>>,
-    /// What broke a promise.
+    /// Holdings of all servers, for the check of single ownership.
+    all_holdings: Mutex<Vec<Arc<Holdings>>>,
+    /// Descriptions of violated invariants.
     violations: Mutex<Vec<String>>,
-    /// Path of requests that end each mortal server which begins to run them, and those ends.
-    deadly: Mutex<Deadly>,
-    /// Headers of requests that ran, by request id.
+    /// Paths of crashing requests, and the crashes that they caused.
+    crash_triggers: Mutex<CrashTriggers>,
+    /// Headers of the requests that ran, by request id.
     heads: Mutex<HashMap<String, HeaderMap>>,
-    /// Until then ownership is not checked.
-    excused_until: Mutex<Option<Instant>>,
+    /// Time until which ownership is not checked; `None` checks it.
+    ownership_unchecked_until: Mutex<Option<Instant>>,
 }
 
-/// Requests that end servers.
+/// Requests that crash the servers that run them.
 #[derive(Debug, Default)]
-struct Deadly {
+struct CrashTriggers {
+    /// Paths of crashing requests.
     paths: Vec<&'static str>,
+    /// Times at which servers began to run one.
     runs: Vec<Instant>,
-    ends: Vec<Instant>,
+    /// Times at which servers crashed.
+    crashes: Vec<Instant>,
 }
 
-impl Record {
-    /// Lets requests for a path end each mortal server that begins to run them; `None` for no path.
-    pub fn set_deadly_path(&self, path: Option<&'static str>) {
-        self.set_deadly_paths(path.into_iter().collect());
+impl RunRecord {
+    /// Makes requests for a path crash each crashable server that begins to run them; `None` for no
+    /// path.
+    pub fn set_crash_path(&self, path: Option<&'static str>) {
+        self.set_crash_paths(path.into_iter().collect());
     }
 
-    /// Lets requests for some paths do so.
-    pub fn set_deadly_paths(&self, paths: Vec<&'static str>) {
-        lock(&self.deadly).paths = paths;
+    /// Does the same for several paths.
+    pub fn set_crash_paths(&self, paths: Vec<&'static str>) {
+        lock(&self.crash_triggers).paths = paths;
     }
 
-    /// When servers ended under a deadly request.
-    pub fn ends(&self) -> Vec<Instant> {
-        lock(&self.deadly).ends.clone()
+    /// Returns the times of crashes under crashing requests.
+    pub fn crashes(&self) -> Vec<Instant> {
+        lock(&self.crash_triggers).crashes.clone()
     }
 
-    /// When servers began to run deadly requests.
-    pub fn deadly_runs(&self) -> Vec<Instant> {
-        lock(&self.deadly).runs.clone()
+    /// Returns the times at which servers began to run crashing requests.
+    pub fn crashing_runs(&self) -> Vec<Instant> {
+        lock(&self.crash_triggers).runs.clone()
     }
 
-    /// True if a request that is about to run ends its server.
-    fn begins_deadly(&self, path: &str) -> bool {
-        let mut deadly = lock(&self.deadly);
-        let is_deadly = deadly.paths.contains(&path);
-        if is_deadly {
-            deadly.runs.push(Instant::now());
+    /// Returns true if the request that is about to run crashes its server, and records the run.
+    fn note_crashing_run(&self, path: &str) -> bool {
+        let mut crash_triggers = lock(&self.crash_triggers);
+        let triggers_crash = crash_triggers.paths.contains(&path);
+        if triggers_crash {
+            crash_triggers.runs.push(Instant::now());
         }
-        is_deadly
+        triggers_crash
     }
 
-    /// What broke a promise.
+    /// Returns the descriptions of violated invariants.
     pub fn violations(&self) -> Vec<String> {
         lock(&self.violations).clone()
     }
 
-    /// Notes a broken promise.
-    pub fn violate(&self, text: String) {
+    /// Records a violated invariant.
+    pub fn report_violation(&self, text: String) {
         lock(&self.violations).push(text);
     }
 
-    /// Leaves ownership unchecked for a while: a process that was paused may have had a grant under
-    /// way.
-    pub fn excuse(&self, time_ms: u64) {
-        *lock(&self.excused_until) = Some(Instant::now() + Duration::from_millis(time_ms));
+    /// Suspends the checks of ownership for a while. A host that was paused may have had a grant in
+    /// flight, which arrives late.
+    pub fn pause_ownership_checks(&self, time_ms: u64) {
+        *lock(&self.ownership_unchecked_until) =
+            Some(Instant::now() + Duration::from_millis(time_ms));
     }
 
-    fn is_excused(&self) -> bool {
-        lock(&self.excused_until).is_some_and(|until| Instant::now() < until)
+    fn ownership_checks_paused(&self) -> bool {
+        lock(&self.ownership_unchecked_until).is_some_and(|until| Instant::now() < until)
     }
 
-    /// Headers with which a request ran.
+    /// Returns the headers with which a request ran.
     pub fn head(&self, id: &str) -> Option<HeaderMap> {
         lock(&self.heads).get(id).cloned()
     }
 
-    /// How often a request ran.
+    /// Returns the number of runs of a request.
     pub fn runs(&self, id: &str) -> u32 {
         lock(&self.runs).get(id).copied().unwrap_or(0)
     }
 
-    fn begin(&self, id: &str, key: Option<u16>, server: &Holdings) {
+    /// Records a run, and a violation if another server holds the key.
+    fn record_run(&self, id: &str, key: Option<u16>, server: &Holdings) {
         *lock(&self.runs).entry(id.to_owned()).or_default() += 1;
-        let Some(key) = key.filter(|_| !self.is_excused()) else {
+        let Some(key) = key.filter(|_| !self.ownership_checks_paused()) else {
             return;
         };
-        let others = lock(&self.holders).clone();
+        let others = lock(&self.all_holdings).clone();
         for other in others {
             let same_service = other.service == server.service;
             if same_service && other.id != server.id && other.holds(key) {
                 let text = format!("key {key} is held by {} and {}", server.id, other.id);
-                self.violate(text);
+                self.report_violation(text);
             }
         }
     }
 
-    /// A key is taken: its fence must be above every other server's.
+    /// Checks the grant of a key: its fence must be greater than that of all other servers.
     fn take(&self, key: u16, fence: u64, server: &Holdings) {
-        if self.is_excused() {
+        if self.ownership_checks_paused() {
             return;
         }
-        let others = lock(&self.holders).clone();
+        let others = lock(&self.all_holdings).clone();
         for other in others {
             if other.service != server.service || other.id == server.id {
                 continue;
@@ -155,108 +163,129 @@
                     "{} takes key {key} at fence {fence} under {held}",
                     server.id
                 );
-                self.violate(text);
+                self.report_violation(text);
                 return;
             }
         }
     }
 }
 
-/// One key at one server.
+/// State of one key at one server.
 #[derive(Clone, Copy, Debug, Default)]
 struct KeyState {
-    /// Highest fence seen, by grants and releases.
+    /// Highest fence of a grant or a release.
     fence: u64,
-    /// Highest fence of a grant that was taken.
+    /// Highest fence of an accepted grant.
     granted_fence: u64,
+    /// End of the lease; `None` if the key is not held.
     until: Option<Instant>,
 }
 
 /// Keys that one server holds.
 #[derive(Debug)]
 pub struct Holdings {
+    /// Identifier of the server.
     id: String,
+    /// Service that the server belongs to.
     service: String,
+    /// False once the server has crashed, so that it holds no keys.
     up: AtomicBool,
+    /// State of each key.
     keys: Mutex<Vec<KeyState>>,
 }
 
 impl Holdings {
+    /// Returns true if the server runs and its lease on a key has not expired.
     fn holds(&self, key: u16) -> bool {
         let until = lock(&self.keys)[usize::from(key)].until;
         self.up.load(Ordering::Relaxed) && until.is_some_and(|until| Instant::now() < until)
     }
 }
 
-/// A backend server.
+/// A running backend server.
 #[derive(Debug)]
 pub struct Server {
-    /// Incarnation.
+    /// Identifier of this run of the server.
     pub id: String,
-    /// Address it listens on.
+    /// Address that the server listens on.
     pub address: SocketAddr,
     state: Arc<State>,
     stop: watch::Sender<bool>,
     task: tokio::task::JoinHandle<()>,
 }
 
+/// State that the server's handlers share.
 #[derive(Debug)]
 struct State {
     holdings: Arc<Holdings>,
-    record: Arc<Record>,
+    record: Arc<RunRecord>,
+    /// Availability zone of the server.
     zone: String,
-    divided: bool,
+    /// True if the server runs only requests for keys that it holds.
+    sharded: bool,
+    /// Limit of the requests that run concurrently.
     slots: Semaphore,
+    /// Run time of a request.
     work_ms: AtomicU64,
+    /// Number of requests that run.
     running: AtomicU64,
-    /// Nothing is answered.
+    /// True if the server answers nothing.
     silent: AtomicBool,
-    /// Each n-th answer of a run is lost; 0 for none.
+    /// One in this many responses is lost; 0 for none.
     lose_answer_every: AtomicU64,
-    /// Each n-th order is carried out late, without an answer; 0 for none.
+    /// One in this many orders is carried out late and not answered; 0 for none.
     late_order_every: AtomicU64,
+    /// Number of orders so far.
     orders: AtomicU64,
+    /// Times at which requests arrived.
     arrivals: Mutex<Vec<Instant>>,
-    /// All answers say that it leaves.
+    /// True if all responses announce that the server leaves.
     leaving: AtomicBool,
-    /// Rest that it asks for as it turns every request away; 0 if it takes them.
+    /// Rest that the server asks for while it rejects all requests; 0 if it accepts them.
     rest_ms: AtomicU64,
-    /// Rate that all answers name.
+    /// Rate limit that all responses advertise; `None` for no limit.
     rate_limit: Mutex<Option<String>>,
-    visits: Mutex<Vec<Visit>>,
+    /// Requests that arrived, accepted or rejected.
+    received_requests: Mutex<Vec<ReceivedRequest>>,
+    /// Number of requests that ran to their end.
     served: AtomicU64,
-    /// What a mortal server runs on: its end closes all of its sockets at once, as that of a process.
+    /// Runtime of a crashable server. Its shutdown closes all sockets at once, as the exit of a
+    /// process does.
     runtime: Mutex<Option<Runtime>>,
 }
 
-/// A request that reached a server.
+/// Request that arrived at a server.
 #[derive(Clone, Debug)]
-pub struct Visit {
+pub struct ReceivedRequest {
     /// Identifier of the request.
     pub id: String,
-    /// When it arrived.
+    /// Time of its arrival.
     pub at: Instant,
-    /// Rest that the server asked for as it turned the request away.
+    /// Rest that the server asked for when it rejected the request; `None` if it was accepted.
     pub rest: Option<Duration>,
 }
 
-/// What a server is like.
+/// Properties of a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind<'a> {
-    /// Service.
+pub struct ServerKind<'a> {
+    /// Name of the service.
     pub service: &'a str,
-    /// Availability zone.
+    /// Availability zone of the server.
     pub zone: &'a str,
     /// True if it runs only requests for keys that it holds.
-    pub divided: bool,
-    /// Time that a request runs.
+    pub sharded: bool,
+    /// Run time of a request.
     pub work_ms: u64,
 }
 
 impl Server {
-    /// Starts a server that ends as a process would when it begins to run a deadly request. Its entry
-    /// stays until the platform notices, which this stand-in does not do.
-    pub async fn start_mortal(store: &Store, record: &Arc<Record>, kind: Kind<'_>) -> Self {
+    /// Starts a server that crashes when it begins to run a crashing request. Its entry remains
+    /// until the platform notices the crash, which this stand-in does not do.
+    pub async fn start_crashable(
+        store: &Store,
+        record: &Arc<RunRecord>,
+        kind: ServerKind<'_>,
+    ) -> Self {
         let mut builder = Builder::new_multi_thread();
         let runtime = builder.worker_threads(1).enable_all().build();
         let runtime = runtime.expect("runtime");
@@ -266,7 +295,7 @@
     }
 
     /// Starts a server and writes its entry.
-    pub async fn start(store: &Store, record: &Arc<Record>, kind: Kind<'_>) -> Self {
+    pub async fn start(store: &Store, record: &Arc<RunRecord>, kind: ServerKind<'_>) -> Self {
         let runtime = Handle::current();
         Self::start_on(&runtime, store, record, kind).await
     }
@@ -275,8 +304,8 @@
     async fn start_on(
         runtime: &Handle,
         store: &Store,
-        record: &Arc<Record>,
-        kind: Kind<'_>,
+        record: &Arc<RunRecord>,
+        kind: ServerKind<'_>,
     ) -> Self {
         let listener = {
             let _entered = runtime.enter();
@@ -292,12 +321,12 @@
             up: AtomicBool::new(true),
             keys: Mutex::new(vec![KeyState::default(); KEYS]),
         });
-        lock(&record.holders).push(holdings.clone());
+        lock(&record.all_holdings).push(holdings.clone());
         let state = Arc::new(State {
             holdings,
             record: record.clone(),
             zone: kind.zone.to_owned(),
-            divided: kind.divided,
+            sharded: kind.sharded,
             slots: Semaphore::new(4),
             work_ms: AtomicU64::new(kind.work_ms),
             running: AtomicU64::new(0),
@@ -309,7 +338,7 @@
             leaving: AtomicBool::new(false),
             rest_ms: AtomicU64::new(0),
             rate_limit: Mutex::default(),
-            visits: Mutex::default(),
+            received_requests: Mutex::default(),
             served: AtomicU64::new(0),
             runtime: Mutex::new(None),
         });
@@ -329,12 +358,12 @@
             stop,
             task,
         };
-        server.declare(store, "ready");
+        server.write_entry(store, "ready");
         server
     }
 
-    /// Writes the server's entry.
-    pub fn declare(&self, store: &Store, state: &str) {
+    /// Writes the server's entry with the given state, such as `ready` or `draining`.
+    pub fn write_entry(&self, store: &Store, state: &str) {
         let entry = json!({
             "addr": self.address.to_string(),
             "info": {"service": self.state.holdings.service, "version": "v1",
@@ -344,8 +373,8 @@
         store.put("servers", &self.id, &entry);
     }
 
-    /// Writes the entry of a cold server.
-    pub fn declare_cold(&self, store: &Store, cold_ms: u64) {
+    /// Writes the server's entry as that of a cold server with this much warm-up time left.
+    pub fn write_cold_entry(&self, store: &Store, cold_ms: u64) {
         let entry = json!({
             "addr": self.address.to_string(),
             "born": 1_791_000_000_000u64,
@@ -356,43 +385,44 @@
         store.put("servers", &self.id, &entry);
     }
 
-    /// Lets all answers say from now on that the server leaves. Its entry does not.
-    pub fn say_leaving(&self) {
+    /// Makes all further responses announce that the server leaves. Its entry does not change.
+    pub fn announce_leaving(&self) {
         self.state.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Turns every request away with a wish to rest for so long; 0 takes them again.
-    pub fn turn_away(&self, rest_ms: u64) {
+    /// Makes the server reject every request and ask for a rest of this length; 0 accepts requests
+    /// again.
+    pub fn reject_with_rest(&self, rest_ms: u64) {
         self.state.rest_ms.store(rest_ms, Ordering::Relaxed);
     }
 
-    /// Lets all answers name from now on the requests a second that the server takes; `None` for no limit.
-    pub fn name_limit(&self, rate: Option<&str>) {
+    /// Makes all further responses advertise a limit in requests per second; `None` for no limit.
+    pub fn advertise_limit(&self, rate: Option<&str>) {
         *lock(&self.state.rate_limit) = rate.map(str::to_owned);
     }
 
-    /// Sets the time that a request runs.
+    /// Sets the run time of a request.
     pub fn set_work_ms(&self, work_ms: u64) {
         self.state.work_ms.store(work_ms, Ordering::Relaxed);
     }
 
-    /// Requests that reached it.
-    pub fn visits(&self) -> Vec<Visit> {
-        lock(&self.state.visits).clone()
+    /// Returns the requests that arrived.
+    pub fn received_requests(&self) -> Vec<ReceivedRequest> {
+        lock(&self.state.received_requests).clone()
     }
 
-    /// Removes the entry, as the platform does when it hears no heartbeat.
-    pub fn lapse(&self, store: &Store) {
+    /// Removes the entry, as the platform does when heartbeats stop.
+    pub fn remove_entry(&self, store: &Store) {
         store.remove("servers", &self.id);
     }
 
-    /// Of so many orders one is not answered, and carried out two seconds later; 0 for none.
-    pub fn answer_orders_late(&self, every: u64) {
+    /// Leaves one in `every` orders unanswered and carries it out two seconds later; 0 for none.
+    pub fn delay_orders(&self, every: u64) {
         self.state.late_order_every.store(every, Ordering::Relaxed);
     }
 
-    /// Most requests that arrived within a second, of those after a moment.
-    pub fn most_in_a_second(&self, since: Instant) -> usize {
+    /// Returns the largest number of requests that arrived within one second after `since`.
+    pub fn peak_requests_per_s(&self, since: Instant) -> usize {
         let arrivals = lock(&self.state.arrivals);
         let later: Vec<Instant> = arrivals
             .iter()
@@ -406,23 +436,23 @@
         later.iter().map(|first| within(*first)).max().unwrap_or(0)
     }
 
-    /// When the last request arrived.
+    /// Returns the time at which the last request arrived.
     pub fn last_arrival(&self) -> Option<Instant> {
         lock(&self.state.arrivals).last().copied()
     }
 
-    /// Ends the server as a crash would, and removes its entry.
+    /// Stops the server as a crash does, and removes its entry.
     pub fn crash(&self, store: &Store) {
         self.state.holdings.up.store(false, Ordering::Relaxed);
         self.state.silent.store(true, Ordering::Relaxed);
         self.task.abort();
         if self.stop.send(true).is_err() {
-            // The listener has ended with its task.
+            // The listener has already stopped with its task.
         }
         store.remove("servers", &self.id);
     }
 
-    /// Writes the entry of another server, of another service, that has this one's address.
+    /// Writes the entry of a server of another service that has this server's address.
     pub fn register_another(&self, store: &Store, id: &str) {
         let entry = json!({
             "addr": self.address.to_string(),
@@ -432,17 +462,17 @@
         store.put("servers", id, &entry);
     }
 
-    /// Lets the server answer nothing, or answer again. What it holds stays held.
+    /// Makes the server stop answering, or answer again. It keeps its keys.
     pub fn set_silent(&self, silent: bool) {
         self.state.silent.store(silent, Ordering::Relaxed);
     }
 
-    /// Loses each n-th answer.
+    /// Loses one in `every` responses; 0 for none.
     pub fn lose_answers(&self, every: u64) {
         self.state.lose_answer_every.store(every, Ordering::Relaxed);
     }
 
-    /// Holds all keys as if an earlier holder of the duty had granted them.
+    /// Makes the server hold all keys, as if an earlier duty holder had granted them.
     pub fn hold_all(&self, fence: u64, lease_ms: u64) {
         let until = Some(Instant::now() + Duration::from_millis(lease_ms));
         for state in lock(&self.state.holdings.keys).iter_mut() {
@@ -454,17 +484,17 @@
         }
     }
 
-    /// True if it was mortal and has ended.
-    pub fn has_ended(&self) -> bool {
+    /// Returns true if the server was crashable and has crashed.
+    pub fn has_crashed(&self) -> bool {
         !self.state.holdings.up.load(Ordering::Relaxed)
     }
 
-    /// Requests served.
+    /// Returns the number of requests that ran to their end.
     pub fn served(&self) -> u64 {
         self.state.served.load(Ordering::Relaxed)
     }
 
-    /// Number of keys that it holds now.
+    /// Returns the number of keys that the server holds now.
     pub fn keys_held(&self) -> usize {
         (0..=u16::MAX)
             .filter(|key| self.state.holdings.holds(*key))
@@ -481,7 +511,7 @@
 }
 
 impl State {
-    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let leaves = self.leaving.load(Ordering::Relaxed);
         let mut response = self.clone().respond(request).await;
         if let Some(rate) = lock(&self.rate_limit).as_deref() {
@@ -495,7 +525,7 @@
         response
     }
 
-    async fn respond(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn respond(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         if self.silent.load(Ordering::Relaxed) {
             return std::future::pending().await;
         }
@@ -509,7 +539,7 @@
         }
     }
 
-    async fn order(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn order(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let arrived = Instant::now();
         let is_grant = request.uri().path() == "/grant";
         let order = read(request).await;
@@ -533,7 +563,7 @@
         }
     }
 
-    fn grant(&self, order: &Value, arrived: Instant) -> Response<AnswerBody> {
+    fn grant(&self, order: &Value, arrived: Instant) -> Response<ResponseBody> {
         let (first, last, fence) = range_of(order);
         let hold = parse_ms(order["hold_time"].as_str().unwrap_or_default()).expect("hold time");
         let until = arrived + Duration::from_millis(hold);
@@ -554,7 +584,7 @@
                 state.until = Some(until);
             }
         }
-        // Ends of the range stand for all of it; a check of each key would take too long.
+        // Only the ends of the range are checked; a check of each key would take too long.
         if let (Some(first), Some(last)) = (taken.first(), taken.last()) {
             self.record.take(*first, fence, &self.holdings);
             self.record.take(*last, fence, &self.holdings);
@@ -562,7 +592,7 @@
         transport::json(StatusCode::OK, &json!({}))
     }
 
-    async fn release(&self, order: &Value) -> Response<AnswerBody> {
+    async fn release(&self, order: &Value) -> Response<ResponseBody> {
         let (first, last, fence) = range_of(order);
         {
             let mut keys = lock(&self.holdings.keys);
@@ -571,7 +601,7 @@
                 state.until = None;
             }
         }
-        // All running work counts, which is more than the released keys' work.
+        // Waits for all running requests, which include those for the released keys.
         while self.running.load(Ordering::Relaxed) > 0 {
             time::sleep(Duration::from_millis(2)).await;
         }
@@ -581,29 +611,29 @@
         response
     }
 
-    async fn run(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn run(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let id = header_text(request.headers(), "request-id").unwrap_or_default();
         let id = id.to_owned();
         lock(&self.arrivals).push(Instant::now());
-        let rest = self.note_visit(&id);
+        let rest = self.record_received(&id);
         if let Some(rest) = rest {
-            return self.turned_away(&id, rest);
+            return self.rejection(&id, rest);
         }
         let key = header_text(request.headers(), "shard-key").and_then(|key| key.parse().ok());
         let Ok(permit) = self.slots.acquire().await else {
             return std::future::pending().await;
         };
-        if self.divided && !key.is_some_and(|key| self.holdings.holds(key)) {
+        if self.sharded && !key.is_some_and(|key| self.holdings.holds(key)) {
             return self.not_run(StatusCode::MISDIRECTED_REQUEST, &id);
         }
         self.running.fetch_add(1, Ordering::Relaxed);
         let running = Running(&self.running);
-        let checked = if self.divided { key } else { None };
-        self.record.begin(&id, checked, &self.holdings);
+        let checked = if self.sharded { key } else { None };
+        self.record.record_run(&id, checked, &self.holdings);
         lock(&self.record.heads).insert(id.clone(), request.headers().clone());
         let path = request.uri().path().to_owned();
-        if self.record.begins_deadly(&path) {
-            time::sleep(Duration::from_millis(DEADLY_MS)).await;
+        if self.record.note_crashing_run(&path) {
+            time::sleep(Duration::from_millis(CRASH_DELAY_MS)).await;
             self.end();
             return std::future::pending().await;
         }
@@ -630,21 +660,23 @@
         response
     }
 
-    /// Ends a mortal server, as a process ends: all of its sockets close.
+    /// Crashes a crashable server: all of its sockets close, as at the exit of a process.
     fn end(&self) {
         let Some(runtime) = lock(&self.runtime).take() else {
             return;
         };
         self.holdings.up.store(false, Ordering::Relaxed);
-        lock(&self.record.deadly).ends.push(Instant::now());
+        lock(&self.record.crash_triggers)
+            .crashes
+            .push(Instant::now());
         runtime.shutdown_background();
     }
 
-    /// Notes a request; the rest that is asked for if it is turned away.
-    fn note_visit(&self, id: &str) -> Option<Duration> {
+    /// Records a request; returns the rest to ask for if the request is rejected.
+    fn record_received(&self, id: &str) -> Option<Duration> {
         let rest_ms = self.rest_ms.load(Ordering::Relaxed);
         let rest = (rest_ms > 0).then(|| Duration::from_millis(rest_ms));
-        lock(&self.visits).push(Visit {
+        lock(&self.received_requests).push(ReceivedRequest {
             id: id.to_owned(),
             at: Instant::now(),
             rest,
@@ -652,7 +684,7 @@
         rest
     }
 
-    fn turned_away(&self, id: &str, rest: Duration) -> Response<AnswerBody> {
+    fn rejection(&self, id: &str, rest: Duration) -> Response<ResponseBody> {
         let mut response = self.not_run(StatusCode::SERVICE_UNAVAILABLE, id);
         let seconds = format!("{}", rest.as_secs_f64());
         let value = HeaderValue::from_str(&seconds).expect("a number");
@@ -660,7 +692,7 @@
         response
     }
 
-    fn not_run(&self, status: StatusCode, id: &str) -> Response<AnswerBody> {
+    fn not_run(&self, status: StatusCode, id: &str) -> Response<ResponseBody> {
         let mut response = transport::json(status, &json!({}));
         let headers = response.headers_mut();
         headers.insert("not-run", HeaderValue::from_static("1"));
@@ -669,7 +701,7 @@
     }
 }
 
-/// Counts a run until dropped.
+/// Guard of a running request, which counts until the drop.
 struct Running<'a>(&'a AtomicU64);
 
 impl Drop for Running<'_> {
--- a/tests/platform_standin/site.rs
+++ b/tests/platform_standin/site.rs
@@ -10,44 +10,44 @@
 use tokio::time;
 
 use super::{
-    caller::{Ask, ask_once},
+    caller::{TestRequest, ask_once},
     hosts::Host,
-    server::{Kind, Record, Server},
+    server::{RunRecord, Server, ServerKind},
     store::Store,
 };
 
-/// Service that is divided by key; its route is `/keyed/`, of repeatable requests.
-pub const KEYED: Kind<'static> = Kind {
+/// Sharded service. Its route is `/keyed/`, of repeatable requests.
+pub const KEYED: ServerKind<'static> = ServerKind {
     service: "keyed",
     zone: "a",
-    divided: true,
+    sharded: true,
     work_ms: 5,
 };
-/// Service without keys; its route is `/orders/`, of unrepeatable requests.
-pub const ORDERS: Kind<'static> = Kind {
+/// Service without keys. Its route is `/orders/`, of unrepeatable requests.
+pub const ORDERS: ServerKind<'static> = ServerKind {
     service: "orders",
     zone: "a",
-    divided: false,
+    sharded: false,
     work_ms: 5,
 };
 
-/// A deployment.
+/// Store, servers and hosts of one test.
 #[derive(Debug)]
 pub struct Site {
-    /// Store.
+    /// Stand-in of the platform's store.
     pub store: Store,
-    /// What ran where.
-    pub record: Arc<Record>,
-    /// Servers with keys.
+    /// Record of all runs, for the checks of invariants.
+    pub record: Arc<RunRecord>,
+    /// Servers of the sharded service.
     pub keyed: Vec<Server>,
-    /// Servers without keys.
+    /// Servers of the service without keys.
     pub orders: Vec<Server>,
     /// Entry hosts.
     pub hosts: Vec<Host>,
 }
 
 impl Site {
-    /// Starts everything and waits until all hosts are ready and all keys are served.
+    /// Starts a deployment and waits until all hosts are ready and all keys are served.
     pub async fn start(hosts: usize, servers: usize) -> Self {
         let mut site = Self::start_servers(servers).await;
         for _ in 0..hosts {
@@ -57,10 +57,10 @@
         site
     }
 
-    /// Starts everything but hosts.
+    /// Starts the store and the servers, but no host.
     pub async fn start_servers(servers: usize) -> Self {
         let store = Store::start().await;
-        let record = Arc::new(Record::default());
+        let record = Arc::new(RunRecord::default());
         let mut keyed = Vec::new();
         let mut orders = Vec::new();
         for _ in 0..servers {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Waits until every host answers for keys and orders.
+    /// Waits until every host serves keys of the whole range.
     pub async fn await_ready(&self) {
         for host in &self.hosts {
             eventually("a host serves all keys", 8_000, async || {
@@ -93,7 +93,7 @@
     }
 }
 
-/// A configuration with the two routes, and more of them.
+/// Builds a configuration with the two routes and one more route for each further prefix.
 pub fn configuration(version: u32, more_prefixes: &[&str]) -> Value {
     let mut paths = vec![
         json!({"name": "r-keyed", "pathPrefix": "/keyed/", "kind": "safe", "timeout": "800ms",
@@ -120,10 +120,10 @@
     })
 }
 
-/// Asks for a key; the status of the answer.
+/// Sends a read of a key; returns the status of the response.
 pub async fn get(host: &Host, key: u16) -> Option<StatusCode> {
     let id = format!("{:016x}", rand::random::<u64>());
-    let ask = Ask {
+    let ask = TestRequest {
         method: "GET",
         path: "/keyed/level",
         id: &id,
@@ -135,7 +135,7 @@
         .map(|answer| answer.status)
 }
 
-/// Waits until a condition holds; fails the test if it does not within the time.
+/// Waits until a condition holds; fails the test if it does not within `limit_ms`.
 pub async fn eventually(what: &str, limit_ms: u64, mut condition: impl AsyncFnMut() -> bool) {
     let until = Instant::now() + Duration::from_millis(limit_ms);
     while !condition().await {
--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform's store: rows, conditional transactions and feeds, with faults.
+//! Stand-in of the platform's store: rows, conditional transactions and change feeds, with faults.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use ashroad::transport::{self, AnswerBody, ListenerLimits};
+use ashroad::transport::{self, ListenerLimits, ResponseBody};
 use base64::{Engine, prelude::BASE64_STANDARD};
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
@@ -22,61 +22,71 @@
 
 use super::fresh_address;
 
-/// What the store does wrong.
+/// Faults that the store injects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
     /// Calls are never answered and have no effect.
     pub silent: bool,
     /// Calls are answered with 503 and have no effect.
     pub refusing: bool,
-    /// Of so many transactions one takes effect and is never answered; 0 for none.
+    /// One in this many transactions takes effect but is never answered; 0 for none.
     pub lose_answer_every: u64,
-    /// Least time between two transactions of a named part; earlier ones are turned away with 429.
+    /// Minimum time between two transactions of a named partition; earlier ones are rejected with
+    /// 429. 0 for no limit.
     pub part_writes_every_ms: u64,
-    /// Time before each call takes effect.
+    /// Delay before each call takes effect.
     pub slow_ms: u64,
-    /// Time before a read takes effect, on top of that.
+    /// Additional delay before a read takes effect.
     pub slow_reads_ms: u64,
 }
 
+/// Contents of the store and its counters.
 #[derive(Debug, Default)]
 struct Rows {
+    /// Version of the latest change.
     version: u64,
     /// Value and version by table and key.
     rows: BTreeMap<(String, String), (String, u64)>,
-    /// Part by table and key; rows that are not named lie in the usual one.
+    /// Partition by table and key; rows that are missing here are in the default partition.
     parts: BTreeMap<(String, String), String>,
     /// Changes in order: version, table, key.
     changes: Vec<(u64, String, String)>,
-    /// Changes up to this version are forgotten.
-    forgotten: u64,
+    /// Version up to which the history of changes is compacted; a feed from before it is answered
+    /// with 410.
+    compacted_version: u64,
+    /// Faults that are in effect.
     faults: Faults,
+    /// Number of transactions, which selects those whose response is lost.
     transactions: u64,
-    /// When a transaction of a named part took effect.
+    /// Time of the last transaction of a named partition.
     part_written: Option<Instant>,
+    /// Number of calls.
     calls: u64,
-    /// Calls by path and query, without what differs between calls of one kind.
+    /// Number of calls by path and table.
     kinds: BTreeMap<String, u64>,
 }
 
-/// The store.
+/// A running store.
 #[derive(Debug)]
 pub struct Store {
-    /// Address it listens on.
+    /// Address that the store listens on.
     pub address: SocketAddr,
     state: Arc<State>,
     _stop: watch::Sender<bool>,
 }
 
+/// State that the store's handlers share.
 #[derive(Debug)]
 struct State {
     rows: Mutex<Rows>,
+    /// Wakes the feeds that wait for a change.
     changed: Notify,
+    /// Origin of the times that responses state.
     began: Instant,
 }
 
 impl Store {
-    /// Starts a store.
+    /// Starts a store without rows.
     pub async fn start() -> Self {
         let listener = TcpListener::bind(fresh_address(0)).await.expect("listener");
         let address = listener.local_addr().expect("address");
@@ -101,12 +111,12 @@
         }
     }
 
-    /// Writes a row as an operator or a server would.
+    /// Writes a JSON row, as an operator or a server does.
     pub fn put(&self, table: &str, key: &str, value: &Value) {
         self.put_bytes(table, key, value.to_string().as_bytes());
     }
 
-    /// Writes a row with any content.
+    /// Writes a row with arbitrary content.
     pub fn put_bytes(&self, table: &str, key: &str, value: &[u8]) {
         let text = BASE64_STANDARD.encode(value);
         let mut rows = self.state.rows();
@@ -125,26 +135,27 @@
         self.state.changed.notify_waiters();
     }
 
-    /// Sets what the store does wrong.
+    /// Replaces the faults that the store injects.
     pub fn set_faults(&self, faults: Faults) {
         self.state.rows().faults = faults;
     }
 
-    /// Forgets all history, as after a compaction.
-    pub fn forget_history(&self) {
+    /// Compacts the whole history, so that feeds from earlier versions have to start again.
+    pub fn compact_history(&self) {
         let mut rows = self.state.rows();
-        rows.forgotten = rows.version;
+        rows.compacted_version = rows.version;
         rows.changes.clear();
         drop(rows);
         self.state.changed.notify_waiters();
     }
 
-    /// Calls so far by their kind, so that a test which counts too many says which.
+    /// Returns the number of calls by path and table, so that a test that counts too many shows
+    /// which they are.
     pub fn calls_by_kind(&self) -> BTreeMap<String, u64> {
         self.state.rows().kinds.clone()
     }
 
-    /// A row's content.
+    /// Returns a row's content; `None` if it is missing or no JSON.
     pub fn row(&self, table: &str, key: &str) -> Option<Value> {
         let rows = self.state.rows();
         let (value, _) = rows.rows.get(&(table.to_owned(), key.to_owned()))?;
@@ -152,13 +163,13 @@
         serde_json::from_slice(&bytes).ok()
     }
 
-    /// Calls so far.
+    /// Returns the number of calls.
     pub fn calls(&self) -> u64 {
         self.state.rows().calls
     }
 }
 
-/// Path and table of a call.
+/// Returns the path and table of a call.
 fn kind_of(request: &Request<Incoming>) -> String {
     let query = parse_query(request.uri().query().unwrap_or_default());
     let table = query.get("table").map_or("", String::as_str);
@@ -167,25 +178,25 @@
 
 impl Rows {
     fn write_in(&mut self, part: &str, table: &str, key: &str, value: Option<String>) {
-        let place = (table.to_owned(), key.to_owned());
-        self.parts.insert(place, part.to_owned());
+        let row_key = (table.to_owned(), key.to_owned());
+        self.parts.insert(row_key, part.to_owned());
         self.write(table, key, value);
     }
 
     fn part_of(&self, table: &str, key: &str) -> &str {
-        let place = (table.to_owned(), key.to_owned());
-        self.parts.get(&place).map_or("", String::as_str)
+        let row_key = (table.to_owned(), key.to_owned());
+        self.parts.get(&row_key).map_or("", String::as_str)
     }
 
     fn write(&mut self, table: &str, key: &str, value: Option<String>) {
         let version = self.version;
-        let place = (table.to_owned(), key.to_owned());
+        let row_key = (table.to_owned(), key.to_owned());
         match value {
             Some(value) => {
-                self.rows.insert(place, (value, version));
+                self.rows.insert(row_key, (value, version));
             }
             None => {
-                self.rows.remove(&place);
+                self.rows.remove(&row_key);
             }
         }
         self.changes
@@ -197,18 +208,18 @@
         Some(json!({"table": table, "part": "", "keyFile": key, "value": value, "ver": version}))
     }
 
-    /// True if a transaction comes too soon after another one of a named part.
-    fn must_wait(&mut self, body: &Value, faults: Faults) -> bool {
+    /// Returns true if a transaction follows another one of a named partition too soon.
+    fn is_over_write_rate(&mut self, body: &Value, faults: Faults) -> bool {
         let part = body["puts"][0]["part"].as_str().unwrap_or_default();
         if part.is_empty() || faults.part_writes_every_ms == 0 {
             return false;
         }
         let every = Duration::from_millis(faults.part_writes_every_ms);
-        let must_wait = self.part_written.is_some_and(|at| at.elapsed() < every);
-        if !must_wait {
+        let is_over_write_rate = self.part_written.is_some_and(|at| at.elapsed() < every);
+        if !is_over_write_rate {
             self.part_written = Some(Instant::now());
         }
-        must_wait
+        is_over_write_rate
     }
 
     fn transact(&mut self, body: &Value) -> (StatusCode, Value) {
@@ -217,8 +228,8 @@
         let text = |value: &Value, name: &str| value[name].as_str().unwrap_or_default().to_owned();
         let expects = list("expectRev");
         let holds = expects.iter().all(|expect| {
-            let place = (text(expect, "table"), text(expect, "keyFile"));
-            let version = self.rows.get(&place).map_or(0, |(_, version)| *version);
+            let row_key = (text(expect, "table"), text(expect, "keyFile"));
+            let version = self.rows.get(&row_key).map_or(0, |(_, version)| *version);
             Some(version) == expect["ver"].as_u64()
         });
         if !holds {
@@ -290,7 +301,7 @@
         self.rows.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let faults = {
             let mut rows = self.rows();
             rows.calls += 1;
@@ -318,7 +329,7 @@
         }
     }
 
-    async fn transact(&self, body: &Bytes, faults: Faults) -> Response<AnswerBody> {
+    async fn transact(&self, body: &Bytes, faults: Faults) -> Response<ResponseBody> {
         let Ok(body) = serde_json::from_slice(body) else {
             return transport::json(StatusCode::BAD_REQUEST, &json!({}));
         };
@@ -327,7 +338,7 @@
             rows.transactions += 1;
             let every = faults.lose_answer_every;
             let lost = every > 0 && rows.transactions.is_multiple_of(every);
-            if rows.must_wait(&body, faults) {
+            if rows.is_over_write_rate(&body, faults) {
                 return transport::json(StatusCode::TOO_MANY_REQUESTS, &json!({}));
             }
             let (status, answer) = rows.transact(&body);
@@ -340,7 +351,7 @@
         self.answer(status, answer)
     }
 
-    async fn feed(&self, query: &HashMap<String, String>) -> Response<AnswerBody> {
+    async fn feed(&self, query: &HashMap<String, String>) -> Response<ResponseBody> {
         let after: u64 = query.get("after").and_then(|a| a.parse().ok()).unwrap_or(0);
         let wait_ms: u64 = query
             .get("waitMs")
@@ -351,7 +362,7 @@
             let changed = self.changed.notified();
             {
                 let rows = self.rows();
-                if after < rows.forgotten {
+                if after < rows.compacted_version {
                     return self.answer(StatusCode::GONE, json!({}));
                 }
                 let found = rows.feed(&query["table"], after);
@@ -367,7 +378,7 @@
         }
     }
 
-    fn answer(&self, status: StatusCode, mut answer: Value) -> Response<AnswerBody> {
+    fn answer(&self, status: StatusCode, mut answer: Value) -> Response<ResponseBody> {
         answer["now"] = json!(format!("{}ms", self.began.elapsed().as_millis()));
         transport::json(status, &answer)
     }
--- a/tests/platform_standin/traffic.rs
+++ b/tests/platform_standin/traffic.rs
@@ -1,4 +1,4 @@
-//! Steady traffic of callers at all hosts of a test, and what came of each request.
+//! Continuous traffic of callers at all hosts of a test, with the outcome of each request.
 
 use std::{
     collections::HashMap,
@@ -13,63 +13,63 @@
 use http::StatusCode;
 use tokio::time;
 
-use super::caller::{Answer, Ask, Caller};
+use super::caller::{Answer, Caller, TestRequest};
 
 /// Pause between two requests of one caller.
 const PAUSE: Duration = Duration::from_millis(15);
-/// Deadline of the requests.
+/// Deadline of the callers' requests.
 const DEADLINE_MS: u64 = 800;
 
-/// What is asked for.
+/// Kind of requests that the callers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
-    /// Keys of the divided service, drawn at random.
+pub enum Workload {
+    /// Reads of random keys of the sharded service.
     Keys,
-    /// Keys of the divided service of which few are busy, close together.
+    /// Reads of the sharded service in which a few adjacent keys get most requests.
     BusyKeys,
-    /// The service without keys.
+    /// Unrepeatable requests to the service without keys.
     Orders,
 }
 
-/// A request of a caller.
+/// Outcome of a caller's request.
 #[derive(Clone, Debug)]
 pub struct Sent {
-    /// Place of the host that it was sent to.
+    /// Index of the host that it was sent to.
     pub host: usize,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub at: Instant,
-    /// Status of the answer, if one came.
+    /// Status of the response; `None` if none arrived.
     pub status: Option<StatusCode>,
-    /// When the answer came, or the connection ended.
+    /// Time at which the response arrived or the connection closed.
     pub answered: Instant,
-    /// True if the answer says that its server leaves.
-    pub says_leaving: bool,
-    /// True if the answer names a rate limit.
-    pub names_limit: bool,
+    /// True if the response announces that its server leaves.
+    pub announces_leaving: bool,
+    /// True if the response advertises a rate limit.
+    pub advertises_limit: bool,
 }
 
-/// Callers that send until this is dropped.
+/// Callers that send requests until this is dropped.
 #[derive(Debug)]
 pub struct Traffic {
     sent: Arc<Mutex<HashMap<String, Sent>>>,
     stopped: Arc<AtomicBool>,
-    asked: Asked,
+    workload: Workload,
 }
 
 impl Traffic {
-    /// Traffic without a caller.
-    pub fn new(asked: Asked) -> Self {
+    /// Creates traffic without callers.
+    pub fn new(workload: Workload) -> Self {
         Self {
             sent: Arc::default(),
             stopped: Arc::default(),
-            asked,
+            workload,
         }
     }
 
-    /// Adds a caller of one host.
+    /// Starts a caller that sends its requests to one host.
     pub fn add(&self, host: usize, address: SocketAddr) {
         let (sent, stopped) = (self.sent.clone(), self.stopped.clone());
-        let asked = self.asked;
+        let workload = self.workload;
         tokio::spawn(async move {
             let mut caller = None;
             while !stopped.load(Ordering::Relaxed) {
@@ -80,7 +80,7 @@
                 let Some(connected) = &mut caller else {
                     continue;
                 };
-                let (id, outcome) = send(connected, host, asked).await;
+                let (id, outcome) = send(connected, host, workload).await;
                 if outcome.status.is_none() {
                     caller = None;
                 }
@@ -89,12 +89,12 @@
         });
     }
 
-    /// All requests whose outcome is known, by identifier.
+    /// Returns the completed requests by their identifier.
     pub fn sent(&self) -> HashMap<String, Sent> {
         lock(&self.sent).clone()
     }
 
-    /// Share of the requests sent from one moment to another that were answered with success.
+    /// Returns the share of the requests sent between two times that were answered with 200.
     pub fn served(&self, from: Instant, until: Instant) -> f64 {
         let sent = lock(&self.sent);
         let within = |sent: &&Sent| (from..until).contains(&sent.at);
@@ -111,16 +111,16 @@
     }
 }
 
-async fn send(caller: &mut Caller, host: usize, asked: Asked) -> (String, Sent) {
+async fn send(caller: &mut Caller, host: usize, workload: Workload) -> (String, Sent) {
     let id = format!("{:016x}", rand::random::<u64>());
-    let (method, path, key) = match asked {
-        Asked::Keys => ("GET", "/keyed/level", Some(rand::random())),
-        Asked::BusyKeys => ("GET", "/keyed/level", Some(busy_key())),
-        Asked::Orders => ("POST", "/orders/new", None),
+    let (method, path, key) = match workload {
+        Workload::Keys => ("GET", "/keyed/level", Some(rand::random())),
+        Workload::BusyKeys => ("GET", "/keyed/level", Some(busy_key())),
+        Workload::Orders => ("POST", "/orders/new", None),
     };
     let at = Instant::now();
     let answer = caller
-        .ask(Ask {
+        .ask(TestRequest {
             method,
             path,
             id: &id,
@@ -128,20 +128,21 @@
             deadline_ms: DEADLINE_MS,
         })
         .await;
-    let says_leaving = |answer: &Answer| answer.headers.contains_key("server-leaving");
-    let names_limit = |answer: &Answer| answer.headers.contains_key("server-limit");
+    let announces_leaving = |answer: &Answer| answer.headers.contains_key("server-leaving");
+    let advertises_limit = |answer: &Answer| answer.headers.contains_key("server-limit");
     let sent = Sent {
         host,
         at,
         status: answer.as_ref().map(|answer| answer.status),
         answered: Instant::now(),
-        says_leaving: answer.as_ref().is_some_and(says_leaving),
-        names_limit: answer.as_ref().is_some_and(names_limit),
+        announces_leaving: answer.as_ref().is_some_and(announces_leaving),
+        advertises_limit: answer.as_ref().is_some_and(advertises_limit),
     };
     (id, sent)
 }
 
-/// A key: three of four requests are for one of 400 neighbours, and of these half for a tenth.
+/// Draws a key. Three of four requests read one of 400 adjacent keys, and half of these read one of
+/// the first 40.
 fn busy_key() -> u16 {
     const FIRST: u16 = 41_500;
     const BUSY: u16 = 400;
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -1,5 +1,5 @@
-//! Hosts that share the rate which a server takes, played in virtual time on the deciding code: what the server gets, in
-//! every window, and what is left unused.
+//! Hosts that share the rate limit of a server, simulated in virtual time with the decision code:
+//! the requests that the server gets in every window, and the part of the limit left unused.
 
 use std::{
     collections::VecDeque,
@@ -7,36 +7,36 @@
 };
 
 use ashroad::entry::decide::{
-    rate_limit::{LimitWord, RateLimit},
+    rate_limit::{AdvertisedLimit, RateLimit},
     rate_meter::RateMeter,
-    rate_parts::{self, Asked, AskedByHost, AskedRates, Bucket},
+    rate_shares::{self, Asked, AskedByHost, AskedRates, Bucket},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// Interval at which hosts report and the holder tells the sum.
-const TELL_EVERY_MS: u64 = 150;
-/// Time from a report to its place in the sums that all hosts know.
-const TELL_DELAY_MS: u64 = 100;
-/// Time from the first word of a limit from which the bound holds.
+/// Interval at which hosts report and the duty holder announces the sum.
+const ANNOUNCE_EVERY_MS: u64 = 150;
+/// Time from a report until it is part of the sums that all hosts know.
+const ANNOUNCE_DELAY_MS: u64 = 100;
+/// Time after the first advertisement of a limit from which the bound applies.
 const CONTACT_MS: u64 = 3_000;
-/// Length of the windows.
+/// Length of the windows in which requests are counted.
 const WINDOW_MS: u64 = 4_000;
-/// The users' bound: this many times what the limit allows, and some more.
+/// The users' bound: this multiple of the limit, and a constant.
 const EXCESS: f64 = 1.5;
 const SLACK: f64 = 5.0;
-/// Length of a play.
-const PLAY_MS: u64 = 24_000;
-/// Share of the limit that must be used while callers ask for twice as much.
+/// Length of a simulation.
+const SIMULATED_MS: u64 = 24_000;
+/// Share of the limit that must be used while callers send twice as much.
 const USED_MIN: f64 = 0.8;
-/// Drawn plays of each case.
+/// Number of seeds for each case.
 const SEEDS: u64 = 40;
 
-/// A host of the play.
+/// A simulated host.
 #[derive(Default)]
 struct Host {
     asked: Asked,
     bucket: Bucket,
-    is_deaf: bool,
+    is_isolated: bool,
 }
 
 #[derive(Clone, Copy)]
@@ -44,15 +44,15 @@
     name: &'static str,
     hosts: usize,
     limit_per_s: f64,
-    /// Requests a second of all callers, and the same from half of the play on.
+    /// Requests a second of all callers in the first and in the second half of the simulation.
     asked_per_s: (f64, f64),
-    /// Share of the callers that the first host has.
+    /// Share of the callers that use the first host.
     first_share: f64,
-    /// True if the first host's place is taken by the second one from half of the play on.
+    /// True if these callers use the second host in the second half of the simulation.
     moves: bool,
-    /// Hosts that hear no sums and are not heard.
-    deaf: usize,
-    /// Share of a host that counts fewer hosts than there are.
+    /// Number of hosts that neither receive sums nor have their reports received.
+    isolated: usize,
+    /// Share of the hosts that each host knows.
     counted: f64,
     /// Share of the requests that are urgent.
     urgent: f64,
@@ -65,24 +65,24 @@
     asked_per_s: (40.0, 40.0),
     first_share: 0.0,
     moves: false,
-    deaf: 0,
+    isolated: 0,
     counted: 1.0,
     urgent: 0.0,
 };
 
-/// When the server got requests.
-fn play(case: Case, seed: u64) -> Vec<u64> {
+/// Returns the times at which the server got requests.
+fn simulate(case: Case, seed: u64) -> Vec<u64> {
     let mut rng = StdRng::seed_from_u64(seed);
     let host = |place| Host {
-        is_deaf: place < case.deaf,
+        is_isolated: place < case.isolated,
         ..Host::default()
     };
     let mut hosts: Vec<Host> = (0..case.hosts).map(host).collect();
     let mut sums = AskedByHost::default();
     let mut told: VecDeque<(u64, AskedRates)> = VecDeque::new();
     let mut sent = Vec::new();
-    for now_ms in 1_000..1_000 + PLAY_MS {
-        let is_late = now_ms >= 1_000 + PLAY_MS / 2;
+    for now_ms in 1_000..1_000 + SIMULATED_MS {
+        let is_late = now_ms >= 1_000 + SIMULATED_MS / 2;
         let per_s = if is_late {
             case.asked_per_s.1
         } else {
@@ -95,49 +95,49 @@
             } else {
                 rng.random_range(0..case.hosts)
             };
-            if asks(&mut hosts[place], case, now_ms, &mut rng) {
+            if is_sent_by(&mut hosts[place], case, now_ms, &mut rng) {
                 sent.push(now_ms);
             }
         }
-        if now_ms.is_multiple_of(TELL_EVERY_MS) {
+        if now_ms.is_multiple_of(ANNOUNCE_EVERY_MS) {
             for (place, host) in hosts
                 .iter_mut()
                 .enumerate()
-                .filter(|(_, host)| !host.is_deaf)
+                .filter(|(_, host)| !host.is_isolated)
             {
                 let address = SocketAddr::from((Ipv4Addr::from(place as u32), 1));
                 let own = host.asked.report(now_ms);
                 sums.note(1, address, own, now_ms);
             }
             let sum = sums.sum(1, now_ms);
-            told.push_back((now_ms + TELL_DELAY_MS, sum));
+            told.push_back((now_ms + ANNOUNCE_DELAY_MS, sum));
         }
         while told.front().is_some_and(|(at_ms, _)| *at_ms <= now_ms) {
             let (_, sum) = told.pop_front().expect("a sum");
-            let hearing = hosts.iter_mut().filter(|host| !host.is_deaf);
+            let hearing = hosts.iter_mut().filter(|host| !host.is_isolated);
             hearing.for_each(|host| host.asked.note_sum(sum, now_ms));
         }
     }
     sent
 }
 
-/// True if a request of a host's caller is sent.
-fn asks(host: &mut Host, case: Case, now_ms: u64, rng: &mut StdRng) -> bool {
+/// Returns true if the host sends a request of one of its callers.
+fn is_sent_by(host: &mut Host, case: Case, now_ms: u64, rng: &mut StdRng) -> bool {
     let is_urgent = rng.random::<f64>() < case.urgent;
     host.asked.note(is_urgent, now_ms);
     let counted = (case.hosts as f64 * case.counted) as usize;
-    let part = host
+    let rate_share = host
         .asked
-        .part(case.limit_per_s, counted, is_urgent, now_ms);
-    let has_ticket = rate_parts::has_ticket(rng.random(), 0.0, part.ticket);
-    let is_sent = has_ticket && host.bucket.has_token(part.bucket_per_s, now_ms);
+        .rate_share(case.limit_per_s, counted, is_urgent, now_ms);
+    let is_admitted = rate_shares::is_admitted(rng.random(), 0.0, rate_share.admit_probability);
+    let is_sent = is_admitted && host.bucket.has_token(rate_share.bucket_per_s, now_ms);
     if is_sent {
         host.bucket.take();
     }
     is_sent
 }
 
-/// Most requests in a window, from the contact time on.
+/// Returns the largest number of requests in a window, from the contact time on.
 fn most_in_a_window(sent: &[u64]) -> usize {
     let counted: Vec<u64> = sent
         .iter()
@@ -171,7 +171,7 @@
             ..CASE
         },
         Case {
-            name: "twice as much is asked for",
+            name: "twice the limit is requested",
             hosts: 8,
             asked_per_s: (20.0, 20.0),
             ..CASE
@@ -183,27 +183,27 @@
             ..CASE
         },
         Case {
-            name: "the half moves",
+            name: "the half moves to another host",
             hosts: 12,
             first_share: 0.5,
             moves: true,
             ..CASE
         },
         Case {
-            name: "the half moves among 300",
+            name: "the half moves to another host, among 300",
             hosts: 300,
             first_share: 0.5,
             moves: true,
             ..CASE
         },
         Case {
-            name: "a third is urgent",
+            name: "a third of the requests is urgent",
             hosts: 8,
             urgent: 0.3,
             ..CASE
         },
         Case {
-            name: "urgent ones alone are too many",
+            name: "urgent requests alone exceed the limit",
             hosts: 8,
             urgent: 0.7,
             ..CASE
@@ -215,25 +215,25 @@
             ..CASE
         },
         Case {
-            name: "a low rate",
+            name: "a low limit",
             hosts: 8,
             limit_per_s: 2.0,
             ..CASE
         },
         Case {
-            name: "a rate of a half",
+            name: "a limit of 0.5",
             hosts: 8,
             limit_per_s: 0.5,
             ..CASE
         },
         Case {
-            name: "a rate of a half among 300",
+            name: "a limit of 0.5 among 300",
             hosts: 300,
             limit_per_s: 0.5,
             ..CASE
         },
         Case {
-            name: "a high rate among 300",
+            name: "a high limit among 300",
             hosts: 300,
             limit_per_s: 60.0,
             asked_per_s: (200.0, 200.0),
@@ -252,29 +252,29 @@
             ..CASE
         },
         Case {
-            name: "nobody hears",
+            name: "all hosts are isolated",
             hosts: 8,
-            deaf: 8,
+            isolated: 8,
             ..CASE
         },
         Case {
-            name: "nobody hears among 300",
+            name: "all of 300 hosts are isolated",
             hosts: 300,
-            deaf: 300,
+            isolated: 300,
             ..CASE
         },
         Case {
-            name: "nobody hears, and a third of the hosts is not known",
+            name: "all hosts are isolated, and know only two thirds of the hosts",
             hosts: 12,
-            deaf: 12,
+            isolated: 12,
             counted: 0.67,
             ..CASE
         },
         Case {
-            name: "the host with half is cut off",
+            name: "the host with half is isolated",
             hosts: 12,
             first_share: 0.5,
-            deaf: 1,
+            isolated: 1,
             ..CASE
         },
     ];
@@ -282,7 +282,7 @@
     for case in cases {
         let mut all = 0;
         for seed in 0..SEEDS {
-            let sent = play(case, seed);
+            let sent = simulate(case, seed);
             all += sent.len();
             let allowed = EXCESS * case.limit_per_s * WINDOW_MS as f64 / 1_000.0 + SLACK;
             let most = most_in_a_window(&sent);
@@ -290,10 +290,10 @@
                 failed.push(format!("{}, seed {seed}: {most} of {allowed}", case.name));
             }
         }
-        let used = all as f64 / SEEDS as f64 / (PLAY_MS as f64 / 1_000.0) / case.limit_per_s;
+        let used = all as f64 / SEEDS as f64 / (SIMULATED_MS as f64 / 1_000.0) / case.limit_per_s;
         println!("{}: {used:.2} used", case.name);
-        // Who is cut off has an equal part, whatever its callers ask for.
-        if case.deaf == 0 && used < USED_MIN {
+        // An isolated host gets an equal share, whatever the rate of its callers.
+        if case.isolated == 0 && used < USED_MIN {
             failed.push(format!("{}: {used:.2} used", case.name));
         }
     }
@@ -301,15 +301,15 @@
 }
 
 #[test]
-fn what_is_asked_below_the_rate_is_sent() {
+fn requests_below_the_limit_are_sent() {
     for hosts in [3, 12, 300] {
         let case = Case {
             hosts,
             asked_per_s: (4.5, 4.5),
             ..CASE
         };
-        let sent: usize = (0..SEEDS).map(|seed| play(case, seed).len()).sum();
-        let share = sent as f64 / SEEDS as f64 / (4.5 * PLAY_MS as f64 / 1_000.0);
+        let sent: usize = (0..SEEDS).map(|seed| simulate(case, seed).len()).sum();
+        let share = sent as f64 / SEEDS as f64 / (4.5 * SIMULATED_MS as f64 / 1_000.0);
         assert!(
             share > 0.9,
             "{share:.2} of the requests of {hosts} hosts sent"
@@ -319,7 +319,8 @@
 
 #[test]
 fn a_surge_from_below_the_rate_is_held() {
-    // Buckets are full then. Among hundreds of hosts the tickets must hold it.
+    // The buckets are full at that time. Among hundreds of hosts the admission probability must
+    // limit the surge.
     for (hosts, surge_per_s) in [(3, 200.0), (8, 100.0), (12, 60.0), (300, 30.0)] {
         for seed in 0..SEEDS {
             let case = Case {
@@ -327,7 +328,7 @@
                 asked_per_s: (5.0, surge_per_s),
                 ..CASE
             };
-            let most = most_in_a_window(&play(case, seed));
+            let most = most_in_a_window(&simulate(case, seed));
             let allowed = EXCESS * 10.0 * 4.0 + SLACK;
             assert!(
                 most as f64 <= allowed,
@@ -338,49 +339,67 @@
 }
 
 #[test]
-fn the_latest_word_counts_and_silence_ends_nothing_at_once() {
-    let word = |per_s, at_ms| LimitWord { per_s, at_ms };
+fn the_latest_limit_counts_and_silence_does_not_end_it() {
+    let word = |per_s, at_ms| AdvertisedLimit { per_s, at_ms };
     let mut limit = RateLimit::default();
     limit.note(word(None, 1_000));
-    assert_eq!((limit.per_s(), limit.is_news(1_000)), (None, false));
+    assert_eq!((limit.per_s(), limit.should_announce(1_000)), (None, false));
     limit.note(word(Some(8.0), 2_000));
     limit.note(word(None, 1_500));
-    assert_eq!(limit.per_s(), Some(8.0), "an earlier answer is no news");
+    assert_eq!(
+        limit.per_s(),
+        Some(8.0),
+        "an earlier advertisement is ignored"
+    );
     assert!(limit.take_change() && !limit.take_change());
     assert_eq!(limit.planned_per_s(11_000), Some(8.0));
-    assert_eq!(limit.planned_per_s(23_000), Some(32.0), "more is tried");
-    assert_eq!(limit.per_s(), Some(8.0), "but no host sends more");
+    assert_eq!(
+        limit.planned_per_s(23_000),
+        Some(32.0),
+        "the planner assumes a higher limit"
+    );
+    assert_eq!(limit.per_s(), Some(8.0), "but hosts keep to the limit");
     assert_eq!(limit.shared_per_s(23_000), Some(8.0));
     limit.note(word(None, 24_000));
     assert_eq!(limit.per_s(), None);
     assert_eq!(limit.planned_per_s(24_000), None);
     assert!(limit.take_change());
-    assert!(limit.is_news(28_999), "its end is told");
-    assert!(!limit.is_news(29_000));
-    assert_eq!(limit.own(), None, "other hosts said all that");
+    assert!(
+        limit.should_announce(28_999),
+        "the end of the limit is announced"
+    );
+    assert!(!limit.should_announce(29_000));
+    assert_eq!(limit.own(), None, "all advertisements went to other hosts");
     limit.note_own(word(Some(3.0), 25_000));
     assert_eq!(limit.own(), limit.latest());
 }
 
-/// A server that gets little names its limit seldom: the end may come long after its last word of a limit.
+/// Guards against a limit that never ends at other hosts: a server that gets few requests seldom
+/// advertises its limit, so the end may come long after the last advertisement.
 #[test]
-fn the_end_of_a_limit_is_told_however_long_ago_the_limit_was_named() {
+fn the_end_of_a_limit_is_announced_however_long_ago_it_was_advertised() {
     const ENDED_MS: u64 = 20_000;
     for tells in [RateLimit::note_own, RateLimit::note] {
         let mut limit = RateLimit::default();
-        limit.note(LimitWord {
+        limit.note(AdvertisedLimit {
             per_s: Some(20.0),
             at_ms: 1_000,
         });
         tells(
             &mut limit,
-            LimitWord {
+            AdvertisedLimit {
                 per_s: None,
                 at_ms: ENDED_MS,
             },
         );
-        assert!(limit.is_news(ENDED_MS + 1_000), "others are not told");
-        assert!(!limit.is_news(ENDED_MS + 10_000), "told for good");
+        assert!(
+            limit.should_announce(ENDED_MS + 1_000),
+            "the end is not announced"
+        );
+        assert!(
+            !limit.should_announce(ENDED_MS + 10_000),
+            "the end is announced forever"
+        );
     }
 }
 
@@ -399,32 +418,37 @@
 fn urgent_requests_come_first_and_the_others_keep_a_part() {
     struct Served {
         urgent_per_s: f64,
-        rest_per_s: f64,
+        non_urgent_per_s: f64,
     }
-    // Requests a second that are urgent, and others, at a server that takes ten.
-    let served = |urgent_per_s: f64, rest_per_s: f64| {
+    // Urgent and other requests a second that are sent to a server with a limit of ten.
+    let served = |urgent_per_s: f64, non_urgent_per_s: f64| {
         let mut asked = Asked::default();
         let sum = AskedRates {
-            all_per_s: urgent_per_s + rest_per_s,
+            all_per_s: urgent_per_s + non_urgent_per_s,
             urgent_per_s,
         };
         asked.note_sum(sum, 1_000);
-        let ticket = |is_urgent| asked.part(10.0, 8, is_urgent, 1_000).ticket.min(1.0);
+        let admit_probability = |is_urgent| {
+            asked
+                .rate_share(10.0, 8, is_urgent, 1_000)
+                .admit_probability
+                .min(1.0)
+        };
         Served {
-            urgent_per_s: urgent_per_s * ticket(true),
-            rest_per_s: rest_per_s * ticket(false),
+            urgent_per_s: urgent_per_s * admit_probability(true),
+            non_urgent_per_s: non_urgent_per_s * admit_probability(false),
         }
     };
     let few = served(4.0, 30.0);
     assert!((few.urgent_per_s - 4.0).abs() < 0.01, "all of them");
-    assert!(few.rest_per_s > 4.0);
+    assert!(few.non_urgent_per_s > 4.0);
     let many = served(40.0, 30.0);
-    assert!(many.urgent_per_s > 6.0 && many.rest_per_s > 2.0);
+    assert!(many.urgent_per_s > 6.0 && many.non_urgent_per_s > 2.0);
     let alone = served(40.0, 0.0);
     assert!(alone.urgent_per_s > 8.0);
-    for (urgent_per_s, rest_per_s) in [(4.0, 30.0), (40.0, 30.0), (40.0, 0.0), (0.0, 40.0)] {
-        let served = served(urgent_per_s, rest_per_s);
-        let all_per_s = served.urgent_per_s + served.rest_per_s;
+    for (urgent_per_s, non_urgent_per_s) in [(4.0, 30.0), (40.0, 30.0), (40.0, 0.0), (0.0, 40.0)] {
+        let served = served(urgent_per_s, non_urgent_per_s);
+        let all_per_s = served.urgent_per_s + served.non_urgent_per_s;
         assert!((8.0..10.0).contains(&all_per_s), "{all_per_s}");
     }
 }
@@ -432,13 +456,13 @@
 #[test]
 fn a_server_that_takes_nothing_is_tried_now_and_then() {
     let mut limit = RateLimit::default();
-    limit.note(LimitWord {
+    limit.note(AdvertisedLimit {
         per_s: Some(0.0),
         at_ms: 10_000,
     });
-    assert!(!limit.is_unheard(11_000));
+    assert!(!limit.is_stale(11_000));
     assert_eq!(limit.shared_per_s(11_000), Some(0.25));
-    assert!(limit.is_unheard(12_000));
+    assert!(limit.is_stale(12_000));
     assert_eq!(limit.shared_per_s(12_000), Some(0.5));
     assert_eq!(limit.shared_per_s(600_000), Some(1.0));
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,9 +1,9 @@
-//! Randomised soak of real entry hosts under faults from outside: proxies before the store,
-//! signals, servers and a store that misbehave. The promises are checked as callers and servers
-//! see them. Failed seeds stay as cases in [`REGRESSIONS`].
+//! Randomised soak test of real entry hosts under external faults: proxies in front of the store,
+//! signals, and faults of servers and of the store. Invariants are checked as callers and servers
+//! observe them. Seeds that failed are kept as cases in [`REGRESSIONS`].
 //!
-//! By hand: `ASHROAD_SOAK_SEEDS=50 cargo test --release --test soak -- --nocapture`; the first
-//! seed is `ASHROAD_SOAK_FIRST`, the length of one seed `ASHROAD_SOAK_SECONDS`.
+//! By hand: `ASHROAD_SOAK_SEEDS=50 cargo test --release --test soak -- --nocapture`. The first seed
+//! is `ASHROAD_SOAK_FIRST`, and each seed runs for `ASHROAD_SOAK_SECONDS`.
 
 mod platform_standin;
 
@@ -22,10 +22,10 @@
 use tokio::{task::JoinSet, time};
 
 use self::platform_standin::{
-    caller::{Ask, Caller},
+    caller::{Caller, TestRequest},
     hosts::Host,
     proxy::{Mode, Proxy},
-    server::{Record, Server},
+    server::{RunRecord, Server},
     site::{KEYED, ORDERS, Site, eventually, get},
     store::Faults,
 };
@@ -33,14 +33,16 @@
 const HOSTS: usize = 3;
 const SERVERS: usize = 4;
 const CALLERS: usize = 12;
-/// Servers of each kind that are never spoilt.
-const SERVERS_KEPT: usize = 2;
-/// Time in which grants of a process that was paused may still arrive; the platform excuses 300 ms.
-const THAW_MS: u64 = 300;
+/// Number of servers of each service that get no faults.
+const HEALTHY_SERVERS: usize = 2;
+/// Time in which grants that a paused process had sent may still arrive; the platform allows 300
+/// ms.
+const RESUME_ALLOWANCE_MS: u64 = 300;
 
-/// Seeds that failed once, each with its cause.
+/// Seeds that once failed, each with the cause.
 const REGRESSIONS: [(u64, &str); 0] = [];
 
+/// Counts of requests by outcome, and of faults by kind.
 #[derive(Default)]
 struct Tally {
     asked: AtomicU64,
@@ -50,9 +52,11 @@
     faults: Mutex<HashMap<&'static str, u64>>,
 }
 
+/// Deployment under test with its sources of faults.
 struct Soak {
     site: Site,
     proxies: Vec<Proxy>,
+    /// Time since which each host is paused; `None` if it runs.
     stopped: Vec<Option<Instant>>,
     rng: StdRng,
     tally: Arc<Tally>,
@@ -64,7 +68,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_under_random_faults() {
+async fn invariants_hold_under_random_faults() {
     let first = number("ASHROAD_SOAK_FIRST", 1);
     let seeds = number("ASHROAD_SOAK_SEEDS", 2);
     let seconds = number("ASHROAD_SOAK_SECONDS", 12);
@@ -92,7 +96,7 @@
     let mut callers = JoinSet::new();
     for number in 0..CALLERS {
         let host = &soak.site.hosts[number % HOSTS];
-        callers.spawn(call(
+        callers.spawn(run_caller(
             (seed, number as u64),
             host.callers,
             soak.site.record.clone(),
@@ -102,14 +106,15 @@
     }
     let until = Instant::now() + Duration::from_secs(seconds);
     while Instant::now() < until {
-        soak.spoil().await;
+        soak.inject_fault().await;
         let pause_ms = soak.rng.random_range(100..900);
         time::sleep(Duration::from_millis(pause_ms)).await;
     }
-    soak.mend().await;
+    soak.clear_faults().await;
     done.store(true, Ordering::Relaxed);
     callers.join_all().await;
-    // Earlier holders' time, a lease and the change of holder; far below the platform's bound.
+    // The limit covers the time of previous duty holders, a lease and a takeover. It is far below
+    // the platform's bound.
     let hosts = &soak.site.hosts;
     eventually("all keys are served again", 26_000, async || {
         for key in (0..=u16::MAX).step_by(5_003) {
@@ -147,8 +152,8 @@
         *faults.entry(fault).or_default() += 1;
     }
 
-    /// One more fault, or the end of one; they overlap.
-    async fn spoil(&mut self) {
+    /// Injects another random fault or ends one; faults overlap.
+    async fn inject_fault(&mut self) {
         let host = self.rng.random_range(0..HOSTS);
         match self.rng.random_range(0..10) {
             0 | 1 => {
@@ -180,17 +185,17 @@
                 self.count("store");
             }
             6 => {
-                self.site.store.forget_history();
+                self.site.store.compact_history();
                 self.count("history");
             }
-            7 => self.spoil_server(),
+            7 => self.inject_server_fault(),
             8 => self.replace_server().await,
             _ => {
                 self.site.store.set_faults(Faults::default());
                 self.proxies[host].set(Mode::Pass);
             }
         }
-        // A process that has ended is started again, as the platform does it.
+        // Restarts hosts whose process has exited, as the platform does.
         for host in 0..HOSTS {
             if self.stopped[host].is_none() && self.site.hosts[host].ended() {
                 self.site.hosts[host].restart();
@@ -212,13 +217,13 @@
 
     async fn resume(&mut self, host: usize) {
         if self.stopped[host].take().is_some() {
-            self.site.record.excuse(THAW_MS);
+            self.site.record.pause_ownership_checks(RESUME_ALLOWANCE_MS);
             self.site.hosts[host].signal("CONT");
         }
     }
 
-    fn spoil_server(&mut self) {
-        let number = self.rng.random_range(SERVERS_KEPT..SERVERS);
+    fn inject_server_fault(&mut self) {
+        let number = self.rng.random_range(HEALTHY_SERVERS..SERVERS);
         let server = if self.rng.random_bool(0.5) {
             &self.site.keyed[number]
         } else {
@@ -228,13 +233,13 @@
             0 => server.set_silent(true),
             1 => server.set_silent(false),
             2 => server.lose_answers(self.rng.random_range(0..5)),
-            _ => server.declare(&self.site.store, "draining"),
+            _ => server.write_entry(&self.site.store, "draining"),
         }
         self.count("server");
     }
 
     async fn replace_server(&mut self) {
-        let number = self.rng.random_range(SERVERS_KEPT..SERVERS);
+        let number = self.rng.random_range(HEALTHY_SERVERS..SERVERS);
         let record = self.site.record.clone();
         let store = &self.site.store;
         if self.rng.random_bool(0.5) {
@@ -247,7 +252,7 @@
         self.count("replace");
     }
 
-    async fn mend(&mut self) {
+    async fn clear_faults(&mut self) {
         self.site.store.set_faults(Faults::default());
         for host in 0..HOSTS {
             self.proxies[host].set(Mode::Pass);
@@ -260,7 +265,7 @@
             server.set_silent(false);
             server.lose_answers(0);
         }
-        // A host that was told to stop shortly before the end is replaced.
+        // Waits for hosts that got SIGTERM shortly before the end, and restarts them.
         time::sleep(Duration::from_millis(6_200)).await;
         for host in &mut self.site.hosts {
             if host.ended() {
@@ -270,11 +275,11 @@
     }
 }
 
-/// A caller that keeps its connection until the host closes it or is gone.
-async fn call(
+/// Sends requests over one connection until the host closes it or fails, and then connects again.
+async fn run_caller(
     (seed, number): (u64, u64),
     address: std::net::SocketAddr,
-    record: Arc<Record>,
+    record: Arc<RunRecord>,
     tally: Arc<Tally>,
     done: Arc<AtomicBool>,
 ) {
@@ -291,7 +296,7 @@
         };
         let id = format!("{seed}-{number}-{round}");
         let keyed = rng.random_bool(0.6);
-        let ask = Ask {
+        let ask = TestRequest {
             method: if keyed { "GET" } else { "POST" },
             path: if keyed { "/keyed/x" } else { "/orders/x" },
             id: &id,
@@ -306,16 +311,22 @@
         if closes {
             connection = None;
         }
-        check(&record, &tally, ask, answer.map(|a| (a.status, a.body)));
+        check_response(&record, &tally, ask, answer.map(|a| (a.status, a.body)));
         time::sleep(Duration::from_millis(rng.random_range(5..40))).await;
     }
 }
 
-fn check(record: &Record, tally: &Tally, ask: Ask<'_>, answer: Option<(StatusCode, bytes::Bytes)>) {
+/// Checks one response against the recorded runs of its request.
+fn check_response(
+    record: &RunRecord,
+    tally: &Tally,
+    ask: TestRequest<'_>,
+    answer: Option<(StatusCode, bytes::Bytes)>,
+) {
     let unrepeatable = ask.method == "POST";
     let runs = record.runs(ask.id);
     if unrepeatable && runs > 1 {
-        record.violate(format!("{} ran {runs} times", ask.id));
+        record.report_violation(format!("{} ran {runs} times", ask.id));
     }
     let Some((status, body)) = answer else {
         tally.unknown.fetch_add(1, Ordering::Relaxed);
@@ -326,18 +337,18 @@
             tally.served.fetch_add(1, Ordering::Relaxed);
             let start = format!("{} {} ", ask.id, ask.path);
             if !body.starts_with(start.as_bytes()) {
-                record.violate(format!("{} got the answer {body:?}", ask.id));
+                record.report_violation(format!("{} got the answer {body:?}", ask.id));
             }
         }
         StatusCode::SERVICE_UNAVAILABLE => {
             tally.refused.fetch_add(1, Ordering::Relaxed);
             if unrepeatable && runs > 0 {
-                record.violate(format!("{} ran and was refused", ask.id));
+                record.report_violation(format!("{} ran and was refused", ask.id));
             }
         }
         StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => {
             tally.unknown.fetch_add(1, Ordering::Relaxed);
         }
-        other => record.violate(format!("{} got {other}", ask.id)),
+        other => record.report_violation(format!("{} got {other}", ask.id)),
     }
 }
--- a/tests/standins.rs
+++ b/tests/standins.rs
@@ -1,4 +1,4 @@
-//! The faults of the backend server's stand-in.
+//! Tests of the faults that the stand-in backend server injects.
 
 use std::{
     net::Ipv4Addr,
@@ -8,7 +8,7 @@
 use ashroad::{
     standin::{
         Running,
-        backend::{self, Answer, Config, Faults, LoadAnswer},
+        backend::{self, Config, EchoResponse, Faults, LoadResponse},
     },
     transport::JsonClient,
 };
@@ -29,21 +29,21 @@
 #[tokio::test]
 async fn a_cold_server_takes_longer() {
     let server = start(60_000, 0).await;
-    let asked = Instant::now();
-    let answer: Answer = JsonClient::new(2_000)
+    let started = Instant::now();
+    let answer: EchoResponse = JsonClient::new(2_000)
         .get(server.address, "/w/s/key")
         .await
         .expect("an answer");
     assert_eq!(answer.path, "/w/s/key");
-    assert!(asked.elapsed() >= Duration::from_millis(20));
+    assert!(started.elapsed() >= Duration::from_millis(20));
     server.stop().await;
 }
 
 #[tokio::test]
-async fn the_load_endpoint_lags_as_told() {
+async fn the_load_endpoint_lags_by_the_configured_time() {
     let server = start(0, 300).await;
     let client = JsonClient::new(2_000);
-    let load = || client.get::<LoadAnswer>(server.address, backend::LOAD_PATH);
+    let load = || client.get::<LoadResponse>(server.address, backend::LOAD_PATH);
     let lag = Faults {
         load_lag_ms: 60_000,
         ..Faults::default()
@@ -52,9 +52,9 @@
         .post(server.address, backend::FAULTS_PATH, &lag)
         .await
         .expect("faults are set");
-    assert_eq!(load().await.expect("an answer"), LoadAnswer::default());
+    assert_eq!(load().await.expect("an answer"), LoadResponse::default());
     let (address, caller) = (server.address, client.clone());
-    let busy = tokio::spawn(async move { caller.get::<Answer>(address, "/w/s/key").await });
+    let busy = tokio::spawn(async move { caller.get::<EchoResponse>(address, "/w/s/key").await });
     time::sleep(Duration::from_millis(100)).await;
     assert_eq!(load().await.expect("an answer").running, 0, "it lags");
     let _: Faults = client
