--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -66,11 +66,11 @@
 
 impl Crashes {
     /// Returns the remaining time of a request's quarantine; `None` if it is not quarantined.
-    pub fn rest_ms(&self, digests: RequestDigests) -> Option<u64> {
+    pub fn remaining_ms(&self, digests: RequestDigests) -> Option<u64> {
         let quarantine = lock(&self.quarantine);
         let rests = digests.all();
         rests
-            .filter_map(|digest| quarantine.rest_ms(digest, clock::now_ms()))
+            .filter_map(|digest| quarantine.remaining_ms(digest, clock::now_ms()))
             .max()
     }
 
--- a/src/entry/decide/hold.rs
+++ b/src/entry/decide/hold.rs
@@ -23,7 +23,7 @@
     /// Condition that the move waits for.
     pub wait: MoveWait,
     /// Time left until the move completes: an upper bound or the exact time, depending on `wait`.
-    pub rest_ms: u64,
+    pub remaining_ms: u64,
 }
 
 /// Decision on a request for a key that is being moved.
@@ -52,7 +52,7 @@
     }
     match rest.wait {
         MoveWait::Work => Hold::For(room_ms),
-        MoveWait::Lease if rest.rest_ms <= room_ms => Hold::For(rest.rest_ms),
+        MoveWait::Lease if rest.remaining_ms <= room_ms => Hold::For(rest.remaining_ms),
         MoveWait::Lease => Hold::Refuse,
     }
 }
--- a/src/entry/decide/quarantine.rs
+++ b/src/entry/decide/quarantine.rs
@@ -25,7 +25,7 @@
 impl Quarantine {
     /// Adds a request; returns true if it was not in quarantine.
     pub fn add(&mut self, digest: RequestDigest, now_ms: u64) -> bool {
-        if self.rest_ms(digest, now_ms).is_some() {
+        if self.remaining_ms(digest, now_ms).is_some() {
             return false;
         }
         self.since_ms.insert(digest, now_ms);
@@ -36,7 +36,7 @@
     }
 
     /// Returns the time left in quarantine; `None` if the request is not in quarantine.
-    pub fn rest_ms(&self, digest: RequestDigest, now_ms: u64) -> Option<u64> {
+    pub fn remaining_ms(&self, digest: RequestDigest, now_ms: u64) -> Option<u64> {
         let until_ms = self.since_ms.get(&digest)? + quarantine_ms(digest);
         (now_ms < until_ms).then(|| until_ms - now_ms)
     }
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -184,12 +184,12 @@
         let rest = if answers {
             MoveTimeLeft {
                 wait: MoveWait::Work,
-                rest_ms: RELEASE_TIMEOUT_MS,
+                remaining_ms: RELEASE_TIMEOUT_MS,
             }
         } else {
             MoveTimeLeft {
                 wait: MoveWait::Lease,
-                rest_ms: self.lease_end_ms(from).saturating_sub(clock::now_ms()),
+                remaining_ms: self.lease_end_ms(from).saturating_sub(clock::now_ms()),
             }
         };
         self.announce_time_left(service, holding, above_fence, rest);
@@ -330,7 +330,7 @@
                     if self.mark_waiting_for_lease(range) {
                         let rest = MoveTimeLeft {
                             wait: MoveWait::Lease,
-                            rest_ms: self.lease_end_ms(id).saturating_sub(clock::now_ms()),
+                            remaining_ms: self.lease_end_ms(id).saturating_sub(clock::now_ms()),
                         };
                         self.announce_time_left(service, holding, fence - 1, rest);
                     }
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -232,7 +232,7 @@
             range,
             above_fence,
             wait: rest.wait,
-            until_ms: now_ms + rest.rest_ms.min(MOVE_HOLD_MAX_MS),
+            until_ms: now_ms + rest.remaining_ms.min(MOVE_HOLD_MAX_MS),
         });
     }
 
@@ -269,7 +269,7 @@
         if let Some(longest) = waits.max_by_key(|m| m.until_ms) {
             return Owner::Moving(MoveTimeLeft {
                 wait: longest.wait,
-                rest_ms: longest.until_ms - now_ms,
+                remaining_ms: longest.until_ms - now_ms,
             });
         }
         drop(moving);
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -127,7 +127,7 @@
 fn requests_wait_for_a_move_only_if_it_can_end_in_time() {
     struct Case {
         wait: MoveWait,
-        rest_ms: u64,
+        remaining_ms: u64,
         held_ms: u64,
         left_ms: u64,
         aim_ms: u64,
@@ -137,7 +137,7 @@
         // The former server still runs requests: most such moves complete soon.
         Case {
             wait: MoveWait::Work,
-            rest_ms: 2_500,
+            remaining_ms: 2_500,
             held_ms: 0,
             left_ms: 800,
             aim_ms: 400,
@@ -145,7 +145,7 @@
         },
         Case {
             wait: MoveWait::Work,
-            rest_ms: 2_500,
+            remaining_ms: 2_500,
             held_ms: 395,
             left_ms: 405,
             aim_ms: 400,
@@ -154,7 +154,7 @@
         // Requests with a long objective may wait longer.
         Case {
             wait: MoveWait::Work,
-            rest_ms: 2_500,
+            remaining_ms: 2_500,
             held_ms: 0,
             left_ms: 9_000,
             aim_ms: 2_000,
@@ -163,7 +163,7 @@
         // A lease expires exactly at its end, so waiting for a part of that time is useless.
         Case {
             wait: MoveWait::Lease,
-            rest_ms: 2_500,
+            remaining_ms: 2_500,
             held_ms: 0,
             left_ms: 800,
             aim_ms: 400,
@@ -171,7 +171,7 @@
         },
         Case {
             wait: MoveWait::Lease,
-            rest_ms: 120,
+            remaining_ms: 120,
             held_ms: 0,
             left_ms: 800,
             aim_ms: 400,
@@ -179,7 +179,7 @@
         },
         Case {
             wait: MoveWait::Lease,
-            rest_ms: 120,
+            remaining_ms: 120,
             held_ms: 0,
             left_ms: 100,
             aim_ms: 400,
@@ -189,7 +189,7 @@
     for case in cases {
         let rest = MoveTimeLeft {
             wait: case.wait,
-            rest_ms: case.rest_ms,
+            remaining_ms: case.remaining_ms,
         };
         let policy = Policy::default();
         let result = hold::decide(rest, case.held_ms, case.left_ms, case.aim_ms, &policy);
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -159,9 +159,9 @@
     let mut quarantine = Quarantine::default();
     assert!(quarantine.add(CRASHING, 5));
     assert!(!quarantine.add(CRASHING, 6), "it is there");
-    assert_eq!(quarantine.rest_ms(CRASHING, 5), Some(QUARANTINE_MS));
-    assert_eq!(quarantine.rest_ms(HARMLESS, 5), None);
-    assert_eq!(quarantine.rest_ms(CRASHING, 5 + QUARANTINE_MS), None);
+    assert_eq!(quarantine.remaining_ms(CRASHING, 5), Some(QUARANTINE_MS));
+    assert_eq!(quarantine.remaining_ms(HARMLESS, 5), None);
+    assert_eq!(quarantine.remaining_ms(CRASHING, 5 + QUARANTINE_MS), None);
     assert!(quarantine.add(CRASHING, 5 + QUARANTINE_MS), "once more");
     for number in 0..1_000 {
         quarantine.add(RequestDigest(100 + number), QUARANTINE_MS + number);
@@ -407,12 +407,12 @@
     quarantine.add(any_caller, 0);
     quarantine.add(CRASHING, 0);
     assert_eq!(
-        quarantine.rest_ms(any_caller, ANY_CALLER_QUARANTINE_MS),
+        quarantine.remaining_ms(any_caller, ANY_CALLER_QUARANTINE_MS),
         None
     );
     assert!(
         quarantine
-            .rest_ms(CRASHING, ANY_CALLER_QUARANTINE_MS)
+            .remaining_ms(CRASHING, ANY_CALLER_QUARANTINE_MS)
             .is_some()
     );
     // The evidence outlasts the quarantine, so that only one host at a time tries the request.
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -759,7 +759,7 @@
             above_fence: 1,
             rest: MoveTimeLeft {
                 wait: MoveWait::Work,
-                rest_ms: 2_500,
+                remaining_ms: 2_500,
             },
         };
         outbox.announce_move(9, announcement);
