--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -42,7 +42,7 @@
 const PROBE_TIMEOUT_MS: u64 = 400;
 /// Age of a server's last answer to a request up to which the server counts as alive without a
 /// probe.
-const RECENT_ANSWER_MS: u64 = 1_000;
+const RECENT_RESPONSE_MS: u64 = 1_000;
 
 impl Term {
     /// Starts the due renewals of a service's leases.
@@ -219,7 +219,7 @@
     }
 
     async fn is_alive(&self, service: &str, server: &Server) -> bool {
-        if clock::now_ms() < server.answered_ms() + RECENT_ANSWER_MS {
+        if clock::now_ms() < server.answered_ms() + RECENT_RESPONSE_MS {
             return true;
         }
         let Some(configuration) = self.entry.view.configuration() else {
