--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -140,7 +140,7 @@
 /// large a one.
 const ASSUMED_HOSTS: usize = 10_000;
 /// One in this many answered requests is logged; the others are only counted.
-const ANSWER_SAMPLE: u64 = 100;
+const RESPONSE_SAMPLE: u64 = 100;
 
 impl Entry {
     /// Creates a host's state. No task runs and no connection is opened yet.
@@ -217,7 +217,7 @@
     /// Counts an answered request and returns true if it is to be logged.
     fn samples_answer(&self) -> bool {
         let number = self.answered.fetch_add(1, Ordering::Relaxed);
-        number.is_multiple_of(ANSWER_SAMPLE)
+        number.is_multiple_of(RESPONSE_SAMPLE)
     }
 
     /// Counts a caller's request as in flight until the returned guard is dropped.
