--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -31,7 +31,7 @@
 const DEADLINE_SLACK_MS: u64 = 40;
 
 /// Result of one attempt.
-pub(super) enum Attempt {
+pub(super) enum AttemptOutcome {
     Answered(Response<ResponseBody>),
     /// No connection could be opened, so nothing was sent.
     NotSent(String),
@@ -54,13 +54,13 @@
         entry: &Arc<Entry>,
         server: &Arc<Server>,
         payload: &mut Payload,
-    ) -> Attempt {
+    ) -> AttemptOutcome {
         let mut connection = match self.connection(entry, server).await {
             Ok(connection) => connection,
             Err(attempt) => return attempt,
         };
         let Some(request) = self.request(server, payload) else {
-            return Attempt::NotSent("the request cannot be built".to_owned());
+            return AttemptOutcome::NotSent("the request cannot be built".to_owned());
         };
         let found_free_slot = server.load() < server.entry.slots;
         let in_flight = if self.is_trial {
@@ -78,13 +78,13 @@
         let (head, body) = match time::timeout(limit, exchange).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(attempt)) => {
-                if matches!(attempt, Attempt::NotRun(_)) {
+                if matches!(attempt, AttemptOutcome::NotRun(_)) {
                     in_flight.answered();
                     self.end_trial(entry, server);
                 }
                 return attempt;
             }
-            Err(_) => return Attempt::TimedOut,
+            Err(_) => return AttemptOutcome::TimedOut,
         };
         in_flight.answered();
         if head.status.is_success() {
@@ -105,7 +105,7 @@
             }
             .boxed(),
         };
-        Attempt::Answered(build_response(head, body))
+        AttemptOutcome::Answered(build_response(head, body))
     }
 
     /// Ends the trial of a suspect request that the server has answered, so that the next suspect
@@ -123,9 +123,9 @@
         &self,
         entry: &Arc<Entry>,
         server: &Arc<Server>,
-    ) -> Result<Connection, Attempt> {
+    ) -> Result<Connection, AttemptOutcome> {
         if server.rest_ms() > 0 {
-            return Err(Attempt::Rests);
+            return Err(AttemptOutcome::Rests);
         }
         if let Some(connection) = server.pool.take() {
             return Ok(connection);
@@ -133,7 +133,7 @@
         let connection = self.connect(entry, server).await?;
         if server.rest_ms() > 0 {
             server.pool.keep(connection);
-            return Err(Attempt::Rests);
+            return Err(AttemptOutcome::Rests);
         }
         Ok(connection)
     }
@@ -143,7 +143,7 @@
         &self,
         entry: &Arc<Entry>,
         server: &Arc<Server>,
-    ) -> Result<Connection, Attempt> {
+    ) -> Result<Connection, AttemptOutcome> {
         let connected = server.pool.connect(self.left_ms()).await;
         connected.map_err(|error| {
             if matches!(error, ConnectError::Refused { .. }) {
@@ -151,7 +151,7 @@
                 // all its callers have disconnected, no request fails on a broken connection.
                 entry.probe_liveness(server);
             }
-            Attempt::NotSent(error.to_string())
+            AttemptOutcome::NotSent(error.to_string())
         })
     }
 
@@ -187,8 +187,9 @@
         server: &Server,
         connection: &mut Connection,
         request: Request<ResponseBody>,
-    ) -> Result<(response::Parts, Received), Attempt> {
-        let connection_lost = |error: hyper::Error| Attempt::ConnectionLost(error.to_string());
+    ) -> Result<(response::Parts, Received), AttemptOutcome> {
+        let connection_lost =
+            |error: hyper::Error| AttemptOutcome::ConnectionLost(error.to_string());
         let response = connection.send(request).await.map_err(connection_lost)?;
         let (head, body) = response.into_parts();
         // A notice is about the server, so it counts even if the response belongs to another
@@ -196,20 +197,22 @@
         entry.note_notice(server, headers::notice(head.status, &head.headers));
         let id = header_text(&head.headers, headers::REQUEST_ID.as_str()).unwrap_or_default();
         if id != self.request_id {
-            return Err(Attempt::Unknown(
+            return Err(AttemptOutcome::Unknown(
                 "the response has the id of another request".to_owned(),
             ));
         }
         // A rate limit counts only if the response belongs to this request: another one may be old.
         entry.note_advertised_limit(server, headers::reported_limit(head.status, &head.headers));
         if headers::says_not_run(head.status, &head.headers) {
-            return Err(Attempt::NotRun(head.status));
+            return Err(AttemptOutcome::NotRun(head.status));
         }
         if head.status.is_success() && !head.headers.contains_key(headers::SIGNATURE) {
-            return Err(Attempt::Unknown("the response has no signature".to_owned()));
+            return Err(AttemptOutcome::Unknown(
+                "the response has no signature".to_owned(),
+            ));
         }
         if head.headers.contains_key(header::CONTENT_ENCODING) {
-            return Err(Attempt::Unknown(
+            return Err(AttemptOutcome::Unknown(
                 "the response has a content encoding".to_owned(),
             ));
         }
@@ -218,7 +221,7 @@
                 "the server answered {} without stating that the request did not run",
                 head.status
             );
-            return Err(Attempt::Unknown(reason));
+            return Err(AttemptOutcome::Unknown(reason));
         }
         let received = receive(body, MemoryReservation::default(), &entry.body_memory).await;
         let received = received.map_err(connection_lost)?;
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -6,7 +6,7 @@
 use tokio::time;
 
 use super::{
-    attempt::Attempt,
+    attempt::AttemptOutcome,
     body::Payload,
     head::{plain_text, refusal},
 };
@@ -151,16 +151,20 @@
             };
             self.last = Some(server.clone());
             let ended = match self.attempt(entry, &server, payload).await {
-                Attempt::Answered(response) => Some(self.answered(entry, response)),
-                Attempt::NotSent(reason) => self.not_sent(entry, payload, &server, &reason).await,
-                Attempt::Rests => None,
-                Attempt::NotRun(status) => self.not_run(entry, payload, &server, status).await,
-                Attempt::Unknown(reason) => self.unknown(entry, payload, &server, reason),
-                Attempt::ConnectionLost(reason) => {
+                AttemptOutcome::Answered(response) => Some(self.answered(entry, response)),
+                AttemptOutcome::NotSent(reason) => {
+                    self.not_sent(entry, payload, &server, &reason).await
+                }
+                AttemptOutcome::Rests => None,
+                AttemptOutcome::NotRun(status) => {
+                    self.not_run(entry, payload, &server, status).await
+                }
+                AttemptOutcome::Unknown(reason) => self.unknown(entry, payload, &server, reason),
+                AttemptOutcome::ConnectionLost(reason) => {
                     entry.probe_liveness(&server);
                     self.unknown(entry, payload, &server, reason)
                 }
-                Attempt::TimedOut => Some(self.timed_out(entry, &server)),
+                AttemptOutcome::TimedOut => Some(self.timed_out(entry, &server)),
             };
             if let Some(response) = ended {
                 return response;
