--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -249,7 +249,7 @@
             return false;
         }
         for (service, rows) in held {
-            self.view.hold(&service, rows);
+            self.view.put_holdings(&service, rows);
         }
         true
     }
--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -167,7 +167,7 @@
             self.apply_known_host(*host);
         }
         for (service, rows) in snapshot.holdings() {
-            self.view.hold(&service, rows);
+            self.view.put_holdings(&service, rows);
         }
         self.note_known(FollowedTable::Own, snapshot);
         self.view.set_hosts_known();
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -180,7 +180,7 @@
             log::warn!("cannot decode holdings in row {row}: {error}");
         }
         for (service, rows) in held {
-            self.view.hold(&service, rows);
+            self.view.put_holdings(&service, rows);
         }
     }
 }
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -159,8 +159,8 @@
     }
 
     /// Applies rows of holdings of a service, unless newer ones are known.
-    pub fn hold(&self, service: &Arc<str>, rows: Vec<(KeyPartition, HoldingsRow)>) {
-        if self.owners.hold(service, rows) {
+    pub fn put_holdings(&self, service: &Arc<str>, rows: Vec<(KeyPartition, HoldingsRow)>) {
+        if self.owners.put_holdings(service, rows) {
             self.changed.send_modify(|count| *count += 1);
         }
     }
