--- a/src/entry/duty/mod.rs
+++ b/src/entry/duty/mod.rs
@@ -275,7 +275,7 @@
             writer.row_version = version;
             writer.confirmation += 1;
             self.duty.confirmed_ms.store(sent_ms, Ordering::Relaxed);
-            self.note_store_answer(clock::now_ms());
+            self.note_store_response(clock::now_ms());
             return;
         }
         // The write may have failed, taken effect without a response, or met a row that another
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -198,7 +198,7 @@
             .await
         {
             Ok(rows) => {
-                self.note_store_answer(clock::now_ms());
+                self.note_store_response(clock::now_ms());
                 rows.rows
             }
             Err(error) => {
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -212,7 +212,7 @@
             self.peers.send(&Message::Stopped { term }, &[from]);
         }
         if self.peers.note_holder(from, term) {
-            self.note_store_answer(self.freshness.note_announced(updates));
+            self.note_store_response(self.freshness.note_announced(updates));
             self.hot_keys.note_announced(hot, clock::now_ms());
         }
     }
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -129,7 +129,7 @@
         // The later state wins, whichever way it arrived.
         self.view.evacuate(evacuations);
         if let Some(answered_ms) = self.freshness.note_relay_report(nonce, updates) {
-            self.note_store_answer(answered_ms);
+            self.note_store_response(answered_ms);
         }
     }
 }
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -259,7 +259,7 @@
 
     /// Records an answer of the store at a time. Returns the time since the answer before it if
     /// that is at least `lapse_ms`, after which servers' entries may have lapsed.
-    pub fn note_store_answer(&self, at_ms: u64, lapse_ms: u64) -> Option<u64> {
+    pub fn note_store_response(&self, at_ms: u64, lapse_ms: u64) -> Option<u64> {
         let now_ms = clock::now_ms();
         let before_ms = self.store_answered_ms.fetch_max(at_ms, Ordering::Relaxed);
         let away_ms = at_ms.saturating_sub(before_ms);
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -301,17 +301,17 @@
 
     /// Records that a feed call was answered.
     fn answered(&self, followed: FollowedTable) {
-        self.note_store_answer(clock::now_ms());
+        self.note_store_response(clock::now_ms());
         if followed == FollowedTable::Servers {
             self.view.set_store_lost(false);
         }
     }
 
     /// Records that the store answered this host or the duty holder.
-    pub(super) fn note_store_answer(&self, at_ms: u64) {
+    pub(super) fn note_store_response(&self, at_ms: u64) {
         let lapse_ms = MISSED_HEARTBEATS * self.settings.store.server_heartbeat_ms;
         let lapse_ms = lapse_ms.max(FollowedTable::NOTICED_MS);
-        if let Some(away_ms) = self.view.note_store_answer(at_ms, lapse_ms) {
+        if let Some(away_ms) = self.view.note_store_response(at_ms, lapse_ms) {
             Event::StoreBack { away_ms }.log();
         }
     }
@@ -329,7 +329,7 @@
         let asked_ms = clock::now_ms();
         match self.read_table(followed).await {
             Ok(rows) => {
-                self.note_store_answer(clock::now_ms());
+                self.note_store_response(clock::now_ms());
                 let version = rows.version;
                 if self.duty.term() > 0 {
                     self.broadcast_difference(followed, &rows);
