--- a/src/entry/duty/change.rs
+++ b/src/entry/duty/change.rs
@@ -45,7 +45,7 @@
                 Vec::new()
             }
             Self::CompleteMoves(fences) => {
-                assignment.settle(fences);
+                assignment.complete_moves(fences);
                 Vec::new()
             }
             Self::Assign(all) => all
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -288,7 +288,7 @@
     }
 
     /// Notes that the former servers of the holdings with these fences no longer hold the keys.
-    pub fn settle(&mut self, fences: &[u64]) {
+    pub fn complete_moves(&mut self, fences: &[u64]) {
         for holding in &mut self.holdings {
             if fences.contains(&holding.fence) {
                 holding.from = None;
