--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -44,10 +44,10 @@
 
     /// Refuses a request during which several servers have crashed. The time is not capped: an
     /// earlier retry would be refused as well.
-    pub fn quarantined(rest_ms: u64) -> Self {
+    pub fn quarantined(remaining_ms: u64) -> Self {
         Self {
             reason: "several servers have ended under the request",
-            retry_after_ms: rest_ms,
+            retry_after_ms: remaining_ms,
         }
     }
 
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -103,8 +103,8 @@
 
     /// Refuses a request that is in quarantine.
     fn check_quarantine(&self, entry: &Entry) -> Result<(), Refused> {
-        match entry.crashes.rest_ms(self.digests) {
-            Some(rest_ms) => Err(Refused::quarantined(rest_ms)),
+        match entry.crashes.remaining_ms(self.digests) {
+            Some(remaining_ms) => Err(Refused::quarantined(remaining_ms)),
             None => Ok(()),
         }
     }
@@ -231,7 +231,7 @@
             Hold::For(room_ms) => Ok(room_ms),
             Hold::Refuse if rest.wait == MoveWait::Lease => {
                 let reason = "the key waits for the lease of a lost server to end";
-                Err(Refused::after(reason, rest.rest_ms, policy))
+                Err(Refused::after(reason, rest.remaining_ms, policy))
             }
             Hold::Refuse => {
                 let reason = "the key is on its way to another server";
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -176,7 +176,7 @@
 
     /// Adds rows with holdings of a service and drops the announced grants that they include.
     /// Returns false if none of the rows is new.
-    pub fn hold(&self, service: &Arc<str>, rows: Vec<(KeyPartition, HoldingsRow)>) -> bool {
+    pub fn put_holdings(&self, service: &Arc<str>, rows: Vec<(KeyPartition, HoldingsRow)>) -> bool {
         let mut held_map = self.held_map();
         let held = held_map.entry(service.clone()).or_default();
         if !held.merge(rows) {
