--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -1,5 +1,5 @@
 //! Broadcasts changes of server entries and configurations from the duty holder to the other hosts,
-//! so that not every host reads them from the store: calls are priced. The duty holder also reports
+//! so that not every host reads them from the store: calls are billed. The duty holder also reports
 //! the version up to which it has read each table, so that a host that missed a change notices and
 //! queries the store.
 
@@ -191,7 +191,7 @@
         })
     }
 
-    /// Applies the configuration that another host has answered with.
+    /// Applies the configuration in another host's response.
     pub(super) fn apply_known_configuration(&self, known: SnapshotConfiguration) {
         self.view.evacuate(known.evacuations);
         let applied = self.freshness.applied(FollowedTable::Configuration);
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -20,8 +20,8 @@
     platform::{headers, store::Feed},
 };
 
-/// Queries of the duty holder within the bound on revocations: how many times the confirmation is
-/// refreshed before it would be too old.
+/// Number of queries to the duty holder within the bound on revocations. Each refreshes the
+/// confirmation before it is too old.
 const PROOF_REQUESTS_PER_BOUND: u64 = 8;
 /// Age of the confirmation, in percent of the bound on revocations, from which a host queries the
 /// store itself.
@@ -99,7 +99,7 @@
     }
 
     /// Queries the duty holder for the age of its confirmed configuration. The nonce matches the
-    /// answer to the time of this query.
+    /// response to the time of this query.
     fn query_confirmation(&self) {
         let nonce = rand::random();
         self.proof.ask(nonce, clock::now_ms());
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Returns how old this host's confirmed configuration is, as the answer to another host's
+    /// Returns how old this host's confirmed configuration is, as the response to another host's
     /// query. `None` if it was never confirmed.
     pub(super) fn confirmation_for(&self, nonce: u64) -> Option<Message> {
         let age_ms = self.proof.age_ms(clock::now_ms())?;
@@ -147,7 +147,7 @@
         })
     }
 
-    /// Notes another host's answer. It counts only if this host has a configuration at least as
+    /// Records another host's response. It counts only if this host has a configuration at least as
     /// recent as that host's.
     pub(super) fn note_confirmation(&self, nonce: u64, age_ms: u32, changed: u64) {
         if self.freshness.changed(FollowedTable::Configuration) >= changed {
--- a/src/entry/crashes/broken_connections.rs
+++ b/src/entry/crashes/broken_connections.rs
@@ -1,4 +1,4 @@
-//! Broken connections to one server, and whether a probe found that the server had crashed.
+//! Broken connections to one server, and the result of its liveness probes.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -21,7 +21,7 @@
 }
 
 impl BrokenConnections {
-    /// Notes a broken or refused connection; returns true if the caller must probe the server. A
+    /// Records a broken or refused connection; returns true if the caller must probe the server. A
     /// server known to have crashed is not probed again until it has answered since
     /// (`answered_ms`).
     pub fn note(&self, answered_ms: u64) -> bool {
@@ -34,7 +34,7 @@
         !std::mem::replace(&mut state.is_probed, true)
     }
 
-    /// Notes the result of a liveness probe.
+    /// Records the result of a liveness probe.
     pub fn end_probe(&self, has_crashed: bool) {
         let mut state = self.state();
         state.is_probed = false;
--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! A host whose connections to a server break probes whether the server has crashed. It then
 //! reports to the other hosts which of its requests were in flight there: the suspects. All hosts
-//! count this evidence, by caller and across callers. While one server has crashed under a request,
-//! only one host at a time may try it. With enough crashes the request is quarantined: the duty
-//! holder names it in each heartbeat and keeps it in the store. So a request that is retried at any
-//! host, even after the loss of all hosts, reaches no further server.
+//! count this evidence, by caller and across callers. While one server has crashed during a
+//! request, only one host at a time may run it, as a trial. With enough crashes the request is
+//! quarantined: the duty holder names it in each heartbeat and keeps it in the store. So a request
+//! that is retried at any host, even after the loss of all hosts, reaches no further server.
 
 pub mod broken_connections;
 mod probe;
@@ -40,7 +40,8 @@
 
 /// Interval at which crash reports are sent again.
 const RESEND_INTERVAL_MS: u64 = 500;
-/// Most quarantined requests that a heartbeat names, the latest ones: 320 bytes. The store has all.
+/// Maximum number of quarantined requests in a heartbeat, which names the latest ones: 320 bytes.
+/// The store has all of them.
 const HEARTBEAT_DIGESTS_MAX: usize = 32;
 
 /// Crash reports, evidence and quarantine of a host.
@@ -74,7 +75,7 @@
             .max()
     }
 
-    /// Returns true if a server has crashed under a request, which may crash the next one too.
+    /// Returns true if a server has crashed during a request, which may crash the next one too.
     pub fn is_suspect(&self, digests: RequestDigests) -> bool {
         let now_ms = clock::now_ms();
         let tally = lock(&self.tally);
@@ -83,7 +84,7 @@
             || lock(&self.path_tally).is_suspect(digests.content, now_ms)
     }
 
-    /// Returns true if a server has crashed under a request for the same path, and no server has
+    /// Returns true if a server has crashed during a request for the same path, and no server has
     /// answered one since.
     pub fn is_path_suspect(&self, digests: RequestDigests) -> bool {
         lock(&self.path_tally).is_suspect(digests.any_path, clock::now_ms())
@@ -132,7 +133,7 @@
         self.put_in_quarantine(&crossed_threshold, "servers ended under it");
     }
 
-    /// Notes that a server has answered a request sent at `sent_ms` with success, so that the
+    /// Records that a server has answered a request sent at `sent_ms` with success, so that the
     /// request did not cause earlier crashes; announces it to all hosts if the request was suspect.
     pub(in crate::entry) fn note_success(&self, digests: RequestDigests, sent_ms: u64) {
         let sent_ago_ms = clock::now_ms().saturating_sub(sent_ms) as u32;
@@ -163,7 +164,7 @@
     }
 
     /// Claims the trial of a suspect request at a server: waits until the other hosts have had time
-    /// to claim the request or the server too. `Err` holds the time after which to try again.
+    /// to claim the request or the server too. `Err` holds the time after which to retry.
     pub(in crate::entry) async fn claim_trial(
         &self,
         digests: RequestDigests,
@@ -224,12 +225,12 @@
         self.peers.send_to_all(Message::TrialPassed(claimed));
     }
 
-    /// Notes another host's claim.
+    /// Records another host's claim.
     pub(in crate::entry) fn note_trial(&self, claimed: ClaimSubject, host: SocketAddr) {
         lock(&self.crashes.trials).note(claimed, host, clock::now_ms());
     }
 
-    /// Ends a claim: the server answered the trial, so that the next suspect may be tried there.
+    /// Ends a claim: the server answered the trial, so that the next suspect may run there.
     pub(in crate::entry) fn note_trial_end(&self, claimed: ClaimSubject) {
         lock(&self.crashes.trials).end(claimed);
     }
@@ -278,7 +279,7 @@
                 self.send_crash_report(report);
             }
             let pause = Duration::from_millis(RESEND_INTERVAL_MS);
-            // Reports that are due are sent, whether a crash or the timeout ended the wait.
+            // Reports that are due are sent after a crash and after the timeout.
             if time::timeout(pause, self.crashes.crashed.notified())
                 .await
                 .is_ok()
--- a/src/entry/crashes/probe.rs
+++ b/src/entry/crashes/probe.rs
@@ -44,7 +44,7 @@
         });
     }
 
-    /// Notes that a server has crashed, and reports the requests of this host that were in flight
+    /// Records that a server has crashed, and reports the requests of this host that were in flight
     /// there.
     fn note_crash(&self, server: &Server) {
         let suspects = server.suspects();
--- a/src/entry/crashes/reports.rs
+++ b/src/entry/crashes/reports.rs
@@ -4,7 +4,7 @@
 
 /// Times that a report is sent: datagrams may be lost.
 const SEND_TIMES: u32 = 3;
-/// Most reports that are kept for later duty holders, the latest ones.
+/// Maximum number of reports that are kept for later duty holders; the oldest are dropped.
 const REPORTS_MAX: usize = 64;
 
 /// Requests in flight at a server when it crashed.
--- a/src/entry/crashes/stored.rs
+++ b/src/entry/crashes/stored.rs
@@ -68,7 +68,7 @@
     pub(in crate::entry) async fn keep_quarantine_stored(self: Arc<Self>) {
         loop {
             let pause = Duration::from_millis(STORE_CHECK_INTERVAL_MS);
-            // The row is compared, whether a quarantined request or the timeout ended the wait.
+            // The row is compared after a request was quarantined and after the timeout.
             if time::timeout(pause, self.crashes.quarantined.notified())
                 .await
                 .is_ok()
--- a/src/entry/decide/admission.rs
+++ b/src/entry/decide/admission.rs
@@ -63,17 +63,17 @@
     policy.late_may_queue && in_time
 }
 
-/// Returns true if an idle server has been left alone for as long as its run time is thought to be,
-/// so that one request tests the estimate. Otherwise one response slower than the deadline would
-/// keep all requests from an idle server until the sample expires after 6 s; with the probe, this
-/// lasts only as long as that response took.
+/// Returns true if an idle server has had no attempt for as long as its estimated run time, so that
+/// one request tests the estimate. Otherwise one response slower than the deadline would keep all
+/// requests from an idle server until the sample expires after 6 s; with the probe, this lasts only
+/// as long as that response took.
 fn is_due_for_probe(server: &Candidate) -> bool {
     server.load == 0 && server.since_outcome_ms as f64 >= server.run_ms
 }
 
-/// Returns the requests a second that a server can run. A server without samples counts as typical,
-/// and a measured run time is clamped to the range in which servers of a service differ: very fast
-/// responses may be failures, and slow ones include time in a queue.
+/// Returns the requests per second that a server can run. A server without samples counts as
+/// typical, and a measured run time is clamped to the range in which servers of a service differ:
+/// very fast responses may be failures, and slow ones include time in a queue.
 pub fn capacity_per_s(server: &Candidate, typical_ms: f64) -> f64 {
     let least_ms = typical_ms * RUN_SHARE_MIN;
     let most_ms = typical_ms * RUN_SHARE_MAX;
--- a/src/entry/decide/attempt_stats.rs
+++ b/src/entry/decide/attempt_stats.rs
@@ -1,11 +1,11 @@
 //! Statistics of a server from the attempts of one host: run time, failures and failed connections.
-//! Old samples lose weight, so that a server that was avoided is tried again.
+//! Old samples lose weight, so that a server that was avoided gets requests again.
 
 /// Weight of a new sample in the moving average of run times.
 const RUN_SAMPLE_WEIGHT: f64 = 0.2;
 /// Weight of a new outcome in the moving share of failures.
 const FAILURE_SAMPLE_WEIGHT: f64 = 0.15;
-/// Half-life of the samples of a server, so that a server that was avoided is tried again.
+/// Half-life of the samples of a server, so that a server that was avoided gets requests again.
 const FORGET_HALF_MS: f64 = 3_000.0;
 /// Pause after the first failed connect; it doubles with each further one in a row.
 const PAUSE_FIRST_MS: u64 = 200;
@@ -69,7 +69,7 @@
         };
     }
 
-    /// Records an attempt that was shed, broke off or timed out.
+    /// Records an attempt that was shed, lost its connection or timed out.
     pub fn failed(&mut self, now_ms: u64) {
         self.note_outcome(1.0, now_ms);
     }
--- a/src/entry/decide/budget.rs
+++ b/src/entry/decide/budget.rs
@@ -1,4 +1,4 @@
-//! Retry budget by service. All hosts share one allowance without coordination: each takes a fixed
+//! Retry budget by service. All hosts share one allowance without coordination: each uses a fixed
 //! part of it, with headroom for an uneven load balancer.
 
 use std::{
@@ -8,9 +8,9 @@
 
 use crate::entry::bounds::Bounds;
 
-/// Part of the permitted ratio of retries that is used, to stay clear of the bound.
+/// Share of the permitted ratio of retries that hosts use; the remainder is a margin.
 const RATIO_USED: f64 = 0.9;
-/// Part of the fixed allowance that all hosts together use.
+/// Share of the fixed allowance that all hosts together use.
 const ALLOWANCE_USED: f64 = 0.6;
 
 #[derive(Clone, Copy, Debug)]
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Adds the tokens that a first attempt earns.
+    /// Adds the tokens that a request's first attempt adds to the bucket of its service.
     pub fn request(&self, service: &Arc<str>, hosts: usize, now_ms: u64) {
         let most = self.burst(hosts);
         let mut buckets = self.buckets();
--- a/src/entry/decide/choice.rs
+++ b/src/entry/decide/choice.rs
@@ -4,11 +4,11 @@
 
 use super::{Candidate, Demand, Policy, admission};
 
-/// Largest number of servers with room that are compared for one request, used while at most
+/// Maximum number of servers with room that are compared for one request, used while at most
 /// [`FEW_HOSTS`] hosts choose among the same servers. With more hosts, each host's data on the load
 /// by other hosts is older, and all hosts would choose the same few servers; so the number falls,
 /// down to a few servers drawn at random. In a simulation at 1.25 times the capacity of 11 servers,
-/// 25 hosts earned 0.87 of the possible value with ten servers compared and 0.92 with three.
+/// 25 hosts achieved 0.87 of the possible value with ten servers compared and 0.92 with three.
 const CANDIDATES_MAX: usize = 24;
 const CANDIDATES_MIN: usize = 3;
 const FEW_HOSTS: usize = 3;
--- a/src/entry/decide/crash_tally.rs
+++ b/src/entry/decide/crash_tally.rs
@@ -1,7 +1,7 @@
 //! Tally of the requests that were in flight when servers crashed. A request may crash each server
 //! that begins to run it: its caller sends it again, it is forwarded to the next server, and a
 //! service loses one server after the other. Each crash leaves a dozen suspect requests, and only
-//! the one that causes the crashes is among them again and again.
+//! the one that causes the crashes is among them each time.
 //!
 //! Without the tally, one request that was sent every 0.3 s crashed 14 of the 14 servers that it
 //! could reach, each with all its requests in flight (simulated with three hosts,
@@ -25,7 +25,7 @@
 /// Time for which a crash counts as evidence. A request that causes crashes is sent again after
 /// seconds to minutes; a longer time gathers more coincidences.
 const EVIDENCE_MS: u64 = 15 * 60 * 1_000;
-/// Largest number of suspects, 200 KB. The loss of a zone of 216 servers leaves about 2,600.
+/// Maximum number of suspects, 200 KB. The loss of a zone of 216 servers leaves about 2,600.
 const SUSPECTS_MAX: usize = 4_096;
 /// Number of suspects kept when there are too many, so that not every crash sorts all of them.
 const SUSPECTS_KEPT: usize = 3_072;
--- a/src/entry/decide/first.rs
+++ b/src/entry/decide/first.rs
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Returns true if the keys should be distributed over the current servers. If requests have
-    /// already arrived, they are not made to wait.
+    /// Returns true if the keys should be distributed over the current servers. Requests that have
+    /// already arrived end the wait.
     pub fn is_over(&mut self, servers: usize, requested: bool, now_ms: u64) -> bool {
         if self.servers != servers {
             self.servers = servers;
--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -13,7 +13,7 @@
 use super::{Policy, key_loads::KeyLoads, plan::PlanServer};
 use crate::entry::keys::Assignment;
 
-/// Largest number of hot keys in one message.
+/// Maximum number of hot keys in one message.
 const HOT_MAX: usize = 40;
 /// Time for which an announcement of the duty holder is valid; one is sent every 0.3 s.
 const ANNOUNCED_KEPT_MS: u64 = 1_000;
@@ -25,9 +25,9 @@
     pub service_tag: u32,
     /// The key, by its index within the service.
     pub key: u16,
-    /// Requests a second of all hosts for the key.
+    /// Requests per second of all hosts for the key.
     pub load_per_s: f32,
-    /// Requests a second that the key's server can serve.
+    /// Requests per second that the key's server can serve.
     pub capacity_per_s: f32,
 }
 
--- a/src/entry/decide/key_loads.rs
+++ b/src/entry/decide/key_loads.rs
@@ -5,7 +5,7 @@
 /// Number of keys of a service.
 pub const KEYS: usize = 1 << 16;
 
-/// Smoothed requests a second by key.
+/// Smoothed requests per second by key.
 #[derive(Clone, Debug)]
 pub struct KeyLoads {
     per_s: Vec<f32>,
@@ -31,7 +31,7 @@
 
 impl KeyCounts {
     /// Share of the long-term average that is kept from one interval to the next: a half-life of
-    /// 2.7 s at ten intervals a second.
+    /// 2.7 s at ten intervals per second.
     const SLOW_KEPT: f32 = 0.975;
     /// Share of the short-term average that is kept: a half-life of 0.3 s.
     const FAST_KEPT: f32 = 0.8;
@@ -45,8 +45,8 @@
         self.fast.decay(Self::FAST_KEPT);
     }
 
-    /// Adds requests for a key that arrived within one interval, of which there are `per_s` a
-    /// second.
+    /// Adds the requests for a key that arrived in one interval; `per_s` is the number of intervals
+    /// per second.
     pub fn add(&mut self, key: u16, requests: u16, per_s: f32) {
         // Summed over the decaying series, a request counted once contributes this rate.
         let rate = f32::from(requests) * per_s;
@@ -92,18 +92,18 @@
         }
     }
 
-    /// Adds load to a key, in requests a second.
+    /// Adds load to a key, in requests per second.
     pub fn add(&mut self, key: u16, per_s: f32) {
         self.per_s[usize::from(key)] += per_s;
     }
 
-    /// Returns the load of a range, in requests a second.
+    /// Returns the load of a range, in requests per second.
     pub fn of(&self, range: KeyRange) -> f64 {
         let keys = &self.per_s[range.indices()];
         keys.iter().map(|load| f64::from(*load)).sum()
     }
 
-    /// Returns the load of a key, in requests a second.
+    /// Returns the load of a key, in requests per second.
     pub fn key(&self, key: u16) -> f64 {
         f64::from(self.per_s[usize::from(key)])
     }
--- a/src/entry/decide/notices.rs
+++ b/src/entry/decide/notices.rs
@@ -6,8 +6,8 @@
 use super::rate_limit::RateLimit;
 use crate::entry::model::Notice;
 
-/// Longest rest that is accepted. A server that wants no requests for longer is as good as gone,
-/// and a corrupt value must not keep it idle forever.
+/// Longest rest that is accepted. A longer rest amounts to leaving, and a corrupt value must not
+/// keep a server idle forever.
 const REST_MAX_MS: u64 = 10 * 60 * 1_000;
 
 /// Changes in a host's knowledge of a server by one notice.
--- a/src/entry/decide/pace.rs
+++ b/src/entry/decide/pace.rs
@@ -4,7 +4,8 @@
 
 /// Weight of a new report in the mean pace of a server.
 const MEAN_SAMPLE_WEIGHT: f64 = 0.05;
-/// Bounds of the relative pace, so that no report makes a server look free of cost or useless.
+/// Bounds of the relative pace, so that no report makes a server appear to cost nothing or to be
+/// unusable.
 const RELATIVE_PACE_MIN: f64 = 0.3;
 const RELATIVE_PACE_MAX: f64 = 5.0;
 
--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -1,6 +1,6 @@
-//! Tally of the requests of many callers that were in flight when servers crashed. What crashes a
-//! server may be a path or content, whoever requests it. Then each caller's request is a new
-//! suspect, and a service loses one server for every caller.
+//! Tally of the requests of many callers that were in flight when servers crashed. A path or
+//! content may crash servers regardless of the caller. Then each caller's request is a new suspect,
+//! and a service loses one server for every caller.
 //!
 //! Refusing a path for all callers is costly if it is harmless, so it takes more evidence than
 //! refusing one caller's request: crashes during the requests of two callers, and no later request
@@ -25,11 +25,11 @@
 const SERVERS_NEEDED: usize = 2;
 /// Number of servers that must have crashed during different requests for a path.
 const SERVERS_NEEDED_BY_PATH: usize = 3;
-/// Least time from the first of the crashes to the last: a harmless request succeeds in between.
+/// Minimum time from the first of the crashes to the last: a harmless request succeeds in between.
 const SPAN_MIN_MS: u64 = 1_000;
 /// Time for which a crash counts as evidence.
 const EVIDENCE_MS: u64 = 15 * 60 * 1_000;
-/// Largest number of suspects, 400 KB; those with the least and oldest evidence are dropped first.
+/// Maximum number of suspects, 400 KB; those with the least and oldest evidence are dropped first.
 const SUSPECTS_MAX: usize = 4_096;
 
 /// Part of a request that a caller-independent digest covers.
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -8,7 +8,7 @@
 };
 use crate::entry::keys::{Assignment, Holding, KeyRange};
 
-/// Least load, in requests a second, for which a move is worth its cost.
+/// Minimum load, in requests per second, for which a move is worth its cost.
 const LOAD_MOVED_MIN: f64 = 0.3;
 /// Weight of the number of moved keys against the error in the moved load, since moves are billed
 /// by key: the cost of moving all keys, in multiples of the wanted load.
@@ -19,9 +19,9 @@
 pub struct PlanServer {
     /// Incarnation of the server.
     pub id: Arc<str>,
-    /// Requests a second that the server can run within its advertised rate limit.
+    /// Requests per second that the server can run within its advertised rate limit.
     pub capacity_per_s: f64,
-    /// Requests a second that the server could run without a rate limit.
+    /// Requests per second that the server could run without a rate limit.
     pub unlimited_per_s: f64,
 }
 
@@ -47,7 +47,7 @@
     pub loads: &'a KeyLoads,
     /// Ranges that are already being moved; they are left alone.
     pub moving: &'a [KeyRange],
-    /// Largest number of moves for balance in one plan.
+    /// Maximum number of moves for balance in one plan.
     pub balance_moves_max: usize,
     /// Keys that get more requests than their server can serve.
     pub hot: &'a [u16],
@@ -59,7 +59,7 @@
     inputs: Inputs<'a>,
     /// Hot keys, each with the server that holds it.
     hot: Vec<(u16, Arc<str>)>,
-    /// Load by server, in requests a second, including the planned moves.
+    /// Load by server, in requests per second, including the planned moves.
     used: HashMap<Arc<str>, f64>,
     holdings: Vec<Holding>,
     moves: Vec<Move>,
--- a/src/entry/decide/policy.rs
+++ b/src/entry/decide/policy.rs
@@ -23,8 +23,8 @@
     /// Random part of a server's cost, so that hosts with the same data do not all choose the same
     /// server.
     pub jitter: f64,
-    /// Most requests at a server, as a multiple of its slots; at this load it gets no more. Servers
-    /// queue about four times their slots, and reset or shed requests beyond that.
+    /// Maximum number of requests at a server, as a multiple of its slots; at this load it gets no
+    /// more. Servers queue about four times their slots, and reset or shed requests beyond that.
     pub load_max_factor: u32,
     /// Share of the time until the latency objective within which the response to a new request
     /// must be expected.
@@ -55,10 +55,11 @@
     pub hot_admitted: f64,
     /// True if a hot key gets the fastest server to itself.
     pub hot_alone: bool,
-    /// Least ratio of the fastest server's capacity to that of a hot key's server for which the key
-    /// moves: a move delays or fails some requests, and capacities are estimates.
+    /// Minimum ratio of the fastest server's capacity to that of a hot key's server for which the
+    /// key moves: a move delays or fails some requests, and capacities are estimates.
     pub hot_faster: f64,
-    /// Shortest time after which a refused caller should retry. Nothing changes sooner.
+    /// Shortest time after which a refused caller should retry. An earlier retry would find nothing
+    /// changed.
     pub return_min_ms: u64,
     /// Time after which a caller should retry whose request was shed by a server with free slots:
     /// that server has no queue to drain.
--- a/src/entry/decide/quarantine.rs
+++ b/src/entry/decide/quarantine.rs
@@ -12,7 +12,7 @@
 /// are harmless. The evidence lasts longer than this quarantine, so afterwards one host runs a
 /// trial: success clears the suspect, and another crash returns it to quarantine.
 pub const ANY_CALLER_QUARANTINE_MS: u64 = 10 * 60 * 1_000;
-/// Largest number of requests in quarantine, which keeps their row in the store under 5 KB. Beyond
+/// Maximum number of requests in quarantine, which keeps their row in the store under 5 KB. Beyond
 /// it the oldest ones are released.
 const QUARANTINED_MAX: usize = 256;
 
--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -1,11 +1,11 @@
 //! Quotas of workspaces, which are enforced by all hosts together.
 //!
 //! A workspace's callers may send more requests than its quota, through any hosts. Hundreds of
-//! hosts receive less than one request a second each from most workspaces, so a fixed part of the
+//! hosts receive less than one request per second each from most workspaces, so a fixed part of the
 //! quota for each host would refuse requests that are within the quota. Instead every host reports
 //! the requests that it received and sent on; the duty holder keeps one [`Ledger`] for each
 //! workspace and announces the share of its requests that hosts may admit. A host that receives no
-//! announcements goes on with the last one ([`HostShare`]).
+//! announcements continues to use the last one ([`HostShare`]).
 
 use serde::{Deserialize, Serialize};
 
@@ -14,7 +14,7 @@
 /// Request rate that a workspace is entitled to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Sustained rate, in requests a second.
+    /// Sustained rate, in requests per second.
     pub per_s: f64,
     /// Number of requests above that rate that may be sent at once.
     pub burst: f64,
@@ -34,7 +34,7 @@
 pub struct AdmittedShare {
     /// Probability with which a request is admitted, from 0 to 1.
     pub share: f32,
-    /// Requests a second that the workspace's callers send to all hosts.
+    /// Requests per second that the workspace's callers send to all hosts.
     pub asked_per_s: f32,
 }
 
@@ -163,7 +163,7 @@
         if context.is_confirmed {
             return point < share;
         }
-        // A share close to 0 proves little, since the host may have received few requests at that
+        // A share close to 0 is not reliable, since the host may have received few requests at that
         // time; so the share is at least that of an average host.
         let demand_share = self
             .demand_share
--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -1,7 +1,7 @@
-//! Rate limits that servers advertise in their responses: the requests a second that a server
+//! Rate limits that servers advertise in their responses: the requests per second that a server
 //! accepts from all hosts together, for as long as it advertises the limit.
 
-/// Least rate at which a limited server gets probe requests, so that the end of a limit of 0 is
+/// Minimum rate at which a limited server gets probe requests, so that the end of a limit of 0 is
 /// noticed. The probe rate doubles after each [`PROBE_AFTER_MS`] without a new advertisement, up to
 /// the maximum, which is within the users' bound in any case.
 const PROBE_MIN_PER_S: f64 = 0.25;
@@ -20,7 +20,7 @@
 /// Rate limit that a server advertised in a response, with the time of the response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdvertisedLimit {
-    /// Requests a second from all hosts together; `None` if there is no limit.
+    /// Requests per second from all hosts together; `None` if there is no limit.
     pub per_s: Option<f64>,
     /// Arrival time of the response, by this host's clock.
     pub at_ms: u64,
@@ -61,7 +61,7 @@
         self.latest = Some(advertised);
     }
 
-    /// Returns the limit in requests a second; `None` if there is none.
+    /// Returns the limit in requests per second; `None` if there is none.
     pub fn per_s(&self) -> Option<f64> {
         self.latest?.per_s
     }
@@ -72,7 +72,7 @@
         latest.is_some_and(|advertised| now_ms >= advertised.at_ms + PROBE_AFTER_MS)
     }
 
-    /// Returns the rate that hosts share, in requests a second, including probes; `None` if there
+    /// Returns the rate that hosts share, in requests per second, including probes; `None` if there
     /// is no limit.
     pub fn shared_per_s(&self, now_ms: u64) -> Option<f64> {
         let latest = self.latest?;
@@ -82,9 +82,9 @@
         Some(latest.per_s?.max(probe_per_s))
     }
 
-    /// Returns the limit that the planner assumes, in requests a second. A server without a recent
-    /// advertisement may hold no keys whose requests would bring one, so the assumed limit doubles
-    /// after each [`PLAN_PROBE_AFTER_MS`].
+    /// Returns the limit that the planner assumes, in requests per second. A server without a
+    /// recent advertisement may hold no keys whose requests would bring one, so the assumed limit
+    /// doubles after each [`PLAN_PROBE_AFTER_MS`].
     pub fn planned_per_s(&self, now_ms: u64) -> Option<f64> {
         let latest = self.latest?;
         let silent_ms = now_ms.saturating_sub(latest.at_ms);
--- a/src/entry/decide/rate_meter.rs
+++ b/src/entry/decide/rate_meter.rs
@@ -1,6 +1,6 @@
 //! Rate of requests, averaged over the last seconds.
 
-/// Time constant of the average. A host with ten requests a second measures its rate to within a
+/// Time constant of the average. A host with ten requests per second measures its rate to within a
 /// third; a longer time would detect surges, and keys that have moved to another server, too late.
 const MEMORY_MS: f64 = 1_000.0;
 
@@ -19,8 +19,8 @@
         self.at_ms = now_ms;
     }
 
-    /// Returns the events a second. The rate is too low in the first two seconds: a correction
-    /// would overrate the first event of a host that has few.
+    /// Returns the events per second. The rate is too low in the first two seconds: a correction
+    /// would give too much weight to the first event of a host that has few.
     pub fn per_s(&self, now_ms: u64) -> f64 {
         self.decayed_weight(now_ms) * 1_000.0 / MEMORY_MS
     }
--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -20,8 +20,8 @@
 /// Share of the limit at which buckets are refilled: higher than that of the draws, so that random
 /// variation does not empty them.
 const BUCKET_SHARE: f64 = 1.1;
-/// Share of the limit on which admission probabilities are based. The rest is headroom for random
-/// variation: a sum that is too low admits too many.
+/// Share of the limit on which admission probabilities are based. The remainder is headroom for
+/// random variation: a sum that is too low admits too many.
 const ADMIT_SHARE: f64 = 0.88;
 /// Capacity of a bucket: a fixed number of tokens, and the refill of [`BURST_S`] seconds.
 const BURST_TOKENS: f64 = 2.0;
@@ -30,7 +30,7 @@
 const SUM_KEPT_MS: u64 = 2_000;
 /// Time for which a host's report counts in a sum.
 const REPORT_KEPT_MS: u64 = 2_000;
-/// Least share of a limit that is reserved for requests that are not urgent.
+/// Minimum share of a limit that is reserved for requests that are not urgent.
 const NON_URGENT_SHARE_MIN: f64 = 0.25;
 
 /// Token bucket for requests.
@@ -63,7 +63,7 @@
 /// A host's share of a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateShare {
-    /// Refill rate of the host's bucket, in tokens a second.
+    /// Refill rate of the host's bucket, in tokens per second.
     pub bucket_per_s: f64,
     /// Probability with which a request is admitted; may exceed 1.
     pub admit_probability: f64,
@@ -73,9 +73,9 @@
 /// are for a service it belongs to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AskedRates {
-    /// All requests a second, including the urgent ones.
+    /// All requests per second, including the urgent ones.
     pub all_per_s: f64,
-    /// Requests a second that are more urgent than others of the service.
+    /// Requests per second that are more urgent than others of the service.
     pub urgent_per_s: f64,
 }
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// Request rates for a server, as one host knows them.
+/// Request rates that callers ask of a server, as one host knows them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Asked {
     /// Rates of this host's callers: all requests, and the urgent ones.
@@ -185,7 +185,7 @@
 }
 
 /// Returns true if a request with the random draw `point` from 0 to 1 is admitted at a server.
-/// `before` is the sum of the probabilities of the servers before it: where all servers are
+/// `before` is the sum of the probabilities of the servers that precede it: where all servers are
 /// limited, a request is admitted at one server, as far as the limits suffice.
 pub fn is_admitted(point: f64, before: f64, admit_probability: f64) -> bool {
     (point - before).rem_euclid(1.0) < admit_probability
--- a/src/entry/decide/rests.rs
+++ b/src/entry/decide/rests.rs
@@ -17,8 +17,8 @@
 const HOSTS_NEEDED_MAX: usize = 4;
 /// Shortest rest that is worth two moves, away and back.
 const REST_MIN_MS: u64 = 300;
-/// Least share of a service's servers that must accept requests. If more than the rest of them
-/// refuse requests, all are overloaded, and moved keys would be no better off.
+/// Minimum share of a service's servers that must accept requests. With fewer, the whole service is
+/// overloaded, and moved keys would be no better off.
 const NOT_RESTING_SHARE_MIN: f64 = 0.5;
 
 /// Rests that servers asked of hosts, kept by the duty holder.
@@ -60,7 +60,7 @@
     }
 }
 
-/// Returns the servers that do not rest, or all servers if too few do not.
+/// Returns the servers that do not rest, or all servers if too many rest.
 pub fn not_resting<T>(mut servers: Vec<T>, rests: impl Fn(&T) -> bool) -> Vec<T> {
     let resting = servers.iter().filter(|server| rests(server)).count();
     let least_awake = servers.len() as f64 * NOT_RESTING_SHARE_MIN;
--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -1,9 +1,9 @@
-//! Time after which a refused caller should retry. Callers obey up to a third of the time that they
-//! have left; each retry that is refused again costs them more than the first refusal.
+//! Time after which a refused caller should retry. Callers wait for at most a third of the time
+//! that they have left; each retry that is refused again costs them more than the first refusal.
 
 use super::{Candidate, Policy, hot_keys::HotKey};
 
-/// Longest time after which a caller is told to retry.
+/// Longest time after which a caller is asked to retry.
 const RETRY_AFTER_MAX_MS: u64 = 5_000;
 /// Time that a host needs after its start to load its configuration.
 const START_RETRY_MS: u64 = 500;
--- a/src/entry/decide/trials.rs
+++ b/src/entry/decide/trials.rs
@@ -1,8 +1,9 @@
 //! Claims that let only one host at a time run a suspect, a request during which a server has
 //! crashed. Attempts of a suspect tend to coincide: while its key has no server they are held or
-//! told to retry, and then would all reach the next server within the 40 ms before it crashes. With
-//! two attempts at each of three hosts every 0.2 s, four of eight runs came later than the contact
-//! time after the third crash; with claims it was one of five (tests/entry_crashes.rs).
+//! asked to retry, and then would all reach the next server within the 40 ms before it crashes.
+//! With two attempts at each of three hosts every 0.2 s, four of eight runs came later than the
+//! contact grace period after the third crash; with claims it was one of five
+//! (tests/entry_crashes.rs).
 //!
 //! Claims also cover the server. If two suspects ran at one server, its crash would be evidence
 //! against both, and the harmless one would be quarantined too.
@@ -18,7 +19,7 @@
 use crate::entry::digest::RequestDigest;
 
 /// Time for which a host waits for the claims of others. Zones are 0.5 to 1.4 ms apart one way by
-/// the users' specifications, regions 12 ms; the rest is for a host that is busy.
+/// the users' specifications, regions 12 ms; the remainder is for a host that is busy.
 pub const CLAIM_WAIT_MS: u64 = 25;
 /// Lifetime of a claim whose outcome is not reported: a run, and the check whether its server has
 /// crashed.
--- a/src/entry/decide/trust.rs
+++ b/src/entry/decide/trust.rs
@@ -8,7 +8,7 @@
 /// Margin subtracted from the revocation bound, for clock drift between hosts.
 const REVOCATION_MARGIN_MS: u64 = 100;
 
-/// Ages up to which a configuration is relied on.
+/// Ages up to which a configuration is trusted.
 #[derive(Clone, Copy, Debug)]
 pub struct TrustLimits {
     /// Time after which a revoked key must not be accepted; `None` if only the bound of
--- a/src/entry/decide/warmup.rs
+++ b/src/entry/decide/warmup.rs
@@ -1,5 +1,5 @@
 //! Rate limit for cold servers. A server that has just started, or whose zone was evacuated, can
-//! run few requests a second until it is warm, and fails well above that. All hosts together must
+//! run few requests per second until it is warm, and fails well above that. All hosts together must
 //! stay under its limit, including hosts that have lost contact with each other.
 //!
 //! Each host has its own recurring windows for each cold server: a short window in an interval that
@@ -9,9 +9,10 @@
 //! disagree about which of them are alive: two hosts would send.
 
 /// Share of a cold server's rate that windows hand out. The users' bound is 1.5 times that rate,
-/// and a few requests more; the rest is for random variation and for hosts that are not known yet.
+/// and a few requests more; the remainder is for random variation and for hosts that are not known
+/// yet.
 const SHARE_USED: f64 = 0.7;
-/// Length of a window. A host with 10 requests a second for a service uses nearly all of its
+/// Length of a window. A host with 10 requests per second for a service uses nearly all of its
 /// windows, and a sudden surge at 74 hosts finds one or two of them unused.
 const WINDOW_MS: u64 = 300;
 
--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -35,7 +35,7 @@
 const SLOW_HOST_DELAY_MS: f32 = 800.0;
 /// Interval of reads of the duty row while the duty holder is silent.
 const READ_EVERY_MS: u64 = 300;
-/// Longest random delay before a host takes the duty, so that not all hosts try at once.
+/// Longest random delay before a host takes the duty, so that hosts do not all take it at once.
 const TAKEOVER_JITTER_MS: u64 = 120;
 /// Number of hosts that begin at the same time to watch the row of a silent duty holder. Reads are
 /// billed, so not all hosts watch it.
@@ -216,8 +216,8 @@
     }
 
     /// Checks if the host of the predecessor already runs another process. It may be this host.
-    /// What this host knows of the processes of other hosts may be older than the predecessor, but
-    /// the predecessor's own row is not, since a process registers before it takes the duty.
+    /// This host's data on the processes of other hosts may be older than the predecessor, but the
+    /// predecessor's own row is not, since a process registers before it takes the duty.
     async fn check_predecessor_process(&self) {
         self.duty
             .note_process(self.settings.listen.peers, self.incarnation);
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -67,7 +67,7 @@
         /// Reason that the caller got.
         reason: &'static str,
     },
-    /// A workspace began or stopped to exceed its quota. Logged by the duty holder.
+    /// A workspace started or stopped exceeding its quota. Logged by the duty holder.
     Quota {
         /// Identifier of the workspace.
         workspace: Arc<str>,
@@ -222,12 +222,12 @@
     Request {
         /// Identifier that the caller gave.
         request_id: String,
-        /// Digest of what stays the same when the same caller repeats the request, in hexadecimal
-        /// digits.
+        /// Digest of the parts that stay the same when the same caller repeats the request, in
+        /// hexadecimal digits.
         digest: String,
         /// The same digest without the query.
         path_digest: String,
-        /// Digest of what stays the same when another caller sends the request.
+        /// Digest of the parts that stay the same when another caller sends the request.
         content_digest: String,
         /// The caller-independent digest without query and body.
         any_path_digest: String,
--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -26,7 +26,7 @@
     transport::{ResponseBody, header_text},
 };
 
-/// Time after the request's deadline that the host still waits for the server's own deadline
+/// Time after the request's deadline for which the host still waits for the server's own deadline
 /// response.
 const DEADLINE_SLACK_MS: u64 = 40;
 
@@ -109,7 +109,7 @@
     }
 
     /// Ends the trial of a suspect request that the server has answered, so that the next suspect
-    /// can be tried there.
+    /// may run there.
     fn end_trial(&self, entry: &Entry, server: &Server) {
         if self.is_trial {
             entry.end_trial(self.digests, server.tag);
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -1,4 +1,5 @@
-//! Chooses the server for a request: any server of an unsharded service, or the holder of the key.
+//! Chooses the server for a request: any server of an unsharded service, or the server that holds
+//! the key.
 
 use std::{sync::Arc, time::Duration};
 
@@ -47,8 +48,8 @@
 }
 
 /// Returns the servers that may get the request under their rate limits. Each request is admitted
-/// to at most one of the rate-limited servers at random, unless their limits exceed the demand of
-/// callers.
+/// to at most one of the rate-limited servers at random, unless their limits exceed the request
+/// rate of callers.
 fn under_rate_limits(
     servers: Vec<&Arc<Server>>,
     hosts: usize,
@@ -213,8 +214,7 @@
                 Owner::Moving(rest) => {
                     let room_ms = self.hold(entry, rest)?;
                     let wait = Duration::from_millis(KEY_RETRY_PAUSE_MS.min(room_ms));
-                    // The owner is read again, whether the wait ended by a change or by the
-                    // timeout.
+                    // The owner is read again after a change and after the timeout.
                     if let Ok(Err(closed)) = time::timeout(wait, changes.changed()).await {
                         log::debug!("the view no longer sends changes: {closed}");
                     }
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -24,7 +24,7 @@
     transport::ResponseBody,
 };
 
-/// Least remaining time for which an attempt is made.
+/// Minimum remaining time for which an attempt is made.
 pub(super) const ATTEMPT_MS_MIN: u64 = 10;
 /// Failed connection attempts after which a request is refused.
 const CONNECTS_MAX: u32 = 3;
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -35,7 +35,7 @@
 
 /// Deadline of requests without a deadline header.
 const DEADLINE_DEFAULT_MS: u64 = 30_000;
-/// Least time that must remain between a request's deadline and the stop of the process.
+/// Minimum time that must remain between a request's deadline and the stop of the process.
 const STOP_MARGIN_MS: u64 = 100;
 
 /// Answers one request of a caller; closes the connection if the host is stopping.
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -251,7 +251,7 @@
         holding.range.contains(key).then_some(holding)
     }
 
-    /// Removes a range from all holdings; what remains of a holding keeps its fence.
+    /// Removes a range from all holdings; the remainder of a holding keeps its fence.
     pub fn clear(&mut self, range: KeyRange) {
         let mut kept = Vec::with_capacity(self.holdings.len() + 1);
         for holding in self.holdings.drain(..) {
@@ -287,7 +287,7 @@
         self.holdings.insert(position, holding);
     }
 
-    /// Notes that the former servers of the holdings with these fences no longer hold the keys.
+    /// Records that the former servers of the holdings with these fences no longer hold the keys.
     pub fn complete_moves(&mut self, fences: &[u64]) {
         for holding in &mut self.holdings {
             if fences.contains(&holding.fence) {
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -42,7 +42,7 @@
 const BALANCE_EVERY_ROUNDS: u64 = 2;
 /// Timeout of a grant. A server usually answers within a few ms, and a lost packet is retransmitted
 /// within the timeout. Nine grants fit into the time from the renewal of a lease to its expiry: if
-/// half of the answers are lost, two leases in a thousand expire.
+/// half of the responses are lost, two leases in a thousand expire.
 const GRANT_TIMEOUT_MS: u64 = 300;
 /// Number of consecutive failed grants after which the server is probed.
 const FAILURES_BEFORE_PROBE: u32 = 2;
@@ -57,7 +57,7 @@
 const LEASE_MARGIN_MS: u64 = GRANT_TIMEOUT_MS + 250;
 /// Rounds per second. Reported request counts are added up once per round.
 const ROUNDS_PER_S: f32 = 1_000.0 / ROUND_MS as f32;
-/// Age of the last answer of the store above which no planned move begins, since it could not be
+/// Age of the last response of the store above which no planned move begins, since it could not be
 /// recorded.
 const STORE_AGE_MAX_MS: u64 = 3_600;
 
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -30,13 +30,13 @@
 /// Minimum timeout of a release order, used when the lease of the server is about to expire or has
 /// expired.
 const RELEASE_TIMEOUT_MIN_MS: u64 = 300;
-/// Maximum timeout of a release order: a server answers only when its work on the keys has ended.
+/// Maximum timeout of a release order: a server responds only when its work on the keys has ended.
 const RELEASE_TIMEOUT_MS: u64 = 2_500;
-/// Delay until a release order is sent again in parallel, as its answer may be lost and the keys
+/// Delay until a release order is sent again in parallel, as its response may be lost and the keys
 /// have no server until it arrives. Most work on keys ends within this time.
 const RELEASE_REPEAT_MS: u64 = 600;
 /// Maximum number of times that one release order is sent. Of a hundred servers that lose half of
-/// their answers, six do not answer any of four.
+/// their responses, six respond to none of four orders.
 const RELEASES_MAX: usize = 4;
 
 impl Term {
@@ -356,7 +356,7 @@
     }
 }
 
-/// Sends a release order, and repeats it in parallel while no answer arrives. The first answer
+/// Sends a release order, and resends it in parallel while no response arrives. The first response
 /// counts; the order is idempotent.
 async fn release(
     link: &Link,
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -40,7 +40,7 @@
 
 /// Timeout of a probe of a server. The probe may have to wait for a free slot there.
 const PROBE_TIMEOUT_MS: u64 = 400;
-/// Age of a server's last answer to a request up to which the server counts as alive without a
+/// Age of a server's last response to a request up to which the server counts as alive without a
 /// probe.
 const RECENT_RESPONSE_MS: u64 = 1_000;
 
@@ -67,7 +67,7 @@
 
     /// Returns the holdings whose renewal is due, by server, and marks their renewals as in flight.
     /// Each holding has a renewal time of its own: if a server with five ranges loses half of its
-    /// answers, five renewals in a row succeed only once in 32 attempts.
+    /// responses, five renewals in a row succeed only once in 32 attempts.
     fn due_renewals(
         &self,
         service: &Arc<str>,
@@ -174,7 +174,7 @@
     }
 
     /// Records the outcome of a grant. Returns true if the server should be probed, as it may have
-    /// ended.
+    /// crashed.
     fn note_grant(
         &self,
         id: &Arc<str>,
@@ -203,9 +203,9 @@
         false
     }
 
-    /// Probes a server that does not answer grants, to tell a server that has ended from a live one
-    /// whose answers are lost. The keys of a live server stay there. Without the probe, when half
-    /// of the orders went unanswered, live servers were taken for lost and all keys of a service
+    /// Probes a server that does not answer grants, to tell a crashed server from a live one whose
+    /// responses are lost. The keys of a live server stay there. Without the probe, when half of
+    /// the orders went unanswered, live servers were considered lost, and all keys of a service
     /// changed their server three to five times a minute.
     async fn probe_server(&self, service: &str, server: &Server) {
         let lives = self.is_alive(service, server).await;
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -69,8 +69,8 @@
     pub servers_pause_ms: u64,
     /// Longest pause of the configuration's feed.
     pub configuration_pause_ms: u64,
-    /// Time for which a host may lag behind the reported versions before it asks the store: an
-    /// answer or a broadcast may be on its way.
+    /// Time for which a host may lag behind the reported versions before it asks the store: a
+    /// response or a broadcast may be on its way.
     pub lag_grace_ms: u64,
     /// Time for which a host waits to hear a duty holder after its start, or after the store no
     /// longer has the history that the host needs.
@@ -79,7 +79,7 @@
     /// the evacuation, while they are moved to other servers.
     pub evacuation_hold_ms: u64,
     /// Time for which a server still gets requests for its keys after it announced to this host, in
-    /// an answer, that it leaves. The keys are moved to other servers meanwhile, unless the store
+    /// a response, that it leaves. The keys are moved to other servers meanwhile, unless the store
     /// is unavailable.
     pub notice_hold_ms: u64,
 }
@@ -113,7 +113,7 @@
 }
 
 impl TimingPath {
-    /// Returns whether the bound is kept on this path.
+    /// Returns true if the bound is kept on this path.
     pub fn is_met(&self) -> bool {
         self.worst_ms <= self.bound_ms
     }
@@ -155,7 +155,7 @@
     }
 
     /// Returns the interval at which the duty holder confirms its duty at the store. The store's
-    /// last answer must stay within the trust period until the next heartbeat but one.
+    /// last response must stay within the trust period until the next heartbeat but one.
     pub fn confirm_every_ms(&self, wanted_ms: u64) -> u64 {
         wanted_ms.min(self.trust_ms / 2)
     }
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Returns whether requests of a lower priority than this one may use the service.
+    /// Returns true if requests of a lower priority than this one may use the service.
     pub fn has_lower_priority_requests(&self, service: &str, priority: Priority) -> bool {
         let Some(lowest) = self.lowest_priority.get(service) else {
             return false;
@@ -215,7 +215,7 @@
     pub cold_ms: u64,
 }
 
-/// Load that a server reports in the headers of an answer.
+/// Load that a server reports in the headers of a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportedLoad {
     /// Number of requests running on the server.
@@ -226,7 +226,7 @@
     pub pace: f64,
 }
 
-/// Statement of a server, in an answer, on further requests of the host that asked.
+/// Notice in a server's response about further requests of the host that received it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Notice {
     /// True if the server is about to stop.
@@ -236,14 +236,14 @@
     pub rest_ms: Option<u64>,
 }
 
-/// Rate limit that an answer states for the requests of all hosts together.
+/// Rate limit that a response states for the requests of all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReportedLimit {
     /// The server has no limit.
     Unlimited,
     /// Limit in requests per second.
     PerS(f64),
-    /// The answer states no limit, or one that cannot be parsed or trusted.
+    /// The response states no limit, or one that cannot be parsed or trusted.
     Unknown,
 }
 
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -1,4 +1,4 @@
-//! Notices that servers give in their answers. The host that receives one reports it to the duty
+//! Notices that servers send in their responses. The host that receives one reports it to the duty
 //! holder, which moves the server's keys and announces leaving servers to all hosts. A rest applies
 //! only to the host that the server asked for it.
 
@@ -23,7 +23,7 @@
 const ANNOUNCE_FOR_MS: u64 = 3 * REPORT_EVERY_MS + REPORT_EVERY_MS / 2;
 
 impl Entry {
-    /// Records the notice in a server's answer.
+    /// Records the notice in a server's response.
     pub(in crate::entry) fn note_notice(&self, server: &Server, notice: Notice) {
         if notice == Notice::default() {
             return;
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -116,7 +116,8 @@
 pub enum Owner {
     /// Server that holds the key, and the fence of its holding.
     Server(Arc<str>, u64),
-    /// The key is being moved. The caller asks again when the view changes, or after a moment.
+    /// The key is being moved. The caller looks the owner up again when the view changes, or after
+    /// a timeout.
     Moving(MoveTimeLeft),
     /// No server holds the key, as far as this host knows.
     Nobody,
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -1,5 +1,5 @@
 //! Connection pool of one backend server. A connection carries one request at a time, and is closed
-//! after anything that leaves its state in doubt.
+//! after any event that leaves its state uncertain.
 
 use std::{
     io,
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -1,6 +1,6 @@
 //! Rate limits that servers advertise for all hosts together. Each host reports to the duty holder
-//! the limits that servers have sent it, and the demand of its callers. The duty holder announces
-//! the latest limits and the total demand, from which each host computes its share.
+//! the limits that servers have sent it, and the request rates of its callers. The duty holder
+//! announces the latest limits and the total rates, from which each host computes its share.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -23,9 +23,13 @@
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 2;
 
 impl Entry {
-    /// Notes the rate limit that a server advertised in a response to this host.
-    pub(in crate::entry) fn note_advertised_limit(&self, server: &Server, told: ReportedLimit) {
-        let per_s = match told {
+    /// Records the rate limit that a server advertised in a response to this host.
+    pub(in crate::entry) fn note_advertised_limit(
+        &self,
+        server: &Server,
+        advertised: ReportedLimit,
+    ) {
+        let per_s = match advertised {
             ReportedLimit::Unlimited => None,
             ReportedLimit::PerS(per_s) => Some(per_s),
             ReportedLimit::Unknown => return,
@@ -35,8 +39,8 @@
         log_change(server, is_change, "its answer");
     }
 
-    /// Reports this host's limits and demand to the duty holder; as the duty holder, announces the
-    /// totals to all hosts.
+    /// Reports the limits known to this host and the request rates of its callers to the duty
+    /// holder; as the duty holder, announces the totals to all hosts.
     pub(in crate::entry) async fn exchange_rate_limits(self: Arc<Self>) {
         loop {
             let every_ms =
@@ -52,8 +56,8 @@
         }
     }
 
-    /// Returns the limits that servers have advertised to this host, with the demand of its own
-    /// callers.
+    /// Returns the limits that servers have advertised to this host, with the request rates of its
+    /// own callers.
     fn own_rates(&self) -> Vec<ServerRate> {
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Handles a host's report of limits and demand, if this host has the duty.
+    /// Handles a host's report of limits and request rates, if this host has the duty.
     pub(in crate::entry) fn handle_rate_report(&self, host: SocketAddr, rates: &[ServerRate]) {
         if self.duty.term() == 0 {
             return;
@@ -93,7 +97,7 @@
         }
     }
 
-    /// Announces, as the duty holder, the latest limits and the total demand to all hosts.
+    /// Announces, as the duty holder, the latest limits and the total request rates to all hosts.
     fn announce_rates(&self) {
         let now_ms = clock::now_ms();
         let rates: Vec<ServerRate> = {
@@ -117,7 +121,7 @@
         }
     }
 
-    /// Applies an announcement of the duty holder: the latest limits and the total demand.
+    /// Applies an announcement of the duty holder: the latest limits and the total request rates.
     pub(in crate::entry) fn apply_rate_totals(&self, rates: &[ServerRate]) {
         let now_ms = clock::now_ms();
         self.note_limits(rates, now_ms);
@@ -128,7 +132,7 @@
         }
     }
 
-    /// Notes the limits that another host reported or announced.
+    /// Records the limits that another host reported or announced.
     fn note_limits(&self, rates: &[ServerRate], now_ms: u64) {
         let registry = self.view.registry();
         for rate in rates {
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -27,11 +27,11 @@
 const FORMER_MAX: usize = 500;
 
 /// Time for which notices of a server without an entry are kept. An entry that lapsed while the
-/// store was unavailable returns within about 2 s of the return of the store; the rest of the time
-/// is for servers that reach the store late.
+/// store was unavailable returns within about 2 s of the return of the store; the remaining time is
+/// for servers that reach the store late.
 const NOTICES_KEPT_MS: u64 = 10 * 60 * 1_000;
 
-/// Notices of a server without an entry. Answers to its requests in flight may still add to them.
+/// Notices of a server without an entry. Responses to its requests in flight may still add to them.
 #[derive(Clone, Debug)]
 struct KeptNotices {
     notices: Arc<Mutex<Notices>>,
@@ -56,8 +56,8 @@
     by_service: HashMap<Arc<str>, Vec<Arc<Server>>>,
     /// Latest incarnation whose entry was seen, by name.
     incarnations: HashMap<Arc<str>, Arc<str>>,
-    /// Servers whose entries are missing, by name, and the time up to which they count as present
-    /// all the same.
+    /// Servers whose entries are missing, by name, and the time up to which they still count as
+    /// present.
     missing: HashMap<Arc<str>, u64>,
     /// Servers whose entries are gone, the latest last.
     former: Vec<FormerServer>,
@@ -256,8 +256,8 @@
         self.by_id.get(self.incarnations.get(name)?)
     }
 
-    /// Removes the server of a name at once, without a grace period. Used when it has ended, or its
-    /// entry cannot be decoded.
+    /// Removes the server of a name at once, without a grace period. Used when it has crashed, or
+    /// its entry cannot be decoded.
     pub fn drop_server(&mut self, name: &str) {
         self.missing.remove(name);
         let Some(id) = self.incarnations.remove(name) else {
--- a/src/entry/running_requests.rs
+++ b/src/entry/running_requests.rs
@@ -28,18 +28,19 @@
 }
 
 impl RunningRequests {
-    /// Notes that a request is sent to the server.
+    /// Records that a request is sent to the server.
     pub fn begin(&mut self, digests: RequestDigests) {
         self.running.push(digests);
     }
 
-    /// Notes that a request is sent as the trial of a suspect: no other suspect runs at the server.
+    /// Records that a request is sent as the trial of a suspect: no other suspect runs at the
+    /// server.
     pub fn begin_trial(&mut self, digests: RequestDigests) {
         self.trials.push(digests);
         self.begin(digests);
     }
 
-    /// Notes that the server has answered a request, which ends its trial.
+    /// Records that the server has answered a request, which ends its trial.
     pub fn answered(&mut self, digests: RequestDigests) {
         self.trials.retain(|trial| *trial != digests);
         self.end(digests);
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Notes that a request was abandoned without a response. Its trial is kept as long as the
+    /// Records that a request was abandoned without a response. Its trial is kept as long as the
     /// request counts as running.
     pub fn abandoned(&mut self, digests: RequestDigests, now_ms: u64) {
         self.end(digests);
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -65,7 +65,7 @@
 struct PaceReports {
     /// Pace from reports to any host.
     known: Pace,
-    /// Latest pace reported to this host, and when.
+    /// Latest pace reported to this host, and its time.
     own: Option<(f64, u64)>,
 }
 
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Returns whether an entry belongs to this incarnation and agrees in all fields that are fixed
+    /// Returns true if an entry belongs to this incarnation and agrees in all fields that are fixed
     /// for its lifetime. A row of another writer may give a known name another service or address.
     pub fn matches_entry(&self, entry: &ServerEntry) -> bool {
         let known = &self.entry;
@@ -160,19 +160,19 @@
         }
     }
 
-    /// Returns whether the server may get keys and work that any server of its service could do.
+    /// Returns true if the server may get keys and work that any server of its service could do.
     pub fn takes_new_work(&self) -> bool {
         !self.leaving() && !self.notices().leaves() && !self.is_evacuated()
     }
 
-    /// Returns whether a request may go to this server if no server takes new work: the server has
+    /// Returns true if a request may go to this server if no server takes new work: the server has
     /// announced its leaving, but recently enough that it still serves requests.
     pub fn takes_work_while_leaving(&self, arrived_ms: u64, hold_ms: u64) -> bool {
         !self.leaving() && !self.is_evacuated() && !self.is_closed_to(arrived_ms, hold_ms)
     }
 
-    /// Returns whether a request that arrived at this host at a time must not go to the server,
-    /// because the server had announced its leaving to this host at least `hold_ms` before.
+    /// Returns true if a request that arrived at `arrived_ms` must not go to the server, because
+    /// the server had announced its leaving to this host at least `hold_ms` before.
     pub fn is_closed_to(&self, arrived_ms: u64, hold_ms: u64) -> bool {
         self.notices().is_closed_to(arrived_ms, hold_ms)
     }
@@ -181,13 +181,13 @@
         self.evacuated_ms.load(Ordering::Relaxed) != 0
     }
 
-    /// Sets since when the server's zone is evacuated; `None` if it is not.
+    /// Sets the time since which the server's zone is evacuated; `None` if it is not.
     pub fn set_evacuated(&self, since_ms: Option<u64>) {
         let since_ms = since_ms.unwrap_or(0);
         self.evacuated_ms.store(since_ms, Ordering::Relaxed);
     }
 
-    /// Returns whether the server still gets requests for keys that it holds. After the evacuation
+    /// Returns true if the server still gets requests for keys that it holds. After the evacuation
     /// of its zone it gets them for `evacuation_hold_ms`, while the keys are moved to other
     /// servers.
     pub fn serves_held_keys(&self, evacuation_hold_ms: u64) -> bool {
@@ -212,7 +212,7 @@
         until_ms.saturating_sub(clock::now_ms())
     }
 
-    /// Returns whether the server is cold and this host may not send to it now, outside of its own
+    /// Returns true if the server is cold and this host may not send to it now, outside of its own
     /// warm-up window.
     pub fn is_limited_by_warmup(&self, rule: Option<WarmupLimit>) -> bool {
         let Some(rule) = rule.filter(|_| self.cold_remaining_ms() > 0) else {
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Returns whether the entry says that the server is leaving and must get no new work.
+    /// Returns true if the entry says that the server is leaving and must get no new work.
     pub fn leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
@@ -240,7 +240,7 @@
         self.leaving.store(leaving, Ordering::Relaxed);
     }
 
-    /// Records the notice of an answer: that the server leaves, or wants no requests for a while.
+    /// Records the notice of a response: that the server leaves, or wants no requests for a while.
     pub fn note_notice(&self, notice: Notice) -> NoticeEffect {
         self.notices().note(notice, clock::now_ms())
     }
@@ -251,7 +251,7 @@
         self.notices().note_leaving_elsewhere(clock::now_ms())
     }
 
-    /// Returns whether the server has announced its leaving to this host in an answer while its
+    /// Returns true if the server has announced its leaving to this host in a response while its
     /// entry does not say so.
     pub fn leaves_by_notice_only(&self) -> bool {
         !self.leaving() && self.notices().has_announced_leaving()
@@ -325,7 +325,7 @@
         }
     }
 
-    /// Returns whether the server has answered this host since the latest broken connection.
+    /// Returns true if the server has answered this host since the latest broken connection.
     pub fn has_answered_since_broken_connection(&self) -> bool {
         self.answered_ms() > self.broken_connections.latest_ms()
     }
@@ -370,7 +370,7 @@
         }
     }
 
-    /// Records an answer with its run time; `found_free_slot` is true if the request did not have
+    /// Records a response with its run time; `found_free_slot` is true if the request did not have
     /// to queue.
     pub fn answered(&self, run_ms: f64, found_free_slot: bool) {
         let now_ms = clock::now_ms();
@@ -379,7 +379,7 @@
             .answered(run_ms, found_free_slot, now_ms);
     }
 
-    /// Records the pace that the server reported to another host at a time.
+    /// Records the pace that the server reported to another host at `at_ms`.
     pub fn note_pace(&self, pace: f64, at_ms: u64) {
         self.paces().known.note(pace, at_ms);
     }
@@ -392,12 +392,13 @@
         paces.own = Some((pace, now_ms));
     }
 
-    /// Returns the latest pace that the server reported to this host, and when.
+    /// Returns the latest pace that the server reported to this host, and its time.
     pub fn own_pace(&self) -> Option<(f64, u64)> {
         self.paces().own
     }
 
-    /// Returns when the server last answered a request of this host; 0 if it never did.
+    /// Returns the time at which the server last answered a request of this host; 0 if it never
+    /// did.
     pub fn answered_ms(&self) -> u64 {
         self.answered_ms.load(Ordering::Relaxed)
     }
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -21,7 +21,7 @@
     sent: Mutex<RateMeter>,
 }
 
-/// State of this host's share: the demand of callers, and the token bucket.
+/// State of this host's share: the request rates of callers, and the token bucket.
 #[derive(Debug, Default)]
 struct Share {
     asked: Asked,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Notes the limit that a response to this host advertised; returns true if the change should
+    /// Records the limit that a response to this host advertised; returns true if the change should
     /// be logged.
     pub fn note_own_limit(&self, word: AdvertisedLimit) -> bool {
         let mut notices = self.notices();
@@ -45,7 +45,7 @@
         notices.rate_limit.take_change()
     }
 
-    /// Notes the limit that a response to another host advertised; returns true if the change
+    /// Records the limit that a response to another host advertised; returns true if the change
     /// should be logged.
     pub fn note_limit(&self, word: AdvertisedLimit) -> bool {
         let mut notices = self.notices();
@@ -53,7 +53,7 @@
         notices.rate_limit.take_change()
     }
 
-    /// Returns the limit for all hosts together, in requests a second; `None` if the server is
+    /// Returns the limit for all hosts together, in requests per second; `None` if the server is
     /// unlimited.
     pub fn limit_per_s(&self) -> Option<f64> {
         self.notices().rate_limit.per_s()
@@ -64,7 +64,7 @@
         self.notices().rate_limit.is_stale(clock::now_ms())
     }
 
-    /// Returns the limit that the planner of key moves uses, in requests a second.
+    /// Returns the limit that the planner of key moves uses, in requests per second.
     pub fn planned_per_s(&self, now_ms: u64) -> Option<f64> {
         self.notices().rate_limit.planned_per_s(now_ms)
     }
@@ -89,12 +89,12 @@
         self.share().asked.note(is_urgent, clock::now_ms());
     }
 
-    /// Returns the demand of this host's callers, for a report that is sent now.
+    /// Returns the request rates of this host's callers, for a report that is sent now.
     pub fn report_asked(&self, now_ms: u64) -> AskedRates {
         self.share().asked.report(now_ms)
     }
 
-    /// Notes the demand of the callers of all hosts.
+    /// Records the request rates of the callers of all hosts.
     pub fn note_asked_sum(&self, sum: AskedRates, now_ms: u64) {
         self.share().asked.note_sum(sum, now_ms);
     }
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Returns the rate at which this host sends requests to the server, in requests a second.
+    /// Returns the rate at which this host sends requests to the server, in requests per second.
     pub fn sent_per_s(&self) -> f64 {
         self.sent().per_s(clock::now_ms())
     }
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -119,7 +119,7 @@
         })
     }
 
-    /// Applies the answer of a relay.
+    /// Applies the response of a relay.
     pub(super) fn note_relay_report(
         &self,
         nonce: u64,
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -90,7 +90,7 @@
         self.registry.load_full()
     }
 
-    /// Returns whether the servers' entries have been read.
+    /// Returns true if the servers' entries have been read.
     pub fn servers_known(&self) -> bool {
         self.servers_known.load(Ordering::Relaxed)
     }
@@ -147,7 +147,7 @@
         self.owners.all_held()
     }
 
-    /// Returns whether the holdings of some sharded service are unknown.
+    /// Returns true if the holdings of some sharded service are unknown.
     pub fn lacks_holdings(&self) -> bool {
         let Some(configuration) = self.configuration() else {
             return false;
@@ -202,7 +202,7 @@
         self.hosts_known.send_replace(true);
     }
 
-    /// Returns whether the rows of the other hosts have been read.
+    /// Returns true if the rows of the other hosts have been read.
     pub fn are_hosts_known(&self) -> bool {
         *self.hosts_known.borrow()
     }
@@ -212,7 +212,7 @@
         self.former_process.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether an earlier process is known to have run on this host.
+    /// Returns true if an earlier process is known to have run on this host.
     pub fn had_former_process(&self) -> bool {
         self.former_process.load(Ordering::Relaxed)
     }
@@ -230,7 +230,7 @@
             .send_if_modified(|before| std::mem::replace(before, lost) != lost);
     }
 
-    /// Returns a receiver of whether the store has stopped answering.
+    /// Returns a receiver of the flag that tells if the store has stopped answering.
     pub fn store_lost(&self) -> watch::Receiver<bool> {
         self.store_lost.subscribe()
     }
@@ -257,7 +257,7 @@
         self.changed.subscribe()
     }
 
-    /// Records an answer of the store at a time. Returns the time since the answer before it if
+    /// Records a response of the store at `at_ms`. Returns the time since the previous response if
     /// that is at least `lapse_ms`, after which servers' entries may have lapsed.
     pub fn note_store_response(&self, at_ms: u64, lapse_ms: u64) -> Option<u64> {
         let now_ms = clock::now_ms();
@@ -270,12 +270,12 @@
         Some(away_ms)
     }
 
-    /// Returns when the store last answered.
+    /// Returns the time of the store's last response.
     pub fn store_answered_ms(&self) -> u64 {
         self.store_answered_ms.load(Ordering::Relaxed)
     }
 
-    /// Returns when the store came back after its latest outage; 0 if there was none.
+    /// Returns the time at which the store came back after its latest outage; 0 if there was none.
     pub fn store_returned_ms(&self) -> u64 {
         self.store_returned_ms.load(Ordering::Relaxed)
     }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Returns whether a pausing feed should be called now: because a server leaves, because no
+    /// Returns true if a pausing feed should be called now: because a server leaves, because no
     /// other host confirms the store, or to get the first holdings of a service.
     fn should_call_now(&self, followed: FollowedTable, after: u64) -> bool {
         match followed {
@@ -365,7 +365,7 @@
     time::sleep(Duration::from_millis(pause_ms)).await;
 }
 
-/// Returns the time since the store's last answer.
+/// Returns the time since the store's last response.
 pub(super) fn store_age_ms(entry: &Entry) -> u64 {
     clock::now_ms().saturating_sub(entry.view.store_answered_ms())
 }
