--- a/src/entry/decide/crash_tally.rs
+++ b/src/entry/decide/crash_tally.rs
@@ -12,10 +12,10 @@
 use crate::entry::digest::RequestDigest;
 
 /// Number of servers that must have crashed during a request before it counts as the cause. The
-/// users' requirements allow three runs, and several of them may end with one server: with three
-/// servers, a request that was sent eight times a second had eight runs. With two, no harmless
-/// request was taken for the cause on 18 days with outages on five sites, except five after the
-/// loss of a zone, which [`MASS_CRASH_SERVERS`] excludes.
+/// users' requirements allow three runs, and one crash may end several of them: with three servers,
+/// a request that was sent eight times per second had eight runs. With two, no harmless request was
+/// mistaken for the cause on 18 days with outages on five sites, except five after the loss of a
+/// zone, which [`MASS_CRASH_SERVERS`] excludes.
 pub const SERVERS_NEEDED: usize = 2;
 /// Number of servers that crash within [`MASS_CRASH_WINDOW_MS`] from which on the crashes have one
 /// common cause, such as the loss of a zone. A single request reaches [`SERVERS_NEEDED`] first.
--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -54,7 +54,7 @@
         self.tokens >= 1.0
     }
 
-    /// Uses a token.
+    /// Removes a token for a request that is about to be sent.
     pub fn take(&mut self) {
         self.tokens -= 1.0;
     }
--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -22,8 +22,8 @@
 
 /// Interval at which a host without the duty checks if it must take the duty.
 const CHECK_EVERY_MS: u64 = 100;
-/// Time after its start in which a host does not watch the duty row, as it may not have heard the
-/// duty holder yet.
+/// Time after its start in which a host does not watch the duty row, as it may not have received a
+/// heartbeat of the duty holder yet.
 const START_GRACE_MS: u64 = 600;
 /// Time after the first start of a deployment in which a host does not watch the duty row. A first
 /// start is recognised by the lack of a shared secret for datagrams. Hosts that start together must
@@ -92,7 +92,7 @@
     }
 
     /// Returns true if the duty holder has been silent for so long that this host should watch the
-    /// duty row. If this host has never heard a duty holder, the time counts from `started_ms`.
+    /// duty row. If this host has never received a heartbeat, the time counts from `started_ms`.
     fn holder_is_silent(&self, started_ms: u64) -> bool {
         let heard_ms = self.peers.holder_heard_ms();
         if heard_ms == 0 && !self.peers.seal.is_known() {
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -47,7 +47,7 @@
         availability_zone: Arc<str>,
         /// True if the zone's servers get no new work; false if the zone is restored.
         evacuated: bool,
-        /// Version of the operators' table that says so.
+        /// Version of the operators' table that contains the change.
         version: u64,
     },
     /// A row of the store is invalid and was skipped.
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -31,7 +31,8 @@
 /// Longest wait of the duty holder's feed calls. Calls are billed, and the duty holder makes them
 /// continuously.
 const HOLDER_WAIT_MAX_MS: u64 = 3_000;
-/// Longest pause of the feed of servers' entries on a host that hears no duty holder.
+/// Longest pause of the feed of servers' entries on a host that receives no heartbeats of a duty
+/// holder.
 const SERVERS_PAUSE_MAX_MS: u64 = 1_500;
 /// Longest pause of the configuration's feed on hosts other than the duty holder and relays.
 const CONFIGURATION_PAUSE_MAX_MS: u64 = 500;
@@ -65,15 +66,15 @@
     pub alone_pause_ms: u64,
     /// Time for other hosts to send a host the changes that it missed, before it asks the store.
     pub catch_up_ms: u64,
-    /// Longest pause of the feed of servers' entries while no duty holder is heard.
+    /// Longest pause of the feed of servers' entries while no heartbeats of a duty holder arrive.
     pub servers_pause_ms: u64,
     /// Longest pause of the configuration's feed.
     pub configuration_pause_ms: u64,
     /// Time for which a host may lag behind the reported versions before it asks the store: a
     /// response or a broadcast may be on its way.
     pub lag_grace_ms: u64,
-    /// Time for which a host waits to hear a duty holder after its start, or after the store no
-    /// longer has the history that the host needs.
+    /// Time for which a host waits for the first heartbeat of a duty holder after its start, or
+    /// after the store no longer has the history that the host needs.
     pub start_wait_ms: u64,
     /// Time for which keys of an evacuated zone are still served there, after a host has learned of
     /// the evacuation, while they are moved to other servers.
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -80,7 +80,7 @@
 pub struct Entry {
     /// Settings as they were read at the start of the process.
     pub settings: Settings,
-    /// Random number of this process; tells apart two runs of a host with the same name.
+    /// Random number of this process; distinguishes two runs of a host with the same name.
     pub incarnation: u64,
     /// Client of the platform's store.
     pub store: Store,
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -47,7 +47,7 @@
 /// Service that gets a share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteTarget {
-    /// Name of the service.
+    /// Name of the service, as in [`Service::name`].
     pub service: Arc<str>,
     /// Share of the requests, relative to the weights of the route's other services.
     pub weight: f64,
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -50,7 +50,7 @@
         /// Error of the HTTP library.
         source: hyper::Error,
     },
-    /// The timeout passed.
+    /// The connection attempt timed out.
     #[snafu(display("timeout"))]
     TimedOut,
 }
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -24,7 +24,7 @@
 /// Interval of reports per host: among many hosts the interval grows with their number, which bounds
 /// the messages that the duty holder gets.
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 1;
-/// Intervals without an announcement after which a host no longer relies on the last one.
+/// Number of intervals without an announcement after which a host no longer relies on the last one.
 const MISSED_ANNOUNCEMENTS: u64 = 4;
 /// Number of intervals after which an announcement includes workspaces below their quota too.
 const FULL_ANNOUNCEMENT_EVERY: u64 = 6;
@@ -138,9 +138,9 @@
         let now_ms = clock::now_ms();
         let mut state = self.state();
         state.heard_ms = Some(now_ms);
-        for word in announced {
-            let share = state.shares.entry(word.workspace_tag).or_default();
-            share.note_announced(word.admitted, now_ms);
+        for announcement in announced {
+            let share = state.shares.entry(announcement.workspace_tag).or_default();
+            share.note_announced(announcement.admitted, now_ms);
         }
     }
 
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -66,7 +66,7 @@
             .filter(|s| s.rate.should_announce(now_ms));
         let rates = limited.map(|server| ServerRate {
             server_tag: server.tag,
-            told: told(server.rate.own(), now_ms),
+            advertised: advertised_rate(server.rate.own(), now_ms),
             asked: server.rate.report_asked(now_ms),
         });
         rates.collect()
@@ -108,7 +108,7 @@
             let mut asked = self.asked_by_host();
             let rates = limited.map(|server| ServerRate {
                 server_tag: server.tag,
-                told: told(server.rate.latest(), now_ms),
+                advertised: advertised_rate(server.rate.latest(), now_ms),
                 asked: asked.sum(server.tag, now_ms),
             });
             rates.collect()
@@ -136,24 +136,26 @@
     fn note_limits(&self, rates: &[ServerRate], now_ms: u64) {
         let registry = self.view.registry();
         for rate in rates {
-            let Some(told) = rate.told else { continue };
-            let word = AdvertisedLimit {
-                per_s: told.limit_per_s,
-                at_ms: now_ms.saturating_sub(u64::from(told.age_ms)),
+            let Some(advertised) = rate.advertised else {
+                continue;
+            };
+            let limit = AdvertisedLimit {
+                per_s: advertised.limit_per_s,
+                at_ms: now_ms.saturating_sub(u64::from(advertised.age_ms)),
             };
             for server in registry.servers().filter(|s| s.tag == rate.server_tag) {
-                log_change(server, server.rate.note_limit(word), "another host");
+                log_change(server, server.rate.note_limit(limit), "another host");
             }
         }
     }
 }
 
 /// Converts an advertised limit into its form in messages, with its age.
-fn told(word: Option<AdvertisedLimit>, now_ms: u64) -> Option<AdvertisedRate> {
-    let word = word?;
+fn advertised_rate(limit: Option<AdvertisedLimit>, now_ms: u64) -> Option<AdvertisedRate> {
+    let limit = limit?;
     Some(AdvertisedRate {
-        limit_per_s: word.per_s,
-        age_ms: now_ms.saturating_sub(word.at_ms) as u32,
+        limit_per_s: limit.per_s,
+        age_ms: now_ms.saturating_sub(limit.at_ms) as u32,
     })
 }
 
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -45,8 +45,8 @@
         self.pause_while_confirmed().await;
     }
 
-    /// Leaves it to the relays of the zone to detect the store's return. This host still calls the
-    /// store now and then, since all relays may be lost.
+    /// Pauses while the relays of the zone check if the store has returned. This host still calls
+    /// the store from time to time, since all relays may be lost.
     pub(super) async fn pause_while_relays_call(&self) {
         if !self.peers.are_many() {
             return;
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -230,7 +230,7 @@
             .send_if_modified(|before| std::mem::replace(before, lost) != lost);
     }
 
-    /// Returns a receiver of the flag that tells if the store has stopped answering.
+    /// Returns a receiver of a flag that is true while the store does not answer.
     pub fn store_lost(&self) -> watch::Receiver<bool> {
         self.store_lost.subscribe()
     }
