--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -66,7 +66,7 @@
             .filter(|s| s.rate.should_announce(now_ms));
         let rates = limited.map(|server| ServerRate {
             server_tag: server.tag,
-            advertised: advertised_rate(server.rate.own(), now_ms),
+            told: advertised_rate(server.rate.own(), now_ms),
             asked: server.rate.report_asked(now_ms),
         });
         rates.collect()
@@ -108,7 +108,7 @@
             let mut asked = self.asked_by_host();
             let rates = limited.map(|server| ServerRate {
                 server_tag: server.tag,
-                advertised: advertised_rate(server.rate.latest(), now_ms),
+                told: advertised_rate(server.rate.latest(), now_ms),
                 asked: asked.sum(server.tag, now_ms),
             });
             rates.collect()
@@ -136,7 +136,7 @@
     fn note_limits(&self, rates: &[ServerRate], now_ms: u64) {
         let registry = self.view.registry();
         for rate in rates {
-            let Some(advertised) = rate.advertised else {
+            let Some(advertised) = rate.told else {
                 continue;
             };
             let limit = AdvertisedLimit {
