--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -187,13 +187,17 @@
         },
     ];
     for case in cases {
-        let rest = MoveTimeLeft {
+        let time_left = MoveTimeLeft {
             wait: case.wait,
             remaining_ms: case.remaining_ms,
         };
         let policy = Policy::default();
-        let result = hold::decide(rest, case.held_ms, case.left_ms, case.aim_ms, &policy);
-        assert_eq!(result, case.result, "{rest:?} held for {}", case.held_ms);
+        let result = hold::decide(time_left, case.held_ms, case.left_ms, case.aim_ms, &policy);
+        assert_eq!(
+            result, case.result,
+            "{time_left:?} held for {}",
+            case.held_ms
+        );
     }
 }
 
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -757,7 +757,7 @@
         let announcement = MoveAnnouncement {
             range: range(number, number),
             above_fence: 1,
-            rest: MoveTimeLeft {
+            time_left: MoveTimeLeft {
                 wait: MoveWait::Work,
                 remaining_ms: 2_500,
             },
