--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -210,9 +210,9 @@
 
     /// Applies changes of server entries that the duty holder broadcast, unless the whole table is
     /// being read.
-    pub(super) fn receive_server_changes(&self, passed: ServerChanges) {
+    pub(super) fn receive_server_changes(&self, changes: ServerChanges) {
         if self.broadcast.accepts_changes() {
-            self.apply_server_changes(passed);
+            self.apply_server_changes(changes);
         }
     }
 
--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -51,7 +51,7 @@
     tally: Mutex<CrashTally>,
     /// Evidence against requests across callers, by content and by path.
     path_tally: Mutex<PathTally>,
-    /// Quarantined requests.
+    /// Requests that no server gets any more.
     quarantine: Mutex<Quarantine>,
     /// Claims of trials by all hosts.
     trials: Mutex<TrialClaims>,
--- a/src/entry/crashes/probe.rs
+++ b/src/entry/crashes/probe.rs
@@ -13,8 +13,8 @@
 /// Delay between a broken connection and the first probe: a crashing process closes its sockets one
 /// by one.
 const PROBE_AFTER_MS: u64 = 30;
-/// Delay before further probes while connections go on breaking, as those to an overloaded server
-/// may. Each probe may cost the server a connection.
+/// Delay before further probes while connections continue to break, as those to an overloaded
+/// server may. Each probe may cost the server a connection.
 const PROBE_AGAIN_MS: u64 = 300;
 /// Timeout of a probe's connection attempt.
 const PROBE_CONNECT_MS: u64 = 400;
--- a/src/entry/decide/budget.rs
+++ b/src/entry/decide/budget.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Adds the tokens that a request's first attempt adds to the bucket of its service.
+    /// Credits the bucket of a service with the tokens for one request.
     pub fn request(&self, service: &Arc<str>, hosts: usize, now_ms: u64) {
         let most = self.burst(hosts);
         let mut buckets = self.buckets();
--- a/src/entry/decide/notices.rs
+++ b/src/entry/decide/notices.rs
@@ -78,9 +78,9 @@
 
     /// Returns true if a request that arrived at this host at `arrived_ms` must not be sent to the
     /// server, even if no other server may run it: the server had announced its leaving to this
-    /// host at least `hold_ms` earlier. Announcements to other hosts do not count, so that a host
-    /// that only learned of them from its peers while the store is unavailable can keep serving the
-    /// keys of that server.
+    /// host at least `hold_ms` earlier. Announcements to other hosts do not count: while the store
+    /// is unavailable, a host that learned of the leaving only from other hosts can keep serving
+    /// the keys of that server.
     pub fn is_closed_to(&self, arrived_ms: u64, hold_ms: u64) -> bool {
         let since_ms = self.leaves_since_ms;
         since_ms.is_some_and(|since_ms| arrived_ms >= since_ms + hold_ms)
--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -102,7 +102,7 @@
     }
 }
 
-/// Request rates that callers ask of a server, as one host knows them.
+/// Meter of the request rates that callers direct at a server, as one host knows them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Asked {
     /// Rates of this host's callers: all requests, and the urgent ones.
--- a/src/entry/decide/run_shares.rs
+++ b/src/entry/decide/run_shares.rs
@@ -7,7 +7,7 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-/// Minimum weight of a new sample; the first samples all weigh the same.
+/// Minimum weight of a new sample; the first samples have equal weights.
 const SAMPLE_WEIGHT_MIN: f64 = 0.03;
 /// Number of samples from which a route's share is used.
 const SAMPLES_MIN: u32 = 5;
--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Returns the time for which hosts of a better rank watch the row of a silent duty holder
-    /// before this one does.
+    /// Returns the time for which hosts with a lower rank watch the row of a silent duty holder
+    /// before this host does.
     fn watch_delay_ms(&self) -> u64 {
         let rank = {
             let settings = &self.settings;
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -30,7 +30,7 @@
 /// Time for which a suspect request waits for the trial of the same request elsewhere to end: most
 /// requests complete within it.
 const TRIAL_WAIT_MS: u64 = 120;
-/// Pause between two checks whether that trial has ended.
+/// Interval at which a waiting request checks if that trial has ended.
 const TRIAL_POLL_MS: u64 = 10;
 
 /// Returns the servers that are not resting. If all are, returns the shortest remaining rest;
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -46,7 +46,7 @@
                 .await
                 .is_ok()
             {
-                log::debug!("a server has given a new notice");
+                log::debug!("reporting notices: a server has sent a new one");
             }
             self.report_leaving();
             self.report_rests();
@@ -71,7 +71,7 @@
         if self.duty.term() > 0 {
             self.take_rests(self.settings.listen.peers, &rests);
         } else if !self.peers.send_to_holder(&Message::ReportRests(rests)) {
-            log::debug!("no duty holder is known to report rests of servers to");
+            log::debug!("rests of servers not reported: no duty holder can be reached");
         }
     }
 
@@ -93,7 +93,7 @@
             let said = registry.servers().filter(|s| s.leaves_by_notice_only());
             let tags: Vec<u32> = said.map(|s| s.tag).take(ENTRIES_MAX).collect();
             if !tags.is_empty() && !self.peers.send_to_holder(&Message::ReportLeaving(tags)) {
-                log::debug!("no duty holder is known to report leaving servers to");
+                log::debug!("leaving servers not reported: no duty holder can be reached");
             }
             return;
         }
--- a/src/entry/seal.rs
+++ b/src/entry/seal.rs
@@ -15,7 +15,7 @@
 
 use crate::clock;
 
-/// Length of the secret, which is that of the hash.
+/// Length of the secret: the output length of the hash function of the HMAC.
 const SECRET_BYTES: usize = 32;
 /// Length to which the tag is truncated. A forger gets only one guess per datagram.
 const TAG_BYTES: usize = 8;
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -92,7 +92,7 @@
     pub confirm_every_ms: u64,
     /// Time without a change of the duty's row after which another host takes the duty over.
     pub takeover_ms: u64,
-    /// Time after its last confirmed renewal for which a duty holder goes on renewing leases.
+    /// Time after its last confirmed renewal for which a duty holder continues to renew leases.
     /// Together with a lease it outlasts the store's usual outages of about 9 s. In exchange, the
     /// keys of servers that are lost together with the duty holder stay unassigned for as long.
     pub outage_ms: u64,
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -21,7 +21,7 @@
 use crate::clock;
 
 /// Longer pause after a failed call while the duty holder reports that nothing has changed in the
-/// store: the store may reject this host only.
+/// store, since the store may reject only this host.
 const CONFIRMED_PAUSE_MS: u64 = 1_500;
 
 impl Entry {
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -207,12 +207,12 @@
         *self.hosts_known.borrow()
     }
 
-    /// Records that an earlier process is known to have run on this host.
+    /// Records that a previous process is known to have run on this host.
     pub fn note_former_process(&self) {
         self.former_process.store(true, Ordering::Relaxed);
     }
 
-    /// Returns true if an earlier process is known to have run on this host.
+    /// Returns true if a previous process is known to have run on this host.
     pub fn had_former_process(&self) -> bool {
         self.former_process.load(Ordering::Relaxed)
     }
@@ -239,7 +239,7 @@
     pub async fn store_returned(&self) {
         let mut lost = self.store_lost();
         if lost.wait_for(|lost| !lost).await.is_err() {
-            log::debug!("the view has ended");
+            log::debug!("the view no longer sends changes");
         }
     }
 
@@ -247,7 +247,7 @@
     pub async fn store_lost_and_returned(&self) {
         let mut lost = self.store_lost();
         if lost.wait_for(|lost| *lost).await.is_err() {
-            log::debug!("the view has ended");
+            log::debug!("the view no longer sends changes");
         }
         self.store_returned().await;
     }
