--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -122,7 +122,7 @@
         // The row of the first key partition is written last. It may come from an earlier version
         // of ashroad, which kept all holdings in it, and must not lose them before the other rows
         // have them.
-        let mut parts = held.changed_parts(&assignment);
+        let mut parts = held.changed_partitions(&assignment);
         parts.reverse();
         for parts in parts.chunks(ROWS_MAX) {
             let mut rows = Vec::with_capacity(parts.len());
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns the key partitions whose rows differ from the holdings of `assignment`.
-    pub fn changed_parts(&self, assignment: &Assignment) -> Vec<KeyPartition> {
+    pub fn changed_partitions(&self, assignment: &Assignment) -> Vec<KeyPartition> {
         let differs = |part: &KeyPartition| {
             let of_row = self
                 .rows
