--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -136,10 +136,10 @@
     fn note_limits(&self, rates: &[ServerRate], now_ms: u64) {
         let registry = self.view.registry();
         for rate in rates {
-            let Some(limit) = rate.told else { continue };
+            let Some(told) = rate.told else { continue };
             let limit = AdvertisedLimit {
-                per_s: limit.limit_per_s,
-                at_ms: now_ms.saturating_sub(u64::from(limit.age_ms)),
+                per_s: told.limit_per_s,
+                at_ms: now_ms.saturating_sub(u64::from(told.age_ms)),
             };
             for server in registry.servers().filter(|s| s.tag == rate.server_tag) {
                 log_change(server, server.rate.note_limit(limit), "another host");
