--- a/src/entry/bounds.rs
+++ b/src/entry/bounds.rs
@@ -50,7 +50,7 @@
     /// Window in which repeated requests are counted.
     #[serde(rename = "retry_window", deserialize_with = "duration")]
     pub retry_window_ms: u64,
-    /// Most repeated requests in a window, as a share of its requests.
+    /// Maximum number of repeated requests in a window, as a share of its requests.
     pub retry_ratio: f64,
     /// Repeated requests that all hosts together may send in a window in addition to that share.
     pub retry_allowance: f64,
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Asks the store whether the configuration has changed since; returns false if the store did
-    /// not answer.
+    /// Queries the store for changes of the configuration since then; returns false if the store
+    /// did not answer.
     async fn confirm_with_store(&self) -> bool {
         let followed = FollowedTable::Configuration;
         let after = self.freshness.applied(followed);
--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -69,8 +69,8 @@
     pub admit_probability: f64,
 }
 
-/// Request rate that callers direct at a server: requests that only this server may run, or that
-/// are for a service it belongs to.
+/// Demand of callers for a server, as request rates: requests that only this server may run, or
+/// that are for a service it belongs to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AskedRates {
     /// All requests per second, including the urgent ones.
@@ -102,7 +102,7 @@
     }
 }
 
-/// Meter of the request rates that callers direct at a server, as one host knows them.
+/// Demand for a server, as one host knows it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Asked {
     /// Rates of this host's callers: all requests, and the urgent ones.
--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -25,7 +25,7 @@
 
 /// Size above which a body needs a memory reservation before it is read.
 const LARGE_BODY_BYTES: u64 = 64 * 1024;
-/// Most memory that is reserved for a large body before it is read.
+/// Maximum memory that is reserved for a large body before it is read.
 const LARGE_BODY_RESERVED_BYTES: u64 = 192 * 1024;
 
 /// Memory budget for bodies, shared by all requests of a host.
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -64,13 +64,14 @@
     /// Pause between a host's own calls, among many hosts, while neither the duty holder nor a
     /// relay confirms the store. Two pauses fit into the contact grace period.
     pub alone_pause_ms: u64,
-    /// Time for other hosts to send a host the changes that it missed, before it asks the store.
+    /// Time for other hosts to send a host the changes that it missed, before it queries the
+    /// store.
     pub catch_up_ms: u64,
     /// Longest pause of the feed of servers' entries while no heartbeats of a duty holder arrive.
     pub servers_pause_ms: u64,
     /// Longest pause of the configuration's feed.
     pub configuration_pause_ms: u64,
-    /// Time for which a host may lag behind the reported versions before it asks the store: a
+    /// Time for which a host may lag behind the reported versions before it queries the store: a
     /// response or a broadcast may be on its way.
     pub lag_grace_ms: u64,
     /// Time for which a host waits for the first heartbeat of a duty holder after its start, or
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -9,9 +9,9 @@
 /// Limits that operators set for callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest size of a request's line and headers.
+    /// Maximum size of a request's line and headers.
     pub head_bytes: u64,
-    /// Largest size of a request's body.
+    /// Maximum size of a request's body.
     pub body_bytes: u64,
     /// Longest time in which a caller sends a request's line and headers.
     pub head_timeout_ms: u64,
@@ -74,7 +74,7 @@
     pub regions: Vec<Arc<str>>,
     /// Services that share its requests by weight.
     pub parts: Vec<RouteTarget>,
-    /// Most servers that one request may be sent to, one after the other.
+    /// Maximum number of servers that one request may be sent to, one after the other.
     pub attempts_max: u32,
 }
 
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -21,8 +21,8 @@
 /// Interval of reports and announcements among few hosts. The excess over a quota, while a surge is
 /// not known yet, grows with it.
 const REPORT_INTERVAL_MS: u64 = 150;
-/// Interval of reports per host: among many hosts the interval grows with their number, which bounds
-/// the messages that the duty holder gets.
+/// Interval of reports per host: among many hosts the interval grows with their number, which
+/// bounds the number of messages that the duty holder receives.
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 1;
 /// Number of intervals without an announcement after which a host no longer relies on the last one.
 const MISSED_ANNOUNCEMENTS: u64 = 4;
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -18,8 +18,8 @@
 
 /// Interval of reports and announcements among few hosts.
 const REPORT_INTERVAL_MS: u64 = 150;
-/// Interval of reports per host: among many hosts the interval grows with their number, which bounds
-/// the messages that the duty holder gets.
+/// Interval of reports per host: among many hosts the interval grows with their number, which
+/// bounds the number of messages that the duty holder receives.
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 2;
 
 impl Entry {
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -222,7 +222,7 @@
     }
 
     /// Records that the store has delivered all changes of a table up to the time of the call; for
-    /// the configuration, this proves its age.
+    /// the configuration, this confirms that it is the latest one.
     fn note_proof_of_store(&self, followed: FollowedTable, asked_ms: u64) {
         if followed == FollowedTable::Configuration {
             self.proof.note(asked_ms);
