--- a/src/bench/control.rs
+++ b/src/bench/control.rs
@@ -1,5 +1,5 @@
-//! Cost per host of the coordination between hosts, by the number of hosts. Real hosts, a platform
-//! stand-in and backend servers run in this process, without callers.
+//! Measures the cost per host of the coordination between hosts, by the number of hosts. Real
+//! hosts, a platform stand-in and backend servers run in this process, without callers.
 
 use std::time::Duration;
 
@@ -66,7 +66,7 @@
     })
 }
 
-/// Values of all counters at one moment.
+/// Values of all counters at one time, to compute their increase over the measurement.
 struct CounterSnapshot {
     cpu_ms: u64,
     sent_bytes: u64,
--- a/src/bench/day.rs
+++ b/src/bench/day.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
-    /// Nothing but the daily load curve.
+    /// Daily load curve without further events.
     Steady,
     /// A tenth of the slots gets ten times its load for four hours.
     Thaw,
--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -1,4 +1,4 @@
-//! Time and memory of the planner and the state, by the number of slots and servers.
+//! Measures the time and memory of the planner and the state, by the number of slots and servers.
 
 use std::{sync::Arc, time::Instant};
 
--- a/src/bin/ashroad/error.rs
+++ b/src/bin/ashroad/error.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use snafu::Snafu;
 
-/// Exit code of a failure that no other code describes.
+/// Exit code of a failure without an exit code of its own.
 const FAILED: u8 = 1;
 /// Exit code for invalid settings, declarations or files; nothing was changed.
 const BAD_INPUT: u8 = 3;
--- a/src/bin/ashroad/load.rs
+++ b/src/bin/ashroad/load.rs
@@ -14,7 +14,7 @@
     ratio_p99: Option<f64>,
 }
 
-/// Runs the load through the entry hosts, preceded by a run straight to the servers if their
+/// Runs the load through the entry hosts, preceded by a run directly against the servers if their
 /// addresses are given.
 pub async fn run(args: LoadArgs, json: bool) -> Result<()> {
     let through = LoadConfig {
--- a/src/bin/ashroad/output.rs
+++ b/src/bin/ashroad/output.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-/// Prints a line. Errors are ignored, so that a closed pipe does not make the command fail.
+/// Prints a line. Write errors are ignored, so that a closed pipe does not make the command fail.
 pub fn line(text: &str) {
     let _ = writeln!(stdout().lock(), "{text}");
 }
--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -108,8 +108,8 @@
     /// Writes the batch; each round takes out the operations whose condition failed.
     async fn write(&self, mut batch: Vec<Operation>) {
         while !batch.is_empty() {
-            // Two operations on one key must not be in one transaction: the second waits for a
-            // round.
+            // Two operations on one key must not be in one transaction, so the second one waits for
+            // the next round.
             let (first, mut repeated) = take_repeated(batch);
             batch = first;
             let transaction = transaction(&batch);
--- a/src/claims/row.rs
+++ b/src/claims/row.rs
@@ -55,7 +55,8 @@
 /// Stored value of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
-    /// Random number of the request that made the claim; it tells that request from its duplicates.
+    /// Random number of the request that made the claim; it distinguishes that request from its
+    /// duplicates.
     pub nonce: u64,
     /// Fingerprint of the request; a duplicate must have the same.
     pub fingerprint: Fingerprint,
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -1,6 +1,6 @@
 //! Demonstration in one process: a platform stand-in, backend servers, three entry hosts and both
 //! example templates under a mixed load. During the load a server is lost, a range of keys is moved
-//! and a host is stopped.
+//! and a host makes a planned stop.
 
 mod error;
 mod system;
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -266,7 +266,7 @@
         self.submit(DeclarationKind::Workspace, document).await
     }
 
-    /// Shuts one host down gracefully.
+    /// Makes one host stop as planned.
     pub(crate) async fn stop_host(&mut self) -> Stopped {
         let host = self.hosts.remove(STOPPED_HOST);
         let address = host.callers;
--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -17,7 +17,7 @@
     pub(crate) key: u64,
 }
 
-/// Host that was shut down, with the time at which the shutdown began.
+/// Host that made a planned stop, with the time at which the stop began.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stopped {
     pub(crate) address: SocketAddr,
@@ -44,9 +44,9 @@
 pub struct Summary {
     /// Requests sent.
     pub requests: u64,
-    /// Requests that got their own complete response.
+    /// Requests that got a complete response, and not that of another request.
     pub answered: u64,
-    /// Requests whose callers were told that they did not run.
+    /// Requests whose responses stated that they did not run.
     pub not_run: u64,
     /// Requests with an unknown outcome.
     pub unknown: u64,
@@ -56,7 +56,7 @@
     pub double_owned: u64,
     /// Unrepeatable requests that ran more than once.
     pub double_run: u64,
-    /// Unrepeatable requests that ran although all their callers were told that they did not.
+    /// Unrepeatable requests that ran although every response to them stated that they did not run.
     pub false_not_run: u64,
     /// Share of requests answered, among those that no disturbance can have affected.
     pub undisturbed_answered: f64,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Counts unrepeatable requests that ran although every response to them said that they did not
+/// Counts unrepeatable requests that ran although every response to them stated that they did not
 /// run.
 fn false_not_run(samples: &[Sample], records: &[Record]) -> u64 {
     let mut told: HashMap<&str, bool> = HashMap::new();
--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -1,5 +1,5 @@
-//! Fetches missed changes from other hosts. If hundreds of hosts read from the store what thousands
-//! of servers change at their start, that takes thousands of calls of 150 KB each.
+//! Fetches missed changes from other hosts. When thousands of servers start together, reading their
+//! changes from the store would take hundreds of hosts thousands of calls of 150 KB each.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -22,13 +22,13 @@
 
 /// Minimum pause between two queries; a random time of up to the same length is added.
 const RETRY_AFTER_MS: u64 = 150;
-/// Number of missed changes above which other hosts are queried instead of the store. One answer of
-/// the store holds no more than this number.
+/// Number of missed changes above which other hosts are queried instead of the store. One response
+/// of the store contains at most this number.
 const MISSED_MAX: u64 = 500;
 
 impl Entry {
-    /// Fetches the missed changes of a table from other hosts. Returns true if this host knows all
-    /// changes that it has heard of, and false if it must query the store.
+    /// Fetches the missed changes of a table from other hosts. Returns true if this host has all
+    /// changes that other hosts have reported, and false if it must query the store.
     pub(in crate::entry) async fn catch_up_from_peers(&self, followed: FollowedTable) -> bool {
         if self.sync_role() != SyncRole::Follower || !self.asks_peers_first(followed) {
             return false;
@@ -38,8 +38,8 @@
         learned.unwrap_or(false)
     }
 
-    /// Returns true if there are so many hosts or changes that other hosts are queried before the
-    /// store.
+    /// Returns true if other hosts are queried before the store, because there are many hosts,
+    /// servers or missed changes.
     fn asks_peers_first(&self, followed: FollowedTable) -> bool {
         match followed {
             // While the store is unavailable, only this feed detects its return, for the other
@@ -61,9 +61,9 @@
         changed.saturating_sub(self.freshness.applied(followed))
     }
 
-    /// Returns the timeout for fetching missed changes from other hosts. No time limit applies to
-    /// the knowledge of a new server; that a server is leaving must be known in time, and so must a
-    /// configuration.
+    /// Returns the timeout for fetching missed changes from other hosts. A new server may become
+    /// known late, but a leaving server and a new configuration must become known within their time
+    /// limits.
     fn catch_up_timeout_ms(&self, followed: FollowedTable) -> u64 {
         let applied = self.freshness.applied(followed);
         let is_owed = match followed {
@@ -130,15 +130,15 @@
         Ok(())
     }
 
-    /// Fetches and applies a snapshot of another host. Returns false if it is no newer than what
-    /// this host knows of a table.
+    /// Fetches and applies a snapshot of another host. Returns false if the snapshot is no newer
+    /// than this host's version of the table.
     pub(super) async fn fetch_snapshot(
         &self,
         followed: FollowedTable,
         peer: SocketAddr,
     ) -> Result<bool, Error> {
-        // Changes that the duty holder broadcasts in the meantime are missing in a snapshot made
-        // before.
+        // A snapshot made earlier lacks the changes that the duty holder broadcasts in the
+        // meantime.
         self.broadcast.begin_reading(followed);
         let snapshot = self.query::<Snapshot>(peer, SNAPSHOT).await;
         let snapshot = match snapshot {
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -46,7 +46,8 @@
 /// Time after which a host that found no seed hosts reads their list again. At the first start of a
 /// deployment the first duty holder has stored the list by then.
 const LOOKUP_RETRY_MS: u64 = 2_200;
-/// Maximum random time that is added to this pause, so that hosts do not call the store at once.
+/// Maximum random time that is added to [`LOOKUP_RETRY_MS`], so that hosts do not call the store at
+/// the same moment.
 const LOOKUP_JITTER_MS: u64 = 700;
 /// Divisor that selects early hosts: one in 32 of the hosts with a small processor share reads the
 /// tables early.
@@ -75,7 +76,7 @@
     ReadsTables,
 }
 
-/// State of this host's start, and of its answers to other hosts.
+/// State of this host's initial sync, and of the snapshots that it serves to other hosts.
 #[derive(Debug)]
 pub struct Join {
     outcome: watch::Sender<SyncOutcome>,
@@ -99,7 +100,7 @@
 }
 
 impl Join {
-    /// Waits for the end of the initial sync. Returns true if this host got a table from another
+    /// Waits for the end of the initial sync. Returns true if this host got the table from another
     /// host.
     pub(super) async fn was_synced_from_peer(&self, followed: FollowedTable) -> bool {
         if followed == FollowedTable::Configuration {
@@ -190,7 +191,7 @@
     }
 
     /// Reads the seed hosts of the own zone from the store, or all of them if the zone has none.
-    /// Returns `None` if the store does not answer.
+    /// Returns `None` if the store does not respond.
     async fn find_seed_hosts(&self) -> Option<SeedHostLookup> {
         let rows = match self
             .store
--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -1,6 +1,6 @@
 //! Batched registration of starting hosts (newcomers) by the host that they query. The store
-//! accepts some hundred writes a second; of a thousand hosts that start together, each would be
-//! rejected several times, and every call is priced.
+//! accepts some hundred writes a second. If a thousand hosts that start together registered
+//! themselves, each would be rejected several times, and every call is billed.
 
 use std::{
     net::SocketAddr,
@@ -72,7 +72,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Removes the newcomers for the next transaction from the queue, without those that have gone.
+    /// Takes the newcomers for the next transaction from the queue. Newcomers that no longer wait
+    /// are dropped.
     fn take(&self) -> Vec<Waiting> {
         let mut waiting = self.waiting();
         waiting.retain(|one| !one.done.is_closed());
@@ -87,8 +88,9 @@
 }
 
 impl Entry {
-    /// Waits until this host knows which host to query, and asks it for registration. Returns true
-    /// if that host has registered this one, which was never registered before.
+    /// Waits until this host knows which host to query, and requests its registration from that
+    /// host. Returns true if that host has registered it. Returns false if this host must register
+    /// itself, for example because an earlier process of it was registered.
     pub(in crate::entry) async fn register_through_peer(&self, row: &HostRow) -> bool {
         self.join.sync_outcome().await;
         if self.view.had_former_process() {
@@ -111,8 +113,8 @@
         false
     }
 
-    /// Queues the newcomer of a request for the next transaction. Returns the sealed answer, which
-    /// states whether the newcomer was registered.
+    /// Queues the newcomer of a request for the next transaction. Returns the sealed response,
+    /// which states whether the newcomer was registered.
     pub(super) async fn register_newcomer(&self, request: Request<Incoming>) -> Option<Bytes> {
         let body = Limited::new(request.into_body(), REQUEST_BYTES_MAX);
         let body = body.collect().await.ok()?.to_bytes();
--- a/src/entry/join/paths.rs
+++ b/src/entry/join/paths.rs
@@ -1,14 +1,14 @@
 //! HTTP paths of the queries between hosts.
 
-/// Returns servers, holdings and hosts.
+/// Path of the snapshot with servers, holdings and hosts.
 pub const SNAPSHOT: &str = "/snapshot";
-/// Returns holdings and hosts, without servers.
+/// Path of the snapshot with holdings and hosts, without servers.
 pub const OWN: &str = "/own";
-/// Returns the operators' configuration.
+/// Path of the operators' configuration.
 pub const CONFIGURATION: &str = "/configuration";
-/// Registers the querying host in the store.
+/// Path by which the querying host requests its registration in the store.
 pub const REGISTER: &str = "/register";
-/// Returns the hosts that the queried host knows, itself included.
+/// Path of the list of hosts that the queried host knows, itself included.
 pub const HOSTS: &str = "/hosts";
-/// Returns the changes of server entries after a version, which is appended to this prefix.
+/// Prefix of the path of the changes of server entries after a version; the version follows.
 pub const CHANGES: &str = "/changes/";
--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -1,4 +1,4 @@
-//! Queries to other hosts over HTTP, and the application of their answers.
+//! Queries to other hosts over HTTP, and the application of their responses.
 
 use std::{collections::HashSet, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -26,7 +26,7 @@
     platform::{self, Link},
 };
 
-/// Timeout until an answer begins.
+/// Timeout for the head of a response.
 const QUERY_TIMEOUT_MS: u64 = 1_500;
 /// Successive pauses after its start at which a host queries which other hosts have joined: hosts
 /// that start together do not know each other yet.
@@ -34,23 +34,23 @@
 /// Interval of these queries after the start.
 const QUERY_HOSTS_EVERY_MS: u64 = 30_000;
 
-/// Reasons why another host did not answer a query.
+/// Reason why a query to another host failed.
 #[derive(Debug, Snafu)]
 pub(super) enum Error {
     #[snafu(display("{source}"))]
     Call { source: platform::Error },
     #[snafu(display("the request cannot be built: {source}"))]
     BuildRequest { source: http::Error },
-    #[snafu(display("the host answered with status {status}"))]
+    #[snafu(display("the host responded with status {status}"))]
     Status { status: StatusCode },
     #[snafu(display("the content cannot be sealed or opened with the known secret"))]
     Seal,
-    #[snafu(display("the answer cannot be decoded: {source}"))]
+    #[snafu(display("the response cannot be decoded: {source}"))]
     Decode { source: postcard::Error },
 }
 
 impl Entry {
-    /// Sends a GET request to a host and decodes its answer.
+    /// Sends a GET request to a host and decodes its response.
     pub(super) async fn query<T: DeserializeOwned>(
         &self,
         peer: SocketAddr,
@@ -60,7 +60,7 @@
         self.call(peer, request, Bytes::new()).await
     }
 
-    /// Posts sealed content to a host and decodes its answer.
+    /// Posts sealed content to a host and decodes its response.
     pub(super) async fn send_to<T: DeserializeOwned>(
         &self,
         peer: SocketAddr,
@@ -95,7 +95,7 @@
 
     /// Fetches a snapshot from another host when the store no longer has the change history that
     /// this host has missed: after an outage hundreds of hosts would otherwise read the whole
-    /// tables. Returns false if no host is known that certainly has later changes than this one.
+    /// tables. Returns false if this host knows no host that certainly has later changes.
     pub(in crate::entry) async fn resync_from_peer(&self, followed: FollowedTable) -> bool {
         if followed == FollowedTable::Configuration || !self.has_many_servers() {
             return false;
--- a/src/entry/join/seed_hosts.rs
+++ b/src/entry/join/seed_hosts.rs
@@ -1,4 +1,4 @@
-//! Seed hosts, which starting hosts fetch a snapshot from. The duty holder stores the list.
+//! Seed hosts, from which starting hosts fetch a snapshot. The duty holder stores the list.
 
 use std::{sync::Arc, time::Duration};
 
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -1,4 +1,4 @@
-//! HTTP answers to hosts that start or have missed changes.
+//! HTTP server for hosts that start or have missed changes.
 
 use std::sync::{Arc, PoisonError};
 
@@ -22,7 +22,7 @@
     transport::{self, ListenerLimits, ResponseBody},
 };
 
-/// Content type of sealed answers.
+/// Content type of sealed responses.
 const ANSWER_TYPE: &str = "application/octet-stream";
 /// Maximum number of connections of other hosts that are served at a time. Further connections wait
 /// to be accepted.
@@ -93,13 +93,13 @@
         match postcard::to_stdvec(content) {
             Ok(plain) => Some(Bytes::from(self.peers.seal.seal(&plain)?)),
             Err(error) => {
-                log::warn!("an answer to another host cannot be encoded: {error}");
+                log::warn!("a response to another host cannot be encoded: {error}");
                 None
             }
         }
     }
 
-    /// Returns the sealed answer to a path; `None` if this host cannot answer it now.
+    /// Returns the sealed response to a query for `path`; `None` if this host cannot serve it now.
     fn answer_to(&self, path: &str) -> Option<Bytes> {
         match path {
             SNAPSHOT => self.encoded_snapshot(),
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Returns the status for a query that this host cannot answer: 410 if it no longer has the
+    /// Returns the status for a query that this host cannot serve: 410 if it no longer has the
     /// requested changes, 503 otherwise.
     fn refusal_status(&self, path: &str) -> StatusCode {
         let is_forgotten = |after| !self.broadcast.reaches_back_to(after);
@@ -157,7 +157,7 @@
     }
 }
 
-/// Returns the version after which a path requests changes.
+/// Parses the version after which a path requests changes.
 fn changes_after(path: &str) -> Option<u64> {
     path.strip_prefix(CHANGES)?.parse().ok()
 }
--- a/src/entry/peers/intervals.rs
+++ b/src/entry/peers/intervals.rs
@@ -1,8 +1,8 @@
 //! Intervals of the load reports between hosts, and the age up to which a report is used.
 
 /// Interval of reports among up to [`REPORT_HOSTS`] hosts that report to each other. With more
-/// hosts it grows in proportion to their number, so that the datagrams per host do not. With older
-/// reports, servers are sent requests that they have no capacity for.
+/// hosts it grows in proportion to their number, which keeps the number of datagrams per host
+/// constant. Longer intervals make hosts send requests to servers that have no free capacity.
 const REPORT_EVERY_MS: u64 = 100;
 const REPORT_HOSTS: u64 = 40;
 /// Upper bound of the report interval, however many hosts there are.
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -206,7 +206,7 @@
     Servers(ServerChanges),
     /// Piece of a configuration that the sender, the duty holder, received from the store.
     Configuration(Piece),
-    /// Asks the duty holder which server holds a key.
+    /// Queries the duty holder for the server that holds a key.
     QueryKeyOwner {
         /// Hash of the service's name.
         service_tag: u32,
@@ -255,14 +255,14 @@
     ReportUsage(Vec<WorkspaceUse>),
     /// Shares of the workspaces' requests that hosts may admit; sent by the duty holder.
     AdmittedShare(Vec<WorkspaceAdmitted>),
-    /// Asks a relay how recent its view of the store is.
+    /// Queries a relay for the age of its view of the store.
     QueryStoreState {
-        /// Identifies the query; returned in the answer.
+        /// Identifies the query; returned in the response.
         nonce: u64,
         /// Sending host, for relays that have not read its row yet.
         sender: Sender,
     },
-    /// Answers [`Message::QueryStoreState`] with the sender's view of the store.
+    /// Responds to [`Message::QueryStoreState`] with the sender's view of the store.
     StoreState {
         /// Nonce of the query.
         nonce: u64,
@@ -271,13 +271,13 @@
         /// Zones that are being evacuated.
         evacuations: Evacuations,
     },
-    /// Asks how recently the receiver's configuration was known to be current.
+    /// Queries the receiver for the time since its configuration was known to be current.
     QueryConfigurationAge {
-        /// Identifies the query; returned in the answer.
+        /// Identifies the query; returned in the response.
         nonce: u64,
     },
-    /// Answers [`Message::QueryConfigurationAge`]: the sender's configuration was current `age_ms`
-    /// ago.
+    /// Responds to [`Message::QueryConfigurationAge`]: the sender's configuration was current
+    /// `age_ms` ago.
     ConfigurationAge {
         /// Nonce of the query.
         nonce: u64,
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -39,7 +39,7 @@
 };
 use crate::clock;
 
-/// Sum of the other hosts' reports about one server.
+/// Sum of the other hosts' reports on one server.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportedLoad {
     in_flight: u32,
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -48,7 +48,7 @@
 
     fn handle_datagram(&self, datagram: &[u8], from: SocketAddr) {
         let Some(message) = self.peers.seal.open(datagram) else {
-            // If the sender is a host, the hosts may use another secret by now.
+            // If the sender is a host, the hosts may use a new secret by now.
             log::debug!("datagram of {from} is not sealed with the known secret");
             if self.peers.knows(from) {
                 self.join.flag_stale_secret();
@@ -117,7 +117,7 @@
                 quarantined,
             } => {
                 self.peers.note_duty_holder_hosts(hosts);
-                // The later state wins, whichever way it arrived.
+                // The state with the latest version is kept, also if an older one arrives later.
                 self.view.evacuate(evacuations);
                 self.put_in_quarantine(&quarantined, "the holder of the duty tells it");
                 let updates = updates.aged_by(self.peers.excess_delay_ms(term, sent_ms));
@@ -235,8 +235,8 @@
         }
     }
 
-    /// Answers a host whose request reached a server that does not hold the key: sends it the key's
-    /// holding, if this host has the duty.
+    /// Sends the holding of a key, if this host has the duty, to a host whose request reached a
+    /// server that does not hold the key.
     fn send_key_owner(&self, to: SocketAddr, service_tag: u32, key: u16) {
         if self.duty.term() == 0 {
             return;
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -19,12 +19,13 @@
 /// Interval at which request counts by key are sent to the duty holder.
 const KEYS_EVERY_MS: u64 = 150;
 /// Interval at which reports of the other hosts are applied to the loads of up to [`APPLY_SERVERS`]
-/// servers. With more servers it grows in proportion to their number, so that the processor time
-/// spent does not.
+/// servers. With more servers it grows in proportion to their number, which keeps the processor
+/// time constant.
 const APPLY_EVERY_MS: u64 = 25;
 const APPLY_SERVERS: u64 = 220;
 /// Upper bound of the interval at which reports are applied.
 const APPLY_EVERY_MAX_MS: u64 = 150;
+
 /// State of the periodic load reports.
 #[derive(Debug, Default)]
 struct Reporter {
--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -64,9 +64,9 @@
     }
 }
 
-/// Sums that a zone aggregator has sent, from which it determines the changes to send. Sending
-/// thousands of idle servers each time would fill the links of small hosts with what they already
-/// know.
+/// Sums that a zone aggregator has sent, from which it determines the changes to send. Sending the
+/// sums of thousands of idle servers each time would fill the links of small hosts with unchanged
+/// values.
 #[derive(Debug, Default)]
 pub struct ZoneLoadChanges {
     sent: HashMap<u32, Heard>,
--- a/src/entry/updates/announcement.rs
+++ b/src/entry/updates/announcement.rs
@@ -9,7 +9,7 @@
 pub struct MoveAnnouncement {
     /// Range of keys being moved.
     pub range: KeyRange,
-    /// The move is complete once a grant of the range under a higher fence is announced.
+    /// Fence above which a grant of the range completes the move.
     pub above_fence: u64,
     /// Remaining time after which the announcement expires, even if no grant was announced.
     pub rest: MoveTimeLeft,
--- a/src/entry/updates/configuration_pieces.rs
+++ b/src/entry/updates/configuration_pieces.rs
@@ -7,10 +7,11 @@
 
 use super::evacuation::Evacuations;
 
-/// Most bytes of content in one piece, chosen to keep the datagram below the usual packet size.
+/// Maximum number of content bytes in one piece, chosen to keep the datagram below the usual packet
+/// size.
 const PIECE_BYTES: usize = 1_200;
-/// Most pieces of a configuration that is broadcast. A larger one would occupy the links of small
-/// hosts for longer than each of them takes to read it from the store.
+/// Maximum number of pieces of a configuration that is broadcast. A larger one would occupy the
+/// links of small hosts for longer than each of them takes to read it from the store.
 const PIECES_MAX: usize = 12;
 
 /// One piece of a configuration row, byte for byte as stored.
@@ -29,7 +30,8 @@
     pub bytes: Vec<u8>,
 }
 
-/// Configuration and evacuated zones as one host knows them, in its answer to a host that asks.
+/// Configuration and evacuated zones as one host knows them, in the response to the query of
+/// another host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotConfiguration {
     /// Version of the configuration row in the store.
--- a/src/entry/updates/evacuation.rs
+++ b/src/entry/updates/evacuation.rs
@@ -1,6 +1,6 @@
 //! Availability zones evacuated by operators: their servers get no new work until the zone is
 //! restored. Each heartbeat of the duty holder carries the complete list, so a lost datagram delays
-//! the news by one heartbeat interval only.
+//! a change by one heartbeat interval only.
 
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Returns whether a zone is evacuated.
+    /// Returns true if a zone is evacuated.
     pub fn contains(&self, zone: &str) -> bool {
         self.zones.iter().any(|known| **known == *zone)
     }
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -7,22 +7,22 @@
     platform::{config, servers},
 };
 
-/// Longest wait of a feed call at the store while no other host confirms the store. A store that
-/// stopped answering is detected within a second after that, early enough to apply the
+/// Maximum wait of a feed call at the store while no other host confirms the store. A store that
+/// stopped responding is detected within a second after that, early enough to apply the
 /// configuration within its bound once a network partition has healed.
 const ALONE_WAIT_MS: u64 = 3_000;
-/// Longest wait of a feed call that is abandoned and repeated as soon as another host reports a
+/// Maximum wait of a feed call that is abandoned and repeated as soon as another host reports a
 /// change that the feed did not deliver. Calls are billed, so the wait is long; the store allows up
 /// to 30 s.
 const FOLLOWER_WAIT_MS: u64 = 25_000;
-/// Longest pause of a feed while the duty holder broadcasts all changes. A host that has missed a
-/// change notices it by the versions in the duty holder's heartbeat, or when it meets an unknown
-/// host or secret, or a server that no longer holds a key.
+/// Maximum pause of a feed while the duty holder broadcasts all changes. A host that has missed a
+/// change notices it by the versions in the duty holder's heartbeat, or when it encounters an
+/// unknown host or secret, or a server that no longer holds a key.
 pub const FOLLOWER_PAUSE_MAX_MS: u64 = 120_000;
 /// Time after its start that a host waits for a heartbeat of the duty holder before it reads the
 /// product's own rows again.
 const OWN_START_WAIT_MS: u64 = 2_500;
-/// Shortest pause of the feed of the product's own rows.
+/// Minimum pause of the feed of the product's own rows.
 const OWN_PAUSE_MIN_MS: u64 = 300;
 /// Time without a feed call after which the whole table is read. The store keeps 20 s of history,
 /// and a feed call that comes too late costs an extra call.
@@ -40,7 +40,7 @@
     Relay,
     /// This host depends on the duty holder or a relay, which confirms the store.
     Follower,
-    /// Nobody confirms the store; this host depends on its own feeds alone.
+    /// No other host confirms the store; this host depends on its own feeds alone.
     Alone,
 }
 
@@ -59,7 +59,7 @@
     /// All followed tables, in the order of [`Self::index`].
     pub const ALL: [Self; 3] = [Self::Configuration, Self::Servers, Self::Own];
 
-    /// Longest time until a store that stopped answering is detected while no other host confirms
+    /// Maximum time until a store that stopped responding is detected while no other host confirms
     /// it.
     pub const NOTICED_MS: u64 = ALONE_WAIT_MS + 500;
 
@@ -77,9 +77,9 @@
         }
     }
 
-    /// Returns how long a feed call may wait at the store. The duty holder and hosts that hear no
-    /// duty holder use short waits, since nobody else can tell them that their connection has
-    /// failed silently.
+    /// Returns the maximum wait of a feed call at the store. The duty holder and hosts that hear no
+    /// duty holder use short waits, since no other host reports changes to them if their connection
+    /// has failed silently.
     pub fn wait_ms(self, sync_role: SyncRole, limits: &TimeLimits) -> u64 {
         match (self, sync_role) {
             (Self::Own, _) | (_, SyncRole::Follower) => FOLLOWER_WAIT_MS,
@@ -89,10 +89,10 @@
         }
     }
 
-    /// Returns how long a host that has just read the table waits for a heartbeat of the duty
-    /// holder before it asks for changes. Hosts that start together would otherwise all fetch each
-    /// other's rows; these are written after 2 s, when the first duty holder is there as well. The
-    /// wait lies within the contact grace period, in which the bounds do not apply.
+    /// Returns the time for which a host that has just read the table waits for a heartbeat of the
+    /// duty holder before it requests changes. Hosts that start together would otherwise all fetch
+    /// each other's rows; these are written after 2 s, when the first duty holder is there as well.
+    /// The wait lies within the contact grace period, in which the bounds do not apply.
     pub fn start_wait_ms(self, limits: &TimeLimits) -> u64 {
         match self {
             Self::Own => OWN_START_WAIT_MS,
@@ -147,10 +147,10 @@
 /// Pause between two feed calls, which lets changes in quick succession share one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FeedPause {
-    /// Shortest pause, kept even if there is a reason to call early, such as a read request or a
+    /// Minimum pause, kept even if there is a reason to call early, such as a read request or a
     /// missed change.
     pub min_ms: u64,
-    /// Longest pause, if no such reason arises.
+    /// Maximum pause, if no such reason arises.
     pub max_ms: u64,
 }
 
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -1,7 +1,7 @@
 //! Tracks how recent a host's view of the store is. The duty holder writes to the store
-//! continuously. It reports to the other hosts how long ago the store answered it and up to which
-//! version it has seen each table. The feeds of the others can therefore wait for long: a feed that
-//! lags behind the reported version has failed silently and is called again.
+//! continuously. It reports to the other hosts the time since the store last responded to it, and
+//! the version up to which it has seen each table. The feeds of the others can therefore wait for
+//! long: a feed that lags behind the reported version has failed silently and is called again.
 
 use std::{
     sync::{
@@ -28,8 +28,8 @@
 /// Report of the duty holder, or of a relay, on its view of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStateReport {
-    /// Time since the store's last answer, or since the servers' entries or the configuration were
-    /// last followed if that is longer ago. All changes up to then are known to the sender.
+    /// Time since the store's last response, or since the servers' entries or the configuration
+    /// were last followed if that is longer ago. All changes up to then are known to the sender.
     pub age_ms: u32,
     /// Version of the latest change seen, by table.
     pub changed: [u64; TABLES],
@@ -76,13 +76,13 @@
     changed: [AtomicU64; TABLES],
     leave_version: AtomicU64,
     received: Mutex<Option<ReceivedReport>>,
-    /// Query to a relay that was not answered yet.
+    /// Query to a relay, while it waits for the response.
     query: PendingQuery,
     /// True while this host reports the store's state to its zone in place of the duty holder.
     is_relay: AtomicBool,
 }
 
-/// Report of another host, with the time of the store's answer by this host's clock.
+/// Report of another host, with the time of the store's last response by this host's clock.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
     answered_ms: u64,
@@ -111,7 +111,7 @@
     Behind,
     /// No other host confirms the store any more.
     Unconfirmed,
-    /// Another feed has found the store unavailable, and the store has not answered since.
+    /// Another feed has found the store unavailable, and the store has not responded since.
     StoreLost,
 }
 
@@ -136,7 +136,7 @@
         self.is_relay.store(is_relay, Ordering::Relaxed);
     }
 
-    /// Returns whether this host reports the store's state to its zone in place of the duty holder.
+    /// Returns true if this host reports the store's state to its zone in place of the duty holder.
     pub fn is_relay(&self) -> bool {
         self.is_relay.load(Ordering::Relaxed)
     }
@@ -194,7 +194,7 @@
     }
 
     /// Returns this host's own report for the others, sent while it has the duty. `heard_ms` is the
-    /// time of the store's last answer.
+    /// time of the store's last response.
     pub fn updates(&self, heard_ms: u64) -> StoreStateReport {
         let followed_ms = |followed: FollowedTable| {
             let followed_ms = &self.followed_ms[followed.index()];
@@ -236,8 +236,8 @@
         (u64::from(store_state.age_ms) < self.trust_ms).then_some(store_state)
     }
 
-    /// Records a relay's answer. Returns when the store answered the relay; `None` if that is not
-    /// later than what is known.
+    /// Records a relay's response. Returns the time at which the store last responded to the relay;
+    /// `None` if that is not later than the known time.
     pub fn note_relay_report(&self, nonce: u64, updates: StoreStateReport) -> Option<u64> {
         let asked_ms = self.query.answered(nonce)?;
         let answered_ms = asked_ms.saturating_sub(u64::from(updates.age_ms));
@@ -251,7 +251,8 @@
         is_new.then_some(answered_ms)
     }
 
-    /// Records a report of the duty holder. Returns when the store answered it.
+    /// Records a report of the duty holder. Returns the time at which the store last responded to
+    /// it.
     pub fn note_announced(&self, updates: StoreStateReport) -> u64 {
         let answered_ms = clock::now_ms().saturating_sub(u64::from(updates.age_ms));
         let received = ReceivedReport {
@@ -277,9 +278,9 @@
         }
     }
 
-    /// Returns whether the duty holder, or a relay in its place, has reported a recent answer of
+    /// Returns true if the duty holder, or a relay in its place, has reported a recent response of
     /// the store. A relay stops trusting the duty holder earlier than other hosts do, so that it
-    /// can answer them by the time they ask.
+    /// has a state of its own by the time they query it.
     pub fn is_store_confirmed(&self) -> bool {
         let trust_ms = if self.is_relay() {
             self.doubt_ms()
@@ -289,7 +290,7 @@
         self.received_age_ms() < trust_ms
     }
 
-    /// Returns whether a relay should be asked because the last report will soon be too old to be
+    /// Returns true if a relay should be queried because the last report will soon be too old to be
     /// trusted.
     pub fn needs_relay(&self) -> bool {
         self.received_age_ms() >= self.doubt_ms()
@@ -302,14 +303,14 @@
         })
     }
 
-    /// Age of the last report from which relays are asked. It lies above the usual age of the duty
-    /// holder's reports, which is at most half of the trust period plus a quarter of it for one
-    /// heartbeat.
+    /// Returns the age of the last report from which relays are queried. It lies above the usual
+    /// age of the duty holder's reports, which is at most half of the trust period plus a quarter
+    /// of it for one heartbeat.
     fn doubt_ms(&self) -> u64 {
         self.trust_ms * 3 / 4
     }
 
-    /// Returns whether the store is confirmed by an answer that it gave at `at_ms` or later.
+    /// Returns true if the store is confirmed by a response that it gave at `at_ms` or later.
     pub fn is_store_confirmed_since(&self, at_ms: u64) -> bool {
         let received = *self.received();
         self.is_store_confirmed() && received.is_some_and(|received| received.answered_ms >= at_ms)
@@ -322,21 +323,22 @@
         received.map_or(0, |received| received.updates.changed[followed.index()])
     }
 
-    /// Returns whether another host has reported a later change of a table than the version
-    /// `asked_after` that a feed call asked for.
+    /// Returns true if another host has reported a change of a table after `asked_after`, the
+    /// version that a feed call requested changes after.
     pub fn is_behind(&self, followed: FollowedTable, asked_after: u64) -> bool {
         self.reported_change(followed) > asked_after
     }
 
-    /// Returns whether another host has reported that a server leaves, by a change after a version.
+    /// Returns true if another host has reported a change after a version by which a server takes
+    /// no new work.
     pub fn has_leave_since(&self, version: u64) -> bool {
         let received = *self.received();
         received.is_some_and(|received| received.updates.leave_version > version)
     }
 
-    /// Completes when a feed call that waits for changes after `asked_after` should be abandoned
-    /// and repeated. `relies_on_holder` is true if its long wait depends on the duty holder's
-    /// confirmation of the store; `is_silent` returns true while no response has begun.
+    /// Waits until a feed call for changes after `asked_after` should be abandoned and repeated,
+    /// and returns the reason. `relies_on_holder` is true if its long wait depends on the duty
+    /// holder's confirmation of the store; `is_silent` returns true while no response has begun.
     pub async fn recall_reason(
         &self,
         followed: FollowedTable,
--- a/src/entry/updates/mod.rs
+++ b/src/entry/updates/mod.rs
@@ -1,6 +1,6 @@
 //! Values that hosts read from the store or send each other in place of such reads: followed
 //! tables, the freshness of a host's view of them, and changes of their rows. This module opens no
-//! sockets and starts no tasks: `peers` transports the values, and `watch`, `rows` and `relay`
+//! sockets and starts no tasks: `peers` transports the values, and `watch`, `rows` and `broadcast`
 //! apply them.
 
 pub mod announcement;
--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -18,8 +18,8 @@
 pub const HOST_PREFIX: &str = "host/";
 /// Key of the row with the secret that the hosts share.
 pub const SECRET_KEY: &str = "secret";
-/// Key of the row with the seed hosts, which other hosts ask when they start. It sorts right after
-/// [`SECRET_KEY`], so that one call reads both rows.
+/// Key of the row with the seed hosts, from which starting hosts fetch a snapshot. It sorts right
+/// after [`SECRET_KEY`], so that one call reads both rows.
 pub const SEED_HOSTS_KEY: &str = "secret-guides";
 /// Key of the row with the quarantined requests: they are sent to no server, since several servers
 /// have crashed while running them.
--- a/src/entry/updates/proof.rs
+++ b/src/entry/updates/proof.rs
@@ -3,8 +3,8 @@
 //! proved to be no older than that bound. A host that was partitioned, was suspended, or got its
 //! configuration from another host must not trust it any longer than that.
 //!
-//! A proof is dated from the sending of the answered query. An answer of the store proves the
-//! configuration as of that time; an answer of the duty holder proves it as of that time minus the
+//! A proof counts from the time at which the query was sent. A response of the store proves the
+//! configuration as of that time. A response of the duty holder proves it as of that time minus the
 //! age of the duty holder's own proof.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -19,7 +19,7 @@
     /// True while the latest configuration cannot be decoded: the one in force is then outdated and
     /// proves nothing.
     unreadable: AtomicBool,
-    /// Query to the duty holder that was not answered yet.
+    /// Query to the duty holder, while it waits for the response.
     query: PendingQuery,
 }
 
@@ -47,8 +47,8 @@
         self.query.ask(nonce, at_ms);
     }
 
-    /// Records the duty holder's answer: its configuration, which this host has as well, was the
-    /// current one `age_ms` before the answer. Answers to earlier queries are ignored.
+    /// Records the duty holder's response: its configuration, which this host has as well, was the
+    /// current one `age_ms` before the response. Responses to earlier queries are ignored.
     pub fn note_answer(&self, nonce: u64, age_ms: u64) {
         if let Some(asked_ms) = self.query.answered(nonce) {
             self.note(asked_ms.saturating_sub(age_ms));
--- a/src/entry/updates/query.rs
+++ b/src/entry/updates/query.rs
@@ -1,13 +1,13 @@
-//! Query to another host. The answer is dated from the sending of the query: a response that was
+//! Query to another host. The response counts from the sending of the query: a response that was
 //! delayed in the network, or that a suspended host reads late, proves nothing more recent than
 //! that.
 
 use std::sync::{Mutex, PoisonError};
 
-/// Query that was not answered yet.
+/// Query that waits for its response.
 #[derive(Clone, Copy, Debug)]
 struct SentQuery {
-    /// Random number that matches the answer with its query, also across restarts of either host.
+    /// Random number that matches the response with its query, also across restarts of either host.
     nonce: u64,
     at_ms: u64,
 }
@@ -19,14 +19,14 @@
 }
 
 impl PendingQuery {
-    /// Records a query; answers to earlier ones are ignored from then on.
+    /// Records a query; responses to earlier ones are ignored from then on.
     pub fn ask(&self, nonce: u64, at_ms: u64) {
         *self.asked.lock().unwrap_or_else(PoisonError::into_inner) =
             Some(SentQuery { nonce, at_ms });
     }
 
-    /// Returns when the query with this nonce was sent, and completes it. Returns `None` if it is
-    /// not the latest query or was answered before.
+    /// Completes the query with this nonce and returns the time at which it was sent. Returns
+    /// `None` if it is not the latest query or has completed before.
     pub fn answered(&self, nonce: u64) -> Option<u64> {
         let mut asked = self.asked.lock().unwrap_or_else(PoisonError::into_inner);
         let query = asked.take_if(|asked| asked.nonce == nonce);
--- a/src/entry/updates/server_changes.rs
+++ b/src/entry/updates/server_changes.rs
@@ -6,7 +6,7 @@
 
 use crate::entry::model::ServerEntry;
 
-/// Most changes in one datagram; a change takes about 60 bytes.
+/// Maximum number of changes in one datagram; a change takes about 60 bytes.
 const CHANGES_MAX: usize = 24;
 
 /// New state of a server's entry.
@@ -30,7 +30,7 @@
 }
 
 impl ServerChange {
-    /// Returns whether the server takes no new work after this change.
+    /// Returns true if the server takes no new work after this change.
     pub fn is_end(&self) -> bool {
         match &self.what {
             ServerUpdate::Entry(entry) => entry.leaving,
@@ -83,7 +83,7 @@
     }
 }
 
-/// Most changes kept for other hosts; each takes about 100 bytes.
+/// Maximum number of changes kept for other hosts; each takes about 100 bytes.
 const KEPT_MAX: usize = 4_000;
 
 /// Latest changes of servers' entries, as a range without gaps.
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Returns whether all changes since a version are kept.
+    /// Returns true if all changes since a version are kept.
     pub fn reaches_back_to(&self, version: u64) -> bool {
         version >= self.after
     }
--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -13,10 +13,10 @@
     state::{self, AppendOutcome, Change, LogEntry, LogError, Proposal, State},
 };
 
-/// Limit of the attempts to append one change while other writers win the race.
+/// Maximum number of attempts to append one change if other writers append theirs first.
 const ATTEMPTS_MAX: usize = 50;
-/// Limit of the hosts that one host pushes entries to directly; each of them relays the entries to
-/// its share of the remaining hosts.
+/// Maximum number of hosts that one host pushes entries to directly. Each of them relays the
+/// entries to its share of the remaining hosts.
 const PUSH_FANOUT: usize = 16;
 /// Timeout of one push. A host that misses a push learns of the revision by the next heartbeat.
 const PUSH_TIMEOUT_MS: u64 = 500;
@@ -44,7 +44,7 @@
         /// Failure of the store, or an entry that cannot be read.
         source: LogError,
     },
-    /// Other writers won the race in every attempt.
+    /// Other writers appended their changes first in every attempt.
     #[snafu(display("other changes took precedence {ATTEMPTS_MAX} times; try again"))]
     Contention,
 }
@@ -86,7 +86,8 @@
             if let Some(revision) = state.operation(&request.operation_id) {
                 return Ok(revision);
             }
-            // A stale view must not refuse a change, so the log is read before the refusal counts.
+            // A stale view must not refuse a change, so the log is read before the change is
+            // refused.
             if let Err(error) = check(&state, &request) {
                 if !self.read_log().await || self.view.revision() == state.revision {
                     return Err(error);
@@ -126,7 +127,7 @@
     }
 
     /// Pushes entries to `hosts` along a tree: up to [`PUSH_FANOUT`] hosts get them directly, and
-    /// each of those relays them to its share of the rest.
+    /// each of those relays them to its share of the remaining hosts.
     pub(super) fn push(self: &Arc<Self>, entries: &[LogEntry], hosts: &[HostKey]) {
         if hosts.is_empty() {
             return;
--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -16,12 +16,12 @@
 
 /// Interval of the control loop.
 const TICK_MS: u64 = 25;
-/// Rounds of a host that does not lead between two checks for silent hosts among those that ping
-/// it.
+/// Number of rounds of the control loop between two checks for silent hosts, on a host that is not
+/// the leader.
 const WATCH_EVERY_ROUNDS: u64 = 80;
 /// Pause between two pages of the sweep that deletes old claims.
 const SWEEP_MS: u64 = 1_000;
-/// Log entries between two snapshots.
+/// Number of log entries between two snapshots.
 const SNAPSHOT_EVERY: u64 = 500;
 
 /// State of the control loop between rounds. It is kept in memory only, so a new leader starts
@@ -47,7 +47,7 @@
     swept_ms: u64,
 }
 
-/// Message of a task to the controller when it has ended.
+/// Message that a task sends to the controller when it has ended.
 #[derive(Debug)]
 pub(super) enum FinishedTask {
     /// The task of a group of moves has ended, with success or failure.
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -25,7 +25,7 @@
 const ASK_SERVERS_MS: u64 = 300;
 /// Timeout of a query to another host for its lease horizon or its applied revision.
 const HORIZON_TIMEOUT_MS: u64 = 200;
-/// Longest pause between two rounds of horizon queries for one lost server.
+/// Maximum pause between two rounds of horizon queries for one lost server.
 const HORIZON_PAUSE_MS: u64 = 50;
 
 impl Host {
--- a/src/host/moves.rs
+++ b/src/host/moves.rs
@@ -25,7 +25,7 @@
     transport::{CallError, JsonClient},
 };
 
-/// Pause before a failed group of moves is tried again.
+/// Delay before a failed group of moves is retried.
 const RETRY_MS: u64 = 50;
 
 /// Reason why a group of moves is not completed yet.
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -137,7 +137,7 @@
     }
 
     /// Returns the time for which this host's renewals may still keep the lease of a lost server
-    /// valid. New renewals are decided on under the same lock, so none can follow a reply that says
+    /// valid. Renewals are checked under the same lock, so none can follow a reply which states
     /// that the loss is applied.
     pub(super) fn horizon(
         &self,
--- a/src/host/planning.rs
+++ b/src/host/planning.rs
@@ -17,9 +17,9 @@
     state::{Change, ServerState, ServiceEntry, SlotMove, State},
 };
 
-/// Limit of the slots of one service that may be moving when moves for balance are added.
+/// Maximum number of slots of one service that may be moving when moves for balance are added.
 const BALANCE_IN_FLIGHT_MAX: usize = 8;
-/// Limit of the slots in one change, which bounds the size of a row of the log.
+/// Maximum number of slots in one change, which bounds the size of a row of the log.
 const SLOTS_PER_CHANGE: usize = 2_000;
 /// Interval at which the leader reads the loads.
 const READ_LOADS_MS: u64 = 2_000;
@@ -121,7 +121,8 @@
     plans
 }
 
-/// Plans the moves of one service. If it has too few requests, all its slots count with load 0.
+/// Plans the moves of one service. If it has too few requests, the load of all its slots counts as
+/// 0.
 fn plan_service(state: &State, service: &ServiceEntry, loads: Option<&[f64]>) -> Vec<PlannedMove> {
     let capacity = service.spec.server_slots as f64;
     let servers: Vec<PlannerServer> = state
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -18,12 +18,12 @@
     transport::{CallError, JsonClient},
 };
 
-/// Interval at which due renewals are looked for.
+/// Interval of the checks for due renewals.
 const TICK_MS: u64 = 25;
 /// Number of hosts that renew the lease of one server independently of each other.
 const RENEWERS: usize = 2;
-/// Heartbeats without a reply after which the renewals of a silent host are assigned to another
-/// host.
+/// Number of heartbeats without a reply after which the renewals of a silent host are assigned to
+/// another host.
 const SILENT_HEARTBEATS: u64 = 5;
 /// Number of other hosts that probe a server before it is reported as lost.
 const INDIRECT_PROBES: usize = 2;
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -40,7 +40,7 @@
 
 /// Time limit for the change log to find out if a transaction whose response was lost took effect.
 const RESOLVE_TIMEOUT_MS: u64 = 5_000;
-/// Limit of the idle connections kept open to one backend server.
+/// Maximum number of idle connections kept open to one backend server.
 const IDLE_CONNECTIONS: usize = 8;
 /// Pause between two attempts to register this host.
 const REGISTER_PAUSE_MS: u64 = 100;
@@ -193,7 +193,8 @@
         self.host.peers.close();
     }
 
-    /// Ends the host as a crash would: the stop is not announced and requests are cut off.
+    /// Ends the host as a crash would: the stop is not announced, and requests in flight are
+    /// aborted.
     pub async fn kill(mut self) {
         self.callers_done.abort();
         self.tasks.shutdown().await;
@@ -201,7 +202,7 @@
         self.operators_server.stop().await;
     }
 
-    /// Waits until a task of the host panics; a task that returns is no failure.
+    /// Waits until a task of the host panics. A task that returns does not count as a failure.
     pub async fn failed(&mut self) {
         while let Some(ended) = self.tasks.join_next().await {
             if ended.is_err() {
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -21,8 +21,8 @@
     state::{self, LogEntry, State},
 };
 
-/// Limit of the latest entries kept in memory for peers that request them. A peer that is further
-/// behind gets a snapshot.
+/// Maximum number of latest entries kept in memory for peers that request them. A peer that is
+/// further behind gets a snapshot.
 const ENTRIES_KEPT: usize = 1_024;
 
 /// A log entry, and when this host applied it.
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -7,7 +7,7 @@
 
 use super::RequestOutcome;
 
-/// Largest latency that the histogram records; longer ones count as this.
+/// Maximum latency that the histogram records; longer ones are recorded as this value.
 const LATENCY_US_MAX: u64 = 600_000_000;
 /// Precision of the recorded latencies, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
@@ -40,7 +40,7 @@
     pub p99_us: u64,
     /// 99.9th percentile of the latencies.
     pub p999_us: u64,
-    /// Largest latency.
+    /// Maximum latency.
     pub max_us: u64,
 }
 
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -10,7 +10,7 @@
 //! - replies to heartbeats by more than half of the voters, this host included: the time at which
 //!   the oldest of these pings was sent.
 //!
-//! The last source is valid also while the platform's store is down: the lease of a lost server is
+//! The last source also works while the platform's store is down: the lease of a lost server is
 //! recorded as lapsed only after more than half of the voters have applied the loss, and any two
 //! majorities share a host. Every source counts from the sending of the read or the ping, so that a
 //! delayed reply does not make the basis younger. A reply counts only if this host has applied the
@@ -27,7 +27,7 @@
     incarnation: Incarnation,
     sent_ms: u64,
     revision: Revision,
-    /// Time at which the first ping that the peer answered with this revision was sent.
+    /// Time at which the first ping that the peer replied to with this revision was sent.
     since_ms: u64,
 }
 
@@ -36,7 +36,7 @@
 pub struct PeerRevision {
     /// Revision that the peer has applied.
     pub revision: Revision,
-    /// Time at which the first ping that the peer answered with this revision was sent.
+    /// Time at which the first ping that the peer replied to with this revision was sent.
     pub since_ms: u64,
     /// Time at which the last ping that the peer replied to was sent.
     pub heard_ms: u64,
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -10,8 +10,8 @@
     state::{Change, HostEntry, HostState, State},
 };
 
-/// Longest silence with which a host counts as heard. Only heard hosts are promoted, and only heard
-/// voters count in the majority that the removal of a voter needs.
+/// Maximum time since the last heartbeat of a host that counts as heard. Only heard hosts are
+/// promoted, and only heard voters count in the majority that the removal of a voter needs.
 const PROMOTION_SILENCE_MS: u64 = 1_000;
 
 /// Returns the voters: the hosts that count in majorities.
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -27,7 +27,7 @@
     state::{self, Change, Document, LogEntry, ServerEntry, State},
 };
 
-/// Bytes allowed in a request body for the JSON around a document.
+/// Number of bytes allowed in a request body for the JSON around a document.
 const BODY_EXTRA_BYTES: usize = 512 * 1024;
 
 /// Shared context of the endpoints.
@@ -414,8 +414,8 @@
     Ok(())
 }
 
-/// Compares two texts in a time that does not depend on where they differ, so that the time reveals
-/// nothing about the token.
+/// Compares two byte strings in constant time, so that the duration reveals nothing about the
+/// token.
 fn constant_time_eq(one: &[u8], other: &[u8]) -> bool {
     let differ = one.iter().zip(other).fold(0, |all, (a, b)| all | (a ^ b));
     one.len() == other.len() && differ == 0
--- a/src/ownership/lapse.rs
+++ b/src/ownership/lapse.rs
@@ -11,7 +11,7 @@
     membership::freshness::Voter,
 };
 
-/// Report of one host on a lost server, with times on the clock of the host that asked for it.
+/// Report of one host on a lost server, with times on the clock of the host that requested it.
 #[derive(Clone, Copy, Debug)]
 pub struct HorizonReport {
     /// Host that sent the report.
--- a/src/ownership/message.rs
+++ b/src/ownership/message.rs
@@ -48,8 +48,8 @@
 /// Order to extend the lease and to hold these grants in addition to those held.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Process that the order is for; any other refuses it. `None` asks for the state of the server
-    /// only.
+    /// Process that the order is for; any other refuses it. `None` only queries the state of the
+    /// server.
     pub incarnation: Option<Incarnation>,
     /// Membership period of the order. The server refuses it if it has seen a higher one.
     pub lease_epoch: LeaseEpoch,
--- a/src/peer/endpoint.rs
+++ b/src/peer/endpoint.rs
@@ -20,7 +20,8 @@
     message::{Datagram, MESSAGE_BYTES_MAX, PeerReply, PeerRequest, decode, encode},
 };
 
-/// Messages that may wait to be handled. Beyond that, streams wait and datagrams are dropped.
+/// Maximum number of messages that wait to be handled. Beyond it, streams wait and datagrams are
+/// dropped.
 const INBOX_MESSAGES: usize = 4_096;
 
 /// Message received from a peer.
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -18,7 +18,7 @@
 /// Heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Asks a peer for its revision.
+    /// Queries a peer for its revision.
     Ping {
         /// Host that sends the ping.
         host: HostKey,
@@ -47,11 +47,11 @@
 /// Requests on streams.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Delivers new log entries, which the receiver passes on to the hosts in `relay`.
+    /// Delivers new log entries, which the receiver relays to the hosts in `relay`.
     Push {
         /// Entries in order of revision.
         entries: Vec<LogEntry>,
-        /// Hosts that the receiver must pass the entries on to.
+        /// Hosts that the receiver must relay the entries to.
         relay: Vec<HostKey>,
     },
     /// Requests the log entries after a revision.
@@ -61,7 +61,8 @@
     },
     /// Requests a snapshot of the whole state.
     Snapshot,
-    /// Asks for how long this host's renewals may keep the lease of a lost server valid.
+    /// Queries the receiver for the time for which its renewals may still keep the lease of a lost
+    /// server valid.
     LeaseHorizon {
         /// Server that was declared lost.
         server: ServerKey,
@@ -70,12 +71,12 @@
         /// Revision of the loss.
         lost: Revision,
     },
-    /// Asks the host to check if a server responds.
+    /// Requests a probe: the receiver checks if a server responds.
     Probe {
         /// Server to check.
         server: ServerKey,
     },
-    /// Requests the load counted since the last such request.
+    /// Requests the load that the receiver has counted since the last such request.
     Loads,
 }
 
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -63,8 +63,8 @@
     headers.contains_key(NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST
 }
 
-/// Parses whether the responding server is leaving and how long it asks this host to send it no
-/// requests.
+/// Parses the notice in a server's response: if the server is leaving, and the rest that it asks
+/// for, a period without requests from this host.
 pub fn notice(status: StatusCode, headers: &HeaderMap) -> Notice {
     Notice {
         leaves: headers.get(LEAVING).is_some_and(|value| value != "0"),
--- a/src/platform/orders.rs
+++ b/src/platform/orders.rs
@@ -28,7 +28,7 @@
     OtherServer,
 }
 
-/// Order that lets one server hold a range of keys.
+/// Order that makes one server hold a range of keys.
 #[derive(Clone, Copy, Debug)]
 pub struct Grant<'a> {
     /// Name of the server that the order is for.
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -28,7 +28,7 @@
 /// Timeout of a feed call that returns at once. Such calls probe whether the store is back, and
 /// must not hang on a connection that a network failure has silently broken.
 const PROBE_SLACK_MS: u64 = 500;
-/// Largest number of rows that one read requests.
+/// Maximum number of rows that one read requests.
 const PAGE_ROWS: usize = 500;
 /// Default partition of a table. A transaction covers rows of one partition only, and each
 /// partition accepts a bounded number of writes per second.
--- a/src/routing/outcome.rs
+++ b/src/routing/outcome.rs
@@ -100,7 +100,7 @@
 /// Failure of a request, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Tells if the request may have run.
+    /// Outcome as the caller gets it: the request did not run, or it may have run.
     pub outcome: Outcome,
     /// Cause of the failure.
     pub reason: Reason,
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -34,14 +34,15 @@
 pub const ALIVE_PATH: &str = "/_ashroad/alive";
 /// Longest deadline that a caller may request.
 const DEADLINE_MS_MAX: u64 = 300_000;
-/// Delay before the owner of a slot is looked up again after the server disagreed with this host.
+/// Delay before the owner of a slot is looked up again after server and host disagreed on it.
 const STALE_PAUSE_MS: u64 = 3;
 /// Delay before a retry.
 const RETRY_PAUSE_MS: u64 = 10;
 /// Delay before a new attempt after a failed connection.
 const RECONNECT_PAUSE_MS: u64 = 25;
 
-/// Headers that concern one connection only, and those that ashroad sets itself.
+/// Request headers that are not forwarded: those of one connection only, and those that ashroad
+/// sets itself.
 const DROPPED_HEADERS: [HeaderName; 7] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -52,7 +53,7 @@
     header::EXPECT,
 ];
 
-/// One request with all that its attempts need.
+/// Caller's request, with everything that an attempt needs to send it.
 struct RoutedRequest {
     request_id: String,
     service: ServiceKey,
@@ -346,7 +347,7 @@
                 time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
             }
             AttemptOutcome::Stale => pause(routed, STALE_PAUSE_MS).await?,
-            // Nothing was sent, and the keys of a lost server are served by others within seconds.
+            // Nothing was sent, and other servers serve the keys of a lost server within seconds.
             AttemptOutcome::NotRun(Reason::NoConnection) => {
                 pause(routed, RECONNECT_PAUSE_MS).await?
             }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -135,7 +135,8 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Ownership {
-    /// Staleness limit: greatest age of the state that a host may act on.
+    /// Freshness limit: maximum age of the basis (see [`crate::membership::freshness`]) with which
+    /// a host may act on its view.
     pub freshness_ms: u64,
     /// Length of a server's lease.
     pub lease_ttl_ms: u64,
@@ -147,7 +148,8 @@
     pub heartbeat_ms: u64,
     /// Time without a successful renewal after which a server is suspected to be down.
     pub suspect_ms: u64,
-    /// Age of the leader's row after which another host takes over.
+    /// Length of the leader's lease: time without a renewal of the leader row after which another
+    /// host takes over.
     pub leader_lease_ms: u64,
     /// Time without a heartbeat after which a host is removed from the registry.
     pub host_removal_ms: u64,
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -39,9 +39,9 @@
     transport::{self, ListenerLimits, ResponseBody, header_number, header_text},
 };
 
-/// Largest body of a request to the stand-in's own endpoints.
+/// Maximum size of a request body on the stand-in's own endpoints.
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
-/// Interval between checks whether the requests for revoked slots have ended.
+/// Interval of the checks if the requests for revoked slots have ended.
 const DRAIN_POLL_MS: u64 = 1;
 /// Pause between the first half of a truncated response and its end.
 const TRUNCATION_PAUSE_MS: u64 = 30;
@@ -347,8 +347,9 @@
         transport::json(StatusCode::OK, &answer)
     }
 
-    /// Checks the epoch and incarnation of a request and counts it as in flight, under one lock so
-    /// that a revocation in between cannot miss it. `None` for requests without service or slot.
+    /// Checks the epoch and incarnation of a request and counts it as in flight. Both happen under
+    /// one lock, so that a revocation in between cannot miss the request. Returns `None` for
+    /// requests without service or slot.
     fn admit(&self, headers: &HeaderMap) -> Result<Option<InFlightGuard>, &'static str> {
         let Some(service) = header_text(headers, SERVICE_HEADER) else {
             return Ok(None);
--- a/src/standin/backend_message.rs
+++ b/src/standin/backend_message.rs
@@ -52,7 +52,7 @@
     pub runs: u64,
 }
 
-/// Record of what a server process owned and ran.
+/// Record of the slots that a server process owned and the requests that it ran.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Record {
     /// Incarnation of the process that made the record.
@@ -61,7 +61,7 @@
     pub held: Vec<OwnershipSpan>,
     /// Requests that the server ran, with the number of runs.
     pub runs: Vec<RunCount>,
-    /// Largest number of requests that ran at the same time.
+    /// Maximum number of requests that ran at the same time.
     pub running_max: usize,
 }
 
--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -53,18 +53,19 @@
 }
 
 impl Grants {
-    /// Returns the highest lease epoch (membership period) seen.
+    /// Returns the highest membership period seen.
     pub fn lease_epoch(&self) -> LeaseEpoch {
         self.lease_epoch
     }
 
-    /// Returns the digest over the grants held, which is compared with that of the granting host.
+    /// Returns the digest of the grants held, which hosts compare with that of the grants in their
+    /// state.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Extends the lease and adds the grants; returns false if the order is of an earlier lease
-    /// epoch.
+    /// Extends the lease and adds the grants; returns false if the order is of an earlier
+    /// membership period.
     pub fn renew(&mut self, request: &LeaseRequest, now: ClockReading) -> bool {
         if request.lease_epoch < self.lease_epoch {
             return false;
@@ -80,8 +81,8 @@
         true
     }
 
-    /// Ends all grants at the start of a new lease epoch, because slots of the previous one may
-    /// have moved to other servers.
+    /// Ends all grants at the start of a new membership period, because slots of the previous
+    /// period may have moved to other servers.
     fn end_all(&mut self, now: ClockReading) {
         let keys: Vec<(String, Slot)> = self.slots.keys().cloned().collect();
         for key in keys {
@@ -166,7 +167,8 @@
             .is_some_and(|held| held.since_us.is_some() && held.epoch == epoch)
     }
 
-    /// Returns true if requests for `slot` at some epoch would be admitted at `clock_ms`.
+    /// Returns true if the server would admit requests for `slot` at the epoch of its grant at
+    /// `clock_ms`.
     pub fn owns(&self, service: &str, slot: Slot, clock_ms: u64) -> bool {
         let held = self.slots.get(&(service.to_owned(), slot));
         clock_ms < self.not_after_ms && held.is_some_and(|held| held.since_us.is_some())
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -30,14 +30,14 @@
 /// Path of the endpoint that returns the counters (GET).
 pub const COUNTERS_PATH: &str = "/counters";
 
-/// Largest body of a request.
+/// Maximum size of a request body.
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
 
 /// Faults that the stand-in injects until other faults are set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// No call takes effect or gets a response until the fault ends.
+    /// The platform is down: no call takes effect or gets a response until the fault ends.
     pub down: bool,
     /// Delay before each call takes effect.
     pub slow_ms: u64,
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -18,7 +18,7 @@
     membership::registry::voters,
 };
 
-/// Limit of the identifiers kept to recognise retried changes.
+/// Maximum number of identifiers kept to recognise retried changes.
 const OPERATIONS_KEPT: usize = 4096;
 
 impl State {
--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -32,7 +32,7 @@
 const LOG_PREFIX: &str = "log/";
 /// Row of the pointer to the latest snapshot.
 const SNAPSHOT_ROW: &str = "snapshot";
-/// Limit of the entries that one read returns.
+/// Maximum number of entries that one read returns.
 const TAIL_ROWS: usize = 1_000;
 /// Pause before a transaction without a response is sent again.
 const TRANSACT_RETRY_MS: u64 = 50;
--- a/src/store/message.rs
+++ b/src/store/message.rs
@@ -13,7 +13,7 @@
 /// Path of the list of hosts (GET).
 pub const HOSTS_PATH: &str = "/v1/hosts";
 
-/// Expected state of a row, without which a transaction does not take effect.
+/// State that a row must have for a transaction to take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Expect {
@@ -46,7 +46,7 @@
 pub struct Transaction {
     /// Conditions, all of which must hold.
     pub conditions: Vec<Condition>,
-    /// Writes that are made if they do.
+    /// Writes that are made if all conditions hold.
     pub writes: Vec<Write>,
 }
 
