--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -16,7 +16,7 @@
         Entry,
         limits::POLL_EVERY_MS,
         model::ServerEntry,
-        peers::HostFacts,
+        peers::HostProperties,
         server::tag_of,
         updates::{
             followed::FollowedTable,
@@ -202,7 +202,7 @@
             }
             return;
         }
-        let facts = HostFacts {
+        let facts = HostProperties {
             incarnation: host.incarnation,
             zone_tag: host.zone_tag,
             is_near: host.zone_tag == tag_of(&self.settings.availability_zone),
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -67,7 +67,7 @@
 
 /// Properties of a host from its row in the store, or from its own messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HostFacts {
+pub struct HostProperties {
     /// Incarnation of the process on the host; `None` until its row was read.
     pub incarnation: Option<u64>,
     /// Hash of the name of its availability zone.
@@ -80,7 +80,7 @@
 
 #[derive(Debug)]
 struct Peer {
-    facts: HostFacts,
+    facts: HostProperties,
     /// Time of the first message to relay that the host has not acknowledged; 0 if there is none.
     relay_since_ms: u64,
     heard_ms: u64,
@@ -141,7 +141,7 @@
 
 impl Peers {
     /// Adds a host, or updates its properties.
-    pub fn add(&self, address: SocketAddr, facts: HostFacts) {
+    pub fn add(&self, address: SocketAddr, facts: HostProperties) {
         let mut peers = self.peers();
         let peer = peers.entry(address).or_insert_with(|| Peer {
             facts,
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -5,7 +5,7 @@
 use tokio::{net::UdpSocket, time};
 
 use super::{
-    HostFacts,
+    HostProperties,
     message::{DATAGRAM_BYTES_MAX, Message, VERSION},
 };
 use crate::{
@@ -94,7 +94,7 @@
             self.view.request_read(FollowedTable::Own);
             return;
         };
-        let facts = HostFacts {
+        let facts = HostProperties {
             // Only the host's row proves which process runs there.
             incarnation: None,
             zone_tag: sender.zone_tag,
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -13,7 +13,7 @@
     events::Event,
     keys::{self, Assignment, KeyPartition},
     owners::HoldingsRow,
-    peers::HostFacts,
+    peers::HostProperties,
     server::tag_of,
     updates::{
         evacuation::Evacuations,
@@ -159,7 +159,7 @@
             Ok(host) if own && host.incarnation == self.incarnation => {}
             Ok(_) if own => self.view.note_former_process(),
             Ok(host) => {
-                let facts = HostFacts {
+                let facts = HostProperties {
                     incarnation: Some(host.incarnation),
                     zone_tag: tag_of(&host.availability_zone),
                     is_near: host.availability_zone == self.settings.availability_zone,
