--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -22,7 +22,7 @@
 };
 
 /// Interval at which servers without a lease are queried.
-const ASK_SERVERS_MS: u64 = 300;
+const QUERY_SERVERS_MS: u64 = 300;
 /// Timeout of a query to another host for its lease horizon or its applied revision.
 const HORIZON_TIMEOUT_MS: u64 = 200;
 /// Maximum pause between two rounds of horizon queries for one lost server.
@@ -125,7 +125,7 @@
     /// as joined.
     pub(super) async fn join_servers(self: &Arc<Self>, controller: &mut Controller) {
         let now_ms = clock::now_ms();
-        if now_ms < controller.joins_checked_ms + ASK_SERVERS_MS {
+        if now_ms < controller.joins_checked_ms + QUERY_SERVERS_MS {
             return;
         }
         controller.joins_checked_ms = now_ms;
