--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -283,7 +283,7 @@
     /// has a state of its own by the time they query it.
     pub fn is_store_confirmed(&self) -> bool {
         let trust_ms = if self.is_relay() {
-            self.doubt_ms()
+            self.relay_query_age_ms()
         } else {
             self.trust_ms
         };
@@ -293,7 +293,7 @@
     /// Returns true if a relay should be queried because the last report will soon be too old to be
     /// trusted.
     pub fn needs_relay(&self) -> bool {
-        self.received_age_ms() >= self.doubt_ms()
+        self.received_age_ms() >= self.relay_query_age_ms()
     }
 
     fn received_age_ms(&self) -> u64 {
@@ -306,7 +306,7 @@
     /// Returns the age of the last report from which relays are queried. It lies above the usual
     /// age of the duty holder's reports, which is at most half of the trust period plus a quarter
     /// of it for one heartbeat.
-    fn doubt_ms(&self) -> u64 {
+    fn relay_query_age_ms(&self) -> u64 {
         self.trust_ms * 3 / 4
     }
 
