--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -157,9 +157,9 @@
     }
 
     pub(super) fn apply_snapshot(&self, snapshot: &Snapshot) {
-        let has_servers = snapshot.servers_known.up_to > 0;
+        let has_servers = snapshot.servers_versions.up_to > 0;
         if has_servers
-            && snapshot.servers_known.up_to >= self.freshness.applied(FollowedTable::Servers)
+            && snapshot.servers_versions.up_to >= self.freshness.applied(FollowedTable::Servers)
         {
             self.apply_known_servers(snapshot);
         }
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -46,12 +46,12 @@
     /// Returns servers, holdings and hosts; `None` until this host knows them all, and while it
     /// stops.
     fn snapshot(&self) -> Option<Snapshot> {
-        let is_known = self.view.servers_known() && self.view.are_hosts_known();
+        let is_known = self.view.servers_versions() && self.view.are_hosts_known();
         if !is_known || self.stopping() {
             return None;
         }
         let mut snapshot = self.own_snapshot();
-        snapshot.servers_known = self.freshness.known(FollowedTable::Servers);
+        snapshot.servers_versions = self.freshness.known(FollowedTable::Servers);
         snapshot.leave_version = self.freshness.leave_version();
         let registry = self.view.registry();
         snapshot.set_servers(registry.servers().map(|server| server.current_entry()));
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -90,7 +90,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Versions of the table of servers' entries.
-    pub servers_known: TableVersions,
+    pub servers_versions: TableVersions,
     /// Version of the latest change after which some server takes no new work.
     pub leave_version: u64,
     /// Versions of the table of the product's own rows.
@@ -178,7 +178,7 @@
     /// Returns the versions of a table; 0 for the configuration, which snapshots do not contain.
     pub fn known(&self, followed: FollowedTable) -> TableVersions {
         match followed {
-            FollowedTable::Servers => self.servers_known,
+            FollowedTable::Servers => self.servers_versions,
             FollowedTable::Own => self.own_versions,
             FollowedTable::Configuration => TableVersions::default(),
         }
