--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -19,7 +19,7 @@
 impl Host {
     /// Handles messages of other hosts until the endpoint closes. Requests are handled in tasks of
     /// their own, so that a slow one delays no heartbeat.
-    pub(super) async fn answer_peers(self: Arc<Self>, mut inbox: mpsc::Receiver<Inbound>) {
+    pub(super) async fn serve_peers(self: Arc<Self>, mut inbox: mpsc::Receiver<Inbound>) {
         while let Some(inbound) = inbox.recv().await {
             match inbound {
                 Inbound::Datagram {
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -77,7 +77,7 @@
     let (stop_callers, stopped) = watch::channel(false);
     let callers_done = serve_callers(host.clone(), listener, stopped);
     let mut tasks = JoinSet::new();
-    tasks.spawn(host.clone().answer_peers(inbox));
+    tasks.spawn(host.clone().serve_peers(inbox));
     tasks.spawn(host.clone().keep_synced());
     tasks.spawn(host.clone().keep_registered());
     tasks.spawn(host.clone().keep_sending_heartbeats());
