--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -118,8 +118,8 @@
     pub(super) async fn register_newcomer(&self, request: Request<Incoming>) -> Option<Bytes> {
         let body = Limited::new(request.into_body(), REQUEST_BYTES_MAX);
         let body = body.collect().await.ok()?.to_bytes();
-        let question = self.peers.seal.open(&body)?;
-        let newcomer = postcard::from_bytes(question).ok()?;
+        let opened = self.peers.seal.open(&body)?;
+        let newcomer = postcard::from_bytes(opened).ok()?;
         let (done, registered) = oneshot::channel();
         self.join
             .newcomers
