--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -280,13 +280,13 @@
         &self,
         address: std::net::SocketAddr,
     ) -> Result<LeaseResponse, CallError> {
-        let question = LeaseRequest {
+        let query = LeaseRequest {
             incarnation: None,
             lease_epoch: LeaseEpoch::default(),
             not_after_ms: 0,
             grants: Vec::new(),
         };
-        self.servers.post(address, LEASE_PATH, &question).await
+        self.servers.post(address, LEASE_PATH, &query).await
     }
 
     /// Commits the loss of a server, if it is still live in the same membership period.
