--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -98,11 +98,11 @@
 /// `Retry-After` in seconds with fractions. HTTP also allows a date there, but the platform's
 /// servers never send one.
 fn rest_ms(status: StatusCode, headers: &HeaderMap) -> Option<u64> {
-    let turned_away = [
+    let rejected = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
     ];
-    if !turned_away.contains(&status) {
+    if !rejected.contains(&status) {
         return None;
     }
     let text = headers.get(header::RETRY_AFTER)?.to_str().ok()?;
