--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -113,8 +113,8 @@
     /// Returns the status for a query that this host cannot serve: 410 if it no longer has the
     /// requested changes, 503 otherwise.
     fn refusal_status(&self, path: &str) -> StatusCode {
-        let is_forgotten = |after| !self.broadcast.reaches_back_to(after);
-        if changes_after(path).is_some_and(is_forgotten) {
+        let is_discarded = |after| !self.broadcast.reaches_back_to(after);
+        if changes_after(path).is_some_and(is_discarded) {
             StatusCode::GONE
         } else {
             StatusCode::SERVICE_UNAVAILABLE
