--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -133,12 +133,12 @@
         };
         let handler = move |request: Request<Incoming>| {
             let entry = self.clone();
-            async move { entry.answer_peer(request).await }
+            async move { entry.serve_query(request).await }
         };
         transport::serve(listener, limits, stop, handler).await;
     }
 
-    async fn answer_peer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+    async fn serve_query(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let path = request.uri().path().to_owned();
         let answer = if path == REGISTER {
             self.register_newcomer(request).await
