--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -151,7 +151,7 @@
     /// recent as that host's.
     pub(super) fn note_confirmation(&self, nonce: u64, age_ms: u32, changed: u64) {
         if self.freshness.changed(FollowedTable::Configuration) >= changed {
-            self.proof.note_answer(nonce, u64::from(age_ms));
+            self.proof.note_response(nonce, u64::from(age_ms));
         }
     }
 }
--- a/src/entry/updates/proof.rs
+++ b/src/entry/updates/proof.rs
@@ -49,7 +49,7 @@
 
     /// Records the duty holder's response: its configuration, which this host has as well, was the
     /// current one `age_ms` before the response. Responses to earlier queries are ignored.
-    pub fn note_answer(&self, nonce: u64, age_ms: u64) {
+    pub fn note_response(&self, nonce: u64, age_ms: u64) {
         if let Some(asked_ms) = self.query.answered(nonce) {
             self.note(asked_ms.saturating_sub(age_ms));
         }
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -118,7 +118,7 @@
                     nonce,
                     age_ms,
                     version,
-                } if self.version >= version => self.proof.note_answer(nonce, age_ms),
+                } if self.version >= version => self.proof.note_response(nonce, age_ms),
                 Delivery::Holder { .. } => {}
                 Delivery::Relayed { version } => self.version = self.version.max(version),
             }
