--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -19,9 +19,9 @@
 
 /// String table: strings that many servers share, each stored once.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Texts(Vec<Arc<str>>);
+pub struct StringTable(Vec<Arc<str>>);
 
-impl Texts {
+impl StringTable {
     fn get(&self, key: TextIndex) -> Option<Arc<str>> {
         self.0.get(usize::from(key.0)).cloned()
     }
@@ -29,7 +29,7 @@
 
 #[derive(Default)]
 struct TextWriter {
-    texts: Texts,
+    texts: StringTable,
     places: HashMap<Arc<str>, TextIndex>,
 }
 
@@ -97,7 +97,7 @@
     pub own_versions: TableVersions,
     /// Known hosts, including the sender.
     pub hosts: Vec<SnapshotHost>,
-    texts: Texts,
+    texts: StringTable,
     servers: Vec<SnapshotServer>,
     holdings: Vec<SnapshotHoldings>,
 }
