--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -28,12 +28,12 @@
 }
 
 #[derive(Default)]
-struct TextWriter {
+struct StringTableBuilder {
     texts: StringTable,
     places: HashMap<Arc<str>, TextIndex>,
 }
 
-impl TextWriter {
+impl StringTableBuilder {
     fn key(&mut self, text: &Arc<str>) -> TextIndex {
         *self.places.entry(text.clone()).or_insert_with(|| {
             self.texts.0.push(text.clone());
@@ -105,7 +105,7 @@
 impl Snapshot {
     /// Stores the servers' entries in the snapshot.
     pub fn set_servers(&mut self, entries: impl Iterator<Item = ServerEntry>) {
-        let mut texts = TextWriter::default();
+        let mut texts = StringTableBuilder::default();
         let servers = entries.map(|entry| SnapshotServer {
             service: texts.key(&entry.service),
             availability_zone: texts.key(&entry.availability_zone),
