--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -15,14 +15,14 @@
 
 /// Index of a string in the string table of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TextIndex(u16);
+pub struct StringIndex(u16);
 
 /// String table: strings that many servers share, each stored once.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct StringTable(Vec<Arc<str>>);
 
 impl StringTable {
-    fn get(&self, key: TextIndex) -> Option<Arc<str>> {
+    fn get(&self, key: StringIndex) -> Option<Arc<str>> {
         self.0.get(usize::from(key.0)).cloned()
     }
 }
@@ -30,14 +30,14 @@
 #[derive(Default)]
 struct StringTableBuilder {
     texts: StringTable,
-    places: HashMap<Arc<str>, TextIndex>,
+    places: HashMap<Arc<str>, StringIndex>,
 }
 
 impl StringTableBuilder {
-    fn key(&mut self, text: &Arc<str>) -> TextIndex {
+    fn key(&mut self, text: &Arc<str>) -> StringIndex {
         *self.places.entry(text.clone()).or_insert_with(|| {
             self.texts.0.push(text.clone());
-            TextIndex((self.texts.0.len() - 1) as u16)
+            StringIndex((self.texts.0.len() - 1) as u16)
         })
     }
 }
@@ -47,9 +47,9 @@
 struct SnapshotServer {
     name: Arc<str>,
     started_ms: u64,
-    service: TextIndex,
+    service: StringIndex,
     address: SocketAddr,
-    availability_zone: TextIndex,
+    availability_zone: StringIndex,
     slots: u32,
     leaving: bool,
     cold_ms: u64,
