--- a/src/platform/link.rs
+++ b/src/platform/link.rs
@@ -46,12 +46,12 @@
 #[derive(Debug)]
 pub struct Link {
     address: SocketAddr,
-    idle: Mutex<Option<Idle>>,
+    idle: Mutex<Option<IdleConnection>>,
 }
 
 /// Idle connection, kept for the next call.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     since: Instant,
 }
@@ -94,7 +94,7 @@
         begun.store(true, Ordering::Relaxed);
         let (head, body) = response.into_parts();
         let body = self.with_timeout(BODY_TIMEOUT_MS, body.collect()).await?;
-        *self.idle() = Some(Idle {
+        *self.idle() = Some(IdleConnection {
             sender,
             since: Instant::now(),
         });
@@ -124,13 +124,13 @@
         }
     }
 
-    fn idle(&self) -> MutexGuard<'_, Option<Idle>> {
+    fn idle(&self) -> MutexGuard<'_, Option<IdleConnection>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     async fn connection(&self, timeout_ms: u64) -> Result<SendRequest<Full<Bytes>>> {
         let idle = self.idle().take();
-        if let Some(Idle { mut sender, since }) = idle
+        if let Some(IdleConnection { mut sender, since }) = idle
             && since.elapsed() < IDLE_TIMEOUT
             && sender.ready().await.is_ok()
         {
