--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -24,11 +24,11 @@
 /// Latest sums received from the other zones.
 #[derive(Debug, Default)]
 pub struct ZoneLoads {
-    zones: HashMap<u32, HashMap<u32, Heard>>,
+    zones: HashMap<u32, HashMap<u32, ReceivedSummary>>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct ReceivedSummary {
     summary: ServerSummary,
     at_ms: u64,
 }
@@ -39,7 +39,7 @@
         let zone = self.zones.entry(zone_tag).or_default();
         zone.retain(|_, heard| now_ms < heard.at_ms + RUN_TIMES_KEPT_MS);
         for summary in summaries {
-            let heard = Heard {
+            let heard = ReceivedSummary {
                 summary,
                 at_ms: now_ms,
             };
@@ -69,7 +69,7 @@
 /// values.
 #[derive(Debug, Default)]
 pub struct ZoneLoadChanges {
-    sent: HashMap<u32, Heard>,
+    sent: HashMap<u32, ReceivedSummary>,
 }
 
 impl ZoneLoadChanges {
@@ -90,7 +90,7 @@
             ..sent.summary
         }));
         for sum in &updates {
-            let sent = Heard {
+            let sent = ReceivedSummary {
                 summary: *sum,
                 at_ms: now_ms,
             };
