--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -34,7 +34,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Item {
+struct QueuedAnnouncement {
     due_ms: u64,
     service_tag: u32,
     update: Update,
@@ -43,13 +43,13 @@
 /// Queue of announcements that wait to be sent.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    items: Mutex<Vec<Item>>,
+    items: Mutex<Vec<QueuedAnnouncement>>,
 }
 
 impl Outbox {
     /// Queues the announcement that keys are about to move.
     pub fn announce_move(&self, service_tag: u32, announcement: MoveAnnouncement) {
-        self.items().push(Item {
+        self.items().push(QueuedAnnouncement {
             due_ms: clock::now_ms(),
             service_tag,
             update: Update::Moving(announcement),
@@ -60,16 +60,20 @@
     pub fn announce_holding(&self, service_tag: u32, holding: &Holding) {
         let now_ms = clock::now_ms();
         let mut items = self.items();
-        items.extend(ANNOUNCE_HOLDING_AFTER_MS.iter().map(|after_ms| Item {
-            due_ms: now_ms + after_ms,
-            service_tag,
-            update: Update::Held(holding.clone()),
-        }));
+        items.extend(
+            ANNOUNCE_HOLDING_AFTER_MS
+                .iter()
+                .map(|after_ms| QueuedAnnouncement {
+                    due_ms: now_ms + after_ms,
+                    service_tag,
+                    update: Update::Held(holding.clone()),
+                }),
+        );
     }
 
     /// Removes all due announcements and returns them as messages; moves come before grants.
     pub fn take_due(&self, now_ms: u64) -> Vec<Message> {
-        let (due, later): (Vec<Item>, Vec<Item>) = {
+        let (due, later): (Vec<QueuedAnnouncement>, Vec<QueuedAnnouncement>) = {
             let mut items = self.items();
             std::mem::take(&mut *items)
                 .into_iter()
@@ -102,7 +106,7 @@
         moving.chain(held).collect()
     }
 
-    fn items(&self) -> MutexGuard<'_, Vec<Item>> {
+    fn items(&self) -> MutexGuard<'_, Vec<QueuedAnnouncement>> {
         self.items.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
