--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -29,15 +29,15 @@
 
 #[derive(Default)]
 struct StringTableBuilder {
-    texts: StringTable,
+    strings: StringTable,
     places: HashMap<Arc<str>, StringIndex>,
 }
 
 impl StringTableBuilder {
     fn key(&mut self, text: &Arc<str>) -> StringIndex {
         *self.places.entry(text.clone()).or_insert_with(|| {
-            self.texts.0.push(text.clone());
-            StringIndex((self.texts.0.len() - 1) as u16)
+            self.strings.0.push(text.clone());
+            StringIndex((self.strings.0.len() - 1) as u16)
         })
     }
 }
@@ -97,7 +97,7 @@
     pub own_versions: TableVersions,
     /// Known hosts, including the sender.
     pub hosts: Vec<SnapshotHost>,
-    texts: StringTable,
+    strings: StringTable,
     servers: Vec<SnapshotServer>,
     holdings: Vec<SnapshotHoldings>,
 }
@@ -105,10 +105,10 @@
 impl Snapshot {
     /// Stores the servers' entries in the snapshot.
     pub fn set_servers(&mut self, entries: impl Iterator<Item = ServerEntry>) {
-        let mut texts = StringTableBuilder::default();
+        let mut strings = StringTableBuilder::default();
         let servers = entries.map(|entry| SnapshotServer {
-            service: texts.key(&entry.service),
-            availability_zone: texts.key(&entry.availability_zone),
+            service: strings.key(&entry.service),
+            availability_zone: strings.key(&entry.availability_zone),
             name: entry.name,
             started_ms: entry.started_ms,
             address: entry.address,
@@ -117,7 +117,7 @@
             cold_ms: entry.cold_ms,
         });
         self.servers = servers.collect();
-        self.texts = texts.texts;
+        self.strings = strings.strings;
     }
 
     /// Returns the servers' entries. An entry whose service or zone is missing from the string
@@ -128,9 +128,9 @@
                 id: incarnation_id(&server.name, server.started_ms),
                 name: server.name.clone(),
                 started_ms: server.started_ms,
-                service: self.texts.get(server.service)?,
+                service: self.strings.get(server.service)?,
                 address: server.address,
-                availability_zone: self.texts.get(server.availability_zone)?,
+                availability_zone: self.strings.get(server.availability_zone)?,
                 slots: server.slots,
                 leaving: server.leaving,
                 cold_ms: server.cold_ms,
