--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -93,9 +93,9 @@
         postcard::from_bytes(content).context(DecodeSnafu)
     }
 
-    /// Fetches a snapshot from another host when the store no longer has the change history that
-    /// this host has missed: after an outage hundreds of hosts would otherwise read the whole
-    /// tables. Returns false if this host knows no host that certainly has later changes.
+    /// Fetches a snapshot from another host when the store no longer has the changes that this host
+    /// has missed. After an outage, hundreds of hosts would otherwise read the whole tables.
+    /// Returns false if this host knows no host that certainly has later changes.
     pub(in crate::entry) async fn resync_from_peer(&self, followed: FollowedTable) -> bool {
         if followed == FollowedTable::Configuration || !self.has_many_servers() {
             return false;
@@ -123,9 +123,9 @@
         self.peers.sync_peer(self.as_relay_candidate())
     }
 
-    /// Waits until the duty holder reports that it has followed the store since now, which takes a
-    /// moment after an outage. Returns false after a time limit, or if this host is the duty
-    /// holder, which receives no such reports.
+    /// Waits until the duty holder reports a response of the store from after the start of the
+    /// wait, which takes a moment after an outage. Returns false after a time limit, or if this
+    /// host is the duty holder, which receives no such reports.
     async fn is_store_confirmed_soon(&self) -> bool {
         let since_ms = clock::now_ms();
         let until_ms = since_ms + self.limits.start_wait_ms;
--- a/src/entry/peers/fanout.rs
+++ b/src/entry/peers/fanout.rs
@@ -90,8 +90,8 @@
 }
 
 /// Excess one-way delay of one host's messages over the shortest delay seen. The clocks of two
-/// hosts are not comparable, but a message that a relay delayed stands out and does not count as
-/// fresh.
+/// hosts are not comparable, but a delay at a relay shows as an excess over the shortest delay, and
+/// the message then does not count as fresh.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OneWayDelay {
     term: u64,
@@ -108,7 +108,8 @@
     pub fn delay_ms(&mut self, term: u64, sent_ms: u64, now_ms: u64) -> u64 {
         let offset_ms = now_ms as i64 - sent_ms as i64;
         if term < self.term {
-            // No host relies on a previous duty holder; the baseline of the current one is kept.
+            // Heartbeats of a previous duty holder are not trusted; the baseline of the current one
+            // is kept.
             return u64::MAX;
         }
         if term > self.term {
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -228,8 +228,8 @@
     }
 
     /// Returns the number of hosts, this one included: the larger of the numbers that this host and
-    /// the duty holder know. Limits that all hosts share are divided by it, so that a number too
-    /// large is safer than one too small.
+    /// the duty holder know. Limits that all hosts share are divided by it, so an overestimate is
+    /// safer than an underestimate.
     pub fn hosts(&self) -> usize {
         self.known()
             .max(self.duty_holder_hosts.load(Ordering::Relaxed))
@@ -258,7 +258,7 @@
     /// Returns the number of hosts that come before the host at `own` in the takeover order. Hosts
     /// with a larger share of a processor come first, since the duty holder sends messages to all
     /// hosts and orders to all servers that hold keys. The order of equally strong hosts differs by
-    /// term, so that hosts that are gone do not always come first.
+    /// term, so that the same crashed hosts do not come first in every term.
     pub fn takeover_rank(&self, own: SocketAddr, processor_share: f32) -> usize {
         let term = self.duty_holder_term.load(Ordering::Relaxed);
         let place = |address: &SocketAddr| tag_of(&format!("{address} {term}"));
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -91,8 +91,8 @@
 
     /// Returns the time for which a host that has just read the table waits for a heartbeat of the
     /// duty holder before it requests changes. Hosts that start together would otherwise all fetch
-    /// each other's rows; these are written after 2 s, when the first duty holder is there as well.
-    /// The wait lies within the contact grace period, in which the bounds do not apply.
+    /// each other's rows; the rows are written after 2 s, and by then there is a duty holder as
+    /// well. The wait lies within the contact grace period, in which the bounds do not apply.
     pub fn start_wait_ms(self, limits: &TimeLimits) -> u64 {
         match self {
             Self::Own => OWN_START_WAIT_MS,
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -77,8 +77,8 @@
             time::sleep(Duration::from_millis(HORIZON_PAUSE_MS)).await;
             return;
         };
-        // Hosts that reply in a later round can shorten a long wait, so only a short one is
-        // waited for in full here.
+        // A long wait is not completed in this round, because hosts that reply in a later round can
+        // shorten it.
         if at_ms > now_ms {
             let wait_ms = (at_ms - now_ms).min(HORIZON_PAUSE_MS);
             time::sleep(Duration::from_millis(wait_ms)).await;
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -57,8 +57,8 @@
     pub basis_age_ms: Option<u64>,
 }
 
-/// A host process that counts in majorities. The type also names registered hosts that are no
-/// voters where their processes matter.
+/// A host process that counts in majorities. The type also identifies processes of registered hosts
+/// that are not voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Voter {
     /// Key of the host; a restarted host may get the same one.
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -56,7 +56,7 @@
         !state.registry.is_settled() && self.settled_ms.is_none()
     }
 
-    /// Takes the hosts that have reported before `now_ms` that they have applied the last change.
+    /// Records the hosts that have reported before `now_ms` that they have applied the last change.
     /// Once they are a majority, the settlement is due at once if they are all hosts and none was
     /// removed, and otherwise after `lapse_ms`, when hosts that missed the change cannot act.
     pub fn record_applied(&mut self, state: &State, applied: &[Voter], now_ms: u64, lapse_ms: u64) {
--- a/src/ownership/planner.rs
+++ b/src/ownership/planner.rs
@@ -252,7 +252,7 @@
                 return;
             };
             let Some((position, gain)) = self.best_slot(&owned[from as usize], from, to) else {
-                // No move off this server pays; the next server may hold smaller slots.
+                // No move off this server lowers the cost; the next server may hold smaller slots.
                 continue;
             };
             let slot = owned[from as usize].remove(position);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -66,10 +66,10 @@
     /// Records that keep unrepeatable requests from running twice.
     #[serde(default)]
     pub claims: ClaimSettings,
-    /// Logging.
+    /// Settings of the log.
     #[serde(default)]
     pub log: LogSettings,
-    /// Export of metrics.
+    /// Settings of the export of metrics.
     #[serde(default)]
     pub metrics: MetricsSettings,
 }
@@ -218,7 +218,7 @@
     }
 }
 
-/// Logging.
+/// Settings of the log.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
@@ -234,7 +234,7 @@
     }
 }
 
-/// Export of metrics.
+/// Settings of the export of metrics.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MetricsSettings {
