--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -112,8 +112,8 @@
         }
     }
     let runs = records.iter().flat_map(|record| &record.runs);
-    let false_ones = runs.filter(|run| told.get(run.request.as_str()) == Some(&true));
-    false_ones.count() as u64
+    let violations = runs.filter(|run| told.get(run.request.as_str()) == Some(&true));
+    violations.count() as u64
 }
 
 /// Returns the share of undisturbed requests that were answered. Requests with duplicates are left
