--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -104,15 +104,15 @@
 /// Counts unrepeatable requests that ran although every response to them stated that they did not
 /// run.
 fn false_not_run(samples: &[Sample], records: &[Record]) -> u64 {
-    let mut told: HashMap<&str, bool> = HashMap::new();
+    let mut all_not_run: HashMap<&str, bool> = HashMap::new();
     for sample in samples {
         if let Some(key) = &sample.idempotency_key {
-            let refused = told.entry(key).or_insert(true);
+            let refused = all_not_run.entry(key).or_insert(true);
             *refused &= sample.outcome == RequestOutcome::NotRun;
         }
     }
     let runs = records.iter().flat_map(|record| &record.runs);
-    let violations = runs.filter(|run| told.get(run.request.as_str()) == Some(&true));
+    let violations = runs.filter(|run| all_not_run.get(run.request.as_str()) == Some(&true));
     violations.count() as u64
 }
 
