--- a/src/entry/peers/intervals.rs
+++ b/src/entry/peers/intervals.rs
@@ -5,7 +5,7 @@
 /// constant. Longer intervals make hosts send requests to servers that have no free capacity.
 const REPORT_EVERY_MS: u64 = 100;
 const REPORT_HOSTS: u64 = 40;
-/// Upper bound of the report interval, however many hosts there are.
+/// Upper bound of the report interval, for any number of hosts.
 const REPORT_EVERY_MAX_MS: u64 = 1_000;
 /// Number of intervals between full reports. A full report includes the run times and is sent even
 /// if nothing has changed, to show that the host is alive.
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -20,14 +20,14 @@
 /// unknown host or secret, or a server that no longer holds a key.
 pub const FOLLOWER_PAUSE_MAX_MS: u64 = 120_000;
 /// Time after its start that a host waits for a heartbeat of the duty holder before it reads the
-/// product's own rows again.
+/// entry hosts' own rows again.
 const OWN_START_WAIT_MS: u64 = 2_500;
-/// Minimum pause of the feed of the product's own rows.
+/// Minimum pause of the feed of the entry hosts' own rows.
 const OWN_PAUSE_MIN_MS: u64 = 300;
 /// Time without a feed call after which the whole table is read. The store keeps 20 s of history,
 /// and a feed call that comes too late costs an extra call.
 pub const HISTORY_MS: u64 = 15_000;
-/// Number of hosts up to which feeds use their shortest pause.
+/// Number of hosts up to which feeds use their minimum pause.
 const FEW_HOSTS: u64 = 11;
 
 /// How a host learns that the store has changed.
@@ -51,7 +51,7 @@
     Configuration,
     /// Entries by which servers register.
     Servers,
-    /// The product's own rows: holdings and hosts.
+    /// The entry hosts' own rows: holdings and hosts.
     Own,
 }
 
--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -1,10 +1,11 @@
-//! Layout of the product's own rows in the store: table names, keys, and the content of host rows.
+//! Layout of the entry hosts' own rows in the store: table names, keys, and the content of host
+//! rows.
 
 use serde::{Deserialize, Serialize};
 
 use crate::entry::{bounds::default_processor_share, keys::KeyPartition};
 
-/// Table of the product's own rows: holdings by service and key partition, and hosts.
+/// Table of the entry hosts' own rows: holdings by service and key partition, and hosts.
 pub const TABLE: &str = "ashroad";
 /// Prefix of the keys of holdings. The name of the service follows, then the number of the key
 /// partition unless that is 0.
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -93,7 +93,7 @@
     pub servers_versions: TableVersions,
     /// Version of the latest change after which some server takes no new work.
     pub leave_version: u64,
-    /// Versions of the table of the product's own rows.
+    /// Versions of the table of the entry hosts' own rows.
     pub own_versions: TableVersions,
     /// Known hosts, including the sender.
     pub hosts: Vec<SnapshotHost>,
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -295,8 +295,9 @@
         let address = entry.peer_address;
         let is_predecessor =
             |host: &&mut HostEntry| host.registered() && host.peer_address == address;
-        // Two processes cannot bind one address, so the earlier one is dead. Its successor replaces
-        // it as a voter, because it has applied everything that the dead one had confirmed.
+        // Two processes cannot bind one address, so the earlier one has ended. The new process
+        // replaces it as a voter, because it has applied everything that the earlier one had
+        // confirmed.
         if let Some(dead) = self.hosts.iter_mut().find(is_predecessor) {
             if dead.is_voter() {
                 entry.state = HostState::Live;
