--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -33,8 +33,8 @@
         if self.sync_role() != SyncRole::Follower || !self.queries_peers_first(followed) {
             return false;
         }
-        let patience = Duration::from_millis(self.catch_up_timeout_ms(followed));
-        let learned = time::timeout(patience, self.fetch_missed(followed)).await;
+        let time_limit = Duration::from_millis(self.catch_up_timeout_ms(followed));
+        let learned = time::timeout(time_limit, self.fetch_missed(followed)).await;
         learned.unwrap_or(false)
     }
 
