--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -34,8 +34,8 @@
             return false;
         }
         let time_limit = Duration::from_millis(self.catch_up_timeout_ms(followed));
-        let learned = time::timeout(time_limit, self.fetch_missed(followed)).await;
-        learned.unwrap_or(false)
+        let caught_up = time::timeout(time_limit, self.fetch_missed(followed)).await;
+        caught_up.unwrap_or(false)
     }
 
     /// Returns true if other hosts are queried before the store, because there are many hosts,
