--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -102,7 +102,7 @@
     pub server_tag: u32,
     /// Limit that the server advertised last; `None` if the sender knows of none.
     pub told: Option<AdvertisedRate>,
-    /// Rates at which callers request the server.
+    /// Demand for the server: rates of the callers' requests.
     pub asked: AskedRates,
 }
 
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -95,7 +95,7 @@
             return;
         };
         let facts = HostProperties {
-            // Only the host's row proves which process runs there.
+            // Only the host's row shows for certain which process runs there.
             incarnation: None,
             zone_tag: sender.zone_tag,
             is_near: sender.zone_tag == tag_of(&self.settings.availability_zone),
--- a/src/entry/updates/proof.rs
+++ b/src/entry/updates/proof.rs
@@ -1,23 +1,24 @@
-//! Tracks how recent a host's configuration provably is. If operators set a bound for the
-//! revocation of API keys, a key is accepted only while the configuration that contains it is
-//! proved to be no older than that bound. A host that was partitioned, was suspended, or got its
-//! configuration from another host must not trust it any longer than that.
+//! Tracks the time for which a host's configuration is confirmed to be the current one. If
+//! operators set a bound for the revocation of API keys, a key is accepted only while the last
+//! confirmation of the configuration that contains it is no older than that bound. A host that was
+//! partitioned, was suspended, or got its configuration from another host must not trust it for
+//! longer than that.
 //!
-//! A proof counts from the time at which the query was sent. A response of the store proves the
-//! configuration as of that time. A response of the duty holder proves it as of that time minus the
-//! age of the duty holder's own proof.
+//! A confirmation counts from the time at which the query was sent. A response of the store
+//! confirms the configuration as of that time. A response of the duty holder confirms it as of that
+//! time minus the age of the duty holder's own confirmation.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 use super::query::PendingQuery;
 
-/// Latest time at which this host's configuration was proved to be the current one.
+/// Latest time for which this host's configuration is confirmed to be the current one.
 #[derive(Debug, Default)]
 pub struct ConfigurationProof {
-    /// Time of the latest proof; 0 before the first.
+    /// Time of the latest confirmation; 0 before the first.
     proved_ms: AtomicU64,
     /// True while the latest configuration cannot be decoded: the one in force is then outdated and
-    /// proves nothing.
+    /// must not count as confirmed.
     unreadable: AtomicBool,
     /// Query to the duty holder, while it waits for the response.
     query: PendingQuery,
@@ -34,8 +35,8 @@
         self.unreadable.store(unreadable, Ordering::Relaxed);
     }
 
-    /// Returns the time since the configuration was last proved to be the current one; `None` if it
-    /// never was.
+    /// Returns the age of the latest confirmation; `None` before the first, and while the latest
+    /// configuration cannot be decoded.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
         let proved_ms = self.proved_ms.load(Ordering::Relaxed);
         let proves = proved_ms > 0 && !self.unreadable.load(Ordering::Relaxed);
--- a/src/entry/updates/query.rs
+++ b/src/entry/updates/query.rs
@@ -1,5 +1,5 @@
 //! Query to another host. The response counts from the sending of the query: a response that was
-//! delayed in the network, or that a suspended host reads late, proves nothing more recent than
+//! delayed in the network, or that a suspended host reads late, confirms nothing more recent than
 //! that.
 
 use std::sync::{Mutex, PoisonError};
