--- a/src/bin/ashroad/error.rs
+++ b/src/bin/ashroad/error.rs
@@ -24,7 +24,7 @@
     /// The async runtime or a signal handler cannot be set up.
     #[snafu(display("cannot start: {source}"))]
     Runtime {
-        /// Underlying error.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A file cannot be read.
@@ -32,13 +32,13 @@
     Read {
         /// Path of the file.
         path: PathBuf,
-        /// Underlying error.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// The settings of a host are invalid.
     #[snafu(display("{source}"))]
     Settings {
-        /// Underlying error.
+        /// Problem of the settings file.
         source: settings::Error,
     },
     /// Checked files have problems, which were printed.
@@ -54,25 +54,25 @@
     Declaration {
         /// Path of the file.
         path: PathBuf,
-        /// Underlying error.
+        /// Rule that the declaration violates.
         source: configuration::Error,
     },
     /// A certificate cannot be created.
     #[snafu(display("{source}"))]
     Keys {
-        /// Underlying error.
+        /// Error of the certificate generation.
         source: peer::Error,
     },
     /// The entry host cannot start or failed.
     #[snafu(display("{source}"))]
     Entry {
-        /// Underlying error.
+        /// Error of the entry host.
         source: entry::Error,
     },
     /// The host cannot start.
     #[snafu(display("{source}"))]
     Host {
-        /// Underlying error.
+        /// Error of the host.
         source: host::Error,
     },
     /// A task of the host ended unexpectedly.
@@ -81,19 +81,19 @@
     /// A stand-in cannot start.
     #[snafu(display("the stand-in cannot listen: {source}"))]
     Standin {
-        /// Underlying error.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A host refused the call or cannot be reached.
     #[snafu(display("{}", call_message(source)))]
     Call {
-        /// Underlying error.
+        /// Failure of the HTTP call.
         source: CallError,
     },
     /// The demonstration could not run.
     #[snafu(display("{source}"))]
     Demo {
-        /// Underlying error.
+        /// Failure that ended the demonstration.
         source: ashroad::demo::Error,
     },
     /// The demonstration violated an invariant.
--- a/src/configuration/template.rs
+++ b/src/configuration/template.rs
@@ -33,9 +33,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Parameter {
-    /// Name by which services refer to it.
+    /// Name by which services refer to the parameter.
     pub name: String,
-    /// Type of its values.
+    /// Type of the parameter's values.
     #[serde(rename = "type")]
     pub kind: ParameterKind,
     /// Minimum value, or minimum number of targets.
--- a/src/entry/peers/fanout.rs
+++ b/src/entry/peers/fanout.rs
@@ -22,7 +22,7 @@
 pub struct RelayCandidate {
     /// Address of the host for messages of other hosts.
     pub address: SocketAddr,
-    /// Hash of the name of its availability zone.
+    /// Hash of the name of the host's availability zone.
     pub zone_tag: u32,
     /// Share of a processor that the host has. Strong hosts are preferred because a relay sends to
     /// its whole zone.
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -138,7 +138,7 @@
 /// Properties of the sending host, for receivers that have not read its row yet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Hash of the name of its availability zone.
+    /// Hash of the name of the host's availability zone.
     pub zone_tag: u32,
     /// Share of a processor that the host has.
     pub processor_share: f32,
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -61,7 +61,7 @@
 pub struct SeedHost {
     /// Address for messages and queries of other hosts.
     pub address: SocketAddr,
-    /// Hash of the name of its availability zone.
+    /// Hash of the name of the host's availability zone.
     pub zone_tag: u32,
 }
 
@@ -70,7 +70,7 @@
 pub struct HostProperties {
     /// Incarnation of the process on the host; `None` until its row was read.
     pub incarnation: Option<u64>,
-    /// Hash of the name of its availability zone.
+    /// Hash of the name of the host's availability zone.
     pub zone_tag: u32,
     /// True if the host is in the availability zone of this host.
     pub is_near: bool,
--- a/src/entry/updates/query.rs
+++ b/src/entry/updates/query.rs
@@ -26,7 +26,7 @@
     }
 
     /// Completes the query with this nonce and returns the time at which it was sent. Returns
-    /// `None` if it is not the latest query or has completed before.
+    /// `None` if the nonce is not that of the latest query, or the query has completed before.
     pub fn answered(&self, nonce: u64) -> Option<u64> {
         let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
         let query = pending.take_if(|pending| pending.nonce == nonce);
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -60,9 +60,9 @@
 pub struct SnapshotHost {
     /// Address at which the host receives messages of other hosts.
     pub address: SocketAddr,
-    /// Incarnation of the process that runs there; `None` if it is not known.
+    /// Incarnation of the process on the host; `None` if it is not known.
     pub incarnation: Option<u64>,
-    /// Tag of its availability zone, as in messages between hosts.
+    /// Tag of the host's availability zone, as in messages between hosts.
     pub zone_tag: u32,
     /// Share of a processor that the host may use; 1.0 is a whole one.
     pub processor_share: f32,
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -87,11 +87,12 @@
 /// Time without heartbeats of a host, as one host sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Silence {
-    /// Time since the host was last heard; `None` if it never was.
+    /// Time since the last heartbeat of the host; `None` if there was none.
     pub silent_ms: Option<u64>,
     /// True if heartbeats are expected: the host has pinged this one, or this host pings it.
     pub expected: bool,
-    /// Time since this host applied the entry of the host; it counts if the host was never heard.
+    /// Time since this host applied the entry of the host; it counts if there was no heartbeat of
+    /// the host.
     pub known_ms: u64,
 }
 
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -40,7 +40,7 @@
 /// The running HTTP server of the operators' API.
 #[derive(Debug)]
 pub struct OperatorServer {
-    /// Address on which it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     server: Server,
 }
--- a/src/ownership/planner.rs
+++ b/src/ownership/planner.rs
@@ -15,7 +15,7 @@
 /// One server as input of the planner.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerServer {
-    /// Requests that it runs at a time, reduced during a cold start.
+    /// Number of requests that the server runs at a time, reduced during a cold start.
     pub capacity: f64,
     /// False if the server must not own slots.
     pub eligible: bool,
@@ -24,7 +24,7 @@
 /// One slot as input of the planner.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerSlot {
-    /// Index of its owner.
+    /// Index of the slot's owner; `None` if the slot has none.
     pub owner: Option<u32>,
     /// Smoothed load; only the proportion to other slots matters.
     pub load: f64,
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -35,7 +35,7 @@
         host: HostKey,
         /// Process of that host.
         incarnation: Incarnation,
-        /// Time copied from the ping.
+        /// Time of sending, copied from the ping.
         sent_ms: u64,
         /// Revision that the host has applied.
         revision: Revision,
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -34,7 +34,8 @@
 pub const ALIVE_PATH: &str = "/_ashroad/alive";
 /// Longest deadline that a caller may request.
 const DEADLINE_MS_MAX: u64 = 300_000;
-/// Delay before the owner of a slot is looked up again after server and host disagreed on it.
+/// Delay before the owner of a slot is looked up again after server and host disagreed on the
+/// owner.
 const STALE_PAUSE_MS: u64 = 3;
 /// Delay before a retry.
 const RETRY_PAUSE_MS: u64 = 10;
--- a/src/standin/backend_message.rs
+++ b/src/standin/backend_message.rs
@@ -48,7 +48,7 @@
 pub struct RunCount {
     /// Idempotency key if the request had one, else its request id.
     pub request: String,
-    /// Number of times that the server ran it.
+    /// Number of times that the server ran the request.
     pub runs: u64,
 }
 
--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -50,13 +50,13 @@
     },
     /// A host process has started and registers.
     HostRegistered {
-        /// Name from its settings.
+        /// Name of the host, from its settings.
         name: String,
         /// Random identifier of the process.
         incarnation: Incarnation,
-        /// Address at which other hosts reach it.
+        /// Address at which other hosts reach the host.
         peer_address: SocketAddr,
-        /// Availability zone from its settings.
+        /// Availability zone of the host, from its settings.
         availability_zone: String,
     },
     /// A host has become a voter: it counts in the majorities of
@@ -64,21 +64,21 @@
     HostPromoted {
         /// Host to promote.
         host: HostKey,
-        /// Process of the host; the change is refused if it is another one by now.
+        /// Process of the host; the change is refused if another process has replaced it.
         incarnation: Incarnation,
     },
     /// A host has begun its planned stop.
     HostLeaving {
         /// Host that leaves.
         host: HostKey,
-        /// Process of the host; the change is refused if it is another one by now.
+        /// Process of the host; the change is refused if another process has replaced it.
         incarnation: Incarnation,
     },
     /// A host was silent for too long and no longer belongs to the registry.
     HostRemoved {
         /// Host to remove.
         host: HostKey,
-        /// Process of the host; the change is refused if it is another one by now.
+        /// Process of the host; the change is refused if another process has replaced it.
         incarnation: Incarnation,
     },
     /// No host acts on an earlier version of the registry any more.
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -22,7 +22,7 @@
 pub struct Document {
     /// YAML text as submitted.
     pub text: String,
-    /// Revision of its last submission.
+    /// Revision at which the document was last submitted.
     pub revision: Revision,
 }
 
@@ -35,7 +35,7 @@
     Joining,
     /// Registered and a voter.
     Live,
-    /// In its planned stop; still a voter.
+    /// The host makes its planned stop and is still a voter.
     Leaving,
     /// No longer registered.
     Removed,
@@ -44,13 +44,13 @@
 /// One process of an entry host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// Name from its settings, the same for later processes of the host.
+    /// Name of the host, from its settings; the same for its later processes.
     pub name: String,
     /// Random identifier of the process.
     pub incarnation: Incarnation,
-    /// Address at which other hosts reach it.
+    /// Address at which other hosts reach the host.
     pub peer_address: SocketAddr,
-    /// Availability zone from its settings.
+    /// Availability zone of the host, from its settings.
     pub availability_zone: String,
     /// Stage of the host's life cycle.
     pub state: HostState,
@@ -122,13 +122,13 @@
 /// One backend server, identified by its address.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEntry {
-    /// Address at which hosts reach it.
+    /// Address at which hosts reach the server.
     pub address: SocketAddr,
     /// Availability zone from the workspace that declared it last.
     pub availability_zone: String,
     /// Process that has the lease, or had the last one.
     pub incarnation: Incarnation,
-    /// Number of its membership period; it rises with each join.
+    /// Number of the server's membership period; rises with each join.
     pub lease_epoch: LeaseEpoch,
     /// Stage of the server's life cycle.
     pub state: ServerState,
@@ -186,7 +186,7 @@
     pub active: bool,
 }
 
-/// A recently accepted change, kept to recognise its retries.
+/// Recently accepted change, kept to recognise retries of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecentOperation {
     /// Hash of the identifier that the writer chose.
