--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -1,18 +1,14 @@
-//! Requests that crash each backend server that begins to run them must reach few servers.
-//!
-//! The first failure: over a tenth of the requests failed for seconds, again and again, while the
-//! servers of a service crashed one after the other, 3.3 to 3.9 s apart. A caller's request crashed
-//! its server with all requests in flight there; the keys moved to another server; the caller
-//! retried at any host and crashed that server too. No host recognised the request, since each
-//! retry has an id of its own and hosts did not report crashes to each other. Each crashed server
-//! held the same small range of keys, granted to it just before; others with as many requests
-//! survived.
-//!
-//! The second failure: the same with one path that many callers read. After three servers had
-//! crashed, the request still reached seven to eleven more. Digests included the caller, so each
-//! caller's request was a suspect for the first time: of 18 digests under which servers
-//! crashed none occurred twice, but ten were of one path from ten callers. Digests of the path
-//! alone prevent it.
+//! Requests that crash each backend server that begins to run them must reach few servers. The
+//! tests guard against two failures. First, the servers of a service crashed one after the other,
+//! 3.3 to 3.9 s apart, and over a tenth of the requests failed for seconds each time. A caller's
+//! request crashed its server with all requests in flight there. The keys moved to another server,
+//! and the caller retried at any host and crashed that server too. No host recognised the request,
+//! since each retry has an id of its own and hosts did not report crashes to each other. Each
+//! crashed server held the same small range of keys, granted to it just before; others with as many
+//! requests survived. Second, a path that many callers read crashed seven to eleven more servers
+//! after the first three. Digests included the caller, so the request of each caller was a new
+//! suspect: of 18 digests under which servers crashed none occurred twice, but ten were of one path
+//! from ten callers. Digests of the path alone prevent this.
 
 mod platform_standin;
 
@@ -41,7 +37,7 @@
 const CRASHES_NEEDED: usize = 3;
 /// Runs that the users allow after those crashes and the detection time.
 const LATE_RUNS_MAX: usize = 3;
-/// Further crashes allowed, by attempts that were in flight.
+/// Further crashes allowed, caused by attempts that were in flight.
 const CRASHES_IN_FLIGHT: usize = 1;
 /// Time within which all hosts must know of a crash.
 const DETECTION_TIME: Duration = Duration::from_millis(3_000);
@@ -89,8 +85,8 @@
     place.expect("a duty holder")
 }
 
-/// Starts hosts, and servers that crash under requests for [`CRASH_PATH`] and whose entries stay in the
-/// store.
+/// Starts hosts, and servers that crash under requests for [`CRASH_PATH`] and whose entries stay in
+/// the store.
 async fn start(hosts: usize, servers: usize) -> (Site, Vec<Server>) {
     let mut site = Site::start_servers(1).await;
     // Drains the other servers, so that only those that can crash get the reads.
@@ -173,21 +169,24 @@
     let known = crashes.get(CRASHES_NEEDED - 1).copied();
     let is_late = |end: &&Instant| known.is_some_and(|known| **end > known + DETECTION_TIME);
     let late = crashes.iter().filter(is_late);
-    assert_eq!(late.count(), 0, "servers crashed after all hosts must know");
-    // The caller is told at once that the request has not run, and the requests of others are
-    // served.
+    assert_eq!(late.count(), 0, "servers crashed after the detection time");
+    // The caller gets a response at once that says that the request has not run. Requests of other
+    // callers are served.
     for host in &site.hosts {
         let asked = Instant::now();
-        let answer = read(host, CALLER, CRASH_PATH).await.expect("an answer");
+        let answer = read(host, CALLER, CRASH_PATH).await.expect("a response");
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(answer.headers.contains_key("retry-after"));
-        assert!(asked.elapsed() < Duration::from_millis(400), "held back");
+        assert!(
+            asked.elapsed() < Duration::from_millis(400),
+            "the refusal is late"
+        );
         let refusals = host.events("request").into_iter();
         let of_quarantine = |line: &String| line.contains("several servers have ended");
         for line in refusals.filter(of_quarantine) {
             let event: Value = serde_json::from_str(&line).expect("an event");
             let after_ms = event["after_ms"].as_u64();
-            assert!(after_ms < Some(400), "held back: {line}");
+            assert!(after_ms < Some(400), "the refusal is late: {line}");
         }
         assert_eq!(
             status(host, OTHER_CALLER, HARMLESS).await,
@@ -284,15 +283,15 @@
         site.record.set_crash_path(None);
         assert_eq!(site.record.crashes().len(), end);
         let answered = order(second, ORDER).await;
-        assert_eq!(answered, Some(StatusCode::OK), "after end {end}");
+        assert_eq!(answered, Some(StatusCode::OK), "after crash {end}");
         time::sleep(Duration::from_millis(1_700)).await;
     }
 }
 
-/// Guards against concurrent attempts of a crashing request that crash several servers. The attempts
-/// wait while the key has no server, and then all reach the next server before it has crashed. The
-/// users count runs, so even two servers may be too many. When hosts waited for three crashes,
-/// there were two runs on each of the first two servers and four on the third.
+/// Guards against concurrent attempts of a crashing request that crash several servers. The
+/// attempts wait while the key has no server, and then all reach the next server before it has
+/// crashed. The users count runs, so even two servers may be too many. When hosts waited for three
+/// crashes, there were two runs on each of the first two servers and four on the third.
 #[tokio::test]
 async fn tries_that_come_together_do_not_run_together_once_a_server_has_ended() {
     const CRASH_READ_PATH: &str = "/keyed/deadly";
@@ -334,7 +333,7 @@
     assert_eq!(site.record.violations(), Vec::<String>::new());
 }
 
-/// Returns the address of a caller; each number has its own.
+/// Returns the address of the caller with this number.
 fn caller(number: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(127, 0, 1, number as u8))
 }
@@ -357,10 +356,10 @@
     Some(answer.status)
 }
 
-/// Time at which each read was sent, and the status of its response.
+/// Outcome of each read: the time of its sending and the status of the response.
 type Outcomes = Arc<Mutex<Vec<(Instant, Option<StatusCode>)>>>;
 
-/// Callers that read a path repeatedly until they are stopped, each from its own address.
+/// Callers that read a path repeatedly until they are stopped. Each has its own address.
 struct Readers {
     outcomes: Outcomes,
     tasks: JoinSet<()>,
@@ -445,7 +444,10 @@
     let served = harmless.served(began);
     assert!(served > 0.9, "{served:.2} of the harmless reads served");
     let settled = harmless.served(Instant::now() - Duration::from_secs(2));
-    assert!(settled > 0.99, "{settled:.2} served at the end");
+    assert!(
+        settled > 0.99,
+        "{settled:.2} of the harmless reads served at the end"
+    );
     harmless.stop().await;
 }
 
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -1,4 +1,4 @@
-//! Results of the decisions under simulated load; no sockets and no clock.
+//! Simulates load in virtual time with the real decision code, without sockets.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -44,8 +44,8 @@
 
 #[test]
 fn a_server_that_was_slow_for_a_moment_is_not_left_idle() {
-    // The only server of some keys was slow for a moment, with 900 ms for a request, and now takes
-    // 120 ms. Only requests that reach it can correct this host's statistics.
+    // The only server of some keys took 900 ms per request for a short time, and now takes 120 ms.
+    // Only requests that reach it can correct this host's statistics.
     let policy = Policy::default();
     let mut attempt_stats = AttemptStats::default();
     let mut now_ms = 1_000_000;
@@ -90,7 +90,7 @@
     assert!(!admission::has_room(&slow, 120.0, demand, &policy));
 }
 
-/// Guards against a single slow response that keeps a host away from a server. The response took
+/// Guards against a host that avoids a server after a single slow response. The response took
 /// longer than the deadline because the machine was paused; the server is idle and fast, and a
 /// request arrives every 50 ms.
 #[test]
@@ -134,7 +134,7 @@
         result: Hold,
     }
     let cases = [
-        // The former server still runs requests: most such moves complete soon.
+        // The previous server still runs requests; most such moves complete soon.
         Case {
             wait: MoveWait::Work,
             rest_ms: 2_500,
@@ -160,7 +160,7 @@
             aim_ms: 2_000,
             result: Hold::For(500),
         },
-        // A lease expires exactly at its end, so waiting for a part of that time is useless.
+        // A lease expires exactly at its end, so waiting for only a part of that time is useless.
         Case {
             wait: MoveWait::Lease,
             rest_ms: 2_500,
@@ -238,7 +238,7 @@
 ) -> HashMap<Arc<str>, f64> {
     let policy = Policy::default();
     for round in 0.. {
-        assert!(round < 12, "the plan does not settle");
+        assert!(round < 12, "the planner keeps planning moves");
         let moves = plan::plan(Inputs {
             assignment,
             servers,
@@ -284,16 +284,16 @@
     let hot = 1_000;
     loads.add(hot, 250.0);
     let used = settle(&servers, &mut assignment, &loads, &[hot]);
-    let holder = assignment.holding(hot).expect("a holder");
+    let holder = assignment.holding(hot).expect("a holding");
     assert_eq!(&*holder.server, "s7");
     let beside = used["s7"] - loads.key(hot);
     assert!(
         beside < 3.0,
-        "{beside} requests a second beside the hot key"
+        "{beside} requests a second in addition to the hot key"
     );
     for server in &servers[..7] {
         let share = used[&server.id] / server.capacity_per_s;
-        assert!(share < 0.85, "{} is used by {share}", server.id);
+        assert!(share < 0.85, "{} is used to a share of {share}", server.id);
     }
 }
 
@@ -312,12 +312,12 @@
             key_per_s: 0.2,
         },
         Case {
-            name: "a key with more than its server takes",
+            name: "a key with more load than its server accepts",
             limits_per_s: &[0.5],
             key_per_s: 6.0,
         },
         Case {
-            name: "a server that takes nothing",
+            name: "a server that accepts no requests",
             limits_per_s: &[0.25],
             key_per_s: 0.2,
         },
@@ -400,23 +400,23 @@
     let mut loads = KeyLoads::default();
     loads.add(1_000, 250.0);
     settle(&servers, &mut assignment, &loads, &[1_000]);
-    assert_eq!(&*assignment.holding(1_000).expect("a holder").server, "s0");
+    assert_eq!(&*assignment.holding(1_000).expect("a holding").server, "s0");
 }
 
 /// Results for hosts that learn of each other's requests with a delay.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
     asked: u32,
-    /// Answered within the objective.
+    /// Requests answered within the objective.
     in_time: u32,
-    /// Sent to a server with a full queue, which resets the connection: an unrepeatable request is
-    /// then lost.
+    /// Requests sent to a server with a full queue, which resets the connection. An unrepeatable
+    /// request is then lost.
     reset: u32,
     refused: u32,
 }
 
-/// Simulates 12 s of requests of 59 hosts to the 46 servers of their zone at 92% of its capacity. A
-/// host's data on the requests of other hosts is up to `load_age_ms` old.
+/// Simulates 12 s of requests of 59 hosts to the 46 servers of their zone, at 92% of the servers'
+/// capacity. A host's data on the requests of other hosts is up to `load_age_ms` old.
 fn simulate_load_age(load_age_ms: u64) -> Outcome {
     const HOSTS: usize = 59;
     const SERVERS: usize = 46;
@@ -512,7 +512,8 @@
     work_ms: f64,
 }
 
-/// A server that shares its machine with others: a fifth of the time it runs three times slower.
+/// A server that shares its machine with others. For a fifth of the time it runs three times
+/// slower.
 #[derive(Debug, Default)]
 struct NoisyServer {
     speed: f64,
@@ -540,10 +541,10 @@
     }
 }
 
-/// Simulates 20 s of requests for 11 servers of one zone with three slots each, at 1.25 times their
-/// capacity, and returns the earned share of the possible value: a response within the objective
-/// counts 1, a late one 0.5. 25 hosts report to each other every 100 ms how many requests they have
-/// at each server and which pace the servers reported.
+/// Simulates 20 s of requests to 11 servers of one zone, at 1.25 times their capacity. Each server
+/// has three slots. 25 hosts report to each other every 100 ms how many requests they have at each
+/// server and which pace the servers reported. Returns the earned share of the possible value: a
+/// response within the objective counts 1, a late one 0.5.
 fn simulate_noisy_servers(policy: &Policy) -> f64 {
     const HOSTS: usize = 25;
     const SERVERS: usize = 11;
@@ -658,7 +659,8 @@
         pace_memory_ms: 0,
         ..default
     });
-    // With ten servers compared instead of three, all hosts choose the same few servers: 0.87.
+    // The value is 0.87 if a host compares ten servers instead of three, because all hosts then
+    // choose the same few servers.
     assert!(known > 0.92, "{known}");
     assert!(unknown < known - 0.01, "{unknown}, {known}");
 }
@@ -670,9 +672,10 @@
     long: f64,
 }
 
-/// Simulates 60 s at the only server of some keys. It has three slots; long requests of 500 ms fill
-/// 85% of them and are worth 1 if answered within a second. A few short ones of 90 ms are urgent,
-/// and worth 3 if answered within 250 ms; their deadline is 600 ms. Late responses count half.
+/// Simulates 60 s at the only server of some keys, which has three slots. Long requests of 500 ms
+/// use 85% of the slots and have a value of 1 if answered within a second. A few short requests of
+/// 90 ms are urgent, and have a value of 3 if answered within 250 ms; their deadline is 600 ms.
+/// Late responses earn half of the value.
 fn simulate_short_and_long(policy: &Policy) -> Earned {
     const SLOTS: usize = 3;
     const SHORT_EVERY_MS: f64 = 700.0;
@@ -760,7 +763,7 @@
         urgent_may_be_late: false,
         ..default
     });
-    // When they were refused unless a slot was free, they earned half of the value.
+    // Short requests earned half of their value when they were refused unless a slot was free.
     assert!(neither.short < 0.65, "{neither:?}");
     assert!(both.short > neither.short + 0.1, "{both:?}, {neither:?}");
     assert!(both.long > neither.long - 0.02, "{both:?}, {neither:?}");
@@ -781,7 +784,7 @@
             is_other_region_chosen: false,
         },
         Case {
-            name: "servers without a free slot, which answer in time",
+            name: "servers without a free slot that respond in time",
             own_load: 7,
             is_other_region_chosen: false,
         },
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -41,7 +41,7 @@
             reached: true,
         },
         Case {
-            what: "two servers, by a host that repeats at once",
+            what: "two servers, by a host that retries at once",
             ends: &[(1, 0), (2, 40)],
             reached: true,
         },
@@ -73,7 +73,7 @@
 
 /// Guards against quarantining a harmless request when a zone is lost. Twelve servers crash at
 /// once; the request is at three of them, since its host and its caller retry it at once, and none
-/// of its hosts has had a response.
+/// of its hosts has received a response.
 #[test]
 fn the_loss_of_a_zone_is_no_evidence_against_a_request() {
     let mut tally = CrashTally::default();
@@ -91,7 +91,7 @@
     assert_eq!(reached, []);
     assert!(
         !tally.is_suspect(HARMLESS, 100),
-        "tried as often as it comes"
+        "the request became a suspect"
     );
     // It is the cause if a server crashes under it later.
     assert_eq!(tally.note(20, &[HARMLESS], 4_000), [HARMLESS]);
@@ -106,7 +106,7 @@
         assert!(!reached.contains(&HARMLESS));
         assert_eq!(reached.contains(&CRASHING), server_tag >= 1);
         assert!(tally.clear(HARMLESS));
-        assert!(!tally.clear(HARMLESS), "cleared before");
+        assert!(!tally.clear(HARMLESS), "already cleared");
     }
 }
 
@@ -158,11 +158,14 @@
 fn quarantine_ends_and_is_bounded() {
     let mut quarantine = Quarantine::default();
     assert!(quarantine.add(CRASHING, 5));
-    assert!(!quarantine.add(CRASHING, 6), "it is there");
+    assert!(!quarantine.add(CRASHING, 6), "it is in quarantine already");
     assert_eq!(quarantine.rest_ms(CRASHING, 5), Some(QUARANTINE_MS));
     assert_eq!(quarantine.rest_ms(HARMLESS, 5), None);
     assert_eq!(quarantine.rest_ms(CRASHING, 5 + QUARANTINE_MS), None);
-    assert!(quarantine.add(CRASHING, 5 + QUARANTINE_MS), "once more");
+    assert!(
+        quarantine.add(CRASHING, 5 + QUARANTINE_MS),
+        "added again after it expired"
+    );
     for number in 0..1_000 {
         quarantine.add(RequestDigest(100 + number), QUARANTINE_MS + number);
     }
@@ -193,7 +196,7 @@
     assert_eq!(reports.due(3).len(), 64);
 }
 
-/// Digests of a request without a query.
+/// Returns the digests of a request without a query.
 fn without_query(digest: u64) -> RequestDigests {
     let digest = RequestDigest(digest);
     RequestDigests {
@@ -272,7 +275,7 @@
     );
 }
 
-/// A suspect across callers, from one caller.
+/// Returns a suspect that is independent of the caller, from a request of one caller.
 fn shared(caller_tag: u32, scope: DigestScope, is_trial: bool) -> SharedSuspect {
     SharedSuspect {
         digest: CRASHING,
@@ -336,7 +339,7 @@
             reached: true,
         },
         Case {
-            what: "the same at once",
+            what: "three servers at once under different requests for a path",
             scope: Path,
             ends: &[(1, 7, false, 0), (2, 8, false, 60), (3, 9, false, 120)],
             reached: false,
@@ -397,7 +400,10 @@
         tally.note(10 + end, &suspects, false, 2);
         assert!(tally.len() <= 4_096);
     }
-    assert!(tally.is_suspect(CRASHING, 2), "the one with most evidence");
+    assert!(
+        tally.is_suspect(CRASHING, 2),
+        "the suspect with the most evidence"
+    );
 }
 
 #[test]
@@ -415,7 +421,8 @@
             .rest_ms(CRASHING, ANY_CALLER_QUARANTINE_MS)
             .is_some()
     );
-    // The evidence outlasts the quarantine, so that only one host at a time tries the request.
+    // The evidence outlasts the quarantine, so that only one host at a time runs a trial of the
+    // request.
     let mut tally = PathTally::default();
     tally.note(1, &[shared(7, DigestScope::Content, false)], false, 0);
     assert!(tally.is_suspect(CRASHING, ANY_CALLER_QUARANTINE_MS));
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -1,10 +1,10 @@
 //! Servers advertise in their responses a limit on the requests a second from all hosts together.
-//!
-//! The failure that these tests guard against: two of nine servers of a service advertised limits
-//! of 7.6 and 9.7 requests a second, and three seconds later they still got 118 and 109 requests in
-//! 4 s from the hosts that had received the limits. No host read the header, so neither the choice of a
-//! server nor the planner of key moves knew the limit, and hosts went on sending all requests for
-//! the servers' keys there. No host logged the limits; hosts that read the header keep the bound.
+//! The tests guard against hosts that exceed these limits. Two of nine servers of a service
+//! advertised limits of 7.6 and 9.7 requests a second, and three seconds later they still got 118
+//! and 109 requests in 4 s from the hosts that had received the limits. No host read or logged the
+//! header, so neither the choice of a server nor the planner of key moves knew the limit, and hosts
+//! went on sending all requests for the servers' keys there. Hosts that read the header keep the
+//! bound.
 
 mod platform_standin;
 
@@ -41,10 +41,10 @@
 const SERVED_MIN: f64 = 0.9;
 /// Time within which the keys that exceed a server's limit have moved to other servers.
 const MOVED_AFTER: Duration = Duration::from_secs(3);
-/// Time for which servers advertise limits.
+/// Time for which servers advertise limits in a test.
 const LIMITED: Duration = Duration::from_secs(9);
 
-/// Limits of one server over time, as `(time, requests a second)`.
+/// Limits that one server advertised, as `(time, requests a second)` in order of time.
 struct AdvertisedLimits(Vec<(Instant, f64)>);
 
 impl AdvertisedLimits {
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -1,4 +1,4 @@
-//! Decisions about servers that ask hosts for a rest; no processes, no clock.
+//! Tests decisions about servers that ask hosts for a rest, in virtual time and without processes.
 
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
     struct Case {
         name: &'static str,
         hosts: usize,
-        /// Hosts that are refused: number, time of the refusal, and length of the rest.
+        /// Refusals of hosts as `(host, time of the refusal, length of the rest)`.
         turned_away: &'static [(u8, u64, u64)],
         at_ms: u64,
         wide: bool,
@@ -47,7 +47,7 @@
             wide: true,
         },
         Case {
-            name: "four of 295, which is all that see it within a rest",
+            name: "four of 295: the only ones that send requests within the rest",
             hosts: 295,
             turned_away: &[(1, 0, 3_000), (2, 0, 3_000), (3, 0, 3_000), (4, 0, 3_000)],
             at_ms: 100,
@@ -109,7 +109,7 @@
         case(9, 0, 9),
         case(9, 3, 6),
         case(9, 4, 5),
-        // All are overloaded: no server is spared, and no key moves because of it.
+        // All servers are overloaded: none is left out, and no key moves because of the rests.
         case(9, 5, 9),
         case(9, 9, 9),
         case(2, 1, 1),
@@ -119,7 +119,12 @@
     for case in cases {
         let servers: Vec<u32> = (0..case.servers).collect();
         let left = not_resting(servers, |server| *server < case.resting);
-        assert_eq!(left.len() as u32, case.not_resting, "{} rest", case.resting);
+        assert_eq!(
+            left.len() as u32,
+            case.not_resting,
+            "{} servers rest",
+            case.resting
+        );
     }
 }
 
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -200,7 +200,7 @@
     fn any_record_is_decoded_or_refused(bytes: Vec<u8>) -> bool {
         let mut record = vec![1];
         record.extend(&bytes);
-        // Neither may panic.
+        // Decoding must not panic.
         let decoded = [Assignment::decode(&bytes), Assignment::decode(&record)];
         decoded.len() == 2
     }
@@ -312,7 +312,7 @@
             break;
         }
         rounds += 1;
-        assert!(rounds <= 6, "the plan does not settle");
+        assert!(rounds <= 6, "the planner keeps planning moves");
         apply(&mut assignment, &moves);
     }
     let mut used: HashMap<Arc<str>, f64> = HashMap::new();
@@ -321,10 +321,10 @@
     }
     let mean = loads.of(KeyRange::ALL) / servers.len() as f64;
     let most = used.values().copied().fold(0.0, f64::max);
-    assert!(most <= mean * 1.25, "{most} over a mean of {mean}");
+    assert!(most <= mean * 1.25, "a load of {most} at a mean of {mean}");
 }
 
-/// Distributes all keys in equal parts.
+/// Distributes the keys equally among the servers.
 fn equal_parts(servers: &[PlanServer]) -> Assignment {
     let mut assignment = Assignment::default();
     for (range, server) in first::first_assignment(servers) {
@@ -387,7 +387,7 @@
     struct Case {
         name: &'static str,
         servers: usize,
-        /// Requests in an interval; a server can run 1.5.
+        /// Requests per interval, of which one server can run 1.5.
         requests: u32,
         moves_max: usize,
     }
@@ -437,7 +437,7 @@
 #[test]
 fn the_first_keys_wait_for_servers_that_are_starting() {
     struct Case {
-        /// Start times of the servers, and the time of the first request.
+        /// Start times of the servers.
         starts_ms: Vec<u64>,
         requested_ms: u64,
         /// Time at which the keys are distributed, and the number of servers.
@@ -527,7 +527,8 @@
             hot: &[],
         },
         Case {
-            // Too much for one server together, but not each by itself, so these keys can be moved.
+            // Together these keys exceed the capacity of a server, but each fits one, so they can
+            // be moved.
             loads: &[(5, 50.0), (6, 50.0)],
             hot: &[],
         },
@@ -597,25 +598,25 @@
     }
     let cases = [
         Case {
-            name: "same secret",
+            name: "the same secret",
             reader: seal(&[(&first, 1)]),
             datagram: &datagram,
             opened: true,
         },
         Case {
-            name: "former secret",
+            name: "the previous secret",
             reader: seal(&[(&first, 1), (&second, 2)]),
             datagram: &datagram,
             opened: true,
         },
         Case {
-            name: "an older version does not come back",
+            name: "an older version of the secret is not restored",
             reader: seal(&[(&second, 2), (&first, 1)]),
             datagram: &datagram,
             opened: false,
         },
         Case {
-            name: "other secret",
+            name: "an unknown secret",
             reader: seal(&[(&strange, 1)]),
             datagram: &datagram,
             opened: false,
@@ -627,7 +628,7 @@
             opened: false,
         },
         Case {
-            name: "changed on the way",
+            name: "changed in transit",
             reader: seal(&[(&first, 1)]),
             datagram: &changed,
             opened: false,
@@ -901,7 +902,7 @@
     has_idle_connection: false,
 };
 
-/// Picks a server for a request with one second left.
+/// Picks a server for a request whose deadline is in one second.
 fn pick(servers: &[Candidate]) -> Option<usize> {
     let inputs = choice::Inputs {
         servers,
@@ -917,7 +918,7 @@
     choice::pick(inputs, &Policy::default(), &mut rand::rng())
 }
 
-/// Returns a candidate with the failures and the pause that the attempts result in.
+/// Returns a candidate with the failure rate and the pause that result from the attempts.
 fn after(attempts: fn(&mut AttemptStats)) -> Candidate {
     let mut attempt_stats = AttemptStats::default();
     attempts(&mut attempt_stats);
@@ -1035,7 +1036,7 @@
         ..GOOD
     };
     let picks = (0..100).filter(|_| pick(&[GOOD, far]) == Some(0));
-    assert_eq!(picks.count(), 100, "the near one of two equal servers");
+    assert_eq!(picks.count(), 100, "the server of the own zone");
     let unknown = Candidate { run_ms: 0.0, ..far };
     assert_eq!(pick(&[GOOD, unknown]), Some(1), "a server without samples");
 }
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -1,5 +1,6 @@
-//! Hosts that share the rate limit of a server, simulated in virtual time with the decision code:
-//! the requests that the server gets in every window, and the part of the limit left unused.
+//! Simulates hosts that share the rate limit of a server, in virtual time with the real decision
+//! code. Checks the requests that the server gets in every window, and the share of the limit that
+//! is used.
 
 use std::{
     collections::VecDeque,
@@ -17,16 +18,16 @@
 const ANNOUNCE_EVERY_MS: u64 = 150;
 /// Time from a report until it is part of the sums that all hosts know.
 const ANNOUNCE_DELAY_MS: u64 = 100;
-/// Time after the first advertisement of a limit from which the bound applies.
+/// Contact grace period: the bound applies from this time after the first advertisement of a limit.
 const CONTACT_MS: u64 = 3_000;
 /// Length of the windows in which requests are counted.
 const WINDOW_MS: u64 = 4_000;
-/// The users' bound: this multiple of the limit, and a constant.
+/// The users' bound on the requests in a window: this multiple of the limit, plus [`SLACK`].
 const EXCESS: f64 = 1.5;
 const SLACK: f64 = 5.0;
-/// Length of a simulation.
+/// Simulated time of each case.
 const SIMULATED_MS: u64 = 24_000;
-/// Share of the limit that must be used while callers send twice as much.
+/// Least share of the limit that must be used while callers send twice as much.
 const USED_MIN: f64 = 0.8;
 /// Number of seeds for each case.
 const SEEDS: u64 = 40;
@@ -137,7 +138,7 @@
     is_sent
 }
 
-/// Returns the largest number of requests in a window, from the contact time on.
+/// Returns the largest number of requests in a window after the contact grace period.
 fn most_in_a_window(sent: &[u64]) -> usize {
     let counted: Vec<u64> = sent
         .iter()
@@ -177,20 +178,20 @@
             ..CASE
         },
         Case {
-            name: "one host has half",
+            name: "one host has half of the requests",
             hosts: 12,
             first_share: 0.5,
             ..CASE
         },
         Case {
-            name: "the half moves to another host",
+            name: "half of the requests move to another host",
             hosts: 12,
             first_share: 0.5,
             moves: true,
             ..CASE
         },
         Case {
-            name: "the half moves to another host, among 300",
+            name: "half of the requests move to another host, among 300",
             hosts: 300,
             first_share: 0.5,
             moves: true,
@@ -209,7 +210,7 @@
             ..CASE
         },
         Case {
-            name: "all are urgent, among 300",
+            name: "all requests are urgent, among 300 hosts",
             hosts: 300,
             urgent: 1.0,
             ..CASE
@@ -227,13 +228,13 @@
             ..CASE
         },
         Case {
-            name: "a limit of 0.5 among 300",
+            name: "a limit of 0.5 among 300 hosts",
             hosts: 300,
             limit_per_s: 0.5,
             ..CASE
         },
         Case {
-            name: "a high limit among 300",
+            name: "a high limit among 300 hosts",
             hosts: 300,
             limit_per_s: 60.0,
             asked_per_s: (200.0, 200.0),
@@ -246,7 +247,7 @@
             ..CASE
         },
         Case {
-            name: "a surge among 300",
+            name: "a surge among 300 hosts",
             hosts: 300,
             asked_per_s: (20.0, 60.0),
             ..CASE
@@ -271,7 +272,7 @@
             ..CASE
         },
         Case {
-            name: "the host with half is isolated",
+            name: "the host with half of the requests is isolated",
             hosts: 12,
             first_share: 0.5,
             isolated: 1,
@@ -319,8 +320,8 @@
 
 #[test]
 fn a_surge_from_below_the_rate_is_held() {
-    // The buckets are full at that time. Among hundreds of hosts the admission probability must
-    // limit the surge.
+    // The token buckets are full when the surge begins. Among hundreds of hosts the admission
+    // probability must limit the surge.
     for (hosts, surge_per_s) in [(3, 200.0), (8, 100.0), (12, 60.0), (300, 30.0)] {
         for seed in 0..SEEDS {
             let case = Case {
@@ -366,7 +367,7 @@
     assert!(limit.take_change());
     assert!(
         limit.should_announce(28_999),
-        "the end of the limit is announced"
+        "the withdrawal of the limit is announced"
     );
     assert!(!limit.should_announce(29_000));
     assert_eq!(limit.own(), None, "all advertisements went to other hosts");
@@ -374,8 +375,8 @@
     assert_eq!(limit.own(), limit.latest());
 }
 
-/// Guards against a limit that never ends at other hosts: a server that gets few requests seldom
-/// advertises its limit, so the end may come long after the last advertisement.
+/// Guards against other hosts that keep to a limit forever. A server that gets few requests seldom
+/// advertises its limit, so the withdrawal may come long after the last advertisement.
 #[test]
 fn the_end_of_a_limit_is_announced_however_long_ago_it_was_advertised() {
     const ENDED_MS: u64 = 20_000;
@@ -394,11 +395,11 @@
         );
         assert!(
             limit.should_announce(ENDED_MS + 1_000),
-            "the end is not announced"
+            "the withdrawal is not announced"
         );
         assert!(
             !limit.should_announce(ENDED_MS + 10_000),
-            "the end is announced forever"
+            "the withdrawal is announced forever"
         );
     }
 }
@@ -440,7 +441,7 @@
         }
     };
     let few = served(4.0, 30.0);
-    assert!((few.urgent_per_s - 4.0).abs() < 0.01, "all of them");
+    assert!((few.urgent_per_s - 4.0).abs() < 0.01, "all urgent requests");
     assert!(few.non_urgent_per_s > 4.0);
     let many = served(40.0, 30.0);
     assert!(many.urgent_per_s > 6.0 && many.non_urgent_per_s > 2.0);
