--- a/tests/entry_bodies.rs
+++ b/tests/entry_bodies.rs
@@ -19,18 +19,18 @@
     site::{Site, configuration, eventually, get},
 };
 
-/// Requests that a caller sends on one connection before it reads a response.
+/// Number of requests that a caller sends on one connection before it reads a response.
 const PIPELINED: usize = 8;
-/// Callers that send their request bodies slowly.
+/// Number of callers that send their request bodies slowly.
 const SLOW_CALLERS: usize = 500;
-/// Bytes that each of them sends at once, of a larger body. No host should buffer them for all
-/// callers.
+/// Number of bytes that each slow caller sends of its body before it stops. No host may buffer them
+/// for all callers.
 const SENT_BYTES: usize = 250_000;
 const BODY_BYTES: usize = 400_000;
-/// Callers that read large responses slowly, and the size of each one's receive buffer.
+/// Number of callers that read large responses slowly.
 const SLOW_READERS: usize = 200;
 const RECEIVED_BYTES: u32 = 16_384;
-/// Memory of the smallest host that the users run.
+/// Memory of the smallest host that the users run, in megabytes.
 const MEMORY_MB: u64 = 120;
 
 #[tokio::test]
@@ -59,7 +59,7 @@
     let mut answers = String::new();
     let reading = stream.read_to_string(&mut answers);
     let read = time::timeout(Duration::from_secs(10), reading).await;
-    read.expect("answers in time").expect("answers");
+    read.expect("responses in time").expect("responses");
     let told: Vec<&str> = answers
         .lines()
         .filter_map(|line| line.strip_prefix("request-id: "))
@@ -81,8 +81,8 @@
     let sending = stream.write_all(&part);
     match time::timeout(Duration::from_millis(300), sending).await {
         Ok(Ok(())) => {}
-        Ok(Err(error)) => eprintln!("body {number} was not taken: {error}"),
-        Err(_) => eprintln!("body {number} is not read to its end"),
+        Ok(Err(error)) => eprintln!("body {number} was not accepted: {error}"),
+        Err(_) => eprintln!("body {number} was not read completely"),
     }
     stream
 }
@@ -145,7 +145,7 @@
     stream.write_all(head.as_bytes()).await.expect("sent");
     let mut status = [0; 12];
     stream.read_exact(&mut status).await.expect("a status");
-    assert_eq!(&status, b"HTTP/1.1 200", "answer {number}");
+    assert_eq!(&status, b"HTTP/1.1 200", "response {number}");
     stream
 }
 
@@ -166,11 +166,11 @@
         memory_mb < MEMORY_MB,
         "{memory_mb} MB with {SLOW_READERS} slow downloads"
     );
-    // Responses that have begun are delivered to their end.
+    // Responses that have begun are delivered completely.
     for mut stream in reading {
         let mut rest = Vec::new();
         let read = time::timeout(Duration::from_secs(10), stream.read_to_end(&mut rest)).await;
-        read.expect("in time").expect("an answer");
+        read.expect("in time").expect("a response");
         assert!(rest.len() > LARGE_BYTES, "{} bytes", rest.len());
     }
 }
--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -1,14 +1,17 @@
 //! Requests that crash each backend server that begins to run them must reach few servers. The
-//! tests guard against two failures. First, the servers of a service crashed one after the other,
-//! 3.3 to 3.9 s apart, and over a tenth of the requests failed for seconds each time. A caller's
-//! request crashed its server with all requests in flight there. The keys moved to another server,
-//! and the caller retried at any host and crashed that server too. No host recognised the request,
-//! since each retry has an id of its own and hosts did not report crashes to each other. Each
-//! crashed server held the same small range of keys, granted to it just before; others with as many
-//! requests survived. Second, a path that many callers read crashed seven to eleven more servers
-//! after the first three. Digests included the caller, so the request of each caller was a new
-//! suspect: of 18 digests under which servers crashed none occurred twice, but ten were of one path
-//! from ten callers. Digests of the path alone prevent this.
+//! tests guard against two failures.
+//!
+//! First, the servers of a service crashed one after the other, 3.3 to 3.9 s apart, and over a
+//! tenth of the requests failed for seconds each time. A caller's request crashed its server with
+//! all requests in flight there. The keys moved to another server, and the caller retried at any
+//! host and crashed that server too. No host recognised the request, since each retry has an id of
+//! its own and hosts did not report crashes to each other. Each crashed server held the same small
+//! range of keys, granted to it just before; others with as many requests survived.
+//!
+//! Second, a path that many callers read crashed seven to eleven more servers after the first
+//! three. Digests included the caller, so the request of each caller was a new suspect: of 18
+//! digests under which servers crashed none occurred twice, but ten were of one path from ten
+//! callers. Digests of the path alone prevent this.
 
 mod platform_standin;
 
--- a/tests/entry_digest.rs
+++ b/tests/entry_digest.rs
@@ -3,7 +3,7 @@
 use ashroad::{entry::digest::RequestDigests, transport::CallerAddress};
 use http::Request;
 
-/// Parts of a request that the digests are computed from.
+/// Parts of a request that the digests cover.
 struct TestRequest {
     what: &'static str,
     method: &'static str,
@@ -14,7 +14,7 @@
 }
 
 const FIRST: TestRequest = TestRequest {
-    what: "the first try",
+    what: "the first attempt",
     method: "PUT",
     path: "/a/b?page=2",
     host: "site.example",
@@ -69,7 +69,7 @@
             ..FIRST
         },
         TestRequest {
-            what: "a border that has moved",
+            what: "bytes moved from the body to the query",
             path: "/a/b?page=2a",
             body: " body",
             ..FIRST
--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -47,17 +47,20 @@
     for host in &mut site.hosts {
         host.restart();
     }
-    // Well before the duty row has been unchanged for the takeover time.
-    eventually("the former duty holder is back", 1_600, async || {
-        taken(&site.hosts[holder]) == 2
-    })
+    // The limit is well below the takeover time, for which the duty row must stay unchanged before
+    // another host may take the duty.
+    eventually(
+        "the previous duty holder has the duty again",
+        1_600,
+        async || taken(&site.hosts[holder]) == 2,
+    )
     .await;
     assert_eq!(site.record.violations(), Vec::<String>::new());
 }
 
 #[tokio::test]
 async fn the_holder_keeps_the_duty_over_an_outage() {
-    // Outages that end at different phases of the duty holder's calls to the store.
+    // The outages end at different phases of the duty holder's calls to the store.
     let outages = (0..8).map(|phase| 4_200 + phase * 450);
     let mut sites = JoinSet::new();
     let local = LocalSet::new();
@@ -73,9 +76,9 @@
     }
 }
 
-/// Runs an outage of the store and returns its length with one line for each time that a host has
-/// taken the duty until some time after it. Each line ends with what that host logged about the
-/// store.
+/// Runs an outage of the store. Returns its length, and one line for each time that a host took the
+/// duty during the outage or shortly after it. Each line ends with the events of that host about
+/// the store.
 async fn duty_takeovers_over_outage(outage_ms: u64) -> (u64, Vec<String>) {
     let site = Site::start(3, 2).await;
     site.store.set_faults(Faults {
@@ -111,8 +114,8 @@
         paused.signal("CONT");
         site.record.pause_ownership_checks(300);
         let resumed = Instant::now();
-        // Unless the paused host reports that it has stopped, this takes the 9 s for which it might
-        // grant leases, and the duration of a lease.
+        // If the paused host does not report that it has stopped, this takes the 9 s for which it
+        // might grant leases, plus the duration of a lease.
         eventually("all keys are held", 6_500, async || {
             all_keys_held(&site.keyed[1..])
         })
@@ -174,7 +177,7 @@
         /// Time until the server leaves, from the resumption of the duty or from the start of the
         /// test.
         phase_ms: u64,
-        /// Time from then until the duty holder fails.
+        /// Time from the announcement that the server leaves until the duty holder fails.
         lost_after_ms: u64,
         signal: &'static str,
     }
@@ -221,8 +224,8 @@
     }
 }
 
-/// Returns the number of requests that reach a server after the bound, which counts from its
-/// announcement that it leaves.
+/// Returns the number of requests that reach a server after the bound. The bound counts from the
+/// announcement that the server leaves.
 async fn served_after_the_bound(
     restarted: bool,
     phase_ms: u64,
@@ -318,7 +321,7 @@
 
 #[tokio::test]
 async fn another_host_takes_the_duty_soon_when_the_holder_alone_is_without_the_store() {
-    // Disconnections that begin at different phases of the duty holder's calls to the store.
+    // The disconnections begin at different phases of the duty holder's calls to the store.
     let mut sites = JoinSet::new();
     let local = LocalSet::new();
     for phase_ms in [0, 170, 340, 510] {
@@ -326,13 +329,13 @@
     }
     let taken_ms = local.run_until(sites.join_all()).await;
     let mean_ms = taken_ms.iter().sum::<u64>() / taken_ms.len() as u64;
-    // The mean was 5,260 ms while the duty holder told other hosts for 3 s after its last
-    // confirmation that it had the duty.
+    // The mean was 5,260 ms when the duty holder went on sending heartbeats for 3 s after the store
+    // had last confirmed the duty.
     assert!(mean_ms < 4_900, "{taken_ms:?}");
 }
 
-/// Returns the time from the moment at which the store stops answering the duty holder until
-/// another host takes the duty.
+/// Returns the time until another host takes the duty after the store has stopped responding to the
+/// duty holder.
 async fn taken_after_ms(phase_ms: u64) -> u64 {
     let mut site = Site::start_servers(2).await;
     let proxy = Proxy::start(site.store.address).await;
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -18,7 +18,7 @@
     store::Faults,
 };
 
-/// A read of key 7 with the given request id.
+/// Returns a read of key 7 with the given request id.
 fn read<'a>(id: &'a str, path: &'a str) -> TestRequest<'a> {
     TestRequest {
         method: "GET",
@@ -29,7 +29,7 @@
     }
 }
 
-/// An unrepeatable request with the given id.
+/// Returns an unrepeatable request with the given id.
 fn order<'a>(id: &'a str) -> TestRequest<'a> {
     TestRequest {
         method: "POST",
@@ -77,7 +77,7 @@
     let site = Site::start(2, 2).await;
     for host in &site.hosts {
         for case in &cases {
-            let answer = ask_once(host.callers, case.ask).await.expect("an answer");
+            let answer = ask_once(host.callers, case.ask).await.expect("a response");
             assert_eq!(answer.status, case.status, "{case:?}", case = case.ask);
             assert_eq!(answer.body, case.body);
             assert_eq!(answer.headers.contains_key("server-signature"), case.signed);
@@ -98,12 +98,12 @@
     })
     .await;
     let answer = ask_once(host.callers, read("id", "/keyed/")).await;
-    let answer = answer.expect("an answer");
+    let answer = answer.expect("a response");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers.contains_key("retry-after"));
     let ready = ask_once(host.readiness, read("id", "/readyz")).await;
     assert_eq!(
-        ready.expect("an answer").status,
+        ready.expect("a response").status,
         StatusCode::SERVICE_UNAVAILABLE
     );
 }
@@ -128,7 +128,7 @@
     for host in &site.hosts {
         let answer = ask_once(host.callers, added("id"))
             .await
-            .expect("an answer");
+            .expect("a response");
         assert_eq!(answer.status, StatusCode::OK);
     }
 }
@@ -159,7 +159,7 @@
 async fn hosts_that_hear_the_duty_holder_rarely_call_the_store() {
     let site = Site::start(5, 2).await;
     time::sleep(Duration::from_millis(4_000)).await;
-    // Takes the least of three periods: a duty holder that gets no processor time for 2 s is
+    // Uses the lowest count of three periods: a duty holder that gets no processor time for 2 s is
     // considered unresponsive, and the other hosts then call the store themselves.
     let mut least = u64::MAX;
     for _ in 0..3 {
@@ -186,15 +186,15 @@
         let id = format!("lost-{number}");
         let began = Instant::now();
         let answer = ask_once(site.hosts[0].callers, order(&id)).await;
-        let status = answer.expect("an answer").status;
+        let status = answer.expect("a response").status;
         unanswered += u32::from(status == StatusCode::GATEWAY_TIMEOUT);
         late += u32::from(began.elapsed() > Duration::from_millis(1_000));
     }
     assert!(unanswered > 0);
-    // One answer may be late because the host got no processor time.
+    // One response may be late because the host got no processor time.
     assert!(
         late <= 1,
-        "{late} of 12 answers came over 0.2 s after their deadline"
+        "{late} of 12 responses came over 0.2 s after their deadline"
     );
 }
 
@@ -333,10 +333,10 @@
     time::sleep(Duration::from_millis(100)).await;
     let ready = ask_once(site.hosts[0].readiness, read("id", "/readyz")).await;
     assert_eq!(
-        ready.expect("an answer").status,
+        ready.expect("a response").status,
         StatusCode::SERVICE_UNAVAILABLE
     );
-    let answer = kept.ask(order("during")).await.expect("an answer");
+    let answer = kept.ask(order("during")).await.expect("a response");
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(answer.headers["connection"], "close");
     // A connection that was opened before the stop and never used stays open after the listener
@@ -348,9 +348,11 @@
     }
     assert_eq!(site.record.runs("late"), 0);
     let host = &mut site.hosts[0];
-    eventually("the process ends within the grace", 6_000, async || {
-        host.ended()
-    })
+    eventually(
+        "the process exits within the grace period",
+        6_000,
+        async || host.ended(),
+    )
     .await;
     assert!(began.elapsed() < Duration::from_millis(6_000));
 }
@@ -396,8 +398,8 @@
     site.keyed[0].crash(&site.store);
     time::sleep(Duration::from_millis(1_000)).await;
     site.hosts[duty_holder].restart();
-    // If the end of the previous duty holder's term is not reported, the next one waits 13 s for
-    // it, and then for a lease.
+    // If the previous duty holder does not report that its term has ended, the next one waits 13 s,
+    // and then the duration of a lease.
     eventually("all keys are held", 12_000, async || {
         site.keyed[1..].iter().map(Server::keys_held).sum::<usize>() == 1 << 16
     })
@@ -462,7 +464,7 @@
         .hosts
         .iter()
         .find(|host| !is_duty_holder(host))
-        .expect("another");
+        .expect("another host");
     duty_holder.signal("TERM");
     eventually("the other host takes the duty", 2_500, async || {
         let taken = other.events("duty_taken");
@@ -488,7 +490,7 @@
             leave: |site, server| server.write_entry(&site.store, "draining"),
         },
         Case {
-            name: "its entry is removed and it serves on",
+            name: "its entry is removed while it still serves",
             limit_ms: 1_500,
             leave: |site, server| site.store.remove("servers", &server.id),
         },
@@ -643,7 +645,7 @@
     .await;
     let status = get(&hosts[0], 9).await;
     if status != Some(StatusCode::OK) {
-        // The host's log, written every 0.2 s, has the reason of the failure.
+        // The host's log has the reason of the failure; it is written every 0.2 s.
         time::sleep(Duration::from_millis(500)).await;
         panic!("{status:?}: {:#?}", hosts[0].events("request"));
     }
@@ -660,7 +662,7 @@
     for number in 0..40 {
         let id = format!("order-{number}");
         let answer = ask_once(site.hosts[number % 2].callers, order(&id)).await;
-        let status = answer.expect("an answer").status;
+        let status = answer.expect("a response").status;
         assert!(site.record.runs(&id) <= 1, "{id} ran twice");
         if status == StatusCode::SERVICE_UNAVAILABLE {
             assert_eq!(site.record.runs(&id), 0, "{id} ran after a refusal");
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -67,8 +67,8 @@
 
 #[tokio::test]
 async fn many_hosts_learn_of_many_new_servers_with_few_calls() {
-    /// Calls of the duty holder, of relays, and of hosts that got no answer from other hosts in
-    /// time.
+    /// Allows for calls of the duty holder, of relays, and of hosts that got no response from other
+    /// hosts in time.
     const CALLS_MAX: u64 = MANY_HOSTS as u64;
     let site = Site::start(MANY_HOSTS, 2).await;
     time::sleep(Duration::from_millis(4_000)).await;
@@ -89,7 +89,7 @@
 
 /// Guards against hosts that keep using an outdated configuration after the store has rejected
 /// calls; among 985 hosts some did so for up to 17.7 s. A host's feed of servers was rejected, and
-/// its other feeds waited until that feed got an answer. When the duty holder confirmed the store
+/// its other feeds waited until that feed got a response. When the duty holder confirmed the store
 /// again, that feed had nothing to request and paused, so the other feeds kept waiting.
 #[tokio::test]
 async fn a_configuration_reaches_many_hosts_after_the_store_was_away() {
@@ -134,9 +134,11 @@
         let lines = host.events("bad_row");
         lines.iter().any(|line| line.contains("op/config"))
     };
-    eventually("all hosts know", 4_000, async || {
-        site.hosts.iter().all(knows)
-    })
+    eventually(
+        "all hosts know that the configuration cannot be read",
+        4_000,
+        async || site.hosts.iter().all(knows),
+    )
     .await;
 }
 
@@ -215,8 +217,8 @@
     site.orders[0].write_entry(&site.store, "ready");
     site.store.compact_history();
     site.store.set_faults(Faults::default());
-    // A server leaves when the store is back: all hosts must know it, also those that fetched the
-    // tables from other hosts.
+    // A server leaves when the store responds again. All hosts must learn of it, also those that
+    // fetched the tables from other hosts.
     site.keyed[0].write_entry(&site.store, "draining");
     eventually("the keys have moved", 10_000, async || {
         site.keyed[0].keys_held() == 0
@@ -230,8 +232,8 @@
 
 #[tokio::test]
 async fn hosts_serve_again_after_all_were_killed() {
-    /// Time limits until hosts know servers and keys again, with few servers and with many. No
-    /// other host can provide them.
+    /// Time limits within which hosts know servers and keys again, with few servers and with many.
+    /// They read the store, since no other host can provide them.
     const AGAIN_MS: [u64; 2] = [2_000, 4_000];
     let mut site = Site::start(3, 3).await;
     for again_ms in AGAIN_MS {
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// Message on its way to a host.
+/// Message in transit to a host.
 #[derive(Clone, Copy, Debug)]
 enum Delivery {
     /// Response of the store to a query.
@@ -264,7 +264,9 @@
     let honoured: u64 = (0..SIMULATIONS)
         .map(|seed| {
             let mut simulation = Simulation::new(seed);
-            simulation.run().expect("no key is misjudged");
+            simulation
+                .run()
+                .expect("no revoked key is accepted and no valid key is rejected");
             simulation.honoured
         })
         .sum();
--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Returns bounds from 800 ms, the tightest that can be kept, upwards.
+/// Returns bounds of at least 800 ms, which are the tightest that can be kept.
 fn drawn(drain: u16, configuration: u16) -> Bounds {
     bounds(
         800 + u64::from(drain) / 4,
--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -1,17 +1,17 @@
-//! Servers that announce in their answers that they are leaving, or that ask for a rest.
+//! Servers that announce in their responses that they leave, or that ask for a rest.
 //!
 //! Guards against two failures:
 //!
 //! A leaving server still got requests from the same hosts 3 to 13 s after it had announced its
-//! leaving to them in its answers. The store was unavailable, so the server's row could not be
-//! updated, and hosts knew of a server's leaving only from its row. The logs of the hosts show the
-//! notices and, until the store was back, requests sent to the server.
+//! leaving to them in its responses. The store was unavailable, so the server's row could not be
+//! updated, and hosts used only the row to decide that a server leaves. The logs of the hosts show
+//! the notices and the requests sent to the server until the store responded again.
 //!
 //! A third of the map reads were refused for nine seconds. Three of nine servers rejected every
-//! request and asked for 3 s of rest. Hosts used only the status of such answers: the rest reached
-//! neither the choice of a server nor the planner. Hosts kept sending all requests for the keys
-//! there, half of them twice, and the planner gave the servers more keys. All 26 requests that one
-//! host logged to one server during its rest reached that server.
+//! request and asked for 3 s of rest. Hosts used only the status of such responses, so neither the
+//! choice of a server nor the planner knew of the rest. Hosts kept sending all requests for the
+//! keys there, half of them twice, and the planner gave the servers more keys. All 26 requests that
+//! one host logged to one server during its rest reached that server.
 
 mod platform_standin;
 
@@ -34,14 +34,14 @@
 const REST_VISITS_MAX: usize = 2;
 /// Duration of the rest that servers ask for.
 const REST_MS: u64 = 2_000;
-/// Time for which servers reject requests.
+/// Time for which servers reject requests in a test.
 const TURNS_AWAY: Duration = Duration::from_millis(8_000);
 /// Time within which a host refuses requests that no server can serve, by its own clock; as in
 /// tests/entry_crashes.rs.
 const AT_ONCE_MS: u64 = 400;
 
-/// Returns the delays of requests that a caller sent later than the bound after a host had passed a
-/// server's notice of leaving on, and that reached the server through this host.
+/// Returns the delays of the requests that reached a server too late: a caller sent them to a host
+/// later than the bound after this host had forwarded the server's notice of leaving.
 fn late_for_leaving(server: &Server, traffic: &Traffic) -> Vec<Duration> {
     let mut late = Vec::new();
     for received_requests in received_by_host(server, traffic).values() {
@@ -152,7 +152,7 @@
     run_cases(ALL.map(|disturbance| (disturbance, Workload::Orders)), rest).await;
 }
 
-/// All servers of a service ask for a rest: no server can serve, and callers are refused at once.
+/// Checks that callers are refused at once while all servers of a service ask for a rest.
 async fn rest_of_all(workload: Workload) -> Result<(), String> {
     let deployment = Deployment::start(workload).await;
     let servers = deployment.servers(workload);
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -7,7 +7,7 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// Window over which the users count requests, and the excess over a quota that they allow.
+/// Window over which the users count requests.
 const WINDOW_MS: u64 = 5_000;
 const OVERSHOOT: f64 = 0.1;
 const SLACK: f64 = 20.0;
@@ -187,11 +187,11 @@
     let surge = (0.6, 4.7);
     vec![
         Case {
-            name: "a large workspace asks for less than its quota",
+            name: "a large workspace sends less than its quota",
             ..Case::default()
         },
         Case {
-            name: "a small workspace asks for less than its quota",
+            name: "a small workspace sends less than its quota",
             quota: small(),
             ..Case::default()
         },
@@ -213,13 +213,13 @@
             ..Case::default()
         },
         Case {
-            name: "a surge of callers that ask again at once",
+            name: "a surge of callers that retry at once",
             asked: surge,
             retries_at_once: true,
             ..Case::default()
         },
         Case {
-            name: "callers of two hosts that ask again at once",
+            name: "callers of two hosts that retry at once",
             hosts: 2,
             quota: Quota {
                 per_s: 20.0,
@@ -266,7 +266,7 @@
             let most = most_in_window(&simulated.admitted);
             assert!(
                 most as f64 <= bound,
-                "{}: {most} in a window, {bound} are allowed, seed {seed}",
+                "{}: {most} in a window, where {bound} are allowed, seed {seed}",
                 case.name
             );
             let entitled = entitled(case.quota, &simulated.asked);
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -1,4 +1,5 @@
 //! Servers advertise in their responses a limit on the requests a second from all hosts together.
+//!
 //! The tests guard against hosts that exceed these limits. Two of nine servers of a service
 //! advertised limits of 7.6 and 9.7 requests a second, and three seconds later they still got 118
 //! and 109 requests in 4 s from the hosts that had received the limits. No host read or logged the
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -1,5 +1,5 @@
 //! Tests of a host's view of servers: incarnations, undecodable rows of other writers, evacuated
-//! zones, cold servers, and notices of leaving or overloaded servers. They start no processes.
+//! zones, cold servers, and notices of leaving or overloaded servers. The tests start no processes.
 
 use std::{collections::HashSet, sync::Arc};
 
@@ -134,7 +134,7 @@
     assert!(first.leaving());
     assert_eq!((second.own_load(), second.run_ms()), (0, 0.0));
     assert_ne!(first.tag, second.tag);
-    let former = registry.former("a@3e8").expect("known as gone");
+    let former = registry.former("a@3e8").expect("a former server");
     assert_eq!(&*former.name, "a");
     assert_eq!(registry.of_service("s").len(), 1);
     // A late heartbeat of the first incarnation changes nothing.
@@ -277,7 +277,7 @@
     view.evacuate(evacuations(10, &["z"]));
     view.update_registry(|registry| registry.put(entry("c", 1)));
     assert_eq!(usable(), ["b"]);
-    // Requests for keys held by an evacuated server are served for the hold time.
+    // An evacuated server still serves requests for keys that it holds, for the hold time.
     let registry = view.registry();
     let evacuated = registry.server("a@1").expect("a server");
     assert!(evacuated.serves_held_keys(60_000));
@@ -338,8 +338,8 @@
     assert_eq!(known, evacuations(5, &["y"]));
 }
 
-/// Returns the most requests that a cold server gets in any second out of ten seconds, from hosts
-/// whose knowledge of the number of hosts is only roughly right.
+/// Returns the largest number of requests that a cold server gets in one second of a run of ten
+/// seconds. The hosts know only roughly how many hosts there are.
 fn most_in_a_second(hosts: usize, per_s: f64, asked_per_s: f64, rng: &mut StdRng) -> usize {
     const LENGTH_MS: f64 = 10_000.0;
     let mut warmup_windows: Vec<(WarmupWindows, u64)> = (0..hosts)
@@ -388,9 +388,12 @@
         let hosts = rng.random_range(2..400);
         let asked_per_s = rng.random_range(5.0..400.0);
         let most = most_in_a_second(hosts, per_s, asked_per_s, &mut rng);
-        assert!(most <= 16, "{most} of {hosts} hosts, {asked_per_s} asked");
+        assert!(
+            most <= 16,
+            "{most} requests from {hosts} hosts at a demand of {asked_per_s}"
+        );
     }
-    // A high load uses the capacity of the cold server as well.
+    // Under high load the capacity of the cold server is used.
     let sent = most_in_a_second(74, per_s, 2_000.0, &mut rng);
     assert!(sent >= 4, "{sent}");
 }
@@ -429,13 +432,13 @@
     assert!(!notices.note_leaving_elsewhere(1_100));
     assert!(notices.leaves() && !notices.has_announced_leaving());
     assert!(!notices.is_closed_to(900_000, hold_ms));
-    // Then its own answers announce the leaving repeatedly; the hold time starts with the first of
-    // them.
+    // Then its own responses announce the leaving repeatedly; the hold time starts with the first
+    // of them.
     assert!(notices.note(LEAVES, 5_000).leaves);
     assert!(!notices.note(LEAVES, 6_000).leaves);
     assert!(!notices.is_closed_to(5_000 + hold_ms - 1, hold_ms));
     assert!(notices.is_closed_to(5_000 + hold_ms, hold_ms));
-    // An answer without the announcement, for instance one sent earlier, does not revoke it.
+    // A response without the announcement, for instance one sent earlier, does not revoke it.
     notices.note(Notice::default(), 7_000);
     assert!(notices.is_closed_to(7_000, hold_ms));
 }
@@ -452,7 +455,7 @@
         at_ms,
         rest_ms,
     };
-    // Pairs of the time of a request for rest and the rest's duration.
+    // Each pair is the time at which a server asks for a rest and the duration of the rest.
     let cases = [
         case(&[], 0, 0),
         case(&[(100, 3_000)], 100, 3_000),
@@ -493,7 +496,7 @@
     let server = |registry: &Registry, id: &str| registry.server(id).expect("a server").clone();
     server(&registry, "a@1").note_notice(LEAVES);
     server(&registry, "b@1").note_notice(rests);
-    // The row is written again, or lapses and comes back, with the state of a ready server.
+    // The row is rewritten, or lapses and is added again, with the state of a ready server.
     for _ in 0..3 {
         registry.put(entry("a", 1));
         registry.put(entry("b", 1));
@@ -504,7 +507,7 @@
         registry.remove("b", 0);
         assert!(registry.server("a@1").is_none());
     }
-    // An answer with a notice may arrive while the entry is gone.
+    // A response with a notice may arrive while the server has no entry.
     registry.put(entry("c", 1));
     let gone = server(&registry, "c@1");
     registry.remove("c", 0);
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -1,4 +1,4 @@
-//! Hosts that cannot rely on the duty holder rely on the relays of their zone.
+//! Hosts use the relays of their zone when the duty holder does not confirm the store.
 //!
 //! Guards against many hosts calling the store at once: with 985 hosts, each made 34 calls to the
 //! store in a day. The store rejected the duty holder's calls, its reports became stale, and each
@@ -86,7 +86,7 @@
         None,
         "already answered"
     );
-    // An answer that was delayed while the host was frozen.
+    // A response that was delayed while the host was frozen.
     let frozen = Freshness::new(&limits);
     frozen.ask(1, now_ms - limits.trust_ms);
     frozen.note_relay_report(1, updates(0, 9));
@@ -102,8 +102,7 @@
     host.note_relay_report(1, updates(100, 10));
     assert!(host.is_behind(FollowedTable::Servers, 19));
     assert!(host.has_leave_since(19));
-    // A report of the duty holder that is older than the relay's does not make the host distrust
-    // the relay's.
+    // An older report of the duty holder does not invalidate that of the relay.
     host.note_announced(updates(limits.trust_ms as u32, 20));
     assert!(host.is_store_confirmed());
 }
@@ -160,7 +159,7 @@
         "{callers} of {HOSTS} hosts called: {:?}",
         calls.collect::<Vec<_>>()
     );
-    // Changes in the meantime still become known.
+    // Hosts still learn of changes that happen in the meantime.
     let leaving = &deployment.site.orders[0];
     leaving.write_entry(&deployment.site.store, "draining");
     time::sleep(Duration::from_secs(3)).await;
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -1,5 +1,5 @@
-//! Messages between many hosts: choice of relays, age of delayed messages, configurations sent in
-//! pieces, loads by zone and sizes of datagrams.
+//! Tests messages between many hosts: choice of relays, age of delayed messages, configurations
+//! sent in pieces, loads by zone, and sizes of datagrams.
 
 use std::net::SocketAddr;
 
@@ -243,7 +243,7 @@
         assert_eq!(known, sums, "round {round}");
     }
     let all = SERVERS as usize * (rounds as usize - 1);
-    assert!(told * 8 < all, "{told} of {all} were told");
+    assert!(told * 8 < all, "{told} of {all} sums were sent");
 }
 
 #[test]
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -17,7 +17,7 @@
     store::Faults,
 };
 
-/// Time within which a revoked key must no longer be honoured.
+/// Time after the revocation of a key from which it must not be accepted.
 const REVOCATION_MS: u64 = 2_000;
 /// Time after the first start of a host in which it discovers the others.
 const DISCOVERY_MS: u64 = 4_000;
@@ -106,7 +106,7 @@
             workspace: Some("other"),
         },
         Case {
-            name: "a caller that names a workspace itself",
+            name: "a caller that sends the workspace header itself",
             path: "/orders/1",
             headers: vec![
                 ("authorization", token(SECRET)),
@@ -171,7 +171,7 @@
     }
     let log = std::fs::read_to_string(&site.hosts[0].log).expect("log");
     for api_key in [SECRET, OTHER_SECRET, "guessed"] {
-        assert!(!log.contains(api_key), "a key stands in the log");
+        assert!(!log.contains(api_key), "the log contains an API key");
     }
 }
 
@@ -187,7 +187,7 @@
     for host in site.hosts.iter().rev() {
         for _ in 0..20 {
             let asked = order(host, &[("authorization", &token(SECRET))]).await;
-            let (answer, id) = asked.expect("an answer");
+            let (answer, id) = asked.expect("a response");
             assert_ne!(answer.status, StatusCode::OK);
             assert_eq!(site.record.runs(&id), 0, "a request with a revoked key ran");
             time::sleep(Duration::from_millis(10)).await;
@@ -214,7 +214,7 @@
     time::sleep(Duration::from_millis(REVOCATION_MS + 300)).await;
     for api_key in [SECRET, "a later key", "guessed"] {
         let asked = order(&site.hosts[0], &[("authorization", &token(api_key))]).await;
-        let (answer, id) = asked.expect("an answer");
+        let (answer, id) = asked.expect("a response");
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{api_key}");
         assert!(answer.headers.contains_key("retry-after"));
         assert_eq!(site.record.runs(&id), 0);
@@ -240,16 +240,17 @@
     while began.elapsed() < asks_for {
         for host in &site.hosts {
             let asked = order(host, &[("authorization", &token(SECRET))]).await;
-            match asked.expect("an answer").0.status {
+            match asked.expect("a response").0.status {
                 StatusCode::OK => served += 1,
                 StatusCode::TOO_MANY_REQUESTS => refused += 1,
                 other => panic!("{other}"),
             }
         }
         let other = order(&site.hosts[0], &[("authorization", &token(OTHER_SECRET))]).await;
-        assert_eq!(other.expect("an answer").0.status, StatusCode::OK);
+        assert_eq!(other.expect("a response").0.status, StatusCode::OK);
     }
-    // The users' bound on the excess over the quota, and nine tenths of what it allows.
+    // Checks the users' bound on the excess over the quota, and that nine tenths of the allowed
+    // requests are served.
     let allowed = 20.0 * asks_for.as_secs_f64() + 20.0;
     assert!(refused > 0, "{served} served, none refused");
     assert!(f64::from(served) <= allowed * 1.1 + 20.0, "{served} served");
--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -160,7 +160,7 @@
     assert!(most > 0, "the cold server gets requests");
     joining.write_cold_entry(&site.store, 0);
     // Sends more concurrent requests than the other server has slots. A quarter of them is more
-    // than a cold server gets in a second.
+    // than a cold server may get in a second.
     let mut burst = 0;
     eventually("the warm server is used", 3_000, async || {
         burst += 1;
@@ -200,6 +200,6 @@
         served * 100 >= asked * 97,
         "{served} of {asked} requests served"
     );
-    assert_eq!(moved(), before, "moves from live servers");
+    assert_eq!(moved(), before, "keys moved away from live servers");
     assert_eq!(site.record.violations(), Vec::<String>::new());
 }
