--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -5,8 +5,8 @@
 use ashroad::clock::{self, CLOCK_ID};
 use nix::time::ClockId;
 
-/// A test cannot suspend its machine, so this one pins the clock source. It is the only monotonic
-/// clock of Linux that includes the time of a suspension.
+/// Checks the clock source, since a test cannot suspend its machine. It is the only monotonic clock
+/// of Linux that includes the time of a suspension.
 #[test]
 fn suspended_time_counts() {
     assert_eq!(CLOCK_ID, ClockId::CLOCK_BOOTTIME);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -63,7 +63,7 @@
         assert!(sent.expect("kill runs").success());
     }
 
-    /// Kills the process with SIGKILL and waits for its end.
+    /// Kills the process with SIGKILL and waits until it has exited.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -79,7 +79,7 @@
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("the process did not end within {limit:?}");
+        panic!("the process did not exit within {limit:?}");
     }
 }
 
@@ -114,8 +114,8 @@
     pub name: String,
 }
 
-/// A system of processes: one platform, backend servers and entry hosts. They are killed and their
-/// directory is deleted when it is dropped.
+/// A platform, backend servers and entry hosts, each in a process of its own. When the cluster is
+/// dropped, the processes are killed and their directory is deleted.
 pub struct Cluster {
     pub directory: PathBuf,
     pub platform: Standin,
@@ -123,7 +123,7 @@
     pub hosts: Vec<HostProcess>,
 }
 
-/// No further flags for the servers of a cluster.
+/// Empty list of additional flags for the servers of a cluster.
 pub const NO_FLAGS: &[&str] = &[];
 
 impl Cluster {
@@ -279,7 +279,7 @@
                     break;
                 }
                 if Instant::now() > end {
-                    panic!("host {host}: not yet: {what}; status {status:#?}");
+                    panic!("host {host}: not within 20 s: {what}; status {status:#?}");
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -106,7 +106,7 @@
             workspace: Some("other"),
         },
         Case {
-            name: "a caller that sends the workspace header itself",
+            name: "a caller that sends a tenant header itself",
             path: "/orders/1",
             headers: vec![
                 ("authorization", token(SECRET)),
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -67,7 +67,7 @@
         self.stop.store(true, Ordering::Relaxed);
         let mut failures = Vec::new();
         for task in self.tasks {
-            failures.extend(task.await.expect("a caller ends"));
+            failures.extend(task.await.expect("a caller stops"));
         }
         failures
     }
@@ -232,12 +232,12 @@
     cluster.add_host();
     let caller = Caller::default();
     let refused = caller.get(cluster.hosts[2].callers, "/w/s/key-1").await;
-    let refused = refused.expect("an answer");
+    let refused = refused.expect("a response");
     assert_eq!(refused.outcome.as_deref(), Some("not-run"));
     cluster.platform_faults(platform::Faults::default()).await;
     cluster.settled().await;
     let answered = caller.get(cluster.hosts[2].callers, "/w/s/key-1").await;
-    assert_eq!(answered.expect("an answer").status, 200);
+    assert_eq!(answered.expect("a response").status, 200);
 }
 
 #[tokio::test]
@@ -258,7 +258,7 @@
     for number in 0..50 {
         let path = format!("/w/s/key-{number}");
         let answer = caller.get(cluster.hosts[2].callers, &path).await;
-        assert_eq!(answer.expect("an answer").status, 200);
+        assert_eq!(answer.expect("a response").status, 200);
     }
     let failures = load.end().await;
     assert!(
@@ -289,7 +289,7 @@
                     break;
                 }
                 let answer = caller.get(leaving, &format!("/w/s/key-{number}")).await;
-                let answer = answer.expect("not cut");
+                let answer = answer.expect("a whole response");
                 assert_eq!(answer.status, 200, "{answer:?}");
                 answered += 1;
             }
@@ -302,7 +302,7 @@
     assert_eq!(code, Some(0));
     stop.store(true, Ordering::Relaxed);
     for task in tasks {
-        assert!(task.await.expect("no request was cut") > 0);
+        assert!(task.await.expect("each request got a whole response") > 0);
     }
 }
 
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -162,7 +162,8 @@
         })
     }
 
-    /// Returns the order of a renewal, decided as in the real host.
+    /// Returns the order that renews a lease, if the host may send one. Decides this as the real
+    /// host does.
     fn order(&mut self, server: usize, clock_ms: u64, broken: BrokenRule) -> Option<LeaseRequest> {
         let key = ServerKey(server as u32);
         self.key()?;
@@ -359,7 +360,7 @@
         }
     }
 
-    /// Appends a change that fits the state this host has applied, as one conditional write.
+    /// Appends a change as one conditional write, if it fits the state that this host has applied.
     fn append(&mut self, index: usize, change: Change) {
         let now_ms = self.now_ms;
         let host = &mut self.hosts[index];
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -39,11 +39,11 @@
     LeaseEpoch,
     /// Leases are declared lapsed without waiting.
     LapseWait,
-    /// The wait for a lapse ends when one host has reported.
+    /// The lapse of a lease is declared when one host has reported.
     Majority,
     /// Hosts renew leases however old their view is.
     Freshness,
-    /// The end of a lease is counted from the arrival of the order.
+    /// The duration of a lease is counted from the arrival of the order.
     ClockBound,
     /// A writer whose response was lost writes the same change again after the current head of the
     /// log.
@@ -420,8 +420,8 @@
         match envelope.to {
             Node::Store => self.store(envelope.message),
             Node::Server(server) => self.server(server, envelope.message),
-            // A connection to a host ends with its process, whereas an order to a server reaches
-            // any process at its address.
+            // A connection to a host closes when its process exits, whereas an order to a server
+            // reaches any process at its address.
             Node::Host(host) if envelope.incarnation == self.hosts[host].incarnation => {
                 self.host_receives(host, envelope.message);
             }
--- a/tests/once_only.rs
+++ b/tests/once_only.rs
@@ -18,15 +18,15 @@
     let caller = Caller::default();
     let (one, other) = (cluster.hosts[0].callers, cluster.hosts[1].callers);
     let first = caller.post(one, "/w/s/parcel-7", "order-1").await;
-    let first = first.expect("an answer");
+    let first = first.expect("a response");
     assert_eq!(first.status, 200);
     // The response is recorded shortly after it was sent to the caller.
     time::sleep(Duration::from_millis(300)).await;
     let second = caller.post(other, "/w/s/parcel-7", "order-1").await;
-    let second = second.expect("an answer");
+    let second = second.expect("a response");
     assert_eq!((second.status, second.body), (200, first.body));
     let reused = caller.post(other, "/w/s/parcel-8", "order-1").await;
-    let reused = reused.expect("an answer");
+    let reused = reused.expect("a response");
     assert_eq!(reused.status, 422, "{reused:?}");
     assert_eq!(reused.outcome.as_deref(), Some("not-run"));
     let records = cluster.records(&[0, 1]).await;
@@ -42,7 +42,7 @@
         let answer = caller
             .post(cluster.hosts[0].callers, "/w/s/parcel-7", key)
             .await;
-        let answer = answer.expect("an answer");
+        let answer = answer.expect("a response");
         assert_eq!(
             answer.reason.as_deref(),
             Some("bad-idempotency-key"),
@@ -67,11 +67,14 @@
     let second = Caller::default()
         .post(other, "/w/s/parcel-7", "order-1")
         .await;
-    let second = second.expect("an answer");
+    let second = second.expect("a response");
     assert_eq!(second.status, 409, "{second:?}");
     assert_eq!(second.reason.as_deref(), Some("in-progress"));
     assert!(second.retry_after.is_some());
-    let first = first.await.expect("the task ends").expect("an answer");
+    let first = first
+        .await
+        .expect("the task completes")
+        .expect("a response");
     assert_eq!(first.status, 200);
 }
 
@@ -88,11 +91,11 @@
     let caller = Caller::default();
     let host = cluster.hosts[0].callers;
     let refused = caller.post(host, "/w/s/parcel-7", "order-1").await;
-    let refused = refused.expect("an answer");
+    let refused = refused.expect("a response");
     assert_eq!(refused.reason.as_deref(), Some("claims-unavailable"));
     assert_eq!(refused.outcome.as_deref(), Some("not-run"));
     assert!(refused.retry_after.is_some());
-    let plain = caller.get(host, "/w/s/parcel-7").await.expect("an answer");
+    let plain = caller.get(host, "/w/s/parcel-7").await.expect("a response");
     assert_eq!(plain.status, 200);
     let records = cluster.records(&[0]).await;
     assert!(records[0].runs.iter().all(|run| run.request != "order-1"));
@@ -116,12 +119,12 @@
     let cut = caller.get(host, "/w/s/parcel-7").await;
     assert!(cut.is_err(), "a truncated response was accepted: {cut:?}");
     let order = caller.post(host, "/w/s/parcel-7", "order-1").await;
-    let order = order.expect("an answer");
+    let order = order.expect("a response");
     assert_eq!(order.outcome.as_deref(), Some("unknown"), "{order:?}");
     cluster.server_faults(0, backend::Faults::default()).await;
     time::sleep(Duration::from_millis(200)).await;
     let again = caller.post(host, "/w/s/parcel-7", "order-1").await;
-    let again = again.expect("an answer");
+    let again = again.expect("a response");
     assert_eq!(again.reason.as_deref(), Some("unsettled"), "{again:?}");
     let records = cluster.records(&[0]).await;
     assert!(invariants::double_runs(&records).is_empty());
@@ -189,7 +192,7 @@
     // The server is frozen instead of killed, so that its record can be read afterwards.
     cluster.servers[0].process.signal("STOP");
     for task in tasks {
-        task.await.expect("a caller ends");
+        task.await.expect("a caller stops");
     }
     cluster.servers[0].process.signal("CONT");
     time::sleep(Duration::from_millis(500)).await;
@@ -210,7 +213,7 @@
         let only_not_run = !reported.answered && !reported.unknown;
         assert!(
             !only_not_run || !ran(order),
-            "{order} ran but was told not run"
+            "{order} ran but was reported as not run"
         );
     }
     let answered = reported
@@ -233,8 +236,8 @@
             two.post(host, "/w/s/parcel-7", &order)
         );
         let statuses = [
-            one.expect("an answer").status,
-            two.expect("an answer").status,
+            one.expect("a response").status,
+            two.expect("a response").status,
         ];
         assert!(statuses.contains(&200), "{statuses:?}");
     }
--- a/tests/ownership_model.rs
+++ b/tests/ownership_model.rs
@@ -41,7 +41,7 @@
             assert_eq!(
                 owners,
                 1,
-                "{slot:?} has no owner in the end: {}",
+                "{slot:?} has no owner after the faults: {}",
                 simulation.describe()
             );
         }
@@ -79,7 +79,7 @@
         }
         let ended = running.into_iter().map(|worker| worker.join());
         ended
-            .flat_map(|failed| failed.expect("a worker ends"))
+            .flat_map(|failed| failed.expect("a worker thread completes"))
             .collect()
     });
     assert!(
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -65,7 +65,7 @@
             lapsed_at_ms: Some(7_010),
         },
         LapseCase {
-            name: "half of the hosts are not enough",
+            name: "half of the voters are no majority",
             voters: &[0, 1, 2, 3],
             previous: &[],
             since_ms: 0,
@@ -126,7 +126,7 @@
     renewal_state.answered(&answer, process, false, 1_000, 300);
     assert_eq!(renewal_state.order(process, 1_010, 1_200), Some(50 + 1_210));
     assert_eq!(renewal_state.remaining_ms(period, 2_210, 100), 100);
-    // The remaining time must reach 0 on later queries, or the lease would never count as lapsed.
+    // The remaining time must reach 0 at a later query, or the lease would never count as lapsed.
     assert_eq!(renewal_state.remaining_ms(period, 2_310, 100), 0);
     assert_eq!(renewal_state.remaining_ms(LeaseEpoch(2), 1_010, 100), 0);
 }
@@ -269,8 +269,8 @@
     let mut grants = Grants::default();
     assert!(grants.renew(&order(1, 1_000, &[3]), reading(0)));
     assert!(admits(&grants, 3, 999));
-    assert!(!admits(&grants, 3, 1_000), "the lease is over");
-    assert!(!admits(&grants, 2, 500), "an older epoch");
+    assert!(!admits(&grants, 3, 1_000), "the lease has expired");
+    assert!(!admits(&grants, 2, 500), "an older lease epoch");
     grants.revoke(&slot_grant(4), reading(500));
     assert!(!admits(&grants, 3, 500), "revoked");
     grants.renew(&order(1, 1_500, &[3]), reading(600));
--- a/tests/platform_link.rs
+++ b/tests/platform_link.rs
@@ -1,10 +1,10 @@
 //! Tests of calls to the store over an idle connection that was silently broken.
 //!
-//! Guards against a configuration that comes into force too late: 4.2 s after its acknowledgement
-//! at one host, where 4 s are allowed. The store had stopped responding to some hosts, which broke
-//! their connections silently. Later it rejected the calls of the duty holder, so that the hosts
-//! followed the store by their own feeds. A feed call that waits 3 s fails only after 4 s on a
-//! broken connection.
+//! Guards against a configuration that comes into force too late: at one host it did so 4.2 s after
+//! its acknowledgement, where 4 s are allowed. The store had stopped responding to some hosts,
+//! which broke their connections silently. Later it rejected the calls of the duty holder, so the
+//! hosts followed the store by their own feeds. On a broken connection, a feed call that waits 3 s
+//! fails only after 4 s.
 
 use std::{
     io::{Read, Write},
@@ -36,7 +36,7 @@
             head.push(byte[0]);
         }
         let sent = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
-        sent.expect("an answer");
+        sent.expect("a response");
     }
     thread::sleep(Duration::from_secs(20));
 }
@@ -59,7 +59,7 @@
         .header("host", "store")
         .body(Full::new(Bytes::new()));
     let answer = link.call(request.expect("a request"), TIMEOUT_MS).await;
-    answer.expect("an answer").status
+    answer.expect("a response").status
 }
 
 #[tokio::test]
--- a/tests/platform_standin/caller.rs
+++ b/tests/platform_standin/caller.rs
@@ -12,8 +12,9 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpSocket, time};
 
-/// Time that a process may wait for a processor on a busy machine. Hosts must answer by the
-/// deadline itself, which `answers_come_by_the_deadline` tests.
+/// Time after the deadline for which a caller still waits, since a process may wait for a processor
+/// on a busy machine. The test `answers_come_by_the_deadline` checks that hosts respond by the
+/// deadline itself.
 const SCHEDULING_ALLOWANCE_MS: u64 = 10_000;
 
 /// Response of a host, with its complete body.
@@ -68,7 +69,8 @@
         Some(Self { sender })
     }
 
-    /// Sends a request; `None` if the connection closes without a response or none arrives in time.
+    /// Sends a request and returns the response; `None` if the connection closes first or no
+    /// response arrives in time.
     pub async fn ask(&mut self, ask: TestRequest<'_>) -> Option<Answer> {
         self.ask_with_headers(ask, &[]).await
     }
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -31,7 +31,8 @@
 pub const HOSTS: usize = 3;
 /// Usual number of servers of each service.
 pub const SERVERS: usize = 3;
-/// Lets one test run its cases at a time; all together would start over a hundred processes.
+/// Lock that a test holds while it runs its cases, since all tests together would start over a
+/// hundred processes.
 static RUN_LOCK: Mutex<()> = Mutex::const_new(());
 
 /// Fault or event in addition to the one that a test is about.
--- a/tests/platform_standin/hosts.rs
+++ b/tests/platform_standin/hosts.rs
@@ -87,9 +87,9 @@
 
     /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
-        // The call fails if the process has already exited, which is as good.
+        // The call fails if the process has already exited, which is no error.
         self.child.kill().ok();
-        self.child.wait().expect("the process ends");
+        self.child.wait().expect("the process exits");
     }
 
     /// Kills the process if it runs, and starts it again with the same addresses.
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -53,7 +53,7 @@
     crash_triggers: Mutex<CrashTriggers>,
     /// Headers of the requests that ran, by request id.
     heads: Mutex<HashMap<String, HeaderMap>>,
-    /// Time until which ownership is not checked; `None` checks it.
+    /// Time until which ownership is not checked; `None` if it is checked.
     ownership_unchecked_until: Mutex<Option<Instant>>,
 }
 
@@ -75,7 +75,7 @@
         self.set_crash_paths(path.into_iter().collect());
     }
 
-    /// Does the same for several paths.
+    /// Makes requests for any of these paths crash each crashable server that begins to run them.
     pub fn set_crash_paths(&self, paths: Vec<&'static str>) {
         lock(&self.crash_triggers).paths = paths;
     }
@@ -229,7 +229,7 @@
     work_ms: AtomicU64,
     /// Number of requests that run.
     running: AtomicU64,
-    /// True if the server answers nothing.
+    /// True if the server responds to no request.
     silent: AtomicBool,
     /// One in this many responses is lost; 0 for none.
     lose_answer_every: AtomicU64,
@@ -247,7 +247,7 @@
     rate_limit: Mutex<Option<String>>,
     /// Requests that arrived, accepted or rejected.
     received_requests: Mutex<Vec<ReceivedRequest>>,
-    /// Number of requests that ran to their end.
+    /// Number of completed requests.
     served: AtomicU64,
     /// Runtime of a crashable server. Its shutdown closes all sockets at once, as the exit of a
     /// process does.
@@ -462,7 +462,7 @@
         store.put("servers", id, &entry);
     }
 
-    /// Makes the server stop answering, or answer again. It keeps its keys.
+    /// Makes the server stop or resume responding. It keeps its keys.
     pub fn set_silent(&self, silent: bool) {
         self.state.silent.store(silent, Ordering::Relaxed);
     }
@@ -489,7 +489,7 @@
         !self.state.holdings.up.load(Ordering::Relaxed)
     }
 
-    /// Returns the number of requests that ran to their end.
+    /// Returns the number of completed requests.
     pub fn served(&self) -> u64 {
         self.state.served.load(Ordering::Relaxed)
     }
@@ -584,7 +584,8 @@
                 state.until = Some(until);
             }
         }
-        // Only the ends of the range are checked; a check of each key would take too long.
+        // Only the first and the last key of the range are checked; a check of each key would take
+        // too long.
         if let (Some(first), Some(last)) = (taken.first(), taken.last()) {
             self.record.take(*first, fence, &self.holdings);
             self.record.take(*last, fence, &self.holdings);
@@ -701,7 +702,7 @@
     }
 }
 
-/// Guard of a running request, which counts until the drop.
+/// Guard that counts a request as running until dropped.
 struct Running<'a>(&'a AtomicU64);
 
 impl Drop for Running<'_> {
--- a/tests/platform_standin/site.rs
+++ b/tests/platform_standin/site.rs
@@ -16,14 +16,14 @@
     store::Store,
 };
 
-/// Sharded service. Its route is `/keyed/`, of repeatable requests.
+/// Sharded service. Its route `/keyed/` has repeatable requests.
 pub const KEYED: ServerKind<'static> = ServerKind {
     service: "keyed",
     zone: "a",
     sharded: true,
     work_ms: 5,
 };
-/// Service without keys. Its route is `/orders/`, of unrepeatable requests.
+/// Service without keys. Its route `/orders/` has unrepeatable requests.
 pub const ORDERS: ServerKind<'static> = ServerKind {
     service: "orders",
     zone: "a",
--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -25,11 +25,11 @@
 /// Faults that the store injects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Calls are never answered and have no effect.
+    /// True if calls get no response and have no effect.
     pub silent: bool,
-    /// Calls are answered with 503 and have no effect.
+    /// True if calls are rejected with 503 and have no effect.
     pub refusing: bool,
-    /// One in this many transactions takes effect but is never answered; 0 for none.
+    /// One in this many transactions takes effect but gets no response; 0 for none.
     pub lose_answer_every: u64,
     /// Minimum time between two transactions of a named partition; earlier ones are rejected with
     /// 429. 0 for no limit.
@@ -47,12 +47,12 @@
     version: u64,
     /// Value and version by table and key.
     rows: BTreeMap<(String, String), (String, u64)>,
-    /// Partition by table and key; rows that are missing here are in the default partition.
+    /// Partition by table and key; rows without an entry are in the default partition.
     parts: BTreeMap<(String, String), String>,
     /// Changes in order: version, table, key.
     changes: Vec<(u64, String, String)>,
-    /// Version up to which the history of changes is compacted; a feed from before it is answered
-    /// with 410.
+    /// Version up to which the history of changes is compacted; a feed from an earlier version is
+    /// rejected with 410.
     compacted_version: u64,
     /// Faults that are in effect.
     faults: Faults,
@@ -149,8 +149,8 @@
         self.state.changed.notify_waiters();
     }
 
-    /// Returns the number of calls by path and table, so that a test that counts too many shows
-    /// which they are.
+    /// Returns the number of calls by path and table, which a failed test prints to explain its
+    /// count.
     pub fn calls_by_kind(&self) -> BTreeMap<String, u64> {
         self.state.rows().kinds.clone()
     }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -2,8 +2,9 @@
 //! signals, and faults of servers and of the store. Invariants are checked as callers and servers
 //! observe them. Seeds that failed are kept as cases in [`REGRESSIONS`].
 //!
-//! By hand: `ASHROAD_SOAK_SEEDS=50 cargo test --release --test soak -- --nocapture`. The first seed
-//! is `ASHROAD_SOAK_FIRST`, and each seed runs for `ASHROAD_SOAK_SECONDS`.
+//! A longer run: `ASHROAD_SOAK_SEEDS=50 cargo test --release --test soak -- --nocapture`.
+//! `ASHROAD_SOAK_FIRST` is the first seed, and `ASHROAD_SOAK_SECONDS` the time that each seed runs
+//! for.
 
 mod platform_standin;
 
@@ -78,7 +79,7 @@
         let violations = run(seed, seconds, tally.clone()).await;
         let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         println!(
-            "seed {seed}: {} asked, {} served, {} refused, {} unknown, faults {:?}, {} violations",
+            "seed {seed}: {} sent, {} served, {} refused, {} unknown, faults {:?}, {} violations",
             load(&tally.asked),
             load(&tally.served),
             load(&tally.refused),
@@ -337,7 +338,7 @@
             tally.served.fetch_add(1, Ordering::Relaxed);
             let start = format!("{} {} ", ask.id, ask.path);
             if !body.starts_with(start.as_bytes()) {
-                record.report_violation(format!("{} got the answer {body:?}", ask.id));
+                record.report_violation(format!("{} got the response {body:?}", ask.id));
             }
         }
         StatusCode::SERVICE_UNAVAILABLE => {
--- a/tests/standins.rs
+++ b/tests/standins.rs
@@ -33,7 +33,7 @@
     let answer: EchoResponse = JsonClient::new(2_000)
         .get(server.address, "/w/s/key")
         .await
-        .expect("an answer");
+        .expect("a response");
     assert_eq!(answer.path, "/w/s/key");
     assert!(started.elapsed() >= Duration::from_millis(20));
     server.stop().await;
@@ -52,16 +52,20 @@
         .post(server.address, backend::FAULTS_PATH, &lag)
         .await
         .expect("faults are set");
-    assert_eq!(load().await.expect("an answer"), LoadResponse::default());
+    assert_eq!(load().await.expect("a response"), LoadResponse::default());
     let (address, caller) = (server.address, client.clone());
     let busy = tokio::spawn(async move { caller.get::<EchoResponse>(address, "/w/s/key").await });
     time::sleep(Duration::from_millis(100)).await;
-    assert_eq!(load().await.expect("an answer").running, 0, "it lags");
+    assert_eq!(
+        load().await.expect("a response").running,
+        0,
+        "the reported load lags"
+    );
     let _: Faults = client
         .post(server.address, backend::FAULTS_PATH, &Faults::default())
         .await
         .expect("faults are set");
-    assert_eq!(load().await.expect("an answer").running, 1);
-    busy.await.expect("the task ends").expect("an answer");
+    assert_eq!(load().await.expect("a response").running, 1);
+    busy.await.expect("the task completes").expect("a response");
     server.stop().await;
 }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -17,7 +17,7 @@
         let incarnation = cluster.record(owner).await.incarnation;
         for host in &cluster.hosts {
             let path = format!("/w/s/{key}/level?unit=cm");
-            let answered = caller.get(host.callers, &path).await.expect("an answer");
+            let answered = caller.get(host.callers, &path).await.expect("a response");
             assert_eq!(answered.status, 200, "{answered:?}");
             let answer = answered.answer();
             assert_eq!(answer.incarnation, incarnation, "key {key}");
@@ -60,7 +60,7 @@
     let caller = Caller::default();
     for case in cases {
         let answered = caller.get(cluster.hosts[0].callers, case.path).await;
-        let answered = answered.expect("an answer");
+        let answered = answered.expect("a response");
         assert_eq!(answered.status, case.status, "{}", case.path);
         assert_eq!(answered.outcome.as_deref(), Some("not-run"));
         assert_eq!(
@@ -85,7 +85,7 @@
             let mut answered = 0;
             while !*stopped.borrow() {
                 let path = format!("/w/s/key-{answered}");
-                let answer = caller.get(address, &path).await.expect("an answer");
+                let answer = caller.get(address, &path).await.expect("a response");
                 assert_eq!(answer.status, 200, "{answer:?}");
                 answered += 1;
             }
