--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn rows_that_were_read_at_different_times_make_one_whole() {
+fn rows_read_at_different_times_form_one_assignment() {
     // The first row holds all keys, as an earlier version of ashroad wrote it; a later move is in
     // the row of its keys.
     let mut whole = Assignment::default();
