--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn servers_that_join_get_keys_though_nobody_is_busy() {
+fn joining_servers_get_keys_even_at_low_load() {
     let ids: Vec<String> = (0..5).map(|n| format!("s{n}")).collect();
     let servers = servers(&ids);
     let mut assignment = equal_parts(&servers[..3]);
