--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -993,7 +993,7 @@
 }
 
 #[test]
-fn capacities_stay_within_what_servers_differ_by() {
+fn capacity_estimates_stay_within_a_range_around_the_mean() {
     struct Case {
         run_ms: f64,
         capacity_per_s: f64,
