--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -782,7 +782,7 @@
 }
 
 #[test]
-fn changes_of_servers_are_taken_only_in_order() {
+fn server_changes_are_applied_only_in_order() {
     let change = |version| ServerChange {
         version,
         what: ServerUpdate::Entry(
