--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -1069,7 +1069,7 @@
 }
 
 #[test]
-fn all_hosts_together_stay_within_the_budget_of_repeats() {
+fn all_hosts_together_stay_within_the_retry_budget() {
     let bounds = Bounds {
         revocation_ms: None,
         drain_ms: 2_000,
