--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -1027,7 +1027,7 @@
 }
 
 #[test]
-fn the_choice_prefers_near_and_untried_servers_and_none_that_is_full() {
+fn the_choice_prefers_near_and_unknown_servers_and_avoids_full_ones() {
     let full = Candidate { load: 16, ..GOOD };
     assert_eq!(pick(&[]), None);
     assert_eq!(pick(&[full, full]), None);
