--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -825,15 +825,15 @@
     let parts = passed.clone().split();
     assert_eq!(parts.len(), 3);
     let mut applied = 100;
-    let mut taken = Vec::new();
+    let mut applied_changes = Vec::new();
     for part in parts {
         let bytes = postcard::to_stdvec(&part).expect("a message").len();
         assert!(bytes < 1_400, "{bytes} bytes");
         let up_to = part.up_to;
-        taken.extend(part.new_after(applied).expect("the next part"));
+        applied_changes.extend(part.new_after(applied).expect("the next part"));
         applied = up_to;
     }
-    assert_eq!((applied, taken), (190, passed.changes));
+    assert_eq!((applied, applied_changes), (190, passed.changes));
 }
 
 #[test]
