--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -791,7 +791,7 @@
                 .clone(),
         ),
     };
-    let passed = ServerChanges {
+    let broadcast = ServerChanges {
         after: 100,
         up_to: 190,
         changes: (101..=160).map(change).collect(),
@@ -819,10 +819,10 @@
         },
     ];
     for case in cases {
-        let new = passed.clone().new_after(case.applied);
+        let new = broadcast.clone().new_after(case.applied);
         assert_eq!(new.map(|changes| changes.len()), case.new);
     }
-    let parts = passed.clone().split();
+    let parts = broadcast.clone().split();
     assert_eq!(parts.len(), 3);
     let mut applied = 100;
     let mut applied_changes = Vec::new();
@@ -833,7 +833,7 @@
         applied_changes.extend(part.new_after(applied).expect("the next part"));
         applied = up_to;
     }
-    assert_eq!((applied, applied_changes), (190, passed.changes));
+    assert_eq!((applied, applied_changes), (190, broadcast.changes));
 }
 
 #[test]
