--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -578,7 +578,7 @@
 
 #[test]
 fn only_datagrams_sealed_with_a_known_secret_are_opened() {
-    let (first, second, strange) = (secret(1), secret(2), secret(3));
+    let (first, second, unknown_secret) = (secret(1), secret(2), secret(3));
     let seal = |secrets: &[(&[u8], u64)]| {
         let seal = Seal::default();
         for (secret, version) in secrets {
@@ -617,7 +617,7 @@
         },
         Case {
             name: "an unknown secret",
-            reader: seal(&[(&strange, 1)]),
+            reader: seal(&[(&unknown_secret, 1)]),
             datagram: &datagram,
             opened: false,
         },
