--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_server_that_takes_little_keeps_little_and_the_others_stay_balanced() {
+fn a_rate_limited_server_keeps_little_load_and_the_others_stay_balanced() {
     struct Case {
         name: &'static str,
         limits_per_s: &'static [f64],
