--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn a_server_that_takes_less_than_can_be_moved_does_not_keep_the_others_from_balance() {
+fn a_server_with_less_capacity_than_any_move_needs_does_not_prevent_a_balance_of_the_others() {
     let (mut servers, mut assignment) = uneven_servers(&[66.0; 9]);
     servers[0].capacity_per_s = 0.25;
     let mut loads = KeyLoads::default();
