--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -369,7 +369,7 @@
 }
 
 #[test]
-fn a_server_that_joins_and_takes_little_gets_little() {
+fn a_joining_server_with_a_low_limit_gets_little_load() {
     let (mut servers, assignment) = uneven_servers(&[66.0; 8]);
     servers.push(PlanServer {
         id: "joins".into(),
