--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -652,7 +652,7 @@
 }
 
 #[test]
-fn servers_that_are_slow_for_a_moment_get_less_and_no_server_gets_what_all_send() {
+fn servers_that_are_slow_for_a_moment_get_less_load_and_hosts_choose_different_servers() {
     let default = Policy::default();
     let known = simulate_noisy_servers(&default);
     let unknown = simulate_noisy_servers(&Policy {
