--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -755,7 +755,7 @@
 }
 
 #[test]
-fn short_urgent_requests_are_served_beside_long_ones() {
+fn short_urgent_requests_are_served_among_long_ones() {
     let default = Policy::default();
     let both = simulate_short_and_long(&default);
     let neither = simulate_short_and_long(&Policy {
