--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -770,7 +770,7 @@
 }
 
 #[test]
-fn servers_of_another_region_get_what_the_own_one_has_no_room_for() {
+fn servers_of_another_region_get_requests_beyond_the_capacity_of_the_own_region() {
     struct Case {
         name: &'static str,
         /// Requests at each server of the host's own region.
