--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -94,7 +94,7 @@
 /// longer than the deadline because the machine was paused; the server is idle and fast, and a
 /// request arrives every 50 ms.
 #[test]
-fn one_slow_answer_does_not_keep_requests_from_an_idle_server() {
+fn one_slow_response_does_not_keep_requests_from_an_idle_server() {
     let policy = Policy::default();
     let demand = Demand {
         objective_ms: 200,
