--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -427,19 +427,19 @@
     let mut rng = StdRng::seed_from_u64(7);
     let policy = Policy::default();
     // For each server, the end times of its running and queued requests, with their hosts.
-    let mut ends: Vec<Vec<(u64, usize)>> = vec![Vec::new(); SERVERS];
+    let mut in_flight: Vec<Vec<(u64, usize)>> = vec![Vec::new(); SERVERS];
     let mut told = vec![vec![0u32; SERVERS]; HOSTS];
     let mut outcome = Outcome::default();
     let every_ms = MEAN_RUN_MS / (SERVERS * SLOTS) as f64 / 0.92;
     let mut due_ms = 0.0;
     for now_ms in 0u64..12_000 {
-        for server in &mut ends {
+        for server in &mut in_flight {
             server.retain(|(end_ms, _)| *end_ms > now_ms);
         }
         if now_ms.is_multiple_of(load_age_ms) {
             for (host, told) in told.iter_mut().enumerate() {
                 for (server, load) in told.iter_mut().enumerate() {
-                    let others = ends[server].iter().filter(|(_, by)| *by != host);
+                    let others = in_flight[server].iter().filter(|(_, by)| *by != host);
                     *load = others.count() as u32;
                 }
             }
@@ -449,7 +449,7 @@
             let host = rng.random_range(0..HOSTS);
             let seen: Vec<Candidate> = (0..SERVERS)
                 .map(|server| {
-                    let own = ends[server].iter().filter(|(_, by)| *by == host);
+                    let own = in_flight[server].iter().filter(|(_, by)| *by == host);
                     Candidate {
                         slots: SLOTS as u32,
                         load: own.count() as u32 + told[host][server],
@@ -476,17 +476,20 @@
                 outcome.refused += 1;
                 continue;
             };
-            if ends[server].len() >= SLOTS + QUEUE {
+            if in_flight[server].len() >= SLOTS + QUEUE {
                 outcome.reset += 1;
                 continue;
             }
-            let mut at_work: Vec<u64> = ends[server].iter().map(|(end_ms, _)| *end_ms).collect();
+            let mut at_work: Vec<u64> = in_flight[server]
+                .iter()
+                .map(|(end_ms, _)| *end_ms)
+                .collect();
             at_work.sort_unstable();
             let waits_for = at_work.len().checked_sub(SLOTS);
             let begin_ms = waits_for.map_or(now_ms, |place| at_work[place]);
             let run_ms = MEAN_RUN_MS * rng.random_range(0.5..1.5);
             let end_ms = begin_ms + run_ms as u64;
-            ends[server].push((end_ms, host));
+            in_flight[server].push((end_ms, host));
             outcome.in_time += u32::from(end_ms - now_ms <= OBJECTIVE_MS);
         }
     }
