--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -286,10 +286,10 @@
     let used = settle(&servers, &mut assignment, &loads, &[hot]);
     let holder = assignment.holding(hot).expect("a holding");
     assert_eq!(&*holder.server, "s7");
-    let beside = used["s7"] - loads.key(hot);
+    let other_load = used["s7"] - loads.key(hot);
     assert!(
-        beside < 3.0,
-        "{beside} requests a second in addition to the hot key"
+        other_load < 3.0,
+        "{other_load} requests a second in addition to the hot key"
     );
     for server in &servers[..7] {
         let share = used[&server.id] / server.capacity_per_s;
