--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn a_surge_from_below_the_rate_is_held() {
+fn a_surge_from_below_the_limit_stays_within_the_bound() {
     // The token buckets are full when the surge begins. Among hundreds of hosts the admission
     // probability must limit the surge.
     for (hosts, surge_per_s) in [(3, 200.0), (8, 100.0), (12, 60.0), (300, 30.0)] {
