--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn the_latest_limit_counts_and_silence_does_not_end_it() {
+fn the_latest_limit_applies_until_it_is_withdrawn() {
     let word = |per_s, at_ms| AdvertisedLimit { per_s, at_ms };
     let mut limit = RateLimit::default();
     limit.note(word(None, 1_000));
