--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -378,7 +378,7 @@
 /// Guards against other hosts that keep to a limit forever. A server that gets few requests seldom
 /// advertises its limit, so the withdrawal may come long after the last advertisement.
 #[test]
-fn the_end_of_a_limit_is_announced_however_long_ago_it_was_advertised() {
+fn the_withdrawal_of_a_limit_is_announced_however_long_ago_it_was_advertised() {
     const ENDED_MS: u64 = 20_000;
     for tells in [RateLimit::note_own, RateLimit::note] {
         let mut limit = RateLimit::default();
