--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -405,7 +405,7 @@
 }
 
 #[test]
-fn a_meter_tells_the_rate_of_the_last_seconds() {
+fn a_meter_measures_the_rate_of_the_last_seconds() {
     let mut meter = RateMeter::default();
     assert_eq!(meter.per_s(1_000), 0.0);
     for step in 0..400 {
