--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -416,7 +416,7 @@
 }
 
 #[test]
-fn urgent_requests_come_first_and_the_others_keep_a_part() {
+fn urgent_requests_come_first_and_the_others_keep_a_share() {
     struct Served {
         urgent_per_s: f64,
         non_urgent_per_s: f64,
