--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -455,7 +455,7 @@
 }
 
 #[test]
-fn a_server_that_takes_nothing_is_tried_now_and_then() {
+fn a_server_with_a_limit_of_zero_still_gets_a_request_now_and_then() {
     let mut limit = RateLimit::default();
     limit.note(AdvertisedLimit {
         per_s: Some(0.0),
