--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -341,12 +341,12 @@
 
 #[test]
 fn the_latest_limit_applies_until_it_is_withdrawn() {
-    let word = |per_s, at_ms| AdvertisedLimit { per_s, at_ms };
+    let advertised = |per_s, at_ms| AdvertisedLimit { per_s, at_ms };
     let mut limit = RateLimit::default();
-    limit.note(word(None, 1_000));
+    limit.note(advertised(None, 1_000));
     assert_eq!((limit.per_s(), limit.should_announce(1_000)), (None, false));
-    limit.note(word(Some(8.0), 2_000));
-    limit.note(word(None, 1_500));
+    limit.note(advertised(Some(8.0), 2_000));
+    limit.note(advertised(None, 1_500));
     assert_eq!(
         limit.per_s(),
         Some(8.0),
@@ -361,7 +361,7 @@
     );
     assert_eq!(limit.per_s(), Some(8.0), "but hosts keep to the limit");
     assert_eq!(limit.shared_per_s(23_000), Some(8.0));
-    limit.note(word(None, 24_000));
+    limit.note(advertised(None, 24_000));
     assert_eq!(limit.per_s(), None);
     assert_eq!(limit.planned_per_s(24_000), None);
     assert!(limit.take_change());
@@ -371,7 +371,7 @@
     );
     assert!(!limit.should_announce(29_000));
     assert_eq!(limit.own(), None, "all advertisements went to other hosts");
-    limit.note_own(word(Some(3.0), 25_000));
+    limit.note_own(advertised(Some(3.0), 25_000));
     assert_eq!(limit.own(), limit.latest());
 }
 
