--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -115,8 +115,8 @@
         }
         while told.front().is_some_and(|(at_ms, _)| *at_ms <= now_ms) {
             let (_, sum) = told.pop_front().expect("a sum");
-            let hearing = hosts.iter_mut().filter(|host| !host.is_isolated);
-            hearing.for_each(|host| host.asked.note_sum(sum, now_ms));
+            let connected = hosts.iter_mut().filter(|host| !host.is_isolated);
+            connected.for_each(|host| host.asked.note_sum(sum, now_ms));
         }
     }
     sent
