--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -20,7 +20,7 @@
         name: &'static str,
         hosts: usize,
         /// Refusals of hosts as `(host, time of the refusal, length of the rest)`.
-        turned_away: &'static [(u8, u64, u64)],
+        refusals: &'static [(u8, u64, u64)],
         at_ms: u64,
         wide: bool,
     }
@@ -28,63 +28,63 @@
         Case {
             name: "the only host",
             hosts: 1,
-            turned_away: &[(1, 0, 3_000)],
+            refusals: &[(1, 0, 3_000)],
             at_ms: 100,
             wide: true,
         },
         Case {
             name: "one of eight may itself be the cause",
             hosts: 8,
-            turned_away: &[(1, 0, 3_000), (1, 50, 3_000)],
+            refusals: &[(1, 0, 3_000), (1, 50, 3_000)],
             at_ms: 100,
             wide: false,
         },
         Case {
             name: "three of eight",
             hosts: 8,
-            turned_away: &[(1, 0, 3_000), (2, 50, 3_000), (3, 90, 3_000)],
+            refusals: &[(1, 0, 3_000), (2, 50, 3_000), (3, 90, 3_000)],
             at_ms: 100,
             wide: true,
         },
         Case {
             name: "four of 295: the only ones that send requests within the rest",
             hosts: 295,
-            turned_away: &[(1, 0, 3_000), (2, 0, 3_000), (3, 0, 3_000), (4, 0, 3_000)],
+            refusals: &[(1, 0, 3_000), (2, 0, 3_000), (3, 0, 3_000), (4, 0, 3_000)],
             at_ms: 100,
             wide: true,
         },
         Case {
             name: "just before the end of the rest",
             hosts: 3,
-            turned_away: &[(1, 0, 3_000)],
+            refusals: &[(1, 0, 3_000)],
             at_ms: 2_999,
             wide: true,
         },
         Case {
             name: "after the rest",
             hosts: 3,
-            turned_away: &[(1, 0, 3_000)],
+            refusals: &[(1, 0, 3_000)],
             at_ms: 3_000,
             wide: false,
         },
         Case {
             name: "a rest that is shorter than two moves",
             hosts: 3,
-            turned_away: &[(1, 0, 200), (2, 0, 200), (3, 0, 200)],
+            refusals: &[(1, 0, 200), (2, 0, 200), (3, 0, 200)],
             at_ms: 100,
             wide: false,
         },
         Case {
             name: "a later report of the same rest, with less left",
             hosts: 3,
-            turned_away: &[(1, 0, 3_000), (1, 2_900, 100)],
+            refusals: &[(1, 0, 3_000), (1, 2_900, 100)],
             at_ms: 2_950,
             wide: true,
         },
     ];
     for case in cases {
         let rests = Rests::default();
-        for (number, now_ms, rest_ms) in case.turned_away {
+        for (number, now_ms, rest_ms) in case.refusals {
             rests.note(SERVER, host(*number), *rest_ms, *now_ms);
         }
         let wide = rests.is_widespread(SERVER, case.hosts, case.at_ms);
