--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -159,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_ends_servers_reaches_few_of_them() {
+async fn a_request_that_crashes_servers_reaches_few_of_them() {
     let (site, servers) = start(3, 14).await;
     retry_crashing_request(&site, 12).await;
     let crashes = site.record.crashes();
