--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -257,7 +257,7 @@
 }
 
 #[tokio::test]
-async fn a_request_is_known_when_its_query_is_another_one_at_each_try() {
+async fn a_request_is_recognised_although_its_query_differs_at_each_attempt() {
     let (site, _servers) = start(2, 12).await;
     for number in 0..8 {
         let host = &site.hosts[number % 2];
