--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -275,7 +275,7 @@
 /// crashed, and is answered at another host. The success must count even while the first host sends
 /// its crash report again.
 #[tokio::test]
-async fn an_answer_at_any_host_clears_a_request_for_good() {
+async fn a_success_at_any_host_clears_a_request_for_good() {
     const ORDER: &str = "/orders/deadly";
     let (site, _servers) = start(2, 6).await;
     let [first, second] = [&site.hosts[0], &site.hosts[1]];
