--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -296,7 +296,7 @@
 /// crashed. The users count runs, so even two servers may be too many. When hosts waited for three
 /// crashes, there were two runs on each of the first two servers and four on the third.
 #[tokio::test]
-async fn tries_that_come_together_do_not_run_together_once_a_server_has_ended() {
+async fn concurrent_attempts_do_not_run_concurrently_after_a_server_has_crashed() {
     const CRASH_READ_PATH: &str = "/keyed/deadly";
     let (site, servers) = start_keyed(5).await;
     site.record.set_crash_path(Some(CRASH_READ_PATH));
