--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -455,7 +455,7 @@
 }
 
 #[tokio::test]
-async fn a_path_that_ends_servers_for_many_callers_reaches_few_of_them() {
+async fn a_path_that_crashes_servers_for_many_callers_reaches_few_of_them() {
     let tried = ManyCallers {
         paths: &[CRASH_PATH],
         has_queries: false,
