--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -465,7 +465,7 @@
 }
 
 #[tokio::test]
-async fn a_path_that_ends_servers_with_any_query_reaches_few_of_them() {
+async fn a_path_that_crashes_servers_with_any_query_reaches_few_of_them() {
     let tried = ManyCallers {
         paths: &[CRASH_PATH],
         has_queries: true,
