--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -487,7 +487,7 @@
 /// Many callers read the same key at the same time; one path crashes its servers, while another
 /// that as many callers read does not.
 #[tokio::test]
-async fn a_key_is_served_while_one_of_its_paths_ends_servers_for_many_callers() {
+async fn a_key_is_served_while_one_of_its_paths_crashes_servers_for_many_callers() {
     const CRASH_READ_PATH: &str = "/keyed/deadly";
     let (site, servers) = start_keyed(6).await;
     let harmless = Readers::start(&site.hosts, 100, 6, "/keyed/level", Some(7));
