--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -418,26 +418,26 @@
     at_once: usize,
 }
 
-async fn run_many_callers(tried: ManyCallers) {
+async fn run_many_callers(scenario: ManyCallers) {
     let (site, servers) = start(3, 16).await;
-    site.record.set_crash_paths(tried.paths.to_vec());
+    site.record.set_crash_paths(scenario.paths.to_vec());
     let harmless = Readers::start(&site.hosts, 100, 6, HARMLESS, None);
     let began = Instant::now();
     let mut tries = JoinSet::new();
-    for number in 0..10 * tried.at_once {
+    for number in 0..10 * scenario.at_once {
         let host = site.hosts[number % 3].callers;
-        let mut path = tried.paths[number % tried.paths.len()].to_owned();
-        if tried.has_queries {
+        let mut path = scenario.paths[number % scenario.paths.len()].to_owned();
+        if scenario.has_queries {
             path += &format!("?try={number}");
         }
         tries.spawn(async move { read_as(host, caller(1 + number), &path, None).await });
-        if (number + 1) % tried.at_once == 0 {
+        if (number + 1) % scenario.at_once == 0 {
             time::sleep(Duration::from_millis(600)).await;
         }
     }
     tries.join_all().await;
     let crashes = site.record.crashes().len();
-    let most = (CRASHES_NEEDED + CRASHES_IN_FLIGHT) * tried.paths.len();
+    let most = (CRASHES_NEEDED + CRASHES_IN_FLIGHT) * scenario.paths.len();
     assert!(
         crashes <= most,
         "{crashes} of {} servers crashed",
@@ -456,32 +456,32 @@
 
 #[tokio::test]
 async fn a_path_that_crashes_servers_for_many_callers_reaches_few_of_them() {
-    let tried = ManyCallers {
+    let scenario = ManyCallers {
         paths: &[CRASH_PATH],
         has_queries: false,
         at_once: 1,
     };
-    run_many_callers(tried).await;
+    run_many_callers(scenario).await;
 }
 
 #[tokio::test]
 async fn a_path_that_crashes_servers_with_any_query_reaches_few_of_them() {
-    let tried = ManyCallers {
+    let scenario = ManyCallers {
         paths: &[CRASH_PATH],
         has_queries: true,
         at_once: 1,
     };
-    run_many_callers(tried).await;
+    run_many_callers(scenario).await;
 }
 
 #[tokio::test]
 async fn two_paths_that_end_servers_for_many_callers_reach_few_of_them() {
-    let tried = ManyCallers {
+    let scenario = ManyCallers {
         paths: &[CRASH_PATH, "/reads/deadly-too"],
         has_queries: false,
         at_once: 2,
     };
-    run_many_callers(tried).await;
+    run_many_callers(scenario).await;
 }
 
 /// Many callers read the same key at the same time; one path crashes its servers, while another
