--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -492,7 +492,7 @@
     let (site, servers) = start_keyed(6).await;
     let harmless = Readers::start(&site.hosts, 100, 6, "/keyed/level", Some(7));
     site.record.set_crash_path(Some(CRASH_READ_PATH));
-    let deadly = Readers::start(&site.hosts, 1, 6, CRASH_READ_PATH, Some(7));
+    let crashing_readers = Readers::start(&site.hosts, 1, 6, CRASH_READ_PATH, Some(7));
     let began = Instant::now();
     let mut until = began + Duration::from_secs(14);
     while Instant::now() < until {
@@ -505,7 +505,7 @@
         let ended = site.record.crashes().last().copied();
         until = until.max(ended.unwrap_or(began) + KEY_FAILOVER_TIME + STEADY_TIME);
     }
-    deadly.stop().await;
+    crashing_readers.stop().await;
     let runs = site.record.crashing_runs();
     if let Some(known) = runs.get(CRASHES_NEEDED - 1) {
         let late = runs
