--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -96,13 +96,13 @@
     for server in &site.orders {
         server.write_entry(&site.store, "draining");
     }
-    let mut mortal = Vec::new();
+    let mut crashable = Vec::new();
     for _ in 0..servers {
         let kind = ServerKind {
             work_ms: 20,
             ..ORDERS
         };
-        mortal.push(Server::start_crashable(&site.store, &site.record, kind).await);
+        crashable.push(Server::start_crashable(&site.store, &site.record, kind).await);
     }
     site.store
         .put("op", "config", &configuration(2, &["/reads/"]));
@@ -124,15 +124,15 @@
     // yet and receive no messages.
     time::sleep(DETECTION_TIME).await;
     site.record.set_crash_path(Some(CRASH_PATH));
-    (site, mortal)
+    (site, crashable)
 }
 
 /// Starts three hosts, and servers with keys that crash under requests for a crash path.
 async fn start_keyed(servers: usize) -> (Site, Vec<Server>) {
     let mut site = Site::start_servers(0).await;
-    let mut mortal = Vec::new();
+    let mut crashable = Vec::new();
     for _ in 0..servers {
-        mortal.push(Server::start_crashable(&site.store, &site.record, KEYED).await);
+        crashable.push(Server::start_crashable(&site.store, &site.record, KEYED).await);
     }
     for _ in 0..3 {
         site.hosts.push(Host::start(&site.store));
@@ -144,7 +144,7 @@
         .await;
     }
     time::sleep(DETECTION_TIME).await;
-    (site, mortal)
+    (site, crashable)
 }
 
 /// Sends the crashing request to the hosts in turn, each time with a new id, and a harmless request
