--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -22,7 +22,7 @@
 const MINUTE_MS: u64 = 60_000;
 
 #[test]
-fn a_request_is_the_cause_once_enough_servers_have_ended_under_it() {
+fn a_request_is_the_cause_once_enough_servers_have_crashed_under_it() {
     struct Case {
         what: &'static str,
         /// Crashes as `(server, time in ms)`.
