--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -114,7 +114,7 @@
 /// servers crashes every 3 s for ten minutes; 2,000 callers send the same request once a second,
 /// each taking 90 ms at a random server.
 #[test]
-fn callers_who_ask_the_same_thing_again_and_again_are_served_while_servers_end_by_chance() {
+fn repeated_requests_of_many_callers_are_served_while_servers_crash_by_chance() {
     const SERVERS: u32 = 60;
     const CALLERS: u64 = 2_000;
     const RUN_MS: f64 = 90.0;
