--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -56,8 +56,8 @@
         if from < first {
             return None;
         }
-        let ends = self.0.iter().skip(1).map(|(at, _)| *at).chain([until]);
-        let spans = self.0.iter().zip(ends).map(|((begin, per_s), end)| {
+        let limit_ends = self.0.iter().skip(1).map(|(at, _)| *at).chain([until]);
+        let spans = self.0.iter().zip(limit_ends).map(|((begin, per_s), end)| {
             let (begin, end) = ((*begin).max(from), end.min(until));
             per_s * end.saturating_duration_since(begin).as_secs_f64()
         });
