--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -83,8 +83,8 @@
             if !excused.contains(&host) {
                 let later = received_requests
                     .iter()
-                    .filter(|(visit, _)| visit.at >= from);
-                counted.extend(later.map(|(visit, _)| visit.at));
+                    .filter(|(request, _)| request.at >= from);
+                counted.extend(later.map(|(request, _)| request.at));
             }
         }
         counted.sort_unstable();
@@ -226,7 +226,7 @@
     let got_keys = server
         .received_requests()
         .iter()
-        .any(|visit| visit.at > ended + Duration::from_secs(2));
+        .any(|request| request.at > ended + Duration::from_secs(2));
     for host in deployment
         .site
         .hosts
