--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -139,8 +139,8 @@
     if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
     }
-    let owed = began + disturbance.recovery_limit(MOVED_AFTER);
-    served_at_least(&deployment, owed, began + LIMITED)?;
+    let due = began + disturbance.recovery_limit(MOVED_AFTER);
+    served_at_least(&deployment, due, began + LIMITED)?;
     violations(&deployment)
 }
 
@@ -294,8 +294,8 @@
     for server in limited {
         AdvertisedLimits(vec![(began, 8.0)]).check(server, &deployment.traffic, &[])?;
     }
-    let owed = began + MOVED_AFTER;
-    served_at_least(&deployment, owed, Instant::now())?;
+    let due = began + MOVED_AFTER;
+    served_at_least(&deployment, due, Instant::now())?;
     violations(&deployment)
 }
 
