--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -246,7 +246,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_limit_that_changes_holds_as_it_is_and_ends() {
+async fn a_changing_limit_applies_until_it_is_withdrawn() {
     let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
     run_cases(cases, |_, workload| falls_and_ends(workload)).await;
 }
