--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -210,7 +210,7 @@
 }
 
 /// A limit falls to a third, to a fraction and to zero, rises again and is withdrawn.
-async fn falls_and_ends(workload: Workload) -> Result<(), String> {
+async fn changing_limit(workload: Workload) -> Result<(), String> {
     let deployment = Deployment::start(workload).await;
     let server = deployment.server(workload);
     let each = Duration::from_millis(4_500);
@@ -248,7 +248,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_changing_limit_applies_until_it_is_withdrawn() {
     let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
-    run_cases(cases, |_, workload| falls_and_ends(workload)).await;
+    run_cases(cases, |_, workload| changing_limit(workload)).await;
 }
 
 /// Twelve hosts share a small limit.
