--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -854,12 +854,15 @@
         version: 15,
     };
     let changes = registry.difference(&whole, 10);
-    let told: Vec<(&str, u64, bool)> = changes
+    let reported: Vec<(&str, u64, bool)> = changes
         .rows
         .iter()
         .map(|row| (row.key.as_str(), row.version, row.removed))
         .collect();
-    assert_eq!(told, [("d", 11, false), ("c", 12, false), ("b", 15, true)]);
+    assert_eq!(
+        reported,
+        [("d", 11, false), ("c", 12, false), ("b", 15, true)]
+    );
     assert_eq!(changes.version, 15);
 }
 
@@ -1150,8 +1153,8 @@
         let message = Settings::read(&path).err().map(|error| error.to_string());
         assert_eq!(message.is_none(), case.problems.is_empty(), "{message:?}");
         for problem in case.problems {
-            let told = message.as_ref().is_some_and(|m| m.contains(problem));
-            assert!(told, "{problem} in {message:?}");
+            let reported = message.as_ref().is_some_and(|m| m.contains(problem));
+            assert!(reported, "{problem} in {message:?}");
         }
     }
 }
