--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -1088,23 +1088,23 @@
     let service: Arc<str> = "s".into();
     for hosts in [1usize, 4, 11, 90] {
         for requests in [0u32, 10, 400] {
-            let mut repeats = 0;
+            let mut retries = 0;
             for _ in 0..hosts {
                 let budget = RetryBudget::new(&bounds);
                 for _ in 0..requests {
                     budget.request(&service, hosts, 0);
                     // Each request asks for more retries than any route allows.
-                    repeats += (0..3).filter(|_| budget.repeat(&service, hosts, 0)).count();
+                    retries += (0..3).filter(|_| budget.repeat(&service, hosts, 0)).count();
                 }
             }
             let all = f64::from(requests) * hosts as f64;
             let allowed = bounds.retry_ratio * all + bounds.retry_allowance.max(hosts as f64);
             assert!(
-                repeats as f64 <= allowed,
-                "{hosts} hosts, {requests}: {repeats}"
+                retries as f64 <= allowed,
+                "{hosts} hosts, {requests}: {retries}"
             );
             if requests == 400 {
-                assert!(repeats as f64 >= 0.1 * all, "{hosts} hosts: only {repeats}");
+                assert!(retries as f64 >= 0.1 * all, "{hosts} hosts: only {retries}");
             }
         }
     }
