--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -428,7 +428,7 @@
     let policy = Policy::default();
     // For each server, the end times of its running and queued requests, with their hosts.
     let mut in_flight: Vec<Vec<(u64, usize)>> = vec![Vec::new(); SERVERS];
-    let mut told = vec![vec![0u32; SERVERS]; HOSTS];
+    let mut reports = vec![vec![0u32; SERVERS]; HOSTS];
     let mut outcome = Outcome::default();
     let every_ms = MEAN_RUN_MS / (SERVERS * SLOTS) as f64 / 0.92;
     let mut due_ms = 0.0;
@@ -437,8 +437,8 @@
             server.retain(|(end_ms, _)| *end_ms > now_ms);
         }
         if now_ms.is_multiple_of(load_age_ms) {
-            for (host, told) in told.iter_mut().enumerate() {
-                for (server, load) in told.iter_mut().enumerate() {
+            for (host, reports) in reports.iter_mut().enumerate() {
+                for (server, load) in reports.iter_mut().enumerate() {
                     let others = in_flight[server].iter().filter(|(_, by)| *by != host);
                     *load = others.count() as u32;
                 }
@@ -452,7 +452,7 @@
                     let own = in_flight[server].iter().filter(|(_, by)| *by == host);
                     Candidate {
                         slots: SLOTS as u32,
-                        load: own.count() as u32 + told[host][server],
+                        load: own.count() as u32 + reports[host][server],
                         run_ms: MEAN_RUN_MS,
                         ..SERVER
                     }
@@ -569,7 +569,7 @@
     let mut own = vec![[0u32; SERVERS]; HOSTS];
     let mut reported = own.clone();
     let mut paces = vec![[Pace::default(); SERVERS]; HOSTS];
-    let mut told: Vec<(usize, usize, f64, u64)> = Vec::new();
+    let mut reports: Vec<(usize, usize, f64, u64)> = Vec::new();
     let (mut asked, mut worth, mut due_ms) = (0.0, 0.0, 0.0);
     for now_ms in 1u64..20_000 {
         for (number, server) in servers.iter_mut().enumerate() {
@@ -586,14 +586,15 @@
                     _ => 0.0,
                 };
                 paces[request.host][number].note(server.pace, now_ms);
-                told.push((request.host, number, server.pace, now_ms));
+                reports.push((request.host, number, server.pace, now_ms));
             }
             server.start_waiting(now_ms);
         }
         for host in 0..HOSTS {
             if (now_ms + 4 * host as u64).is_multiple_of(REPORT_EVERY_MS) {
                 reported[host] = own[host];
-                for (_, server, pace, at_ms) in told.extract_if(.., |told| told.0 == host) {
+                for (_, server, pace, at_ms) in reports.extract_if(.., |reports| reports.0 == host)
+                {
                     for paces in &mut paces {
                         paces[server].note(pace, at_ms);
                     }
