--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -53,7 +53,7 @@
         now_ms += 50;
         attempt_stats.answered(900.0, true, now_ms);
     }
-    let (mut asked, mut refused) = (0, 0);
+    let (mut requests, mut refused) = (0, 0);
     for _ in 0..200 {
         now_ms += 20;
         let seen = Candidate {
@@ -65,14 +65,14 @@
             deadline_ms: 1_500,
             ..DEMAND
         };
-        asked += 1;
+        requests += 1;
         if admission::has_room(&seen, 120.0, demand, &policy) {
             attempt_stats.answered(120.0, true, now_ms);
         } else {
             refused += 1;
         }
     }
-    assert_eq!(refused, 0, "of {asked}");
+    assert_eq!(refused, 0, "of {requests}");
 }
 
 #[test]
@@ -406,7 +406,7 @@
 /// Results for hosts that learn of each other's requests with a delay.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
-    asked: u32,
+    requests: u32,
     /// Requests answered within the objective.
     in_time: u32,
     /// Requests sent to a server with a full queue, which resets the connection. An unrepeatable
@@ -471,7 +471,7 @@
                     all: HOSTS,
                 },
             };
-            outcome.asked += 1;
+            outcome.requests += 1;
             let Some(server) = choice::pick(inputs, &policy, &mut rng) else {
                 outcome.refused += 1;
                 continue;
@@ -501,7 +501,7 @@
     // Sums within a zone are up to 0.25 s old; reports between zones were up to 4 s old.
     let fresh = simulate_load_age(250);
     let old = simulate_load_age(4_000);
-    let share = |outcome: Outcome| f64::from(outcome.in_time) / f64::from(outcome.asked);
+    let share = |outcome: Outcome| f64::from(outcome.in_time) / f64::from(outcome.requests);
     assert!(share(fresh) > 0.95, "{fresh:?}");
     assert!(share(old) < share(fresh) - 0.05, "{old:?}, {fresh:?}");
     assert_eq!(fresh.reset, 0, "{fresh:?}");
@@ -570,7 +570,7 @@
     let mut reported = own.clone();
     let mut paces = vec![[Pace::default(); SERVERS]; HOSTS];
     let mut reports: Vec<(usize, usize, f64, u64)> = Vec::new();
-    let (mut asked, mut worth, mut due_ms) = (0.0, 0.0, 0.0);
+    let (mut requests, mut worth, mut due_ms) = (0.0, 0.0, 0.0);
     for now_ms in 1u64..20_000 {
         for (number, server) in servers.iter_mut().enumerate() {
             if (now_ms + 37 * number as u64).is_multiple_of(NOISE_EVERY_MS) {
@@ -603,7 +603,7 @@
         }
         while due_ms < now_ms as f64 {
             due_ms -= (1.0 - rng.random::<f64>()).ln() * 1_000.0 / REQUESTS_PER_S;
-            asked += 1.0;
+            requests += 1.0;
             let host = rng.random_range(0..HOSTS);
             let seen: Vec<Candidate> = (0..SERVERS)
                 .map(|server| {
@@ -647,7 +647,7 @@
             });
         }
     }
-    worth / asked
+    worth / requests
 }
 
 /// Draws from the standard normal distribution, approximated by the sum of twelve uniform draws.
@@ -691,7 +691,7 @@
         run_shares.note(&service, &short, 90.0, 460.0);
     }
     let mut ends_ms: Vec<f64> = Vec::new();
-    let (mut earned, mut asked) = (Earned::default(), Earned::default());
+    let (mut earned, mut requests) = (Earned::default(), Earned::default());
     let (mut short_ms, mut long_ms) = (0.0f64, 0.0f64);
     while short_ms.min(long_ms) < 60_000.0 {
         let is_short = short_ms < long_ms;
@@ -727,12 +727,12 @@
                 ..DEMAND
             }
         };
-        let (of_kind, asked) = if is_short {
-            (&mut earned.short, &mut asked.short)
+        let (of_kind, requests) = if is_short {
+            (&mut earned.short, &mut requests.short)
         } else {
-            (&mut earned.long, &mut asked.long)
+            (&mut earned.long, &mut requests.long)
         };
-        *asked += 1.0;
+        *requests += 1.0;
         if !admission::has_room(&seen, 460.0, demand, policy) {
             continue;
         }
@@ -753,8 +753,8 @@
         };
     }
     Earned {
-        short: earned.short / asked.short,
-        long: earned.long / asked.long,
+        short: earned.short / requests.short,
+        long: earned.long / requests.long,
     }
 }
 
