--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -284,8 +284,8 @@
     let hot = 1_000;
     loads.add(hot, 250.0);
     let used = settle(&servers, &mut assignment, &loads, &[hot]);
-    let holder = assignment.holding(hot).expect("a holding");
-    assert_eq!(&*holder.server, "s7");
+    let hot_holding = assignment.holding(hot).expect("a holding");
+    assert_eq!(&*hot_holding.server, "s7");
     let other_load = used["s7"] - loads.key(hot);
     assert!(
         other_load < 3.0,
