--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -80,7 +80,7 @@
     };
     let mut hosts: Vec<Host> = (0..case.hosts).map(host).collect();
     let mut sums = AskedByHost::default();
-    let mut told: VecDeque<(u64, AskedRates)> = VecDeque::new();
+    let mut announcements: VecDeque<(u64, AskedRates)> = VecDeque::new();
     let mut sent = Vec::new();
     for now_ms in 1_000..1_000 + SIMULATED_MS {
         let is_late = now_ms >= 1_000 + SIMULATED_MS / 2;
@@ -111,10 +111,13 @@
                 sums.note(1, address, own, now_ms);
             }
             let sum = sums.sum(1, now_ms);
-            told.push_back((now_ms + ANNOUNCE_DELAY_MS, sum));
+            announcements.push_back((now_ms + ANNOUNCE_DELAY_MS, sum));
         }
-        while told.front().is_some_and(|(at_ms, _)| *at_ms <= now_ms) {
-            let (_, sum) = told.pop_front().expect("a sum");
+        while announcements
+            .front()
+            .is_some_and(|(at_ms, _)| *at_ms <= now_ms)
+        {
+            let (_, sum) = announcements.pop_front().expect("a sum");
             let connected = hosts.iter_mut().filter(|host| !host.is_isolated);
             connected.for_each(|host| host.asked.note_sum(sum, now_ms));
         }
