--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -149,8 +149,8 @@
 
 /// Sends the crashing request to the hosts in turn, each time with a new id, and a harmless request
 /// after each.
-async fn retry_crashing_request(site: &Site, tries: usize) {
-    for number in 0..tries {
+async fn retry_crashing_request(site: &Site, attempts: usize) {
+    for number in 0..attempts {
         let host = &site.hosts[number % site.hosts.len()];
         read(host, CALLER, CRASH_PATH).await;
         time::sleep(Duration::from_millis(300)).await;
@@ -300,12 +300,12 @@
     const CRASH_READ_PATH: &str = "/keyed/deadly";
     let (site, servers) = start_keyed(5).await;
     site.record.set_crash_path(Some(CRASH_READ_PATH));
-    let mut tries = JoinSet::new();
+    let mut attempts = JoinSet::new();
     let until = Instant::now() + Duration::from_secs(14);
     while Instant::now() < until {
         for host in site.hosts.iter().chain(&site.hosts) {
             let address = host.callers;
-            tries.spawn(async move {
+            attempts.spawn(async move {
                 let id = format!("{:016x}", rand::random::<u64>());
                 let ask = TestRequest {
                     method: "GET",
@@ -323,7 +323,7 @@
             site.store.remove("servers", &server.id);
         }
     }
-    tries.join_all().await;
+    attempts.join_all().await;
     let runs = site.record.crashing_runs();
     let known = runs.get(CRASHES_NEEDED - 1).expect("the third run");
     let late = runs
@@ -423,19 +423,19 @@
     site.record.set_crash_paths(scenario.paths.to_vec());
     let harmless = Readers::start(&site.hosts, 100, 6, HARMLESS, None);
     let began = Instant::now();
-    let mut tries = JoinSet::new();
+    let mut attempts = JoinSet::new();
     for number in 0..10 * scenario.at_once {
         let host = site.hosts[number % 3].callers;
         let mut path = scenario.paths[number % scenario.paths.len()].to_owned();
         if scenario.has_queries {
             path += &format!("?try={number}");
         }
-        tries.spawn(async move { read_as(host, caller(1 + number), &path, None).await });
+        attempts.spawn(async move { read_as(host, caller(1 + number), &path, None).await });
         if (number + 1) % scenario.at_once == 0 {
             time::sleep(Duration::from_millis(600)).await;
         }
     }
-    tries.join_all().await;
+    attempts.join_all().await;
     let crashes = site.record.crashes().len();
     let most = (CRASHES_NEEDED + CRASHES_IN_FLIGHT) * scenario.paths.len();
     assert!(
