--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -502,8 +502,8 @@
             site.store.remove("servers", &server.id);
         }
         // Waits for the failover of the key after the last crash.
-        let ended = site.record.crashes().last().copied();
-        until = until.max(ended.unwrap_or(began) + KEY_FAILOVER_TIME + STEADY_TIME);
+        let last_crash = site.record.crashes().last().copied();
+        until = until.max(last_crash.unwrap_or(began) + KEY_FAILOVER_TIME + STEADY_TIME);
     }
     crashing_readers.stop().await;
     let runs = site.record.crashing_runs();
