--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -170,7 +170,7 @@
         servers.len()
     );
     let known = crashes.get(CRASHES_NEEDED - 1).copied();
-    let is_late = |end: &&Instant| known.is_some_and(|known| **end > known + DETECTION_TIME);
+    let is_late = |crash: &&Instant| known.is_some_and(|known| **crash > known + DETECTION_TIME);
     let late = crashes.iter().filter(is_late);
     assert_eq!(late.count(), 0, "servers crashed after the detection time");
     // The caller gets a response at once that says that the request has not run. Requests of other
@@ -279,14 +279,14 @@
     const ORDER: &str = "/orders/deadly";
     let (site, _servers) = start(2, 6).await;
     let [first, second] = [&site.hosts[0], &site.hosts[1]];
-    for end in 1..=2 {
+    for crash in 1..=2 {
         site.record.set_crash_path(Some(ORDER));
         assert_eq!(order(first, ORDER).await, Some(StatusCode::BAD_GATEWAY));
         time::sleep(Duration::from_millis(300)).await;
         site.record.set_crash_path(None);
-        assert_eq!(site.record.crashes().len(), end);
+        assert_eq!(site.record.crashes().len(), crash);
         let answered = order(second, ORDER).await;
-        assert_eq!(answered, Some(StatusCode::OK), "after crash {end}");
+        assert_eq!(answered, Some(StatusCode::OK), "after crash {crash}");
         time::sleep(Duration::from_millis(1_700)).await;
     }
 }
