--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -73,13 +73,13 @@
         let mut counted = Vec::new();
         let by_host: HashMap<usize, Vec<_>> = received_by_host(server, traffic);
         for (host, received_requests) in by_host {
-            let told = received_requests
+            let advertised = received_requests
                 .iter()
                 .filter(|(_, sent)| sent.advertises_limit);
-            let Some(told) = told.map(|(_, sent)| sent.answered).min() else {
+            let Some(advertised) = advertised.map(|(_, sent)| sent.answered).min() else {
                 continue;
             };
-            let from = (told + PROPAGATION_TIME).max(*first + SETTLED_AFTER);
+            let from = (advertised + PROPAGATION_TIME).max(*first + SETTLED_AFTER);
             if !excused.contains(&host) {
                 let later = received_requests
                     .iter()
