--- a/tests/entry_bodies.rs
+++ b/tests/entry_bodies.rs
@@ -34,7 +34,7 @@
 const MEMORY_MB: u64 = 120;
 
 #[tokio::test]
-async fn answers_to_pipelined_requests_come_in_their_order() {
+async fn responses_to_pipelined_requests_come_in_order() {
     let site = Site::start(1, 2).await;
     let mut stream = TcpStream::connect(site.hosts[0].callers)
         .await
