--- a/tests/entry_bodies.rs
+++ b/tests/entry_bodies.rs
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test]
-async fn slow_uploads_fill_no_memory_and_cost_quick_reads_nothing() {
+async fn slow_uploads_use_little_memory_and_do_not_delay_reads() {
     let site = Site::start(1, 2).await;
     let mut wire = configuration(2, &[]);
     wire["hosts"][0]["paths"][1]["timeout"] = json!("20s");
