--- a/tests/entry_bodies.rs
+++ b/tests/entry_bodies.rs
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn slow_downloads_fill_no_memory_and_cost_quick_reads_nothing() {
+async fn slow_downloads_use_little_memory_and_do_not_delay_reads() {
     let site = Site::start(1, 2).await;
     let mut wire = configuration(2, &["/large/"]);
     wire["hosts"][0]["paths"][2]["timeout"] = json!("20s");
