--- a/tests/entry_bodies.rs
+++ b/tests/entry_bodies.rs
@@ -60,11 +60,11 @@
     let reading = stream.read_to_string(&mut answers);
     let read = time::timeout(Duration::from_secs(10), reading).await;
     read.expect("responses in time").expect("responses");
-    let told: Vec<&str> = answers
+    let received_ids: Vec<&str> = answers
         .lines()
         .filter_map(|line| line.strip_prefix("request-id: "))
         .collect();
-    assert_eq!(told, ids, "{answers}");
+    assert_eq!(received_ids, ids, "{answers}");
 }
 
 /// Sends the beginning of a large body and keeps the connection open.
