--- a/tests/entry_bodies.rs
+++ b/tests/entry_bodies.rs
@@ -56,15 +56,15 @@
         );
     }
     stream.write_all(requests.as_bytes()).await.expect("sent");
-    let mut answers = String::new();
-    let reading = stream.read_to_string(&mut answers);
+    let mut responses = String::new();
+    let reading = stream.read_to_string(&mut responses);
     let read = time::timeout(Duration::from_secs(10), reading).await;
     read.expect("responses in time").expect("responses");
-    let received_ids: Vec<&str> = answers
+    let received_ids: Vec<&str> = responses
         .lines()
         .filter_map(|line| line.strip_prefix("request-id: "))
         .collect();
-    assert_eq!(received_ids, ids, "{answers}");
+    assert_eq!(received_ids, ids, "{responses}");
 }
 
 /// Sends the beginning of a large body and keeps the connection open.
