--- a/tests/entry_bodies.rs
+++ b/tests/entry_bodies.rs
@@ -103,12 +103,12 @@
 /// Reads keys for 3 s; every read must succeed.
 async fn read_quickly(host: &Host) {
     let until = Instant::now() + Duration::from_secs(3);
-    let mut asked = 0;
+    let mut reads = 0;
     let mut key = 0u16;
     while Instant::now() < until {
         key = key.wrapping_add(4_001);
-        assert_eq!(get(host, key).await, Some(StatusCode::OK), "read {asked}");
-        asked += 1;
+        assert_eq!(get(host, key).await, Some(StatusCode::OK), "read {reads}");
+        reads += 1;
     }
 }
 
