--- a/tests/entry_bodies.rs
+++ b/tests/entry_bodies.rs
@@ -89,7 +89,7 @@
 
 /// Writes version 2 of the configuration, waits until the host has applied it, and returns the
 /// host.
-async fn put_in_force<'a>(site: &'a Site, wire: &Value) -> &'a Host {
+async fn apply_configuration<'a>(site: &'a Site, wire: &Value) -> &'a Host {
     site.store.put("op", "config", wire);
     let host = &site.hosts[0];
     eventually("the configuration is in force", 4_000, async || {
@@ -118,7 +118,7 @@
     let mut wire = configuration(2, &[]);
     wire["hosts"][0]["paths"][1]["timeout"] = json!("20s");
     wire["hosts"][0]["paths"][1]["kind"] = json!("upload");
-    let host = put_in_force(&site, &wire).await;
+    let host = apply_configuration(&site, &wire).await;
     let mut sending = JoinSet::new();
     for number in 0..SLOW_CALLERS {
         sending.spawn(send_slowly(host.callers, number));
@@ -155,7 +155,7 @@
     let mut wire = configuration(2, &["/large/"]);
     wire["hosts"][0]["paths"][2]["timeout"] = json!("20s");
     wire["hosts"][0]["paths"][2]["kind"] = json!("download");
-    let host = put_in_force(&site, &wire).await;
+    let host = apply_configuration(&site, &wire).await;
     let mut reading = Vec::new();
     for number in 0..SLOW_READERS {
         reading.push(read_slowly(host.callers, number).await);
