--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn a_holder_that_was_paused_tells_the_next_one_that_it_has_stopped() {
+async fn a_paused_duty_holder_reports_to_its_successor_that_it_has_stopped() {
     // Resumes the paused host at different phases of the new duty holder's calls.
     for extra_ms in [0, 130, 260] {
         let site = Site::start(3, 3).await;
