--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn a_restarted_holder_resumes_the_duty_also_when_reads_are_slower_than_writes() {
+async fn a_restarted_duty_holder_resumes_the_duty_also_when_reads_are_slower_than_writes() {
     let mut site = Site::start(3, 2).await;
     let holder = holder(&site);
     for host in &mut site.hosts {
