--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -170,7 +170,7 @@
 }
 
 #[tokio::test]
-async fn a_server_that_leaves_as_the_holder_is_lost_gets_no_work_past_the_bound() {
+async fn a_server_that_leaves_as_the_duty_holder_is_lost_gets_no_work_past_the_bound() {
     struct Case {
         /// True if the duty holder is restarted and has the duty again before the server leaves.
         restarted: bool,
