--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -320,7 +320,7 @@
 }
 
 #[tokio::test]
-async fn another_host_takes_the_duty_soon_when_the_holder_alone_is_without_the_store() {
+async fn another_host_takes_the_duty_soon_when_only_the_duty_holder_is_without_the_store() {
     // The disconnections begin at different phases of the duty holder's calls to the store.
     let mut sites = JoinSet::new();
     let local = LocalSet::new();
