--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -309,10 +309,13 @@
     let running = others().filter(|number| !stopped.contains(number));
     for number in running {
         let host = &site.hosts[number];
-        let told = host.events("server");
+        let server_events = host.events("server");
         let is_end =
             |line: &&String| line.contains(&leaving.id) && line.contains("\"leaving\":true");
-        assert!(told.iter().any(|line| is_end(&line)), "host {number}");
+        assert!(
+            server_events.iter().any(|line| is_end(&line)),
+            "host {number}"
+        );
     }
     for number in &stopped {
         site.hosts[*number].signal("CONT");
