--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -20,12 +20,12 @@
 };
 
 /// Returns the number of times that a host has taken the duty.
-fn taken(host: &Host) -> usize {
+fn times_taken(host: &Host) -> usize {
     host.events("duty_taken").len()
 }
 
 fn duty_holder(site: &Site) -> usize {
-    let duty_holder = site.hosts.iter().position(|host| taken(host) > 0);
+    let duty_holder = site.hosts.iter().position(|host| times_taken(host) > 0);
     duty_holder.expect("a host has the duty")
 }
 
@@ -52,7 +52,7 @@
     eventually(
         "the previous duty holder has the duty again",
         1_600,
-        async || taken(&site.hosts[duty_holder]) == 2,
+        async || times_taken(&site.hosts[duty_holder]) == 2,
     )
     .await;
     assert_eq!(site.record.violations(), Vec::<String>::new());
@@ -67,11 +67,11 @@
     for outage_ms in outages {
         sites.spawn_local_on(duty_takeovers_over_outage(outage_ms), &local);
     }
-    for (outage_ms, taken) in local.run_until(sites.join_all()).await {
+    for (outage_ms, times_taken) in local.run_until(sites.join_all()).await {
         assert_eq!(
-            taken.len(),
+            times_taken.len(),
             1,
-            "after an outage of {outage_ms} ms: {taken:#?}"
+            "after an outage of {outage_ms} ms: {times_taken:#?}"
         );
     }
 }
@@ -89,9 +89,9 @@
     site.store.set_faults(Faults::default());
     time::sleep(Duration::from_millis(3_500)).await;
     let lines = site.hosts.iter().flat_map(|host| {
-        let taken = host.events("duty_taken").into_iter();
+        let times_taken = host.events("duty_taken").into_iter();
         let store = host.events("store_lost").join(" ") + &host.events("store_back").join(" ");
-        taken.map(move |line| format!("{line} {store}"))
+        times_taken.map(move |line| format!("{line} {store}"))
     });
     (outage_ms, lines.collect())
 }
@@ -107,7 +107,7 @@
         lost.crash(&site.store);
         let began = Instant::now();
         eventually("another host takes the duty", 6_000, async || {
-            site.hosts.iter().map(taken).sum::<usize>() == 2
+            site.hosts.iter().map(times_taken).sum::<usize>() == 2
         })
         .await;
         time::sleep(Duration::from_millis(extra_ms)).await;
@@ -238,7 +238,7 @@
     if restarted {
         site.hosts[duty_holder].restart();
         eventually("the duty holder has resumed", 3_000, async || {
-            taken(&site.hosts[duty_holder]) == 2
+            times_taken(&site.hosts[duty_holder]) == 2
         })
         .await;
     }
@@ -349,11 +349,11 @@
     }
     site.await_ready().await;
     time::sleep(Duration::from_millis(3_000 + phase_ms)).await;
-    assert_eq!(taken(&site.hosts[0]), 1);
+    assert_eq!(times_taken(&site.hosts[0]), 1);
     proxy.set(Mode::Silent);
     let began = Instant::now();
     eventually("another host takes the duty", 8_000, async || {
-        site.hosts[1..].iter().map(taken).sum::<usize>() == 1
+        site.hosts[1..].iter().map(times_taken).sum::<usize>() == 1
     })
     .await;
     began.elapsed().as_millis() as u64
