--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -310,10 +310,10 @@
     for number in running {
         let host = &site.hosts[number];
         let server_events = host.events("server");
-        let is_end =
+        let is_leaving_event =
             |line: &&String| line.contains(&leaving.id) && line.contains("\"leaving\":true");
         assert!(
-            server_events.iter().any(|line| is_end(&line)),
+            server_events.iter().any(|line| is_leaving_event(&line)),
             "host {number}"
         );
     }
