--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn requests_are_routed_and_answers_are_exact() {
+async fn requests_are_routed_and_responses_are_exact() {
     struct Case {
         ask: TestRequest<'static>,
         status: StatusCode,
