--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -653,7 +653,7 @@
 }
 
 #[tokio::test]
-async fn unrepeatable_requests_run_at_most_once_when_answers_are_lost() {
+async fn unrepeatable_requests_run_at_most_once_when_responses_are_lost() {
     let site = Site::start(2, 2).await;
     for server in &site.orders {
         server.lose_answers(4);
