--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -217,14 +217,14 @@
 #[tokio::test]
 async fn unauthenticated_datagrams_change_nothing() {
     let site = Site::start(2, 1).await;
-    let stranger = tokio::net::UdpSocket::bind("127.0.0.1:0").await;
-    let stranger = stranger.expect("a socket");
+    let unauthenticated = tokio::net::UdpSocket::bind("127.0.0.1:0").await;
+    let unauthenticated = unauthenticated.expect("a socket");
     // The message claims the duty for term 99. It is sent without a seal and with a guessed one.
     let claim = [5, 0, 99, 0, 0, 0, 0, 0, 0];
     let guessed = [&[7; 8], &claim[..]].concat();
     for host in &site.hosts {
         for datagram in [&claim[..], &guessed, &[], &[0; 2_000]] {
-            let sent = stranger.send_to(datagram, host.peers).await;
+            let sent = unauthenticated.send_to(datagram, host.peers).await;
             assert_eq!(sent.expect("a datagram"), datagram.len());
         }
     }
