--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -181,8 +181,8 @@
     add_many_servers(&site);
     // The duty holder updates the list of seed hosts once it knows that there are many servers.
     eventually("seed hosts are stored", 8_000, async || {
-        let guides = site.store.row("ashroad", "secret-guides");
-        guides.is_some_and(|guides| guides["has_many_servers"] == true)
+        let seed_hosts = site.store.row("ashroad", "secret-guides");
+        seed_hosts.is_some_and(|seed_hosts| seed_hosts["has_many_servers"] == true)
     })
     .await;
     time::sleep(Duration::from_millis(1_500)).await;
