--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -297,9 +297,9 @@
     let bytes = postcard::to_stdvec(&snapshot).expect("encoded");
     // Transfer takes about 0.1 s on a link of 40 Mbit/s. The tables are seven times as large.
     assert!(bytes.len() < 700_000, "{} bytes", bytes.len());
-    let handed_on: Snapshot = postcard::from_bytes(&bytes).expect("decoded");
-    assert!(handed_on.servers().eq(entries));
-    let rows = &handed_on.holdings()["service-0"];
+    let received: Snapshot = postcard::from_bytes(&bytes).expect("decoded");
+    assert!(received.servers().eq(entries));
+    let rows = &received.holdings()["service-0"];
     let whole = Assignment::join(rows.iter().map(|(_, row)| &row.assignment));
     assert!(whole == assignment);
 }
