--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -18,7 +18,7 @@
 const SIMULATION_MS: u64 = 30_000;
 const STEP_MS: u64 = 50;
 /// Interval at which a host queries the duty holder or the store.
-const ASK_EVERY_MS: u64 = REVOCATION_MS / 8;
+const QUERY_EVERY_MS: u64 = REVOCATION_MS / 8;
 /// Longest delay of a message, in the network or in the inbox of a suspended host.
 const DELAY_MAX_MS: u64 = 4_000;
 const HOSTS: usize = 4;
@@ -243,7 +243,7 @@
                 self.check(place, now_ms)?;
                 self.hosts[place].take_in(now_ms);
                 self.check(place, now_ms)?;
-                if now_ms.is_multiple_of(ASK_EVERY_MS) {
+                if now_ms.is_multiple_of(QUERY_EVERY_MS) {
                     self.ask(place, now_ms);
                 }
             }
