--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -23,7 +23,7 @@
 const DELAY_MAX_MS: u64 = 4_000;
 const HOSTS: usize = 4;
 /// Index of the duty holder, which queries the store; the other hosts query it.
-const HOLDER: usize = 0;
+const DUTY_HOLDER: usize = 0;
 
 /// API key with the times at which operators add and revoke it.
 #[derive(Clone, Copy, Debug)]
@@ -177,7 +177,7 @@
         }
         let [to_ms, back_ms] = [self.delay_ms(), self.delay_ms()];
         let answered_ms = now_ms + to_ms;
-        let updates = if place == HOLDER {
+        let updates = if place == DUTY_HOLDER {
             Delivery::Store {
                 asked_ms: now_ms,
                 version: self.operators.version(answered_ms),
@@ -185,7 +185,7 @@
         } else {
             let nonce = self.rng.random();
             self.hosts[place].proof.ask(nonce, now_ms);
-            let holder = &self.hosts[HOLDER];
+            let holder = &self.hosts[DUTY_HOLDER];
             // The duty holder answers with its state at the time of the query; the response may be
             // delayed.
             let Some(age_ms) = holder.proof.age_ms(now_ms) else {
