--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -185,16 +185,16 @@
         } else {
             let nonce = self.rng.random();
             self.hosts[place].proof.ask(nonce, now_ms);
-            let holder = &self.hosts[DUTY_HOLDER];
+            let duty_holder = &self.hosts[DUTY_HOLDER];
             // The duty holder answers with its state at the time of the query; the response may be
             // delayed.
-            let Some(age_ms) = holder.proof.age_ms(now_ms) else {
+            let Some(age_ms) = duty_holder.proof.age_ms(now_ms) else {
                 return;
             };
             Delivery::Holder {
                 nonce,
                 age_ms,
-                version: holder.version,
+                version: duty_holder.version,
             }
         };
         self.hosts[place]
