--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -101,7 +101,7 @@
 }
 
 impl Host {
-    fn take_in(&mut self, now_ms: u64) {
+    fn process_inbox(&mut self, now_ms: u64) {
         let (due, later) = self
             .inbox
             .drain(..)
@@ -241,7 +241,7 @@
                 // A host that resumes after a suspension may handle a request before it reads its
                 // inbox.
                 self.check(place, now_ms)?;
-                self.hosts[place].take_in(now_ms);
+                self.hosts[place].process_inbox(now_ms);
                 self.check(place, now_ms)?;
                 if now_ms.is_multiple_of(QUERY_EVERY_MS) {
                     self.ask(place, now_ms);
