--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -152,7 +152,7 @@
         }
     }
 
-    fn disturb(&mut self, now_ms: u64) {
+    fn inject_fault(&mut self, now_ms: u64) {
         let place = self.rng.random_range(0..HOSTS);
         let until_ms = now_ms + self.rng.random_range(0..6_000);
         let relayed = self.hosts[self.rng.random_range(0..HOSTS)].version;
@@ -233,7 +233,7 @@
 
     fn run(&mut self) -> Result<(), String> {
         for now_ms in (0..SIMULATION_MS).step_by(STEP_MS as usize) {
-            self.disturb(now_ms);
+            self.inject_fault(now_ms);
             for place in 0..HOSTS {
                 if now_ms < self.hosts[place].frozen_until_ms {
                     continue;
