--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn bounds_that_cannot_be_kept_are_refused_with_a_sentence() {
+fn bounds_that_cannot_be_kept_are_refused_with_a_reason() {
     struct Case {
         drain: &'static str,
         configuration: &'static str,
