--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -110,14 +110,21 @@
             );
         let path = std::env::temp_dir().join(format!("limits-{}-{index}", std::process::id()));
         std::fs::write(&path, text).expect("settings");
-        let told = match Settings::read(&path) {
+        let messages = match Settings::read(&path) {
             Ok(settings) => settings.problems(),
             Err(error) => vec![error.to_string()],
         };
         std::fs::remove_file(&path).expect("settings");
-        assert_eq!(told.is_empty(), case.problems.is_empty(), "{told:?}");
+        assert_eq!(
+            messages.is_empty(),
+            case.problems.is_empty(),
+            "{messages:?}"
+        );
         for problem in case.problems {
-            assert!(told.iter().any(|told| told.contains(problem)), "{told:?}");
+            assert!(
+                messages.iter().any(|messages| messages.contains(problem)),
+                "{messages:?}"
+            );
         }
     }
 }
