--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -35,7 +35,7 @@
 /// Duration of the rest that servers ask for.
 const REST_MS: u64 = 2_000;
 /// Time for which servers reject requests in a test.
-const TURNS_AWAY: Duration = Duration::from_millis(8_000);
+const REJECTION_TIME: Duration = Duration::from_millis(8_000);
 /// Time within which a host refuses requests that no server can serve, by its own clock; as in
 /// tests/entry_crashes.rs.
 const AT_ONCE_MS: u64 = 400;
@@ -111,7 +111,7 @@
     deployment.server(workload).reject_with_rest(REST_MS);
     let began = Instant::now();
     deployment
-        .apply_disturbance(disturbance, workload, TURNS_AWAY)
+        .apply_disturbance(disturbance, workload, REJECTION_TIME)
         .await;
     let most = most_in_a_rest(deployment.server(workload), &deployment.traffic);
     if most > REST_VISITS_MAX {
@@ -121,7 +121,7 @@
         return Ok(());
     }
     let owed = began + disturbance.recovery_limit(SERVED_AGAIN);
-    let served = deployment.traffic.served(owed, began + TURNS_AWAY);
+    let served = deployment.traffic.served(owed, began + REJECTION_TIME);
     if served < 0.85 {
         return Err(format!("{served:.2} of the requests served while it rests"));
     }
