--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -45,10 +45,10 @@
 fn late_for_leaving(server: &Server, traffic: &Traffic) -> Vec<Duration> {
     let mut late = Vec::new();
     for received_requests in received_by_host(server, traffic).values() {
-        let told = received_requests
+        let announced = received_requests
             .iter()
             .filter(|(_, sent)| sent.announces_leaving);
-        let Some(passed_on) = told.map(|(_, sent)| sent.answered).min() else {
+        let Some(passed_on) = announced.map(|(_, sent)| sent.answered).min() else {
             continue;
         };
         let after = received_requests
