--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -96,8 +96,8 @@
     if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
     }
-    let owed = began + disturbance.recovery_limit(DRAIN);
-    let served = deployment.traffic.served(owed, began + time);
+    let due = began + disturbance.recovery_limit(DRAIN);
+    let served = deployment.traffic.served(due, began + time);
     if served < 0.95 {
         return Err(format!(
             "{served:.2} of the requests served after the bound"
@@ -120,8 +120,8 @@
     if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
     }
-    let owed = began + disturbance.recovery_limit(SERVED_AGAIN);
-    let served = deployment.traffic.served(owed, began + REJECTION_TIME);
+    let due = began + disturbance.recovery_limit(SERVED_AGAIN);
+    let served = deployment.traffic.served(due, began + REJECTION_TIME);
     if served < 0.85 {
         return Err(format!("{served:.2} of the requests served while it rests"));
     }
