--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -129,7 +129,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_of_a_server_that_says_it_leaves_goes_to_another() {
+async fn a_key_of_a_server_that_announces_its_leaving_goes_to_another() {
     run_cases(ALL.map(|disturbance| (disturbance, Workload::Keys)), leave).await;
 }
 
