--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -134,7 +134,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_says_it_leaves_gets_no_more_orders() {
+async fn a_server_that_announces_its_leaving_gets_no_more_orders() {
     run_cases(
         ALL.map(|disturbance| (disturbance, Workload::Orders)),
         leave,
