--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -101,7 +101,7 @@
             if now_ms.is_multiple_of(every_ms - every_ms % STEP_MS) && !is_away {
                 self.report(&mut shares, &mut ledger, now_ms, &mut rng);
                 let announced = ledger.admitted(self.quota, now_ms);
-                tell(&mut shares, announced, now_ms, &mut rng);
+                announce(&mut shares, announced, now_ms, &mut rng);
                 heard_ms = Some(now_ms);
             }
             let expected = self.asked_per_s(now_ms) * STEP_MS as f64 / 1_000.0;
@@ -137,7 +137,7 @@
     }
 }
 
-fn tell(shares: &mut [HostShare], announced: AdmittedShare, now_ms: u64, rng: &mut StdRng) {
+fn announce(shares: &mut [HostShare], announced: AdmittedShare, now_ms: u64, rng: &mut StdRng) {
     for share in shares {
         if rng.random::<f64>() >= DATAGRAM_LOSS {
             share.note_announced(announced, now_ms);
