--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -32,7 +32,7 @@
     hosts: usize,
     quota: Quota,
     /// Demand of callers before and after the tenth second, as a multiple of the quota.
-    asked: (f64, f64),
+    demand: (f64, f64),
     spread: Spread,
     /// True if callers retry refused requests at once.
     retries_at_once: bool,
@@ -49,7 +49,7 @@
                 per_s: 285.0,
                 burst: 285.0,
             },
-            asked: (0.6, 0.6),
+            demand: (0.6, 0.6),
             spread: Spread::Even,
             retries_at_once: false,
             without_duty_holder: 0..0,
@@ -59,7 +59,7 @@
 
 #[derive(Default)]
 struct Simulated {
-    asked: Vec<u64>,
+    demand: Vec<u64>,
     admitted: Vec<u64>,
 }
 
@@ -71,9 +71,9 @@
 
     fn asked_per_s(&self, now_ms: u64) -> f64 {
         let quotas = if now_ms < 10_000 {
-            self.asked.0
+            self.demand.0
         } else {
-            self.asked.1
+            self.demand.1
         };
         quotas * self.quota.per_s
     }
@@ -115,7 +115,7 @@
                     is_confirmed: kept,
                 };
                 let share = &mut shares[self.host(&mut rng)];
-                simulated.asked.push(now_ms);
+                simulated.demand.push(now_ms);
                 if share.admits(self.quota, context, rng.random(), now_ms) {
                     share.note_sent();
                     simulated.admitted.push(now_ms);
@@ -160,11 +160,11 @@
 
 /// Returns the number of requests that the quota entitles a workspace to: those that a single token
 /// bucket for all hosts would admit.
-fn entitled(quota: Quota, asked: &[u64]) -> usize {
+fn entitled(quota: Quota, demand: &[u64]) -> usize {
     let mut tokens = quota.burst;
     let mut at_ms = 0;
     let mut entitled = 0;
-    for now_ms in asked {
+    for now_ms in demand {
         tokens =
             (tokens + quota.per_s * (now_ms - at_ms) as f64 / 1_000.0).min(quota.burst.max(1.0));
         at_ms = *now_ms;
@@ -197,24 +197,24 @@
         },
         Case {
             name: "a surge of a large workspace",
-            asked: surge,
+            demand: surge,
             ..Case::default()
         },
         Case {
             name: "a surge of a small workspace",
             quota: small(),
-            asked: surge,
+            demand: surge,
             ..Case::default()
         },
         Case {
             name: "a surge at one host alone",
-            asked: surge,
+            demand: surge,
             spread: Spread::OneHost,
             ..Case::default()
         },
         Case {
             name: "a surge of callers that retry at once",
-            asked: surge,
+            demand: surge,
             retries_at_once: true,
             ..Case::default()
         },
@@ -225,20 +225,20 @@
                 per_s: 20.0,
                 burst: 20.0,
             },
-            asked: (0.0, 7.0),
+            demand: (0.0, 7.0),
             retries_at_once: true,
             ..Case::default()
         },
         Case {
             name: "a surge among three hosts",
             hosts: 3,
-            asked: surge,
+            demand: surge,
             ..Case::default()
         },
         Case {
             name: "a surge among 300 hosts",
             hosts: 300,
-            asked: surge,
+            demand: surge,
             ..Case::default()
         },
         Case {
@@ -248,7 +248,7 @@
         },
         Case {
             name: "a surge without a duty holder",
-            asked: surge,
+            demand: surge,
             without_duty_holder: 9_000..12_000,
             ..Case::default()
         },
@@ -269,7 +269,7 @@
                 "{}: {most} in a window, where {bound} are allowed, seed {seed}",
                 case.name
             );
-            let entitled = entitled(case.quota, &simulated.asked);
+            let entitled = entitled(case.quota, &simulated.demand);
             let served = simulated.admitted.len() as f64 / entitled as f64;
             assert!(
                 served >= SERVED_MIN,
