--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -69,7 +69,7 @@
         150.max(self.hosts as u64)
     }
 
-    fn asked_per_s(&self, now_ms: u64) -> f64 {
+    fn demand_per_s(&self, now_ms: u64) -> f64 {
         let quotas = if now_ms < 10_000 {
             self.demand.0
         } else {
@@ -104,7 +104,7 @@
                 announce(&mut shares, announced, now_ms, &mut rng);
                 heard_ms = Some(now_ms);
             }
-            let expected = self.asked_per_s(now_ms) * STEP_MS as f64 / 1_000.0;
+            let expected = self.demand_per_s(now_ms) * STEP_MS as f64 / 1_000.0;
             let repeated = std::mem::take(&mut retries).min(RETRIES_PER_STEP_MAX);
             let arrivals =
                 repeated + expected as usize + usize::from(rng.random::<f64>() < expected.fract());
