--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -340,7 +340,7 @@
 
 /// Returns the largest number of requests that a cold server gets in one second of a run of ten
 /// seconds. The hosts know only roughly how many hosts there are.
-fn most_in_a_second(hosts: usize, per_s: f64, asked_per_s: f64, rng: &mut StdRng) -> usize {
+fn most_in_a_second(hosts: usize, per_s: f64, demand_per_s: f64, rng: &mut StdRng) -> usize {
     const LENGTH_MS: f64 = 10_000.0;
     let mut warmup_windows: Vec<(WarmupWindows, u64)> = (0..hosts)
         .map(|_| {
@@ -355,7 +355,7 @@
     // Requests begin at a random time, before which warm-up windows may have gone unused.
     let mut at_ms = rng.random_range(0.0..4_000.0);
     while at_ms < LENGTH_MS {
-        at_ms += 2.0 * rng.random::<f64>() * 1_000.0 / asked_per_s;
+        at_ms += 2.0 * rng.random::<f64>() * 1_000.0 / demand_per_s;
         let now_ms = at_ms as u64;
         // Half of the requests arrive at one host.
         let host = if rng.random() {
@@ -386,11 +386,11 @@
     let per_s = 5.8;
     for _ in 0..400 {
         let hosts = rng.random_range(2..400);
-        let asked_per_s = rng.random_range(5.0..400.0);
-        let most = most_in_a_second(hosts, per_s, asked_per_s, &mut rng);
+        let demand_per_s = rng.random_range(5.0..400.0);
+        let most = most_in_a_second(hosts, per_s, demand_per_s, &mut rng);
         assert!(
             most <= 16,
-            "{most} requests from {hosts} hosts at a demand of {asked_per_s}"
+            "{most} requests from {hosts} hosts at a demand of {demand_per_s}"
         );
     }
     // Under high load the capacity of the cold server is used.
