--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn entries_of_other_writers_name_no_server() {
+fn undecodable_entries_of_other_writers_are_refused() {
     struct Case {
         from: &'static str,
         to: &'static str,
