--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_row_that_turns_unreadable_names_no_server_from_then_on() {
+fn a_row_that_becomes_unreadable_removes_its_server() {
     let mut registry = Registry::default();
     registry.put(entry("a", 1));
     registry.put(entry("b", 1));
