--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -269,9 +269,9 @@
         },
     ];
     for case in cases {
-        let told = format!("{:?}", case.evacuations);
+        let context = format!("{:?}", case.evacuations);
         view.evacuate(case.evacuations);
-        assert_eq!(usable(), case.usable, "{told}");
+        assert_eq!(usable(), case.usable, "{context}");
     }
     // The evacuation also applies to a server that joins later.
     view.evacuate(evacuations(10, &["z"]));
