--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -410,9 +410,9 @@
         time_ms: 3_000,
         per_s: 5.8,
     };
-    let barred =
+    let limited =
         (0..1_000).filter(|_| server.is_limited_by_warmup(Some(WarmupLimit::new(warmup, 10_000))));
-    assert_eq!(barred.count(), 1_000);
+    assert_eq!(limited.count(), 1_000);
     // Without a limit a cold server is treated like any other.
     assert!(!server.is_limited_by_warmup(None));
 }
