--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -446,12 +446,12 @@
 #[test]
 fn a_rest_lasts_until_the_latest_end_that_was_asked_for() {
     struct Case {
-        asked: &'static [(u64, u64)],
+        notices_sent: &'static [(u64, u64)],
         at_ms: u64,
         rest_ms: u64,
     }
-    let case = |asked, at_ms, rest_ms| Case {
-        asked,
+    let case = |notices_sent, at_ms, rest_ms| Case {
+        notices_sent,
         at_ms,
         rest_ms,
     };
@@ -467,20 +467,24 @@
         case(&[(100, u64::MAX)], 100, 600_000),
     ];
     for Case {
-        asked,
+        notices_sent,
         at_ms,
         rest_ms,
     } in cases
     {
         let mut notices = Notices::default();
-        for (now_ms, rest_ms) in asked {
+        for (now_ms, rest_ms) in notices_sent {
             let notice = Notice {
                 leaves: false,
                 rest_ms: Some(*rest_ms),
             };
             notices.note(notice, *now_ms);
         }
-        assert_eq!(notices.rest_ms(at_ms), rest_ms, "{asked:?} at {at_ms}");
+        assert_eq!(
+            notices.rest_ms(at_ms),
+            rest_ms,
+            "{notices_sent:?} at {at_ms}"
+        );
     }
 }
 
