--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_relay_answer_is_dated_from_the_query_and_counts_once() {
+fn a_relay_response_is_dated_from_the_query_and_counts_once() {
     let limits = limits();
     let host = Freshness::new(&limits);
     let now_ms = ashroad::clock::now_ms();
