--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_zone_tells_the_others_only_what_is_new() {
+fn a_zone_sends_only_changed_sums_to_the_others() {
     /// Servers of a zone that have run requests lately; only a few of them run requests now.
     const SERVERS: u32 = 3_000;
     const BUSY: u32 = 300;
