--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn servers_do_not_share_a_short_name() {
+fn servers_do_not_share_a_tag() {
     // With tags of 16 bits, 10,003 servers had 700 pairs with the same tag, whose loads were added
     // up.
     let tags: std::collections::HashSet<u32> = (0..10_003u32)
