--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -222,7 +222,7 @@
     const BUSY: u32 = 300;
     const SUM_EVERY_MS: u64 = 250;
     let mut updates = ZoneLoadChanges::default();
-    let mut heard = ZoneLoads::default();
+    let mut receiver = ZoneLoads::default();
     let mut told = 0;
     let rounds = 40;
     for round in 0..rounds {
@@ -235,10 +235,10 @@
             told += new.len();
         }
         for part in parts(&new) {
-            heard.note(1, part, now_ms);
+            receiver.note(1, part, now_ms);
         }
         // A receiver of all changes has the same state as if all sums had been sent.
-        let mut known: Vec<ServerSummary> = heard.latest(now_ms).collect();
+        let mut known: Vec<ServerSummary> = receiver.latest(now_ms).collect();
         known.sort_unstable_by_key(|sum| sum.server_tag);
         assert_eq!(known, sums, "round {round}");
     }
