--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -203,7 +203,7 @@
 }
 
 #[tokio::test]
-async fn a_host_that_hears_nothing_honours_no_key_and_calls_none_unknown() {
+async fn an_isolated_host_accepts_no_key_and_rejects_none_as_unknown() {
     let site = start(1, json!({})).await;
     site.store.set_faults(Faults {
         silent: true,
