--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -154,8 +154,8 @@
     let site = start(1, json!({})).await;
     for case in cases {
         let headers: Vec<(&str, &str)> = case.headers.iter().map(|(n, v)| (*n, &**v)).collect();
-        let asked = ask(&site.hosts[0], case.path, &headers).await;
-        let (answer, id) = asked.expect(case.name);
+        let outcome = ask(&site.hosts[0], case.path, &headers).await;
+        let (answer, id) = outcome.expect(case.name);
         assert_eq!(answer.status, case.status, "{}", case.name);
         let head = site.record.head(&id);
         assert_eq!(
@@ -186,8 +186,8 @@
     site.hosts[1].signal("CONT");
     for host in site.hosts.iter().rev() {
         for _ in 0..20 {
-            let asked = order(host, &[("authorization", &token(SECRET))]).await;
-            let (answer, id) = asked.expect("a response");
+            let outcome = order(host, &[("authorization", &token(SECRET))]).await;
+            let (answer, id) = outcome.expect("a response");
             assert_ne!(answer.status, StatusCode::OK);
             assert_eq!(site.record.runs(&id), 0, "a request with a revoked key ran");
             time::sleep(Duration::from_millis(10)).await;
@@ -213,8 +213,8 @@
     site.store.put("op", "config", &changed);
     time::sleep(Duration::from_millis(REVOCATION_MS + 300)).await;
     for api_key in [SECRET, "a later key", "guessed"] {
-        let asked = order(&site.hosts[0], &[("authorization", &token(api_key))]).await;
-        let (answer, id) = asked.expect("a response");
+        let outcome = order(&site.hosts[0], &[("authorization", &token(api_key))]).await;
+        let (answer, id) = outcome.expect("a response");
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{api_key}");
         assert!(answer.headers.contains_key("retry-after"));
         assert_eq!(site.record.runs(&id), 0);
@@ -239,8 +239,8 @@
     let asks_for = Duration::from_millis(5_000);
     while began.elapsed() < asks_for {
         for host in &site.hosts {
-            let asked = order(host, &[("authorization", &token(SECRET))]).await;
-            match asked.expect("a response").0.status {
+            let outcome = order(host, &[("authorization", &token(SECRET))]).await;
+            match outcome.expect("a response").0.status {
                 StatusCode::OK => served += 1,
                 StatusCode::TOO_MANY_REQUESTS => refused += 1,
                 other => panic!("{other}"),
