--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn an_evacuated_zone_gets_nothing_past_its_bound_also_when_the_holder_is_lost() {
+async fn an_evacuated_zone_gets_nothing_past_its_bound_also_when_the_duty_holder_is_lost() {
     for holder_is_lost in [false, true] {
         let mut site = Site::start(3, 2).await;
         let second = start_second_zone(&site).await;
