--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn a_cold_server_gets_no_more_than_it_bears_from_all_hosts_together() {
+async fn a_cold_server_gets_no_more_than_its_limit_from_all_hosts_together() {
     const COLD_MS: u64 = 4_000;
     let site = Site::start(4, 1).await;
     let mut bounded = configuration(2, &[]);
