--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -26,45 +26,45 @@
     struct Case {
         what: &'static str,
         /// Crashes as `(server, time in ms)`.
-        ends: &'static [(u32, u64)],
+        crashes: &'static [(u32, u64)],
         reached: bool,
     }
     let cases = [
         Case {
             what: "one server",
-            ends: &[(1, 0)],
+            crashes: &[(1, 0)],
             reached: false,
         },
         Case {
             what: "two servers",
-            ends: &[(1, 0), (2, 3_500)],
+            crashes: &[(1, 0), (2, 3_500)],
             reached: true,
         },
         Case {
             what: "two servers, by a host that retries at once",
-            ends: &[(1, 0), (2, 40)],
+            crashes: &[(1, 0), (2, 40)],
             reached: true,
         },
         Case {
             what: "one server, reported by three hosts",
-            ends: &[(1, 0), (1, 1), (1, 2)],
+            crashes: &[(1, 0), (1, 1), (1, 2)],
             reached: false,
         },
         Case {
             what: "two servers, the first one long ago",
-            ends: &[(1, 0), (2, 16 * MINUTE_MS)],
+            crashes: &[(1, 0), (2, 16 * MINUTE_MS)],
             reached: false,
         },
         Case {
             what: "two servers after one long ago",
-            ends: &[(1, 0), (2, 16 * MINUTE_MS), (3, 17 * MINUTE_MS)],
+            crashes: &[(1, 0), (2, 16 * MINUTE_MS), (3, 17 * MINUTE_MS)],
             reached: true,
         },
     ];
     for case in cases {
         let mut tally = CrashTally::default();
         let mut reached = Vec::new();
-        for (server_tag, at_ms) in case.ends {
+        for (server_tag, at_ms) in case.crashes {
             reached.extend(tally.note(*server_tag, &[CRASHING], *at_ms));
         }
         assert_eq!(reached.contains(&CRASHING), case.reached, "{}", case.what);
@@ -291,7 +291,7 @@
         what: &'static str,
         scope: DigestScope,
         /// Crashes as `(server, caller, whether it was a trial, time in ms)`.
-        ends: &'static [(u32, u32, bool, u64)],
+        crashes: &'static [(u32, u32, bool, u64)],
         reached: bool,
     }
     use DigestScope::{Content, Path};
@@ -299,62 +299,62 @@
         Case {
             what: "two servers under one caller",
             scope: Content,
-            ends: &[(1, 7, false, 0), (2, 7, true, 3_500), (3, 7, true, 7_000)],
+            crashes: &[(1, 7, false, 0), (2, 7, true, 3_500), (3, 7, true, 7_000)],
             reached: false,
         },
         Case {
             what: "a trial of another caller",
             scope: Content,
-            ends: &[(1, 7, false, 0), (2, 8, true, 3_500)],
+            crashes: &[(1, 7, false, 0), (2, 8, true, 3_500)],
             reached: true,
         },
         Case {
             what: "two callers at the first server, a trial of one of them",
             scope: Content,
-            ends: &[(1, 7, false, 0), (1, 8, false, 0), (2, 7, true, 3_500)],
+            crashes: &[(1, 7, false, 0), (1, 8, false, 0), (2, 7, true, 3_500)],
             reached: true,
         },
         Case {
             what: "two callers at one server",
             scope: Content,
-            ends: &[(1, 7, false, 0), (1, 8, false, 0)],
+            crashes: &[(1, 7, false, 0), (1, 8, false, 0)],
             reached: false,
         },
         Case {
             what: "two callers, no trial: another request may have crashed the servers",
             scope: Content,
-            ends: &[(1, 7, false, 0), (2, 8, false, 40), (3, 9, false, 80)],
+            crashes: &[(1, 7, false, 0), (2, 8, false, 40), (3, 9, false, 80)],
             reached: false,
         },
         Case {
             what: "a trial 16 minutes later",
             scope: Content,
-            ends: &[(1, 7, false, 0), (2, 8, true, 16 * MINUTE_MS)],
+            crashes: &[(1, 7, false, 0), (2, 8, true, 16 * MINUTE_MS)],
             reached: false,
         },
         Case {
             what: "three servers under different requests for a path",
             scope: Path,
-            ends: &[(1, 7, false, 0), (2, 8, false, 600), (3, 9, false, 1_200)],
+            crashes: &[(1, 7, false, 0), (2, 8, false, 600), (3, 9, false, 1_200)],
             reached: true,
         },
         Case {
             what: "three servers at once under different requests for a path",
             scope: Path,
-            ends: &[(1, 7, false, 0), (2, 8, false, 60), (3, 9, false, 120)],
+            crashes: &[(1, 7, false, 0), (2, 8, false, 60), (3, 9, false, 120)],
             reached: false,
         },
         Case {
             what: "two servers under different requests for a path",
             scope: Path,
-            ends: &[(1, 7, false, 0), (2, 8, false, 3_500)],
+            crashes: &[(1, 7, false, 0), (2, 8, false, 3_500)],
             reached: false,
         },
     ];
     for case in cases {
         let mut tally = PathTally::default();
         let mut reached = Vec::new();
-        for (server_tag, caller_tag, is_trial, at_ms) in case.ends {
+        for (server_tag, caller_tag, is_trial, at_ms) in case.crashes {
             let suspect = shared(*caller_tag, case.scope, *is_trial);
             reached.extend(tally.note(*server_tag, &[suspect], false, *at_ms));
         }
