--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -69,13 +69,13 @@
 
 /// Sends an unrepeatable request and returns the status of the response.
 async fn order(host: &Host, path: &str) -> Option<StatusCode> {
-    let answer = send(host, CALLER, "POST", path).await;
-    answer.map(|answer| answer.status)
+    let response = send(host, CALLER, "POST", path).await;
+    response.map(|response| response.status)
 }
 
 async fn status(host: &Host, caller: IpAddr, path: &str) -> Option<StatusCode> {
-    let answer = read(host, caller, path).await;
-    answer.map(|answer| answer.status)
+    let response = read(host, caller, path).await;
+    response.map(|response| response.status)
 }
 
 fn has_taken_duty(host: &Host) -> bool {
@@ -177,9 +177,9 @@
     // callers are served.
     for host in &site.hosts {
         let asked = Instant::now();
-        let answer = read(host, CALLER, CRASH_PATH).await.expect("a response");
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.headers.contains_key("retry-after"));
+        let response = read(host, CALLER, CRASH_PATH).await.expect("a response");
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(response.headers.contains_key("retry-after"));
         assert!(
             asked.elapsed() < Duration::from_millis(400),
             "the refusal is late"
@@ -355,8 +355,8 @@
         key,
         deadline_ms: 800,
     };
-    let answer = Caller::connect_from(own, host).await?.ask(ask).await?;
-    Some(answer.status)
+    let response = Caller::connect_from(own, host).await?.ask(ask).await?;
+    Some(response.status)
 }
 
 /// Outcome of each read: the time of its sending and the status of the response.
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -77,12 +77,15 @@
     let site = Site::start(2, 2).await;
     for host in &site.hosts {
         for case in &cases {
-            let answer = ask_once(host.callers, case.ask).await.expect("a response");
-            assert_eq!(answer.status, case.status, "{case:?}", case = case.ask);
-            assert_eq!(answer.body, case.body);
-            assert_eq!(answer.headers.contains_key("server-signature"), case.signed);
+            let response = ask_once(host.callers, case.ask).await.expect("a response");
+            assert_eq!(response.status, case.status, "{case:?}", case = case.ask);
+            assert_eq!(response.body, case.body);
+            assert_eq!(
+                response.headers.contains_key("server-signature"),
+                case.signed
+            );
             if case.signed {
-                assert_eq!(answer.headers["request-id"], case.ask.id);
+                assert_eq!(response.headers["request-id"], case.ask.id);
             }
         }
     }
@@ -97,10 +100,10 @@
         Caller::connect(host.callers).await.is_some()
     })
     .await;
-    let answer = ask_once(host.callers, read("id", "/keyed/")).await;
-    let answer = answer.expect("a response");
-    assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(answer.headers.contains_key("retry-after"));
+    let response = ask_once(host.callers, read("id", "/keyed/")).await;
+    let response = response.expect("a response");
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert!(response.headers.contains_key("retry-after"));
     let ready = ask_once(host.readiness, read("id", "/readyz")).await;
     assert_eq!(
         ready.expect("a response").status,
@@ -116,8 +119,8 @@
         .put("op", "config", &configuration(0x10, &["/added/"]));
     for host in &site.hosts {
         eventually("the new route is served", 2_000, async || {
-            let answer = ask_once(host.callers, added("id")).await;
-            answer.is_some_and(|answer| answer.status == StatusCode::OK)
+            let response = ask_once(host.callers, added("id")).await;
+            response.is_some_and(|response| response.status == StatusCode::OK)
         })
         .await;
     }
@@ -126,10 +129,10 @@
     site.store.compact_history();
     time::sleep(Duration::from_millis(600)).await;
     for host in &site.hosts {
-        let answer = ask_once(host.callers, added("id"))
+        let response = ask_once(host.callers, added("id"))
             .await
             .expect("a response");
-        assert_eq!(answer.status, StatusCode::OK);
+        assert_eq!(response.status, StatusCode::OK);
     }
 }
 
@@ -148,8 +151,8 @@
         site.store
             .put("op", "config", &configuration(version, &[&prefix]));
         eventually("the new route is served", 2_000, async || {
-            let answer = ask_once(site.hosts[0].callers, read("id", &prefix)).await;
-            answer.is_some_and(|answer| answer.status == StatusCode::OK)
+            let response = ask_once(site.hosts[0].callers, read("id", &prefix)).await;
+            response.is_some_and(|response| response.status == StatusCode::OK)
         })
         .await;
     }
@@ -185,8 +188,8 @@
     for number in 0..12 {
         let id = format!("lost-{number}");
         let began = Instant::now();
-        let answer = ask_once(site.hosts[0].callers, order(&id)).await;
-        let status = answer.expect("a response").status;
+        let response = ask_once(site.hosts[0].callers, order(&id)).await;
+        let status = response.expect("a response").status;
         unanswered += u32::from(status == StatusCode::GATEWAY_TIMEOUT);
         late += u32::from(began.elapsed() > Duration::from_millis(1_000));
     }
@@ -266,8 +269,8 @@
     time::sleep(Duration::from_millis(2_500)).await;
     proxy.set(Mode::Pass);
     eventually("the new route is served", 1_500, async || {
-        let answer = ask_once(site.hosts[1].callers, read("id", "/added/x")).await;
-        answer.is_some_and(|answer| answer.status == StatusCode::OK)
+        let response = ask_once(site.hosts[1].callers, read("id", "/added/x")).await;
+        response.is_some_and(|response| response.status == StatusCode::OK)
     })
     .await;
 }
@@ -287,8 +290,8 @@
     assert!(large.to_string().len() > 80_000);
     site.store.put("op", "config", &large);
     eventually("the new route is served", 2_500, async || {
-        let answer = ask_once(site.hosts[1].callers, read("id", "/added-599/x")).await;
-        answer.is_some_and(|answer| answer.status == StatusCode::OK)
+        let response = ask_once(site.hosts[1].callers, read("id", "/added-599/x")).await;
+        response.is_some_and(|response| response.status == StatusCode::OK)
     })
     .await;
 }
@@ -336,15 +339,15 @@
         ready.expect("a response").status,
         StatusCode::SERVICE_UNAVAILABLE
     );
-    let answer = kept.ask(order("during")).await.expect("a response");
-    assert_eq!(answer.status, StatusCode::OK);
-    assert_eq!(answer.headers["connection"], "close");
+    let response = kept.ask(order("during")).await.expect("a response");
+    assert_eq!(response.status, StatusCode::OK);
+    assert_eq!(response.headers["connection"], "close");
     // A connection that was opened before the stop and never used stays open after the listener
     // closed.
     time::sleep(Duration::from_millis(5_150).saturating_sub(began.elapsed())).await;
-    if let Some(answer) = unused.ask(order("late")).await {
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.headers.contains_key("retry-after"));
+    if let Some(response) = unused.ask(order("late")).await {
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(response.headers.contains_key("retry-after"));
     }
     assert_eq!(site.record.runs("late"), 0);
     let host = &mut site.hosts[0];
@@ -661,8 +664,8 @@
     let mut statuses = Vec::new();
     for number in 0..40 {
         let id = format!("order-{number}");
-        let answer = ask_once(site.hosts[number % 2].callers, order(&id)).await;
-        let status = answer.expect("a response").status;
+        let response = ask_once(site.hosts[number % 2].callers, order(&id)).await;
+        let status = response.expect("a response").status;
         assert!(site.record.runs(&id) <= 1, "{id} ran twice");
         if status == StatusCode::SERVICE_UNAVAILABLE {
             assert_eq!(site.record.runs(&id), 0, "{id} ran after a refusal");
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -48,8 +48,8 @@
     }
     for host in &site.hosts {
         eventually("a host serves callers with keys", 8_000, async || {
-            let answer = order(host, &[("authorization", &token(SECRET))]).await;
-            answer.is_some_and(|(answer, _)| answer.status == StatusCode::OK)
+            let response = order(host, &[("authorization", &token(SECRET))]).await;
+            response.is_some_and(|(response, _)| response.status == StatusCode::OK)
         })
         .await;
     }
@@ -70,11 +70,11 @@
         key: None,
         deadline_ms: 800,
     };
-    let answer = {
+    let response = {
         let mut caller = Caller::connect(host.callers).await?;
         caller.ask_with_headers(ask, more).await?
     };
-    Some((answer, id))
+    Some((response, id))
 }
 
 async fn order(host: &Host, more: &[(&str, &str)]) -> Option<(Answer, String)> {
@@ -155,8 +155,8 @@
     for case in cases {
         let headers: Vec<(&str, &str)> = case.headers.iter().map(|(n, v)| (*n, &**v)).collect();
         let outcome = ask(&site.hosts[0], case.path, &headers).await;
-        let (answer, id) = outcome.expect(case.name);
-        assert_eq!(answer.status, case.status, "{}", case.name);
+        let (response, id) = outcome.expect(case.name);
+        assert_eq!(response.status, case.status, "{}", case.name);
         let head = site.record.head(&id);
         assert_eq!(
             head.is_some(),
@@ -187,16 +187,16 @@
     for host in site.hosts.iter().rev() {
         for _ in 0..20 {
             let outcome = order(host, &[("authorization", &token(SECRET))]).await;
-            let (answer, id) = outcome.expect("a response");
-            assert_ne!(answer.status, StatusCode::OK);
+            let (response, id) = outcome.expect("a response");
+            assert_ne!(response.status, StatusCode::OK);
             assert_eq!(site.record.runs(&id), 0, "a request with a revoked key ran");
             time::sleep(Duration::from_millis(10)).await;
         }
     }
     for host in &site.hosts {
         eventually("the later key is honoured", 4_000, async || {
-            let answer = order(host, &[("authorization", &token("a later key"))]).await;
-            answer.is_some_and(|(answer, _)| answer.status == StatusCode::OK)
+            let response = order(host, &[("authorization", &token("a later key"))]).await;
+            response.is_some_and(|(response, _)| response.status == StatusCode::OK)
         })
         .await;
     }
@@ -214,15 +214,19 @@
     time::sleep(Duration::from_millis(REVOCATION_MS + 300)).await;
     for api_key in [SECRET, "a later key", "guessed"] {
         let outcome = order(&site.hosts[0], &[("authorization", &token(api_key))]).await;
-        let (answer, id) = outcome.expect("a response");
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{api_key}");
-        assert!(answer.headers.contains_key("retry-after"));
+        let (response, id) = outcome.expect("a response");
+        assert_eq!(
+            response.status,
+            StatusCode::SERVICE_UNAVAILABLE,
+            "{api_key}"
+        );
+        assert!(response.headers.contains_key("retry-after"));
         assert_eq!(site.record.runs(&id), 0);
     }
     site.store.set_faults(Faults::default());
     eventually("the later key is honoured", 8_000, async || {
-        let answer = order(&site.hosts[0], &[("authorization", &token("a later key"))]).await;
-        answer.is_some_and(|(answer, _)| answer.status == StatusCode::OK)
+        let response = order(&site.hosts[0], &[("authorization", &token("a later key"))]).await;
+        response.is_some_and(|(response, _)| response.status == StatusCode::OK)
     })
     .await;
 }
--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -90,10 +90,10 @@
             for host in &site.hosts {
                 number += 1;
                 send_order(host, number).await;
-                let answer = get(host, (number * 7_919 % 65_536) as u16).await;
+                let response = get(host, (number * 7_919 % 65_536) as u16).await;
                 if since(evacuated) > EVACUATION_MS {
                     served_late.0 += 1;
-                    served_late.1 += u32::from(answer.is_some_and(|status| status.is_success()));
+                    served_late.1 += u32::from(response.is_some_and(|status| status.is_success()));
                 }
             }
             time::sleep(Duration::from_millis(10)).await;
@@ -191,8 +191,8 @@
     while began.elapsed() < Duration::from_millis(8_000) {
         for host in &site.hosts {
             asked += 1;
-            let answer = get(host, (asked * 7_919 % 65_536) as u16).await;
-            served += u32::from(answer.is_some_and(|status| status.is_success()));
+            let response = get(host, (asked * 7_919 % 65_536) as u16).await;
+            served += u32::from(response.is_some_and(|status| status.is_success()));
         }
         time::sleep(Duration::from_millis(5)).await;
     }
--- a/tests/once_only.rs
+++ b/tests/once_only.rs
@@ -39,16 +39,16 @@
     cluster.declare(RULE).await;
     let caller = Caller::default();
     for key in ["", "Pe\u{f1}a"] {
-        let answer = caller
+        let response = caller
             .post(cluster.hosts[0].callers, "/w/s/parcel-7", key)
             .await;
-        let answer = answer.expect("a response");
+        let response = response.expect("a response");
         assert_eq!(
-            answer.reason.as_deref(),
+            response.reason.as_deref(),
             Some("bad-idempotency-key"),
             "{key:?}"
         );
-        assert_eq!(answer.outcome.as_deref(), Some("not-run"));
+        assert_eq!(response.outcome.as_deref(), Some("not-run"));
     }
     assert!(cluster.record(0).await.runs.is_empty());
 }
@@ -144,10 +144,10 @@
     order: &str,
 ) {
     let path = format!("/w/s/{order}");
-    let answer = caller.post(host, &path, order).await;
+    let response = caller.post(host, &path, order).await;
     let mut reported = reported.lock().await;
     let reported = reported.entry(order.to_owned()).or_default();
-    match answer {
+    match response {
         Ok(CallerResponse { status: 200, .. }) => reported.answered = true,
         Ok(CallerResponse { outcome, .. }) if outcome.as_deref() == Some("not-run") => {}
         _ => reported.unknown = true,
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -115,7 +115,7 @@
     let mut renewal_state = RenewalState::default();
     let (period, process) = (LeaseEpoch(1), Incarnation(4));
     renewal_state.start_period(period, 1_000);
-    let answer = LeaseResponse {
+    let response = LeaseResponse {
         incarnation: process,
         clock_ms: 50,
         lease_epoch: period,
@@ -123,7 +123,7 @@
         draining: false,
         grants_digest: 0,
     };
-    renewal_state.answered(&answer, process, false, 1_000, 300);
+    renewal_state.answered(&response, process, false, 1_000, 300);
     assert_eq!(renewal_state.order(process, 1_010, 1_200), Some(50 + 1_210));
     assert_eq!(renewal_state.remaining_ms(period, 2_210, 100), 100);
     // The remaining time must reach 0 at a later query, or the lease would never count as lapsed.
@@ -225,7 +225,7 @@
     ];
     for case in cases {
         let mut freshness = Freshness::default();
-        let answer = HeartbeatReply {
+        let response = HeartbeatReply {
             host: HostKey(1),
             incarnation: Incarnation(1),
             sent_ms: 1_000,
@@ -233,7 +233,7 @@
             basis_age_ms: case.basis_age_ms,
         };
         let voters: Vec<Voter> = (0..case.voters).map(voter).collect();
-        freshness.record_heartbeat_reply(answer, Revision(5), voter(0), &voters);
+        freshness.record_heartbeat_reply(response, Revision(5), voter(0), &voters);
         assert_eq!(freshness.basis_ms(), case.basis_ms, "{}", case.name);
     }
 }
--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -262,11 +262,11 @@
         rest_ms,
     } in cases
     {
-        let mut answer = HeaderMap::new();
+        let mut response = HeaderMap::new();
         for (name, value) in reported {
-            answer.insert(*name, HeaderValue::from_static(value));
+            response.insert(*name, HeaderValue::from_static(value));
         }
-        let notice = headers::notice(status, &answer);
+        let notice = headers::notice(status, &response);
         assert_eq!(
             (notice.leaves, notice.rest_ms),
             (leaves, rest_ms),
--- a/tests/platform_standin/site.rs
+++ b/tests/platform_standin/site.rs
@@ -132,7 +132,7 @@
     };
     ask_once(host.callers, ask)
         .await
-        .map(|answer| answer.status)
+        .map(|response| response.status)
 }
 
 /// Waits until a condition holds; fails the test if it does not within `limit_ms`.
--- a/tests/platform_standin/traffic.rs
+++ b/tests/platform_standin/traffic.rs
@@ -119,7 +119,7 @@
         Workload::Orders => ("POST", "/orders/new", None),
     };
     let at = Instant::now();
-    let answer = caller
+    let response = caller
         .ask(TestRequest {
             method,
             path,
@@ -128,15 +128,15 @@
             deadline_ms: DEADLINE_MS,
         })
         .await;
-    let announces_leaving = |answer: &Answer| answer.headers.contains_key("server-leaving");
-    let advertises_limit = |answer: &Answer| answer.headers.contains_key("server-limit");
+    let announces_leaving = |response: &Answer| response.headers.contains_key("server-leaving");
+    let advertises_limit = |response: &Answer| response.headers.contains_key("server-limit");
     let sent = Sent {
         host,
         at,
-        status: answer.as_ref().map(|answer| answer.status),
+        status: response.as_ref().map(|response| response.status),
         answered: Instant::now(),
-        announces_leaving: answer.as_ref().is_some_and(announces_leaving),
-        advertises_limit: answer.as_ref().is_some_and(advertises_limit),
+        announces_leaving: response.as_ref().is_some_and(announces_leaving),
+        advertises_limit: response.as_ref().is_some_and(advertises_limit),
     };
     (id, sent)
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -305,14 +305,14 @@
             deadline_ms: 600,
         };
         tally.asked.fetch_add(1, Ordering::Relaxed);
-        let answer = caller.ask(ask).await;
-        let closes = answer
+        let response = caller.ask(ask).await;
+        let closes = response
             .as_ref()
             .is_none_or(|a| a.headers.contains_key("connection"));
         if closes {
             connection = None;
         }
-        check_response(&record, &tally, ask, answer.map(|a| (a.status, a.body)));
+        check_response(&record, &tally, ask, response.map(|a| (a.status, a.body)));
         time::sleep(Duration::from_millis(rng.random_range(5..40))).await;
     }
 }
@@ -322,14 +322,14 @@
     record: &RunRecord,
     tally: &Tally,
     ask: TestRequest<'_>,
-    answer: Option<(StatusCode, bytes::Bytes)>,
+    response: Option<(StatusCode, bytes::Bytes)>,
 ) {
     let unrepeatable = ask.method == "POST";
     let runs = record.runs(ask.id);
     if unrepeatable && runs > 1 {
         record.report_violation(format!("{} ran {runs} times", ask.id));
     }
-    let Some((status, body)) = answer else {
+    let Some((status, body)) = response else {
         tally.unknown.fetch_add(1, Ordering::Relaxed);
         return;
     };
--- a/tests/standins.rs
+++ b/tests/standins.rs
@@ -30,11 +30,11 @@
 async fn a_cold_server_takes_longer() {
     let server = start(60_000, 0).await;
     let started = Instant::now();
-    let answer: EchoResponse = JsonClient::new(2_000)
+    let response: EchoResponse = JsonClient::new(2_000)
         .get(server.address, "/w/s/key")
         .await
         .expect("a response");
-    assert_eq!(answer.path, "/w/s/key");
+    assert_eq!(response.path, "/w/s/key");
     assert!(started.elapsed() >= Duration::from_millis(20));
     server.stop().await;
 }
