--- a/tests/platform_link.rs
+++ b/tests/platform_link.rs
@@ -25,7 +25,7 @@
 const PROMPT_MAX: Duration = Duration::from_millis(1_000);
 
 /// Responds to `calls` requests on a connection and then keeps it open without responding.
-fn answer(mut stream: TcpStream, calls: usize) {
+fn respond(mut stream: TcpStream, calls: usize) {
     for _ in 0..calls {
         let mut head = Vec::new();
         let mut byte = [0];
@@ -48,7 +48,7 @@
     thread::spawn(move || {
         for calls in calls {
             let (stream, _) = listener.accept().expect("a connection");
-            thread::spawn(move || answer(stream, *calls));
+            thread::spawn(move || respond(stream, *calls));
         }
     });
     Link::new(address)
@@ -58,8 +58,8 @@
     let request = Request::get("/")
         .header("host", "store")
         .body(Full::new(Bytes::new()));
-    let answer = link.call(request.expect("a request"), TIMEOUT_MS).await;
-    answer.expect("a response").status
+    let respond = link.call(request.expect("a request"), TIMEOUT_MS).await;
+    respond.expect("a response").status
 }
 
 #[tokio::test]
