--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -48,7 +48,7 @@
         let announced = received_requests
             .iter()
             .filter(|(_, sent)| sent.announces_leaving);
-        let Some(passed_on) = announced.map(|(_, sent)| sent.answered).min() else {
+        let Some(passed_on) = announced.map(|(_, sent)| sent.response_arrived).min() else {
             continue;
         };
         let after = received_requests
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -76,7 +76,7 @@
             let advertised = received_requests
                 .iter()
                 .filter(|(_, sent)| sent.advertises_limit);
-            let Some(advertised) = advertised.map(|(_, sent)| sent.answered).min() else {
+            let Some(advertised) = advertised.map(|(_, sent)| sent.response_arrived).min() else {
                 continue;
             };
             let from = (advertised + PROPAGATION_TIME).max(*first + SETTLED_AFTER);
--- a/tests/platform_standin/traffic.rs
+++ b/tests/platform_standin/traffic.rs
@@ -41,7 +41,7 @@
     /// Status of the response; `None` if none arrived.
     pub status: Option<StatusCode>,
     /// Time at which the response arrived or the connection closed.
-    pub answered: Instant,
+    pub response_arrived: Instant,
     /// True if the response announces that its server leaves.
     pub announces_leaving: bool,
     /// True if the response advertises a rate limit.
@@ -134,7 +134,7 @@
         host,
         at,
         status: response.as_ref().map(|response| response.status),
-        answered: Instant::now(),
+        response_arrived: Instant::now(),
         announces_leaving: response.as_ref().is_some_and(announces_leaving),
         advertises_limit: response.as_ref().is_some_and(advertises_limit),
     };
