--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -26,7 +26,7 @@
 use tokio::{task::JoinSet, time};
 
 use self::platform_standin::{
-    caller::{Answer, Caller, TestRequest},
+    caller::{Caller, CallerResponse, TestRequest},
     hosts::Host,
     server::{Server, ServerKind},
     site::{KEYED, ORDERS, Site, configuration, eventually, get},
@@ -50,7 +50,7 @@
 /// Time at the end of a test in which harmless requests must be served without disturbance.
 const STEADY_TIME: Duration = Duration::from_secs(3);
 
-async fn send(host: &Host, caller: IpAddr, method: &str, path: &str) -> Option<Answer> {
+async fn send(host: &Host, caller: IpAddr, method: &str, path: &str) -> Option<CallerResponse> {
     let id = format!("{:016x}", rand::random::<u64>());
     let ask = TestRequest {
         method,
@@ -63,7 +63,7 @@
     caller.ask(ask).await
 }
 
-async fn read(host: &Host, caller: IpAddr, path: &str) -> Option<Answer> {
+async fn read(host: &Host, caller: IpAddr, path: &str) -> Option<CallerResponse> {
     send(host, caller, "GET", path).await
 }
 
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -11,7 +11,7 @@
 use tokio::time;
 
 use self::platform_standin::{
-    caller::{Answer, Caller, TestRequest},
+    caller::{Caller, CallerResponse, TestRequest},
     hosts::Host,
     site::{Site, configuration, eventually},
     store::Faults,
@@ -61,7 +61,7 @@
 }
 
 /// Sends a request with additional headers; returns the response and the request's id.
-async fn ask(host: &Host, path: &str, more: &[(&str, &str)]) -> Option<(Answer, String)> {
+async fn ask(host: &Host, path: &str, more: &[(&str, &str)]) -> Option<(CallerResponse, String)> {
     let id = format!("{:016x}", rand::random::<u64>());
     let ask = TestRequest {
         method: "POST",
@@ -77,7 +77,7 @@
     Some((response, id))
 }
 
-async fn order(host: &Host, more: &[(&str, &str)]) -> Option<(Answer, String)> {
+async fn order(host: &Host, more: &[(&str, &str)]) -> Option<(CallerResponse, String)> {
     ask(host, "/orders/1", more).await
 }
 
--- a/tests/platform_standin/caller.rs
+++ b/tests/platform_standin/caller.rs
@@ -19,7 +19,7 @@
 
 /// Response of a host, with its complete body.
 #[derive(Debug)]
-pub struct Answer {
+pub struct CallerResponse {
     /// Status code.
     pub status: StatusCode,
     /// All headers of the response.
@@ -71,7 +71,7 @@
 
     /// Sends a request and returns the response; `None` if the connection closes first or no
     /// response arrives in time.
-    pub async fn ask(&mut self, ask: TestRequest<'_>) -> Option<Answer> {
+    pub async fn ask(&mut self, ask: TestRequest<'_>) -> Option<CallerResponse> {
         self.ask_with_headers(ask, &[]).await
     }
 
@@ -80,7 +80,7 @@
         &mut self,
         ask: TestRequest<'_>,
         more: &[(&str, &str)],
-    ) -> Option<Answer> {
+    ) -> Option<CallerResponse> {
         let mut request = Request::builder()
             .method(ask.method)
             .uri(ask.path)
@@ -100,7 +100,7 @@
             let response = self.sender.send_request(request.expect("request")).await;
             let (head, body) = response.ok()?.into_parts();
             let body = body.collect().await.ok()?.to_bytes();
-            Some(Answer {
+            Some(CallerResponse {
                 status: head.status,
                 headers: head.headers,
                 body,
@@ -112,6 +112,6 @@
 }
 
 /// Sends one request on a new connection.
-pub async fn ask_once(address: SocketAddr, ask: TestRequest<'_>) -> Option<Answer> {
+pub async fn ask_once(address: SocketAddr, ask: TestRequest<'_>) -> Option<CallerResponse> {
     Caller::connect(address).await?.ask(ask).await
 }
--- a/tests/platform_standin/traffic.rs
+++ b/tests/platform_standin/traffic.rs
@@ -13,7 +13,7 @@
 use http::StatusCode;
 use tokio::time;
 
-use super::caller::{Answer, Caller, TestRequest};
+use super::caller::{Caller, CallerResponse, TestRequest};
 
 /// Pause between two requests of one caller.
 const PAUSE: Duration = Duration::from_millis(15);
@@ -128,8 +128,10 @@
             deadline_ms: DEADLINE_MS,
         })
         .await;
-    let announces_leaving = |response: &Answer| response.headers.contains_key("server-leaving");
-    let advertises_limit = |response: &Answer| response.headers.contains_key("server-limit");
+    let announces_leaving =
+        |response: &CallerResponse| response.headers.contains_key("server-leaving");
+    let advertises_limit =
+        |response: &CallerResponse| response.headers.contains_key("server-limit");
     let sent = Sent {
         host,
         at,
