--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -181,7 +181,7 @@
 async fn answers_come_by_the_deadline() {
     let site = Site::start(1, 2).await;
     for server in &site.orders {
-        server.lose_answers(2);
+        server.lose_responses(2);
     }
     let mut late = 0;
     let mut unanswered = 0;
@@ -659,7 +659,7 @@
 async fn unrepeatable_requests_run_at_most_once_when_responses_are_lost() {
     let site = Site::start(2, 2).await;
     for server in &site.orders {
-        server.lose_answers(4);
+        server.lose_responses(4);
     }
     let mut statuses = Vec::new();
     for number in 0..40 {
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -468,7 +468,7 @@
     }
 
     /// Loses one in `every` responses; 0 for none.
-    pub fn lose_answers(&self, every: u64) {
+    pub fn lose_responses(&self, every: u64) {
         self.state.lose_answer_every.store(every, Ordering::Relaxed);
     }
 
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -233,7 +233,7 @@
         match self.rng.random_range(0..4) {
             0 => server.set_silent(true),
             1 => server.set_silent(false),
-            2 => server.lose_answers(self.rng.random_range(0..5)),
+            2 => server.lose_responses(self.rng.random_range(0..5)),
             _ => server.write_entry(&self.site.store, "draining"),
         }
         self.count("server");
@@ -264,7 +264,7 @@
         }
         for server in self.site.keyed.iter().chain(&self.site.orders) {
             server.set_silent(false);
-            server.lose_answers(0);
+            server.lose_responses(0);
         }
         // Waits for hosts that got SIGTERM shortly before the end, and restarts them.
         time::sleep(Duration::from_millis(6_200)).await;
