--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -632,7 +632,7 @@
 async fn lost_answers_of_the_store_do_no_harm() {
     let site = Site::start_servers(3).await;
     site.store.set_faults(Faults {
-        lose_answer_every: 3,
+        lose_response_every: 3,
         ..Faults::default()
     });
     let hosts = [Host::start(&site.store), Host::start(&site.store)];
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -232,7 +232,7 @@
     /// True if the server responds to no request.
     silent: AtomicBool,
     /// One in this many responses is lost; 0 for none.
-    lose_answer_every: AtomicU64,
+    lose_response_every: AtomicU64,
     /// One in this many orders is carried out late and not answered; 0 for none.
     late_order_every: AtomicU64,
     /// Number of orders so far.
@@ -331,7 +331,7 @@
             work_ms: AtomicU64::new(kind.work_ms),
             running: AtomicU64::new(0),
             silent: AtomicBool::new(false),
-            lose_answer_every: AtomicU64::new(0),
+            lose_response_every: AtomicU64::new(0),
             late_order_every: AtomicU64::new(0),
             orders: AtomicU64::new(0),
             arrivals: Mutex::default(),
@@ -469,7 +469,9 @@
 
     /// Loses one in `every` responses; 0 for none.
     pub fn lose_responses(&self, every: u64) {
-        self.state.lose_answer_every.store(every, Ordering::Relaxed);
+        self.state
+            .lose_response_every
+            .store(every, Ordering::Relaxed);
     }
 
     /// Makes the server hold all keys, as if an earlier duty holder had granted them.
@@ -645,7 +647,7 @@
         drop(running);
         drop(permit);
         let served = self.served.fetch_add(1, Ordering::Relaxed) + 1;
-        let every = self.lose_answer_every.load(Ordering::Relaxed);
+        let every = self.lose_response_every.load(Ordering::Relaxed);
         if every > 0 && served.is_multiple_of(every) {
             return std::future::pending().await;
         }
--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -30,7 +30,7 @@
     /// True if calls are rejected with 503 and have no effect.
     pub refusing: bool,
     /// One in this many transactions takes effect but gets no response; 0 for none.
-    pub lose_answer_every: u64,
+    pub lose_response_every: u64,
     /// Minimum time between two transactions of a named partition; earlier ones are rejected with
     /// 429. 0 for no limit.
     pub part_writes_every_ms: u64,
@@ -336,7 +336,7 @@
         let (status, answer, lost) = {
             let mut rows = self.rows();
             rows.transactions += 1;
-            let every = faults.lose_answer_every;
+            let every = faults.lose_response_every;
             let lost = every > 0 && rows.transactions.is_multiple_of(every);
             if rows.is_over_write_rate(&body, faults) {
                 return transport::json(StatusCode::TOO_MANY_REQUESTS, &json!({}));
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -177,7 +177,7 @@
                 let faults = Faults {
                     silent: self.rng.random_bool(0.2),
                     refusing: self.rng.random_bool(0.2),
-                    lose_answer_every: self.rng.random_range(0..4),
+                    lose_response_every: self.rng.random_range(0..4),
                     part_writes_every_ms: 0,
                     slow_ms: self.rng.random_range(0..120),
                     slow_reads_ms: self.rng.random_range(0..120),
