--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -474,12 +474,12 @@
                 from, mut order, ..
             } if order.incarnation.is_none() => {
                 order.grants.clear();
-                let answer = lease_answer(server, now, false);
+                let answer = lease_response(server, now, false);
                 self.answer_lease(index, from, &order, answer);
             }
             Message::Lease { from, mut order } => {
                 let accepted = renew(server, &mut order, now, broken);
-                let answer = lease_answer(server, now, accepted);
+                let answer = lease_response(server, now, accepted);
                 self.answer_lease(index, from, &order, answer);
             }
             Message::Grant {
@@ -573,7 +573,7 @@
     server.grants.renew(order, now)
 }
 
-fn lease_answer(server: &Server, now: ClockReading, accepted: bool) -> LeaseResponse {
+fn lease_response(server: &Server, now: ClockReading, accepted: bool) -> LeaseResponse {
     LeaseResponse {
         incarnation: server.incarnation,
         clock_ms: now.clock_ms,
