--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -475,12 +475,12 @@
             } if order.incarnation.is_none() => {
                 order.grants.clear();
                 let answer = lease_response(server, now, false);
-                self.answer_lease(index, from, &order, answer);
+                self.reply_to_lease(index, from, &order, answer);
             }
             Message::Lease { from, mut order } => {
                 let accepted = renew(server, &mut order, now, broken);
                 let answer = lease_response(server, now, accepted);
-                self.answer_lease(index, from, &order, answer);
+                self.reply_to_lease(index, from, &order, answer);
             }
             Message::Grant {
                 from,
@@ -508,7 +508,7 @@
         }
     }
 
-    fn answer_lease(
+    fn reply_to_lease(
         &mut self,
         index: usize,
         to: Requester,
