--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -290,7 +290,7 @@
                 meant,
                 answer,
             } => {
-                self.lease_answered(index, server, ordered, meant, &answer);
+                self.apply_lease_reply(index, server, ordered, meant, &answer);
             }
             Message::Released { slots } => self.grant(index, &slots),
             Message::Granted { slots } => {
@@ -319,7 +319,7 @@
         }
     }
 
-    fn lease_answered(
+    fn apply_lease_reply(
         &mut self,
         index: usize,
         server: usize,
