--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -354,7 +354,7 @@
     eventually(
         "the process exits within the grace period",
         6_000,
-        async || host.ended(),
+        async || host.has_exited(),
     )
     .await;
     assert!(began.elapsed() < Duration::from_millis(6_000));
--- a/tests/platform_standin/hosts.rs
+++ b/tests/platform_standin/hosts.rs
@@ -125,7 +125,7 @@
     }
 
     /// Returns true if the process has exited.
-    pub fn ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         self.child.try_wait().expect("status").is_some()
     }
 
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -198,7 +198,7 @@
         }
         // Restarts hosts whose process has exited, as the platform does.
         for host in 0..HOSTS {
-            if self.stopped[host].is_none() && self.site.hosts[host].ended() {
+            if self.stopped[host].is_none() && self.site.hosts[host].has_exited() {
                 self.site.hosts[host].restart();
             }
         }
@@ -209,7 +209,7 @@
             self.resume(host).await;
             return;
         }
-        if !self.site.hosts[host].ended() {
+        if !self.site.hosts[host].has_exited() {
             self.site.hosts[host].signal("STOP");
             self.stopped[host] = Some(Instant::now());
             self.count("pause");
@@ -258,7 +258,7 @@
         for host in 0..HOSTS {
             self.proxies[host].set(Mode::Pass);
             self.resume(host).await;
-            if self.site.hosts[host].ended() {
+            if self.site.hosts[host].has_exited() {
                 self.site.hosts[host].restart();
             }
         }
@@ -269,7 +269,7 @@
         // Waits for hosts that got SIGTERM shortly before the end, and restarts them.
         time::sleep(Duration::from_millis(6_200)).await;
         for host in &mut self.site.hosts {
-            if host.ended() {
+            if host.has_exited() {
                 host.restart();
             }
         }
