--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -234,7 +234,7 @@
 ) where
     F: Future<Output = Result<(), String>> + 'static,
 {
-    let _turn = RUN_LOCK.lock().await;
+    let _guard = RUN_LOCK.lock().await;
     let mut running = JoinSet::new();
     let local = LocalSet::new();
     for (disturbance, workload) in cases {
