--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -46,7 +46,7 @@
     hosts: usize,
     limit_per_s: f64,
     /// Requests a second of all callers in the first and in the second half of the simulation.
-    asked_per_s: (f64, f64),
+    demand_per_s: (f64, f64),
     /// Share of the callers that use the first host.
     first_share: f64,
     /// True if these callers use the second host in the second half of the simulation.
@@ -63,7 +63,7 @@
     name: "three hosts",
     hosts: 3,
     limit_per_s: 10.0,
-    asked_per_s: (40.0, 40.0),
+    demand_per_s: (40.0, 40.0),
     first_share: 0.0,
     moves: false,
     isolated: 0,
@@ -85,9 +85,9 @@
     for now_ms in 1_000..1_000 + SIMULATED_MS {
         let is_late = now_ms >= 1_000 + SIMULATED_MS / 2;
         let per_s = if is_late {
-            case.asked_per_s.1
+            case.demand_per_s.1
         } else {
-            case.asked_per_s.0
+            case.demand_per_s.0
         };
         let favoured = usize::from(case.moves && is_late);
         if rng.random::<f64>() < per_s / 1_000.0 {
@@ -177,7 +177,7 @@
         Case {
             name: "twice the limit is requested",
             hosts: 8,
-            asked_per_s: (20.0, 20.0),
+            demand_per_s: (20.0, 20.0),
             ..CASE
         },
         Case {
@@ -240,19 +240,19 @@
             name: "a high limit among 300 hosts",
             hosts: 300,
             limit_per_s: 60.0,
-            asked_per_s: (200.0, 200.0),
+            demand_per_s: (200.0, 200.0),
             ..CASE
         },
         Case {
             name: "a surge",
             hosts: 8,
-            asked_per_s: (20.0, 100.0),
+            demand_per_s: (20.0, 100.0),
             ..CASE
         },
         Case {
             name: "a surge among 300 hosts",
             hosts: 300,
-            asked_per_s: (20.0, 60.0),
+            demand_per_s: (20.0, 60.0),
             ..CASE
         },
         Case {
@@ -309,7 +309,7 @@
     for hosts in [3, 12, 300] {
         let case = Case {
             hosts,
-            asked_per_s: (4.5, 4.5),
+            demand_per_s: (4.5, 4.5),
             ..CASE
         };
         let sent: usize = (0..SEEDS).map(|seed| simulate(case, seed).len()).sum();
@@ -329,7 +329,7 @@
         for seed in 0..SEEDS {
             let case = Case {
                 hosts,
-                asked_per_s: (5.0, surge_per_s),
+                demand_per_s: (5.0, surge_per_s),
                 ..CASE
             };
             let most = most_in_a_window(&simulate(case, seed));
