--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -84,8 +84,8 @@
 
 /// Returns the index of the host that has the duty.
 fn duty_holder(site: &Site) -> usize {
-    let place = site.hosts.iter().position(has_taken_duty);
-    place.expect("a duty holder")
+    let index = site.hosts.iter().position(has_taken_duty);
+    index.expect("a duty holder")
 }
 
 /// Starts hosts, and servers that crash under requests for [`CRASH_PATH`] and whose entries stay in
