--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -71,7 +71,7 @@
             .flat_map(|key| [key.added_ms, key.revoked_ms]);
         let nth = version
             .checked_sub(1)
-            .and_then(|place| changes.clone().nth(place as usize));
+            .and_then(|index| changes.clone().nth(index as usize));
         nth.unwrap_or(0)
     }
 }
@@ -153,12 +153,12 @@
     }
 
     fn inject_fault(&mut self, now_ms: u64) {
-        let place = self.rng.random_range(0..HOSTS);
+        let index = self.rng.random_range(0..HOSTS);
         let until_ms = now_ms + self.rng.random_range(0..6_000);
         let relayed = self.hosts[self.rng.random_range(0..HOSTS)].version;
         let delay_ms = self.delay_ms();
         let kind = self.rng.random_range(0..160);
-        let host = &mut self.hosts[place];
+        let host = &mut self.hosts[index];
         match kind {
             0 => host.cut_until_ms = until_ms,
             1 => host.frozen_until_ms = until_ms,
@@ -171,20 +171,20 @@
     }
 
     /// Sends a query of a host and schedules the response.
-    fn ask(&mut self, place: usize, now_ms: u64) {
-        if now_ms < self.hosts[place].cut_until_ms {
+    fn ask(&mut self, index: usize, now_ms: u64) {
+        if now_ms < self.hosts[index].cut_until_ms {
             return;
         }
         let [to_ms, back_ms] = [self.delay_ms(), self.delay_ms()];
         let answered_ms = now_ms + to_ms;
-        let updates = if place == DUTY_HOLDER {
+        let updates = if index == DUTY_HOLDER {
             Delivery::Store {
                 sent_ms: now_ms,
                 version: self.operators.version(answered_ms),
             }
         } else {
             let nonce = self.rng.random();
-            self.hosts[place].proof.ask(nonce, now_ms);
+            self.hosts[index].proof.ask(nonce, now_ms);
             let duty_holder = &self.hosts[DUTY_HOLDER];
             // The duty holder answers with its state at the time of the query; the response may be
             // delayed.
@@ -197,13 +197,13 @@
                 version: duty_holder.version,
             }
         };
-        self.hosts[place]
+        self.hosts[index]
             .inbox
             .push((answered_ms + back_ms, updates));
     }
 
-    fn check(&mut self, place: usize, now_ms: u64) -> Result<(), String> {
-        let host = &self.hosts[place];
+    fn check(&mut self, index: usize, now_ms: u64) -> Result<(), String> {
+        let host = &self.hosts[index];
         let is_known = host.version % 2 == 1;
         let verdict = judge(is_known, host.proof.age_ms(now_ms), LIMITS);
         let latest = self.operators.version(now_ms);
@@ -234,17 +234,17 @@
     fn run(&mut self) -> Result<(), String> {
         for now_ms in (0..SIMULATION_MS).step_by(STEP_MS as usize) {
             self.inject_fault(now_ms);
-            for place in 0..HOSTS {
-                if now_ms < self.hosts[place].frozen_until_ms {
+            for index in 0..HOSTS {
+                if now_ms < self.hosts[index].frozen_until_ms {
                     continue;
                 }
                 // A host that resumes after a suspension may handle a request before it reads its
                 // inbox.
-                self.check(place, now_ms)?;
-                self.hosts[place].process_inbox(now_ms);
-                self.check(place, now_ms)?;
+                self.check(index, now_ms)?;
+                self.hosts[index].process_inbox(now_ms);
+                self.check(index, now_ms)?;
                 if now_ms.is_multiple_of(QUERY_EVERY_MS) {
-                    self.ask(place, now_ms);
+                    self.ask(index, now_ms);
                 }
             }
         }
