--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -486,7 +486,7 @@
                 .collect();
             at_work.sort_unstable();
             let waits_for = at_work.len().checked_sub(SLOTS);
-            let begin_ms = waits_for.map_or(now_ms, |place| at_work[place]);
+            let begin_ms = waits_for.map_or(now_ms, |index| at_work[index]);
             let run_ms = MEAN_RUN_MS * rng.random_range(0.5..1.5);
             let end_ms = begin_ms + run_ms as u64;
             in_flight[server].push((end_ms, host));
@@ -738,7 +738,7 @@
         }
         ends_ms.sort_by(f64::total_cmp);
         let waits_for = ends_ms.len().checked_sub(SLOTS);
-        let begin_ms = waits_for.map_or(now_ms, |place| ends_ms[place]);
+        let begin_ms = waits_for.map_or(now_ms, |index| ends_ms[index]);
         let run_ms = if is_short {
             90.0
         } else {
@@ -821,9 +821,9 @@
                 demand: DEMAND,
                 hosts: choice::HostCount { near: 20, all: 75 },
             };
-            let place = choice::pick(inputs, &policy, &mut rng).expect(case.name);
+            let index = choice::pick(inputs, &policy, &mut rng).expect(case.name);
             assert_eq!(
-                servers[place].is_other_region, case.is_other_region_chosen,
+                servers[index].is_other_region, case.is_other_region_chosen,
                 "{}",
                 case.name
             );
