--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -96,13 +96,13 @@
 }
 
 quickcheck! {
-    fn any_bytes_are_decoded_or_refused(bytes: Vec<u8>, place: usize, byte: u8) -> bool {
+    fn any_bytes_are_decoded_or_refused(bytes: Vec<u8>, index: usize, byte: u8) -> bool {
         // No input may panic: random bytes, and an entry with one byte changed or cut off at any
         // place.
         let mut changed = ENTRY.as_bytes().to_vec();
-        let place = place % changed.len();
-        let cut_off = servers::decode("i-1", &changed[..place]);
-        changed[place] = byte;
+        let index = index % changed.len();
+        let cut_off = servers::decode("i-1", &changed[..index]);
+        changed[index] = byte;
         let decoded = [
             servers::decode("i-1", &bytes).is_ok(),
             servers::decode("i-1", &changed).is_ok(),
