--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -165,8 +165,8 @@
     eventually("the warm server is used", 3_000, async || {
         burst += 1;
         let before = joining.served();
-        let orders = (0..12).flat_map(|place| site.hosts.iter().map(move |host| (host, place)));
-        let sent = orders.map(|(host, place)| send_order(host, 1_000_000 + 100 * burst + place));
+        let orders = (0..12).flat_map(|index| site.hosts.iter().map(move |host| (host, index)));
+        let sent = orders.map(|(host, index)| send_order(host, 1_000_000 + 100 * burst + index));
         join_all(sent).await;
         joining.served() >= before + 12
     })
