--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -74,8 +74,8 @@
 /// Returns the times at which the server got requests.
 fn simulate(case: Case, seed: u64) -> Vec<u64> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let host = |place| Host {
-        is_isolated: place < case.isolated,
+    let host = |index| Host {
+        is_isolated: index < case.isolated,
         ..Host::default()
     };
     let mut hosts: Vec<Host> = (0..case.hosts).map(host).collect();
@@ -91,22 +91,22 @@
         };
         let favoured = usize::from(case.moves && is_late);
         if rng.random::<f64>() < per_s / 1_000.0 {
-            let place = if rng.random::<f64>() < case.first_share {
+            let index = if rng.random::<f64>() < case.first_share {
                 favoured
             } else {
                 rng.random_range(0..case.hosts)
             };
-            if is_sent_by(&mut hosts[place], case, now_ms, &mut rng) {
+            if is_sent_by(&mut hosts[index], case, now_ms, &mut rng) {
                 sent.push(now_ms);
             }
         }
         if now_ms.is_multiple_of(ANNOUNCE_EVERY_MS) {
-            for (place, host) in hosts
+            for (index, host) in hosts
                 .iter_mut()
                 .enumerate()
                 .filter(|(_, host)| !host.is_isolated)
             {
-                let address = SocketAddr::from((Ipv4Addr::from(place as u32), 1));
+                let address = SocketAddr::from((Ipv4Addr::from(index as u32), 1));
                 let own = host.asked.report(now_ms);
                 sums.note(1, address, own, now_ms);
             }
