--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -108,10 +108,10 @@
             );
         }
         // The other zone serves all keys.
-        let (asked, served) = served_late;
+        let (requests, served) = served_late;
         assert!(
-            served * 100 >= asked * 95,
-            "{served} of {asked} requests served"
+            served * 100 >= requests * 95,
+            "{served} of {requests} requests served"
         );
         assert_eq!(second[0].keys_held(), 1 << 16);
         site.store.remove("op", "evacuate/a");
@@ -187,18 +187,18 @@
         server.delay_orders(2);
     }
     let began = Instant::now();
-    let (mut asked, mut served) = (0, 0);
+    let (mut requests, mut served) = (0, 0);
     while began.elapsed() < Duration::from_millis(8_000) {
         for host in &site.hosts {
-            asked += 1;
-            let response = get(host, (asked * 7_919 % 65_536) as u16).await;
+            requests += 1;
+            let response = get(host, (requests * 7_919 % 65_536) as u16).await;
             served += u32::from(response.is_some_and(|status| status.is_success()));
         }
         time::sleep(Duration::from_millis(5)).await;
     }
     assert!(
-        served * 100 >= asked * 97,
-        "{served} of {asked} requests served"
+        served * 100 >= requests * 97,
+        "{served} of {requests} requests served"
     );
     assert_eq!(moved(), before, "keys moved away from live servers");
     assert_eq!(site.record.violations(), Vec::<String>::new());
