--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -176,12 +176,12 @@
     // The caller gets a response at once that says that the request has not run. Requests of other
     // callers are served.
     for host in &site.hosts {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let response = read(host, CALLER, CRASH_PATH).await.expect("a response");
         assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(response.headers.contains_key("retry-after"));
         assert!(
-            asked.elapsed() < Duration::from_millis(400),
+            sent_at.elapsed() < Duration::from_millis(400),
             "the refusal is late"
         );
         let refusals = host.events("request").into_iter();
@@ -383,9 +383,9 @@
             let outcomes = outcomes.clone();
             tasks.spawn(async move {
                 loop {
-                    let asked = Instant::now();
+                    let sent_at = Instant::now();
                     let status = read_as(address, caller(first + number), path, key).await;
-                    outcomes.lock().expect("outcomes").push((asked, status));
+                    outcomes.lock().expect("outcomes").push((sent_at, status));
                     time::sleep(Duration::from_millis(40)).await;
                 }
             });
@@ -396,7 +396,7 @@
     /// Returns the share of the reads sent since `from` that succeeded.
     fn served(&self, from: Instant) -> f64 {
         let outcomes = self.outcomes.lock().expect("outcomes");
-        let later = outcomes.iter().filter(|(asked, _)| *asked >= from);
+        let later = outcomes.iter().filter(|(sent_at, _)| *sent_at >= from);
         let served = later
             .clone()
             .filter(|(_, status)| *status == Some(StatusCode::OK));
