--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -313,7 +313,7 @@
     let load = Load::start(&addresses(&cluster));
     let leaving = cluster.owner("key-1").await;
     let address = cluster.servers[leaving].address.to_string();
-    let asked = Instant::now();
+    let requested = Instant::now();
     let draining = ashroad::standin::backend::Faults {
         draining: true,
         ..Default::default()
@@ -325,7 +325,7 @@
             servers.any(|server| server.address == address && server.slots == 0)
         })
         .await;
-    let handed_over = asked.elapsed();
+    let handed_over = requested.elapsed();
     assert!(handed_over < Duration::from_secs(3), "{handed_over:?}");
     let failures = load.end().await;
     assert!(
