--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -18,7 +18,7 @@
 struct Case {
     name: &'static str,
     content: Vec<u8>,
-    said: &'static str,
+    expected: &'static str,
 }
 
 const SERVICE: &str = "services:\n  - { name: s, targets: targets, key: { path: 0 }, \
@@ -47,27 +47,27 @@
         Case {
             name: "empty",
             content: Vec::new(),
-            said: "empty",
+            expected: "empty",
         },
         Case {
             name: "not-text",
             content: b"template: t\nservices: \xff\n".to_vec(),
-            said: "not UTF-8",
+            expected: "not UTF-8",
         },
         Case {
             name: "huge",
             content: vec![b'#'; 100 * 1024 * 1024],
-            said: "at most 1048576",
+            expected: "at most 1048576",
         },
         Case {
             name: "unknown-field",
             content: template(TARGETS, ", colour: red"),
-            said: "colour",
+            expected: "colour",
         },
         Case {
             name: "wrong-unit",
             content: template(TARGETS, ", deadline_ms: 2s"),
-            said: "deadline_ms",
+            expected: "deadline_ms",
         },
         Case {
             name: "self-reference",
@@ -76,17 +76,17 @@
                  { name: a, type: integer, max: 9 }",
                 ", queue_requests: '${targets}'",
             ),
-            said: "of type integer",
+            expected: "of type integer",
         },
         Case {
             name: "no-slots",
             content: template(TARGETS, ", slots: 0"),
-            said: "1 to 1000000",
+            expected: "1 to 1000000",
         },
         Case {
             name: "not-yaml",
             content: b"template: t\nservices: [\n".to_vec(),
-            said: "line",
+            expected: "line",
         },
         Case {
             name: "leases",
@@ -96,17 +96,17 @@
                        private_key_file: c }\nplatform: { address: 127.0.0.1:4 }\n\
                        ownership: { lease_ttl_ms: 9000 }\n"
                 .to_vec(),
-            said: "at most 2600",
+            expected: "at most 2600",
         },
         Case {
             name: "entry-leases",
             content: entry_settings("10s", "lease_ms: 12000"),
-            said: "at most bounds.lease_max",
+            expected: "at most bounds.lease_max",
         },
         Case {
             name: "entry-duration",
             content: entry_settings("long", "lease_ms: 4000"),
-            said: "not a duration like 2s",
+            expected: "not a duration like 2s",
         },
     ];
     let directory = directory("bad-input");
@@ -118,7 +118,7 @@
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         assert_eq!(output.status.code(), INVALID_INPUT, "{}: {text}", case.name);
         assert!(text.contains(&path), "{}: {text}", case.name);
-        assert!(text.contains(case.said), "{}: {text}", case.name);
+        assert!(text.contains(case.expected), "{}: {text}", case.name);
     }
     let _ = fs::remove_dir_all(directory);
 }
@@ -195,8 +195,8 @@
     let path = path.display().to_string();
     let refused = run(&["template", "submit", "--api", &api, &path]);
     assert_eq!(refused.status.code(), INVALID_INPUT);
-    let said = String::from_utf8_lossy(&refused.stderr).into_owned();
-    assert!(said.contains("token"), "{said}");
+    let expected = String::from_utf8_lossy(&refused.stderr).into_owned();
+    assert!(expected.contains("token"), "{expected}");
     let status = run(&["--json", "status", "--api", &api]);
     assert!(status.status.success());
 }
