--- a/tests/once_only.rs
+++ b/tests/once_only.rs
@@ -12,7 +12,7 @@
 const RULE: &str = "    unrepeatable:\n      - { method: POST, path_prefix: / }\n";
 
 #[tokio::test]
-async fn a_duplicate_at_another_host_gets_the_stored_answer() {
+async fn a_duplicate_at_another_host_gets_the_stored_response() {
     let cluster = Cluster::start(2, 2, NO_FLAGS);
     cluster.declare(RULE).await;
     let caller = Caller::default();
