--- a/tests/once_only.rs
+++ b/tests/once_only.rs
@@ -155,7 +155,7 @@
 }
 
 #[tokio::test]
-async fn orders_run_at_most_once_through_kills_and_lost_answers() {
+async fn orders_run_at_most_once_through_kills_and_lost_responses() {
     let mut cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare(RULE).await;
     cluster
