--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -338,7 +338,7 @@
 }
 
 #[tokio::test]
-async fn moves_go_on_while_answers_of_the_store_are_lost_and_the_leader_dies() {
+async fn moves_go_on_while_responses_of_the_store_are_lost_and_the_leader_dies() {
     let mut cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
     cluster
