--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -7,7 +7,7 @@
 use common::{Caller, Cluster, NO_FLAGS};
 
 #[tokio::test]
-async fn a_request_gets_its_whole_answer_from_the_owner_of_its_key() {
+async fn a_request_gets_its_whole_response_from_the_owner_of_its_key() {
     let cluster = Cluster::start(3, 2, NO_FLAGS);
     cluster.declare("").await;
     let caller = Caller::default();
