--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -307,7 +307,7 @@
 }
 
 #[tokio::test]
-async fn a_server_that_wants_to_leave_gets_no_new_work_after_seconds() {
+async fn a_server_that_announces_its_leaving_gets_no_new_work_after_seconds() {
     let cluster = Cluster::start(3, 2, NO_FLAGS);
     cluster.declare("").await;
     let load = Load::start(&addresses(&cluster));
