--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -151,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn a_server_frozen_past_its_lease_owns_nothing_when_it_goes_on() {
+async fn a_server_frozen_past_its_lease_owns_nothing_when_it_resumes() {
     let cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
     let load = Load::start(&addresses(&cluster));
