--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -266,11 +266,11 @@
                     self.reply(me, from, Message::Pong(pong));
                 }
             }
-            Message::Pong(answer) => {
+            Message::Pong(response) => {
                 let (applied, voters) = (host.state.revision, voters(&host.state));
                 if let Some(own) = host.own() {
                     host.freshness
-                        .record_heartbeat_reply(answer, applied, own, &voters);
+                        .record_heartbeat_reply(response, applied, own, &voters);
                 }
             }
             Message::LogRead { entries, sent_ms } => {
@@ -288,9 +288,9 @@
                 server,
                 ordered,
                 meant,
-                answer,
+                response,
             } => {
-                self.apply_lease_reply(index, server, ordered, meant, &answer);
+                self.apply_lease_reply(index, server, ordered, meant, &response);
             }
             Message::Released { slots } => self.grant(index, &slots),
             Message::Granted { slots } => {
@@ -325,7 +325,7 @@
         server: usize,
         ordered: bool,
         meant: Incarnation,
-        answer: &ashroad::ownership::message::LeaseResponse,
+        response: &ashroad::ownership::message::LeaseResponse,
     ) {
         let host = &mut self.hosts[index];
         let clock_ms = host.clock_ms(self.now_ms);
@@ -334,7 +334,7 @@
             return;
         };
         if entry.state == ServerState::Absent {
-            let incarnation = answer.incarnation;
+            let incarnation = response.incarnation;
             self.append(
                 index,
                 Change::ServerJoined {
@@ -347,8 +347,8 @@
         host.waiting[server] = None;
         let meant = if ordered { meant } else { entry.incarnation };
         let outcome =
-            host.renewal_states[server].answered(answer, meant, ordered, clock_ms, RENEW_MS);
-        if outcome == RenewalOutcome::Replaced && answer.incarnation != entry.incarnation {
+            host.renewal_states[server].answered(response, meant, ordered, clock_ms, RENEW_MS);
+        if outcome == RenewalOutcome::Replaced && response.incarnation != entry.incarnation {
             let lease_epoch = entry.lease_epoch;
             self.append(
                 index,
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -87,7 +87,7 @@
         server: usize,
         ordered: bool,
         meant: Incarnation,
-        answer: LeaseResponse,
+        response: LeaseResponse,
     },
     Revoke {
         from: Requester,
@@ -437,8 +437,8 @@
                 sent_ms,
             } => {
                 let entries = self.log[after.0 as usize..].to_vec();
-                let answer = Message::LogRead { entries, sent_ms };
-                self.reply(Node::Store, from, answer);
+                let response = Message::LogRead { entries, sent_ms };
+                self.reply(Node::Store, from, response);
             }
             Message::Append { from, mut entry } => {
                 let next = self.log.len() as u64 + 1;
@@ -474,13 +474,13 @@
                 from, mut order, ..
             } if order.incarnation.is_none() => {
                 order.grants.clear();
-                let answer = lease_response(server, now, false);
-                self.reply_to_lease(index, from, &order, answer);
+                let response = lease_response(server, now, false);
+                self.reply_to_lease(index, from, &order, response);
             }
             Message::Lease { from, mut order } => {
                 let accepted = renew(server, &mut order, now, broken);
-                let answer = lease_response(server, now, accepted);
-                self.reply_to_lease(index, from, &order, answer);
+                let response = lease_response(server, now, accepted);
+                self.reply_to_lease(index, from, &order, response);
             }
             Message::Grant {
                 from,
@@ -513,13 +513,13 @@
         index: usize,
         to: Requester,
         order: &LeaseRequest,
-        answer: LeaseResponse,
+        response: LeaseResponse,
     ) {
         let message = Message::LeaseAnswered {
             server: index,
             ordered: order.incarnation.is_some(),
             meant: order.incarnation.unwrap_or_default(),
-            answer,
+            response,
         };
         self.reply(Node::Server(index), to, message);
     }
