--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -238,13 +238,16 @@
     let mut running = JoinSet::new();
     let local = LocalSet::new();
     for (disturbance, workload) in cases {
-        let played = run_case(disturbance, workload);
-        running.spawn_local_on(async move { (disturbance, workload, played.await) }, &local);
+        let task_result = run_case(disturbance, workload);
+        running.spawn_local_on(
+            async move { (disturbance, workload, task_result.await) },
+            &local,
+        );
     }
     let mut failed = Vec::new();
     let all = async {
-        while let Some(played) = running.join_next().await {
-            let (disturbance, workload, outcome) = played.expect("the case does not panic");
+        while let Some(task_result) = running.join_next().await {
+            let (disturbance, workload, outcome) = task_result.expect("the case does not panic");
             if let Err(problem) = outcome {
                 failed.push(format!("{workload:?}, {disturbance:?}: {problem}"));
             }
