--- a/examples/plan.rs
+++ b/examples/plan.rs
@@ -1,4 +1,4 @@
-//! Asks the planner for the moves that follow the loss of a server.
+//! Computes the moves that the planner makes after the loss of a server.
 
 use ashroad::{
     configuration::template::Weights,
--- a/tests/entry_bodies.rs
+++ b/tests/entry_bodies.rs
@@ -26,9 +26,11 @@
 /// Number of bytes that each slow caller sends of its body before it stops. No host may buffer them
 /// for all callers.
 const SENT_BYTES: usize = 250_000;
+/// Length of the body that each slow caller announces.
 const BODY_BYTES: usize = 400_000;
 /// Number of callers that read large responses slowly.
 const SLOW_READERS: usize = 200;
+/// Size of the receive buffer of each slow reader.
 const RECEIVED_BYTES: u32 = 16_384;
 /// Memory of the smallest host that the users run, in megabytes.
 const MEMORY_MB: u64 = 120;
--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -36,11 +36,11 @@
 const HARMLESS: &str = "/reads/harmless";
 const CALLER: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 const OTHER_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2));
-/// Crashes under one request after which hosts must quarantine it.
+/// Number of crashes under one request after which hosts must quarantine it.
 const CRASHES_NEEDED: usize = 3;
-/// Runs that the users allow after those crashes and the detection time.
+/// Number of runs that the users allow after those crashes and the detection time.
 const LATE_RUNS_MAX: usize = 3;
-/// Further crashes allowed, caused by attempts that were in flight.
+/// Number of further crashes allowed, caused by attempts that were in flight.
 const CRASHES_IN_FLIGHT: usize = 1;
 /// Time within which all hosts must know of a crash.
 const DETECTION_TIME: Duration = Duration::from_millis(3_000);
@@ -408,7 +408,7 @@
     }
 }
 
-/// Attempts of crash paths, each by another caller.
+/// Attempts to read crash paths, each by another caller.
 #[derive(Clone, Copy, Debug)]
 struct ManyCallers {
     paths: &'static [&'static str],
@@ -484,8 +484,8 @@
     run_many_callers(scenario).await;
 }
 
-/// Many callers read the same key at the same time; one path crashes its servers, while another
-/// that as many callers read does not.
+/// Checks two paths that many callers read under the same key at the same time: one crashes its
+/// servers, and the other one must be served.
 #[tokio::test]
 async fn a_key_is_served_while_one_of_its_paths_crashes_servers_for_many_callers() {
     const CRASH_READ_PATH: &str = "/keyed/deadly";
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -121,8 +121,8 @@
     .await;
 }
 
-/// A configuration that cannot be read may revoke API keys: a host that does not know of it would
-/// continue to trust the previous one.
+/// Guards against hosts that go on trusting the previous configuration because they do not know of
+/// a later one. A configuration that cannot be read may revoke API keys.
 #[tokio::test]
 async fn all_hosts_know_that_a_configuration_cannot_be_read() {
     /// More than the duty holder broadcasts in datagrams.
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -186,7 +186,7 @@
             let nonce = self.rng.random();
             self.hosts[index].proof.ask(nonce, now_ms);
             let duty_holder = &self.hosts[DUTY_HOLDER];
-            // The duty holder answers with its state at the time of the query; the response may be
+            // The response has the state of the duty holder at the time of the query, and may be
             // delayed.
             let Some(age_ms) = duty_holder.proof.age_ms(now_ms) else {
                 return;
--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -28,7 +28,7 @@
     traffic::{Sent, Traffic, Workload},
 };
 
-/// Time after a server has asked for a rest in which requests already in transit may still arrive.
+/// Time after a server has asked for a rest in which requests in transit may still arrive.
 const REST_SLACK: Duration = Duration::from_millis(500);
 /// Maximum number of requests that may reach a server later in its rest.
 const REST_REQUESTS_MAX: usize = 2;
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -9,7 +9,9 @@
 
 /// Window over which the users count requests.
 const WINDOW_MS: u64 = 5_000;
+/// Excess over a quota that the users allow, as a share of the quota and the burst in a window.
 const OVERSHOOT: f64 = 0.1;
+/// Number of requests that the users allow in addition.
 const SLACK: f64 = 20.0;
 /// Least share of the allowed requests that must be admitted.
 const SERVED_MIN: f64 = 0.9;
@@ -64,7 +66,7 @@
 }
 
 impl Case {
-    /// Interval of reports and announcements, as in production.
+    /// Returns the interval of reports and announcements, which is that of production.
     fn report_interval_ms(&self) -> u64 {
         150.max(self.hosts as u64)
     }
@@ -145,7 +147,7 @@
     }
 }
 
-/// Returns the largest number of times within one window.
+/// Returns the largest number of requests in one window, given their times.
 fn most_in_window(times: &[u64]) -> usize {
     let mut first = 0;
     let mut most = 0;
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -24,7 +24,8 @@
     traffic::{Traffic, Workload},
 };
 
-/// Time after a host has forwarded a response with a limit from which its requests count.
+/// Time after which a host must know a limit. Requests count from this time after the host has
+/// forwarded the response with the limit.
 const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 /// Time after a server first advertised a limit from which the bound holds. The users allow three
 /// seconds.
@@ -119,7 +120,7 @@
     AdvertisedLimits(named)
 }
 
-/// One of three servers advertises a limit of a fifth of its requests.
+/// Runs a case in which one of three servers advertises a limit of a fifth of its requests.
 async fn one_of_three(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
     let mut deployment = Deployment::start(workload).await;
     deployment.server(workload).advertise_limit(Some("10"));
@@ -170,8 +171,9 @@
     .await;
 }
 
-/// All servers advertise limits, each of a third of its requests: the sum must be used, and no
-/// server may get too many. One host has half of the callers.
+/// Runs a case in which each server advertises a limit of a third of its requests, and one host has
+/// half of the callers. The sum of the limits must be used, and no server may get too many
+/// requests.
 async fn all_servers(workload: Workload) -> Result<(), String> {
     const LIMIT: f64 = 20.0;
     let deployment = Deployment::start(workload).await;
@@ -209,7 +211,8 @@
     run_cases(cases, |_, workload| all_servers(workload)).await;
 }
 
-/// A limit falls to a third, to a fraction and to zero, rises again and is withdrawn.
+/// Runs a case in which a limit falls to a third, to a fraction and to zero, rises again and is
+/// withdrawn.
 async fn changing_limit(workload: Workload) -> Result<(), String> {
     let deployment = Deployment::start(workload).await;
     let server = deployment.server(workload);
@@ -251,7 +254,7 @@
     run_cases(cases, |_, workload| changing_limit(workload)).await;
 }
 
-/// Twelve hosts share a small limit.
+/// Runs a case in which twelve hosts share a small limit.
 async fn twelve_hosts(workload: Workload) -> Result<(), String> {
     let deployment = Deployment::start_sized(workload, 12, SERVERS).await;
     let named = advertise_in_turn(
@@ -272,8 +275,8 @@
     run_cases(cases, |_, workload| twelve_hosts(workload)).await;
 }
 
-/// Two of nine servers advertise limits of a third of their requests, with few busy keys: the keys
-/// must move to the other servers, which have capacity, and stay there.
+/// Runs a case in which two of nine servers advertise limits of a third of their requests, and few
+/// keys are busy. The keys must move to the other servers, which have capacity, and stay there.
 async fn busy_keys(workload: Workload) -> Result<(), String> {
     let deployment = Deployment::start_sized(workload, 8, 9).await;
     for server in deployment.servers(workload) {
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -203,7 +203,8 @@
     let mut registry = Registry::default();
     registry.put(entry("a", 1));
     registry.put(entry("b", 1));
-    // The server is dropped even if entries may come back after an outage of the store.
+    // The server is dropped even while lapsed entries may be added again after an outage of the
+    // store.
     registry.drop_server("a");
     assert!(registry.server("a@1").is_none());
     assert_eq!(registry.usable("s", &[]).len(), 1);
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -1,4 +1,4 @@
-//! Simulated host: the real decision code, with the timers of the real tasks around it.
+//! Simulated host, which runs the real decision code with the timers of the real tasks.
 
 use ashroad::{
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
--- a/tests/platform_standin/proxy.rs
+++ b/tests/platform_standin/proxy.rs
@@ -95,14 +95,15 @@
     let (far_read, far_write) = far.into_split();
     let up = pump(near_read, far_write, mode.clone(), false);
     let down = pump(far_read, near_write, mode, true);
-    // The end of one direction closes both.
+    // Both directions are closed when one of them ends.
     tokio::select! {
         () = up => {}
         () = down => {}
     }
 }
 
-/// Copies the data of one direction; `down` is the direction from the store to the host.
+/// Copies the data of one direction and applies the fault; `down` is true from the store to the
+/// host.
 async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mode: Arc<AtomicU8>, down: bool) {
     let mut buffer = vec![0; 16 * 1024];
     loop {
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -37,7 +37,7 @@
 pub const LARGE_BYTES: usize = 2_000_000;
 /// Time from the beginning of a crashing request to the crash of its server.
 const CRASH_DELAY_MS: u64 = 40;
-/// Delay after which an unanswered order is carried out.
+/// Delay after which an order that gets no response is carried out.
 const LATE_ORDER_MS: u64 = 2_000;
 
 /// Record of the runs at all servers of a test. It checks that each key has a single owner.
@@ -233,7 +233,7 @@
     silent: AtomicBool,
     /// One in this many responses is lost; 0 for none.
     lose_response_every: AtomicU64,
-    /// One in this many orders is carried out late and not answered; 0 for none.
+    /// One in this many orders is carried out late and gets no response; 0 for none.
     late_order_every: AtomicU64,
     /// Number of orders so far.
     orders: AtomicU64,
