--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -46,7 +46,7 @@
                     number += 1;
                     let path = format!("/w/s/key-{}", number % 500);
                     match caller.get(host, &path).await {
-                        Ok(answer) if answer.status == 200 => {
+                        Ok(response) if response.status == 200 => {
                             answered.fetch_add(1, Ordering::Relaxed);
                         }
                         other => failures.push(format!("{other:?}")),
@@ -102,8 +102,8 @@
     let caller = Caller::default();
     let path = format!("/w/s/{}", owned[0]);
     loop {
-        let answer = caller.get(cluster.hosts[1].callers, &path).await;
-        if answer.is_ok_and(|answer| answer.status == 200) {
+        let response = caller.get(cluster.hosts[1].callers, &path).await;
+        if response.is_ok_and(|response| response.status == 200) {
             break;
         }
         assert!(
@@ -136,8 +136,8 @@
     cluster.servers[owner].process.kill();
     let caller = Caller::default();
     loop {
-        let answer = caller.get(cluster.hosts[other].callers, "/w/s/key-1").await;
-        if answer.is_ok_and(|answer| answer.status == 200) {
+        let response = caller.get(cluster.hosts[other].callers, "/w/s/key-1").await;
+        if response.is_ok_and(|response| response.status == 200) {
             break;
         }
         assert!(
@@ -257,8 +257,8 @@
     let caller = Caller::default();
     for number in 0..50 {
         let path = format!("/w/s/key-{number}");
-        let answer = caller.get(cluster.hosts[2].callers, &path).await;
-        assert_eq!(answer.expect("a response").status, 200);
+        let response = caller.get(cluster.hosts[2].callers, &path).await;
+        assert_eq!(response.expect("a response").status, 200);
     }
     let failures = load.end().await;
     assert!(
@@ -288,9 +288,9 @@
                 if !ready.is_ok_and(|ready| ready.status == 200) {
                     break;
                 }
-                let answer = caller.get(leaving, &format!("/w/s/key-{number}")).await;
-                let answer = answer.expect("a whole response");
-                assert_eq!(answer.status, 200, "{answer:?}");
+                let response = caller.get(leaving, &format!("/w/s/key-{number}")).await;
+                let response = response.expect("a whole response");
+                assert_eq!(response.status, 200, "{response:?}");
                 answered += 1;
             }
             answered
