--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -238,7 +238,7 @@
 ) -> HashMap<Arc<str>, f64> {
     let policy = Policy::default();
     for round in 0.. {
-        assert!(round < 12, "the planner keeps planning moves");
+        assert!(round < 12, "the planner does not stop planning moves");
         let moves = plan::plan(Inputs {
             assignment,
             servers,
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -312,7 +312,7 @@
             break;
         }
         rounds += 1;
-        assert!(rounds <= 6, "the planner keeps planning moves");
+        assert!(rounds <= 6, "the planner does not stop planning moves");
         apply(&mut assignment, &moves);
     }
     let mut used: HashMap<Arc<str>, f64> = HashMap::new();
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -194,7 +194,7 @@
         }
     }
     for host in &site.hosts {
-        eventually("the later key is honoured", 4_000, async || {
+        eventually("the later key is accepted", 4_000, async || {
             let response = order(host, &[("authorization", &token("a later key"))]).await;
             response.is_some_and(|(response, _)| response.status == StatusCode::OK)
         })
@@ -224,7 +224,7 @@
         assert_eq!(site.record.runs(&id), 0);
     }
     site.store.set_faults(Faults::default());
-    eventually("the later key is honoured", 8_000, async || {
+    eventually("the later key is accepted", 8_000, async || {
         let response = order(&site.hosts[0], &[("authorization", &token("a later key"))]).await;
         response.is_some_and(|(response, _)| response.status == StatusCode::OK)
     })
