--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn keys_are_honoured_most_of_the_time() {
+fn keys_are_accepted_most_of_the_time() {
     const SIMULATIONS: u64 = 20;
     let accepted: u64 = (0..SIMULATIONS)
         .map(|seed| {
