--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -176,7 +176,7 @@
 }
 
 #[tokio::test]
-async fn revoked_keys_are_not_honoured_past_the_bound() {
+async fn revoked_keys_are_not_accepted_past_the_bound() {
     let site = start(2, json!({})).await;
     let revoked = with_workspace(3, &["a later key"], json!({}));
     // One host is stopped while the key is revoked, and continues after the bound.
