--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -218,7 +218,7 @@
     let server = deployment.server(workload);
     let each = Duration::from_millis(4_500);
     let named = advertise_in_turn(server, &[30.0, 10.0, 0.5, 0.0, 20.0], each).await;
-    let ended = Instant::now();
+    let withdrawn_at = Instant::now();
     named.check(server, &deployment.traffic, &[])?;
     server.advertise_limit(Some("a lot"));
     time::sleep(Duration::from_secs(2)).await;
@@ -229,7 +229,7 @@
     let got_keys = server
         .received_requests()
         .iter()
-        .any(|request| request.at > ended + Duration::from_secs(2));
+        .any(|request| request.at > withdrawn_at + Duration::from_secs(2));
     for host in deployment
         .site
         .hosts
@@ -244,7 +244,11 @@
             ));
         }
     }
-    served_at_least(&deployment, ended + Duration::from_secs(3), Instant::now())?;
+    served_at_least(
+        &deployment,
+        withdrawn_at + Duration::from_secs(3),
+        Instant::now(),
+    )?;
     violations(&deployment)
 }
 
