--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -89,10 +89,10 @@
         } else {
             case.demand_per_s.0
         };
-        let favoured = usize::from(case.moves && is_late);
+        let preferred_host = usize::from(case.moves && is_late);
         if rng.random::<f64>() < per_s / 1_000.0 {
             let index = if rng.random::<f64>() < case.first_share {
-                favoured
+                preferred_host
             } else {
                 rng.random_range(0..case.hosts)
             };
