--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -480,23 +480,23 @@
     struct Case {
         intervals: u32,
         per_interval: u32,
-        believed: bool,
+        is_counted: bool,
     }
     let cases = [
         Case {
             intervals: 4,
             per_interval: 20,
-            believed: true,
+            is_counted: true,
         },
         Case {
             intervals: 4,
             per_interval: 2,
-            believed: false,
+            is_counted: false,
         },
         Case {
             intervals: 1,
             per_interval: 3,
-            believed: false,
+            is_counted: false,
         },
     ];
     let hot = range(30_000, 30_199);
@@ -508,7 +508,7 @@
         let load = counts.loads(&holdings, 10.0).of(hot);
         let truth = f64::from(case.per_interval) * 10.0;
         let seen = load > truth / 2.0;
-        assert_eq!(seen, case.believed, "{load} of {truth}");
+        assert_eq!(seen, case.is_counted, "{load} of {truth}");
     }
 }
 
