--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -185,8 +185,8 @@
             "the refusal is late"
         );
         let refusals = host.events("request").into_iter();
-        let of_quarantine = |line: &String| line.contains("several servers have ended");
-        for line in refusals.filter(of_quarantine) {
+        let is_quarantine_refusal = |line: &String| line.contains("several servers have ended");
+        for line in refusals.filter(is_quarantine_refusal) {
             let event: Value = serde_json::from_str(&line).expect("an event");
             let after_ms = event["after_ms"].as_u64();
             assert!(after_ms < Some(400), "the refusal is late: {line}");
