--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -413,15 +413,15 @@
 #[tokio::test]
 async fn a_late_heartbeat_of_an_earlier_incarnation_takes_no_keys() {
     let site = Site::start(2, 3).await;
-    let living = &site.keyed[0];
-    let held = living.keys_held();
+    let live_server = &site.keyed[0];
+    let held = live_server.keys_held();
     assert!(held > 0);
     // The store accepts a late entry of an earlier incarnation at the same address.
-    living.register_another(&site.store, "i-earlier");
+    live_server.register_another(&site.store, "i-earlier");
     time::sleep(Duration::from_millis(2_000)).await;
     site.store.remove("servers", "i-earlier");
     time::sleep(Duration::from_millis(2_000)).await;
-    assert_eq!(living.keys_held(), held);
+    assert_eq!(live_server.keys_held(), held);
     for host in &site.hosts {
         for key in [3, 30_000, 60_000] {
             assert_eq!(get(host, key).await, Some(StatusCode::OK));
