--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -304,8 +304,8 @@
     site.await_ready().await;
     proxy.set(Mode::Silent);
     time::sleep(Duration::from_millis(6_000)).await;
-    let gone = &site.orders[0];
-    site.store.remove("servers", &gone.id);
+    let removed_server = &site.orders[0];
+    site.store.remove("servers", &removed_server.id);
     site.store.compact_history();
     time::sleep(Duration::from_millis(500)).await;
     // Resets the connections, so that data held back by the proxy is not delivered later.
@@ -313,12 +313,12 @@
     time::sleep(Duration::from_millis(50)).await;
     proxy.set(Mode::Pass);
     time::sleep(Duration::from_millis(3_000)).await;
-    let served = gone.served();
+    let served = removed_server.served();
     for number in 0..30 {
         let id = format!("after-{number}");
         ask_once(site.hosts[0].callers, order(&id)).await;
     }
-    assert_eq!(gone.served(), served);
+    assert_eq!(removed_server.served(), served);
 }
 
 #[tokio::test]
