--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -327,10 +327,10 @@
     let mut unused = Caller::connect(site.hosts[0].callers)
         .await
         .expect("connection");
-    let mut kept = Caller::connect(site.hosts[0].callers)
+    let mut persistent = Caller::connect(site.hosts[0].callers)
         .await
         .expect("connection");
-    assert!(kept.ask(order("before")).await.is_some());
+    assert!(persistent.ask(order("before")).await.is_some());
     site.hosts[0].signal("TERM");
     let began = Instant::now();
     time::sleep(Duration::from_millis(100)).await;
@@ -339,7 +339,7 @@
         ready.expect("a response").status,
         StatusCode::SERVICE_UNAVAILABLE
     );
-    let response = kept.ask(order("during")).await.expect("a response");
+    let response = persistent.ask(order("during")).await.expect("a response");
     assert_eq!(response.status, StatusCode::OK);
     assert_eq!(response.headers["connection"], "close");
     // A connection that was opened before the stop and never used stays open after the listener
