--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -131,12 +131,12 @@
     time::sleep(Duration::from_millis(3_000)).await;
     let before = site.store.calls();
     let kinds_before = site.store.calls_by_kind();
-    let mut joined = Vec::new();
+    let mut joined_servers = Vec::new();
     for _ in 0..5 {
-        joined.push(Server::start(&site.store, &site.record, ORDERS).await);
+        joined_servers.push(Server::start(&site.store, &site.record, ORDERS).await);
         time::sleep(Duration::from_millis(1_200)).await;
     }
-    let leaving = &joined[0];
+    let leaving = &joined_servers[0];
     leaving.write_entry(&site.store, "draining");
     time::sleep(Duration::from_millis(1_000)).await;
     // The duty holder confirms the duty 12 times in 7 s, and reads the servers for each of the six
@@ -150,7 +150,7 @@
     );
     for host in &site.hosts {
         let seen = host.events("server");
-        for server in &joined {
+        for server in &joined_servers {
             assert!(seen.iter().any(|line| line.contains(&server.id)));
         }
         let served = leaving.served();
@@ -282,9 +282,9 @@
     let duty_holder = duty_holder(&site);
     time::sleep(Duration::from_millis(4_000)).await;
     let before = site.store.calls();
-    let mut joined = Vec::new();
+    let mut joined_servers = Vec::new();
     for _ in 0..3 {
-        joined.push(Server::start(&site.store, &site.record, ORDERS).await);
+        joined_servers.push(Server::start(&site.store, &site.record, ORDERS).await);
         time::sleep(Duration::from_millis(1_000)).await;
     }
     let calls = site.store.calls() - before;
@@ -293,7 +293,7 @@
     assert!(calls <= 20, "{calls} calls");
     for host in &site.hosts {
         let seen = host.events("server");
-        for server in &joined {
+        for server in &joined_servers {
             assert!(seen.iter().any(|line| line.contains(&server.id)));
         }
     }
@@ -303,7 +303,7 @@
     for number in &stopped {
         site.hosts[*number].signal("STOP");
     }
-    let leaving = &joined[0];
+    let leaving = &joined_servers[0];
     leaving.write_entry(&site.store, "draining");
     time::sleep(Duration::from_millis(2_000)).await;
     let running = others().filter(|number| !stopped.contains(number));
