--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -286,7 +286,8 @@
     let prefixes: Vec<String> = (0..600).map(|number| format!("/added-{number}/")).collect();
     let prefixes: Vec<&str> = prefixes.iter().map(String::as_str).collect();
     let large = configuration(0x10, &prefixes);
-    // The transfer takes over a second, while the duty holder has the configuration at once.
+    // The transfer to the host behind the slow link takes over a second; the duty holder has the
+    // configuration at once.
     assert!(large.to_string().len() > 80_000);
     site.store.put("op", "config", &large);
     eventually("the new route is served", 2_500, async || {
--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -1,4 +1,4 @@
-//! Tests that the time limits derived from the bounds in the settings keep these bounds.
+//! Tests that the time limits keep the bounds in the settings from which they are derived.
 
 use ashroad::entry::{bounds::Bounds, limits::TimeLimits, settings::Settings};
 use quickcheck::quickcheck;
--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -36,8 +36,8 @@
 const REST_MS: u64 = 2_000;
 /// Time for which servers reject requests in a test.
 const REJECTION_TIME: Duration = Duration::from_millis(8_000);
-/// Time within which a host refuses requests that no server can serve, by its own clock; as in
-/// tests/entry_crashes.rs.
+/// Time within which a host refuses requests that no server can serve, as its own log states it.
+/// tests/entry_crashes.rs has the same limit.
 const AT_ONCE_MS: u64 = 400;
 
 /// Returns the delays of the requests that reached a server too late: a caller sent them to a host
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -147,7 +147,7 @@
     }
 }
 
-/// Returns the largest number of requests in one window, given their times.
+/// Returns the largest number of requests in one window. `times` are those of the requests, in ms.
 fn most_in_window(times: &[u64]) -> usize {
     let mut first = 0;
     let mut most = 0;
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -1,4 +1,4 @@
-//! Rules of entry hosts that need no processes: holdings, plans, routes, choice of servers,
+//! Tests rules of entry hosts without processes: holdings, plans, routes, choice of servers,
 //! retries.
 
 use std::{collections::HashMap, sync::Arc};
--- a/tests/platform_standin/caller.rs
+++ b/tests/platform_standin/caller.rs
@@ -20,11 +20,9 @@
 /// Response of a host, with its complete body.
 #[derive(Debug)]
 pub struct CallerResponse {
-    /// Status code.
     pub status: StatusCode,
     /// All headers of the response.
     pub headers: HeaderMap,
-    /// Complete body.
     pub body: Bytes,
 }
 
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -100,12 +100,10 @@
         triggers_crash
     }
 
-    /// Returns the descriptions of violated invariants.
     pub fn violations(&self) -> Vec<String> {
         lock(&self.violations).clone()
     }
 
-    /// Records a violated invariant.
     pub fn report_violation(&self, text: String) {
         lock(&self.violations).push(text);
     }
@@ -184,13 +182,11 @@
 /// Keys that one server holds.
 #[derive(Debug)]
 pub struct Holdings {
-    /// Identifier of the server.
     id: String,
     /// Service that the server belongs to.
     service: String,
     /// False once the server has crashed, so that it holds no keys.
     up: AtomicBool,
-    /// State of each key.
     keys: Mutex<Vec<KeyState>>,
 }
 
@@ -219,7 +215,6 @@
 struct State {
     holdings: Arc<Holdings>,
     record: Arc<RunRecord>,
-    /// Availability zone of the server.
     zone: String,
     /// True if the server runs only requests for keys that it holds.
     sharded: bool,
@@ -268,9 +263,7 @@
 /// Properties of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerKind<'a> {
-    /// Name of the service.
     pub service: &'a str,
-    /// Availability zone of the server.
     pub zone: &'a str,
     /// True if it runs only requests for keys that it holds.
     pub sharded: bool,
@@ -401,7 +394,6 @@
         *lock(&self.state.rate_limit) = rate.map(str::to_owned);
     }
 
-    /// Sets the run time of a request.
     pub fn set_work_ms(&self, work_ms: u64) {
         self.state.work_ms.store(work_ms, Ordering::Relaxed);
     }
--- a/tests/platform_standin/site.rs
+++ b/tests/platform_standin/site.rs
@@ -42,7 +42,6 @@
     pub keyed: Vec<Server>,
     /// Servers of the service without keys.
     pub orders: Vec<Server>,
-    /// Entry hosts.
     pub hosts: Vec<Host>,
 }
 
--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -60,7 +60,6 @@
     transactions: u64,
     /// Time of the last transaction of a named partition.
     part_written: Option<Instant>,
-    /// Number of calls.
     calls: u64,
     /// Number of calls by path and table.
     kinds: BTreeMap<String, u64>,
@@ -126,7 +125,6 @@
         self.state.changed.notify_waiters();
     }
 
-    /// Removes a row.
     pub fn remove(&self, table: &str, key: &str) {
         let mut rows = self.state.rows();
         rows.version += 1;
@@ -163,7 +161,6 @@
         serde_json::from_slice(&bytes).ok()
     }
 
-    /// Returns the number of calls.
     pub fn calls(&self) -> u64 {
         self.state.rows().calls
     }
