--- a/src/entry/updates/proof.rs
+++ b/src/entry/updates/proof.rs
@@ -13,7 +13,7 @@
 
 /// Latest time at which this host's configuration was proved to be the current one.
 #[derive(Debug, Default)]
-pub struct ConfigurationProof {
+pub struct ConfigurationConfirmation {
     /// Time of the latest proof; 0 before the first.
     proved_ms: AtomicU64,
     /// True while the latest configuration cannot be decoded: the one in force is then outdated and
@@ -23,7 +23,7 @@
     query: PendingQuery,
 }
 
-impl ConfigurationProof {
+impl ConfigurationConfirmation {
     /// Records that the configuration in force was the current one at a time.
     pub fn note(&self, at_ms: u64) {
         self.proved_ms.fetch_max(at_ms, Ordering::Relaxed);
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -4,7 +4,7 @@
 
 use ashroad::entry::{
     decide::trust::{KeyVerdict, TrustLimits, judge},
-    updates::proof::ConfigurationProof,
+    updates::proof::ConfigurationConfirmation,
 };
 use quickcheck::quickcheck;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -93,7 +93,7 @@
 
 #[derive(Debug, Default)]
 struct Host {
-    proof: ConfigurationProof,
+    proof: ConfigurationConfirmation,
     version: u64,
     cut_until_ms: u64,
     frozen_until_ms: u64,
