--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -78,7 +78,7 @@
 
     /// Keeps confirming that the configuration in force is the latest one, if operators set a bound
     /// on revocations.
-    pub(super) async fn maintain_configuration_proof(self: Arc<Self>) {
+    pub(super) async fn keep_configuration_confirmed(self: Arc<Self>) {
         let Some(bound_ms) = self.settings.bounds.revocation_ms else {
             return;
         };
