--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -109,7 +109,7 @@
                         pause_ms = RETRY_PAUSE_MS;
                         let has_more = changes.is_full_page();
                         self.apply_changes(followed, after, changes);
-                        self.note_proof_of_store(followed, began_ms);
+                        self.note_confirmation_by_store(followed, began_ms);
                         if !has_more {
                             self.feed_pause(followed, began_ms).await;
                         }
@@ -223,7 +223,7 @@
 
     /// Records that the store has delivered all changes of a table up to the time of the call; for
     /// the configuration that is the proof of its age.
-    fn note_proof_of_store(&self, followed: FollowedTable, asked_ms: u64) {
+    fn note_confirmation_by_store(&self, followed: FollowedTable, asked_ms: u64) {
         if followed == FollowedTable::Configuration {
             self.proof.note(asked_ms);
         }
@@ -336,7 +336,7 @@
                 }
                 self.apply_table(followed, rows);
                 self.freshness.note_applied(followed, version);
-                self.note_proof_of_store(followed, asked_ms);
+                self.note_confirmation_by_store(followed, asked_ms);
                 true
             }
             Err(error) => {
