--- a/src/entry/decide/trust.rs
+++ b/src/entry/decide/trust.rs
@@ -29,10 +29,10 @@
     Unverified,
 }
 
-/// Checks a key. `is_known` is true if the configuration has the key; `proof_age_ms` is the time
+/// Checks a key. `is_known` is true if the configuration has the key; `confirmation_age_ms` is the time
 /// since the configuration was last confirmed as the latest one, `None` if it never was.
-pub fn judge(is_known: bool, proof_age_ms: Option<u64>, limits: TrustLimits) -> KeyVerdict {
-    let is_proved_within = |bound_ms| proof_age_ms.is_some_and(|age_ms| age_ms <= bound_ms);
+pub fn judge(is_known: bool, confirmation_age_ms: Option<u64>, limits: TrustLimits) -> KeyVerdict {
+    let is_proved_within = |bound_ms| confirmation_age_ms.is_some_and(|age_ms| age_ms <= bound_ms);
     if !is_known {
         return if is_proved_within(limits.configuration_ms) {
             KeyVerdict::Unknown
