--- a/src/entry/updates/proof.rs
+++ b/src/entry/updates/proof.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub struct ConfigurationConfirmation {
     /// Time of the latest proof; 0 before the first.
-    proved_ms: AtomicU64,
+    confirmed_ms: AtomicU64,
     /// True while the latest configuration cannot be decoded: the one in force is then outdated and
     /// proves nothing.
     unreadable: AtomicBool,
@@ -26,7 +26,7 @@
 impl ConfigurationConfirmation {
     /// Records that the configuration in force was the current one at a time.
     pub fn note(&self, at_ms: u64) {
-        self.proved_ms.fetch_max(at_ms, Ordering::Relaxed);
+        self.confirmed_ms.fetch_max(at_ms, Ordering::Relaxed);
     }
 
     /// Records whether the latest configuration cannot be decoded.
@@ -37,9 +37,9 @@
     /// Returns the time since the configuration was last proved to be the current one; `None` if it
     /// never was.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
-        let proved_ms = self.proved_ms.load(Ordering::Relaxed);
-        let proves = proved_ms > 0 && !self.unreadable.load(Ordering::Relaxed);
-        proves.then(|| now_ms.saturating_sub(proved_ms))
+        let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
+        let proves = confirmed_ms > 0 && !self.unreadable.load(Ordering::Relaxed);
+        proves.then(|| now_ms.saturating_sub(confirmed_ms))
     }
 
     /// Records a query to the duty holder.
