--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -22,7 +22,7 @@
 
 /// Queries of the duty holder within the bound on revocations: how many times the confirmation is
 /// refreshed before it would be too old.
-const PROOF_REQUESTS_PER_BOUND: u64 = 8;
+const CONFIRMATIONS_PER_BOUND: u64 = 8;
 /// Age of the confirmation, in percent of the bound on revocations, from which a host queries the
 /// store itself.
 const STORE_QUERY_PERCENT: u64 = 40;
@@ -82,7 +82,7 @@
         let Some(bound_ms) = self.settings.bounds.revocation_ms else {
             return;
         };
-        let every_ms = bound_ms / PROOF_REQUESTS_PER_BOUND;
+        let every_ms = bound_ms / CONFIRMATIONS_PER_BOUND;
         loop {
             time::sleep(Duration::from_millis(every_ms)).await;
             let due_ms = if self.duty.term() > 0 {
