--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -38,7 +38,7 @@
     /// Returns the current recipients of a message to all hosts.
     pub(super) fn current_fanout(&self) -> Fanout {
         let now_ms = clock::now_ms();
-        let term = self.holder_term.load(Ordering::Relaxed);
+        let term = self.duty_holder_term.load(Ordering::Relaxed);
         let peers = self.peers();
         let candidates = peers.iter();
         let candidates = candidates.map(|(address, peer)| peer.relay_candidate(*address, now_ms));
