--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -130,7 +130,7 @@
     duty_holder: Mutex<Option<SocketAddr>>,
     duty_holder_term: AtomicU64,
     duty_holder_hosts: AtomicUsize,
-    holder_heard_ms: AtomicU64,
+    duty_holder_heard_ms: AtomicU64,
     /// Paces that other hosts reported and that are not applied yet.
     paces: Mutex<Vec<ReportedPace>>,
     one_way_delay: Mutex<OneWayDelay>,
@@ -294,8 +294,8 @@
     }
 
     /// Returns the time of the last heartbeat received from the duty holder.
-    pub fn holder_heard_ms(&self) -> u64 {
-        self.holder_heard_ms.load(Ordering::Relaxed)
+    pub fn duty_holder_heard_ms(&self) -> u64 {
+        self.duty_holder_heard_ms.load(Ordering::Relaxed)
     }
 
     /// Counts a request for a key.
@@ -419,7 +419,7 @@
             return false;
         }
         self.duty_holder_term.store(term, Ordering::Relaxed);
-        self.holder_heard_ms
+        self.duty_holder_heard_ms
             .store(clock::now_ms(), Ordering::Relaxed);
         *self.duty_holder() = Some(from);
         true
