--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -105,7 +105,7 @@
         self.proof.ask(nonce, clock::now_ms());
         if !self
             .peers
-            .send_to_holder(&Message::QueryConfigurationAge { nonce })
+            .send_to_duty_holder(&Message::QueryConfigurationAge { nonce })
         {
             log::debug!("configuration not confirmed: no duty holder can be reached");
         }
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -316,7 +316,8 @@
             service_tag: tag_of(&self.service),
             key,
         };
-        let asked = entry.freshness.is_store_confirmed() && entry.peers.send_to_holder(&inputs);
+        let asked =
+            entry.freshness.is_store_confirmed() && entry.peers.send_to_duty_holder(&inputs);
         if !asked {
             entry.view.request_read(FollowedTable::Own);
         }
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -70,7 +70,7 @@
         }
         if self.duty.term() > 0 {
             self.take_rests(self.settings.listen.peers, &rests);
-        } else if !self.peers.send_to_holder(&Message::ReportRests(rests)) {
+        } else if !self.peers.send_to_duty_holder(&Message::ReportRests(rests)) {
             log::debug!("no duty holder is known to report rests of servers to");
         }
     }
@@ -92,7 +92,11 @@
         if self.duty.term() == 0 {
             let said = registry.servers().filter(|s| s.leaves_by_notice_only());
             let tags: Vec<u32> = said.map(|s| s.tag).take(ENTRIES_MAX).collect();
-            if !tags.is_empty() && !self.peers.send_to_holder(&Message::ReportLeaving(tags)) {
+            if !tags.is_empty()
+                && !self
+                    .peers
+                    .send_to_duty_holder(&Message::ReportLeaving(tags))
+            {
                 log::debug!("no duty holder is known to report leaving servers to");
             }
             return;
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -348,7 +348,7 @@
     }
 
     /// Sends a message to the duty holder. Returns false if none is known.
-    pub(in crate::entry) fn send_to_holder(&self, message: &Message) -> bool {
+    pub(in crate::entry) fn send_to_duty_holder(&self, message: &Message) -> bool {
         let Some(duty_holder) = *self.duty_holder() else {
             return false;
         };
