--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -414,7 +414,7 @@
 
     /// Records a heartbeat of the duty holder. Returns false and ignores it if a later term is
     /// known.
-    fn note_holder(&self, from: SocketAddr, term: u64) -> bool {
+    fn note_duty_holder(&self, from: SocketAddr, term: u64) -> bool {
         if term < self.duty_holder_term.load(Ordering::Relaxed) {
             return false;
         }
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -121,7 +121,7 @@
                 self.view.evacuate(evacuations);
                 self.put_in_quarantine(&quarantined, "the holder of the duty tells it");
                 let updates = updates.aged_by(self.peers.excess_delay_ms(term, sent_ms));
-                self.note_holder(from, term, updates, hot);
+                self.note_duty_holder(from, term, updates, hot);
             }
             Message::Report { servers, paces, .. } => {
                 self.peers.note_report(from, servers);
@@ -201,7 +201,7 @@
         }
     }
 
-    fn note_holder(
+    fn note_duty_holder(
         &self,
         from: SocketAddr,
         term: u64,
@@ -211,7 +211,7 @@
         if let Some(term) = self.duty.note_other_term(term) {
             self.peers.send(&Message::Stopped { term }, &[from]);
         }
-        if self.peers.note_holder(from, term) {
+        if self.peers.note_duty_holder(from, term) {
             self.note_store_answer(self.freshness.note_announced(updates));
             self.hot_keys.note_announced(hot, clock::now_ms());
         }
