--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -79,7 +79,7 @@
                 continue;
             }
             self.broadcast.end_reading(followed);
-            self.wait_for_holder_at_start(followed).await;
+            self.wait_for_duty_holder_at_start(followed).await;
             let mut called_ms = clock::now_ms();
             let mut trust = FeedTrust::Full;
             let mut pause_ms = RETRY_PAUSE_MS;
@@ -174,7 +174,7 @@
 
     /// Waits until the store is confirmed by the duty holder or the start period ends. Pauses the
     /// feed if the store is confirmed.
-    async fn wait_for_holder_at_start(&self, followed: FollowedTable) {
+    async fn wait_for_duty_holder_at_start(&self, followed: FollowedTable) {
         // The relays that could confirm the store are known only after the join.
         self.join.sync_outcome().await;
         let began_ms = clock::now_ms();
