--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -301,7 +301,7 @@
     /// does not hold the key.
     pub(super) async fn await_move(&self, entry: &Entry) {
         let mut changes = entry.view.changes();
-        self.query_key_holder(entry);
+        self.query_key_owner(entry);
         let wait = Duration::from_millis(KEY_RETRY_PAUSE_MS.min(self.left_ms()));
         if let Ok(Err(closed)) = time::timeout(wait, changes.changed()).await {
             log::debug!("the view no longer sends changes: {closed}");
@@ -310,7 +310,7 @@
 
     /// Queries the duty holder for the owner of the key; requests a read from the store if no duty
     /// holder can be reached.
-    fn query_key_holder(&self, entry: &Entry) {
+    fn query_key_owner(&self, entry: &Entry) {
         let Some(key) = self.key else { return };
         let inputs = Message::QueryKeyOwner {
             service_tag: tag_of(&self.service),
