--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -205,7 +205,7 @@
         let facts = HostFacts {
             incarnation: host.incarnation,
             zone_tag: host.zone_tag,
-            is_near: host.zone_tag == tag_of(&self.settings.availability_zone),
+            is_same_zone: host.zone_tag == tag_of(&self.settings.availability_zone),
             processor_share: host.processor_share,
         };
         if !self.peers.knows(host.address) || facts.incarnation.is_some() {
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -73,7 +73,7 @@
     /// Hash of the name of its availability zone.
     pub zone_tag: u32,
     /// True if the host is in the availability zone of this host.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// Share of a processor that the host has.
     pub processor_share: f32,
 }
@@ -195,7 +195,7 @@
         let now_ms = clock::now_ms();
         let near: Vec<RelayCandidate> = {
             let peers = self.peers();
-            let near = peers.iter().filter(|(_, peer)| peer.facts.is_near);
+            let near = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
             near.map(|(address, peer)| peer.relay_candidate(*address, now_ms))
                 .collect()
         };
@@ -250,7 +250,11 @@
     pub fn host_count(&self) -> HostCount {
         let peers = self.peers();
         HostCount {
-            near: peers.values().filter(|peer| peer.facts.is_near).count() + 1,
+            near: peers
+                .values()
+                .filter(|peer| peer.facts.is_same_zone)
+                .count()
+                + 1,
             all: peers.len() + 1,
         }
     }
@@ -333,7 +337,7 @@
 
     fn near_addresses(&self) -> Vec<SocketAddr> {
         let peers = self.peers();
-        let near = peers.iter().filter(|(_, peer)| peer.facts.is_near);
+        let near = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
         near.map(|(address, _)| *address).collect()
     }
 
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -98,7 +98,7 @@
             // Only the host's row proves which process runs there.
             incarnation: None,
             zone_tag: sender.zone_tag,
-            is_near: sender.zone_tag == tag_of(&self.settings.availability_zone),
+            is_same_zone: sender.zone_tag == tag_of(&self.settings.availability_zone),
             processor_share: sender.processor_share,
         };
         self.peers.add(from, facts);
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -89,7 +89,7 @@
         {
             let peers = self.peers();
             let is_heard = |peer: &Peer| now_ms <= peer.heard_ms + age_max_ms;
-            let near = peers.iter().filter(|(_, peer)| peer.facts.is_near);
+            let near = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
             let heard = near.filter(|(_, peer)| is_heard(peer));
             let heard: Vec<_> = heard.collect();
             let others = heard
@@ -102,7 +102,7 @@
             heard.iter().for_each(|(_, peer)| peer.add_to(&mut sums));
             let mut others: Vec<RelayCandidate> = peers
                 .iter()
-                .filter(|(_, peer)| !peer.facts.is_near)
+                .filter(|(_, peer)| !peer.facts.is_same_zone)
                 .map(|(address, peer)| peer.relay_candidate(*address, now_ms))
                 .collect();
             relays.extend(fanout::one_relay_per_zone(&mut others));
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -162,7 +162,7 @@
                 let facts = HostFacts {
                     incarnation: Some(host.incarnation),
                     zone_tag: tag_of(&host.availability_zone),
-                    is_near: host.availability_zone == self.settings.availability_zone,
+                    is_same_zone: host.availability_zone == self.settings.availability_zone,
                     processor_share: host.processor_share,
                 };
                 self.peers.add(address, facts);
