--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -335,7 +335,7 @@
         self.peers().keys().copied().collect()
     }
 
-    fn near_addresses(&self) -> Vec<SocketAddr> {
+    fn same_zone_addresses(&self) -> Vec<SocketAddr> {
         let peers = self.peers();
         let near = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
         near.map(|(address, _)| *address).collect()
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -72,7 +72,7 @@
             let every_ms = report_every_ms(self.peers.reporting_hosts());
             time::sleep(Duration::from_millis(every_ms)).await;
             let to = if self.peers.are_many() {
-                self.peers.near_addresses()
+                self.peers.same_zone_addresses()
             } else {
                 self.peers.addresses()
             };
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -61,7 +61,7 @@
 
     /// Forwards a message of another host to the hosts of this zone.
     pub(super) fn forward(&self, origin: SocketAddr, message: Message) {
-        let mut to = self.near_addresses();
+        let mut to = self.same_zone_addresses();
         to.retain(|address| *address != origin);
         let message = Box::new(message);
         self.send(&Message::Relayed { origin, message }, &to);
