--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -72,14 +72,14 @@
 /// Request rate that callers direct at a server: requests that only this server may run, or that
 /// are for a service it belongs to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct AskedRates {
+pub struct DemandRates {
     /// All requests a second, including the urgent ones.
     pub all_per_s: f64,
     /// Requests a second that are more urgent than others of the service.
     pub urgent_per_s: f64,
 }
 
-impl AskedRates {
+impl DemandRates {
     fn add(&mut self, other: Self) {
         self.all_per_s += other.all_per_s;
         self.urgent_per_s += other.urgent_per_s;
@@ -109,9 +109,9 @@
     own: RateMeter,
     own_urgent: RateMeter,
     /// Rates of this host's callers in its last report.
-    reported: AskedRates,
+    reported: DemandRates,
     /// Rates of the callers of all hosts, as summed by the duty holder, and the arrival time.
-    sum: Option<(AskedRates, u64)>,
+    sum: Option<(DemandRates, u64)>,
 }
 
 impl Asked {
@@ -124,13 +124,13 @@
     }
 
     /// Returns the rates of this host's callers and stores them as reported.
-    pub fn report(&mut self, now_ms: u64) -> AskedRates {
+    pub fn report(&mut self, now_ms: u64) -> DemandRates {
         self.reported = self.own(now_ms);
         self.reported
     }
 
     /// Stores the rates of the callers of all hosts.
-    pub fn note_sum(&mut self, sum: AskedRates, now_ms: u64) {
+    pub fn note_sum(&mut self, sum: DemandRates, now_ms: u64) {
         self.sum = Some((sum, now_ms));
     }
 
@@ -152,8 +152,8 @@
         }
     }
 
-    fn own(&self, now_ms: u64) -> AskedRates {
-        AskedRates {
+    fn own(&self, now_ms: u64) -> DemandRates {
+        DemandRates {
             all_per_s: self.own.per_s(now_ms),
             urgent_per_s: self.own_urgent.per_s(now_ms),
         }
@@ -161,11 +161,11 @@
 
     /// Returns the rates of the callers of all hosts: the latest sum, or without one, as if each
     /// host's callers had the same rate as this host's.
-    fn all(&self, own: AskedRates, hosts: usize, now_ms: u64) -> AskedRates {
+    fn all(&self, own: DemandRates, hosts: usize, now_ms: u64) -> DemandRates {
         let heard = self.sum.filter(|(_, at_ms)| now_ms < at_ms + SUM_KEPT_MS);
         let Some((sum, _)) = heard else {
             let hosts = hosts.max(1) as f64;
-            return AskedRates {
+            return DemandRates {
                 all_per_s: own.all_per_s * hosts,
                 urgent_per_s: own.urgent_per_s * hosts,
             };
@@ -173,7 +173,7 @@
         // A rise in this host's own rate since its report is not included in the sum yet.
         let with_rise =
             |sum: f64, own: f64, reported: f64| (sum + (own - reported).max(0.0)).max(own);
-        AskedRates {
+        DemandRates {
             all_per_s: with_rise(sum.all_per_s, own.all_per_s, self.reported.all_per_s),
             urgent_per_s: with_rise(
                 sum.urgent_per_s,
@@ -193,19 +193,19 @@
 
 /// Request rates for servers as reported by hosts, kept by the duty holder.
 #[derive(Debug, Default)]
-pub struct AskedByHost(HashMap<u32, HashMap<SocketAddr, (AskedRates, u64)>>);
+pub struct AskedByHost(HashMap<u32, HashMap<SocketAddr, (DemandRates, u64)>>);
 
 impl AskedByHost {
     /// Records the rates for a server, given by its tag, that a host reported.
-    pub fn note(&mut self, server_tag: u32, host: SocketAddr, asked: AskedRates, now_ms: u64) {
+    pub fn note(&mut self, server_tag: u32, host: SocketAddr, asked: DemandRates, now_ms: u64) {
         let hosts = self.0.entry(server_tag).or_default();
         hosts.insert(host, (asked, now_ms));
     }
 
     /// Returns the sum of all hosts' rates for a server. A host that stopped reporting counts for
     /// [`REPORT_KEPT_MS`].
-    pub fn sum(&mut self, server_tag: u32, now_ms: u64) -> AskedRates {
-        let mut sum = AskedRates::default();
+    pub fn sum(&mut self, server_tag: u32, now_ms: u64) -> DemandRates {
+        let mut sum = DemandRates::default();
         if let Some(hosts) = self.0.get_mut(&server_tag) {
             hosts.retain(|_, (_, at_ms)| now_ms < *at_ms + REPORT_KEPT_MS);
             hosts.values().for_each(|(asked, _)| sum.add(*asked));
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -9,7 +9,7 @@
         hot_keys::HotKey,
         path_tally::SharedSuspect,
         quota::{AdmittedShare, QuotaUsage},
-        rate_shares::AskedRates,
+        rate_shares::DemandRates,
         trials::ClaimSubject,
     },
     digest::RequestDigest,
@@ -103,7 +103,7 @@
     /// Limit that the server advertised last; `None` if the sender knows of none.
     pub told: Option<AdvertisedRate>,
     /// Rates at which callers request the server.
-    pub asked: AskedRates,
+    pub asked: DemandRates,
 }
 
 /// Requests that a host received and sent on behalf of a workspace.
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -6,7 +6,7 @@
     notices::Notices,
     rate_limit::AdvertisedLimit,
     rate_meter::RateMeter,
-    rate_shares::{Asked, AskedRates, Bucket, RateShare},
+    rate_shares::{Asked, Bucket, DemandRates, RateShare},
 };
 use crate::clock;
 
@@ -90,12 +90,12 @@
     }
 
     /// Returns the demand of this host's callers, for a report that is sent now.
-    pub fn report_asked(&self, now_ms: u64) -> AskedRates {
+    pub fn report_asked(&self, now_ms: u64) -> DemandRates {
         self.share().asked.report(now_ms)
     }
 
     /// Notes the demand of the callers of all hosts.
-    pub fn note_asked_sum(&self, sum: AskedRates, now_ms: u64) {
+    pub fn note_asked_sum(&self, sum: DemandRates, now_ms: u64) {
         self.share().asked.note_sum(sum, now_ms);
     }
 
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -9,7 +9,7 @@
 use ashroad::entry::decide::{
     rate_limit::{AdvertisedLimit, RateLimit},
     rate_meter::RateMeter,
-    rate_shares::{self, Asked, AskedByHost, AskedRates, Bucket},
+    rate_shares::{self, Asked, AskedByHost, Bucket, DemandRates},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -79,7 +79,7 @@
     };
     let mut hosts: Vec<Host> = (0..case.hosts).map(host).collect();
     let mut sums = AskedByHost::default();
-    let mut told: VecDeque<(u64, AskedRates)> = VecDeque::new();
+    let mut told: VecDeque<(u64, DemandRates)> = VecDeque::new();
     let mut sent = Vec::new();
     for now_ms in 1_000..1_000 + SIMULATED_MS {
         let is_late = now_ms >= 1_000 + SIMULATED_MS / 2;
@@ -423,7 +423,7 @@
     // Urgent and other requests a second that are sent to a server with a limit of ten.
     let served = |urgent_per_s: f64, non_urgent_per_s: f64| {
         let mut asked = Asked::default();
-        let sum = AskedRates {
+        let sum = DemandRates {
             all_per_s: urgent_per_s + non_urgent_per_s,
             urgent_per_s,
         };
