--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -193,9 +193,9 @@
 
 /// Request rates for servers as reported by hosts, kept by the duty holder.
 #[derive(Debug, Default)]
-pub struct AskedByHost(HashMap<u32, HashMap<SocketAddr, (DemandRates, u64)>>);
+pub struct DemandByHost(HashMap<u32, HashMap<SocketAddr, (DemandRates, u64)>>);
 
-impl AskedByHost {
+impl DemandByHost {
     /// Records the rates for a server, given by its tag, that a host reported.
     pub fn note(&mut self, server_tag: u32, host: SocketAddr, asked: DemandRates, now_ms: u64) {
         let hosts = self.0.entry(server_tag).or_default();
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -58,7 +58,7 @@
     broadcast::Broadcast,
     crashes::Crashes,
     decide::{
-        budget::RetryBudget, hot_keys::HotKeys, rate_shares::AskedByHost, rests::Rests,
+        budget::RetryBudget, hot_keys::HotKeys, rate_shares::DemandByHost, rests::Rests,
         run_shares::RunShares,
     },
     duty::Duty,
@@ -117,7 +117,7 @@
     rests: Rests,
     /// Request rates that each host reports for servers with a rate limit; collected while this
     /// host holds the duty.
-    asked_by_host: Mutex<AskedByHost>,
+    asked_by_host: Mutex<DemandByHost>,
     /// Run time of each route's requests relative to the average of their server.
     pub run_shares: RunShares,
     /// Counters, gauges and histograms.
@@ -193,7 +193,7 @@
         }
     }
 
-    fn asked_by_host(&self) -> MutexGuard<'_, AskedByHost> {
+    fn asked_by_host(&self) -> MutexGuard<'_, DemandByHost> {
         self.asked_by_host
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -9,7 +9,7 @@
 use ashroad::entry::decide::{
     rate_limit::{AdvertisedLimit, RateLimit},
     rate_meter::RateMeter,
-    rate_shares::{self, Asked, AskedByHost, Bucket, DemandRates},
+    rate_shares::{self, Asked, Bucket, DemandByHost, DemandRates},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -78,7 +78,7 @@
         ..Host::default()
     };
     let mut hosts: Vec<Host> = (0..case.hosts).map(host).collect();
-    let mut sums = AskedByHost::default();
+    let mut sums = DemandByHost::default();
     let mut told: VecDeque<(u64, DemandRates)> = VecDeque::new();
     let mut sent = Vec::new();
     for now_ms in 1_000..1_000 + SIMULATED_MS {
