--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -104,7 +104,7 @@
 
 /// Request rates for a server, as one host knows them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Asked {
+pub struct ServerDemand {
     /// Rates of this host's callers: all requests, and the urgent ones.
     own: RateMeter,
     own_urgent: RateMeter,
@@ -114,7 +114,7 @@
     sum: Option<(DemandRates, u64)>,
 }
 
-impl Asked {
+impl ServerDemand {
     /// Counts a request of this host's callers.
     pub fn note(&mut self, is_urgent: bool, now_ms: u64) {
         self.own.note(now_ms);
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -6,7 +6,7 @@
     notices::Notices,
     rate_limit::AdvertisedLimit,
     rate_meter::RateMeter,
-    rate_shares::{Asked, Bucket, DemandRates, RateShare},
+    rate_shares::{Bucket, DemandRates, RateShare, ServerDemand},
 };
 use crate::clock;
 
@@ -24,7 +24,7 @@
 /// State of this host's share: the demand of callers, and the token bucket.
 #[derive(Debug, Default)]
 struct Share {
-    asked: Asked,
+    asked: ServerDemand,
     bucket: Bucket,
 }
 
