--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -117,7 +117,7 @@
     rests: Rests,
     /// Request rates that each host reports for servers with a rate limit; collected while this
     /// host holds the duty.
-    asked_by_host: Mutex<DemandByHost>,
+    demand_by_host: Mutex<DemandByHost>,
     /// Run time of each route's requests relative to the average of their server.
     pub run_shares: RunShares,
     /// Counters, gauges and histograms.
@@ -166,7 +166,7 @@
             crashes: Crashes::default(),
             notice_received: Notify::new(),
             rests: Rests::default(),
-            asked_by_host: Mutex::default(),
+            demand_by_host: Mutex::default(),
             run_shares: RunShares::default(),
             metrics: Metrics::default(),
             registered: AtomicBool::new(false),
@@ -193,8 +193,8 @@
         }
     }
 
-    fn asked_by_host(&self) -> MutexGuard<'_, DemandByHost> {
-        self.asked_by_host
+    fn demand_by_host(&self) -> MutexGuard<'_, DemandByHost> {
+        self.demand_by_host
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -87,7 +87,7 @@
         }
         let now_ms = clock::now_ms();
         self.note_limits(rates, now_ms);
-        let mut asked = self.asked_by_host();
+        let mut asked = self.demand_by_host();
         for rate in rates {
             asked.note(rate.server_tag, host, rate.asked, now_ms);
         }
@@ -101,7 +101,7 @@
             let limited = registry
                 .servers()
                 .filter(|s| s.rate.should_announce(now_ms));
-            let mut asked = self.asked_by_host();
+            let mut asked = self.demand_by_host();
             let rates = limited.map(|server| ServerRate {
                 server_tag: server.tag,
                 told: told(server.rate.latest(), now_ms),
@@ -110,7 +110,7 @@
             rates.collect()
         };
         let is_limited = |tag| rates.iter().any(|rate| rate.server_tag == tag);
-        self.asked_by_host().retain(is_limited);
+        self.demand_by_host().retain(is_limited);
         self.apply_rate_totals(&rates);
         for rates in rates.chunks(RATES_MAX) {
             self.peers.send_to_all(Message::RateTotals(rates.to_vec()));
