--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Ledger {
     left: f64,
-    asked_weight: f64,
+    demand_weight: f64,
     began_ms: u64,
     at_ms: u64,
 }
@@ -72,7 +72,7 @@
     pub fn new(now_ms: u64) -> Self {
         Self {
             left: 0.0,
-            asked_weight: 0.0,
+            demand_weight: 0.0,
             began_ms: now_ms,
             at_ms: now_ms,
         }
@@ -81,7 +81,7 @@
     /// Debits the usage that a host reported.
     pub fn note(&mut self, quota: Quota, reported: QuotaUsage, now_ms: u64) {
         self.accrue(quota, now_ms);
-        self.asked_weight += f64::from(reported.asked);
+        self.demand_weight += f64::from(reported.asked);
         let least = -OVERDRAWN_MAX_S * quota.per_s;
         self.left = (self.left - f64::from(reported.sent)).max(least);
     }
@@ -104,14 +104,14 @@
 
     /// Returns true if no requests were reported for a long time.
     pub fn is_idle(&self) -> bool {
-        self.asked_weight < 1e-6
+        self.demand_weight < 1e-6
     }
 
     fn accrue(&mut self, quota: Quota, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.at_ms) as f64;
         let accrued = quota.per_s * ACCRUED_SHARE * elapsed_ms / 1_000.0;
         self.left = (self.left + accrued).min(quota.burst);
-        self.asked_weight *= (-elapsed_ms / ASKED_MEMORY_MS).exp();
+        self.demand_weight *= (-elapsed_ms / ASKED_MEMORY_MS).exp();
         self.at_ms = now_ms;
     }
 
@@ -120,7 +120,7 @@
     fn asked_per_s(&self) -> f64 {
         let age_ms = self.at_ms.saturating_sub(self.began_ms) as f64;
         let heard = (1.0 - (-age_ms / ASKED_MEMORY_MS).exp()).max(0.2);
-        self.asked_weight * 1_000.0 / ASKED_MEMORY_MS / heard
+        self.demand_weight * 1_000.0 / ASKED_MEMORY_MS / heard
     }
 }
 
