--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -124,7 +124,7 @@
         let registry = self.view.registry();
         for rate in rates {
             let named = registry.servers().filter(|s| s.tag == rate.server_tag);
-            named.for_each(|server| server.rate.note_asked_sum(rate.asked, now_ms));
+            named.for_each(|server| server.rate.note_demand_sum(rate.asked, now_ms));
         }
     }
 
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -95,7 +95,7 @@
     }
 
     /// Notes the demand of the callers of all hosts.
-    pub fn note_asked_sum(&self, sum: DemandRates, now_ms: u64) {
+    pub fn note_demand_sum(&self, sum: DemandRates, now_ms: u64) {
         self.share().asked.note_sum(sum, now_ms);
     }
 
