--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -63,7 +63,7 @@
         let rates = limited.map(|server| ServerRate {
             server_tag: server.tag,
             told: told(server.rate.own(), now_ms),
-            asked: server.rate.report_asked(now_ms),
+            asked: server.rate.report_demand(now_ms),
         });
         rates.collect()
     }
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -90,7 +90,7 @@
     }
 
     /// Returns the demand of this host's callers, for a report that is sent now.
-    pub fn report_asked(&self, now_ms: u64) -> DemandRates {
+    pub fn report_demand(&self, now_ms: u64) -> DemandRates {
         self.share().asked.report(now_ms)
     }
 
