--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -60,7 +60,7 @@
         let Some(rate_share) = server.rate.rate_share(hosts, is_urgent) else {
             return true;
         };
-        server.rate.note_asked(is_urgent);
+        server.rate.note_demand(is_urgent);
         let is_admitted = rate_shares::is_admitted(point, before, rate_share.admit_probability);
         before += rate_share.admit_probability;
         is_admitted && server.rate.has_token(rate_share)
@@ -255,7 +255,7 @@
             let reason = "the key's server is in a region where the request may not be served";
             return Err(Refused::soon(reason, policy));
         }
-        server.rate.note_asked(self.is_urgent());
+        server.rate.note_demand(self.is_urgent());
         let limits = &entry.limits;
         if !server.serves_held_keys(limits.evacuation_hold_ms)
             || server.is_closed_to(self.times.arrived_ms, limits.notice_hold_ms)
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -85,7 +85,7 @@
     }
 
     /// Counts a request of a caller that could be sent to the server.
-    pub fn note_asked(&self, is_urgent: bool) {
+    pub fn note_demand(&self, is_urgent: bool) {
         self.share().asked.note(is_urgent, clock::now_ms());
     }
 
