--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -8,7 +8,7 @@
 
 use super::{
     Entry,
-    decide::trust::{self, KeyVerdict, TrustLimits},
+    decide::trust::{self, ApiKeyLimits, KeyVerdict},
     model::{Configuration, Route},
     peers::message::Message,
     updates::followed::FollowedTable,
@@ -50,7 +50,7 @@
         };
         let api_key = headers::api_key(headers);
         let workspace = api_key.and_then(|api_key| workspaces.by_api_key(api_key));
-        let limits = TrustLimits {
+        let limits = ApiKeyLimits {
             revocation_ms: self.settings.bounds.revocation_ms,
             configuration_ms: self.settings.bounds.configuration_ms,
         };
--- a/src/entry/decide/trust.rs
+++ b/src/entry/decide/trust.rs
@@ -10,7 +10,7 @@
 
 /// Ages up to which a configuration is relied on.
 #[derive(Clone, Copy, Debug)]
-pub struct TrustLimits {
+pub struct ApiKeyLimits {
     /// Time after which a revoked key must not be accepted; `None` if only the bound of
     /// configurations applies.
     pub revocation_ms: Option<u64>,
@@ -31,7 +31,7 @@
 
 /// Checks a key. `is_known` is true if the configuration has the key; `confirmation_age_ms` is the time
 /// since the configuration was last confirmed as the latest one, `None` if it never was.
-pub fn judge(is_known: bool, confirmation_age_ms: Option<u64>, limits: TrustLimits) -> KeyVerdict {
+pub fn judge(is_known: bool, confirmation_age_ms: Option<u64>, limits: ApiKeyLimits) -> KeyVerdict {
     let is_proved_within = |bound_ms| confirmation_age_ms.is_some_and(|age_ms| age_ms <= bound_ms);
     if !is_known {
         return if is_proved_within(limits.configuration_ms) {
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -3,7 +3,7 @@
 //! from each other.
 
 use ashroad::entry::{
-    decide::trust::{KeyVerdict, TrustLimits, judge},
+    decide::trust::{ApiKeyLimits, KeyVerdict, judge},
     updates::proof::ConfigurationConfirmation,
 };
 use quickcheck::quickcheck;
@@ -11,7 +11,7 @@
 
 const REVOCATION_MS: u64 = 2_000;
 const CONFIGURATION_MS: u64 = 3_000;
-const LIMITS: TrustLimits = TrustLimits {
+const LIMITS: ApiKeyLimits = ApiKeyLimits {
     revocation_ms: Some(REVOCATION_MS),
     configuration_ms: CONFIGURATION_MS,
 };
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ashroad::entry::decide::trust::{KeyVerdict, TrustLimits, judge};
+use ashroad::entry::decide::trust::{ApiKeyLimits, KeyVerdict, judge};
 use http::StatusCode;
 use serde_json::{Value, json};
 use tokio::time;
@@ -286,7 +286,7 @@
         case(false, None, None, KeyVerdict::Unverified),
     ];
     for case in cases {
-        let limits = TrustLimits {
+        let limits = ApiKeyLimits {
             revocation_ms: case.revocation_ms,
             configuration_ms: 2_500,
         };
