--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -8,7 +8,7 @@
 
 use super::{
     Entry,
-    decide::trust::{self, ApiKeyLimits, KeyVerdict},
+    decide::trust::{self, ApiKeyLimits, ApiKeyVerdict},
     model::{Configuration, Route},
     peers::message::Message,
     updates::followed::FollowedTable,
@@ -55,9 +55,9 @@
             configuration_ms: self.settings.bounds.configuration_ms,
         };
         match trust::judge(workspace.is_some(), self.configuration_age_ms(), limits) {
-            KeyVerdict::Honoured => Ok(workspace),
-            KeyVerdict::Unknown => Err(Denied::Unauthorized),
-            KeyVerdict::Unverified => Err(Denied::Unverified),
+            ApiKeyVerdict::Honoured => Ok(workspace),
+            ApiKeyVerdict::Unknown => Err(Denied::Unauthorized),
+            ApiKeyVerdict::Unverified => Err(Denied::Unverified),
         }
     }
 
--- a/src/entry/decide/trust.rs
+++ b/src/entry/decide/trust.rs
@@ -20,7 +20,7 @@
 
 /// Result of the check of an API key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyVerdict {
+pub enum ApiKeyVerdict {
     /// The key is valid.
     Honoured,
     /// The key is certainly not valid.
@@ -31,19 +31,23 @@
 
 /// Checks a key. `is_known` is true if the configuration has the key; `confirmation_age_ms` is the time
 /// since the configuration was last confirmed as the latest one, `None` if it never was.
-pub fn judge(is_known: bool, confirmation_age_ms: Option<u64>, limits: ApiKeyLimits) -> KeyVerdict {
+pub fn judge(
+    is_known: bool,
+    confirmation_age_ms: Option<u64>,
+    limits: ApiKeyLimits,
+) -> ApiKeyVerdict {
     let is_proved_within = |bound_ms| confirmation_age_ms.is_some_and(|age_ms| age_ms <= bound_ms);
     if !is_known {
         return if is_proved_within(limits.configuration_ms) {
-            KeyVerdict::Unknown
+            ApiKeyVerdict::Unknown
         } else {
-            KeyVerdict::Unverified
+            ApiKeyVerdict::Unverified
         };
     }
     match limits.revocation_ms {
         Some(bound_ms) if !is_proved_within(bound_ms.saturating_sub(REVOCATION_MARGIN_MS)) => {
-            KeyVerdict::Unverified
+            ApiKeyVerdict::Unverified
         }
-        _ => KeyVerdict::Honoured,
+        _ => ApiKeyVerdict::Honoured,
     }
 }
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -3,7 +3,7 @@
 //! from each other.
 
 use ashroad::entry::{
-    decide::trust::{ApiKeyLimits, KeyVerdict, judge},
+    decide::trust::{ApiKeyLimits, ApiKeyVerdict, judge},
     updates::proof::ConfigurationConfirmation,
 };
 use quickcheck::quickcheck;
@@ -211,7 +211,7 @@
         let outdated_ms = self.operators.written_ms(host.version + 1);
         let is_outdated = latest > host.version;
         match verdict {
-            KeyVerdict::Honoured => {
+            ApiKeyVerdict::Honoured => {
                 self.honoured += 1;
                 if is_outdated && now_ms > outdated_ms + REVOCATION_MS {
                     return Err(format!(
@@ -219,14 +219,14 @@
                     ));
                 }
             }
-            KeyVerdict::Unknown => {
+            ApiKeyVerdict::Unknown => {
                 if is_outdated && now_ms > outdated_ms + CONFIGURATION_MS {
                     return Err(format!(
                         "a key added at {outdated_ms} is unknown at {now_ms}"
                     ));
                 }
             }
-            KeyVerdict::Unverified => {}
+            ApiKeyVerdict::Unverified => {}
         }
         Ok(())
     }
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ashroad::entry::decide::trust::{ApiKeyLimits, KeyVerdict, judge};
+use ashroad::entry::decide::trust::{ApiKeyLimits, ApiKeyVerdict, judge};
 use http::StatusCode;
 use serde_json::{Value, json};
 use tokio::time;
@@ -265,7 +265,7 @@
         known: bool,
         age_ms: Option<u64>,
         revocation_ms: Option<u64>,
-        verdict: KeyVerdict,
+        verdict: ApiKeyVerdict,
     }
     let strict = Some(5_000);
     let case = |known, age_ms, revocation_ms, verdict| Case {
@@ -275,15 +275,15 @@
         verdict,
     };
     let cases = [
-        case(true, Some(0), strict, KeyVerdict::Honoured),
-        case(true, Some(4_800), strict, KeyVerdict::Honoured),
-        case(true, Some(5_000), strict, KeyVerdict::Unverified),
-        case(true, None, strict, KeyVerdict::Unverified),
-        case(true, None, None, KeyVerdict::Honoured),
-        case(false, Some(1_000), strict, KeyVerdict::Unknown),
-        case(false, Some(1_000), None, KeyVerdict::Unknown),
-        case(false, Some(3_000), strict, KeyVerdict::Unverified),
-        case(false, None, None, KeyVerdict::Unverified),
+        case(true, Some(0), strict, ApiKeyVerdict::Honoured),
+        case(true, Some(4_800), strict, ApiKeyVerdict::Honoured),
+        case(true, Some(5_000), strict, ApiKeyVerdict::Unverified),
+        case(true, None, strict, ApiKeyVerdict::Unverified),
+        case(true, None, None, ApiKeyVerdict::Honoured),
+        case(false, Some(1_000), strict, ApiKeyVerdict::Unknown),
+        case(false, Some(1_000), None, ApiKeyVerdict::Unknown),
+        case(false, Some(3_000), strict, ApiKeyVerdict::Unverified),
+        case(false, None, None, ApiKeyVerdict::Unverified),
     ];
     for case in cases {
         let limits = ApiKeyLimits {
