--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -69,14 +69,14 @@
             return;
         }
         if self.duty.term() > 0 {
-            self.take_rests(self.settings.listen.peers, &rests);
+            self.handle_rest_report(self.settings.listen.peers, &rests);
         } else if !self.peers.send_to_duty_holder(&Message::ReportRests(rests)) {
             log::debug!("no duty holder is known to report rests of servers to");
         }
     }
 
     /// Records, as the duty holder, which servers asked a host for a rest.
-    pub(in crate::entry) fn take_rests(&self, host: SocketAddr, rests: &[ServerRest]) {
+    pub(in crate::entry) fn handle_rest_report(&self, host: SocketAddr, rests: &[ServerRest]) {
         if self.duty.term() == 0 {
             return;
         }
