--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -113,7 +113,7 @@
     }
 
     /// Records, as the duty holder, servers that announced to another host that they are leaving.
-    pub(in crate::entry) fn take_reported_leaving(&self, tags: &[u32]) {
+    pub(in crate::entry) fn handle_leaving_report(&self, tags: &[u32]) {
         if self.duty.term() > 0 && self.note_leaving_elsewhere(tags) {
             self.notice_received.notify_one();
         }
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -190,7 +190,7 @@
                 age_ms,
                 changed,
             } => self.note_confirmation(nonce, age_ms, changed),
-            Message::ReportLeaving(tags) => self.take_reported_leaving(&tags),
+            Message::ReportLeaving(tags) => self.handle_leaving_report(&tags),
             Message::AnnounceLeaving(tags) => {
                 self.note_leaving_elsewhere(&tags);
             }
