--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -146,7 +146,7 @@
         let picked = self.pick(entry, &registry, &due);
         match picked.or_else(|| self.pick(entry, &registry, &usable)) {
             Some(server) => {
-                server.take_turn(self.cold_rule);
+                server.take_turn(self.warmup_limit);
                 server.rate.take_token();
                 Ok(server.clone())
             }
@@ -265,7 +265,7 @@
         if server.rest_ms() > 0 {
             return Err(Refused::resting(server.rest_ms(), policy));
         }
-        if server.is_limited_by_warmup(self.cold_rule) {
+        if server.is_limited_by_warmup(self.warmup_limit) {
             let reason = "the key's server is cold";
             return Err(Refused::after(reason, server.cold_remaining_ms(), policy));
         }
@@ -277,7 +277,7 @@
         if !is_under_rate_limit(server, entry.sharing_hosts(), self.is_urgent()) {
             return Err(Refused::limited(policy));
         }
-        server.take_turn(self.cold_rule);
+        server.take_turn(self.warmup_limit);
         server.rate.take_token();
         Ok(server.clone())
     }
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -57,7 +57,7 @@
     /// Key that the request is for; `None` if the service is not sharded.
     pub(super) key: Option<u16>,
     /// Limit on requests to cold servers of the service; `None` if the service has no warm-up.
-    pub(super) cold_rule: Option<WarmupLimit>,
+    pub(super) warmup_limit: Option<WarmupLimit>,
     pub(super) head: &'a request::Parts,
     pub(super) request_id: &'a str,
     pub(super) digests: RequestDigests,
@@ -199,7 +199,7 @@
     pub(super) fn candidate(&self, entry: &Entry, server: &Server) -> Candidate {
         let settings = &entry.settings;
         let own_zone = &settings.availability_zone;
-        let seen = server.candidate(own_zone, self.cold_rule, &settings.policy);
+        let seen = server.candidate(own_zone, self.warmup_limit, &settings.policy);
         let zone = &server.entry.availability_zone;
         Candidate {
             is_other_region: settings.region_of(zone) != settings.region_of(own_zone),
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -224,7 +224,7 @@
         workspace: *workspace,
         service,
         key,
-        cold_rule: warmup.map(|warmup| entry.cold_rule(warmup)),
+        warmup_limit: warmup.map(|warmup| entry.warmup_limit(warmup)),
         head,
         request_id,
         digests,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -180,7 +180,7 @@
 
     /// Returns the rate limit of a service's cold servers. It is divided among the hosts, whose
     /// number is assumed to be [`ASSUMED_HOSTS`] until it is read from the store.
-    fn cold_rule(&self, warmup: Warmup) -> WarmupLimit {
+    fn warmup_limit(&self, warmup: Warmup) -> WarmupLimit {
         WarmupLimit::new(warmup, self.sharing_hosts())
     }
 
