--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -146,7 +146,7 @@
         let picked = self.pick(entry, &registry, &due);
         match picked.or_else(|| self.pick(entry, &registry, &usable)) {
             Some(server) => {
-                server.take_turn(self.warmup_limit);
+                server.take_warmup_window(self.warmup_limit);
                 server.rate.take_token();
                 Ok(server.clone())
             }
@@ -277,7 +277,7 @@
         if !is_under_rate_limit(server, entry.sharing_hosts(), self.is_urgent()) {
             return Err(Refused::limited(policy));
         }
-        server.take_turn(self.warmup_limit);
+        server.take_warmup_window(self.warmup_limit);
         server.rate.take_token();
         Ok(server.clone())
     }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -224,7 +224,7 @@
 
     /// Records that a request is about to be sent, which uses up the current warm-up window if the
     /// server is cold.
-    pub fn take_turn(&self, rule: Option<WarmupLimit>) {
+    pub fn take_warmup_window(&self, rule: Option<WarmupLimit>) {
         if let Some(rule) = rule.filter(|_| self.cold_remaining_ms() > 0) {
             self.warmup_windows().take(rule.window_every_ms);
         }
