--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -259,7 +259,7 @@
             let refused = Refused::resting(server.rest_ms(), &entry.settings.policy);
             return Some(self.refuse(entry, logged, &refused));
         }
-        if !self.may_repeat(entry, payload) {
+        if !self.may_retry(entry, payload) {
             let typical_ms = entry.view.registry().typical_run_ms(&self.service);
             let seen = self.candidate(entry, server);
             let refused = Refused::not_run(&seen, typical_ms, &entry.settings.policy);
@@ -287,7 +287,7 @@
         server.failed();
         // Another attempt could crash another server.
         let is_suspect = self.is_trial || entry.crashes.is_path_suspect(self.digests);
-        if !self.route.repeatable || is_suspect || !self.may_repeat(entry, payload) {
+        if !self.route.repeatable || is_suspect || !self.may_retry(entry, payload) {
             self.log("failed", reason);
             self.end(entry, "failed");
             let told = "no whole answer of the server";
@@ -310,7 +310,7 @@
 
     /// Returns true if the attempts, the body, the remaining time and the retry budget allow
     /// another attempt; takes it from the retry budget.
-    fn may_repeat(&self, entry: &Entry, payload: &Payload) -> bool {
+    fn may_retry(&self, entry: &Entry, payload: &Payload) -> bool {
         let may = self.attempts < self.route.attempts_max
             && payload.can_repeat()
             && self.left_ms() > ATTEMPT_MS_MIN
