--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -151,7 +151,7 @@
 
 impl Payload {
     /// Returns true if the body can be sent again: it was not streamed yet.
-    pub fn can_repeat(&self) -> bool {
+    pub fn can_resend(&self) -> bool {
         !matches!(self, Self::Stream(None))
     }
 
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -224,7 +224,7 @@
         } else {
             CONNECTS_MAX
         };
-        if self.connects >= connects_max || !payload.can_repeat() {
+        if self.connects >= connects_max || !payload.can_resend() {
             let logged = format!("no connection: {reason}");
             let refused = Refused::soon("no connection to the server", &entry.settings.policy);
             return Some(self.refuse(entry, logged, &refused));
@@ -312,7 +312,7 @@
     /// another attempt; takes it from the retry budget.
     fn may_retry(&self, entry: &Entry, payload: &Payload) -> bool {
         let may = self.attempts < self.route.attempts_max
-            && payload.can_repeat()
+            && payload.can_resend()
             && self.left_ms() > ATTEMPT_MS_MIN
             && {
                 let hosts = entry.peers.hosts();
