--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -13,7 +13,7 @@
 use super::{
     body::{MemoryReservation, Payload, Received, StreamedBody, receive},
     forwarded_request::ForwardedRequest,
-    head::{build_answer, origin_form, promises_not_run, strip_hop_headers},
+    head::{build_response, origin_form, promises_not_run, strip_hop_headers},
 };
 use crate::{
     clock,
@@ -105,7 +105,7 @@
             }
             .boxed(),
         };
-        Attempt::Answered(build_answer(head, body))
+        Attempt::Answered(build_response(head, body))
     }
 
     /// Ends the trial of a suspect request that the server has answered, so that the next suspect
--- a/src/entry/forward/head.rs
+++ b/src/entry/forward/head.rs
@@ -53,7 +53,7 @@
 }
 
 /// Builds the response to the caller from the head and body of the server's response.
-pub fn build_answer(mut head: response::Parts, body: ResponseBody) -> Response<ResponseBody> {
+pub fn build_response(mut head: response::Parts, body: ResponseBody) -> Response<ResponseBody> {
     strip_hop_headers(&mut head.headers);
     head.version = http::Version::HTTP_11;
     Response::from_parts(head, body)
