--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -78,7 +78,7 @@
         let mut updates: Vec<ServerSummary> = sums
             .iter()
             .copied()
-            .filter(|sum| self.is_news(*sum, now_ms))
+            .filter(|sum| self.should_send(*sum, now_ms))
             .collect();
         let named: std::collections::HashSet<u32> = sums.iter().map(|sum| sum.server_tag).collect();
         let ended = self.sent.iter().filter(|(tag, sent)| {
@@ -101,7 +101,7 @@
         updates
     }
 
-    fn is_news(&self, sum: ServerSummary, now_ms: u64) -> bool {
+    fn should_send(&self, sum: ServerSummary, now_ms: u64) -> bool {
         let Some(sent) = self.sent.get(&sum.server_tag) else {
             return true;
         };
