--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -170,7 +170,7 @@
 
     /// Logs a sample of the responses and counts the request.
     fn answered(&self, entry: &Entry, response: Response<ResponseBody>) -> Response<ResponseBody> {
-        if entry.samples_answer() {
+        if entry.should_log_answered() {
             self.log("answered", format!("status {}", response.status()));
         }
         self.end(entry, "answered");
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -215,7 +215,7 @@
     }
 
     /// Counts an answered request and returns true if it is to be logged.
-    fn samples_answer(&self) -> bool {
+    fn should_log_answered(&self) -> bool {
         let number = self.answered.fetch_add(1, Ordering::Relaxed);
         number.is_multiple_of(ANSWER_SAMPLE)
     }
