--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -9,7 +9,7 @@
 use ashroad::entry::decide::{
     rate_limit::{AdvertisedLimit, RateLimit},
     rate_meter::RateMeter,
-    rate_shares::{self, Asked, Bucket, DemandByHost, DemandRates},
+    rate_shares::{self, Bucket, DemandByHost, DemandRates, ServerDemand},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -34,7 +34,7 @@
 /// A simulated host.
 #[derive(Default)]
 struct Host {
-    asked: Asked,
+    asked: ServerDemand,
     bucket: Bucket,
     is_isolated: bool,
 }
@@ -422,7 +422,7 @@
     }
     // Urgent and other requests a second that are sent to a server with a limit of ten.
     let served = |urgent_per_s: f64, non_urgent_per_s: f64| {
-        let mut asked = Asked::default();
+        let mut asked = ServerDemand::default();
         let sum = DemandRates {
             all_per_s: urgent_per_s + non_urgent_per_s,
             urgent_per_s,
