--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -8,7 +8,7 @@
 
 use super::{
     Entry,
-    decide::trust::{self, ApiKeyLimits, ApiKeyVerdict},
+    decide::api_key_verdict::{self, ApiKeyLimits, ApiKeyVerdict},
     model::{Configuration, Route},
     peers::message::Message,
     updates::followed::FollowedTable,
@@ -54,7 +54,7 @@
             revocation_ms: self.settings.bounds.revocation_ms,
             configuration_ms: self.settings.bounds.configuration_ms,
         };
-        match trust::judge(workspace.is_some(), self.configuration_age_ms(), limits) {
+        match api_key_verdict::judge(workspace.is_some(), self.configuration_age_ms(), limits) {
             ApiKeyVerdict::Honoured => Ok(workspace),
             ApiKeyVerdict::Unknown => Err(Denied::Unauthorized),
             ApiKeyVerdict::Unverified => Err(Denied::Unverified),
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -13,7 +13,7 @@
 //! | [`notices`] | servers that announce in their responses that they leave, or ask for a rest |
 //! | [`rate_limit`], [`rate_meter`], [`rate_shares`] | servers that advertise a rate limit |
 //! | [`quota`] | workspaces that send more requests than their quota |
-//! | [`trust`] | API keys that are added and revoked while hosts are disconnected |
+//! | [`api_key_verdict`] | API keys that are added and revoked while hosts are disconnected |
 //! | [`run_shares`] | services that serve short and long requests |
 //! | [`admission`] | more requests for a server than it can answer in time |
 //! | [`choice`] | requests that any server of a service may run |
@@ -52,7 +52,7 @@
 pub mod retry_after;
 pub mod run_shares;
 pub mod trials;
-pub mod trust;
+pub mod api_key_verdict;
 pub mod warmup;
 
 pub use self::policy::Policy;
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -3,7 +3,7 @@
 //! from each other.
 
 use ashroad::entry::{
-    decide::trust::{ApiKeyLimits, ApiKeyVerdict, judge},
+    decide::api_key_verdict::{ApiKeyLimits, ApiKeyVerdict, judge},
     updates::proof::ConfigurationConfirmation,
 };
 use quickcheck::quickcheck;
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ashroad::entry::decide::trust::{ApiKeyLimits, ApiKeyVerdict, judge};
+use ashroad::entry::decide::api_key_verdict::{ApiKeyLimits, ApiKeyVerdict, judge};
 use http::StatusCode;
 use serde_json::{Value, json};
 use tokio::time;
