--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -138,9 +138,9 @@
         let now_ms = clock::now_ms();
         let mut state = self.state();
         state.heard_ms = Some(now_ms);
-        for word in announced {
-            let share = state.shares.entry(word.workspace_tag).or_default();
-            share.note_announced(word.admitted, now_ms);
+        for share_report in announced {
+            let share = state.shares.entry(share_report.workspace_tag).or_default();
+            share.note_announced(share_report.admitted, now_ms);
         }
     }
 
