--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -116,9 +116,9 @@
     }
 }
 
-fn has_changed(told_ms: u16, run_ms: u16) -> bool {
-    let change_ms = f64::from(told_ms.abs_diff(run_ms));
-    change_ms > f64::from(told_ms) * RUN_CHANGE
+fn has_changed(sent_run_ms: u16, run_ms: u16) -> bool {
+    let change_ms = f64::from(sent_run_ms.abs_diff(run_ms));
+    change_ms > f64::from(sent_run_ms) * RUN_CHANGE
 }
 
 /// Splits sums into parts that each fit a datagram.
