--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -154,8 +154,8 @@
             self.set_leaving(entry.leaving);
             Event::server(entry).log();
         }
-        let told_ms = self.entry_cold_ms.swap(entry.cold_ms, Ordering::Relaxed);
-        if told_ms != entry.cold_ms {
+        let previous_cold_ms = self.entry_cold_ms.swap(entry.cold_ms, Ordering::Relaxed);
+        if previous_cold_ms != entry.cold_ms {
             self.set_cold_for(entry.cold_ms);
         }
     }
