--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -314,7 +314,7 @@
         std::mem::take(&mut *reported)
     }
 
-    fn take_counted(&self) -> Vec<KeyCount> {
+    fn take_key_counts(&self) -> Vec<KeyCount> {
         let mut counted = self.counted.lock().unwrap_or_else(PoisonError::into_inner);
         let counts = counted
             .drain()
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -125,7 +125,7 @@
     pub(in crate::entry) async fn keep_reporting_keys(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(KEYS_EVERY_MS)).await;
-            let keys = self.peers.take_counted();
+            let keys = self.peers.take_key_counts();
             if self.duty.term() > 0 {
                 self.peers.add_reported(&keys);
             } else if !keys.is_empty() {
