--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -203,7 +203,7 @@
     }
 
     fn add_reported_counts(&self) {
-        let reported = self.entry.peers.take_reported();
+        let reported = self.entry.peers.take_reported_key_counts();
         let names: HashMap<u32, Arc<str>> = self
             .sharded_services()
             .into_iter()
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -309,7 +309,7 @@
     }
 
     /// Takes the request counts by key that all hosts reported since the last call.
-    pub fn take_reported(&self) -> Vec<KeyCount> {
+    pub fn take_reported_key_counts(&self) -> Vec<KeyCount> {
         let mut reported = self.reported.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut *reported)
     }
