--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -23,7 +23,7 @@
 };
 
 /// Content type of sealed answers.
-const ANSWER_TYPE: &str = "application/octet-stream";
+const RESPONSE_CONTENT_TYPE: &str = "application/octet-stream";
 /// Maximum number of connections of other hosts that are served at a time. Further connections wait
 /// to be accepted.
 const CONNECTIONS_MAX: usize = 16;
@@ -149,7 +149,7 @@
             Some(body) => (StatusCode::OK, body),
             None => (self.refusal_status(&path), Bytes::new()),
         };
-        let mut response = transport::whole(status, ANSWER_TYPE, body);
+        let mut response = transport::whole(status, RESPONSE_CONTENT_TYPE, body);
         // Closes the connection, so that waiting connections are accepted.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
