--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -73,7 +73,7 @@
         if is_confirmed_by_duty_holder && self.settings.bounds.revocation_ms.is_none() {
             return Some(0);
         }
-        self.proof.age_ms(clock::now_ms())
+        self.confirmation.age_ms(clock::now_ms())
     }
 
     /// Keeps confirming that the configuration in force is the latest one, if operators set a bound
@@ -91,7 +91,7 @@
                 self.query_confirmation();
                 bound_ms * STORE_QUERY_PERCENT / 100
             };
-            let age_ms = self.proof.age_ms(clock::now_ms());
+            let age_ms = self.confirmation.age_ms(clock::now_ms());
             if age_ms.is_none_or(|age_ms| age_ms >= due_ms) && !self.confirm_with_store().await {
                 watch::pause().await;
             }
@@ -102,7 +102,7 @@
     /// answer to the time of this query.
     fn query_confirmation(&self) {
         let nonce = rand::random();
-        self.proof.ask(nonce, clock::now_ms());
+        self.confirmation.ask(nonce, clock::now_ms());
         if !self
             .peers
             .send_to_duty_holder(&Message::QueryConfigurationAge { nonce })
@@ -124,7 +124,7 @@
         match self.store.feed(followed.table(), after, 0, &begun).await {
             Ok(Feed::Changes(changes)) => {
                 self.apply_changes(followed, after, changes);
-                self.proof.note(asked_ms);
+                self.confirmation.note(asked_ms);
                 true
             }
             // The store no longer has the changes: the feed of the table will read the whole table.
@@ -139,7 +139,7 @@
     /// Returns how old this host's confirmed configuration is, as the answer to another host's
     /// query. `None` if it was never confirmed.
     pub(super) fn confirmation_for(&self, nonce: u64) -> Option<Message> {
-        let age_ms = self.proof.age_ms(clock::now_ms())?;
+        let age_ms = self.confirmation.age_ms(clock::now_ms())?;
         Some(Message::ConfigurationAge {
             nonce,
             age_ms: u32::try_from(age_ms).ok()?,
@@ -151,7 +151,7 @@
     /// recent as that host's.
     pub(super) fn note_confirmation(&self, nonce: u64, age_ms: u32, changed: u64) {
         if self.freshness.changed(FollowedTable::Configuration) >= changed {
-            self.proof.note_answer(nonce, u64::from(age_ms));
+            self.confirmation.note_answer(nonce, u64::from(age_ms));
         }
     }
 }
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -30,6 +30,7 @@
 //! The thresholds are defined in [`Policy`], each with its unit and reason.
 
 pub mod admission;
+pub mod api_key_verdict;
 pub mod attempt_stats;
 pub mod budget;
 pub mod choice;
@@ -52,7 +53,6 @@
 pub mod retry_after;
 pub mod run_shares;
 pub mod trials;
-pub mod api_key_verdict;
 pub mod warmup;
 
 pub use self::policy::Policy;
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -70,7 +70,7 @@
     peers::Peers,
     quotas::Quotas,
     server::WarmupLimit,
-    updates::{freshness::Freshness, proof::ConfigurationConfirmation},
+    updates::{confirmation::ConfigurationConfirmation, freshness::Freshness},
     view::View,
 };
 use crate::platform::store::Store;
@@ -91,7 +91,7 @@
     /// Age of this host's data from the store, by its own calls and by other hosts' reports.
     pub freshness: Freshness,
     /// Time up to which the configuration in use is confirmed as the latest one.
-    pub proof: ConfigurationConfirmation,
+    pub confirmation: ConfigurationConfirmation,
     /// Progress of the synchronisation with other hosts after the start.
     join: Join,
     /// State of the changes that the duty holder broadcasts to all hosts.
@@ -154,7 +154,7 @@
             view: View::default(),
             limits,
             freshness: Freshness::new(&limits),
-            proof: ConfigurationConfirmation::default(),
+            confirmation: ConfigurationConfirmation::default(),
             join: Join::default(),
             broadcast: Broadcast::default(),
             hot_keys: HotKeys::default(),
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -181,8 +181,8 @@
                 evacuations,
             } => self.note_relay_report(nonce, updates, evacuations),
             Message::QueryConfigurationAge { nonce } => {
-                if let Some(proof) = self.confirmation_for(nonce) {
-                    self.peers.send(&proof, &[from]);
+                if let Some(confirmation) = self.confirmation_for(nonce) {
+                    self.peers.send(&confirmation, &[from]);
                 }
             }
             Message::ConfigurationAge {
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -73,11 +73,11 @@
         self.broadcast.note_configuration(row);
         match config::decode(&row.value) {
             Ok(configuration) => {
-                self.proof.set_unreadable(false);
+                self.confirmation.set_unreadable(false);
                 self.view.configure(configuration);
             }
             Err(error) => {
-                self.proof.set_unreadable(true);
+                self.confirmation.set_unreadable(true);
                 bad_row(config::TABLE, &row.key, &error);
             }
         }
--- a/src/entry/updates/mod.rs
+++ b/src/entry/updates/mod.rs
@@ -5,11 +5,11 @@
 
 pub mod announcement;
 pub mod configuration_pieces;
+pub mod confirmation;
 pub mod evacuation;
 pub mod followed;
 pub mod freshness;
 pub mod own_rows;
-pub mod proof;
 pub mod query;
 pub mod server_changes;
 pub mod snapshot;
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -225,7 +225,7 @@
     /// the configuration that is the proof of its age.
     fn note_confirmation_by_store(&self, followed: FollowedTable, asked_ms: u64) {
         if followed == FollowedTable::Configuration {
-            self.proof.note(asked_ms);
+            self.confirmation.note(asked_ms);
         }
     }
 
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -4,7 +4,7 @@
 
 use ashroad::entry::{
     decide::api_key_verdict::{ApiKeyLimits, ApiKeyVerdict, judge},
-    updates::proof::ConfigurationConfirmation,
+    updates::confirmation::ConfigurationConfirmation,
 };
 use quickcheck::quickcheck;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -93,7 +93,7 @@
 
 #[derive(Debug, Default)]
 struct Host {
-    proof: ConfigurationConfirmation,
+    confirmation: ConfigurationConfirmation,
     version: u64,
     cut_until_ms: u64,
     frozen_until_ms: u64,
@@ -112,13 +112,13 @@
             match updates {
                 Delivery::Store { asked_ms, version } => {
                     self.version = self.version.max(version);
-                    self.proof.note(asked_ms);
+                    self.confirmation.note(asked_ms);
                 }
                 Delivery::Holder {
                     nonce,
                     age_ms,
                     version,
-                } if self.version >= version => self.proof.note_answer(nonce, age_ms),
+                } if self.version >= version => self.confirmation.note_answer(nonce, age_ms),
                 Delivery::Holder { .. } => {}
                 Delivery::Relayed { version } => self.version = self.version.max(version),
             }
@@ -184,11 +184,11 @@
             }
         } else {
             let nonce = self.rng.random();
-            self.hosts[place].proof.ask(nonce, now_ms);
+            self.hosts[place].confirmation.ask(nonce, now_ms);
             let holder = &self.hosts[HOLDER];
             // The duty holder answers with its state at the time of the query; the response may be
             // delayed.
-            let Some(age_ms) = holder.proof.age_ms(now_ms) else {
+            let Some(age_ms) = holder.confirmation.age_ms(now_ms) else {
                 return;
             };
             Delivery::Holder {
@@ -205,7 +205,7 @@
     fn check(&mut self, place: usize, now_ms: u64) -> Result<(), String> {
         let host = &self.hosts[place];
         let is_known = host.version % 2 == 1;
-        let verdict = judge(is_known, host.proof.age_ms(now_ms), LIMITS);
+        let verdict = judge(is_known, host.confirmation.age_ms(now_ms), LIMITS);
         let latest = self.operators.version(now_ms);
         // Time at which the version on the host was replaced by the next one.
         let outdated_ms = self.operators.written_ms(host.version + 1);
