--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -100,7 +100,7 @@
     }
 
     /// Returns the quarantined requests that the next heartbeat names.
-    pub fn told(&self) -> Vec<RequestDigest> {
+    pub fn announced(&self) -> Vec<RequestDigest> {
         let mut latest = lock(&self.quarantine).latest(clock::now_ms());
         latest.truncate(HEARTBEAT_DIGESTS_MAX);
         latest
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -155,7 +155,7 @@
             hosts: self.peers.known() as u32,
             hot: self.hot_keys.announce(clock::now_ms()),
             evacuations: self.view.evacuations(),
-            quarantined: self.crashes.told(),
+            quarantined: self.crashes.announced(),
         };
         self.peers.send_to_all(message);
     }
@@ -179,7 +179,7 @@
     fn own_paces(&self, since_ms: u64) -> Vec<ServerPace> {
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
-        let told = registry.servers().filter_map(|server| {
+        let announced = registry.servers().filter_map(|server| {
             let (pace, at_ms) = server.own_pace()?;
             (at_ms >= since_ms).then_some(ServerPace {
                 server_tag: server.tag,
@@ -187,7 +187,7 @@
                 age_ms: now_ms.saturating_sub(at_ms) as u16,
             })
         });
-        told.take(PACES_MAX).collect()
+        announced.take(PACES_MAX).collect()
     }
 
     fn own_run_times(&self) -> Vec<RunTime> {
