--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -164,8 +164,8 @@
         run_ms: f64,
         found_free_slot: bool,
     ) {
-        if let Some(told) = headers::reported_load(&head.headers) {
-            server.note_own_pace(told.pace);
+        if let Some(reported) = headers::reported_load(&head.headers) {
+            server.note_own_pace(reported.pace);
         }
         if head.status.is_server_error() {
             server.failed();
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -101,7 +101,7 @@
     /// Hash of the server's identifier.
     pub server_tag: u32,
     /// Limit that the server advertised last; `None` if the sender knows of none.
-    pub told: Option<AdvertisedRate>,
+    pub reported: Option<AdvertisedRate>,
     /// Rates at which callers request the server.
     pub asked: DemandRates,
 }
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -24,8 +24,8 @@
 
 impl Entry {
     /// Notes the rate limit that a server advertised in a response to this host.
-    pub(in crate::entry) fn note_advertised_limit(&self, server: &Server, told: ReportedLimit) {
-        let per_s = match told {
+    pub(in crate::entry) fn note_advertised_limit(&self, server: &Server, reported: ReportedLimit) {
+        let per_s = match reported {
             ReportedLimit::Unlimited => None,
             ReportedLimit::PerS(per_s) => Some(per_s),
             ReportedLimit::Unknown => return,
@@ -62,7 +62,7 @@
             .filter(|s| s.rate.should_announce(now_ms));
         let rates = limited.map(|server| ServerRate {
             server_tag: server.tag,
-            told: told(server.rate.own(), now_ms),
+            reported: reported(server.rate.own(), now_ms),
             asked: server.rate.report_demand(now_ms),
         });
         rates.collect()
@@ -104,7 +104,7 @@
             let mut asked = self.demand_by_host();
             let rates = limited.map(|server| ServerRate {
                 server_tag: server.tag,
-                told: told(server.rate.latest(), now_ms),
+                reported: reported(server.rate.latest(), now_ms),
                 asked: asked.sum(server.tag, now_ms),
             });
             rates.collect()
@@ -132,10 +132,12 @@
     fn note_limits(&self, rates: &[ServerRate], now_ms: u64) {
         let registry = self.view.registry();
         for rate in rates {
-            let Some(told) = rate.told else { continue };
+            let Some(reported) = rate.reported else {
+                continue;
+            };
             let word = AdvertisedLimit {
-                per_s: told.limit_per_s,
-                at_ms: now_ms.saturating_sub(u64::from(told.age_ms)),
+                per_s: reported.limit_per_s,
+                at_ms: now_ms.saturating_sub(u64::from(reported.age_ms)),
             };
             for server in registry.servers().filter(|s| s.tag == rate.server_tag) {
                 log_change(server, server.rate.note_limit(word), "another host");
@@ -145,7 +147,7 @@
 }
 
 /// Converts an advertised limit into its form in messages, with its age.
-fn told(word: Option<AdvertisedLimit>, now_ms: u64) -> Option<AdvertisedRate> {
+fn reported(word: Option<AdvertisedLimit>, now_ms: u64) -> Option<AdvertisedRate> {
     let word = word?;
     Some(AdvertisedRate {
         limit_per_s: word.per_s,
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -223,7 +223,7 @@
     const SUM_EVERY_MS: u64 = 250;
     let mut updates = ZoneLoadChanges::default();
     let mut heard = ZoneLoads::default();
-    let mut told = 0;
+    let mut reported = 0;
     let rounds = 40;
     for round in 0..rounds {
         let now_ms = 10_000 + u64::from(round) * SUM_EVERY_MS;
@@ -232,7 +232,7 @@
         let sums: Vec<ServerSummary> = sums.collect();
         let new = updates.updates(sums.clone(), now_ms);
         if round > 0 {
-            told += new.len();
+            reported += new.len();
         }
         for part in parts(&new) {
             heard.note(1, part, now_ms);
@@ -243,7 +243,7 @@
         assert_eq!(known, sums, "round {round}");
     }
     let all = SERVERS as usize * (rounds as usize - 1);
-    assert!(told * 8 < all, "{told} of {all} were told");
+    assert!(reported * 8 < all, "{reported} of {all} were told");
 }
 
 #[test]
@@ -259,8 +259,8 @@
         in_flight: 1,
     };
     let bytes = postcard::to_stdvec(&load).expect("encoded");
-    let told: ServerLoad = postcard::from_bytes(&bytes).expect("decoded");
-    assert_eq!(told.server_tag, u32::MAX);
+    let reported: ServerLoad = postcard::from_bytes(&bytes).expect("decoded");
+    assert_eq!(reported.server_tag, u32::MAX);
 }
 
 #[test]
@@ -282,7 +282,7 @@
 fn messages_with_the_most_entries_fit_a_datagram() {
     let rate = ServerRate {
         server_tag: u32::MAX,
-        told: Some(AdvertisedRate {
+        reported: Some(AdvertisedRate {
             limit_per_s: Some(1.0 / 3.0),
             age_ms: u32::MAX,
         }),
