--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -169,7 +169,7 @@
             Message::ReportRates(rates) => self.handle_rate_report(from, &rates),
             Message::RateTotals(rates) => self.apply_rate_totals(&rates),
             Message::ReportUsage(reports) => self.handle_usage_report(&reports),
-            Message::AdmittedShare(told) => self.quotas.note_announced(&told),
+            Message::AdmittedShare(shares) => self.quotas.note_announced(&shares),
             Message::QueryStoreState { nonce, .. } => {
                 if let Some(word) = self.store_state_for(nonce) {
                     self.peers.send(&word, &[from]);
