--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -290,8 +290,8 @@
         if !self.route.repeatable || is_suspect || !self.may_retry(entry, payload) {
             self.log("failed", reason);
             self.end(entry, "failed");
-            let told = "no whole answer of the server";
-            return Some(plain_text(StatusCode::BAD_GATEWAY, told));
+            let message = "no whole answer of the server";
+            return Some(plain_text(StatusCode::BAD_GATEWAY, message));
         }
         self.log("repeated", reason);
         if self.key.is_none() {
