--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -197,9 +197,9 @@
 
 impl DemandByHost {
     /// Records the rates for a server, given by its tag, that a host reported.
-    pub fn note(&mut self, server_tag: u32, host: SocketAddr, asked: DemandRates, now_ms: u64) {
+    pub fn note(&mut self, server_tag: u32, host: SocketAddr, demand: DemandRates, now_ms: u64) {
         let hosts = self.0.entry(server_tag).or_default();
-        hosts.insert(host, (asked, now_ms));
+        hosts.insert(host, (demand, now_ms));
     }
 
     /// Returns the sum of all hosts' rates for a server. A host that stopped reporting counts for
@@ -208,7 +208,7 @@
         let mut sum = DemandRates::default();
         if let Some(hosts) = self.0.get_mut(&server_tag) {
             hosts.retain(|_, (_, at_ms)| now_ms < *at_ms + REPORT_KEPT_MS);
-            hosts.values().for_each(|(asked, _)| sum.add(*asked));
+            hosts.values().for_each(|(demand, _)| sum.add(*demand));
         }
         sum
     }
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -103,7 +103,7 @@
     /// Limit that the server advertised last; `None` if the sender knows of none.
     pub reported: Option<AdvertisedRate>,
     /// Rates at which callers request the server.
-    pub asked: DemandRates,
+    pub demand: DemandRates,
 }
 
 /// Requests that a host received and sent on behalf of a workspace.
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -63,7 +63,7 @@
         let rates = limited.map(|server| ServerRate {
             server_tag: server.tag,
             reported: reported(server.rate.own(), now_ms),
-            asked: server.rate.report_demand(now_ms),
+            demand: server.rate.report_demand(now_ms),
         });
         rates.collect()
     }
@@ -87,9 +87,9 @@
         }
         let now_ms = clock::now_ms();
         self.note_limits(rates, now_ms);
-        let mut asked = self.demand_by_host();
+        let mut demand = self.demand_by_host();
         for rate in rates {
-            asked.note(rate.server_tag, host, rate.asked, now_ms);
+            demand.note(rate.server_tag, host, rate.demand, now_ms);
         }
     }
 
@@ -101,11 +101,11 @@
             let limited = registry
                 .servers()
                 .filter(|s| s.rate.should_announce(now_ms));
-            let mut asked = self.demand_by_host();
+            let mut demand = self.demand_by_host();
             let rates = limited.map(|server| ServerRate {
                 server_tag: server.tag,
                 reported: reported(server.rate.latest(), now_ms),
-                asked: asked.sum(server.tag, now_ms),
+                demand: demand.sum(server.tag, now_ms),
             });
             rates.collect()
         };
@@ -124,7 +124,7 @@
         let registry = self.view.registry();
         for rate in rates {
             let named = registry.servers().filter(|s| s.tag == rate.server_tag);
-            named.for_each(|server| server.rate.note_demand_sum(rate.asked, now_ms));
+            named.for_each(|server| server.rate.note_demand_sum(rate.demand, now_ms));
         }
     }
 
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -24,7 +24,7 @@
 /// State of this host's share: the demand of callers, and the token bucket.
 #[derive(Debug, Default)]
 struct Share {
-    asked: ServerDemand,
+    demand: ServerDemand,
     bucket: Bucket,
 }
 
@@ -86,17 +86,17 @@
 
     /// Counts a request of a caller that could be sent to the server.
     pub fn note_demand(&self, is_urgent: bool) {
-        self.share().asked.note(is_urgent, clock::now_ms());
+        self.share().demand.note(is_urgent, clock::now_ms());
     }
 
     /// Returns the demand of this host's callers, for a report that is sent now.
     pub fn report_demand(&self, now_ms: u64) -> DemandRates {
-        self.share().asked.report(now_ms)
+        self.share().demand.report(now_ms)
     }
 
     /// Notes the demand of the callers of all hosts.
     pub fn note_demand_sum(&self, sum: DemandRates, now_ms: u64) {
-        self.share().asked.note_sum(sum, now_ms);
+        self.share().demand.note_sum(sum, now_ms);
     }
 
     /// Returns this host's share of the limit for a request, with this number of hosts; `None` if
@@ -107,7 +107,7 @@
         let share = self.share();
         Some(
             share
-                .asked
+                .demand
                 .rate_share(shared_per_s, hosts, is_urgent, now_ms),
         )
     }
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -286,7 +286,7 @@
             limit_per_s: Some(1.0 / 3.0),
             age_ms: u32::MAX,
         }),
-        asked: DemandRates {
+        demand: DemandRates {
             all_per_s: 1.0 / 3.0,
             urgent_per_s: 1.0 / 3.0,
         },
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -34,7 +34,7 @@
 /// A simulated host.
 #[derive(Default)]
 struct Host {
-    asked: ServerDemand,
+    demand: ServerDemand,
     bucket: Bucket,
     is_isolated: bool,
 }
@@ -106,7 +106,7 @@
                 .filter(|(_, host)| !host.is_isolated)
             {
                 let address = SocketAddr::from((Ipv4Addr::from(place as u32), 1));
-                let own = host.asked.report(now_ms);
+                let own = host.demand.report(now_ms);
                 sums.note(1, address, own, now_ms);
             }
             let sum = sums.sum(1, now_ms);
@@ -115,7 +115,7 @@
         while told.front().is_some_and(|(at_ms, _)| *at_ms <= now_ms) {
             let (_, sum) = told.pop_front().expect("a sum");
             let hearing = hosts.iter_mut().filter(|host| !host.is_isolated);
-            hearing.for_each(|host| host.asked.note_sum(sum, now_ms));
+            hearing.for_each(|host| host.demand.note_sum(sum, now_ms));
         }
     }
     sent
@@ -124,10 +124,10 @@
 /// Returns true if the host sends a request of one of its callers.
 fn is_sent_by(host: &mut Host, case: Case, now_ms: u64, rng: &mut StdRng) -> bool {
     let is_urgent = rng.random::<f64>() < case.urgent;
-    host.asked.note(is_urgent, now_ms);
+    host.demand.note(is_urgent, now_ms);
     let counted = (case.hosts as f64 * case.counted) as usize;
     let rate_share = host
-        .asked
+        .demand
         .rate_share(case.limit_per_s, counted, is_urgent, now_ms);
     let is_admitted = rate_shares::is_admitted(rng.random(), 0.0, rate_share.admit_probability);
     let is_sent = is_admitted && host.bucket.has_token(rate_share.bucket_per_s, now_ms);
@@ -422,14 +422,14 @@
     }
     // Urgent and other requests a second that are sent to a server with a limit of ten.
     let served = |urgent_per_s: f64, non_urgent_per_s: f64| {
-        let mut asked = ServerDemand::default();
+        let mut demand = ServerDemand::default();
         let sum = DemandRates {
             all_per_s: urgent_per_s + non_urgent_per_s,
             urgent_per_s,
         };
-        asked.note_sum(sum, 1_000);
+        demand.note_sum(sum, 1_000);
         let admit_probability = |is_urgent| {
-            asked
+            demand
                 .rate_share(10.0, 8, is_urgent, 1_000)
                 .admit_probability
                 .min(1.0)
