--- a/src/entry/decide/choice.rs
+++ b/src/entry/decide/choice.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostCount {
     /// Hosts in this host's availability zone, which prefer the same servers.
-    pub near: usize,
+    pub same_zone: usize,
     /// Hosts in all zones.
     pub all: usize,
 }
@@ -58,7 +58,7 @@
         demand,
         hosts,
     } = inputs;
-    let mut near = compared(hosts.near);
+    let mut same_zone = compared(hosts.same_zone);
     let mut distant = compared(hosts.all).div_ceil(2);
     let mut best: Option<(usize, f64)> = None;
     for place in order {
@@ -67,7 +67,7 @@
             continue;
         }
         let room = if server.is_same_zone {
-            &mut near
+            &mut same_zone
         } else {
             &mut distant
         };
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -222,14 +222,18 @@
             return Some(SeedHostLookup::NoneStored);
         }
         let own_zone = tag_of(&self.settings.availability_zone);
-        let near = seed_hosts
+        let same_zone = seed_hosts
             .hosts
             .iter()
             .filter(|seed_host| seed_host.zone_tag == own_zone);
-        let near: Vec<SocketAddr> = near.map(|seed_host| seed_host.address).collect();
+        let same_zone: Vec<SocketAddr> = same_zone.map(|seed_host| seed_host.address).collect();
         let all = seed_hosts.hosts.iter().map(|seed_host| seed_host.address);
         Some(SeedHostLookup::SeedHosts {
-            addresses: if near.is_empty() { all.collect() } else { near },
+            addresses: if same_zone.is_empty() {
+                all.collect()
+            } else {
+                same_zone
+            },
             has_many_servers: seed_hosts.has_many_servers,
         })
     }
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -193,14 +193,15 @@
     /// Returns the relays of this host's zone, which may include this host.
     pub(in crate::entry) fn own_zone_relays(&self, own: RelayCandidate) -> Vec<SocketAddr> {
         let now_ms = clock::now_ms();
-        let near: Vec<RelayCandidate> = {
+        let same_zone: Vec<RelayCandidate> = {
             let peers = self.peers();
-            let near = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
-            near.map(|(address, peer)| peer.relay_candidate(*address, now_ms))
+            let same_zone = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
+            same_zone
+                .map(|(address, peer)| peer.relay_candidate(*address, now_ms))
                 .collect()
         };
         let term = self.duty_holder_term.load(Ordering::Relaxed);
-        let zone: Vec<RelayCandidate> = near.into_iter().chain([own]).collect();
+        let zone: Vec<RelayCandidate> = same_zone.into_iter().chain([own]).collect();
         fanout::choose_zone_relays(&zone, term)
     }
 
@@ -250,7 +251,7 @@
     pub fn host_count(&self) -> HostCount {
         let peers = self.peers();
         HostCount {
-            near: peers
+            same_zone: peers
                 .values()
                 .filter(|peer| peer.facts.is_same_zone)
                 .count()
@@ -286,7 +287,7 @@
     fn reporting_hosts(&self) -> usize {
         let hosts = self.host_count();
         if self.are_many() {
-            hosts.near
+            hosts.same_zone
         } else {
             hosts.all
         }
@@ -337,8 +338,8 @@
 
     fn same_zone_addresses(&self) -> Vec<SocketAddr> {
         let peers = self.peers();
-        let near = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
-        near.map(|(address, _)| *address).collect()
+        let same_zone = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
+        same_zone.map(|(address, _)| *address).collect()
     }
 
     fn peers(&self) -> MutexGuard<'_, HashMap<SocketAddr, Peer>> {
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -89,8 +89,8 @@
         {
             let peers = self.peers();
             let is_heard = |peer: &Peer| now_ms <= peer.heard_ms + age_max_ms;
-            let near = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
-            let heard = near.filter(|(_, peer)| is_heard(peer));
+            let same_zone = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
+            let heard = same_zone.filter(|(_, peer)| is_heard(peer));
             let heard: Vec<_> = heard.collect();
             let others = heard
                 .iter()
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -467,7 +467,7 @@
                     ..DEMAND
                 },
                 hosts: HostCount {
-                    near: HOSTS,
+                    same_zone: HOSTS,
                     all: HOSTS,
                 },
             };
@@ -622,7 +622,7 @@
                     ..DEMAND
                 },
                 hosts: HostCount {
-                    near: HOSTS,
+                    same_zone: HOSTS,
                     all: 3 * HOSTS,
                 },
             };
@@ -812,7 +812,10 @@
                 servers: &servers,
                 typical_ms: 100.0,
                 demand: DEMAND,
-                hosts: choice::HostCount { near: 20, all: 75 },
+                hosts: choice::HostCount {
+                    same_zone: 20,
+                    all: 75,
+                },
             };
             let place = choice::pick(inputs, &policy, &mut rng).expect(case.name);
             assert_eq!(
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -733,7 +733,10 @@
     }
 }
 
-const FEW_HOSTS: HostCount = HostCount { near: 4, all: 11 };
+const FEW_HOSTS: HostCount = HostCount {
+    same_zone: 4,
+    all: 11,
+};
 
 fn server(id: &str, availability_zone: &str, leaving: bool) -> Arc<Server> {
     Arc::new(Server::new(ServerEntry {
