--- a/src/entry/decide/hold.rs
+++ b/src/entry/decide/hold.rs
@@ -38,7 +38,7 @@
 /// Decides on a request that has been held for `held_ms` and has its deadline in `left_ms`;
 /// `aim_ms` is the route's latency objective.
 pub fn decide(
-    rest: MoveTimeLeft,
+    time_left: MoveTimeLeft,
     held_ms: u64,
     left_ms: u64,
     aim_ms: u64,
@@ -50,9 +50,9 @@
     if room_ms < HOLD_MIN_MS {
         return Hold::Refuse;
     }
-    match rest.wait {
+    match time_left.wait {
         MoveWait::Work => Hold::For(room_ms),
-        MoveWait::Lease if rest.rest_ms <= room_ms => Hold::For(rest.rest_ms),
+        MoveWait::Lease if time_left.rest_ms <= room_ms => Hold::For(time_left.rest_ms),
         MoveWait::Lease => Hold::Refuse,
     }
 }
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -210,8 +210,8 @@
                     self.fences = (fence, self.fences.0);
                     return Ok(server);
                 }
-                Owner::Moving(rest) => {
-                    let room_ms = self.hold(entry, rest)?;
+                Owner::Moving(time_left) => {
+                    let room_ms = self.hold(entry, time_left)?;
                     let wait = Duration::from_millis(KEY_RETRY_PAUSE_MS.min(room_ms));
                     // The owner is read again, whether the wait ended by a change or by the
                     // timeout.
@@ -224,14 +224,14 @@
     }
 
     /// Returns how long the request may wait for the move of its key, or the reason to refuse it.
-    fn hold(&self, entry: &Entry, rest: MoveTimeLeft) -> Result<u64, Refused> {
+    fn hold(&self, entry: &Entry, time_left: MoveTimeLeft) -> Result<u64, Refused> {
         let policy = &entry.settings.policy;
         let aim_ms = self.route.aim_ms;
-        match hold::decide(rest, self.elapsed_ms(), self.left_ms(), aim_ms, policy) {
+        match hold::decide(time_left, self.elapsed_ms(), self.left_ms(), aim_ms, policy) {
             Hold::For(room_ms) => Ok(room_ms),
-            Hold::Refuse if rest.wait == MoveWait::Lease => {
+            Hold::Refuse if time_left.wait == MoveWait::Lease => {
                 let reason = "the key waits for the lease of a lost server to end";
-                Err(Refused::after(reason, rest.rest_ms, policy))
+                Err(Refused::after(reason, time_left.rest_ms, policy))
             }
             Hold::Refuse => {
                 let reason = "the key is on its way to another server";
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -181,7 +181,7 @@
             record.is_some_and(|record| record.is_silent)
         };
         let answers = registry.server(from).is_some() && !is_silent;
-        let rest = if answers {
+        let time_left = if answers {
             MoveTimeLeft {
                 wait: MoveWait::Work,
                 rest_ms: RELEASE_TIMEOUT_MS,
@@ -192,7 +192,7 @@
                 rest_ms: self.lease_end_ms(from).saturating_sub(clock::now_ms()),
             }
         };
-        self.announce_time_left(service, holding, above_fence, rest);
+        self.announce_time_left(service, holding, above_fence, time_left);
     }
 
     fn announce_time_left(
@@ -200,12 +200,12 @@
         service: &Arc<str>,
         holding: &Holding,
         above_fence: u64,
-        rest: MoveTimeLeft,
+        time_left: MoveTimeLeft,
     ) {
         let move_ahead = MoveAnnouncement {
             range: holding.range,
             above_fence,
-            rest,
+            time_left,
         };
         self.entry.view.announce_move(service, move_ahead);
         let outbox = &self.entry.peers.outbox;
@@ -328,11 +328,11 @@
                     self.entry.metrics.order("release", "failed");
                     log::debug!("server {id} did not release its keys: {error}");
                     if self.mark_waiting_for_lease(range) {
-                        let rest = MoveTimeLeft {
+                        let time_left = MoveTimeLeft {
                             wait: MoveWait::Lease,
                             rest_ms: self.lease_end_ms(id).saturating_sub(clock::now_ms()),
                         };
-                        self.announce_time_left(service, holding, fence - 1, rest);
+                        self.announce_time_left(service, holding, fence - 1, time_left);
                     }
                     let pause_ms = 200.min(free_ms.saturating_sub(clock::now_ms()).max(1));
                     time::sleep(Duration::from_millis(pause_ms)).await;
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -214,7 +214,7 @@
         let MoveAnnouncement {
             range,
             above_fence,
-            rest,
+            time_left,
         } = announcement;
         let now_ms = clock::now_ms();
         // Datagrams may arrive out of order: the grant that ends the move may be known already.
@@ -231,8 +231,8 @@
             service: service.clone(),
             range,
             above_fence,
-            wait: rest.wait,
-            until_ms: now_ms + rest.rest_ms.min(MOVE_HOLD_MAX_MS),
+            wait: time_left.wait,
+            until_ms: now_ms + time_left.rest_ms.min(MOVE_HOLD_MAX_MS),
         });
     }
 
--- a/src/entry/updates/announcement.rs
+++ b/src/entry/updates/announcement.rs
@@ -12,5 +12,5 @@
     /// The move is complete once a grant of the range under a higher fence is announced.
     pub above_fence: u64,
     /// Remaining time after which the announcement expires, even if no grant was announced.
-    pub rest: MoveTimeLeft,
+    pub time_left: MoveTimeLeft,
 }
