--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -46,9 +46,9 @@
             // feeds too.
             FollowedTable::Servers if *self.view.store_lost().borrow() => false,
             FollowedTable::Servers => self.has_many_servers() || self.missed(followed) > MISSED_MAX,
-            FollowedTable::Configuration => self.peers.are_many(),
+            FollowedTable::Configuration => self.peers.use_relays(),
             FollowedTable::Own => {
-                self.peers.are_many()
+                self.peers.use_relays()
                     && self.peers.seal.is_known()
                     && !self.join.take_stale_secret_flag()
             }
--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -94,7 +94,7 @@
         if self.view.had_former_process() {
             return false;
         }
-        let Some(peer) = self.peer().filter(|_| self.peers.are_many()) else {
+        let Some(peer) = self.peer().filter(|_| self.peers.use_relays()) else {
             return false;
         };
         let newcomer = Newcomer {
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -208,7 +208,7 @@
     /// Returns the host to fetch missed changes from: with many hosts, a relay of the own zone;
     /// with few hosts, or on a relay itself, the duty holder.
     pub fn sync_peer(&self, own: RelayCandidate) -> Option<SocketAddr> {
-        if !self.are_many() {
+        if !self.use_relays() {
             return *self.duty_holder();
         }
         let relays = self.own_zone_relays(own);
@@ -279,14 +279,14 @@
     }
 
     /// Returns true if messages to all hosts are sent through relays.
-    pub(in crate::entry) fn are_many(&self) -> bool {
+    pub(in crate::entry) fn use_relays(&self) -> bool {
         self.hosts() > DIRECT_HOSTS_MAX
     }
 
     /// Returns the number of hosts that receive each other's reports, this one included.
     fn reporting_hosts(&self) -> usize {
         let hosts = self.host_count();
-        if self.are_many() {
+        if self.use_relays() {
             hosts.same_zone
         } else {
             hosts.all
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -71,7 +71,7 @@
         loop {
             let every_ms = report_every_ms(self.peers.reporting_hosts());
             time::sleep(Duration::from_millis(every_ms)).await;
-            let to = if self.peers.are_many() {
+            let to = if self.peers.use_relays() {
                 self.peers.same_zone_addresses()
             } else {
                 self.peers.addresses()
@@ -95,7 +95,7 @@
     pub(in crate::entry) async fn keep_sending_zone_loads(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(ZONE_LOADS_EVERY_MS)).await;
-            if self.peers.are_many() {
+            if self.peers.use_relays() {
                 self.peers.send_zone_loads(self.as_relay_candidate(), || {
                     (self.own_loads(), self.own_run_times())
                 });
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -48,7 +48,7 @@
     /// Leaves it to the relays of the zone to detect the store's return. This host still calls the
     /// store now and then, since all relays may be lost.
     pub(super) async fn pause_while_relays_call(&self) {
-        if !self.peers.are_many() {
+        if !self.peers.use_relays() {
             return;
         }
         let until_ms = clock::now_ms() + self.limits.alone_pause_ms;
@@ -89,7 +89,7 @@
     /// Queries the relays of the zone if the state of the store must be confirmed. Returns true if
     /// it did.
     fn ask_relays(&self) -> bool {
-        let is_apart = self.duty.term() > 0 || !self.peers.are_many();
+        let is_apart = self.duty.term() > 0 || !self.peers.use_relays();
         let relays = if is_apart {
             Vec::new()
         } else {
