--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -146,7 +146,7 @@
             Message::Held {
                 service_tag,
                 holdings,
-            } => self.note_held(service_tag, holdings),
+            } => self.note_grants(service_tag, holdings),
             Message::Moving {
                 service_tag,
                 announcements,
@@ -226,7 +226,7 @@
         }
     }
 
-    fn note_held(&self, service_tag: u32, holdings: Vec<Holding>) {
+    fn note_grants(&self, service_tag: u32, holdings: Vec<Holding>) {
         let Some(service) = self.service_of(service_tag) else {
             return;
         };
