--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -349,7 +349,7 @@
         };
         for holding in &held.assignment.holdings {
             let outbox = &self.entry.peers.outbox;
-            outbox.announce_holding(tag_of(service), holding);
+            outbox.announce_grant(tag_of(service), holding);
         }
     }
 
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -247,7 +247,7 @@
             self.grant(&server, order).await;
             self.entry.view.note_granted(service, holding.clone());
             let outbox = &self.entry.peers.outbox;
-            outbox.announce_holding(tag_of(service), holding);
+            outbox.announce_grant(tag_of(service), holding);
         }
         if holding.from.is_some() {
             // The move counts as completed only after the grant. Otherwise a renewal, which has no
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -57,7 +57,7 @@
     }
 
     /// Queues the announcements, one for each delay, that a server was granted keys.
-    pub fn announce_holding(&self, service_tag: u32, holding: &Holding) {
+    pub fn announce_grant(&self, service_tag: u32, holding: &Holding) {
         let now_ms = clock::now_ms();
         let mut items = self.items();
         items.extend(ANNOUNCE_HOLDING_AFTER_MS.iter().map(|after_ms| Item {
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -766,7 +766,7 @@
             },
         };
         outbox.announce_move(9, announcement);
-        outbox.announce_holding(9, &holding(number, number, "a", 2));
+        outbox.announce_grant(9, &holding(number, number, "a", 2));
     }
     let later_ms = now_ms + 100;
     let first = outbox.take_due(later_ms);
