--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -343,7 +343,7 @@
     }
 
     /// Announces the first holdings to all hosts, so that they do not all read them from the store.
-    fn announce_holdings(&self, service: &Arc<str>) {
+    fn announce_grants(&self, service: &Arc<str>) {
         let Some(held) = self.entry.view.held(service) else {
             return;
         };
@@ -395,7 +395,7 @@
             let ranges = first::first_assignment(&servers);
             let change = Change::Distribute(ranges);
             match term.entry.record(&service, &change).await {
-                Ok(_) => term.announce_holdings(&service),
+                Ok(_) => term.announce_grants(&service),
                 Err(failure) => {
                     log::warn!("cannot record the first holdings of {service}: {failure:?}");
                 }
