--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -22,7 +22,7 @@
 const IDLE_EVERY_MS: u64 = 200;
 /// Delays after a grant at which it is announced. Datagrams may be lost, and hosts that miss a
 /// grant hold back the requests for its keys.
-const ANNOUNCE_HOLDING_AFTER_MS: [u64; 3] = [0, 300, 1_000];
+const ANNOUNCE_GRANT_AFTER_MS: [u64; 3] = [0, 300, 1_000];
 /// Maximum number of moves or grants in one datagram, of up to 40 bytes each.
 const UPDATES_MAX: usize = 30;
 
@@ -60,7 +60,7 @@
     pub fn announce_grant(&self, service_tag: u32, holding: &Holding) {
         let now_ms = clock::now_ms();
         let mut items = self.items();
-        items.extend(ANNOUNCE_HOLDING_AFTER_MS.iter().map(|after_ms| Item {
+        items.extend(ANNOUNCE_GRANT_AFTER_MS.iter().map(|after_ms| Item {
             due_ms: now_ms + after_ms,
             service_tag,
             update: Update::Held(holding.clone()),
