--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -66,12 +66,12 @@
     /// configuration.
     fn catch_up_timeout_ms(&self, followed: FollowedTable) -> u64 {
         let applied = self.freshness.applied(followed);
-        let is_owed = match followed {
+        let is_time_limited = match followed {
             FollowedTable::Servers => self.freshness.has_leave_since(applied),
             FollowedTable::Configuration => self.view.configuration().is_some(),
             FollowedTable::Own => true,
         };
-        if is_owed {
+        if is_time_limited {
             self.limits.catch_up_ms
         } else {
             self.limits.start_wait_ms
