--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -760,7 +760,7 @@
         let announcement = MoveAnnouncement {
             range: range(number, number),
             above_fence: 1,
-            rest: MoveTimeLeft {
+            time_left: MoveTimeLeft {
                 wait: MoveWait::Work,
                 rest_ms: 2_500,
             },
