--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -287,7 +287,7 @@
         changed: u64,
     },
     /// Announces that servers were granted keys.
-    Held {
+    Granted {
         /// Hash of the service's name.
         service_tag: u32,
         /// Granted key ranges with their servers.
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 enum Update {
     Moving(MoveAnnouncement),
-    Held(Holding),
+    Granted(Holding),
 }
 
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
         items.extend(ANNOUNCE_GRANT_AFTER_MS.iter().map(|after_ms| Item {
             due_ms: now_ms + after_ms,
             service_tag,
-            update: Update::Held(holding.clone()),
+            update: Update::Granted(holding.clone()),
         }));
     }
 
@@ -82,7 +82,7 @@
         for item in due {
             match item.update {
                 Update::Moving(update) => moving.entry(item.service_tag).or_default().push(update),
-                Update::Held(update) => held.entry(item.service_tag).or_default().push(update),
+                Update::Granted(update) => held.entry(item.service_tag).or_default().push(update),
             }
         }
         let moving = moving.into_iter().flat_map(|(service_tag, updates)| {
@@ -93,7 +93,7 @@
             updates.chunks(UPDATES_MAX).map(message).collect::<Vec<_>>()
         });
         let held = held.into_iter().flat_map(|(service_tag, updates)| {
-            let message = |updates: &[Holding]| Message::Held {
+            let message = |updates: &[Holding]| Message::Granted {
                 service_tag,
                 holdings: updates.to_vec(),
             };
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -143,7 +143,7 @@
                     self.peers.add_reported(&keys);
                 }
             }
-            Message::Held {
+            Message::Granted {
                 service_tag,
                 holdings,
             } => self.note_grants(service_tag, holdings),
@@ -254,7 +254,7 @@
         let Some(holding) = holding.cloned() else {
             return;
         };
-        let message = Message::Held {
+        let message = Message::Granted {
             service_tag,
             holdings: vec![holding],
         };
