--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -171,8 +171,8 @@
             Message::ReportUsage(reports) => self.handle_usage_report(&reports),
             Message::AdmittedShare(shares) => self.quotas.note_announced(&shares),
             Message::QueryStoreState { nonce, .. } => {
-                if let Some(word) = self.store_state_for(nonce) {
-                    self.peers.send(&word, &[from]);
+                if let Some(state) = self.store_state_for(nonce) {
+                    self.peers.send(&state, &[from]);
                 }
             }
             Message::StoreState {
