--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -135,23 +135,23 @@
             let Some(reported) = rate.reported else {
                 continue;
             };
-            let word = AdvertisedLimit {
+            let limit = AdvertisedLimit {
                 per_s: reported.limit_per_s,
                 at_ms: now_ms.saturating_sub(u64::from(reported.age_ms)),
             };
             for server in registry.servers().filter(|s| s.tag == rate.server_tag) {
-                log_change(server, server.rate.note_limit(word), "another host");
+                log_change(server, server.rate.note_limit(limit), "another host");
             }
         }
     }
 }
 
 /// Converts an advertised limit into its form in messages, with its age.
-fn reported(word: Option<AdvertisedLimit>, now_ms: u64) -> Option<AdvertisedRate> {
-    let word = word?;
+fn reported(limit: Option<AdvertisedLimit>, now_ms: u64) -> Option<AdvertisedRate> {
+    let limit = limit?;
     Some(AdvertisedRate {
-        limit_per_s: word.per_s,
-        age_ms: now_ms.saturating_sub(word.at_ms) as u32,
+        limit_per_s: limit.per_s,
+        age_ms: now_ms.saturating_sub(limit.at_ms) as u32,
     })
 }
 
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -39,17 +39,17 @@
 
     /// Notes the limit that a response to this host advertised; returns true if the change should
     /// be logged.
-    pub fn note_own_limit(&self, word: AdvertisedLimit) -> bool {
+    pub fn note_own_limit(&self, limit: AdvertisedLimit) -> bool {
         let mut notices = self.notices();
-        notices.rate_limit.note_own(word);
+        notices.rate_limit.note_own(limit);
         notices.rate_limit.take_change()
     }
 
     /// Notes the limit that a response to another host advertised; returns true if the change
     /// should be logged.
-    pub fn note_limit(&self, word: AdvertisedLimit) -> bool {
+    pub fn note_limit(&self, limit: AdvertisedLimit) -> bool {
         let mut notices = self.notices();
-        notices.rate_limit.note(word);
+        notices.rate_limit.note(limit);
         notices.rate_limit.take_change()
     }
 
