--- a/src/entry/updates/query.rs
+++ b/src/entry/updates/query.rs
@@ -15,21 +15,21 @@
 /// Latest unanswered query of one kind.
 #[derive(Debug, Default)]
 pub struct PendingQuery {
-    asked: Mutex<Option<SentQuery>>,
+    pending: Mutex<Option<SentQuery>>,
 }
 
 impl PendingQuery {
     /// Records a query; answers to earlier ones are ignored from then on.
     pub fn ask(&self, nonce: u64, at_ms: u64) {
-        *self.asked.lock().unwrap_or_else(PoisonError::into_inner) =
+        *self.pending.lock().unwrap_or_else(PoisonError::into_inner) =
             Some(SentQuery { nonce, at_ms });
     }
 
     /// Returns when the query with this nonce was sent, and completes it. Returns `None` if it is
     /// not the latest query or was answered before.
     pub fn answered(&self, nonce: u64) -> Option<u64> {
-        let mut asked = self.asked.lock().unwrap_or_else(PoisonError::into_inner);
-        let query = asked.take_if(|asked| asked.nonce == nonce);
+        let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
+        let query = pending.take_if(|pending| pending.nonce == nonce);
         query.map(|query| query.at_ms)
     }
 }
