--- a/src/entry/decide/budget.rs
+++ b/src/entry/decide/budget.rs
@@ -52,7 +52,7 @@
     }
 
     /// Takes a token for a retry; returns false if the budget is used up.
-    pub fn repeat(&self, service: &Arc<str>, hosts: usize, now_ms: u64) -> bool {
+    pub fn retry(&self, service: &Arc<str>, hosts: usize, now_ms: u64) -> bool {
         let most = self.burst(hosts);
         let mut buckets = self.buckets();
         let Some(bucket) = buckets.get_mut(service) else {
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -316,10 +316,10 @@
             && self.left_ms() > ATTEMPT_MS_MIN
             && {
                 let hosts = entry.peers.hosts();
-                entry.retries.repeat(&self.service, hosts, clock::now_ms())
+                entry.retries.retry(&self.service, hosts, clock::now_ms())
             };
         if may {
-            entry.metrics.repeat();
+            entry.metrics.retry();
         }
         may
     }
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -161,7 +161,7 @@
     }
 
     /// Counts a retry: an attempt beyond a request's first.
-    pub fn repeat(&self) {
+    pub fn retry(&self) {
         self.retries.inc();
     }
 
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -1093,7 +1093,7 @@
                 for _ in 0..requests {
                     budget.request(&service, hosts, 0);
                     // Each request asks for more retries than any route allows.
-                    repeats += (0..3).filter(|_| budget.repeat(&service, hosts, 0)).count();
+                    repeats += (0..3).filter(|_| budget.retry(&service, hosts, 0)).count();
                 }
             }
             let all = f64::from(requests) * hosts as f64;
