--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -206,7 +206,7 @@
             match entry.view.owner(&self.service, key) {
                 Owner::Nobody => return Err(Refused::soon("no server holds the key", policy)),
                 Owner::Server(id, fence) => {
-                    let server = self.holder(entry, &id)?;
+                    let server = self.owning_server(entry, &id)?;
                     self.fences = (fence, self.fences.0);
                     return Ok(server);
                 }
@@ -241,7 +241,7 @@
     }
 
     /// Returns the server with this id if it may get the request, or the reason to refuse it.
-    fn holder(&mut self, entry: &Entry, id: &str) -> Result<Arc<Server>, Refused> {
+    fn owning_server(&mut self, entry: &Entry, id: &str) -> Result<Arc<Server>, Refused> {
         let policy = &entry.settings.policy;
         let registry = entry.view.registry();
         let Some(server) = registry.server(id) else {
