--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -47,7 +47,7 @@
     /// may fail right after a heartbeat, before it broadcasts that a server leaves.
     pub trust_ms: u64,
     /// Heartbeat interval of the duty holder; several heartbeats fit into the trust period.
-    pub holder_heartbeat_ms: u64,
+    pub duty_holder_heartbeat_ms: u64,
     /// Pause of the feeds of servers' entries and the configuration on the duty holder and on
     /// relays.
     pub holder_pause_ms: u64,
@@ -133,7 +133,7 @@
         let evacuation_known_ms = trust_ms + after_wait_ms;
         Self {
             trust_ms,
-            holder_heartbeat_ms: (trust_ms / 4).min(HOLDER_HEARTBEAT_MAX_MS),
+            duty_holder_heartbeat_ms: (trust_ms / 4).min(HOLDER_HEARTBEAT_MAX_MS),
             holder_pause_ms: (trust_ms / 4).min(HOLDER_PAUSE_MAX_MS),
             holder_wait_ms: (bounds.contact_ms + drain_room_ms.min(configuration_room_ms))
                 .saturating_sub(FEED_SLACK_MS)
@@ -180,7 +180,8 @@
             worst_ms: wait_ms + self.evacuation_hold_ms + CALL_MS + 2 * LATE_MS,
             bound_ms: bounds.evacuation_ms,
         };
-        let next_heartbeat_ms = self.holder_pause_ms + 2 * self.holder_heartbeat_ms + POLL_EVERY_MS;
+        let next_heartbeat_ms =
+            self.holder_pause_ms + 2 * self.duty_holder_heartbeat_ms + POLL_EVERY_MS;
         [
             drain(
                 "the duty holder fails before it broadcasts that a server leaves",
@@ -216,7 +217,7 @@
             configuration(
                 "a piece of the configuration is lost and detected by the duty holder's next heartbeat",
                 self.holder_pause_ms
-                    + self.holder_heartbeat_ms
+                    + self.duty_holder_heartbeat_ms
                     + self.lag_grace_ms
                     + POLL_EVERY_MS
                     + self.catch_up_ms,
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -80,7 +80,7 @@
             let every_ms = if is_asking {
                 self.limits.ask_relay_every_ms
             } else {
-                self.limits.holder_heartbeat_ms
+                self.limits.duty_holder_heartbeat_ms
             };
             time::sleep(Duration::from_millis(every_ms)).await;
         }
