--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -50,7 +50,7 @@
     pub duty_holder_heartbeat_ms: u64,
     /// Pause of the feeds of servers' entries and the configuration on the duty holder and on
     /// relays.
-    pub holder_pause_ms: u64,
+    pub duty_holder_pause_ms: u64,
     /// Longest wait of the duty holder's feed calls at the store. It is short because no other host
     /// can tell the duty holder that its connection has failed silently.
     pub holder_wait_ms: u64,
@@ -134,7 +134,7 @@
         Self {
             trust_ms,
             duty_holder_heartbeat_ms: (trust_ms / 4).min(HOLDER_HEARTBEAT_MAX_MS),
-            holder_pause_ms: (trust_ms / 4).min(HOLDER_PAUSE_MAX_MS),
+            duty_holder_pause_ms: (trust_ms / 4).min(HOLDER_PAUSE_MAX_MS),
             holder_wait_ms: (bounds.contact_ms + drain_room_ms.min(configuration_room_ms))
                 .saturating_sub(FEED_SLACK_MS)
                 .clamp(TRUST_MIN_MS, HOLDER_WAIT_MAX_MS),
@@ -181,7 +181,7 @@
             bound_ms: bounds.evacuation_ms,
         };
         let next_heartbeat_ms =
-            self.holder_pause_ms + 2 * self.duty_holder_heartbeat_ms + POLL_EVERY_MS;
+            self.duty_holder_pause_ms + 2 * self.duty_holder_heartbeat_ms + POLL_EVERY_MS;
         [
             drain(
                 "the duty holder fails before it broadcasts that a server leaves",
@@ -216,7 +216,7 @@
             ),
             configuration(
                 "a piece of the configuration is lost and detected by the duty holder's next heartbeat",
-                self.holder_pause_ms
+                self.duty_holder_pause_ms
                     + self.duty_holder_heartbeat_ms
                     + self.lag_grace_ms
                     + POLL_EVERY_MS
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -112,7 +112,7 @@
             // The other hosts learn of changes from the duty holder or a relay, so the feeds of
             // these pause only briefly.
             (Self::Configuration | Self::Servers, SyncRole::Holder | SyncRole::Relay) => {
-                FeedPause::fixed(limits.holder_pause_ms)
+                FeedPause::fixed(limits.duty_holder_pause_ms)
             }
             (Self::Configuration, SyncRole::Follower) => FeedPause {
                 min_ms: limits.configuration_pause_ms,
