--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -53,7 +53,7 @@
     pub duty_holder_pause_ms: u64,
     /// Longest wait of the duty holder's feed calls at the store. It is short because no other host
     /// can tell the duty holder that its connection has failed silently.
-    pub holder_wait_ms: u64,
+    pub duty_holder_wait_ms: u64,
     /// Wait of a relay's feed calls while it reports in place of the duty holder. It is short
     /// because the other hosts of the zone query the relay often.
     pub relay_wait_ms: u64,
@@ -135,7 +135,7 @@
             trust_ms,
             duty_holder_heartbeat_ms: (trust_ms / 4).min(HOLDER_HEARTBEAT_MAX_MS),
             duty_holder_pause_ms: (trust_ms / 4).min(HOLDER_PAUSE_MAX_MS),
-            holder_wait_ms: (bounds.contact_ms + drain_room_ms.min(configuration_room_ms))
+            duty_holder_wait_ms: (bounds.contact_ms + drain_room_ms.min(configuration_room_ms))
                 .saturating_sub(FEED_SLACK_MS)
                 .clamp(TRUST_MIN_MS, HOLDER_WAIT_MAX_MS),
             relay_wait_ms: trust_ms / 16,
@@ -194,7 +194,7 @@
             TimingPath {
                 name: "the duty holder's connection to the store has failed silently",
                 bound: "contact",
-                worst_ms: self.holder_wait_ms + FEED_SLACK_MS + CALL_MS + LATE_MS,
+                worst_ms: self.duty_holder_wait_ms + FEED_SLACK_MS + CALL_MS + LATE_MS,
                 bound_ms: bounds.contact_ms + bounds.drain_ms.min(bounds.configuration_ms),
             },
             drain("no duty holder is heard", self.servers_pause_ms),
@@ -233,7 +233,7 @@
             TimingPath {
                 name: "a zone is evacuated while the duty holder's connection to the store has failed silently",
                 bound: "evacuation",
-                worst_ms: self.holder_wait_ms
+                worst_ms: self.duty_holder_wait_ms
                     + FEED_SLACK_MS
                     + self.evacuation_hold_ms
                     + CALL_MS
