--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -335,13 +335,13 @@
     }
 
     /// Completes when a feed call that waits for changes after `asked_after` should be abandoned
-    /// and repeated. `relies_on_holder` is true if its long wait depends on the duty holder's
+    /// and repeated. `relies_on_duty_holder` is true if its long wait depends on the duty holder's
     /// confirmation of the store; `is_silent` returns true while no response has begun.
     pub async fn recall_reason(
         &self,
         followed: FollowedTable,
         asked_after: u64,
-        relies_on_holder: bool,
+        relies_on_duty_holder: bool,
         is_silent: impl Fn() -> bool,
     ) -> RecallReason {
         let mut behind_ms = 0;
@@ -350,7 +350,7 @@
             if !is_silent() {
                 continue;
             }
-            if relies_on_holder && !self.is_store_confirmed() {
+            if relies_on_duty_holder && !self.is_store_confirmed() {
                 return RecallReason::Unconfirmed;
             }
             if self.is_behind(followed, asked_after) {
