--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -30,7 +30,7 @@
 const DUTY_HOLDER_PAUSE_MAX_MS: u64 = 250;
 /// Longest wait of the duty holder's feed calls. Calls are billed, and the duty holder makes them
 /// continuously.
-const HOLDER_WAIT_MAX_MS: u64 = 3_000;
+const DUTY_HOLDER_WAIT_MAX_MS: u64 = 3_000;
 /// Longest pause of the feed of servers' entries on a host that hears no duty holder.
 const SERVERS_PAUSE_MAX_MS: u64 = 1_500;
 /// Longest pause of the configuration's feed on hosts other than the duty holder and relays.
@@ -137,7 +137,7 @@
             duty_holder_pause_ms: (trust_ms / 4).min(DUTY_HOLDER_PAUSE_MAX_MS),
             duty_holder_wait_ms: (bounds.contact_ms + drain_room_ms.min(configuration_room_ms))
                 .saturating_sub(FEED_SLACK_MS)
-                .clamp(TRUST_MIN_MS, HOLDER_WAIT_MAX_MS),
+                .clamp(TRUST_MIN_MS, DUTY_HOLDER_WAIT_MAX_MS),
             relay_wait_ms: trust_ms / 16,
             ask_relay_every_ms: trust_ms / 16,
             catch_up_ms: trust_ms / 5,
