--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -55,7 +55,7 @@
             configuration_ms: self.settings.bounds.configuration_ms,
         };
         match api_key_verdict::judge(workspace.is_some(), self.configuration_age_ms(), limits) {
-            ApiKeyVerdict::Honoured => Ok(workspace),
+            ApiKeyVerdict::Accepted => Ok(workspace),
             ApiKeyVerdict::Unknown => Err(Denied::Unauthorized),
             ApiKeyVerdict::Unverified => Err(Denied::Unverified),
         }
--- a/src/entry/decide/api_key_verdict.rs
+++ b/src/entry/decide/api_key_verdict.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApiKeyVerdict {
     /// The key is valid.
-    Honoured,
+    Accepted,
     /// The key is certainly not valid.
     Unknown,
     /// This host cannot decide now.
@@ -48,6 +48,6 @@
         Some(bound_ms) if !is_proved_within(bound_ms.saturating_sub(REVOCATION_MARGIN_MS)) => {
             ApiKeyVerdict::Unverified
         }
-        _ => ApiKeyVerdict::Honoured,
+        _ => ApiKeyVerdict::Accepted,
     }
 }
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -211,7 +211,7 @@
         let outdated_ms = self.operators.written_ms(host.version + 1);
         let is_outdated = latest > host.version;
         match verdict {
-            ApiKeyVerdict::Honoured => {
+            ApiKeyVerdict::Accepted => {
                 self.honoured += 1;
                 if is_outdated && now_ms > outdated_ms + REVOCATION_MS {
                     return Err(format!(
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -275,11 +275,11 @@
         verdict,
     };
     let cases = [
-        case(true, Some(0), strict, ApiKeyVerdict::Honoured),
-        case(true, Some(4_800), strict, ApiKeyVerdict::Honoured),
+        case(true, Some(0), strict, ApiKeyVerdict::Accepted),
+        case(true, Some(4_800), strict, ApiKeyVerdict::Accepted),
         case(true, Some(5_000), strict, ApiKeyVerdict::Unverified),
         case(true, None, strict, ApiKeyVerdict::Unverified),
-        case(true, None, None, ApiKeyVerdict::Honoured),
+        case(true, None, None, ApiKeyVerdict::Accepted),
         case(false, Some(1_000), strict, ApiKeyVerdict::Unknown),
         case(false, Some(1_000), None, ApiKeyVerdict::Unknown),
         case(false, Some(3_000), strict, ApiKeyVerdict::Unverified),
