--- a/src/entry/join/seed_hosts.rs
+++ b/src/entry/join/seed_hosts.rs
@@ -47,7 +47,7 @@
     }
 
     /// Stores the list of seed hosts whenever it has changed, while this host has the duty.
-    pub(in crate::entry) async fn keep_naming_seed_hosts(self: Arc<Self>) {
+    pub(in crate::entry) async fn maintain_seed_hosts(self: Arc<Self>) {
         let mut named = None;
         loop {
             time::sleep(Duration::from_millis(SEED_HOSTS_EVERY_MS)).await;
