--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -30,7 +30,7 @@
     /// Fetches the missed changes of a table from other hosts. Returns true if this host knows all
     /// changes that it has heard of, and false if it must query the store.
     pub(in crate::entry) async fn catch_up_from_peers(&self, followed: FollowedTable) -> bool {
-        if self.sync_role() != SyncRole::Follower || !self.asks_peers_first(followed) {
+        if self.sync_role() != SyncRole::Follower || !self.queries_peers_first(followed) {
             return false;
         }
         let patience = Duration::from_millis(self.catch_up_timeout_ms(followed));
@@ -40,7 +40,7 @@
 
     /// Returns true if there are so many hosts or changes that other hosts are queried before the
     /// store.
-    fn asks_peers_first(&self, followed: FollowedTable) -> bool {
+    fn queries_peers_first(&self, followed: FollowedTable) -> bool {
         match followed {
             // While the store is unavailable, only this feed detects its return, for the other
             // feeds too.
