--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -132,7 +132,7 @@
     /// Fetches a snapshot from a seed host, or determines that this host must read the tables.
     pub(super) async fn join(self: Arc<Self>) {
         let began_ms = clock::now_ms();
-        let outcome = if self.ask_seed_hosts().await {
+        let outcome = if self.query_seed_hosts().await {
             SyncOutcome::Synced
         } else {
             SyncOutcome::ReadsTables
@@ -145,7 +145,7 @@
         self.join.outcome.send_replace(outcome);
     }
 
-    async fn ask_seed_hosts(&self) -> bool {
+    async fn query_seed_hosts(&self) -> bool {
         let mut lookups = 0;
         let seed_hosts = loop {
             match self.find_seed_hosts().await {
