--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -76,7 +76,7 @@
     /// determines whether this host is a relay.
     pub(super) async fn keep_asking_relays(self: Arc<Self>) {
         loop {
-            let is_asking = self.ask_relays();
+            let is_asking = self.query_relays();
             let every_ms = if is_asking {
                 self.limits.ask_relay_every_ms
             } else {
@@ -88,7 +88,7 @@
 
     /// Queries the relays of the zone if the state of the store must be confirmed. Returns true if
     /// it did.
-    fn ask_relays(&self) -> bool {
+    fn query_relays(&self) -> bool {
         let is_apart = self.duty.term() > 0 || !self.peers.use_relays();
         let relays = if is_apart {
             Vec::new()
