--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -123,7 +123,7 @@
     tokio::spawn(entry.clone().watch_configuration());
     tokio::spawn(entry.clone().watch_servers());
     tokio::spawn(entry.clone().keep_configuration_confirmed());
-    tokio::spawn(entry.clone().keep_asking_relays());
+    tokio::spawn(entry.clone().keep_querying_relays());
     tokio::spawn(entry.clone().watch_own());
     tokio::spawn(entry.clone().register());
     tokio::spawn(entry.clone().drop_overdue_servers());
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -74,7 +74,7 @@
 
     /// Queries the relays of the own zone while the duty holder's report becomes stale, and
     /// determines whether this host is a relay.
-    pub(super) async fn keep_asking_relays(self: Arc<Self>) {
+    pub(super) async fn keep_querying_relays(self: Arc<Self>) {
         loop {
             let is_asking = self.query_relays();
             let every_ms = if is_asking {
