--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -59,7 +59,7 @@
     pub relay_wait_ms: u64,
     /// Interval at which a host queries the relays of its zone once the duty holder's last report
     /// is old. Several queries fit into the time until that report is no longer trusted.
-    pub ask_relay_every_ms: u64,
+    pub relay_query_every_ms: u64,
     /// Pause between a host's own calls, among many hosts, while neither the duty holder nor a
     /// relay confirms the store. Two pauses fit into the contact grace period.
     pub alone_pause_ms: u64,
@@ -139,7 +139,7 @@
                 .saturating_sub(FEED_SLACK_MS)
                 .clamp(TRUST_MIN_MS, DUTY_HOLDER_WAIT_MAX_MS),
             relay_wait_ms: trust_ms / 16,
-            ask_relay_every_ms: trust_ms / 16,
+            relay_query_every_ms: trust_ms / 16,
             catch_up_ms: trust_ms / 5,
             alone_pause_ms: bounds.contact_ms / 2,
             servers_pause_ms: drain_room_ms.min(SERVERS_PAUSE_MAX_MS),
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -78,7 +78,7 @@
         loop {
             let is_asking = self.query_relays();
             let every_ms = if is_asking {
-                self.limits.ask_relay_every_ms
+                self.limits.relay_query_every_ms
             } else {
                 self.limits.duty_holder_heartbeat_ms
             };
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -61,7 +61,7 @@
     assert!(!relay.is_store_confirmed());
     assert!(other.is_store_confirmed());
     // The remaining time suffices for several queries.
-    assert!(limits.trust_ms / 4 >= 3 * limits.ask_relay_every_ms);
+    assert!(limits.trust_ms / 4 >= 3 * limits.relay_query_every_ms);
 }
 
 #[test]
