--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -34,7 +34,7 @@
 const RELEASE_TIMEOUT_MS: u64 = 2_500;
 /// Delay until a release order is sent again in parallel, as its answer may be lost and the keys
 /// have no server until it arrives. Most work on keys ends within this time.
-const RELEASE_REPEAT_MS: u64 = 600;
+const RELEASE_RETRY_MS: u64 = 600;
 /// Maximum number of times that one release order is sent. Of a hundred servers that lose half of
 /// their answers, six do not answer any of four.
 const RELEASES_MAX: usize = 4;
@@ -381,7 +381,7 @@
                     return Ok(released);
                 }
             }
-            () = time::sleep(Duration::from_millis(RELEASE_REPEAT_MS)),
+            () = time::sleep(Duration::from_millis(RELEASE_RETRY_MS)),
                 if sent < RELEASES_MAX && failed.is_none() =>
             {
                 let server = order.server.to_owned();
