--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -323,9 +323,9 @@
     }
 
     /// Returns whether another host has reported a later change of a table than the version
-    /// `asked_after` that a feed call asked for.
-    pub fn is_behind(&self, followed: FollowedTable, asked_after: u64) -> bool {
-        self.reported_change(followed) > asked_after
+    /// `requested_after` that a feed call asked for.
+    pub fn is_behind(&self, followed: FollowedTable, requested_after: u64) -> bool {
+        self.reported_change(followed) > requested_after
     }
 
     /// Returns whether another host has reported that a server leaves, by a change after a version.
@@ -334,13 +334,13 @@
         received.is_some_and(|received| received.updates.leave_version > version)
     }
 
-    /// Completes when a feed call that waits for changes after `asked_after` should be abandoned
+    /// Completes when a feed call that waits for changes after `requested_after` should be abandoned
     /// and repeated. `relies_on_duty_holder` is true if its long wait depends on the duty holder's
     /// confirmation of the store; `is_silent` returns true while no response has begun.
     pub async fn recall_reason(
         &self,
         followed: FollowedTable,
-        asked_after: u64,
+        requested_after: u64,
         relies_on_duty_holder: bool,
         is_silent: impl Fn() -> bool,
     ) -> RecallReason {
@@ -353,7 +353,7 @@
             if relies_on_duty_holder && !self.is_store_confirmed() {
                 return RecallReason::Unconfirmed;
             }
-            if self.is_behind(followed, asked_after) {
+            if self.is_behind(followed, requested_after) {
                 behind_ms += POLL_EVERY_MS;
             } else {
                 behind_ms = 0;
