--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -90,8 +90,8 @@
     fn report_leaving(&self) {
         let registry = self.view.registry();
         if self.duty.term() == 0 {
-            let said = registry.servers().filter(|s| s.leaves_by_notice_only());
-            let tags: Vec<u32> = said.map(|s| s.tag).take(ENTRIES_MAX).collect();
+            let leaving_servers = registry.servers().filter(|s| s.leaves_by_notice_only());
+            let tags: Vec<u32> = leaving_servers.map(|s| s.tag).take(ENTRIES_MAX).collect();
             if !tags.is_empty()
                 && !self
                     .peers
