--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -186,9 +186,9 @@
             Err(rest_ms) => rest_ms,
         };
         let (arrived_ms, hold_ms) = (self.times.arrived_ms, entry.limits.notice_hold_ms);
-        let at_last =
+        let leaving_servers =
             registry.usable_while_leaving(&self.service, &self.tried, arrived_ms, hold_ms);
-        let last_rest_ms = match not_resting(at_last) {
+        let last_rest_ms = match not_resting(leaving_servers) {
             Ok(servers) => return Ok(servers),
             Err(rest_ms) => rest_ms,
         };
