--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -188,11 +188,11 @@
         let (arrived_ms, hold_ms) = (self.times.arrived_ms, entry.limits.notice_hold_ms);
         let leaving_servers =
             registry.usable_while_leaving(&self.service, &self.tried, arrived_ms, hold_ms);
-        let last_rest_ms = match not_resting(leaving_servers) {
+        let leaving_rest_ms = match not_resting(leaving_servers) {
             Ok(servers) => return Ok(servers),
             Err(rest_ms) => rest_ms,
         };
-        Err(match rest_ms.into_iter().chain(last_rest_ms).min() {
+        Err(match rest_ms.into_iter().chain(leaving_rest_ms).min() {
             Some(rest_ms) => Refused::after("all servers want a rest", rest_ms, policy),
             None => Refused::soon("no server may get work", policy),
         })
