--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -191,13 +191,13 @@
     }
 
     /// Records the reply of a peer to a heartbeat, which may raise the basis.
-    pub fn record_heartbeat_reply(&self, answer: HeartbeatReply, own: Voter) {
+    pub fn record_heartbeat_reply(&self, reply: HeartbeatReply, own: Voter) {
         let mut inner = self.lock();
         let state = self.state.load();
         let voters = voters(&state);
         inner
             .freshness
-            .record_heartbeat_reply(answer, state.revision, own, &voters);
+            .record_heartbeat_reply(reply, state.revision, own, &voters);
         self.store_basis(&inner);
     }
 
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -84,17 +84,17 @@
     /// of the state at that revision.
     pub fn record_heartbeat_reply(
         &mut self,
-        answer: HeartbeatReply,
+        reply: HeartbeatReply,
         applied: Revision,
         own: Voter,
         voters: &[Voter],
     ) {
-        if answer.revision > applied {
+        if reply.revision > applied {
             return;
         }
-        self.store_reply(answer);
-        if let Some(age_ms) = answer.basis_age_ms {
-            self.raise_basis(answer.sent_ms.saturating_sub(age_ms));
+        self.store_reply(reply);
+        if let Some(age_ms) = reply.basis_age_ms {
+            self.raise_basis(reply.sent_ms.saturating_sub(age_ms));
         }
         if let Some(oldest_ms) = self.majority_ms(own, voters) {
             self.raise_basis(oldest_ms);
@@ -109,15 +109,15 @@
     }
 
     /// Keeps the reply if its ping was sent later than that of the last reply of the same peer.
-    fn store_reply(&mut self, answer: HeartbeatReply) {
+    fn store_reply(&mut self, reply: HeartbeatReply) {
         let mut heard = LastReply {
-            host: answer.host,
-            incarnation: answer.incarnation,
-            sent_ms: answer.sent_ms,
-            revision: answer.revision,
-            since_ms: answer.sent_ms,
+            host: reply.host,
+            incarnation: reply.incarnation,
+            sent_ms: reply.sent_ms,
+            revision: reply.revision,
+            since_ms: reply.sent_ms,
         };
-        let Some(previous) = self.heard.iter_mut().find(|h| h.host == answer.host) else {
+        let Some(previous) = self.heard.iter_mut().find(|h| h.host == reply.host) else {
             self.heard.push(heard);
             return;
         };
