--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -222,7 +222,7 @@
         return ClaimResult::Refused(Reason::KeyReused);
     }
     match held.state {
-        ClaimState::Answered(answer) => ClaimResult::Answered(answer),
+        ClaimState::Answered(response) => ClaimResult::Answered(response),
         ClaimState::AnswerNotKept => ClaimResult::Refused(Reason::AnswerNotKept),
         ClaimState::Pending if clock::unix_ms() <= held.until_unix_ms => {
             ClaimResult::Refused(Reason::InProgress)
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -138,9 +138,9 @@
     }
 
     /// Ends a claim whose request was answered; `None` if the response is too long to be stored.
-    pub fn answered(&self, claim: Claim, answer: Option<StoredResponse>) {
-        let state = match answer {
-            Some(answer) => ClaimState::Answered(answer),
+    pub fn answered(&self, claim: Claim, response: Option<StoredResponse>) {
+        let state = match response {
+            Some(response) => ClaimState::Answered(response),
             None => ClaimState::AnswerNotKept,
         };
         self.end(claim, state);
--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -81,15 +81,15 @@
             .header(header::HOST, peer.to_string())
             .body(Full::new(body))
             .context(BuildRequestSnafu)?;
-        let answer = Link::new(peer).call(request, QUERY_TIMEOUT_MS).await;
-        let answer = answer.context(CallSnafu)?;
-        if answer.status != StatusCode::OK {
+        let response = Link::new(peer).call(request, QUERY_TIMEOUT_MS).await;
+        let response = response.context(CallSnafu)?;
+        if response.status != StatusCode::OK {
             return StatusSnafu {
-                status: answer.status,
+                status: response.status,
             }
             .fail();
         }
-        let content = self.peers.seal.open(&answer.body).context(SealSnafu)?;
+        let content = self.peers.seal.open(&response.body).context(SealSnafu)?;
         postcard::from_bytes(content).context(DecodeSnafu)
     }
 
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -136,11 +136,11 @@
 
     /// Returns a connection to the pool after a complete response, unless the response's headers
     /// ask to close it.
-    pub fn give_back(&self, mut connection: Connection, answer: &HeaderMap) {
-        if says_close(answer) {
+    pub fn give_back(&self, mut connection: Connection, response: &HeaderMap) {
+        if says_close(response) {
             return;
         }
-        if let Some(limit_ms) = keep_alive_ms(answer) {
+        if let Some(limit_ms) = keep_alive_ms(response) {
             connection.idle_limit_ms = (limit_ms as f64 * IDLE_SHARE) as u64;
         }
         connection.idle_since_ms = clock::now_ms();
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -141,15 +141,15 @@
             calls.spawn(async move { (server, host.query_server(address).await) });
         }
         while let Some(queried) = calls.join_next().await {
-            let Ok((server, Ok(answer))) = queried else {
+            let Ok((server, Ok(response))) = queried else {
                 continue;
             };
-            if answer.draining {
+            if response.draining {
                 continue;
             }
             let change = Change::ServerJoined {
                 server,
-                incarnation: answer.incarnation,
+                incarnation: response.incarnation,
             };
             let _ = self.commit_own(change).await;
         }
--- a/src/host/moves.rs
+++ b/src/host/moves.rs
@@ -105,11 +105,11 @@
             drain_ms,
         };
         let client = JsonClient::new(drain_ms + super::renew::ORDER_TIMEOUT_MS);
-        let answer: RevokeResponse = client
+        let response: RevokeResponse = client
             .post(from.address, REVOKE_PATH, &order)
             .await
             .map_err(|source| MoveError::Revoke { source })?;
-        if !answer.released {
+        if !response.released {
             return Err(MoveError::NotReleased);
         }
         Ok(())
@@ -134,12 +134,12 @@
         if !self.view.fresh() || !is_live(&state, key) {
             return Err(MoveError::Changed);
         }
-        let answer: LeaseResponse = self
+        let response: LeaseResponse = self
             .servers
             .post(to.address, LEASE_PATH, &order)
             .await
             .map_err(|source| MoveError::Grant { source })?;
-        if !answer.accepted {
+        if !response.accepted {
             return Err(MoveError::NotGranted);
         }
         Ok(())
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -147,9 +147,9 @@
             return;
         };
         let ordered = order.incarnation.is_some();
-        let answer = self.servers.post(leased.address, LEASE_PATH, &order).await;
-        match answer {
-            Ok(answer) => self.renewed(leased, ordered, &answer).await,
+        let response = self.servers.post(leased.address, LEASE_PATH, &order).await;
+        match response {
+            Ok(response) => self.renewed(leased, ordered, &response).await,
             Err(error) => self.renewal_failed(leased, &error).await,
         }
     }
@@ -187,7 +187,7 @@
         self: &Arc<Self>,
         leased: LeasedServer,
         ordered: bool,
-        answer: &LeaseResponse,
+        response: &LeaseResponse,
     ) {
         let outcome = {
             let mut renewal_states = self.renewal_states();
@@ -196,10 +196,10 @@
             };
             let now_ms = clock::now_ms();
             let every_ms = self.settings.ownership.renew_every_ms;
-            renewal_state.answered(answer, leased.incarnation, ordered, now_ms, every_ms)
+            renewal_state.answered(response, leased.incarnation, ordered, now_ms, every_ms)
         };
         match outcome {
-            RenewalOutcome::Renewed => self.note_draining(leased, answer.draining).await,
+            RenewalOutcome::Renewed => self.note_draining(leased, response.draining).await,
             RenewalOutcome::Replaced => {
                 self.report_lost(leased, "another process responds at its address")
                     .await
@@ -269,7 +269,7 @@
             return false;
         };
         match self.query_server(entry.address).await {
-            Ok(answer) => answer.incarnation == entry.incarnation,
+            Ok(response) => response.incarnation == entry.incarnation,
             Err(_) => false,
         }
     }
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -78,23 +78,23 @@
     /// Applies a response; `meant` is the process that the order was for.
     pub fn answered(
         &mut self,
-        answer: &LeaseResponse,
+        response: &LeaseResponse,
         meant: Incarnation,
         ordered: bool,
         now_ms: u64,
         renew_every_ms: u64,
     ) -> RenewalOutcome {
         self.reading = Some(ClockReading {
-            incarnation: answer.incarnation,
-            clock_ms: answer.clock_ms,
+            incarnation: response.incarnation,
+            clock_ms: response.clock_ms,
             received_ms: now_ms,
         });
-        if answer.incarnation != meant {
+        if response.incarnation != meant {
             return RenewalOutcome::Replaced;
         }
         self.answered_ms = now_ms;
-        self.digest = Some(answer.grants_digest);
-        if ordered && !answer.accepted {
+        self.digest = Some(response.grants_digest);
+        if ordered && !response.accepted {
             self.due_ms = now_ms + RETRY_MS;
             return RenewalOutcome::Outdated;
         }
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -106,22 +106,22 @@
         deadline_ms: u64,
     ) -> AttemptOutcome {
         let left_ms = deadline_ms.saturating_sub(clock::now_ms());
-        let answer = time::timeout(Duration::from_millis(left_ms), self.client.request(request));
-        match answer.await {
+        let response = time::timeout(Duration::from_millis(left_ms), self.client.request(request));
+        match response.await {
             // Dropping the exchange closes its connection, which cancels the request at the server.
             Err(_) => AttemptOutcome::Unknown(Reason::NoAnswer),
             Ok(Err(error)) if error.is_connect() => AttemptOutcome::NotRun(Reason::NoConnection),
             Ok(Err(_)) => AttemptOutcome::Unknown(Reason::Broken),
-            Ok(Ok(answer)) => classify(answer, permit),
+            Ok(Ok(response)) => classify(response, permit),
         }
     }
 }
 
-fn classify(answer: Response<Incoming>, permit: Permit) -> AttemptOutcome {
-    let headers = answer.headers();
+fn classify(response: Response<Incoming>, permit: Permit) -> AttemptOutcome {
+    let headers = response.headers();
     if header_text(headers, OUTCOME_HEADER) != Some("not-run") {
         let held = |body| BodyWithPermit { body, permit }.boxed();
-        return AttemptOutcome::Answered(answer.map(held));
+        return AttemptOutcome::Answered(response.map(held));
     }
     match header_text(headers, REASON_HEADER) {
         Some("stale-epoch" | "stale-incarnation" | "draining") => AttemptOutcome::Stale,
