--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -102,7 +102,7 @@
     /// answer to the time of this query.
     fn query_confirmation(&self) {
         let nonce = rand::random();
-        self.confirmation.ask(nonce, clock::now_ms());
+        self.confirmation.start_query(nonce, clock::now_ms());
         if !self
             .peers
             .send_to_duty_holder(&Message::QueryConfigurationAge { nonce })
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -102,7 +102,7 @@
         }
         let nonce = rand::random();
         let sender = self.as_sender();
-        self.freshness.ask(nonce, clock::now_ms());
+        self.freshness.start_query(nonce, clock::now_ms());
         self.peers
             .send(&Message::QueryStoreState { nonce, sender }, &relays);
         true
--- a/src/entry/updates/confirmation.rs
+++ b/src/entry/updates/confirmation.rs
@@ -43,8 +43,8 @@
     }
 
     /// Records a query to the duty holder.
-    pub fn ask(&self, nonce: u64, at_ms: u64) {
-        self.query.ask(nonce, at_ms);
+    pub fn start_query(&self, nonce: u64, at_ms: u64) {
+        self.query.start_query(nonce, at_ms);
     }
 
     /// Records the duty holder's answer: its configuration, which this host has as well, was the
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -142,8 +142,8 @@
     }
 
     /// Records a query to a relay.
-    pub fn ask(&self, nonce: u64, at_ms: u64) {
-        self.query.ask(nonce, at_ms);
+    pub fn start_query(&self, nonce: u64, at_ms: u64) {
+        self.query.start_query(nonce, at_ms);
     }
 
     /// Records that a feed call for a table waits at the store, until the returned guard is
--- a/src/entry/updates/query.rs
+++ b/src/entry/updates/query.rs
@@ -20,7 +20,7 @@
 
 impl PendingQuery {
     /// Records a query; answers to earlier ones are ignored from then on.
-    pub fn ask(&self, nonce: u64, at_ms: u64) {
+    pub fn start_query(&self, nonce: u64, at_ms: u64) {
         *self.pending.lock().unwrap_or_else(PoisonError::into_inner) =
             Some(SentQuery { nonce, at_ms });
     }
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -171,7 +171,7 @@
     }
 
     /// Sends a query of a host and schedules the response.
-    fn ask(&mut self, place: usize, now_ms: u64) {
+    fn start_query(&mut self, place: usize, now_ms: u64) {
         if now_ms < self.hosts[place].cut_until_ms {
             return;
         }
@@ -184,7 +184,7 @@
             }
         } else {
             let nonce = self.rng.random();
-            self.hosts[place].confirmation.ask(nonce, now_ms);
+            self.hosts[place].confirmation.start_query(nonce, now_ms);
             let holder = &self.hosts[HOLDER];
             // The duty holder answers with its state at the time of the query; the response may be
             // delayed.
@@ -244,7 +244,7 @@
                 self.hosts[place].take_in(now_ms);
                 self.check(place, now_ms)?;
                 if now_ms.is_multiple_of(ASK_EVERY_MS) {
-                    self.ask(place, now_ms);
+                    self.start_query(place, now_ms);
                 }
             }
         }
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -69,7 +69,7 @@
     let limits = limits();
     let host = Freshness::new(&limits);
     let now_ms = ashroad::clock::now_ms();
-    host.ask(1, now_ms);
+    host.start_query(1, now_ms);
     assert_eq!(
         host.note_relay_report(2, updates(0, 9)),
         None,
@@ -88,7 +88,7 @@
     );
     // An answer that was delayed while the host was frozen.
     let frozen = Freshness::new(&limits);
-    frozen.ask(1, now_ms - limits.trust_ms);
+    frozen.start_query(1, now_ms - limits.trust_ms);
     frozen.note_relay_report(1, updates(0, 9));
     assert!(!frozen.is_store_confirmed());
 }
@@ -98,7 +98,7 @@
     let limits = limits();
     let host = Freshness::new(&limits);
     host.note_announced(updates(1_000, 20));
-    host.ask(1, ashroad::clock::now_ms());
+    host.start_query(1, ashroad::clock::now_ms());
     host.note_relay_report(1, updates(100, 10));
     assert!(host.is_behind(FollowedTable::Servers, 19));
     assert!(host.has_leave_since(19));
