--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -68,8 +68,8 @@
         Ok(workspace) => workspace,
         Err(denied) => return deny(&head, &route, denied, &policy),
     };
-    let asked_ms = header_number(&head.headers, headers::DEADLINE_MS.as_str());
-    let left_ms = asked_ms
+    let requested_ms = header_number(&head.headers, headers::DEADLINE_MS.as_str());
+    let left_ms = requested_ms
         .unwrap_or(DEADLINE_DEFAULT_MS)
         .min(route.timeout_ms);
     let deadline_ms = arrived_ms + left_ms;
