--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -119,12 +119,12 @@
         if after == 0 {
             return false;
         }
-        let asked_ms = clock::now_ms();
+        let sent_ms = clock::now_ms();
         let begun = AtomicBool::new(false);
         match self.store.feed(followed.table(), after, 0, &begun).await {
             Ok(Feed::Changes(changes)) => {
                 self.apply_changes(followed, after, changes);
-                self.confirmation.note(asked_ms);
+                self.confirmation.note(sent_ms);
                 true
             }
             // The store no longer has the changes: the feed of the table will read the whole table.
--- a/src/entry/updates/confirmation.rs
+++ b/src/entry/updates/confirmation.rs
@@ -50,8 +50,8 @@
     /// Records the duty holder's answer: its configuration, which this host has as well, was the
     /// current one `age_ms` before the answer. Answers to earlier queries are ignored.
     pub fn note_answer(&self, nonce: u64, age_ms: u64) {
-        if let Some(asked_ms) = self.query.answered(nonce) {
-            self.note(asked_ms.saturating_sub(age_ms));
+        if let Some(sent_ms) = self.query.answered(nonce) {
+            self.note(sent_ms.saturating_sub(age_ms));
         }
     }
 }
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -239,8 +239,8 @@
     /// Records a relay's answer. Returns when the store answered the relay; `None` if that is not
     /// later than what is known.
     pub fn note_relay_report(&self, nonce: u64, updates: StoreStateReport) -> Option<u64> {
-        let asked_ms = self.query.answered(nonce)?;
-        let answered_ms = asked_ms.saturating_sub(u64::from(updates.age_ms));
+        let sent_ms = self.query.answered(nonce)?;
+        let answered_ms = sent_ms.saturating_sub(u64::from(updates.age_ms));
         let store_state = ReceivedReport {
             answered_ms,
             updates,
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -223,9 +223,9 @@
 
     /// Records that the store has delivered all changes of a table up to the time of the call; for
     /// the configuration that is the proof of its age.
-    fn note_confirmation_by_store(&self, followed: FollowedTable, asked_ms: u64) {
+    fn note_confirmation_by_store(&self, followed: FollowedTable, sent_ms: u64) {
         if followed == FollowedTable::Configuration {
-            self.confirmation.note(asked_ms);
+            self.confirmation.note(sent_ms);
         }
     }
 
@@ -326,7 +326,7 @@
     }
 
     async fn read_whole(&self, followed: FollowedTable) -> bool {
-        let asked_ms = clock::now_ms();
+        let sent_ms = clock::now_ms();
         match self.read_table(followed).await {
             Ok(rows) => {
                 self.note_store_answer(clock::now_ms());
@@ -336,7 +336,7 @@
                 }
                 self.apply_table(followed, rows);
                 self.freshness.note_applied(followed, version);
-                self.note_confirmation_by_store(followed, asked_ms);
+                self.note_confirmation_by_store(followed, sent_ms);
                 true
             }
             Err(error) => {
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Delivery {
     /// Response of the store to a query.
-    Store { asked_ms: u64, version: u64 },
+    Store { sent_ms: u64, version: u64 },
     /// Response of the duty holder to a query.
     Holder {
         nonce: u64,
@@ -110,9 +110,9 @@
         let due: Vec<(u64, Delivery)> = due;
         for (_, updates) in due {
             match updates {
-                Delivery::Store { asked_ms, version } => {
+                Delivery::Store { sent_ms, version } => {
                     self.version = self.version.max(version);
-                    self.confirmation.note(asked_ms);
+                    self.confirmation.note(sent_ms);
                 }
                 Delivery::Holder {
                     nonce,
@@ -179,7 +179,7 @@
         let answered_ms = now_ms + to_ms;
         let updates = if place == HOLDER {
             Delivery::Store {
-                asked_ms: now_ms,
+                sent_ms: now_ms,
                 version: self.operators.version(answered_ms),
             }
         } else {
