--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -109,7 +109,7 @@
                 if change.is_end() {
                     self.freshness.note_leave(change.version);
                 }
-                match change.what {
+                match change.update {
                     ServerUpdate::Entry(entry) => registry.put(entry),
                     ServerUpdate::Removed(name) => registry.remove(&name, returned_ms),
                     ServerUpdate::Unreadable(name) => registry.drop_server(&name),
@@ -232,7 +232,7 @@
 pub(super) fn decode_servers(rows: &[Row]) -> Vec<ServerChange> {
     let mut changes = Vec::with_capacity(rows.len());
     for row in rows {
-        let what = if row.removed {
+        let update = if row.removed {
             ServerUpdate::Removed(row.key.as_str().into())
         } else {
             match servers::decode(&row.key, &row.value) {
@@ -244,7 +244,7 @@
             }
         };
         let version = row.version;
-        changes.push(ServerChange { version, what });
+        changes.push(ServerChange { version, update });
     }
     changes
 }
--- a/src/entry/updates/server_changes.rs
+++ b/src/entry/updates/server_changes.rs
@@ -26,13 +26,13 @@
     /// Version of the changed row.
     pub version: u64,
     /// New state of the entry.
-    pub what: ServerUpdate,
+    pub update: ServerUpdate,
 }
 
 impl ServerChange {
     /// Returns whether the server takes no new work after this change.
     pub fn is_end(&self) -> bool {
-        match &self.what {
+        match &self.update {
             ServerUpdate::Entry(entry) => entry.leaving,
             ServerUpdate::Removed(_) | ServerUpdate::Unreadable(_) => true,
         }
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -787,7 +787,7 @@
 fn changes_of_servers_are_taken_only_in_order() {
     let change = |version| ServerChange {
         version,
-        what: ServerUpdate::Entry(
+        update: ServerUpdate::Entry(
             server(&format!("i-{version:010}"), "oslo-a", false)
                 .entry
                 .clone(),
