--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -31,7 +31,7 @@
 /// each row needs one of each.
 const ROWS_MAX: usize = 45;
 /// Number of registration requests to another host before a host registers itself.
-const TRIES: usize = 4;
+const ATTEMPTS_MAX: usize = 4;
 /// Maximum size of the body of a registration request.
 const REQUEST_BYTES_MAX: usize = 1_024;
 
@@ -101,7 +101,7 @@
             address: self.settings.listen.peers,
             row: row.clone(),
         };
-        for _ in 0..TRIES {
+        for _ in 0..ATTEMPTS_MAX {
             match self.send_to::<bool>(peer, REGISTER, &newcomer).await {
                 Ok(registered) => return registered,
                 Err(error) => log::debug!("registration through {peer} failed: {error}"),
