--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -89,8 +89,8 @@
     /// Queries the relays of the zone if the state of the store must be confirmed. Returns true if
     /// it did.
     fn query_relays(&self) -> bool {
-        let is_apart = self.duty.term() > 0 || !self.peers.use_relays();
-        let relays = if is_apart {
+        let is_without_relays = self.duty.term() > 0 || !self.peers.use_relays();
+        let relays = if is_without_relays {
             Vec::new()
         } else {
             self.peers.own_zone_relays(self.as_relay_candidate())
