--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -81,7 +81,7 @@
             self.broadcast.end_reading(followed);
             self.wait_for_duty_holder_at_start(followed).await;
             let mut called_ms = clock::now_ms();
-            let mut trust = FeedHealth::Full;
+            let mut health = FeedHealth::Full;
             let mut pause_ms = RETRY_PAUSE_MS;
             loop {
                 let began_ms = clock::now_ms();
@@ -94,10 +94,10 @@
                     continue;
                 }
                 let after = self.freshness.applied(followed);
-                let feed = match self.next_changes(followed, after, trust).await {
+                let feed = match self.next_changes(followed, after, health).await {
                     Ok(feed) => feed,
                     Err(RecallReason::Behind) => {
-                        trust = FeedHealth::Doubted;
+                        health = FeedHealth::Doubted;
                         continue;
                     }
                     Err(RecallReason::Unconfirmed | RecallReason::StoreLost) => continue,
@@ -105,7 +105,7 @@
                 match feed {
                     Ok(Feed::Changes(changes)) => {
                         self.answered(followed);
-                        trust = FeedHealth::Full;
+                        health = FeedHealth::Full;
                         pause_ms = RETRY_PAUSE_MS;
                         let has_more = changes.is_full_page();
                         self.apply_changes(followed, after, changes);
@@ -120,8 +120,8 @@
                         break;
                     }
                     Err(error) => {
-                        self.store_failed(followed, &error, trust);
-                        trust = FeedHealth::Lost;
+                        self.store_failed(followed, &error, health);
+                        health = FeedHealth::Lost;
                         pause_for(pause_ms).await;
                         pause_ms = (pause_ms * 2).min(RETRY_PAUSE_MAX_MS);
                         self.pause_while_others_call().await;
@@ -138,7 +138,7 @@
         &self,
         followed: FollowedTable,
         after: u64,
-        trust: FeedHealth,
+        health: FeedHealth,
     ) -> Result<platform::Result<Feed>, RecallReason> {
         let mut store_lost = self.view.store_lost();
         if followed != FollowedTable::Servers {
@@ -152,7 +152,7 @@
         let begun = AtomicBool::new(false);
         let table = followed.table();
         let _following = self.freshness.follow(followed);
-        if trust != FeedHealth::Full || *store_lost.borrow() {
+        if health != FeedHealth::Full || *store_lost.borrow() {
             return Ok(self.store.feed(table, after, PROBE_WAIT_MS, &begun).await);
         }
         let sync_role = self.sync_role();
@@ -284,8 +284,8 @@
         }
     }
 
-    fn store_failed(&self, followed: FollowedTable, error: &Error, trust: FeedHealth) {
-        if trust != FeedHealth::Lost {
+    fn store_failed(&self, followed: FollowedTable, error: &Error, health: FeedHealth) {
+        if health != FeedHealth::Lost {
             Event::StoreLost {
                 table: followed.table(),
                 problem: error.to_string(),
@@ -294,7 +294,7 @@
         }
         // A call that was made to check a doubtful feed and fails as well shows that the store is
         // unavailable, and not just one connection.
-        if followed == FollowedTable::Servers || trust == FeedHealth::Doubted {
+        if followed == FollowedTable::Servers || health == FeedHealth::Doubted {
             self.view.set_store_lost(true);
         }
     }
