--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -46,7 +46,7 @@
 /// State of a feed, which decides how long its next call may wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FeedHealth {
-    Full,
+    Healthy,
     /// Another host has reported a change that the feed did not deliver.
     Doubted,
     /// The last call failed.
@@ -81,7 +81,7 @@
             self.broadcast.end_reading(followed);
             self.wait_for_duty_holder_at_start(followed).await;
             let mut called_ms = clock::now_ms();
-            let mut health = FeedHealth::Full;
+            let mut health = FeedHealth::Healthy;
             let mut pause_ms = RETRY_PAUSE_MS;
             loop {
                 let began_ms = clock::now_ms();
@@ -105,7 +105,7 @@
                 match feed {
                     Ok(Feed::Changes(changes)) => {
                         self.answered(followed);
-                        health = FeedHealth::Full;
+                        health = FeedHealth::Healthy;
                         pause_ms = RETRY_PAUSE_MS;
                         let has_more = changes.is_full_page();
                         self.apply_changes(followed, after, changes);
@@ -152,7 +152,7 @@
         let begun = AtomicBool::new(false);
         let table = followed.table();
         let _following = self.freshness.follow(followed);
-        if health != FeedHealth::Full || *store_lost.borrow() {
+        if health != FeedHealth::Healthy || *store_lost.borrow() {
             return Ok(self.store.feed(table, after, PROBE_WAIT_MS, &begun).await);
         }
         let sync_role = self.sync_role();
