--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -48,7 +48,7 @@
 enum FeedHealth {
     Healthy,
     /// Another host has reported a change that the feed did not deliver.
-    Doubted,
+    Stalled,
     /// The last call failed.
     Lost,
 }
@@ -97,7 +97,7 @@
                 let feed = match self.next_changes(followed, after, health).await {
                     Ok(feed) => feed,
                     Err(RecallReason::Behind) => {
-                        health = FeedHealth::Doubted;
+                        health = FeedHealth::Stalled;
                         continue;
                     }
                     Err(RecallReason::Unconfirmed | RecallReason::StoreLost) => continue,
@@ -294,7 +294,7 @@
         }
         // A call that was made to check a doubtful feed and fails as well shows that the store is
         // unavailable, and not just one connection.
-        if followed == FollowedTable::Servers || health == FeedHealth::Doubted {
+        if followed == FollowedTable::Servers || health == FeedHealth::Stalled {
             self.view.set_store_lost(true);
         }
     }
