--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -50,7 +50,7 @@
     /// Another host has reported a change that the feed did not deliver.
     Stalled,
     /// The last call failed.
-    Lost,
+    Failed,
 }
 
 impl Entry {
@@ -121,7 +121,7 @@
                     }
                     Err(error) => {
                         self.store_failed(followed, &error, health);
-                        health = FeedHealth::Lost;
+                        health = FeedHealth::Failed;
                         pause_for(pause_ms).await;
                         pause_ms = (pause_ms * 2).min(RETRY_PAUSE_MAX_MS);
                         self.pause_while_others_call().await;
@@ -285,7 +285,7 @@
     }
 
     fn store_failed(&self, followed: FollowedTable, error: &Error, health: FeedHealth) {
-        if health != FeedHealth::Lost {
+        if health != FeedHealth::Failed {
             Event::StoreLost {
                 table: followed.table(),
                 problem: error.to_string(),
