--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -24,7 +24,7 @@
 /// grant hold back the requests for its keys.
 const ANNOUNCE_GRANT_AFTER_MS: [u64; 3] = [0, 300, 1_000];
 /// Maximum number of moves or grants in one datagram, of up to 40 bytes each.
-const UPDATES_MAX: usize = 30;
+const ANNOUNCEMENTS_MAX: usize = 30;
 
 /// Announcement of one move or grant.
 #[derive(Clone, Debug)]
@@ -90,14 +90,20 @@
                 service_tag,
                 announcements: updates.to_vec(),
             };
-            updates.chunks(UPDATES_MAX).map(message).collect::<Vec<_>>()
+            updates
+                .chunks(ANNOUNCEMENTS_MAX)
+                .map(message)
+                .collect::<Vec<_>>()
         });
         let held = held.into_iter().flat_map(|(service_tag, updates)| {
             let message = |updates: &[Holding]| Message::Granted {
                 service_tag,
                 holdings: updates.to_vec(),
             };
-            updates.chunks(UPDATES_MAX).map(message).collect::<Vec<_>>()
+            updates
+                .chunks(ANNOUNCEMENTS_MAX)
+                .map(message)
+                .collect::<Vec<_>>()
         });
         moving.chain(held).collect()
     }
