--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -106,7 +106,7 @@
         let returned_ms = self.view.store_returned_ms();
         self.view.update_registry(|registry| {
             for change in changes {
-                if change.is_end() {
+                if change.ends_new_work() {
                     self.freshness.note_leave(change.version);
                 }
                 match change.update {
--- a/src/entry/updates/server_changes.rs
+++ b/src/entry/updates/server_changes.rs
@@ -31,7 +31,7 @@
 
 impl ServerChange {
     /// Returns whether the server takes no new work after this change.
-    pub fn is_end(&self) -> bool {
+    pub fn ends_new_work(&self) -> bool {
         match &self.update {
             ServerUpdate::Entry(entry) => entry.leaving,
             ServerUpdate::Removed(_) | ServerUpdate::Unreadable(_) => true,
