--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -61,7 +61,7 @@
 
     /// Longest time until a store that stopped answering is detected while no other host confirms
     /// it.
-    pub const NOTICED_MS: u64 = ALONE_WAIT_MS + 500;
+    pub const OUTAGE_DETECTION_MS: u64 = ALONE_WAIT_MS + 500;
 
     /// Returns the index of the table in per-table arrays.
     pub fn index(self) -> usize {
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -310,7 +310,7 @@
     /// Records that the store answered this host or the duty holder.
     pub(super) fn note_store_answer(&self, at_ms: u64) {
         let lapse_ms = MISSED_HEARTBEATS * self.settings.store.server_heartbeat_ms;
-        let lapse_ms = lapse_ms.max(FollowedTable::NOTICED_MS);
+        let lapse_ms = lapse_ms.max(FollowedTable::OUTAGE_DETECTION_MS);
         if let Some(away_ms) = self.view.note_store_answer(at_ms, lapse_ms) {
             Event::StoreBack { away_ms }.log();
         }
