--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -204,7 +204,7 @@
         let mut changes = entry.view.changes();
         loop {
             match entry.view.owner(&self.service, key) {
-                Owner::Nobody => return Err(Refused::soon("no server holds the key", policy)),
+                Owner::Unowned => return Err(Refused::soon("no server holds the key", policy)),
                 Owner::Server(id, fence) => {
                     let server = self.owning_server(entry, &id)?;
                     self.fences = (fence, self.fences.0);
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -119,7 +119,7 @@
     /// The key is being moved. The caller asks again when the view changes, or after a moment.
     Moving(MoveTimeLeft),
     /// No server holds the key, as far as this host knows.
-    Nobody,
+    Unowned,
 }
 
 type Fenced = Option<(Arc<str>, u64)>;
@@ -256,7 +256,7 @@
             .map(|g| (g.holding.server.clone(), g.holding.fence));
         let latest = higher_fence(granted.clone(), recorded);
         let Some((server, fence)) = latest else {
-            return Owner::Nobody;
+            return Owner::Unowned;
         };
         // A move is recorded before the keys are granted, so only an announced grant ends the wait,
         // not the recorded holding.
@@ -278,7 +278,7 @@
             concerns && now_ms < n.until_ms
         });
         if refused {
-            return Owner::Nobody;
+            return Owner::Unowned;
         }
         Owner::Server(server, fence)
     }
