--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -152,8 +152,8 @@
         let Some(configuration) = self.configuration() else {
             return false;
         };
-        let mut divided = configuration.services().filter(|s| s.sharded);
-        divided.any(|service| {
+        let mut sharded = configuration.services().filter(|s| s.sharded);
+        sharded.any(|service| {
             self.held(&service.name).is_none() && !self.owners.all_granted(&service.name)
         })
     }
