--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -28,7 +28,7 @@
     /// Returns the source from which this host learns of changes.
     pub(super) fn sync_role(&self) -> SyncRole {
         if self.duty.term() > 0 {
-            SyncRole::Holder
+            SyncRole::DutyHolder
         } else if self.freshness.is_store_confirmed() {
             SyncRole::Follower
         } else if self.freshness.is_relay() {
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncRole {
     /// This host is the duty holder; the others depend on its feeds.
-    Holder,
+    DutyHolder,
     /// This host is a relay without confirmation of the store by the duty holder; the hosts of its
     /// zone depend on its feeds.
     Relay,
@@ -83,7 +83,7 @@
     pub fn wait_ms(self, sync_role: SyncRole, limits: &TimeLimits) -> u64 {
         match (self, sync_role) {
             (Self::Own, _) | (_, SyncRole::Follower) => FOLLOWER_WAIT_MS,
-            (_, SyncRole::Holder) => limits.duty_holder_wait_ms,
+            (_, SyncRole::DutyHolder) => limits.duty_holder_wait_ms,
             (_, SyncRole::Relay) => limits.relay_wait_ms,
             (_, SyncRole::Alone) => ALONE_WAIT_MS,
         }
@@ -111,7 +111,7 @@
         match (self, sync_role) {
             // The other hosts learn of changes from the duty holder or a relay, so the feeds of
             // these pause only briefly.
-            (Self::Configuration | Self::Servers, SyncRole::Holder | SyncRole::Relay) => {
+            (Self::Configuration | Self::Servers, SyncRole::DutyHolder | SyncRole::Relay) => {
                 FeedPause::fixed(limits.duty_holder_pause_ms)
             }
             (Self::Configuration, SyncRole::Follower) => FeedPause {
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -246,7 +246,7 @@
             }
             let after = self.freshness.applied(followed);
             let now = self.sync_role();
-            let role_changed = (now == SyncRole::Holder) != (sync_role == SyncRole::Holder)
+            let role_changed = (now == SyncRole::DutyHolder) != (sync_role == SyncRole::DutyHolder)
                 || sync_role == SyncRole::Follower && now != SyncRole::Follower;
             if role_changed || self.should_call_now(followed, after) {
                 return;
