--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -28,7 +28,7 @@
 
 /// Announcement of one move or grant.
 #[derive(Clone, Debug)]
-enum Update {
+enum Announcement {
     Moving(MoveAnnouncement),
     Granted(Holding),
 }
@@ -37,7 +37,7 @@
 struct Item {
     due_ms: u64,
     service_tag: u32,
-    update: Update,
+    update: Announcement,
 }
 
 /// Queue of announcements that wait to be sent.
@@ -52,7 +52,7 @@
         self.items().push(Item {
             due_ms: clock::now_ms(),
             service_tag,
-            update: Update::Moving(announcement),
+            update: Announcement::Moving(announcement),
         });
     }
 
@@ -63,7 +63,7 @@
         items.extend(ANNOUNCE_GRANT_AFTER_MS.iter().map(|after_ms| Item {
             due_ms: now_ms + after_ms,
             service_tag,
-            update: Update::Granted(holding.clone()),
+            update: Announcement::Granted(holding.clone()),
         }));
     }
 
@@ -81,8 +81,12 @@
         let mut held: BTreeMap<u32, Vec<Holding>> = BTreeMap::new();
         for item in due {
             match item.update {
-                Update::Moving(update) => moving.entry(item.service_tag).or_default().push(update),
-                Update::Granted(update) => held.entry(item.service_tag).or_default().push(update),
+                Announcement::Moving(update) => {
+                    moving.entry(item.service_tag).or_default().push(update)
+                }
+                Announcement::Granted(update) => {
+                    held.entry(item.service_tag).or_default().push(update)
+                }
             }
         }
         let moving = moving.into_iter().flat_map(|(service_tag, updates)| {
