--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -131,7 +131,7 @@
     /// Chooses a server of a service whose servers can all run the request.
     fn any_server(&self, entry: &Entry) -> Result<Arc<Server>, Refused> {
         let registry = entry.view.registry();
-        let mut usable = self.free_servers(entry, &registry)?;
+        let mut usable = self.available_servers(entry, &registry)?;
         usable.retain(|server| self.may_be_served_in(entry, &server.entry.availability_zone));
         let usable = under_rate_limits(usable, entry.sharing_hosts(), self.is_urgent());
         if usable.is_empty() {
@@ -175,7 +175,7 @@
 
     /// Returns the servers that may get the request; servers that are leaving only if there are no
     /// others.
-    fn free_servers<'r>(
+    fn available_servers<'r>(
         &self,
         entry: &Entry,
         registry: &'r Registry,
