--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -47,7 +47,7 @@
 
 /// Time constant of the measured request rate. A surge must be detected before it has spent more
 /// than the burst.
-const ASKED_MEMORY_MS: f64 = 400.0;
+const DEMAND_MEMORY_MS: f64 = 400.0;
 /// Time over which the balance of a ledger is handed out, or an overdraft is recovered.
 const SPEND_S: f64 = 1.0;
 /// Share of a quota that is credited to ledgers: some reports are lost, and the usage in them is
@@ -111,7 +111,7 @@
         let elapsed_ms = now_ms.saturating_sub(self.at_ms) as f64;
         let accrued = quota.per_s * ACCRUED_SHARE * elapsed_ms / 1_000.0;
         self.left = (self.left + accrued).min(quota.burst);
-        self.demand_weight *= (-elapsed_ms / ASKED_MEMORY_MS).exp();
+        self.demand_weight *= (-elapsed_ms / DEMAND_MEMORY_MS).exp();
         self.at_ms = now_ms;
     }
 
@@ -119,8 +119,8 @@
     /// not covered.
     fn asked_per_s(&self) -> f64 {
         let age_ms = self.at_ms.saturating_sub(self.began_ms) as f64;
-        let heard = (1.0 - (-age_ms / ASKED_MEMORY_MS).exp()).max(0.2);
-        self.demand_weight * 1_000.0 / ASKED_MEMORY_MS / heard
+        let heard = (1.0 - (-age_ms / DEMAND_MEMORY_MS).exp()).max(0.2);
+        self.demand_weight * 1_000.0 / DEMAND_MEMORY_MS / heard
     }
 }
 
