--- a/src/entry/duty/mod.rs
+++ b/src/entry/duty/mod.rs
@@ -251,7 +251,7 @@
         loop {
             tokio::select! {
                 () = self.confirm_duty() => return,
-                () = self.view.store_lost_and_returned() => {}
+                () = self.view.wait_for_outage_end() => {}
             }
         }
     }
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -244,7 +244,7 @@
     }
 
     /// Completes when the store has become unavailable and answers again.
-    pub async fn store_lost_and_returned(&self) {
+    pub async fn wait_for_outage_end(&self) {
         let mut lost = self.store_lost();
         if lost.wait_for(|lost| *lost).await.is_err() {
             log::debug!("the view has ended");
