--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -69,7 +69,7 @@
             if may_take && self.is_duty_holder_silent(started_ms) {
                 // Calls are billed, so none is made before the feed of the servers' table shows
                 // that the store answers.
-                self.view.store_returned().await;
+                self.view.wait_for_store().await;
                 self.await_takeover().await;
             }
         }
@@ -140,7 +140,7 @@
                 // confirm then either.
                 seen = None;
                 pause().await;
-                self.view.store_returned().await;
+                self.view.wait_for_store().await;
                 if clock::now_ms() > started_ms + 10 * takeover_ms {
                     return;
                 }
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -236,7 +236,7 @@
     }
 
     /// Completes as soon as the store is not known to be unavailable.
-    pub async fn store_returned(&self) {
+    pub async fn wait_for_store(&self) {
         let mut lost = self.store_lost();
         if lost.wait_for(|lost| !lost).await.is_err() {
             log::debug!("the view has ended");
@@ -249,7 +249,7 @@
         if lost.wait_for(|lost| *lost).await.is_err() {
             log::debug!("the view has ended");
         }
-        self.store_returned().await;
+        self.wait_for_store().await;
     }
 
     /// Returns a receiver that is notified of every change of configuration, servers or holdings.
