--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -193,7 +193,7 @@
     }
 
     /// Completes when a reading of the table is requested.
-    pub async fn read_requested(&self, followed: FollowedTable) {
+    pub async fn wait_for_read_request(&self, followed: FollowedTable) {
         self.read_requests[followed.index()].notified().await;
     }
 
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -242,7 +242,7 @@
                     .min(clock::now_ms() - began_ms + POLL_EVERY_MS);
             tokio::select! {
                 () = sleep_until(look_ms) => {}
-                () = self.view.read_requested(followed) => return,
+                () = self.view.wait_for_read_request(followed) => return,
             }
             let after = self.freshness.applied(followed);
             let now = self.sync_role();
