--- a/src/entry/register.rs
+++ b/src/entry/register.rs
@@ -94,12 +94,12 @@
         let spread_ms = rand::random_range(0..REGISTER_JITTER_MS);
         tokio::select! {
             () = time::sleep(Duration::from_millis(spread_ms)) => {}
-            () = self.former_process_known() => {}
+            () = self.wait_for_former_process() => {}
         }
     }
 
     /// Returns once it is known that a previous process has run on this host, else never.
-    async fn former_process_known(&self) {
+    async fn wait_for_former_process(&self) {
         if !self.view.hosts_known().await || !self.view.had_former_process() {
             std::future::pending().await
         }
