--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -65,7 +65,7 @@
     pub(crate) servers: JsonClient,
     renewal_states: Mutex<Vec<RenewalState>>,
     commits: tokio::sync::Mutex<()>,
-    sync_wanted: Notify,
+    sync_requested: Notify,
     leading: AtomicBool,
     leader_term: AtomicU64,
     ready: AtomicBool,
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -129,7 +129,7 @@
         self.apply(entries);
         let last = entries.last().map(|entry| entry.revision);
         if last > Some(self.view.revision()) {
-            self.sync_wanted.notify_one();
+            self.sync_requested.notify_one();
         }
         PeerReply::Applied {
             revision: self.view.revision(),
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -204,7 +204,7 @@
                 self.report_lost(leased, "another process responds at its address")
                     .await
             }
-            RenewalOutcome::Outdated => self.sync_wanted.notify_one(),
+            RenewalOutcome::Outdated => self.sync_requested.notify_one(),
         }
     }
 
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -111,7 +111,7 @@
         servers: order_client(),
         renewal_states: Mutex::default(),
         commits: tokio::sync::Mutex::default(),
-        sync_wanted: Notify::new(),
+        sync_requested: Notify::new(),
         leading: AtomicBool::new(false),
         leader_term: AtomicU64::new(0),
         ready: AtomicBool::new(true),
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -32,7 +32,10 @@
     pub(super) async fn keep_synced(self: Arc<Self>) {
         let percent_ms = |percent| self.settings.ownership.freshness_ms * percent / 100;
         loop {
-            let wanted = time::timeout(Duration::from_millis(TICK_MS), self.sync_wanted.notified());
+            let wanted = time::timeout(
+                Duration::from_millis(TICK_MS),
+                self.sync_requested.notified(),
+            );
             let wanted = wanted.await.is_ok();
             // The random delay keeps the hosts from reading at the same moment.
             let spread_ms = rand::rng().random_range(0..=percent_ms(SPREAD_PERCENT));
@@ -103,7 +106,7 @@
             _ => {}
         }
         if self.view.revision() < revision {
-            self.sync_wanted.notify_one();
+            self.sync_requested.notify_one();
         }
     }
 
