--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -175,7 +175,7 @@
             if !self.may_send_orders() {
                 continue;
             }
-            self.add_reported_counts();
+            self.add_reported_key_counts();
             for service in self.sharded_services() {
                 self.renew(&service, &mut tasks);
                 self.plan(&service, round, &mut tasks);
@@ -202,7 +202,7 @@
         services.map(|service| service.name.clone()).collect()
     }
 
-    fn add_reported_counts(&self) {
+    fn add_reported_key_counts(&self) {
         let reported = self.entry.peers.take_reported_key_counts();
         let names: HashMap<u32, Arc<str>> = self
             .sharded_services()
