--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -8,7 +8,7 @@
 
 use super::{
     Entry,
-    decide::trust::{self, KeyVerdict, TrustLimits},
+    decide::api_key_verdict::{self, ApiKeyLimits, ApiKeyVerdict},
     model::{Configuration, Route},
     peers::message::Message,
     updates::followed::FollowedTable,
@@ -20,9 +20,9 @@
     platform::{headers, store::Feed},
 };
 
-/// Queries of the duty holder within the bound on revocations: how many times the confirmation is
-/// refreshed before it would be too old.
-const PROOF_REQUESTS_PER_BOUND: u64 = 8;
+/// Number of queries to the duty holder within the bound on revocations. Each refreshes the
+/// confirmation before it is too old.
+const CONFIRMATIONS_PER_BOUND: u64 = 8;
 /// Age of the confirmation, in percent of the bound on revocations, from which a host queries the
 /// store itself.
 const STORE_QUERY_PERCENT: u64 = 40;
@@ -50,14 +50,14 @@
         };
         let api_key = headers::api_key(headers);
         let workspace = api_key.and_then(|api_key| workspaces.by_api_key(api_key));
-        let limits = TrustLimits {
+        let limits = ApiKeyLimits {
             revocation_ms: self.settings.bounds.revocation_ms,
             configuration_ms: self.settings.bounds.configuration_ms,
         };
-        match trust::judge(workspace.is_some(), self.configuration_age_ms(), limits) {
-            KeyVerdict::Honoured => Ok(workspace),
-            KeyVerdict::Unknown => Err(Denied::Unauthorized),
-            KeyVerdict::Unverified => Err(Denied::Unverified),
+        match api_key_verdict::judge(workspace.is_some(), self.configuration_age_ms(), limits) {
+            ApiKeyVerdict::Accepted => Ok(workspace),
+            ApiKeyVerdict::Unknown => Err(Denied::Unauthorized),
+            ApiKeyVerdict::Unverified => Err(Denied::Unverified),
         }
     }
 
@@ -66,23 +66,23 @@
     /// confirmation.
     fn configuration_age_ms(&self) -> Option<u64> {
         let followed = FollowedTable::Configuration;
-        let is_told = self.freshness.is_store_confirmed()
+        let is_confirmed_by_duty_holder = self.freshness.is_store_confirmed()
             && !self
                 .freshness
                 .is_behind(followed, self.freshness.applied(followed));
-        if is_told && self.settings.bounds.revocation_ms.is_none() {
+        if is_confirmed_by_duty_holder && self.settings.bounds.revocation_ms.is_none() {
             return Some(0);
         }
-        self.proof.age_ms(clock::now_ms())
+        self.confirmation.age_ms(clock::now_ms())
     }
 
     /// Keeps confirming that the configuration in force is the latest one, if operators set a bound
     /// on revocations.
-    pub(super) async fn maintain_configuration_proof(self: Arc<Self>) {
+    pub(super) async fn keep_configuration_confirmed(self: Arc<Self>) {
         let Some(bound_ms) = self.settings.bounds.revocation_ms else {
             return;
         };
-        let every_ms = bound_ms / PROOF_REQUESTS_PER_BOUND;
+        let every_ms = bound_ms / CONFIRMATIONS_PER_BOUND;
         loop {
             time::sleep(Duration::from_millis(every_ms)).await;
             let due_ms = if self.duty.term() > 0 {
@@ -91,7 +91,7 @@
                 self.query_confirmation();
                 bound_ms * STORE_QUERY_PERCENT / 100
             };
-            let age_ms = self.proof.age_ms(clock::now_ms());
+            let age_ms = self.confirmation.age_ms(clock::now_ms());
             if age_ms.is_none_or(|age_ms| age_ms >= due_ms) && !self.confirm_with_store().await {
                 watch::pause().await;
             }
@@ -99,32 +99,32 @@
     }
 
     /// Queries the duty holder for the age of its confirmed configuration. The nonce matches the
-    /// answer to the time of this query.
+    /// response to the time of this query.
     fn query_confirmation(&self) {
         let nonce = rand::random();
-        self.proof.ask(nonce, clock::now_ms());
+        self.confirmation.start_query(nonce, clock::now_ms());
         if !self
             .peers
-            .send_to_holder(&Message::QueryConfigurationAge { nonce })
+            .send_to_duty_holder(&Message::QueryConfigurationAge { nonce })
         {
             log::debug!("configuration not confirmed: no duty holder can be reached");
         }
     }
 
-    /// Asks the store whether the configuration has changed since; returns false if the store did
-    /// not answer.
+    /// Queries the store for changes of the configuration since then; returns false if the store
+    /// did not answer.
     async fn confirm_with_store(&self) -> bool {
         let followed = FollowedTable::Configuration;
         let after = self.freshness.applied(followed);
         if after == 0 {
             return false;
         }
-        let asked_ms = clock::now_ms();
+        let sent_ms = clock::now_ms();
         let begun = AtomicBool::new(false);
         match self.store.feed(followed.table(), after, 0, &begun).await {
             Ok(Feed::Changes(changes)) => {
                 self.apply_changes(followed, after, changes);
-                self.proof.note(asked_ms);
+                self.confirmation.note(sent_ms);
                 true
             }
             // The store no longer has the changes: the feed of the table will read the whole table.
@@ -136,10 +136,10 @@
         }
     }
 
-    /// Returns how old this host's confirmed configuration is, as the answer to another host's
+    /// Returns how old this host's confirmed configuration is, as the response to another host's
     /// query. `None` if it was never confirmed.
     pub(super) fn confirmation_for(&self, nonce: u64) -> Option<Message> {
-        let age_ms = self.proof.age_ms(clock::now_ms())?;
+        let age_ms = self.confirmation.age_ms(clock::now_ms())?;
         Some(Message::ConfigurationAge {
             nonce,
             age_ms: u32::try_from(age_ms).ok()?,
@@ -147,11 +147,11 @@
         })
     }
 
-    /// Notes another host's answer. It counts only if this host has a configuration at least as
+    /// Records another host's response. It counts only if this host has a configuration at least as
     /// recent as that host's.
     pub(super) fn note_confirmation(&self, nonce: u64, age_ms: u32, changed: u64) {
         if self.freshness.changed(FollowedTable::Configuration) >= changed {
-            self.proof.note_answer(nonce, u64::from(age_ms));
+            self.confirmation.note_response(nonce, u64::from(age_ms));
         }
     }
 }
--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! A host whose connections to a server break probes whether the server has crashed. It then
 //! reports to the other hosts which of its requests were in flight there: the suspects. All hosts
-//! count this evidence, by caller and across callers. While one server has crashed under a request,
-//! only one host at a time may try it. With enough crashes the request is quarantined: the duty
-//! holder names it in each heartbeat and keeps it in the store. So a request that is retried at any
-//! host, even after the loss of all hosts, reaches no further server.
+//! count this evidence, by caller and across callers. While one server has crashed during a
+//! request, only one host at a time may run it, as a trial. With enough crashes the request is
+//! quarantined: the duty holder names it in each heartbeat and keeps it in the store. So a request
+//! that is retried at any host, even after the loss of all hosts, reaches no further server.
 
 pub mod broken_connections;
 mod probe;
@@ -40,7 +40,8 @@
 
 /// Interval at which crash reports are sent again.
 const RESEND_INTERVAL_MS: u64 = 500;
-/// Most quarantined requests that a heartbeat names, the latest ones: 320 bytes. The store has all.
+/// Maximum number of quarantined requests in a heartbeat, which names the latest ones: 320 bytes.
+/// The store has all of them.
 const HEARTBEAT_DIGESTS_MAX: usize = 32;
 
 /// Crash reports, evidence and quarantine of a host.
@@ -50,7 +51,7 @@
     tally: Mutex<CrashTally>,
     /// Evidence against requests across callers, by content and by path.
     path_tally: Mutex<PathTally>,
-    /// Quarantined requests.
+    /// Requests that no server gets any more.
     quarantine: Mutex<Quarantine>,
     /// Claims of trials by all hosts.
     trials: Mutex<TrialClaims>,
@@ -66,15 +67,15 @@
 
 impl Crashes {
     /// Returns the remaining time of a request's quarantine; `None` if it is not quarantined.
-    pub fn rest_ms(&self, digests: RequestDigests) -> Option<u64> {
+    pub fn remaining_ms(&self, digests: RequestDigests) -> Option<u64> {
         let quarantine = lock(&self.quarantine);
         let rests = digests.all();
         rests
-            .filter_map(|digest| quarantine.rest_ms(digest, clock::now_ms()))
+            .filter_map(|digest| quarantine.remaining_ms(digest, clock::now_ms()))
             .max()
     }
 
-    /// Returns true if a server has crashed under a request, which may crash the next one too.
+    /// Returns true if a server has crashed during a request, which may crash the next one too.
     pub fn is_suspect(&self, digests: RequestDigests) -> bool {
         let now_ms = clock::now_ms();
         let tally = lock(&self.tally);
@@ -83,7 +84,7 @@
             || lock(&self.path_tally).is_suspect(digests.content, now_ms)
     }
 
-    /// Returns true if a server has crashed under a request for the same path, and no server has
+    /// Returns true if a server has crashed during a request for the same path, and no server has
     /// answered one since.
     pub fn is_path_suspect(&self, digests: RequestDigests) -> bool {
         lock(&self.path_tally).is_suspect(digests.any_path, clock::now_ms())
@@ -100,7 +101,7 @@
     }
 
     /// Returns the quarantined requests that the next heartbeat names.
-    pub fn told(&self) -> Vec<RequestDigest> {
+    pub fn announced(&self) -> Vec<RequestDigest> {
         let mut latest = lock(&self.quarantine).latest(clock::now_ms());
         latest.truncate(HEARTBEAT_DIGESTS_MAX);
         latest
@@ -132,7 +133,7 @@
         self.put_in_quarantine(&crossed_threshold, "servers ended under it");
     }
 
-    /// Notes that a server has answered a request sent at `sent_ms` with success, so that the
+    /// Records that a server has answered a request sent at `sent_ms` with success, so that the
     /// request did not cause earlier crashes; announces it to all hosts if the request was suspect.
     pub(in crate::entry) fn note_success(&self, digests: RequestDigests, sent_ms: u64) {
         let sent_ago_ms = clock::now_ms().saturating_sub(sent_ms) as u32;
@@ -163,7 +164,7 @@
     }
 
     /// Claims the trial of a suspect request at a server: waits until the other hosts have had time
-    /// to claim the request or the server too. `Err` holds the time after which to try again.
+    /// to claim the request or the server too. `Err` holds the time after which to retry.
     pub(in crate::entry) async fn claim_trial(
         &self,
         digests: RequestDigests,
@@ -224,12 +225,12 @@
         self.peers.send_to_all(Message::TrialPassed(claimed));
     }
 
-    /// Notes another host's claim.
+    /// Records another host's claim.
     pub(in crate::entry) fn note_trial(&self, claimed: ClaimSubject, host: SocketAddr) {
         lock(&self.crashes.trials).note(claimed, host, clock::now_ms());
     }
 
-    /// Ends a claim: the server answered the trial, so that the next suspect may be tried there.
+    /// Ends a claim: the server answered the trial, so that the next suspect may run there.
     pub(in crate::entry) fn note_trial_end(&self, claimed: ClaimSubject) {
         lock(&self.crashes.trials).end(claimed);
     }
@@ -272,13 +273,13 @@
     /// Sends the crash reports of this host to the other hosts, and again to each new duty holder.
     pub(in crate::entry) async fn report_crashes(self: Arc<Self>) {
         loop {
-            let term = self.peers.holder_term();
+            let term = self.peers.duty_holder_term();
             let due = lock(&self.crashes.reports).due(term);
             for report in &due {
                 self.send_crash_report(report);
             }
             let pause = Duration::from_millis(RESEND_INTERVAL_MS);
-            // Reports that are due are sent, whether a crash or the timeout ended the wait.
+            // Reports that are due are sent after a crash and after the timeout.
             if time::timeout(pause, self.crashes.crashed.notified())
                 .await
                 .is_ok()
@@ -312,7 +313,7 @@
         };
         if report.to_all {
             self.peers.send_to_all(message);
-        } else if self.duty.term() == 0 && !self.peers.send_to_holder(&message) {
+        } else if self.duty.term() == 0 && !self.peers.send_to_duty_holder(&message) {
             log::debug!("crash report not sent: no duty holder can be reached");
         }
     }
--- a/src/entry/decide/trust.rs
+++ b/src/entry/decide/api_key_verdict.rs
@@ -8,9 +8,9 @@
 /// Margin subtracted from the revocation bound, for clock drift between hosts.
 const REVOCATION_MARGIN_MS: u64 = 100;
 
-/// Ages up to which a configuration is relied on.
+/// Ages up to which a configuration is trusted.
 #[derive(Clone, Copy, Debug)]
-pub struct TrustLimits {
+pub struct ApiKeyLimits {
     /// Time after which a revoked key must not be accepted; `None` if only the bound of
     /// configurations applies.
     pub revocation_ms: Option<u64>,
@@ -20,30 +20,34 @@
 
 /// Result of the check of an API key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyVerdict {
+pub enum ApiKeyVerdict {
     /// The key is valid.
-    Honoured,
+    Accepted,
     /// The key is certainly not valid.
     Unknown,
     /// This host cannot decide now.
     Unverified,
 }
 
-/// Checks a key. `is_known` is true if the configuration has the key; `proof_age_ms` is the time
+/// Checks a key. `is_known` is true if the configuration has the key; `confirmation_age_ms` is the time
 /// since the configuration was last confirmed as the latest one, `None` if it never was.
-pub fn judge(is_known: bool, proof_age_ms: Option<u64>, limits: TrustLimits) -> KeyVerdict {
-    let is_proved_within = |bound_ms| proof_age_ms.is_some_and(|age_ms| age_ms <= bound_ms);
+pub fn judge(
+    is_known: bool,
+    confirmation_age_ms: Option<u64>,
+    limits: ApiKeyLimits,
+) -> ApiKeyVerdict {
+    let is_proved_within = |bound_ms| confirmation_age_ms.is_some_and(|age_ms| age_ms <= bound_ms);
     if !is_known {
         return if is_proved_within(limits.configuration_ms) {
-            KeyVerdict::Unknown
+            ApiKeyVerdict::Unknown
         } else {
-            KeyVerdict::Unverified
+            ApiKeyVerdict::Unverified
         };
     }
     match limits.revocation_ms {
         Some(bound_ms) if !is_proved_within(bound_ms.saturating_sub(REVOCATION_MARGIN_MS)) => {
-            KeyVerdict::Unverified
+            ApiKeyVerdict::Unverified
         }
-        _ => KeyVerdict::Honoured,
+        _ => ApiKeyVerdict::Accepted,
     }
 }
--- a/src/entry/decide/choice.rs
+++ b/src/entry/decide/choice.rs
@@ -4,11 +4,11 @@
 
 use super::{Candidate, Demand, Policy, admission};
 
-/// Largest number of servers with room that are compared for one request, used while at most
+/// Maximum number of servers with room that are compared for one request, used while at most
 /// [`FEW_HOSTS`] hosts choose among the same servers. With more hosts, each host's data on the load
 /// by other hosts is older, and all hosts would choose the same few servers; so the number falls,
 /// down to a few servers drawn at random. In a simulation at 1.25 times the capacity of 11 servers,
-/// 25 hosts earned 0.87 of the possible value with ten servers compared and 0.92 with three.
+/// 25 hosts achieved 0.87 of the possible value with ten servers compared and 0.92 with three.
 const CANDIDATES_MAX: usize = 24;
 const CANDIDATES_MIN: usize = 3;
 const FEW_HOSTS: usize = 3;
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostCount {
     /// Hosts in this host's availability zone, which prefer the same servers.
-    pub near: usize,
+    pub same_zone: usize,
     /// Hosts in all zones.
     pub all: usize,
 }
@@ -58,7 +58,7 @@
         demand,
         hosts,
     } = inputs;
-    let mut near = compared(hosts.near);
+    let mut same_zone = compared(hosts.same_zone);
     let mut distant = compared(hosts.all).div_ceil(2);
     let mut best: Option<(usize, f64)> = None;
     for place in order {
@@ -67,7 +67,7 @@
             continue;
         }
         let room = if server.is_same_zone {
-            &mut near
+            &mut same_zone
         } else {
             &mut distant
         };
--- a/src/entry/decide/quarantine.rs
+++ b/src/entry/decide/quarantine.rs
@@ -12,7 +12,7 @@
 /// are harmless. The evidence lasts longer than this quarantine, so afterwards one host runs a
 /// trial: success clears the suspect, and another crash returns it to quarantine.
 pub const ANY_CALLER_QUARANTINE_MS: u64 = 10 * 60 * 1_000;
-/// Largest number of requests in quarantine, which keeps their row in the store under 5 KB. Beyond
+/// Maximum number of requests in quarantine, which keeps their row in the store under 5 KB. Beyond
 /// it the oldest ones are released.
 const QUARANTINED_MAX: usize = 256;
 
@@ -25,7 +25,7 @@
 impl Quarantine {
     /// Adds a request; returns true if it was not in quarantine.
     pub fn add(&mut self, digest: RequestDigest, now_ms: u64) -> bool {
-        if self.rest_ms(digest, now_ms).is_some() {
+        if self.remaining_ms(digest, now_ms).is_some() {
             return false;
         }
         self.since_ms.insert(digest, now_ms);
@@ -36,7 +36,7 @@
     }
 
     /// Returns the time left in quarantine; `None` if the request is not in quarantine.
-    pub fn rest_ms(&self, digest: RequestDigest, now_ms: u64) -> Option<u64> {
+    pub fn remaining_ms(&self, digest: RequestDigest, now_ms: u64) -> Option<u64> {
         let until_ms = self.since_ms.get(&digest)? + quarantine_ms(digest);
         (now_ms < until_ms).then(|| until_ms - now_ms)
     }
--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -1,11 +1,11 @@
 //! Quotas of workspaces, which are enforced by all hosts together.
 //!
 //! A workspace's callers may send more requests than its quota, through any hosts. Hundreds of
-//! hosts receive less than one request a second each from most workspaces, so a fixed part of the
+//! hosts receive less than one request per second each from most workspaces, so a fixed part of the
 //! quota for each host would refuse requests that are within the quota. Instead every host reports
 //! the requests that it received and sent on; the duty holder keeps one [`Ledger`] for each
 //! workspace and announces the share of its requests that hosts may admit. A host that receives no
-//! announcements goes on with the last one ([`HostShare`]).
+//! announcements continues to use the last one ([`HostShare`]).
 
 use serde::{Deserialize, Serialize};
 
@@ -14,7 +14,7 @@
 /// Request rate that a workspace is entitled to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Sustained rate, in requests a second.
+    /// Sustained rate, in requests per second.
     pub per_s: f64,
     /// Number of requests above that rate that may be sent at once.
     pub burst: f64,
@@ -34,7 +34,7 @@
 pub struct AdmittedShare {
     /// Probability with which a request is admitted, from 0 to 1.
     pub share: f32,
-    /// Requests a second that the workspace's callers send to all hosts.
+    /// Requests per second that the workspace's callers send to all hosts.
     pub asked_per_s: f32,
 }
 
@@ -47,7 +47,7 @@
 
 /// Time constant of the measured request rate. A surge must be detected before it has spent more
 /// than the burst.
-const ASKED_MEMORY_MS: f64 = 400.0;
+const DEMAND_MEMORY_MS: f64 = 400.0;
 /// Time over which the balance of a ledger is handed out, or an overdraft is recovered.
 const SPEND_S: f64 = 1.0;
 /// Share of a quota that is credited to ledgers: some reports are lost, and the usage in them is
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Ledger {
     left: f64,
-    asked_weight: f64,
+    demand_weight: f64,
     began_ms: u64,
     at_ms: u64,
 }
@@ -72,7 +72,7 @@
     pub fn new(now_ms: u64) -> Self {
         Self {
             left: 0.0,
-            asked_weight: 0.0,
+            demand_weight: 0.0,
             began_ms: now_ms,
             at_ms: now_ms,
         }
@@ -81,7 +81,7 @@
     /// Debits the usage that a host reported.
     pub fn note(&mut self, quota: Quota, reported: QuotaUsage, now_ms: u64) {
         self.accrue(quota, now_ms);
-        self.asked_weight += f64::from(reported.asked);
+        self.demand_weight += f64::from(reported.asked);
         let least = -OVERDRAWN_MAX_S * quota.per_s;
         self.left = (self.left - f64::from(reported.sent)).max(least);
     }
@@ -104,14 +104,14 @@
 
     /// Returns true if no requests were reported for a long time.
     pub fn is_idle(&self) -> bool {
-        self.asked_weight < 1e-6
+        self.demand_weight < 1e-6
     }
 
     fn accrue(&mut self, quota: Quota, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.at_ms) as f64;
         let accrued = quota.per_s * ACCRUED_SHARE * elapsed_ms / 1_000.0;
         self.left = (self.left + accrued).min(quota.burst);
-        self.asked_weight *= (-elapsed_ms / ASKED_MEMORY_MS).exp();
+        self.demand_weight *= (-elapsed_ms / DEMAND_MEMORY_MS).exp();
         self.at_ms = now_ms;
     }
 
@@ -119,8 +119,8 @@
     /// not covered.
     fn asked_per_s(&self) -> f64 {
         let age_ms = self.at_ms.saturating_sub(self.began_ms) as f64;
-        let heard = (1.0 - (-age_ms / ASKED_MEMORY_MS).exp()).max(0.2);
-        self.asked_weight * 1_000.0 / ASKED_MEMORY_MS / heard
+        let heard = (1.0 - (-age_ms / DEMAND_MEMORY_MS).exp()).max(0.2);
+        self.demand_weight * 1_000.0 / DEMAND_MEMORY_MS / heard
     }
 }
 
@@ -163,7 +163,7 @@
         if context.is_confirmed {
             return point < share;
         }
-        // A share close to 0 proves little, since the host may have received few requests at that
+        // A share close to 0 is not reliable, since the host may have received few requests at that
         // time; so the share is at least that of an average host.
         let demand_share = self
             .demand_share
--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -20,8 +20,8 @@
 /// Share of the limit at which buckets are refilled: higher than that of the draws, so that random
 /// variation does not empty them.
 const BUCKET_SHARE: f64 = 1.1;
-/// Share of the limit on which admission probabilities are based. The rest is headroom for random
-/// variation: a sum that is too low admits too many.
+/// Share of the limit on which admission probabilities are based. The remainder is headroom for
+/// random variation: a sum that is too low admits too many.
 const ADMIT_SHARE: f64 = 0.88;
 /// Capacity of a bucket: a fixed number of tokens, and the refill of [`BURST_S`] seconds.
 const BURST_TOKENS: f64 = 2.0;
@@ -30,7 +30,7 @@
 const SUM_KEPT_MS: u64 = 2_000;
 /// Time for which a host's report counts in a sum.
 const REPORT_KEPT_MS: u64 = 2_000;
-/// Least share of a limit that is reserved for requests that are not urgent.
+/// Minimum share of a limit that is reserved for requests that are not urgent.
 const NON_URGENT_SHARE_MIN: f64 = 0.25;
 
 /// Token bucket for requests.
@@ -54,7 +54,7 @@
         self.tokens >= 1.0
     }
 
-    /// Uses a token.
+    /// Removes a token for a request that is about to be sent.
     pub fn take(&mut self) {
         self.tokens -= 1.0;
     }
@@ -63,23 +63,23 @@
 /// A host's share of a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateShare {
-    /// Refill rate of the host's bucket, in tokens a second.
+    /// Refill rate of the host's bucket, in tokens per second.
     pub bucket_per_s: f64,
     /// Probability with which a request is admitted; may exceed 1.
     pub admit_probability: f64,
 }
 
-/// Request rate that callers direct at a server: requests that only this server may run, or that
-/// are for a service it belongs to.
+/// Demand of callers for a server, as request rates: requests that only this server may run, or
+/// that are for a service it belongs to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct AskedRates {
-    /// All requests a second, including the urgent ones.
+pub struct DemandRates {
+    /// All requests per second, including the urgent ones.
     pub all_per_s: f64,
-    /// Requests a second that are more urgent than others of the service.
+    /// Requests per second that are more urgent than others of the service.
     pub urgent_per_s: f64,
 }
 
-impl AskedRates {
+impl DemandRates {
     fn add(&mut self, other: Self) {
         self.all_per_s += other.all_per_s;
         self.urgent_per_s += other.urgent_per_s;
@@ -102,19 +102,19 @@
     }
 }
 
-/// Request rates for a server, as one host knows them.
+/// Demand for a server, as one host knows it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Asked {
+pub struct ServerDemand {
     /// Rates of this host's callers: all requests, and the urgent ones.
     own: RateMeter,
     own_urgent: RateMeter,
     /// Rates of this host's callers in its last report.
-    reported: AskedRates,
+    reported: DemandRates,
     /// Rates of the callers of all hosts, as summed by the duty holder, and the arrival time.
-    sum: Option<(AskedRates, u64)>,
+    sum: Option<(DemandRates, u64)>,
 }
 
-impl Asked {
+impl ServerDemand {
     /// Counts a request of this host's callers.
     pub fn note(&mut self, is_urgent: bool, now_ms: u64) {
         self.own.note(now_ms);
@@ -124,13 +124,13 @@
     }
 
     /// Returns the rates of this host's callers and stores them as reported.
-    pub fn report(&mut self, now_ms: u64) -> AskedRates {
+    pub fn report(&mut self, now_ms: u64) -> DemandRates {
         self.reported = self.own(now_ms);
         self.reported
     }
 
     /// Stores the rates of the callers of all hosts.
-    pub fn note_sum(&mut self, sum: AskedRates, now_ms: u64) {
+    pub fn note_sum(&mut self, sum: DemandRates, now_ms: u64) {
         self.sum = Some((sum, now_ms));
     }
 
@@ -152,8 +152,8 @@
         }
     }
 
-    fn own(&self, now_ms: u64) -> AskedRates {
-        AskedRates {
+    fn own(&self, now_ms: u64) -> DemandRates {
+        DemandRates {
             all_per_s: self.own.per_s(now_ms),
             urgent_per_s: self.own_urgent.per_s(now_ms),
         }
@@ -161,11 +161,11 @@
 
     /// Returns the rates of the callers of all hosts: the latest sum, or without one, as if each
     /// host's callers had the same rate as this host's.
-    fn all(&self, own: AskedRates, hosts: usize, now_ms: u64) -> AskedRates {
+    fn all(&self, own: DemandRates, hosts: usize, now_ms: u64) -> DemandRates {
         let heard = self.sum.filter(|(_, at_ms)| now_ms < at_ms + SUM_KEPT_MS);
         let Some((sum, _)) = heard else {
             let hosts = hosts.max(1) as f64;
-            return AskedRates {
+            return DemandRates {
                 all_per_s: own.all_per_s * hosts,
                 urgent_per_s: own.urgent_per_s * hosts,
             };
@@ -173,7 +173,7 @@
         // A rise in this host's own rate since its report is not included in the sum yet.
         let with_rise =
             |sum: f64, own: f64, reported: f64| (sum + (own - reported).max(0.0)).max(own);
-        AskedRates {
+        DemandRates {
             all_per_s: with_rise(sum.all_per_s, own.all_per_s, self.reported.all_per_s),
             urgent_per_s: with_rise(
                 sum.urgent_per_s,
@@ -185,7 +185,7 @@
 }
 
 /// Returns true if a request with the random draw `point` from 0 to 1 is admitted at a server.
-/// `before` is the sum of the probabilities of the servers before it: where all servers are
+/// `before` is the sum of the probabilities of the servers that precede it: where all servers are
 /// limited, a request is admitted at one server, as far as the limits suffice.
 pub fn is_admitted(point: f64, before: f64, admit_probability: f64) -> bool {
     (point - before).rem_euclid(1.0) < admit_probability
@@ -193,22 +193,22 @@
 
 /// Request rates for servers as reported by hosts, kept by the duty holder.
 #[derive(Debug, Default)]
-pub struct AskedByHost(HashMap<u32, HashMap<SocketAddr, (AskedRates, u64)>>);
+pub struct DemandByHost(HashMap<u32, HashMap<SocketAddr, (DemandRates, u64)>>);
 
-impl AskedByHost {
+impl DemandByHost {
     /// Records the rates for a server, given by its tag, that a host reported.
-    pub fn note(&mut self, server_tag: u32, host: SocketAddr, asked: AskedRates, now_ms: u64) {
+    pub fn note(&mut self, server_tag: u32, host: SocketAddr, demand: DemandRates, now_ms: u64) {
         let hosts = self.0.entry(server_tag).or_default();
-        hosts.insert(host, (asked, now_ms));
+        hosts.insert(host, (demand, now_ms));
     }
 
     /// Returns the sum of all hosts' rates for a server. A host that stopped reporting counts for
     /// [`REPORT_KEPT_MS`].
-    pub fn sum(&mut self, server_tag: u32, now_ms: u64) -> AskedRates {
-        let mut sum = AskedRates::default();
+    pub fn sum(&mut self, server_tag: u32, now_ms: u64) -> DemandRates {
+        let mut sum = DemandRates::default();
         if let Some(hosts) = self.0.get_mut(&server_tag) {
             hosts.retain(|_, (_, at_ms)| now_ms < *at_ms + REPORT_KEPT_MS);
-            hosts.values().for_each(|(asked, _)| sum.add(*asked));
+            hosts.values().for_each(|(demand, _)| sum.add(*demand));
         }
         sum
     }
--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -22,8 +22,8 @@
 
 /// Interval at which a host without the duty checks if it must take the duty.
 const CHECK_EVERY_MS: u64 = 100;
-/// Time after its start in which a host does not watch the duty row, as it may not have heard the
-/// duty holder yet.
+/// Time after its start in which a host does not watch the duty row, as it may not have received a
+/// heartbeat of the duty holder yet.
 const START_GRACE_MS: u64 = 600;
 /// Time after the first start of a deployment in which a host does not watch the duty row. A first
 /// start is recognised by the lack of a shared secret for datagrams. Hosts that start together must
@@ -35,7 +35,7 @@
 const SLOW_HOST_DELAY_MS: f32 = 800.0;
 /// Interval of reads of the duty row while the duty holder is silent.
 const READ_EVERY_MS: u64 = 300;
-/// Longest random delay before a host takes the duty, so that not all hosts try at once.
+/// Longest random delay before a host takes the duty, so that hosts do not all take it at once.
 const TAKEOVER_JITTER_MS: u64 = 120;
 /// Number of hosts that begin at the same time to watch the row of a silent duty holder. Reads are
 /// billed, so not all hosts watch it.
@@ -65,11 +65,11 @@
                 continue;
             }
             time::sleep(Duration::from_millis(CHECK_EVERY_MS)).await;
-            let may_take = self.is_registered() && self.view.servers_known() && !self.stopping();
-            if may_take && self.holder_is_silent(started_ms) {
+            let may_take = self.is_registered() && self.view.servers_versions() && !self.stopping();
+            if may_take && self.is_duty_holder_silent(started_ms) {
                 // Calls are billed, so none is made before the feed of the servers' table shows
                 // that the store answers.
-                self.view.store_returned().await;
+                self.view.wait_for_store().await;
                 self.await_takeover().await;
             }
         }
@@ -78,7 +78,7 @@
     /// Takes the duty at once if the previous process of this host had it. That process has
     /// certainly ended, since this one listens on its address.
     async fn resume_duty(&self) {
-        while !self.view.servers_known() || !self.is_registered() {
+        while !self.view.servers_versions() || !self.is_registered() {
             time::sleep(Duration::from_millis(CHECK_EVERY_MS)).await;
         }
         let Some((Some(row), version)) = self.read_duty().await else {
@@ -92,9 +92,9 @@
     }
 
     /// Returns true if the duty holder has been silent for so long that this host should watch the
-    /// duty row. If this host has never heard a duty holder, the time counts from `started_ms`.
-    fn holder_is_silent(&self, started_ms: u64) -> bool {
-        let heard_ms = self.peers.holder_heard_ms();
+    /// duty row. If this host has never received a heartbeat, the time counts from `started_ms`.
+    fn is_duty_holder_silent(&self, started_ms: u64) -> bool {
+        let heard_ms = self.peers.duty_holder_heard_ms();
         if heard_ms == 0 && !self.peers.seal.is_known() {
             return clock::now_ms() > started_ms + self.first_start_grace_ms();
         }
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Returns the time for which hosts of a better rank watch the row of a silent duty holder
-    /// before this one does.
+    /// Returns the time for which hosts with a lower rank watch the row of a silent duty holder
+    /// before this host does.
     fn watch_delay_ms(&self) -> u64 {
         let rank = {
             let settings = &self.settings;
@@ -140,7 +140,7 @@
                 // confirm then either.
                 seen = None;
                 pause().await;
-                self.view.store_returned().await;
+                self.view.wait_for_store().await;
                 if clock::now_ms() > started_ms + 10 * takeover_ms {
                     return;
                 }
@@ -216,8 +216,8 @@
     }
 
     /// Checks if the host of the predecessor already runs another process. It may be this host.
-    /// What this host knows of the processes of other hosts may be older than the predecessor, but
-    /// the predecessor's own row is not, since a process registers before it takes the duty.
+    /// This host's data on the processes of other hosts may be older than the predecessor, but the
+    /// predecessor's own row is not, since a process registers before it takes the duty.
     async fn check_predecessor_process(&self) {
         self.duty
             .note_process(self.settings.listen.peers, self.incarnation);
@@ -249,7 +249,7 @@
             return false;
         }
         for (service, rows) in held {
-            self.view.hold(&service, rows);
+            self.view.put_holdings(&service, rows);
         }
         true
     }
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -1,4 +1,5 @@
-//! Chooses the server for a request: any server of an unsharded service, or the holder of the key.
+//! Chooses the server for a request: any server of an unsharded service, or the server that holds
+//! the key.
 
 use std::{sync::Arc, time::Duration};
 
@@ -29,7 +30,7 @@
 /// Time for which a suspect request waits for the trial of the same request elsewhere to end: most
 /// requests complete within it.
 const TRIAL_WAIT_MS: u64 = 120;
-/// Pause between two checks whether that trial has ended.
+/// Interval at which a waiting request checks if that trial has ended.
 const TRIAL_POLL_MS: u64 = 10;
 
 /// Returns the servers that are not resting. If all are, returns the shortest remaining rest;
@@ -47,8 +48,8 @@
 }
 
 /// Returns the servers that may get the request under their rate limits. Each request is admitted
-/// to at most one of the rate-limited servers at random, unless their limits exceed the demand of
-/// callers.
+/// to at most one of the rate-limited servers at random, unless their limits exceed the request
+/// rate of callers.
 fn under_rate_limits(
     servers: Vec<&Arc<Server>>,
     hosts: usize,
@@ -60,7 +61,7 @@
         let Some(rate_share) = server.rate.rate_share(hosts, is_urgent) else {
             return true;
         };
-        server.rate.note_asked(is_urgent);
+        server.rate.note_demand(is_urgent);
         let is_admitted = rate_shares::is_admitted(point, before, rate_share.admit_probability);
         before += rate_share.admit_probability;
         is_admitted && server.rate.has_token(rate_share)
@@ -103,8 +104,8 @@
 
     /// Refuses a request that is in quarantine.
     fn check_quarantine(&self, entry: &Entry) -> Result<(), Refused> {
-        match entry.crashes.rest_ms(self.digests) {
-            Some(rest_ms) => Err(Refused::quarantined(rest_ms)),
+        match entry.crashes.remaining_ms(self.digests) {
+            Some(remaining_ms) => Err(Refused::quarantined(remaining_ms)),
             None => Ok(()),
         }
     }
@@ -131,12 +132,12 @@
     /// Chooses a server of a service whose servers can all run the request.
     fn any_server(&self, entry: &Entry) -> Result<Arc<Server>, Refused> {
         let registry = entry.view.registry();
-        let mut usable = self.free_servers(entry, &registry)?;
+        let mut usable = self.available_servers(entry, &registry)?;
         usable.retain(|server| self.may_be_served_in(entry, &server.entry.availability_zone));
         let usable = under_rate_limits(usable, entry.sharing_hosts(), self.is_urgent());
         if usable.is_empty() {
             let reason = "all servers get as much as they take";
-            return Err(self.refused_for_a_run(entry, reason));
+            return Err(self.refused_overloaded(entry, reason));
         }
         let due: Vec<_> = usable
             .iter()
@@ -146,11 +147,11 @@
         let picked = self.pick(entry, &registry, &due);
         match picked.or_else(|| self.pick(entry, &registry, &usable)) {
             Some(server) => {
-                server.take_turn(self.cold_rule);
+                server.take_warmup_window(self.warmup_limit);
                 server.rate.take_token();
                 Ok(server.clone())
             }
-            None => Err(self.refused_for_a_run(entry, "all servers are overloaded")),
+            None => Err(self.refused_overloaded(entry, "all servers are overloaded")),
         }
     }
 
@@ -175,7 +176,7 @@
 
     /// Returns the servers that may get the request; servers that are leaving only if there are no
     /// others.
-    fn free_servers<'r>(
+    fn available_servers<'r>(
         &self,
         entry: &Entry,
         registry: &'r Registry,
@@ -186,13 +187,13 @@
             Err(rest_ms) => rest_ms,
         };
         let (arrived_ms, hold_ms) = (self.times.arrived_ms, entry.limits.notice_hold_ms);
-        let at_last =
+        let leaving_servers =
             registry.usable_while_leaving(&self.service, &self.tried, arrived_ms, hold_ms);
-        let last_rest_ms = match not_resting(at_last) {
+        let leaving_rest_ms = match not_resting(leaving_servers) {
             Ok(servers) => return Ok(servers),
             Err(rest_ms) => rest_ms,
         };
-        Err(match rest_ms.into_iter().chain(last_rest_ms).min() {
+        Err(match rest_ms.into_iter().chain(leaving_rest_ms).min() {
             Some(rest_ms) => Refused::after("all servers want a rest", rest_ms, policy),
             None => Refused::soon("no server may get work", policy),
         })
@@ -204,17 +205,16 @@
         let mut changes = entry.view.changes();
         loop {
             match entry.view.owner(&self.service, key) {
-                Owner::Nobody => return Err(Refused::soon("no server holds the key", policy)),
+                Owner::Unowned => return Err(Refused::soon("no server holds the key", policy)),
                 Owner::Server(id, fence) => {
-                    let server = self.holder(entry, &id)?;
+                    let server = self.owning_server(entry, &id)?;
                     self.fences = (fence, self.fences.0);
                     return Ok(server);
                 }
-                Owner::Moving(rest) => {
-                    let room_ms = self.hold(entry, rest)?;
+                Owner::Moving(time_left) => {
+                    let room_ms = self.hold(entry, time_left)?;
                     let wait = Duration::from_millis(KEY_RETRY_PAUSE_MS.min(room_ms));
-                    // The owner is read again, whether the wait ended by a change or by the
-                    // timeout.
+                    // The owner is read again after a change and after the timeout.
                     if let Ok(Err(closed)) = time::timeout(wait, changes.changed()).await {
                         log::debug!("the view no longer sends changes: {closed}");
                     }
@@ -224,24 +224,24 @@
     }
 
     /// Returns how long the request may wait for the move of its key, or the reason to refuse it.
-    fn hold(&self, entry: &Entry, rest: MoveTimeLeft) -> Result<u64, Refused> {
+    fn hold(&self, entry: &Entry, time_left: MoveTimeLeft) -> Result<u64, Refused> {
         let policy = &entry.settings.policy;
         let aim_ms = self.route.aim_ms;
-        match hold::decide(rest, self.elapsed_ms(), self.left_ms(), aim_ms, policy) {
+        match hold::decide(time_left, self.elapsed_ms(), self.left_ms(), aim_ms, policy) {
             Hold::For(room_ms) => Ok(room_ms),
-            Hold::Refuse if rest.wait == MoveWait::Lease => {
+            Hold::Refuse if time_left.wait == MoveWait::Lease => {
                 let reason = "the key waits for the lease of a lost server to end";
-                Err(Refused::after(reason, rest.rest_ms, policy))
+                Err(Refused::after(reason, time_left.remaining_ms, policy))
             }
             Hold::Refuse => {
                 let reason = "the key is on its way to another server";
-                Err(self.refused_for_a_run(entry, reason))
+                Err(self.refused_overloaded(entry, reason))
             }
         }
     }
 
     /// Returns the server with this id if it may get the request, or the reason to refuse it.
-    fn holder(&mut self, entry: &Entry, id: &str) -> Result<Arc<Server>, Refused> {
+    fn owning_server(&mut self, entry: &Entry, id: &str) -> Result<Arc<Server>, Refused> {
         let policy = &entry.settings.policy;
         let registry = entry.view.registry();
         let Some(server) = registry.server(id) else {
@@ -255,7 +255,7 @@
             let reason = "the key's server is in a region where the request may not be served";
             return Err(Refused::soon(reason, policy));
         }
-        server.rate.note_asked(self.is_urgent());
+        server.rate.note_demand(self.is_urgent());
         let limits = &entry.limits;
         if !server.serves_held_keys(limits.evacuation_hold_ms)
             || server.is_closed_to(self.times.arrived_ms, limits.notice_hold_ms)
@@ -265,19 +265,19 @@
         if server.rest_ms() > 0 {
             return Err(Refused::resting(server.rest_ms(), policy));
         }
-        if server.is_limited_by_warmup(self.cold_rule) {
+        if server.is_limited_by_warmup(self.warmup_limit) {
             let reason = "the key's server is cold";
             return Err(Refused::after(reason, server.cold_remaining_ms(), policy));
         }
         let typical_ms = registry.typical_run_ms(&self.service);
         let seen = self.candidate(entry, server);
         if !admission::has_room(&seen, typical_ms, self.demand(entry), policy) {
-            return Err(self.refused_for_a_run(entry, "the key's server is overloaded"));
+            return Err(self.refused_overloaded(entry, "the key's server is overloaded"));
         }
         if !is_under_rate_limit(server, entry.sharing_hosts(), self.is_urgent()) {
             return Err(Refused::limited(policy));
         }
-        server.take_turn(self.cold_rule);
+        server.take_warmup_window(self.warmup_limit);
         server.rate.take_token();
         Ok(server.clone())
     }
@@ -301,7 +301,7 @@
     /// does not hold the key.
     pub(super) async fn await_move(&self, entry: &Entry) {
         let mut changes = entry.view.changes();
-        self.query_key_holder(entry);
+        self.query_key_owner(entry);
         let wait = Duration::from_millis(KEY_RETRY_PAUSE_MS.min(self.left_ms()));
         if let Ok(Err(closed)) = time::timeout(wait, changes.changed()).await {
             log::debug!("the view no longer sends changes: {closed}");
@@ -310,13 +310,14 @@
 
     /// Queries the duty holder for the owner of the key; requests a read from the store if no duty
     /// holder can be reached.
-    fn query_key_holder(&self, entry: &Entry) {
+    fn query_key_owner(&self, entry: &Entry) {
         let Some(key) = self.key else { return };
         let inputs = Message::QueryKeyOwner {
             service_tag: tag_of(&self.service),
             key,
         };
-        let asked = entry.freshness.is_store_confirmed() && entry.peers.send_to_holder(&inputs);
+        let asked =
+            entry.freshness.is_store_confirmed() && entry.peers.send_to_duty_holder(&inputs);
         if !asked {
             entry.view.request_read(FollowedTable::Own);
         }
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -6,7 +6,7 @@
 use tokio::time;
 
 use super::{
-    attempt::Attempt,
+    attempt::AttemptOutcome,
     body::Payload,
     head::{plain_text, refusal},
 };
@@ -24,7 +24,7 @@
     transport::ResponseBody,
 };
 
-/// Least remaining time for which an attempt is made.
+/// Minimum remaining time for which an attempt is made.
 pub(super) const ATTEMPT_MS_MIN: u64 = 10;
 /// Failed connection attempts after which a request is refused.
 const CONNECTS_MAX: u32 = 3;
@@ -57,7 +57,7 @@
     /// Key that the request is for; `None` if the service is not sharded.
     pub(super) key: Option<u16>,
     /// Limit on requests to cold servers of the service; `None` if the service has no warm-up.
-    pub(super) cold_rule: Option<WarmupLimit>,
+    pub(super) warmup_limit: Option<WarmupLimit>,
     pub(super) head: &'a request::Parts,
     pub(super) request_id: &'a str,
     pub(super) digests: RequestDigests,
@@ -151,16 +151,20 @@
             };
             self.last = Some(server.clone());
             let ended = match self.attempt(entry, &server, payload).await {
-                Attempt::Answered(response) => Some(self.answered(entry, response)),
-                Attempt::NotSent(reason) => self.not_sent(entry, payload, &server, &reason).await,
-                Attempt::Rests => None,
-                Attempt::NotRun(status) => self.not_run(entry, payload, &server, status).await,
-                Attempt::Unknown(reason) => self.unknown(entry, payload, &server, reason),
-                Attempt::ConnectionLost(reason) => {
+                AttemptOutcome::Answered(response) => Some(self.answered(entry, response)),
+                AttemptOutcome::NotSent(reason) => {
+                    self.not_sent(entry, payload, &server, &reason).await
+                }
+                AttemptOutcome::Rests => None,
+                AttemptOutcome::NotRun(status) => {
+                    self.not_run(entry, payload, &server, status).await
+                }
+                AttemptOutcome::Unknown(reason) => self.unknown(entry, payload, &server, reason),
+                AttemptOutcome::ConnectionLost(reason) => {
                     entry.probe_liveness(&server);
                     self.unknown(entry, payload, &server, reason)
                 }
-                Attempt::TimedOut => Some(self.timed_out(entry, &server)),
+                AttemptOutcome::TimedOut => Some(self.timed_out(entry, &server)),
             };
             if let Some(response) = ended {
                 return response;
@@ -170,7 +174,7 @@
 
     /// Logs a sample of the responses and counts the request.
     fn answered(&self, entry: &Entry, response: Response<ResponseBody>) -> Response<ResponseBody> {
-        if entry.samples_answer() {
+        if entry.samples_response() {
             self.log("answered", format!("status {}", response.status()));
         }
         self.end(entry, "answered");
@@ -190,7 +194,7 @@
     }
 
     /// Returns a refusal with a retry time of one typical run of the service.
-    pub(super) fn refused_for_a_run(&self, entry: &Entry, reason: &'static str) -> Refused {
+    pub(super) fn refused_overloaded(&self, entry: &Entry, reason: &'static str) -> Refused {
         let run_ms = entry.view.registry().typical_run_ms(&self.service) as u64;
         Refused::after(reason, run_ms, &entry.settings.policy)
     }
@@ -199,7 +203,7 @@
     pub(super) fn candidate(&self, entry: &Entry, server: &Server) -> Candidate {
         let settings = &entry.settings;
         let own_zone = &settings.availability_zone;
-        let seen = server.candidate(own_zone, self.cold_rule, &settings.policy);
+        let seen = server.candidate(own_zone, self.warmup_limit, &settings.policy);
         let zone = &server.entry.availability_zone;
         Candidate {
             is_other_region: settings.region_of(zone) != settings.region_of(own_zone),
@@ -224,7 +228,7 @@
         } else {
             CONNECTS_MAX
         };
-        if self.connects >= connects_max || !payload.can_repeat() {
+        if self.connects >= connects_max || !payload.can_resend() {
             let logged = format!("no connection: {reason}");
             let refused = Refused::soon("no connection to the server", &entry.settings.policy);
             return Some(self.refuse(entry, logged, &refused));
@@ -259,7 +263,7 @@
             let refused = Refused::resting(server.rest_ms(), &entry.settings.policy);
             return Some(self.refuse(entry, logged, &refused));
         }
-        if !self.may_repeat(entry, payload) {
+        if !self.may_retry(entry, payload) {
             let typical_ms = entry.view.registry().typical_run_ms(&self.service);
             let seen = self.candidate(entry, server);
             let refused = Refused::not_run(&seen, typical_ms, &entry.settings.policy);
@@ -287,11 +291,11 @@
         server.failed();
         // Another attempt could crash another server.
         let is_suspect = self.is_trial || entry.crashes.is_path_suspect(self.digests);
-        if !self.route.repeatable || is_suspect || !self.may_repeat(entry, payload) {
+        if !self.route.repeatable || is_suspect || !self.may_retry(entry, payload) {
             self.log("failed", reason);
             self.end(entry, "failed");
-            let told = "no whole answer of the server";
-            return Some(plain_text(StatusCode::BAD_GATEWAY, told));
+            let message = "no whole answer of the server";
+            return Some(plain_text(StatusCode::BAD_GATEWAY, message));
         }
         self.log("repeated", reason);
         if self.key.is_none() {
@@ -310,16 +314,16 @@
 
     /// Returns true if the attempts, the body, the remaining time and the retry budget allow
     /// another attempt; takes it from the retry budget.
-    fn may_repeat(&self, entry: &Entry, payload: &Payload) -> bool {
+    fn may_retry(&self, entry: &Entry, payload: &Payload) -> bool {
         let may = self.attempts < self.route.attempts_max
-            && payload.can_repeat()
+            && payload.can_resend()
             && self.left_ms() > ATTEMPT_MS_MIN
             && {
                 let hosts = entry.peers.hosts();
-                entry.retries.repeat(&self.service, hosts, clock::now_ms())
+                entry.retries.retry(&self.service, hosts, clock::now_ms())
             };
         if may {
-            entry.metrics.repeat();
+            entry.metrics.retry();
         }
         may
     }
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -35,7 +35,7 @@
 
 /// Deadline of requests without a deadline header.
 const DEADLINE_DEFAULT_MS: u64 = 30_000;
-/// Least time that must remain between a request's deadline and the stop of the process.
+/// Minimum time that must remain between a request's deadline and the stop of the process.
 const STOP_MARGIN_MS: u64 = 100;
 
 /// Answers one request of a caller; closes the connection if the host is stopping.
@@ -68,8 +68,8 @@
         Ok(workspace) => workspace,
         Err(denied) => return deny(&head, &route, denied, &policy),
     };
-    let asked_ms = header_number(&head.headers, headers::DEADLINE_MS.as_str());
-    let left_ms = asked_ms
+    let requested_ms = header_number(&head.headers, headers::DEADLINE_MS.as_str());
+    let left_ms = requested_ms
         .unwrap_or(DEADLINE_DEFAULT_MS)
         .min(route.timeout_ms);
     let deadline_ms = arrived_ms + left_ms;
@@ -224,7 +224,7 @@
         workspace: *workspace,
         service,
         key,
-        cold_rule: warmup.map(|warmup| entry.cold_rule(warmup)),
+        warmup_limit: warmup.map(|warmup| entry.warmup_limit(warmup)),
         head,
         request_id,
         digests,
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -46,7 +46,8 @@
 /// Time after which a host that found no seed hosts reads their list again. At the first start of a
 /// deployment the first duty holder has stored the list by then.
 const LOOKUP_RETRY_MS: u64 = 2_200;
-/// Maximum random time that is added to this pause, so that hosts do not call the store at once.
+/// Maximum random time that is added to [`LOOKUP_RETRY_MS`], so that hosts do not call the store at
+/// the same moment.
 const LOOKUP_JITTER_MS: u64 = 700;
 /// Divisor that selects early hosts: one in 32 of the hosts with a small processor share reads the
 /// tables early.
@@ -75,7 +76,7 @@
     ReadsTables,
 }
 
-/// State of this host's start, and of its answers to other hosts.
+/// State of this host's initial sync, and of the snapshots that it serves to other hosts.
 #[derive(Debug)]
 pub struct Join {
     outcome: watch::Sender<SyncOutcome>,
@@ -99,7 +100,7 @@
 }
 
 impl Join {
-    /// Waits for the end of the initial sync. Returns true if this host got a table from another
+    /// Waits for the end of the initial sync. Returns true if this host got the table from another
     /// host.
     pub(super) async fn was_synced_from_peer(&self, followed: FollowedTable) -> bool {
         if followed == FollowedTable::Configuration {
@@ -132,7 +133,7 @@
     /// Fetches a snapshot from a seed host, or determines that this host must read the tables.
     pub(super) async fn join(self: Arc<Self>) {
         let began_ms = clock::now_ms();
-        let outcome = if self.ask_seed_hosts().await {
+        let outcome = if self.query_seed_hosts().await {
             SyncOutcome::Synced
         } else {
             SyncOutcome::ReadsTables
@@ -145,7 +146,7 @@
         self.join.outcome.send_replace(outcome);
     }
 
-    async fn ask_seed_hosts(&self) -> bool {
+    async fn query_seed_hosts(&self) -> bool {
         let mut lookups = 0;
         let seed_hosts = loop {
             match self.find_seed_hosts().await {
@@ -190,7 +191,7 @@
     }
 
     /// Reads the seed hosts of the own zone from the store, or all of them if the zone has none.
-    /// Returns `None` if the store does not answer.
+    /// Returns `None` if the store does not respond.
     async fn find_seed_hosts(&self) -> Option<SeedHostLookup> {
         let rows = match self
             .store
@@ -198,7 +199,7 @@
             .await
         {
             Ok(rows) => {
-                self.note_store_answer(clock::now_ms());
+                self.note_store_response(clock::now_ms());
                 rows.rows
             }
             Err(error) => {
@@ -222,14 +223,18 @@
             return Some(SeedHostLookup::NoneStored);
         }
         let own_zone = tag_of(&self.settings.availability_zone);
-        let near = seed_hosts
+        let same_zone = seed_hosts
             .hosts
             .iter()
             .filter(|seed_host| seed_host.zone_tag == own_zone);
-        let near: Vec<SocketAddr> = near.map(|seed_host| seed_host.address).collect();
+        let same_zone: Vec<SocketAddr> = same_zone.map(|seed_host| seed_host.address).collect();
         let all = seed_hosts.hosts.iter().map(|seed_host| seed_host.address);
         Some(SeedHostLookup::SeedHosts {
-            addresses: if near.is_empty() { all.collect() } else { near },
+            addresses: if same_zone.is_empty() {
+                all.collect()
+            } else {
+                same_zone
+            },
             has_many_servers: seed_hosts.has_many_servers,
         })
     }
--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -1,4 +1,4 @@
-//! Queries to other hosts over HTTP, and the application of their answers.
+//! Queries to other hosts over HTTP, and the application of their responses.
 
 use std::{collections::HashSet, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,7 +16,7 @@
         Entry,
         limits::POLL_EVERY_MS,
         model::ServerEntry,
-        peers::HostFacts,
+        peers::HostProperties,
         server::tag_of,
         updates::{
             followed::FollowedTable,
@@ -26,7 +26,7 @@
     platform::{self, Link},
 };
 
-/// Timeout until an answer begins.
+/// Timeout for the head of a response.
 const QUERY_TIMEOUT_MS: u64 = 1_500;
 /// Successive pauses after its start at which a host queries which other hosts have joined: hosts
 /// that start together do not know each other yet.
@@ -34,23 +34,23 @@
 /// Interval of these queries after the start.
 const QUERY_HOSTS_EVERY_MS: u64 = 30_000;
 
-/// Reasons why another host did not answer a query.
+/// Reason why a query to another host failed.
 #[derive(Debug, Snafu)]
 pub(super) enum Error {
     #[snafu(display("{source}"))]
     Call { source: platform::Error },
     #[snafu(display("the request cannot be built: {source}"))]
     BuildRequest { source: http::Error },
-    #[snafu(display("the host answered with status {status}"))]
+    #[snafu(display("the host responded with status {status}"))]
     Status { status: StatusCode },
     #[snafu(display("the content cannot be sealed or opened with the known secret"))]
     Seal,
-    #[snafu(display("the answer cannot be decoded: {source}"))]
+    #[snafu(display("the response cannot be decoded: {source}"))]
     Decode { source: postcard::Error },
 }
 
 impl Entry {
-    /// Sends a GET request to a host and decodes its answer.
+    /// Sends a GET request to a host and decodes its response.
     pub(super) async fn query<T: DeserializeOwned>(
         &self,
         peer: SocketAddr,
@@ -60,7 +60,7 @@
         self.call(peer, request, Bytes::new()).await
     }
 
-    /// Posts sealed content to a host and decodes its answer.
+    /// Posts sealed content to a host and decodes its response.
     pub(super) async fn send_to<T: DeserializeOwned>(
         &self,
         peer: SocketAddr,
@@ -81,21 +81,21 @@
             .header(header::HOST, peer.to_string())
             .body(Full::new(body))
             .context(BuildRequestSnafu)?;
-        let answer = Link::new(peer).call(request, QUERY_TIMEOUT_MS).await;
-        let answer = answer.context(CallSnafu)?;
-        if answer.status != StatusCode::OK {
+        let response = Link::new(peer).call(request, QUERY_TIMEOUT_MS).await;
+        let response = response.context(CallSnafu)?;
+        if response.status != StatusCode::OK {
             return StatusSnafu {
-                status: answer.status,
+                status: response.status,
             }
             .fail();
         }
-        let content = self.peers.seal.open(&answer.body).context(SealSnafu)?;
+        let content = self.peers.seal.open(&response.body).context(SealSnafu)?;
         postcard::from_bytes(content).context(DecodeSnafu)
     }
 
-    /// Fetches a snapshot from another host when the store no longer has the change history that
-    /// this host has missed: after an outage hundreds of hosts would otherwise read the whole
-    /// tables. Returns false if no host is known that certainly has later changes than this one.
+    /// Fetches a snapshot from another host when the store no longer has the changes that this host
+    /// has missed. After an outage, hundreds of hosts would otherwise read the whole tables.
+    /// Returns false if this host knows no host that certainly has later changes.
     pub(in crate::entry) async fn resync_from_peer(&self, followed: FollowedTable) -> bool {
         if followed == FollowedTable::Configuration || !self.has_many_servers() {
             return false;
@@ -123,9 +123,9 @@
         self.peers.sync_peer(self.as_relay_candidate())
     }
 
-    /// Waits until the duty holder reports that it has followed the store since now, which takes a
-    /// moment after an outage. Returns false after a time limit, or if this host is the duty
-    /// holder, which receives no such reports.
+    /// Waits until the duty holder reports a response of the store from after the start of the
+    /// wait, which takes a moment after an outage. Returns false after a time limit, or if this
+    /// host is the duty holder, which receives no such reports.
     async fn is_store_confirmed_soon(&self) -> bool {
         let since_ms = clock::now_ms();
         let until_ms = since_ms + self.limits.start_wait_ms;
@@ -157,9 +157,9 @@
     }
 
     pub(super) fn apply_snapshot(&self, snapshot: &Snapshot) {
-        let has_servers = snapshot.servers_known.up_to > 0;
+        let has_servers = snapshot.servers_versions.up_to > 0;
         if has_servers
-            && snapshot.servers_known.up_to >= self.freshness.applied(FollowedTable::Servers)
+            && snapshot.servers_versions.up_to >= self.freshness.applied(FollowedTable::Servers)
         {
             self.apply_known_servers(snapshot);
         }
@@ -167,7 +167,7 @@
             self.apply_known_host(*host);
         }
         for (service, rows) in snapshot.holdings() {
-            self.view.hold(&service, rows);
+            self.view.put_holdings(&service, rows);
         }
         self.note_known(FollowedTable::Own, snapshot);
         self.view.set_hosts_known();
@@ -202,10 +202,10 @@
             }
             return;
         }
-        let facts = HostFacts {
+        let facts = HostProperties {
             incarnation: host.incarnation,
             zone_tag: host.zone_tag,
-            is_near: host.zone_tag == tag_of(&self.settings.availability_zone),
+            is_same_zone: host.zone_tag == tag_of(&self.settings.availability_zone),
             processor_share: host.processor_share,
         };
         if !self.peers.knows(host.address) || facts.incarnation.is_some() {
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -1,4 +1,4 @@
-//! HTTP answers to hosts that start or have missed changes.
+//! HTTP server for hosts that start or have missed changes.
 
 use std::sync::{Arc, PoisonError};
 
@@ -22,8 +22,8 @@
     transport::{self, ListenerLimits, ResponseBody},
 };
 
-/// Content type of sealed answers.
-const ANSWER_TYPE: &str = "application/octet-stream";
+/// Content type of sealed responses.
+const SEALED_TYPE: &str = "application/octet-stream";
 /// Maximum number of connections of other hosts that are served at a time. Further connections wait
 /// to be accepted.
 const CONNECTIONS_MAX: usize = 16;
@@ -46,12 +46,12 @@
     /// Returns servers, holdings and hosts; `None` until this host knows them all, and while it
     /// stops.
     fn snapshot(&self) -> Option<Snapshot> {
-        let is_known = self.view.servers_known() && self.view.are_hosts_known();
+        let is_known = self.view.servers_versions() && self.view.are_hosts_known();
         if !is_known || self.stopping() {
             return None;
         }
         let mut snapshot = self.own_snapshot();
-        snapshot.servers_known = self.freshness.known(FollowedTable::Servers);
+        snapshot.servers_versions = self.freshness.known(FollowedTable::Servers);
         snapshot.leave_version = self.freshness.leave_version();
         let registry = self.view.registry();
         snapshot.set_servers(registry.servers().map(|server| server.current_entry()));
@@ -93,13 +93,13 @@
         match postcard::to_stdvec(content) {
             Ok(plain) => Some(Bytes::from(self.peers.seal.seal(&plain)?)),
             Err(error) => {
-                log::warn!("an answer to another host cannot be encoded: {error}");
+                log::warn!("a response to another host cannot be encoded: {error}");
                 None
             }
         }
     }
 
-    /// Returns the sealed answer to a path; `None` if this host cannot answer it now.
+    /// Returns the sealed response to a query for `path`; `None` if this host cannot serve it now.
     fn answer_to(&self, path: &str) -> Option<Bytes> {
         match path {
             SNAPSHOT => self.encoded_snapshot(),
@@ -110,11 +110,11 @@
         }
     }
 
-    /// Returns the status for a query that this host cannot answer: 410 if it no longer has the
+    /// Returns the status for a query that this host cannot serve: 410 if it no longer has the
     /// requested changes, 503 otherwise.
     fn refusal_status(&self, path: &str) -> StatusCode {
-        let is_forgotten = |after| !self.broadcast.reaches_back_to(after);
-        if changes_after(path).is_some_and(is_forgotten) {
+        let is_discarded = |after| !self.broadcast.reaches_back_to(after);
+        if changes_after(path).is_some_and(is_discarded) {
             StatusCode::GONE
         } else {
             StatusCode::SERVICE_UNAVAILABLE
@@ -133,12 +133,12 @@
         };
         let handler = move |request: Request<Incoming>| {
             let entry = self.clone();
-            async move { entry.answer_peer(request).await }
+            async move { entry.serve_query(request).await }
         };
         transport::serve(listener, limits, stop, handler).await;
     }
 
-    async fn answer_peer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+    async fn serve_query(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let path = request.uri().path().to_owned();
         let answer = if path == REGISTER {
             self.register_newcomer(request).await
@@ -149,7 +149,7 @@
             Some(body) => (StatusCode::OK, body),
             None => (self.refusal_status(&path), Bytes::new()),
         };
-        let mut response = transport::whole(status, ANSWER_TYPE, body);
+        let mut response = transport::whole(status, SEALED_TYPE, body);
         // Closes the connection, so that waiting connections are accepted.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
@@ -157,7 +157,7 @@
     }
 }
 
-/// Returns the version after which a path requests changes.
+/// Parses the version after which a path requests changes.
 fn changes_after(path: &str) -> Option<u64> {
     path.strip_prefix(CHANGES)?.parse().ok()
 }
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -42,7 +42,7 @@
 const BALANCE_EVERY_ROUNDS: u64 = 2;
 /// Timeout of a grant. A server usually answers within a few ms, and a lost packet is retransmitted
 /// within the timeout. Nine grants fit into the time from the renewal of a lease to its expiry: if
-/// half of the answers are lost, two leases in a thousand expire.
+/// half of the responses are lost, two leases in a thousand expire.
 const GRANT_TIMEOUT_MS: u64 = 300;
 /// Number of consecutive failed grants after which the server is probed.
 const FAILURES_BEFORE_PROBE: u32 = 2;
@@ -57,7 +57,7 @@
 const LEASE_MARGIN_MS: u64 = GRANT_TIMEOUT_MS + 250;
 /// Rounds per second. Reported request counts are added up once per round.
 const ROUNDS_PER_S: f32 = 1_000.0 / ROUND_MS as f32;
-/// Age of the last answer of the store above which no planned move begins, since it could not be
+/// Age of the last response of the store above which no planned move begins, since it could not be
 /// recorded.
 const STORE_AGE_MAX_MS: u64 = 3_600;
 
@@ -175,7 +175,7 @@
             if !self.may_send_orders() {
                 continue;
             }
-            self.add_reported_counts();
+            self.add_reported_key_counts();
             for service in self.sharded_services() {
                 self.renew(&service, &mut tasks);
                 self.plan(&service, round, &mut tasks);
@@ -202,8 +202,8 @@
         services.map(|service| service.name.clone()).collect()
     }
 
-    fn add_reported_counts(&self) {
-        let reported = self.entry.peers.take_reported();
+    fn add_reported_key_counts(&self) {
+        let reported = self.entry.peers.take_reported_key_counts();
         let names: HashMap<u32, Arc<str>> = self
             .sharded_services()
             .into_iter()
@@ -343,13 +343,13 @@
     }
 
     /// Announces the first holdings to all hosts, so that they do not all read them from the store.
-    fn announce_holdings(&self, service: &Arc<str>) {
+    fn announce_grants(&self, service: &Arc<str>) {
         let Some(held) = self.entry.view.held(service) else {
             return;
         };
         for holding in &held.assignment.holdings {
             let outbox = &self.entry.peers.outbox;
-            outbox.announce_holding(tag_of(service), holding);
+            outbox.announce_grant(tag_of(service), holding);
         }
     }
 
@@ -395,7 +395,7 @@
             let ranges = first::first_assignment(&servers);
             let change = Change::Distribute(ranges);
             match term.entry.record(&service, &change).await {
-                Ok(_) => term.announce_holdings(&service),
+                Ok(_) => term.announce_grants(&service),
                 Err(failure) => {
                     log::warn!("cannot record the first holdings of {service}: {failure:?}");
                 }
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -30,13 +30,13 @@
 /// Minimum timeout of a release order, used when the lease of the server is about to expire or has
 /// expired.
 const RELEASE_TIMEOUT_MIN_MS: u64 = 300;
-/// Maximum timeout of a release order: a server answers only when its work on the keys has ended.
+/// Maximum timeout of a release order: a server responds only when its work on the keys has ended.
 const RELEASE_TIMEOUT_MS: u64 = 2_500;
-/// Delay until a release order is sent again in parallel, as its answer may be lost and the keys
+/// Delay until a release order is sent again in parallel, as its response may be lost and the keys
 /// have no server until it arrives. Most work on keys ends within this time.
-const RELEASE_REPEAT_MS: u64 = 600;
+const RELEASE_RETRY_MS: u64 = 600;
 /// Maximum number of times that one release order is sent. Of a hundred servers that lose half of
-/// their answers, six do not answer any of four.
+/// their responses, six respond to none of four orders.
 const RELEASES_MAX: usize = 4;
 
 impl Term {
@@ -181,18 +181,18 @@
             record.is_some_and(|record| record.is_silent)
         };
         let answers = registry.server(from).is_some() && !is_silent;
-        let rest = if answers {
+        let time_left = if answers {
             MoveTimeLeft {
                 wait: MoveWait::Work,
-                rest_ms: RELEASE_TIMEOUT_MS,
+                remaining_ms: RELEASE_TIMEOUT_MS,
             }
         } else {
             MoveTimeLeft {
                 wait: MoveWait::Lease,
-                rest_ms: self.lease_end_ms(from).saturating_sub(clock::now_ms()),
+                remaining_ms: self.lease_end_ms(from).saturating_sub(clock::now_ms()),
             }
         };
-        self.announce_time_left(service, holding, above_fence, rest);
+        self.announce_time_left(service, holding, above_fence, time_left);
     }
 
     fn announce_time_left(
@@ -200,12 +200,12 @@
         service: &Arc<str>,
         holding: &Holding,
         above_fence: u64,
-        rest: MoveTimeLeft,
+        time_left: MoveTimeLeft,
     ) {
         let move_ahead = MoveAnnouncement {
             range: holding.range,
             above_fence,
-            rest,
+            time_left,
         };
         self.entry.view.announce_move(service, move_ahead);
         let outbox = &self.entry.peers.outbox;
@@ -247,7 +247,7 @@
             self.grant(&server, order).await;
             self.entry.view.note_granted(service, holding.clone());
             let outbox = &self.entry.peers.outbox;
-            outbox.announce_holding(tag_of(service), holding);
+            outbox.announce_grant(tag_of(service), holding);
         }
         if holding.from.is_some() {
             // The move counts as completed only after the grant. Otherwise a renewal, which has no
@@ -328,11 +328,11 @@
                     self.entry.metrics.order("release", "failed");
                     log::debug!("server {id} did not release its keys: {error}");
                     if self.mark_waiting_for_lease(range) {
-                        let rest = MoveTimeLeft {
+                        let time_left = MoveTimeLeft {
                             wait: MoveWait::Lease,
-                            rest_ms: self.lease_end_ms(id).saturating_sub(clock::now_ms()),
+                            remaining_ms: self.lease_end_ms(id).saturating_sub(clock::now_ms()),
                         };
-                        self.announce_time_left(service, holding, fence - 1, rest);
+                        self.announce_time_left(service, holding, fence - 1, time_left);
                     }
                     let pause_ms = 200.min(free_ms.saturating_sub(clock::now_ms()).max(1));
                     time::sleep(Duration::from_millis(pause_ms)).await;
@@ -356,7 +356,7 @@
     }
 }
 
-/// Sends a release order, and repeats it in parallel while no answer arrives. The first answer
+/// Sends a release order, and resends it in parallel while no response arrives. The first response
 /// counts; the order is idempotent.
 async fn release(
     link: &Link,
@@ -381,7 +381,7 @@
                     return Ok(released);
                 }
             }
-            () = time::sleep(Duration::from_millis(RELEASE_REPEAT_MS)),
+            () = time::sleep(Duration::from_millis(RELEASE_RETRY_MS)),
                 if sent < RELEASES_MAX && failed.is_none() =>
             {
                 let server = order.server.to_owned();
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -22,16 +22,17 @@
 /// holder confirms its duty and sends several heartbeats within it.
 const TRUST_MAX_MS: u64 = 2_000;
 /// Longest heartbeat interval of the duty holder.
-const HOLDER_HEARTBEAT_MAX_MS: u64 = 300;
+const DUTY_HOLDER_HEARTBEAT_MAX_MS: u64 = 300;
 /// Longest time for which a host may lag behind the versions reported by the duty holder.
 const LAG_GRACE_MAX_MS: u64 = 400;
 /// Longest pause of the feeds of servers' entries and the configuration on the duty holder and on
 /// relays, which lets changes in quick succession share one call.
-const HOLDER_PAUSE_MAX_MS: u64 = 250;
+const DUTY_HOLDER_PAUSE_MAX_MS: u64 = 250;
 /// Longest wait of the duty holder's feed calls. Calls are billed, and the duty holder makes them
 /// continuously.
-const HOLDER_WAIT_MAX_MS: u64 = 3_000;
-/// Longest pause of the feed of servers' entries on a host that hears no duty holder.
+const DUTY_HOLDER_WAIT_MAX_MS: u64 = 3_000;
+/// Longest pause of the feed of servers' entries on a host that receives no heartbeats of a duty
+/// holder.
 const SERVERS_PAUSE_MAX_MS: u64 = 1_500;
 /// Longest pause of the configuration's feed on hosts other than the duty holder and relays.
 const CONFIGURATION_PAUSE_MAX_MS: u64 = 500;
@@ -47,39 +48,40 @@
     /// may fail right after a heartbeat, before it broadcasts that a server leaves.
     pub trust_ms: u64,
     /// Heartbeat interval of the duty holder; several heartbeats fit into the trust period.
-    pub holder_heartbeat_ms: u64,
+    pub duty_holder_heartbeat_ms: u64,
     /// Pause of the feeds of servers' entries and the configuration on the duty holder and on
     /// relays.
-    pub holder_pause_ms: u64,
+    pub duty_holder_pause_ms: u64,
     /// Longest wait of the duty holder's feed calls at the store. It is short because no other host
     /// can tell the duty holder that its connection has failed silently.
-    pub holder_wait_ms: u64,
+    pub duty_holder_wait_ms: u64,
     /// Wait of a relay's feed calls while it reports in place of the duty holder. It is short
     /// because the other hosts of the zone query the relay often.
     pub relay_wait_ms: u64,
     /// Interval at which a host queries the relays of its zone once the duty holder's last report
     /// is old. Several queries fit into the time until that report is no longer trusted.
-    pub ask_relay_every_ms: u64,
+    pub relay_query_every_ms: u64,
     /// Pause between a host's own calls, among many hosts, while neither the duty holder nor a
     /// relay confirms the store. Two pauses fit into the contact grace period.
     pub alone_pause_ms: u64,
-    /// Time for other hosts to send a host the changes that it missed, before it asks the store.
+    /// Time for other hosts to send a host the changes that it missed, before it queries the
+    /// store.
     pub catch_up_ms: u64,
-    /// Longest pause of the feed of servers' entries while no duty holder is heard.
+    /// Longest pause of the feed of servers' entries while no heartbeats of a duty holder arrive.
     pub servers_pause_ms: u64,
     /// Longest pause of the configuration's feed.
     pub configuration_pause_ms: u64,
-    /// Time for which a host may lag behind the reported versions before it asks the store: an
-    /// answer or a broadcast may be on its way.
+    /// Time for which a host may lag behind the reported versions before it queries the store: a
+    /// response or a broadcast may be on its way.
     pub lag_grace_ms: u64,
-    /// Time for which a host waits to hear a duty holder after its start, or after the store no
-    /// longer has the history that the host needs.
+    /// Time for which a host waits for the first heartbeat of a duty holder after its start, or
+    /// after the store no longer has the history that the host needs.
     pub start_wait_ms: u64,
     /// Time for which keys of an evacuated zone are still served there, after a host has learned of
     /// the evacuation, while they are moved to other servers.
     pub evacuation_hold_ms: u64,
     /// Time for which a server still gets requests for its keys after it announced to this host, in
-    /// an answer, that it leaves. The keys are moved to other servers meanwhile, unless the store
+    /// a response, that it leaves. The keys are moved to other servers meanwhile, unless the store
     /// is unavailable.
     pub notice_hold_ms: u64,
 }
@@ -113,7 +115,7 @@
 }
 
 impl TimingPath {
-    /// Returns whether the bound is kept on this path.
+    /// Returns true if the bound is kept on this path.
     pub fn is_met(&self) -> bool {
         self.worst_ms <= self.bound_ms
     }
@@ -133,13 +135,13 @@
         let evacuation_known_ms = trust_ms + after_wait_ms;
         Self {
             trust_ms,
-            holder_heartbeat_ms: (trust_ms / 4).min(HOLDER_HEARTBEAT_MAX_MS),
-            holder_pause_ms: (trust_ms / 4).min(HOLDER_PAUSE_MAX_MS),
-            holder_wait_ms: (bounds.contact_ms + drain_room_ms.min(configuration_room_ms))
+            duty_holder_heartbeat_ms: (trust_ms / 4).min(DUTY_HOLDER_HEARTBEAT_MAX_MS),
+            duty_holder_pause_ms: (trust_ms / 4).min(DUTY_HOLDER_PAUSE_MAX_MS),
+            duty_holder_wait_ms: (bounds.contact_ms + drain_room_ms.min(configuration_room_ms))
                 .saturating_sub(FEED_SLACK_MS)
-                .clamp(TRUST_MIN_MS, HOLDER_WAIT_MAX_MS),
+                .clamp(TRUST_MIN_MS, DUTY_HOLDER_WAIT_MAX_MS),
             relay_wait_ms: trust_ms / 16,
-            ask_relay_every_ms: trust_ms / 16,
+            relay_query_every_ms: trust_ms / 16,
             catch_up_ms: trust_ms / 5,
             alone_pause_ms: bounds.contact_ms / 2,
             servers_pause_ms: drain_room_ms.min(SERVERS_PAUSE_MAX_MS),
@@ -155,7 +157,7 @@
     }
 
     /// Returns the interval at which the duty holder confirms its duty at the store. The store's
-    /// last answer must stay within the trust period until the next heartbeat but one.
+    /// last response must stay within the trust period until the next heartbeat but one.
     pub fn confirm_every_ms(&self, wanted_ms: u64) -> u64 {
         wanted_ms.min(self.trust_ms / 2)
     }
@@ -180,7 +182,8 @@
             worst_ms: wait_ms + self.evacuation_hold_ms + CALL_MS + 2 * LATE_MS,
             bound_ms: bounds.evacuation_ms,
         };
-        let next_heartbeat_ms = self.holder_pause_ms + 2 * self.holder_heartbeat_ms + POLL_EVERY_MS;
+        let next_heartbeat_ms =
+            self.duty_holder_pause_ms + 2 * self.duty_holder_heartbeat_ms + POLL_EVERY_MS;
         [
             drain(
                 "the duty holder fails before it broadcasts that a server leaves",
@@ -193,7 +196,7 @@
             TimingPath {
                 name: "the duty holder's connection to the store has failed silently",
                 bound: "contact",
-                worst_ms: self.holder_wait_ms + FEED_SLACK_MS + CALL_MS + LATE_MS,
+                worst_ms: self.duty_holder_wait_ms + FEED_SLACK_MS + CALL_MS + LATE_MS,
                 bound_ms: bounds.contact_ms + bounds.drain_ms.min(bounds.configuration_ms),
             },
             drain("no duty holder is heard", self.servers_pause_ms),
@@ -215,8 +218,8 @@
             ),
             configuration(
                 "a piece of the configuration is lost and detected by the duty holder's next heartbeat",
-                self.holder_pause_ms
-                    + self.holder_heartbeat_ms
+                self.duty_holder_pause_ms
+                    + self.duty_holder_heartbeat_ms
                     + self.lag_grace_ms
                     + POLL_EVERY_MS
                     + self.catch_up_ms,
@@ -232,7 +235,7 @@
             TimingPath {
                 name: "a zone is evacuated while the duty holder's connection to the store has failed silently",
                 bound: "evacuation",
-                worst_ms: self.holder_wait_ms
+                worst_ms: self.duty_holder_wait_ms
                     + FEED_SLACK_MS
                     + self.evacuation_hold_ms
                     + CALL_MS
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -58,7 +58,7 @@
     broadcast::Broadcast,
     crashes::Crashes,
     decide::{
-        budget::RetryBudget, hot_keys::HotKeys, rate_shares::AskedByHost, rests::Rests,
+        budget::RetryBudget, hot_keys::HotKeys, rate_shares::DemandByHost, rests::Rests,
         run_shares::RunShares,
     },
     duty::Duty,
@@ -70,7 +70,7 @@
     peers::Peers,
     quotas::Quotas,
     server::WarmupLimit,
-    updates::{freshness::Freshness, proof::ConfigurationProof},
+    updates::{confirmation::ConfigurationConfirmation, freshness::Freshness},
     view::View,
 };
 use crate::platform::store::Store;
@@ -80,7 +80,7 @@
 pub struct Entry {
     /// Settings as they were read at the start of the process.
     pub settings: Settings,
-    /// Random number of this process; tells apart two runs of a host with the same name.
+    /// Random number of this process; distinguishes two runs of a host with the same name.
     pub incarnation: u64,
     /// Client of the platform's store.
     pub store: Store,
@@ -91,7 +91,7 @@
     /// Age of this host's data from the store, by its own calls and by other hosts' reports.
     pub freshness: Freshness,
     /// Time up to which the configuration in use is confirmed as the latest one.
-    pub proof: ConfigurationProof,
+    pub confirmation: ConfigurationConfirmation,
     /// Progress of the synchronisation with other hosts after the start.
     join: Join,
     /// State of the changes that the duty holder broadcasts to all hosts.
@@ -117,7 +117,7 @@
     rests: Rests,
     /// Request rates that each host reports for servers with a rate limit; collected while this
     /// host holds the duty.
-    asked_by_host: Mutex<AskedByHost>,
+    demand_by_host: Mutex<DemandByHost>,
     /// Run time of each route's requests relative to the average of their server.
     pub run_shares: RunShares,
     /// Counters, gauges and histograms.
@@ -140,7 +140,7 @@
 /// large a one.
 const ASSUMED_HOSTS: usize = 10_000;
 /// One in this many answered requests is logged; the others are only counted.
-const ANSWER_SAMPLE: u64 = 100;
+const RESPONSE_SAMPLE: u64 = 100;
 
 impl Entry {
     /// Creates a host's state. No task runs and no connection is opened yet.
@@ -154,7 +154,7 @@
             view: View::default(),
             limits,
             freshness: Freshness::new(&limits),
-            proof: ConfigurationProof::default(),
+            confirmation: ConfigurationConfirmation::default(),
             join: Join::default(),
             broadcast: Broadcast::default(),
             hot_keys: HotKeys::default(),
@@ -166,7 +166,7 @@
             crashes: Crashes::default(),
             notice_received: Notify::new(),
             rests: Rests::default(),
-            asked_by_host: Mutex::default(),
+            demand_by_host: Mutex::default(),
             run_shares: RunShares::default(),
             metrics: Metrics::default(),
             registered: AtomicBool::new(false),
@@ -180,7 +180,7 @@
 
     /// Returns the rate limit of a service's cold servers. It is divided among the hosts, whose
     /// number is assumed to be [`ASSUMED_HOSTS`] until it is read from the store.
-    fn cold_rule(&self, warmup: Warmup) -> WarmupLimit {
+    fn warmup_limit(&self, warmup: Warmup) -> WarmupLimit {
         WarmupLimit::new(warmup, self.sharing_hosts())
     }
 
@@ -193,15 +193,15 @@
         }
     }
 
-    fn asked_by_host(&self) -> MutexGuard<'_, AskedByHost> {
-        self.asked_by_host
+    fn demand_by_host(&self) -> MutexGuard<'_, DemandByHost> {
+        self.demand_by_host
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns true if the load balancer should send callers to this host.
     pub fn ready(&self) -> bool {
-        !self.stopping() && self.view.configuration().is_some() && self.view.servers_known()
+        !self.stopping() && self.view.configuration().is_some() && self.view.servers_versions()
     }
 
     /// Returns true once a planned stop has begun.
@@ -215,9 +215,9 @@
     }
 
     /// Counts an answered request and returns true if it is to be logged.
-    fn samples_answer(&self) -> bool {
+    fn samples_response(&self) -> bool {
         let number = self.answered.fetch_add(1, Ordering::Relaxed);
-        number.is_multiple_of(ANSWER_SAMPLE)
+        number.is_multiple_of(RESPONSE_SAMPLE)
     }
 
     /// Counts a caller's request as in flight until the returned guard is dropped.
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -1,4 +1,4 @@
-//! Notices that servers give in their answers. The host that receives one reports it to the duty
+//! Notices that servers send in their responses. The host that receives one reports it to the duty
 //! holder, which moves the server's keys and announces leaving servers to all hosts. A rest applies
 //! only to the host that the server asked for it.
 
@@ -23,7 +23,7 @@
 const ANNOUNCE_FOR_MS: u64 = 3 * REPORT_EVERY_MS + REPORT_EVERY_MS / 2;
 
 impl Entry {
-    /// Records the notice in a server's answer.
+    /// Records the notice in a server's response.
     pub(in crate::entry) fn note_notice(&self, server: &Server, notice: Notice) {
         if notice == Notice::default() {
             return;
@@ -46,7 +46,7 @@
                 .await
                 .is_ok()
             {
-                log::debug!("a server has given a new notice");
+                log::debug!("reporting notices: a server has sent a new one");
             }
             self.report_leaving();
             self.report_rests();
@@ -69,14 +69,14 @@
             return;
         }
         if self.duty.term() > 0 {
-            self.take_rests(self.settings.listen.peers, &rests);
-        } else if !self.peers.send_to_holder(&Message::ReportRests(rests)) {
-            log::debug!("no duty holder is known to report rests of servers to");
+            self.handle_rest_report(self.settings.listen.peers, &rests);
+        } else if !self.peers.send_to_duty_holder(&Message::ReportRests(rests)) {
+            log::debug!("rests of servers not reported: no duty holder can be reached");
         }
     }
 
     /// Records, as the duty holder, which servers asked a host for a rest.
-    pub(in crate::entry) fn take_rests(&self, host: SocketAddr, rests: &[ServerRest]) {
+    pub(in crate::entry) fn handle_rest_report(&self, host: SocketAddr, rests: &[ServerRest]) {
         if self.duty.term() == 0 {
             return;
         }
@@ -90,10 +90,14 @@
     fn report_leaving(&self) {
         let registry = self.view.registry();
         if self.duty.term() == 0 {
-            let said = registry.servers().filter(|s| s.leaves_by_notice_only());
-            let tags: Vec<u32> = said.map(|s| s.tag).take(ENTRIES_MAX).collect();
-            if !tags.is_empty() && !self.peers.send_to_holder(&Message::ReportLeaving(tags)) {
-                log::debug!("no duty holder is known to report leaving servers to");
+            let leaving_servers = registry.servers().filter(|s| s.leaves_by_notice_only());
+            let tags: Vec<u32> = leaving_servers.map(|s| s.tag).take(ENTRIES_MAX).collect();
+            if !tags.is_empty()
+                && !self
+                    .peers
+                    .send_to_duty_holder(&Message::ReportLeaving(tags))
+            {
+                log::debug!("leaving servers not reported: no duty holder can be reached");
             }
             return;
         }
@@ -109,7 +113,7 @@
     }
 
     /// Records, as the duty holder, servers that announced to another host that they are leaving.
-    pub(in crate::entry) fn take_reported_leaving(&self, tags: &[u32]) {
+    pub(in crate::entry) fn handle_leaving_report(&self, tags: &[u32]) {
         if self.duty.term() > 0 && self.note_leaving_elsewhere(tags) {
             self.notice_received.notify_one();
         }
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns the key partitions whose rows differ from the holdings of `assignment`.
-    pub fn changed_parts(&self, assignment: &Assignment) -> Vec<KeyPartition> {
+    pub fn changed_partitions(&self, assignment: &Assignment) -> Vec<KeyPartition> {
         let differs = |part: &KeyPartition| {
             let of_row = self
                 .rows
@@ -116,10 +116,11 @@
 pub enum Owner {
     /// Server that holds the key, and the fence of its holding.
     Server(Arc<str>, u64),
-    /// The key is being moved. The caller asks again when the view changes, or after a moment.
+    /// The key is being moved. The caller looks the owner up again when the view changes, or after
+    /// a timeout.
     Moving(MoveTimeLeft),
     /// No server holds the key, as far as this host knows.
-    Nobody,
+    Unowned,
 }
 
 type Fenced = Option<(Arc<str>, u64)>;
@@ -176,7 +177,7 @@
 
     /// Adds rows with holdings of a service and drops the announced grants that they include.
     /// Returns false if none of the rows is new.
-    pub fn hold(&self, service: &Arc<str>, rows: Vec<(KeyPartition, HoldingsRow)>) -> bool {
+    pub fn put_holdings(&self, service: &Arc<str>, rows: Vec<(KeyPartition, HoldingsRow)>) -> bool {
         let mut held_map = self.held_map();
         let held = held_map.entry(service.clone()).or_default();
         if !held.merge(rows) {
@@ -214,7 +215,7 @@
         let MoveAnnouncement {
             range,
             above_fence,
-            rest,
+            time_left,
         } = announcement;
         let now_ms = clock::now_ms();
         // Datagrams may arrive out of order: the grant that ends the move may be known already.
@@ -231,8 +232,8 @@
             service: service.clone(),
             range,
             above_fence,
-            wait: rest.wait,
-            until_ms: now_ms + rest.rest_ms.min(MOVE_HOLD_MAX_MS),
+            wait: time_left.wait,
+            until_ms: now_ms + time_left.remaining_ms.min(MOVE_HOLD_MAX_MS),
         });
     }
 
@@ -256,7 +257,7 @@
             .map(|g| (g.holding.server.clone(), g.holding.fence));
         let latest = higher_fence(granted.clone(), recorded);
         let Some((server, fence)) = latest else {
-            return Owner::Nobody;
+            return Owner::Unowned;
         };
         // A move is recorded before the keys are granted, so only an announced grant ends the wait,
         // not the recorded holding.
@@ -269,7 +270,7 @@
         if let Some(longest) = waits.max_by_key(|m| m.until_ms) {
             return Owner::Moving(MoveTimeLeft {
                 wait: longest.wait,
-                rest_ms: longest.until_ms - now_ms,
+                remaining_ms: longest.until_ms - now_ms,
             });
         }
         drop(moving);
@@ -278,7 +279,7 @@
             concerns && now_ms < n.until_ms
         });
         if refused {
-            return Owner::Nobody;
+            return Owner::Unowned;
         }
         Owner::Server(server, fence)
     }
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -9,7 +9,7 @@
         hot_keys::HotKey,
         path_tally::SharedSuspect,
         quota::{AdmittedShare, QuotaUsage},
-        rate_shares::AskedRates,
+        rate_shares::DemandRates,
         trials::ClaimSubject,
     },
     digest::RequestDigest,
@@ -101,9 +101,9 @@
     /// Hash of the server's identifier.
     pub server_tag: u32,
     /// Limit that the server advertised last; `None` if the sender knows of none.
-    pub told: Option<AdvertisedRate>,
-    /// Rates at which callers request the server.
-    pub asked: AskedRates,
+    pub reported: Option<AdvertisedRate>,
+    /// Demand for the server: rates of the callers' requests.
+    pub demand: DemandRates,
 }
 
 /// Requests that a host received and sent on behalf of a workspace.
@@ -138,7 +138,7 @@
 /// Properties of the sending host, for receivers that have not read its row yet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Hash of the name of its availability zone.
+    /// Hash of the name of the host's availability zone.
     pub zone_tag: u32,
     /// Share of a processor that the host has.
     pub processor_share: f32,
@@ -206,7 +206,7 @@
     Servers(ServerChanges),
     /// Piece of a configuration that the sender, the duty holder, received from the store.
     Configuration(Piece),
-    /// Asks the duty holder which server holds a key.
+    /// Queries the duty holder for the server that holds a key.
     QueryKeyOwner {
         /// Hash of the service's name.
         service_tag: u32,
@@ -255,14 +255,14 @@
     ReportUsage(Vec<WorkspaceUse>),
     /// Shares of the workspaces' requests that hosts may admit; sent by the duty holder.
     AdmittedShare(Vec<WorkspaceAdmitted>),
-    /// Asks a relay how recent its view of the store is.
+    /// Queries a relay for the age of its view of the store.
     QueryStoreState {
-        /// Identifies the query; returned in the answer.
+        /// Identifies the query; returned in the response.
         nonce: u64,
         /// Sending host, for relays that have not read its row yet.
         sender: Sender,
     },
-    /// Answers [`Message::QueryStoreState`] with the sender's view of the store.
+    /// Responds to [`Message::QueryStoreState`] with the sender's view of the store.
     StoreState {
         /// Nonce of the query.
         nonce: u64,
@@ -271,13 +271,13 @@
         /// Zones that are being evacuated.
         evacuations: Evacuations,
     },
-    /// Asks how recently the receiver's configuration was known to be current.
+    /// Queries the receiver for the time since its configuration was known to be current.
     QueryConfigurationAge {
-        /// Identifies the query; returned in the answer.
+        /// Identifies the query; returned in the response.
         nonce: u64,
     },
-    /// Answers [`Message::QueryConfigurationAge`]: the sender's configuration was current `age_ms`
-    /// ago.
+    /// Responds to [`Message::QueryConfigurationAge`]: the sender's configuration was current
+    /// `age_ms` ago.
     ConfigurationAge {
         /// Nonce of the query.
         nonce: u64,
@@ -287,7 +287,7 @@
         changed: u64,
     },
     /// Announces that servers were granted keys.
-    Held {
+    Granted {
         /// Hash of the service's name.
         service_tag: u32,
         /// Granted key ranges with their servers.
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -39,7 +39,7 @@
 };
 use crate::clock;
 
-/// Sum of the other hosts' reports about one server.
+/// Sum of the other hosts' reports on one server.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportedLoad {
     in_flight: u32,
@@ -61,26 +61,26 @@
 pub struct SeedHost {
     /// Address for messages and queries of other hosts.
     pub address: SocketAddr,
-    /// Hash of the name of its availability zone.
+    /// Hash of the name of the host's availability zone.
     pub zone_tag: u32,
 }
 
 /// Properties of a host from its row in the store, or from its own messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HostFacts {
+pub struct HostProperties {
     /// Incarnation of the process on the host; `None` until its row was read.
     pub incarnation: Option<u64>,
-    /// Hash of the name of its availability zone.
+    /// Hash of the name of the host's availability zone.
     pub zone_tag: u32,
     /// True if the host is in the availability zone of this host.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// Share of a processor that the host has.
     pub processor_share: f32,
 }
 
 #[derive(Debug)]
 struct Peer {
-    facts: HostFacts,
+    facts: HostProperties,
     /// Time of the first message to relay that the host has not acknowledged; 0 if there is none.
     relay_since_ms: u64,
     heard_ms: u64,
@@ -128,9 +128,9 @@
     /// Request counts that other hosts reported to this one while it has the duty.
     reported: Mutex<Vec<KeyCount>>,
     duty_holder: Mutex<Option<SocketAddr>>,
-    holder_term: AtomicU64,
+    duty_holder_term: AtomicU64,
     duty_holder_hosts: AtomicUsize,
-    holder_heard_ms: AtomicU64,
+    duty_holder_heard_ms: AtomicU64,
     /// Paces that other hosts reported and that are not applied yet.
     paces: Mutex<Vec<ReportedPace>>,
     one_way_delay: Mutex<OneWayDelay>,
@@ -141,7 +141,7 @@
 
 impl Peers {
     /// Adds a host, or updates its properties.
-    pub fn add(&self, address: SocketAddr, facts: HostFacts) {
+    pub fn add(&self, address: SocketAddr, facts: HostProperties) {
         let mut peers = self.peers();
         let peer = peers.entry(address).or_insert_with(|| Peer {
             facts,
@@ -193,21 +193,22 @@
     /// Returns the relays of this host's zone, which may include this host.
     pub(in crate::entry) fn own_zone_relays(&self, own: RelayCandidate) -> Vec<SocketAddr> {
         let now_ms = clock::now_ms();
-        let near: Vec<RelayCandidate> = {
+        let same_zone: Vec<RelayCandidate> = {
             let peers = self.peers();
-            let near = peers.iter().filter(|(_, peer)| peer.facts.is_near);
-            near.map(|(address, peer)| peer.relay_candidate(*address, now_ms))
+            let same_zone = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
+            same_zone
+                .map(|(address, peer)| peer.relay_candidate(*address, now_ms))
                 .collect()
         };
-        let term = self.holder_term.load(Ordering::Relaxed);
-        let zone: Vec<RelayCandidate> = near.into_iter().chain([own]).collect();
+        let term = self.duty_holder_term.load(Ordering::Relaxed);
+        let zone: Vec<RelayCandidate> = same_zone.into_iter().chain([own]).collect();
         fanout::choose_zone_relays(&zone, term)
     }
 
     /// Returns the host to fetch missed changes from: with many hosts, a relay of the own zone;
     /// with few hosts, or on a relay itself, the duty holder.
     pub fn sync_peer(&self, own: RelayCandidate) -> Option<SocketAddr> {
-        if !self.are_many() {
+        if !self.use_relays() {
             return *self.duty_holder();
         }
         let relays = self.own_zone_relays(own);
@@ -228,8 +229,8 @@
     }
 
     /// Returns the number of hosts, this one included: the larger of the numbers that this host and
-    /// the duty holder know. Limits that all hosts share are divided by it, so that a number too
-    /// large is safer than one too small.
+    /// the duty holder know. Limits that all hosts share are divided by it, so an overestimate is
+    /// safer than an underestimate.
     pub fn hosts(&self) -> usize {
         self.known()
             .max(self.duty_holder_hosts.load(Ordering::Relaxed))
@@ -250,7 +251,11 @@
     pub fn host_count(&self) -> HostCount {
         let peers = self.peers();
         HostCount {
-            near: peers.values().filter(|peer| peer.facts.is_near).count() + 1,
+            same_zone: peers
+                .values()
+                .filter(|peer| peer.facts.is_same_zone)
+                .count()
+                + 1,
             all: peers.len() + 1,
         }
     }
@@ -258,9 +263,9 @@
     /// Returns the number of hosts that come before the host at `own` in the takeover order. Hosts
     /// with a larger share of a processor come first, since the duty holder sends messages to all
     /// hosts and orders to all servers that hold keys. The order of equally strong hosts differs by
-    /// term, so that hosts that are gone do not always come first.
+    /// term, so that the same crashed hosts do not come first in every term.
     pub fn takeover_rank(&self, own: SocketAddr, processor_share: f32) -> usize {
-        let term = self.holder_term.load(Ordering::Relaxed);
+        let term = self.duty_holder_term.load(Ordering::Relaxed);
         let place = |address: &SocketAddr| tag_of(&format!("{address} {term}"));
         let own = place(&own);
         let is_before = |address: &SocketAddr, share: f32| {
@@ -274,28 +279,28 @@
     }
 
     /// Returns true if messages to all hosts are sent through relays.
-    pub(in crate::entry) fn are_many(&self) -> bool {
+    pub(in crate::entry) fn use_relays(&self) -> bool {
         self.hosts() > DIRECT_HOSTS_MAX
     }
 
     /// Returns the number of hosts that receive each other's reports, this one included.
     fn reporting_hosts(&self) -> usize {
         let hosts = self.host_count();
-        if self.are_many() {
-            hosts.near
+        if self.use_relays() {
+            hosts.same_zone
         } else {
             hosts.all
         }
     }
 
     /// Returns the latest term for which a heartbeat of the duty holder was received.
-    pub fn holder_term(&self) -> u64 {
-        self.holder_term.load(Ordering::Relaxed)
+    pub fn duty_holder_term(&self) -> u64 {
+        self.duty_holder_term.load(Ordering::Relaxed)
     }
 
     /// Returns the time of the last heartbeat received from the duty holder.
-    pub fn holder_heard_ms(&self) -> u64 {
-        self.holder_heard_ms.load(Ordering::Relaxed)
+    pub fn duty_holder_heard_ms(&self) -> u64 {
+        self.duty_holder_heard_ms.load(Ordering::Relaxed)
     }
 
     /// Counts a request for a key.
@@ -305,12 +310,12 @@
     }
 
     /// Takes the request counts by key that all hosts reported since the last call.
-    pub fn take_reported(&self) -> Vec<KeyCount> {
+    pub fn take_reported_key_counts(&self) -> Vec<KeyCount> {
         let mut reported = self.reported.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut *reported)
     }
 
-    fn take_counted(&self) -> Vec<KeyCount> {
+    fn take_key_counts(&self) -> Vec<KeyCount> {
         let mut counted = self.counted.lock().unwrap_or_else(PoisonError::into_inner);
         let counts = counted
             .drain()
@@ -331,10 +336,10 @@
         self.peers().keys().copied().collect()
     }
 
-    fn near_addresses(&self) -> Vec<SocketAddr> {
+    fn same_zone_addresses(&self) -> Vec<SocketAddr> {
         let peers = self.peers();
-        let near = peers.iter().filter(|(_, peer)| peer.facts.is_near);
-        near.map(|(address, _)| *address).collect()
+        let same_zone = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
+        same_zone.map(|(address, _)| *address).collect()
     }
 
     fn peers(&self) -> MutexGuard<'_, HashMap<SocketAddr, Peer>> {
@@ -348,7 +353,7 @@
     }
 
     /// Sends a message to the duty holder. Returns false if none is known.
-    pub(in crate::entry) fn send_to_holder(&self, message: &Message) -> bool {
+    pub(in crate::entry) fn send_to_duty_holder(&self, message: &Message) -> bool {
         let Some(duty_holder) = *self.duty_holder() else {
             return false;
         };
@@ -414,12 +419,12 @@
 
     /// Records a heartbeat of the duty holder. Returns false and ignores it if a later term is
     /// known.
-    fn note_holder(&self, from: SocketAddr, term: u64) -> bool {
-        if term < self.holder_term.load(Ordering::Relaxed) {
+    fn note_duty_holder(&self, from: SocketAddr, term: u64) -> bool {
+        if term < self.duty_holder_term.load(Ordering::Relaxed) {
             return false;
         }
-        self.holder_term.store(term, Ordering::Relaxed);
-        self.holder_heard_ms
+        self.duty_holder_term.store(term, Ordering::Relaxed);
+        self.duty_holder_heard_ms
             .store(clock::now_ms(), Ordering::Relaxed);
         *self.duty_holder() = Some(from);
         true
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -20,56 +20,60 @@
 const SEND_EVERY_MS: u64 = 20;
 /// Interval at which a host without the duty checks for announcements.
 const IDLE_EVERY_MS: u64 = 200;
-/// Delays after a grant at which it is announced. Datagrams may be lost, and hosts that miss a
-/// grant hold back the requests for its keys.
-const ANNOUNCE_HOLDING_AFTER_MS: [u64; 3] = [0, 300, 1_000];
+/// Delays after a grant at which it is announced. Datagrams may be lost, and a host that misses a
+/// grant queues the requests for its keys.
+const ANNOUNCE_GRANT_AFTER_MS: [u64; 3] = [0, 300, 1_000];
 /// Maximum number of moves or grants in one datagram, of up to 40 bytes each.
-const UPDATES_MAX: usize = 30;
+const ANNOUNCEMENTS_MAX: usize = 30;
 
 /// Announcement of one move or grant.
 #[derive(Clone, Debug)]
-enum Update {
+enum Announcement {
     Moving(MoveAnnouncement),
-    Held(Holding),
+    Granted(Holding),
 }
 
 #[derive(Clone, Debug)]
-struct Item {
+struct QueuedAnnouncement {
     due_ms: u64,
     service_tag: u32,
-    update: Update,
+    update: Announcement,
 }
 
 /// Queue of announcements that wait to be sent.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    items: Mutex<Vec<Item>>,
+    items: Mutex<Vec<QueuedAnnouncement>>,
 }
 
 impl Outbox {
     /// Queues the announcement that keys are about to move.
     pub fn announce_move(&self, service_tag: u32, announcement: MoveAnnouncement) {
-        self.items().push(Item {
+        self.items().push(QueuedAnnouncement {
             due_ms: clock::now_ms(),
             service_tag,
-            update: Update::Moving(announcement),
+            update: Announcement::Moving(announcement),
         });
     }
 
     /// Queues the announcements, one for each delay, that a server was granted keys.
-    pub fn announce_holding(&self, service_tag: u32, holding: &Holding) {
+    pub fn announce_grant(&self, service_tag: u32, holding: &Holding) {
         let now_ms = clock::now_ms();
         let mut items = self.items();
-        items.extend(ANNOUNCE_HOLDING_AFTER_MS.iter().map(|after_ms| Item {
-            due_ms: now_ms + after_ms,
-            service_tag,
-            update: Update::Held(holding.clone()),
-        }));
+        items.extend(
+            ANNOUNCE_GRANT_AFTER_MS
+                .iter()
+                .map(|after_ms| QueuedAnnouncement {
+                    due_ms: now_ms + after_ms,
+                    service_tag,
+                    update: Announcement::Granted(holding.clone()),
+                }),
+        );
     }
 
     /// Removes all due announcements and returns them as messages; moves come before grants.
     pub fn take_due(&self, now_ms: u64) -> Vec<Message> {
-        let (due, later): (Vec<Item>, Vec<Item>) = {
+        let (due, later): (Vec<QueuedAnnouncement>, Vec<QueuedAnnouncement>) = {
             let mut items = self.items();
             std::mem::take(&mut *items)
                 .into_iter()
@@ -81,8 +85,12 @@
         let mut held: BTreeMap<u32, Vec<Holding>> = BTreeMap::new();
         for item in due {
             match item.update {
-                Update::Moving(update) => moving.entry(item.service_tag).or_default().push(update),
-                Update::Held(update) => held.entry(item.service_tag).or_default().push(update),
+                Announcement::Moving(update) => {
+                    moving.entry(item.service_tag).or_default().push(update)
+                }
+                Announcement::Granted(update) => {
+                    held.entry(item.service_tag).or_default().push(update)
+                }
             }
         }
         let moving = moving.into_iter().flat_map(|(service_tag, updates)| {
@@ -90,19 +98,25 @@
                 service_tag,
                 announcements: updates.to_vec(),
             };
-            updates.chunks(UPDATES_MAX).map(message).collect::<Vec<_>>()
+            updates
+                .chunks(ANNOUNCEMENTS_MAX)
+                .map(message)
+                .collect::<Vec<_>>()
         });
         let held = held.into_iter().flat_map(|(service_tag, updates)| {
-            let message = |updates: &[Holding]| Message::Held {
+            let message = |updates: &[Holding]| Message::Granted {
                 service_tag,
                 holdings: updates.to_vec(),
             };
-            updates.chunks(UPDATES_MAX).map(message).collect::<Vec<_>>()
+            updates
+                .chunks(ANNOUNCEMENTS_MAX)
+                .map(message)
+                .collect::<Vec<_>>()
         });
         moving.chain(held).collect()
     }
 
-    fn items(&self) -> MutexGuard<'_, Vec<Item>> {
+    fn items(&self) -> MutexGuard<'_, Vec<QueuedAnnouncement>> {
         self.items.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -5,7 +5,7 @@
 use tokio::{net::UdpSocket, time};
 
 use super::{
-    HostFacts,
+    HostProperties,
     message::{DATAGRAM_BYTES_MAX, Message, VERSION},
 };
 use crate::{
@@ -48,7 +48,7 @@
 
     fn handle_datagram(&self, datagram: &[u8], from: SocketAddr) {
         let Some(message) = self.peers.seal.open(datagram) else {
-            // If the sender is a host, the hosts may use another secret by now.
+            // If the sender is a host, the hosts may use a new secret by now.
             log::debug!("datagram of {from} is not sealed with the known secret");
             if self.peers.knows(from) {
                 self.join.flag_stale_secret();
@@ -94,11 +94,11 @@
             self.view.request_read(FollowedTable::Own);
             return;
         };
-        let facts = HostFacts {
-            // Only the host's row proves which process runs there.
+        let facts = HostProperties {
+            // Only the host's row shows for certain which process runs there.
             incarnation: None,
             zone_tag: sender.zone_tag,
-            is_near: sender.zone_tag == tag_of(&self.settings.availability_zone),
+            is_same_zone: sender.zone_tag == tag_of(&self.settings.availability_zone),
             processor_share: sender.processor_share,
         };
         self.peers.add(from, facts);
@@ -117,11 +117,11 @@
                 quarantined,
             } => {
                 self.peers.note_duty_holder_hosts(hosts);
-                // The later state wins, whichever way it arrived.
+                // The state with the latest version is kept, also if an older one arrives later.
                 self.view.evacuate(evacuations);
                 self.put_in_quarantine(&quarantined, "the holder of the duty tells it");
                 let updates = updates.aged_by(self.peers.excess_delay_ms(term, sent_ms));
-                self.note_holder(from, term, updates, hot);
+                self.note_duty_holder(from, term, updates, hot);
             }
             Message::Report { servers, paces, .. } => {
                 self.peers.note_report(from, servers);
@@ -143,10 +143,10 @@
                     self.peers.add_reported(&keys);
                 }
             }
-            Message::Held {
+            Message::Granted {
                 service_tag,
                 holdings,
-            } => self.note_held(service_tag, holdings),
+            } => self.note_grants(service_tag, holdings),
             Message::Moving {
                 service_tag,
                 announcements,
@@ -165,14 +165,14 @@
             }
             Message::TrialStarted(claimed) => self.note_trial(claimed, from),
             Message::TrialPassed(claimed) => self.note_trial_end(claimed),
-            Message::ReportRests(rests) => self.take_rests(from, &rests),
+            Message::ReportRests(rests) => self.handle_rest_report(from, &rests),
             Message::ReportRates(rates) => self.handle_rate_report(from, &rates),
             Message::RateTotals(rates) => self.apply_rate_totals(&rates),
             Message::ReportUsage(reports) => self.handle_usage_report(&reports),
-            Message::AdmittedShare(told) => self.quotas.note_announced(&told),
+            Message::AdmittedShare(shares) => self.quotas.note_announced(&shares),
             Message::QueryStoreState { nonce, .. } => {
-                if let Some(word) = self.store_state_for(nonce) {
-                    self.peers.send(&word, &[from]);
+                if let Some(state) = self.store_state_for(nonce) {
+                    self.peers.send(&state, &[from]);
                 }
             }
             Message::StoreState {
@@ -181,8 +181,8 @@
                 evacuations,
             } => self.note_relay_report(nonce, updates, evacuations),
             Message::QueryConfigurationAge { nonce } => {
-                if let Some(proof) = self.confirmation_for(nonce) {
-                    self.peers.send(&proof, &[from]);
+                if let Some(confirmation) = self.confirmation_for(nonce) {
+                    self.peers.send(&confirmation, &[from]);
                 }
             }
             Message::ConfigurationAge {
@@ -190,7 +190,7 @@
                 age_ms,
                 changed,
             } => self.note_confirmation(nonce, age_ms, changed),
-            Message::ReportLeaving(tags) => self.take_reported_leaving(&tags),
+            Message::ReportLeaving(tags) => self.handle_leaving_report(&tags),
             Message::AnnounceLeaving(tags) => {
                 self.note_leaving_elsewhere(&tags);
             }
@@ -201,7 +201,7 @@
         }
     }
 
-    fn note_holder(
+    fn note_duty_holder(
         &self,
         from: SocketAddr,
         term: u64,
@@ -211,8 +211,8 @@
         if let Some(term) = self.duty.note_other_term(term) {
             self.peers.send(&Message::Stopped { term }, &[from]);
         }
-        if self.peers.note_holder(from, term) {
-            self.note_store_answer(self.freshness.note_announced(updates));
+        if self.peers.note_duty_holder(from, term) {
+            self.note_store_response(self.freshness.note_announced(updates));
             self.hot_keys.note_announced(hot, clock::now_ms());
         }
     }
@@ -226,7 +226,7 @@
         }
     }
 
-    fn note_held(&self, service_tag: u32, holdings: Vec<Holding>) {
+    fn note_grants(&self, service_tag: u32, holdings: Vec<Holding>) {
         let Some(service) = self.service_of(service_tag) else {
             return;
         };
@@ -235,8 +235,8 @@
         }
     }
 
-    /// Answers a host whose request reached a server that does not hold the key: sends it the key's
-    /// holding, if this host has the duty.
+    /// Sends the holding of a key, if this host has the duty, to a host whose request reached a
+    /// server that does not hold the key.
     fn send_key_owner(&self, to: SocketAddr, service_tag: u32, key: u16) {
         if self.duty.term() == 0 {
             return;
@@ -254,7 +254,7 @@
         let Some(holding) = holding.cloned() else {
             return;
         };
-        let message = Message::Held {
+        let message = Message::Granted {
             service_tag,
             holdings: vec![holding],
         };
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -19,12 +19,13 @@
 /// Interval at which request counts by key are sent to the duty holder.
 const KEYS_EVERY_MS: u64 = 150;
 /// Interval at which reports of the other hosts are applied to the loads of up to [`APPLY_SERVERS`]
-/// servers. With more servers it grows in proportion to their number, so that the processor time
-/// spent does not.
+/// servers. With more servers it grows in proportion to their number, which keeps the processor
+/// time constant.
 const APPLY_EVERY_MS: u64 = 25;
 const APPLY_SERVERS: u64 = 220;
 /// Upper bound of the interval at which reports are applied.
 const APPLY_EVERY_MAX_MS: u64 = 150;
+
 /// State of the periodic load reports.
 #[derive(Debug, Default)]
 struct Reporter {
@@ -71,8 +72,8 @@
         loop {
             let every_ms = report_every_ms(self.peers.reporting_hosts());
             time::sleep(Duration::from_millis(every_ms)).await;
-            let to = if self.peers.are_many() {
-                self.peers.near_addresses()
+            let to = if self.peers.use_relays() {
+                self.peers.same_zone_addresses()
             } else {
                 self.peers.addresses()
             };
@@ -95,7 +96,7 @@
     pub(in crate::entry) async fn keep_sending_zone_loads(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(ZONE_LOADS_EVERY_MS)).await;
-            if self.peers.are_many() {
+            if self.peers.use_relays() {
                 self.peers.send_zone_loads(self.as_relay_candidate(), || {
                     (self.own_loads(), self.own_run_times())
                 });
@@ -125,7 +126,7 @@
     pub(in crate::entry) async fn keep_reporting_keys(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(KEYS_EVERY_MS)).await;
-            let keys = self.peers.take_counted();
+            let keys = self.peers.take_key_counts();
             if self.duty.term() > 0 {
                 self.peers.add_reported(&keys);
             } else if !keys.is_empty() {
@@ -138,7 +139,7 @@
     /// check whether to take the duty over.
     pub(in crate::entry) async fn keep_sending_heartbeats(self: Arc<Self>) {
         loop {
-            time::sleep(Duration::from_millis(self.limits.holder_heartbeat_ms)).await;
+            time::sleep(Duration::from_millis(self.limits.duty_holder_heartbeat_ms)).await;
             self.send_heartbeat();
         }
     }
@@ -155,7 +156,7 @@
             hosts: self.peers.known() as u32,
             hot: self.hot_keys.announce(clock::now_ms()),
             evacuations: self.view.evacuations(),
-            quarantined: self.crashes.told(),
+            quarantined: self.crashes.announced(),
         };
         self.peers.send_to_all(message);
     }
@@ -179,7 +180,7 @@
     fn own_paces(&self, since_ms: u64) -> Vec<ServerPace> {
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
-        let told = registry.servers().filter_map(|server| {
+        let announced = registry.servers().filter_map(|server| {
             let (pace, at_ms) = server.own_pace()?;
             (at_ms >= since_ms).then_some(ServerPace {
                 server_tag: server.tag,
@@ -187,7 +188,7 @@
                 age_ms: now_ms.saturating_sub(at_ms) as u16,
             })
         });
-        told.take(PACES_MAX).collect()
+        announced.take(PACES_MAX).collect()
     }
 
     fn own_run_times(&self) -> Vec<RunTime> {
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -38,7 +38,7 @@
     /// Returns the current recipients of a message to all hosts.
     pub(super) fn current_fanout(&self) -> Fanout {
         let now_ms = clock::now_ms();
-        let term = self.holder_term.load(Ordering::Relaxed);
+        let term = self.duty_holder_term.load(Ordering::Relaxed);
         let peers = self.peers();
         let candidates = peers.iter();
         let candidates = candidates.map(|(address, peer)| peer.relay_candidate(*address, now_ms));
@@ -61,7 +61,7 @@
 
     /// Forwards a message of another host to the hosts of this zone.
     pub(super) fn forward(&self, origin: SocketAddr, message: Message) {
-        let mut to = self.near_addresses();
+        let mut to = self.same_zone_addresses();
         to.retain(|address| *address != origin);
         let message = Box::new(message);
         self.send(&Message::Relayed { origin, message }, &to);
@@ -89,8 +89,8 @@
         {
             let peers = self.peers();
             let is_heard = |peer: &Peer| now_ms <= peer.heard_ms + age_max_ms;
-            let near = peers.iter().filter(|(_, peer)| peer.facts.is_near);
-            let heard = near.filter(|(_, peer)| is_heard(peer));
+            let same_zone = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
+            let heard = same_zone.filter(|(_, peer)| is_heard(peer));
             let heard: Vec<_> = heard.collect();
             let others = heard
                 .iter()
@@ -102,7 +102,7 @@
             heard.iter().for_each(|(_, peer)| peer.add_to(&mut sums));
             let mut others: Vec<RelayCandidate> = peers
                 .iter()
-                .filter(|(_, peer)| !peer.facts.is_near)
+                .filter(|(_, peer)| !peer.facts.is_same_zone)
                 .map(|(address, peer)| peer.relay_candidate(*address, now_ms))
                 .collect();
             relays.extend(fanout::one_relay_per_zone(&mut others));
--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -24,11 +24,11 @@
 /// Latest sums received from the other zones.
 #[derive(Debug, Default)]
 pub struct ZoneLoads {
-    zones: HashMap<u32, HashMap<u32, Heard>>,
+    zones: HashMap<u32, HashMap<u32, ReceivedSummary>>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct ReceivedSummary {
     summary: ServerSummary,
     at_ms: u64,
 }
@@ -39,7 +39,7 @@
         let zone = self.zones.entry(zone_tag).or_default();
         zone.retain(|_, heard| now_ms < heard.at_ms + RUN_TIMES_KEPT_MS);
         for summary in summaries {
-            let heard = Heard {
+            let heard = ReceivedSummary {
                 summary,
                 at_ms: now_ms,
             };
@@ -64,12 +64,12 @@
     }
 }
 
-/// Sums that a zone aggregator has sent, from which it determines the changes to send. Sending
-/// thousands of idle servers each time would fill the links of small hosts with what they already
-/// know.
+/// Sums that a zone aggregator has sent, from which it determines the changes to send. Sending the
+/// sums of thousands of idle servers each time would fill the links of small hosts with unchanged
+/// values.
 #[derive(Debug, Default)]
 pub struct ZoneLoadChanges {
-    sent: HashMap<u32, Heard>,
+    sent: HashMap<u32, ReceivedSummary>,
 }
 
 impl ZoneLoadChanges {
@@ -78,7 +78,7 @@
         let mut updates: Vec<ServerSummary> = sums
             .iter()
             .copied()
-            .filter(|sum| self.is_news(*sum, now_ms))
+            .filter(|sum| self.must_send(*sum, now_ms))
             .collect();
         let named: std::collections::HashSet<u32> = sums.iter().map(|sum| sum.server_tag).collect();
         let ended = self.sent.iter().filter(|(tag, sent)| {
@@ -90,7 +90,7 @@
             ..sent.summary
         }));
         for sum in &updates {
-            let sent = Heard {
+            let sent = ReceivedSummary {
                 summary: *sum,
                 at_ms: now_ms,
             };
@@ -101,7 +101,7 @@
         updates
     }
 
-    fn is_news(&self, sum: ServerSummary, now_ms: u64) -> bool {
+    fn must_send(&self, sum: ServerSummary, now_ms: u64) -> bool {
         let Some(sent) = self.sent.get(&sum.server_tag) else {
             return true;
         };
@@ -116,9 +116,9 @@
     }
 }
 
-fn has_changed(told_ms: u16, run_ms: u16) -> bool {
-    let change_ms = f64::from(told_ms.abs_diff(run_ms));
-    change_ms > f64::from(told_ms) * RUN_CHANGE
+fn has_changed(sent_run_ms: u16, run_ms: u16) -> bool {
+    let change_ms = f64::from(sent_run_ms.abs_diff(run_ms));
+    change_ms > f64::from(sent_run_ms) * RUN_CHANGE
 }
 
 /// Splits sums into parts that each fit a datagram.
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -1,5 +1,5 @@
 //! Connection pool of one backend server. A connection carries one request at a time, and is closed
-//! after anything that leaves its state in doubt.
+//! after any event that leaves its state uncertain.
 
 use std::{
     io,
@@ -50,7 +50,7 @@
         /// Error of the HTTP library.
         source: hyper::Error,
     },
-    /// The timeout passed.
+    /// The connection attempt timed out.
     #[snafu(display("timeout"))]
     TimedOut,
 }
@@ -136,11 +136,11 @@
 
     /// Returns a connection to the pool after a complete response, unless the response's headers
     /// ask to close it.
-    pub fn give_back(&self, mut connection: Connection, answer: &HeaderMap) {
-        if says_close(answer) {
+    pub fn give_back(&self, mut connection: Connection, response: &HeaderMap) {
+        if says_close(response) {
             return;
         }
-        if let Some(limit_ms) = keep_alive_ms(answer) {
+        if let Some(limit_ms) = keep_alive_ms(response) {
             connection.idle_limit_ms = (limit_ms as f64 * IDLE_SHARE) as u64;
         }
         connection.idle_since_ms = clock::now_ms();
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -1,6 +1,6 @@
 //! Rate limits that servers advertise for all hosts together. Each host reports to the duty holder
-//! the limits that servers have sent it, and the demand of its callers. The duty holder announces
-//! the latest limits and the total demand, from which each host computes its share.
+//! the limits that servers have sent it, and the request rates of its callers. The duty holder
+//! announces the latest limits and the total rates, from which each host computes its share.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,14 +18,18 @@
 
 /// Interval of reports and announcements among few hosts.
 const REPORT_INTERVAL_MS: u64 = 150;
-/// Interval of reports per host: among many hosts the interval grows with their number, which bounds
-/// the messages that the duty holder gets.
+/// Interval of reports per host: among many hosts the interval grows with their number, which
+/// bounds the number of messages that the duty holder receives.
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 2;
 
 impl Entry {
-    /// Notes the rate limit that a server advertised in a response to this host.
-    pub(in crate::entry) fn note_advertised_limit(&self, server: &Server, told: ReportedLimit) {
-        let per_s = match told {
+    /// Records the rate limit that a server advertised in a response to this host.
+    pub(in crate::entry) fn note_advertised_limit(
+        &self,
+        server: &Server,
+        advertised: ReportedLimit,
+    ) {
+        let per_s = match advertised {
             ReportedLimit::Unlimited => None,
             ReportedLimit::PerS(per_s) => Some(per_s),
             ReportedLimit::Unknown => return,
@@ -35,8 +39,8 @@
         log_change(server, is_change, "its answer");
     }
 
-    /// Reports this host's limits and demand to the duty holder; as the duty holder, announces the
-    /// totals to all hosts.
+    /// Reports the limits known to this host and the request rates of its callers to the duty
+    /// holder; as the duty holder, announces the totals to all hosts.
     pub(in crate::entry) async fn exchange_rate_limits(self: Arc<Self>) {
         loop {
             let every_ms =
@@ -52,8 +56,8 @@
         }
     }
 
-    /// Returns the limits that servers have advertised to this host, with the demand of its own
-    /// callers.
+    /// Returns the limits that servers have advertised to this host, with the request rates of its
+    /// own callers.
     fn own_rates(&self) -> Vec<ServerRate> {
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
@@ -62,8 +66,8 @@
             .filter(|s| s.rate.should_announce(now_ms));
         let rates = limited.map(|server| ServerRate {
             server_tag: server.tag,
-            told: told(server.rate.own(), now_ms),
-            asked: server.rate.report_asked(now_ms),
+            reported: advertised_rate(server.rate.own(), now_ms),
+            demand: server.rate.report_demand(now_ms),
         });
         rates.collect()
     }
@@ -73,27 +77,27 @@
         for rates in rates.chunks(RATES_MAX) {
             if !self
                 .peers
-                .send_to_holder(&Message::ReportRates(rates.to_vec()))
+                .send_to_duty_holder(&Message::ReportRates(rates.to_vec()))
             {
                 log::debug!("rate report not sent: no duty holder can be reached");
             }
         }
     }
 
-    /// Handles a host's report of limits and demand, if this host has the duty.
+    /// Handles a host's report of limits and request rates, if this host has the duty.
     pub(in crate::entry) fn handle_rate_report(&self, host: SocketAddr, rates: &[ServerRate]) {
         if self.duty.term() == 0 {
             return;
         }
         let now_ms = clock::now_ms();
         self.note_limits(rates, now_ms);
-        let mut asked = self.asked_by_host();
+        let mut demand = self.demand_by_host();
         for rate in rates {
-            asked.note(rate.server_tag, host, rate.asked, now_ms);
+            demand.note(rate.server_tag, host, rate.demand, now_ms);
         }
     }
 
-    /// Announces, as the duty holder, the latest limits and the total demand to all hosts.
+    /// Announces, as the duty holder, the latest limits and the total request rates to all hosts.
     fn announce_rates(&self) {
         let now_ms = clock::now_ms();
         let rates: Vec<ServerRate> = {
@@ -101,55 +105,57 @@
             let limited = registry
                 .servers()
                 .filter(|s| s.rate.should_announce(now_ms));
-            let mut asked = self.asked_by_host();
+            let mut demand = self.demand_by_host();
             let rates = limited.map(|server| ServerRate {
                 server_tag: server.tag,
-                told: told(server.rate.latest(), now_ms),
-                asked: asked.sum(server.tag, now_ms),
+                reported: advertised_rate(server.rate.latest(), now_ms),
+                demand: demand.sum(server.tag, now_ms),
             });
             rates.collect()
         };
         let is_limited = |tag| rates.iter().any(|rate| rate.server_tag == tag);
-        self.asked_by_host().retain(is_limited);
+        self.demand_by_host().retain(is_limited);
         self.apply_rate_totals(&rates);
         for rates in rates.chunks(RATES_MAX) {
             self.peers.send_to_all(Message::RateTotals(rates.to_vec()));
         }
     }
 
-    /// Applies an announcement of the duty holder: the latest limits and the total demand.
+    /// Applies an announcement of the duty holder: the latest limits and the total request rates.
     pub(in crate::entry) fn apply_rate_totals(&self, rates: &[ServerRate]) {
         let now_ms = clock::now_ms();
         self.note_limits(rates, now_ms);
         let registry = self.view.registry();
         for rate in rates {
             let named = registry.servers().filter(|s| s.tag == rate.server_tag);
-            named.for_each(|server| server.rate.note_asked_sum(rate.asked, now_ms));
+            named.for_each(|server| server.rate.note_demand_sum(rate.demand, now_ms));
         }
     }
 
-    /// Notes the limits that another host reported or announced.
+    /// Records the limits that another host reported or announced.
     fn note_limits(&self, rates: &[ServerRate], now_ms: u64) {
         let registry = self.view.registry();
         for rate in rates {
-            let Some(told) = rate.told else { continue };
-            let word = AdvertisedLimit {
-                per_s: told.limit_per_s,
-                at_ms: now_ms.saturating_sub(u64::from(told.age_ms)),
+            let Some(reported) = rate.reported else {
+                continue;
+            };
+            let limit = AdvertisedLimit {
+                per_s: reported.limit_per_s,
+                at_ms: now_ms.saturating_sub(u64::from(reported.age_ms)),
             };
             for server in registry.servers().filter(|s| s.tag == rate.server_tag) {
-                log_change(server, server.rate.note_limit(word), "another host");
+                log_change(server, server.rate.note_limit(limit), "another host");
             }
         }
     }
 }
 
 /// Converts an advertised limit into its form in messages, with its age.
-fn told(word: Option<AdvertisedLimit>, now_ms: u64) -> Option<AdvertisedRate> {
-    let word = word?;
+fn advertised_rate(limit: Option<AdvertisedLimit>, now_ms: u64) -> Option<AdvertisedRate> {
+    let limit = limit?;
     Some(AdvertisedRate {
-        limit_per_s: word.per_s,
-        age_ms: now_ms.saturating_sub(word.at_ms) as u32,
+        limit_per_s: limit.per_s,
+        age_ms: now_ms.saturating_sub(limit.at_ms) as u32,
     })
 }
 
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -13,7 +13,7 @@
     events::Event,
     keys::{self, Assignment, KeyPartition},
     owners::HoldingsRow,
-    peers::HostFacts,
+    peers::HostProperties,
     server::tag_of,
     updates::{
         evacuation::Evacuations,
@@ -73,11 +73,11 @@
         self.broadcast.note_configuration(row);
         match config::decode(&row.value) {
             Ok(configuration) => {
-                self.proof.set_unreadable(false);
+                self.confirmation.set_unreadable(false);
                 self.view.configure(configuration);
             }
             Err(error) => {
-                self.proof.set_unreadable(true);
+                self.confirmation.set_unreadable(true);
                 bad_row(config::TABLE, &row.key, &error);
             }
         }
@@ -106,10 +106,10 @@
         let returned_ms = self.view.store_returned_ms();
         self.view.update_registry(|registry| {
             for change in changes {
-                if change.is_end() {
+                if change.ends_new_work() {
                     self.freshness.note_leave(change.version);
                 }
-                match change.what {
+                match change.update {
                     ServerUpdate::Entry(entry) => registry.put(entry),
                     ServerUpdate::Removed(name) => registry.remove(&name, returned_ms),
                     ServerUpdate::Unreadable(name) => registry.drop_server(&name),
@@ -159,10 +159,10 @@
             Ok(host) if own && host.incarnation == self.incarnation => {}
             Ok(_) if own => self.view.note_former_process(),
             Ok(host) => {
-                let facts = HostFacts {
+                let facts = HostProperties {
                     incarnation: Some(host.incarnation),
                     zone_tag: tag_of(&host.availability_zone),
-                    is_near: host.availability_zone == self.settings.availability_zone,
+                    is_same_zone: host.availability_zone == self.settings.availability_zone,
                     processor_share: host.processor_share,
                 };
                 self.peers.add(address, facts);
@@ -180,7 +180,7 @@
             log::warn!("cannot decode holdings in row {row}: {error}");
         }
         for (service, rows) in held {
-            self.view.hold(&service, rows);
+            self.view.put_holdings(&service, rows);
         }
     }
 }
@@ -232,7 +232,7 @@
 pub(super) fn decode_servers(rows: &[Row]) -> Vec<ServerChange> {
     let mut changes = Vec::with_capacity(rows.len());
     for row in rows {
-        let what = if row.removed {
+        let update = if row.removed {
             ServerUpdate::Removed(row.key.as_str().into())
         } else {
             match servers::decode(&row.key, &row.value) {
@@ -244,7 +244,7 @@
             }
         };
         let version = row.version;
-        changes.push(ServerChange { version, what });
+        changes.push(ServerChange { version, update });
     }
     changes
 }
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -117,13 +117,13 @@
 
 fn spawn_tasks(entry: &Arc<Entry>, peers: UdpSocket) {
     tokio::spawn(entry.clone().join());
-    tokio::spawn(entry.clone().keep_naming_seed_hosts());
+    tokio::spawn(entry.clone().maintain_seed_hosts());
     tokio::spawn(entry.clone().keep_registering_newcomers());
     tokio::spawn(entry.clone().keep_querying_hosts());
     tokio::spawn(entry.clone().watch_configuration());
     tokio::spawn(entry.clone().watch_servers());
-    tokio::spawn(entry.clone().maintain_configuration_proof());
-    tokio::spawn(entry.clone().keep_asking_relays());
+    tokio::spawn(entry.clone().keep_configuration_confirmed());
+    tokio::spawn(entry.clone().keep_querying_relays());
     tokio::spawn(entry.clone().watch_own());
     tokio::spawn(entry.clone().register());
     tokio::spawn(entry.clone().drop_overdue_servers());
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -6,7 +6,7 @@
     notices::Notices,
     rate_limit::AdvertisedLimit,
     rate_meter::RateMeter,
-    rate_shares::{Asked, AskedRates, Bucket, RateShare},
+    rate_shares::{Bucket, DemandRates, RateShare, ServerDemand},
 };
 use crate::clock;
 
@@ -21,10 +21,10 @@
     sent: Mutex<RateMeter>,
 }
 
-/// State of this host's share: the demand of callers, and the token bucket.
+/// State of this host's share: the request rates of callers, and the token bucket.
 #[derive(Debug, Default)]
 struct Share {
-    asked: Asked,
+    demand: ServerDemand,
     bucket: Bucket,
 }
 
@@ -37,23 +37,23 @@
         }
     }
 
-    /// Notes the limit that a response to this host advertised; returns true if the change should
+    /// Records the limit that a response to this host advertised; returns true if the change should
     /// be logged.
-    pub fn note_own_limit(&self, word: AdvertisedLimit) -> bool {
+    pub fn note_own_limit(&self, limit: AdvertisedLimit) -> bool {
         let mut notices = self.notices();
-        notices.rate_limit.note_own(word);
+        notices.rate_limit.note_own(limit);
         notices.rate_limit.take_change()
     }
 
-    /// Notes the limit that a response to another host advertised; returns true if the change
+    /// Records the limit that a response to another host advertised; returns true if the change
     /// should be logged.
-    pub fn note_limit(&self, word: AdvertisedLimit) -> bool {
+    pub fn note_limit(&self, limit: AdvertisedLimit) -> bool {
         let mut notices = self.notices();
-        notices.rate_limit.note(word);
+        notices.rate_limit.note(limit);
         notices.rate_limit.take_change()
     }
 
-    /// Returns the limit for all hosts together, in requests a second; `None` if the server is
+    /// Returns the limit for all hosts together, in requests per second; `None` if the server is
     /// unlimited.
     pub fn limit_per_s(&self) -> Option<f64> {
         self.notices().rate_limit.per_s()
@@ -64,7 +64,7 @@
         self.notices().rate_limit.is_stale(clock::now_ms())
     }
 
-    /// Returns the limit that the planner of key moves uses, in requests a second.
+    /// Returns the limit that the planner of key moves uses, in requests per second.
     pub fn planned_per_s(&self, now_ms: u64) -> Option<f64> {
         self.notices().rate_limit.planned_per_s(now_ms)
     }
@@ -85,18 +85,18 @@
     }
 
     /// Counts a request of a caller that could be sent to the server.
-    pub fn note_asked(&self, is_urgent: bool) {
-        self.share().asked.note(is_urgent, clock::now_ms());
+    pub fn note_demand(&self, is_urgent: bool) {
+        self.share().demand.note(is_urgent, clock::now_ms());
     }
 
-    /// Returns the demand of this host's callers, for a report that is sent now.
-    pub fn report_asked(&self, now_ms: u64) -> AskedRates {
-        self.share().asked.report(now_ms)
+    /// Returns the request rates of this host's callers, for a report that is sent now.
+    pub fn report_demand(&self, now_ms: u64) -> DemandRates {
+        self.share().demand.report(now_ms)
     }
 
-    /// Notes the demand of the callers of all hosts.
-    pub fn note_asked_sum(&self, sum: AskedRates, now_ms: u64) {
-        self.share().asked.note_sum(sum, now_ms);
+    /// Records the request rates of the callers of all hosts.
+    pub fn note_demand_sum(&self, sum: DemandRates, now_ms: u64) {
+        self.share().demand.note_sum(sum, now_ms);
     }
 
     /// Returns this host's share of the limit for a request, with this number of hosts; `None` if
@@ -107,7 +107,7 @@
         let share = self.share();
         Some(
             share
-                .asked
+                .demand
                 .rate_share(shared_per_s, hosts, is_urgent, now_ms),
         )
     }
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Returns the rate at which this host sends requests to the server, in requests a second.
+    /// Returns the rate at which this host sends requests to the server, in requests per second.
     pub fn sent_per_s(&self) -> f64 {
         self.sent().per_s(clock::now_ms())
     }
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -21,14 +21,14 @@
 use crate::clock;
 
 /// Longer pause after a failed call while the duty holder reports that nothing has changed in the
-/// store: the store may reject this host only.
+/// store, since the store may reject only this host.
 const CONFIRMED_PAUSE_MS: u64 = 1_500;
 
 impl Entry {
     /// Returns the source from which this host learns of changes.
     pub(super) fn sync_role(&self) -> SyncRole {
         if self.duty.term() > 0 {
-            SyncRole::Holder
+            SyncRole::DutyHolder
         } else if self.freshness.is_store_confirmed() {
             SyncRole::Follower
         } else if self.freshness.is_relay() {
@@ -45,10 +45,10 @@
         self.pause_while_confirmed().await;
     }
 
-    /// Leaves it to the relays of the zone to detect the store's return. This host still calls the
-    /// store now and then, since all relays may be lost.
+    /// Pauses while the relays of the zone check if the store has returned. This host still calls
+    /// the store from time to time, since all relays may be lost.
     pub(super) async fn pause_while_relays_call(&self) {
-        if !self.peers.are_many() {
+        if !self.peers.use_relays() {
             return;
         }
         let until_ms = clock::now_ms() + self.limits.alone_pause_ms;
@@ -74,13 +74,13 @@
 
     /// Queries the relays of the own zone while the duty holder's report becomes stale, and
     /// determines whether this host is a relay.
-    pub(super) async fn keep_asking_relays(self: Arc<Self>) {
+    pub(super) async fn keep_querying_relays(self: Arc<Self>) {
         loop {
-            let is_asking = self.ask_relays();
+            let is_asking = self.query_relays();
             let every_ms = if is_asking {
-                self.limits.ask_relay_every_ms
+                self.limits.relay_query_every_ms
             } else {
-                self.limits.holder_heartbeat_ms
+                self.limits.duty_holder_heartbeat_ms
             };
             time::sleep(Duration::from_millis(every_ms)).await;
         }
@@ -88,9 +88,9 @@
 
     /// Queries the relays of the zone if the state of the store must be confirmed. Returns true if
     /// it did.
-    fn ask_relays(&self) -> bool {
-        let is_apart = self.duty.term() > 0 || !self.peers.are_many();
-        let relays = if is_apart {
+    fn query_relays(&self) -> bool {
+        let is_without_relays = self.duty.term() > 0 || !self.peers.use_relays();
+        let relays = if is_without_relays {
             Vec::new()
         } else {
             self.peers.own_zone_relays(self.as_relay_candidate())
@@ -102,7 +102,7 @@
         }
         let nonce = rand::random();
         let sender = self.as_sender();
-        self.freshness.ask(nonce, clock::now_ms());
+        self.freshness.start_query(nonce, clock::now_ms());
         self.peers
             .send(&Message::QueryStoreState { nonce, sender }, &relays);
         true
@@ -119,7 +119,7 @@
         })
     }
 
-    /// Applies the answer of a relay.
+    /// Applies the response of a relay.
     pub(super) fn note_relay_report(
         &self,
         nonce: u64,
@@ -129,7 +129,7 @@
         // The later state wins, whichever way it arrived.
         self.view.evacuate(evacuations);
         if let Some(answered_ms) = self.freshness.note_relay_report(nonce, updates) {
-            self.note_store_answer(answered_ms);
+            self.note_store_response(answered_ms);
         }
     }
 }
--- /dev/null
+++ b/src/entry/updates/confirmation.rs
@@ -0,0 +1,58 @@
+//! Tracks the time for which a host's configuration is confirmed to be the current one. If
+//! operators set a bound for the revocation of API keys, a key is accepted only while the last
+//! confirmation of the configuration that contains it is no older than that bound. A host that was
+//! partitioned, was suspended, or got its configuration from another host must not trust it for
+//! longer than that.
+//!
+//! A confirmation counts from the time at which the query was sent. A response of the store
+//! confirms the configuration as of that time. A response of the duty holder confirms it as of that
+//! time minus the age of the duty holder's own confirmation.
+
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+
+use super::query::PendingQuery;
+
+/// Latest time for which this host's configuration is confirmed to be the current one.
+#[derive(Debug, Default)]
+pub struct ConfigurationConfirmation {
+    /// Time of the latest confirmation; 0 before the first.
+    confirmed_ms: AtomicU64,
+    /// True while the latest configuration cannot be decoded: the one in force is then outdated and
+    /// must not count as confirmed.
+    unreadable: AtomicBool,
+    /// Query to the duty holder, while it waits for the response.
+    query: PendingQuery,
+}
+
+impl ConfigurationConfirmation {
+    /// Records that the configuration in force was the current one at a time.
+    pub fn note(&self, at_ms: u64) {
+        self.confirmed_ms.fetch_max(at_ms, Ordering::Relaxed);
+    }
+
+    /// Records whether the latest configuration cannot be decoded.
+    pub fn set_unreadable(&self, unreadable: bool) {
+        self.unreadable.store(unreadable, Ordering::Relaxed);
+    }
+
+    /// Returns the age of the latest confirmation; `None` before the first, and while the latest
+    /// configuration cannot be decoded.
+    pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
+        let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
+        let proves = confirmed_ms > 0 && !self.unreadable.load(Ordering::Relaxed);
+        proves.then(|| now_ms.saturating_sub(confirmed_ms))
+    }
+
+    /// Records a query to the duty holder.
+    pub fn start_query(&self, nonce: u64, at_ms: u64) {
+        self.query.start_query(nonce, at_ms);
+    }
+
+    /// Records the duty holder's response: its configuration, which this host has as well, was the
+    /// current one `age_ms` before the response. Responses to earlier queries are ignored.
+    pub fn note_response(&self, nonce: u64, age_ms: u64) {
+        if let Some(sent_ms) = self.query.answered(nonce) {
+            self.note(sent_ms.saturating_sub(age_ms));
+        }
+    }
+}
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -7,40 +7,40 @@
     platform::{config, servers},
 };
 
-/// Longest wait of a feed call at the store while no other host confirms the store. A store that
-/// stopped answering is detected within a second after that, early enough to apply the
+/// Maximum wait of a feed call at the store while no other host confirms the store. A store that
+/// stopped responding is detected within a second after that, early enough to apply the
 /// configuration within its bound once a network partition has healed.
 const ALONE_WAIT_MS: u64 = 3_000;
-/// Longest wait of a feed call that is abandoned and repeated as soon as another host reports a
+/// Maximum wait of a feed call that is abandoned and repeated as soon as another host reports a
 /// change that the feed did not deliver. Calls are billed, so the wait is long; the store allows up
 /// to 30 s.
 const FOLLOWER_WAIT_MS: u64 = 25_000;
-/// Longest pause of a feed while the duty holder broadcasts all changes. A host that has missed a
-/// change notices it by the versions in the duty holder's heartbeat, or when it meets an unknown
-/// host or secret, or a server that no longer holds a key.
+/// Maximum pause of a feed while the duty holder broadcasts all changes. A host that has missed a
+/// change notices it by the versions in the duty holder's heartbeat, or when it encounters an
+/// unknown host or secret, or a server that no longer holds a key.
 pub const FOLLOWER_PAUSE_MAX_MS: u64 = 120_000;
 /// Time after its start that a host waits for a heartbeat of the duty holder before it reads the
-/// product's own rows again.
+/// entry hosts' own rows again.
 const OWN_START_WAIT_MS: u64 = 2_500;
-/// Shortest pause of the feed of the product's own rows.
+/// Minimum pause of the feed of the entry hosts' own rows.
 const OWN_PAUSE_MIN_MS: u64 = 300;
 /// Time without a feed call after which the whole table is read. The store keeps 20 s of history,
 /// and a feed call that comes too late costs an extra call.
 pub const HISTORY_MS: u64 = 15_000;
-/// Number of hosts up to which feeds use their shortest pause.
+/// Number of hosts up to which feeds use their minimum pause.
 const FEW_HOSTS: u64 = 11;
 
 /// How a host learns that the store has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncRole {
     /// This host is the duty holder; the others depend on its feeds.
-    Holder,
+    DutyHolder,
     /// This host is a relay without confirmation of the store by the duty holder; the hosts of its
     /// zone depend on its feeds.
     Relay,
     /// This host depends on the duty holder or a relay, which confirms the store.
     Follower,
-    /// Nobody confirms the store; this host depends on its own feeds alone.
+    /// No other host confirms the store; this host depends on its own feeds alone.
     Alone,
 }
 
@@ -51,7 +51,7 @@
     Configuration,
     /// Entries by which servers register.
     Servers,
-    /// The product's own rows: holdings and hosts.
+    /// The entry hosts' own rows: holdings and hosts.
     Own,
 }
 
@@ -59,9 +59,9 @@
     /// All followed tables, in the order of [`Self::index`].
     pub const ALL: [Self; 3] = [Self::Configuration, Self::Servers, Self::Own];
 
-    /// Longest time until a store that stopped answering is detected while no other host confirms
+    /// Maximum time until a store that stopped responding is detected while no other host confirms
     /// it.
-    pub const NOTICED_MS: u64 = ALONE_WAIT_MS + 500;
+    pub const OUTAGE_DETECTION_MS: u64 = ALONE_WAIT_MS + 500;
 
     /// Returns the index of the table in per-table arrays.
     pub fn index(self) -> usize {
@@ -77,22 +77,22 @@
         }
     }
 
-    /// Returns how long a feed call may wait at the store. The duty holder and hosts that hear no
-    /// duty holder use short waits, since nobody else can tell them that their connection has
-    /// failed silently.
+    /// Returns the maximum wait of a feed call at the store. The duty holder and hosts that hear no
+    /// duty holder use short waits, since no other host reports changes to them if their connection
+    /// has failed silently.
     pub fn wait_ms(self, sync_role: SyncRole, limits: &TimeLimits) -> u64 {
         match (self, sync_role) {
             (Self::Own, _) | (_, SyncRole::Follower) => FOLLOWER_WAIT_MS,
-            (_, SyncRole::Holder) => limits.holder_wait_ms,
+            (_, SyncRole::DutyHolder) => limits.duty_holder_wait_ms,
             (_, SyncRole::Relay) => limits.relay_wait_ms,
             (_, SyncRole::Alone) => ALONE_WAIT_MS,
         }
     }
 
-    /// Returns how long a host that has just read the table waits for a heartbeat of the duty
-    /// holder before it asks for changes. Hosts that start together would otherwise all fetch each
-    /// other's rows; these are written after 2 s, when the first duty holder is there as well. The
-    /// wait lies within the contact grace period, in which the bounds do not apply.
+    /// Returns the time for which a host that has just read the table waits for a heartbeat of the
+    /// duty holder before it requests changes. Hosts that start together would otherwise all fetch
+    /// each other's rows; the rows are written after 2 s, and by then there is a duty holder as
+    /// well. The wait lies within the contact grace period, in which the bounds do not apply.
     pub fn start_wait_ms(self, limits: &TimeLimits) -> u64 {
         match self {
             Self::Own => OWN_START_WAIT_MS,
@@ -111,8 +111,8 @@
         match (self, sync_role) {
             // The other hosts learn of changes from the duty holder or a relay, so the feeds of
             // these pause only briefly.
-            (Self::Configuration | Self::Servers, SyncRole::Holder | SyncRole::Relay) => {
-                FeedPause::fixed(limits.holder_pause_ms)
+            (Self::Configuration | Self::Servers, SyncRole::DutyHolder | SyncRole::Relay) => {
+                FeedPause::fixed(limits.duty_holder_pause_ms)
             }
             (Self::Configuration, SyncRole::Follower) => FeedPause {
                 min_ms: limits.configuration_pause_ms,
@@ -147,10 +147,10 @@
 /// Pause between two feed calls, which lets changes in quick succession share one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FeedPause {
-    /// Shortest pause, kept even if there is a reason to call early, such as a read request or a
+    /// Minimum pause, kept even if there is a reason to call early, such as a read request or a
     /// missed change.
     pub min_ms: u64,
-    /// Longest pause, if no such reason arises.
+    /// Maximum pause, if no such reason arises.
     pub max_ms: u64,
 }
 
--- a/src/entry/updates/mod.rs
+++ b/src/entry/updates/mod.rs
@@ -1,15 +1,15 @@
 //! Values that hosts read from the store or send each other in place of such reads: followed
 //! tables, the freshness of a host's view of them, and changes of their rows. This module opens no
-//! sockets and starts no tasks: `peers` transports the values, and `watch`, `rows` and `relay`
+//! sockets and starts no tasks: `peers` transports the values, and `watch`, `rows` and `broadcast`
 //! apply them.
 
 pub mod announcement;
 pub mod configuration_pieces;
+pub mod confirmation;
 pub mod evacuation;
 pub mod followed;
 pub mod freshness;
 pub mod own_rows;
-pub mod proof;
 pub mod query;
 pub mod server_changes;
 pub mod snapshot;
--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -1,10 +1,11 @@
-//! Layout of the product's own rows in the store: table names, keys, and the content of host rows.
+//! Layout of the entry hosts' own rows in the store: table names, keys, and the content of host
+//! rows.
 
 use serde::{Deserialize, Serialize};
 
 use crate::entry::{bounds::default_processor_share, keys::KeyPartition};
 
-/// Table of the product's own rows: holdings by service and key partition, and hosts.
+/// Table of the entry hosts' own rows: holdings by service and key partition, and hosts.
 pub const TABLE: &str = "ashroad";
 /// Prefix of the keys of holdings. The name of the service follows, then the number of the key
 /// partition unless that is 0.
@@ -18,8 +19,8 @@
 pub const HOST_PREFIX: &str = "host/";
 /// Key of the row with the secret that the hosts share.
 pub const SECRET_KEY: &str = "secret";
-/// Key of the row with the seed hosts, which other hosts ask when they start. It sorts right after
-/// [`SECRET_KEY`], so that one call reads both rows.
+/// Key of the row with the seed hosts, from which starting hosts fetch a snapshot. It sorts right
+/// after [`SECRET_KEY`], so that one call reads both rows.
 pub const SEED_HOSTS_KEY: &str = "secret-guides";
 /// Key of the row with the quarantined requests: they are sent to no server, since several servers
 /// have crashed while running them.
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -15,29 +15,29 @@
 
 /// Index of a string in the string table of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TextIndex(u16);
+pub struct StringIndex(u16);
 
 /// String table: strings that many servers share, each stored once.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Texts(Vec<Arc<str>>);
+pub struct StringTable(Vec<Arc<str>>);
 
-impl Texts {
-    fn get(&self, key: TextIndex) -> Option<Arc<str>> {
+impl StringTable {
+    fn get(&self, key: StringIndex) -> Option<Arc<str>> {
         self.0.get(usize::from(key.0)).cloned()
     }
 }
 
 #[derive(Default)]
-struct TextWriter {
-    texts: Texts,
-    places: HashMap<Arc<str>, TextIndex>,
+struct StringTableBuilder {
+    strings: StringTable,
+    places: HashMap<Arc<str>, StringIndex>,
 }
 
-impl TextWriter {
-    fn key(&mut self, text: &Arc<str>) -> TextIndex {
+impl StringTableBuilder {
+    fn key(&mut self, text: &Arc<str>) -> StringIndex {
         *self.places.entry(text.clone()).or_insert_with(|| {
-            self.texts.0.push(text.clone());
-            TextIndex((self.texts.0.len() - 1) as u16)
+            self.strings.0.push(text.clone());
+            StringIndex((self.strings.0.len() - 1) as u16)
         })
     }
 }
@@ -47,9 +47,9 @@
 struct SnapshotServer {
     name: Arc<str>,
     started_ms: u64,
-    service: TextIndex,
+    service: StringIndex,
     address: SocketAddr,
-    availability_zone: TextIndex,
+    availability_zone: StringIndex,
     slots: u32,
     leaving: bool,
     cold_ms: u64,
@@ -60,9 +60,9 @@
 pub struct SnapshotHost {
     /// Address at which the host receives messages of other hosts.
     pub address: SocketAddr,
-    /// Incarnation of the process that runs there; `None` if it is not known.
+    /// Incarnation of the process on the host; `None` if it is not known.
     pub incarnation: Option<u64>,
-    /// Tag of its availability zone, as in messages between hosts.
+    /// Tag of the host's availability zone, as in messages between hosts.
     pub zone_tag: u32,
     /// Share of a processor that the host may use; 1.0 is a whole one.
     pub processor_share: f32,
@@ -90,14 +90,14 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Versions of the table of servers' entries.
-    pub servers_known: TableVersions,
+    pub servers_versions: TableVersions,
     /// Version of the latest change after which some server takes no new work.
     pub leave_version: u64,
-    /// Versions of the table of the product's own rows.
+    /// Versions of the table of the entry hosts' own rows.
     pub own_versions: TableVersions,
     /// Known hosts, including the sender.
     pub hosts: Vec<SnapshotHost>,
-    texts: Texts,
+    strings: StringTable,
     servers: Vec<SnapshotServer>,
     holdings: Vec<SnapshotHoldings>,
 }
@@ -105,10 +105,10 @@
 impl Snapshot {
     /// Stores the servers' entries in the snapshot.
     pub fn set_servers(&mut self, entries: impl Iterator<Item = ServerEntry>) {
-        let mut texts = TextWriter::default();
+        let mut strings = StringTableBuilder::default();
         let servers = entries.map(|entry| SnapshotServer {
-            service: texts.key(&entry.service),
-            availability_zone: texts.key(&entry.availability_zone),
+            service: strings.key(&entry.service),
+            availability_zone: strings.key(&entry.availability_zone),
             name: entry.name,
             started_ms: entry.started_ms,
             address: entry.address,
@@ -117,7 +117,7 @@
             cold_ms: entry.cold_ms,
         });
         self.servers = servers.collect();
-        self.texts = texts.texts;
+        self.strings = strings.strings;
     }
 
     /// Returns the servers' entries. An entry whose service or zone is missing from the string
@@ -128,9 +128,9 @@
                 id: incarnation_id(&server.name, server.started_ms),
                 name: server.name.clone(),
                 started_ms: server.started_ms,
-                service: self.texts.get(server.service)?,
+                service: self.strings.get(server.service)?,
                 address: server.address,
-                availability_zone: self.texts.get(server.availability_zone)?,
+                availability_zone: self.strings.get(server.availability_zone)?,
                 slots: server.slots,
                 leaving: server.leaving,
                 cold_ms: server.cold_ms,
@@ -178,7 +178,7 @@
     /// Returns the versions of a table; 0 for the configuration, which snapshots do not contain.
     pub fn known(&self, followed: FollowedTable) -> TableVersions {
         match followed {
-            FollowedTable::Servers => self.servers_known,
+            FollowedTable::Servers => self.servers_versions,
             FollowedTable::Own => self.own_versions,
             FollowedTable::Configuration => TableVersions::default(),
         }
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -36,7 +36,7 @@
 pub struct View {
     configuration: ArcSwapOption<Configuration>,
     registry: ArcSwap<Registry>,
-    servers_known: AtomicBool,
+    servers_versions: AtomicBool,
     evacuations: Mutex<Evacuations>,
     owners: Owners,
     changed: watch::Sender<u64>,
@@ -53,7 +53,7 @@
         Self {
             configuration: ArcSwapOption::empty(),
             registry: ArcSwap::default(),
-            servers_known: AtomicBool::new(false),
+            servers_versions: AtomicBool::new(false),
             evacuations: Mutex::default(),
             owners: Owners::default(),
             changed: watch::channel(0).0,
@@ -90,9 +90,9 @@
         self.registry.load_full()
     }
 
-    /// Returns whether the servers' entries have been read.
-    pub fn servers_known(&self) -> bool {
-        self.servers_known.load(Ordering::Relaxed)
+    /// Returns true if the servers' entries have been read.
+    pub fn servers_versions(&self) -> bool {
+        self.servers_versions.load(Ordering::Relaxed)
     }
 
     /// Returns the evacuated zones.
@@ -134,7 +134,7 @@
 
     /// Records that the servers' entries have been read.
     pub fn set_servers_known(&self) {
-        self.servers_known.store(true, Ordering::Relaxed);
+        self.servers_versions.store(true, Ordering::Relaxed);
     }
 
     /// Returns the holdings of a service; `None` if they are not known.
@@ -147,20 +147,20 @@
         self.owners.all_held()
     }
 
-    /// Returns whether the holdings of some sharded service are unknown.
+    /// Returns true if the holdings of some sharded service are unknown.
     pub fn lacks_holdings(&self) -> bool {
         let Some(configuration) = self.configuration() else {
             return false;
         };
-        let mut divided = configuration.services().filter(|s| s.sharded);
-        divided.any(|service| {
+        let mut sharded = configuration.services().filter(|s| s.sharded);
+        sharded.any(|service| {
             self.held(&service.name).is_none() && !self.owners.all_granted(&service.name)
         })
     }
 
     /// Applies rows of holdings of a service, unless newer ones are known.
-    pub fn hold(&self, service: &Arc<str>, rows: Vec<(KeyPartition, HoldingsRow)>) {
-        if self.owners.hold(service, rows) {
+    pub fn put_holdings(&self, service: &Arc<str>, rows: Vec<(KeyPartition, HoldingsRow)>) {
+        if self.owners.put_holdings(service, rows) {
             self.changed.send_modify(|count| *count += 1);
         }
     }
@@ -193,7 +193,7 @@
     }
 
     /// Completes when a reading of the table is requested.
-    pub async fn read_requested(&self, followed: FollowedTable) {
+    pub async fn wait_for_read_request(&self, followed: FollowedTable) {
         self.read_requests[followed.index()].notified().await;
     }
 
@@ -202,17 +202,17 @@
         self.hosts_known.send_replace(true);
     }
 
-    /// Returns whether the rows of the other hosts have been read.
+    /// Returns true if the rows of the other hosts have been read.
     pub fn are_hosts_known(&self) -> bool {
         *self.hosts_known.borrow()
     }
 
-    /// Records that an earlier process is known to have run on this host.
+    /// Records that a previous process is known to have run on this host.
     pub fn note_former_process(&self) {
         self.former_process.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether an earlier process is known to have run on this host.
+    /// Returns true if a previous process is known to have run on this host.
     pub fn had_former_process(&self) -> bool {
         self.former_process.load(Ordering::Relaxed)
     }
@@ -230,26 +230,26 @@
             .send_if_modified(|before| std::mem::replace(before, lost) != lost);
     }
 
-    /// Returns a receiver of whether the store has stopped answering.
+    /// Returns a receiver of a flag that is true while the store does not answer.
     pub fn store_lost(&self) -> watch::Receiver<bool> {
         self.store_lost.subscribe()
     }
 
     /// Completes as soon as the store is not known to be unavailable.
-    pub async fn store_returned(&self) {
+    pub async fn wait_for_store(&self) {
         let mut lost = self.store_lost();
         if lost.wait_for(|lost| !lost).await.is_err() {
-            log::debug!("the view has ended");
+            log::debug!("the view no longer sends changes");
         }
     }
 
     /// Completes when the store has become unavailable and answers again.
-    pub async fn store_lost_and_returned(&self) {
+    pub async fn wait_for_outage_end(&self) {
         let mut lost = self.store_lost();
         if lost.wait_for(|lost| *lost).await.is_err() {
-            log::debug!("the view has ended");
+            log::debug!("the view no longer sends changes");
         }
-        self.store_returned().await;
+        self.wait_for_store().await;
     }
 
     /// Returns a receiver that is notified of every change of configuration, servers or holdings.
@@ -257,9 +257,9 @@
         self.changed.subscribe()
     }
 
-    /// Records an answer of the store at a time. Returns the time since the answer before it if
+    /// Records a response of the store at `at_ms`. Returns the time since the previous response if
     /// that is at least `lapse_ms`, after which servers' entries may have lapsed.
-    pub fn note_store_answer(&self, at_ms: u64, lapse_ms: u64) -> Option<u64> {
+    pub fn note_store_response(&self, at_ms: u64, lapse_ms: u64) -> Option<u64> {
         let now_ms = clock::now_ms();
         let before_ms = self.store_answered_ms.fetch_max(at_ms, Ordering::Relaxed);
         let away_ms = at_ms.saturating_sub(before_ms);
@@ -270,12 +270,12 @@
         Some(away_ms)
     }
 
-    /// Returns when the store last answered.
+    /// Returns the time of the store's last response.
     pub fn store_answered_ms(&self) -> u64 {
         self.store_answered_ms.load(Ordering::Relaxed)
     }
 
-    /// Returns when the store came back after its latest outage; 0 if there was none.
+    /// Returns the time at which the store came back after its latest outage; 0 if there was none.
     pub fn store_returned_ms(&self) -> u64 {
         self.store_returned_ms.load(Ordering::Relaxed)
     }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -45,12 +45,12 @@
 
 /// State of a feed, which decides how long its next call may wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum FeedTrust {
-    Full,
+enum FeedHealth {
+    Healthy,
     /// Another host has reported a change that the feed did not deliver.
-    Doubted,
+    Stalled,
     /// The last call failed.
-    Lost,
+    Failed,
 }
 
 impl Entry {
@@ -79,9 +79,9 @@
                 continue;
             }
             self.broadcast.end_reading(followed);
-            self.wait_for_holder_at_start(followed).await;
+            self.wait_for_duty_holder_at_start(followed).await;
             let mut called_ms = clock::now_ms();
-            let mut trust = FeedTrust::Full;
+            let mut health = FeedHealth::Healthy;
             let mut pause_ms = RETRY_PAUSE_MS;
             loop {
                 let began_ms = clock::now_ms();
@@ -94,10 +94,10 @@
                     continue;
                 }
                 let after = self.freshness.applied(followed);
-                let feed = match self.next_changes(followed, after, trust).await {
+                let feed = match self.next_changes(followed, after, health).await {
                     Ok(feed) => feed,
                     Err(RecallReason::Behind) => {
-                        trust = FeedTrust::Doubted;
+                        health = FeedHealth::Stalled;
                         continue;
                     }
                     Err(RecallReason::Unconfirmed | RecallReason::StoreLost) => continue,
@@ -105,11 +105,11 @@
                 match feed {
                     Ok(Feed::Changes(changes)) => {
                         self.answered(followed);
-                        trust = FeedTrust::Full;
+                        health = FeedHealth::Healthy;
                         pause_ms = RETRY_PAUSE_MS;
                         let has_more = changes.is_full_page();
                         self.apply_changes(followed, after, changes);
-                        self.note_proof_of_store(followed, began_ms);
+                        self.note_confirmation_by_store(followed, began_ms);
                         if !has_more {
                             self.feed_pause(followed, began_ms).await;
                         }
@@ -120,8 +120,8 @@
                         break;
                     }
                     Err(error) => {
-                        self.store_failed(followed, &error, trust);
-                        trust = FeedTrust::Lost;
+                        self.store_failed(followed, &error, health);
+                        health = FeedHealth::Failed;
                         pause_for(pause_ms).await;
                         pause_ms = (pause_ms * 2).min(RETRY_PAUSE_MAX_MS);
                         self.pause_while_others_call().await;
@@ -138,7 +138,7 @@
         &self,
         followed: FollowedTable,
         after: u64,
-        trust: FeedTrust,
+        health: FeedHealth,
     ) -> Result<platform::Result<Feed>, RecallReason> {
         let mut store_lost = self.view.store_lost();
         if followed != FollowedTable::Servers {
@@ -152,12 +152,12 @@
         let begun = AtomicBool::new(false);
         let table = followed.table();
         let _following = self.freshness.follow(followed);
-        if trust != FeedTrust::Full || *store_lost.borrow() {
+        if health != FeedHealth::Healthy || *store_lost.borrow() {
             return Ok(self.store.feed(table, after, PROBE_WAIT_MS, &begun).await);
         }
         let sync_role = self.sync_role();
         let wait_ms = followed.wait_ms(sync_role, &self.limits);
-        let relies_on_holder =
+        let relies_on_duty_holder =
             self.freshness.is_store_confirmed() && followed != FollowedTable::Own;
         let is_silent = || !begun.load(Ordering::Relaxed);
         tokio::select! {
@@ -165,7 +165,7 @@
             recall_reason = self.freshness.recall_reason(
                 followed,
                 after,
-                relies_on_holder,
+                relies_on_duty_holder,
                 is_silent,
             ) => Err(recall_reason),
             _ = store_lost.wait_for(|lost| *lost) => Err(RecallReason::Behind),
@@ -174,7 +174,7 @@
 
     /// Waits until the store is confirmed by the duty holder or the start period ends. Pauses the
     /// feed if the store is confirmed.
-    async fn wait_for_holder_at_start(&self, followed: FollowedTable) {
+    async fn wait_for_duty_holder_at_start(&self, followed: FollowedTable) {
         // The relays that could confirm the store are known only after the join.
         self.join.sync_outcome().await;
         let began_ms = clock::now_ms();
@@ -222,10 +222,10 @@
     }
 
     /// Records that the store has delivered all changes of a table up to the time of the call; for
-    /// the configuration that is the proof of its age.
-    fn note_proof_of_store(&self, followed: FollowedTable, asked_ms: u64) {
+    /// the configuration, this confirms that it is the latest one.
+    fn note_confirmation_by_store(&self, followed: FollowedTable, sent_ms: u64) {
         if followed == FollowedTable::Configuration {
-            self.proof.note(asked_ms);
+            self.confirmation.note(sent_ms);
         }
     }
 
@@ -242,11 +242,11 @@
                     .min(clock::now_ms() - began_ms + POLL_EVERY_MS);
             tokio::select! {
                 () = sleep_until(look_ms) => {}
-                () = self.view.read_requested(followed) => return,
+                () = self.view.wait_for_read_request(followed) => return,
             }
             let after = self.freshness.applied(followed);
             let now = self.sync_role();
-            let role_changed = (now == SyncRole::Holder) != (sync_role == SyncRole::Holder)
+            let role_changed = (now == SyncRole::DutyHolder) != (sync_role == SyncRole::DutyHolder)
                 || sync_role == SyncRole::Follower && now != SyncRole::Follower;
             if role_changed || self.should_call_now(followed, after) {
                 return;
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Returns whether a pausing feed should be called now: because a server leaves, because no
+    /// Returns true if a pausing feed should be called now: because a server leaves, because no
     /// other host confirms the store, or to get the first holdings of a service.
     fn should_call_now(&self, followed: FollowedTable, after: u64) -> bool {
         match followed {
@@ -284,8 +284,8 @@
         }
     }
 
-    fn store_failed(&self, followed: FollowedTable, error: &Error, trust: FeedTrust) {
-        if trust != FeedTrust::Lost {
+    fn store_failed(&self, followed: FollowedTable, error: &Error, health: FeedHealth) {
+        if health != FeedHealth::Failed {
             Event::StoreLost {
                 table: followed.table(),
                 problem: error.to_string(),
@@ -294,24 +294,24 @@
         }
         // A call that was made to check a doubtful feed and fails as well shows that the store is
         // unavailable, and not just one connection.
-        if followed == FollowedTable::Servers || trust == FeedTrust::Doubted {
+        if followed == FollowedTable::Servers || health == FeedHealth::Stalled {
             self.view.set_store_lost(true);
         }
     }
 
     /// Records that a feed call was answered.
     fn answered(&self, followed: FollowedTable) {
-        self.note_store_answer(clock::now_ms());
+        self.note_store_response(clock::now_ms());
         if followed == FollowedTable::Servers {
             self.view.set_store_lost(false);
         }
     }
 
     /// Records that the store answered this host or the duty holder.
-    pub(super) fn note_store_answer(&self, at_ms: u64) {
+    pub(super) fn note_store_response(&self, at_ms: u64) {
         let lapse_ms = MISSED_HEARTBEATS * self.settings.store.server_heartbeat_ms;
-        let lapse_ms = lapse_ms.max(FollowedTable::NOTICED_MS);
-        if let Some(away_ms) = self.view.note_store_answer(at_ms, lapse_ms) {
+        let lapse_ms = lapse_ms.max(FollowedTable::OUTAGE_DETECTION_MS);
+        if let Some(away_ms) = self.view.note_store_response(at_ms, lapse_ms) {
             Event::StoreBack { away_ms }.log();
         }
     }
@@ -326,17 +326,17 @@
     }
 
     async fn read_whole(&self, followed: FollowedTable) -> bool {
-        let asked_ms = clock::now_ms();
+        let sent_ms = clock::now_ms();
         match self.read_table(followed).await {
             Ok(rows) => {
-                self.note_store_answer(clock::now_ms());
+                self.note_store_response(clock::now_ms());
                 let version = rows.version;
                 if self.duty.term() > 0 {
                     self.broadcast_difference(followed, &rows);
                 }
                 self.apply_table(followed, rows);
                 self.freshness.note_applied(followed, version);
-                self.note_proof_of_store(followed, asked_ms);
+                self.note_confirmation_by_store(followed, sent_ms);
                 true
             }
             Err(error) => {
@@ -365,7 +365,7 @@
     time::sleep(Duration::from_millis(pause_ms)).await;
 }
 
-/// Returns the time since the store's last answer.
+/// Returns the time since the store's last response.
 pub(super) fn store_age_ms(entry: &Entry) -> u64 {
     clock::now_ms().saturating_sub(entry.view.store_answered_ms())
 }
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -22,10 +22,10 @@
 };
 
 /// Interval at which servers without a lease are queried.
-const ASK_SERVERS_MS: u64 = 300;
+const QUERY_SERVERS_MS: u64 = 300;
 /// Timeout of a query to another host for its lease horizon or its applied revision.
 const HORIZON_TIMEOUT_MS: u64 = 200;
-/// Longest pause between two rounds of horizon queries for one lost server.
+/// Maximum pause between two rounds of horizon queries for one lost server.
 const HORIZON_PAUSE_MS: u64 = 50;
 
 impl Host {
@@ -77,8 +77,8 @@
             time::sleep(Duration::from_millis(HORIZON_PAUSE_MS)).await;
             return;
         };
-        // Hosts that reply in a later round can shorten a long wait, so only a short one is
-        // waited for in full here.
+        // A long wait is not completed in this round, because hosts that reply in a later round can
+        // shorten it.
         if at_ms > now_ms {
             let wait_ms = (at_ms - now_ms).min(HORIZON_PAUSE_MS);
             time::sleep(Duration::from_millis(wait_ms)).await;
@@ -125,7 +125,7 @@
     /// as joined.
     pub(super) async fn join_servers(self: &Arc<Self>, controller: &mut Controller) {
         let now_ms = clock::now_ms();
-        if now_ms < controller.joins_checked_ms + ASK_SERVERS_MS {
+        if now_ms < controller.joins_checked_ms + QUERY_SERVERS_MS {
             return;
         }
         controller.joins_checked_ms = now_ms;
@@ -141,15 +141,15 @@
             calls.spawn(async move { (server, host.query_server(address).await) });
         }
         while let Some(queried) = calls.join_next().await {
-            let Ok((server, Ok(answer))) = queried else {
+            let Ok((server, Ok(response))) = queried else {
                 continue;
             };
-            if answer.draining {
+            if response.draining {
                 continue;
             }
             let change = Change::ServerJoined {
                 server,
-                incarnation: answer.incarnation,
+                incarnation: response.incarnation,
             };
             let _ = self.commit_own(change).await;
         }
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -19,7 +19,7 @@
 impl Host {
     /// Handles messages of other hosts until the endpoint closes. Requests are handled in tasks of
     /// their own, so that a slow one delays no heartbeat.
-    pub(super) async fn answer_peers(self: Arc<Self>, mut inbox: mpsc::Receiver<Inbound>) {
+    pub(super) async fn serve_peers(self: Arc<Self>, mut inbox: mpsc::Receiver<Inbound>) {
         while let Some(inbound) = inbox.recv().await {
             match inbound {
                 Inbound::Datagram {
@@ -129,7 +129,7 @@
         self.apply(entries);
         let last = entries.last().map(|entry| entry.revision);
         if last > Some(self.view.revision()) {
-            self.sync_wanted.notify_one();
+            self.sync_requested.notify_one();
         }
         PeerReply::Applied {
             revision: self.view.revision(),
@@ -137,7 +137,7 @@
     }
 
     /// Returns the time for which this host's renewals may still keep the lease of a lost server
-    /// valid. New renewals are decided on under the same lock, so none can follow a reply that says
+    /// valid. Renewals are checked under the same lock, so none can follow a reply which states
     /// that the loss is applied.
     pub(super) fn horizon(
         &self,
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -18,12 +18,12 @@
     transport::{CallError, JsonClient},
 };
 
-/// Interval at which due renewals are looked for.
+/// Interval of the checks for due renewals.
 const TICK_MS: u64 = 25;
 /// Number of hosts that renew the lease of one server independently of each other.
 const RENEWERS: usize = 2;
-/// Heartbeats without a reply after which the renewals of a silent host are assigned to another
-/// host.
+/// Number of heartbeats without a reply after which the renewals of a silent host are assigned to
+/// another host.
 const SILENT_HEARTBEATS: u64 = 5;
 /// Number of other hosts that probe a server before it is reported as lost.
 const INDIRECT_PROBES: usize = 2;
@@ -147,9 +147,9 @@
             return;
         };
         let ordered = order.incarnation.is_some();
-        let answer = self.servers.post(leased.address, LEASE_PATH, &order).await;
-        match answer {
-            Ok(answer) => self.renewed(leased, ordered, &answer).await,
+        let response = self.servers.post(leased.address, LEASE_PATH, &order).await;
+        match response {
+            Ok(response) => self.renewed(leased, ordered, &response).await,
             Err(error) => self.renewal_failed(leased, &error).await,
         }
     }
@@ -187,7 +187,7 @@
         self: &Arc<Self>,
         leased: LeasedServer,
         ordered: bool,
-        answer: &LeaseResponse,
+        response: &LeaseResponse,
     ) {
         let outcome = {
             let mut renewal_states = self.renewal_states();
@@ -196,15 +196,15 @@
             };
             let now_ms = clock::now_ms();
             let every_ms = self.settings.ownership.renew_every_ms;
-            renewal_state.answered(answer, leased.incarnation, ordered, now_ms, every_ms)
+            renewal_state.answered(response, leased.incarnation, ordered, now_ms, every_ms)
         };
         match outcome {
-            RenewalOutcome::Renewed => self.note_draining(leased, answer.draining).await,
+            RenewalOutcome::Renewed => self.note_draining(leased, response.draining).await,
             RenewalOutcome::Replaced => {
                 self.report_lost(leased, "another process responds at its address")
                     .await
             }
-            RenewalOutcome::Outdated => self.sync_wanted.notify_one(),
+            RenewalOutcome::Outdated => self.sync_requested.notify_one(),
         }
     }
 
@@ -269,7 +269,7 @@
             return false;
         };
         match self.query_server(entry.address).await {
-            Ok(answer) => answer.incarnation == entry.incarnation,
+            Ok(response) => response.incarnation == entry.incarnation,
             Err(_) => false,
         }
     }
@@ -280,13 +280,13 @@
         &self,
         address: std::net::SocketAddr,
     ) -> Result<LeaseResponse, CallError> {
-        let question = LeaseRequest {
+        let query = LeaseRequest {
             incarnation: None,
             lease_epoch: LeaseEpoch::default(),
             not_after_ms: 0,
             grants: Vec::new(),
         };
-        self.servers.post(address, LEASE_PATH, &question).await
+        self.servers.post(address, LEASE_PATH, &query).await
     }
 
     /// Commits the loss of a server, if it is still live in the same membership period.
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -21,8 +21,8 @@
     state::{self, LogEntry, State},
 };
 
-/// Limit of the latest entries kept in memory for peers that request them. A peer that is further
-/// behind gets a snapshot.
+/// Maximum number of latest entries kept in memory for peers that request them. A peer that is
+/// further behind gets a snapshot.
 const ENTRIES_KEPT: usize = 1_024;
 
 /// A log entry, and when this host applied it.
@@ -191,13 +191,13 @@
     }
 
     /// Records the reply of a peer to a heartbeat, which may raise the basis.
-    pub fn record_heartbeat_reply(&self, answer: HeartbeatReply, own: Voter) {
+    pub fn record_heartbeat_reply(&self, reply: HeartbeatReply, own: Voter) {
         let mut inner = self.lock();
         let state = self.state.load();
         let voters = voters(&state);
         inner
             .freshness
-            .record_heartbeat_reply(answer, state.revision, own, &voters);
+            .record_heartbeat_reply(reply, state.revision, own, &voters);
         self.store_basis(&inner);
     }
 
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -10,7 +10,7 @@
 //! - replies to heartbeats by more than half of the voters, this host included: the time at which
 //!   the oldest of these pings was sent.
 //!
-//! The last source is valid also while the platform's store is down: the lease of a lost server is
+//! The last source also works while the platform's store is down: the lease of a lost server is
 //! recorded as lapsed only after more than half of the voters have applied the loss, and any two
 //! majorities share a host. Every source counts from the sending of the read or the ping, so that a
 //! delayed reply does not make the basis younger. A reply counts only if this host has applied the
@@ -27,7 +27,7 @@
     incarnation: Incarnation,
     sent_ms: u64,
     revision: Revision,
-    /// Time at which the first ping that the peer answered with this revision was sent.
+    /// Time at which the first ping that the peer replied to with this revision was sent.
     since_ms: u64,
 }
 
@@ -36,7 +36,7 @@
 pub struct PeerRevision {
     /// Revision that the peer has applied.
     pub revision: Revision,
-    /// Time at which the first ping that the peer answered with this revision was sent.
+    /// Time at which the first ping that the peer replied to with this revision was sent.
     pub since_ms: u64,
     /// Time at which the last ping that the peer replied to was sent.
     pub heard_ms: u64,
@@ -57,8 +57,8 @@
     pub basis_age_ms: Option<u64>,
 }
 
-/// A host process that counts in majorities. The type also names registered hosts that are no
-/// voters where their processes matter.
+/// A host process that counts in majorities. The type also identifies processes of registered hosts
+/// that are not voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Voter {
     /// Key of the host; a restarted host may get the same one.
@@ -84,17 +84,17 @@
     /// of the state at that revision.
     pub fn record_heartbeat_reply(
         &mut self,
-        answer: HeartbeatReply,
+        reply: HeartbeatReply,
         applied: Revision,
         own: Voter,
         voters: &[Voter],
     ) {
-        if answer.revision > applied {
+        if reply.revision > applied {
             return;
         }
-        self.store_reply(answer);
-        if let Some(age_ms) = answer.basis_age_ms {
-            self.raise_basis(answer.sent_ms.saturating_sub(age_ms));
+        self.store_reply(reply);
+        if let Some(age_ms) = reply.basis_age_ms {
+            self.raise_basis(reply.sent_ms.saturating_sub(age_ms));
         }
         if let Some(oldest_ms) = self.majority_ms(own, voters) {
             self.raise_basis(oldest_ms);
@@ -109,15 +109,15 @@
     }
 
     /// Keeps the reply if its ping was sent later than that of the last reply of the same peer.
-    fn store_reply(&mut self, answer: HeartbeatReply) {
+    fn store_reply(&mut self, reply: HeartbeatReply) {
         let mut heard = LastReply {
-            host: answer.host,
-            incarnation: answer.incarnation,
-            sent_ms: answer.sent_ms,
-            revision: answer.revision,
-            since_ms: answer.sent_ms,
+            host: reply.host,
+            incarnation: reply.incarnation,
+            sent_ms: reply.sent_ms,
+            revision: reply.revision,
+            since_ms: reply.sent_ms,
         };
-        let Some(previous) = self.heard.iter_mut().find(|h| h.host == answer.host) else {
+        let Some(previous) = self.heard.iter_mut().find(|h| h.host == reply.host) else {
             self.heard.push(heard);
             return;
         };
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -10,8 +10,8 @@
     state::{Change, HostEntry, HostState, State},
 };
 
-/// Longest silence with which a host counts as heard. Only heard hosts are promoted, and only heard
-/// voters count in the majority that the removal of a voter needs.
+/// Maximum time since the last heartbeat of a host that counts as heard. Only heard hosts are
+/// promoted, and only heard voters count in the majority that the removal of a voter needs.
 const PROMOTION_SILENCE_MS: u64 = 1_000;
 
 /// Returns the voters: the hosts that count in majorities.
@@ -56,7 +56,7 @@
         !state.registry.is_settled() && self.settled_ms.is_none()
     }
 
-    /// Takes the hosts that have reported before `now_ms` that they have applied the last change.
+    /// Records the hosts that have reported before `now_ms` that they have applied the last change.
     /// Once they are a majority, the settlement is due at once if they are all hosts and none was
     /// removed, and otherwise after `lapse_ms`, when hosts that missed the change cannot act.
     pub fn record_applied(&mut self, state: &State, applied: &[Voter], now_ms: u64, lapse_ms: u64) {
@@ -87,11 +87,12 @@
 /// Time without heartbeats of a host, as one host sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Silence {
-    /// Time since the host was last heard; `None` if it never was.
+    /// Time since the last heartbeat of the host; `None` if there was none.
     pub silent_ms: Option<u64>,
     /// True if heartbeats are expected: the host has pinged this one, or this host pings it.
     pub expected: bool,
-    /// Time since this host applied the entry of the host; it counts if the host was never heard.
+    /// Time since this host applied the entry of the host; it counts if there was no heartbeat of
+    /// the host.
     pub known_ms: u64,
 }
 
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -63,8 +63,8 @@
     headers.contains_key(NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST
 }
 
-/// Parses whether the responding server is leaving and how long it asks this host to send it no
-/// requests.
+/// Parses the notice in a server's response: if the server is leaving, and the rest that it asks
+/// for, a period without requests from this host.
 pub fn notice(status: StatusCode, headers: &HeaderMap) -> Notice {
     Notice {
         leaves: headers.get(LEAVING).is_some_and(|value| value != "0"),
@@ -98,11 +98,11 @@
 /// `Retry-After` in seconds with fractions. HTTP also allows a date there, but the platform's
 /// servers never send one.
 fn rest_ms(status: StatusCode, headers: &HeaderMap) -> Option<u64> {
-    let turned_away = [
+    let rejected = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
     ];
-    if !turned_away.contains(&status) {
+    if !rejected.contains(&status) {
         return None;
     }
     let text = headers.get(header::RETRY_AFTER)?.to_str().ok()?;
--- a/tests/entry_bodies.rs
+++ b/tests/entry_bodies.rs
@@ -19,22 +19,24 @@
     site::{Site, configuration, eventually, get},
 };
 
-/// Requests that a caller sends on one connection before it reads a response.
+/// Number of requests that a caller sends on one connection before it reads a response.
 const PIPELINED: usize = 8;
-/// Callers that send their request bodies slowly.
+/// Number of callers that send their request bodies slowly.
 const SLOW_CALLERS: usize = 500;
-/// Bytes that each of them sends at once, of a larger body. No host should buffer them for all
-/// callers.
+/// Number of bytes that each slow caller sends of its body before it stops. No host may buffer them
+/// for all callers.
 const SENT_BYTES: usize = 250_000;
+/// Length of the body that each slow caller announces.
 const BODY_BYTES: usize = 400_000;
-/// Callers that read large responses slowly, and the size of each one's receive buffer.
+/// Number of callers that read large responses slowly.
 const SLOW_READERS: usize = 200;
+/// Size of the receive buffer of each slow reader.
 const RECEIVED_BYTES: u32 = 16_384;
-/// Memory of the smallest host that the users run.
+/// Memory of the smallest host that the users run, in megabytes.
 const MEMORY_MB: u64 = 120;
 
 #[tokio::test]
-async fn answers_to_pipelined_requests_come_in_their_order() {
+async fn responses_to_pipelined_requests_come_in_order() {
     let site = Site::start(1, 2).await;
     let mut stream = TcpStream::connect(site.hosts[0].callers)
         .await
@@ -56,15 +58,15 @@
         );
     }
     stream.write_all(requests.as_bytes()).await.expect("sent");
-    let mut answers = String::new();
-    let reading = stream.read_to_string(&mut answers);
+    let mut responses = String::new();
+    let reading = stream.read_to_string(&mut responses);
     let read = time::timeout(Duration::from_secs(10), reading).await;
-    read.expect("answers in time").expect("answers");
-    let told: Vec<&str> = answers
+    read.expect("responses in time").expect("responses");
+    let received_ids: Vec<&str> = responses
         .lines()
         .filter_map(|line| line.strip_prefix("request-id: "))
         .collect();
-    assert_eq!(told, ids, "{answers}");
+    assert_eq!(received_ids, ids, "{responses}");
 }
 
 /// Sends the beginning of a large body and keeps the connection open.
@@ -81,15 +83,15 @@
     let sending = stream.write_all(&part);
     match time::timeout(Duration::from_millis(300), sending).await {
         Ok(Ok(())) => {}
-        Ok(Err(error)) => eprintln!("body {number} was not taken: {error}"),
-        Err(_) => eprintln!("body {number} is not read to its end"),
+        Ok(Err(error)) => eprintln!("body {number} was not accepted: {error}"),
+        Err(_) => eprintln!("body {number} was not read completely"),
     }
     stream
 }
 
 /// Writes version 2 of the configuration, waits until the host has applied it, and returns the
 /// host.
-async fn put_in_force<'a>(site: &'a Site, wire: &Value) -> &'a Host {
+async fn apply_configuration<'a>(site: &'a Site, wire: &Value) -> &'a Host {
     site.store.put("op", "config", wire);
     let host = &site.hosts[0];
     eventually("the configuration is in force", 4_000, async || {
@@ -103,22 +105,22 @@
 /// Reads keys for 3 s; every read must succeed.
 async fn read_quickly(host: &Host) {
     let until = Instant::now() + Duration::from_secs(3);
-    let mut asked = 0;
+    let mut reads = 0;
     let mut key = 0u16;
     while Instant::now() < until {
         key = key.wrapping_add(4_001);
-        assert_eq!(get(host, key).await, Some(StatusCode::OK), "read {asked}");
-        asked += 1;
+        assert_eq!(get(host, key).await, Some(StatusCode::OK), "read {reads}");
+        reads += 1;
     }
 }
 
 #[tokio::test]
-async fn slow_uploads_fill_no_memory_and_cost_quick_reads_nothing() {
+async fn slow_uploads_use_little_memory_and_do_not_delay_reads() {
     let site = Site::start(1, 2).await;
     let mut wire = configuration(2, &[]);
     wire["hosts"][0]["paths"][1]["timeout"] = json!("20s");
     wire["hosts"][0]["paths"][1]["kind"] = json!("upload");
-    let host = put_in_force(&site, &wire).await;
+    let host = apply_configuration(&site, &wire).await;
     let mut sending = JoinSet::new();
     for number in 0..SLOW_CALLERS {
         sending.spawn(send_slowly(host.callers, number));
@@ -145,17 +147,17 @@
     stream.write_all(head.as_bytes()).await.expect("sent");
     let mut status = [0; 12];
     stream.read_exact(&mut status).await.expect("a status");
-    assert_eq!(&status, b"HTTP/1.1 200", "answer {number}");
+    assert_eq!(&status, b"HTTP/1.1 200", "response {number}");
     stream
 }
 
 #[tokio::test]
-async fn slow_downloads_fill_no_memory_and_cost_quick_reads_nothing() {
+async fn slow_downloads_use_little_memory_and_do_not_delay_reads() {
     let site = Site::start(1, 2).await;
     let mut wire = configuration(2, &["/large/"]);
     wire["hosts"][0]["paths"][2]["timeout"] = json!("20s");
     wire["hosts"][0]["paths"][2]["kind"] = json!("download");
-    let host = put_in_force(&site, &wire).await;
+    let host = apply_configuration(&site, &wire).await;
     let mut reading = Vec::new();
     for number in 0..SLOW_READERS {
         reading.push(read_slowly(host.callers, number).await);
@@ -166,11 +168,11 @@
         memory_mb < MEMORY_MB,
         "{memory_mb} MB with {SLOW_READERS} slow downloads"
     );
-    // Responses that have begun are delivered to their end.
+    // Responses that have begun are delivered completely.
     for mut stream in reading {
         let mut rest = Vec::new();
         let read = time::timeout(Duration::from_secs(10), stream.read_to_end(&mut rest)).await;
-        read.expect("in time").expect("an answer");
+        read.expect("in time").expect("a response");
         assert!(rest.len() > LARGE_BYTES, "{} bytes", rest.len());
     }
 }
