--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -1,18 +1,17 @@
-//! Requests that crash each backend server that begins to run them must reach few servers.
+//! Requests that crash each backend server that begins to run them must reach few servers. The
+//! tests guard against two failures.
 //!
-//! The first failure: over a tenth of the requests failed for seconds, again and again, while the
-//! servers of a service crashed one after the other, 3.3 to 3.9 s apart. A caller's request crashed
-//! its server with all requests in flight there; the keys moved to another server; the caller
-//! retried at any host and crashed that server too. No host recognised the request, since each
-//! retry has an id of its own and hosts did not report crashes to each other. Each crashed server
-//! held the same small range of keys, granted to it just before; others with as many requests
-//! survived.
+//! First, the servers of a service crashed one after the other, 3.3 to 3.9 s apart, and over a
+//! tenth of the requests failed for seconds each time. A caller's request crashed its server with
+//! all requests in flight there. The keys moved to another server, and the caller retried at any
+//! host and crashed that server too. No host recognised the request, since each retry has an id of
+//! its own and hosts did not report crashes to each other. Each crashed server held the same small
+//! range of keys, granted to it just before; others with as many requests survived.
 //!
-//! The second failure: the same with one path that many callers read. After three servers had
-//! crashed, the request still reached seven to eleven more. Digests included the caller, so each
-//! caller's request was a suspect for the first time: of 18 digests under which servers
-//! crashed none occurred twice, but ten were of one path from ten callers. Digests of the path
-//! alone prevent it.
+//! Second, a path that many callers read crashed seven to eleven more servers after the first
+//! three. Digests included the caller, so the request of each caller was a new suspect: of 18
+//! digests under which servers crashed none occurred twice, but ten were of one path from ten
+//! callers. Digests of the path alone prevent this.
 
 mod platform_standin;
 
@@ -27,7 +26,7 @@
 use tokio::{task::JoinSet, time};
 
 use self::platform_standin::{
-    caller::{Answer, Caller, TestRequest},
+    caller::{Caller, CallerResponse, TestRequest},
     hosts::Host,
     server::{Server, ServerKind},
     site::{KEYED, ORDERS, Site, configuration, eventually, get},
@@ -37,11 +36,11 @@
 const HARMLESS: &str = "/reads/harmless";
 const CALLER: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 const OTHER_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2));
-/// Crashes under one request after which hosts must quarantine it.
+/// Number of crashes under one request after which hosts must quarantine it.
 const CRASHES_NEEDED: usize = 3;
-/// Runs that the users allow after those crashes and the detection time.
+/// Number of runs that the users allow after those crashes and the detection time.
 const LATE_RUNS_MAX: usize = 3;
-/// Further crashes allowed, by attempts that were in flight.
+/// Number of further crashes allowed, caused by attempts that were in flight.
 const CRASHES_IN_FLIGHT: usize = 1;
 /// Time within which all hosts must know of a crash.
 const DETECTION_TIME: Duration = Duration::from_millis(3_000);
@@ -51,7 +50,7 @@
 /// Time at the end of a test in which harmless requests must be served without disturbance.
 const STEADY_TIME: Duration = Duration::from_secs(3);
 
-async fn send(host: &Host, caller: IpAddr, method: &str, path: &str) -> Option<Answer> {
+async fn send(host: &Host, caller: IpAddr, method: &str, path: &str) -> Option<CallerResponse> {
     let id = format!("{:016x}", rand::random::<u64>());
     let ask = TestRequest {
         method,
@@ -64,19 +63,19 @@
     caller.ask(ask).await
 }
 
-async fn read(host: &Host, caller: IpAddr, path: &str) -> Option<Answer> {
+async fn read(host: &Host, caller: IpAddr, path: &str) -> Option<CallerResponse> {
     send(host, caller, "GET", path).await
 }
 
 /// Sends an unrepeatable request and returns the status of the response.
 async fn order(host: &Host, path: &str) -> Option<StatusCode> {
-    let answer = send(host, CALLER, "POST", path).await;
-    answer.map(|answer| answer.status)
+    let response = send(host, CALLER, "POST", path).await;
+    response.map(|response| response.status)
 }
 
 async fn status(host: &Host, caller: IpAddr, path: &str) -> Option<StatusCode> {
-    let answer = read(host, caller, path).await;
-    answer.map(|answer| answer.status)
+    let response = read(host, caller, path).await;
+    response.map(|response| response.status)
 }
 
 fn has_taken_duty(host: &Host) -> bool {
@@ -85,25 +84,25 @@
 
 /// Returns the index of the host that has the duty.
 fn duty_holder(site: &Site) -> usize {
-    let place = site.hosts.iter().position(has_taken_duty);
-    place.expect("a duty holder")
+    let index = site.hosts.iter().position(has_taken_duty);
+    index.expect("a duty holder")
 }
 
-/// Starts hosts, and servers that crash under requests for [`CRASH_PATH`] and whose entries stay in the
-/// store.
+/// Starts hosts, and servers that crash under requests for [`CRASH_PATH`] and whose entries stay in
+/// the store.
 async fn start(hosts: usize, servers: usize) -> (Site, Vec<Server>) {
     let mut site = Site::start_servers(1).await;
     // Drains the other servers, so that only those that can crash get the reads.
     for server in &site.orders {
         server.write_entry(&site.store, "draining");
     }
-    let mut mortal = Vec::new();
+    let mut crashable = Vec::new();
     for _ in 0..servers {
         let kind = ServerKind {
             work_ms: 20,
             ..ORDERS
         };
-        mortal.push(Server::start_crashable(&site.store, &site.record, kind).await);
+        crashable.push(Server::start_crashable(&site.store, &site.record, kind).await);
     }
     site.store
         .put("op", "config", &configuration(2, &["/reads/"]));
@@ -125,15 +124,15 @@
     // yet and receive no messages.
     time::sleep(DETECTION_TIME).await;
     site.record.set_crash_path(Some(CRASH_PATH));
-    (site, mortal)
+    (site, crashable)
 }
 
 /// Starts three hosts, and servers with keys that crash under requests for a crash path.
 async fn start_keyed(servers: usize) -> (Site, Vec<Server>) {
     let mut site = Site::start_servers(0).await;
-    let mut mortal = Vec::new();
+    let mut crashable = Vec::new();
     for _ in 0..servers {
-        mortal.push(Server::start_crashable(&site.store, &site.record, KEYED).await);
+        crashable.push(Server::start_crashable(&site.store, &site.record, KEYED).await);
     }
     for _ in 0..3 {
         site.hosts.push(Host::start(&site.store));
@@ -145,13 +144,13 @@
         .await;
     }
     time::sleep(DETECTION_TIME).await;
-    (site, mortal)
+    (site, crashable)
 }
 
 /// Sends the crashing request to the hosts in turn, each time with a new id, and a harmless request
 /// after each.
-async fn retry_crashing_request(site: &Site, tries: usize) {
-    for number in 0..tries {
+async fn retry_crashing_request(site: &Site, attempts: usize) {
+    for number in 0..attempts {
         let host = &site.hosts[number % site.hosts.len()];
         read(host, CALLER, CRASH_PATH).await;
         time::sleep(Duration::from_millis(300)).await;
@@ -160,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_ends_servers_reaches_few_of_them() {
+async fn a_request_that_crashes_servers_reaches_few_of_them() {
     let (site, servers) = start(3, 14).await;
     retry_crashing_request(&site, 12).await;
     let crashes = site.record.crashes();
@@ -171,23 +170,26 @@
         servers.len()
     );
     let known = crashes.get(CRASHES_NEEDED - 1).copied();
-    let is_late = |end: &&Instant| known.is_some_and(|known| **end > known + DETECTION_TIME);
+    let is_late = |crash: &&Instant| known.is_some_and(|known| **crash > known + DETECTION_TIME);
     let late = crashes.iter().filter(is_late);
-    assert_eq!(late.count(), 0, "servers crashed after all hosts must know");
-    // The caller is told at once that the request has not run, and the requests of others are
-    // served.
+    assert_eq!(late.count(), 0, "servers crashed after the detection time");
+    // The caller gets a response at once that says that the request has not run. Requests of other
+    // callers are served.
     for host in &site.hosts {
-        let asked = Instant::now();
-        let answer = read(host, CALLER, CRASH_PATH).await.expect("an answer");
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.headers.contains_key("retry-after"));
-        assert!(asked.elapsed() < Duration::from_millis(400), "held back");
+        let sent_at = Instant::now();
+        let response = read(host, CALLER, CRASH_PATH).await.expect("a response");
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(response.headers.contains_key("retry-after"));
+        assert!(
+            sent_at.elapsed() < Duration::from_millis(400),
+            "the refusal is late"
+        );
         let refusals = host.events("request").into_iter();
-        let of_quarantine = |line: &String| line.contains("several servers have ended");
-        for line in refusals.filter(of_quarantine) {
+        let is_quarantine_refusal = |line: &String| line.contains("several servers have ended");
+        for line in refusals.filter(is_quarantine_refusal) {
             let event: Value = serde_json::from_str(&line).expect("an event");
             let after_ms = event["after_ms"].as_u64();
-            assert!(after_ms < Some(400), "held back: {line}");
+            assert!(after_ms < Some(400), "the refusal is late: {line}");
         }
         assert_eq!(
             status(host, OTHER_CALLER, HARMLESS).await,
@@ -255,7 +257,7 @@
 }
 
 #[tokio::test]
-async fn a_request_is_known_when_its_query_is_another_one_at_each_try() {
+async fn a_request_is_recognised_although_its_query_differs_at_each_attempt() {
     let (site, _servers) = start(2, 12).await;
     for number in 0..8 {
         let host = &site.hosts[number % 2];
@@ -273,37 +275,37 @@
 /// crashed, and is answered at another host. The success must count even while the first host sends
 /// its crash report again.
 #[tokio::test]
-async fn an_answer_at_any_host_clears_a_request_for_good() {
+async fn a_success_at_any_host_clears_a_request_for_good() {
     const ORDER: &str = "/orders/deadly";
     let (site, _servers) = start(2, 6).await;
     let [first, second] = [&site.hosts[0], &site.hosts[1]];
-    for end in 1..=2 {
+    for crash in 1..=2 {
         site.record.set_crash_path(Some(ORDER));
         assert_eq!(order(first, ORDER).await, Some(StatusCode::BAD_GATEWAY));
         time::sleep(Duration::from_millis(300)).await;
         site.record.set_crash_path(None);
-        assert_eq!(site.record.crashes().len(), end);
+        assert_eq!(site.record.crashes().len(), crash);
         let answered = order(second, ORDER).await;
-        assert_eq!(answered, Some(StatusCode::OK), "after end {end}");
+        assert_eq!(answered, Some(StatusCode::OK), "after crash {crash}");
         time::sleep(Duration::from_millis(1_700)).await;
     }
 }
 
-/// Guards against concurrent attempts of a crashing request that crash several servers. The attempts
-/// wait while the key has no server, and then all reach the next server before it has crashed. The
-/// users count runs, so even two servers may be too many. When hosts waited for three crashes,
-/// there were two runs on each of the first two servers and four on the third.
+/// Guards against concurrent attempts of a crashing request that crash several servers. The
+/// attempts wait while the key has no server, and then all reach the next server before it has
+/// crashed. The users count runs, so even two servers may be too many. When hosts waited for three
+/// crashes, there were two runs on each of the first two servers and four on the third.
 #[tokio::test]
-async fn tries_that_come_together_do_not_run_together_once_a_server_has_ended() {
+async fn concurrent_attempts_do_not_run_concurrently_after_a_server_has_crashed() {
     const CRASH_READ_PATH: &str = "/keyed/deadly";
     let (site, servers) = start_keyed(5).await;
     site.record.set_crash_path(Some(CRASH_READ_PATH));
-    let mut tries = JoinSet::new();
+    let mut attempts = JoinSet::new();
     let until = Instant::now() + Duration::from_secs(14);
     while Instant::now() < until {
         for host in site.hosts.iter().chain(&site.hosts) {
             let address = host.callers;
-            tries.spawn(async move {
+            attempts.spawn(async move {
                 let id = format!("{:016x}", rand::random::<u64>());
                 let ask = TestRequest {
                     method: "GET",
@@ -321,7 +323,7 @@
             site.store.remove("servers", &server.id);
         }
     }
-    tries.join_all().await;
+    attempts.join_all().await;
     let runs = site.record.crashing_runs();
     let known = runs.get(CRASHES_NEEDED - 1).expect("the third run");
     let late = runs
@@ -334,7 +336,7 @@
     assert_eq!(site.record.violations(), Vec::<String>::new());
 }
 
-/// Returns the address of a caller; each number has its own.
+/// Returns the address of the caller with this number.
 fn caller(number: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(127, 0, 1, number as u8))
 }
@@ -353,14 +355,14 @@
         key,
         deadline_ms: 800,
     };
-    let answer = Caller::connect_from(own, host).await?.ask(ask).await?;
-    Some(answer.status)
+    let response = Caller::connect_from(own, host).await?.ask(ask).await?;
+    Some(response.status)
 }
 
-/// Time at which each read was sent, and the status of its response.
+/// Outcome of each read: the time of its sending and the status of the response.
 type Outcomes = Arc<Mutex<Vec<(Instant, Option<StatusCode>)>>>;
 
-/// Callers that read a path repeatedly until they are stopped, each from its own address.
+/// Callers that read a path repeatedly until they are stopped. Each has its own address.
 struct Readers {
     outcomes: Outcomes,
     tasks: JoinSet<()>,
@@ -381,9 +383,9 @@
             let outcomes = outcomes.clone();
             tasks.spawn(async move {
                 loop {
-                    let asked = Instant::now();
+                    let sent_at = Instant::now();
                     let status = read_as(address, caller(first + number), path, key).await;
-                    outcomes.lock().expect("outcomes").push((asked, status));
+                    outcomes.lock().expect("outcomes").push((sent_at, status));
                     time::sleep(Duration::from_millis(40)).await;
                 }
             });
@@ -394,7 +396,7 @@
     /// Returns the share of the reads sent since `from` that succeeded.
     fn served(&self, from: Instant) -> f64 {
         let outcomes = self.outcomes.lock().expect("outcomes");
-        let later = outcomes.iter().filter(|(asked, _)| *asked >= from);
+        let later = outcomes.iter().filter(|(sent_at, _)| *sent_at >= from);
         let served = later
             .clone()
             .filter(|(_, status)| *status == Some(StatusCode::OK));
@@ -406,7 +408,7 @@
     }
 }
 
-/// Attempts of crash paths, each by another caller.
+/// Attempts to read crash paths, each by another caller.
 #[derive(Clone, Copy, Debug)]
 struct ManyCallers {
     paths: &'static [&'static str],
@@ -416,26 +418,26 @@
     at_once: usize,
 }
 
-async fn run_many_callers(tried: ManyCallers) {
+async fn run_many_callers(scenario: ManyCallers) {
     let (site, servers) = start(3, 16).await;
-    site.record.set_crash_paths(tried.paths.to_vec());
+    site.record.set_crash_paths(scenario.paths.to_vec());
     let harmless = Readers::start(&site.hosts, 100, 6, HARMLESS, None);
     let began = Instant::now();
-    let mut tries = JoinSet::new();
-    for number in 0..10 * tried.at_once {
+    let mut attempts = JoinSet::new();
+    for number in 0..10 * scenario.at_once {
         let host = site.hosts[number % 3].callers;
-        let mut path = tried.paths[number % tried.paths.len()].to_owned();
-        if tried.has_queries {
+        let mut path = scenario.paths[number % scenario.paths.len()].to_owned();
+        if scenario.has_queries {
             path += &format!("?try={number}");
         }
-        tries.spawn(async move { read_as(host, caller(1 + number), &path, None).await });
-        if (number + 1) % tried.at_once == 0 {
+        attempts.spawn(async move { read_as(host, caller(1 + number), &path, None).await });
+        if (number + 1) % scenario.at_once == 0 {
             time::sleep(Duration::from_millis(600)).await;
         }
     }
-    tries.join_all().await;
+    attempts.join_all().await;
     let crashes = site.record.crashes().len();
-    let most = (CRASHES_NEEDED + CRASHES_IN_FLIGHT) * tried.paths.len();
+    let most = (CRASHES_NEEDED + CRASHES_IN_FLIGHT) * scenario.paths.len();
     assert!(
         crashes <= most,
         "{crashes} of {} servers crashed",
@@ -445,49 +447,52 @@
     let served = harmless.served(began);
     assert!(served > 0.9, "{served:.2} of the harmless reads served");
     let settled = harmless.served(Instant::now() - Duration::from_secs(2));
-    assert!(settled > 0.99, "{settled:.2} served at the end");
+    assert!(
+        settled > 0.99,
+        "{settled:.2} of the harmless reads served at the end"
+    );
     harmless.stop().await;
 }
 
 #[tokio::test]
-async fn a_path_that_ends_servers_for_many_callers_reaches_few_of_them() {
-    let tried = ManyCallers {
+async fn a_path_that_crashes_servers_for_many_callers_reaches_few_of_them() {
+    let scenario = ManyCallers {
         paths: &[CRASH_PATH],
         has_queries: false,
         at_once: 1,
     };
-    run_many_callers(tried).await;
+    run_many_callers(scenario).await;
 }
 
 #[tokio::test]
-async fn a_path_that_ends_servers_with_any_query_reaches_few_of_them() {
-    let tried = ManyCallers {
+async fn a_path_that_crashes_servers_with_any_query_reaches_few_of_them() {
+    let scenario = ManyCallers {
         paths: &[CRASH_PATH],
         has_queries: true,
         at_once: 1,
     };
-    run_many_callers(tried).await;
+    run_many_callers(scenario).await;
 }
 
 #[tokio::test]
 async fn two_paths_that_end_servers_for_many_callers_reach_few_of_them() {
-    let tried = ManyCallers {
+    let scenario = ManyCallers {
         paths: &[CRASH_PATH, "/reads/deadly-too"],
         has_queries: false,
         at_once: 2,
     };
-    run_many_callers(tried).await;
+    run_many_callers(scenario).await;
 }
 
-/// Many callers read the same key at the same time; one path crashes its servers, while another
-/// that as many callers read does not.
+/// Checks two paths that many callers read under the same key at the same time: one crashes its
+/// servers, and the other one must be served.
 #[tokio::test]
-async fn a_key_is_served_while_one_of_its_paths_ends_servers_for_many_callers() {
+async fn a_key_is_served_while_one_of_its_paths_crashes_servers_for_many_callers() {
     const CRASH_READ_PATH: &str = "/keyed/deadly";
     let (site, servers) = start_keyed(6).await;
     let harmless = Readers::start(&site.hosts, 100, 6, "/keyed/level", Some(7));
     site.record.set_crash_path(Some(CRASH_READ_PATH));
-    let deadly = Readers::start(&site.hosts, 1, 6, CRASH_READ_PATH, Some(7));
+    let crashing_readers = Readers::start(&site.hosts, 1, 6, CRASH_READ_PATH, Some(7));
     let began = Instant::now();
     let mut until = began + Duration::from_secs(14);
     while Instant::now() < until {
@@ -497,10 +502,10 @@
             site.store.remove("servers", &server.id);
         }
         // Waits for the failover of the key after the last crash.
-        let ended = site.record.crashes().last().copied();
-        until = until.max(ended.unwrap_or(began) + KEY_FAILOVER_TIME + STEADY_TIME);
+        let last_crash = site.record.crashes().last().copied();
+        until = until.max(last_crash.unwrap_or(began) + KEY_FAILOVER_TIME + STEADY_TIME);
     }
-    deadly.stop().await;
+    crashing_readers.stop().await;
     let runs = site.record.crashing_runs();
     if let Some(known) = runs.get(CRASHES_NEEDED - 1) {
         let late = runs
--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -20,13 +20,13 @@
 };
 
 /// Returns the number of times that a host has taken the duty.
-fn taken(host: &Host) -> usize {
+fn times_taken(host: &Host) -> usize {
     host.events("duty_taken").len()
 }
 
-fn holder(site: &Site) -> usize {
-    let holder = site.hosts.iter().position(|host| taken(host) > 0);
-    holder.expect("a host has the duty")
+fn duty_holder(site: &Site) -> usize {
+    let duty_holder = site.hosts.iter().position(|host| times_taken(host) > 0);
+    duty_holder.expect("a host has the duty")
 }
 
 fn all_keys_held(servers: &[Server]) -> bool {
@@ -34,9 +34,9 @@
 }
 
 #[tokio::test]
-async fn a_restarted_holder_resumes_the_duty_also_when_reads_are_slower_than_writes() {
+async fn a_restarted_duty_holder_resumes_the_duty_also_when_reads_are_slower_than_writes() {
     let mut site = Site::start(3, 2).await;
-    let holder = holder(&site);
+    let duty_holder = duty_holder(&site);
     for host in &mut site.hosts {
         host.kill();
     }
@@ -47,35 +47,38 @@
     for host in &mut site.hosts {
         host.restart();
     }
-    // Well before the duty row has been unchanged for the takeover time.
-    eventually("the former duty holder is back", 1_600, async || {
-        taken(&site.hosts[holder]) == 2
-    })
+    // The limit is well below the takeover time, for which the duty row must stay unchanged before
+    // another host may take the duty.
+    eventually(
+        "the previous duty holder has the duty again",
+        1_600,
+        async || times_taken(&site.hosts[duty_holder]) == 2,
+    )
     .await;
     assert_eq!(site.record.violations(), Vec::<String>::new());
 }
 
 #[tokio::test]
 async fn the_holder_keeps_the_duty_over_an_outage() {
-    // Outages that end at different phases of the duty holder's calls to the store.
+    // The outages end at different phases of the duty holder's calls to the store.
     let outages = (0..8).map(|phase| 4_200 + phase * 450);
     let mut sites = JoinSet::new();
     let local = LocalSet::new();
     for outage_ms in outages {
         sites.spawn_local_on(duty_takeovers_over_outage(outage_ms), &local);
     }
-    for (outage_ms, taken) in local.run_until(sites.join_all()).await {
+    for (outage_ms, times_taken) in local.run_until(sites.join_all()).await {
         assert_eq!(
-            taken.len(),
+            times_taken.len(),
             1,
-            "after an outage of {outage_ms} ms: {taken:#?}"
+            "after an outage of {outage_ms} ms: {times_taken:#?}"
         );
     }
 }
 
-/// Runs an outage of the store and returns its length with one line for each time that a host has
-/// taken the duty until some time after it. Each line ends with what that host logged about the
-/// store.
+/// Runs an outage of the store. Returns its length, and one line for each time that a host took the
+/// duty during the outage or shortly after it. Each line ends with the events of that host about
+/// the store.
 async fn duty_takeovers_over_outage(outage_ms: u64) -> (u64, Vec<String>) {
     let site = Site::start(3, 2).await;
     site.store.set_faults(Faults {
@@ -86,33 +89,33 @@
     site.store.set_faults(Faults::default());
     time::sleep(Duration::from_millis(3_500)).await;
     let lines = site.hosts.iter().flat_map(|host| {
-        let taken = host.events("duty_taken").into_iter();
+        let times_taken = host.events("duty_taken").into_iter();
         let store = host.events("store_lost").join(" ") + &host.events("store_back").join(" ");
-        taken.map(move |line| format!("{line} {store}"))
+        times_taken.map(move |line| format!("{line} {store}"))
     });
     (outage_ms, lines.collect())
 }
 
 #[tokio::test]
-async fn a_holder_that_was_paused_tells_the_next_one_that_it_has_stopped() {
+async fn a_paused_duty_holder_reports_to_its_successor_that_it_has_stopped() {
     // Resumes the paused host at different phases of the new duty holder's calls.
     for extra_ms in [0, 130, 260] {
         let site = Site::start(3, 3).await;
-        let paused = &site.hosts[holder(&site)];
+        let paused = &site.hosts[duty_holder(&site)];
         paused.signal("STOP");
         let lost = &site.keyed[0];
         lost.crash(&site.store);
         let began = Instant::now();
         eventually("another host takes the duty", 6_000, async || {
-            site.hosts.iter().map(taken).sum::<usize>() == 2
+            site.hosts.iter().map(times_taken).sum::<usize>() == 2
         })
         .await;
         time::sleep(Duration::from_millis(extra_ms)).await;
         paused.signal("CONT");
         site.record.pause_ownership_checks(300);
         let resumed = Instant::now();
-        // Unless the paused host reports that it has stopped, this takes the 9 s for which it might
-        // grant leases, and the duration of a lease.
+        // If the paused host does not report that it has stopped, this takes the 9 s for which it
+        // might grant leases, plus the duration of a lease.
         eventually("all keys are held", 6_500, async || {
             all_keys_held(&site.keyed[1..])
         })
@@ -128,12 +131,12 @@
     time::sleep(Duration::from_millis(3_000)).await;
     let before = site.store.calls();
     let kinds_before = site.store.calls_by_kind();
-    let mut joined = Vec::new();
+    let mut joined_servers = Vec::new();
     for _ in 0..5 {
-        joined.push(Server::start(&site.store, &site.record, ORDERS).await);
+        joined_servers.push(Server::start(&site.store, &site.record, ORDERS).await);
         time::sleep(Duration::from_millis(1_200)).await;
     }
-    let leaving = &joined[0];
+    let leaving = &joined_servers[0];
     leaving.write_entry(&site.store, "draining");
     time::sleep(Duration::from_millis(1_000)).await;
     // The duty holder confirms the duty 12 times in 7 s, and reads the servers for each of the six
@@ -147,7 +150,7 @@
     );
     for host in &site.hosts {
         let seen = host.events("server");
-        for server in &joined {
+        for server in &joined_servers {
             assert!(seen.iter().any(|line| line.contains(&server.id)));
         }
         let served = leaving.served();
@@ -167,14 +170,14 @@
 }
 
 #[tokio::test]
-async fn a_server_that_leaves_as_the_holder_is_lost_gets_no_work_past_the_bound() {
+async fn a_server_that_leaves_as_the_duty_holder_is_lost_gets_no_work_past_the_bound() {
     struct Case {
         /// True if the duty holder is restarted and has the duty again before the server leaves.
         restarted: bool,
         /// Time until the server leaves, from the resumption of the duty or from the start of the
         /// test.
         phase_ms: u64,
-        /// Time from then until the duty holder fails.
+        /// Time from the announcement that the server leaves until the duty holder fails.
         lost_after_ms: u64,
         signal: &'static str,
     }
@@ -221,8 +224,8 @@
     }
 }
 
-/// Returns the number of requests that reach a server after the bound, which counts from its
-/// announcement that it leaves.
+/// Returns the number of requests that reach a server after the bound. The bound counts from the
+/// announcement that the server leaves.
 async fn served_after_the_bound(
     restarted: bool,
     phase_ms: u64,
@@ -231,11 +234,11 @@
 ) -> u64 {
     const DRAIN_MS: u64 = 2_000;
     let mut site = Site::start(3, 2).await;
-    let holder = holder(&site);
+    let duty_holder = duty_holder(&site);
     if restarted {
-        site.hosts[holder].restart();
+        site.hosts[duty_holder].restart();
         eventually("the duty holder has resumed", 3_000, async || {
-            taken(&site.hosts[holder]) == 2
+            times_taken(&site.hosts[duty_holder]) == 2
         })
         .await;
     }
@@ -245,7 +248,7 @@
     let declared = Instant::now();
     let since_ms = || declared.elapsed().as_millis() as u64;
     time::sleep(Duration::from_millis(lost_after_ms)).await;
-    site.hosts[holder].signal(signal);
+    site.hosts[duty_holder].signal(signal);
     let mut within = 0;
     let mut number = 0;
     while since_ms() < DRAIN_MS + 1_500 {
@@ -253,7 +256,7 @@
             within = leaving.served();
         }
         for (index, host) in site.hosts.iter().enumerate() {
-            if index == holder {
+            if index == duty_holder {
                 continue;
             }
             number += 1;
@@ -276,12 +279,12 @@
 async fn many_hosts_learn_of_changes_by_relays_also_while_most_of_them_are_stopped() {
     const HOSTS: usize = 24;
     let site = Site::start(HOSTS, 2).await;
-    let holder = holder(&site);
+    let duty_holder = duty_holder(&site);
     time::sleep(Duration::from_millis(4_000)).await;
     let before = site.store.calls();
-    let mut joined = Vec::new();
+    let mut joined_servers = Vec::new();
     for _ in 0..3 {
-        joined.push(Server::start(&site.store, &site.record, ORDERS).await);
+        joined_servers.push(Server::start(&site.store, &site.record, ORDERS).await);
         time::sleep(Duration::from_millis(1_000)).await;
     }
     let calls = site.store.calls() - before;
@@ -290,26 +293,29 @@
     assert!(calls <= 20, "{calls} calls");
     for host in &site.hosts {
         let seen = host.events("server");
-        for server in &joined {
+        for server in &joined_servers {
             assert!(seen.iter().any(|line| line.contains(&server.id)));
         }
     }
     // With a probability of 96%, the relays are among the stopped hosts.
-    let others = || (0..HOSTS).filter(|number| *number != holder);
+    let others = || (0..HOSTS).filter(|number| *number != duty_holder);
     let stopped: Vec<usize> = others().take(18).collect();
     for number in &stopped {
         site.hosts[*number].signal("STOP");
     }
-    let leaving = &joined[0];
+    let leaving = &joined_servers[0];
     leaving.write_entry(&site.store, "draining");
     time::sleep(Duration::from_millis(2_000)).await;
     let running = others().filter(|number| !stopped.contains(number));
     for number in running {
         let host = &site.hosts[number];
-        let told = host.events("server");
-        let is_end =
+        let server_events = host.events("server");
+        let is_leaving_event =
             |line: &&String| line.contains(&leaving.id) && line.contains("\"leaving\":true");
-        assert!(told.iter().any(|line| is_end(&line)), "host {number}");
+        assert!(
+            server_events.iter().any(|line| is_leaving_event(&line)),
+            "host {number}"
+        );
     }
     for number in &stopped {
         site.hosts[*number].signal("CONT");
@@ -317,8 +323,8 @@
 }
 
 #[tokio::test]
-async fn another_host_takes_the_duty_soon_when_the_holder_alone_is_without_the_store() {
-    // Disconnections that begin at different phases of the duty holder's calls to the store.
+async fn another_host_takes_the_duty_soon_when_only_the_duty_holder_is_without_the_store() {
+    // The disconnections begin at different phases of the duty holder's calls to the store.
     let mut sites = JoinSet::new();
     let local = LocalSet::new();
     for phase_ms in [0, 170, 340, 510] {
@@ -326,13 +332,13 @@
     }
     let taken_ms = local.run_until(sites.join_all()).await;
     let mean_ms = taken_ms.iter().sum::<u64>() / taken_ms.len() as u64;
-    // The mean was 5,260 ms while the duty holder told other hosts for 3 s after its last
-    // confirmation that it had the duty.
+    // The mean was 5,260 ms when the duty holder went on sending heartbeats for 3 s after the store
+    // had last confirmed the duty.
     assert!(mean_ms < 4_900, "{taken_ms:?}");
 }
 
-/// Returns the time from the moment at which the store stops answering the duty holder until
-/// another host takes the duty.
+/// Returns the time until another host takes the duty after the store has stopped responding to the
+/// duty holder.
 async fn taken_after_ms(phase_ms: u64) -> u64 {
     let mut site = Site::start_servers(2).await;
     let proxy = Proxy::start(site.store.address).await;
@@ -343,11 +349,11 @@
     }
     site.await_ready().await;
     time::sleep(Duration::from_millis(3_000 + phase_ms)).await;
-    assert_eq!(taken(&site.hosts[0]), 1);
+    assert_eq!(times_taken(&site.hosts[0]), 1);
     proxy.set(Mode::Silent);
     let began = Instant::now();
     eventually("another host takes the duty", 8_000, async || {
-        site.hosts[1..].iter().map(taken).sum::<usize>() == 1
+        site.hosts[1..].iter().map(times_taken).sum::<usize>() == 1
     })
     .await;
     began.elapsed().as_millis() as u64
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -18,7 +18,7 @@
     store::Faults,
 };
 
-/// A read of key 7 with the given request id.
+/// Returns a read of key 7 with the given request id.
 fn read<'a>(id: &'a str, path: &'a str) -> TestRequest<'a> {
     TestRequest {
         method: "GET",
@@ -29,7 +29,7 @@
     }
 }
 
-/// An unrepeatable request with the given id.
+/// Returns an unrepeatable request with the given id.
 fn order<'a>(id: &'a str) -> TestRequest<'a> {
     TestRequest {
         method: "POST",
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn requests_are_routed_and_answers_are_exact() {
+async fn requests_are_routed_and_responses_are_exact() {
     struct Case {
         ask: TestRequest<'static>,
         status: StatusCode,
@@ -77,12 +77,15 @@
     let site = Site::start(2, 2).await;
     for host in &site.hosts {
         for case in &cases {
-            let answer = ask_once(host.callers, case.ask).await.expect("an answer");
-            assert_eq!(answer.status, case.status, "{case:?}", case = case.ask);
-            assert_eq!(answer.body, case.body);
-            assert_eq!(answer.headers.contains_key("server-signature"), case.signed);
+            let response = ask_once(host.callers, case.ask).await.expect("a response");
+            assert_eq!(response.status, case.status, "{case:?}", case = case.ask);
+            assert_eq!(response.body, case.body);
+            assert_eq!(
+                response.headers.contains_key("server-signature"),
+                case.signed
+            );
             if case.signed {
-                assert_eq!(answer.headers["request-id"], case.ask.id);
+                assert_eq!(response.headers["request-id"], case.ask.id);
             }
         }
     }
@@ -97,13 +100,13 @@
         Caller::connect(host.callers).await.is_some()
     })
     .await;
-    let answer = ask_once(host.callers, read("id", "/keyed/")).await;
-    let answer = answer.expect("an answer");
-    assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(answer.headers.contains_key("retry-after"));
+    let response = ask_once(host.callers, read("id", "/keyed/")).await;
+    let response = response.expect("a response");
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert!(response.headers.contains_key("retry-after"));
     let ready = ask_once(host.readiness, read("id", "/readyz")).await;
     assert_eq!(
-        ready.expect("an answer").status,
+        ready.expect("a response").status,
         StatusCode::SERVICE_UNAVAILABLE
     );
 }
@@ -116,8 +119,8 @@
         .put("op", "config", &configuration(0x10, &["/added/"]));
     for host in &site.hosts {
         eventually("the new route is served", 2_000, async || {
-            let answer = ask_once(host.callers, added("id")).await;
-            answer.is_some_and(|answer| answer.status == StatusCode::OK)
+            let response = ask_once(host.callers, added("id")).await;
+            response.is_some_and(|response| response.status == StatusCode::OK)
         })
         .await;
     }
@@ -126,10 +129,10 @@
     site.store.compact_history();
     time::sleep(Duration::from_millis(600)).await;
     for host in &site.hosts {
-        let answer = ask_once(host.callers, added("id"))
+        let response = ask_once(host.callers, added("id"))
             .await
-            .expect("an answer");
-        assert_eq!(answer.status, StatusCode::OK);
+            .expect("a response");
+        assert_eq!(response.status, StatusCode::OK);
     }
 }
 
@@ -148,8 +151,8 @@
         site.store
             .put("op", "config", &configuration(version, &[&prefix]));
         eventually("the new route is served", 2_000, async || {
-            let answer = ask_once(site.hosts[0].callers, read("id", &prefix)).await;
-            answer.is_some_and(|answer| answer.status == StatusCode::OK)
+            let response = ask_once(site.hosts[0].callers, read("id", &prefix)).await;
+            response.is_some_and(|response| response.status == StatusCode::OK)
         })
         .await;
     }
@@ -159,7 +162,7 @@
 async fn hosts_that_hear_the_duty_holder_rarely_call_the_store() {
     let site = Site::start(5, 2).await;
     time::sleep(Duration::from_millis(4_000)).await;
-    // Takes the least of three periods: a duty holder that gets no processor time for 2 s is
+    // Uses the lowest count of three periods: a duty holder that gets no processor time for 2 s is
     // considered unresponsive, and the other hosts then call the store themselves.
     let mut least = u64::MAX;
     for _ in 0..3 {
@@ -178,23 +181,23 @@
 async fn answers_come_by_the_deadline() {
     let site = Site::start(1, 2).await;
     for server in &site.orders {
-        server.lose_answers(2);
+        server.lose_responses(2);
     }
     let mut late = 0;
     let mut unanswered = 0;
     for number in 0..12 {
         let id = format!("lost-{number}");
         let began = Instant::now();
-        let answer = ask_once(site.hosts[0].callers, order(&id)).await;
-        let status = answer.expect("an answer").status;
+        let response = ask_once(site.hosts[0].callers, order(&id)).await;
+        let status = response.expect("a response").status;
         unanswered += u32::from(status == StatusCode::GATEWAY_TIMEOUT);
         late += u32::from(began.elapsed() > Duration::from_millis(1_000));
     }
     assert!(unanswered > 0);
-    // One answer may be late because the host got no processor time.
+    // One response may be late because the host got no processor time.
     assert!(
         late <= 1,
-        "{late} of 12 answers came over 0.2 s after their deadline"
+        "{late} of 12 responses came over 0.2 s after their deadline"
     );
 }
 
@@ -217,14 +220,14 @@
 #[tokio::test]
 async fn unauthenticated_datagrams_change_nothing() {
     let site = Site::start(2, 1).await;
-    let stranger = tokio::net::UdpSocket::bind("127.0.0.1:0").await;
-    let stranger = stranger.expect("a socket");
+    let unauthenticated = tokio::net::UdpSocket::bind("127.0.0.1:0").await;
+    let unauthenticated = unauthenticated.expect("a socket");
     // The message claims the duty for term 99. It is sent without a seal and with a guessed one.
     let claim = [5, 0, 99, 0, 0, 0, 0, 0, 0];
     let guessed = [&[7; 8], &claim[..]].concat();
     for host in &site.hosts {
         for datagram in [&claim[..], &guessed, &[], &[0; 2_000]] {
-            let sent = stranger.send_to(datagram, host.peers).await;
+            let sent = unauthenticated.send_to(datagram, host.peers).await;
             assert_eq!(sent.expect("a datagram"), datagram.len());
         }
     }
@@ -266,8 +269,8 @@
     time::sleep(Duration::from_millis(2_500)).await;
     proxy.set(Mode::Pass);
     eventually("the new route is served", 1_500, async || {
-        let answer = ask_once(site.hosts[1].callers, read("id", "/added/x")).await;
-        answer.is_some_and(|answer| answer.status == StatusCode::OK)
+        let response = ask_once(site.hosts[1].callers, read("id", "/added/x")).await;
+        response.is_some_and(|response| response.status == StatusCode::OK)
     })
     .await;
 }
@@ -283,12 +286,13 @@
     let prefixes: Vec<String> = (0..600).map(|number| format!("/added-{number}/")).collect();
     let prefixes: Vec<&str> = prefixes.iter().map(String::as_str).collect();
     let large = configuration(0x10, &prefixes);
-    // The transfer takes over a second, while the duty holder has the configuration at once.
+    // The transfer to the host behind the slow link takes over a second; the duty holder has the
+    // configuration at once.
     assert!(large.to_string().len() > 80_000);
     site.store.put("op", "config", &large);
     eventually("the new route is served", 2_500, async || {
-        let answer = ask_once(site.hosts[1].callers, read("id", "/added-599/x")).await;
-        answer.is_some_and(|answer| answer.status == StatusCode::OK)
+        let response = ask_once(site.hosts[1].callers, read("id", "/added-599/x")).await;
+        response.is_some_and(|response| response.status == StatusCode::OK)
     })
     .await;
 }
@@ -301,8 +305,8 @@
     site.await_ready().await;
     proxy.set(Mode::Silent);
     time::sleep(Duration::from_millis(6_000)).await;
-    let gone = &site.orders[0];
-    site.store.remove("servers", &gone.id);
+    let removed_server = &site.orders[0];
+    site.store.remove("servers", &removed_server.id);
     site.store.compact_history();
     time::sleep(Duration::from_millis(500)).await;
     // Resets the connections, so that data held back by the proxy is not delivered later.
@@ -310,12 +314,12 @@
     time::sleep(Duration::from_millis(50)).await;
     proxy.set(Mode::Pass);
     time::sleep(Duration::from_millis(3_000)).await;
-    let served = gone.served();
+    let served = removed_server.served();
     for number in 0..30 {
         let id = format!("after-{number}");
         ask_once(site.hosts[0].callers, order(&id)).await;
     }
-    assert_eq!(gone.served(), served);
+    assert_eq!(removed_server.served(), served);
 }
 
 #[tokio::test]
@@ -324,33 +328,35 @@
     let mut unused = Caller::connect(site.hosts[0].callers)
         .await
         .expect("connection");
-    let mut kept = Caller::connect(site.hosts[0].callers)
+    let mut persistent = Caller::connect(site.hosts[0].callers)
         .await
         .expect("connection");
-    assert!(kept.ask(order("before")).await.is_some());
+    assert!(persistent.ask(order("before")).await.is_some());
     site.hosts[0].signal("TERM");
     let began = Instant::now();
     time::sleep(Duration::from_millis(100)).await;
     let ready = ask_once(site.hosts[0].readiness, read("id", "/readyz")).await;
     assert_eq!(
-        ready.expect("an answer").status,
+        ready.expect("a response").status,
         StatusCode::SERVICE_UNAVAILABLE
     );
-    let answer = kept.ask(order("during")).await.expect("an answer");
-    assert_eq!(answer.status, StatusCode::OK);
-    assert_eq!(answer.headers["connection"], "close");
+    let response = persistent.ask(order("during")).await.expect("a response");
+    assert_eq!(response.status, StatusCode::OK);
+    assert_eq!(response.headers["connection"], "close");
     // A connection that was opened before the stop and never used stays open after the listener
     // closed.
     time::sleep(Duration::from_millis(5_150).saturating_sub(began.elapsed())).await;
-    if let Some(answer) = unused.ask(order("late")).await {
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.headers.contains_key("retry-after"));
+    if let Some(response) = unused.ask(order("late")).await {
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(response.headers.contains_key("retry-after"));
     }
     assert_eq!(site.record.runs("late"), 0);
     let host = &mut site.hosts[0];
-    eventually("the process ends within the grace", 6_000, async || {
-        host.ended()
-    })
+    eventually(
+        "the process exits within the grace period",
+        6_000,
+        async || host.has_exited(),
+    )
     .await;
     assert!(began.elapsed() < Duration::from_millis(6_000));
 }
@@ -396,8 +402,8 @@
     site.keyed[0].crash(&site.store);
     time::sleep(Duration::from_millis(1_000)).await;
     site.hosts[duty_holder].restart();
-    // If the end of the previous duty holder's term is not reported, the next one waits 13 s for
-    // it, and then for a lease.
+    // If the previous duty holder does not report that its term has ended, the next one waits 13 s,
+    // and then the duration of a lease.
     eventually("all keys are held", 12_000, async || {
         site.keyed[1..].iter().map(Server::keys_held).sum::<usize>() == 1 << 16
     })
@@ -408,15 +414,15 @@
 #[tokio::test]
 async fn a_late_heartbeat_of_an_earlier_incarnation_takes_no_keys() {
     let site = Site::start(2, 3).await;
-    let living = &site.keyed[0];
-    let held = living.keys_held();
+    let live_server = &site.keyed[0];
+    let held = live_server.keys_held();
     assert!(held > 0);
     // The store accepts a late entry of an earlier incarnation at the same address.
-    living.register_another(&site.store, "i-earlier");
+    live_server.register_another(&site.store, "i-earlier");
     time::sleep(Duration::from_millis(2_000)).await;
     site.store.remove("servers", "i-earlier");
     time::sleep(Duration::from_millis(2_000)).await;
-    assert_eq!(living.keys_held(), held);
+    assert_eq!(live_server.keys_held(), held);
     for host in &site.hosts {
         for key in [3, 30_000, 60_000] {
             assert_eq!(get(host, key).await, Some(StatusCode::OK));
@@ -462,7 +468,7 @@
         .hosts
         .iter()
         .find(|host| !is_duty_holder(host))
-        .expect("another");
+        .expect("another host");
     duty_holder.signal("TERM");
     eventually("the other host takes the duty", 2_500, async || {
         let taken = other.events("duty_taken");
@@ -488,7 +494,7 @@
             leave: |site, server| server.write_entry(&site.store, "draining"),
         },
         Case {
-            name: "its entry is removed and it serves on",
+            name: "its entry is removed while it still serves",
             limit_ms: 1_500,
             leave: |site, server| site.store.remove("servers", &server.id),
         },
@@ -627,7 +633,7 @@
 async fn lost_answers_of_the_store_do_no_harm() {
     let site = Site::start_servers(3).await;
     site.store.set_faults(Faults {
-        lose_answer_every: 3,
+        lose_response_every: 3,
         ..Faults::default()
     });
     let hosts = [Host::start(&site.store), Host::start(&site.store)];
@@ -643,7 +649,7 @@
     .await;
     let status = get(&hosts[0], 9).await;
     if status != Some(StatusCode::OK) {
-        // The host's log, written every 0.2 s, has the reason of the failure.
+        // The host's log has the reason of the failure; it is written every 0.2 s.
         time::sleep(Duration::from_millis(500)).await;
         panic!("{status:?}: {:#?}", hosts[0].events("request"));
     }
@@ -651,16 +657,16 @@
 }
 
 #[tokio::test]
-async fn unrepeatable_requests_run_at_most_once_when_answers_are_lost() {
+async fn unrepeatable_requests_run_at_most_once_when_responses_are_lost() {
     let site = Site::start(2, 2).await;
     for server in &site.orders {
-        server.lose_answers(4);
+        server.lose_responses(4);
     }
     let mut statuses = Vec::new();
     for number in 0..40 {
         let id = format!("order-{number}");
-        let answer = ask_once(site.hosts[number % 2].callers, order(&id)).await;
-        let status = answer.expect("an answer").status;
+        let response = ask_once(site.hosts[number % 2].callers, order(&id)).await;
+        let status = response.expect("a response").status;
         assert!(site.record.runs(&id) <= 1, "{id} ran twice");
         if status == StatusCode::SERVICE_UNAVAILABLE {
             assert_eq!(site.record.runs(&id), 0, "{id} ran after a refusal");
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -67,8 +67,8 @@
 
 #[tokio::test]
 async fn many_hosts_learn_of_many_new_servers_with_few_calls() {
-    /// Calls of the duty holder, of relays, and of hosts that got no answer from other hosts in
-    /// time.
+    /// Allows for calls of the duty holder, of relays, and of hosts that got no response from other
+    /// hosts in time.
     const CALLS_MAX: u64 = MANY_HOSTS as u64;
     let site = Site::start(MANY_HOSTS, 2).await;
     time::sleep(Duration::from_millis(4_000)).await;
@@ -89,7 +89,7 @@
 
 /// Guards against hosts that keep using an outdated configuration after the store has rejected
 /// calls; among 985 hosts some did so for up to 17.7 s. A host's feed of servers was rejected, and
-/// its other feeds waited until that feed got an answer. When the duty holder confirmed the store
+/// its other feeds waited until that feed got a response. When the duty holder confirmed the store
 /// again, that feed had nothing to request and paused, so the other feeds kept waiting.
 #[tokio::test]
 async fn a_configuration_reaches_many_hosts_after_the_store_was_away() {
@@ -121,8 +121,8 @@
     .await;
 }
 
-/// A configuration that cannot be read may revoke API keys: a host that does not know of it would
-/// continue to trust the previous one.
+/// Guards against hosts that go on trusting the previous configuration because they do not know of
+/// a later one. A configuration that cannot be read may revoke API keys.
 #[tokio::test]
 async fn all_hosts_know_that_a_configuration_cannot_be_read() {
     /// More than the duty holder broadcasts in datagrams.
@@ -134,9 +134,11 @@
         let lines = host.events("bad_row");
         lines.iter().any(|line| line.contains("op/config"))
     };
-    eventually("all hosts know", 4_000, async || {
-        site.hosts.iter().all(knows)
-    })
+    eventually(
+        "all hosts know that the configuration cannot be read",
+        4_000,
+        async || site.hosts.iter().all(knows),
+    )
     .await;
 }
 
@@ -179,8 +181,8 @@
     add_many_servers(&site);
     // The duty holder updates the list of seed hosts once it knows that there are many servers.
     eventually("seed hosts are stored", 8_000, async || {
-        let guides = site.store.row("ashroad", "secret-guides");
-        guides.is_some_and(|guides| guides["has_many_servers"] == true)
+        let seed_hosts = site.store.row("ashroad", "secret-guides");
+        seed_hosts.is_some_and(|seed_hosts| seed_hosts["has_many_servers"] == true)
     })
     .await;
     time::sleep(Duration::from_millis(1_500)).await;
@@ -215,8 +217,8 @@
     site.orders[0].write_entry(&site.store, "ready");
     site.store.compact_history();
     site.store.set_faults(Faults::default());
-    // A server leaves when the store is back: all hosts must know it, also those that fetched the
-    // tables from other hosts.
+    // A server leaves when the store responds again. All hosts must learn of it, also those that
+    // fetched the tables from other hosts.
     site.keyed[0].write_entry(&site.store, "draining");
     eventually("the keys have moved", 10_000, async || {
         site.keyed[0].keys_held() == 0
@@ -230,8 +232,8 @@
 
 #[tokio::test]
 async fn hosts_serve_again_after_all_were_killed() {
-    /// Time limits until hosts know servers and keys again, with few servers and with many. No
-    /// other host can provide them.
+    /// Time limits within which hosts know servers and keys again, with few servers and with many.
+    /// They read the store, since no other host can provide them.
     const AGAIN_MS: [u64; 2] = [2_000, 4_000];
     let mut site = Site::start(3, 3).await;
     for again_ms in AGAIN_MS {
@@ -295,9 +297,9 @@
     let bytes = postcard::to_stdvec(&snapshot).expect("encoded");
     // Transfer takes about 0.1 s on a link of 40 Mbit/s. The tables are seven times as large.
     assert!(bytes.len() < 700_000, "{} bytes", bytes.len());
-    let handed_on: Snapshot = postcard::from_bytes(&bytes).expect("decoded");
-    assert!(handed_on.servers().eq(entries));
-    let rows = &handed_on.holdings()["service-0"];
+    let received: Snapshot = postcard::from_bytes(&bytes).expect("decoded");
+    assert!(received.servers().eq(entries));
+    let rows = &received.holdings()["service-0"];
     let whole = Assignment::join(rows.iter().map(|(_, row)| &row.assignment));
     assert!(whole == assignment);
 }
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -3,27 +3,27 @@
 //! from each other.
 
 use ashroad::entry::{
-    decide::trust::{KeyVerdict, TrustLimits, judge},
-    updates::proof::ConfigurationProof,
+    decide::api_key_verdict::{ApiKeyLimits, ApiKeyVerdict, judge},
+    updates::confirmation::ConfigurationConfirmation,
 };
 use quickcheck::quickcheck;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const REVOCATION_MS: u64 = 2_000;
 const CONFIGURATION_MS: u64 = 3_000;
-const LIMITS: TrustLimits = TrustLimits {
+const LIMITS: ApiKeyLimits = ApiKeyLimits {
     revocation_ms: Some(REVOCATION_MS),
     configuration_ms: CONFIGURATION_MS,
 };
 const SIMULATION_MS: u64 = 30_000;
 const STEP_MS: u64 = 50;
 /// Interval at which a host queries the duty holder or the store.
-const ASK_EVERY_MS: u64 = REVOCATION_MS / 8;
+const QUERY_EVERY_MS: u64 = REVOCATION_MS / 8;
 /// Longest delay of a message, in the network or in the inbox of a suspended host.
 const DELAY_MAX_MS: u64 = 4_000;
 const HOSTS: usize = 4;
 /// Index of the duty holder, which queries the store; the other hosts query it.
-const HOLDER: usize = 0;
+const DUTY_HOLDER: usize = 0;
 
 /// API key with the times at which operators add and revoke it.
 #[derive(Clone, Copy, Debug)]
@@ -71,18 +71,18 @@
             .flat_map(|key| [key.added_ms, key.revoked_ms]);
         let nth = version
             .checked_sub(1)
-            .and_then(|place| changes.clone().nth(place as usize));
+            .and_then(|index| changes.clone().nth(index as usize));
         nth.unwrap_or(0)
     }
 }
 
-/// Message on its way to a host.
+/// Message in transit to a host.
 #[derive(Clone, Copy, Debug)]
 enum Delivery {
     /// Response of the store to a query.
-    Store { asked_ms: u64, version: u64 },
+    Store { sent_ms: u64, version: u64 },
     /// Response of the duty holder to a query.
-    Holder {
+    DutyHolder {
         nonce: u64,
         age_ms: u64,
         version: u64,
@@ -93,7 +93,7 @@
 
 #[derive(Debug, Default)]
 struct Host {
-    proof: ConfigurationProof,
+    confirmation: ConfigurationConfirmation,
     version: u64,
     cut_until_ms: u64,
     frozen_until_ms: u64,
@@ -101,7 +101,7 @@
 }
 
 impl Host {
-    fn take_in(&mut self, now_ms: u64) {
+    fn process_inbox(&mut self, now_ms: u64) {
         let (due, later) = self
             .inbox
             .drain(..)
@@ -110,16 +110,16 @@
         let due: Vec<(u64, Delivery)> = due;
         for (_, updates) in due {
             match updates {
-                Delivery::Store { asked_ms, version } => {
+                Delivery::Store { sent_ms, version } => {
                     self.version = self.version.max(version);
-                    self.proof.note(asked_ms);
+                    self.confirmation.note(sent_ms);
                 }
-                Delivery::Holder {
+                Delivery::DutyHolder {
                     nonce,
                     age_ms,
                     version,
-                } if self.version >= version => self.proof.note_answer(nonce, age_ms),
-                Delivery::Holder { .. } => {}
+                } if self.version >= version => self.confirmation.note_response(nonce, age_ms),
+                Delivery::DutyHolder { .. } => {}
                 Delivery::Relayed { version } => self.version = self.version.max(version),
             }
         }
@@ -130,7 +130,7 @@
     operators: Operators,
     hosts: Vec<Host>,
     rng: StdRng,
-    honoured: u64,
+    accepted: u64,
 }
 
 impl Simulation {
@@ -140,7 +140,7 @@
             operators: Operators::draw(&mut rng),
             hosts: (0..HOSTS).map(|_| Host::default()).collect(),
             rng,
-            honoured: 0,
+            accepted: 0,
         }
     }
 
@@ -152,13 +152,13 @@
         }
     }
 
-    fn disturb(&mut self, now_ms: u64) {
-        let place = self.rng.random_range(0..HOSTS);
+    fn inject_fault(&mut self, now_ms: u64) {
+        let index = self.rng.random_range(0..HOSTS);
         let until_ms = now_ms + self.rng.random_range(0..6_000);
         let relayed = self.hosts[self.rng.random_range(0..HOSTS)].version;
         let delay_ms = self.delay_ms();
         let kind = self.rng.random_range(0..160);
-        let host = &mut self.hosts[place];
+        let host = &mut self.hosts[index];
         match kind {
             0 => host.cut_until_ms = until_ms,
             1 => host.frozen_until_ms = until_ms,
@@ -171,80 +171,80 @@
     }
 
     /// Sends a query of a host and schedules the response.
-    fn ask(&mut self, place: usize, now_ms: u64) {
-        if now_ms < self.hosts[place].cut_until_ms {
+    fn start_query(&mut self, index: usize, now_ms: u64) {
+        if now_ms < self.hosts[index].cut_until_ms {
             return;
         }
         let [to_ms, back_ms] = [self.delay_ms(), self.delay_ms()];
         let answered_ms = now_ms + to_ms;
-        let updates = if place == HOLDER {
+        let updates = if index == DUTY_HOLDER {
             Delivery::Store {
-                asked_ms: now_ms,
+                sent_ms: now_ms,
                 version: self.operators.version(answered_ms),
             }
         } else {
             let nonce = self.rng.random();
-            self.hosts[place].proof.ask(nonce, now_ms);
-            let holder = &self.hosts[HOLDER];
-            // The duty holder answers with its state at the time of the query; the response may be
+            self.hosts[index].confirmation.start_query(nonce, now_ms);
+            let duty_holder = &self.hosts[DUTY_HOLDER];
+            // The response has the state of the duty holder at the time of the query, and may be
             // delayed.
-            let Some(age_ms) = holder.proof.age_ms(now_ms) else {
+            let Some(age_ms) = duty_holder.confirmation.age_ms(now_ms) else {
                 return;
             };
-            Delivery::Holder {
+            Delivery::DutyHolder {
                 nonce,
                 age_ms,
-                version: holder.version,
+                version: duty_holder.version,
             }
         };
-        self.hosts[place]
+        self.hosts[index]
             .inbox
             .push((answered_ms + back_ms, updates));
     }
 
-    fn check(&mut self, place: usize, now_ms: u64) -> Result<(), String> {
-        let host = &self.hosts[place];
+    fn check(&mut self, index: usize, now_ms: u64) -> Result<(), String> {
+        let host = &self.hosts[index];
         let is_known = host.version % 2 == 1;
-        let verdict = judge(is_known, host.proof.age_ms(now_ms), LIMITS);
+        let verdict = judge(is_known, host.confirmation.age_ms(now_ms), LIMITS);
         let latest = self.operators.version(now_ms);
         // Time at which the version on the host was replaced by the next one.
         let outdated_ms = self.operators.written_ms(host.version + 1);
         let is_outdated = latest > host.version;
         match verdict {
-            KeyVerdict::Honoured => {
-                self.honoured += 1;
+            ApiKeyVerdict::Accepted => {
+                self.accepted += 1;
                 if is_outdated && now_ms > outdated_ms + REVOCATION_MS {
                     return Err(format!(
                         "a key revoked at {outdated_ms} is accepted at {now_ms}"
                     ));
                 }
             }
-            KeyVerdict::Unknown => {
+            ApiKeyVerdict::Unknown => {
                 if is_outdated && now_ms > outdated_ms + CONFIGURATION_MS {
                     return Err(format!(
                         "a key added at {outdated_ms} is unknown at {now_ms}"
                     ));
                 }
             }
-            KeyVerdict::Unverified => {}
+            ApiKeyVerdict::Unverified => {}
         }
         Ok(())
     }
 
     fn run(&mut self) -> Result<(), String> {
         for now_ms in (0..SIMULATION_MS).step_by(STEP_MS as usize) {
-            self.disturb(now_ms);
-            for place in 0..HOSTS {
-                if now_ms < self.hosts[place].frozen_until_ms {
+            self.inject_fault(now_ms);
+            for index in 0..HOSTS {
+                if now_ms < self.hosts[index].frozen_until_ms {
                     continue;
                 }
                 // A host that resumes after a suspension may handle a request before it reads its
                 // inbox.
-                self.check(place, now_ms)?;
-                self.hosts[place].take_in(now_ms);
-                self.check(place, now_ms)?;
-                if now_ms.is_multiple_of(ASK_EVERY_MS) {
-                    self.ask(place, now_ms);
+                self.check(index, now_ms)?;
+                self.hosts[index].process_inbox(now_ms);
+                self.check(index, now_ms)?;
+                if now_ms.is_multiple_of(QUERY_EVERY_MS) {
+                    self.start_query(index, now_ms);
                 }
             }
         }
@@ -259,16 +259,18 @@
 }
 
 #[test]
-fn keys_are_honoured_most_of_the_time() {
+fn keys_are_accepted_most_of_the_time() {
     const SIMULATIONS: u64 = 20;
-    let honoured: u64 = (0..SIMULATIONS)
+    let accepted: u64 = (0..SIMULATIONS)
         .map(|seed| {
             let mut simulation = Simulation::new(seed);
-            simulation.run().expect("no key is misjudged");
-            simulation.honoured
+            simulation
+                .run()
+                .expect("no revoked key is accepted and no valid key is rejected");
+            simulation.accepted
         })
         .sum();
     // Each of four hosts checks twice in each step; a key exists for about half of the time.
     let checks = 2 * HOSTS as u64 * SIMULATIONS * SIMULATION_MS / STEP_MS;
-    assert!(honoured > checks / 8, "{honoured} of {checks}");
+    assert!(accepted > checks / 8, "{accepted} of {checks}");
 }
--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -1,4 +1,4 @@
-//! Tests that the time limits derived from the bounds in the settings keep these bounds.
+//! Tests that the time limits keep the bounds in the settings from which they are derived.
 
 use ashroad::entry::{bounds::Bounds, limits::TimeLimits, settings::Settings};
 use quickcheck::quickcheck;
@@ -18,7 +18,7 @@
     }
 }
 
-/// Returns bounds from 800 ms, the tightest that can be kept, upwards.
+/// Returns bounds of at least 800 ms, which are the tightest that can be kept.
 fn drawn(drain: u16, configuration: u16) -> Bounds {
     bounds(
         800 + u64::from(drain) / 4,
@@ -36,7 +36,7 @@
     fn the_duty_holder_is_heard_three_times_within_the_trust_period(drain: u16) -> bool {
         let limits = TimeLimits::new(&drawn(drain, 0));
         let confirm_every_ms = limits.confirm_every_ms(700);
-        let two_heartbeats_ms = confirm_every_ms + 2 * limits.holder_heartbeat_ms;
+        let two_heartbeats_ms = confirm_every_ms + 2 * limits.duty_holder_heartbeat_ms;
         two_heartbeats_ms <= limits.trust_ms
     }
 }
@@ -56,10 +56,12 @@
         case("configuration_pause_ms", |limits| {
             limits.configuration_pause_ms += 101;
         }),
-        case("holder_pause_ms", |limits| limits.holder_pause_ms += 1_000),
+        case("holder_pause_ms", |limits| {
+            limits.duty_holder_pause_ms += 1_000
+        }),
         case("notice_hold_ms", |limits| limits.notice_hold_ms += 1),
         case("holder_heartbeat_ms", |limits| {
-            limits.holder_heartbeat_ms += 500
+            limits.duty_holder_heartbeat_ms += 500
         }),
     ];
     for Case { name, raise } in cases {
@@ -71,7 +73,7 @@
 }
 
 #[test]
-fn bounds_that_cannot_be_kept_are_refused_with_a_sentence() {
+fn bounds_that_cannot_be_kept_are_refused_with_a_reason() {
     struct Case {
         drain: &'static str,
         configuration: &'static str,
@@ -110,14 +112,21 @@
             );
         let path = std::env::temp_dir().join(format!("limits-{}-{index}", std::process::id()));
         std::fs::write(&path, text).expect("settings");
-        let told = match Settings::read(&path) {
+        let messages = match Settings::read(&path) {
             Ok(settings) => settings.problems(),
             Err(error) => vec![error.to_string()],
         };
         std::fs::remove_file(&path).expect("settings");
-        assert_eq!(told.is_empty(), case.problems.is_empty(), "{told:?}");
+        assert_eq!(
+            messages.is_empty(),
+            case.problems.is_empty(),
+            "{messages:?}"
+        );
         for problem in case.problems {
-            assert!(told.iter().any(|told| told.contains(problem)), "{told:?}");
+            assert!(
+                messages.iter().any(|messages| messages.contains(problem)),
+                "{messages:?}"
+            );
         }
     }
 }
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -1,4 +1,4 @@
-//! Results of the decisions under simulated load; no sockets and no clock.
+//! Simulates load in virtual time with the real decision code, without sockets.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -44,8 +44,8 @@
 
 #[test]
 fn a_server_that_was_slow_for_a_moment_is_not_left_idle() {
-    // The only server of some keys was slow for a moment, with 900 ms for a request, and now takes
-    // 120 ms. Only requests that reach it can correct this host's statistics.
+    // The only server of some keys took 900 ms per request for a short time, and now takes 120 ms.
+    // Only requests that reach it can correct this host's statistics.
     let policy = Policy::default();
     let mut attempt_stats = AttemptStats::default();
     let mut now_ms = 1_000_000;
@@ -53,7 +53,7 @@
         now_ms += 50;
         attempt_stats.answered(900.0, true, now_ms);
     }
-    let (mut asked, mut refused) = (0, 0);
+    let (mut requests, mut refused) = (0, 0);
     for _ in 0..200 {
         now_ms += 20;
         let seen = Candidate {
@@ -65,14 +65,14 @@
             deadline_ms: 1_500,
             ..DEMAND
         };
-        asked += 1;
+        requests += 1;
         if admission::has_room(&seen, 120.0, demand, &policy) {
             attempt_stats.answered(120.0, true, now_ms);
         } else {
             refused += 1;
         }
     }
-    assert_eq!(refused, 0, "of {asked}");
+    assert_eq!(refused, 0, "of {requests}");
 }
 
 #[test]
@@ -90,11 +90,11 @@
     assert!(!admission::has_room(&slow, 120.0, demand, &policy));
 }
 
-/// Guards against a single slow response that keeps a host away from a server. The response took
+/// Guards against a host that avoids a server after a single slow response. The response took
 /// longer than the deadline because the machine was paused; the server is idle and fast, and a
 /// request arrives every 50 ms.
 #[test]
-fn one_slow_answer_does_not_keep_requests_from_an_idle_server() {
+fn one_slow_response_does_not_keep_requests_from_an_idle_server() {
     let policy = Policy::default();
     let demand = Demand {
         objective_ms: 200,
@@ -127,17 +127,17 @@
 fn requests_wait_for_a_move_only_if_it_can_end_in_time() {
     struct Case {
         wait: MoveWait,
-        rest_ms: u64,
+        remaining_ms: u64,
         held_ms: u64,
         left_ms: u64,
         aim_ms: u64,
         result: Hold,
     }
     let cases = [
-        // The former server still runs requests: most such moves complete soon.
+        // The previous server still runs requests; most such moves complete soon.
         Case {
             wait: MoveWait::Work,
-            rest_ms: 2_500,
+            remaining_ms: 2_500,
             held_ms: 0,
             left_ms: 800,
             aim_ms: 400,
@@ -145,7 +145,7 @@
         },
         Case {
             wait: MoveWait::Work,
-            rest_ms: 2_500,
+            remaining_ms: 2_500,
             held_ms: 395,
             left_ms: 405,
             aim_ms: 400,
@@ -154,16 +154,16 @@
         // Requests with a long objective may wait longer.
         Case {
             wait: MoveWait::Work,
-            rest_ms: 2_500,
+            remaining_ms: 2_500,
             held_ms: 0,
             left_ms: 9_000,
             aim_ms: 2_000,
             result: Hold::For(500),
         },
-        // A lease expires exactly at its end, so waiting for a part of that time is useless.
+        // A lease expires exactly at its end, so waiting for only a part of that time is useless.
         Case {
             wait: MoveWait::Lease,
-            rest_ms: 2_500,
+            remaining_ms: 2_500,
             held_ms: 0,
             left_ms: 800,
             aim_ms: 400,
@@ -171,7 +171,7 @@
         },
         Case {
             wait: MoveWait::Lease,
-            rest_ms: 120,
+            remaining_ms: 120,
             held_ms: 0,
             left_ms: 800,
             aim_ms: 400,
@@ -179,7 +179,7 @@
         },
         Case {
             wait: MoveWait::Lease,
-            rest_ms: 120,
+            remaining_ms: 120,
             held_ms: 0,
             left_ms: 100,
             aim_ms: 400,
@@ -187,13 +187,17 @@
         },
     ];
     for case in cases {
-        let rest = MoveTimeLeft {
+        let time_left = MoveTimeLeft {
             wait: case.wait,
-            rest_ms: case.rest_ms,
+            remaining_ms: case.remaining_ms,
         };
         let policy = Policy::default();
-        let result = hold::decide(rest, case.held_ms, case.left_ms, case.aim_ms, &policy);
-        assert_eq!(result, case.result, "{rest:?} held for {}", case.held_ms);
+        let result = hold::decide(time_left, case.held_ms, case.left_ms, case.aim_ms, &policy);
+        assert_eq!(
+            result, case.result,
+            "{time_left:?} held for {}",
+            case.held_ms
+        );
     }
 }
 
@@ -238,7 +242,7 @@
 ) -> HashMap<Arc<str>, f64> {
     let policy = Policy::default();
     for round in 0.. {
-        assert!(round < 12, "the plan does not settle");
+        assert!(round < 12, "the planner does not stop planning moves");
         let moves = plan::plan(Inputs {
             assignment,
             servers,
@@ -284,21 +288,21 @@
     let hot = 1_000;
     loads.add(hot, 250.0);
     let used = settle(&servers, &mut assignment, &loads, &[hot]);
-    let holder = assignment.holding(hot).expect("a holder");
-    assert_eq!(&*holder.server, "s7");
-    let beside = used["s7"] - loads.key(hot);
+    let hot_holding = assignment.holding(hot).expect("a holding");
+    assert_eq!(&*hot_holding.server, "s7");
+    let other_load = used["s7"] - loads.key(hot);
     assert!(
-        beside < 3.0,
-        "{beside} requests a second beside the hot key"
+        other_load < 3.0,
+        "{other_load} requests a second in addition to the hot key"
     );
     for server in &servers[..7] {
         let share = used[&server.id] / server.capacity_per_s;
-        assert!(share < 0.85, "{} is used by {share}", server.id);
+        assert!(share < 0.85, "{} is used to a share of {share}", server.id);
     }
 }
 
 #[test]
-fn a_server_that_takes_little_keeps_little_and_the_others_stay_balanced() {
+fn a_rate_limited_server_keeps_little_load_and_the_others_stay_balanced() {
     struct Case {
         name: &'static str,
         limits_per_s: &'static [f64],
@@ -312,12 +316,12 @@
             key_per_s: 0.2,
         },
         Case {
-            name: "a key with more than its server takes",
+            name: "a key with more load than its server accepts",
             limits_per_s: &[0.5],
             key_per_s: 6.0,
         },
         Case {
-            name: "a server that takes nothing",
+            name: "a server that accepts no requests",
             limits_per_s: &[0.25],
             key_per_s: 0.2,
         },
@@ -352,7 +356,7 @@
 }
 
 #[test]
-fn a_server_that_takes_less_than_can_be_moved_does_not_keep_the_others_from_balance() {
+fn a_server_with_less_capacity_than_any_move_needs_does_not_prevent_a_balance_of_the_others() {
     let (mut servers, mut assignment) = uneven_servers(&[66.0; 9]);
     servers[0].capacity_per_s = 0.25;
     let mut loads = KeyLoads::default();
@@ -369,7 +373,7 @@
 }
 
 #[test]
-fn a_server_that_joins_and_takes_little_gets_little() {
+fn a_joining_server_with_a_low_limit_gets_little_load() {
     let (mut servers, assignment) = uneven_servers(&[66.0; 8]);
     servers.push(PlanServer {
         id: "joins".into(),
@@ -400,23 +404,23 @@
     let mut loads = KeyLoads::default();
     loads.add(1_000, 250.0);
     settle(&servers, &mut assignment, &loads, &[1_000]);
-    assert_eq!(&*assignment.holding(1_000).expect("a holder").server, "s0");
+    assert_eq!(&*assignment.holding(1_000).expect("a holding").server, "s0");
 }
 
 /// Results for hosts that learn of each other's requests with a delay.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
-    asked: u32,
-    /// Answered within the objective.
+    requests: u32,
+    /// Requests answered within the objective.
     in_time: u32,
-    /// Sent to a server with a full queue, which resets the connection: an unrepeatable request is
-    /// then lost.
+    /// Requests sent to a server with a full queue, which resets the connection. An unrepeatable
+    /// request is then lost.
     reset: u32,
     refused: u32,
 }
 
-/// Simulates 12 s of requests of 59 hosts to the 46 servers of their zone at 92% of its capacity. A
-/// host's data on the requests of other hosts is up to `load_age_ms` old.
+/// Simulates 12 s of requests of 59 hosts to the 46 servers of their zone, at 92% of the servers'
+/// capacity. A host's data on the requests of other hosts is up to `load_age_ms` old.
 fn simulate_load_age(load_age_ms: u64) -> Outcome {
     const HOSTS: usize = 59;
     const SERVERS: usize = 46;
@@ -427,19 +431,19 @@
     let mut rng = StdRng::seed_from_u64(7);
     let policy = Policy::default();
     // For each server, the end times of its running and queued requests, with their hosts.
-    let mut ends: Vec<Vec<(u64, usize)>> = vec![Vec::new(); SERVERS];
-    let mut told = vec![vec![0u32; SERVERS]; HOSTS];
+    let mut in_flight: Vec<Vec<(u64, usize)>> = vec![Vec::new(); SERVERS];
+    let mut reports = vec![vec![0u32; SERVERS]; HOSTS];
     let mut outcome = Outcome::default();
     let every_ms = MEAN_RUN_MS / (SERVERS * SLOTS) as f64 / 0.92;
     let mut due_ms = 0.0;
     for now_ms in 0u64..12_000 {
-        for server in &mut ends {
+        for server in &mut in_flight {
             server.retain(|(end_ms, _)| *end_ms > now_ms);
         }
         if now_ms.is_multiple_of(load_age_ms) {
-            for (host, told) in told.iter_mut().enumerate() {
-                for (server, load) in told.iter_mut().enumerate() {
-                    let others = ends[server].iter().filter(|(_, by)| *by != host);
+            for (host, reports) in reports.iter_mut().enumerate() {
+                for (server, load) in reports.iter_mut().enumerate() {
+                    let others = in_flight[server].iter().filter(|(_, by)| *by != host);
                     *load = others.count() as u32;
                 }
             }
@@ -449,10 +453,10 @@
             let host = rng.random_range(0..HOSTS);
             let seen: Vec<Candidate> = (0..SERVERS)
                 .map(|server| {
-                    let own = ends[server].iter().filter(|(_, by)| *by == host);
+                    let own = in_flight[server].iter().filter(|(_, by)| *by == host);
                     Candidate {
                         slots: SLOTS as u32,
-                        load: own.count() as u32 + told[host][server],
+                        load: own.count() as u32 + reports[host][server],
                         run_ms: MEAN_RUN_MS,
                         ..SERVER
                     }
@@ -467,26 +471,29 @@
                     ..DEMAND
                 },
                 hosts: HostCount {
-                    near: HOSTS,
+                    same_zone: HOSTS,
                     all: HOSTS,
                 },
             };
-            outcome.asked += 1;
+            outcome.requests += 1;
             let Some(server) = choice::pick(inputs, &policy, &mut rng) else {
                 outcome.refused += 1;
                 continue;
             };
-            if ends[server].len() >= SLOTS + QUEUE {
+            if in_flight[server].len() >= SLOTS + QUEUE {
                 outcome.reset += 1;
                 continue;
             }
-            let mut at_work: Vec<u64> = ends[server].iter().map(|(end_ms, _)| *end_ms).collect();
+            let mut at_work: Vec<u64> = in_flight[server]
+                .iter()
+                .map(|(end_ms, _)| *end_ms)
+                .collect();
             at_work.sort_unstable();
             let waits_for = at_work.len().checked_sub(SLOTS);
-            let begin_ms = waits_for.map_or(now_ms, |place| at_work[place]);
+            let begin_ms = waits_for.map_or(now_ms, |index| at_work[index]);
             let run_ms = MEAN_RUN_MS * rng.random_range(0.5..1.5);
             let end_ms = begin_ms + run_ms as u64;
-            ends[server].push((end_ms, host));
+            in_flight[server].push((end_ms, host));
             outcome.in_time += u32::from(end_ms - now_ms <= OBJECTIVE_MS);
         }
     }
@@ -498,7 +505,7 @@
     // Sums within a zone are up to 0.25 s old; reports between zones were up to 4 s old.
     let fresh = simulate_load_age(250);
     let old = simulate_load_age(4_000);
-    let share = |outcome: Outcome| f64::from(outcome.in_time) / f64::from(outcome.asked);
+    let share = |outcome: Outcome| f64::from(outcome.in_time) / f64::from(outcome.requests);
     assert!(share(fresh) > 0.95, "{fresh:?}");
     assert!(share(old) < share(fresh) - 0.05, "{old:?}, {fresh:?}");
     assert_eq!(fresh.reset, 0, "{fresh:?}");
@@ -512,7 +519,8 @@
     work_ms: f64,
 }
 
-/// A server that shares its machine with others: a fifth of the time it runs three times slower.
+/// A server that shares its machine with others. For a fifth of the time it runs three times
+/// slower.
 #[derive(Debug, Default)]
 struct NoisyServer {
     speed: f64,
@@ -540,10 +548,10 @@
     }
 }
 
-/// Simulates 20 s of requests for 11 servers of one zone with three slots each, at 1.25 times their
-/// capacity, and returns the earned share of the possible value: a response within the objective
-/// counts 1, a late one 0.5. 25 hosts report to each other every 100 ms how many requests they have
-/// at each server and which pace the servers reported.
+/// Simulates 20 s of requests to 11 servers of one zone, at 1.25 times their capacity. Each server
+/// has three slots. 25 hosts report to each other every 100 ms how many requests they have at each
+/// server and which pace the servers reported. Returns the earned share of the possible value: a
+/// response within the objective counts 1, a late one 0.5.
 fn simulate_noisy_servers(policy: &Policy) -> f64 {
     const HOSTS: usize = 25;
     const SERVERS: usize = 11;
@@ -565,8 +573,8 @@
     let mut own = vec![[0u32; SERVERS]; HOSTS];
     let mut reported = own.clone();
     let mut paces = vec![[Pace::default(); SERVERS]; HOSTS];
-    let mut told: Vec<(usize, usize, f64, u64)> = Vec::new();
-    let (mut asked, mut worth, mut due_ms) = (0.0, 0.0, 0.0);
+    let mut reports: Vec<(usize, usize, f64, u64)> = Vec::new();
+    let (mut requests, mut worth, mut due_ms) = (0.0, 0.0, 0.0);
     for now_ms in 1u64..20_000 {
         for (number, server) in servers.iter_mut().enumerate() {
             if (now_ms + 37 * number as u64).is_multiple_of(NOISE_EVERY_MS) {
@@ -582,14 +590,15 @@
                     _ => 0.0,
                 };
                 paces[request.host][number].note(server.pace, now_ms);
-                told.push((request.host, number, server.pace, now_ms));
+                reports.push((request.host, number, server.pace, now_ms));
             }
             server.start_waiting(now_ms);
         }
         for host in 0..HOSTS {
             if (now_ms + 4 * host as u64).is_multiple_of(REPORT_EVERY_MS) {
                 reported[host] = own[host];
-                for (_, server, pace, at_ms) in told.extract_if(.., |told| told.0 == host) {
+                for (_, server, pace, at_ms) in reports.extract_if(.., |reports| reports.0 == host)
+                {
                     for paces in &mut paces {
                         paces[server].note(pace, at_ms);
                     }
@@ -598,7 +607,7 @@
         }
         while due_ms < now_ms as f64 {
             due_ms -= (1.0 - rng.random::<f64>()).ln() * 1_000.0 / REQUESTS_PER_S;
-            asked += 1.0;
+            requests += 1.0;
             let host = rng.random_range(0..HOSTS);
             let seen: Vec<Candidate> = (0..SERVERS)
                 .map(|server| {
@@ -622,7 +631,7 @@
                     ..DEMAND
                 },
                 hosts: HostCount {
-                    near: HOSTS,
+                    same_zone: HOSTS,
                     all: 3 * HOSTS,
                 },
             };
@@ -642,7 +651,7 @@
             });
         }
     }
-    worth / asked
+    worth / requests
 }
 
 /// Draws from the standard normal distribution, approximated by the sum of twelve uniform draws.
@@ -651,14 +660,15 @@
 }
 
 #[test]
-fn servers_that_are_slow_for_a_moment_get_less_and_no_server_gets_what_all_send() {
+fn servers_that_are_slow_for_a_moment_get_less_load_and_hosts_choose_different_servers() {
     let default = Policy::default();
     let known = simulate_noisy_servers(&default);
     let unknown = simulate_noisy_servers(&Policy {
         pace_memory_ms: 0,
         ..default
     });
-    // With ten servers compared instead of three, all hosts choose the same few servers: 0.87.
+    // The value is 0.87 if a host compares ten servers instead of three, because all hosts then
+    // choose the same few servers.
     assert!(known > 0.92, "{known}");
     assert!(unknown < known - 0.01, "{unknown}, {known}");
 }
@@ -670,9 +680,10 @@
     long: f64,
 }
 
-/// Simulates 60 s at the only server of some keys. It has three slots; long requests of 500 ms fill
-/// 85% of them and are worth 1 if answered within a second. A few short ones of 90 ms are urgent,
-/// and worth 3 if answered within 250 ms; their deadline is 600 ms. Late responses count half.
+/// Simulates 60 s at the only server of some keys, which has three slots. Long requests of 500 ms
+/// use 85% of the slots and have a value of 1 if answered within a second. A few short requests of
+/// 90 ms are urgent, and have a value of 3 if answered within 250 ms; their deadline is 600 ms.
+/// Late responses earn half of the value.
 fn simulate_short_and_long(policy: &Policy) -> Earned {
     const SLOTS: usize = 3;
     const SHORT_EVERY_MS: f64 = 700.0;
@@ -684,7 +695,7 @@
         run_shares.note(&service, &short, 90.0, 460.0);
     }
     let mut ends_ms: Vec<f64> = Vec::new();
-    let (mut earned, mut asked) = (Earned::default(), Earned::default());
+    let (mut earned, mut requests) = (Earned::default(), Earned::default());
     let (mut short_ms, mut long_ms) = (0.0f64, 0.0f64);
     while short_ms.min(long_ms) < 60_000.0 {
         let is_short = short_ms < long_ms;
@@ -720,18 +731,18 @@
                 ..DEMAND
             }
         };
-        let (of_kind, asked) = if is_short {
-            (&mut earned.short, &mut asked.short)
+        let (of_kind, requests) = if is_short {
+            (&mut earned.short, &mut requests.short)
         } else {
-            (&mut earned.long, &mut asked.long)
+            (&mut earned.long, &mut requests.long)
         };
-        *asked += 1.0;
+        *requests += 1.0;
         if !admission::has_room(&seen, 460.0, demand, policy) {
             continue;
         }
         ends_ms.sort_by(f64::total_cmp);
         let waits_for = ends_ms.len().checked_sub(SLOTS);
-        let begin_ms = waits_for.map_or(now_ms, |place| ends_ms[place]);
+        let begin_ms = waits_for.map_or(now_ms, |index| ends_ms[index]);
         let run_ms = if is_short {
             90.0
         } else {
@@ -746,13 +757,13 @@
         };
     }
     Earned {
-        short: earned.short / asked.short,
-        long: earned.long / asked.long,
+        short: earned.short / requests.short,
+        long: earned.long / requests.long,
     }
 }
 
 #[test]
-fn short_urgent_requests_are_served_beside_long_ones() {
+fn short_urgent_requests_are_served_among_long_ones() {
     let default = Policy::default();
     let both = simulate_short_and_long(&default);
     let neither = simulate_short_and_long(&Policy {
@@ -760,14 +771,14 @@
         urgent_may_be_late: false,
         ..default
     });
-    // When they were refused unless a slot was free, they earned half of the value.
+    // Short requests earned half of their value when they were refused unless a slot was free.
     assert!(neither.short < 0.65, "{neither:?}");
     assert!(both.short > neither.short + 0.1, "{both:?}, {neither:?}");
     assert!(both.long > neither.long - 0.02, "{both:?}, {neither:?}");
 }
 
 #[test]
-fn servers_of_another_region_get_what_the_own_one_has_no_room_for() {
+fn servers_of_another_region_get_requests_beyond_the_capacity_of_the_own_region() {
     struct Case {
         name: &'static str,
         /// Requests at each server of the host's own region.
@@ -781,7 +792,7 @@
             is_other_region_chosen: false,
         },
         Case {
-            name: "servers without a free slot, which answer in time",
+            name: "servers without a free slot that respond in time",
             own_load: 7,
             is_other_region_chosen: false,
         },
@@ -812,11 +823,14 @@
                 servers: &servers,
                 typical_ms: 100.0,
                 demand: DEMAND,
-                hosts: choice::HostCount { near: 20, all: 75 },
+                hosts: choice::HostCount {
+                    same_zone: 20,
+                    all: 75,
+                },
             };
-            let place = choice::pick(inputs, &policy, &mut rng).expect(case.name);
+            let index = choice::pick(inputs, &policy, &mut rng).expect(case.name);
             assert_eq!(
-                servers[place].is_other_region, case.is_other_region_chosen,
+                servers[index].is_other_region, case.is_other_region_chosen,
                 "{}",
                 case.name
             );
--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -1,17 +1,17 @@
-//! Servers that announce in their answers that they are leaving, or that ask for a rest.
+//! Servers that announce in their responses that they leave, or that ask for a rest.
 //!
 //! Guards against two failures:
 //!
 //! A leaving server still got requests from the same hosts 3 to 13 s after it had announced its
-//! leaving to them in its answers. The store was unavailable, so the server's row could not be
-//! updated, and hosts knew of a server's leaving only from its row. The logs of the hosts show the
-//! notices and, until the store was back, requests sent to the server.
+//! leaving to them in its responses. The store was unavailable, so the server's row could not be
+//! updated, and hosts used only the row to decide that a server leaves. The logs of the hosts show
+//! the notices and the requests sent to the server until the store responded again.
 //!
 //! A third of the map reads were refused for nine seconds. Three of nine servers rejected every
-//! request and asked for 3 s of rest. Hosts used only the status of such answers: the rest reached
-//! neither the choice of a server nor the planner. Hosts kept sending all requests for the keys
-//! there, half of them twice, and the planner gave the servers more keys. All 26 requests that one
-//! host logged to one server during its rest reached that server.
+//! request and asked for 3 s of rest. Hosts used only the status of such responses, so neither the
+//! choice of a server nor the planner knew of the rest. Hosts kept sending all requests for the
+//! keys there, half of them twice, and the planner gave the servers more keys. All 26 requests that
+//! one host logged to one server during its rest reached that server.
 
 mod platform_standin;
 
@@ -28,27 +28,27 @@
     traffic::{Sent, Traffic, Workload},
 };
 
-/// Time after a server has asked for a rest in which requests already in transit may still arrive.
+/// Time after a server has asked for a rest in which requests in transit may still arrive.
 const REST_SLACK: Duration = Duration::from_millis(500);
 /// Maximum number of requests that may reach a server later in its rest.
-const REST_VISITS_MAX: usize = 2;
+const REST_REQUESTS_MAX: usize = 2;
 /// Duration of the rest that servers ask for.
 const REST_MS: u64 = 2_000;
-/// Time for which servers reject requests.
-const TURNS_AWAY: Duration = Duration::from_millis(8_000);
-/// Time within which a host refuses requests that no server can serve, by its own clock; as in
-/// tests/entry_crashes.rs.
+/// Time for which servers reject requests in a test.
+const REJECTION_TIME: Duration = Duration::from_millis(8_000);
+/// Time within which a host refuses requests that no server can serve, as its own log states it.
+/// tests/entry_crashes.rs has the same limit.
 const AT_ONCE_MS: u64 = 400;
 
-/// Returns the delays of requests that a caller sent later than the bound after a host had passed a
-/// server's notice of leaving on, and that reached the server through this host.
+/// Returns the delays of the requests that reached a server too late: a caller sent them to a host
+/// later than the bound after this host had forwarded the server's notice of leaving.
 fn late_for_leaving(server: &Server, traffic: &Traffic) -> Vec<Duration> {
     let mut late = Vec::new();
     for received_requests in received_by_host(server, traffic).values() {
-        let told = received_requests
+        let announced = received_requests
             .iter()
             .filter(|(_, sent)| sent.announces_leaving);
-        let Some(passed_on) = told.map(|(_, sent)| sent.answered).min() else {
+        let Some(passed_on) = announced.map(|(_, sent)| sent.response_arrived).min() else {
             continue;
         };
         let after = received_requests
@@ -96,8 +96,8 @@
     if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
     }
-    let owed = began + disturbance.recovery_limit(DRAIN);
-    let served = deployment.traffic.served(owed, began + time);
+    let due = began + disturbance.recovery_limit(DRAIN);
+    let served = deployment.traffic.served(due, began + time);
     if served < 0.95 {
         return Err(format!(
             "{served:.2} of the requests served after the bound"
@@ -111,17 +111,17 @@
     deployment.server(workload).reject_with_rest(REST_MS);
     let began = Instant::now();
     deployment
-        .apply_disturbance(disturbance, workload, TURNS_AWAY)
+        .apply_disturbance(disturbance, workload, REJECTION_TIME)
         .await;
     let most = most_in_a_rest(deployment.server(workload), &deployment.traffic);
-    if most > REST_VISITS_MAX {
+    if most > REST_REQUESTS_MAX {
         return Err(format!("{most} requests in one rest"));
     }
     if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
     }
-    let owed = began + disturbance.recovery_limit(SERVED_AGAIN);
-    let served = deployment.traffic.served(owed, began + TURNS_AWAY);
+    let due = began + disturbance.recovery_limit(SERVED_AGAIN);
+    let served = deployment.traffic.served(due, began + REJECTION_TIME);
     if served < 0.85 {
         return Err(format!("{served:.2} of the requests served while it rests"));
     }
@@ -129,12 +129,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_of_a_server_that_says_it_leaves_goes_to_another() {
+async fn a_key_of_a_server_that_announces_its_leaving_goes_to_another() {
     run_cases(ALL.map(|disturbance| (disturbance, Workload::Keys)), leave).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_says_it_leaves_gets_no_more_orders() {
+async fn a_server_that_announces_its_leaving_gets_no_more_orders() {
     run_cases(
         ALL.map(|disturbance| (disturbance, Workload::Orders)),
         leave,
@@ -152,7 +152,7 @@
     run_cases(ALL.map(|disturbance| (disturbance, Workload::Orders)), rest).await;
 }
 
-/// All servers of a service ask for a rest: no server can serve, and callers are refused at once.
+/// Checks that callers are refused at once while all servers of a service ask for a rest.
 async fn rest_of_all(workload: Workload) -> Result<(), String> {
     let deployment = Deployment::start(workload).await;
     let servers = deployment.servers(workload);
@@ -162,7 +162,7 @@
     time::sleep(Duration::from_millis(5_000)).await;
     for server in servers {
         let most = most_in_a_rest(server, &deployment.traffic);
-        if most > REST_VISITS_MAX {
+        if most > REST_REQUESTS_MAX {
             return Err(format!("{most} requests in one rest"));
         }
     }
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -7,9 +7,11 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// Window over which the users count requests, and the excess over a quota that they allow.
+/// Window over which the users count requests.
 const WINDOW_MS: u64 = 5_000;
+/// Excess over a quota that the users allow, as a share of the quota and the burst in a window.
 const OVERSHOOT: f64 = 0.1;
+/// Number of requests that the users allow in addition.
 const SLACK: f64 = 20.0;
 /// Least share of the allowed requests that must be admitted.
 const SERVED_MIN: f64 = 0.9;
@@ -32,7 +34,7 @@
     hosts: usize,
     quota: Quota,
     /// Demand of callers before and after the tenth second, as a multiple of the quota.
-    asked: (f64, f64),
+    demand: (f64, f64),
     spread: Spread,
     /// True if callers retry refused requests at once.
     retries_at_once: bool,
@@ -49,7 +51,7 @@
                 per_s: 285.0,
                 burst: 285.0,
             },
-            asked: (0.6, 0.6),
+            demand: (0.6, 0.6),
             spread: Spread::Even,
             retries_at_once: false,
             without_duty_holder: 0..0,
@@ -59,21 +61,21 @@
 
 #[derive(Default)]
 struct Simulated {
-    asked: Vec<u64>,
+    demand: Vec<u64>,
     admitted: Vec<u64>,
 }
 
 impl Case {
-    /// Interval of reports and announcements, as in production.
+    /// Returns the interval of reports and announcements, which is that of production.
     fn report_interval_ms(&self) -> u64 {
         150.max(self.hosts as u64)
     }
 
-    fn asked_per_s(&self, now_ms: u64) -> f64 {
+    fn demand_per_s(&self, now_ms: u64) -> f64 {
         let quotas = if now_ms < 10_000 {
-            self.asked.0
+            self.demand.0
         } else {
-            self.asked.1
+            self.demand.1
         };
         quotas * self.quota.per_s
     }
@@ -101,10 +103,10 @@
             if now_ms.is_multiple_of(every_ms - every_ms % STEP_MS) && !is_away {
                 self.report(&mut shares, &mut ledger, now_ms, &mut rng);
                 let announced = ledger.admitted(self.quota, now_ms);
-                tell(&mut shares, announced, now_ms, &mut rng);
+                announce(&mut shares, announced, now_ms, &mut rng);
                 heard_ms = Some(now_ms);
             }
-            let expected = self.asked_per_s(now_ms) * STEP_MS as f64 / 1_000.0;
+            let expected = self.demand_per_s(now_ms) * STEP_MS as f64 / 1_000.0;
             let repeated = std::mem::take(&mut retries).min(RETRIES_PER_STEP_MAX);
             let arrivals =
                 repeated + expected as usize + usize::from(rng.random::<f64>() < expected.fract());
@@ -115,7 +117,7 @@
                     is_confirmed: kept,
                 };
                 let share = &mut shares[self.host(&mut rng)];
-                simulated.asked.push(now_ms);
+                simulated.demand.push(now_ms);
                 if share.admits(self.quota, context, rng.random(), now_ms) {
                     share.note_sent();
                     simulated.admitted.push(now_ms);
@@ -137,7 +139,7 @@
     }
 }
 
-fn tell(shares: &mut [HostShare], announced: AdmittedShare, now_ms: u64, rng: &mut StdRng) {
+fn announce(shares: &mut [HostShare], announced: AdmittedShare, now_ms: u64, rng: &mut StdRng) {
     for share in shares {
         if rng.random::<f64>() >= DATAGRAM_LOSS {
             share.note_announced(announced, now_ms);
@@ -145,7 +147,7 @@
     }
 }
 
-/// Returns the largest number of times within one window.
+/// Returns the largest number of requests in one window. `times` are those of the requests, in ms.
 fn most_in_window(times: &[u64]) -> usize {
     let mut first = 0;
     let mut most = 0;
@@ -160,11 +162,11 @@
 
 /// Returns the number of requests that the quota entitles a workspace to: those that a single token
 /// bucket for all hosts would admit.
-fn entitled(quota: Quota, asked: &[u64]) -> usize {
+fn entitled(quota: Quota, demand: &[u64]) -> usize {
     let mut tokens = quota.burst;
     let mut at_ms = 0;
     let mut entitled = 0;
-    for now_ms in asked {
+    for now_ms in demand {
         tokens =
             (tokens + quota.per_s * (now_ms - at_ms) as f64 / 1_000.0).min(quota.burst.max(1.0));
         at_ms = *now_ms;
@@ -187,58 +189,58 @@
     let surge = (0.6, 4.7);
     vec![
         Case {
-            name: "a large workspace asks for less than its quota",
+            name: "a large workspace sends less than its quota",
             ..Case::default()
         },
         Case {
-            name: "a small workspace asks for less than its quota",
+            name: "a small workspace sends less than its quota",
             quota: small(),
             ..Case::default()
         },
         Case {
             name: "a surge of a large workspace",
-            asked: surge,
+            demand: surge,
             ..Case::default()
         },
         Case {
             name: "a surge of a small workspace",
             quota: small(),
-            asked: surge,
+            demand: surge,
             ..Case::default()
         },
         Case {
             name: "a surge at one host alone",
-            asked: surge,
+            demand: surge,
             spread: Spread::OneHost,
             ..Case::default()
         },
         Case {
-            name: "a surge of callers that ask again at once",
-            asked: surge,
+            name: "a surge of callers that retry at once",
+            demand: surge,
             retries_at_once: true,
             ..Case::default()
         },
         Case {
-            name: "callers of two hosts that ask again at once",
+            name: "callers of two hosts that retry at once",
             hosts: 2,
             quota: Quota {
                 per_s: 20.0,
                 burst: 20.0,
             },
-            asked: (0.0, 7.0),
+            demand: (0.0, 7.0),
             retries_at_once: true,
             ..Case::default()
         },
         Case {
             name: "a surge among three hosts",
             hosts: 3,
-            asked: surge,
+            demand: surge,
             ..Case::default()
         },
         Case {
             name: "a surge among 300 hosts",
             hosts: 300,
-            asked: surge,
+            demand: surge,
             ..Case::default()
         },
         Case {
@@ -248,7 +250,7 @@
         },
         Case {
             name: "a surge without a duty holder",
-            asked: surge,
+            demand: surge,
             without_duty_holder: 9_000..12_000,
             ..Case::default()
         },
@@ -266,10 +268,10 @@
             let most = most_in_window(&simulated.admitted);
             assert!(
                 most as f64 <= bound,
-                "{}: {most} in a window, {bound} are allowed, seed {seed}",
+                "{}: {most} in a window, where {bound} are allowed, seed {seed}",
                 case.name
             );
-            let entitled = entitled(case.quota, &simulated.asked);
+            let entitled = entitled(case.quota, &simulated.demand);
             let served = simulated.admitted.len() as f64 / entitled as f64;
             assert!(
                 served >= SERVED_MIN,
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -1,10 +1,11 @@
 //! Servers advertise in their responses a limit on the requests a second from all hosts together.
 //!
-//! The failure that these tests guard against: two of nine servers of a service advertised limits
-//! of 7.6 and 9.7 requests a second, and three seconds later they still got 118 and 109 requests in
-//! 4 s from the hosts that had received the limits. No host read the header, so neither the choice of a
-//! server nor the planner of key moves knew the limit, and hosts went on sending all requests for
-//! the servers' keys there. No host logged the limits; hosts that read the header keep the bound.
+//! The tests guard against hosts that exceed these limits. Two of nine servers of a service
+//! advertised limits of 7.6 and 9.7 requests a second, and three seconds later they still got 118
+//! and 109 requests in 4 s from the hosts that had received the limits. No host read or logged the
+//! header, so neither the choice of a server nor the planner of key moves knew the limit, and hosts
+//! went on sending all requests for the servers' keys there. Hosts that read the header keep the
+//! bound.
 
 mod platform_standin;
 
@@ -23,7 +24,8 @@
     traffic::{Traffic, Workload},
 };
 
-/// Time after a host has forwarded a response with a limit from which its requests count.
+/// Time after which a host must know a limit. Requests count from this time after the host has
+/// forwarded the response with the limit.
 const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 /// Time after a server first advertised a limit from which the bound holds. The users allow three
 /// seconds.
@@ -41,10 +43,10 @@
 const SERVED_MIN: f64 = 0.9;
 /// Time within which the keys that exceed a server's limit have moved to other servers.
 const MOVED_AFTER: Duration = Duration::from_secs(3);
-/// Time for which servers advertise limits.
+/// Time for which servers advertise limits in a test.
 const LIMITED: Duration = Duration::from_secs(9);
 
-/// Limits of one server over time, as `(time, requests a second)`.
+/// Limits that one server advertised, as `(time, requests a second)` in order of time.
 struct AdvertisedLimits(Vec<(Instant, f64)>);
 
 impl AdvertisedLimits {
@@ -55,8 +57,8 @@
         if from < first {
             return None;
         }
-        let ends = self.0.iter().skip(1).map(|(at, _)| *at).chain([until]);
-        let spans = self.0.iter().zip(ends).map(|((begin, per_s), end)| {
+        let limit_ends = self.0.iter().skip(1).map(|(at, _)| *at).chain([until]);
+        let spans = self.0.iter().zip(limit_ends).map(|((begin, per_s), end)| {
             let (begin, end) = ((*begin).max(from), end.min(until));
             per_s * end.saturating_duration_since(begin).as_secs_f64()
         });
@@ -72,18 +74,18 @@
         let mut counted = Vec::new();
         let by_host: HashMap<usize, Vec<_>> = received_by_host(server, traffic);
         for (host, received_requests) in by_host {
-            let told = received_requests
+            let advertised = received_requests
                 .iter()
                 .filter(|(_, sent)| sent.advertises_limit);
-            let Some(told) = told.map(|(_, sent)| sent.answered).min() else {
+            let Some(advertised) = advertised.map(|(_, sent)| sent.response_arrived).min() else {
                 continue;
             };
-            let from = (told + PROPAGATION_TIME).max(*first + SETTLED_AFTER);
+            let from = (advertised + PROPAGATION_TIME).max(*first + SETTLED_AFTER);
             if !excused.contains(&host) {
                 let later = received_requests
                     .iter()
-                    .filter(|(visit, _)| visit.at >= from);
-                counted.extend(later.map(|(visit, _)| visit.at));
+                    .filter(|(request, _)| request.at >= from);
+                counted.extend(later.map(|(request, _)| request.at));
             }
         }
         counted.sort_unstable();
@@ -118,7 +120,7 @@
     AdvertisedLimits(named)
 }
 
-/// One of three servers advertises a limit of a fifth of its requests.
+/// Runs a case in which one of three servers advertises a limit of a fifth of its requests.
 async fn one_of_three(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
     let mut deployment = Deployment::start(workload).await;
     deployment.server(workload).advertise_limit(Some("10"));
@@ -138,8 +140,8 @@
     if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
     }
-    let owed = began + disturbance.recovery_limit(MOVED_AFTER);
-    served_at_least(&deployment, owed, began + LIMITED)?;
+    let due = began + disturbance.recovery_limit(MOVED_AFTER);
+    served_at_least(&deployment, due, began + LIMITED)?;
     violations(&deployment)
 }
 
@@ -169,8 +171,9 @@
     .await;
 }
 
-/// All servers advertise limits, each of a third of its requests: the sum must be used, and no
-/// server may get too many. One host has half of the callers.
+/// Runs a case in which each server advertises a limit of a third of its requests, and one host has
+/// half of the callers. The sum of the limits must be used, and no server may get too many
+/// requests.
 async fn all_servers(workload: Workload) -> Result<(), String> {
     const LIMIT: f64 = 20.0;
     let deployment = Deployment::start(workload).await;
@@ -208,13 +211,14 @@
     run_cases(cases, |_, workload| all_servers(workload)).await;
 }
 
-/// A limit falls to a third, to a fraction and to zero, rises again and is withdrawn.
-async fn falls_and_ends(workload: Workload) -> Result<(), String> {
+/// Runs a case in which a limit falls to a third, to a fraction and to zero, rises again and is
+/// withdrawn.
+async fn changing_limit(workload: Workload) -> Result<(), String> {
     let deployment = Deployment::start(workload).await;
     let server = deployment.server(workload);
     let each = Duration::from_millis(4_500);
     let named = advertise_in_turn(server, &[30.0, 10.0, 0.5, 0.0, 20.0], each).await;
-    let ended = Instant::now();
+    let withdrawn_at = Instant::now();
     named.check(server, &deployment.traffic, &[])?;
     server.advertise_limit(Some("a lot"));
     time::sleep(Duration::from_secs(2)).await;
@@ -225,7 +229,7 @@
     let got_keys = server
         .received_requests()
         .iter()
-        .any(|visit| visit.at > ended + Duration::from_secs(2));
+        .any(|request| request.at > withdrawn_at + Duration::from_secs(2));
     for host in deployment
         .site
         .hosts
@@ -240,17 +244,21 @@
             ));
         }
     }
-    served_at_least(&deployment, ended + Duration::from_secs(3), Instant::now())?;
+    served_at_least(
+        &deployment,
+        withdrawn_at + Duration::from_secs(3),
+        Instant::now(),
+    )?;
     violations(&deployment)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_limit_that_changes_holds_as_it_is_and_ends() {
+async fn a_changing_limit_applies_until_it_is_withdrawn() {
     let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
-    run_cases(cases, |_, workload| falls_and_ends(workload)).await;
+    run_cases(cases, |_, workload| changing_limit(workload)).await;
 }
 
-/// Twelve hosts share a small limit.
+/// Runs a case in which twelve hosts share a small limit.
 async fn twelve_hosts(workload: Workload) -> Result<(), String> {
     let deployment = Deployment::start_sized(workload, 12, SERVERS).await;
     let named = advertise_in_turn(
@@ -271,8 +279,8 @@
     run_cases(cases, |_, workload| twelve_hosts(workload)).await;
 }
 
-/// Two of nine servers advertise limits of a third of their requests, with few busy keys: the keys
-/// must move to the other servers, which have capacity, and stay there.
+/// Runs a case in which two of nine servers advertise limits of a third of their requests, and few
+/// keys are busy. The keys must move to the other servers, which have capacity, and stay there.
 async fn busy_keys(workload: Workload) -> Result<(), String> {
     let deployment = Deployment::start_sized(workload, 8, 9).await;
     for server in deployment.servers(workload) {
@@ -293,8 +301,8 @@
     for server in limited {
         AdvertisedLimits(vec![(began, 8.0)]).check(server, &deployment.traffic, &[])?;
     }
-    let owed = began + MOVED_AFTER;
-    served_at_least(&deployment, owed, Instant::now())?;
+    let due = began + MOVED_AFTER;
+    served_at_least(&deployment, due, Instant::now())?;
     violations(&deployment)
 }
 
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -1,4 +1,4 @@
-//! Rules of entry hosts that need no processes: holdings, plans, routes, choice of servers,
+//! Tests rules of entry hosts without processes: holdings, plans, routes, choice of servers,
 //! retries.
 
 use std::{collections::HashMap, sync::Arc};
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn rows_that_were_read_at_different_times_make_one_whole() {
+fn rows_read_at_different_times_form_one_assignment() {
     // The first row holds all keys, as an earlier version of ashroad wrote it; a later move is in
     // the row of its keys.
     let mut whole = Assignment::default();
@@ -200,7 +200,7 @@
     fn any_record_is_decoded_or_refused(bytes: Vec<u8>) -> bool {
         let mut record = vec![1];
         record.extend(&bytes);
-        // Neither may panic.
+        // Decoding must not panic.
         let decoded = [Assignment::decode(&bytes), Assignment::decode(&record)];
         decoded.len() == 2
     }
@@ -312,7 +312,7 @@
             break;
         }
         rounds += 1;
-        assert!(rounds <= 6, "the plan does not settle");
+        assert!(rounds <= 6, "the planner does not stop planning moves");
         apply(&mut assignment, &moves);
     }
     let mut used: HashMap<Arc<str>, f64> = HashMap::new();
@@ -321,10 +321,10 @@
     }
     let mean = loads.of(KeyRange::ALL) / servers.len() as f64;
     let most = used.values().copied().fold(0.0, f64::max);
-    assert!(most <= mean * 1.25, "{most} over a mean of {mean}");
+    assert!(most <= mean * 1.25, "a load of {most} at a mean of {mean}");
 }
 
-/// Distributes all keys in equal parts.
+/// Distributes the keys equally among the servers.
 fn equal_parts(servers: &[PlanServer]) -> Assignment {
     let mut assignment = Assignment::default();
     for (range, server) in first::first_assignment(servers) {
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn servers_that_join_get_keys_though_nobody_is_busy() {
+fn joining_servers_get_keys_even_at_low_load() {
     let ids: Vec<String> = (0..5).map(|n| format!("s{n}")).collect();
     let servers = servers(&ids);
     let mut assignment = equal_parts(&servers[..3]);
@@ -387,7 +387,7 @@
     struct Case {
         name: &'static str,
         servers: usize,
-        /// Requests in an interval; a server can run 1.5.
+        /// Requests per interval, of which one server can run 1.5.
         requests: u32,
         moves_max: usize,
     }
@@ -437,7 +437,7 @@
 #[test]
 fn the_first_keys_wait_for_servers_that_are_starting() {
     struct Case {
-        /// Start times of the servers, and the time of the first request.
+        /// Start times of the servers.
         starts_ms: Vec<u64>,
         requested_ms: u64,
         /// Time at which the keys are distributed, and the number of servers.
@@ -480,23 +480,23 @@
     struct Case {
         intervals: u32,
         per_interval: u32,
-        believed: bool,
+        is_counted: bool,
     }
     let cases = [
         Case {
             intervals: 4,
             per_interval: 20,
-            believed: true,
+            is_counted: true,
         },
         Case {
             intervals: 4,
             per_interval: 2,
-            believed: false,
+            is_counted: false,
         },
         Case {
             intervals: 1,
             per_interval: 3,
-            believed: false,
+            is_counted: false,
         },
     ];
     let hot = range(30_000, 30_199);
@@ -508,7 +508,7 @@
         let load = counts.loads(&holdings, 10.0).of(hot);
         let truth = f64::from(case.per_interval) * 10.0;
         let seen = load > truth / 2.0;
-        assert_eq!(seen, case.believed, "{load} of {truth}");
+        assert_eq!(seen, case.is_counted, "{load} of {truth}");
     }
 }
 
@@ -527,7 +527,8 @@
             hot: &[],
         },
         Case {
-            // Too much for one server together, but not each by itself, so these keys can be moved.
+            // Together these keys exceed the capacity of a server, but each fits one, so they can
+            // be moved.
             loads: &[(5, 50.0), (6, 50.0)],
             hot: &[],
         },
@@ -577,7 +578,7 @@
 
 #[test]
 fn only_datagrams_sealed_with_a_known_secret_are_opened() {
-    let (first, second, strange) = (secret(1), secret(2), secret(3));
+    let (first, second, unknown_secret) = (secret(1), secret(2), secret(3));
     let seal = |secrets: &[(&[u8], u64)]| {
         let seal = Seal::default();
         for (secret, version) in secrets {
@@ -597,26 +598,26 @@
     }
     let cases = [
         Case {
-            name: "same secret",
+            name: "the same secret",
             reader: seal(&[(&first, 1)]),
             datagram: &datagram,
             opened: true,
         },
         Case {
-            name: "former secret",
+            name: "the previous secret",
             reader: seal(&[(&first, 1), (&second, 2)]),
             datagram: &datagram,
             opened: true,
         },
         Case {
-            name: "an older version does not come back",
+            name: "an older version of the secret is not restored",
             reader: seal(&[(&second, 2), (&first, 1)]),
             datagram: &datagram,
             opened: false,
         },
         Case {
-            name: "other secret",
-            reader: seal(&[(&strange, 1)]),
+            name: "an unknown secret",
+            reader: seal(&[(&unknown_secret, 1)]),
             datagram: &datagram,
             opened: false,
         },
@@ -627,7 +628,7 @@
             opened: false,
         },
         Case {
-            name: "changed on the way",
+            name: "changed in transit",
             reader: seal(&[(&first, 1)]),
             datagram: &changed,
             opened: false,
@@ -733,7 +734,10 @@
     }
 }
 
-const FEW_HOSTS: HostCount = HostCount { near: 4, all: 11 };
+const FEW_HOSTS: HostCount = HostCount {
+    same_zone: 4,
+    all: 11,
+};
 
 fn server(id: &str, availability_zone: &str, leaving: bool) -> Arc<Server> {
     Arc::new(Server::new(ServerEntry {
@@ -757,13 +761,13 @@
         let announcement = MoveAnnouncement {
             range: range(number, number),
             above_fence: 1,
-            rest: MoveTimeLeft {
+            time_left: MoveTimeLeft {
                 wait: MoveWait::Work,
-                rest_ms: 2_500,
+                remaining_ms: 2_500,
             },
         };
         outbox.announce_move(9, announcement);
-        outbox.announce_holding(9, &holding(number, number, "a", 2));
+        outbox.announce_grant(9, &holding(number, number, "a", 2));
     }
     let later_ms = now_ms + 100;
     let first = outbox.take_due(later_ms);
@@ -781,16 +785,16 @@
 }
 
 #[test]
-fn changes_of_servers_are_taken_only_in_order() {
+fn server_changes_are_applied_only_in_order() {
     let change = |version| ServerChange {
         version,
-        what: ServerUpdate::Entry(
+        update: ServerUpdate::Entry(
             server(&format!("i-{version:010}"), "oslo-a", false)
                 .entry
                 .clone(),
         ),
     };
-    let passed = ServerChanges {
+    let broadcast = ServerChanges {
         after: 100,
         up_to: 190,
         changes: (101..=160).map(change).collect(),
@@ -818,21 +822,21 @@
         },
     ];
     for case in cases {
-        let new = passed.clone().new_after(case.applied);
+        let new = broadcast.clone().new_after(case.applied);
         assert_eq!(new.map(|changes| changes.len()), case.new);
     }
-    let parts = passed.clone().split();
+    let parts = broadcast.clone().split();
     assert_eq!(parts.len(), 3);
     let mut applied = 100;
-    let mut taken = Vec::new();
+    let mut applied_changes = Vec::new();
     for part in parts {
         let bytes = postcard::to_stdvec(&part).expect("a message").len();
         assert!(bytes < 1_400, "{bytes} bytes");
         let up_to = part.up_to;
-        taken.extend(part.new_after(applied).expect("the next part"));
+        applied_changes.extend(part.new_after(applied).expect("the next part"));
         applied = up_to;
     }
-    assert_eq!((applied, taken), (190, passed.changes));
+    assert_eq!((applied, applied_changes), (190, broadcast.changes));
 }
 
 #[test]
@@ -853,12 +857,15 @@
         version: 15,
     };
     let changes = registry.difference(&whole, 10);
-    let told: Vec<(&str, u64, bool)> = changes
+    let reported: Vec<(&str, u64, bool)> = changes
         .rows
         .iter()
         .map(|row| (row.key.as_str(), row.version, row.removed))
         .collect();
-    assert_eq!(told, [("d", 11, false), ("c", 12, false), ("b", 15, true)]);
+    assert_eq!(
+        reported,
+        [("d", 11, false), ("c", 12, false), ("b", 15, true)]
+    );
     assert_eq!(changes.version, 15);
 }
 
@@ -901,7 +908,7 @@
     has_idle_connection: false,
 };
 
-/// Picks a server for a request with one second left.
+/// Picks a server for a request whose deadline is in one second.
 fn pick(servers: &[Candidate]) -> Option<usize> {
     let inputs = choice::Inputs {
         servers,
@@ -917,7 +924,7 @@
     choice::pick(inputs, &Policy::default(), &mut rand::rng())
 }
 
-/// Returns a candidate with the failures and the pause that the attempts result in.
+/// Returns a candidate with the failure rate and the pause that result from the attempts.
 fn after(attempts: fn(&mut AttemptStats)) -> Candidate {
     let mut attempt_stats = AttemptStats::default();
     attempts(&mut attempt_stats);
@@ -992,7 +999,7 @@
 }
 
 #[test]
-fn capacities_stay_within_what_servers_differ_by() {
+fn capacity_estimates_stay_within_a_range_around_the_mean() {
     struct Case {
         run_ms: f64,
         capacity_per_s: f64,
@@ -1026,7 +1033,7 @@
 }
 
 #[test]
-fn the_choice_prefers_near_and_untried_servers_and_none_that_is_full() {
+fn the_choice_prefers_near_and_unknown_servers_and_avoids_full_ones() {
     let full = Candidate { load: 16, ..GOOD };
     assert_eq!(pick(&[]), None);
     assert_eq!(pick(&[full, full]), None);
@@ -1035,7 +1042,7 @@
         ..GOOD
     };
     let picks = (0..100).filter(|_| pick(&[GOOD, far]) == Some(0));
-    assert_eq!(picks.count(), 100, "the near one of two equal servers");
+    assert_eq!(picks.count(), 100, "the server of the own zone");
     let unknown = Candidate { run_ms: 0.0, ..far };
     assert_eq!(pick(&[GOOD, unknown]), Some(1), "a server without samples");
 }
@@ -1068,7 +1075,7 @@
 }
 
 #[test]
-fn all_hosts_together_stay_within_the_budget_of_repeats() {
+fn all_hosts_together_stay_within_the_retry_budget() {
     let bounds = Bounds {
         revocation_ms: None,
         drain_ms: 2_000,
@@ -1084,23 +1091,23 @@
     let service: Arc<str> = "s".into();
     for hosts in [1usize, 4, 11, 90] {
         for requests in [0u32, 10, 400] {
-            let mut repeats = 0;
+            let mut retries = 0;
             for _ in 0..hosts {
                 let budget = RetryBudget::new(&bounds);
                 for _ in 0..requests {
                     budget.request(&service, hosts, 0);
                     // Each request asks for more retries than any route allows.
-                    repeats += (0..3).filter(|_| budget.repeat(&service, hosts, 0)).count();
+                    retries += (0..3).filter(|_| budget.retry(&service, hosts, 0)).count();
                 }
             }
             let all = f64::from(requests) * hosts as f64;
             let allowed = bounds.retry_ratio * all + bounds.retry_allowance.max(hosts as f64);
             assert!(
-                repeats as f64 <= allowed,
-                "{hosts} hosts, {requests}: {repeats}"
+                retries as f64 <= allowed,
+                "{hosts} hosts, {requests}: {retries}"
             );
             if requests == 400 {
-                assert!(repeats as f64 >= 0.1 * all, "{hosts} hosts: only {repeats}");
+                assert!(retries as f64 >= 0.1 * all, "{hosts} hosts: only {retries}");
             }
         }
     }
@@ -1149,8 +1156,8 @@
         let message = Settings::read(&path).err().map(|error| error.to_string());
         assert_eq!(message.is_none(), case.problems.is_empty(), "{message:?}");
         for problem in case.problems {
-            let told = message.as_ref().is_some_and(|m| m.contains(problem));
-            assert!(told, "{problem} in {message:?}");
+            let reported = message.as_ref().is_some_and(|m| m.contains(problem));
+            assert!(reported, "{problem} in {message:?}");
         }
     }
 }
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -1,5 +1,5 @@
 //! Tests of a host's view of servers: incarnations, undecodable rows of other writers, evacuated
-//! zones, cold servers, and notices of leaving or overloaded servers. They start no processes.
+//! zones, cold servers, and notices of leaving or overloaded servers. The tests start no processes.
 
 use std::{collections::HashSet, sync::Arc};
 
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn entries_of_other_writers_name_no_server() {
+fn undecodable_entries_of_other_writers_are_refused() {
     struct Case {
         from: &'static str,
         to: &'static str,
@@ -96,13 +96,13 @@
 }
 
 quickcheck! {
-    fn any_bytes_are_decoded_or_refused(bytes: Vec<u8>, place: usize, byte: u8) -> bool {
+    fn any_bytes_are_decoded_or_refused(bytes: Vec<u8>, index: usize, byte: u8) -> bool {
         // No input may panic: random bytes, and an entry with one byte changed or cut off at any
         // place.
         let mut changed = ENTRY.as_bytes().to_vec();
-        let place = place % changed.len();
-        let cut_off = servers::decode("i-1", &changed[..place]);
-        changed[place] = byte;
+        let index = index % changed.len();
+        let cut_off = servers::decode("i-1", &changed[..index]);
+        changed[index] = byte;
         let decoded = [
             servers::decode("i-1", &bytes).is_ok(),
             servers::decode("i-1", &changed).is_ok(),
@@ -134,7 +134,7 @@
     assert!(first.leaving());
     assert_eq!((second.own_load(), second.run_ms()), (0, 0.0));
     assert_ne!(first.tag, second.tag);
-    let former = registry.former("a@3e8").expect("known as gone");
+    let former = registry.former("a@3e8").expect("a former server");
     assert_eq!(&*former.name, "a");
     assert_eq!(registry.of_service("s").len(), 1);
     // A late heartbeat of the first incarnation changes nothing.
@@ -199,11 +199,12 @@
 }
 
 #[test]
-fn a_row_that_turns_unreadable_names_no_server_from_then_on() {
+fn a_row_that_becomes_unreadable_removes_its_server() {
     let mut registry = Registry::default();
     registry.put(entry("a", 1));
     registry.put(entry("b", 1));
-    // The server is dropped even if entries may come back after an outage of the store.
+    // The server is dropped even while lapsed entries may be added again after an outage of the
+    // store.
     registry.drop_server("a");
     assert!(registry.server("a@1").is_none());
     assert_eq!(registry.usable("s", &[]).len(), 1);
@@ -269,15 +270,15 @@
         },
     ];
     for case in cases {
-        let told = format!("{:?}", case.evacuations);
+        let context = format!("{:?}", case.evacuations);
         view.evacuate(case.evacuations);
-        assert_eq!(usable(), case.usable, "{told}");
+        assert_eq!(usable(), case.usable, "{context}");
     }
     // The evacuation also applies to a server that joins later.
     view.evacuate(evacuations(10, &["z"]));
     view.update_registry(|registry| registry.put(entry("c", 1)));
     assert_eq!(usable(), ["b"]);
-    // Requests for keys held by an evacuated server are served for the hold time.
+    // An evacuated server still serves requests for keys that it holds, for the hold time.
     let registry = view.registry();
     let evacuated = registry.server("a@1").expect("a server");
     assert!(evacuated.serves_held_keys(60_000));
@@ -338,9 +339,9 @@
     assert_eq!(known, evacuations(5, &["y"]));
 }
 
-/// Returns the most requests that a cold server gets in any second out of ten seconds, from hosts
-/// whose knowledge of the number of hosts is only roughly right.
-fn most_in_a_second(hosts: usize, per_s: f64, asked_per_s: f64, rng: &mut StdRng) -> usize {
+/// Returns the largest number of requests that a cold server gets in one second of a run of ten
+/// seconds. The hosts know only roughly how many hosts there are.
+fn most_in_a_second(hosts: usize, per_s: f64, demand_per_s: f64, rng: &mut StdRng) -> usize {
     const LENGTH_MS: f64 = 10_000.0;
     let mut warmup_windows: Vec<(WarmupWindows, u64)> = (0..hosts)
         .map(|_| {
@@ -355,7 +356,7 @@
     // Requests begin at a random time, before which warm-up windows may have gone unused.
     let mut at_ms = rng.random_range(0.0..4_000.0);
     while at_ms < LENGTH_MS {
-        at_ms += 2.0 * rng.random::<f64>() * 1_000.0 / asked_per_s;
+        at_ms += 2.0 * rng.random::<f64>() * 1_000.0 / demand_per_s;
         let now_ms = at_ms as u64;
         // Half of the requests arrive at one host.
         let host = if rng.random() {
@@ -386,11 +387,14 @@
     let per_s = 5.8;
     for _ in 0..400 {
         let hosts = rng.random_range(2..400);
-        let asked_per_s = rng.random_range(5.0..400.0);
-        let most = most_in_a_second(hosts, per_s, asked_per_s, &mut rng);
-        assert!(most <= 16, "{most} of {hosts} hosts, {asked_per_s} asked");
+        let demand_per_s = rng.random_range(5.0..400.0);
+        let most = most_in_a_second(hosts, per_s, demand_per_s, &mut rng);
+        assert!(
+            most <= 16,
+            "{most} requests from {hosts} hosts at a demand of {demand_per_s}"
+        );
     }
-    // A high load uses the capacity of the cold server as well.
+    // Under high load the capacity of the cold server is used.
     let sent = most_in_a_second(74, per_s, 2_000.0, &mut rng);
     assert!(sent >= 4, "{sent}");
 }
@@ -407,9 +411,9 @@
         time_ms: 3_000,
         per_s: 5.8,
     };
-    let barred =
+    let limited =
         (0..1_000).filter(|_| server.is_limited_by_warmup(Some(WarmupLimit::new(warmup, 10_000))));
-    assert_eq!(barred.count(), 1_000);
+    assert_eq!(limited.count(), 1_000);
     // Without a limit a cold server is treated like any other.
     assert!(!server.is_limited_by_warmup(None));
 }
@@ -429,13 +433,13 @@
     assert!(!notices.note_leaving_elsewhere(1_100));
     assert!(notices.leaves() && !notices.has_announced_leaving());
     assert!(!notices.is_closed_to(900_000, hold_ms));
-    // Then its own answers announce the leaving repeatedly; the hold time starts with the first of
-    // them.
+    // Then its own responses announce the leaving repeatedly; the hold time starts with the first
+    // of them.
     assert!(notices.note(LEAVES, 5_000).leaves);
     assert!(!notices.note(LEAVES, 6_000).leaves);
     assert!(!notices.is_closed_to(5_000 + hold_ms - 1, hold_ms));
     assert!(notices.is_closed_to(5_000 + hold_ms, hold_ms));
-    // An answer without the announcement, for instance one sent earlier, does not revoke it.
+    // A response without the announcement, for instance one sent earlier, does not revoke it.
     notices.note(Notice::default(), 7_000);
     assert!(notices.is_closed_to(7_000, hold_ms));
 }
@@ -443,16 +447,16 @@
 #[test]
 fn a_rest_lasts_until_the_latest_end_that_was_asked_for() {
     struct Case {
-        asked: &'static [(u64, u64)],
+        notices_sent: &'static [(u64, u64)],
         at_ms: u64,
         rest_ms: u64,
     }
-    let case = |asked, at_ms, rest_ms| Case {
-        asked,
+    let case = |notices_sent, at_ms, rest_ms| Case {
+        notices_sent,
         at_ms,
         rest_ms,
     };
-    // Pairs of the time of a request for rest and the rest's duration.
+    // Each pair is the time at which a server asks for a rest and the duration of the rest.
     let cases = [
         case(&[], 0, 0),
         case(&[(100, 3_000)], 100, 3_000),
@@ -464,20 +468,24 @@
         case(&[(100, u64::MAX)], 100, 600_000),
     ];
     for Case {
-        asked,
+        notices_sent,
         at_ms,
         rest_ms,
     } in cases
     {
         let mut notices = Notices::default();
-        for (now_ms, rest_ms) in asked {
+        for (now_ms, rest_ms) in notices_sent {
             let notice = Notice {
                 leaves: false,
                 rest_ms: Some(*rest_ms),
             };
             notices.note(notice, *now_ms);
         }
-        assert_eq!(notices.rest_ms(at_ms), rest_ms, "{asked:?} at {at_ms}");
+        assert_eq!(
+            notices.rest_ms(at_ms),
+            rest_ms,
+            "{notices_sent:?} at {at_ms}"
+        );
     }
 }
 
@@ -493,7 +501,7 @@
     let server = |registry: &Registry, id: &str| registry.server(id).expect("a server").clone();
     server(&registry, "a@1").note_notice(LEAVES);
     server(&registry, "b@1").note_notice(rests);
-    // The row is written again, or lapses and comes back, with the state of a ready server.
+    // The row is rewritten, or lapses and is added again, with the state of a ready server.
     for _ in 0..3 {
         registry.put(entry("a", 1));
         registry.put(entry("b", 1));
@@ -504,7 +512,7 @@
         registry.remove("b", 0);
         assert!(registry.server("a@1").is_none());
     }
-    // An answer with a notice may arrive while the entry is gone.
+    // A response with a notice may arrive while the server has no entry.
     registry.put(entry("c", 1));
     let gone = server(&registry, "c@1");
     registry.remove("c", 0);
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -1,4 +1,4 @@
-//! Hosts that cannot rely on the duty holder rely on the relays of their zone.
+//! Hosts use the relays of their zone when the duty holder does not confirm the store.
 //!
 //! Guards against many hosts calling the store at once: with 985 hosts, each made 34 calls to the
 //! store in a day. The store rejected the duty holder's calls, its reports became stale, and each
@@ -61,15 +61,15 @@
     assert!(!relay.is_store_confirmed());
     assert!(other.is_store_confirmed());
     // The remaining time suffices for several queries.
-    assert!(limits.trust_ms / 4 >= 3 * limits.ask_relay_every_ms);
+    assert!(limits.trust_ms / 4 >= 3 * limits.relay_query_every_ms);
 }
 
 #[test]
-fn a_relay_answer_is_dated_from_the_query_and_counts_once() {
+fn a_relay_response_is_dated_from_the_query_and_counts_once() {
     let limits = limits();
     let host = Freshness::new(&limits);
     let now_ms = ashroad::clock::now_ms();
-    host.ask(1, now_ms);
+    host.start_query(1, now_ms);
     assert_eq!(
         host.note_relay_report(2, updates(0, 9)),
         None,
@@ -86,9 +86,9 @@
         None,
         "already answered"
     );
-    // An answer that was delayed while the host was frozen.
+    // A response that was delayed while the host was frozen.
     let frozen = Freshness::new(&limits);
-    frozen.ask(1, now_ms - limits.trust_ms);
+    frozen.start_query(1, now_ms - limits.trust_ms);
     frozen.note_relay_report(1, updates(0, 9));
     assert!(!frozen.is_store_confirmed());
 }
@@ -98,12 +98,11 @@
     let limits = limits();
     let host = Freshness::new(&limits);
     host.note_announced(updates(1_000, 20));
-    host.ask(1, ashroad::clock::now_ms());
+    host.start_query(1, ashroad::clock::now_ms());
     host.note_relay_report(1, updates(100, 10));
     assert!(host.is_behind(FollowedTable::Servers, 19));
     assert!(host.has_leave_since(19));
-    // A report of the duty holder that is older than the relay's does not make the host distrust
-    // the relay's.
+    // An older report of the duty holder does not invalidate that of the relay.
     host.note_announced(updates(limits.trust_ms as u32, 20));
     assert!(host.is_store_confirmed());
 }
@@ -134,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn few_hosts_call_the_store_while_it_turns_the_holder_away() {
+async fn few_hosts_call_the_store_while_it_rejects_the_duty_holder() {
     let mut deployment = Deployment::start_sized(Workload::Orders, HOSTS, 2).await;
     let feeds = |deployment: &Deployment| -> Vec<u64> {
         let hosts = deployment.site.hosts.iter();
@@ -160,7 +159,7 @@
         "{callers} of {HOSTS} hosts called: {:?}",
         calls.collect::<Vec<_>>()
     );
-    // Changes in the meantime still become known.
+    // Hosts still learn of changes that happen in the meantime.
     let leaving = &deployment.site.orders[0];
     leaving.write_entry(&deployment.site.store, "draining");
     time::sleep(Duration::from_secs(3)).await;
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -1,12 +1,12 @@
-//! Messages between many hosts: choice of relays, age of delayed messages, configurations sent in
-//! pieces, loads by zone and sizes of datagrams.
+//! Tests messages between many hosts: choice of relays, age of delayed messages, configurations
+//! sent in pieces, loads by zone, and sizes of datagrams.
 
 use std::net::SocketAddr;
 
 use ashroad::entry::{
     decide::{
         path_tally::{DigestScope, SharedSuspect},
-        rate_shares::AskedRates,
+        rate_shares::DemandRates,
     },
     digest::RequestDigest,
     peers::{
@@ -216,14 +216,14 @@
 }
 
 #[test]
-fn a_zone_tells_the_others_only_what_is_new() {
+fn a_zone_sends_only_changed_sums_to_the_others() {
     /// Servers of a zone that have run requests lately; only a few of them run requests now.
     const SERVERS: u32 = 3_000;
     const BUSY: u32 = 300;
     const SUM_EVERY_MS: u64 = 250;
     let mut updates = ZoneLoadChanges::default();
-    let mut heard = ZoneLoads::default();
-    let mut told = 0;
+    let mut receiver = ZoneLoads::default();
+    let mut reported = 0;
     let rounds = 40;
     for round in 0..rounds {
         let now_ms = 10_000 + u64::from(round) * SUM_EVERY_MS;
@@ -232,22 +232,22 @@
         let sums: Vec<ServerSummary> = sums.collect();
         let new = updates.updates(sums.clone(), now_ms);
         if round > 0 {
-            told += new.len();
+            reported += new.len();
         }
         for part in parts(&new) {
-            heard.note(1, part, now_ms);
+            receiver.note(1, part, now_ms);
         }
         // A receiver of all changes has the same state as if all sums had been sent.
-        let mut known: Vec<ServerSummary> = heard.latest(now_ms).collect();
+        let mut known: Vec<ServerSummary> = receiver.latest(now_ms).collect();
         known.sort_unstable_by_key(|sum| sum.server_tag);
         assert_eq!(known, sums, "round {round}");
     }
     let all = SERVERS as usize * (rounds as usize - 1);
-    assert!(told * 8 < all, "{told} of {all} were told");
+    assert!(reported * 8 < all, "{reported} of {all} sums were sent");
 }
 
 #[test]
-fn servers_do_not_share_a_short_name() {
+fn servers_do_not_share_a_tag() {
     // With tags of 16 bits, 10,003 servers had 700 pairs with the same tag, whose loads were added
     // up.
     let tags: std::collections::HashSet<u32> = (0..10_003u32)
@@ -259,8 +259,8 @@
         in_flight: 1,
     };
     let bytes = postcard::to_stdvec(&load).expect("encoded");
-    let told: ServerLoad = postcard::from_bytes(&bytes).expect("decoded");
-    assert_eq!(told.server_tag, u32::MAX);
+    let reported: ServerLoad = postcard::from_bytes(&bytes).expect("decoded");
+    assert_eq!(reported.server_tag, u32::MAX);
 }
 
 #[test]
@@ -282,11 +282,11 @@
 fn messages_with_the_most_entries_fit_a_datagram() {
     let rate = ServerRate {
         server_tag: u32::MAX,
-        told: Some(AdvertisedRate {
+        reported: Some(AdvertisedRate {
             limit_per_s: Some(1.0 / 3.0),
             age_ms: u32::MAX,
         }),
-        asked: AskedRates {
+        demand: DemandRates {
             all_per_s: 1.0 / 3.0,
             urgent_per_s: 1.0 / 3.0,
         },
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -5,19 +5,19 @@
 
 use std::time::Duration;
 
-use ashroad::entry::decide::trust::{KeyVerdict, TrustLimits, judge};
+use ashroad::entry::decide::api_key_verdict::{ApiKeyLimits, ApiKeyVerdict, judge};
 use http::StatusCode;
 use serde_json::{Value, json};
 use tokio::time;
 
 use self::platform_standin::{
-    caller::{Answer, Caller, TestRequest},
+    caller::{Caller, CallerResponse, TestRequest},
     hosts::Host,
     site::{Site, configuration, eventually},
     store::Faults,
 };
 
-/// Time within which a revoked key must no longer be honoured.
+/// Time after the revocation of a key from which it must not be accepted.
 const REVOCATION_MS: u64 = 2_000;
 /// Time after the first start of a host in which it discovers the others.
 const DISCOVERY_MS: u64 = 4_000;
@@ -48,8 +48,8 @@
     }
     for host in &site.hosts {
         eventually("a host serves callers with keys", 8_000, async || {
-            let answer = order(host, &[("authorization", &token(SECRET))]).await;
-            answer.is_some_and(|(answer, _)| answer.status == StatusCode::OK)
+            let response = order(host, &[("authorization", &token(SECRET))]).await;
+            response.is_some_and(|(response, _)| response.status == StatusCode::OK)
         })
         .await;
     }
@@ -61,7 +61,7 @@
 }
 
 /// Sends a request with additional headers; returns the response and the request's id.
-async fn ask(host: &Host, path: &str, more: &[(&str, &str)]) -> Option<(Answer, String)> {
+async fn ask(host: &Host, path: &str, more: &[(&str, &str)]) -> Option<(CallerResponse, String)> {
     let id = format!("{:016x}", rand::random::<u64>());
     let ask = TestRequest {
         method: "POST",
@@ -70,14 +70,14 @@
         key: None,
         deadline_ms: 800,
     };
-    let answer = {
+    let response = {
         let mut caller = Caller::connect(host.callers).await?;
         caller.ask_with_headers(ask, more).await?
     };
-    Some((answer, id))
+    Some((response, id))
 }
 
-async fn order(host: &Host, more: &[(&str, &str)]) -> Option<(Answer, String)> {
+async fn order(host: &Host, more: &[(&str, &str)]) -> Option<(CallerResponse, String)> {
     ask(host, "/orders/1", more).await
 }
 
@@ -106,7 +106,7 @@
             workspace: Some("other"),
         },
         Case {
-            name: "a caller that names a workspace itself",
+            name: "a caller that sends a tenant header itself",
             path: "/orders/1",
             headers: vec![
                 ("authorization", token(SECRET)),
@@ -154,9 +154,9 @@
     let site = start(1, json!({})).await;
     for case in cases {
         let headers: Vec<(&str, &str)> = case.headers.iter().map(|(n, v)| (*n, &**v)).collect();
-        let asked = ask(&site.hosts[0], case.path, &headers).await;
-        let (answer, id) = asked.expect(case.name);
-        assert_eq!(answer.status, case.status, "{}", case.name);
+        let outcome = ask(&site.hosts[0], case.path, &headers).await;
+        let (response, id) = outcome.expect(case.name);
+        assert_eq!(response.status, case.status, "{}", case.name);
         let head = site.record.head(&id);
         assert_eq!(
             head.is_some(),
@@ -171,12 +171,12 @@
     }
     let log = std::fs::read_to_string(&site.hosts[0].log).expect("log");
     for api_key in [SECRET, OTHER_SECRET, "guessed"] {
-        assert!(!log.contains(api_key), "a key stands in the log");
+        assert!(!log.contains(api_key), "the log contains an API key");
     }
 }
 
 #[tokio::test]
-async fn revoked_keys_are_not_honoured_past_the_bound() {
+async fn revoked_keys_are_not_accepted_past_the_bound() {
     let site = start(2, json!({})).await;
     let revoked = with_workspace(3, &["a later key"], json!({}));
     // One host is stopped while the key is revoked, and continues after the bound.
@@ -186,24 +186,24 @@
     site.hosts[1].signal("CONT");
     for host in site.hosts.iter().rev() {
         for _ in 0..20 {
-            let asked = order(host, &[("authorization", &token(SECRET))]).await;
-            let (answer, id) = asked.expect("an answer");
-            assert_ne!(answer.status, StatusCode::OK);
+            let outcome = order(host, &[("authorization", &token(SECRET))]).await;
+            let (response, id) = outcome.expect("a response");
+            assert_ne!(response.status, StatusCode::OK);
             assert_eq!(site.record.runs(&id), 0, "a request with a revoked key ran");
             time::sleep(Duration::from_millis(10)).await;
         }
     }
     for host in &site.hosts {
-        eventually("the later key is honoured", 4_000, async || {
-            let answer = order(host, &[("authorization", &token("a later key"))]).await;
-            answer.is_some_and(|(answer, _)| answer.status == StatusCode::OK)
+        eventually("the later key is accepted", 4_000, async || {
+            let response = order(host, &[("authorization", &token("a later key"))]).await;
+            response.is_some_and(|(response, _)| response.status == StatusCode::OK)
         })
         .await;
     }
 }
 
 #[tokio::test]
-async fn a_host_that_hears_nothing_honours_no_key_and_calls_none_unknown() {
+async fn an_isolated_host_accepts_no_key_and_rejects_none_as_unknown() {
     let site = start(1, json!({})).await;
     site.store.set_faults(Faults {
         silent: true,
@@ -213,16 +213,20 @@
     site.store.put("op", "config", &changed);
     time::sleep(Duration::from_millis(REVOCATION_MS + 300)).await;
     for api_key in [SECRET, "a later key", "guessed"] {
-        let asked = order(&site.hosts[0], &[("authorization", &token(api_key))]).await;
-        let (answer, id) = asked.expect("an answer");
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{api_key}");
-        assert!(answer.headers.contains_key("retry-after"));
+        let outcome = order(&site.hosts[0], &[("authorization", &token(api_key))]).await;
+        let (response, id) = outcome.expect("a response");
+        assert_eq!(
+            response.status,
+            StatusCode::SERVICE_UNAVAILABLE,
+            "{api_key}"
+        );
+        assert!(response.headers.contains_key("retry-after"));
         assert_eq!(site.record.runs(&id), 0);
     }
     site.store.set_faults(Faults::default());
-    eventually("the later key is honoured", 8_000, async || {
-        let answer = order(&site.hosts[0], &[("authorization", &token("a later key"))]).await;
-        answer.is_some_and(|(answer, _)| answer.status == StatusCode::OK)
+    eventually("the later key is accepted", 8_000, async || {
+        let response = order(&site.hosts[0], &[("authorization", &token("a later key"))]).await;
+        response.is_some_and(|(response, _)| response.status == StatusCode::OK)
     })
     .await;
 }
@@ -239,17 +243,18 @@
     let asks_for = Duration::from_millis(5_000);
     while began.elapsed() < asks_for {
         for host in &site.hosts {
-            let asked = order(host, &[("authorization", &token(SECRET))]).await;
-            match asked.expect("an answer").0.status {
+            let outcome = order(host, &[("authorization", &token(SECRET))]).await;
+            match outcome.expect("a response").0.status {
                 StatusCode::OK => served += 1,
                 StatusCode::TOO_MANY_REQUESTS => refused += 1,
                 other => panic!("{other}"),
             }
         }
         let other = order(&site.hosts[0], &[("authorization", &token(OTHER_SECRET))]).await;
-        assert_eq!(other.expect("an answer").0.status, StatusCode::OK);
+        assert_eq!(other.expect("a response").0.status, StatusCode::OK);
     }
-    // The users' bound on the excess over the quota, and nine tenths of what it allows.
+    // Checks the users' bound on the excess over the quota, and that nine tenths of the allowed
+    // requests are served.
     let allowed = 20.0 * asks_for.as_secs_f64() + 20.0;
     assert!(refused > 0, "{served} served, none refused");
     assert!(f64::from(served) <= allowed * 1.1 + 20.0, "{served} served");
@@ -265,7 +270,7 @@
         known: bool,
         age_ms: Option<u64>,
         revocation_ms: Option<u64>,
-        verdict: KeyVerdict,
+        verdict: ApiKeyVerdict,
     }
     let strict = Some(5_000);
     let case = |known, age_ms, revocation_ms, verdict| Case {
@@ -275,18 +280,18 @@
         verdict,
     };
     let cases = [
-        case(true, Some(0), strict, KeyVerdict::Honoured),
-        case(true, Some(4_800), strict, KeyVerdict::Honoured),
-        case(true, Some(5_000), strict, KeyVerdict::Unverified),
-        case(true, None, strict, KeyVerdict::Unverified),
-        case(true, None, None, KeyVerdict::Honoured),
-        case(false, Some(1_000), strict, KeyVerdict::Unknown),
-        case(false, Some(1_000), None, KeyVerdict::Unknown),
-        case(false, Some(3_000), strict, KeyVerdict::Unverified),
-        case(false, None, None, KeyVerdict::Unverified),
+        case(true, Some(0), strict, ApiKeyVerdict::Accepted),
+        case(true, Some(4_800), strict, ApiKeyVerdict::Accepted),
+        case(true, Some(5_000), strict, ApiKeyVerdict::Unverified),
+        case(true, None, strict, ApiKeyVerdict::Unverified),
+        case(true, None, None, ApiKeyVerdict::Accepted),
+        case(false, Some(1_000), strict, ApiKeyVerdict::Unknown),
+        case(false, Some(1_000), None, ApiKeyVerdict::Unknown),
+        case(false, Some(3_000), strict, ApiKeyVerdict::Unverified),
+        case(false, None, None, ApiKeyVerdict::Unverified),
     ];
     for case in cases {
-        let limits = TrustLimits {
+        let limits = ApiKeyLimits {
             revocation_ms: case.revocation_ms,
             configuration_ms: 2_500,
         };
--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -62,8 +62,8 @@
 }
 
 #[tokio::test]
-async fn an_evacuated_zone_gets_nothing_past_its_bound_also_when_the_holder_is_lost() {
-    for holder_is_lost in [false, true] {
+async fn an_evacuated_zone_gets_nothing_past_its_bound_also_when_the_duty_holder_is_lost() {
+    for duty_holder_is_lost in [false, true] {
         let mut site = Site::start(3, 2).await;
         let second = start_second_zone(&site).await;
         eventually("the second zone holds keys", 6_000, async || {
@@ -72,16 +72,16 @@
         .await;
         let evacuated = Instant::now();
         site.store.put("op", "evacuate/a", &json!({}));
-        if holder_is_lost {
+        if duty_holder_is_lost {
             time::sleep(Duration::from_millis(300)).await;
-            let is_holder = |host: &Host| !host.events("duty_taken").is_empty();
-            let holder = site
+            let is_duty_holder = |host: &Host| !host.events("duty_taken").is_empty();
+            let duty_holder = site
                 .hosts
                 .iter()
-                .position(is_holder)
+                .position(is_duty_holder)
                 .expect("a host has the duty");
-            site.hosts[holder].kill();
-            site.hosts.remove(holder);
+            site.hosts[duty_holder].kill();
+            site.hosts.remove(duty_holder);
         }
         let since = |began: Instant| began.elapsed().as_millis() as u64;
         let mut number = 0;
@@ -90,10 +90,10 @@
             for host in &site.hosts {
                 number += 1;
                 send_order(host, number).await;
-                let answer = get(host, (number * 7_919 % 65_536) as u16).await;
+                let response = get(host, (number * 7_919 % 65_536) as u16).await;
                 if since(evacuated) > EVACUATION_MS {
                     served_late.0 += 1;
-                    served_late.1 += u32::from(answer.is_some_and(|status| status.is_success()));
+                    served_late.1 += u32::from(response.is_some_and(|status| status.is_success()));
                 }
             }
             time::sleep(Duration::from_millis(10)).await;
@@ -103,15 +103,15 @@
             let late = server.last_arrival().is_some_and(|at| at > bound);
             assert!(
                 !late,
-                "{} got a request after the bound; duty holder lost: {holder_is_lost}",
+                "{} got a request after the bound; duty holder lost: {duty_holder_is_lost}",
                 server.id
             );
         }
         // The other zone serves all keys.
-        let (asked, served) = served_late;
+        let (requests, served) = served_late;
         assert!(
-            served * 100 >= asked * 95,
-            "{served} of {asked} requests served"
+            served * 100 >= requests * 95,
+            "{served} of {requests} requests served"
         );
         assert_eq!(second[0].keys_held(), 1 << 16);
         site.store.remove("op", "evacuate/a");
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn a_cold_server_gets_no_more_than_it_bears_from_all_hosts_together() {
+async fn a_cold_server_gets_no_more_than_its_limit_from_all_hosts_together() {
     const COLD_MS: u64 = 4_000;
     let site = Site::start(4, 1).await;
     let mut bounded = configuration(2, &[]);
@@ -160,13 +160,13 @@
     assert!(most > 0, "the cold server gets requests");
     joining.write_cold_entry(&site.store, 0);
     // Sends more concurrent requests than the other server has slots. A quarter of them is more
-    // than a cold server gets in a second.
+    // than a cold server may get in a second.
     let mut burst = 0;
     eventually("the warm server is used", 3_000, async || {
         burst += 1;
         let before = joining.served();
-        let orders = (0..12).flat_map(|place| site.hosts.iter().map(move |host| (host, place)));
-        let sent = orders.map(|(host, place)| send_order(host, 1_000_000 + 100 * burst + place));
+        let orders = (0..12).flat_map(|index| site.hosts.iter().map(move |host| (host, index)));
+        let sent = orders.map(|(host, index)| send_order(host, 1_000_000 + 100 * burst + index));
         join_all(sent).await;
         joining.served() >= before + 12
     })
@@ -187,19 +187,19 @@
         server.delay_orders(2);
     }
     let began = Instant::now();
-    let (mut asked, mut served) = (0, 0);
+    let (mut requests, mut served) = (0, 0);
     while began.elapsed() < Duration::from_millis(8_000) {
         for host in &site.hosts {
-            asked += 1;
-            let answer = get(host, (asked * 7_919 % 65_536) as u16).await;
-            served += u32::from(answer.is_some_and(|status| status.is_success()));
+            requests += 1;
+            let response = get(host, (requests * 7_919 % 65_536) as u16).await;
+            served += u32::from(response.is_some_and(|status| status.is_success()));
         }
         time::sleep(Duration::from_millis(5)).await;
     }
     assert!(
-        served * 100 >= asked * 97,
-        "{served} of {asked} requests served"
+        served * 100 >= requests * 97,
+        "{served} of {requests} requests served"
     );
-    assert_eq!(moved(), before, "moves from live servers");
+    assert_eq!(moved(), before, "keys moved away from live servers");
     assert_eq!(site.record.violations(), Vec::<String>::new());
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -46,7 +46,7 @@
                     number += 1;
                     let path = format!("/w/s/key-{}", number % 500);
                     match caller.get(host, &path).await {
-                        Ok(answer) if answer.status == 200 => {
+                        Ok(response) if response.status == 200 => {
                             answered.fetch_add(1, Ordering::Relaxed);
                         }
                         other => failures.push(format!("{other:?}")),
@@ -67,7 +67,7 @@
         self.stop.store(true, Ordering::Relaxed);
         let mut failures = Vec::new();
         for task in self.tasks {
-            failures.extend(task.await.expect("a caller ends"));
+            failures.extend(task.await.expect("a caller stops"));
         }
         failures
     }
@@ -102,8 +102,8 @@
     let caller = Caller::default();
     let path = format!("/w/s/{}", owned[0]);
     loop {
-        let answer = caller.get(cluster.hosts[1].callers, &path).await;
-        if answer.is_ok_and(|answer| answer.status == 200) {
+        let response = caller.get(cluster.hosts[1].callers, &path).await;
+        if response.is_ok_and(|response| response.status == 200) {
             break;
         }
         assert!(
@@ -136,8 +136,8 @@
     cluster.servers[owner].process.kill();
     let caller = Caller::default();
     loop {
-        let answer = caller.get(cluster.hosts[other].callers, "/w/s/key-1").await;
-        if answer.is_ok_and(|answer| answer.status == 200) {
+        let response = caller.get(cluster.hosts[other].callers, "/w/s/key-1").await;
+        if response.is_ok_and(|response| response.status == 200) {
             break;
         }
         assert!(
@@ -151,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn a_server_frozen_past_its_lease_owns_nothing_when_it_goes_on() {
+async fn a_server_frozen_past_its_lease_owns_nothing_when_it_resumes() {
     let cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
     let load = Load::start(&addresses(&cluster));
@@ -232,12 +232,12 @@
     cluster.add_host();
     let caller = Caller::default();
     let refused = caller.get(cluster.hosts[2].callers, "/w/s/key-1").await;
-    let refused = refused.expect("an answer");
+    let refused = refused.expect("a response");
     assert_eq!(refused.outcome.as_deref(), Some("not-run"));
     cluster.platform_faults(platform::Faults::default()).await;
     cluster.settled().await;
     let answered = caller.get(cluster.hosts[2].callers, "/w/s/key-1").await;
-    assert_eq!(answered.expect("an answer").status, 200);
+    assert_eq!(answered.expect("a response").status, 200);
 }
 
 #[tokio::test]
@@ -257,8 +257,8 @@
     let caller = Caller::default();
     for number in 0..50 {
         let path = format!("/w/s/key-{number}");
-        let answer = caller.get(cluster.hosts[2].callers, &path).await;
-        assert_eq!(answer.expect("an answer").status, 200);
+        let response = caller.get(cluster.hosts[2].callers, &path).await;
+        assert_eq!(response.expect("a response").status, 200);
     }
     let failures = load.end().await;
     assert!(
@@ -288,9 +288,9 @@
                 if !ready.is_ok_and(|ready| ready.status == 200) {
                     break;
                 }
-                let answer = caller.get(leaving, &format!("/w/s/key-{number}")).await;
-                let answer = answer.expect("not cut");
-                assert_eq!(answer.status, 200, "{answer:?}");
+                let response = caller.get(leaving, &format!("/w/s/key-{number}")).await;
+                let response = response.expect("a whole response");
+                assert_eq!(response.status, 200, "{response:?}");
                 answered += 1;
             }
             answered
@@ -302,18 +302,18 @@
     assert_eq!(code, Some(0));
     stop.store(true, Ordering::Relaxed);
     for task in tasks {
-        assert!(task.await.expect("no request was cut") > 0);
+        assert!(task.await.expect("each request got a whole response") > 0);
     }
 }
 
 #[tokio::test]
-async fn a_server_that_wants_to_leave_gets_no_new_work_after_seconds() {
+async fn a_server_that_announces_its_leaving_gets_no_new_work_after_seconds() {
     let cluster = Cluster::start(3, 2, NO_FLAGS);
     cluster.declare("").await;
     let load = Load::start(&addresses(&cluster));
     let leaving = cluster.owner("key-1").await;
     let address = cluster.servers[leaving].address.to_string();
-    let asked = Instant::now();
+    let requested = Instant::now();
     let draining = ashroad::standin::backend::Faults {
         draining: true,
         ..Default::default()
@@ -325,7 +325,7 @@
             servers.any(|server| server.address == address && server.slots == 0)
         })
         .await;
-    let handed_over = asked.elapsed();
+    let handed_over = requested.elapsed();
     assert!(handed_over < Duration::from_secs(3), "{handed_over:?}");
     let failures = load.end().await;
     assert!(
@@ -338,7 +338,7 @@
 }
 
 #[tokio::test]
-async fn moves_go_on_while_answers_of_the_store_are_lost_and_the_leader_dies() {
+async fn moves_go_on_while_responses_of_the_store_are_lost_and_the_leader_dies() {
     let mut cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
     cluster
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -1,4 +1,4 @@
-//! Simulated host: the real decision code, with the timers of the real tasks around it.
+//! Simulated host, which runs the real decision code with the timers of the real tasks.
 
 use ashroad::{
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
@@ -162,7 +162,8 @@
         })
     }
 
-    /// Returns the order of a renewal, decided as in the real host.
+    /// Returns the order that renews a lease, if the host may send one. Decides this as the real
+    /// host does.
     fn order(&mut self, server: usize, clock_ms: u64, broken: BrokenRule) -> Option<LeaseRequest> {
         let key = ServerKey(server as u32);
         self.key()?;
@@ -265,11 +266,11 @@
                     self.reply(me, from, Message::Pong(pong));
                 }
             }
-            Message::Pong(answer) => {
+            Message::Pong(response) => {
                 let (applied, voters) = (host.state.revision, voters(&host.state));
                 if let Some(own) = host.own() {
                     host.freshness
-                        .record_heartbeat_reply(answer, applied, own, &voters);
+                        .record_heartbeat_reply(response, applied, own, &voters);
                 }
             }
             Message::LogRead { entries, sent_ms } => {
@@ -287,9 +288,9 @@
                 server,
                 ordered,
                 meant,
-                answer,
+                response,
             } => {
-                self.lease_answered(index, server, ordered, meant, &answer);
+                self.apply_lease_reply(index, server, ordered, meant, &response);
             }
             Message::Released { slots } => self.grant(index, &slots),
             Message::Granted { slots } => {
@@ -318,13 +319,13 @@
         }
     }
 
-    fn lease_answered(
+    fn apply_lease_reply(
         &mut self,
         index: usize,
         server: usize,
         ordered: bool,
         meant: Incarnation,
-        answer: &ashroad::ownership::message::LeaseResponse,
+        response: &ashroad::ownership::message::LeaseResponse,
     ) {
         let host = &mut self.hosts[index];
         let clock_ms = host.clock_ms(self.now_ms);
@@ -333,7 +334,7 @@
             return;
         };
         if entry.state == ServerState::Absent {
-            let incarnation = answer.incarnation;
+            let incarnation = response.incarnation;
             self.append(
                 index,
                 Change::ServerJoined {
@@ -346,8 +347,8 @@
         host.waiting[server] = None;
         let meant = if ordered { meant } else { entry.incarnation };
         let outcome =
-            host.renewal_states[server].answered(answer, meant, ordered, clock_ms, RENEW_MS);
-        if outcome == RenewalOutcome::Replaced && answer.incarnation != entry.incarnation {
+            host.renewal_states[server].answered(response, meant, ordered, clock_ms, RENEW_MS);
+        if outcome == RenewalOutcome::Replaced && response.incarnation != entry.incarnation {
             let lease_epoch = entry.lease_epoch;
             self.append(
                 index,
@@ -359,7 +360,7 @@
         }
     }
 
-    /// Appends a change that fits the state this host has applied, as one conditional write.
+    /// Appends a change as one conditional write, if it fits the state that this host has applied.
     fn append(&mut self, index: usize, change: Change) {
         let now_ms = self.now_ms;
         let host = &mut self.hosts[index];
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -39,11 +39,11 @@
     LeaseEpoch,
     /// Leases are declared lapsed without waiting.
     LapseWait,
-    /// The wait for a lapse ends when one host has reported.
+    /// The lapse of a lease is declared when one host has reported.
     Majority,
     /// Hosts renew leases however old their view is.
     Freshness,
-    /// The end of a lease is counted from the arrival of the order.
+    /// The duration of a lease is counted from the arrival of the order.
     ClockBound,
     /// A writer whose response was lost writes the same change again after the current head of the
     /// log.
@@ -87,7 +87,7 @@
         server: usize,
         ordered: bool,
         meant: Incarnation,
-        answer: LeaseResponse,
+        response: LeaseResponse,
     },
     Revoke {
         from: Requester,
@@ -420,8 +420,8 @@
         match envelope.to {
             Node::Store => self.store(envelope.message),
             Node::Server(server) => self.server(server, envelope.message),
-            // A connection to a host ends with its process, whereas an order to a server reaches
-            // any process at its address.
+            // A connection to a host closes when its process exits, whereas an order to a server
+            // reaches any process at its address.
             Node::Host(host) if envelope.incarnation == self.hosts[host].incarnation => {
                 self.host_receives(host, envelope.message);
             }
@@ -437,8 +437,8 @@
                 sent_ms,
             } => {
                 let entries = self.log[after.0 as usize..].to_vec();
-                let answer = Message::LogRead { entries, sent_ms };
-                self.reply(Node::Store, from, answer);
+                let response = Message::LogRead { entries, sent_ms };
+                self.reply(Node::Store, from, response);
             }
             Message::Append { from, mut entry } => {
                 let next = self.log.len() as u64 + 1;
@@ -474,13 +474,13 @@
                 from, mut order, ..
             } if order.incarnation.is_none() => {
                 order.grants.clear();
-                let answer = lease_answer(server, now, false);
-                self.answer_lease(index, from, &order, answer);
+                let response = lease_response(server, now, false);
+                self.reply_to_lease(index, from, &order, response);
             }
             Message::Lease { from, mut order } => {
                 let accepted = renew(server, &mut order, now, broken);
-                let answer = lease_answer(server, now, accepted);
-                self.answer_lease(index, from, &order, answer);
+                let response = lease_response(server, now, accepted);
+                self.reply_to_lease(index, from, &order, response);
             }
             Message::Grant {
                 from,
@@ -508,18 +508,18 @@
         }
     }
 
-    fn answer_lease(
+    fn reply_to_lease(
         &mut self,
         index: usize,
         to: Requester,
         order: &LeaseRequest,
-        answer: LeaseResponse,
+        response: LeaseResponse,
     ) {
         let message = Message::LeaseAnswered {
             server: index,
             ordered: order.incarnation.is_some(),
             meant: order.incarnation.unwrap_or_default(),
-            answer,
+            response,
         };
         self.reply(Node::Server(index), to, message);
     }
@@ -573,7 +573,7 @@
     server.grants.renew(order, now)
 }
 
-fn lease_answer(server: &Server, now: ClockReading, accepted: bool) -> LeaseResponse {
+fn lease_response(server: &Server, now: ClockReading, accepted: bool) -> LeaseResponse {
     LeaseResponse {
         incarnation: server.incarnation,
         clock_ms: now.clock_ms,
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -65,7 +65,7 @@
             lapsed_at_ms: Some(7_010),
         },
         LapseCase {
-            name: "half of the hosts are not enough",
+            name: "half of the voters are no majority",
             voters: &[0, 1, 2, 3],
             previous: &[],
             since_ms: 0,
@@ -115,7 +115,7 @@
     let mut renewal_state = RenewalState::default();
     let (period, process) = (LeaseEpoch(1), Incarnation(4));
     renewal_state.start_period(period, 1_000);
-    let answer = LeaseResponse {
+    let response = LeaseResponse {
         incarnation: process,
         clock_ms: 50,
         lease_epoch: period,
@@ -123,10 +123,10 @@
         draining: false,
         grants_digest: 0,
     };
-    renewal_state.answered(&answer, process, false, 1_000, 300);
+    renewal_state.answered(&response, process, false, 1_000, 300);
     assert_eq!(renewal_state.order(process, 1_010, 1_200), Some(50 + 1_210));
     assert_eq!(renewal_state.remaining_ms(period, 2_210, 100), 100);
-    // The remaining time must reach 0 on later queries, or the lease would never count as lapsed.
+    // The remaining time must reach 0 at a later query, or the lease would never count as lapsed.
     assert_eq!(renewal_state.remaining_ms(period, 2_310, 100), 0);
     assert_eq!(renewal_state.remaining_ms(LeaseEpoch(2), 1_010, 100), 0);
 }
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn the_removal_of_the_only_counted_host_is_not_settled_without_it() {
+fn the_removal_of_the_only_voter_is_not_settled_without_it() {
     let mut state = State::default();
     register(&mut state, 0, 1);
     register(&mut state, 1, 2);
@@ -225,7 +225,7 @@
     ];
     for case in cases {
         let mut freshness = Freshness::default();
-        let answer = HeartbeatReply {
+        let response = HeartbeatReply {
             host: HostKey(1),
             incarnation: Incarnation(1),
             sent_ms: 1_000,
@@ -233,7 +233,7 @@
             basis_age_ms: case.basis_age_ms,
         };
         let voters: Vec<Voter> = (0..case.voters).map(voter).collect();
-        freshness.record_heartbeat_reply(answer, Revision(5), voter(0), &voters);
+        freshness.record_heartbeat_reply(response, Revision(5), voter(0), &voters);
         assert_eq!(freshness.basis_ms(), case.basis_ms, "{}", case.name);
     }
 }
@@ -269,8 +269,8 @@
     let mut grants = Grants::default();
     assert!(grants.renew(&order(1, 1_000, &[3]), reading(0)));
     assert!(admits(&grants, 3, 999));
-    assert!(!admits(&grants, 3, 1_000), "the lease is over");
-    assert!(!admits(&grants, 2, 500), "an older epoch");
+    assert!(!admits(&grants, 3, 1_000), "the lease has expired");
+    assert!(!admits(&grants, 2, 500), "an older lease epoch");
     grants.revoke(&slot_grant(4), reading(500));
     assert!(!admits(&grants, 3, 500), "revoked");
     grants.renew(&order(1, 1_500, &[3]), reading(600));
--- a/tests/platform_link.rs
+++ b/tests/platform_link.rs
@@ -1,10 +1,10 @@
 //! Tests of calls to the store over an idle connection that was silently broken.
 //!
-//! Guards against a configuration that comes into force too late: 4.2 s after its acknowledgement
-//! at one host, where 4 s are allowed. The store had stopped responding to some hosts, which broke
-//! their connections silently. Later it rejected the calls of the duty holder, so that the hosts
-//! followed the store by their own feeds. A feed call that waits 3 s fails only after 4 s on a
-//! broken connection.
+//! Guards against a configuration that comes into force too late: at one host it did so 4.2 s after
+//! its acknowledgement, where 4 s are allowed. The store had stopped responding to some hosts,
+//! which broke their connections silently. Later it rejected the calls of the duty holder, so the
+//! hosts followed the store by their own feeds. On a broken connection, a feed call that waits 3 s
+//! fails only after 4 s.
 
 use std::{
     io::{Read, Write},
@@ -25,7 +25,7 @@
 const PROMPT_MAX: Duration = Duration::from_millis(1_000);
 
 /// Responds to `calls` requests on a connection and then keeps it open without responding.
-fn answer(mut stream: TcpStream, calls: usize) {
+fn respond(mut stream: TcpStream, calls: usize) {
     for _ in 0..calls {
         let mut head = Vec::new();
         let mut byte = [0];
@@ -36,7 +36,7 @@
             head.push(byte[0]);
         }
         let sent = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
-        sent.expect("an answer");
+        sent.expect("a response");
     }
     thread::sleep(Duration::from_secs(20));
 }
@@ -48,7 +48,7 @@
     thread::spawn(move || {
         for calls in calls {
             let (stream, _) = listener.accept().expect("a connection");
-            thread::spawn(move || answer(stream, *calls));
+            thread::spawn(move || respond(stream, *calls));
         }
     });
     Link::new(address)
@@ -58,8 +58,8 @@
     let request = Request::get("/")
         .header("host", "store")
         .body(Full::new(Bytes::new()));
-    let answer = link.call(request.expect("a request"), TIMEOUT_MS).await;
-    answer.expect("an answer").status
+    let respond = link.call(request.expect("a request"), TIMEOUT_MS).await;
+    respond.expect("a response").status
 }
 
 #[tokio::test]
--- a/tests/platform_standin/caller.rs
+++ b/tests/platform_standin/caller.rs
@@ -12,18 +12,17 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpSocket, time};
 
-/// Time that a process may wait for a processor on a busy machine. Hosts must answer by the
-/// deadline itself, which `answers_come_by_the_deadline` tests.
+/// Time after the deadline for which a caller still waits, since a process may wait for a processor
+/// on a busy machine. The test `answers_come_by_the_deadline` checks that hosts respond by the
+/// deadline itself.
 const SCHEDULING_ALLOWANCE_MS: u64 = 10_000;
 
 /// Response of a host, with its complete body.
 #[derive(Debug)]
-pub struct Answer {
-    /// Status code.
+pub struct CallerResponse {
     pub status: StatusCode,
     /// All headers of the response.
     pub headers: HeaderMap,
-    /// Complete body.
     pub body: Bytes,
 }
 
@@ -68,8 +67,9 @@
         Some(Self { sender })
     }
 
-    /// Sends a request; `None` if the connection closes without a response or none arrives in time.
-    pub async fn ask(&mut self, ask: TestRequest<'_>) -> Option<Answer> {
+    /// Sends a request and returns the response; `None` if the connection closes first or no
+    /// response arrives in time.
+    pub async fn ask(&mut self, ask: TestRequest<'_>) -> Option<CallerResponse> {
         self.ask_with_headers(ask, &[]).await
     }
 
@@ -78,7 +78,7 @@
         &mut self,
         ask: TestRequest<'_>,
         more: &[(&str, &str)],
-    ) -> Option<Answer> {
+    ) -> Option<CallerResponse> {
         let mut request = Request::builder()
             .method(ask.method)
             .uri(ask.path)
@@ -98,7 +98,7 @@
             let response = self.sender.send_request(request.expect("request")).await;
             let (head, body) = response.ok()?.into_parts();
             let body = body.collect().await.ok()?.to_bytes();
-            Some(Answer {
+            Some(CallerResponse {
                 status: head.status,
                 headers: head.headers,
                 body,
@@ -110,6 +110,6 @@
 }
 
 /// Sends one request on a new connection.
-pub async fn ask_once(address: SocketAddr, ask: TestRequest<'_>) -> Option<Answer> {
+pub async fn ask_once(address: SocketAddr, ask: TestRequest<'_>) -> Option<CallerResponse> {
     Caller::connect(address).await?.ask(ask).await
 }
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -31,7 +31,8 @@
 pub const HOSTS: usize = 3;
 /// Usual number of servers of each service.
 pub const SERVERS: usize = 3;
-/// Lets one test run its cases at a time; all together would start over a hundred processes.
+/// Lock that a test holds while it runs its cases, since all tests together would start over a
+/// hundred processes.
 static RUN_LOCK: Mutex<()> = Mutex::const_new(());
 
 /// Fault or event in addition to the one that a test is about.
@@ -233,17 +234,20 @@
 ) where
     F: Future<Output = Result<(), String>> + 'static,
 {
-    let _turn = RUN_LOCK.lock().await;
+    let _guard = RUN_LOCK.lock().await;
     let mut running = JoinSet::new();
     let local = LocalSet::new();
     for (disturbance, workload) in cases {
-        let played = run_case(disturbance, workload);
-        running.spawn_local_on(async move { (disturbance, workload, played.await) }, &local);
+        let task_result = run_case(disturbance, workload);
+        running.spawn_local_on(
+            async move { (disturbance, workload, task_result.await) },
+            &local,
+        );
     }
     let mut failed = Vec::new();
     let all = async {
-        while let Some(played) = running.join_next().await {
-            let (disturbance, workload, outcome) = played.expect("the case does not panic");
+        while let Some(task_result) = running.join_next().await {
+            let (disturbance, workload, outcome) = task_result.expect("the case does not panic");
             if let Err(problem) = outcome {
                 failed.push(format!("{workload:?}, {disturbance:?}: {problem}"));
             }
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -37,7 +37,7 @@
 pub const LARGE_BYTES: usize = 2_000_000;
 /// Time from the beginning of a crashing request to the crash of its server.
 const CRASH_DELAY_MS: u64 = 40;
-/// Delay after which an unanswered order is carried out.
+/// Delay after which an order that gets no response is carried out.
 const LATE_ORDER_MS: u64 = 2_000;
 
 /// Record of the runs at all servers of a test. It checks that each key has a single owner.
@@ -53,7 +53,7 @@
     crash_triggers: Mutex<CrashTriggers>,
     /// Headers of the requests that ran, by request id.
     heads: Mutex<HashMap<String, HeaderMap>>,
-    /// Time until which ownership is not checked; `None` checks it.
+    /// Time until which ownership is not checked; `None` if it is checked.
     ownership_unchecked_until: Mutex<Option<Instant>>,
 }
 
@@ -75,7 +75,7 @@
         self.set_crash_paths(path.into_iter().collect());
     }
 
-    /// Does the same for several paths.
+    /// Makes requests for any of these paths crash each crashable server that begins to run them.
     pub fn set_crash_paths(&self, paths: Vec<&'static str>) {
         lock(&self.crash_triggers).paths = paths;
     }
@@ -100,12 +100,10 @@
         triggers_crash
     }
 
-    /// Returns the descriptions of violated invariants.
     pub fn violations(&self) -> Vec<String> {
         lock(&self.violations).clone()
     }
 
-    /// Records a violated invariant.
     pub fn report_violation(&self, text: String) {
         lock(&self.violations).push(text);
     }
@@ -184,13 +182,11 @@
 /// Keys that one server holds.
 #[derive(Debug)]
 pub struct Holdings {
-    /// Identifier of the server.
     id: String,
     /// Service that the server belongs to.
     service: String,
     /// False once the server has crashed, so that it holds no keys.
     up: AtomicBool,
-    /// State of each key.
     keys: Mutex<Vec<KeyState>>,
 }
 
@@ -219,7 +215,6 @@
 struct State {
     holdings: Arc<Holdings>,
     record: Arc<RunRecord>,
-    /// Availability zone of the server.
     zone: String,
     /// True if the server runs only requests for keys that it holds.
     sharded: bool,
@@ -229,11 +224,11 @@
     work_ms: AtomicU64,
     /// Number of requests that run.
     running: AtomicU64,
-    /// True if the server answers nothing.
+    /// True if the server responds to no request.
     silent: AtomicBool,
     /// One in this many responses is lost; 0 for none.
-    lose_answer_every: AtomicU64,
-    /// One in this many orders is carried out late and not answered; 0 for none.
+    lose_response_every: AtomicU64,
+    /// One in this many orders is carried out late and gets no response; 0 for none.
     late_order_every: AtomicU64,
     /// Number of orders so far.
     orders: AtomicU64,
@@ -247,7 +242,7 @@
     rate_limit: Mutex<Option<String>>,
     /// Requests that arrived, accepted or rejected.
     received_requests: Mutex<Vec<ReceivedRequest>>,
-    /// Number of requests that ran to their end.
+    /// Number of completed requests.
     served: AtomicU64,
     /// Runtime of a crashable server. Its shutdown closes all sockets at once, as the exit of a
     /// process does.
@@ -268,9 +263,7 @@
 /// Properties of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerKind<'a> {
-    /// Name of the service.
     pub service: &'a str,
-    /// Availability zone of the server.
     pub zone: &'a str,
     /// True if it runs only requests for keys that it holds.
     pub sharded: bool,
@@ -331,7 +324,7 @@
             work_ms: AtomicU64::new(kind.work_ms),
             running: AtomicU64::new(0),
             silent: AtomicBool::new(false),
-            lose_answer_every: AtomicU64::new(0),
+            lose_response_every: AtomicU64::new(0),
             late_order_every: AtomicU64::new(0),
             orders: AtomicU64::new(0),
             arrivals: Mutex::default(),
@@ -401,7 +394,6 @@
         *lock(&self.state.rate_limit) = rate.map(str::to_owned);
     }
 
-    /// Sets the run time of a request.
     pub fn set_work_ms(&self, work_ms: u64) {
         self.state.work_ms.store(work_ms, Ordering::Relaxed);
     }
@@ -462,14 +454,16 @@
         store.put("servers", id, &entry);
     }
 
-    /// Makes the server stop answering, or answer again. It keeps its keys.
+    /// Makes the server stop or resume responding. It keeps its keys.
     pub fn set_silent(&self, silent: bool) {
         self.state.silent.store(silent, Ordering::Relaxed);
     }
 
     /// Loses one in `every` responses; 0 for none.
-    pub fn lose_answers(&self, every: u64) {
-        self.state.lose_answer_every.store(every, Ordering::Relaxed);
+    pub fn lose_responses(&self, every: u64) {
+        self.state
+            .lose_response_every
+            .store(every, Ordering::Relaxed);
     }
 
     /// Makes the server hold all keys, as if an earlier duty holder had granted them.
@@ -489,7 +483,7 @@
         !self.state.holdings.up.load(Ordering::Relaxed)
     }
 
-    /// Returns the number of requests that ran to their end.
+    /// Returns the number of completed requests.
     pub fn served(&self) -> u64 {
         self.state.served.load(Ordering::Relaxed)
     }
@@ -584,7 +578,8 @@
                 state.until = Some(until);
             }
         }
-        // Only the ends of the range are checked; a check of each key would take too long.
+        // Only the first and the last key of the range are checked; a check of each key would take
+        // too long.
         if let (Some(first), Some(last)) = (taken.first(), taken.last()) {
             self.record.take(*first, fence, &self.holdings);
             self.record.take(*last, fence, &self.holdings);
@@ -644,7 +639,7 @@
         drop(running);
         drop(permit);
         let served = self.served.fetch_add(1, Ordering::Relaxed) + 1;
-        let every = self.lose_answer_every.load(Ordering::Relaxed);
+        let every = self.lose_response_every.load(Ordering::Relaxed);
         if every > 0 && served.is_multiple_of(every) {
             return std::future::pending().await;
         }
@@ -701,7 +696,7 @@
     }
 }
 
-/// Guard of a running request, which counts until the drop.
+/// Guard that counts a request as running until dropped.
 struct Running<'a>(&'a AtomicU64);
 
 impl Drop for Running<'_> {
--- a/tests/platform_standin/site.rs
+++ b/tests/platform_standin/site.rs
@@ -16,14 +16,14 @@
     store::Store,
 };
 
-/// Sharded service. Its route is `/keyed/`, of repeatable requests.
+/// Sharded service. Its route `/keyed/` has repeatable requests.
 pub const KEYED: ServerKind<'static> = ServerKind {
     service: "keyed",
     zone: "a",
     sharded: true,
     work_ms: 5,
 };
-/// Service without keys. Its route is `/orders/`, of unrepeatable requests.
+/// Service without keys. Its route `/orders/` has unrepeatable requests.
 pub const ORDERS: ServerKind<'static> = ServerKind {
     service: "orders",
     zone: "a",
@@ -42,7 +42,6 @@
     pub keyed: Vec<Server>,
     /// Servers of the service without keys.
     pub orders: Vec<Server>,
-    /// Entry hosts.
     pub hosts: Vec<Host>,
 }
 
@@ -132,7 +131,7 @@
     };
     ask_once(host.callers, ask)
         .await
-        .map(|answer| answer.status)
+        .map(|response| response.status)
 }
 
 /// Waits until a condition holds; fails the test if it does not within `limit_ms`.
--- a/tests/platform_standin/traffic.rs
+++ b/tests/platform_standin/traffic.rs
@@ -13,7 +13,7 @@
 use http::StatusCode;
 use tokio::time;
 
-use super::caller::{Answer, Caller, TestRequest};
+use super::caller::{Caller, CallerResponse, TestRequest};
 
 /// Pause between two requests of one caller.
 const PAUSE: Duration = Duration::from_millis(15);
@@ -41,7 +41,7 @@
     /// Status of the response; `None` if none arrived.
     pub status: Option<StatusCode>,
     /// Time at which the response arrived or the connection closed.
-    pub answered: Instant,
+    pub response_arrived: Instant,
     /// True if the response announces that its server leaves.
     pub announces_leaving: bool,
     /// True if the response advertises a rate limit.
@@ -119,7 +119,7 @@
         Workload::Orders => ("POST", "/orders/new", None),
     };
     let at = Instant::now();
-    let answer = caller
+    let response = caller
         .ask(TestRequest {
             method,
             path,
@@ -128,15 +128,17 @@
             deadline_ms: DEADLINE_MS,
         })
         .await;
-    let announces_leaving = |answer: &Answer| answer.headers.contains_key("server-leaving");
-    let advertises_limit = |answer: &Answer| answer.headers.contains_key("server-limit");
+    let announces_leaving =
+        |response: &CallerResponse| response.headers.contains_key("server-leaving");
+    let advertises_limit =
+        |response: &CallerResponse| response.headers.contains_key("server-limit");
     let sent = Sent {
         host,
         at,
-        status: answer.as_ref().map(|answer| answer.status),
-        answered: Instant::now(),
-        announces_leaving: answer.as_ref().is_some_and(announces_leaving),
-        advertises_limit: answer.as_ref().is_some_and(advertises_limit),
+        status: response.as_ref().map(|response| response.status),
+        response_arrived: Instant::now(),
+        announces_leaving: response.as_ref().is_some_and(announces_leaving),
+        advertises_limit: response.as_ref().is_some_and(advertises_limit),
     };
     (id, sent)
 }
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -1,5 +1,6 @@
-//! Hosts that share the rate limit of a server, simulated in virtual time with the decision code:
-//! the requests that the server gets in every window, and the part of the limit left unused.
+//! Simulates hosts that share the rate limit of a server, in virtual time with the real decision
+//! code. Checks the requests that the server gets in every window, and the share of the limit that
+//! is used.
 
 use std::{
     collections::VecDeque,
@@ -9,7 +10,7 @@
 use ashroad::entry::decide::{
     rate_limit::{AdvertisedLimit, RateLimit},
     rate_meter::RateMeter,
-    rate_shares::{self, Asked, AskedByHost, AskedRates, Bucket},
+    rate_shares::{self, Bucket, DemandByHost, DemandRates, ServerDemand},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -17,16 +18,16 @@
 const ANNOUNCE_EVERY_MS: u64 = 150;
 /// Time from a report until it is part of the sums that all hosts know.
 const ANNOUNCE_DELAY_MS: u64 = 100;
-/// Time after the first advertisement of a limit from which the bound applies.
+/// Contact grace period: the bound applies from this time after the first advertisement of a limit.
 const CONTACT_MS: u64 = 3_000;
 /// Length of the windows in which requests are counted.
 const WINDOW_MS: u64 = 4_000;
-/// The users' bound: this multiple of the limit, and a constant.
+/// The users' bound on the requests in a window: this multiple of the limit, plus [`SLACK`].
 const EXCESS: f64 = 1.5;
 const SLACK: f64 = 5.0;
-/// Length of a simulation.
+/// Simulated time of each case.
 const SIMULATED_MS: u64 = 24_000;
-/// Share of the limit that must be used while callers send twice as much.
+/// Least share of the limit that must be used while callers send twice as much.
 const USED_MIN: f64 = 0.8;
 /// Number of seeds for each case.
 const SEEDS: u64 = 40;
@@ -34,7 +35,7 @@
 /// A simulated host.
 #[derive(Default)]
 struct Host {
-    asked: Asked,
+    demand: ServerDemand,
     bucket: Bucket,
     is_isolated: bool,
 }
@@ -45,7 +46,7 @@
     hosts: usize,
     limit_per_s: f64,
     /// Requests a second of all callers in the first and in the second half of the simulation.
-    asked_per_s: (f64, f64),
+    demand_per_s: (f64, f64),
     /// Share of the callers that use the first host.
     first_share: f64,
     /// True if these callers use the second host in the second half of the simulation.
@@ -62,7 +63,7 @@
     name: "three hosts",
     hosts: 3,
     limit_per_s: 10.0,
-    asked_per_s: (40.0, 40.0),
+    demand_per_s: (40.0, 40.0),
     first_share: 0.0,
     moves: false,
     isolated: 0,
@@ -73,49 +74,52 @@
 /// Returns the times at which the server got requests.
 fn simulate(case: Case, seed: u64) -> Vec<u64> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let host = |place| Host {
-        is_isolated: place < case.isolated,
+    let host = |index| Host {
+        is_isolated: index < case.isolated,
         ..Host::default()
     };
     let mut hosts: Vec<Host> = (0..case.hosts).map(host).collect();
-    let mut sums = AskedByHost::default();
-    let mut told: VecDeque<(u64, AskedRates)> = VecDeque::new();
+    let mut sums = DemandByHost::default();
+    let mut announcements: VecDeque<(u64, DemandRates)> = VecDeque::new();
     let mut sent = Vec::new();
     for now_ms in 1_000..1_000 + SIMULATED_MS {
         let is_late = now_ms >= 1_000 + SIMULATED_MS / 2;
         let per_s = if is_late {
-            case.asked_per_s.1
+            case.demand_per_s.1
         } else {
-            case.asked_per_s.0
+            case.demand_per_s.0
         };
-        let favoured = usize::from(case.moves && is_late);
+        let preferred_host = usize::from(case.moves && is_late);
         if rng.random::<f64>() < per_s / 1_000.0 {
-            let place = if rng.random::<f64>() < case.first_share {
-                favoured
+            let index = if rng.random::<f64>() < case.first_share {
+                preferred_host
             } else {
                 rng.random_range(0..case.hosts)
             };
-            if is_sent_by(&mut hosts[place], case, now_ms, &mut rng) {
+            if is_sent_by(&mut hosts[index], case, now_ms, &mut rng) {
                 sent.push(now_ms);
             }
         }
         if now_ms.is_multiple_of(ANNOUNCE_EVERY_MS) {
-            for (place, host) in hosts
+            for (index, host) in hosts
                 .iter_mut()
                 .enumerate()
                 .filter(|(_, host)| !host.is_isolated)
             {
-                let address = SocketAddr::from((Ipv4Addr::from(place as u32), 1));
-                let own = host.asked.report(now_ms);
+                let address = SocketAddr::from((Ipv4Addr::from(index as u32), 1));
+                let own = host.demand.report(now_ms);
                 sums.note(1, address, own, now_ms);
             }
             let sum = sums.sum(1, now_ms);
-            told.push_back((now_ms + ANNOUNCE_DELAY_MS, sum));
+            announcements.push_back((now_ms + ANNOUNCE_DELAY_MS, sum));
         }
-        while told.front().is_some_and(|(at_ms, _)| *at_ms <= now_ms) {
-            let (_, sum) = told.pop_front().expect("a sum");
-            let hearing = hosts.iter_mut().filter(|host| !host.is_isolated);
-            hearing.for_each(|host| host.asked.note_sum(sum, now_ms));
+        while announcements
+            .front()
+            .is_some_and(|(at_ms, _)| *at_ms <= now_ms)
+        {
+            let (_, sum) = announcements.pop_front().expect("a sum");
+            let connected = hosts.iter_mut().filter(|host| !host.is_isolated);
+            connected.for_each(|host| host.demand.note_sum(sum, now_ms));
         }
     }
     sent
@@ -124,10 +128,10 @@
 /// Returns true if the host sends a request of one of its callers.
 fn is_sent_by(host: &mut Host, case: Case, now_ms: u64, rng: &mut StdRng) -> bool {
     let is_urgent = rng.random::<f64>() < case.urgent;
-    host.asked.note(is_urgent, now_ms);
+    host.demand.note(is_urgent, now_ms);
     let counted = (case.hosts as f64 * case.counted) as usize;
     let rate_share = host
-        .asked
+        .demand
         .rate_share(case.limit_per_s, counted, is_urgent, now_ms);
     let is_admitted = rate_shares::is_admitted(rng.random(), 0.0, rate_share.admit_probability);
     let is_sent = is_admitted && host.bucket.has_token(rate_share.bucket_per_s, now_ms);
@@ -137,7 +141,7 @@
     is_sent
 }
 
-/// Returns the largest number of requests in a window, from the contact time on.
+/// Returns the largest number of requests in a window after the contact grace period.
 fn most_in_a_window(sent: &[u64]) -> usize {
     let counted: Vec<u64> = sent
         .iter()
@@ -173,24 +177,24 @@
         Case {
             name: "twice the limit is requested",
             hosts: 8,
-            asked_per_s: (20.0, 20.0),
+            demand_per_s: (20.0, 20.0),
             ..CASE
         },
         Case {
-            name: "one host has half",
+            name: "one host has half of the requests",
             hosts: 12,
             first_share: 0.5,
             ..CASE
         },
         Case {
-            name: "the half moves to another host",
+            name: "half of the requests move to another host",
             hosts: 12,
             first_share: 0.5,
             moves: true,
             ..CASE
         },
         Case {
-            name: "the half moves to another host, among 300",
+            name: "half of the requests move to another host, among 300",
             hosts: 300,
             first_share: 0.5,
             moves: true,
@@ -209,7 +213,7 @@
             ..CASE
         },
         Case {
-            name: "all are urgent, among 300",
+            name: "all requests are urgent, among 300 hosts",
             hosts: 300,
             urgent: 1.0,
             ..CASE
@@ -227,28 +231,28 @@
             ..CASE
         },
         Case {
-            name: "a limit of 0.5 among 300",
+            name: "a limit of 0.5 among 300 hosts",
             hosts: 300,
             limit_per_s: 0.5,
             ..CASE
         },
         Case {
-            name: "a high limit among 300",
+            name: "a high limit among 300 hosts",
             hosts: 300,
             limit_per_s: 60.0,
-            asked_per_s: (200.0, 200.0),
+            demand_per_s: (200.0, 200.0),
             ..CASE
         },
         Case {
             name: "a surge",
             hosts: 8,
-            asked_per_s: (20.0, 100.0),
+            demand_per_s: (20.0, 100.0),
             ..CASE
         },
         Case {
-            name: "a surge among 300",
+            name: "a surge among 300 hosts",
             hosts: 300,
-            asked_per_s: (20.0, 60.0),
+            demand_per_s: (20.0, 60.0),
             ..CASE
         },
         Case {
@@ -271,7 +275,7 @@
             ..CASE
         },
         Case {
-            name: "the host with half is isolated",
+            name: "the host with half of the requests is isolated",
             hosts: 12,
             first_share: 0.5,
             isolated: 1,
@@ -305,7 +309,7 @@
     for hosts in [3, 12, 300] {
         let case = Case {
             hosts,
-            asked_per_s: (4.5, 4.5),
+            demand_per_s: (4.5, 4.5),
             ..CASE
         };
         let sent: usize = (0..SEEDS).map(|seed| simulate(case, seed).len()).sum();
@@ -318,14 +322,14 @@
 }
 
 #[test]
-fn a_surge_from_below_the_rate_is_held() {
-    // The buckets are full at that time. Among hundreds of hosts the admission probability must
-    // limit the surge.
+fn a_surge_from_below_the_limit_stays_within_the_bound() {
+    // The token buckets are full when the surge begins. Among hundreds of hosts the admission
+    // probability must limit the surge.
     for (hosts, surge_per_s) in [(3, 200.0), (8, 100.0), (12, 60.0), (300, 30.0)] {
         for seed in 0..SEEDS {
             let case = Case {
                 hosts,
-                asked_per_s: (5.0, surge_per_s),
+                demand_per_s: (5.0, surge_per_s),
                 ..CASE
             };
             let most = most_in_a_window(&simulate(case, seed));
@@ -339,13 +343,13 @@
 }
 
 #[test]
-fn the_latest_limit_counts_and_silence_does_not_end_it() {
-    let word = |per_s, at_ms| AdvertisedLimit { per_s, at_ms };
+fn the_latest_limit_applies_until_it_is_withdrawn() {
+    let advertised = |per_s, at_ms| AdvertisedLimit { per_s, at_ms };
     let mut limit = RateLimit::default();
-    limit.note(word(None, 1_000));
+    limit.note(advertised(None, 1_000));
     assert_eq!((limit.per_s(), limit.should_announce(1_000)), (None, false));
-    limit.note(word(Some(8.0), 2_000));
-    limit.note(word(None, 1_500));
+    limit.note(advertised(Some(8.0), 2_000));
+    limit.note(advertised(None, 1_500));
     assert_eq!(
         limit.per_s(),
         Some(8.0),
@@ -360,24 +364,24 @@
     );
     assert_eq!(limit.per_s(), Some(8.0), "but hosts keep to the limit");
     assert_eq!(limit.shared_per_s(23_000), Some(8.0));
-    limit.note(word(None, 24_000));
+    limit.note(advertised(None, 24_000));
     assert_eq!(limit.per_s(), None);
     assert_eq!(limit.planned_per_s(24_000), None);
     assert!(limit.take_change());
     assert!(
         limit.should_announce(28_999),
-        "the end of the limit is announced"
+        "the withdrawal of the limit is announced"
     );
     assert!(!limit.should_announce(29_000));
     assert_eq!(limit.own(), None, "all advertisements went to other hosts");
-    limit.note_own(word(Some(3.0), 25_000));
+    limit.note_own(advertised(Some(3.0), 25_000));
     assert_eq!(limit.own(), limit.latest());
 }
 
-/// Guards against a limit that never ends at other hosts: a server that gets few requests seldom
-/// advertises its limit, so the end may come long after the last advertisement.
+/// Guards against other hosts that keep to a limit forever. A server that gets few requests seldom
+/// advertises its limit, so the withdrawal may come long after the last advertisement.
 #[test]
-fn the_end_of_a_limit_is_announced_however_long_ago_it_was_advertised() {
+fn the_withdrawal_of_a_limit_is_announced_however_long_ago_it_was_advertised() {
     const ENDED_MS: u64 = 20_000;
     for tells in [RateLimit::note_own, RateLimit::note] {
         let mut limit = RateLimit::default();
@@ -394,17 +398,17 @@
         );
         assert!(
             limit.should_announce(ENDED_MS + 1_000),
-            "the end is not announced"
+            "the withdrawal is not announced"
         );
         assert!(
             !limit.should_announce(ENDED_MS + 10_000),
-            "the end is announced forever"
+            "the withdrawal is announced forever"
         );
     }
 }
 
 #[test]
-fn a_meter_tells_the_rate_of_the_last_seconds() {
+fn a_meter_measures_the_rate_of_the_last_seconds() {
     let mut meter = RateMeter::default();
     assert_eq!(meter.per_s(1_000), 0.0);
     for step in 0..400 {
@@ -415,21 +419,21 @@
 }
 
 #[test]
-fn urgent_requests_come_first_and_the_others_keep_a_part() {
+fn urgent_requests_come_first_and_the_others_keep_a_share() {
     struct Served {
         urgent_per_s: f64,
         non_urgent_per_s: f64,
     }
     // Urgent and other requests a second that are sent to a server with a limit of ten.
     let served = |urgent_per_s: f64, non_urgent_per_s: f64| {
-        let mut asked = Asked::default();
-        let sum = AskedRates {
+        let mut demand = ServerDemand::default();
+        let sum = DemandRates {
             all_per_s: urgent_per_s + non_urgent_per_s,
             urgent_per_s,
         };
-        asked.note_sum(sum, 1_000);
+        demand.note_sum(sum, 1_000);
         let admit_probability = |is_urgent| {
-            asked
+            demand
                 .rate_share(10.0, 8, is_urgent, 1_000)
                 .admit_probability
                 .min(1.0)
@@ -440,7 +444,7 @@
         }
     };
     let few = served(4.0, 30.0);
-    assert!((few.urgent_per_s - 4.0).abs() < 0.01, "all of them");
+    assert!((few.urgent_per_s - 4.0).abs() < 0.01, "all urgent requests");
     assert!(few.non_urgent_per_s > 4.0);
     let many = served(40.0, 30.0);
     assert!(many.urgent_per_s > 6.0 && many.non_urgent_per_s > 2.0);
@@ -454,7 +458,7 @@
 }
 
 #[test]
-fn a_server_that_takes_nothing_is_tried_now_and_then() {
+fn a_server_with_a_limit_of_zero_still_gets_a_request_now_and_then() {
     let mut limit = RateLimit::default();
     limit.note(AdvertisedLimit {
         per_s: Some(0.0),
