--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -2,8 +2,9 @@
 //! signals, and faults of servers and of the store. Invariants are checked as callers and servers
 //! observe them. Seeds that failed are kept as cases in [`REGRESSIONS`].
 //!
-//! By hand: `ASHROAD_SOAK_SEEDS=50 cargo test --release --test soak -- --nocapture`. The first seed
-//! is `ASHROAD_SOAK_FIRST`, and each seed runs for `ASHROAD_SOAK_SECONDS`.
+//! A longer run: `ASHROAD_SOAK_SEEDS=50 cargo test --release --test soak -- --nocapture`.
+//! `ASHROAD_SOAK_FIRST` is the first seed, and `ASHROAD_SOAK_SECONDS` the time that each seed runs
+//! for.
 
 mod platform_standin;
 
@@ -78,7 +79,7 @@
         let violations = run(seed, seconds, tally.clone()).await;
         let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         println!(
-            "seed {seed}: {} asked, {} served, {} refused, {} unknown, faults {:?}, {} violations",
+            "seed {seed}: {} sent, {} served, {} refused, {} unknown, faults {:?}, {} violations",
             load(&tally.asked),
             load(&tally.served),
             load(&tally.refused),
@@ -176,7 +177,7 @@
                 let faults = Faults {
                     silent: self.rng.random_bool(0.2),
                     refusing: self.rng.random_bool(0.2),
-                    lose_answer_every: self.rng.random_range(0..4),
+                    lose_response_every: self.rng.random_range(0..4),
                     part_writes_every_ms: 0,
                     slow_ms: self.rng.random_range(0..120),
                     slow_reads_ms: self.rng.random_range(0..120),
@@ -197,7 +198,7 @@
         }
         // Restarts hosts whose process has exited, as the platform does.
         for host in 0..HOSTS {
-            if self.stopped[host].is_none() && self.site.hosts[host].ended() {
+            if self.stopped[host].is_none() && self.site.hosts[host].has_exited() {
                 self.site.hosts[host].restart();
             }
         }
@@ -208,7 +209,7 @@
             self.resume(host).await;
             return;
         }
-        if !self.site.hosts[host].ended() {
+        if !self.site.hosts[host].has_exited() {
             self.site.hosts[host].signal("STOP");
             self.stopped[host] = Some(Instant::now());
             self.count("pause");
@@ -232,7 +233,7 @@
         match self.rng.random_range(0..4) {
             0 => server.set_silent(true),
             1 => server.set_silent(false),
-            2 => server.lose_answers(self.rng.random_range(0..5)),
+            2 => server.lose_responses(self.rng.random_range(0..5)),
             _ => server.write_entry(&self.site.store, "draining"),
         }
         self.count("server");
@@ -257,18 +258,18 @@
         for host in 0..HOSTS {
             self.proxies[host].set(Mode::Pass);
             self.resume(host).await;
-            if self.site.hosts[host].ended() {
+            if self.site.hosts[host].has_exited() {
                 self.site.hosts[host].restart();
             }
         }
         for server in self.site.keyed.iter().chain(&self.site.orders) {
             server.set_silent(false);
-            server.lose_answers(0);
+            server.lose_responses(0);
         }
         // Waits for hosts that got SIGTERM shortly before the end, and restarts them.
         time::sleep(Duration::from_millis(6_200)).await;
         for host in &mut self.site.hosts {
-            if host.ended() {
+            if host.has_exited() {
                 host.restart();
             }
         }
@@ -304,14 +305,14 @@
             deadline_ms: 600,
         };
         tally.asked.fetch_add(1, Ordering::Relaxed);
-        let answer = caller.ask(ask).await;
-        let closes = answer
+        let response = caller.ask(ask).await;
+        let closes = response
             .as_ref()
             .is_none_or(|a| a.headers.contains_key("connection"));
         if closes {
             connection = None;
         }
-        check_response(&record, &tally, ask, answer.map(|a| (a.status, a.body)));
+        check_response(&record, &tally, ask, response.map(|a| (a.status, a.body)));
         time::sleep(Duration::from_millis(rng.random_range(5..40))).await;
     }
 }
@@ -321,14 +322,14 @@
     record: &RunRecord,
     tally: &Tally,
     ask: TestRequest<'_>,
-    answer: Option<(StatusCode, bytes::Bytes)>,
+    response: Option<(StatusCode, bytes::Bytes)>,
 ) {
     let unrepeatable = ask.method == "POST";
     let runs = record.runs(ask.id);
     if unrepeatable && runs > 1 {
         record.report_violation(format!("{} ran {runs} times", ask.id));
     }
-    let Some((status, body)) = answer else {
+    let Some((status, body)) = response else {
         tally.unknown.fetch_add(1, Ordering::Relaxed);
         return;
     };
@@ -337,7 +338,7 @@
             tally.served.fetch_add(1, Ordering::Relaxed);
             let start = format!("{} {} ", ask.id, ask.path);
             if !body.starts_with(start.as_bytes()) {
-                record.report_violation(format!("{} got the answer {body:?}", ask.id));
+                record.report_violation(format!("{} got the response {body:?}", ask.id));
             }
         }
         StatusCode::SERVICE_UNAVAILABLE => {
