--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -85,13 +85,13 @@
     }
 
     /// Returns true if a server has crashed during a request for the same path, and no server has
-    /// answered one since.
+    /// run one successfully since.
     pub fn is_path_suspect(&self, digests: RequestDigests) -> bool {
         lock(&self.path_tally).is_suspect(digests.any_path, clock::now_ms())
     }
 
-    /// Returns the digest whose trial is claimed: the digest across callers if that is suspect,
-    /// else the caller's path.
+    /// Returns the digest whose trial is claimed: the content digest across callers if that is
+    /// suspect, else the digest of this caller's request without its query.
     fn trial_digest(&self, digests: RequestDigests) -> RequestDigest {
         if lock(&self.path_tally).is_suspect(digests.content, clock::now_ms()) {
             digests.content
@@ -163,8 +163,9 @@
         is_cleared
     }
 
-    /// Claims the trial of a suspect request at a server: waits until the other hosts have had time
-    /// to claim the request or the server too. `Err` holds the time after which to retry.
+    /// Claims the trial of a suspect request at a server, so that no other host runs the request
+    /// and no other suspect runs there: waits until the other hosts have had time to claim one of
+    /// them too. `Err` holds the time after which a blocking claim expires.
     pub(in crate::entry) async fn claim_trial(
         &self,
         digests: RequestDigests,
@@ -190,7 +191,8 @@
         if has_all {
             return Ok(());
         }
-        // The suspect was cleared meanwhile, or a host with a lower address has claimed it.
+        // The suspect was cleared meanwhile, or a host with a lower address has claimed the request
+        // or the server.
         self.release_own_claims(claims);
         self.claim(claims)
     }
@@ -230,7 +232,8 @@
         lock(&self.crashes.trials).note(claimed, host, clock::now_ms());
     }
 
-    /// Ends a claim: the server answered the trial, so that the next suspect may run there.
+    /// Ends a claim, so that the next suspect may run: the server answered the trial, or the host
+    /// released the claim without one.
     pub(in crate::entry) fn note_trial_end(&self, claimed: ClaimSubject) {
         lock(&self.crashes.trials).end(claimed);
     }
--- a/src/entry/crashes/probe.rs
+++ b/src/entry/crashes/probe.rs
@@ -20,7 +20,8 @@
 const PROBE_CONNECT_MS: u64 = 400;
 
 impl Entry {
-    /// Starts a liveness probe after a connection to a server broke, unless one runs already.
+    /// Starts a liveness probe after a connection to a server broke, unless one runs already or the
+    /// server is known to have crashed. The probe is repeated while connections continue to break.
     pub(in crate::entry) fn probe_liveness(self: &Arc<Self>, server: &Arc<Server>) {
         if !server.broken_connections.note(server.answered_ms()) {
             return;
@@ -45,7 +46,7 @@
     }
 
     /// Records that a server has crashed, and reports the requests of this host that were in flight
-    /// there.
+    /// there; does nothing if there were none.
     fn note_crash(&self, server: &Server) {
         let suspects = server.suspects();
         let Suspects { digests, shared } = &suspects;
--- a/src/entry/decide/admission.rs
+++ b/src/entry/decide/admission.rs
@@ -42,8 +42,8 @@
 }
 
 /// Returns true if a server has room for a request. A request that has missed its objective is
-/// refused if the server would be too full: it would delay the requests behind it. An urgent
-/// request is worth that delay.
+/// refused if the server is full, unless [`Policy::late_may_queue`] is set: it would make the
+/// requests behind it late as well. An urgent request is worth that.
 pub fn has_room(server: &Candidate, typical_ms: f64, demand: Demand, policy: &Policy) -> bool {
     if server.load >= server.slots * policy.load_max_factor {
         return false;
--- a/src/entry/decide/api_key_verdict.rs
+++ b/src/entry/decide/api_key_verdict.rs
@@ -29,8 +29,8 @@
     Unverified,
 }
 
-/// Checks a key. `is_known` is true if the configuration has the key; `confirmation_age_ms` is the time
-/// since the configuration was last confirmed as the latest one, `None` if it never was.
+/// Checks a key. `is_known` is true if the configuration has the key. `confirmation_age_ms` is the
+/// time since the configuration was last confirmed as the latest one, `None` if it never was.
 pub fn judge(
     is_known: bool,
     confirmation_age_ms: Option<u64>,
--- a/src/entry/decide/attempt_stats.rs
+++ b/src/entry/decide/attempt_stats.rs
@@ -28,8 +28,8 @@
 }
 
 impl AttemptStats {
-    /// Returns the average run time; 0 if unknown, or if the last sample is older than twice its
-    /// half-life.
+    /// Returns the average run time; 0 if unknown, or if the last outcome is older than twice the
+    /// half-life of the samples.
     pub fn run_ms(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         if age_ms > 2.0 * FORGET_HALF_MS {
--- a/src/entry/decide/crash_tally.rs
+++ b/src/entry/decide/crash_tally.rs
@@ -35,7 +35,7 @@
 struct Evidence {
     server_tag: u32,
     at_ms: u64,
-    /// True if the server crashed as one of many in a mass crash.
+    /// True if at least [`MASS_CRASH_SERVERS`] had crashed within the window, this one included.
     is_mass_crash: bool,
 }
 
@@ -123,8 +123,8 @@
         self.suspects.is_empty()
     }
 
-    /// Drops expired evidence, and then the suspects with the least and oldest evidence, until
-    /// there is room for `added` more.
+    /// Makes room for `added` more suspects if there would be too many: drops those whose evidence
+    /// has all expired, and then those with the least and oldest evidence.
     fn make_room(&mut self, added: usize, now_ms: u64) {
         if self.suspects.len() + added <= SUSPECTS_MAX {
             return;
--- a/src/entry/decide/hold.rs
+++ b/src/entry/decide/hold.rs
@@ -31,7 +31,8 @@
 pub enum Hold {
     /// The request is held for at most this time, in milliseconds.
     For(u64),
-    /// The request is refused at once: the move does not complete before its deadline.
+    /// The request is refused at once: the move is not expected to complete within the time for
+    /// which the request may still be held.
     Refuse,
 }
 
--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -27,7 +27,7 @@
     pub key: u16,
     /// Requests per second of all hosts for the key.
     pub load_per_s: f32,
-    /// Requests per second that the key's server can serve.
+    /// Requests per second that the key's server can serve, without its rate limit.
     pub capacity_per_s: f32,
 }
 
@@ -99,8 +99,8 @@
         self.found().insert(service_tag, keys);
     }
 
-    /// Returns all hot keys that this host has found, for the other hosts, and applies them to this
-    /// host too.
+    /// Returns the hot keys that this host has found, for the other hosts, and applies them to this
+    /// host too. If there are more than [`HOT_MAX`], those with the largest excess are returned.
     pub fn announce(&self, now_ms: u64) -> Vec<HotKey> {
         let mut keys: Vec<HotKey> = self.found().values().flatten().copied().collect();
         keys.sort_unstable_by(|a, b| b.excess().total_cmp(&a.excess()));
--- a/src/entry/decide/key_loads.rs
+++ b/src/entry/decide/key_loads.rs
@@ -62,6 +62,7 @@
         loads.window_s = self::window_s(Self::SLOW_KEPT, per_s);
         for holding in holdings {
             let (slow, fast) = (self.slow.of(holding.range), self.fast.of(holding.range));
+            // Standard deviation of the long-term load, in requests per second.
             let relative_deviation = (slow.max(1.0 / window_s) / window_s).sqrt();
             if fast > slow + Self::SURGE_DEVIATIONS * relative_deviation {
                 let keys = holding.range.indices();
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -11,7 +11,7 @@
 //! | [`pace`] | servers that are temporarily slower than usual |
 //! | [`attempt_stats`] | servers that are slow, fail or cannot be reached |
 //! | [`notices`] | servers that announce in their responses that they leave, or ask for a rest |
-//! | [`rate_limit`], [`rate_meter`], [`rate_shares`] | servers that advertise a rate limit |
+//! | [`rate_limit`], [`rate_meter`], [`rate_shares`] | rate limits that all hosts share |
 //! | [`quota`] | workspaces that send more requests than their quota |
 //! | [`api_key_verdict`] | API keys that are added and revoked while hosts are disconnected |
 //! | [`run_shares`] | services that serve short and long requests |
@@ -21,7 +21,7 @@
 //! | [`hold`] | requests for keys that are being moved between servers |
 //! | [`retry_after`] | when refused callers should retry |
 //! | [`budget`] | retries that would amplify an overload |
-//! | [`crash_tally`], [`path_tally`], [`quarantine`], [`trials`] | requests that crash servers |
+//! | [`crash_tally`], [`path_tally`], [`quarantine`], [`trials`] | a request that crashes each server |
 //! | [`warmup`] | servers that have just started and can run few requests |
 //! | [`first`] | keys that no server holds yet, while servers start one after the other |
 //! | [`rests`] | servers that refuse the requests of many hosts for a time |
--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -25,7 +25,8 @@
 const SERVERS_NEEDED: usize = 2;
 /// Number of servers that must have crashed during different requests for a path.
 const SERVERS_NEEDED_BY_PATH: usize = 3;
-/// Minimum time from the first of the crashes to the last: a harmless request succeeds in between.
+/// Minimum time from the first to the last of the crashes during requests for a path: a harmless
+/// request succeeds in between.
 const SPAN_MIN_MS: u64 = 1_000;
 /// Time for which a crash counts as evidence.
 const EVIDENCE_MS: u64 = 15 * 60 * 1_000;
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -59,7 +59,8 @@
     inputs: Inputs<'a>,
     /// Hot keys, each with the server that holds it.
     hot: Vec<(u16, Arc<str>)>,
-    /// Load by server, in requests per second, including the planned moves.
+    /// Load by server, in requests per second, after the planned moves and without the excess of
+    /// hot keys.
     used: HashMap<Arc<str>, f64>,
     holdings: Vec<Holding>,
     moves: Vec<Move>,
@@ -293,8 +294,9 @@
         Some(most.id.clone())
     }
 
-    /// Moves keys from the most used servers to the least used ones, until no server exceeds the
-    /// mean by more than random variation explains.
+    /// Moves keys from the most used servers to the least used ones, until no server is busy: none
+    /// is above both the utilisation below which servers keep their keys and the mean with the
+    /// allowance for random variation. The number of moves is limited.
     fn balance(&mut self) {
         let mean = self.mean_utilisation();
         let servers = self.inputs.servers.len() as f64;
@@ -365,7 +367,7 @@
     }
 
     /// Selects a range at either end of one of the server's holdings, with a load close to `wanted`
-    /// and at most half above it.
+    /// and at most half above it, and with few keys, since moves are billed by key.
     fn select_range(&self, from: &str, wanted: f64) -> Option<KeyRange> {
         let mut best: Option<(KeyRange, f64)> = None;
         for holding in &self.holdings {
--- a/src/entry/decide/policy.rs
+++ b/src/entry/decide/policy.rs
@@ -56,7 +56,7 @@
     /// True if a hot key gets the fastest server to itself.
     pub hot_alone: bool,
     /// Minimum ratio of the fastest server's capacity to that of a hot key's server for which the
-    /// key moves: a move delays or fails some requests, and capacities are estimates.
+    /// key moves: a move costs some requests, and capacities are estimates.
     pub hot_faster: f64,
     /// Shortest time after which a refused caller should retry. An earlier retry would find nothing
     /// changed.
@@ -71,7 +71,8 @@
     /// Among a hundred servers, one or two still exceed it.
     pub balance_chance: f64,
     /// Utilisation below which a server keeps its keys, even if other servers have less load: a
-    /// move delays the requests for its keys, and a server with free slots is no slower.
+    /// move makes the requests for its keys wait for those that still run, and a server with free
+    /// slots is no slower.
     pub balance_busy_share: f64,
     /// Target utilisation of both servers after a move for balance.
     pub balance_goal_share: f64,
--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -146,7 +146,7 @@
 pub struct QuotaContext {
     /// Number of hosts that share quotas, including this one.
     pub hosts: usize,
-    /// True if the duty holder has recently confirmed the share.
+    /// True if this host has recently received an announcement of the duty holder.
     pub is_confirmed: bool,
 }
 
--- a/src/entry/decide/rests.rs
+++ b/src/entry/decide/rests.rs
@@ -1,7 +1,7 @@
 //! Rests that servers ask of many hosts. A rest is a time in which a server wants no requests of a
-//! host; the keys of a server that asks many hosts for one are better served elsewhere. In a test,
-//! three of nine servers refused all requests for nine seconds: a third of the keys' callers were
-//! not served, and the planner, which took these servers for idle, gave them more keys.
+//! host; the keys of a server that asks many hosts for one are better served elsewhere. When three
+//! of nine servers refused all requests for nine seconds, a third of the keys' callers were not
+//! served, and the planner, which took these servers for idle, gave them more keys.
 
 use std::{
     collections::HashMap,
@@ -26,7 +26,8 @@
 pub struct Rests(Mutex<HashMap<u32, HashMap<SocketAddr, u64>>>);
 
 impl Rests {
-    /// Records that a server, given by its tag, wants no requests of a host for `rest_ms`.
+    /// Records that a server, given by its tag, wants no requests of a host for `rest_ms`; ignored
+    /// if shorter than [`REST_MIN_MS`].
     pub fn note(&self, server_tag: u32, host: SocketAddr, rest_ms: u64, now_ms: u64) {
         if rest_ms < REST_MIN_MS {
             return;
--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -230,7 +230,7 @@
 
     /// Builds the request for the server: the caller's request without hop-by-hop headers, with the
     /// remaining time and the name of the expected server. `None` if a header or the URI is
-    /// invalid.
+    /// invalid, or the body was streamed in an earlier attempt.
     fn request(&self, server: &Server, payload: &mut Payload) -> Option<Request<ResponseBody>> {
         let body = payload.body()?;
         let mut request = Request::new(body);
--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -134,7 +134,7 @@
     Ok(Received::Whole(BufferedBody { bytes, reservation }))
 }
 
-/// Reads the body of a caller's request, within the memory reserved for it.
+/// Reads the body of a caller's request, beginning with the memory reserved for it.
 pub async fn read_payload(
     body: Incoming,
     reserved: MemoryReservation,
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -27,10 +27,10 @@
     transport::ResponseBody,
 };
 
-/// Time for which a suspect request waits for the trial of the same request elsewhere to end: most
-/// requests complete within it.
+/// Time for which a suspect request waits for a trial that blocks its own to end, one of the same
+/// request or at the same server: most runs end within it.
 const TRIAL_WAIT_MS: u64 = 120;
-/// Interval at which a waiting request checks if that trial has ended.
+/// Interval at which a waiting request checks if the blocking trial has ended.
 const TRIAL_POLL_MS: u64 = 10;
 
 /// Returns the servers that are not resting. If all are, returns the shortest remaining rest;
@@ -309,7 +309,7 @@
     }
 
     /// Queries the duty holder for the owner of the key; requests a read from the store if no duty
-    /// holder can be reached.
+    /// holder is heard: the store state is not confirmed, or the query cannot be sent.
     fn query_key_owner(&self, entry: &Entry) {
         let Some(key) = self.key else { return };
         let inputs = Message::QueryKeyOwner {
