--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -137,7 +137,7 @@
         let usable = under_rate_limits(usable, entry.sharing_hosts(), self.is_urgent());
         if usable.is_empty() {
             let reason = "all servers get as much as they take";
-            return Err(self.refused_overloaded(entry, reason));
+            return Err(self.refused_for_one_run(entry, reason));
         }
         let due: Vec<_> = usable
             .iter()
@@ -151,7 +151,7 @@
                 server.rate.take_token();
                 Ok(server.clone())
             }
-            None => Err(self.refused_overloaded(entry, "all servers are overloaded")),
+            None => Err(self.refused_for_one_run(entry, "all servers are overloaded")),
         }
     }
 
@@ -235,7 +235,7 @@
             }
             Hold::Refuse => {
                 let reason = "the key is on its way to another server";
-                Err(self.refused_overloaded(entry, reason))
+                Err(self.refused_for_one_run(entry, reason))
             }
         }
     }
@@ -272,7 +272,7 @@
         let typical_ms = registry.typical_run_ms(&self.service);
         let seen = self.candidate(entry, server);
         if !admission::has_room(&seen, typical_ms, self.demand(entry), policy) {
-            return Err(self.refused_overloaded(entry, "the key's server is overloaded"));
+            return Err(self.refused_for_one_run(entry, "the key's server is overloaded"));
         }
         if !is_under_rate_limit(server, entry.sharing_hosts(), self.is_urgent()) {
             return Err(Refused::limited(policy));
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -194,7 +194,7 @@
     }
 
     /// Returns a refusal with a retry time of one typical run of the service.
-    pub(super) fn refused_overloaded(&self, entry: &Entry, reason: &'static str) -> Refused {
+    pub(super) fn refused_for_one_run(&self, entry: &Entry, reason: &'static str) -> Refused {
         let run_ms = entry.view.registry().typical_run_ms(&self.service) as u64;
         Refused::after(reason, run_ms, &entry.settings.policy)
     }
