--- a/src/entry/decide/api_key_verdict.rs
+++ b/src/entry/decide/api_key_verdict.rs
@@ -36,16 +36,17 @@
     confirmation_age_ms: Option<u64>,
     limits: ApiKeyLimits,
 ) -> ApiKeyVerdict {
-    let is_proved_within = |bound_ms| confirmation_age_ms.is_some_and(|age_ms| age_ms <= bound_ms);
+    let is_confirmed_within =
+        |bound_ms| confirmation_age_ms.is_some_and(|age_ms| age_ms <= bound_ms);
     if !is_known {
-        return if is_proved_within(limits.configuration_ms) {
+        return if is_confirmed_within(limits.configuration_ms) {
             ApiKeyVerdict::Unknown
         } else {
             ApiKeyVerdict::Unverified
         };
     }
     match limits.revocation_ms {
-        Some(bound_ms) if !is_proved_within(bound_ms.saturating_sub(REVOCATION_MARGIN_MS)) => {
+        Some(bound_ms) if !is_confirmed_within(bound_ms.saturating_sub(REVOCATION_MARGIN_MS)) => {
             ApiKeyVerdict::Unverified
         }
         _ => ApiKeyVerdict::Accepted,
