--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -21,7 +21,7 @@
 //! | [`hold`] | requests for keys that are being moved between servers |
 //! | [`retry_after`] | when refused callers should retry |
 //! | [`budget`] | retries that would amplify an overload |
-//! | [`crash_tally`], [`path_tally`], [`quarantine`], [`trials`] | a request that crashes each server |
+//! | [`crash_tally`], [`path_tally`], [`quarantine`], [`trials`] | a request that crashes servers |
 //! | [`warmup`] | servers that have just started and can run few requests |
 //! | [`first`] | keys that no server holds yet, while servers start one after the other |
 //! | [`rests`] | servers that refuse the requests of many hosts for a time |
--- a/src/entry/decide/trials.rs
+++ b/src/entry/decide/trials.rs
@@ -2,7 +2,7 @@
 //! crashed. Attempts of a suspect tend to coincide: while its key has no server they are held or
 //! asked to retry, and then would all reach the next server within the 40 ms before it crashes.
 //! With two attempts at each of three hosts every 0.2 s, four of eight runs came later than the
-//! contact grace period after the third crash; with claims it was one of five
+//! contact grace period after the third run; with claims it was one of five
 //! (tests/entry_crashes.rs).
 //!
 //! Claims also cover the server. If two suspects ran at one server, its crash would be evidence
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -254,8 +254,8 @@
         if status != StatusCode::MISDIRECTED_REQUEST {
             server.failed();
         } else if self.key.is_some() && self.fences.0 == self.fences.1 {
-            // A server that was just granted the key may need some milliseconds to hold it. Two such
-            // responses in a row under the same fence mean more than that.
+            // A server that was just granted the key may need some milliseconds to hold it. Two
+            // such responses in a row under the same fence mean more than that.
             entry.view.note_not_held(&self.service, self.fences.0);
         }
         let logged = format!("the server answered {status}, not run");
