--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -27,7 +27,7 @@
     pub key: u16,
     /// Requests per second of all hosts for the key.
     pub load_per_s: f32,
-    /// Requests per second that the key's server can serve, without its rate limit.
+    /// Requests per second that the key's server could serve without a rate limit.
     pub capacity_per_s: f32,
 }
 
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -38,7 +38,7 @@
 /// Minimum time that must remain between a request's deadline and the stop of the process.
 const STOP_MARGIN_MS: u64 = 100;
 
-/// Answers one request of a caller; asks the caller to close the connection if the host is stopping.
+/// Answers one request of a caller; the response closes the connection if the host is stopping.
 pub async fn answer(entry: Arc<Entry>, request: Request<Incoming>) -> Response<ResponseBody> {
     let present = entry.track_request();
     let stopping_entry = entry.clone();
