--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -62,7 +62,8 @@
     }
 
     /// Returns the time since the configuration in force was confirmed to be the latest one; `None`
-    /// if it never was. Without a bound on revocations the duty holder's announcements count as
+    /// if it never was, or the latest one cannot be decoded. Without a bound on revocations, a
+    /// recent report of the duty holder or a relay that shows no later change counts as
     /// confirmation.
     fn configuration_age_ms(&self) -> Option<u64> {
         let followed = FollowedTable::Configuration;
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Queries the store for changes of the configuration since then; returns false if the store
-    /// did not answer.
+    /// Queries the store for changes of the configuration since the version that this host has
+    /// applied. Returns false if the store did not answer, or the configuration was never read.
     async fn confirm_with_store(&self) -> bool {
         let followed = FollowedTable::Configuration;
         let after = self.freshness.applied(followed);
@@ -136,8 +137,9 @@
         }
     }
 
-    /// Returns how old this host's confirmed configuration is, as the response to another host's
-    /// query. `None` if it was never confirmed.
+    /// Returns the age of this host's latest confirmation of its configuration, as the response to
+    /// another host's query. `None` if it was never confirmed, or the latest configuration cannot be
+    /// decoded.
     pub(super) fn confirmation_for(&self, nonce: u64) -> Option<Message> {
         let age_ms = self.confirmation.age_ms(clock::now_ms())?;
         Some(Message::ConfigurationAge {
--- a/src/entry/digest.rs
+++ b/src/entry/digest.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Digests of one request, from the narrowest to the widest.
+/// Digests that identify a request when it is sent again. Each covers other parts of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestDigests {
     /// Covers method, host, path, caller, body and query: a single query among many may crash
@@ -42,7 +42,7 @@
     /// Covers method, host, path, body and query, but not the caller: many callers may send the
     /// same request.
     pub content: RequestDigest,
-    /// Covers method, host and path only.
+    /// Covers method, host and path only, so it is the same for all callers, queries and bodies.
     pub any_path: RequestDigest,
     /// Tag of the caller: a hash of its address.
     pub caller_tag: u32,
--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -25,13 +25,14 @@
 /// Time after its start in which a host does not watch the duty row, as it may not have received a
 /// heartbeat of the duty holder yet.
 const START_GRACE_MS: u64 = 600;
-/// Time after the first start of a deployment in which a host does not watch the duty row. A first
-/// start is recognised by the lack of a shared secret for datagrams. Hosts that start together must
-/// know each other, or all of them would watch the row. They read the rows of each other 2.5 s
-/// after their start.
+/// Time after the first start of a deployment in which a host does not watch the duty row, unless
+/// it is an early host, see [`SLOW_HOST_DELAY_MS`]. A first start is recognised by the lack of a
+/// shared secret for datagrams. Hosts that start together must know each other, or all of them
+/// would watch the row. They read the rows of each other 2.5 s after their start.
 const FIRST_START_GRACE_MS: u64 = 3_200;
-/// Maximum additional delay before a host watches the duty row at the first start of a deployment.
-/// A larger processor share shortens the delay, so that faster hosts take the duty first.
+/// Maximum delay, in addition to [`START_GRACE_MS`], before an early host watches the duty row at
+/// the first start of a deployment. A larger processor share shortens the delay, so that stronger
+/// hosts watch the row before weaker ones.
 const SLOW_HOST_DELAY_MS: f32 = 800.0;
 /// Interval of reads of the duty row while the duty holder is silent.
 const READ_EVERY_MS: u64 = 300;
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -203,7 +203,7 @@
         fence: u64,
         /// Reason for the move.
         cause: &'static str,
-        /// True if the new owner takes over the previous owner's state, so that it starts warm.
+        /// True if the previous owner gave a handover token, with which the new owner starts warm.
         handover: bool,
         /// Time from the decision to the grant.
         took_ms: u64,
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -273,8 +273,8 @@
         servers
     }
 
-    /// Removes the servers that rest for so many hosts that others should hold their keys, unless
-    /// too few servers would remain.
+    /// Removes the servers that have asked many hosts for a rest, so that others hold their keys.
+    /// Returns all servers if too few would remain.
     fn not_resting(&self, servers: Vec<PlanServer>) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
         let hosts = self.entry.peers.hosts();
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -199,7 +199,7 @@
     pub id: Arc<str>,
     /// Name of the server in the platform. A restarted server may keep it.
     pub name: Arc<str>,
-    /// Start time by the server's clock; 0 if the platform does not state it.
+    /// Start time by the server's clock; 0 if the entry does not state it.
     pub started_ms: u64,
     /// Name of the service that it belongs to.
     pub service: Arc<str>,
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -21,7 +21,7 @@
 /// Interval at which a host without the duty checks for announcements.
 const IDLE_EVERY_MS: u64 = 200;
 /// Delays after a grant at which it is announced. Datagrams may be lost, and a host that misses a
-/// grant queues the requests for its keys.
+/// grant holds the requests for the granted keys back.
 const ANNOUNCE_GRANT_AFTER_MS: [u64; 3] = [0, 300, 1_000];
 /// Maximum number of moves or grants in one datagram, of up to 40 bytes each.
 const ANNOUNCEMENTS_MAX: usize = 30;
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -35,7 +35,7 @@
     pub tag: u32,
     /// Connections for callers' requests.
     pub pool: Pool,
-    /// Connection for control requests, such as grants and revocations of keys.
+    /// Connection for orders, which grant or release keys, and for probes.
     pub orders: Link,
     leaving: AtomicBool,
     /// Time at which this host learned that the zone was evacuated; 0 if it is not.
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -88,11 +88,11 @@
     pub lease_ms: u64,
     /// Interval of lease renewals. Two consecutive renewals may be lost before a lease expires.
     pub renew_every_ms: u64,
-    /// Interval at which the duty holder renews its row in the store.
+    /// Interval at which the duty holder confirms the duty by a write of its row in the store.
     pub confirm_every_ms: u64,
     /// Time without a change of the duty's row after which another host takes the duty over.
     pub takeover_ms: u64,
-    /// Time after its last confirmed renewal for which a duty holder continues to renew leases.
+    /// Time after its last confirmation of the duty up to which a duty holder renews leases.
     /// Together with a lease it outlasts the store's usual outages of about 9 s. In exchange, the
     /// keys of servers that are lost together with the duty holder stay unassigned for as long.
     pub outage_ms: u64,
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -338,7 +338,8 @@
 
     /// Waits until a feed call for changes after `requested_after` should be abandoned and repeated,
     /// and returns the reason. `relies_on_duty_holder` is true if its long wait depends on the duty
-    /// holder's confirmation of the store; `is_silent` returns true while no response has begun.
+    /// holder or a relay that confirms the store; `is_silent` returns true while no response has
+    /// begun.
     pub async fn recall_reason(
         &self,
         followed: FollowedTable,
