--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -126,8 +126,8 @@
     registered: AtomicBool,
     /// True once a planned stop has begun.
     stopping: AtomicBool,
-    /// Time at which the process exits in a planned stop, on the clock of this process; `u64::MAX`
-    /// before a stop.
+    /// Latest time at which the process exits in a planned stop, on the clock of this process;
+    /// `u64::MAX` before a stop. It exits earlier once no request is in flight.
     stop_deadline_ms: AtomicU64,
     /// Callers' requests that this host has not answered yet.
     in_flight: AtomicU64,
@@ -209,7 +209,8 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Returns the time at which the process exits in a planned stop; `u64::MAX` before a stop.
+    /// Returns the latest time at which the process exits in a planned stop; `u64::MAX` before a
+    /// stop.
     pub fn stop_deadline_ms(&self) -> u64 {
         self.stop_deadline_ms.load(Ordering::Relaxed)
     }
--- a/src/entry/running_requests.rs
+++ b/src/entry/running_requests.rs
@@ -6,8 +6,8 @@
     digest::{RequestDigest, RequestDigests},
 };
 
-/// Time for which the server may still run a request that this host has abandoned because its
-/// caller disconnected or its deadline passed.
+/// Time after which an abandoned request no longer counts as running. The server may have continued
+/// to work on it after its caller disconnected or its deadline passed.
 const ABANDONED_MS: u64 = 2_000;
 
 /// A request that was abandoned without a response.
