--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -239,11 +239,12 @@
 /// Rate limit that a response states for the requests of all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReportedLimit {
-    /// The server has no limit.
+    /// The response states no limit and certainly comes from the server: any rate is accepted.
     Unlimited,
     /// Limit in requests per second.
     PerS(f64),
-    /// The response states no limit, or one that cannot be parsed or trusted.
+    /// The response states a limit that cannot be parsed, or it states none and may not come from
+    /// the server.
     Unknown,
 }
 
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -212,8 +212,7 @@
         until_ms.saturating_sub(clock::now_ms())
     }
 
-    /// Returns true if the server is cold and this host may not send to it now, outside of its own
-    /// warm-up window.
+    /// Returns true if the server is cold and this host has no open warm-up window for it now.
     pub fn is_limited_by_warmup(&self, rule: Option<WarmupLimit>) -> bool {
         let Some(rule) = rule.filter(|_| self.cold_remaining_ms() > 0) else {
             return false;
