--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -199,7 +199,7 @@
     pub id: Arc<str>,
     /// Name of the server in the platform. A restarted server may keep it.
     pub name: Arc<str>,
-    /// Start time by the server's clock; 0 if the platform does not state it.
+    /// Start time by the server's clock; 0 if the entry does not state it.
     pub started_ms: u64,
     /// Name of the service that it belongs to.
     pub service: Arc<str>,
@@ -239,11 +239,12 @@
 /// Rate limit that a response states for the requests of all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReportedLimit {
-    /// The server has no limit.
+    /// The response states no limit and certainly comes from the server: any rate is accepted.
     Unlimited,
     /// Limit in requests per second.
     PerS(f64),
-    /// The response states no limit, or one that cannot be parsed or trusted.
+    /// The response states a limit that cannot be parsed, or it states none and may not come from
+    /// the server.
     Unknown,
 }
 
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -35,7 +35,7 @@
     pub tag: u32,
     /// Connections for callers' requests.
     pub pool: Pool,
-    /// Connection for control requests, such as grants and revocations of keys.
+    /// Connection for orders, which grant or release keys, and for probes.
     pub orders: Link,
     leaving: AtomicBool,
     /// Time at which this host learned that the zone was evacuated; 0 if it is not.
@@ -95,8 +95,8 @@
         Self::with_notices(entry, Arc::default())
     }
 
-    /// Creates a server whose entry was removed and has come back, with the notices received
-    /// before.
+    /// Creates a server from an entry, with the notices that were kept if an earlier entry of it was
+    /// removed.
     pub fn with_notices(entry: ServerEntry, notices: Arc<Mutex<Notices>>) -> Self {
         let server = Self {
             tag: tag_of(&entry.id),
@@ -212,8 +212,7 @@
         until_ms.saturating_sub(clock::now_ms())
     }
 
-    /// Returns true if the server is cold and this host may not send to it now, outside of its own
-    /// warm-up window.
+    /// Returns true if the server is cold and this host has no open warm-up window for it now.
     pub fn is_limited_by_warmup(&self, rule: Option<WarmupLimit>) -> bool {
         let Some(rule) = rule.filter(|_| self.cold_remaining_ms() > 0) else {
             return false;
