--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -25,7 +25,8 @@
 pub const STORED_BODY_BYTES_MAX: usize = 64 * 1024;
 /// Time limit for recording a claim; after it the request is refused.
 const CLAIM_TIMEOUT_MS: u64 = 1_000;
-/// Maximum number of operations that wait for the writer; beyond it, new claims are refused.
+/// Maximum number of operations that wait for the writer; beyond it, new claims are refused and the
+/// ends of claims are not recorded.
 const QUEUE_OPERATIONS: usize = 10_000;
 
 /// Counters of the claims of one host.
@@ -163,7 +164,8 @@
             row: ClaimRow { state, ..claim.row },
         };
         if self.operations.try_send(operation).is_err() {
-            // The row stays pending; after its deadline, duplicates get an unknown outcome.
+            // The row stays pending, so duplicates get an unknown outcome: as in progress until the
+            // deadline, and as unsettled after it.
             log::warn!("the end of a claim was not recorded: the queue of operations is full");
         }
     }
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -108,7 +108,7 @@
     system.thaw_server().await?;
     system.withdraw_target().await?;
     wait_until(STOP_AT_MS).await;
-    report_event("a host shuts down gracefully");
+    report_event("a host makes its planned stop");
     let stopped = system.stop_host().await;
     Ok(Disturbances {
         lost_us,
--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -50,7 +50,7 @@
     pub not_run: u64,
     /// Requests with an unknown outcome.
     pub unknown: u64,
-    /// Requests that got the response to another request.
+    /// Requests that got the response to another request, or an error without a stated outcome.
     pub wrong_answers: u64,
     /// Pairs of time spans in which two servers owned the same slot.
     pub double_owned: u64,
--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -158,7 +158,7 @@
         match reply {
             Ok(_) => self.metrics.time_ms("push", clock::now_ms() - sent_ms),
             // The host learns of the revision by the next heartbeat.
-            Err(error) => log::debug!("push to {}: {error}", entry.name),
+            Err(error) => log::debug!("cannot push log entries to {}: {error}", entry.name),
         }
     }
 }
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -79,7 +79,8 @@
         self.leading.load(Ordering::Relaxed)
     }
 
-    /// Returns the term of the leader row as this host last read it; 0 before the first read.
+    /// Returns the term of the leader row as this host last read or wrote it; 0 before the first
+    /// read.
     pub fn leader_term(&self) -> u64 {
         self.leader_term.load(Ordering::Relaxed)
     }
--- a/src/host/planning.rs
+++ b/src/host/planning.rs
@@ -121,8 +121,8 @@
     plans
 }
 
-/// Plans the moves of one service. If it has too few requests, the load of all its slots counts as
-/// 0.
+/// Plans the moves of one service. If it has fewer than [`LOAD_REQUESTS_MIN`] requests, the load of
+/// all its slots is passed as 0, and the planner then counts every slot the same.
 fn plan_service(state: &State, service: &ServiceEntry, loads: Option<&[f64]>) -> Vec<PlannedMove> {
     let capacity = service.spec.server_slots as f64;
     let servers: Vec<PlannerServer> = state
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -107,8 +107,9 @@
         }
     }
 
-    /// Returns this host and the hosts that replied to a heartbeat of this host lately. Hosts that
-    /// this host does not ping are included.
+    /// Returns this host and the hosts that replied to a heartbeat of this host within the last
+    /// [`SILENT_HEARTBEATS`] heartbeats. Hosts that have never replied to one, such as those that
+    /// this host does not ping, are included.
     fn heard_hosts(&self, state: &State, own: HostKey) -> Vec<HostKey> {
         let heartbeat_ms = self.settings.ownership.heartbeat_ms;
         let silent_ms = heartbeat_ms * SILENT_HEARTBEATS;
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -178,7 +178,8 @@
 
 impl RunningHost {
     /// Stops the host as planned: withdraws readiness, announces the stop, waits for the notice
-    /// time, lets the requests in flight finish, and then ends all tasks.
+    /// time, lets the requests in flight finish within the drain time of the settings, and then
+    /// ends all tasks.
     pub async fn stop(mut self) {
         let host = &self.host;
         host.ready.store(false, Ordering::Relaxed);
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,4 +1,4 @@
-//! Typed identifiers: small `Copy` keys into the arenas of [`crate::state::State`], and counters.
+//! Typed identifiers: small `Copy` keys into the tables of [`crate::state::State`], and counters.
 
 use std::fmt;
 
@@ -43,17 +43,17 @@
     u64
 );
 number!(
-    /// Index of an entry host in the state's arena.
+    /// Index of an entry host in the table of the state.
     HostKey,
     u32
 );
 number!(
-    /// Index of a backend server in the state's arena.
+    /// Index of a backend server in the table of the state.
     ServerKey,
     u32
 );
 number!(
-    /// Index of a service of one workspace in the state's arena.
+    /// Index of a service of one workspace in the table of the state.
     ServiceKey,
     u32
 );
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -414,8 +414,8 @@
     Ok(())
 }
 
-/// Compares two byte strings in constant time, so that the duration reveals nothing about the
-/// token.
+/// Compares two byte strings in a time that does not depend on where they differ, so that the
+/// duration does not reveal a correct prefix of the token.
 fn constant_time_eq(one: &[u8], other: &[u8]) -> bool {
     let differ = one.iter().zip(other).fold(0, |all, (a, b)| all | (a ^ b));
     one.len() == other.len() && differ == 0
--- a/src/ownership/lapse.rs
+++ b/src/ownership/lapse.rs
@@ -34,7 +34,9 @@
     pub voters: &'a [Voter],
     /// Voters before the last change of the registry; empty once that change is settled.
     pub previous: &'a [Voter],
-    /// Earliest time at which [`crate::state::Registry::majority_since`] may have come into force.
+    /// Time at which the revision [`crate::state::Registry::majority_since`] was in force at the
+    /// latest. A majority counts from this time on; a value that is too late only lengthens the
+    /// wait.
     pub since_ms: u64,
     /// True if the registry is settled, so that only registered hosts act.
     pub settled: bool,
--- a/src/ownership/message.rs
+++ b/src/ownership/message.rs
@@ -76,7 +76,8 @@
     pub grants_digest: u64,
 }
 
-/// Order to release slots. The server responds after the requests in flight have finished.
+/// Order to release slots. The server responds after the requests in flight have finished, or when
+/// `drain_ms` has passed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RevokeRequest {
     /// Process that the order is for.
--- a/src/ownership/moves.rs
+++ b/src/ownership/moves.rs
@@ -16,7 +16,7 @@
     pub service: ServiceKey,
     /// Current owner; `None` if the slots have none or if the lease of their owner has lapsed.
     pub from: Option<ServerKey>,
-    /// Next owner.
+    /// Next owner, to which the slots are moving.
     pub to: ServerKey,
 }
 
--- a/src/ownership/planner.rs
+++ b/src/ownership/planner.rs
@@ -278,7 +278,8 @@
         owned
     }
 
-    /// Returns the slot whose move from `from` to `to` gains most, or `None` if no move gains.
+    /// Returns the slot whose move from `from` to `to` gains more, of the two slots whose loads are
+    /// next to the load that would even out the servers; `None` if neither move gains.
     fn best_slot(&self, slots: &[u32], from: u32, to: u32) -> Option<(usize, f64)> {
         if from == to || slots.is_empty() {
             return None;
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -15,7 +15,7 @@
 /// Maximum size of an encoded message.
 pub const MESSAGE_BYTES_MAX: usize = 64 * 1024 * 1024;
 
-/// Heartbeats.
+/// Heartbeats between hosts, sent as datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
     /// Queries a peer for its revision.
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -40,7 +40,7 @@
     /// The server answered.
     Answered(Response<ResponseBody>),
     /// The attempt provably did not run, because server and host disagree on the owner of the slot
-    /// or on its epoch.
+    /// (another epoch or another incarnation of the server), or because the server is draining.
     Stale,
     /// The attempt provably did not run.
     NotRun(Reason),
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Waits until `deadline_ms` for one of the `permits` of the server at `address`.
+    /// Waits until `deadline_ms` for one of the `permits` of the server at `address`; `None` if
+    /// none became free. The number of permits is set by the first call for an address.
     pub async fn permit(
         &self,
         address: SocketAddr,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -26,7 +26,7 @@
         /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is no valid settings document.
+    /// The file is not a valid settings document.
     #[snafu(display("{}: {source}", path.display()))]
     Document {
         /// Path of the settings file.
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -30,8 +30,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// Registered, but not a voter: the host is no root host of the heartbeat tree, or is not yet
-    /// promoted.
+    /// Registered, but not a voter: the host is not a root host of the heartbeat tree, or is not
+    /// yet promoted.
     Joining,
     /// Registered and a voter.
     Live,
--- a/src/store/message.rs
+++ b/src/store/message.rs
@@ -114,6 +114,6 @@
 /// The platform's list of hosts.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HostList {
-    /// Hosts in no particular order.
+    /// Hosts as the platform listed them, possibly some time ago.
     pub hosts: Vec<ListedHost>,
 }
