--- a/src/bin/ashroad/app.rs
+++ b/src/bin/ashroad/app.rs
@@ -179,7 +179,7 @@
     /// Name of the person who makes the change, for the audit trail.
     #[arg(long, env = "USER")]
     pub actor: Option<String>,
-    /// Wait until the change is in force on every host that was heard from recently.
+    /// Wait until the change is in force on every registered host.
     #[arg(long)]
     pub wait: bool,
     /// Timeout of --wait, in milliseconds.
--- a/src/bin/ashroad/declaration.rs
+++ b/src/bin/ashroad/declaration.rs
@@ -133,7 +133,8 @@
     Ok(())
 }
 
-/// Waits until every host that was heard from recently has the revision; fails after `wait_ms`.
+/// Waits until the status shows the revision, or a later one, for every registered host; fails
+/// after `wait_ms`. A host whose revision the responding host does not know keeps it waiting.
 async fn wait(client: &OperatorClient, revision: u64, wait_ms: u64) -> Result<()> {
     let deadline_ms = clock::now_ms() + wait_ms;
     while clock::now_ms() < deadline_ms {
