--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -8,10 +8,10 @@
 //! its own and hosts did not report crashes to each other. Each crashed server held the same small
 //! range of keys, granted to it just before; others with as many requests survived.
 //!
-//! Second, a path that many callers read crashed seven to eleven more servers after the first
-//! three. Digests included the caller, so the request of each caller was a new suspect: of 18
-//! digests under which servers crashed none occurred twice, but ten were of one path from ten
-//! callers. Digests of the path alone prevent this.
+//! Second, a path that many callers read was sent to seven to eleven more servers after three had
+//! crashed. Digests included the caller, which has no influence on crashes, so the request of each
+//! caller was a new suspect: of 18 digests under which servers crashed none occurred twice, but ten
+//! were of one path from ten callers. Digests of the path alone prevent this.
 
 mod platform_standin;
 
@@ -47,7 +47,8 @@
 /// Time within which a key has a server again after a crash: the lease, and the grant to the next
 /// server.
 const KEY_FAILOVER_TIME: Duration = Duration::from_secs(6);
-/// Time at the end of a test in which harmless requests must be served without disturbance.
+/// Time at the end of a test for which the share of served harmless requests is checked: the keys
+/// must have servers again.
 const STEADY_TIME: Duration = Duration::from_secs(3);
 
 async fn send(host: &Host, caller: IpAddr, method: &str, path: &str) -> Option<CallerResponse> {
--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -77,8 +77,8 @@
 }
 
 /// Runs an outage of the store. Returns its length, and one line for each time that a host took the
-/// duty during the outage or shortly after it. Each line ends with the events of that host about
-/// the store.
+/// duty until 3.5 s after the outage. The first line is from the start of the hosts. Each line ends
+/// with the events of that host about the store.
 async fn duty_takeovers_over_outage(outage_ms: u64) -> (u64, Vec<String>) {
     let site = Site::start(3, 2).await;
     site.store.set_faults(Faults {
--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -56,11 +56,11 @@
         case("configuration_pause_ms", |limits| {
             limits.configuration_pause_ms += 101;
         }),
-        case("holder_pause_ms", |limits| {
+        case("duty_holder_pause_ms", |limits| {
             limits.duty_holder_pause_ms += 1_000
         }),
         case("notice_hold_ms", |limits| limits.notice_hold_ms += 1),
-        case("holder_heartbeat_ms", |limits| {
+        case("duty_holder_heartbeat_ms", |limits| {
             limits.duty_holder_heartbeat_ms += 500
         }),
     ];
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -4,8 +4,8 @@
 //! advertised limits of 7.6 and 9.7 requests a second, and three seconds later they still got 118
 //! and 109 requests in 4 s from the hosts that had received the limits. No host read or logged the
 //! header, so neither the choice of a server nor the planner of key moves knew the limit, and hosts
-//! went on sending all requests for the servers' keys there. Hosts that read the header keep the
-//! bound.
+//! went on sending all requests for the servers' keys there, at the same rates as before. Hosts
+//! that read the header keep the bound in the same sequence of events.
 
 mod platform_standin;
 
@@ -50,8 +50,8 @@
 struct AdvertisedLimits(Vec<(Instant, f64)>);
 
 impl AdvertisedLimits {
-    /// Returns the number of requests that the limits allow in a time span; `None` if it begins
-    /// before the first limit.
+    /// Returns the number of requests that the limits allow in a time span; `None` if no limit was
+    /// advertised by its beginning.
     fn allowed(&self, from: Instant, until: Instant) -> Option<f64> {
         let (first, _) = *self.0.first()?;
         if from < first {
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -1,6 +1,6 @@
 //! Hosts use the relays of their zone when the duty holder does not confirm the store.
 //!
-//! Guards against many hosts calling the store at once: with 985 hosts, each made 34 calls to the
+//! Guards against each host calling the store by itself: with 985 hosts, each made 34 calls to the
 //! store in a day. The store rejected the duty holder's calls, its reports became stale, and each
 //! host followed the store by itself until there was another duty holder.
 
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -23,8 +23,8 @@
 /// send the next request only after a response, so hosts that become slower by half fail the test.
 const SERVED_SHARE: f64 = 0.5;
 
-/// Callers that send requests to all given hosts until they are stopped. Every response other than
-/// 200 is returned as a failure.
+/// Callers that send requests to all given hosts until they are stopped. Every outcome other than
+/// a response with status 200 is returned as a failure.
 struct Load {
     stop: Arc<AtomicBool>,
     answered: Arc<AtomicU64>,
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -532,7 +532,8 @@
         }
     }
 
-    /// Describes the state of the first host, for the report of a failed case.
+    /// Describes the state of the first host, which is the leader after [`Self::settle`], for the
+    /// report of a failed case.
     pub fn describe(&self) -> String {
         let state = &self.hosts[0].state;
         let (hosts, servers) = (&state.hosts, &state.servers);
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -174,8 +174,8 @@
             Disturbance::EntryExpires => {
                 time::sleep(Duration::from_millis(300)).await;
                 self.server(workload).remove_entry(&self.site.store);
-                // The entry is written again only after the time for which the server's own
-                // announcement applies.
+                // The entry is written again only when hosts may no longer send requests to the
+                // server because of its own announcement that it leaves.
                 time::sleep(DRAIN).await;
                 self.server(workload).write_entry(&self.site.store, "ready");
             }
