--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -1,5 +1,6 @@
-//! Writes claims in batches. One transaction covers all operations that arrived while earlier ones
-//! were in flight, because the table service accepts only several hundred writes a second.
+//! Writes claims (records of requests that must run at most once) in batches. One transaction
+//! covers all operations that arrived while earlier ones were in flight, because the table service
+//! accepts only several hundred writes a second.
 
 use std::{
     collections::HashSet,
@@ -28,9 +29,9 @@
     },
 };
 
-/// Maximum number of operations in one transaction.
+/// Maximum number of operations in one transaction, which bounds its size.
 const BATCH_OPERATIONS_MAX: usize = 256;
-/// Maximum number of transactions in flight.
+/// Maximum number of transactions in flight; operations that arrive meanwhile form the next batch.
 const IN_FLIGHT: usize = 2;
 /// Minimum time for which a batch is collected.
 const BATCH_DELAY_MS: u64 = 2;
@@ -39,7 +40,7 @@
 /// Time limit for recording the end of a claim.
 const END_TIMEOUT_MS: u64 = 10_000;
 
-/// Operation on the record of one claim.
+/// Operation on the row of one claim, queued for the writer.
 #[derive(Debug)]
 pub(super) enum Operation {
     /// Records a new claim.
@@ -98,7 +99,6 @@
     }
 }
 
-/// Writer of one batch.
 struct Writer {
     platform: Platform,
     counters: Arc<ClaimCounters>,
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -1,5 +1,6 @@
-//! Claims on unrepeatable requests. A claim is recorded in the table service before the first byte
-//! of its request is sent, so that a duplicate at any host never runs.
+//! Claims on unrepeatable requests (requests that must run at most once). A claim is recorded in
+//! the table service before the first byte of its request is sent, so that a duplicate at any host
+//! never runs.
 
 mod batch;
 mod row;
@@ -21,19 +22,20 @@
 };
 use crate::{clock, id::OperationId, routing::outcome::Reason, store::Platform};
 
-/// Maximum length of a response body that is stored for duplicates.
+/// Maximum length in bytes of a response body that is stored for duplicates. After a longer one,
+/// duplicates are refused.
 pub const STORED_BODY_BYTES_MAX: usize = 64 * 1024;
 /// Time limit for recording a claim; after it the request is refused.
 const CLAIM_TIMEOUT_MS: u64 = 1_000;
 /// Maximum number of operations that wait for the writer; beyond it, new claims are refused.
 const QUEUE_OPERATIONS: usize = 10_000;
 
-/// Counters of the claims of one host.
+/// Counters of the claims that one host has made since its process started.
 #[derive(Debug, Default)]
 pub struct ClaimCounters {
-    /// Claims recorded.
+    /// Number of claims that were recorded, so that their requests could run.
     pub claims: AtomicU64,
-    /// Transactions that recorded claims or their ends.
+    /// Number of transactions that recorded claims or their ends; one covers many operations.
     pub transactions: AtomicU64,
 }
 
@@ -169,7 +171,7 @@
     }
 }
 
-/// Returns a random identifier for one request of a caller.
+/// Returns a random identifier for one request of a caller, which all its attempts carry.
 pub fn request_id() -> String {
     OperationId::random().0
 }
--- a/src/claims/row.rs
+++ b/src/claims/row.rs
@@ -1,9 +1,9 @@
-//! Stored row of one unrepeatable request.
+//! Row of the table service that records the claim on one unrepeatable request.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Prefix of the keys of these rows.
+/// Prefix of the keys of all claim rows, by which the sweep finds them.
 pub const CLAIM_PREFIX: &str = "claim/";
 
 /// Hash over the parts of a request that a duplicate must share with the original.
@@ -12,7 +12,7 @@
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// Returns the fingerprint of a request.
+    /// Hashes the method, the path and the body of a request.
     pub fn of(method: &str, path: &str, body: &[u8]) -> Self {
         let mut hasher = xxhash_rust::xxh3::Xxh3::new();
         hasher.update(method.as_bytes());
@@ -28,15 +28,15 @@
 /// Response stored for duplicates.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResponse {
-    /// HTTP status code.
+    /// HTTP status code that the server returned.
     pub status: u16,
     /// Value of the `Content-Type` header, if there was one.
     pub content_type: Option<String>,
-    /// Body in Base64.
+    /// Body in Base64, because a row holds text.
     pub body_base64: String,
 }
 
-/// State of a claim.
+/// Stage of a claim. It decides how a duplicate of the request is answered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
@@ -52,7 +52,7 @@
     Unknown,
 }
 
-/// Stored value of a claim.
+/// Value of a claim row, stored as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
     /// Random number of the request that made the claim; it distinguishes that request from its
@@ -64,11 +64,11 @@
     pub at_unix_ms: u64,
     /// Deadline of the request. A claim that is still pending after it has an unknown outcome.
     pub until_unix_ms: u64,
-    /// State of the claim.
+    /// Stage of the claim; it begins as pending.
     pub state: ClaimState,
 }
 
-/// Returns the key of the row of an unrepeatable request.
+/// Returns the row key for a service and the caller's idempotency key.
 pub fn claim_key(service: &str, idempotency_key: &str) -> String {
     let text = format!("{service}\n{idempotency_key}");
     format!("{CLAIM_PREFIX}{:032x}", xxh3_128(text.as_bytes()))
--- a/src/claims/sweep.rs
+++ b/src/claims/sweep.rs
@@ -9,7 +9,8 @@
     },
 };
 
-/// Maximum number of rows that one step reads.
+/// Maximum number of rows that one step reads, which bounds the load that a sweep puts on the
+/// store.
 pub const PAGE_ROWS: usize = 200;
 
 /// Position of a sweep over all claims.
--- a/src/configuration/error.rs
+++ b/src/configuration/error.rs
@@ -3,7 +3,7 @@
 
 use snafu::Snafu;
 
-/// Error in a template or workspace.
+/// Error that an operator can correct in a template or workspace.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
@@ -12,7 +12,7 @@
     TooLarge {
         /// Size of the document in bytes.
         bytes: usize,
-        /// Maximum size in bytes.
+        /// Maximum size of a document in bytes.
         max: usize,
     },
     /// The document has no text.
@@ -33,11 +33,11 @@
     /// A field has an invalid value.
     #[snafu(display("{path}: {found}; expected {expected}"))]
     Field {
-        /// Path of the field in the document.
+        /// Path of the field from the root of the document.
         path: String,
-        /// Description of the value found.
+        /// Value found, worded for the operator.
         found: String,
-        /// Description of the values allowed.
+        /// Values allowed, worded for the operator.
         expected: String,
     },
 }
@@ -45,7 +45,7 @@
 /// Result of reading or checking a document.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Returns an [`Error::Field`].
+/// Returns an [`Error::Field`] for the field at `path`.
 pub fn field(
     path: impl Into<String>,
     found: impl Into<String>,
--- a/src/configuration/expand.rs
+++ b/src/configuration/expand.rs
@@ -1,4 +1,4 @@
-//! Expands a template with the parameters of a workspace.
+//! Expands a template into the services of one workspace, with its parameters filled in.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,13 +13,13 @@
 pub struct ServiceSpec {
     /// Full name, `workspace/service`.
     pub name: String,
-    /// Location of the key in a request.
+    /// Part of a request that holds the key: a path segment or a header.
     pub key: KeySource,
-    /// Number of slots over which the keys are spread.
+    /// Number of slots over which the keys are spread by hash; at least 1.
     pub slots: u32,
-    /// Backend servers of the service.
+    /// Backend servers that may own slots of the service.
     pub targets: Vec<Target>,
-    /// Maximum number of requests that one server runs concurrently.
+    /// Number of requests that one server runs concurrently; further ones wait in the hosts.
     pub server_slots: u64,
     /// Maximum number of connections to one server, over all entry hosts.
     pub server_connections: u64,
@@ -31,7 +31,7 @@
     pub checks_orders: bool,
     /// Rules for requests that must run at most once.
     pub unrepeatable: Vec<UnrepeatableRule>,
-    /// Weights of the planner's cost function.
+    /// Weights of the planner's cost function, copied from the template.
     pub weights: Weights,
 }
 
--- a/src/configuration/template.rs
+++ b/src/configuration/template.rs
@@ -8,7 +8,7 @@
     error::{EmptySnafu, Error, FieldSnafu, Result, TooLargeSnafu, field},
 };
 
-/// Maximum number of slots of one service.
+/// Maximum number of slots of one service, which bounds the size of the state.
 pub const SLOTS_MAX: u32 = 1_000_000;
 /// Maximum length of a name in characters.
 const NAME_CHARS_MAX: usize = 63;
@@ -22,20 +22,20 @@
     /// Parameters that a workspace sets; those without a default must be set.
     #[serde(default)]
     pub parameters: Vec<Parameter>,
-    /// Weights of the planner's cost function.
+    /// Weights of the planner's cost function; the defaults apply if the template has none.
     #[serde(default)]
     pub weights: Weights,
-    /// Services of each workspace.
+    /// Services that each workspace of the template gets.
     pub services: Vec<Service>,
 }
 
-/// Parameter of a template.
+/// Declaration of a parameter: its type, bounds and default.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Parameter {
     /// Name by which services refer to the parameter.
     pub name: String,
-    /// Type of the parameter's values.
+    /// Type that the values of workspaces must have.
     #[serde(rename = "type")]
     pub kind: ParameterKind,
     /// Minimum value, or minimum number of targets.
@@ -48,13 +48,13 @@
     pub default: Option<u64>,
 }
 
-/// Type of a parameter.
+/// Type of the values that a parameter accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ParameterKind {
-    /// Integer within bounds.
+    /// Integer from `min` to `max`, both included.
     Integer,
-    /// List of backend servers.
+    /// List of `min` to `max` backend servers.
     Targets,
 }
 
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Number {
-    /// The number itself.
+    /// Number that is the same in every workspace.
     Value(u64),
     /// Reference to a parameter, with its `${` and `}`.
     Reference(String),
@@ -98,12 +98,12 @@
     pub name: String,
     /// Name of the parameter that lists the backend servers.
     pub targets: String,
-    /// Location of the key in a request.
+    /// Part of a request that holds the key.
     pub key: KeySource,
     /// Number of slots over which the keys are spread; fixed for the life of a workspace.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Maximum number of requests that one server runs concurrently.
+    /// Number of requests that one server runs concurrently; further ones wait in the hosts.
     pub server_slots: Number,
     /// Maximum number of connections to one server, over all entry hosts.
     pub server_connections: Number,
@@ -121,13 +121,13 @@
     pub unrepeatable: Vec<UnrepeatableRule>,
 }
 
-/// Location of the key in a request.
+/// Part of a request that holds the key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeySource {
     /// Segment of the path after the service, counted from 0.
     Path(usize),
-    /// Header with this name.
+    /// Value of the request header with this name.
     Header(String),
 }
 
@@ -135,7 +135,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UnrepeatableRule {
-    /// HTTP method of the requests.
+    /// HTTP method that a request must have for the rule to apply.
     pub method: String,
     /// Prefix of the path after the service; empty for all paths.
     #[serde(default)]
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Returns all errors beyond the syntax.
+    /// Returns all errors that a syntactically correct template contains; empty if it is valid.
     pub fn problems(&self) -> Vec<Error> {
         let mut problems = Vec::new();
         problems.extend(check_name("template", &self.template).err());
@@ -306,13 +306,13 @@
         }
     }
 
-    /// Returns the parameter `name`.
+    /// Returns the declaration of the parameter `name`; `None` if the template has none.
     pub fn parameter(&self, name: &str) -> Option<&Parameter> {
         self.parameters.iter().find(|p| p.name == name)
     }
 }
 
-/// Returns the name in a reference `${name}`.
+/// Returns the name in a reference `${name}`; `None` if the text is no reference.
 pub fn reference(text: &str) -> Option<&str> {
     text.strip_prefix("${")?.strip_suffix('}')
 }
--- a/src/configuration/workspace.rs
+++ b/src/configuration/workspace.rs
@@ -1,4 +1,4 @@
-//! Workspace: a template with values for its parameters.
+//! Workspace: an instance of a template, with values for the template's parameters.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -22,23 +22,23 @@
     pub parameters: BTreeMap<String, Value>,
 }
 
-/// Value of a parameter.
+/// Value that a workspace gives a parameter; it must match the parameter's type and bounds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Value {
-    /// Value of an integer parameter.
+    /// Value of a parameter of the type [`ParameterKind::Integer`](super::ParameterKind::Integer).
     Integer(u64),
-    /// Value of a parameter that lists backend servers.
+    /// Value of a parameter of the type [`ParameterKind::Targets`](super::ParameterKind::Targets).
     Targets(Vec<Target>),
 }
 
-/// Backend server of a workspace.
+/// Backend server that a workspace lists, with the place where it runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
     /// IP address and port; host names are not accepted.
     pub address: SocketAddr,
-    /// Availability zone of the server.
+    /// Availability zone in which the server runs, as declared by the operator.
     pub availability_zone: String,
 }
 
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -30,7 +30,7 @@
 /// Number of bytes allowed in a request body for the JSON around a document.
 const BODY_EXTRA_BYTES: usize = 512 * 1024;
 
-/// Shared context of the endpoints.
+/// Context that every endpoint gets: the host and the operators' token.
 #[derive(Debug)]
 pub struct Context {
     host: Arc<Host>,
@@ -40,7 +40,7 @@
 /// The running HTTP server of the operators' API.
 #[derive(Debug)]
 pub struct OperatorServer {
-    /// Address on which the server listens.
+    /// Bound address; it contains the actual port if the settings have port 0.
     pub address: SocketAddr,
     server: Server,
 }
@@ -87,7 +87,7 @@
     })
 }
 
-/// Reads the token from the first line of a file.
+/// Reads the operators' token from the first line of a file.
 fn read_token(path: &std::path::Path) -> Result<String, HostError> {
     let text = fs::read_to_string(path).context(TokenSnafu { path })?;
     let token = text.lines().next().unwrap_or_default().trim().to_owned();
@@ -338,7 +338,8 @@
     .await
 }
 
-/// Begins the planned stop of the host that receives the request.
+/// Begins the planned stop of the host that receives the request. Responds at once, before the
+/// requests in flight have finished.
 #[endpoint { method = POST, path = "/v1/host/drain" }]
 async fn drain_host(context: RequestContext<Context>) -> ApiResult<Draining> {
     authorize(&context)?;
@@ -391,7 +392,8 @@
     }
 }
 
-/// Computes the effect of a change by applying it to a copy of the state.
+/// Computes the effect of a change by applying it to a copy of the state; fails as the change
+/// itself would.
 fn dry_run_effect(before: &State, change: &Change) -> state::Result<super::message::Effect> {
     let mut after = before.clone();
     after.apply_dry_run(change.clone())?;
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -9,16 +9,16 @@
 };
 use crate::transport::{CallError, JsonClient};
 
-/// Timeout of one call. It exceeds the time for which the host tries to find out if a change took
-/// effect.
+/// Timeout of one call. It exceeds the time that the host spends on finding out if a change took
+/// effect, so that the operator gets the result.
 const TIMEOUT_MS: u64 = 15_000;
 
 /// Kind of document that operators declare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeclarationKind {
-    /// Template of services with parameters.
+    /// Template: services and their routing, with parameters that workspaces set.
     Template,
-    /// Workspace, which sets the parameters of a template.
+    /// Workspace: an instance of a template, with values for its parameters.
     Workspace,
 }
 
@@ -56,7 +56,7 @@
         self.post(&kind.path("/submit"), body).await
     }
 
-    /// Withdraws a declaration.
+    /// Withdraws the declaration with the given name.
     pub async fn withdraw(
         &self,
         kind: DeclarationKind,
@@ -65,7 +65,7 @@
         self.post(&kind.path("/withdraw"), body).await
     }
 
-    /// Lists the declarations in force.
+    /// Returns the declarations of one kind in force, in the order of their names.
     pub async fn list(&self, kind: DeclarationKind) -> Result<DocumentList, CallError> {
         self.client.get(self.address, &kind.path("")).await
     }
@@ -75,12 +75,12 @@
         self.client.post(self.address, "/v1/host/drain", &()).await
     }
 
-    /// Reads the state of the system as the host sees it.
+    /// Reads the state of the system as the called host sees it, which may lag behind other hosts.
     pub async fn status(&self) -> Result<StatusBody, CallError> {
         self.client.get(self.address, "/v1/status").await
     }
 
-    /// Reads which server owns a key of a service.
+    /// Reads the slot of a key and the server that owns it, as the called host sees it.
     pub async fn owner(&self, service: &str, key: &str) -> Result<OwnerBody, CallError> {
         let path = format!(
             "/v1/owner?service={}&key={}",
--- a/src/operator/dry_run.rs
+++ b/src/operator/dry_run.rs
@@ -1,9 +1,10 @@
-//! Effects of a change, computed by comparing the state with a copy that the change was applied to.
+//! Computes the effects of a change by comparing the states before and after it.
 
 use super::message::Effect;
 use crate::state::{ServiceEntry, State};
 
-/// Computes the effects of a change from the states before and after it.
+/// Returns the services that a change adds, withdraws or modifies, and the number of slots that
+/// have to move.
 pub fn effect(before: &State, after: &State) -> Effect {
     let mut effect = Effect::default();
     for (key, service) in after.active_services() {
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct WithdrawBody {
-    /// Name of the template or workspace.
+    /// Name of the template or workspace, as declared in its document.
     pub name: String,
     /// Identifier of this withdrawal. A retry with the same identifier is not applied twice.
     #[serde(default)]
@@ -53,7 +53,7 @@
     pub effect: Effect,
 }
 
-/// Effects of a change on services and slots.
+/// Effects that a change has on services and slots. Other services are not affected.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Effect {
     /// Full names of the services that the change adds.
@@ -72,7 +72,7 @@
 /// A template or workspace in force.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct DocumentBody {
-    /// Name of the template or workspace.
+    /// Name of the template or workspace, as declared in its document.
     pub name: String,
     /// Revision of its last submission.
     pub revision: u64,
@@ -94,7 +94,7 @@
 pub struct StatusBody {
     /// Name of the host that responds.
     pub host: String,
-    /// Revision that the host has applied.
+    /// Last revision that the host has applied.
     pub revision: u64,
     /// Revision of the last change of any template or workspace.
     pub configuration: u64,
@@ -109,11 +109,11 @@
     pub term: u64,
     /// True if no host acts any more on the registry from before its last change.
     pub registry_settled: bool,
-    /// All registered hosts.
+    /// All registered hosts, those that are joining or leaving included.
     pub hosts: Vec<HostStatus>,
     /// All backend servers that were ever declared.
     pub servers: Vec<ServerStatus>,
-    /// Services in force.
+    /// Services in force; withdrawn ones are left out.
     pub services: Vec<ServiceStatus>,
 }
 
@@ -154,7 +154,7 @@
 pub struct ServiceStatus {
     /// Full name, `workspace/service`.
     pub name: String,
-    /// Number of all slots.
+    /// Number of slots of the service, which is fixed when it is declared.
     pub slots: u64,
     /// Number of slots that have an owner and do not move.
     pub settled: u64,
@@ -172,7 +172,7 @@
 /// Slot and owner of a key.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct OwnerBody {
-    /// Slot that the key belongs to.
+    /// Slot that the hash of the key selects.
     pub slot: u32,
     /// Highest epoch issued for the slot.
     pub epoch: u64,
@@ -185,22 +185,22 @@
 /// One entry of the audit trail.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct AuditEntry {
-    /// Position of the change in the log.
+    /// Position of the change in the log; the first has 1.
     pub revision: u64,
     /// Wall-clock time of the writer, in milliseconds since 1970.
     pub at_unix_ms: u64,
     /// Operator or host that made the change.
     pub actor: String,
-    /// Identifier that the writer chose.
+    /// Identifier that the writer chose and that a retry repeats.
     pub operation_id: String,
-    /// The change, as JSON.
+    /// Change with its parameters, as JSON text.
     pub change: String,
 }
 
 /// A page of the audit trail.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct AuditPage {
-    /// Entries, oldest first.
+    /// Entries, oldest first. The next page begins after the revision of the last one.
     pub entries: Vec<AuditEntry>,
 }
 
@@ -209,7 +209,7 @@
 pub struct OwnerQuery {
     /// Full name of the service, `workspace/service`.
     pub service: String,
-    /// Key as requests carry it.
+    /// Key, spelled as in callers' requests.
     pub key: String,
 }
 
--- a/src/peer/endpoint.rs
+++ b/src/peer/endpoint.rs
@@ -31,12 +31,12 @@
     Datagram {
         /// Connection that the message arrived on.
         connection: Connection,
-        /// Decoded message.
+        /// Ping or pong that the peer sent.
         datagram: Datagram,
     },
     /// Request on a stream; the reply is sent through the channel.
     Request {
-        /// Decoded message.
+        /// Request that the peer waits for a reply to.
         request: PeerRequest,
         /// Channel for the reply; the stream is reset if it is dropped unused.
         reply: oneshot::Sender<PeerReply>,
@@ -158,7 +158,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Closes all connections.
+    /// Closes all connections at once; requests in flight on them fail.
     pub fn close(&self) {
         self.endpoint.close(0u32.into(), b"stopped");
     }
--- a/src/peer/keys.rs
+++ b/src/peer/keys.rs
@@ -21,9 +21,9 @@
 
 /// Name in every host's certificate. Hosts trust the authority that signed it, not the name.
 pub const HOST_NAME: &str = "ashroad-host";
-/// File name of the authority's certificate.
+/// File name of the authority's certificate, which every host needs to verify its peers.
 pub const CA_FILE: &str = "ca.pem";
-/// File name of the authority's private key.
+/// File name of the authority's private key, which is needed only to sign new host certificates.
 pub const CA_KEY_FILE: &str = "ca-key.pem";
 /// ALPN identifier of the peer protocol.
 const PROTOCOL: &[u8] = b"ashroad/1";
@@ -31,15 +31,16 @@
 const IDLE_TIMEOUT_MS: u32 = 1_000;
 /// Interval of keep-alive packets; below the idle timeout, so that idle connections stay open.
 const KEEP_ALIVE_MS: u64 = 300;
-/// Maximum number of concurrent requests on one connection.
+/// Maximum number of concurrent requests on one connection; further ones wait at the sender.
 const STREAMS_MAX: u32 = 256;
 
-/// TLS configurations for both directions.
+/// TLS configurations of the QUIC endpoint. Both directions require a certificate of the same
+/// authority.
 #[derive(Clone, Debug)]
 pub struct TlsConfigs {
-    /// Configuration for incoming connections.
+    /// Configuration for incoming connections, which verifies the certificate of the client.
     pub server: ServerConfig,
-    /// Configuration for outgoing connections.
+    /// Configuration for outgoing connections, which presents the certificate of this host.
     pub client: ClientConfig,
 }
 
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -10,19 +10,20 @@
     state::{LogEntry, SnapshotPointer},
 };
 
-/// Version of the protocol; messages of other versions are rejected.
+/// Version of the protocol, the first byte of each message; messages of other versions are
+/// rejected.
 pub const VERSION: u8 = 1;
-/// Maximum size of an encoded message.
+/// Maximum size of an encoded message, which bounds the memory that one peer can occupy.
 pub const MESSAGE_BYTES_MAX: usize = 64 * 1024 * 1024;
 
-/// Heartbeats.
+/// Heartbeat messages. They are sent as datagrams, which may be lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
     /// Queries a peer for its revision.
     Ping {
-        /// Host that sends the ping.
+        /// Sender, by its key in the registry of hosts.
         host: HostKey,
-        /// Process of that host.
+        /// Process of that host; a restarted host has another one.
         incarnation: Incarnation,
         /// Time at which the ping was sent, on the sender's clock; returned unchanged.
         sent_ms: u64,
@@ -31,9 +32,9 @@
     },
     /// Reply to a ping.
     Pong {
-        /// Host that replies.
+        /// Host that replies, by its key in the registry of hosts.
         host: HostKey,
-        /// Process of that host.
+        /// Process of that host; a restarted host has another one.
         incarnation: Incarnation,
         /// Time of sending, copied from the ping.
         sent_ms: u64,
@@ -44,12 +45,12 @@
     },
 }
 
-/// Requests on streams.
+/// Requests from one host to another, each on a stream of its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// Delivers new log entries, which the receiver relays to the hosts in `relay`.
     Push {
-        /// Entries in order of revision.
+        /// Entries with consecutive revisions, oldest first.
         entries: Vec<LogEntry>,
         /// Hosts that the receiver must relay the entries to.
         relay: Vec<HostKey>,
@@ -73,14 +74,14 @@
     },
     /// Requests a probe: the receiver checks if a server responds.
     Probe {
-        /// Server to check.
+        /// Server to check, by its key in the state.
         server: ServerKey,
     },
     /// Requests the load that the receiver has counted since the last such request.
     Loads,
 }
 
-/// Replies on streams.
+/// Replies to a [`PeerRequest`], on the same stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerReply {
     /// Revision that the host has applied, in reply to a push.
@@ -90,7 +91,7 @@
     },
     /// Log entries after the requested revision.
     Entries {
-        /// Entries in order of revision.
+        /// Entries with consecutive revisions, oldest first.
         entries: Vec<LogEntry>,
     },
     /// The host no longer holds the requested entries.
@@ -99,7 +100,7 @@
     Snapshot {
         /// Revision and hash of the snapshot.
         pointer: SnapshotPointer,
-        /// Encoded state.
+        /// State in the postcard encoding, to be verified against `pointer`.
         body: Vec<u8>,
     },
     /// Renewals of this host, as needed by [`crate::ownership::lapse`].
@@ -114,7 +115,7 @@
         /// True if the server responded.
         alive: bool,
     },
-    /// Load by slot.
+    /// Requests by slot, counted by the replying host since the last such request.
     Loads {
         /// Slots with at least one request.
         loads: Vec<SlotLoad>,
@@ -124,9 +125,9 @@
 /// Requests that one host routed to one slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotLoad {
-    /// Service of the slot.
+    /// Service that the slot belongs to.
     pub service: ServiceKey,
-    /// Slot that the requests were for.
+    /// Slot that the keys of the requests belong to.
     pub slot: Slot,
     /// Number of requests since the last reading.
     pub requests: u32,
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -1,4 +1,4 @@
-//! Application of changes to the state. An invalid change is refused and leaves the state as it is.
+//! Applies changes to the state. An invalid change is refused and leaves the state as it is.
 
 use std::sync::Arc;
 
@@ -18,7 +18,8 @@
     membership::registry::voters,
 };
 
-/// Maximum number of identifiers kept to recognise retried changes.
+/// Maximum number of operation identifiers kept to recognise retried changes. A retry of an older
+/// change is no longer recognised.
 const OPERATIONS_KEPT: usize = 4096;
 
 impl State {
@@ -220,7 +221,8 @@
         }
     }
 
-    /// Refuses a new number of slots for an existing service.
+    /// Refuses a declaration that changes the number of slots of an existing service, because the
+    /// slots of its keys would change.
     fn check_slots(&self, specs: &[ServiceSpec]) -> Result<()> {
         for spec in specs {
             let existing = self
@@ -337,7 +339,8 @@
         Ok(())
     }
 
-    /// Changes the state of a host, unless it has restarted or is in that state.
+    /// Sets the state of a host. Fails if another process has replaced the host, or if it already
+    /// has that state.
     fn set_host(&mut self, key: HostKey, incarnation: Incarnation, to: HostState) -> Result<()> {
         let revision = self.revision;
         let entry = self.hosts.get_mut(key.0 as usize);
@@ -350,8 +353,8 @@
         Ok(())
     }
 
-    /// Returns a server to be changed if it is in the given membership period and state, and stamps
-    /// it with the revision.
+    /// Returns the entry of a server for modification and sets its `changed` revision. Fails unless
+    /// the server is in the given membership period and state.
     fn server_in(
         &mut self,
         key: ServerKey,
@@ -368,7 +371,7 @@
         Ok(entry)
     }
 
-    /// Begins a new membership period for a server that has no lease.
+    /// Begins a new membership period for a server that has no lease; fails for any other server.
     fn join_server(&mut self, key: ServerKey, incarnation: Incarnation) -> Result<()> {
         let revision = self.revision;
         let entry = self.servers.get_mut(key.0 as usize);
@@ -448,7 +451,7 @@
         entry.context(OutdatedSnafu { reason })
     }
 
-    /// Returns the epoch of the next grant of a slot.
+    /// Returns the epoch of the next grant of a slot, one above the highest epoch issued for it.
     pub fn next_epoch(&self, service: ServiceKey, slot: Slot) -> Epoch {
         let epoch = self.slot(service, slot).map(|entry| entry.epoch);
         epoch.unwrap_or_default().next()
--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the state, as stored in the change log.
+//! Entries of the change log and the changes that they carry. Every host applies them in log order.
 
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
     pub actor: String,
     /// Wall-clock time of the writer in milliseconds since 1970; used for the audit trail only.
     pub at_unix_ms: u64,
-    /// Change that was accepted.
+    /// Change that the entry applies; it was valid at the revision before this one.
     pub change: Change,
 }
 
@@ -30,29 +30,30 @@
 pub enum Change {
     /// A template was submitted or amended.
     TemplateSubmitted {
-        /// YAML text of the template.
+        /// YAML text of the template, which is parsed and checked again when the change is applied.
         document: String,
     },
     /// A template was withdrawn.
     TemplateWithdrawn {
-        /// Name of the template.
+        /// Name from the `template` field of the document; no workspace may use it any more.
         name: String,
     },
     /// A workspace was submitted or amended.
     WorkspaceSubmitted {
-        /// YAML text of the workspace.
+        /// YAML text of the workspace, which is parsed and checked again when the change is
+        /// applied.
         document: String,
     },
     /// A workspace was withdrawn.
     WorkspaceWithdrawn {
-        /// Name of the workspace.
+        /// Name from the `workspace` field of the document; its services are withdrawn too.
         name: String,
     },
     /// A host process has started and registers.
     HostRegistered {
-        /// Name of the host, from its settings.
+        /// Name from the settings; a process that restarts under it replaces the earlier one.
         name: String,
-        /// Random identifier of the process.
+        /// Random identifier of the process, new after each restart.
         incarnation: Incarnation,
         /// Address at which other hosts reach the host.
         peer_address: SocketAddr,
@@ -62,21 +63,21 @@
     /// A host has become a voter: it counts in the majorities of
     /// [`crate::membership::freshness`].
     HostPromoted {
-        /// Host to promote.
+        /// Registered host that becomes a voter.
         host: HostKey,
         /// Process of the host; the change is refused if another process has replaced it.
         incarnation: Incarnation,
     },
     /// A host has begun its planned stop.
     HostLeaving {
-        /// Host that leaves.
+        /// Host that stops; it remains a voter until its removal.
         host: HostKey,
         /// Process of the host; the change is refused if another process has replaced it.
         incarnation: Incarnation,
     },
     /// A host was silent for too long and no longer belongs to the registry.
     HostRemoved {
-        /// Host to remove.
+        /// Host whose entry is marked as removed; its key may be reused by a later host.
         host: HostKey,
         /// Process of the host; the change is refused if another process has replaced it.
         incarnation: Incarnation,
@@ -88,9 +89,10 @@
     },
     /// A server process has responded and begins a new membership period.
     ServerJoined {
-        /// Server that joins.
+        /// Server that joins; it must have no lease.
         server: ServerKey,
-        /// Process that responded.
+        /// Process that responded; the lease is granted to it and to no other process at this
+        /// address.
         incarnation: Incarnation,
     },
     /// A server has begun or ended draining.
@@ -104,30 +106,31 @@
     },
     /// A server does not respond; no host that has applied this revision renews its lease.
     ServerLost {
-        /// Server that was lost.
+        /// Live server that stopped responding; it becomes
+        /// [`ServerState::Lost`](super::ServerState::Lost).
         server: ServerKey,
         /// Membership period of the server; the change is refused in any other one.
         lease_epoch: LeaseEpoch,
     },
     /// The lease of a lost server has lapsed for certain, so its slots have no owner any more.
     ServerLapsed {
-        /// Server whose lease has lapsed.
+        /// Lost server; it becomes absent and may join again.
         server: ServerKey,
         /// Membership period of the server; the change is refused in any other one.
         lease_epoch: LeaseEpoch,
     },
     /// Moves of slots to new owners have begun.
     MovesBegun {
-        /// Service of the slots.
+        /// Service that all slots of this change belong to.
         service: ServiceKey,
-        /// Slots, their next owners and the epochs of their next grants.
+        /// Moves to begin; if one of them is invalid, none is applied.
         moves: Vec<SlotMove>,
     },
     /// Moves are completed: the new owners hold the slots.
     MovesCompleted {
-        /// Service of the slots.
+        /// Service that all slots of this change belong to.
         service: ServiceKey,
-        /// Slots, and the epochs at which they were granted to the new owners.
+        /// Moves to complete; if one of them is invalid, none is applied.
         done: Vec<MoveDone>,
     },
 }
@@ -148,9 +151,9 @@
 /// Start of the move of one slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotMove {
-    /// Slot that moves.
+    /// Number of the slot within the service, from 0.
     pub slot: Slot,
-    /// Server that is to own the slot.
+    /// Next owner: the server that the slot moves to.
     pub to: ServerKey,
     /// Epoch of the grant to the next owner, one above the last epoch issued for the slot.
     pub epoch: Epoch,
@@ -159,7 +162,7 @@
 /// Completion of the move of one slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveDone {
-    /// Slot that has moved.
+    /// Number of the slot within the service, from 0.
     pub slot: Slot,
     /// Epoch at which the slot was granted to the new owner.
     pub epoch: Epoch,
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -1,5 +1,5 @@
-//! Types of the state: tables of hosts, servers and services, which keys index, and the declared
-//! templates and workspaces.
+//! Types of the replicated state: tables of hosts, servers and services, whose keys are indices,
+//! and the declared templates and workspaces.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -20,7 +20,7 @@
 /// A template or workspace in force, as it was submitted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// YAML text as submitted.
+    /// YAML text as submitted, comments and formatting included.
     pub text: String,
     /// Revision at which the document was last submitted.
     pub revision: Revision,
@@ -46,20 +46,21 @@
 pub struct HostEntry {
     /// Name of the host, from its settings; the same for its later processes.
     pub name: String,
-    /// Random identifier of the process.
+    /// Random identifier of the process; it differs after each restart.
     pub incarnation: Incarnation,
-    /// Address at which other hosts reach the host.
+    /// UDP address of the QUIC endpoint at which other hosts reach the host.
     pub peer_address: SocketAddr,
     /// Availability zone of the host, from its settings.
     pub availability_zone: String,
-    /// Stage of the host's life cycle.
+    /// Stage of the life cycle; it decides whether the host is registered and whether it is a
+    /// voter.
     pub state: HostState,
     /// Revision of the last change of this entry.
     pub changed: Revision,
 }
 
 impl HostEntry {
-    /// Returns true if the host is a voter, which counts in majorities.
+    /// Returns true if the host is a voter (live or leaving) and so counts in majorities.
     pub fn is_voter(&self) -> bool {
         matches!(self.state, HostState::Live | HostState::Leaving)
     }
@@ -122,7 +123,7 @@
 /// One backend server, identified by its address.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEntry {
-    /// Address at which hosts reach the server.
+    /// Address at which hosts reach the server; unique among servers.
     pub address: SocketAddr,
     /// Availability zone from the workspace that declared it last.
     pub availability_zone: String,
@@ -130,7 +131,7 @@
     pub incarnation: Incarnation,
     /// Number of the server's membership period; rises with each join.
     pub lease_epoch: LeaseEpoch,
-    /// Stage of the server's life cycle.
+    /// Stage of the life cycle; it decides whether hosts renew the server's lease.
     pub state: ServerState,
     /// True if the server wants to leave, so that its slots are moved away.
     pub draining: bool,
@@ -180,7 +181,7 @@
     pub spec: ServiceSpec,
     /// Servers of `spec.targets`, in that order.
     pub targets: Vec<ServerKey>,
-    /// Ownership by slot number.
+    /// Ownership of each slot; the index is the slot number. The length is fixed.
     pub slots: Vec<SlotEntry>,
     /// False once the service is withdrawn. The entry is kept so that its epochs never repeat.
     pub active: bool,
@@ -191,7 +192,7 @@
 pub struct RecentOperation {
     /// Hash of the identifier that the writer chose.
     pub id_hash: u128,
-    /// Revision at which the change was appended.
+    /// Revision at which the change was appended, which is returned to a retry of it.
     pub revision: Revision,
 }
 
@@ -202,11 +203,11 @@
     pub revision: Revision,
     /// Revision of the last change of a template or workspace.
     pub configuration: Revision,
-    /// Templates in force, by name.
+    /// Templates in force, by name; a withdrawn one is removed.
     pub templates: BTreeMap<String, Document>,
-    /// Workspaces in force, by name.
+    /// Workspaces in force, by name; a withdrawn one is removed.
     pub workspaces: BTreeMap<String, Document>,
-    /// Changes and settlement of the registry of hosts.
+    /// Revisions of the last changes and of the last settlement of the registry of hosts.
     pub registry: Registry,
     /// Entry hosts by [`HostKey`], one entry per process. Entries of removed hosts are reused.
     pub hosts: Vec<HostEntry>,
@@ -224,7 +225,7 @@
         self.hosts.get(key.0 as usize)
     }
 
-    /// Returns the server `key`.
+    /// Returns the server `key`, also if it is absent; `None` if the key was never assigned.
     pub fn server(&self, key: ServerKey) -> Option<&ServerEntry> {
         self.servers.get(key.0 as usize)
     }
@@ -241,7 +242,7 @@
         Some(HostKey(index as u32))
     }
 
-    /// Returns the key of the server at `address`.
+    /// Returns the key of the server at `address`; `None` if no workspace has declared it.
     pub fn server_key(&self, address: SocketAddr) -> Option<ServerKey> {
         let index = self.servers.iter().position(|s| s.address == address)?;
         Some(ServerKey(index as u32))
@@ -253,26 +254,27 @@
         Some(ServiceKey(index as u32))
     }
 
-    /// Iterates over the registered hosts and their keys.
+    /// Iterates over the registered hosts and their keys, in key order; removed hosts are skipped.
     pub fn registered_hosts(&self) -> impl Iterator<Item = (HostKey, &HostEntry)> {
         let keys = (0..).map(HostKey);
         keys.zip(&self.hosts).filter(|(_, host)| host.registered())
     }
 
-    /// Iterates over all servers and their keys.
+    /// Iterates over all servers ever declared and their keys, in key order.
     pub fn server_entries(&self) -> impl Iterator<Item = (ServerKey, &ServerEntry)> {
         (0..).map(ServerKey).zip(&self.servers)
     }
 
-    /// Iterates over the services in force and their keys.
+    /// Iterates over the services in force and their keys, in key order; withdrawn ones are
+    /// skipped.
     pub fn active_services(&self) -> impl Iterator<Item = (ServiceKey, &ServiceEntry)> {
         let keys = (0..).map(ServiceKey);
         let services = self.services.iter().map(Arc::as_ref);
         keys.zip(services).filter(|(_, service)| service.active)
     }
 
-    /// Returns the revision of a recent change by its identifier; `None` if it is unknown or was
-    /// too long ago.
+    /// Returns the revision of the recent change with identifier `id`; `None` if there is none or
+    /// it is no longer kept.
     pub fn operation(&self, id: &OperationId) -> Option<Revision> {
         let hash = id.hash();
         let found = self
@@ -285,7 +287,7 @@
 }
 
 impl ServiceEntry {
-    /// Iterates over the slots and their numbers.
+    /// Iterates over the slots and their numbers, in ascending order.
     pub fn slot_entries(&self) -> impl Iterator<Item = (Slot, &SlotEntry)> {
         (0..).map(Slot).zip(&self.slots)
     }
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -1,4 +1,5 @@
-//! Errors of applying a change and of reading a snapshot.
+//! Reasons why a change is refused or a snapshot cannot be decoded. Hosts refuse the same change at
+//! the same revision for the same reason.
 
 use snafu::Snafu;
 
@@ -19,37 +20,37 @@
     Unknown {
         /// `template` or `workspace`.
         kind: &'static str,
-        /// Name in the change.
+        /// Name that the operator gave.
         name: String,
     },
     /// The template cannot be withdrawn because a workspace uses it.
     #[snafu(display("template {template} is still used by workspace {workspace}"))]
     InUse {
-        /// Name of the template.
+        /// Template that is to be withdrawn.
         template: String,
-        /// Name of one workspace that uses it.
+        /// One of the workspaces that use the template; there may be more.
         workspace: String,
     },
     /// The number of slots differs from that of the existing service, which is fixed.
     #[snafu(display("service {service} has {slots} slots, which cannot change"))]
     SlotsFixed {
-        /// Full name of the service.
+        /// Full name of the service, `workspace/service`.
         service: String,
-        /// Number of slots of the existing service.
+        /// Number of slots of the existing service, which the declaration must keep.
         slots: u32,
     },
     /// The change was decided on a state that has changed since.
     #[snafu(display("the change is outdated: {reason}"))]
     Outdated {
-        /// Condition that does not hold any more.
+        /// Condition of the change that no longer holds, for logs and operators.
         reason: &'static str,
     },
     /// The entry is not the next one of the log.
     #[snafu(display("revision {found} does not follow {applied}"))]
     Order {
-        /// Revision of the entry.
+        /// Revision of the entry that was to be applied.
         found: u64,
-        /// Last revision applied.
+        /// Last revision applied; the entry should have had the one after it.
         applied: u64,
     },
     /// A snapshot cannot be read.
--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -26,13 +26,13 @@
     },
 };
 
-/// Row whose version is the last revision.
+/// Key of the row whose version is the last revision.
 const HEAD_ROW: &str = "head";
-/// Prefix of the rows of entries.
+/// Prefix of the keys of the rows that hold log entries, one entry per row.
 const LOG_PREFIX: &str = "log/";
-/// Row of the pointer to the latest snapshot.
+/// Key of the row that holds the [`SnapshotPointer`] of the latest snapshot.
 const SNAPSHOT_ROW: &str = "snapshot";
-/// Maximum number of entries that one read returns.
+/// Maximum number of entries that one read returns; a host that is further behind reads again.
 const TAIL_ROWS: usize = 1_000;
 /// Pause before a transaction without a response is sent again.
 const TRANSACT_RETRY_MS: u64 = 50;
@@ -43,21 +43,21 @@
     /// A call of the platform failed.
     #[snafu(display("{source}"))]
     Platform {
-        /// Error of the store's client.
+        /// Failed HTTP call; a write may have taken effect all the same.
         source: store::Error,
     },
     /// The time limit was reached before it was known if the change took effect.
     #[snafu(display("it is unknown whether the change took effect: {source}"))]
     Unsettled {
-        /// Error of the last attempt.
+        /// Error of the last attempt before the time limit.
         source: store::Error,
     },
     /// The content of a row cannot be encoded or decoded.
     #[snafu(display("the row {key} cannot be read"))]
     Row {
-        /// Key of the row.
+        /// Key of the row in the table service.
         key: String,
-        /// Error of the JSON library.
+        /// Position and cause, as reported by the JSON library.
         source: serde_json::Error,
     },
     /// The log no longer holds the next entry, so a snapshot is needed.
@@ -69,7 +69,7 @@
     /// A snapshot cannot be encoded or decoded.
     #[snafu(display("{source}"))]
     State {
-        /// Error of the snapshot.
+        /// Cause, such as a wrong hash.
         source: super::Error,
     },
 }
@@ -81,14 +81,14 @@
     pub operation_id: OperationId,
     /// Operator or host that makes the change.
     pub actor: String,
-    /// Change to append.
+    /// Change to append, which the writer has checked against its own state.
     pub change: Change,
 }
 
 /// Result of an append.
 #[derive(Clone, Debug)]
 pub enum AppendOutcome {
-    /// The entry is in the log.
+    /// The entry was appended, possibly by an earlier attempt whose response was lost.
     Committed(LogEntry),
     /// Another entry has this revision; the caller has to read the log and decide again.
     Conflict,
@@ -129,7 +129,8 @@
         Ok(entries)
     }
 
-    /// Appends a change as the next revision after `after`.
+    /// Appends a change at the revision after `after`. Returns a conflict if another writer has
+    /// appended an entry at that revision.
     pub async fn append(
         &self,
         after: Revision,
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,4 +1,5 @@
-//! HTTP client of the platform.
+//! HTTP client of the platform's services. It does not retry; callers decide whether a failed call
+//! may be sent again.
 
 use std::net::SocketAddr;
 
@@ -54,13 +55,13 @@
         Ok(rows.rows)
     }
 
-    /// Reads the row `key`.
+    /// Reads the row `key`; `None` if it does not exist.
     pub async fn row(&self, key: &str) -> Result<Option<Row>> {
         let rows = self.range(key, "", 1).await?;
         Ok(rows.into_iter().find(|row| row.key == key))
     }
 
-    /// Stores an object under `name`.
+    /// Stores an object under `name` in the object store.
     pub async fn put_object(&self, name: &str, body: Bytes) -> Result<()> {
         let path = format!("{OBJECT_PATH}{name}");
         self.client
@@ -70,7 +71,7 @@
         Ok(())
     }
 
-    /// Reads the object `name`.
+    /// Reads the object `name`; fails if it does not exist.
     pub async fn object(&self, name: &str) -> Result<Bytes> {
         let path = format!("{OBJECT_PATH}{name}");
         self.client
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the platform's client.
+//! Error type of the client for the platform's services.
 
 use snafu::Snafu;
 
@@ -11,7 +11,7 @@
     /// The call failed; a write may have taken effect all the same.
     #[snafu(display("the platform cannot be reached: {source}"))]
     Call {
-        /// Error of the HTTP call.
+        /// Failure of the HTTP call, such as a timeout, an error status or an unreadable body.
         source: CallError,
     },
 }
--- a/src/store/message.rs
+++ b/src/store/message.rs
@@ -23,19 +23,19 @@
     Version(u64),
 }
 
-/// Condition of a transaction.
+/// Condition on one row that must hold for a transaction to take effect.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Condition {
-    /// Key of the row.
+    /// Key of the row that the condition or write is about.
     pub key: String,
-    /// Expected state of the row.
+    /// Required state of the row when the transaction is executed.
     pub expect: Expect,
 }
 
 /// Write of one row in a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Write {
-    /// Key of the row.
+    /// Key of the row that the condition or write is about.
     pub key: String,
     /// New value; `None` deletes the row.
     pub value: Option<String>,
@@ -44,13 +44,13 @@
 /// Writes that take effect together, if all conditions hold.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Conditions, all of which must hold.
+    /// Conditions that are checked before the writes; with none, the writes always take effect.
     pub conditions: Vec<Condition>,
-    /// Writes that are made if all conditions hold.
+    /// Writes to make; either all of them take effect or none.
     pub writes: Vec<Write>,
 }
 
-/// Outcome of a transaction.
+/// Outcome of a transaction that the table service has executed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 pub enum TransactionOutcome {
@@ -66,7 +66,7 @@
 /// Request for the rows after `after` whose key starts with `prefix`, in key order.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RangeRead {
-    /// Prefix of the keys.
+    /// Prefix that the keys of the returned rows share; empty for all rows.
     pub prefix: String,
     /// Exclusive lower bound of the keys; empty for none.
     pub after: String,
@@ -74,7 +74,7 @@
     pub limit: usize,
 }
 
-/// Row of the table service.
+/// Row of the table service, with the version that conditions refer to.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Row {
     /// Key, unique in the table service.
@@ -85,10 +85,10 @@
     pub value: String,
 }
 
-/// Rows that a range read returned.
+/// Response to a [`RangeRead`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Rows {
-    /// Rows in key order.
+    /// Rows in ascending key order, at most the requested number.
     pub rows: Vec<Row>,
 }
 
@@ -111,9 +111,9 @@
     pub state: ListedState,
 }
 
-/// The platform's list of hosts.
+/// Response with the platform's list of hosts, which may lag behind the real state.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HostList {
-    /// Hosts in no particular order.
+    /// Entries in no particular order.
     pub hosts: Vec<ListedHost>,
 }
