--- a/src/bench/control.rs
+++ b/src/bench/control.rs
@@ -18,10 +18,10 @@
 const SETTLE_MS: u64 = 6_000;
 const MEASURE_MS: u64 = 10_000;
 
-/// Measurements at one number of hosts.
+/// Cost of the coordination, measured with one number of hosts.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ControlFigures {
-    /// Number of hosts.
+    /// Number of hosts that ran during the measurement.
     pub hosts: usize,
     /// Number of hosts that were voters during the measurement.
     pub counted: usize,
@@ -37,7 +37,7 @@
     pub transactions_per_s: f64,
 }
 
-/// Runs the measurement with `hosts` hosts.
+/// Measures the cost with `hosts` hosts; fails if the hosts cannot be started.
 pub async fn run(hosts: usize) -> Result<ControlFigures, Error> {
     let memory = process::resident_bytes();
     let system = System::start(hosts).await?;
--- a/src/bench/day.rs
+++ b/src/bench/day.rs
@@ -35,7 +35,7 @@
     Event::Migration,
 ];
 
-/// Generated day.
+/// Day of generated load and server availability, which policies are compared on.
 #[derive(Clone, Debug)]
 pub struct Day {
     event: Event,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns the load of a slot.
+    /// Returns the actual load of a slot in the given minute.
     pub fn load(&self, minute: usize, slot: usize) -> f64 {
         self.base[slot] * self.daily_factor(minute) * self.hot_slot_factor(minute, slot)
     }
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Returns true if a server is available.
+    /// Returns true if the server is available in the given minute.
     pub fn is_up(&self, minute: usize, server: usize) -> bool {
         let hour = minute / 60;
         match self.event {
--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -23,12 +23,12 @@
 const SEED: u64 = 3;
 const TARGETS_PER_DOCUMENT: u32 = 4_000;
 
-/// Measurements at one size.
+/// Times and memory measured with one number of slots and servers.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct SizeFigures {
-    /// Number of slots.
+    /// Number of slots of the measured service.
     pub slots: u32,
-    /// Number of servers.
+    /// Number of servers over which the slots are placed.
     pub servers: u32,
     /// Time to place all slots for the first time.
     pub place_ms: f64,
@@ -36,9 +36,9 @@
     pub loss_ms: f64,
     /// Time to plan when nothing needs to move.
     pub idle_ms: f64,
-    /// Memory of the state per slot.
+    /// Memory in bytes of the state, divided by the number of slots.
     pub state_bytes_per_slot: f64,
-    /// Size of the snapshot per slot.
+    /// Size in bytes of the encoded snapshot, divided by the number of slots.
     pub snapshot_bytes_per_slot: f64,
     /// Time to apply the completion of one slot's move to the state.
     pub apply_ms: f64,
--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -55,12 +55,12 @@
     Policy::BoundedLoads,
 ];
 
-/// Measurements of one policy on one day.
+/// Balance, moves and unavailability of one policy on one generated day.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct PolicyFigures {
-    /// Scenario of the day.
+    /// Scenario of the day on which the policy was measured.
     pub event: Event,
-    /// Name of the policy.
+    /// Name of the policy, as printed in the table.
     pub policy: &'static str,
     /// Mean over the day of the highest load divided by the mean load.
     pub imbalance_mean: f64,
--- a/src/bench/process.rs
+++ b/src/bench/process.rs
@@ -8,7 +8,7 @@
 const FIELDS_BEFORE_USER_TIME: usize = 11;
 const LOOPBACK: &str = "lo:";
 
-/// Returns the processor time that this process has used.
+/// Returns the processor time that this process has used, in milliseconds of user and system time.
 pub fn cpu_ms() -> u64 {
     let text = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     // The process name in parentheses may contain spaces, so fields are counted after it.
@@ -23,7 +23,7 @@
     (ticks() + ticks()) * 1_000 / TICKS_PER_S
 }
 
-/// Returns the resident memory of this process.
+/// Returns the resident memory of this process in bytes.
 pub fn resident_bytes() -> u64 {
     let text = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with("VmRSS:"));
--- a/src/bin/ashroad/check.rs
+++ b/src/bin/ashroad/check.rs
@@ -19,14 +19,14 @@
     output,
 };
 
-/// One problem found in one file.
+/// One problem found in one file, printed as a line or as JSON.
 #[derive(Debug, Serialize)]
 struct Problem {
     file: PathBuf,
     problem: String,
 }
 
-/// Content of a file by the kind of document.
+/// Parsed document of one file, by its kind.
 enum Document {
     Template(Template),
     Workspace(Workspace),
--- a/src/bin/ashroad/declaration.rs
+++ b/src/bin/ashroad/declaration.rs
@@ -22,12 +22,12 @@
 /// Interval between status queries while waiting for a revision to be in force.
 const WAIT_POLL_MS: u64 = 20;
 
-/// Runs `ashroad template`.
+/// Runs `ashroad template`: submits, withdraws, shows or lists templates.
 pub async fn run_template(args: DeclarationArgs, json: bool) -> Result<()> {
     run(DeclarationKind::Template, "template", args, json).await
 }
 
-/// Runs `ashroad workspace`.
+/// Runs `ashroad workspace`: submits, withdraws, shows or lists workspaces.
 pub async fn run_workspace(args: DeclarationArgs, json: bool) -> Result<()> {
     run(DeclarationKind::Workspace, "workspace", args, json).await
 }
--- a/src/bin/ashroad/error.rs
+++ b/src/bin/ashroad/error.rs
@@ -24,21 +24,21 @@
     /// The async runtime or a signal handler cannot be set up.
     #[snafu(display("cannot start: {source}"))]
     Runtime {
-        /// Error of the operating system.
+        /// Cause, as reported by the operating system.
         source: std::io::Error,
     },
     /// A file cannot be read.
     #[snafu(display("{}: cannot be read: {source}", path.display()))]
     Read {
-        /// Path of the file.
+        /// Path of the file, as given on the command line.
         path: PathBuf,
-        /// Error of the operating system.
+        /// Cause, as reported by the operating system.
         source: std::io::Error,
     },
     /// The settings of a host are invalid.
     #[snafu(display("{source}"))]
     Settings {
-        /// Problem of the settings file.
+        /// Cause: the file cannot be read, or its values are invalid.
         source: settings::Error,
     },
     /// Checked files have problems, which were printed.
@@ -52,7 +52,7 @@
     /// The size or encoding of a declaration is invalid.
     #[snafu(display("{}: {source}", path.display()))]
     Declaration {
-        /// Path of the file.
+        /// Path of the file, as given on the command line.
         path: PathBuf,
         /// Rule that the declaration violates.
         source: configuration::Error,
@@ -60,19 +60,20 @@
     /// A certificate cannot be created.
     #[snafu(display("{source}"))]
     Keys {
-        /// Error of the certificate generation.
+        /// Cause: an unwritable directory, an unreadable file or an error of the certificate
+        /// generator.
         source: peer::Error,
     },
     /// The entry host cannot start or failed.
     #[snafu(display("{source}"))]
     Entry {
-        /// Error of the entry host.
+        /// Reason why the entry host failed.
         source: entry::Error,
     },
     /// The host cannot start.
     #[snafu(display("{source}"))]
     Host {
-        /// Error of the host.
+        /// Reason why the host cannot start.
         source: host::Error,
     },
     /// A task of the host ended unexpectedly.
@@ -81,7 +82,7 @@
     /// A stand-in cannot start.
     #[snafu(display("the stand-in cannot listen: {source}"))]
     Standin {
-        /// Error of the operating system.
+        /// Cause, as reported by the operating system.
         source: std::io::Error,
     },
     /// A host refused the call or cannot be reached.
@@ -104,7 +105,7 @@
     NotFound {
         /// Kind of declaration, `template` or `workspace`.
         kind: &'static str,
-        /// Requested name.
+        /// Name given on the command line.
         name: String,
     },
     /// A change was accepted but was not in force on every host in time.
@@ -117,11 +118,11 @@
     },
 }
 
-/// Result of a command.
+/// Result of a command; an error determines the exit code.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
-    /// Returns the exit code of the process.
+    /// Returns the exit code of the process, by which scripts tell the kinds of failures apart.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             Self::Settings { .. } | Self::Problems { .. } | Self::Declaration { .. } => BAD_INPUT,
--- a/src/bin/ashroad/explain.rs
+++ b/src/bin/ashroad/explain.rs
@@ -1,4 +1,4 @@
-//! Subcommand `ashroad explain`: prints the timeline of one request.
+//! Subcommand `ashroad explain`: prints the timeline of one request, from the logs of hosts.
 
 use ashroad::entry::explain::{self, Source, TimelineEntry};
 
--- a/src/bin/ashroad/losses.rs
+++ b/src/bin/ashroad/losses.rs
@@ -1,4 +1,5 @@
-//! Subcommand `ashroad losses`: counts lost requests.
+//! Subcommand `ashroad losses`: counts lost requests by time, route and reason, from the logs of
+//! hosts.
 
 use ashroad::entry::{
     explain::Source,
--- a/src/demo/error.rs
+++ b/src/demo/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the demonstration.
+//! Reasons why the demonstration cannot run to its end. A violated invariant is not among them.
 
 use snafu::Snafu;
 
@@ -11,39 +11,39 @@
     /// The directory for certificates cannot be created or written.
     #[snafu(display("the directory for certificates cannot be used: {source}"))]
     Directory {
-        /// Error of the file system.
+        /// Cause, as reported by the operating system.
         source: std::io::Error,
     },
     /// A stand-in of the platform or of a server cannot start.
     #[snafu(display("a stand-in cannot start: {source}"))]
     Standin {
-        /// Error of the operating system.
+        /// Cause, as reported by the operating system.
         source: std::io::Error,
     },
     /// The certificates cannot be generated.
     #[snafu(display("{source}"))]
     Keys {
-        /// Error of the certificate generation.
+        /// Cause: an unwritable directory or an error of the certificate generator.
         source: peer::Error,
     },
     /// A host cannot start.
     #[snafu(display("{source}"))]
     Host {
-        /// Error of the host.
+        /// Reason why the host cannot start.
         source: host::Error,
     },
     /// A call to a host or a stand-in failed.
     #[snafu(display("{source}"))]
     Call {
-        /// Error of the HTTP call.
+        /// Failure of the HTTP call, such as a timeout or an error status.
         source: CallError,
     },
     /// A condition did not hold within its time limit.
     #[snafu(display("timed out after {limit_ms} ms while waiting until {what}"))]
     Timeout {
-        /// Condition that was waited for.
+        /// Condition that did not come true, worded for the user.
         what: &'static str,
-        /// Time limit of the wait.
+        /// Time limit of the wait in milliseconds.
         limit_ms: u64,
     },
 }
--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -24,7 +24,8 @@
     pub(crate) at_us: u64,
 }
 
-/// Disturbances during the run.
+/// Disturbances (lost server, planned stop) during the run, by which affected requests are told
+/// apart.
 #[derive(Clone, Debug)]
 pub(crate) struct Disturbances {
     pub(crate) lost_us: u64,
@@ -39,10 +40,10 @@
     pub(crate) through: LoadReport,
 }
 
-/// Result of the demonstration.
+/// Figures of the demonstration, printed as JSON at its end.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Summary {
-    /// Requests sent.
+    /// Requests sent during the run.
     pub requests: u64,
     /// Requests that got a complete response, and not that of another request.
     pub answered: u64,
--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -27,7 +27,7 @@
     /// The change is not valid in the current state.
     #[snafu(display("{source}"))]
     Refused {
-        /// Rule of the state that the change violates.
+        /// Reason why the state refuses the change.
         source: state::Error,
     },
     /// The configuration is not at the revision that the writer expects.
@@ -41,7 +41,7 @@
     /// The entry could not be appended to the change log.
     #[snafu(display("{source}"))]
     Log {
-        /// Failure of the store, or an entry that cannot be read.
+        /// Cause: a failure of the store, or an entry that cannot be decoded.
         source: LogError,
     },
     /// Other writers appended their changes first in every attempt.
@@ -60,7 +60,7 @@
     /// Configuration revision that the writer's decision was based on. The change is refused at
     /// any other revision; `None` accepts every revision.
     pub expect_revision: Option<Revision>,
-    /// Change to append to the log.
+    /// Change to append to the log, if it is valid in the state at that time.
     pub change: Change,
 }
 
@@ -77,7 +77,8 @@
         Ok(())
     }
 
-    /// Commits a change and returns the revision at which it was appended.
+    /// Commits a change and returns the revision at which it was appended. A change whose
+    /// identifier was accepted before gets the earlier revision.
     pub async fn commit(self: &Arc<Self>, request: CommitRequest) -> Result<Revision, CommitError> {
         // Each host commits one change at a time; concurrent ones would only conflict.
         let _turn = self.commits.lock().await;
--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -14,7 +14,7 @@
     ownership::{moves::MoveGroup, planner::PlannedMove},
 };
 
-/// Interval of the control loop.
+/// Pause between two rounds of the control loop.
 const TICK_MS: u64 = 25;
 /// Number of rounds of the control loop between two checks for silent hosts, on a host that is not
 /// the leader.
@@ -30,7 +30,7 @@
 pub(super) struct Controller {
     /// Groups of moves that a task of this process is carrying out.
     pub(super) moving: HashSet<MoveGroup>,
-    /// Lost servers for whose lapse a task of this process is waiting.
+    /// Lost servers for which a task of this process is waiting until their lease has lapsed.
     pub(super) lapsing: HashSet<ServerKey>,
     /// Time at which the servers without a lease were last queried.
     pub(super) joins_checked_ms: u64,
@@ -40,7 +40,7 @@
     pub(super) loads: Vec<Vec<f64>>,
     /// Revision of the state and time of the loads from which the last plan was made.
     pub(super) planned: Option<(Revision, u64)>,
-    /// Settlement of the last change of the registry.
+    /// Progress towards settling the last change of the registry of hosts.
     pub(super) registry: SettlementTracker,
     snapshot: Revision,
     sweep: Sweep,
--- a/src/host/error.rs
+++ b/src/host/error.rs
@@ -1,4 +1,4 @@
-//! Errors that prevent a host from starting.
+//! Error type of the start of a host: listeners, files and sockets that cannot be opened.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -6,7 +6,7 @@
 
 use crate::peer;
 
-/// Reason why a host cannot start.
+/// Reason why a host cannot start, for the operator who starts it.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
@@ -19,9 +19,9 @@
     /// The listener for callers cannot be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Address from the settings.
+        /// Address from the settings that could not be bound.
         address: SocketAddr,
-        /// Error of the operating system.
+        /// Cause, as reported by the operating system.
         source: std::io::Error,
     },
     /// The operators' API cannot be started.
@@ -33,15 +33,15 @@
     /// The file with the operators' token cannot be read.
     #[snafu(display("{}: cannot be read: {source}", path.display()))]
     Token {
-        /// Path of the token file.
+        /// Path of the token file, from the settings.
         path: PathBuf,
-        /// Error of the operating system.
+        /// Cause, as reported by the operating system.
         source: std::io::Error,
     },
     /// The socket for metrics cannot be opened.
     #[snafu(display("metrics cannot be sent: {source}"))]
     Metrics {
-        /// Error of the operating system.
+        /// Cause, as reported by the operating system.
         source: std::io::Error,
     },
 }
--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -14,7 +14,7 @@
     store::message::{Condition, Expect, Row, Transaction, TransactionOutcome, Write},
 };
 
-/// Key of the leader row.
+/// Key of the row that holds the leader's lease and term.
 const LEADER_ROW: &str = "leader";
 /// Number of renewals of the leader row within one lease.
 const RENEWALS_PER_LEASE: u64 = 4;
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -21,7 +21,7 @@
     state::{Change, HostEntry, ServerState, State},
 };
 
-/// Interval at which servers without a lease are queried.
+/// Interval at which servers without a lease are queried, so that those that respond can join.
 const QUERY_SERVERS_MS: u64 = 300;
 /// Timeout of a query to another host for its lease horizon or its applied revision.
 const HORIZON_TIMEOUT_MS: u64 = 200;
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Returns the hosts that report that they have applied `revision`, this host included.
+    /// Queries all hosts and returns those that have applied `revision`, this host included.
     async fn hosts_with_revision(&self, revision: Revision) -> Vec<Voter> {
         let mut calls = JoinSet::new();
         for (host, incarnation, address) in self.other_hosts() {
@@ -246,7 +246,7 @@
     }
 }
 
-/// A lost server whose lease may still be valid.
+/// Lost server whose lease may still be valid, as of the revision of the loss.
 #[derive(Clone, Copy, Debug)]
 struct LostServer {
     server: ServerKey,
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -45,7 +45,7 @@
 /// Shared context of all tasks of one host.
 #[derive(Debug)]
 pub struct Host {
-    /// Settings read at the start of the process.
+    /// Settings, read once at the start of the process.
     pub settings: Settings,
     /// Random identifier of this process; a restarted host has a new one.
     pub incarnation: Incarnation,
@@ -55,9 +55,9 @@
     pub traffic: Traffic,
     /// Connections to backend servers, and the limits of requests in flight.
     pub targets: Targets,
-    /// Records of unrepeatable requests.
+    /// Records that keep unrepeatable requests from running twice.
     pub claims: Claims,
-    /// Sender of metrics to statsd.
+    /// Client that sends metrics to statsd, if the settings name a receiver.
     pub metrics: Metrics,
     pub(crate) log: ChangeLog,
     pub(crate) platform: Platform,
--- a/src/host/moves.rs
+++ b/src/host/moves.rs
@@ -28,7 +28,7 @@
 /// Delay before a failed group of moves is retried.
 const RETRY_MS: u64 = 50;
 
-/// Reason why a group of moves is not completed yet.
+/// Reason why a group of moves could not be completed; it is retried after [`RETRY_MS`].
 #[derive(Debug, Snafu)]
 enum MoveError {
     #[snafu(display("the old owner does not respond: {source}"))]
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -1,4 +1,5 @@
-//! Handles heartbeats and requests from other hosts.
+//! Handles heartbeats and requests from other hosts: replies to pings, applies pushed entries and
+//! serves entries, snapshots, probes and loads.
 
 use std::sync::Arc;
 
--- a/src/host/planning.rs
+++ b/src/host/planning.rs
@@ -17,18 +17,19 @@
     state::{Change, ServerState, ServiceEntry, SlotMove, State},
 };
 
-/// Maximum number of slots of one service that may be moving when moves for balance are added.
+/// Maximum number of slots of one service that may be moving at a time for the leader to add moves
+/// for balance.
 const BALANCE_IN_FLIGHT_MAX: usize = 8;
 /// Maximum number of slots in one change, which bounds the size of a row of the log.
 const SLOTS_PER_CHANGE: usize = 2_000;
-/// Interval at which the leader reads the loads.
+/// Interval at which the leader reads the loads of all hosts.
 const READ_LOADS_MS: u64 = 2_000;
-/// Timeout of reading the loads of one host.
+/// Timeout of the request for the loads of one host.
 const LOADS_TIMEOUT_MS: u64 = 500;
 /// Weight of the latest reading in the exponentially smoothed load.
 const LOAD_SMOOTHING: f64 = 0.2;
-/// Smoothed requests of a service, over all slots, below which there are too few of them to
-/// balance on.
+/// Minimum number of smoothed requests of a service, over all slots, for balancing by load. With
+/// fewer, the loads are too uncertain.
 const LOAD_REQUESTS_MIN: f64 = 200.0;
 
 impl Host {
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -1,4 +1,4 @@
-//! Renews the leases of backend servers, and detects lost servers.
+//! Renews the leases of backend servers, and reports servers that do not respond as lost.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,7 +18,7 @@
     transport::{CallError, JsonClient},
 };
 
-/// Interval of the checks for due renewals.
+/// Interval at which the host checks which renewals are due.
 const TICK_MS: u64 = 25;
 /// Number of hosts that renew the lease of one server independently of each other.
 const RENEWERS: usize = 2;
@@ -33,7 +33,8 @@
 /// host sends an order of its own within it.
 const PROBE_TIMEOUT_MS: u64 = 250;
 
-/// A server with a lease: address, process and membership period that a renewal is meant for.
+/// Server whose lease is renewed, with the process and membership period that the renewal is valid
+/// for.
 #[derive(Clone, Copy, Debug)]
 struct LeasedServer {
     server: ServerKey,
@@ -53,7 +54,7 @@
     }
 }
 
-/// Returns an HTTP client for orders to servers.
+/// Returns an HTTP client for orders to servers, with a timeout of [`ORDER_TIMEOUT_MS`].
 pub(super) fn order_client() -> JsonClient {
     JsonClient::new(ORDER_TIMEOUT_MS)
 }
@@ -107,8 +108,8 @@
         }
     }
 
-    /// Returns this host and the hosts that replied to a heartbeat of this host lately. Hosts that
-    /// this host does not ping are included.
+    /// Returns the registered hosts without those that have stopped replying to heartbeats of this
+    /// host. Hosts that never replied, such as those that this host does not ping, are included.
     fn heard_hosts(&self, state: &State, own: HostKey) -> Vec<HostKey> {
         let heartbeat_ms = self.settings.ownership.heartbeat_ms;
         let silent_ms = heartbeat_ms * SILENT_HEARTBEATS;
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -1,4 +1,4 @@
-//! Starts and stops an entry host.
+//! Starts an entry host, registers it, and ends it by a planned stop or as a crash would.
 
 use std::{
     net::SocketAddr,
@@ -42,7 +42,8 @@
 const RESOLVE_TIMEOUT_MS: u64 = 5_000;
 /// Maximum number of idle connections kept open to one backend server.
 const IDLE_CONNECTIONS: usize = 8;
-/// Pause between two attempts to register this host.
+/// Pause between two attempts to register this host, of which the first may fail while the store is
+/// down.
 const REGISTER_PAUSE_MS: u64 = 100;
 /// Time limit of the announcement of a planned stop, so that the stop goes on while the store is
 /// down.
@@ -51,7 +52,7 @@
 /// A host that runs in this process, with its tasks.
 #[derive(Debug)]
 pub struct RunningHost {
-    /// Context that the tasks of the host share.
+    /// Context shared with the tasks of the host.
     pub host: Arc<Host>,
     /// Address on which the listener for callers is bound.
     pub callers: SocketAddr,
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -14,7 +14,8 @@
     state::{LogEntry, LogError, Snapshot},
 };
 
-/// Interval at which the age of the basis is checked.
+/// Interval at which the host checks the age of its basis (the time for which its view is known to
+/// be complete).
 const TICK_MS: u64 = 20;
 /// Age of the basis at which a root host reads the log, in percent of the freshness limit. Root
 /// hosts read early, so that the hosts below them in the heartbeat tree need not read.
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -1,4 +1,5 @@
-//! The host's view: the replicated state at one revision, when it was applied, and its freshness.
+//! The host's view: the replicated state at one revision, its freshness, and the latest log entries
+//! with the times at which they were applied.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -80,7 +81,7 @@
         self.state.load()
     }
 
-    /// Returns the last revision that was applied.
+    /// Returns the last revision that this host has applied; 0 before the first.
     pub fn revision(&self) -> Revision {
         self.state.load().revision
     }
@@ -153,8 +154,8 @@
     }
 
     /// Returns the time since this host applied `revision`; `None` if it has not. For an entry that
-    /// is no longer kept, the time since a snapshot last replaced the state counts instead, or 0 if
-    /// none has.
+    /// is no longer kept, returns the time since a snapshot last replaced the state, or 0 if there
+    /// was none.
     pub fn applied_age_ms(&self, revision: Revision) -> Option<u64> {
         let inner = self.lock();
         if self.state.load().revision < revision {
@@ -235,12 +236,14 @@
             .retain(|sender, _| registered.contains(sender));
     }
 
-    /// Returns the revision that `host` last reported in a reply to a heartbeat.
+    /// Returns the revision that `host` last reported in a reply to a heartbeat; `None` if it has
+    /// not replied yet.
     pub fn peer_revision(&self, host: HostKey) -> Option<PeerRevision> {
         self.lock().freshness.peer_revision(host)
     }
 
-    /// Returns the time at which the last ping that `host` replied to was sent.
+    /// Returns the time at which the last ping that `host` replied to was sent; `None` if it has
+    /// not replied yet.
     pub fn heard_ms(&self, host: HostKey) -> Option<u64> {
         self.lock().freshness.heard_ms(host)
     }
--- a/src/id.rs
+++ b/src/id.rs
@@ -38,47 +38,48 @@
     u64
 );
 number!(
-    /// Random number that identifies one run of a process.
+    /// Random number that identifies one run of a process; a restarted process draws a new one.
     Incarnation,
     u64
 );
 number!(
-    /// Index of an entry host in the state's arena.
+    /// Index of an entry host in [`State::hosts`](crate::state::State::hosts).
     HostKey,
     u32
 );
 number!(
-    /// Index of a backend server in the state's arena.
+    /// Index of a backend server in [`State::servers`](crate::state::State::servers).
     ServerKey,
     u32
 );
 number!(
-    /// Index of a service of one workspace in the state's arena.
+    /// Index of a service of one workspace in [`State::services`](crate::state::State::services).
     ServiceKey,
     u32
 );
 number!(
-    /// Index of a slot in its service.
+    /// Number of a slot within its service, from 0.
     Slot,
     u32
 );
 
 impl Revision {
-    /// Returns the following revision.
+    /// Returns the revision of the next change in the log.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
 impl Epoch {
-    /// Returns the following epoch.
+    /// Returns the epoch of the next grant of the slot.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
 impl Incarnation {
-    /// Draws a number that is unique with high probability.
+    /// Returns a new random number of 53 bits, which makes equal numbers of two processes
+    /// improbable.
     pub fn random() -> Self {
         // JSON readers may hold numbers as doubles, so only 53 bits are used.
         Self(rand::rng().random::<u64>() >> 11)
@@ -92,12 +93,13 @@
 pub struct OperationId(pub String);
 
 impl OperationId {
-    /// Draws a new identifier.
+    /// Returns a new random identifier, for writers that need no identifier of their own.
     pub fn random() -> Self {
         Self(format!("{:032x}", rand::rng().random::<u128>()))
     }
 
-    /// Returns the hash under which a state remembers the identifier.
+    /// Returns the 128-bit hash that the state keeps instead of the identifier, to recognise
+    /// retries.
     pub fn hash(&self) -> u128 {
         xxhash_rust::xxh3::xxh3_128(self.0.as_bytes())
     }
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::{clock, id::OperationId};
 
-/// Configuration of one load run.
+/// Rate, duration and mix of requests of one load run.
 #[derive(Clone, Debug)]
 pub struct LoadConfig {
     /// Addresses of hosts or servers, to which requests are sent in turn.
@@ -27,7 +27,7 @@
     pub services: Vec<String>,
     /// Requests per second, over all addresses.
     pub rate_per_s: u64,
-    /// Length of the run.
+    /// Time in milliseconds during which requests are sent; the last responses may arrive later.
     pub duration_ms: u64,
     /// Number of distinct keys per service.
     pub keys: u64,
@@ -56,7 +56,7 @@
     pub(crate) intended_us: u64,
 }
 
-/// Generates the requests of a run.
+/// Generator of the requests of a run, from a seeded random number generator.
 struct RequestGenerator {
     config: LoadConfig,
     run: String,
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -12,14 +12,14 @@
 /// Precision of the recorded latencies, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Result of one request.
+/// One request of a run, with its outcome and latency.
 #[derive(Clone, Debug)]
 pub struct Sample {
     /// Address that the request was sent to.
     pub address: SocketAddr,
     /// Index of the service in [`LoadConfig::services`](super::LoadConfig::services).
     pub service: usize,
-    /// Key of the request.
+    /// Number of the key, from 0.
     pub key: u64,
     /// Idempotency key of an unrepeatable request; `None` for requests that may run twice.
     pub idempotency_key: Option<String>,
@@ -27,24 +27,24 @@
     pub intended_us: u64,
     /// Time from `intended_us` to the end of the request.
     pub latency_us: u64,
-    /// Outcome of the request.
+    /// Outcome of the request as its caller saw it.
     pub outcome: RequestOutcome,
 }
 
 /// Latency percentiles of answered requests; all 0 if there are none.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct LatencyReport {
-    /// Median latency.
+    /// Median latency in microseconds.
     pub p50_us: u64,
-    /// 99th percentile of the latencies.
+    /// 99th percentile of the latencies in microseconds.
     pub p99_us: u64,
-    /// 99.9th percentile of the latencies.
+    /// 99.9th percentile of the latencies in microseconds.
     pub p999_us: u64,
-    /// Maximum latency.
+    /// Maximum latency in microseconds.
     pub max_us: u64,
 }
 
-/// Summary of a load run.
+/// Numbers of requests of a load run by outcome, and the latency of the answered ones.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct LoadReport {
     /// Number of requests sent, duplicates included.
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -34,7 +34,7 @@
 /// Revision of a peer, as reported in its replies to heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerRevision {
-    /// Revision that the peer has applied.
+    /// Revision that the peer had applied when it replied.
     pub revision: Revision,
     /// Time at which the first ping that the peer replied to with this revision was sent.
     pub since_ms: u64,
@@ -51,7 +51,7 @@
     pub incarnation: Incarnation,
     /// Time at which this host sent the ping, on its own clock.
     pub sent_ms: u64,
-    /// Revision that the peer has applied.
+    /// Revision that the peer had applied when it replied.
     pub revision: Revision,
     /// Age of the peer's basis when it replied; `None` if it has no basis.
     pub basis_age_ms: Option<u64>,
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -14,7 +14,7 @@
 /// promoted, and only heard voters count in the majority that the removal of a voter needs.
 const PROMOTION_SILENCE_MS: u64 = 1_000;
 
-/// Returns the voters: the hosts that count in majorities.
+/// Returns the voters: the live and leaving hosts, which count in majorities.
 pub fn voters(state: &State) -> Vec<Voter> {
     let is_voter = |(_, host): &(HostKey, &HostEntry)| host.is_voter();
     state
@@ -84,7 +84,7 @@
     }
 }
 
-/// Time without heartbeats of a host, as one host sees it.
+/// Silence of a host (the time without heartbeats from it), as one other host sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Silence {
     /// Time since the last heartbeat of the host; `None` if there was none.
@@ -96,7 +96,7 @@
     pub known_ms: u64,
 }
 
-/// Limits of the silence after which hosts are removed.
+/// Limits for the silence of hosts (the time without heartbeats); beyond them a host is removed.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryLimits {
     /// Limit for a host that has not announced its stop, in milliseconds.
--- a/src/membership/ring.rs
+++ b/src/membership/ring.rs
@@ -1,12 +1,12 @@
-//! Consistent hashing of work over hosts. It selects the hosts that renew a server's lease, and the
-//! candidates for the leader. A host that joins or leaves changes only the shares of its neighbours
-//! in the ring.
+//! Consistent hashing, which divides work among hosts. It selects the hosts that renew a server's
+//! lease, and the candidates for the leader. A host that joins or leaves changes only the shares of
+//! its neighbours in the ring.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::id::HostKey;
 
-/// Seed of the hashes of hosts.
+/// Seed of the hashes of hosts. All hosts must use the same, so that they agree on the ring.
 const HOST_SEED: u64 = 1;
 /// Seed of the hashes of work. It differs from that of hosts, so that a host and a work item with
 /// the same number have unrelated positions.
@@ -19,7 +19,7 @@
 }
 
 impl HashRing {
-    /// Builds the ring of `hosts`.
+    /// Builds the ring by sorting `hosts` by the hashes of their keys.
     pub fn new(hosts: impl Iterator<Item = HostKey>) -> Self {
         let point = |host: HostKey| (hash(host.0, HOST_SEED), host);
         let mut points: Vec<(u64, HostKey)> = hosts.map(point).collect();
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics export by statsd datagrams.
+//! Exports metrics as statsd datagrams, which may be lost.
 
 use std::net::{SocketAddr, UdpSocket};
 
@@ -6,7 +6,7 @@
     Counted, Gauged, NopMetricSink, QueuingMetricSink, StatsdClient, Timed, UdpMetricSink,
 };
 
-/// Prefix of all metric names.
+/// First part of all metric names, by which receivers tell these metrics from others.
 const PREFIX: &str = "ashroad";
 
 /// Client that sends metrics to a statsd receiver.
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Sets a gauge.
+    /// Sets a gauge, which keeps its value until it is set again.
     pub fn gauge(&self, name: &str, value: u64) {
         if self.enabled {
             let _ = self.client.gauge(name, value);
--- a/src/ownership/message.rs
+++ b/src/ownership/message.rs
@@ -10,9 +10,9 @@
 
 use crate::id::{Epoch, Incarnation, LeaseEpoch, Slot};
 
-/// Path that renews the lease and adds grants (POST).
+/// Path at which a server takes orders to renew its lease and to add grants (POST).
 pub const LEASE_PATH: &str = "/_server/lease";
-/// Path that revokes grants (POST).
+/// Path at which a server takes orders to release slots (POST).
 pub const REVOKE_PATH: &str = "/_server/revoke";
 
 /// Header with the service, as `workspace/service`.
@@ -39,7 +39,7 @@
 pub struct SlotGrant {
     /// Service, as `workspace/service`.
     pub service: String,
-    /// Slot that may be served.
+    /// Slot that the server may serve while its lease is valid.
     pub slot: Slot,
     /// Fencing token of the grant; it rises with every grant of the slot.
     pub epoch: Epoch,
@@ -55,16 +55,17 @@
     pub lease_epoch: LeaseEpoch,
     /// End of the lease on the server's clock.
     pub not_after_ms: u64,
-    /// Grants to hold.
+    /// Grants to hold in addition to those held already; may be empty.
     pub grants: Vec<SlotGrant>,
 }
 
 /// State of a server and its lease, in response to a [`LeaseRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// Process that responds.
+    /// Process that responds; it differs from the intended one if the server has restarted.
     pub incarnation: Incarnation,
-    /// Monotonic clock of the process.
+    /// Monotonic clock of the process when it responded; the end of the lease is given on this
+    /// clock.
     pub clock_ms: u64,
     /// Highest membership period that the process has seen.
     pub lease_epoch: LeaseEpoch,
@@ -79,19 +80,19 @@
 /// Order to release slots. The server responds after the requests in flight have finished.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RevokeRequest {
-    /// Process that the order is for.
+    /// Process that the order is for; any other refuses it.
     pub incarnation: Incarnation,
     /// Slots, each with the epoch of its next grant; the server refuses every lower epoch from now
     /// on.
     pub slots: Vec<SlotGrant>,
-    /// Time for requests in flight to finish.
+    /// Maximum time for which the server waits for requests in flight on the slots.
     pub drain_ms: u64,
 }
 
 /// Response to a [`RevokeRequest`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct RevokeResponse {
-    /// Process that responds.
+    /// Process that responds; it differs from the intended one if the server has restarted.
     pub incarnation: Incarnation,
     /// True if the slots are released and none of their requests runs any more.
     pub released: bool,
--- a/src/ownership/moves.rs
+++ b/src/ownership/moves.rs
@@ -12,11 +12,11 @@
 /// Slots that move together: they belong to one service and move between the same two servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct MoveGroup {
-    /// Service of the slots.
+    /// Service that all slots of the group belong to.
     pub service: ServiceKey,
     /// Current owner; `None` if the slots have none or if the lease of their owner has lapsed.
     pub from: Option<ServerKey>,
-    /// Next owner.
+    /// Server that gets the slots.
     pub to: ServerKey,
 }
 
@@ -49,7 +49,7 @@
     entry.is_some_and(|entry| entry.state == ServerState::Live)
 }
 
-/// Returns the grants that the next owner of `slots` gets.
+/// Returns the grants that the next owner of `slots` gets, each with the epoch of its move.
 pub fn next_grants(service: &ServiceEntry, slots: &[MoveDone]) -> Vec<SlotGrant> {
     let grant = |done: &MoveDone| SlotGrant {
         service: service.spec.name.clone(),
--- a/src/ownership/planner.rs
+++ b/src/ownership/planner.rs
@@ -1,9 +1,10 @@
-//! Planner: decides which slots move to which server. A pure function of loads, servers and
-//! weights.
+//! Planner: decides which slots move to which server. It has no state and does no I/O: a plan
+//! depends only on the loads, servers and weights.
 //!
 //! Let `x` be the load per capacity of a server divided by the mean, minus one. The cost of a plan
-//! is `imbalance * sum(x * x) + churn * keys moved + unavailable * load held up`. A move is made
-//! only if it lowers this cost. Slots without an eligible owner are placed at any cost.
+//! is `imbalance * sum(x * x) + churn * keys moved + unavailable * load held up`, where the last
+//! factor is the load that waits while its slots move. A move is made only if it lowers this cost.
+//! Slots without an eligible owner are placed at any cost.
 
 use std::{cmp::Ordering, collections::BinaryHeap};
 
@@ -17,7 +18,7 @@
 pub struct PlannerServer {
     /// Number of requests that the server runs at a time, reduced during a cold start.
     pub capacity: f64,
-    /// False if the server must not own slots.
+    /// False if the server must not own slots; its slots are then moved away.
     pub eligible: bool,
 }
 
@@ -38,31 +39,31 @@
 pub struct PlannerInput<'a> {
     /// Servers; owners and targets of moves are indices into this slice.
     pub servers: &'a [PlannerServer],
-    /// Slots of one service.
+    /// All slots of one service; the index is the slot number.
     pub slots: &'a [PlannerSlot],
-    /// Weights of the cost function.
+    /// Weights of the cost function, from the template of the service.
     pub weights: Weights,
     /// Maximum number of moves that are made only for balance.
     pub balance_moves: usize,
 }
 
-/// Reason of a planned move.
+/// Reason why a move was planned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveCause {
-    /// The slot has no eligible owner.
+    /// The slot has no eligible owner, so it is moved whatever the cost.
     Orphaned,
-    /// The move lowers the cost.
+    /// The owner is eligible, but the move lowers the cost of the plan.
     Balance,
 }
 
-/// One move of the plan.
+/// One move of the plan: a slot and the server that it moves to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannedMove {
-    /// Index of the slot.
+    /// Index of the slot in [`PlannerInput::slots`].
     pub slot: u32,
-    /// Index of the next owner.
+    /// Index of the next owner in [`PlannerInput::servers`].
     pub to: u32,
-    /// Reason of the move.
+    /// Reason of the move: the owner must be replaced, or the balance improves.
     pub cause: MoveCause,
     /// Amount by which the move lowers the cost; 0 for an orphaned slot.
     pub gain: f64,
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -17,12 +17,12 @@
     received_ms: u64,
 }
 
-/// Meaning of a server's response.
+/// Result of one renewal, derived from the server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RenewalOutcome {
-    /// The lease is renewed.
+    /// The server accepted the renewal, or returned the clock reading needed for the first one.
     Renewed,
-    /// Another process responds at the server's address.
+    /// Another process responds at the server's address, so the process with the lease has ended.
     Replaced,
     /// The order was refused as outdated: this host's view of the state is behind.
     Outdated,
@@ -37,7 +37,7 @@
     due_ms: u64,
     /// End of the lease on this host's clock, over all renewals sent so far.
     horizon_ms: u64,
-    /// Digest of the grants that the server last reported.
+    /// Digest over the server's grants in its last response; `None` before the first response.
     pub digest: Option<u64>,
 }
 
@@ -55,7 +55,7 @@
         };
     }
 
-    /// Returns true if the next renewal should be sent.
+    /// Returns true once the time of the next renewal or retry has come.
     pub fn is_due(&self, now_ms: u64) -> bool {
         now_ms >= self.due_ms
     }
@@ -75,7 +75,8 @@
         Some(reading.clock_ms + (end_ms - reading.received_ms))
     }
 
-    /// Applies a response; `meant` is the process that the order was for.
+    /// Applies a response; `meant` is the process that the order was for. `ordered` is false for a
+    /// request that only queried the server's clock.
     pub fn answered(
         &mut self,
         response: &LeaseResponse,
@@ -107,7 +108,8 @@
         RenewalOutcome::Renewed
     }
 
-    /// Records a failed renewal. Returns true if the server is to be suspected.
+    /// Records a failed renewal. Returns true if the server has not responded to this host for
+    /// `suspect_ms`.
     pub fn failed(&mut self, now_ms: u64, suspect_ms: u64) -> bool {
         self.due_ms = now_ms + RETRY_MS;
         now_ms >= self.answered_ms + suspect_ms
--- a/src/platform/error.rs
+++ b/src/platform/error.rs
@@ -1,45 +1,46 @@
-//! Errors of calls to the platform's store and to backend servers.
+//! Failures of calls to the platform's store and to backend servers, and what they say about a
+//! retry.
 
 use std::net::SocketAddr;
 
 use http::StatusCode;
 use snafu::Snafu;
 
-/// Reason why one call failed.
+/// Reason why one call failed. It tells whether the call may have taken effect.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// The connection could not be established, so the request was not sent.
     #[snafu(display("no connection to {address}: {message}"))]
     Connect {
-        /// Address of the peer that was called.
+        /// Address of the store or server that was called.
         address: SocketAddr,
-        /// Description of the cause.
+        /// Cause, worded for the log.
         message: String,
     },
     /// The call was sent but no complete response arrived; it may have taken effect, or may still
     /// do so.
     #[snafu(display("{address} sent no complete response: {message}"))]
     Unanswered {
-        /// Address of the peer that was called.
+        /// Address of the store or server that was called.
         address: SocketAddr,
-        /// Description of the cause.
+        /// Cause, worded for the log.
         message: String,
     },
     /// The peer responded with a status that the caller does not expect.
     #[snafu(display("{address} responded with status {status}"))]
     Status {
-        /// Address of the peer that was called.
+        /// Address of the store or server that was called.
         address: SocketAddr,
-        /// Status of the response.
+        /// HTTP status of the response.
         status: StatusCode,
     },
     /// The response could not be decoded.
     #[snafu(display("{address} sent a response that cannot be decoded: {message}"))]
     Decode {
-        /// Address of the peer that was called.
+        /// Address of the store or server that was called.
         address: SocketAddr,
-        /// Description of the cause.
+        /// Cause, worded for the log.
         message: String,
     },
     /// A document of the store could not be decoded or encoded.
@@ -47,7 +48,7 @@
     Document {
         /// Kind of the document, with its name if it has one.
         what: String,
-        /// Description of the cause.
+        /// Cause, worded for the log.
         message: String,
     },
 }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -8,7 +8,7 @@
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
 /// Time in milliseconds until the caller gives up waiting.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
-/// Name of the only server that may run the request.
+/// Name of the only server that may run the request; any other process at the address refuses it.
 pub const EXPECTED_SERVER: HeaderName = HeaderName::from_static("expect-instance");
 /// Name of the server that sent the response.
 pub const SERVER_NAME: HeaderName = HeaderName::from_static("instance-id");
@@ -19,7 +19,7 @@
 /// Signature of the server over its response.
 pub const SIGNATURE: HeaderName = HeaderName::from_static("server-signature");
 /// Load of the responding server: running requests, queued requests, slots and, where servers share
-/// machines, the current pace in percent.
+/// machines, the current pace (slowdown factor) in percent.
 const LOAD: HeaderName = HeaderName::from_static("server-load");
 /// Header that a leaving server sets in every response; `0` means that it is not leaving.
 const LEAVING: HeaderName = HeaderName::from_static("server-leaving");
@@ -63,8 +63,8 @@
     headers.contains_key(NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST
 }
 
-/// Parses the notice in a server's response: if the server is leaving, and the rest that it asks
-/// for, a period without requests from this host.
+/// Parses the notice in a server's response: whether the server is leaving, and the rest that it
+/// asks for (a period without requests from this host).
 pub fn notice(status: StatusCode, headers: &HeaderMap) -> Notice {
     Notice {
         leaves: headers.get(LEAVING).is_some_and(|value| value != "0"),
--- a/src/platform/link.rs
+++ b/src/platform/link.rs
@@ -32,9 +32,9 @@
 /// HTTP response whose whole body is in memory.
 #[derive(Debug)]
 pub struct BufferedResponse {
-    /// HTTP status code.
+    /// HTTP status code, as received; callers decide which statuses are failures.
     pub status: StatusCode,
-    /// Response headers.
+    /// Response headers, as received.
     pub headers: HeaderMap,
     /// Complete body; empty if the response has none.
     pub body: Bytes,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns the address of the peer.
+    /// Returns the address that calls are sent to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/src/platform/orders.rs
+++ b/src/platform/orders.rs
@@ -31,7 +31,7 @@
 /// Order that makes one server hold a range of keys.
 #[derive(Clone, Copy, Debug)]
 pub struct Grant<'a> {
-    /// Name of the server that the order is for.
+    /// Name of the server that the order is for; another process at the address refuses it.
     pub server: &'a str,
     /// Range of keys, both ends included.
     pub range: KeyRange,
@@ -46,11 +46,12 @@
 /// Order that makes one server release a range of keys.
 #[derive(Clone, Copy, Debug)]
 pub struct Release<'a> {
-    /// Name of the server that the order is for.
+    /// Name of the server that the order is for; another process at the address refuses it.
     pub server: &'a str,
     /// Range of keys, both ends included.
     pub range: KeyRange,
-    /// Fence of the release; higher than that of the grant.
+    /// Fencing token of the release; it is higher than that of the grant, so that the server
+    /// refuses a delayed renewal of the grant.
     pub fence: u64,
 }
 
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -34,7 +34,7 @@
 /// partition accepts a bounded number of writes per second.
 pub const DEFAULT_PARTITION: &str = "";
 
-/// Row of the store.
+/// Row of the store, decoded from its wire form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
     /// Key, unique within table and partition.
@@ -50,9 +50,9 @@
 /// Condition of a transaction: a row must have a given version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Expect<'a> {
-    /// Table of the row.
+    /// Name of the table that contains the row.
     pub table: &'a str,
-    /// Key of the row.
+    /// Key of the row within the table and the transaction's partition.
     pub key: &'a str,
     /// Version that the row must have; 0 if it must not exist.
     pub version: u64,
@@ -61,20 +61,20 @@
 /// Write of a transaction: a row is created or replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Put<'a> {
-    /// Table of the row.
+    /// Name of the table that contains the row.
     pub table: &'a str,
-    /// Key of the row.
+    /// Key of the row within the table and the transaction's partition.
     pub key: &'a str,
-    /// New content of the row.
+    /// New content of the row, which replaces the old one completely.
     pub value: &'a [u8],
 }
 
-/// Removal of a row by a transaction.
+/// Removal of a row by a transaction, identified by table and key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Remove<'a> {
-    /// Table of the row.
+    /// Name of the table that contains the row.
     pub table: &'a str,
-    /// Key of the row.
+    /// Key of the row within the table and the transaction's partition.
     pub key: &'a str,
 }
 
@@ -83,15 +83,15 @@
 pub struct Transaction<'a> {
     /// Partition that contains all rows of the transaction; empty for [`DEFAULT_PARTITION`].
     pub part: &'a str,
-    /// Conditions, all of which must hold.
+    /// Conditions; if one of them does not hold, nothing is changed.
     pub expect: Vec<Expect<'a>>,
-    /// Rows to write.
+    /// Rows to create or replace.
     pub puts: Vec<Put<'a>>,
-    /// Rows to remove.
+    /// Rows to remove; may be empty.
     pub removals: Vec<Remove<'a>>,
 }
 
-/// Outcome of a transaction.
+/// Outcome of a transaction that the store has decided on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransactionOutcome {
     /// The transaction took effect.
@@ -132,7 +132,7 @@
     HistoryGone,
 }
 
-/// Kind of a call to the store, for the count of calls by kind.
+/// Kind of a call to the store; calls are counted by kind, because the platform charges for each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallKind {
     /// Read of one page of rows.
@@ -144,7 +144,7 @@
 }
 
 impl CallKind {
-    /// Returns the name of the kind in metrics.
+    /// Returns the name by which metrics report this kind of call.
     pub fn name(self) -> &'static str {
         match self {
             Self::Read => "read",
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -1,4 +1,5 @@
-//! Messages of the platform's protocol, in their JSON form.
+//! JSON messages of the platform's protocol. Field names are given by the platform and cannot
+//! change.
 
 use std::{fmt, net::SocketAddr};
 
@@ -44,7 +45,7 @@
     pub value: String,
 }
 
-/// Removal of a row by a transaction.
+/// Removal of a row by a transaction, identified by table and key.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireRemove<'a> {
@@ -62,7 +63,7 @@
     pub remove: Vec<WireRemove<'a>>,
 }
 
-/// Response to a transaction, a read or a feed.
+/// Response to a transaction, a read or a change feed: rows and the version of the store.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireRows {
@@ -131,7 +132,7 @@
     pub tenants: Option<Vec<WireTenant>>,
 }
 
-/// Workspace with its API keys and quota.
+/// Workspace with its API keys and quota; the platform calls it a tenant.
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireTenant {
@@ -175,7 +176,7 @@
     pub warmup_per_s: Option<f64>,
 }
 
-/// Limits on the requests and connections of callers.
+/// Limits on the size and duration of callers' requests, and on idle connections.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireLimits {
@@ -233,7 +234,7 @@
 /// Order that makes a server hold a range of keys.
 #[derive(Clone, Debug, Serialize)]
 pub struct WireGrant<'a> {
-    /// First key of the range.
+    /// First key of the range, included.
     pub from: u16,
     /// Last key, included; despite its name on the wire it is not a version.
     #[serde(rename = "toVersion")]
@@ -248,7 +249,7 @@
 /// Order that makes a server release a range of keys.
 #[derive(Clone, Debug, Serialize)]
 pub struct WireRelease {
-    /// First key of the range.
+    /// First key of the range, included.
     pub from: u16,
     /// Last key, included; despite its name on the wire it is not a version.
     #[serde(rename = "toVersion")]
--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -24,7 +24,7 @@
         (before < max).then_some(guard)
     }
 
-    /// Returns the number of requests in flight.
+    /// Returns the number of admitted requests whose guards are still held.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Ordering::Relaxed)
     }
--- a/src/routing/key.rs
+++ b/src/routing/key.rs
@@ -16,7 +16,7 @@
 pub struct CallerPath<'a> {
     /// Full name of the service, `workspace/service`.
     pub service: &'a str,
-    /// Rest of the path: it begins with a slash or is empty.
+    /// Part of the path after the service; it begins with a slash or is empty.
     pub rest: &'a str,
 }
 
@@ -30,7 +30,8 @@
     Some(CallerPath { service, rest })
 }
 
-/// Returns the key of a request; `None` if it is missing or empty.
+/// Extracts the key of a request from the path or a header, as `source` says; `None` if it is
+/// missing or empty.
 pub fn key<'a>(source: &KeySource, rest: &'a str, headers: &'a HeaderMap) -> Option<&'a str> {
     let found = match source {
         KeySource::Path(segment) => rest.split('/').nth(segment + 1),
--- a/src/routing/outcome.rs
+++ b/src/routing/outcome.rs
@@ -1,4 +1,5 @@
-//! Responses to callers whose request got no regular response from its server.
+//! Outcomes of requests that got no regular response from a server, and the responses that tell
+//! callers about them.
 
 use http::{HeaderValue, Response, StatusCode, header};
 use rand::Rng;
@@ -12,7 +13,7 @@
 /// Upper bound of the random time added to `Retry-After`, so that callers do not retry all at once.
 const RETRY_AFTER_JITTER_S: u64 = 2;
 
-/// Outcome of a request that got no regular response.
+/// Outcome of a request that got no regular response; it tells the caller whether a retry is safe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
@@ -22,7 +23,7 @@
     Unknown,
 }
 
-/// Reason of an outcome.
+/// Reason why a request got no regular response, sent to the caller in a header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
@@ -97,12 +98,12 @@
     }
 }
 
-/// Failure of a request, as reported to its caller.
+/// Failure of a request: the outcome and its reason, as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Outcome as the caller gets it: the request did not run, or it may have run.
+    /// Certainty about the run: the request did not run, or it may have run.
     pub outcome: Outcome,
-    /// Cause of the failure.
+    /// Cause of the failure; it also determines the status and `Retry-After` of the response.
     pub reason: Reason,
 }
 
@@ -154,7 +155,7 @@
 }
 
 impl Outcome {
-    /// Returns the name used in headers.
+    /// Returns the name that callers get in a response header.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -164,7 +165,7 @@
 }
 
 impl Reason {
-    /// Returns the name used in headers.
+    /// Returns the name that callers get in a response header.
     pub fn name(self) -> String {
         match serde_json::to_value(self) {
             Ok(serde_json::Value::String(name)) => name,
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -2,13 +2,14 @@
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
-/// Cost of a retry in units; every request adds one unit to the budget.
+/// Cost of a retry in units. Every request adds one unit to the budget, so 20 requests pay for one
+/// retry.
 const RETRY_COST: i64 = 20;
-/// Maximum number of units that can accumulate.
+/// Maximum number of units that can accumulate: enough for ten retries in a row.
 const BUDGET_UNITS_MAX: i64 = 10 * RETRY_COST;
 
-/// Retry budget of one service on one host: one retry per 20 requests, and a few in reserve at the
-/// start.
+/// Retry budget of one service on one host: one retry per 20 requests, and a reserve of ten retries
+/// at the start.
 #[derive(Debug)]
 pub struct RetryBudget {
     units: AtomicI64,
@@ -23,7 +24,7 @@
 }
 
 impl RetryBudget {
-    /// Adds one unit for a request.
+    /// Adds one unit for a request, unless the budget is full.
     pub fn request(&self) {
         let saved = self.units.load(Ordering::Relaxed);
         if saved < BUDGET_UNITS_MAX {
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -32,12 +32,12 @@
 pub const READY_PATH: &str = "/_ashroad/ready";
 /// Path at which the platform checks if the process is alive.
 pub const ALIVE_PATH: &str = "/_ashroad/alive";
-/// Longest deadline that a caller may request.
+/// Maximum deadline that a caller may request, in milliseconds from the arrival of the request.
 const DEADLINE_MS_MAX: u64 = 300_000;
-/// Delay before the owner of a slot is looked up again after server and host disagreed on the
-/// owner.
+/// Delay before the owner of a slot is looked up again after a server refused a request because it
+/// disagrees with this host on the owner.
 const STALE_PAUSE_MS: u64 = 3;
-/// Delay before a retry.
+/// Delay before a retry that counts against the retry budget.
 const RETRY_PAUSE_MS: u64 = 10;
 /// Delay before a new attempt after a failed connection.
 const RECONNECT_PAUSE_MS: u64 = 25;
@@ -69,7 +69,7 @@
     traffic: Arc<ServiceTraffic>,
 }
 
-/// Owner of a slot at one moment.
+/// Owner of a slot when it was looked up; the slot may move afterwards.
 #[derive(Clone, Copy, Debug)]
 struct Owner {
     server: ServerKey,
@@ -414,7 +414,8 @@
     }
 }
 
-/// Returns when the owner's membership period has ended.
+/// Waits until the owner's membership period has ended, so that an attempt in flight can be
+/// abandoned.
 async fn owner_lost(host: &Host, owner: Owner) {
     let mut changes = host.view.watch();
     loop {
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -31,20 +31,20 @@
 
 /// Time limit for a connection to a server to be established.
 const CONNECT_TIMEOUT_MS: u64 = 500;
-/// Time after which an unused connection is closed.
+/// Time after which an idle connection to a server is closed.
 const IDLE_CONNECTION_MS: u64 = 30_000;
 
-/// Outcome of one attempt.
+/// Outcome of one attempt, by which the router decides on a retry.
 #[derive(Debug)]
 pub enum AttemptOutcome {
-    /// The server answered.
+    /// The server sent a regular response, whatever its status.
     Answered(Response<ResponseBody>),
     /// The attempt provably did not run, because server and host disagree on the owner of the slot
     /// or on its epoch.
     Stale,
-    /// The attempt provably did not run.
+    /// The attempt provably did not run, for the given reason.
     NotRun(Reason),
-    /// The attempt may have run.
+    /// The attempt may have run, so an unrepeatable request must not be sent again.
     Unknown(Reason),
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -23,7 +23,7 @@
     Read {
         /// Path of the settings file.
         path: PathBuf,
-        /// Error of the operating system.
+        /// Cause, as reported by the operating system.
         source: std::io::Error,
     },
     /// The file is no valid settings document.
@@ -48,9 +48,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the host, unique among all hosts.
+    /// Name of the host, unique among all hosts. It stays the same when the process restarts.
     pub name: String,
-    /// Availability zone of the host.
+    /// Availability zone in which the host runs.
     pub availability_zone: String,
     /// Listener for callers' requests.
     pub callers: Callers,
@@ -66,21 +66,21 @@
     /// Records that keep unrepeatable requests from running twice.
     #[serde(default)]
     pub claims: ClaimSettings,
-    /// Settings of the log.
+    /// Settings of the log that the process writes to standard error.
     #[serde(default)]
     pub log: LogSettings,
-    /// Settings of the export of metrics.
+    /// Settings of the export of metrics by statsd; without them no metrics are exported.
     #[serde(default)]
     pub metrics: MetricsSettings,
 }
 
-/// Listener for callers' requests.
+/// Listener for callers' requests, with its limits and the times of a planned stop.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Callers {
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// Maximum number of open connections.
+    /// Maximum number of open connections; further ones wait in the accept queue.
     #[serde(default = "default_connections")]
     pub connections: usize,
     /// Maximum size of a request body; a larger one is refused with 413.
@@ -120,13 +120,13 @@
     pub private_key_file: PathBuf,
 }
 
-/// Connection to the platform.
+/// Connection to the platform's table service, object store and list of hosts.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
     /// Address of the platform's interface.
     pub address: SocketAddr,
-    /// Timeout of one call.
+    /// Timeout of one call to the platform, in milliseconds.
     #[serde(default = "default_call_ms")]
     pub timeout_ms: u64,
 }
@@ -138,7 +138,7 @@
     /// Freshness limit: maximum age of the basis (see [`crate::membership::freshness`]) with which
     /// a host may act on its view.
     pub freshness_ms: u64,
-    /// Length of a server's lease.
+    /// Length of a server's lease, counted from the sending of a renewal.
     pub lease_ttl_ms: u64,
     /// Allowance for clock drift between hosts and servers.
     pub margin_ms: u64,
@@ -218,7 +218,7 @@
     }
 }
 
-/// Settings of the log.
+/// Settings of the log that the process writes to standard error.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
@@ -234,7 +234,7 @@
     }
 }
 
-/// Settings of the export of metrics.
+/// Settings of the export of metrics by statsd; without them no metrics are exported.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MetricsSettings {
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -48,7 +48,7 @@
 /// Extra run time of a request while the server is cold.
 const COLD_EXTRA_MS: u64 = 20;
 
-/// Configuration of one stand-in server.
+/// Behaviour of one stand-in server, fixed at its start; faults can be set later.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Address to listen on; port 0 picks a free port.
@@ -87,7 +87,7 @@
     permits: Arc<Semaphore>,
 }
 
-/// Starts a stand-in server.
+/// Starts a stand-in server in this process; fails if the address cannot be bound.
 pub async fn start(config: Config) -> std::io::Result<Running> {
     let listener = TcpListener::bind(config.listen).await?;
     let address = listener.local_addr()?;
--- a/src/standin/backend_message.rs
+++ b/src/standin/backend_message.rs
@@ -28,7 +28,7 @@
     /// Interval between updates of the load that the load endpoint reports; 0 to report the current
     /// load.
     pub load_lag_ms: u64,
-    /// Extra run time of each request.
+    /// Time in milliseconds by which each request takes longer.
     pub extra_ms: u64,
     /// Responses end in the middle of the body.
     pub cut_answers: bool,
@@ -37,13 +37,13 @@
 /// Response of the load endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadResponse {
-    /// Number of running requests.
+    /// Number of requests that occupy a slot.
     pub running: usize,
     /// Number of requests that wait for a slot.
     pub waiting: usize,
 }
 
-/// Number of runs of one request.
+/// Number of times that one request ran on one server.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunCount {
     /// Idempotency key if the request had one, else its request id.
@@ -70,10 +70,10 @@
 pub struct EchoResponse {
     /// Identifier of the request; empty if it had none.
     pub request: String,
-    /// Path of the request.
+    /// Path of the request, without the host.
     pub path: String,
     /// Incarnation of the process that ran the request.
     pub incarnation: Incarnation,
-    /// Length of the request's body.
+    /// Length of the request's body in bytes.
     pub body_bytes: usize,
 }
--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -13,11 +13,11 @@
 /// Time span in which a server owned a slot, by the machine's wall clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnershipSpan {
-    /// Name of the service.
+    /// Full name of the service, `workspace/service`.
     pub service: String,
-    /// Slot of the service.
+    /// Number of the slot within the service.
     pub slot: Slot,
-    /// Epoch of the grant.
+    /// Epoch of the grant under which the server owned the slot.
     pub epoch: Epoch,
     /// Start of the span, as Unix time in microseconds.
     pub from_us: u64,
@@ -35,7 +35,7 @@
 /// Time by the server's monotonic clock and by the wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// Monotonic time of the server.
+    /// Monotonic time of the server, by which its lease ends.
     pub clock_ms: u64,
     /// Wall clock time, used for the record.
     pub unix_us: u64,
--- a/src/standin/invariants.rs
+++ b/src/standin/invariants.rs
@@ -11,9 +11,9 @@
 /// Violation of exclusive ownership: two servers owned one slot at the same time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DoubleOwned {
-    /// Ownership span of the first server.
+    /// Ownership span of one of the two servers.
     pub one: OwnershipSpan,
-    /// Ownership span of another server that overlaps the first.
+    /// Ownership span of the other server; it overlaps `one`.
     pub other: OwnershipSpan,
 }
 
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -30,7 +30,7 @@
 /// Path of the endpoint that returns the counters (GET).
 pub const COUNTERS_PATH: &str = "/counters";
 
-/// Maximum size of a request body.
+/// Maximum size of a request body, which has to hold a snapshot.
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
 
 /// Faults that the stand-in injects until other faults are set.
@@ -47,10 +47,10 @@
     pub list_lag_ms: u64,
 }
 
-/// Numbers of calls since the start.
+/// Numbers of calls that the stand-in has received since its start.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Counters {
-    /// Number of range reads.
+    /// Number of range reads of the table service.
     pub reads: u64,
     /// Number of transactions, refused ones included.
     pub transactions: u64,
@@ -74,7 +74,7 @@
     table: Arc<Mutex<Table>>,
 }
 
-/// Starts the stand-in on `listen`.
+/// Starts the stand-in on `listen` in this process; fails if the address cannot be bound.
 pub async fn start(listen: SocketAddr) -> std::io::Result<Running> {
     let listener = TcpListener::bind(listen).await?;
     let address = listener.local_addr()?;
--- a/src/transport.rs
+++ b/src/transport.rs
@@ -24,7 +24,7 @@
 /// Body of a response, either complete in memory or streamed as it arrives.
 pub type ResponseBody = BoxBody<Bytes, hyper::Error>;
 
-/// Limits of one listener.
+/// Limits of one listener, which bound the memory and time that its clients can take.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenerLimits {
     /// Maximum number of open connections; further ones wait in the accept queue.
@@ -48,14 +48,14 @@
     }
 }
 
-/// Failure of a JSON call.
+/// Failure of a JSON call. The variant tells whether the request may have been processed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum CallError {
     /// The connection failed, so the request was never sent.
     #[snafu(display("no connection to {address}"))]
     Connect {
-        /// Address that was called.
+        /// Host and port that were called.
         address: String,
     },
     /// The connection failed after the request may have been sent.
@@ -63,35 +63,35 @@
         "the request to {address} may have been sent, but the call failed: {message}"
     ))]
     Broken {
-        /// Address that was called.
+        /// Host and port that were called.
         address: String,
-        /// Error message of the HTTP library.
+        /// Cause, as reported by the HTTP library.
         message: String,
     },
     /// No response arrived in time.
     #[snafu(display("{address} did not respond within {timeout_ms} ms"))]
     Timeout {
-        /// Address that was called.
+        /// Host and port that were called.
         address: String,
-        /// Timeout of the call.
+        /// Timeout of the call in milliseconds, which has passed.
         timeout_ms: u64,
     },
     /// The response has a status other than success.
     #[snafu(display("{address} answered {status}: {body}"))]
     Refused {
-        /// Address that was called.
+        /// Host and port that were called.
         address: String,
-        /// Status of the response.
+        /// HTTP status of the response.
         status: StatusCode,
-        /// Body of the response.
+        /// Body of the response, as text.
         body: String,
     },
     /// A body cannot be converted from or to JSON.
     #[snafu(display("{address} sent an invalid JSON response"))]
     Decode {
-        /// Address that was called.
+        /// Host and port that were called.
         address: String,
-        /// Error of the JSON library.
+        /// Position and cause, as reported by the JSON library.
         source: serde_json::Error,
     },
 }
