--- a/src/bench/day.rs
+++ b/src/bench/day.rs
@@ -7,7 +7,7 @@
 /// Number of slots of the generated service.
 pub const SLOTS: usize = 256;
 
-/// Scenario of a day.
+/// Scenario of a generated day: the events that disturb load or servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -44,7 +44,7 @@
     pub apply_ms: f64,
 }
 
-/// Runs the measurement at every size.
+/// Measures at every size of [`SIZES`], in that order.
 pub fn run() -> Vec<SizeFigures> {
     SIZES
         .iter()
--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -25,20 +25,20 @@
 /// demonstration.
 const LOSS_S: f64 = 2.5;
 
-/// Weights of the `drainage` example template.
+/// Weights of the `drainage` example template, repeated here for the comparison of policies.
 pub const DRAINAGE_WEIGHTS: Weights = Weights {
     imbalance: 1.0,
     churn: 2.4,
     unavailable: 1.0,
 };
-/// Weights of the `resort` example template.
+/// Weights of the `resort` example template, repeated here for the comparison of policies.
 pub const RESORT_WEIGHTS: Weights = Weights {
     imbalance: 4.0,
     churn: 1.0,
     unavailable: 4.0,
 };
 
-/// Policy for the placement of slots.
+/// Policy by which slots are placed and moved.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Policy {
     Planner(&'static str, Weights),
@@ -74,7 +74,7 @@
     pub unavailable_s: f64,
 }
 
-/// Runs every policy on every day.
+/// Runs every policy on every scenario, and returns one row of figures for each pair.
 pub fn run() -> Vec<PolicyFigures> {
     let mut figures = Vec::new();
     for event in EVENTS {
--- a/src/bin/ashroad/app.rs
+++ b/src/bin/ashroad/app.rs
@@ -22,7 +22,7 @@
     pub command: Command,
 }
 
-/// Subcommands.
+/// Subcommands of `ashroad`, one for each task of operators, hosts and developers.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Run an entry host.
@@ -219,7 +219,7 @@
     pub action: HostAction,
 }
 
-/// Actions on hosts.
+/// Actions on hosts: list them, or stop one as planned.
 #[derive(Debug, Subcommand)]
 pub enum HostAction {
     /// List hosts.
@@ -236,7 +236,7 @@
     pub action: KeysAction,
 }
 
-/// Kinds of certificates.
+/// Kinds of certificates that `ashroad keys` creates.
 #[derive(Debug, Subcommand)]
 pub enum KeysAction {
     /// Create a certificate authority: ca.pem and ca-key.pem.
@@ -262,7 +262,7 @@
     pub kind: StandinKind,
 }
 
-/// Kinds of stand-ins.
+/// Systems that a stand-in replaces in tests and trials.
 #[derive(Debug, Subcommand)]
 pub enum StandinKind {
     /// The platform: table service, object store and list of hosts.
@@ -340,7 +340,7 @@
     pub kind: BenchKind,
 }
 
-/// Kinds of measurements.
+/// Measurements that `ashroad bench` offers.
 #[derive(Debug, Subcommand)]
 pub enum BenchKind {
     /// Compare the planner with baseline policies on generated days.
--- a/src/bin/ashroad/error.rs
+++ b/src/bin/ashroad/error.rs
@@ -17,7 +17,7 @@
 /// Exit code if the demonstration violated an invariant.
 const BROKEN: u8 = 6;
 
-/// Reason why a command failed.
+/// Reason why a command failed. It is printed to standard error and determines the exit code.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
@@ -46,7 +46,7 @@
     Problems {
         /// Number of problems in all files.
         count: usize,
-        /// Number of files checked.
+        /// Number of files checked, valid ones included.
         files: usize,
     },
     /// The size or encoding of a declaration is invalid.
@@ -111,7 +111,7 @@
     /// A change was accepted but was not in force on every host in time.
     #[snafu(display("revision {revision} is not in force on every host within {wait_ms} ms"))]
     NotInForce {
-        /// Revision of the change.
+        /// Revision at which the change was committed.
         revision: u64,
         /// Time waited, in milliseconds.
         wait_ms: u64,
--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -43,14 +43,14 @@
 /// Operation on the row of one claim, queued for the writer.
 #[derive(Debug)]
 pub(super) enum Operation {
-    /// Records a new claim.
+    /// Records a new claim, unless a row of an earlier request, other than a released one, exists.
     Insert {
         key: String,
         row: ClaimRow,
         give_up_ms: u64,
         reply: oneshot::Sender<ClaimResult>,
     },
-    /// Records the end of a claim.
+    /// Records how a claim ended, in the row that the claim created.
     End {
         key: String,
         version: u64,
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -67,14 +67,14 @@
     Granted(Claim),
     /// The request was answered before; this is the stored response.
     Answered(StoredResponse),
-    /// The request must not run.
+    /// The request must not run, for the given reason; the caller gets a failure.
     Refused(Reason),
     /// The store cannot be reached, so the request does not run.
     Unavailable,
 }
 
 impl Claims {
-    /// Starts the task that writes claims.
+    /// Starts the task that writes claims; it ends when the returned value is dropped.
     pub fn start(platform: Platform) -> Self {
         let (operations, queue) = mpsc::channel(QUEUE_OPERATIONS);
         let counters = std::sync::Arc::new(ClaimCounters::default());
--- a/src/claims/row.rs
+++ b/src/claims/row.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// Response stored for duplicates.
+/// Response that duplicates of the request get instead of a second run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResponse {
     /// HTTP status code that the server returned.
--- a/src/demo/error.rs
+++ b/src/demo/error.rs
@@ -4,7 +4,7 @@
 
 use crate::{host, peer, transport::CallError};
 
-/// Failure that ends the demonstration.
+/// Failure of a component of the demonstration, which ends it without a summary.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -86,7 +86,7 @@
         .collect()
 }
 
-/// Running platform, servers and hosts.
+/// Platform stand-in, servers and hosts of the demonstration, all running.
 pub(crate) struct System {
     platform: Running,
     servers: Vec<Running>,
--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -35,7 +35,7 @@
     Raced {
         /// Configuration revision that the writer based its decision on.
         expected: Revision,
-        /// Current configuration revision.
+        /// Configuration revision at which the change was refused.
         found: Revision,
     },
     /// The entry could not be appended to the change log.
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -42,8 +42,7 @@
 const RESOLVE_TIMEOUT_MS: u64 = 5_000;
 /// Maximum number of idle connections kept open to one backend server.
 const IDLE_CONNECTIONS: usize = 8;
-/// Pause between two attempts to register this host, of which the first may fail while the store is
-/// down.
+/// Pause between two attempts to register this host, which fail while the store is unreachable.
 const REGISTER_PAUSE_MS: u64 = 100;
 /// Time limit of the announcement of a planned stop, so that the stop goes on while the store is
 /// down.
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -17,9 +17,10 @@
 pub struct Sample {
     /// Address that the request was sent to.
     pub address: SocketAddr,
-    /// Index of the service in [`LoadConfig::services`](super::LoadConfig::services).
+    /// Index of the requested service in [`LoadConfig::services`](super::LoadConfig::services).
     pub service: usize,
-    /// Number of the key, from 0.
+    /// Number of the key among the keys of its service; popular keys have low numbers if the keys
+    /// have a Zipf distribution.
     pub key: u64,
     /// Idempotency key of an unrepeatable request; `None` for requests that may run twice.
     pub idempotency_key: Option<String>,
@@ -57,7 +58,7 @@
     pub unknown: u64,
     /// Number of requests with the outcome [`RequestOutcome::Wrong`].
     pub wrong_answers: u64,
-    /// Latency of the answered requests.
+    /// Latency percentiles over the answered requests only.
     pub latency: LatencyReport,
 }
 
@@ -81,7 +82,7 @@
 }
 
 impl LoadReport {
-    /// Summarises the samples of a run.
+    /// Counts the samples of a run by outcome, and computes the latency percentiles.
     pub fn of(samples: &[Sample]) -> Self {
         let count = |outcome| samples.iter().filter(|s| s.outcome == outcome).count() as u64;
         let answered = samples
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -45,9 +45,9 @@
 /// Reply of a peer to a heartbeat of this host.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatReply {
-    /// Host that replied.
+    /// Host that replied, by its key in the registry.
     pub host: HostKey,
-    /// Process that replied.
+    /// Process that replied; it differs after a restart of the host.
     pub incarnation: Incarnation,
     /// Time at which this host sent the ping, on its own clock.
     pub sent_ms: u64,
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Increments a counter by one.
+    /// Increments the counter `name` by one; does nothing if metrics are not exported.
     pub fn count(&self, name: &str) {
         if self.enabled {
             let _ = self.client.count(name, 1u64);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Records a duration in milliseconds.
+    /// Records a duration in milliseconds under `name`, as a statsd timer.
     pub fn time_ms(&self, name: &str, value_ms: u64) {
         if self.enabled {
             let _ = self.client.time(name, value_ms);
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -13,7 +13,7 @@
 /// effect, so that the operator gets the result.
 const TIMEOUT_MS: u64 = 15_000;
 
-/// Kind of document that operators declare.
+/// Kind of a declaration; each kind has its own paths in the API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeclarationKind {
     /// Template: services and their routing, with parameters that workspaces set.
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Submits or amends a declaration.
+    /// Submits a declaration, or replaces the one of the same name.
     pub async fn submit(
         &self,
         kind: DeclarationKind,
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -69,7 +69,7 @@
     pub slots: u64,
 }
 
-/// A template or workspace in force.
+/// Template or workspace in force, with its text.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct DocumentBody {
     /// Name of the template or workspace, as declared in its document.
@@ -134,10 +134,10 @@
     pub heard_ms: Option<u64>,
 }
 
-/// State of one backend server.
+/// State of one backend server, over all services that declare it.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct ServerStatus {
-    /// Address from the workspace.
+    /// Address from the workspace, by which the server is identified.
     pub address: String,
     /// Availability zone from the workspace.
     pub availability_zone: String,
@@ -149,7 +149,7 @@
     pub slots: u64,
 }
 
-/// State of one service.
+/// Progress of one service in giving every slot an owner.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct ServiceStatus {
     /// Full name, `workspace/service`.
@@ -169,7 +169,7 @@
     pub host: String,
 }
 
-/// Slot and owner of a key.
+/// Slot and owner of a key, as the responding host sees them.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct OwnerBody {
     /// Slot that the hash of the key selects.
@@ -182,7 +182,7 @@
     pub next: Option<String>,
 }
 
-/// One entry of the audit trail.
+/// One entry of the audit trail: an accepted change, with its author and time.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct AuditEntry {
     /// Position of the change in the log; the first has 1.
@@ -197,7 +197,7 @@
     pub change: String,
 }
 
-/// A page of the audit trail.
+/// Page of the audit trail. An empty page means that there are no later entries.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct AuditPage {
     /// Entries, oldest first. The next page begins after the revision of the last one.
--- a/src/ownership/lapse.rs
+++ b/src/ownership/lapse.rs
@@ -14,7 +14,7 @@
 /// Report of one host on a lost server, with times on the clock of the host that requested it.
 #[derive(Clone, Copy, Debug)]
 pub struct HorizonReport {
-    /// Host that sent the report.
+    /// Host whose renewals the report is about.
     pub host: HostKey,
     /// Process of that host.
     pub incarnation: Incarnation,
--- a/src/ownership/planner.rs
+++ b/src/ownership/planner.rs
@@ -34,7 +34,7 @@
     pub moving: bool,
 }
 
-/// Inputs of the planner.
+/// Servers, slots and weights from which the planner computes a plan.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerInput<'a> {
     /// Servers; owners and targets of moves are indices into this slice.
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -19,7 +19,7 @@
 /// Heartbeat messages. They are sent as datagrams, which may be lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Queries a peer for its revision.
+    /// Queries a peer for its revision and the age of its basis.
     Ping {
         /// Sender, by its key in the registry of hosts.
         host: HostKey,
@@ -30,7 +30,7 @@
         /// Revision that the sender has applied.
         revision: Revision,
     },
-    /// Reply to a ping.
+    /// Reply to a ping, sent on the same connection.
     Pong {
         /// Host that replies, by its key in the registry of hosts.
         host: HostKey,
@@ -69,7 +69,7 @@
         server: ServerKey,
         /// Membership period that ended with the loss.
         lease_epoch: LeaseEpoch,
-        /// Revision of the loss.
+        /// Revision at which the loss was recorded.
         lost: Revision,
     },
     /// Requests a probe: the receiver checks if a server responds.
@@ -96,7 +96,7 @@
     },
     /// The host no longer holds the requested entries.
     Truncated,
-    /// Snapshot of the whole state.
+    /// Snapshot of the whole state, for a host that is far behind.
     Snapshot {
         /// Revision and hash of the snapshot.
         pointer: SnapshotPointer,
@@ -110,9 +110,9 @@
         /// Time for which the host's renewals may still keep the lease valid.
         remaining_ms: u64,
     },
-    /// Result of a probe.
+    /// Result of a probe, in reply to [`PeerRequest::Probe`].
     Probed {
-        /// True if the server responded.
+        /// True if the process that holds the lease responded.
         alive: bool,
     },
     /// Requests by slot, counted by the replying host since the last such request.
--- a/src/platform/duration.rs
+++ b/src/platform/duration.rs
@@ -13,13 +13,13 @@
     (value.is_finite() && value >= 0.0).then_some((value * factor).round() as u64)
 }
 
-/// Deserializes a duration into milliseconds.
+/// Deserializes a duration such as `1500ms` into milliseconds; fails if it is malformed.
 pub fn deserialize_ms<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     let text = String::deserialize(deserializer)?;
     parse_ms(&text).ok_or_else(|| D::Error::custom(format!("'{text}' is not a duration")))
 }
 
-/// Deserializes an optional duration into milliseconds.
+/// Deserializes an optional duration into milliseconds, for a field that may be missing or null.
 pub fn deserialize_optional_ms<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<u64>, D::Error> {
--- a/src/platform/error.rs
+++ b/src/platform/error.rs
@@ -35,7 +35,7 @@
         /// HTTP status of the response.
         status: StatusCode,
     },
-    /// The response could not be decoded.
+    /// The response could not be decoded; the call itself may have taken effect.
     #[snafu(display("{address} sent a response that cannot be decoded: {message}"))]
     Decode {
         /// Address of the store or server that was called.
@@ -71,5 +71,5 @@
     }
 }
 
-/// Result of a call.
+/// Result of a call to the store or to a server.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -94,7 +94,7 @@
 /// Outcome of a transaction that the store has decided on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransactionOutcome {
-    /// The transaction took effect.
+    /// The transaction took effect: all its writes and removals were made.
     Done {
         /// Version of the store that all its rows have now.
         version: u64,
@@ -122,7 +122,7 @@
     }
 }
 
-/// Response of a change feed.
+/// Response of a change feed (a long poll for the changes after a version).
 #[derive(Clone, Debug)]
 pub enum Feed {
     /// Changes in the order of their versions, possibly none.
@@ -135,11 +135,11 @@
 /// Kind of a call to the store; calls are counted by kind, because the platform charges for each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallKind {
-    /// Read of one page of rows.
+    /// Read of one page of rows; reading a large table takes several.
     Read,
-    /// Call of a change feed.
+    /// Call of a change feed, which the store holds until there are changes or the wait has passed.
     Feed,
-    /// Conditional transaction.
+    /// Transaction, with or without conditions.
     Transaction,
 }
 
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -71,7 +71,7 @@
     pub rows: Vec<WireRow>,
     #[serde(default)]
     pub has_more: bool,
-    /// Newest version of the whole store.
+    /// Newest version of the whole store; 0 if the store left it out.
     #[serde(default)]
     pub ver: u64,
 }
--- a/src/routing/outcome.rs
+++ b/src/routing/outcome.rs
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Builds the response to the caller.
+    /// Builds the response to the caller, with outcome and reason in headers and in the JSON body.
     pub fn answer(self, request_id: &str) -> Response<ResponseBody> {
         let wait_s = self.reason.retry_after_s();
         let wait_s =
--- a/src/routing/traffic.rs
+++ b/src/routing/traffic.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Counts one request for `slot`.
+    /// Counts one request for `slot`, for the loads that the leader reads.
     pub fn count(&self, slot: Slot) {
         if let Some(count) = self.counts.get(slot.0 as usize) {
             count.fetch_add(1, Ordering::Relaxed);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -21,7 +21,7 @@
     /// The file cannot be read.
     #[snafu(display("{}: cannot be read", path.display()))]
     Read {
-        /// Path of the settings file.
+        /// Path of the settings file, as given on the command line.
         path: PathBuf,
         /// Cause, as reported by the operating system.
         source: std::io::Error,
@@ -29,7 +29,7 @@
     /// The file is no valid settings document.
     #[snafu(display("{}: {source}", path.display()))]
     Document {
-        /// Path of the settings file.
+        /// Path of the settings file, as given on the command line.
         path: PathBuf,
         /// Parse error, with the place in the document.
         source: configuration::Error,
@@ -37,14 +37,14 @@
     /// Values are invalid or contradict each other.
     #[snafu(display("{}: {}", path.display(), problems.join("; ")))]
     Values {
-        /// Path of the settings file.
+        /// Path of the settings file, as given on the command line.
         path: PathBuf,
-        /// One message for each problem.
+        /// One message for each problem, so that all of them can be corrected at once.
         problems: Vec<String>,
     },
 }
 
-/// Settings of one host.
+/// Settings of one host, read once from its YAML file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Callers {
-    /// Address to listen on.
+    /// IP address and port to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
     /// Maximum number of open connections; further ones wait in the accept queue.
     #[serde(default = "default_connections")]
@@ -94,11 +94,11 @@
     pub notice_ms: u64,
 }
 
-/// Listener for operators' reads and changes.
+/// Listener of the operators' API, and the token that changes need.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operators {
-    /// Address to listen on.
+    /// IP address and port to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
     /// File whose first line is the token that changes must carry. Without it, only reads are
     /// allowed.
@@ -106,11 +106,11 @@
     pub token_file: Option<PathBuf>,
 }
 
-/// Listener for other hosts, with mutual TLS.
+/// Listener for other hosts, and the certificates with which hosts authenticate to each other.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// Address to listen on.
+    /// IP address and port to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
     /// PEM file of the CA certificates that other hosts' certificates are checked against.
     pub ca_file: PathBuf,
@@ -124,14 +124,15 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Address of the platform's interface.
+    /// Address of the HTTP interface that all services of the platform share.
     pub address: SocketAddr,
     /// Timeout of one call to the platform, in milliseconds.
     #[serde(default = "default_call_ms")]
     pub timeout_ms: u64,
 }
 
-/// Times of leases, heartbeats and failover.
+/// Times of leases, heartbeats and failover, in milliseconds. They are checked against each other,
+/// so that a lease outlasts several renewals and failover stays within its time limit.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Ownership {
@@ -142,9 +143,9 @@
     pub lease_ttl_ms: u64,
     /// Allowance for clock drift between hosts and servers.
     pub margin_ms: u64,
-    /// Interval of lease renewals.
+    /// Interval at which a host renews a server's lease; a lease outlasts several intervals.
     pub renew_every_ms: u64,
-    /// Interval of heartbeats between hosts.
+    /// Interval at which a host pings each of its targets in the heartbeat tree.
     pub heartbeat_ms: u64,
     /// Time without a successful renewal after which a server is suspected to be down.
     pub suspect_ms: u64,
@@ -263,7 +264,7 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads a settings file and checks its values; fails with all problems found.
     pub fn read(path: &Path) -> Result<Self, Error> {
         let bytes = std::fs::read(path).context(ReadSnafu { path })?;
         let settings: Self = read_document(&bytes).context(DocumentSnafu { path })?;
--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -53,7 +53,7 @@
 }
 
 impl Grants {
-    /// Returns the highest membership period seen.
+    /// Returns the highest membership period seen; orders of earlier ones are refused.
     pub fn lease_epoch(&self) -> LeaseEpoch {
         self.lease_epoch
     }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -39,7 +39,7 @@
 pub struct Faults {
     /// The platform is down: no call takes effect or gets a response until the fault ends.
     pub down: bool,
-    /// Delay before each call takes effect.
+    /// Delay in milliseconds before each call takes effect.
     pub slow_ms: u64,
     /// Every n-th transaction gets no response although it took effect; 0 for none.
     pub lose_answer_every: u64,
--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -24,16 +24,16 @@
     pub change: Change,
 }
 
-/// One change of the replicated state.
+/// One change of the replicated state. The log stores it as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// A template was submitted or amended.
+    /// A template was submitted or amended; the services of its workspaces change accordingly.
     TemplateSubmitted {
         /// YAML text of the template, which is parsed and checked again when the change is applied.
         document: String,
     },
-    /// A template was withdrawn.
+    /// A template that no workspace uses was withdrawn.
     TemplateWithdrawn {
         /// Name from the `template` field of the document; no workspace may use it any more.
         name: String,
@@ -44,7 +44,7 @@
         /// applied.
         document: String,
     },
-    /// A workspace was withdrawn.
+    /// A workspace was withdrawn, and its services with it.
     WorkspaceWithdrawn {
         /// Name from the `workspace` field of the document; its services are withdrawn too.
         name: String,
@@ -97,7 +97,7 @@
     },
     /// A server has begun or ended draining.
     ServerDraining {
-        /// Server whose draining changes.
+        /// Live server that begins or ends draining.
         server: ServerKey,
         /// Membership period of the server; the change is refused in any other one.
         lease_epoch: LeaseEpoch,
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -41,7 +41,7 @@
     Removed,
 }
 
-/// One process of an entry host.
+/// One process of an entry host. A restarted host gets a new entry or replaces its old one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
     /// Name of the host, from its settings; the same for its later processes.
@@ -139,7 +139,7 @@
     pub changed: Revision,
 }
 
-/// Ownership of one slot.
+/// Ownership of one slot: its owner, the next owner while it moves, and the last epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotEntry {
     /// Current owner; `None` before the first grant and after its lease has lapsed.
@@ -174,7 +174,7 @@
     }
 }
 
-/// One service of one workspace.
+/// One service of one workspace, with the ownership of its slots.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceEntry {
     /// Declaration, expanded from the template with the parameters of the workspace.
--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -37,10 +37,10 @@
 /// Pause before a transaction without a response is sent again.
 const TRANSACT_RETRY_MS: u64 = 50;
 
-/// Failure of the change log.
+/// Failure to read or append entries of the change log, or to load or store a snapshot.
 #[derive(Debug, Snafu)]
 pub enum LogError {
-    /// A call of the platform failed.
+    /// A call of the platform failed, so the read or write has to be repeated.
     #[snafu(display("{source}"))]
     Platform {
         /// Failed HTTP call; a write may have taken effect all the same.
@@ -85,7 +85,7 @@
     pub change: Change,
 }
 
-/// Result of an append.
+/// Result of an attempt to append an entry at one revision.
 #[derive(Clone, Debug)]
 pub enum AppendOutcome {
     /// The entry was appended, possibly by an earlier attempt whose response was lost.
--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -21,7 +21,7 @@
     pub sha256: String,
 }
 
-/// An encoded state with its pointer.
+/// Encoded state, with the pointer by which readers find and verify it.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     /// Name, revision and hash, by which the body is found and verified.
--- a/src/transport.rs
+++ b/src/transport.rs
@@ -68,7 +68,7 @@
         /// Cause, as reported by the HTTP library.
         message: String,
     },
-    /// No response arrived in time.
+    /// No response arrived in time; the request may have been processed.
     #[snafu(display("{address} did not respond within {timeout_ms} ms"))]
     Timeout {
         /// Host and port that were called.
