--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -43,7 +43,7 @@
 /// several hundred writes a second in total.
 const TRANSACTIONS_PER_S: u64 = 200;
 
-/// Claims of one host, and the queue of their writer.
+/// Claims that one host makes, and the queue of operations for the task that writes them.
 #[derive(Debug)]
 pub struct Claims {
     transaction_interval_ms: std::sync::Arc<AtomicU64>,
--- a/src/configuration/expand.rs
+++ b/src/configuration/expand.rs
@@ -19,7 +19,7 @@
     pub slots: u32,
     /// Backend servers that may own slots of the service.
     pub targets: Vec<Target>,
-    /// Number of requests that one server runs concurrently; further ones wait in the hosts.
+    /// Number of requests that one server runs concurrently. A host sends it no more at a time.
     pub server_slots: u64,
     /// Maximum number of connections to one server, over all entry hosts.
     pub server_connections: u64,
--- a/src/configuration/template.rs
+++ b/src/configuration/template.rs
@@ -103,7 +103,7 @@
     /// Number of slots over which the keys are spread; fixed for the life of a workspace.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Number of requests that one server runs concurrently; further ones wait in the hosts.
+    /// Number of requests that one server runs concurrently. A host sends it no more at a time.
     pub server_slots: Number,
     /// Maximum number of connections to one server, over all entry hosts.
     pub server_connections: Number,
--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -56,7 +56,7 @@
     Lapsed(ServerKey),
 }
 
-/// Planned moves of the slots of one service.
+/// Moves that the planner proposes for one service, not committed yet.
 #[derive(Debug)]
 pub(super) struct ServicePlan {
     pub(super) service: ServiceKey,
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -35,7 +35,7 @@
     Wrong,
 }
 
-/// HTTP caller with pooled connections.
+/// HTTP caller with pooled connections, which plays the part of all callers of a run.
 #[derive(Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -20,7 +20,8 @@
 
 use crate::id::{HostKey, Incarnation, Revision};
 
-/// Latest reply of one peer to a heartbeat.
+/// Latest reply of one peer to a heartbeat, with the time since which it has reported the same
+/// revision.
 #[derive(Clone, Copy, Debug)]
 struct LastReply {
     host: HostKey,
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -80,7 +80,7 @@
     pub document: String,
 }
 
-/// All templates or all workspaces in force.
+/// All templates or all workspaces in force, with the revision that a later change can expect.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct DocumentList {
     /// Revision of the last change of any template or workspace.
@@ -117,7 +117,7 @@
     pub services: Vec<ServiceStatus>,
 }
 
-/// State of one host, as the responding host sees it.
+/// State of one host, as the responding host sees it from heartbeats and its view.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct HostStatus {
     /// Name from the settings of the host.
--- a/src/ownership/lapse.rs
+++ b/src/ownership/lapse.rs
@@ -40,8 +40,8 @@
     pub settled: bool,
 }
 
-/// Returns the time at which the lease has lapsed for certain, or `None` while too few hosts have
-/// reported.
+/// Returns the time from which the lease cannot be valid any more, or `None` while too few hosts
+/// have reported.
 ///
 /// Until a change of the registry is settled, a host may act on the new or on the previous
 /// registry. So a majority of the voters of each is needed. A majority counts only from the time at
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -154,7 +154,8 @@
     }
 }
 
-/// Client of the store. Concurrent calls use separate connections.
+/// Client of the platform's store, which also counts its calls. Concurrent calls use separate
+/// connections.
 #[derive(Debug)]
 pub struct Store {
     link: Link,
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -1,4 +1,5 @@
-//! Routing of one caller's request: service, key, slot, owner, attempts and outcome.
+//! Routes one caller's request: finds the service, the key, its slot and the owner, makes attempts,
+//! and turns the outcome into a response.
 
 use std::{sync::Arc, time::Duration};
 
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -1,4 +1,5 @@
-//! Sends one attempt of a request to one backend server: permits, connections and the outcome.
+//! Sends one attempt of a request to one backend server: waits for a permit, connects and
+//! classifies the outcome.
 
 use std::{
     collections::HashMap,
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -16,7 +16,8 @@
 };
 use crate::transport::JsonClient;
 
-/// Client of the platform's table service, object store and list of hosts.
+/// Client of the platform's table service, object store and list of hosts, over pooled HTTP
+/// connections.
 #[derive(Clone, Debug)]
 pub struct Platform {
     address: SocketAddr,
