--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -44,7 +44,7 @@
     pub apply_ms: f64,
 }
 
-/// Measures at every size of [`SIZES`], in that order.
+/// Measures each pair of a number of slots and a number of servers, the smallest first.
 pub fn run() -> Vec<SizeFigures> {
     SIZES
         .iter()
--- a/src/configuration/workspace.rs
+++ b/src/configuration/workspace.rs
@@ -26,9 +26,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Value {
-    /// Value of a parameter of the type [`ParameterKind::Integer`](super::ParameterKind::Integer).
+    /// Value of an integer parameter, such as a queue length.
     Integer(u64),
-    /// Value of a parameter of the type [`ParameterKind::Targets`](super::ParameterKind::Targets).
+    /// Servers for a parameter of the type `targets`, in the order of the document.
     Targets(Vec<Target>),
 }
 
