--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -25,20 +25,20 @@
 /// demonstration.
 const LOSS_S: f64 = 2.5;
 
-/// Weights of the `drainage` example template.
+/// Weights of the `drainage` example template, repeated here for the comparison of policies.
 pub const DRAINAGE_WEIGHTS: Weights = Weights {
     imbalance: 1.0,
     churn: 2.4,
     unavailable: 1.0,
 };
-/// Weights of the `resort` example template.
+/// Weights of the `resort` example template, repeated here for the comparison of policies.
 pub const RESORT_WEIGHTS: Weights = Weights {
     imbalance: 4.0,
     churn: 1.0,
     unavailable: 4.0,
 };
 
-/// Policy for the placement of slots.
+/// Policy by which slots are placed and moved.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Policy {
     Planner(&'static str, Weights),
@@ -55,12 +55,12 @@
     Policy::BoundedLoads,
 ];
 
-/// Measurements of one policy on one day.
+/// Balance, moves and unavailability of one policy on one generated day.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct PolicyFigures {
-    /// Scenario of the day.
+    /// Scenario of the day on which the policy was measured.
     pub event: Event,
-    /// Name of the policy.
+    /// Name of the policy, as printed in the table.
     pub policy: &'static str,
     /// Mean over the day of the highest load divided by the mean load.
     pub imbalance_mean: f64,
@@ -74,7 +74,7 @@
     pub unavailable_s: f64,
 }
 
-/// Runs every policy on every day.
+/// Runs every policy on every scenario, and returns one row of figures for each pair.
 pub fn run() -> Vec<PolicyFigures> {
     let mut figures = Vec::new();
     for event in EVENTS {
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -1,5 +1,6 @@
-//! Claims on unrepeatable requests. A claim is recorded in the table service before the first byte
-//! of its request is sent, so that a duplicate at any host never runs.
+//! Claims on unrepeatable requests (requests that must run at most once). A claim is recorded in
+//! the table service before the first byte of its request is sent, so that a duplicate at any host
+//! never runs.
 
 mod batch;
 mod row;
@@ -21,7 +22,8 @@
 };
 use crate::{clock, id::OperationId, routing::outcome::Reason, store::Platform};
 
-/// Maximum length of a response body that is stored for duplicates.
+/// Maximum length in bytes of a response body that is stored for duplicates. After a longer one,
+/// duplicates are refused.
 pub const STORED_BODY_BYTES_MAX: usize = 64 * 1024;
 /// Time limit for recording a claim; after it the request is refused.
 const CLAIM_TIMEOUT_MS: u64 = 1_000;
@@ -29,12 +31,12 @@
 /// ends of claims are not recorded.
 const QUEUE_OPERATIONS: usize = 10_000;
 
-/// Counters of the claims of one host.
+/// Counters of the claims that one host has made since its process started.
 #[derive(Debug, Default)]
 pub struct ClaimCounters {
-    /// Claims recorded.
+    /// Number of claims that were recorded, so that their requests could run.
     pub claims: AtomicU64,
-    /// Transactions that recorded claims or their ends.
+    /// Number of transactions that recorded claims or their ends; one covers many operations.
     pub transactions: AtomicU64,
 }
 
@@ -42,7 +44,7 @@
 /// several hundred writes a second in total.
 const TRANSACTIONS_PER_S: u64 = 200;
 
-/// Claims of one host, and the queue of their writer.
+/// Claims that one host makes, and the queue of operations for the task that writes them.
 #[derive(Debug)]
 pub struct Claims {
     transaction_interval_ms: std::sync::Arc<AtomicU64>,
@@ -66,14 +68,14 @@
     Granted(Claim),
     /// The request was answered before; this is the stored response.
     Answered(StoredResponse),
-    /// The request must not run.
+    /// The request must not run, for the given reason; the caller gets a failure.
     Refused(Reason),
     /// The store cannot be reached, so the request does not run.
     Unavailable,
 }
 
 impl Claims {
-    /// Starts the task that writes claims.
+    /// Starts the task that writes claims; it ends when the returned value is dropped.
     pub fn start(platform: Platform) -> Self {
         let (operations, queue) = mpsc::channel(QUEUE_OPERATIONS);
         let counters = std::sync::Arc::new(ClaimCounters::default());
@@ -171,7 +173,7 @@
     }
 }
 
-/// Returns a random identifier for one request of a caller.
+/// Returns a random identifier for one request of a caller, which all its attempts carry.
 pub fn request_id() -> String {
     OperationId::random().0
 }
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -20,7 +20,8 @@
 
 use crate::id::{HostKey, Incarnation, Revision};
 
-/// Latest reply of one peer to a heartbeat.
+/// Latest reply of one peer to a heartbeat, with the time since which it has reported the same
+/// revision.
 #[derive(Clone, Copy, Debug)]
 struct LastReply {
     host: HostKey,
@@ -34,7 +35,7 @@
 /// Revision of a peer, as reported in its replies to heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerRevision {
-    /// Revision that the peer has applied.
+    /// Revision that the peer had applied when it replied.
     pub revision: Revision,
     /// Time at which the first ping that the peer replied to with this revision was sent.
     pub since_ms: u64,
@@ -45,13 +46,13 @@
 /// Reply of a peer to a heartbeat of this host.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatReply {
-    /// Host that replied.
+    /// Host that replied, by its key in the registry.
     pub host: HostKey,
-    /// Process that replied.
+    /// Process that replied; it differs after a restart of the host.
     pub incarnation: Incarnation,
     /// Time at which this host sent the ping, on its own clock.
     pub sent_ms: u64,
-    /// Revision that the peer has applied.
+    /// Revision that the peer had applied when it replied.
     pub revision: Revision,
     /// Age of the peer's basis when it replied; `None` if it has no basis.
     pub basis_age_ms: Option<u64>,
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics export by statsd datagrams.
+//! Exports metrics as statsd datagrams, which may be lost.
 
 use std::net::{SocketAddr, UdpSocket};
 
@@ -6,7 +6,7 @@
     Counted, Gauged, NopMetricSink, QueuingMetricSink, StatsdClient, Timed, UdpMetricSink,
 };
 
-/// Prefix of all metric names.
+/// First part of all metric names, by which receivers tell these metrics from others.
 const PREFIX: &str = "ashroad";
 
 /// Client that sends metrics to a statsd receiver.
@@ -35,21 +35,21 @@
         })
     }
 
-    /// Increments a counter by one.
+    /// Increments the counter `name` by one; does nothing if metrics are not exported.
     pub fn count(&self, name: &str) {
         if self.enabled {
             let _ = self.client.count(name, 1u64);
         }
     }
 
-    /// Sets a gauge.
+    /// Sets a gauge, which keeps its value until it is set again.
     pub fn gauge(&self, name: &str, value: u64) {
         if self.enabled {
             let _ = self.client.gauge(name, value);
         }
     }
 
-    /// Records a duration in milliseconds.
+    /// Records a duration in milliseconds under `name`, as a statsd timer.
     pub fn time_ms(&self, name: &str, value_ms: u64) {
         if self.enabled {
             let _ = self.client.time(name, value_ms);
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -10,30 +10,31 @@
     state::{LogEntry, SnapshotPointer},
 };
 
-/// Version of the protocol; messages of other versions are rejected.
+/// Version of the protocol, the first byte of each message; messages of other versions are
+/// rejected.
 pub const VERSION: u8 = 1;
-/// Maximum size of an encoded message.
+/// Maximum size of an encoded message, which bounds the memory that one peer can occupy.
 pub const MESSAGE_BYTES_MAX: usize = 64 * 1024 * 1024;
 
 /// Heartbeats between hosts, sent as datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Queries a peer for its revision.
+    /// Queries a peer for its revision and the age of its basis.
     Ping {
-        /// Host that sends the ping.
+        /// Sender, by its key in the registry of hosts.
         host: HostKey,
-        /// Process of that host.
+        /// Process of that host; a restarted host has another one.
         incarnation: Incarnation,
         /// Time at which the ping was sent, on the sender's clock; returned unchanged.
         sent_ms: u64,
         /// Revision that the sender has applied.
         revision: Revision,
     },
-    /// Reply to a ping.
+    /// Reply to a ping, sent on the same connection.
     Pong {
-        /// Host that replies.
+        /// Host that replies, by its key in the registry of hosts.
         host: HostKey,
-        /// Process of that host.
+        /// Process of that host; a restarted host has another one.
         incarnation: Incarnation,
         /// Time of sending, copied from the ping.
         sent_ms: u64,
@@ -44,12 +45,12 @@
     },
 }
 
-/// Requests on streams.
+/// Requests from one host to another, each on a stream of its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// Delivers new log entries, which the receiver relays to the hosts in `relay`.
     Push {
-        /// Entries in order of revision.
+        /// Entries with consecutive revisions, oldest first.
         entries: Vec<LogEntry>,
         /// Hosts that the receiver must relay the entries to.
         relay: Vec<HostKey>,
@@ -68,19 +69,19 @@
         server: ServerKey,
         /// Membership period that ended with the loss.
         lease_epoch: LeaseEpoch,
-        /// Revision of the loss.
+        /// Revision at which the loss was recorded.
         lost: Revision,
     },
     /// Requests a probe: the receiver checks if a server responds.
     Probe {
-        /// Server to check.
+        /// Server to check, by its key in the state.
         server: ServerKey,
     },
     /// Requests the load that the receiver has counted since the last such request.
     Loads,
 }
 
-/// Replies on streams.
+/// Replies to a [`PeerRequest`], on the same stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerReply {
     /// Revision that the host has applied, in reply to a push.
@@ -90,16 +91,16 @@
     },
     /// Log entries after the requested revision.
     Entries {
-        /// Entries in order of revision.
+        /// Entries with consecutive revisions, oldest first.
         entries: Vec<LogEntry>,
     },
     /// The host no longer holds the requested entries.
     Truncated,
-    /// Snapshot of the whole state.
+    /// Snapshot of the whole state, for a host that is far behind.
     Snapshot {
         /// Revision and hash of the snapshot.
         pointer: SnapshotPointer,
-        /// Encoded state.
+        /// State in the postcard encoding, to be verified against `pointer`.
         body: Vec<u8>,
     },
     /// Renewals of this host, as needed by [`crate::ownership::lapse`].
@@ -109,12 +110,12 @@
         /// Time for which the host's renewals may still keep the lease valid.
         remaining_ms: u64,
     },
-    /// Result of a probe.
+    /// Result of a probe, in reply to [`PeerRequest::Probe`].
     Probed {
-        /// True if the server responded.
+        /// True if the process that holds the lease responded.
         alive: bool,
     },
-    /// Load by slot.
+    /// Requests by slot, counted by the replying host since the last such request.
     Loads {
         /// Slots with at least one request.
         loads: Vec<SlotLoad>,
@@ -124,9 +125,9 @@
 /// Requests that one host routed to one slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotLoad {
-    /// Service of the slot.
+    /// Service that the slot belongs to.
     pub service: ServiceKey,
-    /// Slot that the requests were for.
+    /// Slot that the keys of the requests belong to.
     pub slot: Slot,
     /// Number of requests since the last reading.
     pub requests: u32,
