--- a/src/entry/crashes/broken_connections.rs
+++ b/src/entry/crashes/broken_connections.rs
@@ -10,9 +10,9 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ProbeState {
-    /// Broken connections so far.
+    /// Number of broken connections; wraps around.
     count: u32,
-    /// Time of the latest one; 0 if there was none.
+    /// Time of the latest broken connection; 0 if there was none.
     latest_ms: u64,
     /// Time at which a probe found that the server had crashed; 0 if none did.
     crashed_ms: u64,
@@ -34,7 +34,8 @@
         !std::mem::replace(&mut state.is_probed, true)
     }
 
-    /// Records the result of a liveness probe.
+    /// Records the result of a liveness probe, so that a later broken connection can start another
+    /// one.
     pub fn end_probe(&self, has_crashed: bool) {
         let mut state = self.state();
         state.is_probed = false;
--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -2,10 +2,11 @@
 //!
 //! A host whose connections to a server break probes whether the server has crashed. It then
 //! reports to the other hosts which of its requests were in flight there: the suspects. All hosts
-//! count this evidence, by caller and across callers. While one server has crashed during a
-//! request, only one host at a time may run it, as a trial. With enough crashes the request is
-//! quarantined: the duty holder names it in each heartbeat and keeps it in the store. So a request
-//! that is retried at any host, even after the loss of all hosts, reaches no further server.
+//! count this evidence, both for each caller and over all callers. While one server has crashed
+//! during a request, only one host at a time may run it, as a trial. With enough crashes the
+//! request is quarantined: the duty holder names it in each heartbeat and keeps it in the store. So
+//! a request that is retried at any host, even after the loss of all hosts, reaches no further
+//! server.
 
 pub mod broken_connections;
 mod probe;
@@ -47,11 +48,11 @@
 /// Crash reports, evidence and quarantine of a host.
 #[derive(Debug, Default)]
 pub struct Crashes {
-    /// Evidence against requests, by caller.
+    /// Evidence against requests, by digests that include the caller.
     tally: Mutex<CrashTally>,
-    /// Evidence against requests across callers, by content and by path.
+    /// Evidence against the content or path of requests, by digests that leave out the caller.
     path_tally: Mutex<PathTally>,
-    /// Requests that no server gets any more.
+    /// Requests that are refused because servers crashed during them.
     quarantine: Mutex<Quarantine>,
     /// Claims of trials by all hosts.
     trials: Mutex<TrialClaims>,
@@ -90,8 +91,8 @@
         lock(&self.path_tally).is_suspect(digests.any_path, clock::now_ms())
     }
 
-    /// Returns the digest whose trial is claimed: the digest across callers if that is suspect,
-    /// else the caller's path.
+    /// Returns the digest whose trial is claimed: the one that leaves out the caller if it is
+    /// suspect, else that of the caller's path.
     fn trial_digest(&self, digests: RequestDigests) -> RequestDigest {
         if lock(&self.path_tally).is_suspect(digests.content, clock::now_ms()) {
             digests.content
@@ -107,7 +108,7 @@
         latest
     }
 
-    /// Returns the number of quarantined requests.
+    /// Returns the number of quarantined requests, including expired ones that are not yet dropped.
     pub fn quarantined(&self) -> usize {
         lock(&self.quarantine).len()
     }
@@ -230,7 +231,7 @@
         lock(&self.crashes.trials).note(claimed, host, clock::now_ms());
     }
 
-    /// Ends a claim: the server answered the trial, so that the next suspect may run there.
+    /// Ends a claim after the server answered the trial, so that the next suspect may run there.
     pub(in crate::entry) fn note_trial_end(&self, claimed: ClaimSubject) {
         lock(&self.crashes.trials).end(claimed);
     }
--- a/src/entry/crashes/reports.rs
+++ b/src/entry/crashes/reports.rs
@@ -1,4 +1,4 @@
-//! Crash reports that a host sends to the other hosts.
+//! Crash reports that a host sends to the other hosts, repeatedly since datagrams may be lost.
 
 use crate::entry::{decide::path_tally::SharedSuspect, digest::RequestDigest};
 
@@ -12,7 +12,7 @@
 pub struct Suspects {
     /// Digests that include the caller.
     pub digests: Vec<RequestDigest>,
-    /// Digests across callers.
+    /// Digests of the same requests that leave out the caller.
     pub shared: Vec<SharedSuspect>,
 }
 
@@ -25,14 +25,14 @@
     }
 }
 
-/// Crash of a server as this host detected it.
+/// Report of a server crash that this host detected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
     /// Tag of the server: a hash that names it in messages.
     pub server_tag: u32,
-    /// Requests of this host that were in flight there, by caller.
+    /// Digests, including the caller, of this host's requests that were in flight there.
     pub digests: Vec<RequestDigest>,
-    /// The same requests, across callers.
+    /// Digests of the same requests that leave out the caller.
     pub shared: Vec<SharedSuspect>,
     /// True if the report goes to all hosts, not only to the duty holder.
     pub to_all: bool,
--- a/src/entry/crashes/stored.rs
+++ b/src/entry/crashes/stored.rs
@@ -30,7 +30,7 @@
     version: u64,
 }
 
-/// Row of the store that lists the quarantined requests.
+/// Row of the store that lists the quarantined requests of all hosts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct QuarantineRow {
     digests: Vec<RequestDigest>,
--- a/src/entry/decide/attempt_stats.rs
+++ b/src/entry/decide/attempt_stats.rs
@@ -5,25 +5,26 @@
 const RUN_SAMPLE_WEIGHT: f64 = 0.2;
 /// Weight of a new outcome in the moving share of failures.
 const FAILURE_SAMPLE_WEIGHT: f64 = 0.15;
-/// Half-life of the samples of a server, so that a server that was avoided gets requests again.
+/// Half-life of a server's samples. Because old failures fade, a server that was avoided gets
+/// requests again.
 const FORGET_HALF_MS: f64 = 3_000.0;
 /// Pause after the first failed connect; it doubles with each further one in a row.
 const PAUSE_FIRST_MS: u64 = 200;
 /// Longest pause after failed connects.
 const PAUSE_MAX_MS: u64 = 2_000;
 
-/// Recent outcomes of a host's attempts at one server.
+/// Run time, failure rate and connection failures of one server, as seen by one host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptStats {
-    /// Average time of requests that found a free slot; 0 if unknown.
+    /// Moving average of the run times of requests that found a free slot; 0 before the first.
     run_ms: f64,
-    /// Share of attempts that failed or were shed.
+    /// Moving share of attempts that failed or were shed, from 0 to 1, as of `at_ms`.
     failures: f64,
-    /// Time of the last outcome.
+    /// Time of the last outcome, from which the weight of the samples decays.
     at_ms: u64,
-    /// Number of failed connects in a row.
+    /// Consecutive failed connects; reset by a response. Determines the length of the next pause.
     connect_failures: u32,
-    /// End of the pause in attempts after failed connects.
+    /// Time until which no attempts are made after failed connects; 0 if there is no pause.
     paused_until_ms: u64,
 }
 
@@ -38,12 +39,13 @@
         self.run_ms
     }
 
-    /// Returns the time since the last outcome of an attempt.
+    /// Returns the milliseconds since the last response, failure or failed connect.
     pub fn since_outcome_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.at_ms)
     }
 
-    /// Returns the share of recent attempts that failed.
+    /// Returns the share of recent attempts that failed, from 0 to 1; it decays to 0 without
+    /// attempts.
     pub fn failures(&self, now_ms: u64) -> f64 {
         self.failures * self.sample_weight(now_ms)
     }
@@ -74,7 +76,8 @@
         self.note_outcome(1.0, now_ms);
     }
 
-    /// Records a failed connect, which pauses further attempts.
+    /// Records a failed connect as a failure, and pauses attempts for a time that doubles with each
+    /// consecutive one, up to [`PAUSE_MAX_MS`].
     pub fn not_connected(&mut self, now_ms: u64) {
         self.note_outcome(1.0, now_ms);
         let pause_ms = PAUSE_FIRST_MS << self.connect_failures.min(8);
--- a/src/entry/decide/budget.rs
+++ b/src/entry/decide/budget.rs
@@ -19,7 +19,7 @@
     at_ms: u64,
 }
 
-/// Retry budgets of all services.
+/// Token buckets that limit this host's retries, one for each service.
 #[derive(Debug)]
 pub struct RetryBudget {
     window_ms: f64,
@@ -29,7 +29,7 @@
 }
 
 impl RetryBudget {
-    /// Creates a budget without buckets; the bucket of a service starts half full at its first
+    /// Creates a budget without buckets. A service gets its bucket, half full, at its first
     /// request.
     pub fn new(bounds: &Bounds) -> Self {
         Self {
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Credits the bucket of a service with the tokens for one request.
+    /// Credits a service's bucket with the fraction of a retry that each request allows, up to the
+    /// bucket's capacity. `hosts` is the number of hosts that share the allowance.
     pub fn request(&self, service: &Arc<str>, hosts: usize, now_ms: u64) {
         let most = self.burst(hosts);
         let mut buckets = self.buckets();
@@ -51,7 +52,8 @@
         bucket.tokens = (bucket.tokens + self.per_request).min(most);
     }
 
-    /// Takes a token for a retry; returns false if the budget is used up.
+    /// Takes a token for a retry. Returns false if the service's bucket has none, or if the service
+    /// has had no request yet.
     pub fn retry(&self, service: &Arc<str>, hosts: usize, now_ms: u64) -> bool {
         let most = self.burst(hosts);
         let mut buckets = self.buckets();
--- a/src/entry/decide/choice.rs
+++ b/src/entry/decide/choice.rs
@@ -13,12 +13,12 @@
 const CANDIDATES_MIN: usize = 3;
 const FEW_HOSTS: usize = 3;
 
-/// Numbers of hosts, including this one.
+/// Numbers of hosts that choose among the same servers, including this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostCount {
     /// Hosts in this host's availability zone, which prefer the same servers.
     pub same_zone: usize,
-    /// Hosts in all zones.
+    /// Hosts in all availability zones.
     pub all: usize,
 }
 
@@ -27,9 +27,9 @@
 pub struct Inputs<'a> {
     /// Servers that may run the request.
     pub servers: &'a [Candidate],
-    /// Average run time over the servers of the service.
+    /// Average run time over the servers of the service, assumed for servers without samples.
     pub typical_ms: f64,
-    /// Requirements of the request.
+    /// Time limits, urgency and expected run time of the request.
     pub demand: Demand,
     /// Hosts that choose among the same servers.
     pub hosts: HostCount,
@@ -89,8 +89,8 @@
     (CANDIDATES_MAX * FEW_HOSTS / hosts.max(1)).clamp(CANDIDATES_MIN, CANDIDATES_MAX)
 }
 
-/// Returns the factor by which a server's expected time is weighted: zone, connection, failures, a
-/// random part and a bonus for a server without samples.
+/// Returns the factor that weights a server's expected time. Another zone, a new connection,
+/// failures and a random part increase it; a lack of samples reduces it.
 fn cost_factor(server: &Candidate, policy: &Policy, random: f64) -> f64 {
     let added = |applies: bool, cost: f64| if applies { cost } else { 0.0 };
     let zone = added(!server.is_same_zone, policy.zone_cost);
--- a/src/entry/decide/crash_tally.rs
+++ b/src/entry/decide/crash_tally.rs
@@ -13,12 +13,13 @@
 
 /// Number of servers that must have crashed during a request before it counts as the cause. The
 /// users' requirements allow three runs, and one crash may end several of them: with three servers,
-/// a request that was sent eight times per second had eight runs. With two, no harmless request was
-/// mistaken for the cause on 18 days with outages on five sites, except five after the loss of a
-/// zone, which [`MASS_CRASH_SERVERS`] excludes.
+/// a request that was sent eight times per second had eight runs. With two servers, 18 days with
+/// outages on five sites led to only five harmless requests being taken for the cause, all after
+/// the loss of a zone, which [`MASS_CRASH_SERVERS`] excludes.
 pub const SERVERS_NEEDED: usize = 2;
-/// Number of servers that crash within [`MASS_CRASH_WINDOW_MS`] from which on the crashes have one
-/// common cause, such as the loss of a zone. A single request reaches [`SERVERS_NEEDED`] first.
+/// Number of crashed servers within [`MASS_CRASH_WINDOW_MS`] that counts as a mass crash: one
+/// common cause, such as the loss of a zone, is then more likely than a request. A single request
+/// reaches [`SERVERS_NEEDED`] first.
 const MASS_CRASH_SERVERS: usize = 3;
 /// Window in which crashes count as simultaneous: hosts detect and report a crash in 30 to 100 ms.
 const MASS_CRASH_WINDOW_MS: u64 = 1_000;
@@ -30,7 +31,7 @@
 /// Number of suspects kept when there are too many, so that not every crash sorts all of them.
 const SUSPECTS_KEPT: usize = 3_072;
 
-/// Crash of a server with a request in flight.
+/// Evidence against a request that was in flight when a server crashed.
 #[derive(Clone, Copy, Debug)]
 struct Evidence {
     server_tag: u32,
@@ -39,7 +40,7 @@
     is_mass_crash: bool,
 }
 
-/// Suspect requests, with the servers that crashed while they ran.
+/// Evidence against suspect requests, by the digest that includes the caller.
 #[derive(Debug, Default)]
 pub struct CrashTally {
     suspects: HashMap<RequestDigest, Vec<Evidence>>,
@@ -113,12 +114,13 @@
         self.suspects.remove(&digest).is_some()
     }
 
-    /// Returns the number of suspect requests.
+    /// Returns the number of requests with evidence against them, including evidence that has
+    /// expired and is not yet dropped.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Returns true if there are no suspect requests.
+    /// Returns true if there is evidence against no request, not even expired evidence.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
--- a/src/entry/decide/first.rs
+++ b/src/entry/decide/first.rs
@@ -1,4 +1,4 @@
-//! First distribution of a service's keys over its servers.
+//! First distribution of a service's keys over its servers, and the wait before it.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 }
 
 impl FirstAssignmentWait {
-    /// Starts the wait.
+    /// Starts the wait at `now_ms`, from which the longest wait is counted.
     pub fn new(now_ms: u64) -> Self {
         Self {
             servers: 0,
@@ -43,7 +43,8 @@
     }
 }
 
-/// Distributes all keys over the servers, in proportion to their capacity.
+/// Divides all keys into one contiguous range for each server, in proportion to its capacity. A
+/// server whose share rounds to no key is left out.
 pub fn first_assignment(servers: &[PlanServer]) -> Vec<(KeyRange, Arc<str>)> {
     let total: f64 = servers.iter().map(|server| server.capacity_per_s).sum();
     let mut ranges = Vec::with_capacity(servers.len());
--- a/src/entry/decide/hold.rs
+++ b/src/entry/decide/hold.rs
@@ -17,10 +17,10 @@
     Lease,
 }
 
-/// Remaining time of a move.
+/// Expected time until a move completes, as announced by the duty holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveTimeLeft {
-    /// Condition that the move waits for.
+    /// Condition that the move waits for, which decides how exact `remaining_ms` is.
     pub wait: MoveWait,
     /// Time left until the move completes: an upper bound or the exact time, depending on `wait`.
     pub remaining_ms: u64,
@@ -31,7 +31,8 @@
 pub enum Hold {
     /// The request is held for at most this time, in milliseconds.
     For(u64),
-    /// The request is refused at once: the move does not complete before its deadline.
+    /// The request is refused at once: it has used up its hold time, or the lease that the move
+    /// waits for expires too late.
     Refuse,
 }
 
--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -25,9 +25,9 @@
     pub service_tag: u32,
     /// The key, by its index within the service.
     pub key: u16,
-    /// Requests per second of all hosts for the key.
+    /// Requests per second for the key, summed over all hosts.
     pub load_per_s: f32,
-    /// Requests per second that the key's server can serve.
+    /// Requests per second that the server that holds the key can serve.
     pub capacity_per_s: f32,
 }
 
@@ -37,13 +37,13 @@
         f64::from(self.load_per_s) / f64::from(self.capacity_per_s).max(0.1)
     }
 
-    /// Returns the share of the requests that is admitted.
+    /// Returns the share of the key's requests that hosts admit.
     pub fn admitted(&self, policy: &Policy) -> f64 {
         (policy.hot_admitted / self.excess()).min(1.0)
     }
 }
 
-/// Finds the hot keys of a service.
+/// Finds the keys of a service whose load exceeds the capacity of their servers.
 pub fn find(
     service_tag: u32,
     assignment: &Assignment,
@@ -78,7 +78,8 @@
     found
 }
 
-/// Hot keys known to a host.
+/// Hot keys that this host has found as the duty holder, and those that a duty holder announced to
+/// it.
 #[derive(Debug, Default)]
 pub struct HotKeys {
     /// Hot keys by service tag that this host found as the duty holder.
@@ -86,7 +87,7 @@
     announced: Mutex<Announced>,
 }
 
-/// Latest announcement of the duty holder, with its expiry.
+/// Hot keys in the duty holder's latest announcement, with the time at which it expires.
 #[derive(Debug, Default)]
 struct Announced {
     keys: Vec<HotKey>,
@@ -94,7 +95,8 @@
 }
 
 impl HotKeys {
-    /// Stores the hot keys of a service that this host has found.
+    /// Stores the hot keys that this host, as the duty holder, has found for a service; replaces
+    /// the earlier ones.
     pub fn note_found(&self, service_tag: u32, keys: Vec<HotKey>) {
         self.found().insert(service_tag, keys);
     }
@@ -109,7 +111,8 @@
         keys
     }
 
-    /// Stores an announcement of the duty holder.
+    /// Replaces the known hot keys by those of an announcement, which expires after
+    /// [`ANNOUNCED_KEPT_MS`].
     pub fn note_announced(&self, keys: Vec<HotKey>, now_ms: u64) {
         let until_ms = now_ms + ANNOUNCED_KEPT_MS;
         *self.announced() = Announced { keys, until_ms };
--- a/src/entry/decide/key_loads.rs
+++ b/src/entry/decide/key_loads.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::keys::{Holding, KeyRange};
 
-/// Number of keys of a service.
+/// Number of keys of every sharded service: a key is a 16-bit number.
 pub const KEYS: usize = 1 << 16;
 
 /// Smoothed requests per second by key.
@@ -22,7 +22,8 @@
     }
 }
 
-/// Requests by key, averaged over a long and a short time.
+/// Long-term and short-term averages of the requests for each key. The short-term one detects
+/// surges; the long-term one is steadier.
 #[derive(Clone, Debug, Default)]
 pub struct KeyCounts {
     slow: KeyLoads,
@@ -39,7 +40,7 @@
     /// load to count as a surge.
     const SURGE_DEVIATIONS: f64 = 4.0;
 
-    /// Begins an interval: earlier requests lose weight.
+    /// Begins a new interval: reduces the weight of all earlier requests.
     pub fn decay(&mut self) {
         self.slow.decay(Self::SLOW_KEPT);
         self.fast.decay(Self::FAST_KEPT);
@@ -97,13 +98,13 @@
         self.per_s[usize::from(key)] += per_s;
     }
 
-    /// Returns the load of a range, in requests per second.
+    /// Returns the summed load of a range's keys, in requests per second.
     pub fn of(&self, range: KeyRange) -> f64 {
         let keys = &self.per_s[range.indices()];
         keys.iter().map(|load| f64::from(*load)).sum()
     }
 
-    /// Returns the load of a key, in requests per second.
+    /// Returns the load of a single key, in requests per second.
     pub fn key(&self, key: u16) -> f64 {
         f64::from(self.per_s[usize::from(key)])
     }
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -64,11 +64,12 @@
     pub slots: u32,
     /// Requests of all hosts that are running or queued at the server, as far as this host knows.
     pub load: u32,
-    /// Average run time of a request; 0 if unknown.
+    /// Average run time of a request at the server, in milliseconds; 0 without recent samples.
     pub run_ms: f64,
     /// Time since the last outcome of an attempt that this host made at the server.
     pub since_outcome_ms: u64,
-    /// Current run time as a multiple of the server's average.
+    /// Pace (slowdown factor): the current run time as a multiple of the server's average; 1 is
+    /// usual.
     pub pace: f64,
     /// Share of recent attempts that failed, from 0 to 1.
     pub failures: f64,
@@ -83,12 +84,13 @@
     pub has_idle_connection: bool,
 }
 
-/// Requirements of a request and its expected run time.
+/// Time limits, urgency and expected run time of a request, on which the choice of a server is
+/// based.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
     /// Time until the latency objective; 0 once it has passed.
     pub objective_ms: u64,
-    /// Time until the deadline.
+    /// Time until the deadline, after which the caller no longer waits for the response.
     pub deadline_ms: u64,
     /// Expected run time of the request, as a share of the server's average.
     pub run_share: f64,
--- a/src/entry/decide/notices.rs
+++ b/src/entry/decide/notices.rs
@@ -1,7 +1,7 @@
 //! Notices that a server sends to a host in its responses: that it leaves, or that it asks for a
-//! rest, a time in which it wants no requests of this host. A notice applies to the host that
-//! received it, regardless of the server's row in the store: the store may be unavailable or hold
-//! an older row.
+//! rest, which is a time during which the host must send it no requests. A notice applies to the
+//! host that received it, regardless of the server's row in the store: the store may be unavailable
+//! or hold an older row.
 
 use super::rate_limit::RateLimit;
 use crate::entry::model::Notice;
@@ -10,16 +10,16 @@
 /// keep a server idle forever.
 const REST_MAX_MS: u64 = 10 * 60 * 1_000;
 
-/// Changes in a host's knowledge of a server by one notice.
+/// Changes that one notice makes to the state of a server, so that the host acts on each only once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoticeEffect {
     /// True if this is the server's first response to this host that announces its leaving.
     pub leaves: bool,
-    /// True if a rest begins with this notice.
+    /// True if the notice begins a rest; false if it extends a rest or asks for none.
     pub rests: bool,
 }
 
-/// Notices received from one incarnation of a server.
+/// Notices received from one incarnation of a server, and its rate limit.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Notices {
     /// Time of the first response to this host that announced the leaving. It is never withdrawn.
@@ -27,14 +27,15 @@
     /// Time at which this host first learned of the leaving, from such a response or from another
     /// host.
     known_since_ms: Option<u64>,
-    /// End of the latest rest that the server asked for.
+    /// Latest end of the rests that the server asked this host for; 0 if there was none.
     rests_until_ms: u64,
     /// Rate limit that the server advertises to all hosts together.
     pub rate_limit: RateLimit,
 }
 
 impl Notices {
-    /// Applies the notice in a response.
+    /// Applies a notice and returns what it changes. A longer rest extends the current one; leaving
+    /// is final.
     pub fn note(&mut self, notice: Notice, now_ms: u64) -> NoticeEffect {
         let learned = NoticeEffect {
             leaves: notice.leaves && self.leaves_since_ms.is_none(),
@@ -71,7 +72,8 @@
         Some(now_ms.saturating_sub(self.known_since_ms?))
     }
 
-    /// Returns true if the server has announced its leaving to this host.
+    /// Returns true if the server has announced its leaving in a response to this host; reports of
+    /// other hosts do not count.
     pub fn has_announced_leaving(&self) -> bool {
         self.leaves_since_ms.is_some()
     }
@@ -86,8 +88,8 @@
         since_ms.is_some_and(|since_ms| arrived_ms >= since_ms + hold_ms)
     }
 
-    /// Returns the time for which the server wants no more requests of this host; 0 if it accepts
-    /// them.
+    /// Returns the remaining time of the rest that the server asked this host for; 0 if it accepts
+    /// requests.
     pub fn rest_ms(&self, now_ms: u64) -> u64 {
         self.rests_until_ms.saturating_sub(now_ms)
     }
--- a/src/entry/decide/pace.rs
+++ b/src/entry/decide/pace.rs
@@ -1,6 +1,6 @@
-//! Pace of a server: its current run time compared with its usual one. Servers that share their
-//! machine with others run several times slower for periods of some hundred milliseconds. They
-//! report their pace in their responses, and hosts exchange these reports.
+//! Pace (slowdown factor) of a server: its current run time compared with its usual one. Servers
+//! that share their machine with others run several times slower for periods of some hundred
+//! milliseconds. They report their pace in their responses, and hosts exchange these reports.
 
 /// Weight of a new report in the mean pace of a server.
 const MEAN_SAMPLE_WEIGHT: f64 = 0.05;
@@ -14,7 +14,7 @@
 pub struct Pace {
     latest: f64,
     at_ms: u64,
-    /// Moving average of all reports.
+    /// Moving average of all reports, the reference for `latest`.
     mean: f64,
 }
 
--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -19,9 +19,10 @@
 
 use crate::entry::digest::RequestDigest;
 
-/// Number of callers during whose requests servers must have crashed.
+/// Number of different callers whose requests must have been in flight at the crashes.
 const CALLERS_NEEDED: usize = 2;
-/// Number of servers that must have crashed, at least one of them during a trial.
+/// Number of servers that must have crashed during identical requests, at least one of them during
+/// a trial.
 const SERVERS_NEEDED: usize = 2;
 /// Number of servers that must have crashed during different requests for a path.
 const SERVERS_NEEDED_BY_PATH: usize = 3;
@@ -35,26 +36,27 @@
 /// Part of a request that a caller-independent digest covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DigestScope {
-    /// Method, host, path, query and body.
+    /// Method, host, path, query and body, so that only identical requests share a digest.
     Content,
-    /// Method, host and path.
+    /// Method, host and path; queries and bodies may differ.
     Path,
 }
 
 /// A request that was in flight when a server crashed, identified independently of its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SharedSuspect {
-    /// Digest of the request's content or path.
+    /// Digest of the request's content or path, without the caller, as `scope` says.
     pub digest: RequestDigest,
     /// Part of the request that the digest covers.
     pub scope: DigestScope,
-    /// Tag (short identifier) of the caller.
+    /// Tag (short identifier) of the caller. Evidence needs crashes during the requests of several
+    /// callers.
     pub caller_tag: u32,
     /// True if the request ran as a trial, with no other suspect at the server.
     pub is_trial: bool,
 }
 
-/// Crash of a server during a caller's request.
+/// One server crash as evidence against a digest.
 #[derive(Clone, Copy, Debug)]
 struct Evidence {
     server_tag: u32,
@@ -63,7 +65,7 @@
     at_ms: u64,
 }
 
-/// Suspects, with the servers that crashed while they ran.
+/// Evidence against suspects, by a digest that leaves out the caller.
 #[derive(Debug, Default)]
 pub struct PathTally(HashMap<RequestDigest, Vec<Evidence>>);
 
@@ -106,7 +108,7 @@
         reached
     }
 
-    /// Returns true if a server crashed during a request with this digest.
+    /// Returns true if unexpired evidence links a server crash to this digest.
     pub fn is_suspect(&self, digest: RequestDigest, now_ms: u64) -> bool {
         let evidence = self.0.get(&digest);
         let is_fresh = |end: &Evidence| now_ms < end.at_ms + EVIDENCE_MS;
@@ -129,12 +131,13 @@
         is_cleared
     }
 
-    /// Returns the number of suspects.
+    /// Returns the number of digests with evidence, including expired evidence that is not yet
+    /// dropped.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Returns true if there are no suspects.
+    /// Returns true if there is no evidence against any digest.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -25,10 +25,10 @@
     pub unlimited_per_s: f64,
 }
 
-/// A planned move of a key range to a server.
+/// A planned move of a key range. The caller records it in the store and carries it out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
-    /// Keys that move.
+    /// Keys that move; both ends are included.
     pub range: KeyRange,
     /// Incarnation of the server that gets the keys.
     pub to: Arc<str>,
@@ -36,22 +36,22 @@
     pub cause: &'static str,
 }
 
-/// Inputs of the planner.
+/// Inputs of the planner for one service.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs<'a> {
-    /// Current holdings of the service's keys.
+    /// Holdings on which the plan is based: the servers that hold the service's keys now.
     pub assignment: &'a Assignment,
     /// Servers that may hold keys; holdings of others are reassigned.
     pub servers: &'a [PlanServer],
-    /// Measured load by key.
+    /// Measured requests per second by key.
     pub loads: &'a KeyLoads,
-    /// Ranges that are already being moved; they are left alone.
+    /// Ranges that are already being moved; no new move is planned for their keys.
     pub moving: &'a [KeyRange],
     /// Maximum number of moves for balance in one plan.
     pub balance_moves_max: usize,
-    /// Keys that get more requests than their server can serve.
+    /// Hot keys: keys that get more requests than their server can serve.
     pub hot: &'a [u16],
-    /// Thresholds of the decisions.
+    /// Thresholds for hot keys and balance.
     pub policy: &'a Policy,
 }
 
@@ -285,7 +285,8 @@
         }
     }
 
-    /// Returns the server with the highest utilisation, except those in `but`.
+    /// Returns the server with the highest utilisation that is not in `but`; `None` if none is
+    /// left.
     fn most_used(&self, but: &[Arc<str>]) -> Option<Arc<str>> {
         let servers = self.inputs.servers.iter();
         let servers = servers.filter(|server| !but.contains(&server.id));
--- a/src/entry/decide/policy.rs
+++ b/src/entry/decide/policy.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Thresholds of the decisions, with their defaults.
+/// Tunable thresholds of the decisions; `Policy::default` has the defaults.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
--- a/src/entry/decide/quarantine.rs
+++ b/src/entry/decide/quarantine.rs
@@ -8,9 +8,10 @@
 /// Time for which a request is not forwarded. After it, a later version of the service may run the
 /// request, and a caller whose request was suspected by coincidence is served again.
 pub const QUARANTINE_MS: u64 = 60 * 60 * 1_000;
-/// The same time for content or paths that are refused for all callers, which costs more if they
-/// are harmless. The evidence lasts longer than this quarantine, so afterwards one host runs a
-/// trial: success clears the suspect, and another crash returns it to quarantine.
+/// Quarantine time of content or paths that are refused for all callers. It is shorter than
+/// [`QUARANTINE_MS`] because refusing a harmless path costs more. The evidence lasts longer than
+/// this quarantine, so afterwards one host runs a trial: success clears the suspect, and another
+/// crash returns it to quarantine.
 pub const ANY_CALLER_QUARANTINE_MS: u64 = 10 * 60 * 1_000;
 /// Maximum number of requests in quarantine, which keeps their row in the store under 5 KB. Beyond
 /// it the oldest ones are released.
@@ -23,7 +24,8 @@
 }
 
 impl Quarantine {
-    /// Adds a request; returns true if it was not in quarantine.
+    /// Starts the quarantine of a request and releases the oldest ones beyond [`QUARANTINED_MAX`].
+    /// Returns false if the request is in quarantine already; its time then stays the same.
     pub fn add(&mut self, digest: RequestDigest, now_ms: u64) -> bool {
         if self.remaining_ms(digest, now_ms).is_some() {
             return false;
@@ -60,7 +62,7 @@
         self.since_ms.len()
     }
 
-    /// Returns true if no request is in quarantine.
+    /// Returns true if no request is kept, not even an expired one.
     pub fn is_empty(&self) -> bool {
         self.since_ms.is_empty()
     }
--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -11,7 +11,7 @@
 
 use super::{rate_meter::RateMeter, rate_shares::Bucket};
 
-/// Request rate that a workspace is entitled to.
+/// Request rate and burst that a workspace is entitled to, over all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
     /// Sustained rate, in requests per second.
@@ -23,9 +23,11 @@
 /// Usage of a workspace's quota: requests that hosts received from its callers and sent to servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaUsage {
-    /// Requests received from the workspace's callers.
+    /// Requests received from the workspace's callers since the host's last report, admitted or
+    /// not.
     pub asked: u32,
-    /// Requests that were sent to a server.
+    /// Requests that were sent to a server since the host's last report; only these use up the
+    /// quota.
     pub sent: u32,
 }
 
@@ -34,12 +36,12 @@
 pub struct AdmittedShare {
     /// Probability with which a request is admitted, from 0 to 1.
     pub share: f32,
-    /// Requests per second that the workspace's callers send to all hosts.
+    /// Requests per second that the workspace's callers send to all hosts, admitted or not.
     pub asked_per_s: f32,
 }
 
 impl AdmittedShare {
-    /// Returns true if some requests are to be refused.
+    /// Returns true if the share is below 1, so that hosts refuse some requests.
     pub fn is_limiting(self) -> bool {
         self.share < 1.0
     }
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Returns true if no requests were reported for a long time.
+    /// Returns true if the reported request rate has decayed to nearly 0.
     pub fn is_idle(&self) -> bool {
         self.demand_weight < 1e-6
     }
@@ -124,7 +126,7 @@
     }
 }
 
-/// State of a workspace's quota at one host.
+/// State of a workspace's quota at one host, which decides which requests that host admits.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HostShare {
     /// Last announcement of the duty holder, and its arrival time.
@@ -134,7 +136,7 @@
     /// Limit on what this host sends while the duty holder does not confirm its share.
     fallback_bucket: Bucket,
     since_report: QuotaUsage,
-    /// Requests that this host has received lately.
+    /// Rate of requests that this host has recently received from the workspace's callers.
     own: RateMeter,
 }
 
@@ -185,7 +187,7 @@
         self.since_report.sent += 1;
     }
 
-    /// Stores an announcement of the duty holder.
+    /// Replaces the announced share and updates this host's part of the total request rate.
     pub fn note_announced(&mut self, announced: AdmittedShare, now_ms: u64) {
         let own_per_s = self.own.per_s(now_ms);
         if announced.asked_per_s > 0.0 {
@@ -194,7 +196,7 @@
         self.announced = Some((announced, now_ms));
     }
 
-    /// Returns the last announcement of the duty holder.
+    /// Returns the last announcement of the duty holder, however old; `None` before the first.
     pub fn announced(&self) -> Option<AdmittedShare> {
         self.announced.map(|(announced, _)| announced)
     }
--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -6,7 +6,8 @@
 /// the maximum, which is within the users' bound in any case.
 const PROBE_MIN_PER_S: f64 = 0.25;
 const PROBE_MAX_PER_S: f64 = 1.0;
-/// Time for which hosts announce the end of a limit.
+/// Time for which hosts continue to announce that a limit has ended, so that the others learn of
+/// it.
 const END_ANNOUNCED_MS: u64 = 5_000;
 /// Time without an advertisement after which a request that may go to the server is sent there,
 /// even if another server suits it better: otherwise a server that is never chosen would keep its
@@ -36,7 +37,7 @@
     /// Time at which the server first advertised the end of its limit. A server that gets few
     /// requests may do so long after it last advertised the limit.
     ended_ms: Option<u64>,
-    /// Limit in the last log line.
+    /// Limit that was last logged, with which [`CHANGE_LOGGED`] is compared.
     logged_per_s: Option<f64>,
 }
 
@@ -61,7 +62,7 @@
         self.latest = Some(advertised);
     }
 
-    /// Returns the limit in requests per second; `None` if there is none.
+    /// Returns the last advertised limit, in requests per second; `None` if there is none.
     pub fn per_s(&self) -> Option<f64> {
         self.latest?.per_s
     }
@@ -100,7 +101,7 @@
         self.per_s().is_some() || self.ended_ms.is_some_and(is_fresh)
     }
 
-    /// Returns the latest advertisement to any host.
+    /// Returns the latest advertisement to any host; `None` before the first.
     pub fn latest(&self) -> Option<AdvertisedLimit> {
         self.latest
     }
--- a/src/entry/decide/rate_meter.rs
+++ b/src/entry/decide/rate_meter.rs
@@ -1,4 +1,4 @@
-//! Rate of requests, averaged over the last seconds.
+//! Measures the rate of requests, as an average over about the last second.
 
 /// Time constant of the average. A host with ten requests per second measures its rate to within a
 /// third; a longer time would detect surges, and keys that have moved to another server, too late.
@@ -7,13 +7,13 @@
 /// Exponentially weighted rate of events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RateMeter {
-    /// Sum of the events, each weighted by its age.
+    /// Sum of the events, each weighted by its age at the last update.
     weight: f64,
     at_ms: u64,
 }
 
 impl RateMeter {
-    /// Counts an event.
+    /// Counts one event at `now_ms`, after reducing the weight of the earlier ones.
     pub fn note(&mut self, now_ms: u64) {
         self.weight = self.decayed_weight(now_ms) + 1.0;
         self.at_ms = now_ms;
--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -33,7 +33,7 @@
 /// Minimum share of a limit that is reserved for requests that are not urgent.
 const NON_URGENT_SHARE_MIN: f64 = 0.25;
 
-/// Token bucket for requests.
+/// Token bucket that limits how many requests a host sends to a server at once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Bucket {
     tokens: f64,
@@ -54,13 +54,14 @@
         self.tokens >= 1.0
     }
 
-    /// Removes a token for a request that is about to be sent.
+    /// Removes a token for a request that is about to be sent; [`Bucket::has_token`] is called
+    /// before.
     pub fn take(&mut self) {
         self.tokens -= 1.0;
     }
 }
 
-/// A host's share of a rate limit.
+/// One host's share of a rate limit that a server advertises to all hosts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateShare {
     /// Refill rate of the host's bucket, in tokens per second.
@@ -102,10 +103,11 @@
     }
 }
 
-/// Demand for a server, as one host knows it.
+/// Request rates that callers direct at a server: of this host and, as announced by the duty
+/// holder, of all hosts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerDemand {
-    /// Rates of this host's callers: all requests, and the urgent ones.
+    /// Meters of this host's callers: all requests, and the urgent ones.
     own: RateMeter,
     own_urgent: RateMeter,
     /// Rates of this host's callers in its last report.
@@ -115,7 +117,8 @@
 }
 
 impl ServerDemand {
-    /// Counts a request of this host's callers.
+    /// Counts a request that a caller of this host directs at the server, whether it is admitted or
+    /// not.
     pub fn note(&mut self, is_urgent: bool, now_ms: u64) {
         self.own.note(now_ms);
         if is_urgent {
@@ -129,7 +132,8 @@
         self.reported
     }
 
-    /// Stores the rates of the callers of all hosts.
+    /// Stores the rates of all hosts' callers as summed by the duty holder, valid for
+    /// [`SUM_KEPT_MS`].
     pub fn note_sum(&mut self, sum: DemandRates, now_ms: u64) {
         self.sum = Some((sum, now_ms));
     }
--- a/src/entry/decide/rests.rs
+++ b/src/entry/decide/rests.rs
@@ -1,7 +1,7 @@
-//! Rests that servers ask of many hosts. A rest is a time in which a server wants no requests of a
-//! host; the keys of a server that asks many hosts for one are better served elsewhere. In a test,
-//! three of nine servers refused all requests for nine seconds: a third of the keys' callers were
-//! not served, and the planner, which took these servers for idle, gave them more keys.
+//! Rests that servers ask of many hosts. A rest is a time during which a host must send the server
+//! no requests; the keys of a server that asks many hosts for one are better served elsewhere. In a
+//! test, three of nine servers refused all requests for nine seconds: a third of the keys' callers
+//! were not served, and the planner, which took these servers for idle, gave them more keys.
 
 use std::{
     collections::HashMap,
@@ -9,11 +9,11 @@
     sync::{Mutex, MutexGuard, PoisonError},
 };
 
-/// Fraction of hosts, as one in this many, whose requests must have been refused. If it is only one
-/// host, that host may be the cause.
+/// Divisor of the number of hosts: one host in three must have been asked for a rest before the
+/// keys move. If it is only one host, that host may be the cause.
 const HOSTS_SHARE: usize = 3;
-/// Upper bound of the hosts needed: among hundreds of hosts, few reach a given server within a
-/// rest.
+/// Maximum number of hosts that must have been asked for a rest: among hundreds of hosts, few reach
+/// a given server within a rest.
 const HOSTS_NEEDED_MAX: usize = 4;
 /// Shortest rest that is worth two moves, away and back.
 const REST_MIN_MS: u64 = 300;
@@ -21,12 +21,13 @@
 /// overloaded, and moved keys would be no better off.
 const NOT_RESTING_SHARE_MIN: f64 = 0.5;
 
-/// Rests that servers asked of hosts, kept by the duty holder.
+/// Ends of the rests that servers asked hosts for, by server tag and host; kept by the duty holder.
 #[derive(Debug, Default)]
 pub struct Rests(Mutex<HashMap<u32, HashMap<SocketAddr, u64>>>);
 
 impl Rests {
-    /// Records that a server, given by its tag, wants no requests of a host for `rest_ms`.
+    /// Records that a server, given by its tag, asked a host for a rest of `rest_ms`. Rests shorter
+    /// than [`REST_MIN_MS`] are ignored.
     pub fn note(&self, server_tag: u32, host: SocketAddr, rest_ms: u64, now_ms: u64) {
         if rest_ms < REST_MIN_MS {
             return;
@@ -42,7 +43,7 @@
         *known = (*known).max(until_ms);
     }
 
-    /// Returns true if a server asks so many hosts for a rest that its keys should move to others.
+    /// Returns true if so many hosts were asked to let the server rest that its keys should move.
     pub fn is_widespread(&self, server_tag: u32, hosts: usize, now_ms: u64) -> bool {
         let rests = self.rests();
         let Some(resting) = rests.get(&server_tag) else {
@@ -60,7 +61,8 @@
     }
 }
 
-/// Returns the servers that do not rest, or all servers if too many rest.
+/// Returns the servers that do not rest, or all servers if fewer than [`NOT_RESTING_SHARE_MIN`] of
+/// them would remain.
 pub fn not_resting<T>(mut servers: Vec<T>, rests: impl Fn(&T) -> bool) -> Vec<T> {
     let resting = servers.iter().filter(|server| rests(server)).count();
     let least_awake = servers.len() as f64 * NOT_RESTING_SHARE_MIN;
--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -3,9 +3,9 @@
 
 use super::{Candidate, Policy, hot_keys::HotKey};
 
-/// Longest time after which a caller is asked to retry.
+/// Longest retry time that a caller is given, except for requests in quarantine.
 const RETRY_AFTER_MAX_MS: u64 = 5_000;
-/// Time that a host needs after its start to load its configuration.
+/// Retry time while a host loads its configuration after its start.
 const START_RETRY_MS: u64 = 500;
 
 /// Time after which the keys of a server that asks many hosts for a rest have moved to another one:
@@ -16,13 +16,13 @@
 /// planner, and a move.
 const LIMIT_MOVE_MS: u64 = 300;
 
-/// Time after which a workspace that is over its quota may send again.
+/// Retry time for a workspace that is over its quota, which is counted by the second.
 const QUOTA_RETRY_MS: u64 = 1_000;
 
-/// Refusal of a request that has not run.
+/// Refusal of a request that has not run, so that the caller can safely retry it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// Reason, for the caller and the log.
+    /// Reason that is sent to the caller and logged.
     pub reason: &'static str,
     /// Time after which the caller should retry.
     pub retry_after_ms: u64,
@@ -51,16 +51,15 @@
         }
     }
 
-    /// Refuses a request since the key's server wants no requests of this host for a time. Before
-    /// the end of the rest the keys may have moved to another server, or another host may be
-    /// served.
+    /// Refuses a request since the key's server has asked this host for a rest. Before the end of
+    /// the rest the keys may have moved to another server, or another host may be served.
     pub fn resting(rest_ms: u64, policy: &Policy) -> Self {
         let reason = "the key's server wants a rest";
         Self::after(reason, rest_ms.min(REST_MOVE_MS), policy)
     }
 
-    /// Refuses a request since the key's server gets as many requests as it accepts from all hosts.
-    /// The excess keys move to other servers.
+    /// Refuses a request since the key's server has reached its rate limit for all hosts. The
+    /// excess keys move to other servers.
     pub fn limited(policy: &Policy) -> Self {
         let reason = "the key's server gets as much as it takes";
         Self::after(reason, LIMIT_MOVE_MS, policy)
--- a/src/entry/decide/run_shares.rs
+++ b/src/entry/decide/run_shares.rs
@@ -22,10 +22,10 @@
     samples: u32,
 }
 
-/// Service and route.
+/// Names of a service and of one of its routes.
 type RouteKey = (Arc<str>, Arc<str>);
 
-/// Run time shares by service and route.
+/// Run times of routes relative to the average of their service, learned from all servers.
 #[derive(Debug, Default)]
 pub struct RunShares {
     shares: Mutex<HashMap<RouteKey, RouteRunShare>>,
--- a/src/entry/decide/trials.rs
+++ b/src/entry/decide/trials.rs
@@ -18,14 +18,14 @@
 
 use crate::entry::digest::RequestDigest;
 
-/// Time for which a host waits for the claims of others. Zones are 0.5 to 1.4 ms apart one way by
-/// the users' specifications, regions 12 ms; the remainder is for a host that is busy.
+/// Wait for competing claims of other hosts. The users specify one-way latencies of 0.5 to 1.4 ms
+/// between zones and 12 ms between regions; the remainder allows for a busy host.
 pub const CLAIM_WAIT_MS: u64 = 25;
-/// Lifetime of a claim whose outcome is not reported: a run, and the check whether its server has
-/// crashed.
+/// Lifetime of a claim whose outcome is not reported: long enough for a run and for the check
+/// whether the server has crashed.
 pub const CLAIM_MS: u64 = 1_000;
 
-/// Subject of a claim.
+/// Request or server that a claim reserves for the trial of one host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClaimSubject {
     /// Trial of a request, by its digest.
@@ -46,7 +46,7 @@
     until_ms: u64,
 }
 
-/// Current claims of trials.
+/// Claims of trials by all hosts, as far as this host knows. Each expires after [`CLAIM_MS`].
 #[derive(Debug, Default)]
 pub struct TrialClaims(HashMap<ClaimSubject, Claim>);
 
@@ -93,7 +93,7 @@
         claim.is_some_and(|claim| claim.host == own && now_ms < claim.until_ms)
     }
 
-    /// Ends the claim of a trial whose outcome is known.
+    /// Ends the claim of a trial whose outcome is known, whichever host made it.
     pub fn end(&mut self, claimed: impl Into<ClaimSubject>) {
         self.0.remove(&claimed.into());
     }
--- a/src/entry/decide/warmup.rs
+++ b/src/entry/decide/warmup.rs
@@ -16,13 +16,14 @@
 /// windows, and a sudden surge at 74 hosts finds one or two of them unused.
 const WINDOW_MS: u64 = 300;
 
-/// Returns the interval between a host's windows at a cold server.
+/// Returns the interval, in milliseconds, between the starts of a host's windows at a cold server;
+/// `per_s` is the server's limit for all hosts.
 pub fn window_every_ms(per_s: f64, hosts: usize) -> u64 {
     let per_s = (per_s * SHARE_USED).max(0.001);
     (1_000.0 * hosts.max(1) as f64 / per_s) as u64
 }
 
-/// Windows in which one host may send to one cold server.
+/// Recurring windows in which one host may send a request to one cold server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WarmupWindows {
     /// Start of the next window; `None` before the first one is drawn.
@@ -44,7 +45,7 @@
         now_ms >= next_ms
     }
 
-    /// Uses the current window.
+    /// Marks the current window as used, so that the next one begins `every_ms` after its start.
     pub fn take(&mut self, every_ms: u64) {
         if let Some(next_ms) = &mut self.next_ms {
             *next_ms += every_ms.max(1);
--- a/src/entry/duty/change.rs
+++ b/src/entry/duty/change.rs
@@ -4,7 +4,8 @@
 
 use crate::entry::keys::{Assignment, Holding, KeyRange};
 
-/// Change of one service's holdings.
+/// Change of one service's holdings, which the duty holder records under the condition that it
+/// still has the duty.
 #[derive(Clone, Debug)]
 pub enum Change {
     /// Assigns all keys of the service for the first time: key ranges and their servers.
@@ -25,7 +26,7 @@
 /// Assignment of a key range to another server.
 #[derive(Clone, Debug)]
 pub struct Reassignment {
-    /// Keys that change their server.
+    /// Keys that change their server; both ends are included.
     pub range: KeyRange,
     /// New server. It is granted the keys only once `from` no longer holds them.
     pub server: Arc<str>,
--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -18,7 +18,7 @@
     platform::store::{Expect, Put, Row, Transaction, TransactionOutcome},
 };
 
-/// Permanent failure of a write of the duty holder.
+/// Reason why a change of holdings was not recorded, which no retry can mend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFailure {
     /// Another host has the duty, or this host can no longer be sure that it has it.
@@ -33,7 +33,7 @@
 /// one transaction.
 const ROWS_MAX: usize = 32;
 
-/// Row of holdings that is about to be written.
+/// Row of holdings that is written if the stored row still has the expected version.
 struct PendingRow {
     part: KeyPartition,
     key: String,
--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -35,7 +35,8 @@
     Answered(Response<ResponseBody>),
     /// No connection could be opened, so nothing was sent.
     NotSent(String),
-    /// The server has asked for a rest, so the request was not sent.
+    /// The server has asked this host for a rest (to send it no requests for a time), so the
+    /// request was not sent.
     Rests,
     /// The server responded that it did not run the request.
     NotRun(StatusCode),
--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Memory reserved for one body; released when dropped.
+/// Part of the memory budget that is reserved for one body; returned to the budget when dropped.
 #[derive(Debug, Default)]
 pub struct MemoryReservation(Option<OwnedSemaphorePermit>);
 
@@ -75,7 +75,7 @@
         true
     }
 
-    /// Reduces the reservation to this size.
+    /// Reduces the reservation to this size and returns the remainder to the budget.
     fn shrink(&mut self, bytes: usize) {
         let Some(held) = &mut self.0 else { return };
         let surplus = held
@@ -225,9 +225,9 @@
 
 /// A body that is streamed: its beginning is buffered, the remainder is read while it is sent.
 pub struct StreamedBody {
-    /// Buffered beginning.
+    /// Beginning of the body, which is sent before `rest`.
     pub first: BufferedBody,
-    /// Unread remainder.
+    /// Remainder, which is read only as fast as the receiver takes it.
     pub rest: Incoming,
     /// Connection that the remainder is read from; kept open until the body is dropped.
     #[allow(dead_code, reason = "closed when the body is dropped")]
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -102,7 +102,7 @@
         Ok(server)
     }
 
-    /// Refuses a request that is in quarantine.
+    /// Refuses a request that is in quarantine, with the remaining time as the retry time.
     fn check_quarantine(&self, entry: &Entry) -> Result<(), Refused> {
         match entry.crashes.remaining_ms(self.digests) {
             Some(remaining_ms) => Err(Refused::quarantined(remaining_ms)),
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -28,8 +28,9 @@
 pub(super) const ATTEMPT_MS_MIN: u64 = 10;
 /// Failed connection attempts after which a request is refused.
 const CONNECTS_MAX: u32 = 3;
-/// The same limit while servers refuse connections at once and any server can run the request: when
-/// a zone is lost, most of the servers that a host prefers do so.
+/// Failed connection attempts after which a request that any server can run is refused, while
+/// servers refuse connections at once. It exceeds [`CONNECTS_MAX`] because most of the servers that
+/// a host prefers refuse connections when a zone is lost.
 const REFUSED_CONNECTS_MAX: u32 = 10;
 /// Average time per connection attempt up to which refused connections count as immediate.
 const FAST_REFUSAL_MS: u64 = 20;
@@ -39,9 +40,9 @@
 /// Time limits of a request, by the clock of the host.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
-    /// Time of arrival.
+    /// Time at which the request arrived at this host.
     pub arrived_ms: u64,
-    /// Time at which its latency objective ends.
+    /// Time up to which a response meets the latency objective.
     pub objective_ms: u64,
     /// Time after which the caller no longer waits for a response.
     pub deadline_ms: u64,
@@ -62,9 +63,9 @@
     pub(super) request_id: &'a str,
     pub(super) digests: RequestDigests,
     pub(super) times: Times,
-    /// Attempts in which the request was sent.
+    /// Attempts in which the request was sent; failed connects are not included.
     pub(super) attempts: u32,
-    /// Connection attempts that failed.
+    /// Connection attempts that failed, over all servers; limited by [`CONNECTS_MAX`].
     pub(super) connects: u32,
     /// Ids of servers that are not chosen again.
     pub(super) tried: Vec<Arc<str>>,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Returns the workspace of the request.
+    /// Returns the caller's workspace from the configuration; `None` if the route needs none.
     pub(super) fn workspace(&self) -> Option<&Workspace> {
         let workspaces = self.configuration.workspaces()?;
         Some(workspaces.get(self.workspace?))
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -70,11 +70,12 @@
     grants_in_flight: u32,
     /// Number of consecutive failed grants.
     failures: u32,
-    /// True if the server answered neither grants nor a probe. It gets no grants and no keys then.
+    /// True if the server answered neither grants nor a probe. While this is set, it gets no grants
+    /// and no keys.
     is_silent: bool,
 }
 
-/// State of the renewals of one holding.
+/// Renewals of one holding, which is renewed independently of the server's other holdings.
 #[derive(Clone, Copy, Debug, Default)]
 struct Renewal {
     /// Time at which the last successful renewal was sent; 0 if none was.
@@ -133,7 +134,7 @@
     }
 }
 
-/// A term in which this host has the duty.
+/// One term in which this host has the duty; its work stops when the term ends.
 #[derive(Debug)]
 struct Term {
     entry: Arc<Entry>,
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Marks keys as moving. Returns false if some of them are being moved already.
+    /// Marks keys as moving. Returns false if a move of some of them is in progress.
     fn mark_moving(&self, service: &Arc<str>, range: KeyRange) -> bool {
         let mut state = self.state();
         if state.is_moving(service, range) {
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -35,8 +35,8 @@
 /// Delay until a release order is sent again in parallel, as its response may be lost and the keys
 /// have no server until it arrives. Most work on keys ends within this time.
 const RELEASE_RETRY_MS: u64 = 600;
-/// Maximum number of times that one release order is sent. Of a hundred servers that lose half of
-/// their responses, six respond to none of four orders.
+/// Maximum number of times that one release order is sent, including the first. If servers lose
+/// half of their responses, four attempts get a response from 94% of them.
 const RELEASES_MAX: usize = 4;
 
 impl Term {
