--- a/src/entry/crashes/broken_connections.rs
+++ b/src/entry/crashes/broken_connections.rs
@@ -49,7 +49,7 @@
         self.state().count
     }
 
-    /// Returns the time of the latest broken connection; 0 if there was none.
+    /// Returns the time of the latest broken connection, by this host's clock; 0 if there was none.
     pub fn latest_ms(&self) -> u64 {
         self.state().latest_ms
     }
--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -39,13 +39,14 @@
 };
 use crate::clock;
 
-/// Interval at which crash reports are sent again.
+/// Interval at which crash reports are sent again, since datagrams may be lost.
 const RESEND_INTERVAL_MS: u64 = 500;
 /// Maximum number of quarantined requests in a heartbeat, which names the latest ones: 320 bytes.
 /// The store has all of them.
 const HEARTBEAT_DIGESTS_MAX: usize = 32;
 
-/// Crash reports, evidence and quarantine of a host.
+/// State of one host's defence against requests that crash servers: reports, evidence, trials and
+/// quarantine.
 #[derive(Debug, Default)]
 pub struct Crashes {
     /// Evidence against requests, by digests that include the caller.
@@ -226,7 +227,7 @@
         self.peers.send_to_all(Message::TrialPassed(claimed));
     }
 
-    /// Records another host's claim.
+    /// Records another host's claim, which may displace one of this host.
     pub(in crate::entry) fn note_trial(&self, claimed: ClaimSubject, host: SocketAddr) {
         lock(&self.crashes.trials).note(claimed, host, clock::now_ms());
     }
--- a/src/entry/crashes/reports.rs
+++ b/src/entry/crashes/reports.rs
@@ -10,7 +10,7 @@
 /// Requests in flight at a server when it crashed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Suspects {
-    /// Digests that include the caller.
+    /// Digests of the requests that include the caller.
     pub digests: Vec<RequestDigest>,
     /// Digests of the same requests that leave out the caller.
     pub shared: Vec<SharedSuspect>,
@@ -38,7 +38,7 @@
     pub to_all: bool,
     /// Term of the duty holder that the report was last sent to; 0 before the first.
     sent_term: u64,
-    /// Times that the report was sent in that term.
+    /// Number of times that the report was sent in that term, at most [`SEND_TIMES`].
     sent_count: u32,
 }
 
--- a/src/entry/crashes/stored.rs
+++ b/src/entry/crashes/stored.rs
@@ -23,7 +23,7 @@
 /// Interval at which the duty holder compares its quarantine with the row in the store.
 const STORE_CHECK_INTERVAL_MS: u64 = 1_000;
 
-/// Quarantined requests as last read from or written to the store.
+/// Quarantined requests as last read from or written to the store, and the version of their row.
 #[derive(Debug, Default)]
 pub(super) struct StoredQuarantine {
     digests: Vec<RequestDigest>,
--- a/src/entry/decide/api_key_verdict.rs
+++ b/src/entry/decide/api_key_verdict.rs
@@ -8,29 +8,32 @@
 /// Margin subtracted from the revocation bound, for clock drift between hosts.
 const REVOCATION_MARGIN_MS: u64 = 100;
 
-/// Ages up to which a configuration is trusted.
+/// Maximum ages of the last confirmation of the configuration up to which it decides about keys.
 #[derive(Clone, Copy, Debug)]
 pub struct ApiKeyLimits {
     /// Time after which a revoked key must not be accepted; `None` if only the bound of
     /// configurations applies.
     pub revocation_ms: Option<u64>,
-    /// Time within which a new configuration must be in force.
+    /// Age of the confirmation up to which a key that the configuration lacks counts as unknown: a
+    /// new configuration must be in force within this time.
     pub configuration_ms: u64,
 }
 
-/// Result of the check of an API key.
+/// Result of the check of an API key against the host's configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApiKeyVerdict {
-    /// The key is valid.
+    /// The configuration has the key. If revocations have a bound of their own, the configuration
+    /// was also confirmed within it.
     Accepted,
-    /// The key is certainly not valid.
+    /// The configuration lacks the key, and was confirmed recently enough to have any key that
+    /// should be in force.
     Unknown,
-    /// This host cannot decide now.
+    /// The configuration was confirmed too long ago, or never, so this host cannot decide.
     Unverified,
 }
 
-/// Checks a key. `is_known` is true if the configuration has the key; `confirmation_age_ms` is the time
-/// since the configuration was last confirmed as the latest one, `None` if it never was.
+/// Checks a key. `is_known` is true if the configuration has the key; `confirmation_age_ms` is the
+/// time since the configuration was last confirmed as the latest one, `None` if it never was.
 pub fn judge(
     is_known: bool,
     confirmation_age_ms: Option<u64>,
--- a/src/entry/decide/attempt_stats.rs
+++ b/src/entry/decide/attempt_stats.rs
@@ -1,16 +1,16 @@
 //! Statistics of a server from the attempts of one host: run time, failures and failed connections.
 //! Old samples lose weight, so that a server that was avoided gets requests again.
 
-/// Weight of a new sample in the moving average of run times.
+/// Weight of a new sample in the moving average of run times, from 0 to 1.
 const RUN_SAMPLE_WEIGHT: f64 = 0.2;
-/// Weight of a new outcome in the moving share of failures.
+/// Weight of a new outcome, 1 for a failure and 0 for a response, in the moving share of failures.
 const FAILURE_SAMPLE_WEIGHT: f64 = 0.15;
 /// Half-life of a server's samples. Because old failures fade, a server that was avoided gets
 /// requests again.
 const FORGET_HALF_MS: f64 = 3_000.0;
 /// Pause after the first failed connect; it doubles with each further one in a row.
 const PAUSE_FIRST_MS: u64 = 200;
-/// Longest pause after failed connects.
+/// Longest pause after failed connects, at which the doubling stops.
 const PAUSE_MAX_MS: u64 = 2_000;
 
 /// Run time, failure rate and connection failures of one server, as seen by one host.
--- a/src/entry/decide/budget.rs
+++ b/src/entry/decide/budget.rs
@@ -10,7 +10,8 @@
 
 /// Share of the permitted ratio of retries that hosts use; the remainder is a margin.
 const RATIO_USED: f64 = 0.9;
-/// Share of the fixed allowance that all hosts together use.
+/// Share of the fixed allowance that all hosts together use; the remainder is headroom for an
+/// uneven load balancer.
 const ALLOWANCE_USED: f64 = 0.6;
 
 #[derive(Clone, Copy, Debug)]
--- a/src/entry/decide/choice.rs
+++ b/src/entry/decide/choice.rs
@@ -22,10 +22,10 @@
     pub all: usize,
 }
 
-/// Inputs for the choice of a server.
+/// State of the servers, the request and the hosts on which the choice of a server is based.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs<'a> {
-    /// Servers that may run the request.
+    /// Servers that may run the request; the result is an index into this slice.
     pub servers: &'a [Candidate],
     /// Average run time over the servers of the service, assumed for servers without samples.
     pub typical_ms: f64,
--- a/src/entry/decide/hold.rs
+++ b/src/entry/decide/hold.rs
@@ -4,7 +4,7 @@
 
 use super::Policy;
 
-/// Shortest time for which it is worth holding a request.
+/// Shortest time for which a request is held; with less time left it is refused.
 const HOLD_MIN_MS: u64 = 10;
 
 /// Condition that a move waits for.
@@ -26,13 +26,13 @@
     pub remaining_ms: u64,
 }
 
-/// Decision on a request for a key that is being moved.
+/// Decision to hold or refuse a request for a key that is being moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hold {
     /// The request is held for at most this time, in milliseconds.
     For(u64),
-    /// The request is refused at once: it has used up its hold time, or the lease that the move
-    /// waits for expires too late.
+    /// The request is refused at once: too little time is left to hold it, or the lease that the
+    /// move waits for expires too late.
     Refuse,
 }
 
--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -13,7 +13,7 @@
 use super::{Policy, key_loads::KeyLoads, plan::PlanServer};
 use crate::entry::keys::Assignment;
 
-/// Maximum number of hot keys in one message.
+/// Maximum number of hot keys in one announcement; those with the largest excess are named.
 const HOT_MAX: usize = 40;
 /// Time for which an announcement of the duty holder is valid; one is sent every 0.3 s.
 const ANNOUNCED_KEPT_MS: u64 = 1_000;
@@ -43,7 +43,8 @@
     }
 }
 
-/// Finds the keys of a service whose load exceeds the capacity of their servers.
+/// Finds the keys of a service whose load is at least `policy.hot_factor` times the capacity of
+/// their servers.
 pub fn find(
     service_tag: u32,
     assignment: &Assignment,
@@ -101,8 +102,8 @@
         self.found().insert(service_tag, keys);
     }
 
-    /// Returns all hot keys that this host has found, for the other hosts, and applies them to this
-    /// host too.
+    /// Returns the hot keys to announce to the other hosts, at most [`HOT_MAX`], and applies them
+    /// to this host too.
     pub fn announce(&self, now_ms: u64) -> Vec<HotKey> {
         let mut keys: Vec<HotKey> = self.found().values().flatten().copied().collect();
         keys.sort_unstable_by(|a, b| b.excess().total_cmp(&a.excess()));
--- a/src/entry/decide/key_loads.rs
+++ b/src/entry/decide/key_loads.rs
@@ -1,15 +1,16 @@
-//! Requests by key, averaged over a long and a short time.
+//! Measures the requests per second for each key, averaged over a long and a short time.
 
 use crate::entry::keys::{Holding, KeyRange};
 
 /// Number of keys of every sharded service: a key is a 16-bit number.
 pub const KEYS: usize = 1 << 16;
 
-/// Smoothed requests per second by key.
+/// Requests per second for each key of a service, averaged over time.
 #[derive(Clone, Debug)]
 pub struct KeyLoads {
     per_s: Vec<f32>,
-    /// Effective averaging time of the loads.
+    /// Averaging time of the loads, from which their random variation follows; infinite if the
+    /// loads are exact.
     window_s: f64,
 }
 
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -60,7 +60,7 @@
 /// State of a server on which a decision is based, as one host knows it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Number of requests that the server runs concurrently.
+    /// Number of requests that the server can run at the same time.
     pub slots: u32,
     /// Requests of all hosts that are running or queued at the server, as far as this host knows.
     pub load: u32,
@@ -76,11 +76,13 @@
     /// True while connections to the server fail, or while it is cold and outside this host's
     /// warm-up window.
     pub is_paused: bool,
-    /// True if the server is in this host's availability zone.
+    /// True if the server is in this host's availability zone; others cost [`Policy::zone_cost`].
     pub is_same_zone: bool,
-    /// True if the server is in another region than this host.
+    /// True if the server is in another region than this host; it is then chosen only if no server
+    /// of this region has room.
     pub is_other_region: bool,
-    /// True if this host has an idle connection to the server.
+    /// True if this host has an idle connection to the server; others cost
+    /// [`Policy::connect_cost`].
     pub has_idle_connection: bool,
 }
 
--- a/src/entry/decide/pace.rs
+++ b/src/entry/decide/pace.rs
@@ -2,7 +2,8 @@
 //! that share their machine with others run several times slower for periods of some hundred
 //! milliseconds. They report their pace in their responses, and hosts exchange these reports.
 
-/// Weight of a new report in the mean pace of a server.
+/// Weight of a new report in a server's mean pace: low, so that the mean follows the usual pace and
+/// not a slow period.
 const MEAN_SAMPLE_WEIGHT: f64 = 0.05;
 /// Bounds of the relative pace, so that no report makes a server appear to cost nothing or to be
 /// unusable.
--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -28,12 +28,12 @@
 const SERVERS_NEEDED_BY_PATH: usize = 3;
 /// Minimum time from the first of the crashes to the last: a harmless request succeeds in between.
 const SPAN_MIN_MS: u64 = 1_000;
-/// Time for which a crash counts as evidence.
+/// Time for which a crash counts as evidence against a request.
 const EVIDENCE_MS: u64 = 15 * 60 * 1_000;
 /// Maximum number of suspects, 400 KB; those with the least and oldest evidence are dropped first.
 const SUSPECTS_MAX: usize = 4_096;
 
-/// Part of a request that a caller-independent digest covers.
+/// Part of a request that a digest without the caller covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DigestScope {
     /// Method, host, path, query and body, so that only identical requests share a digest.
@@ -47,7 +47,7 @@
 pub struct SharedSuspect {
     /// Digest of the request's content or path, without the caller, as `scope` says.
     pub digest: RequestDigest,
-    /// Part of the request that the digest covers.
+    /// Part of the request that the digest covers; it decides how much evidence is needed.
     pub scope: DigestScope,
     /// Tag (short identifier) of the caller. Evidence needs crashes during the requests of several
     /// callers.
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -14,10 +14,10 @@
 /// by key: the cost of moving all keys, in multiples of the wanted load.
 const KEY_SHARE_COST: f64 = 4.0;
 
-/// A server that may hold keys.
+/// A server that may hold keys, with its capacity as the planner assumes it.
 #[derive(Clone, Debug)]
 pub struct PlanServer {
-    /// Incarnation of the server.
+    /// Incarnation of the server, as named in holdings.
     pub id: Arc<str>,
     /// Requests per second that the server can run within its advertised rate limit.
     pub capacity_per_s: f64,
--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -217,7 +217,7 @@
         sum
     }
 
-    /// Drops the servers that no longer advertise a limit.
+    /// Drops the rates for servers that no longer advertise a limit, by their tags.
     pub fn retain(&mut self, is_limited: impl Fn(u32) -> bool) {
         self.0.retain(|server_tag, _| is_limited(*server_tag));
     }
--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -24,7 +24,7 @@
 pub struct Refused {
     /// Reason that is sent to the caller and logged.
     pub reason: &'static str,
-    /// Time after which the caller should retry.
+    /// Time after which the caller should retry, in milliseconds; sent in `Retry-After`.
     pub retry_after_ms: u64,
 }
 
@@ -34,7 +34,8 @@
         Self::after(reason, 0, policy)
     }
 
-    /// Refuses a request that can be served after a known time.
+    /// Refuses a request that can be served after `after_ms`; the retry time is limited to the
+    /// range from `policy.return_min_ms` to [`RETRY_AFTER_MAX_MS`].
     pub fn after(reason: &'static str, after_ms: u64, policy: &Policy) -> Self {
         Self {
             reason,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Refuses a request since the host has just started.
+    /// Refuses a request since the host has just started and has not loaded its configuration yet.
     pub fn starting(reason: &'static str) -> Self {
         Self {
             reason,
--- a/src/entry/decide/run_shares.rs
+++ b/src/entry/decide/run_shares.rs
@@ -7,9 +7,10 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-/// Minimum weight of a new sample; the first samples have equal weights.
+/// Minimum weight of a new sample, so that the share follows changes; the first samples have equal
+/// weights.
 const SAMPLE_WEIGHT_MIN: f64 = 0.03;
-/// Number of samples from which a route's share is used.
+/// Number of samples from which a route's share is used; with fewer, the share is taken as 1.
 const SAMPLES_MIN: u32 = 5;
 /// Bounds of a sample, so that a single slow run does not outweigh many others.
 const SAMPLE_MIN: f64 = 0.05;
--- a/src/entry/decide/trials.rs
+++ b/src/entry/decide/trials.rs
@@ -28,9 +28,9 @@
 /// Request or server that a claim reserves for the trial of one host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClaimSubject {
-    /// Trial of a request, by its digest.
+    /// Request with this digest: only one host runs its trial.
     Request(RequestDigest),
-    /// Trial of any suspect at a server, by its tag.
+    /// Server with this tag: it runs no other suspect during the trial.
     Server(u32),
 }
 
--- a/src/entry/duty/mod.rs
+++ b/src/entry/duty/mod.rs
@@ -49,7 +49,7 @@
 /// Content of the duty row, stored as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct DutyRow {
-    /// Incarnation of the process that has the duty; 0 if none has.
+    /// Incarnation of the host process that has the duty; 0 after a host has given it up.
     holder: u64,
     /// Number of the term. Each takeover of the duty adds 1.
     term: u64,
@@ -75,7 +75,7 @@
     before_predecessor_until_ms: u64,
 }
 
-/// State of the duty on this host.
+/// State of the duty on this host: its term, confirmations and predecessor.
 #[derive(Debug, Default)]
 pub struct Duty {
     /// Number of this host's term while it has the duty, else 0.
--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -30,7 +30,7 @@
 /// response.
 const DEADLINE_SLACK_MS: u64 = 40;
 
-/// Result of one attempt.
+/// Result of one attempt, which decides whether the request may be sent again.
 pub(super) enum AttemptOutcome {
     Answered(Response<ResponseBody>),
     /// No connection could be opened, so nothing was sent.
--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -23,7 +23,7 @@
 /// Unit in which body memory is counted. Bodies below this size are not counted.
 const UNIT_BYTES: usize = 16 * 1024;
 
-/// Size above which a body needs a memory reservation before it is read.
+/// Size above which memory is reserved for a body before it is read.
 const LARGE_BODY_BYTES: u64 = 64 * 1024;
 /// Maximum memory that is reserved for a large body before it is read.
 const LARGE_BODY_RESERVED_BYTES: u64 = 192 * 1024;
@@ -33,7 +33,7 @@
 pub struct BodyMemory(Arc<Semaphore>);
 
 impl BodyMemory {
-    /// Returns the budget of a host with this much memory.
+    /// Returns the budget of a host with this much memory: [`MEMORY_SHARE`] of it.
     pub fn of_host(memory_bytes: u64) -> Self {
         let units = memory_bytes as f64 * MEMORY_SHARE / UNIT_BYTES as f64;
         Self(Arc::new(Semaphore::new(units as usize)))
@@ -92,7 +92,7 @@
     reservation: MemoryReservation,
 }
 
-/// Body of a request that is forwarded to a server.
+/// Body of a request, which is kept for further attempts unless it is streamed.
 pub enum Payload {
     Whole(BufferedBody),
     /// The buffered beginning and the unread remainder. `None` after it was sent: a streamed body
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -85,7 +85,8 @@
 }
 
 impl ForwardedRequest<'_> {
-    /// Chooses the server for the request, or the reason to refuse it.
+    /// Chooses the server for the next attempt, or returns the reason to refuse the request. Checks
+    /// the quarantine, and claims the trial of a suspect request.
     pub(super) async fn choose(&mut self, entry: &Entry) -> Result<Arc<Server>, Refused> {
         if self.left_ms() < ATTEMPT_MS_MIN {
             let policy = &entry.settings.policy;
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -24,9 +24,9 @@
     transport::ResponseBody,
 };
 
-/// Minimum remaining time for which an attempt is made.
+/// Minimum time until the deadline for which an attempt is made.
 pub(super) const ATTEMPT_MS_MIN: u64 = 10;
-/// Failed connection attempts after which a request is refused.
+/// Failed connection attempts, over all servers, after which a request is refused.
 const CONNECTS_MAX: u32 = 3;
 /// Failed connection attempts after which a request that any server can run is refused, while
 /// servers refuse connections at once. It exceeds [`CONNECTS_MAX`] because most of the servers that
@@ -65,9 +65,10 @@
     pub(super) times: Times,
     /// Attempts in which the request was sent; failed connects are not included.
     pub(super) attempts: u32,
-    /// Connection attempts that failed, over all servers; limited by [`CONNECTS_MAX`].
+    /// Connection attempts that failed, over all servers; limited by [`CONNECTS_MAX`] or
+    /// [`REFUSED_CONNECTS_MAX`].
     pub(super) connects: u32,
-    /// Ids of servers that are not chosen again.
+    /// Incarnations of servers that are not chosen again for this request.
     pub(super) tried: Vec<Arc<str>>,
     /// Fences under which the last two chosen servers held the key, the latest first; 0 if there
     /// was none.
@@ -79,7 +80,7 @@
 }
 
 impl ForwardedRequest<'_> {
-    /// Returns the time until the deadline.
+    /// Returns the time until the deadline; 0 once it has passed.
     pub(super) fn left_ms(&self) -> u64 {
         self.times.deadline_ms.saturating_sub(clock::now_ms())
     }
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Returns the caller's workspace from the configuration; `None` if the route needs none.
+    /// Returns the caller's workspace in the configuration; `None` if the route needs none.
     pub(super) fn workspace(&self) -> Option<&Workspace> {
         let workspaces = self.configuration.workspaces()?;
         Some(workspaces.get(self.workspace?))
@@ -124,14 +125,14 @@
         named.into_iter().all(allows)
     }
 
-    /// Returns true if the service also serves requests of lower priority.
+    /// Returns true if the service also serves requests of lower priority than this one.
     pub(super) fn is_urgent(&self) -> bool {
         let priority = self.configuration.priority(self.workspace, self.route);
         self.configuration
             .has_lower_priority_requests(&self.service, priority)
     }
 
-    /// Returns the time since the request arrived.
+    /// Returns the time since the request arrived at this host.
     pub(super) fn elapsed_ms(&self) -> u64 {
         clock::now_ms().saturating_sub(self.times.arrived_ms)
     }
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -68,7 +68,7 @@
     granted_ms: u64,
     /// Number of grants in flight.
     grants_in_flight: u32,
-    /// Number of consecutive failed grants.
+    /// Number of consecutive failed grants; [`FAILURES_BEFORE_PROBE`] of them start a probe.
     failures: u32,
     /// True if the server answered neither grants nor a probe. While this is set, it gets no grants
     /// and no keys.
@@ -143,7 +143,7 @@
 }
 
 impl Entry {
-    /// Does the work of the duty holder while this host has the duty.
+    /// Grants leases and plans moves, in one run for each term in which this host has the duty.
     pub(super) async fn manage_leases(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(ROUND_MS)).await;
@@ -185,7 +185,8 @@
         }
     }
 
-    /// Returns true while this host may send orders to servers in this term.
+    /// Returns true while this host has the duty in this term and may grant leases, so that it may
+    /// send orders to servers.
     fn may_send_orders(&self) -> bool {
         let duty = &self.entry.duty;
         duty.term() == self.number && duty.may_lease(self.entry.settings.leases.outage_ms)
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -28,7 +28,7 @@
 /// recording them.
 const FENCE_STEP: u64 = 16;
 
-/// Lease of a key range that a server is to be granted.
+/// Order that grants or renews the lease of a key range at a server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseOrder<'a> {
     pub service: &'a Arc<str>,
