--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -71,8 +71,9 @@
 
 impl PathTally {
     /// Records the crash of a server with requests in flight. Returns the digests that now count as
-    /// the cause. The same crash may be reported more than once. `is_mass_crash` is true if so many
-    /// servers have crashed at once that something else is the cause: then only trials count.
+    /// the cause. The same crash may be reported more than once. `is_mass_crash` is true if many
+    /// servers have crashed at once, so that a request is unlikely to be the cause: then only
+    /// trials count.
     pub fn note(
         &mut self,
         server_tag: u32,
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -11,7 +11,7 @@
 /// Minimum load, in requests per second, for which a move is worth its cost.
 const LOAD_MOVED_MIN: f64 = 0.3;
 /// Weight of the number of moved keys against the error in the moved load, since moves are billed
-/// by key: the cost of moving all keys, in multiples of the wanted load.
+/// by key: the cost of moving all keys, in multiples of the load to be moved.
 const KEY_SHARE_COST: f64 = 4.0;
 
 /// A server that may hold keys, with its capacity as the planner assumes it.
--- a/src/entry/decide/rests.rs
+++ b/src/entry/decide/rests.rs
@@ -43,7 +43,8 @@
         *known = (*known).max(until_ms);
     }
 
-    /// Returns true if so many hosts were asked to let the server rest that its keys should move.
+    /// Returns true if the server has asked enough hosts for a rest that its keys should move to
+    /// other servers.
     pub fn is_widespread(&self, server_tag: u32, hosts: usize, now_ms: u64) -> bool {
         let rests = self.rests();
         let Some(resting) = rests.get(&server_tag) else {
--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -82,8 +82,9 @@
         }
     }
 
-    /// Refuses a request for a key that gets more requests than its server can serve. The time is
-    /// about as many run times as there are requests for each one that can be served.
+    /// Refuses a request for a key that gets more requests than its server can serve. The retry
+    /// time is about the typical run time, multiplied by the number of requests received for each
+    /// one that can be served.
     pub fn hot_key(hot: HotKey, typical_ms: f64, policy: &Policy) -> Self {
         let turn_ms = (typical_ms * hot.excess()) as u64;
         let reason = "the key gets more requests than its server can serve";
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -66,7 +66,7 @@
 struct ServerLeaseState {
     /// Time at which the last grant was sent that may have arrived; 0 if none was.
     granted_ms: u64,
-    /// Number of grants in flight.
+    /// Number of grants in flight; while there are any, the server's lease may still be extended.
     grants_in_flight: u32,
     /// Number of consecutive failed grants; [`FAILURES_BEFORE_PROBE`] of them start a probe.
     failures: u32,
@@ -109,7 +109,7 @@
 #[derive(Debug, Default)]
 struct TermState {
     servers: HashMap<Arc<str>, ServerLeaseState>,
-    /// Renewals by service and fence.
+    /// State of the renewals, by service and by the fence of the holding.
     renewals: HashMap<(Arc<str>, u64), Renewal>,
     moving: Vec<Moving>,
     counts: HashMap<Arc<str>, KeyCounts>,
@@ -275,8 +275,8 @@
         servers
     }
 
-    /// Removes the servers that rest for so many hosts that others should hold their keys, unless
-    /// too few servers would remain.
+    /// Removes the servers that have asked many hosts for a rest, so that others hold their keys,
+    /// unless too few servers would remain.
     fn not_resting(&self, servers: Vec<PlanServer>) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
         let hosts = self.entry.peers.hosts();
