--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -2,10 +2,11 @@
 //!
 //! A host whose connections to a server break probes whether the server has crashed. It then
 //! reports to the other hosts which of its requests were in flight there: the suspects. All hosts
-//! count this evidence, by caller and across callers. While one server has crashed during a
-//! request, only one host at a time may run it, as a trial. With enough crashes the request is
-//! quarantined: the duty holder names it in each heartbeat and keeps it in the store. So a request
-//! that is retried at any host, even after the loss of all hosts, reaches no further server.
+//! count this evidence, both for each caller and over all callers. While one server has crashed
+//! during a request, only one host at a time may run it, as a trial. With enough crashes the
+//! request is quarantined: the duty holder names it in each heartbeat and keeps it in the store. So
+//! a request that is retried at any host, even after the loss of all hosts, reaches no further
+//! server.
 
 pub mod broken_connections;
 mod probe;
@@ -38,20 +39,21 @@
 };
 use crate::clock;
 
-/// Interval at which crash reports are sent again.
+/// Interval at which crash reports are sent again, since datagrams may be lost.
 const RESEND_INTERVAL_MS: u64 = 500;
 /// Maximum number of quarantined requests in a heartbeat, which names the latest ones: 320 bytes.
 /// The store has all of them.
 const HEARTBEAT_DIGESTS_MAX: usize = 32;
 
-/// Crash reports, evidence and quarantine of a host.
+/// State of one host's defence against requests that crash servers: reports, evidence, trials and
+/// quarantine.
 #[derive(Debug, Default)]
 pub struct Crashes {
-    /// Evidence against requests, by caller.
+    /// Evidence against requests, by digests that include the caller.
     tally: Mutex<CrashTally>,
-    /// Evidence against requests across callers, by content and by path.
+    /// Evidence against the content or path of requests, by digests that leave out the caller.
     path_tally: Mutex<PathTally>,
-    /// Requests that no server gets any more.
+    /// Requests that are refused because servers crashed during them.
     quarantine: Mutex<Quarantine>,
     /// Claims of trials by all hosts.
     trials: Mutex<TrialClaims>,
@@ -107,7 +109,7 @@
         latest
     }
 
-    /// Returns the number of quarantined requests.
+    /// Returns the number of quarantined requests, including expired ones that are not yet dropped.
     pub fn quarantined(&self) -> usize {
         lock(&self.quarantine).len()
     }
@@ -227,7 +229,7 @@
         self.peers.send_to_all(Message::TrialPassed(claimed));
     }
 
-    /// Records another host's claim.
+    /// Records another host's claim, which may displace one of this host.
     pub(in crate::entry) fn note_trial(&self, claimed: ClaimSubject, host: SocketAddr) {
         lock(&self.crashes.trials).note(claimed, host, clock::now_ms());
     }
--- a/src/entry/decide/hold.rs
+++ b/src/entry/decide/hold.rs
@@ -4,7 +4,7 @@
 
 use super::Policy;
 
-/// Shortest time for which it is worth holding a request.
+/// Shortest time for which a request is held; with less time left it is refused.
 const HOLD_MIN_MS: u64 = 10;
 
 /// Condition that a move waits for.
@@ -17,16 +17,16 @@
     Lease,
 }
 
-/// Remaining time of a move.
+/// Expected time until a move completes, as announced by the duty holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveTimeLeft {
-    /// Condition that the move waits for.
+    /// Condition that the move waits for, which decides how exact `remaining_ms` is.
     pub wait: MoveWait,
     /// Time left until the move completes: an upper bound or the exact time, depending on `wait`.
     pub remaining_ms: u64,
 }
 
-/// Decision on a request for a key that is being moved.
+/// Decision to hold or refuse a request for a key that is being moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hold {
     /// The request is held for at most this time, in milliseconds.
--- a/src/entry/decide/pace.rs
+++ b/src/entry/decide/pace.rs
@@ -1,8 +1,9 @@
-//! Pace of a server: its current run time compared with its usual one. Servers that share their
-//! machine with others run several times slower for periods of some hundred milliseconds. They
-//! report their pace in their responses, and hosts exchange these reports.
+//! Pace (slowdown factor) of a server: its current run time compared with its usual one. Servers
+//! that share their machine with others run several times slower for periods of some hundred
+//! milliseconds. They report their pace in their responses, and hosts exchange these reports.
 
-/// Weight of a new report in the mean pace of a server.
+/// Weight of a new report in a server's mean pace: low, so that the mean follows the usual pace and
+/// not a slow period.
 const MEAN_SAMPLE_WEIGHT: f64 = 0.05;
 /// Bounds of the relative pace, so that no report makes a server appear to cost nothing or to be
 /// unusable.
@@ -14,7 +15,7 @@
 pub struct Pace {
     latest: f64,
     at_ms: u64,
-    /// Moving average of all reports.
+    /// Moving average of all reports, the reference for `latest`.
     mean: f64,
 }
 
--- a/src/entry/decide/rests.rs
+++ b/src/entry/decide/rests.rs
@@ -9,11 +9,11 @@
     sync::{Mutex, MutexGuard, PoisonError},
 };
 
-/// Fraction of hosts, as one in this many, whose requests must have been refused. If it is only one
-/// host, that host may be the cause.
+/// Divisor of the number of hosts: one host in three must have been asked for a rest before the
+/// keys move. If it is only one host, that host may be the cause.
 const HOSTS_SHARE: usize = 3;
-/// Upper bound of the hosts needed: among hundreds of hosts, few reach a given server within a
-/// rest.
+/// Maximum number of hosts that must have been asked for a rest: among hundreds of hosts, few reach
+/// a given server within a rest.
 const HOSTS_NEEDED_MAX: usize = 4;
 /// Shortest rest that is worth two moves, away and back.
 const REST_MIN_MS: u64 = 300;
@@ -21,7 +21,7 @@
 /// overloaded, and moved keys would be no better off.
 const NOT_RESTING_SHARE_MIN: f64 = 0.5;
 
-/// Rests that servers asked of hosts, kept by the duty holder.
+/// Ends of the rests that servers asked hosts for, by server tag and host; kept by the duty holder.
 #[derive(Debug, Default)]
 pub struct Rests(Mutex<HashMap<u32, HashMap<SocketAddr, u64>>>);
 
@@ -43,7 +43,8 @@
         *known = (*known).max(until_ms);
     }
 
-    /// Returns true if a server asks so many hosts for a rest that its keys should move to others.
+    /// Returns true if the server has asked enough hosts for a rest that its keys should move to
+    /// other servers.
     pub fn is_widespread(&self, server_tag: u32, hosts: usize, now_ms: u64) -> bool {
         let rests = self.rests();
         let Some(resting) = rests.get(&server_tag) else {
@@ -61,7 +62,8 @@
     }
 }
 
-/// Returns the servers that do not rest, or all servers if too many rest.
+/// Returns the servers that do not rest, or all servers if fewer than [`NOT_RESTING_SHARE_MIN`] of
+/// them would remain.
 pub fn not_resting<T>(mut servers: Vec<T>, rests: impl Fn(&T) -> bool) -> Vec<T> {
     let resting = servers.iter().filter(|server| rests(server)).count();
     let least_awake = servers.len() as f64 * NOT_RESTING_SHARE_MIN;
--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -23,7 +23,7 @@
 /// Unit in which body memory is counted. Bodies below this size are not counted.
 const UNIT_BYTES: usize = 16 * 1024;
 
-/// Size above which a body needs a memory reservation before it is read.
+/// Size above which memory is reserved for a body before it is read.
 const LARGE_BODY_BYTES: u64 = 64 * 1024;
 /// Maximum memory that is reserved for a large body before it is read.
 const LARGE_BODY_RESERVED_BYTES: u64 = 192 * 1024;
@@ -53,7 +53,7 @@
     }
 }
 
-/// Memory reserved for one body; released when dropped.
+/// Part of the memory budget that is reserved for one body; returned to the budget when dropped.
 #[derive(Debug, Default)]
 pub struct MemoryReservation(Option<OwnedSemaphorePermit>);
 
@@ -75,7 +75,7 @@
         true
     }
 
-    /// Reduces the reservation to this size.
+    /// Reduces the reservation to this size and returns the remainder to the budget.
     fn shrink(&mut self, bytes: usize) {
         let Some(held) = &mut self.0 else { return };
         let surplus = held
@@ -92,7 +92,7 @@
     reservation: MemoryReservation,
 }
 
-/// Body of a request that is forwarded to a server.
+/// Body of a request, which is kept for further attempts unless it is streamed.
 pub enum Payload {
     Whole(BufferedBody),
     /// The buffered beginning and the unread remainder. `None` after it was sent: a streamed body
@@ -225,9 +225,9 @@
 
 /// A body that is streamed: its beginning is buffered, the remainder is read while it is sent.
 pub struct StreamedBody {
-    /// Buffered beginning.
+    /// Beginning of the body, which is sent before `rest`.
     pub first: BufferedBody,
-    /// Unread remainder.
+    /// Remainder, which is read only as fast as the receiver takes it.
     pub rest: Incoming,
     /// Connection that the remainder is read from; kept open until the body is dropped.
     #[allow(dead_code, reason = "closed when the body is dropped")]
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -66,15 +66,16 @@
 struct ServerLeaseState {
     /// Time at which the last grant was sent that may have arrived; 0 if none was.
     granted_ms: u64,
-    /// Number of grants in flight.
+    /// Number of grants in flight; while there are any, the server's lease may still be extended.
     grants_in_flight: u32,
-    /// Number of consecutive failed grants.
+    /// Number of consecutive failed grants; [`FAILURES_BEFORE_PROBE`] of them start a probe.
     failures: u32,
-    /// True if the server answered neither grants nor a probe. It gets no grants and no keys then.
+    /// True if the server answered neither grants nor a probe. While this is set, it gets no grants
+    /// and no keys.
     is_silent: bool,
 }
 
-/// State of the renewals of one holding.
+/// Renewals of one holding, which is renewed independently of the server's other holdings.
 #[derive(Clone, Copy, Debug, Default)]
 struct Renewal {
     /// Time at which the last successful renewal was sent; 0 if none was.
@@ -108,7 +109,7 @@
 #[derive(Debug, Default)]
 struct TermState {
     servers: HashMap<Arc<str>, ServerLeaseState>,
-    /// Renewals by service and fence.
+    /// State of the renewals, by service and by the fence of the holding.
     renewals: HashMap<(Arc<str>, u64), Renewal>,
     moving: Vec<Moving>,
     counts: HashMap<Arc<str>, KeyCounts>,
@@ -133,7 +134,7 @@
     }
 }
 
-/// A term in which this host has the duty.
+/// One term in which this host has the duty; its work stops when the term ends.
 #[derive(Debug)]
 struct Term {
     entry: Arc<Entry>,
@@ -142,7 +143,7 @@
 }
 
 impl Entry {
-    /// Does the work of the duty holder while this host has the duty.
+    /// Grants leases and plans moves, in one run for each term in which this host has the duty.
     pub(super) async fn manage_leases(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(ROUND_MS)).await;
@@ -184,7 +185,8 @@
         }
     }
 
-    /// Returns true while this host may send orders to servers in this term.
+    /// Returns true while this host has the duty in this term and may grant leases, so that it may
+    /// send orders to servers.
     fn may_send_orders(&self) -> bool {
         let duty = &self.entry.duty;
         duty.term() == self.number && duty.may_lease(self.entry.settings.leases.outage_ms)
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Marks keys as moving. Returns false if some of them are being moved already.
+    /// Marks keys as moving. Returns false if a move of some of them is in progress.
     fn mark_moving(&self, service: &Arc<str>, range: KeyRange) -> bool {
         let mut state = self.state();
         if state.is_moving(service, range) {
