--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -65,7 +65,8 @@
                 continue;
             }
             time::sleep(Duration::from_millis(CHECK_EVERY_MS)).await;
-            let may_take = self.is_registered() && self.view.servers_versions() && !self.stopping();
+            let may_take =
+                self.is_registered() && self.view.are_servers_known() && !self.stopping();
             if may_take && self.is_duty_holder_silent(started_ms) {
                 // Calls are billed, so none is made before the feed of the servers' table shows
                 // that the store answers.
@@ -78,7 +79,7 @@
     /// Takes the duty at once if the previous process of this host had it. That process has
     /// certainly ended, since this one listens on its address.
     async fn resume_duty(&self) {
-        while !self.view.servers_versions() || !self.is_registered() {
+        while !self.view.are_servers_known() || !self.is_registered() {
             time::sleep(Duration::from_millis(CHECK_EVERY_MS)).await;
         }
         let Some((Some(row), version)) = self.read_duty().await else {
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -46,7 +46,7 @@
     /// Returns servers, holdings and hosts; `None` until this host knows them all, and while it
     /// stops.
     fn snapshot(&self) -> Option<Snapshot> {
-        let is_known = self.view.servers_versions() && self.view.are_hosts_known();
+        let is_known = self.view.are_servers_known() && self.view.are_hosts_known();
         if !is_known || self.stopping() {
             return None;
         }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -201,7 +201,7 @@
 
     /// Returns true if the load balancer should send callers to this host.
     pub fn ready(&self) -> bool {
-        !self.stopping() && self.view.configuration().is_some() && self.view.servers_versions()
+        !self.stopping() && self.view.configuration().is_some() && self.view.are_servers_known()
     }
 
     /// Returns true once a planned stop has begun.
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -36,7 +36,7 @@
 pub struct View {
     configuration: ArcSwapOption<Configuration>,
     registry: ArcSwap<Registry>,
-    servers_versions: AtomicBool,
+    are_servers_known: AtomicBool,
     evacuations: Mutex<Evacuations>,
     owners: Owners,
     changed: watch::Sender<u64>,
@@ -53,7 +53,7 @@
         Self {
             configuration: ArcSwapOption::empty(),
             registry: ArcSwap::default(),
-            servers_versions: AtomicBool::new(false),
+            are_servers_known: AtomicBool::new(false),
             evacuations: Mutex::default(),
             owners: Owners::default(),
             changed: watch::channel(0).0,
@@ -91,8 +91,8 @@
     }
 
     /// Returns true if the servers' entries have been read.
-    pub fn servers_versions(&self) -> bool {
-        self.servers_versions.load(Ordering::Relaxed)
+    pub fn are_servers_known(&self) -> bool {
+        self.are_servers_known.load(Ordering::Relaxed)
     }
 
     /// Returns the evacuated zones.
@@ -134,7 +134,7 @@
 
     /// Records that the servers' entries have been read.
     pub fn set_servers_known(&self) {
-        self.servers_versions.store(true, Ordering::Relaxed);
+        self.are_servers_known.store(true, Ordering::Relaxed);
     }
 
     /// Returns the holdings of a service; `None` if they are not known.
