--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -38,20 +38,19 @@
 /// Starting host that is to be registered.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Newcomer {
-    /// Address for messages and queries of other hosts.
+    /// Address at which the host receives datagrams (UDP) and queries (TCP) of other hosts.
     pub address: SocketAddr,
-    /// Row to store for the host.
+    /// Row to store for the host, as the host would write it itself.
     pub row: HostRow,
 }
 
 impl Newcomer {
-    /// Returns the key of the host's row.
     fn key(&self) -> String {
         host_key(self.address)
     }
 }
 
-/// Returns the key of a host's row.
+/// Returns the key under which a host's row is stored: the prefix of host rows and the address.
 pub(in crate::entry) fn host_key(address: SocketAddr) -> String {
     format!("{HOST_PREFIX}{address}")
 }
@@ -129,7 +128,8 @@
         self.sealed(&registered)
     }
 
-    /// Registers waiting newcomers periodically.
+    /// Registers the waiting newcomers at an interval of [`REGISTER_EVERY_MS`], several in one
+    /// transaction.
     pub(in crate::entry) async fn keep_registering_newcomers(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(REGISTER_EVERY_MS)).await;
--- a/src/entry/join/paths.rs
+++ b/src/entry/join/paths.rs
@@ -4,7 +4,7 @@
 pub const SNAPSHOT: &str = "/snapshot";
 /// Path of the snapshot with holdings and hosts, without servers.
 pub const OWN: &str = "/own";
-/// Path of the operators' configuration.
+/// Path of the configuration and the evacuated zones as the queried host knows them.
 pub const CONFIGURATION: &str = "/configuration";
 /// Path by which the querying host requests its registration in the store.
 pub const REGISTER: &str = "/register";
--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -28,10 +28,10 @@
 
 /// Timeout for the head of a response.
 const QUERY_TIMEOUT_MS: u64 = 1_500;
-/// Successive pauses after its start at which a host queries which other hosts have joined: hosts
+/// Pauses before the first three queries for hosts that have joined. They are short because hosts
 /// that start together do not know each other yet.
 const QUERY_HOSTS_AFTER_MS: [u64; 3] = [2_500, 3_500, 6_000];
-/// Interval of these queries after the start.
+/// Interval of the queries for hosts that have joined, after the first three.
 const QUERY_HOSTS_EVERY_MS: u64 = 30_000;
 
 /// Reason why a query to another host failed.
@@ -138,7 +138,8 @@
         false
     }
 
-    /// Queries periodically which hosts have joined.
+    /// Fetches the list of known hosts from another host periodically, to learn of hosts that have
+    /// joined.
     pub(in crate::entry) async fn keep_querying_hosts(self: Arc<Self>) {
         let first = QUERY_HOSTS_AFTER_MS.into_iter();
         for after_ms in first.chain(std::iter::repeat(QUERY_HOSTS_EVERY_MS)) {
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Serves the queries of other hosts.
+    /// Accepts connections of other hosts and responds to their queries.
     pub(in crate::entry) async fn serve_snapshots(
         self: Arc<Self>,
         listener: TcpListener,
--- a/src/entry/peers/fanout.rs
+++ b/src/entry/peers/fanout.rs
@@ -20,12 +20,12 @@
 /// Properties of a host that determine whether it is chosen as a relay.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RelayCandidate {
-    /// Address of the host for messages of other hosts.
+    /// Address to which messages for the host are sent.
     pub address: SocketAddr,
-    /// Hash of the name of the host's availability zone.
+    /// Tag of the host's availability zone: a hash of its name, the same for all hosts of the zone.
     pub zone_tag: u32,
-    /// Share of a processor that the host has. Strong hosts are preferred because a relay sends to
-    /// its whole zone.
+    /// Share of a processor that the host may use; 1.0 is a whole one. Strong hosts are preferred
+    /// because a relay sends to its whole zone.
     pub processor_share: f32,
     /// True if the host was sent messages to relay and has not acknowledged them within
     /// [`RELAY_SILENT_MS`].
--- a/src/entry/peers/intervals.rs
+++ b/src/entry/peers/intervals.rs
@@ -22,7 +22,7 @@
     every_ms.clamp(REPORT_EVERY_MS, REPORT_EVERY_MAX_MS)
 }
 
-/// Returns the age up to which a report is used.
+/// Returns the age up to which a load report of another host is used.
 pub fn report_age_max_ms(hosts: usize) -> u64 {
     report_every_ms(hosts) * FULL_REPORT_EVERY + REPORT_AGE_SLACK_MS
 }
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -40,7 +40,7 @@
 /// Load that one host puts on one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLoad {
-    /// Hash of the server's identifier.
+    /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
     /// Requests of the reporting host in flight at the server, at most 255.
     pub in_flight: u8,
@@ -49,9 +49,9 @@
 /// Load and run time of a server, aggregated over the hosts of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerSummary {
-    /// Hash of the server's identifier.
+    /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
-    /// Requests of the zone's hosts in flight at the server.
+    /// Sum of the requests that the zone's hosts have in flight at the server.
     pub in_flight: u16,
     /// Average run time measured by the zone's hosts; 0 if none has measured it.
     pub run_ms: u16,
@@ -60,29 +60,29 @@
 /// Average run time of one server as measured by one host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunTime {
-    /// Hash of the server's identifier.
+    /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
     /// Average run time of the reporting host's requests at the server.
     pub run_ms: u16,
 }
 
-/// Pace that a server announced to a host since that host's last report.
+/// Pace (slowdown factor) that a server announced to a host since that host's last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerPace {
-    /// Hash of the server's identifier.
+    /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
-    /// Duration of work at the server in percent of the usual duration.
+    /// Current run time of requests relative to the usual one, in percent: 200 is twice as slow.
     pub percent: u16,
-    /// Time since the server announced the pace.
+    /// Age of the announcement when the report is sent.
     pub age_ms: u16,
 }
 
 /// Rest that a server asked a host for: a period without requests from that host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerRest {
-    /// Hash of the server's identifier.
+    /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
-    /// Remaining time of the rest.
+    /// Time left of the rest when the report is sent.
     pub rest_ms: u32,
 }
 
@@ -95,39 +95,40 @@
     pub age_ms: u32,
 }
 
-/// Rate limit of a server and the demand for the server.
+/// Rate limit of a server and the request rates directed at it, from which each host computes its
+/// share of the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerRate {
-    /// Hash of the server's identifier.
+    /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
     /// Limit that the server advertised last; `None` if the sender knows of none.
     pub reported: Option<AdvertisedRate>,
-    /// Demand for the server: rates of the callers' requests.
+    /// Rates of the callers' requests that could be sent to the server.
     pub demand: DemandRates,
 }
 
 /// Requests that a host received and sent on behalf of a workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceUse {
-    /// Hash of the workspace's name.
+    /// Tag of the workspace: a hash of its name, since its index differs between configurations.
     pub workspace_tag: u32,
-    /// Requests since the last report.
+    /// Numbers of requests received and sent since the sender's last report.
     pub used: QuotaUsage,
 }
 
 /// Share of a workspace's requests that each host may admit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceAdmitted {
-    /// Hash of the workspace's name.
+    /// Tag of the workspace: a hash of its name, since its index differs between configurations.
     pub workspace_tag: u32,
-    /// Share of the workspace's requests that may be admitted.
+    /// Share that a host applies until it receives a later announcement.
     pub admitted: AdmittedShare,
 }
 
 /// Number of requests for one key since the last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyCount {
-    /// Hash of the service's name.
+    /// Tag of the service: a hash of its name.
     pub service_tag: u32,
     /// Key of the service that the requests were for.
     pub key: u16,
@@ -138,29 +139,29 @@
 /// Properties of the sending host, for receivers that have not read its row yet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Hash of the name of the host's availability zone.
+    /// Tag of the host's availability zone: a hash of its name, the same for all hosts of the zone.
     pub zone_tag: u32,
-    /// Share of a processor that the host has.
+    /// Share of a processor that the host may use; 1.0 is a whole processor.
     pub processor_share: f32,
 }
 
-/// Message from one host to another.
+/// Message from one host to another. The position of each variant is part of the encoding.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Message {
     /// Wraps a message that the receiver handles and forwards to the other hosts of its zone.
     Relay(Box<Message>),
-    /// Message that a relay forwards.
+    /// Wraps a message on its way from a relay to the other hosts of its zone.
     Relayed {
         /// Host that sent the message to the relay.
         origin: SocketAddr,
-        /// Forwarded message.
+        /// Message as the relay received it from the origin.
         message: Box<Message>,
     },
     /// Acknowledges a message to relay, which shows that the relay is alive.
     RelayAck,
     /// Heartbeat of the duty holder.
     Heartbeat {
-        /// Term of the duty holder.
+        /// Term of the duty holder. A heartbeat is ignored if a later term is known.
         term: u64,
         /// Time of sending, by the sender's clock.
         sent_ms: u64,
@@ -188,7 +189,7 @@
     RunTimes(Vec<RunTime>),
     /// Loads and run times of servers, aggregated over the hosts of a zone.
     ZoneLoads {
-        /// Hash of the zone's name.
+        /// Tag of the zone that is summarised: a hash of its name.
         zone_tag: u32,
         /// Summaries by server; those that have not changed lately may be missing.
         summaries: Vec<ServerSummary>,
@@ -197,7 +198,7 @@
     Keys(Vec<KeyCount>),
     /// Announces moves of keys to other servers.
     Moving {
-        /// Hash of the service's name.
+        /// Tag of the service: a hash of its name.
         service_tag: u32,
         /// Keys that are being moved, with their targets.
         announcements: Vec<MoveAnnouncement>,
@@ -208,7 +209,7 @@
     Configuration(Piece),
     /// Queries the duty holder for the server that holds a key.
     QueryKeyOwner {
-        /// Hash of the service's name.
+        /// Tag of the service: a hash of its name.
         service_tag: u32,
         /// Key whose server is unknown to the sender.
         key: u16,
@@ -220,7 +221,7 @@
     },
     /// Reports a server crash that the sender saw with requests of its own in flight.
     ServerEnded {
-        /// Hash of the server's identifier.
+        /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
         server_tag: u32,
         /// Digests of the sender's requests in flight, each specific to its caller.
         digests: Vec<RequestDigest>,
@@ -229,14 +230,14 @@
     },
     /// Reports that a server successfully ran a suspect request, which clears it.
     SuspectCleared {
-        /// Digest of the request.
+        /// Digest of the request that is no longer suspect.
         digest: RequestDigest,
         /// Time since the request was sent to the server.
         sent_ago_ms: u32,
     },
     /// Announces that the sender starts a trial of a suspect request.
     TrialStarted(ClaimSubject),
-    /// Announces that the server survived the trial.
+    /// Announces that the server survived a trial, as announced by [`Message::TrialStarted`].
     TrialPassed(ClaimSubject),
     /// Servers that asked the sender for a rest. For the duty holder.
     ReportRests(Vec<ServerRest>),
@@ -264,7 +265,7 @@
     },
     /// Responds to [`Message::QueryStoreState`] with the sender's view of the store.
     StoreState {
-        /// Nonce of the query.
+        /// Nonce of the query. A response with another nonce is ignored.
         nonce: u64,
         /// Latest state of the store that the sender has seen.
         updates: StoreStateReport,
@@ -279,16 +280,16 @@
     /// Responds to [`Message::QueryConfigurationAge`]: the sender's configuration was current
     /// `age_ms` ago.
     ConfigurationAge {
-        /// Nonce of the query.
+        /// Nonce of the query. A response with another nonce is ignored.
         nonce: u64,
-        /// Time since the configuration was known to be current.
+        /// Age of the sender's confirmation when it responds.
         age_ms: u32,
         /// Version of the latest change of the operators' table that the sender knows.
         changed: u64,
     },
     /// Announces that servers were granted keys.
     Granted {
-        /// Hash of the service's name.
+        /// Tag of the service: a hash of its name.
         service_tag: u32,
         /// Granted key ranges with their servers.
         holdings: Vec<Holding>,
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -59,9 +59,9 @@
 /// Seed host: a host listed in the store that starting hosts fetch a snapshot from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SeedHost {
-    /// Address for messages and queries of other hosts.
+    /// Address at which the host receives datagrams (UDP) and queries (TCP) of other hosts.
     pub address: SocketAddr,
-    /// Hash of the name of the host's availability zone.
+    /// Tag of the host's availability zone: a hash of its name, the same for all hosts of the zone.
     pub zone_tag: u32,
 }
 
@@ -70,11 +70,11 @@
 pub struct HostProperties {
     /// Incarnation of the process on the host; `None` until its row was read.
     pub incarnation: Option<u64>,
-    /// Hash of the name of the host's availability zone.
+    /// Tag of the host's availability zone: a hash of its name, the same for all hosts of the zone.
     pub zone_tag: u32,
     /// True if the host is in the availability zone of this host.
     pub is_same_zone: bool,
-    /// Share of a processor that the host has.
+    /// Share of a processor that the host may use; 1.0 is a whole processor.
     pub processor_share: f32,
 }
 
@@ -223,7 +223,7 @@
         self.peers().contains_key(&address)
     }
 
-    /// Removes a host.
+    /// Removes a host: it gets no more messages, and its reported loads no longer count.
     pub fn remove(&self, address: SocketAddr) {
         self.peers().remove(&address);
     }
@@ -303,7 +303,7 @@
         self.duty_holder_heard_ms.load(Ordering::Relaxed)
     }
 
-    /// Counts a request for a key.
+    /// Counts a request for a key, for the next report to the duty holder.
     pub fn count(&self, service_tag: u32, key: u16) {
         let mut counted = self.counted.lock().unwrap_or_else(PoisonError::into_inner);
         *counted.entry((service_tag, key)).or_default() += 1;
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -35,7 +35,8 @@
         fanout
     }
 
-    /// Returns the current recipients of a message to all hosts.
+    /// Returns the current recipients of a message to all hosts, without expecting
+    /// acknowledgements.
     pub(super) fn current_fanout(&self) -> Fanout {
         let now_ms = clock::now_ms();
         let term = self.duty_holder_term.load(Ordering::Relaxed);
--- a/src/entry/updates/announcement.rs
+++ b/src/entry/updates/announcement.rs
@@ -7,7 +7,7 @@
 /// Message of the duty holder that a range of keys is being moved to another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveAnnouncement {
-    /// Range of keys being moved.
+    /// Keys being moved. Requests for them wait for the grant or the expiry.
     pub range: KeyRange,
     /// Fence above which a grant of the range completes the move.
     pub above_fence: u64,
--- a/src/entry/updates/configuration_pieces.rs
+++ b/src/entry/updates/configuration_pieces.rs
@@ -26,7 +26,7 @@
     pub index: u16,
     /// Number of pieces that the configuration was split into.
     pub count: u16,
-    /// Part of the row's content.
+    /// Content bytes of this piece, at most `PIECE_BYTES`.
     pub bytes: Vec<u8>,
 }
 
@@ -38,9 +38,9 @@
     pub version: u64,
     /// Version up to which all changes of the operators' table are included.
     pub up_to: u64,
-    /// Evacuated zones.
+    /// Evacuated zones that the responding host knows, with a version of their own.
     pub evacuations: Evacuations,
-    /// Content of the configuration row.
+    /// Content of the configuration row, byte for byte as stored.
     pub value: Arc<[u8]>,
 }
 
--- a/src/entry/updates/evacuation.rs
+++ b/src/entry/updates/evacuation.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Returns true if a zone is evacuated.
+    /// Returns true if the zone of this name is evacuated, so that its servers get no new work.
     pub fn contains(&self, zone: &str) -> bool {
         self.zones.iter().any(|known| **known == *zone)
     }
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -30,7 +30,7 @@
 /// Number of hosts up to which feeds use their minimum pause.
 const FEW_HOSTS: u64 = 11;
 
-/// How a host learns that the store has changed.
+/// Source from which a host learns that the store has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncRole {
     /// This host is the duty holder; the others depend on its feeds.
@@ -49,7 +49,7 @@
 pub enum FollowedTable {
     /// Operators' table with the configuration and the evacuated zones.
     Configuration,
-    /// Entries by which servers register.
+    /// Table of the entries by which servers register.
     Servers,
     /// The entry hosts' own rows: holdings and hosts.
     Own,
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -20,7 +20,6 @@
     entry::limits::{POLL_EVERY_MS, TimeLimits},
 };
 
-/// Number of followed tables.
 const TABLES: usize = FollowedTable::ALL.len();
 /// Age of a report that is too old to be trusted.
 const TOO_OLD_MS: u32 = u32::MAX;
--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -47,7 +47,7 @@
 /// Row by which a host registers, so that other hosts find it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HostRow {
-    /// Incarnation of the process that runs on the host.
+    /// Incarnation of the process that runs on the host: a random number, different for each start.
     pub incarnation: u64,
     /// Availability zone of the host; empty in rows that lack the field.
     #[serde(default)]
--- a/src/entry/updates/server_changes.rs
+++ b/src/entry/updates/server_changes.rs
@@ -12,7 +12,7 @@
 /// New state of a server's entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ServerUpdate {
-    /// The entry was written.
+    /// The entry was added or renewed, with this content.
     Entry(ServerEntry),
     /// The entry of this name was removed.
     Removed(Arc<str>),
@@ -23,9 +23,9 @@
 /// One change of a server's entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerChange {
-    /// Version of the changed row.
+    /// Version that the row has in the store after the change.
     pub version: u64,
-    /// New state of the entry.
+    /// State of the entry after the change.
     pub update: ServerUpdate,
 }
 
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -77,12 +77,12 @@
     record: Vec<u8>,
 }
 
-/// Versions up to which a host has a table.
+/// Progress of a host in following one table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableVersions {
     /// Version up to which all changes are applied.
     pub up_to: u64,
-    /// Version of the latest change.
+    /// Version of the latest change that the host has seen; 0 before the first.
     pub changed: u64,
 }
 
