--- a/src/entry/bounds.rs
+++ b/src/entry/bounds.rs
@@ -76,7 +76,8 @@
     3_000
 }
 
-/// Deserialises an optional duration to milliseconds.
+/// Deserialises a duration such as `2s` to `Some` milliseconds; a missing setting is `None` by its
+/// default.
 fn optional_duration<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<u64>, D::Error> {
     duration(deserializer).map(Some)
 }
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -111,8 +111,9 @@
         }
     }
 
-    /// Queries the store for changes of the configuration since then; returns false if the store
-    /// did not answer.
+    /// Queries the store for changes since the configuration version that this host has applied,
+    /// and applies them. Returns false if the store did not respond, or before the first
+    /// configuration.
     async fn confirm_with_store(&self) -> bool {
         let followed = FollowedTable::Configuration;
         let after = self.freshness.applied(followed);
--- a/src/entry/digest.rs
+++ b/src/entry/digest.rs
@@ -20,12 +20,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestDigest(pub u64);
 
-/// Bit that is set in digests across callers and cleared in the others, so that every copy of a
-/// digest shows whether its quarantine applies to all callers.
+/// Bit that is set in digests that do not cover the caller and cleared in those that do. Every copy
+/// of a digest thus shows whether its quarantine applies to all callers.
 const ANY_CALLER_BIT: u64 = 1 << 63;
 
 impl RequestDigest {
-    /// Returns true if the digest does not cover the caller.
+    /// Returns true if the digest does not cover the caller, so that its quarantine applies to all
+    /// callers.
     pub fn is_of_any_caller(self) -> bool {
         self.0 & ANY_CALLER_BIT != 0
     }
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -16,7 +16,7 @@
         host: String,
         /// Availability zone of the host.
         availability_zone: String,
-        /// Random number of this process.
+        /// Random number that distinguishes this process from earlier ones on the host.
         incarnation: u64,
     },
     /// A planned stop has begun.
@@ -54,7 +54,7 @@
     BadRow {
         /// Table and key of the row.
         row: String,
-        /// Parse error.
+        /// Description of the parse error.
         problem: String,
     },
     /// A request was denied before it was routed: its API key is unknown, its workspace exceeds its
@@ -62,14 +62,14 @@
     Denied {
         /// Identifier that the caller gave.
         request_id: String,
-        /// Name of the route.
+        /// Name of the route that matched the request.
         route: Arc<str>,
-        /// Reason that the caller got.
+        /// Reason that the response to the caller states.
         reason: &'static str,
     },
     /// A workspace started or stopped exceeding its quota. Logged by the duty holder.
     Quota {
-        /// Identifier of the workspace.
+        /// Name of the workspace, as in the configuration.
         workspace: Arc<str>,
         /// Quota, in requests per second.
         per_s: f64,
@@ -82,7 +82,7 @@
     StoreLost {
         /// Table whose change feed failed.
         table: &'static str,
-        /// Error of the call.
+        /// Error of the feed call that failed.
         problem: String,
     },
     /// The store responds again.
@@ -105,11 +105,11 @@
     },
     /// A server's entry was added or changed.
     Server {
-        /// Identifier of the server.
+        /// Identifier of the server's incarnation: each start of a server has another one.
         server: Arc<str>,
         /// Service that the server belongs to.
         service: Arc<str>,
-        /// Address for requests.
+        /// Address at which the server accepts requests.
         address: String,
         /// True if the server drains and gets no new work.
         leaving: bool,
@@ -119,7 +119,7 @@
     /// A server announced in a response that it leaves, or that it asks for a rest. Logged once per
     /// server for leaving, and at the beginning of each rest.
     ServerNotice {
-        /// Identifier of the server.
+        /// Identifier of the server's incarnation: each start of a server has another one.
         server: Arc<str>,
         /// Service that the server belongs to.
         service: Arc<str>,
@@ -135,7 +135,7 @@
     /// A server advertised another rate limit, which applies to all hosts together, or none any
     /// more.
     ServerRateLimit {
-        /// Identifier of the server.
+        /// Identifier of the server's incarnation: each start of a server has another one.
         server: Arc<str>,
         /// Service that the server belongs to.
         service: Arc<str>,
@@ -148,14 +148,14 @@
     },
     /// A server's entry was removed.
     ServerGone {
-        /// Identifier of the server.
+        /// Identifier of the server's incarnation: each start of a server has another one.
         server: Arc<str>,
         /// Service that the server belonged to.
         service: Arc<str>,
     },
     /// A server crashed with requests of this host in flight.
     ServerEnded {
-        /// Identifier of the server.
+        /// Identifier of the server's incarnation: each start of a server has another one.
         server: Arc<str>,
         /// Service that the server belonged to.
         service: Arc<str>,
@@ -210,7 +210,7 @@
     },
     /// A grant or release order to a server failed.
     OrderFailed {
-        /// Identifier of the server.
+        /// Identifier of the server's incarnation: each start of a server has another one.
         server: Arc<str>,
         /// Kind of order: grant or release.
         order: &'static str,
@@ -231,11 +231,11 @@
         content_digest: String,
         /// The caller-independent digest without query and body.
         any_path_digest: String,
-        /// Name of the route.
+        /// Name of the route that matched the request.
         route: Arc<str>,
         /// Decision on the request, such as `answered`.
         decision: &'static str,
-        /// Reason for the decision.
+        /// Reason for the decision; may contain figures.
         reason: String,
         /// Server of the last attempt; `None` if there was no attempt.
         server: Option<Arc<str>>,
--- a/src/entry/explain.rs
+++ b/src/entry/explain.rs
@@ -33,7 +33,7 @@
 /// Fields of a `request` event that identify the request across retries.
 const DIGESTS: [&str; 4] = ["digest", "path_digest", "content_digest", "any_path_digest"];
 
-/// One host's log.
+/// Log of one host, as input for timelines and for the counts of lost requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Source<'a> {
     /// Name of the log, which is repeated in the timeline.
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -8,14 +8,15 @@
 /// Range of keys from `first` to `last`, both included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyRange {
-    /// First key of the range.
+    /// First key of the range, not greater than `last`.
     pub first: u16,
     /// Last key of the range, which is included.
     pub last: u16,
 }
 
 impl KeyRange {
-    /// Returns the range without a key: up to two ranges.
+    /// Returns what remains of the range without `key`: the range itself if it does not contain the
+    /// key, else up to two ranges.
     pub fn without(&self, key: u16) -> Vec<Self> {
         if !self.contains(key) {
             return vec![*self];
@@ -37,7 +38,7 @@
         last: u16::MAX,
     };
 
-    /// Returns the number of keys in the range.
+    /// Returns the number of keys in the range, which may be 65,536 and then exceeds a `u16`.
     pub fn len(&self) -> u32 {
         u32::from(self.last) - u32::from(self.first) + 1
     }
@@ -52,7 +53,7 @@
         false
     }
 
-    /// Returns true if the key is in the range.
+    /// Returns true if the key lies in the range, both ends included.
     pub fn contains(&self, key: u16) -> bool {
         (self.first..=self.last).contains(&key)
     }
@@ -135,7 +136,7 @@
 /// each change of owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
-    /// Range of keys.
+    /// Keys that are held. No other holding of the service contains any of them.
     pub range: KeyRange,
     /// Incarnation id of the server: each start has another one, even under the same name.
     pub server: Arc<str>,
@@ -184,7 +185,7 @@
         Ok(bytes)
     }
 
-    /// Decodes a record of holdings.
+    /// Decodes a record that [`Self::encode`] made. Fails for other encoding versions.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let found = bytes.first().copied();
         ensure!(found == Some(ENCODING), EncodingSnafu { found });
@@ -244,7 +245,7 @@
         whole
     }
 
-    /// Returns the holding that contains a key.
+    /// Returns the holding that contains a key; `None` if no server holds the key.
     pub fn holding(&self, key: u16) -> Option<&Holding> {
         let position = self.holdings.partition_point(|h| h.range.last < key);
         let holding = self.holdings.get(position)?;
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -41,7 +41,7 @@
 /// run times of requests.
 const EVACUATION_HOLD_MAX_MS: u64 = 2_500;
 
-/// Timeouts and pauses of one host.
+/// Timeouts and pauses of one host, all derived from the bounds in its settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeLimits {
     /// Trust period: age up to which the duty holder's report of the store counts. A duty holder
@@ -69,7 +69,7 @@
     pub catch_up_ms: u64,
     /// Longest pause of the feed of servers' entries while no heartbeats of a duty holder arrive.
     pub servers_pause_ms: u64,
-    /// Longest pause of the configuration's feed.
+    /// Longest pause of the configuration's feed on hosts other than the duty holder and relays.
     pub configuration_pause_ms: u64,
     /// Time for which a host may lag behind the reported versions before it queries the store: a
     /// response or a broadcast may be on its way.
@@ -93,7 +93,7 @@
     pub name: &'static str,
     /// Name of the bound in the settings.
     pub bound: &'static str,
-    /// Longest delay on this path.
+    /// Longest time that the events on this path take together.
     pub worst_ms: u64,
     /// Bound from the settings, plus the contact grace period where it applies.
     pub bound_ms: u64,
@@ -115,7 +115,7 @@
 }
 
 impl TimingPath {
-    /// Returns true if the bound is kept on this path.
+    /// Returns true if the longest delay on this path does not exceed the bound.
     pub fn is_met(&self) -> bool {
         self.worst_ms <= self.bound_ms
     }
@@ -156,8 +156,9 @@
         }
     }
 
-    /// Returns the interval at which the duty holder confirms its duty at the store. The store's
-    /// last response must stay within the trust period until the next heartbeat but one.
+    /// Returns the interval at which the duty holder confirms its duty at the store. It is at most
+    /// half of the trust period, so that the store's last response is still within that period two
+    /// heartbeats later.
     pub fn confirm_every_ms(&self, wanted_ms: u64) -> u64 {
         wanted_ms.min(self.trust_ms / 2)
     }
--- a/src/entry/log_writer.rs
+++ b/src/entry/log_writer.rs
@@ -94,7 +94,7 @@
     event: &'a E,
 }
 
-/// Queues one event as a line.
+/// Queues one event as a JSON line. A line that does not fit into the queue is dropped and counted.
 pub fn write(event: &impl Serialize) {
     WRITER.write(event);
 }
--- a/src/entry/losses.rs
+++ b/src/entry/losses.rs
@@ -19,7 +19,7 @@
     pub decision: String,
     /// Reason of the decision, with each number replaced by `N`.
     pub reason: String,
-    /// Number of requests.
+    /// Number of lost requests that agree in time step, route, decision and reason.
     pub requests: u64,
     /// Number of distinct servers of the last attempts.
     pub servers: u64,
@@ -29,7 +29,7 @@
     pub after_mean_ms: f64,
 }
 
-/// Result of [`losses`].
+/// Losses found in a set of logs, and the number of lines that may hide more.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Losses {
     /// Losses in order of time.
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -27,20 +27,20 @@
 pub struct RequestLabels {
     /// Service that the request was sent to; empty if it was sent to none.
     pub service: String,
-    /// Outcome of the request.
+    /// Outcome of the request, recorded when the request ends.
     pub outcome: &'static str,
 }
 
-/// Labels of orders to servers.
+/// Labels of the counter of orders to servers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OrderLabels {
     /// Kind of order: grant or release.
     pub order: &'static str,
-    /// Outcome of the order.
+    /// Outcome of the order, such as `failed`.
     pub outcome: &'static str,
 }
 
-/// Labels of calls to the store.
+/// Labels of the counter of calls to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StoreCallLabels {
     /// Kind of call.
@@ -49,7 +49,7 @@
     pub table: String,
 }
 
-/// All metrics of one host.
+/// All metrics of one host, scraped from its metrics address.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -139,7 +139,8 @@
 /// deployment, so that a starting host claims too small a share of a server's limit rather than too
 /// large a one.
 const ASSUMED_HOSTS: usize = 10_000;
-/// One in this many answered requests is logged; the others are only counted.
+/// Sampling interval of the log: one in 100 answered requests is logged; the others are only
+/// counted.
 const RESPONSE_SAMPLE: u64 = 100;
 
 impl Entry {
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -58,7 +58,7 @@
 pub struct Route {
     /// Name, which stays the same over versions of the configuration.
     pub name: Arc<str>,
-    /// Prefix of the request paths that the route serves.
+    /// Prefix of the request paths that the route serves. The longest matching prefix wins.
     pub path_prefix: String,
     /// True if requests are idempotent, so that an attempt may be repeated on another server.
     pub repeatable: bool,
@@ -83,7 +83,7 @@
 pub struct Configuration {
     /// Version of the stored row; it only increases.
     pub version: u64,
-    /// Limits of callers' requests and connections.
+    /// Limits that apply to the requests and connections of all callers.
     pub limits: CallerLimits,
     services: HashMap<Arc<str>, Service>,
     routes: HashMap<String, Vec<Arc<Route>>>,
@@ -99,7 +99,7 @@
 pub struct Priority {
     /// Priority of the workspace; 0 if the request has none.
     pub workspace: u32,
-    /// Priority of the route.
+    /// Priority of the route. It counts only between requests of equal workspace priority.
     pub route: u32,
 }
 
@@ -146,7 +146,7 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Returns a service by its name.
+    /// Returns a service by its name; `None` if the configuration has none of that name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
@@ -231,8 +231,8 @@
 pub struct Notice {
     /// True if the server is about to stop.
     pub leaves: bool,
-    /// Time for which the server wants no requests of the host. Set only if the server refused the
-    /// request for that reason.
+    /// Rest that the server asked for: time in which the host must send it no requests. Set only if
+    /// the server refused the request because of the rest.
     pub rest_ms: Option<u64>,
 }
 
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -120,7 +120,7 @@
     }
 
     /// Records servers that announced to other hosts that they are leaving. Returns true if this
-    /// host did not know it of at least one.
+    /// was new to this host for any of them.
     pub(in crate::entry) fn note_leaving_elsewhere(&self, tags: &[u32]) -> bool {
         let registry = self.view.registry();
         let named = registry.servers().filter(|s| tags.contains(&s.tag));
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -27,7 +27,7 @@
 /// Recorded holdings of one service, as read from the store's rows.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceHoldings {
-    /// Holdings of all rows, joined.
+    /// Holdings of all rows, merged. Where rows overlap, the higher fence wins.
     pub assignment: Arc<Assignment>,
     rows: BTreeMap<KeyPartition, HoldingsRow>,
 }
@@ -35,7 +35,7 @@
 /// Row of the store with the holdings of one key partition.
 #[derive(Clone, Debug)]
 pub struct HoldingsRow {
-    /// Holdings of the partition.
+    /// Holdings whose first key lies in the partition.
     pub assignment: Assignment,
     /// Version of the row in the store.
     pub version: u64,
@@ -150,7 +150,7 @@
         self.held_map().get(service).cloned()
     }
 
-    /// Returns the recorded holdings of all services.
+    /// Returns the recorded holdings of all services, with the names of the services.
     pub fn all_held(&self) -> Vec<(Arc<str>, ServiceHoldings)> {
         let held = self.held_map();
         let all = held.iter();
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -90,7 +90,7 @@
 }
 
 impl Pool {
-    /// Creates an empty pool for a server's address.
+    /// Creates an empty pool for a server's address, without opening a connection.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -34,7 +34,8 @@
     REPORT_INTERVAL_MS.max(REPORT_INTERVAL_MS_PER_HOST * hosts as u64)
 }
 
-/// State of all quotas at one host.
+/// State of the workspaces' quotas at one host: its own shares, and the ledgers while it has the
+/// duty.
 #[derive(Debug, Default)]
 pub struct Quotas {
     state: Mutex<QuotaState>,
@@ -133,7 +134,7 @@
         announced
     }
 
-    /// Applies an announcement of the duty holder.
+    /// Applies the shares that the duty holder announced.
     pub(super) fn note_announced(&self, announced: &[WorkspaceAdmitted]) {
         let now_ms = clock::now_ms();
         let mut state = self.state();
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -72,7 +72,7 @@
         rates.collect()
     }
 
-    /// Sends this host's report to the duty holder.
+    /// Sends limits and request rates as known to this host to the duty holder.
     fn report_rates(&self, rates: Vec<ServerRate>) {
         for rates in rates.chunks(RATES_MAX) {
             if !self
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -68,12 +68,12 @@
 }
 
 impl Registry {
-    /// Returns a server by its incarnation.
+    /// Returns the server with an incarnation id; `None` if no entry of it is known.
     pub fn server(&self, id: &str) -> Option<&Arc<Server>> {
         self.by_id.get(id)
     }
 
-    /// Returns the servers of a service.
+    /// Returns all servers of a service, also those that take no new work; empty if there are none.
     pub fn of_service(&self, service: &str) -> &[Arc<Server>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
@@ -109,7 +109,7 @@
         admission::typical_run_ms(servers.map(|server| server.run_ms()))
     }
 
-    /// Returns all servers.
+    /// Iterates over the servers of all services, in no particular order.
     pub fn servers(&self) -> impl Iterator<Item = &Arc<Server>> {
         self.by_id.values()
     }
--- a/src/entry/running_requests.rs
+++ b/src/entry/running_requests.rs
@@ -79,7 +79,7 @@
         digests
     }
 
-    /// Returns the same requests as suspects across callers.
+    /// Returns the caller-independent digests of the requests that the server may be running.
     pub fn shared_suspects(&self, now_ms: u64) -> Vec<SharedSuspect> {
         let suspects = self.latest(now_ms).flat_map(|digests| {
             let is_trial = self.trials.contains(&digests);
--- a/src/entry/seal.rs
+++ b/src/entry/seal.rs
@@ -44,7 +44,7 @@
     /// The secret is too short or too long.
     #[snafu(display("the secret has {length} bytes; expected 32"))]
     Length {
-        /// Length in bytes.
+        /// Number of bytes that the decoded secret has.
         length: usize,
     },
 }
--- a/src/entry/secret.rs
+++ b/src/entry/secret.rs
@@ -22,7 +22,7 @@
 const SECRET_CHECK_MS: u64 = 300;
 
 impl Entry {
-    /// Uses a secret that was read from the store.
+    /// Seals datagrams with a secret that was read from the store. Logs an error if it is invalid.
     pub(super) fn apply_secret(&self, row: &Row) {
         if row.removed {
             return;
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -123,7 +123,7 @@
         server
     }
 
-    /// Returns the entry with its current values.
+    /// Returns the entry with all changes since it was first read.
     pub fn current_entry(&self) -> ServerEntry {
         ServerEntry {
             leaving: self.leaving(),
@@ -240,13 +240,14 @@
         self.leaving.store(leaving, Ordering::Relaxed);
     }
 
-    /// Records the notice of a response: that the server leaves, or wants no requests for a while.
+    /// Records the notice in a response: that the server leaves, or asks for a rest, which is a
+    /// time without requests.
     pub fn note_notice(&self, notice: Notice) -> NoticeEffect {
         self.notices().note(notice, clock::now_ms())
     }
 
     /// Records that the server announced its leaving to another host. Returns true if this host did
-    /// not know.
+    /// not know that the server leaves.
     pub fn note_leaving_elsewhere(&self) -> bool {
         self.notices().note_leaving_elsewhere(clock::now_ms())
     }
@@ -268,7 +269,8 @@
         self.notices.clone()
     }
 
-    /// Returns the time for which the server wants no requests of this host; 0 if it accepts them.
+    /// Returns the remaining rest, in which this host must send the server no requests; 0 if there
+    /// is none.
     pub fn rest_ms(&self) -> u64 {
         self.notices().rest_ms(clock::now_ms())
     }
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -28,8 +28,8 @@
     /// regions.
     #[serde(default)]
     pub regions: HashMap<String, String>,
-    /// Processors that the host has, as a fraction of one. Hosts with a larger share take on more
-    /// work for other hosts.
+    /// Share of a processor that the host may use; 1.0 is a whole one. Hosts with a larger share
+    /// take on more work for other hosts.
     #[serde(default = "default_processor_share")]
     pub processor_share: f32,
     /// Memory that the host has, in megabytes.
@@ -37,11 +37,11 @@
     pub memory_mb: u64,
     /// Addresses that the host listens on.
     pub listen: Listen,
-    /// Connection to the platform's store.
+    /// Address of the platform's store, and the heartbeat interval of the servers' entries there.
     pub store: StoreSettings,
     /// Bounds on latency, outages and shutdown that the users set.
     pub bounds: Bounds,
-    /// Times of leases and of the duty.
+    /// Durations of the servers' leases, and of the duty to grant them.
     #[serde(default)]
     pub leases: Leases,
     /// Thresholds of routing, queueing and load shedding.
@@ -67,7 +67,7 @@
     pub metrics: SocketAddr,
 }
 
-/// Connection to the platform's store.
+/// Address of the platform's store, and the heartbeat interval of the servers' entries there.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSettings {
@@ -79,7 +79,7 @@
     pub server_heartbeat_ms: u64,
 }
 
-/// Times of leases and of the duty.
+/// Durations of the servers' leases, and of the duty to grant them.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Leases {
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -112,7 +112,7 @@
         )
     }
 
-    /// Returns true if this host's share leaves a token for a request now.
+    /// Returns true if the token bucket of this host's share has a token for a request now.
     pub fn has_token(&self, rate_share: RateShare) -> bool {
         let bucket = &mut self.share().bucket;
         bucket.has_token(rate_share.bucket_per_s, clock::now_ms())
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -85,7 +85,7 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Returns the current set of servers.
+    /// Returns the current registry of servers. Later updates do not change the returned copy.
     pub fn registry(&self) -> Arc<Registry> {
         self.registry.load_full()
     }
@@ -95,7 +95,7 @@
         self.are_servers_known.load(Ordering::Relaxed)
     }
 
-    /// Returns the evacuated zones.
+    /// Returns the evacuated zones with the version of the operators' table that they belong to.
     pub fn evacuations(&self) -> Evacuations {
         self.evacuations_lock().clone()
     }
@@ -235,7 +235,7 @@
         self.store_lost.subscribe()
     }
 
-    /// Completes as soon as the store is not known to be unavailable.
+    /// Waits while the store is known to be unavailable.
     pub async fn wait_for_store(&self) {
         let mut lost = self.store_lost();
         if lost.wait_for(|lost| !lost).await.is_err() {
@@ -270,7 +270,7 @@
         Some(away_ms)
     }
 
-    /// Returns the time of the store's last response.
+    /// Returns the time of the store's last response to this host or the duty holder.
     pub fn store_answered_ms(&self) -> u64 {
         self.store_answered_ms.load(Ordering::Relaxed)
     }
--- a/src/entry/workspaces.rs
+++ b/src/entry/workspaces.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct WorkspaceKey(usize);
 
-/// Settings of a workspace.
+/// Settings of a workspace, from the operators' configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workspace {
     /// Name by which operators and servers know it.
@@ -67,7 +67,7 @@
     }
 }
 
-/// Workspaces of a configuration.
+/// Workspaces of one configuration, found by API key or tag.
 #[derive(Clone, Debug, Default)]
 pub struct Workspaces {
     workspaces: Vec<Workspace>,
@@ -94,13 +94,13 @@
         &self.workspaces[key.0]
     }
 
-    /// Returns a workspace by its tag.
+    /// Returns a workspace by its tag; `None` if the configuration has no such workspace.
     pub fn by_tag(&self, tag: u32) -> Option<&Workspace> {
         let key = self.by_tag.get(&tag)?;
         Some(self.get(*key))
     }
 
-    /// Returns all workspaces.
+    /// Iterates over the workspaces in the order of their indices.
     pub fn iter(&self) -> impl Iterator<Item = &Workspace> {
         self.workspaces.iter()
     }
