--- a/src/entry/bounds.rs
+++ b/src/entry/bounds.rs
@@ -76,8 +76,8 @@
     3_000
 }
 
-/// Deserialises a duration such as `2s` to `Some` milliseconds; a missing setting is `None` by its
-/// default.
+/// Deserialises a duration such as `2s` to `Some` milliseconds. It is not called for a missing
+/// setting, whose default is `None`.
 fn optional_duration<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<u64>, D::Error> {
     duration(deserializer).map(Some)
 }
--- a/src/entry/join/seed_hosts.rs
+++ b/src/entry/join/seed_hosts.rs
@@ -21,7 +21,8 @@
 /// faster than a query to another host that may be starting too.
 const READ_SERVERS_MAX: usize = 1_000;
 
-/// Stored list of the seed hosts.
+/// Row in which the duty holder stores the seed hosts; starting hosts read it together with the
+/// secret.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct SeedHosts {
     /// Seed hosts of all zones.
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -32,7 +32,7 @@
         before.into_iter().chain(after).collect()
     }
 
-    /// Range of all keys.
+    /// Range of all 65,536 keys.
     pub const ALL: Self = Self {
         first: 0,
         last: u16::MAX,
@@ -80,7 +80,7 @@
 pub struct KeyPartition(u8);
 
 impl KeyPartition {
-    /// Returns the partition with a number; `None` if there is none.
+    /// Returns the partition with a number; `None` above the number of the last key's partition.
     pub fn new(number: u8) -> Option<Self> {
         (u16::from(number) <= u16::MAX / PARTITION_KEYS).then_some(Self(number))
     }
@@ -117,7 +117,7 @@
     /// A holding refers to a server that is missing from the record's list.
     #[snafu(display("server {index} is not listed"))]
     Server {
-        /// Index of the server in the list.
+        /// Index that the list of servers does not reach.
         index: u16,
     },
 }
@@ -209,7 +209,7 @@
         })
     }
 
-    /// Returns the holdings that belong to a partition.
+    /// Returns the holdings whose first key lies in a partition, with the fence of the whole.
     pub fn part(&self, part: KeyPartition) -> Self {
         let start = usize::from(part.0) * usize::from(PARTITION_KEYS);
         let end = start + usize::from(PARTITION_KEYS);
@@ -274,12 +274,12 @@
         self.holdings = kept;
     }
 
-    /// Returns the next unused fence, which is at least `least`.
+    /// Returns a fence above all that were used for the service, and not below `least`.
     pub fn next_fence(&self, least: u64) -> u64 {
         (self.fence + 1).max(least)
     }
 
-    /// Inserts a holding and removes its range from all others.
+    /// Inserts a holding in key order, and cuts its range out of the holdings that overlap it.
     pub fn put(&mut self, holding: Holding) {
         self.fence = self.fence.max(holding.fence);
         self.clear(holding.range);
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -24,7 +24,7 @@
 pub struct Service {
     /// Name by which routes and servers' entries refer to the service.
     pub name: Arc<str>,
-    /// Path of the servers' health endpoint.
+    /// HTTP path at which hosts probe whether a server of the service is alive.
     pub health_path: String,
     /// Number of connections that one server accepts from all hosts together.
     pub connections_max: u32,
@@ -104,7 +104,7 @@
 }
 
 impl Configuration {
-    /// Creates a configuration without routes.
+    /// Creates a configuration without routes, in which callers need no API key.
     pub fn new(version: u64, limits: CallerLimits, services: Vec<Service>) -> Self {
         let services = services.into_iter().map(|s| (s.name.clone(), s)).collect();
         Self {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Adds a route for requests whose `Host` header names `host`.
+    /// Adds a route for requests whose `Host` header names `host`, in upper or lower case.
     pub fn add_route(&mut self, host: &str, route: Route) {
         for part in route.parts.iter().filter(|part| part.weight > 0.0) {
             let lowest = self
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -37,7 +37,7 @@
 /// are ignored.
 pub const VERSION: u8 = 17;
 
-/// Load that one host puts on one server.
+/// Number of requests that one host has in flight at one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLoad {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
@@ -91,7 +91,7 @@
 pub struct AdvertisedRate {
     /// Requests a second; `None` if the server has lifted the limit.
     pub limit_per_s: Option<f64>,
-    /// Time since the server advertised the limit.
+    /// Age of the server's response that stated the limit, when the message is sent.
     pub age_ms: u32,
 }
 
@@ -121,7 +121,7 @@
 pub struct WorkspaceAdmitted {
     /// Tag of the workspace: a hash of its name, since its index differs between configurations.
     pub workspace_tag: u32,
-    /// Share that a host applies until it receives a later announcement.
+    /// Share that hosts apply until a later announcement replaces it or announcements cease.
     pub admitted: AdmittedShare,
 }
 
@@ -252,7 +252,7 @@
     /// Hashes of servers that announced their leaving to any host; sent by the duty holder to all
     /// hosts.
     AnnounceLeaving(Vec<u32>),
-    /// Usage of workspaces at the sender. For the duty holder.
+    /// Numbers of requests by workspace at the sender. For the duty holder, which adds them up.
     ReportUsage(Vec<WorkspaceUse>),
     /// Shares of the workspaces' requests that hosts may admit; sent by the duty holder.
     AdmittedShare(Vec<WorkspaceAdmitted>),
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -140,7 +140,7 @@
 }
 
 impl Peers {
-    /// Adds a host, or updates its properties.
+    /// Adds a host; if it is known, replaces its properties and keeps its reports.
     pub fn add(&self, address: SocketAddr, facts: HostProperties) {
         let mut peers = self.peers();
         let peer = peers.entry(address).or_insert_with(|| Peer {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Returns the other hosts, for a host that starts.
+    /// Returns the other hosts that this host knows, for the snapshot of a host that starts.
     pub fn known_hosts(&self) -> Vec<SnapshotHost> {
         let peers = self.peers();
         let hosts = peers.iter().map(|(address, peer)| SnapshotHost {
@@ -218,7 +218,7 @@
         relays.choose(&mut rand::rng()).copied()
     }
 
-    /// Returns true if a host at this address is known.
+    /// Returns true if another host at this address is known, from its row or its own messages.
     pub fn knows(&self, address: SocketAddr) -> bool {
         self.peers().contains_key(&address)
     }
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -26,7 +26,7 @@
 /// Maximum number of moves or grants in one datagram, of up to 40 bytes each.
 const ANNOUNCEMENTS_MAX: usize = 30;
 
-/// Announcement of one move or grant.
+/// Move or grant that is to be announced to all hosts.
 #[derive(Clone, Debug)]
 enum Announcement {
     Moving(MoveAnnouncement),
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -26,11 +26,11 @@
 /// Upper bound of the interval at which reports are applied.
 const APPLY_EVERY_MAX_MS: u64 = 150;
 
-/// State of the periodic load reports.
+/// State of the periodic load reports: the loads that were sent last, and the number of rounds.
 #[derive(Debug, Default)]
 struct Reporter {
     round: u64,
-    /// Time of the last report.
+    /// Time of the last round, in which the report may have been skipped as unchanged.
     at_ms: u64,
     last: Vec<ServerLoad>,
 }
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Returns the description of this host for messages.
+    /// Returns the zone and processor share of this host, for hosts that have not read its row yet.
     pub(in crate::entry) fn as_sender(&self) -> Sender {
         Sender {
             zone_tag: tag_of(&self.settings.availability_zone),
--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -18,7 +18,7 @@
 const LOADS_RESEND_MS: u64 = 500;
 /// Time after which the unchanged summary of an idle server, with its run time, is sent again.
 const RUN_TIMES_RESEND_MS: u64 = 5_000;
-/// Relative change of a run time that is sent at once.
+/// Relative change of a run time above which a summary is sent at once.
 const RUN_CHANGE: f64 = 0.25;
 
 /// Latest sums received from the other zones.
@@ -34,7 +34,7 @@
 }
 
 impl ZoneLoads {
-    /// Records sums of a zone.
+    /// Records the sums that the aggregator of a zone has sent; servers that they lack keep theirs.
     pub fn note(&mut self, zone_tag: u32, summaries: Vec<ServerSummary>, now_ms: u64) {
         let zone = self.zones.entry(zone_tag).or_default();
         zone.retain(|_, heard| now_ms < heard.at_ms + RUN_TIMES_KEPT_MS);
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -114,7 +114,7 @@
         self.by_id.values()
     }
 
-    /// Returns a server whose entry is gone, by its incarnation.
+    /// Returns a server whose entry is gone, by its incarnation id; `None` if it is not remembered.
     pub fn former(&self, id: &str) -> Option<&FormerServer> {
         self.former.iter().rfind(|former| *former.id == *id)
     }
@@ -226,7 +226,8 @@
         }
     }
 
-    /// Returns true if the grace period of a missing entry is over.
+    /// Returns true if the grace period of a missing entry is over, so that its server must be
+    /// removed.
     pub fn has_overdue(&self) -> bool {
         let now_ms = clock::now_ms();
         self.missing.values().any(|until_ms| *until_ms <= now_ms)
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -84,7 +84,8 @@
     }
 }
 
-/// Returns the tag of a server or service in messages between hosts: a hash of its name in 4 bytes.
+/// Returns the tag of a name in messages between hosts: a hash in 4 bytes. Servers are tagged by
+/// their incarnation id, zones and services by their name.
 pub fn tag_of(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
@@ -123,7 +124,7 @@
         server
     }
 
-    /// Returns the entry with all changes since it was first read.
+    /// Returns the entry with the current leaving state and the remaining cold time.
     pub fn current_entry(&self) -> ServerEntry {
         ServerEntry {
             leaving: self.leaving(),
@@ -148,7 +149,7 @@
         same(known) == same(entry)
     }
 
-    /// Applies a later entry of this incarnation.
+    /// Applies the leaving state and the cold time of a later entry of this incarnation.
     pub fn renew(&self, entry: &ServerEntry) {
         if self.leaving() != entry.leaving {
             self.set_leaving(entry.leaving);
@@ -410,7 +411,7 @@
         self.attempt_stats().failed(clock::now_ms());
     }
 
-    /// Records a connection attempt that failed.
+    /// Records a failed connection attempt in the statistics of attempts.
     pub fn not_connected(&self) {
         self.attempt_stats().not_connected(clock::now_ms());
     }
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -164,7 +164,8 @@
         self.applied[followed.index()].load(Ordering::Relaxed)
     }
 
-    /// Records the version of a change that was seen.
+    /// Records the version of a change that this host has seen; an earlier one than known is
+    /// ignored.
     pub fn note_change(&self, followed: FollowedTable, version: u64) {
         self.changed[followed.index()].fetch_max(version, Ordering::Relaxed);
     }
@@ -174,7 +175,7 @@
         self.changed[followed.index()].load(Ordering::Relaxed)
     }
 
-    /// Returns the versions up to which this host has a table.
+    /// Returns this host's progress in following a table; a version is 0 until it is known.
     pub fn known(&self, followed: FollowedTable) -> TableVersions {
         TableVersions {
             up_to: self.applied(followed),
--- a/src/entry/updates/query.rs
+++ b/src/entry/updates/query.rs
@@ -12,7 +12,7 @@
     at_ms: u64,
 }
 
-/// Latest unanswered query of one kind.
+/// Latest query of one kind, until its response arrives. A new query replaces it.
 #[derive(Debug, Default)]
 pub struct PendingQuery {
     pending: Mutex<Option<SentQuery>>,
--- a/src/entry/updates/server_changes.rs
+++ b/src/entry/updates/server_changes.rs
@@ -9,7 +9,7 @@
 /// Maximum number of changes in one datagram; a change takes about 60 bytes.
 const CHANGES_MAX: usize = 24;
 
-/// New state of a server's entry.
+/// State of a server's entry after a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ServerUpdate {
     /// The entry was added or renewed, with this content.
@@ -20,7 +20,7 @@
     Unreadable(Arc<str>),
 }
 
-/// One change of a server's entry.
+/// One change of a server's entry, with its place in the order of changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerChange {
     /// Version that the row has in the store after the change.
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -55,7 +55,7 @@
     cold_ms: u64,
 }
 
-/// Host known to the sender of a snapshot.
+/// Host in a snapshot, with the properties that the sender of the snapshot knows.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotHost {
     /// Address at which the host receives messages of other hosts.
@@ -86,7 +86,7 @@
     pub changed: u64,
 }
 
-/// A host's view of servers, holdings and hosts.
+/// A host's view of servers, holdings and hosts. Without servers, their versions are 0.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Versions of the table of servers' entries.
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Returns the rows of holdings by service.
+    /// Returns the rows of holdings by service. Rows that cannot be decoded are skipped with a
+    /// warning.
     pub fn holdings(&self) -> HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>> {
         let mut rows: HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>> = HashMap::new();
         for known in &self.holdings {
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -142,7 +142,7 @@
         self.owners.held(service)
     }
 
-    /// Returns the holdings of all services.
+    /// Returns the holdings of all services whose rows are known, with the names of the services.
     pub fn all_held(&self) -> Vec<(Arc<str>, ServiceHoldings)> {
         self.owners.all_held()
     }
@@ -192,7 +192,8 @@
         self.read_requests[followed.index()].notify_one();
     }
 
-    /// Completes when a reading of the table is requested.
+    /// Waits for the next call of [`Self::request_read`] for the table. A request made before the
+    /// wait counts.
     pub async fn wait_for_read_request(&self, followed: FollowedTable) {
         self.read_requests[followed.index()].notified().await;
     }
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Completes when the store has become unavailable and answers again.
+    /// Waits for the end of an outage of the store; if there is none now, for that of the next one.
     pub async fn wait_for_outage_end(&self) {
         let mut lost = self.store_lost();
         if lost.wait_for(|lost| *lost).await.is_err() {
@@ -270,7 +271,8 @@
         Some(away_ms)
     }
 
-    /// Returns the time of the store's last response to this host or the duty holder.
+    /// Returns the time of the latest response of the store that is known to this host, whether the
+    /// store gave it to this host or to one that reported it.
     pub fn store_answered_ms(&self) -> u64 {
         self.store_answered_ms.load(Ordering::Relaxed)
     }
--- a/src/entry/workspaces.rs
+++ b/src/entry/workspaces.rs
@@ -76,7 +76,7 @@
 }
 
 impl Workspaces {
-    /// Adds a workspace with the API keys of its callers.
+    /// Adds a workspace with the API keys of its callers, under the next free index.
     pub fn add(&mut self, workspace: Workspace, api_keys: impl Iterator<Item = ApiKeyDigest>) {
         let key = WorkspaceKey(self.workspaces.len());
         self.by_tag.insert(workspace.tag, key);
@@ -84,7 +84,7 @@
         self.api_keys.extend(api_keys.map(|api_key| (api_key, key)));
     }
 
-    /// Returns the workspace that an API key belongs to.
+    /// Returns the workspace that an API key belongs to; `None` for an unknown key.
     pub fn by_api_key(&self, api_key: &str) -> Option<WorkspaceKey> {
         self.api_keys.get(&ApiKeyDigest::of(api_key)).copied()
     }
