--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -26,7 +26,7 @@
     },
     /// The process is about to exit.
     Stopped {
-        /// Requests that are aborted by the exit.
+        /// Requests in flight that are aborted by the exit; 0 if all were answered.
         in_flight: u64,
     },
     /// The settings were read again after SIGHUP.
@@ -165,7 +165,7 @@
     /// A request was quarantined because several servers crashed while running it; no server gets
     /// it any more.
     Quarantined {
-        /// Digest of the request.
+        /// Digest of the request, in hexadecimal digits.
         digest: String,
         /// Origin of the information: this host's own attempts, or another host.
         source: &'static str,
@@ -186,7 +186,7 @@
     DutyLost {
         /// Number of the term that ended.
         term: u64,
-        /// Reason for the loss.
+        /// Reason for which this host lost the duty or gave it up.
         reason: &'static str,
     },
     /// A key range moved to another server.
@@ -201,7 +201,7 @@
         to: Arc<str>,
         /// Fencing token of the new holding.
         fence: u64,
-        /// Reason for the move.
+        /// Reason for which the planner moved the keys.
         cause: &'static str,
         /// True if the new owner takes over the previous owner's state, so that it starts warm.
         handover: bool,
--- a/src/entry/log_writer.rs
+++ b/src/entry/log_writer.rs
@@ -77,7 +77,7 @@
         level: &'static str,
         /// Module that logged the record.
         target: String,
-        /// Message of the record.
+        /// Text of the record, with its arguments filled in.
         text: String,
     },
     /// Lines were dropped because too many were logged or standard output was not read fast enough.
@@ -94,7 +94,7 @@
     event: &'a E,
 }
 
-/// Queues one event as a JSON line. A line that does not fit into the queue is dropped and counted.
+/// Queues one event as a JSON line. The line is dropped and counted if too many wait already.
 pub fn write(event: &impl Serialize) {
     WRITER.write(event);
 }
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -27,7 +27,7 @@
 pub struct RequestLabels {
     /// Service that the request was sent to; empty if it was sent to none.
     pub service: String,
-    /// Outcome of the request, recorded when the request ends.
+    /// Outcome with which the request ended, such as `answered` or `failed`.
     pub outcome: &'static str,
 }
 
@@ -43,7 +43,7 @@
 /// Labels of the counter of calls to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StoreCallLabels {
-    /// Kind of call.
+    /// Kind of call: `read`, `feed` or `transaction`.
     pub call: &'static str,
     /// Table that was read or written.
     pub table: String,
@@ -60,7 +60,7 @@
     orders: Family<OrderLabels, Counter>,
     moves: Counter,
     store_calls: Family<StoreCallLabels, Counter>,
-    /// Callers' requests in flight in this host.
+    /// Callers' requests that this host has accepted and not answered yet.
     pub in_flight: Gauge,
     /// Time since the store's last response, in seconds.
     pub store_age_s: Gauge<f64, AtomicU64>,
@@ -72,9 +72,9 @@
     pub evacuated_zones: Gauge,
     /// Number of requests that no server gets because several servers crashed while running them.
     pub quarantined_requests: Gauge,
-    /// Number of servers that are warming up.
+    /// Number of servers whose cold time has not ended, for which rate limits may apply.
     pub cold_servers: Gauge,
-    /// Log lines that were dropped since the start.
+    /// Log lines that were dropped since the start because too many waited to be written.
     pub log_lines_dropped: Gauge,
 }
 
@@ -170,7 +170,7 @@
         self.servers_ended.inc();
     }
 
-    /// Counts an order to a server.
+    /// Counts an order to a server when its outcome is known.
     pub fn order(&self, order: &'static str, outcome: &'static str) {
         self.orders
             .get_or_create(&OrderLabels { order, outcome })
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -129,7 +129,8 @@
         self.idle().push(connection);
     }
 
-    /// Returns true if the server has kept an idle connection open.
+    /// Returns true if an idle connection is still open, so that the server's process probably
+    /// lives.
     pub fn has_open(&self) -> bool {
         self.idle().iter().any(|c| !c.sender.is_closed())
     }
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -29,7 +29,7 @@
 /// Number of intervals after which an announcement includes workspaces below their quota too.
 const FULL_ANNOUNCEMENT_EVERY: u64 = 6;
 
-/// Returns the interval of reports and announcements among this number of hosts.
+/// Returns the interval of reports and announcements, which grows with the number of hosts.
 fn report_interval_ms(hosts: usize) -> u64 {
     REPORT_INTERVAL_MS.max(REPORT_INTERVAL_MS_PER_HOST * hosts as u64)
 }
@@ -52,8 +52,8 @@
 }
 
 impl Quotas {
-    /// Returns true if the quota of the workspace, which this number of hosts share, admits a
-    /// request.
+    /// Returns true if the quota of the workspace admits a request. The quota is shared by `hosts`
+    /// hosts.
     pub fn admits(&self, workspace: &Workspace, hosts: usize) -> bool {
         let Some(quota) = workspace.quota else {
             return true;
@@ -181,7 +181,7 @@
 
 impl Entry {
     /// Reports the usage of workspaces to the duty holder; as the duty holder, announces to all
-    /// hosts what they may admit.
+    /// hosts the shares that they may admit.
     pub(in crate::entry) async fn exchange_quota_usage(self: Arc<Self>) {
         let mut round: u64 = 0;
         loop {
@@ -219,8 +219,8 @@
         }
     }
 
-    /// Announces to all hosts what they may admit. An announcement without workspaces shows that
-    /// the duty holder is alive.
+    /// Announces to all hosts the shares that they may admit. An announcement without workspaces
+    /// shows that the duty holder is alive.
     fn announce_quotas(&self, announced: &[WorkspaceAdmitted]) {
         self.quotas.note_announced(announced);
         if announced.is_empty() {
--- a/src/entry/register.rs
+++ b/src/entry/register.rs
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Returns once it is known that a previous process has run on this host, else never.
+    /// Waits until it is known that a previous process has run on this host; never completes if
+    /// none has.
     async fn wait_for_former_process(&self) {
         if !self.view.hosts_known().await || !self.view.had_former_process() {
             std::future::pending().await
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -387,7 +387,7 @@
         self.paces().known.note(pace, at_ms);
     }
 
-    /// Records the pace that the server reported to this host.
+    /// Records the pace (slowdown factor) that the server reported to this host.
     pub fn note_own_pace(&self, pace: f64) {
         let now_ms = clock::now_ms();
         let mut paces = self.paces();
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -32,10 +32,10 @@
     /// take on more work for other hosts.
     #[serde(default = "default_processor_share")]
     pub processor_share: f32,
-    /// Memory that the host has, in megabytes.
+    /// Memory that the host has, in megabytes of a million bytes.
     #[serde(default = "default_memory_mb")]
     pub memory_mb: u64,
-    /// Addresses that the host listens on.
+    /// Addresses that the host listens on, each for another kind of client.
     pub listen: Listen,
     /// Address of the platform's store, and the heartbeat interval of the servers' entries there.
     pub store: StoreSettings,
@@ -52,7 +52,7 @@
     pub log_level: LevelFilter,
 }
 
-/// Addresses that a host listens on.
+/// Addresses that a host listens on, each for another kind of client.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
@@ -120,7 +120,7 @@
         Ok(settings)
     }
 
-    /// Returns the host's memory in bytes.
+    /// Returns the host's memory in bytes, at a million bytes per megabyte.
     pub fn memory_bytes(&self) -> u64 {
         self.memory_mb * 1_000_000
     }
@@ -182,7 +182,8 @@
     }
 }
 
-/// Memory of the smallest host in the known deployments.
+/// Returns the memory of a host whose settings state none: that of the smallest known host, in
+/// megabytes.
 fn default_memory_mb() -> u64 {
     120
 }
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -99,8 +99,8 @@
         self.share().demand.note_sum(sum, now_ms);
     }
 
-    /// Returns this host's share of the limit for a request, with this number of hosts; `None` if
-    /// the server is unlimited.
+    /// Returns this host's share of the limit for a request, if `hosts` hosts share the limit;
+    /// `None` if the server is unlimited.
     pub fn rate_share(&self, hosts: usize, is_urgent: bool) -> Option<RateShare> {
         let now_ms = clock::now_ms();
         let shared_per_s = self.notices().rate_limit.shared_per_s(now_ms)?;
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -355,7 +355,7 @@
     time::sleep(Duration::from_millis(left_ms)).await;
 }
 
-/// Waits for the retry pause, with a random part so that hosts do not retry in step.
+/// Waits for the retry pause, with a random part so that hosts do not all retry at the same moment.
 pub(super) async fn pause() {
     pause_for(RETRY_PAUSE_MS).await;
 }
