--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -8,14 +8,15 @@
 /// Range of keys from `first` to `last`, both included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyRange {
-    /// First key of the range.
+    /// First key of the range, not greater than `last`.
     pub first: u16,
     /// Last key of the range, which is included.
     pub last: u16,
 }
 
 impl KeyRange {
-    /// Returns the range without a key: up to two ranges.
+    /// Returns what remains of the range without `key`: the range itself if it does not contain the
+    /// key, else up to two ranges.
     pub fn without(&self, key: u16) -> Vec<Self> {
         if !self.contains(key) {
             return vec![*self];
@@ -31,13 +32,13 @@
         before.into_iter().chain(after).collect()
     }
 
-    /// Range of all keys.
+    /// Range of all 65,536 keys.
     pub const ALL: Self = Self {
         first: 0,
         last: u16::MAX,
     };
 
-    /// Returns the number of keys in the range.
+    /// Returns the number of keys in the range, which may be 65,536 and then exceeds a `u16`.
     pub fn len(&self) -> u32 {
         u32::from(self.last) - u32::from(self.first) + 1
     }
@@ -52,7 +53,7 @@
         false
     }
 
-    /// Returns true if the key is in the range.
+    /// Returns true if the key lies in the range, both ends included.
     pub fn contains(&self, key: u16) -> bool {
         (self.first..=self.last).contains(&key)
     }
@@ -79,7 +80,7 @@
 pub struct KeyPartition(u8);
 
 impl KeyPartition {
-    /// Returns the partition with a number; `None` if there is none.
+    /// Returns the partition with a number; `None` above the number of the last key's partition.
     pub fn new(number: u8) -> Option<Self> {
         (u16::from(number) <= u16::MAX / PARTITION_KEYS).then_some(Self(number))
     }
@@ -116,7 +117,7 @@
     /// A holding refers to a server that is missing from the record's list.
     #[snafu(display("server {index} is not listed"))]
     Server {
-        /// Index of the server in the list.
+        /// Index that the list of servers does not reach.
         index: u16,
     },
 }
@@ -135,7 +136,7 @@
 /// each change of owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
-    /// Range of keys.
+    /// Keys that are held. No other holding of the service contains any of them.
     pub range: KeyRange,
     /// Incarnation id of the server: each start has another one, even under the same name.
     pub server: Arc<str>,
@@ -184,7 +185,7 @@
         Ok(bytes)
     }
 
-    /// Decodes a record of holdings.
+    /// Decodes a record that [`Self::encode`] made. Fails for other encoding versions.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let found = bytes.first().copied();
         ensure!(found == Some(ENCODING), EncodingSnafu { found });
@@ -208,7 +209,7 @@
         })
     }
 
-    /// Returns the holdings that belong to a partition.
+    /// Returns the holdings whose first key lies in a partition, with the fence of the whole.
     pub fn part(&self, part: KeyPartition) -> Self {
         let start = usize::from(part.0) * usize::from(PARTITION_KEYS);
         let end = start + usize::from(PARTITION_KEYS);
@@ -244,7 +245,7 @@
         whole
     }
 
-    /// Returns the holding that contains a key.
+    /// Returns the holding that contains a key; `None` if no server holds the key.
     pub fn holding(&self, key: u16) -> Option<&Holding> {
         let position = self.holdings.partition_point(|h| h.range.last < key);
         let holding = self.holdings.get(position)?;
@@ -273,12 +274,12 @@
         self.holdings = kept;
     }
 
-    /// Returns the next unused fence, which is at least `least`.
+    /// Returns a fence above all that were used for the service, and not below `least`.
     pub fn next_fence(&self, least: u64) -> u64 {
         (self.fence + 1).max(least)
     }
 
-    /// Inserts a holding and removes its range from all others.
+    /// Inserts a holding in key order, and cuts its range out of the holdings that overlap it.
     pub fn put(&mut self, holding: Holding) {
         self.fence = self.fence.max(holding.fence);
         self.clear(holding.range);
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -139,7 +139,8 @@
 /// deployment, so that a starting host claims too small a share of a server's limit rather than too
 /// large a one.
 const ASSUMED_HOSTS: usize = 10_000;
-/// One in this many answered requests is logged; the others are only counted.
+/// Sampling interval of the log: one in 100 answered requests is logged; the others are only
+/// counted.
 const RESPONSE_SAMPLE: u64 = 100;
 
 impl Entry {
@@ -201,7 +202,7 @@
 
     /// Returns true if the load balancer should send callers to this host.
     pub fn ready(&self) -> bool {
-        !self.stopping() && self.view.configuration().is_some() && self.view.servers_versions()
+        !self.stopping() && self.view.configuration().is_some() && self.view.are_servers_known()
     }
 
     /// Returns true once a planned stop has begun.
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -68,12 +68,12 @@
 }
 
 impl Registry {
-    /// Returns a server by its incarnation.
+    /// Returns the server with an incarnation id; `None` if no entry of it is known.
     pub fn server(&self, id: &str) -> Option<&Arc<Server>> {
         self.by_id.get(id)
     }
 
-    /// Returns the servers of a service.
+    /// Returns all servers of a service, also those that take no new work; empty if there are none.
     pub fn of_service(&self, service: &str) -> &[Arc<Server>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
@@ -109,12 +109,12 @@
         admission::typical_run_ms(servers.map(|server| server.run_ms()))
     }
 
-    /// Returns all servers.
+    /// Iterates over the servers of all services, in no particular order.
     pub fn servers(&self) -> impl Iterator<Item = &Arc<Server>> {
         self.by_id.values()
     }
 
-    /// Returns a server whose entry is gone, by its incarnation.
+    /// Returns a server whose entry is gone, by its incarnation id; `None` if it is not remembered.
     pub fn former(&self, id: &str) -> Option<&FormerServer> {
         self.former.iter().rfind(|former| *former.id == *id)
     }
@@ -226,7 +226,8 @@
         }
     }
 
-    /// Returns true if the grace period of a missing entry is over.
+    /// Returns true if the grace period of a missing entry is over, so that its server must be
+    /// removed.
     pub fn has_overdue(&self) -> bool {
         let now_ms = clock::now_ms();
         self.missing.values().any(|until_ms| *until_ms <= now_ms)
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -84,7 +84,8 @@
     }
 }
 
-/// Returns the tag of a server or service in messages between hosts: a hash of its name in 4 bytes.
+/// Returns the tag of a name in messages between hosts: a hash in 4 bytes. Servers are tagged by
+/// their incarnation id, zones and services by their name.
 pub fn tag_of(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
@@ -123,7 +124,7 @@
         server
     }
 
-    /// Returns the entry with its current values.
+    /// Returns the entry with the current leaving state and the remaining cold time.
     pub fn current_entry(&self) -> ServerEntry {
         ServerEntry {
             leaving: self.leaving(),
@@ -148,7 +149,7 @@
         same(known) == same(entry)
     }
 
-    /// Applies a later entry of this incarnation.
+    /// Applies the leaving state and the cold time of a later entry of this incarnation.
     pub fn renew(&self, entry: &ServerEntry) {
         if self.leaving() != entry.leaving {
             self.set_leaving(entry.leaving);
@@ -239,13 +240,14 @@
         self.leaving.store(leaving, Ordering::Relaxed);
     }
 
-    /// Records the notice of a response: that the server leaves, or wants no requests for a while.
+    /// Records the notice in a response: that the server leaves, or asks for a rest, which is a
+    /// time without requests.
     pub fn note_notice(&self, notice: Notice) -> NoticeEffect {
         self.notices().note(notice, clock::now_ms())
     }
 
     /// Records that the server announced its leaving to another host. Returns true if this host did
-    /// not know.
+    /// not know that the server leaves.
     pub fn note_leaving_elsewhere(&self) -> bool {
         self.notices().note_leaving_elsewhere(clock::now_ms())
     }
@@ -267,7 +269,8 @@
         self.notices.clone()
     }
 
-    /// Returns the time for which the server wants no requests of this host; 0 if it accepts them.
+    /// Returns the remaining rest, in which this host must send the server no requests; 0 if there
+    /// is none.
     pub fn rest_ms(&self) -> u64 {
         self.notices().rest_ms(clock::now_ms())
     }
@@ -383,7 +386,7 @@
         self.paces().known.note(pace, at_ms);
     }
 
-    /// Records the pace that the server reported to this host.
+    /// Records the pace (slowdown factor) that the server reported to this host.
     pub fn note_own_pace(&self, pace: f64) {
         let now_ms = clock::now_ms();
         let mut paces = self.paces();
@@ -407,7 +410,7 @@
         self.attempt_stats().failed(clock::now_ms());
     }
 
-    /// Records a connection attempt that failed.
+    /// Records a failed connection attempt in the statistics of attempts.
     pub fn not_connected(&self) {
         self.attempt_stats().not_connected(clock::now_ms());
     }
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -99,8 +99,8 @@
         self.share().demand.note_sum(sum, now_ms);
     }
 
-    /// Returns this host's share of the limit for a request, with this number of hosts; `None` if
-    /// the server is unlimited.
+    /// Returns this host's share of the limit for a request, if `hosts` hosts share the limit;
+    /// `None` if the server is unlimited.
     pub fn rate_share(&self, hosts: usize, is_urgent: bool) -> Option<RateShare> {
         let now_ms = clock::now_ms();
         let shared_per_s = self.notices().rate_limit.shared_per_s(now_ms)?;
@@ -112,7 +112,7 @@
         )
     }
 
-    /// Returns true if this host's share leaves a token for a request now.
+    /// Returns true if the token bucket of this host's share has a token for a request now.
     pub fn has_token(&self, rate_share: RateShare) -> bool {
         let bucket = &mut self.share().bucket;
         bucket.has_token(rate_share.bucket_per_s, clock::now_ms())
--- a/src/entry/updates/server_changes.rs
+++ b/src/entry/updates/server_changes.rs
@@ -9,10 +9,10 @@
 /// Maximum number of changes in one datagram; a change takes about 60 bytes.
 const CHANGES_MAX: usize = 24;
 
-/// New state of a server's entry.
+/// State of a server's entry after a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ServerUpdate {
-    /// The entry was written.
+    /// The entry was added or renewed, with this content.
     Entry(ServerEntry),
     /// The entry of this name was removed.
     Removed(Arc<str>),
@@ -20,12 +20,12 @@
     Unreadable(Arc<str>),
 }
 
-/// One change of a server's entry.
+/// One change of a server's entry, with its place in the order of changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerChange {
-    /// Version of the changed row.
+    /// Version that the row has in the store after the change.
     pub version: u64,
-    /// New state of the entry.
+    /// State of the entry after the change.
     pub update: ServerUpdate,
 }
 
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -36,7 +36,7 @@
 pub struct View {
     configuration: ArcSwapOption<Configuration>,
     registry: ArcSwap<Registry>,
-    servers_versions: AtomicBool,
+    are_servers_known: AtomicBool,
     evacuations: Mutex<Evacuations>,
     owners: Owners,
     changed: watch::Sender<u64>,
@@ -53,7 +53,7 @@
         Self {
             configuration: ArcSwapOption::empty(),
             registry: ArcSwap::default(),
-            servers_versions: AtomicBool::new(false),
+            are_servers_known: AtomicBool::new(false),
             evacuations: Mutex::default(),
             owners: Owners::default(),
             changed: watch::channel(0).0,
@@ -85,17 +85,17 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Returns the current set of servers.
+    /// Returns the current registry of servers. Later updates do not change the returned copy.
     pub fn registry(&self) -> Arc<Registry> {
         self.registry.load_full()
     }
 
     /// Returns true if the servers' entries have been read.
-    pub fn servers_versions(&self) -> bool {
-        self.servers_versions.load(Ordering::Relaxed)
+    pub fn are_servers_known(&self) -> bool {
+        self.are_servers_known.load(Ordering::Relaxed)
     }
 
-    /// Returns the evacuated zones.
+    /// Returns the evacuated zones with the version of the operators' table that they belong to.
     pub fn evacuations(&self) -> Evacuations {
         self.evacuations_lock().clone()
     }
@@ -134,7 +134,7 @@
 
     /// Records that the servers' entries have been read.
     pub fn set_servers_known(&self) {
-        self.servers_versions.store(true, Ordering::Relaxed);
+        self.are_servers_known.store(true, Ordering::Relaxed);
     }
 
     /// Returns the holdings of a service; `None` if they are not known.
@@ -142,7 +142,7 @@
         self.owners.held(service)
     }
 
-    /// Returns the holdings of all services.
+    /// Returns the holdings of all services whose rows are known, with the names of the services.
     pub fn all_held(&self) -> Vec<(Arc<str>, ServiceHoldings)> {
         self.owners.all_held()
     }
@@ -192,7 +192,8 @@
         self.read_requests[followed.index()].notify_one();
     }
 
-    /// Completes when a reading of the table is requested.
+    /// Waits for the next call of [`Self::request_read`] for the table. A request made before the
+    /// wait counts.
     pub async fn wait_for_read_request(&self, followed: FollowedTable) {
         self.read_requests[followed.index()].notified().await;
     }
@@ -235,7 +236,7 @@
         self.store_lost.subscribe()
     }
 
-    /// Completes as soon as the store is not known to be unavailable.
+    /// Waits while the store is known to be unavailable.
     pub async fn wait_for_store(&self) {
         let mut lost = self.store_lost();
         if lost.wait_for(|lost| !lost).await.is_err() {
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Completes when the store has become unavailable and answers again.
+    /// Waits for the end of an outage of the store; if there is none now, for that of the next one.
     pub async fn wait_for_outage_end(&self) {
         let mut lost = self.store_lost();
         if lost.wait_for(|lost| *lost).await.is_err() {
@@ -270,7 +271,8 @@
         Some(away_ms)
     }
 
-    /// Returns the time of the store's last response.
+    /// Returns the time of the latest response of the store that is known to this host, whether the
+    /// store gave it to this host or to one that reported it.
     pub fn store_answered_ms(&self) -> u64 {
         self.store_answered_ms.load(Ordering::Relaxed)
     }
--- a/src/entry/workspaces.rs
+++ b/src/entry/workspaces.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct WorkspaceKey(usize);
 
-/// Settings of a workspace.
+/// Settings of a workspace, from the operators' configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workspace {
     /// Name by which operators and servers know it.
@@ -67,7 +67,7 @@
     }
 }
 
-/// Workspaces of a configuration.
+/// Workspaces of one configuration, found by API key or tag.
 #[derive(Clone, Debug, Default)]
 pub struct Workspaces {
     workspaces: Vec<Workspace>,
@@ -76,7 +76,7 @@
 }
 
 impl Workspaces {
-    /// Adds a workspace with the API keys of its callers.
+    /// Adds a workspace with the API keys of its callers, under the next free index.
     pub fn add(&mut self, workspace: Workspace, api_keys: impl Iterator<Item = ApiKeyDigest>) {
         let key = WorkspaceKey(self.workspaces.len());
         self.by_tag.insert(workspace.tag, key);
@@ -84,7 +84,7 @@
         self.api_keys.extend(api_keys.map(|api_key| (api_key, key)));
     }
 
-    /// Returns the workspace that an API key belongs to.
+    /// Returns the workspace that an API key belongs to; `None` for an unknown key.
     pub fn by_api_key(&self, api_key: &str) -> Option<WorkspaceKey> {
         self.api_keys.get(&ApiKeyDigest::of(api_key)).copied()
     }
@@ -94,13 +94,13 @@
         &self.workspaces[key.0]
     }
 
-    /// Returns a workspace by its tag.
+    /// Returns a workspace by its tag; `None` if the configuration has no such workspace.
     pub fn by_tag(&self, tag: u32) -> Option<&Workspace> {
         let key = self.by_tag.get(&tag)?;
         Some(self.get(*key))
     }
 
-    /// Returns all workspaces.
+    /// Iterates over the workspaces in the order of their indices.
     pub fn iter(&self) -> impl Iterator<Item = &Workspace> {
         self.workspaces.iter()
     }
