--- a/src/entry/decide/key_loads.rs
+++ b/src/entry/decide/key_loads.rs
@@ -63,8 +63,8 @@
         for holding in holdings {
             let (slow, fast) = (self.slow.of(holding.range), self.fast.of(holding.range));
             // Standard deviation of the long-term load, in requests per second.
-            let relative_deviation = (slow.max(1.0 / window_s) / window_s).sqrt();
-            if fast > slow + Self::SURGE_DEVIATIONS * relative_deviation {
+            let deviation = (slow.max(1.0 / window_s) / window_s).sqrt();
+            if fast > slow + Self::SURGE_DEVIATIONS * deviation {
                 let keys = holding.range.indices();
                 loads.per_s[keys.clone()].copy_from_slice(&self.fast.per_s[keys]);
             }
