--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -312,12 +312,11 @@
     /// holder is heard: the store state is not confirmed, or the query cannot be sent.
     fn query_key_owner(&self, entry: &Entry) {
         let Some(key) = self.key else { return };
-        let inputs = Message::QueryKeyOwner {
+        let query = Message::QueryKeyOwner {
             service_tag: tag_of(&self.service),
             key,
         };
-        let asked =
-            entry.freshness.is_store_confirmed() && entry.peers.send_to_duty_holder(&inputs);
+        let asked = entry.freshness.is_store_confirmed() && entry.peers.send_to_duty_holder(&query);
         if !asked {
             entry.view.request_read(FollowedTable::Own);
         }
