--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -280,8 +280,8 @@
     /// Returns the number of hosts that are voters.
     pub(crate) fn voter_count(&self) -> usize {
         let state = self.hosts[0].host.view.state();
-        let is_voter = state.registered_hosts().filter(|(_, host)| host.is_voter());
-        is_voter.count()
+        let voters = state.registered_hosts().filter(|(_, host)| host.is_voter());
+        voters.count()
     }
 
     /// Returns the number of calls by type that the platform has received.
