--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -224,7 +224,7 @@
     /// Ends a claim at this host and at the others.
     fn release_claim(&self, claimed: ClaimSubject) {
         self.note_trial_end(claimed);
-        self.peers.send_to_all(Message::TrialPassed(claimed));
+        self.peers.send_to_all(Message::TrialEnded(claimed));
     }
 
     /// Records another host's claim.
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -237,7 +237,7 @@
     /// Announces that the sender starts a trial of a suspect request.
     TrialStarted(ClaimSubject),
     /// Announces that the server survived the trial.
-    TrialPassed(ClaimSubject),
+    TrialEnded(ClaimSubject),
     /// Servers that asked the sender for a rest. For the duty holder.
     ReportRests(Vec<ServerRest>),
     /// Rate limits of servers with the demand of the sender's callers. For the duty holder.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -164,7 +164,7 @@
                 self.clear_suspect(digest, sent_ms);
             }
             Message::TrialStarted(claimed) => self.note_trial(claimed, from),
-            Message::TrialPassed(claimed) => self.note_trial_end(claimed),
+            Message::TrialEnded(claimed) => self.note_trial_end(claimed),
             Message::ReportRests(rests) => self.handle_rest_report(from, &rests),
             Message::ReportRates(rates) => self.handle_rate_report(from, &rates),
             Message::RateTotals(rates) => self.apply_rate_totals(&rates),
