--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -236,7 +236,9 @@
     },
     /// Announces that the sender starts a trial of a suspect request.
     TrialStarted(ClaimSubject),
-    /// Announces that the server survived the trial.
+    /// Announces that a claim has ended, so that the next suspect may run: the trial of a request
+    /// has ended without a crash, as the server answered, or the sender released its claim without
+    /// a trial.
     TrialEnded(ClaimSubject),
     /// Servers that asked the sender for a rest. For the duty holder.
     ReportRests(Vec<ServerRest>),
