--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -237,8 +237,10 @@
     },
     /// Announces that the sender starts a trial of a suspect request.
     TrialStarted(ClaimSubject),
-    /// Announces that the server survived a trial, as announced by [`Message::TrialStarted`].
-    TrialPassed(ClaimSubject),
+    /// Announces that a claim has ended, so that the next suspect may run: the trial of a request
+    /// has ended without a crash, as the server answered, or the sender released its claim without
+    /// a trial.
+    TrialEnded(ClaimSubject),
     /// Servers that asked the sender for a rest. For the duty holder.
     ReportRests(Vec<ServerRest>),
     /// Rate limits of servers with the demand of the sender's callers. For the duty holder.
