--- a/src/entry/bounds.rs
+++ b/src/entry/bounds.rs
@@ -1,4 +1,5 @@
-//! Bounds from the settings, and their defaults.
+//! Bounds that operators set for a site, such as the drain time and the longest lease, and their
+//! defaults.
 
 use serde::{Deserialize, Deserializer, de::Error as _};
 
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -30,7 +30,7 @@
 /// Reason why a caller is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// Its API key is missing or not known.
+    /// The request has no API key, or one that the configuration does not contain.
     Unauthorized,
     /// This host cannot verify the API key now, because its configuration may be out of date.
     Unverified,
--- a/src/entry/digest.rs
+++ b/src/entry/digest.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Returns all distinct digests.
+    /// Returns all digests of the request, each once: those with and those without the caller.
     pub fn all(self) -> impl Iterator<Item = RequestDigest> {
         let shared = [self.content, self.any_path];
         self.iter().chain(shared)
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -12,9 +12,9 @@
 pub enum Event {
     /// The process has started.
     Started {
-        /// Name of the host from its settings.
+        /// Name that operators gave the host in its settings.
         host: String,
-        /// Availability zone of the host.
+        /// Availability zone from the host's settings.
         availability_zone: String,
         /// Random number that distinguishes this process from earlier ones on the host.
         incarnation: u64,
@@ -36,9 +36,9 @@
     },
     /// Another configuration took effect.
     Configuration {
-        /// Version that is in effect now.
+        /// Version in effect from this event on.
         version: u64,
-        /// Version that was in effect before; 0 for none.
+        /// Version in effect until this event; 0 for none.
         before: u64,
     },
     /// The evacuation of an availability zone began or ended.
@@ -98,14 +98,14 @@
         /// Time since the start of the process.
         after_ms: u64,
     },
-    /// Many server entries were read at once; logged in place of one `server` event for each.
+    /// Many server entries were read at once. Logged instead of one `server` event per entry.
     Servers {
         /// Number of servers that were unknown before.
         new: usize,
     },
     /// A server's entry was added or changed.
     Server {
-        /// Identifier of the server's incarnation: each start of a server has another one.
+        /// Identifier of the server's incarnation; a restarted server gets a new one.
         server: Arc<str>,
         /// Service that the server belongs to.
         service: Arc<str>,
@@ -116,26 +116,25 @@
         /// Remaining warm-up time; 0 for a warm server.
         cold_ms: u64,
     },
-    /// A server announced in a response that it leaves, or that it asks for a rest. Logged once per
-    /// server for leaving, and at the beginning of each rest.
+    /// A server announced in a response that it leaves, or asked this host for a rest (a time
+    /// without requests). Logged once per server for leaving, and at the beginning of each rest.
     ServerNotice {
-        /// Identifier of the server's incarnation: each start of a server has another one.
+        /// Identifier of the server's incarnation; a restarted server gets a new one.
         server: Arc<str>,
         /// Service that the server belongs to.
         service: Arc<str>,
         /// True if the server announced that it leaves.
         leaves: bool,
-        /// Time for which this host is to send it no requests; 0 for none.
+        /// Duration of the rest, in which this host sends the server no requests; 0 for none.
         rest_ms: u64,
-        /// True if the server's entry in the store says that it leaves, too.
+        /// True if the server's entry in the store also says that it leaves.
         leaves_by_entry: bool,
         /// Origin of the information: a response to this host, or another host.
         source: &'static str,
     },
-    /// A server advertised another rate limit, which applies to all hosts together, or none any
-    /// more.
+    /// A server changed or withdrew the rate limit that it advertises for all hosts together.
     ServerRateLimit {
-        /// Identifier of the server's incarnation: each start of a server has another one.
+        /// Identifier of the server's incarnation; a restarted server gets a new one.
         server: Arc<str>,
         /// Service that the server belongs to.
         service: Arc<str>,
@@ -148,18 +147,19 @@
     },
     /// A server's entry was removed.
     ServerGone {
-        /// Identifier of the server's incarnation: each start of a server has another one.
+        /// Identifier of the server's incarnation; a restarted server gets a new one.
         server: Arc<str>,
         /// Service that the server belonged to.
         service: Arc<str>,
     },
     /// A server crashed with requests of this host in flight.
     ServerEnded {
-        /// Identifier of the server's incarnation: each start of a server has another one.
+        /// Identifier of the server's incarnation; a restarted server gets a new one.
         server: Arc<str>,
         /// Service that the server belonged to.
         service: Arc<str>,
-        /// Digests of these requests, which are suspects now.
+        /// Digests of these requests. Each is now a suspect: a request that may have caused the
+        /// crash.
         digests: Vec<String>,
     },
     /// A request was quarantined because several servers crashed while running it; no server gets
@@ -170,7 +170,7 @@
         /// Origin of the information: this host's own attempts, or another host.
         source: &'static str,
     },
-    /// This host took over the duty of granting leases.
+    /// This host took over the duty (leader role) of granting leases.
     DutyTaken {
         /// Number of the term that begins.
         term: u64,
@@ -182,7 +182,7 @@
         /// Number of the previous duty holder's term.
         term: u64,
     },
-    /// This host no longer holds the duty.
+    /// This host no longer holds the duty (leader role) of granting leases.
     DutyLost {
         /// Number of the term that ended.
         term: u64,
@@ -210,7 +210,7 @@
     },
     /// A grant or release order to a server failed.
     OrderFailed {
-        /// Identifier of the server's incarnation: each start of a server has another one.
+        /// Identifier of the server's incarnation; a restarted server gets a new one.
         server: Arc<str>,
         /// Kind of order: grant or release.
         order: &'static str,
@@ -241,7 +241,7 @@
         server: Option<Arc<str>>,
         /// Load of that server as known to this host.
         load: u32,
-        /// Remaining rest that the server asked of this host; 0 for none.
+        /// Remaining time in which that server wants no requests from this host; 0 for none.
         rest_ms: u64,
         /// Number of attempts so far.
         attempts: u32,
--- a/src/entry/explain.rs
+++ b/src/entry/explain.rs
@@ -36,7 +36,7 @@
 /// Log of one host, as input for timelines and for the counts of lost requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Source<'a> {
-    /// Name of the log, which is repeated in the timeline.
+    /// Name of the log, by which the timeline says where an event comes from.
     pub name: &'a str,
     /// Whole text of the log; lines that are no events are skipped.
     pub text: &'a str,
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -1,4 +1,5 @@
-//! Assignment of keys to servers for one sharded service, as hosts share it through the store.
+//! Key ranges and the holdings of one sharded service: which server holds which keys. Hosts share
+//! them through the store.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -8,9 +9,9 @@
 /// Range of keys from `first` to `last`, both included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyRange {
-    /// First key of the range, not greater than `last`.
+    /// First key of the range; at most `last`.
     pub first: u16,
-    /// Last key of the range, which is included.
+    /// Last key of the range, included in it.
     pub last: u16,
 }
 
@@ -53,7 +54,7 @@
         false
     }
 
-    /// Returns true if the key lies in the range, both ends included.
+    /// Returns true if the key is between `first` and `last`, both included.
     pub fn contains(&self, key: u16) -> bool {
         (self.first..=self.last).contains(&key)
     }
@@ -138,9 +139,9 @@
 pub struct Holding {
     /// Keys that are held. No other holding of the service contains any of them.
     pub range: KeyRange,
-    /// Incarnation id of the server: each start has another one, even under the same name.
+    /// Incarnation id of the server. A restarted server gets a new one, even under the same name.
     pub server: Arc<str>,
-    /// Fence under which the keys were granted.
+    /// Fence that the grant of the keys carries. A later owner of any of them has a higher one.
     pub fence: u64,
     /// Former server that may still hold the keys: they may be granted only after it has released
     /// them or its lease has expired.
@@ -154,7 +155,7 @@
 pub struct Assignment {
     /// Highest fence that was ever used for the service.
     pub fence: u64,
-    /// Holdings, in the order of their keys.
+    /// Holdings without overlaps, in ascending order of their keys.
     pub holdings: Vec<Holding>,
 }
 
@@ -209,7 +210,8 @@
         })
     }
 
-    /// Returns the holdings whose first key lies in a partition, with the fence of the whole.
+    /// Returns the holdings whose first key lies in a partition, with the highest fence of the
+    /// whole service.
     pub fn part(&self, part: KeyPartition) -> Self {
         let start = usize::from(part.0) * usize::from(PARTITION_KEYS);
         let end = start + usize::from(PARTITION_KEYS);
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -13,7 +13,8 @@
 const CALL_MS: u64 = 350;
 /// Allowance for timers that fire late and for the delivery of a request that was sent just before.
 const LATE_MS: u64 = 150;
-/// Interval at which a pausing or waiting feed checks for reasons to call the store now.
+/// Interval at which a feed (a task that reads the changes of a table) checks, while it pauses or
+/// waits, for reasons to call the store now.
 pub const POLL_EVERY_MS: u64 = 100;
 /// Shortest trust period for reports of the duty holder. With less, every heartbeat would be too
 /// old on arrival.
@@ -41,7 +42,8 @@
 /// run times of requests.
 const EVACUATION_HOLD_MAX_MS: u64 = 2_500;
 
-/// Timeouts and pauses of one host, all derived from the bounds in its settings.
+/// Timeouts and pauses of one host, all derived from the bounds in its settings. A feed reads the
+/// changes of a table of the store; its pause is the time between two of its calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeLimits {
     /// Trust period: age up to which the duty holder's report of the store counts. A duty holder
@@ -61,8 +63,8 @@
     /// Interval at which a host queries the relays of its zone once the duty holder's last report
     /// is old. Several queries fit into the time until that report is no longer trusted.
     pub relay_query_every_ms: u64,
-    /// Pause between a host's own calls, among many hosts, while neither the duty holder nor a
-    /// relay confirms the store. Two pauses fit into the contact grace period.
+    /// Pause between the calls of one host, among many, to the store, while neither the duty holder
+    /// nor a relay reports that the store responds. Two pauses fit into the contact grace period.
     pub alone_pause_ms: u64,
     /// Time for other hosts to send a host the changes that it missed, before it queries the
     /// store.
@@ -89,9 +91,9 @@
 /// One chain of events with the delay that it causes and the bound that it must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimingPath {
-    /// Description of the event, used in error messages.
+    /// Description of the chain of events, used in error messages.
     pub name: &'static str,
-    /// Name of the bound in the settings.
+    /// Name of the bound that applies, as in the settings.
     pub bound: &'static str,
     /// Longest time that the events on this path take together.
     pub worst_ms: u64,
@@ -156,9 +158,9 @@
         }
     }
 
-    /// Returns the interval at which the duty holder confirms its duty at the store. It is at most
-    /// half of the trust period, so that the store's last response is still within that period two
-    /// heartbeats later.
+    /// Returns the interval at which the duty holder confirms at the store that it still has the
+    /// duty (leader role). It is at most half of the trust period, so that the store's last
+    /// response is still within that period two heartbeats later.
     pub fn confirm_every_ms(&self, wanted_ms: u64) -> u64 {
         wanted_ms.min(self.trust_ms / 2)
     }
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -45,7 +45,7 @@
 pub struct StoreCallLabels {
     /// Kind of call: `read`, `feed` or `transaction`.
     pub call: &'static str,
-    /// Table that was read or written.
+    /// Table of the store that the call reads or writes.
     pub table: String,
 }
 
@@ -64,7 +64,7 @@
     pub in_flight: Gauge,
     /// Time since the store's last response, in seconds.
     pub store_age_s: Gauge<f64, AtomicU64>,
-    /// Term of this host while it holds the duty of granting leases; 0 otherwise.
+    /// Term of this host while it holds the duty (leader role) of granting leases; 0 otherwise.
     pub duty_term: Gauge,
     /// Version of the configuration in effect; 0 for none.
     pub configuration_version: Gauge,
@@ -72,7 +72,8 @@
     pub evacuated_zones: Gauge,
     /// Number of requests that no server gets because several servers crashed while running them.
     pub quarantined_requests: Gauge,
-    /// Number of servers whose cold time has not ended, for which rate limits may apply.
+    /// Number of servers that are still in their cold time (warm-up), for which rate limits may
+    /// apply.
     pub cold_servers: Gauge,
     /// Log lines that were dropped since the start because too many waited to be written.
     pub log_lines_dropped: Gauge,
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -1,4 +1,5 @@
-//! Types of services, routes and servers, independent of the source that they were read from.
+//! Services, routes, server entries and the operators' configuration, independent of the format
+//! that they were read from.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
@@ -19,7 +20,8 @@
     pub idle_timeout_ms: u64,
 }
 
-/// A group of interchangeable or sharded backend servers.
+/// A group of backend servers that serve the same routes. They are interchangeable, or each holds
+/// its own keys if the service is sharded.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Name by which routes and servers' entries refer to the service.
@@ -56,7 +58,7 @@
 /// Rule for the requests of one host name and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name, which stays the same over versions of the configuration.
+    /// Name that stays the same over versions of the configuration.
     pub name: Arc<str>,
     /// Prefix of the request paths that the route serves. The longest matching prefix wins.
     pub path_prefix: String,
@@ -194,16 +196,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "PackedEntry", into = "PackedEntry")]
 pub struct ServerEntry {
-    /// Identifier of the incarnation: each start of a server has another one, even under the same
-    /// name.
+    /// Identifier of the incarnation. A restarted server gets a new one, even under the same name.
     pub id: Arc<str>,
     /// Name of the server in the platform. A restarted server may keep it.
     pub name: Arc<str>,
     /// Start time by the server's clock; 0 if the entry does not state it.
     pub started_ms: u64,
-    /// Name of the service that it belongs to.
+    /// Name of the service whose requests it serves, as in [`Service::name`].
     pub service: Arc<str>,
-    /// Address at which it accepts connections.
+    /// Address at which it accepts connections from hosts.
     pub address: SocketAddr,
     /// Availability zone in which it runs.
     pub availability_zone: Arc<str>,
@@ -211,7 +212,7 @@
     pub slots: u32,
     /// True if it is about to stop and must get no new work.
     pub leaving: bool,
-    /// Remaining time for which it is cold.
+    /// Remaining time for which it is cold (warms up after its start); 0 for a warm server.
     pub cold_ms: u64,
 }
 
@@ -222,7 +223,7 @@
     pub running: u32,
     /// Number of requests in the server's queue.
     pub waiting: u32,
-    /// Current run time of requests as a multiple of the usual one.
+    /// Pace (slowdown factor): current run time of requests as a multiple of the usual one.
     pub pace: f64,
 }
 
@@ -248,8 +249,8 @@
     Unknown,
 }
 
-/// Serialised form of [`ServerEntry`] in messages between hosts. It omits the identifier, which
-/// follows from name and start time.
+/// Serialised form of [`ServerEntry`] in messages between hosts. It omits the identifier, which the
+/// receiver derives from name and start time.
 #[derive(Serialize, Deserialize)]
 struct PackedEntry {
     name: Arc<str>,
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -1,6 +1,7 @@
-//! Notices that servers send in their responses. The host that receives one reports it to the duty
-//! holder, which moves the server's keys and announces leaving servers to all hosts. A rest applies
-//! only to the host that the server asked for it.
+//! Notices in servers' responses: that a server leaves, or that it asks for a rest (a time without
+//! requests). The host that receives a notice reports it to the duty holder, which moves the
+//! server's keys and announces leaving servers to all hosts. A rest applies only to the host that
+//! the server asked for it.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -16,8 +16,8 @@
 };
 use crate::clock;
 
-/// Maximum time for which a move whose end was not announced holds requests back: the longest wait
-/// for leases, after the loss of a server together with the duty holder.
+/// Maximum time for which requests wait for a move whose end was not announced. It is the longest
+/// wait for leases to expire after a server and the duty holder have failed together.
 const MOVE_HOLD_MAX_MS: u64 = 20_000;
 /// Time in which no request goes to a server after it was found not to hold the key.
 const NOT_HELD_MS: u64 = 250;
@@ -95,7 +95,7 @@
     until_ms: u64,
 }
 
-/// Holding that its server was found not to hold.
+/// Holding whose server refused a request because it does not hold the key.
 #[derive(Clone, Debug)]
 struct NotHeld {
     service: Arc<str>,
@@ -210,7 +210,8 @@
         });
     }
 
-    /// Adds an announced move of keys to another server.
+    /// Adds an announced move of keys to another server, unless the grant that ends it is already
+    /// known.
     pub fn announce_move(&self, service: &Arc<str>, announcement: MoveAnnouncement) {
         let MoveAnnouncement {
             range,
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -26,7 +26,7 @@
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 1;
 /// Number of intervals without an announcement after which a host no longer relies on the last one.
 const MISSED_ANNOUNCEMENTS: u64 = 4;
-/// Number of intervals after which an announcement includes workspaces below their quota too.
+/// Number of intervals after which an announcement also includes the workspaces below their quota.
 const FULL_ANNOUNCEMENT_EVERY: u64 = 6;
 
 /// Returns the interval of reports and announcements, which grows with the number of hosts.
@@ -35,7 +35,7 @@
 }
 
 /// State of the workspaces' quotas at one host: its own shares, and the ledgers while it has the
-/// duty.
+/// duty (leader role).
 #[derive(Debug, Default)]
 pub struct Quotas {
     state: Mutex<QuotaState>,
@@ -47,7 +47,7 @@
     shares: HashMap<u32, HostShare>,
     /// Ledgers of all hosts' requests, by workspace tag; kept while this host has the duty.
     ledgers: HashMap<u32, Ledger>,
-    /// Time of the last announcement; `None` before the first.
+    /// Time at which the last announcement was received; `None` before the first.
     heard_ms: Option<u64>,
 }
 
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -1,4 +1,4 @@
-//! Registry of the backend servers that this host knows.
+//! Registry of the backend servers that this host knows, by incarnation and by service.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -41,7 +41,7 @@
 /// A server whose entry is gone. It may still hold keys.
 #[derive(Clone, Debug)]
 pub struct FormerServer {
-    /// Incarnation of the server, which identifies one start of its process.
+    /// Identifier of the incarnation, which stands for one start of the server's process.
     pub id: Arc<str>,
     /// Name of the server in the platform, the same for all its incarnations.
     pub name: Arc<str>,
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -1,4 +1,4 @@
-//! Start, tasks and planned stop of an entry host.
+//! Runs an entry host: reads the settings, starts its tasks, and carries out the planned stop.
 
 use std::{net::SocketAddr, path::Path, sync::Arc, sync::atomic::Ordering, time::Duration};
 
@@ -41,13 +41,13 @@
     /// The settings file is missing or invalid.
     #[snafu(display("{source}"))]
     Settings {
-        /// Cause, which names the file.
+        /// Error of reading the file, which names the file.
         source: crate::settings::Error,
     },
     /// A listening socket cannot be opened.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Address from the settings.
+        /// Address of the listener, from the settings.
         address: SocketAddr,
         /// Error of the operating system.
         source: std::io::Error,
--- a/src/entry/running_requests.rs
+++ b/src/entry/running_requests.rs
@@ -23,7 +23,8 @@
 pub struct RunningRequests {
     running: Vec<RequestDigests>,
     abandoned: Vec<AbandonedRequest>,
-    /// Requests that run here as the trial of a suspect.
+    /// Requests that run here as trials. A trial is the single supervised attempt of a suspect, a
+    /// request that may crash servers.
     trials: Vec<RequestDigests>,
 }
 
@@ -33,8 +34,8 @@
         self.running.push(digests);
     }
 
-    /// Records that a request is sent as the trial of a suspect: no other suspect runs at the
-    /// server.
+    /// Records that a request is sent as a trial (single supervised attempt) of a suspect. The
+    /// server runs no other suspect at the same time.
     pub fn begin_trial(&mut self, digests: RequestDigests) {
         self.trials.push(digests);
         self.begin(digests);
