--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -27,8 +27,8 @@
 /// small hosts; the other hosts read a larger number themselves.
 const BROADCAST_CHANGES_MAX: usize = 600;
 
-/// State for sending and receiving broadcast changes, with the latest changes for hosts that have
-/// missed some.
+/// Latest broadcast changes, kept for hosts that have missed some, and the state for receiving
+/// them.
 #[derive(Debug, Default)]
 pub struct Broadcast {
     /// False while the whole table is being read: its result would undo changes applied in the
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -50,7 +50,7 @@
         /// Version of the operators' table that contains the change.
         version: u64,
     },
-    /// A row of the store is invalid and was skipped.
+    /// A row of the store cannot be decoded and was skipped.
     BadRow {
         /// Table and key of the row.
         row: String,
@@ -80,7 +80,7 @@
     },
     /// The store stopped responding.
     StoreLost {
-        /// Table whose change feed failed.
+        /// Table whose change feed (the calls that read its changes) failed.
         table: &'static str,
         /// Error of the feed call that failed.
         problem: String,
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -9,7 +9,8 @@
 use super::{bounds::Bounds, watch::RETRY_PAUSE_LONGEST_MS};
 use crate::platform::store::FEED_SLACK_MS;
 
-/// Time for a call to the store after a wait: connecting, one lost packet, and the response.
+/// Time for a call to the store after a feed call has waited for changes: connecting, one lost
+/// packet, and the response.
 const CALL_MS: u64 = 350;
 /// Allowance for timers that fire late and for the delivery of a request that was sent just before.
 const LATE_MS: u64 = 150;
@@ -24,7 +25,8 @@
 const TRUST_MAX_MS: u64 = 2_000;
 /// Longest heartbeat interval of the duty holder.
 const DUTY_HOLDER_HEARTBEAT_MAX_MS: u64 = 300;
-/// Longest time for which a host may lag behind the versions reported by the duty holder.
+/// Longest time for which a host may lag behind the versions reported by the duty holder before it
+/// queries the store itself.
 const LAG_GRACE_MAX_MS: u64 = 400;
 /// Longest pause of the feeds of servers' entries and the configuration on the duty holder and on
 /// relays, which lets changes in quick succession share one call.
@@ -97,7 +99,7 @@
     pub bound: &'static str,
     /// Longest time that the events on this path take together.
     pub worst_ms: u64,
-    /// Bound from the settings, plus the contact grace period where it applies.
+    /// Bound from the settings, plus the contact grace period on paths to which that applies.
     pub bound_ms: u64,
 }
 
--- a/src/entry/log_writer.rs
+++ b/src/entry/log_writer.rs
@@ -48,7 +48,8 @@
     fn flush(&self) {}
 }
 
-/// Sets the process's logger. A second call has no effect.
+/// Sets the process's logger, for records up to the given severity. A second call changes only the
+/// level.
 pub fn start(level: LevelFilter) {
     log::set_max_level(level);
     if log::set_logger(&LogBridge).is_err() {
@@ -67,7 +68,7 @@
     chunks: SyncSender<Vec<u8>>,
 }
 
-/// Events that the log writer itself creates.
+/// Events that the log writer itself creates, besides those that callers queue.
 #[derive(Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 enum WriterEvent {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -100,7 +100,7 @@
     pub hot_keys: HotKeys,
     /// Other hosts, and the messages exchanged with them.
     pub peers: Peers,
-    /// State of the duty of granting leases, at this host and as seen at others.
+    /// State of the duty (leader role) of granting leases, at this host and as seen at others.
     pub duty: Duty,
     /// Budget that limits retries to a share of all requests.
     pub retries: RetryBudget,
@@ -108,19 +108,20 @@
     body_memory: BodyMemory,
     /// Quotas of workspaces, and the share of each that this host admits.
     pub quotas: Quotas,
-    /// Server crashes, and the requests that are suspected of having caused them.
+    /// Server crashes, and the suspects: requests that may have caused them.
     pub crashes: Crashes,
-    /// Wakes the task that reports a server's announcement to the duty holder: that it leaves, or
-    /// that it asks for a rest.
+    /// Wakes the task that reports a server's notice to the duty holder: the server leaves, or asks
+    /// for a rest (a time without requests).
     notice_received: Notify,
-    /// Rests that servers asked of hosts; collected while this host holds the duty.
+    /// Rests (times without requests) that servers asked of hosts; collected while this host holds
+    /// the duty.
     rests: Rests,
     /// Request rates that each host reports for servers with a rate limit; collected while this
     /// host holds the duty.
     demand_by_host: Mutex<DemandByHost>,
     /// Run time of each route's requests relative to the average of their server.
     pub run_shares: RunShares,
-    /// Counters, gauges and histograms.
+    /// Counters, gauges and histograms that the metrics address serves.
     pub metrics: Metrics,
     /// True once the store's row of this host names this process.
     registered: AtomicBool,
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -71,7 +71,7 @@
     sender: SendRequest<ResponseBody>,
     /// Task that drives the connection; aborted when the connection is dropped.
     task: AbortHandle,
-    /// Idle time up to which it is reused.
+    /// Idle time up to which the connection is reused.
     idle_limit_ms: u64,
     idle_since_ms: u64,
 }
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -29,7 +29,8 @@
 /// Number of intervals after which an announcement also includes the workspaces below their quota.
 const FULL_ANNOUNCEMENT_EVERY: u64 = 6;
 
-/// Returns the interval of reports and announcements, which grows with the number of hosts.
+/// Returns the interval of reports and announcements in milliseconds; it grows with the number of
+/// hosts.
 fn report_interval_ms(hosts: usize) -> u64 {
     REPORT_INTERVAL_MS.max(REPORT_INTERVAL_MS_PER_HOST * hosts as u64)
 }
@@ -150,7 +151,7 @@
         self.state().shares.get(&workspace_tag)?.announced()
     }
 
-    /// Discards the ledgers of a host that does not have the duty.
+    /// Discards the ledgers of a host that does not have the duty (leader role).
     fn forget_ledgers(&self) {
         self.state().ledgers.clear();
     }
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -40,7 +40,7 @@
     }
 
     /// Reports the limits known to this host and the request rates of its callers to the duty
-    /// holder; as the duty holder, announces the totals to all hosts.
+    /// holder; as the duty holder, announces the latest limits and total rates to all hosts.
     pub(in crate::entry) async fn exchange_rate_limits(self: Arc<Self>) {
         loop {
             let every_ms =
--- a/src/entry/register.rs
+++ b/src/entry/register.rs
@@ -77,9 +77,9 @@
         self.registered.store(true, Ordering::Relaxed);
     }
 
-    /// Returns true once this host's row names this process. Only then may the process take the
-    /// duty: a later duty holder takes a row that names another process as proof that this one has
-    /// ended.
+    /// Returns true once this host's row in the store names this process. Only then may the process
+    /// take the duty (leader role): a later duty holder takes a row that names another process as
+    /// proof that this one has ended.
     pub(super) fn is_registered(&self) -> bool {
         self.registered.load(Ordering::Relaxed)
     }
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -103,7 +103,8 @@
         usable.collect()
     }
 
-    /// Returns the typical run time of requests at the servers of a service.
+    /// Returns the average run time of requests at the servers of a service, in milliseconds; a
+    /// default if no server has a sample.
     pub fn typical_run_ms(&self, service: &str) -> f64 {
         let servers = self.of_service(service).iter();
         admission::typical_run_ms(servers.map(|server| server.run_ms()))
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -119,7 +119,8 @@
         });
     }
 
-    /// Removes servers whose entries have not returned in time after an outage of the store.
+    /// Removes servers whose entries have not returned within the grace period after an outage of
+    /// the store.
     pub(super) async fn drop_overdue_servers(self: Arc<Self>) {
         loop {
             let missing = self.view.registry().has_missing();
@@ -209,7 +210,7 @@
     (held, unreadable)
 }
 
-/// Rows with holdings, by service.
+/// Rows with holdings, by service; each with the key partition that it covers.
 pub(super) type HoldingsByService = HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>>;
 
 /// Returns true for a row of an evacuated zone. The duty holder sends the evacuated zones in each
@@ -227,8 +228,8 @@
     Evacuations { version, zones }
 }
 
-/// Decodes rows of server entries. A row that cannot be decoded is a change to an unusable server,
-/// even if an earlier version of the row was readable.
+/// Decodes rows of server entries. A row that cannot be decoded makes its server unusable, even if
+/// an earlier version of the row was readable.
 pub(super) fn decode_servers(rows: &[Row]) -> Vec<ServerChange> {
     let mut changes = Vec::with_capacity(rows.len());
     for row in rows {
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -41,7 +41,7 @@
     /// The settings file is missing or invalid.
     #[snafu(display("{source}"))]
     Settings {
-        /// Error of reading the file, which names the file.
+        /// Error of reading, parsing or checking the file; its text names the file.
         source: crate::settings::Error,
     },
     /// A listening socket cannot be opened.
--- a/src/entry/seal.rs
+++ b/src/entry/seal.rs
@@ -67,7 +67,7 @@
 }
 
 impl SecretRow {
-    /// Generates a new secret.
+    /// Generates a new random secret, created at the given wall time in milliseconds since 1970.
     pub fn generate(now_unix_ms: u64) -> Self {
         let secret: [u8; SECRET_BYTES] = rand::rng().random();
         Self {
@@ -82,7 +82,8 @@
     }
 }
 
-/// Current and previous signing keys.
+/// Keys of the current and the previous secret. The two overlap, as hosts read a new secret at
+/// different times.
 #[derive(Debug)]
 struct Keys {
     row: SecretRow,
@@ -130,12 +131,12 @@
         Ok(())
     }
 
-    /// Returns true once a secret was read.
+    /// Returns true once a secret was read; before that, no datagram can be sent or accepted.
     pub fn is_known(&self) -> bool {
         self.keys.load().is_some()
     }
 
-    /// Returns the stored secret in use and its version.
+    /// Returns the stored secret in use and the version of its row; `None` until a secret is known.
     pub fn row(&self) -> Option<(SecretRow, u64)> {
         let keys = self.keys.load();
         keys.as_ref().map(|keys| (keys.row.clone(), keys.version))
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -33,7 +33,7 @@
     pub entry: ServerEntry,
     /// Tag of the incarnation in messages between hosts, see [`tag_of`].
     pub tag: u32,
-    /// Connections for callers' requests.
+    /// Idle connections, reused for callers' requests.
     pub pool: Pool,
     /// Connection for orders, which grant or release keys, and for probes.
     pub orders: Link,
@@ -54,9 +54,9 @@
     paces: Mutex<PaceReports>,
     attempt_stats: Mutex<AttemptStats>,
     running_requests: Mutex<RunningRequests>,
-    /// Rate limit that the server sets for all hosts together, and this host's share of it.
+    /// Rate limit that the server advertises for all hosts together, and this host's share of it.
     pub rate: SharedRate,
-    /// Connections to the server that broke.
+    /// Record of this host's connections to the server that broke.
     pub broken_connections: BrokenConnections,
 }
 
@@ -76,7 +76,8 @@
 }
 
 impl WarmupLimit {
-    /// Returns the limit for a host that knows `hosts` hosts, including itself.
+    /// Returns the limit for each host if `hosts` hosts, including this one, share the rate of the
+    /// service's cold servers.
     pub fn new(warmup: Warmup, hosts: usize) -> Self {
         Self {
             window_every_ms: warmup::window_every_ms(warmup.per_s, hosts),
@@ -264,7 +265,7 @@
         self.notices().leaves_for_ms(clock::now_ms())
     }
 
-    /// Returns the notices, to be kept while the entry is gone.
+    /// Returns the notices, which the registry keeps while the entry is gone.
     pub fn kept_notices(&self) -> Arc<Mutex<Notices>> {
         self.notices.clone()
     }
@@ -300,8 +301,8 @@
         self.in_flight(digests)
     }
 
-    /// Counts a suspect request as in flight until the result is dropped. No other suspect may run
-    /// on the server at the time.
+    /// Counts a suspect (a request that may crash servers) as in flight until the result is
+    /// dropped. No other suspect may run on the server at the same time.
     pub fn begin_trial_request(self: &Arc<Self>, digests: RequestDigests) -> InFlight {
         self.running_requests().begin_trial(digests);
         self.in_flight(digests)
@@ -381,7 +382,7 @@
             .answered(run_ms, found_free_slot, now_ms);
     }
 
-    /// Records the pace that the server reported to another host at `at_ms`.
+    /// Records the pace (slowdown factor) that the server reported to another host at `at_ms`.
     pub fn note_pace(&self, pace: f64, at_ms: u64) {
         self.paces().known.note(pace, at_ms);
     }
@@ -405,12 +406,12 @@
         self.answered_ms.load(Ordering::Relaxed)
     }
 
-    /// Records an attempt that was shed, lost its connection or timed out.
+    /// Records an attempt that the server shed, that lost its connection or that timed out.
     pub fn failed(&self) {
         self.attempt_stats().failed(clock::now_ms());
     }
 
-    /// Records a failed connection attempt in the statistics of attempts.
+    /// Records an attempt that failed because no connection could be opened.
     pub fn not_connected(&self) {
         self.attempt_stats().not_connected(clock::now_ms());
     }
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -39,7 +39,7 @@
     pub listen: Listen,
     /// Address of the platform's store, and the heartbeat interval of the servers' entries there.
     pub store: StoreSettings,
-    /// Bounds on latency, outages and shutdown that the users set.
+    /// Bounds that the users set, such as those on stops, leases, configurations and retries.
     pub bounds: Bounds,
     /// Durations of the servers' leases, and of the duty to grant them.
     #[serde(default)]
@@ -63,7 +63,7 @@
     /// UDP address for messages of other hosts; starting hosts fetch snapshots over TCP at the same
     /// one.
     pub peers: SocketAddr,
-    /// TCP address for scrapes of the metrics.
+    /// TCP address at which a monitoring system scrapes the metrics.
     pub metrics: SocketAddr,
 }
 
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -1,4 +1,4 @@
-//! Rate limit of one server for all hosts together, and this host's share of it.
+//! Rate limit that one server advertises for all hosts together, and this host's share of it.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -10,7 +10,7 @@
 };
 use crate::clock;
 
-/// Rate limit of one server, as this host knows it.
+/// Rate limit of one server as this host knows it, with the rate at which this host sends.
 #[derive(Debug, Default)]
 pub struct SharedRate {
     /// Advertised limit and other notices; shared with the record that is kept while the server's
@@ -59,22 +59,24 @@
         self.notices().rate_limit.per_s()
     }
 
-    /// Returns true if the server has not restated its limit for a while.
+    /// Returns true if the latest advertisement is so old that a probe request is due.
     pub fn is_stale(&self) -> bool {
         self.notices().rate_limit.is_stale(clock::now_ms())
     }
 
-    /// Returns the limit that the planner of key moves uses, in requests per second.
+    /// Returns the limit that the planner of key moves assumes, in requests per second. It rises
+    /// while the server does not restate its limit; `None` if the server is unlimited.
     pub fn planned_per_s(&self, now_ms: u64) -> Option<f64> {
         self.notices().rate_limit.planned_per_s(now_ms)
     }
 
-    /// Returns true if the limit must be reported to other hosts.
+    /// Returns true if other hosts must be informed: the server has a limit, or its limit ended
+    /// recently.
     pub fn should_announce(&self, now_ms: u64) -> bool {
         self.notices().rate_limit.should_announce(now_ms)
     }
 
-    /// Returns the latest limit that the server advertised to any host.
+    /// Returns the latest limit that the server advertised to any host; `None` before the first.
     pub fn latest(&self) -> Option<AdvertisedLimit> {
         self.notices().rate_limit.latest()
     }
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -1,8 +1,9 @@
-//! Relays that confirm the store's state in place of the duty holder. Hosts rely on the duty holder
-//! to learn that nothing has changed in the store. When it is lost, or the store rejects its calls,
-//! each of a thousand hosts would call the store until there is another duty holder. With many
-//! hosts, the relays of each zone do so a little earlier than the other hosts would, and the other
-//! hosts query them.
+//! Relays report to other hosts that the store responds, and its versions, in place of the duty
+//! holder. Hosts rely on the duty holder to learn that nothing has changed in the store. When the
+//! duty holder is lost, or the store rejects its calls, each of a thousand hosts would call the
+//! store until there is another duty holder. With many hosts, the relays of each zone therefore
+//! call the store a little earlier than the other hosts would, and the other hosts query the
+//! relays.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,12 +21,13 @@
 };
 use crate::clock;
 
-/// Longer pause after a failed call while the duty holder reports that nothing has changed in the
-/// store, since the store may reject only this host.
+/// Pause after a failed call while the duty holder reports that nothing has changed in the store.
+/// It is longer than others, since the store may reject only this host and the host misses nothing.
 const CONFIRMED_PAUSE_MS: u64 = 1_500;
 
 impl Entry {
-    /// Returns the source from which this host learns of changes.
+    /// Returns this host's role, which decides whom it learns of changes from: the store, the duty
+    /// holder or relays.
     pub(super) fn sync_role(&self) -> SyncRole {
         if self.duty.term() > 0 {
             SyncRole::DutyHolder
@@ -39,7 +41,8 @@
     }
 
     /// Extends the pause after a failed call while other hosts call the store on behalf of this
-    /// one. Hundreds of hosts that each check for the store's return are thousands of calls.
+    /// one. If each of hundreds of hosts checked whether the store is back, it would get thousands
+    /// of calls.
     pub(super) async fn pause_while_others_call(&self) {
         self.pause_while_relays_call().await;
         self.pause_while_confirmed().await;
@@ -86,8 +89,8 @@
         }
     }
 
-    /// Queries the relays of the zone if the state of the store must be confirmed. Returns true if
-    /// it did.
+    /// Queries the relays of the zone if this host needs a newer report on the store. Returns true
+    /// if a query was sent.
     fn query_relays(&self) -> bool {
         let is_without_relays = self.duty.term() > 0 || !self.peers.use_relays();
         let relays = if is_without_relays {
@@ -119,14 +122,14 @@
         })
     }
 
-    /// Applies the response of a relay.
+    /// Applies a relay's report on the store and the evacuated zones.
     pub(super) fn note_relay_report(
         &self,
         nonce: u64,
         updates: StoreStateReport,
         evacuations: Evacuations,
     ) {
-        // The later state wins, whichever way it arrived.
+        // The later list of evacuated zones wins, whichever way it arrived.
         self.view.evacuate(evacuations);
         if let Some(answered_ms) = self.freshness.note_relay_report(nonce, updates) {
             self.note_store_response(answered_ms);
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -186,14 +186,14 @@
         self.owners.note_not_held(service, fence);
     }
 
-    /// Requests that a table be read soon, because a server did not hold the expected keys or is
-    /// not known.
+    /// Requests that a table be read soon: a server did not hold the expected keys, or is not
+    /// known.
     pub fn request_read(&self, followed: FollowedTable) {
         self.read_requests[followed.index()].notify_one();
     }
 
-    /// Waits for the next call of [`Self::request_read`] for the table. A request made before the
-    /// wait counts.
+    /// Waits for the next call of [`Self::request_read`] for the table. Returns at once if one was
+    /// made before the wait.
     pub async fn wait_for_read_request(&self, followed: FollowedTable) {
         self.read_requests[followed.index()].notified().await;
     }
@@ -208,12 +208,12 @@
         *self.hosts_known.borrow()
     }
 
-    /// Records that a previous process is known to have run on this host.
+    /// Records that an earlier process is known to have run on this host before this one.
     pub fn note_former_process(&self) {
         self.former_process.store(true, Ordering::Relaxed);
     }
 
-    /// Returns true if a previous process is known to have run on this host.
+    /// Returns true if an earlier process is known to have run on this host before this one.
     pub fn had_former_process(&self) -> bool {
         self.former_process.load(Ordering::Relaxed)
     }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -1,4 +1,5 @@
-//! Keeps the host's view up to date by the change feeds of the store.
+//! Keeps the host's view up to date by the change feeds of the store: calls that wait for the next
+//! changes of a table.
 
 use std::{
     sync::{
@@ -38,7 +39,7 @@
 /// Longest pause of a feed whose calls keep failing. Calls are billed, including refused ones, but
 /// the store's return must be noticed within a second.
 const RETRY_PAUSE_MAX_MS: u64 = 400;
-/// Longest pause including its random addition.
+/// Longest pause after a failed call, including the random addition.
 pub(super) const RETRY_PAUSE_LONGEST_MS: u64 = RETRY_PAUSE_MAX_MS + RETRY_PAUSE_MAX_MS / 2;
 /// Number of missed heartbeats after which the platform removes a server's entry.
 const MISSED_HEARTBEATS: u64 = 3;
@@ -54,12 +55,12 @@
 }
 
 impl Entry {
-    /// Follows the operators' table with the configuration.
+    /// Follows the operators' table, which contains the configuration and the evacuated zones.
     pub(super) async fn watch_configuration(self: Arc<Self>) {
         self.follow(FollowedTable::Configuration).await;
     }
 
-    /// Follows the table of servers' entries.
+    /// Follows the table of servers' entries, by which backend servers register.
     pub(super) async fn watch_servers(self: Arc<Self>) {
         self.follow(FollowedTable::Servers).await;
     }
@@ -131,9 +132,9 @@
         }
     }
 
-    /// Waits for the next changes of a table. The wait is short if the feed is in doubt. While the
-    /// store is known to be unavailable, only the feed of servers' entries probes whether it is
-    /// back.
+    /// Waits for the next changes of a table. The wait is short if the last call failed or missed a
+    /// change. While the store is known to be unavailable, only the feed of servers' entries probes
+    /// whether it is back.
     async fn next_changes(
         &self,
         followed: FollowedTable,
@@ -172,8 +173,8 @@
         }
     }
 
-    /// Waits until the store is confirmed by the duty holder or the start period ends. Pauses the
-    /// feed if the store is confirmed.
+    /// Waits until the duty holder or a relay confirms the state of the store, or the start period
+    /// ends. Then pauses the feed if the state is confirmed.
     async fn wait_for_duty_holder_at_start(&self, followed: FollowedTable) {
         // The relays that could confirm the store are known only after the join.
         self.join.sync_outcome().await;
@@ -189,7 +190,8 @@
         }
     }
 
-    /// Applies the changes that a feed delivered, and broadcasts them while this host has the duty.
+    /// Applies the changes that a feed delivered, and broadcasts them while this host has the duty
+    /// (leader role).
     pub(super) fn apply_changes(&self, followed: FollowedTable, after: u64, mut changes: Rows) {
         if followed == FollowedTable::Servers {
             self.apply_server_rows(after, &changes);
@@ -292,8 +294,8 @@
             }
             .log();
         }
-        // A call that was made to check a doubtful feed and fails as well shows that the store is
-        // unavailable, and not just one connection.
+        // If a call fails that was made to check a stalled feed, the store is unavailable, and not
+        // just one connection broken.
         if followed == FollowedTable::Servers || health == FeedHealth::Stalled {
             self.view.set_store_lost(true);
         }
--- a/src/entry/workspaces.rs
+++ b/src/entry/workspaces.rs
@@ -11,10 +11,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct WorkspaceKey(usize);
 
-/// Settings of a workspace, from the operators' configuration.
+/// Priority, quota and regions of a workspace, from the operators' configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workspace {
-    /// Name by which operators and servers know it.
+    /// Name from the configuration, by which operators and servers know the workspace.
     pub name: Arc<str>,
     /// Tag that names it in messages between hosts: a hash of its name.
     pub tag: u32,
@@ -89,12 +89,14 @@
         self.api_keys.get(&ApiKeyDigest::of(api_key)).copied()
     }
 
-    /// Returns the workspace at an index of this configuration.
+    /// Returns the workspace at an index, which must be of this configuration; panics if it is too
+    /// large.
     pub fn get(&self, key: WorkspaceKey) -> &Workspace {
         &self.workspaces[key.0]
     }
 
-    /// Returns a workspace by its tag; `None` if the configuration has no such workspace.
+    /// Returns a workspace by its tag, as used in messages between hosts; `None` if the
+    /// configuration has no such workspace.
     pub fn by_tag(&self, tag: u32) -> Option<&Workspace> {
         let key = self.by_tag.get(&tag)?;
         Some(self.get(*key))
