--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -138,8 +138,8 @@
     }
 
     /// Returns the age of this host's latest confirmation of its configuration, as the response to
-    /// another host's query. `None` if it was never confirmed, or the latest configuration cannot be
-    /// decoded.
+    /// another host's query. `None` if it was never confirmed, or the latest configuration cannot
+    /// be decoded.
     pub(super) fn confirmation_for(&self, nonce: u64) -> Option<Message> {
         let age_ms = self.confirmation.age_ms(clock::now_ms())?;
         Some(Message::ConfigurationAge {
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -107,7 +107,7 @@
     Server {
         /// Identifier of the server's incarnation; a restarted server gets a new one.
         server: Arc<str>,
-        /// Service that the server belongs to.
+        /// Name of the service, as in the server's entry.
         service: Arc<str>,
         /// Address at which the server accepts requests.
         address: String,
@@ -121,7 +121,7 @@
     ServerNotice {
         /// Identifier of the server's incarnation; a restarted server gets a new one.
         server: Arc<str>,
-        /// Service that the server belongs to.
+        /// Name of the service, as in the server's entry.
         service: Arc<str>,
         /// True if the server announced that it leaves.
         leaves: bool,
@@ -136,7 +136,7 @@
     ServerRateLimit {
         /// Identifier of the server's incarnation; a restarted server gets a new one.
         server: Arc<str>,
-        /// Service that the server belongs to.
+        /// Name of the service, as in the server's entry.
         service: Arc<str>,
         /// Limit in requests per second; `None` if the server has no limit.
         per_s: Option<f64>,
--- a/src/entry/explain.rs
+++ b/src/entry/explain.rs
@@ -5,7 +5,7 @@
 
 /// Time before a decision on the request in which events of its server and its host are included.
 const CONTEXT_MS: u64 = 5_000;
-/// Events that may affect every request of a host.
+/// Names of the events that may affect every request of a host.
 const HOST_EVENTS: [&str; 8] = [
     "started",
     "stopping",
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -254,7 +254,7 @@
         holding.range.contains(key).then_some(holding)
     }
 
-    /// Removes a range from all holdings; the remainder of a holding keeps its fence.
+    /// Removes a range from all holdings; what remains of a holding keeps its fence.
     pub fn clear(&mut self, range: KeyRange) {
         let mut kept = Vec::with_capacity(self.holdings.len() + 1);
         for holding in self.holdings.drain(..) {
--- a/src/entry/losses.rs
+++ b/src/entry/losses.rs
@@ -21,8 +21,8 @@
     pub reason: String,
     /// Number of lost requests that agree in time step, route, decision and reason.
     pub requests: u64,
-    /// Number of distinct servers of the last attempts; all requests without an attempt count as one
-    /// more.
+    /// Number of distinct servers of the last attempts; all requests without an attempt count as
+    /// one more.
     pub servers: u64,
     /// Mean load of these servers as the hosts knew it.
     pub load_mean: f64,
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -22,7 +22,7 @@
 const LATENCY_FIRST_S: f64 = 0.002;
 const LATENCY_BOUNDS: u16 = 14;
 
-/// Labels of requests. Both have few values, since services come from the configuration.
+/// Labels of the request metrics. They have few values, since services come from the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
     /// Service that the request was sent to; empty if it was sent to none.
@@ -31,7 +31,7 @@
     pub outcome: &'static str,
 }
 
-/// Labels of the counter of orders to servers.
+/// Labels of the counter of orders, which grant keys to servers or release them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OrderLabels {
     /// Kind of order: grant or release.
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -35,7 +35,7 @@
     /// No process listens at the address.
     #[snafu(display("{source}"))]
     Refused {
-        /// Error of the connect call.
+        /// Error of the connect call, which is always `ConnectionRefused`.
         source: io::Error,
     },
     /// The operating system reported another network error.
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -20,8 +20,9 @@
 
 /// Grace period after the return of the store was noticed, in which entries that lapsed during the
 /// outage may return. The platform promises that they do within about two seconds of the return. It
-/// may also be only this host that was disconnected. Servers that left during the disconnection must
-/// then be known within 3 s of its end, and up to 0.75 s of that pass until the end is noticed.
+/// may also be only this host that was disconnected. Servers that left during the disconnection
+/// must then be known within 3 s of its end, and up to 0.75 s of that pass until the end is
+/// noticed.
 const RETURN_GRACE_MS: u64 = 1_800;
 /// Maximum number of servers without an entry whose addresses are remembered.
 const FORMER_MAX: usize = 500;
@@ -258,8 +259,8 @@
         self.by_id.get(self.incarnations.get(name)?)
     }
 
-    /// Removes the server of a name at once, without a grace period. Used when its entry is gone for
-    /// good, cannot be decoded, or was replaced by the entry of another server.
+    /// Removes the server of a name at once, without a grace period. Used when its entry is gone
+    /// for good, cannot be decoded, or was replaced by the entry of another server.
     pub fn drop_server(&mut self, name: &str) {
         self.missing.remove(name);
         let Some(id) = self.incarnations.remove(name) else {
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -44,7 +44,7 @@
         /// Error of reading, parsing or checking the file; its text names the file.
         source: crate::settings::Error,
     },
-    /// A listening socket cannot be opened.
+    /// A listening socket cannot be opened, for example because its address is in use.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
         /// Address of the listener, from the settings.
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -97,8 +97,8 @@
         Self::with_notices(entry, Arc::default())
     }
 
-    /// Creates a server from an entry, with the notices that were kept if an earlier entry of it was
-    /// removed.
+    /// Creates a server from an entry, with the notices that were kept if an earlier entry of it
+    /// was removed.
     pub fn with_notices(entry: ServerEntry, notices: Arc<Mutex<Notices>>) -> Self {
         let server = Self {
             tag: tag_of(&entry.id),
