--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -30,7 +30,7 @@
 /// Reason why a caller is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// Its API key is missing or not known.
+    /// The request has no API key, or one that the configuration does not contain.
     Unauthorized,
     /// This host cannot verify the API key now, because its configuration may be out of date.
     Unverified,
@@ -138,8 +138,8 @@
     }
 
     /// Returns the age of this host's latest confirmation of its configuration, as the response to
-    /// another host's query. `None` if it was never confirmed, or the latest configuration cannot be
-    /// decoded.
+    /// another host's query. `None` if it was never confirmed, or the latest configuration cannot
+    /// be decoded.
     pub(super) fn confirmation_for(&self, nonce: u64) -> Option<Message> {
         let age_ms = self.confirmation.age_ms(clock::now_ms())?;
         Some(Message::ConfigurationAge {
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -22,7 +22,7 @@
 const LATENCY_FIRST_S: f64 = 0.002;
 const LATENCY_BOUNDS: u16 = 14;
 
-/// Labels of requests. Both have few values, since services come from the configuration.
+/// Labels of the request metrics. They have few values, since services come from the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
     /// Service that the request was sent to; empty if it was sent to none.
@@ -31,7 +31,7 @@
     pub outcome: &'static str,
 }
 
-/// Labels of the counter of orders to servers.
+/// Labels of the counter of orders, which grant keys to servers or release them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OrderLabels {
     /// Kind of order: grant or release.
@@ -45,7 +45,7 @@
 pub struct StoreCallLabels {
     /// Kind of call: `read`, `feed` or `transaction`.
     pub call: &'static str,
-    /// Table that was read or written.
+    /// Table of the store that the call reads or writes.
     pub table: String,
 }
 
@@ -64,7 +64,7 @@
     pub in_flight: Gauge,
     /// Time since the store's last response, in seconds.
     pub store_age_s: Gauge<f64, AtomicU64>,
-    /// Term of this host while it holds the duty of granting leases; 0 otherwise.
+    /// Term of this host while it holds the duty (leader role) of granting leases; 0 otherwise.
     pub duty_term: Gauge,
     /// Version of the configuration in effect; 0 for none.
     pub configuration_version: Gauge,
@@ -72,7 +72,8 @@
     pub evacuated_zones: Gauge,
     /// Number of requests that no server gets because several servers crashed while running them.
     pub quarantined_requests: Gauge,
-    /// Number of servers whose cold time has not ended, for which rate limits may apply.
+    /// Number of servers that are still in their cold time (warm-up), for which rate limits may
+    /// apply.
     pub cold_servers: Gauge,
     /// Log lines that were dropped since the start because too many waited to be written.
     pub log_lines_dropped: Gauge,
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -35,7 +35,7 @@
     /// No process listens at the address.
     #[snafu(display("{source}"))]
     Refused {
-        /// Error of the connect call.
+        /// Error of the connect call, which is always `ConnectionRefused`.
         source: io::Error,
     },
     /// The operating system reported another network error.
@@ -71,7 +71,7 @@
     sender: SendRequest<ResponseBody>,
     /// Task that drives the connection; aborted when the connection is dropped.
     task: AbortHandle,
-    /// Idle time up to which it is reused.
+    /// Idle time up to which the connection is reused.
     idle_limit_ms: u64,
     idle_since_ms: u64,
 }
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -1,4 +1,4 @@
-//! Registry of the backend servers that this host knows.
+//! Registry of the backend servers that this host knows, by incarnation and by service.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -20,8 +20,9 @@
 
 /// Grace period after the return of the store was noticed, in which entries that lapsed during the
 /// outage may return. The platform promises that they do within about two seconds of the return. It
-/// may also be only this host that was disconnected. Servers that left during the disconnection must
-/// then be known within 3 s of its end, and up to 0.75 s of that pass until the end is noticed.
+/// may also be only this host that was disconnected. Servers that left during the disconnection
+/// must then be known within 3 s of its end, and up to 0.75 s of that pass until the end is
+/// noticed.
 const RETURN_GRACE_MS: u64 = 1_800;
 /// Maximum number of servers without an entry whose addresses are remembered.
 const FORMER_MAX: usize = 500;
@@ -41,7 +42,7 @@
 /// A server whose entry is gone. It may still hold keys.
 #[derive(Clone, Debug)]
 pub struct FormerServer {
-    /// Incarnation of the server, which identifies one start of its process.
+    /// Identifier of the incarnation, which stands for one start of the server's process.
     pub id: Arc<str>,
     /// Name of the server in the platform, the same for all its incarnations.
     pub name: Arc<str>,
@@ -103,7 +104,8 @@
         usable.collect()
     }
 
-    /// Returns the typical run time of requests at the servers of a service.
+    /// Returns the average run time of requests at the servers of a service, in milliseconds; a
+    /// default if no server has a sample.
     pub fn typical_run_ms(&self, service: &str) -> f64 {
         let servers = self.of_service(service).iter();
         admission::typical_run_ms(servers.map(|server| server.run_ms()))
@@ -257,8 +259,8 @@
         self.by_id.get(self.incarnations.get(name)?)
     }
 
-    /// Removes the server of a name at once, without a grace period. Used when its entry is gone for
-    /// good, cannot be decoded, or was replaced by the entry of another server.
+    /// Removes the server of a name at once, without a grace period. Used when its entry is gone
+    /// for good, cannot be decoded, or was replaced by the entry of another server.
     pub fn drop_server(&mut self, name: &str) {
         self.missing.remove(name);
         let Some(id) = self.incarnations.remove(name) else {
