--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -307,8 +307,8 @@
         }
     }
 
-    /// Sends a part of a crash report to all hosts, or to the duty holder only if `report.to_all` is
-    /// false.
+    /// Sends a part of a crash report to all hosts, or only to the duty holder if `report.to_all`
+    /// is false.
     fn send_suspects(
         &self,
         report: &Report,
--- a/src/entry/decide/crash_tally.rs
+++ b/src/entry/decide/crash_tally.rs
@@ -40,7 +40,8 @@
     is_mass_crash: bool,
 }
 
-/// Evidence against suspect requests, by the digest that includes the caller.
+/// Evidence against suspects (requests in flight at a server when it crashed), by the digest that
+/// includes the caller.
 #[derive(Debug, Default)]
 pub struct CrashTally {
     suspects: HashMap<RequestDigest, Vec<Evidence>>,
--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -53,7 +53,8 @@
     /// Tag (short identifier) of the caller. Evidence needs crashes during the requests of several
     /// callers.
     pub caller_tag: u32,
-    /// True if the request ran as a trial, with no other suspect at the server.
+    /// True if the request ran as a trial (single supervised attempt), with no other suspect at the
+    /// server.
     pub is_trial: bool,
 }
 
@@ -66,7 +67,8 @@
     at_ms: u64,
 }
 
-/// Evidence against suspects, by a digest that leaves out the caller.
+/// Evidence against suspects (requests in flight at a server when it crashed), by a digest that
+/// leaves out the caller.
 #[derive(Debug, Default)]
 pub struct PathTally(HashMap<RequestDigest, Vec<Evidence>>);
 
--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -3,7 +3,7 @@
 
 /// Minimum rate at which a limited server gets probe requests, so that the end of a limit of 0 is
 /// noticed. The probe rate doubles after each [`PROBE_AFTER_MS`] without a new advertisement, up to
-/// the maximum, which is within the users' bound in any case.
+/// the maximum, which stays within the users' requirements for any limit.
 const PROBE_MIN_PER_S: f64 = 0.25;
 const PROBE_MAX_PER_S: f64 = 1.0;
 /// Time for which hosts continue to announce that a limit has ended, so that the others learn of
--- a/src/entry/decide/rests.rs
+++ b/src/entry/decide/rests.rs
@@ -10,7 +10,7 @@
 };
 
 /// Divisor of the number of hosts: one host in three must have been asked for a rest before the
-/// keys move. If it is only one host, that host may be the cause.
+/// server's keys move. If only one host was asked, that host's requests may be the cause.
 const HOSTS_SHARE: usize = 3;
 /// Maximum number of hosts that must have been asked for a rest: among hundreds of hosts, few reach
 /// a given server within a rest.
--- a/src/entry/decide/run_shares.rs
+++ b/src/entry/decide/run_shares.rs
@@ -23,7 +23,7 @@
     samples: u32,
 }
 
-/// Names of a service and of one of its routes.
+/// Service and route, by name: a route may direct requests to several services.
 type RouteKey = (Arc<str>, Arc<str>);
 
 /// Run times of routes relative to the average of their service, learned from all servers.
--- a/src/entry/decide/trials.rs
+++ b/src/entry/decide/trials.rs
@@ -46,7 +46,8 @@
     until_ms: u64,
 }
 
-/// Claims of trials by all hosts, as far as this host knows. Each expires after [`CLAIM_MS`].
+/// Claims of trials (single supervised attempts of suspects) by all hosts, as far as this host
+/// knows. Each expires after [`CLAIM_MS`].
 #[derive(Debug, Default)]
 pub struct TrialClaims(HashMap<ClaimSubject, Claim>);
 
--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -26,8 +26,8 @@
     transport::{ResponseBody, header_text},
 };
 
-/// Time after the request's deadline for which the host still waits for the server's own deadline
-/// response.
+/// Time after the request's deadline for which the host still waits, so that a response that the
+/// server itself sends at the deadline can arrive.
 const DEADLINE_SLACK_MS: u64 = 40;
 
 /// Result of one attempt, which decides whether the request may be sent again.
--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -33,7 +33,7 @@
 pub struct BodyMemory(Arc<Semaphore>);
 
 impl BodyMemory {
-    /// Returns the budget of a host with `memory_bytes` of memory: the share [`MEMORY_SHARE`] of it.
+    /// Returns the budget of a host: the share [`MEMORY_SHARE`] of its memory of `memory_bytes`.
     pub fn of_host(memory_bytes: u64) -> Self {
         let units = memory_bytes as f64 * MEMORY_SHARE / UNIT_BYTES as f64;
         Self(Arc::new(Semaphore::new(units as usize)))
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -34,8 +34,8 @@
 /// Interval at which a waiting request checks if the blocking trial has ended.
 const TRIAL_POLL_MS: u64 = 10;
 
-/// Returns the servers that are not resting. If all are, returns the shortest remaining rest;
-/// `None` if there are no servers.
+/// Returns the servers that are not in a rest, a time in which this host must send them nothing. If
+/// all are, returns the shortest remaining rest as the error; `None` if there are no servers.
 fn not_resting(servers: Vec<&Arc<Server>>) -> Result<Vec<&Arc<Server>>, Option<u64>> {
     let least_rest_ms = servers.iter().map(|server| server.rest_ms()).min();
     let not_resting: Vec<_> = servers
@@ -299,8 +299,8 @@
         Some(self.refuse(entry, logged, &refused))
     }
 
-    /// Asks for the current owner of the key after a server did not run the request, and waits up to
-    /// [`KEY_RETRY_PAUSE_MS`] for a change of owners.
+    /// Asks for the current owner of the key after a server did not run the request, and waits up
+    /// to [`KEY_RETRY_PAUSE_MS`] for a change of owners.
     pub(super) async fn await_move(&self, entry: &Entry) {
         let mut changes = entry.view.changes();
         self.query_key_owner(entry);
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -63,9 +63,10 @@
     pub(super) request_id: &'a str,
     pub(super) digests: RequestDigests,
     pub(super) times: Times,
-    /// Attempts in which the request was sent; failed connects are not included.
+    /// Number of times that the request was sent without a usable response; failed connects are not
+    /// included.
     pub(super) attempts: u32,
-    /// Connection attempts that failed, over all servers; limited by [`CONNECTS_MAX`] or
+    /// Number of connection attempts that failed, over all servers; limited by [`CONNECTS_MAX`] or
     /// [`REFUSED_CONNECTS_MAX`].
     pub(super) connects: u32,
     /// Incarnations of servers that are not chosen again for this request.
@@ -247,8 +248,8 @@
     }
 
     /// Handles a response with which the server states that it did not run the request. The request
-    /// may then be sent again even if it is unrepeatable (must run at most once). Returns a response if no
-    /// further attempt is made.
+    /// may then be sent again even if it is unrepeatable (must run at most once). Returns a
+    /// response if no further attempt is made.
     async fn not_run(
         &mut self,
         entry: &Entry,
@@ -295,7 +296,7 @@
     ) -> Option<Response<ResponseBody>> {
         self.attempts += 1;
         server.failed();
-        // Another attempt could crash another server.
+        // A request that may crash servers is not sent again: it could crash the next server too.
         let is_suspect = self.is_trial || entry.crashes.is_path_suspect(self.digests);
         if !self.route.repeatable || is_suspect || !self.may_retry(entry, payload) {
             self.log("failed", reason);
