--- a/src/entry/decide/crash_tally.rs
+++ b/src/entry/decide/crash_tally.rs
@@ -40,7 +40,8 @@
     is_mass_crash: bool,
 }
 
-/// Evidence against suspect requests, by the digest that includes the caller.
+/// Evidence against suspects (requests in flight at a server when it crashed), by the digest that
+/// includes the caller.
 #[derive(Debug, Default)]
 pub struct CrashTally {
     suspects: HashMap<RequestDigest, Vec<Evidence>>,
@@ -120,7 +121,7 @@
         self.suspects.len()
     }
 
-    /// Returns true if there is evidence against no request, not even expired evidence.
+    /// Returns true if [`len`](Self::len) is 0: there is no evidence, not even expired evidence.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -53,7 +53,8 @@
     /// Tag (short identifier) of the caller. Evidence needs crashes during the requests of several
     /// callers.
     pub caller_tag: u32,
-    /// True if the request ran as a trial, with no other suspect at the server.
+    /// True if the request ran as a trial (single supervised attempt), with no other suspect at the
+    /// server.
     pub is_trial: bool,
 }
 
@@ -66,7 +67,8 @@
     at_ms: u64,
 }
 
-/// Evidence against suspects, by a digest that leaves out the caller.
+/// Evidence against suspects (requests in flight at a server when it crashed), by a digest that
+/// leaves out the caller.
 #[derive(Debug, Default)]
 pub struct PathTally(HashMap<RequestDigest, Vec<Evidence>>);
 
@@ -139,12 +141,13 @@
         self.0.len()
     }
 
-    /// Returns true if there is no evidence against any digest.
+    /// Returns true if [`len`](Self::len) is 0: there is no evidence, not even expired evidence.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Drops suspects until there is room for `added` more.
+    /// Makes room if `added` more suspects would exceed [`SUSPECTS_MAX`]: drops those with expired
+    /// evidence, and then those with the least and oldest evidence.
     fn make_room(&mut self, added: usize, now_ms: u64) {
         if self.0.len() + added <= SUSPECTS_MAX {
             return;
--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -3,7 +3,7 @@
 
 /// Minimum rate at which a limited server gets probe requests, so that the end of a limit of 0 is
 /// noticed. The probe rate doubles after each [`PROBE_AFTER_MS`] without a new advertisement, up to
-/// the maximum, which is within the users' bound in any case.
+/// the maximum, which stays within the users' requirements for any limit.
 const PROBE_MIN_PER_S: f64 = 0.25;
 const PROBE_MAX_PER_S: f64 = 1.0;
 /// Time for which hosts continue to announce that a limit has ended, so that the others learn of
@@ -15,7 +15,8 @@
 const PROBE_AFTER_MS: u64 = 2_000;
 /// Time without an advertisement after which the planner assumes a higher limit.
 const PLAN_PROBE_AFTER_MS: u64 = 10_000;
-/// Relative change of a limit that is worth a log line.
+/// Minimum relative change of a limit that is logged, so that small variations do not fill the
+/// log.
 const CHANGE_LOGGED: f64 = 0.1;
 
 /// Rate limit that a server advertised in a response, with the time of the response.
@@ -42,7 +43,7 @@
 }
 
 impl RateLimit {
-    /// Records an advertisement to this host.
+    /// Records an advertisement to this host, which this host reports to the others.
     pub fn note_own(&mut self, advertised: AdvertisedLimit) {
         self.own = Some(advertised);
         self.note(advertised);
@@ -113,7 +114,8 @@
         self.own
     }
 
-    /// Returns true once for each change that is worth a log line.
+    /// Returns true once for each change that is logged: the limit began, ended or changed by more
+    /// than the share [`CHANGE_LOGGED`].
     pub fn take_change(&mut self) -> bool {
         let per_s = self.per_s();
         let is_new = match (self.logged_per_s, per_s) {
