--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -30,17 +30,17 @@
     pub slots: u32,
     /// Number of servers over which the slots are placed.
     pub servers: u32,
-    /// Time to place all slots for the first time.
+    /// Time in milliseconds to place all slots for the first time.
     pub place_ms: f64,
-    /// Time to plan after the loss of one server.
+    /// Time in milliseconds to plan after the loss of one server.
     pub loss_ms: f64,
-    /// Time to plan when nothing needs to move.
+    /// Time in milliseconds to plan when nothing needs to move.
     pub idle_ms: f64,
     /// Memory in bytes of the state, divided by the number of slots.
     pub state_bytes_per_slot: f64,
     /// Size in bytes of the encoded snapshot, divided by the number of slots.
     pub snapshot_bytes_per_slot: f64,
-    /// Time to apply the completion of one slot's move to the state.
+    /// Time in milliseconds to apply the completion of one slot's move to the state.
     pub apply_ms: f64,
 }
 
--- a/src/bench/process.rs
+++ b/src/bench/process.rs
@@ -4,7 +4,7 @@
 
 /// Clock ticks per second in the processor times that Linux reports.
 const TICKS_PER_S: u64 = 100;
-/// Number of fields of `/proc/self/stat` between the process name and the user time.
+/// Number of fields of `/proc/self/stat` between the process name and the user time, to be skipped.
 const FIELDS_BEFORE_USER_TIME: usize = 11;
 const LOOPBACK: &str = "lo:";
 
--- a/src/bin/ashroad/app.rs
+++ b/src/bin/ashroad/app.rs
@@ -61,7 +61,7 @@
     Completions(CompletionsArgs),
 }
 
-/// Flags of `serve` and `entry`.
+/// Flags of `serve` and `entry`, which both take nothing but a settings file.
 #[derive(Debug, Args)]
 pub struct ServeArgs {
     /// Settings file of this host, in YAML.
@@ -74,7 +74,7 @@
 pub struct ExplainArgs {
     /// Request identifier that the caller sent.
     pub request_id: String,
-    /// Logs of the hosts.
+    /// Log files of the hosts, one JSON event per line.
     #[arg(required = true)]
     pub logs: Vec<PathBuf>,
 }
@@ -85,7 +85,7 @@
     /// Length of the intervals by which requests are counted, in seconds.
     #[arg(long, default_value_t = 2)]
     pub step_s: u64,
-    /// Logs of the hosts.
+    /// Log files of the hosts, one JSON event per line.
     #[arg(required = true)]
     pub logs: Vec<PathBuf>,
 }
@@ -128,10 +128,10 @@
     Withdraw(WithdrawArgs),
     /// Print a declaration.
     Show {
-        /// Operators' API to query.
+        /// Operators' API of the host to query.
         #[command(flatten)]
         api: ApiArgs,
-        /// Name of the declaration.
+        /// Name of the template or workspace, as written in its document.
         name: String,
     },
     /// List declarations.
@@ -160,7 +160,7 @@
     /// Operators' API to send the change to.
     #[command(flatten)]
     pub api: ApiArgs,
-    /// Name of the declaration.
+    /// Name of the template or workspace, as written in its document.
     pub name: String,
     /// Flags common to all changes.
     #[command(flatten)]
@@ -173,7 +173,7 @@
     /// Refuse the change unless the configuration is at this revision.
     #[arg(long)]
     pub expect_revision: Option<u64>,
-    /// Identifier of this change; a repeated change with the same identifier is not applied again.
+    /// Identifier of this change; a retry with the same identifier is not applied a second time.
     #[arg(long)]
     pub operation_id: Option<String>,
     /// Name of the person who makes the change, for the audit trail.
@@ -190,20 +190,20 @@
 /// Flags of `owner`.
 #[derive(Debug, Args)]
 pub struct OwnerArgs {
-    /// Operators' API to query.
+    /// Operators' API of the host to query.
     #[command(flatten)]
     pub api: ApiArgs,
     /// Service, as workspace/service.
     #[arg(long)]
     pub service: String,
-    /// Key whose owner is shown.
+    /// Key to look up, spelled as in callers' requests.
     pub key: String,
 }
 
 /// Flags of `audit`.
 #[derive(Debug, Args)]
 pub struct AuditArgs {
-    /// Operators' API to query.
+    /// Operators' API of the host to query.
     #[command(flatten)]
     pub api: ApiArgs,
     /// Only entries after this revision.
@@ -219,7 +219,7 @@
     pub action: HostAction,
 }
 
-/// Actions on hosts: list them, or stop one as planned.
+/// Actions on hosts: list them, or begin the planned stop (an announced shutdown) of one.
 #[derive(Debug, Subcommand)]
 pub enum HostAction {
     /// List hosts.
@@ -249,7 +249,7 @@
     Host {
         /// Directory with ca.pem and ca-key.pem.
         directory: PathBuf,
-        /// Name of the host.
+        /// Name of the host, used only for the names of the two files, e.g. host-1.
         name: String,
     },
 }
@@ -257,7 +257,7 @@
 /// Flags of `standin`.
 #[derive(Debug, Args)]
 pub struct StandinArgs {
-    /// Kind of stand-in.
+    /// System to replace: the platform or a backend server.
     #[command(subcommand)]
     pub kind: StandinKind,
 }
@@ -267,19 +267,19 @@
 pub enum StandinKind {
     /// The platform: table service, object store and list of hosts.
     Platform {
-        /// Listening address.
+        /// Address to listen on, as IP:PORT; port 0 picks a free port.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
     },
     /// A backend server.
     Server {
-        /// Listening address.
+        /// Address to listen on, as IP:PORT; port 0 picks a free port.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// Number of requests that run at the same time.
+        /// Maximum number of requests that run at the same time.
         #[arg(long, default_value_t = 4)]
         slots: usize,
-        /// Number of requests that wait for a slot; further ones are shed.
+        /// Maximum number of requests that wait for a free slot; further ones are shed.
         #[arg(long, default_value_t = 64)]
         queue: usize,
         /// Run time of each request, in milliseconds.
@@ -297,7 +297,7 @@
 /// Flags of `load`.
 #[derive(Debug, Args)]
 pub struct LoadArgs {
-    /// Addresses of entry hosts.
+    /// Addresses of entry hosts, as IP:PORT; requests are sent to them in turn.
     #[arg(long, required = true, value_delimiter = ',')]
     pub to: Vec<SocketAddr>,
     /// Addresses of backend servers, to send the same load to them directly first.
@@ -306,13 +306,13 @@
     /// Services, as /workspace/service, whose key is the path's first segment.
     #[arg(long, required = true, value_delimiter = ',')]
     pub service: Vec<String>,
-    /// Requests per second.
+    /// Requests per second, over all addresses.
     #[arg(long, default_value_t = 1_000)]
     pub rate_per_s: u64,
     /// Length of each run, in milliseconds.
     #[arg(long, default_value_t = 10_000)]
     pub duration_ms: u64,
-    /// Number of keys.
+    /// Number of distinct keys per service.
     #[arg(long, default_value_t = 10_000)]
     pub keys: u64,
     /// Exponent of the Zipf distribution of the keys; 0 for a uniform distribution.
@@ -327,7 +327,7 @@
     /// Deadline of each request, in milliseconds.
     #[arg(long, default_value_t = 5_000)]
     pub deadline_ms: u64,
-    /// Seed of the random choices.
+    /// Seed of the random choices of services, keys and kinds of requests.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
@@ -349,7 +349,7 @@
     Planner,
     /// Measure the cost of the control traffic by number of hosts.
     Control {
-        /// Numbers of hosts.
+        /// Numbers of hosts, for each of which the cost is measured.
         #[arg(long, value_delimiter = ',', default_value = "8,32,128")]
         hosts: Vec<usize>,
     },
--- a/src/demo/error.rs
+++ b/src/demo/error.rs
@@ -38,7 +38,7 @@
         /// Failure of the HTTP call, such as a timeout or an error status.
         source: CallError,
     },
-    /// A condition did not hold within its time limit.
+    /// A condition that the demonstration waits for did not hold within its time limit.
     #[snafu(display("timed out after {limit_ms} ms while waiting until {what}"))]
     Timeout {
         /// Condition that did not come true, worded for the user.
--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -49,7 +49,7 @@
     pub answered: u64,
     /// Requests whose responses stated that they did not run.
     pub not_run: u64,
-    /// Requests with an unknown outcome.
+    /// Requests that may have run: the response said so, was incomplete or did not arrive.
     pub unknown: u64,
     /// Requests that got the response to another request, or an error without a stated outcome.
     pub wrong_answers: u64,
@@ -61,7 +61,8 @@
     pub false_not_run: u64,
     /// Share of requests answered, among those that no disturbance can have affected.
     pub undisturbed_answered: f64,
-    /// Time until the keys of the lost server were served again, 99th percentile.
+    /// 99th percentile, in milliseconds, of the time until the keys of the lost server were served
+    /// again.
     pub unavailable_ms_p99: u64,
     /// Median latency through the hosts minus the median latency directly at the servers.
     pub added_latency_us_p50: i64,
--- a/src/id.rs
+++ b/src/id.rs
@@ -23,7 +23,7 @@
 }
 
 number!(
-    /// Position in the change log; each accepted change adds one.
+    /// Position of a change in the log; each accepted change has the next higher number.
     Revision,
     u64
 );
@@ -93,7 +93,7 @@
 pub struct OperationId(pub String);
 
 impl OperationId {
-    /// Returns a new random identifier, for writers that need no identifier of their own.
+    /// Returns a new random identifier, for writers that were given none by their caller.
     pub fn random() -> Self {
         Self(format!("{:032x}", rand::rng().random::<u128>()))
     }
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -25,7 +25,7 @@
 /// Outcome of a request as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A complete response arrived, and it is the one for the requested path.
+    /// A complete response arrived and belongs to the requested path.
     Answered,
     /// The response stated that the request did not run, or no connection could be established.
     NotRun,
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -9,7 +9,7 @@
 /// First part of all metric names, by which receivers tell these metrics from others.
 const PREFIX: &str = "ashroad";
 
-/// Client that sends metrics to a statsd receiver.
+/// Client that sends metrics to a statsd receiver, or discards them if there is none.
 #[derive(Debug)]
 pub struct Metrics {
     client: StatsdClient,
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -126,7 +126,8 @@
     pub availability_zone: String,
     /// Stage of the life cycle: `joining`, `live` or `leaving`.
     pub state: String,
-    /// Revision that the host last reported; `None` if the responding host did not hear it.
+    /// Revision that the host last reported; `None` if the responding host has heard nothing from
+    /// it.
     pub revision: Option<u64>,
     /// Time since the host was first heard with this revision.
     pub since_ms: Option<u64>,
@@ -204,7 +205,7 @@
     pub entries: Vec<AuditEntry>,
 }
 
-/// Query for the owner of a key.
+/// Query parameters for the owner of a key of one service.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct OwnerQuery {
     /// Full name of the service, `workspace/service`.
@@ -213,7 +214,7 @@
     pub key: String,
 }
 
-/// Query for a page of the audit trail.
+/// Query parameters for a page of the audit trail.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct AuditQuery {
     /// Revision after which the page begins; 0 for the start of the log.
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -19,11 +19,12 @@
 /// Heartbeats between hosts, sent as datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Queries a peer for its revision and the age of its basis.
+    /// Queries a peer for its revision and the age of its basis (the latest time for which it knows
+    /// that it had applied every change).
     Ping {
         /// Sender, by its key in the registry of hosts.
         host: HostKey,
-        /// Process of that host; a restarted host has another one.
+        /// Incarnation of the host's process; it changes when the host restarts.
         incarnation: Incarnation,
         /// Time at which the ping was sent, on the sender's clock; returned unchanged.
         sent_ms: u64,
@@ -34,7 +35,7 @@
     Pong {
         /// Host that replies, by its key in the registry of hosts.
         host: HostKey,
-        /// Process of that host; a restarted host has another one.
+        /// Incarnation of the host's process; it changes when the host restarts.
         incarnation: Incarnation,
         /// Time of sending, copied from the ping.
         sent_ms: u64,
@@ -103,9 +104,11 @@
         /// State in the postcard encoding, to be verified against `pointer`.
         body: Vec<u8>,
     },
-    /// Renewals of this host, as needed by [`crate::ownership::lapse`].
+    /// Reply to [`PeerRequest::LeaseHorizon`], from which [`crate::ownership::lapse`] computes when
+    /// the lost server's lease has ended.
     Horizon {
-        /// Time since the host applied the loss; `None` if it has not applied it.
+        /// Time since the host applied the change that records the loss of the server; `None` if it
+        /// has not applied that change.
         applied_age_ms: Option<u64>,
         /// Time for which the host's renewals may still keep the lease valid.
         remaining_ms: u64,
@@ -129,7 +132,8 @@
     pub service: ServiceKey,
     /// Slot that the keys of the requests belong to.
     pub slot: Slot,
-    /// Number of requests since the last reading.
+    /// Number of requests that the host routed to the slot since the previous
+    /// [`PeerRequest::Loads`].
     pub requests: u32,
 }
 
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -12,7 +12,7 @@
 
 /// Store table of the rows that operators write.
 pub const TABLE: &str = "op";
-/// Row key of the configuration document.
+/// Row key of the configuration document, which holds all services, routes and workspaces.
 pub const KEY: &str = "config";
 
 /// Prefix of the row keys that mark evacuated availability zones; the zone's name follows it. A
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -12,7 +12,7 @@
 pub const EXPECTED_SERVER: HeaderName = HeaderName::from_static("expect-instance");
 /// Name of the server that sent the response.
 pub const SERVER_NAME: HeaderName = HeaderName::from_static("instance-id");
-/// Header that a server sets if it did not run the request.
+/// Header by which a server states that it did not run the request, so that a retry is safe.
 const NOT_RUN: HeaderName = HeaderName::from_static("not-run");
 /// Key of a request to a sharded service: a number from 0 to 65535.
 pub const KEY: HeaderName = HeaderName::from_static("shard-key");
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -63,7 +63,8 @@
     /// Times of leases, heartbeats and failover.
     #[serde(default)]
     pub ownership: Ownership,
-    /// Records that keep unrepeatable requests from running twice.
+    /// Claims: records that keep unrepeatable requests (those that may run at most once) from
+    /// running twice.
     #[serde(default)]
     pub claims: ClaimSettings,
     /// Settings of the log that the process writes to standard error.
@@ -141,7 +142,7 @@
     pub freshness_ms: u64,
     /// Length of a server's lease, counted from the sending of a renewal.
     pub lease_ttl_ms: u64,
-    /// Allowance for clock drift between hosts and servers.
+    /// Allowance for clock drift between hosts and servers, in milliseconds.
     pub margin_ms: u64,
     /// Interval at which a host renews a server's lease; a lease outlasts several intervals.
     pub renew_every_ms: u64,
@@ -203,11 +204,12 @@
     }
 }
 
-/// Records that keep unrepeatable requests from running twice.
+/// Claims: records that keep unrepeatable requests (those that may run at most once) from running
+/// twice.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClaimSettings {
-    /// Time for which a request is recognised when it is sent again.
+    /// Time for which the record of a request is kept; a duplicate is recognised only until then.
     pub retention_ms: u64,
 }
 
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -41,7 +41,7 @@
 
 /// Maximum size of a request body on the stand-in's own endpoints.
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
-/// Interval of the checks if the requests for revoked slots have ended.
+/// Interval at which a drain checks whether the requests for the revoked slots have ended.
 const DRAIN_POLL_MS: u64 = 1;
 /// Pause between the first half of a truncated response and its end.
 const TRUNCATION_PAUSE_MS: u64 = 30;
--- a/src/standin/backend_message.rs
+++ b/src/standin/backend_message.rs
@@ -28,7 +28,7 @@
     /// Interval between updates of the load that the load endpoint reports; 0 to report the current
     /// load.
     pub load_lag_ms: u64,
-    /// Time in milliseconds by which each request takes longer.
+    /// Additional run time of each request, in milliseconds.
     pub extra_ms: u64,
     /// Responses end in the middle of the body.
     pub cut_answers: bool,
@@ -43,7 +43,7 @@
     pub waiting: usize,
 }
 
-/// Number of times that one request ran on one server.
+/// Request with the number of times that it ran on one server; more than 1 is a duplicate run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunCount {
     /// Idempotency key if the request had one, else its request id.
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -43,7 +43,7 @@
     pub slow_ms: u64,
     /// Every n-th transaction gets no response although it took effect; 0 for none.
     pub lose_answer_every: u64,
-    /// Age of the list of hosts that readers get.
+    /// Age in milliseconds of the list of hosts that readers get; 0 for the current list.
     pub list_lag_ms: u64,
 }
 
@@ -193,7 +193,8 @@
 }
 
 impl Table {
-    /// Runs a transaction; the flag is true if its response must be dropped.
+    /// Runs a transaction. The returned flag is true if the fault `lose_answer_every` requires that
+    /// its response is dropped.
     fn transact(&mut self, transaction: Transaction) -> (TransactionOutcome, bool) {
         self.counters.transactions += 1;
         let conflicts = self.conflicts(&transaction);
--- a/src/store/message.rs
+++ b/src/store/message.rs
@@ -85,7 +85,7 @@
     pub value: String,
 }
 
-/// Response to a [`RangeRead`].
+/// Response to a [`RangeRead`], which holds one page of rows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Rows {
     /// Rows in ascending key order, at most the requested number.
