--- a/src/bench/control.rs
+++ b/src/bench/control.rs
@@ -18,7 +18,7 @@
 const SETTLE_MS: u64 = 6_000;
 const MEASURE_MS: u64 = 10_000;
 
-/// Cost of the coordination, measured with one number of hosts.
+/// Cost of the coordination between hosts, measured with a fixed number of hosts.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ControlFigures {
     /// Number of hosts that ran during the measurement.
@@ -37,7 +37,7 @@
     pub transactions_per_s: f64,
 }
 
-/// Measures the cost with `hosts` hosts; fails if the hosts cannot be started.
+/// Measures the cost of the coordination between `hosts` hosts; fails if they cannot be started.
 pub async fn run(hosts: usize) -> Result<ControlFigures, Error> {
     let memory = process::resident_bytes();
     let system = System::start(hosts).await?;
--- a/src/bench/day.rs
+++ b/src/bench/day.rs
@@ -2,7 +2,7 @@
 
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::SliceRandom};
 
-/// Number of minutes in a day.
+/// Number of minutes in a day, which is simulated minute by minute.
 pub const MINUTES: usize = 24 * 60;
 /// Number of slots of the generated service.
 pub const SLOTS: usize = 256;
@@ -25,7 +25,7 @@
     Migration,
 }
 
-/// Scenarios that every policy runs.
+/// Scenarios on which every policy is measured.
 pub const EVENTS: [Event; 6] = [
     Event::Steady,
     Event::Thaw,
--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -23,7 +23,7 @@
 const SEED: u64 = 3;
 const TARGETS_PER_DOCUMENT: u32 = 4_000;
 
-/// Times and memory measured with one number of slots and servers.
+/// Times and memory of the planner and the state, for one number of slots and one of servers.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct SizeFigures {
     /// Number of slots of the measured service.
--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -88,7 +88,7 @@
     let mut owners: Vec<Option<u32>> = vec![None; SLOTS];
     let (mut moved, mut forced, mut lost) = (0_usize, 0_usize, 0_usize);
     let (mut sum, mut high) = (0.0, 0_usize);
-    // Smoothed in the same way as the load readings of hosts.
+    // Uses the same smoothing as hosts do for their load readings.
     let mut smoothed_loads: Vec<f64> = (0..SLOTS).map(|slot| day.observed(0, slot)).collect();
     for minute in 0..MINUTES {
         let servers = servers(day, minute);
--- a/src/bin/ashroad/app.rs
+++ b/src/bin/ashroad/app.rs
@@ -69,7 +69,7 @@
     pub settings: PathBuf,
 }
 
-/// Flags of `explain`.
+/// Flags of `explain`: the request to trace and the logs to read.
 #[derive(Debug, Args)]
 pub struct ExplainArgs {
     /// Request identifier that the caller sent.
@@ -79,7 +79,7 @@
     pub logs: Vec<PathBuf>,
 }
 
-/// Flags of `losses`.
+/// Flags of `losses`: the logs to read and the length of the counted intervals.
 #[derive(Debug, Args)]
 pub struct LossesArgs {
     /// Length of the intervals by which requests are counted, in seconds.
@@ -90,7 +90,7 @@
     pub logs: Vec<PathBuf>,
 }
 
-/// Flags of `check`.
+/// Flags of `check`, which reads files and calls no host.
 #[derive(Debug, Args)]
 pub struct CheckArgs {
     /// Files to check; a workspace needs its template among them.
@@ -109,7 +109,7 @@
     pub token_file: Option<PathBuf>,
 }
 
-/// Flags of `template` and `workspace`.
+/// Flags of `template` and `workspace`, which have the same actions.
 #[derive(Debug, Args)]
 pub struct DeclarationArgs {
     /// Action on templates or workspaces.
@@ -138,7 +138,7 @@
     List(ApiArgs),
 }
 
-/// Flags of `submit` and `amend`.
+/// Flags of `submit` and `amend`: the document to send and the conditions of the change.
 #[derive(Debug, Args)]
 pub struct SubmitArgs {
     /// Operators' API to send the change to.
@@ -146,7 +146,7 @@
     pub api: ApiArgs,
     /// File with the declaration, in YAML.
     pub file: PathBuf,
-    /// Flags common to all changes.
+    /// Flags that every change accepts: its conditions, its author and whether to wait for it.
     #[command(flatten)]
     pub change: ChangeArgs,
     /// Only show what would change.
@@ -154,7 +154,7 @@
     pub dry_run: bool,
 }
 
-/// Flags of `withdraw`.
+/// Flags of `withdraw`: the declaration to remove and the conditions of the change.
 #[derive(Debug, Args)]
 pub struct WithdrawArgs {
     /// Operators' API to send the change to.
@@ -162,12 +162,12 @@
     pub api: ApiArgs,
     /// Name of the template or workspace, as written in its document.
     pub name: String,
-    /// Flags common to all changes.
+    /// Flags that every change accepts: its conditions, its author and whether to wait for it.
     #[command(flatten)]
     pub change: ChangeArgs,
 }
 
-/// Flags common to all changes.
+/// Flags that every change accepts: its conditions, its author and whether to wait for it.
 #[derive(Debug, Args)]
 pub struct ChangeArgs {
     /// Refuse the change unless the configuration is at this revision.
@@ -187,7 +187,7 @@
     pub wait_ms: u64,
 }
 
-/// Flags of `owner`.
+/// Flags of `owner`: the service and the key to look up.
 #[derive(Debug, Args)]
 pub struct OwnerArgs {
     /// Operators' API of the host to query.
@@ -206,12 +206,12 @@
     /// Operators' API of the host to query.
     #[command(flatten)]
     pub api: ApiArgs,
-    /// Only entries after this revision.
+    /// Show only entries after this revision; 0 shows the whole trail.
     #[arg(long, default_value_t = 0)]
     pub after: u64,
 }
 
-/// Flags of `host`.
+/// Flags of `host`: list all hosts, or stop the one whose API is called.
 #[derive(Debug, Args)]
 pub struct HostArgs {
     /// Action on hosts.
@@ -294,7 +294,7 @@
     },
 }
 
-/// Flags of `load`.
+/// Flags of `load`: targets, rate, duration and mix of the requests.
 #[derive(Debug, Args)]
 pub struct LoadArgs {
     /// Addresses of entry hosts, as IP:PORT; requests are sent to them in turn.
@@ -355,7 +355,7 @@
     },
 }
 
-/// Flags of `completions`.
+/// Flags of `completions`: the shell that will load the script.
 #[derive(Debug, Args)]
 pub struct CompletionsArgs {
     /// Shell to print the script for.
--- a/src/bin/ashroad/declaration.rs
+++ b/src/bin/ashroad/declaration.rs
@@ -134,7 +134,7 @@
 }
 
 /// Waits until the status shows the revision, or a later one, for every registered host; fails
-/// after `wait_ms`. A host whose revision the responding host does not know keeps it waiting.
+/// after `wait_ms`. A host whose revision the responding host does not know counts as behind.
 async fn wait(client: &OperatorClient, revision: u64, wait_ms: u64) -> Result<()> {
     let deadline_ms = clock::now_ms() + wait_ms;
     while clock::now_ms() < deadline_ms {
--- a/src/bin/ashroad/serve.rs
+++ b/src/bin/ashroad/serve.rs
@@ -20,7 +20,8 @@
     operators: SocketAddr,
 }
 
-/// Runs a host until a signal or an operator starts its planned stop, or a task of it fails.
+/// Runs a host until a signal or an operator starts its planned stop, or until one of its tasks
+/// fails.
 pub async fn run(args: ServeArgs) -> Result<()> {
     let settings = Settings::read(&args.settings).context(SettingsSnafu)?;
     logging::start(settings.log.level);
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -266,7 +266,8 @@
         self.submit(DeclarationKind::Workspace, document).await
     }
 
-    /// Makes one host stop as planned.
+    /// Makes one host carry out a planned stop; returns the host and the time at which the stop
+    /// began.
     pub(crate) async fn stop_host(&mut self) -> Stopped {
         let host = self.hosts.remove(STOPPED_HOST);
         let address = host.callers;
--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -10,7 +10,7 @@
     standin::{backend::Record, invariants},
 };
 
-/// Key owned by the server that was lost.
+/// Key owned by the lost server; its first request after the loss measures the unavailability.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LostKey {
     pub(crate) service: usize,
@@ -24,8 +24,8 @@
     pub(crate) at_us: u64,
 }
 
-/// Disturbances (lost server, planned stop) during the run, by which affected requests are told
-/// apart.
+/// Disturbances (lost server, planned stop) during the run, used to exclude the requests that they
+/// may have affected.
 #[derive(Clone, Debug)]
 pub(crate) struct Disturbances {
     pub(crate) lost_us: u64,
@@ -139,7 +139,8 @@
     answered as f64 / concerned().count().max(1) as f64
 }
 
-/// Returns the latency of the first request after the loss, for each key of the lost server.
+/// Returns the latency of the first request after the loss of the server, for each key that it
+/// owned.
 fn unavailability(samples: &[Sample], disturbances: &Disturbances) -> LatencyReport {
     let firsts = disturbances.lost_keys.iter().filter_map(|lost| {
         let of_key = samples.iter().filter(|sample| {
--- a/src/id.rs
+++ b/src/id.rs
@@ -93,7 +93,7 @@
 pub struct OperationId(pub String);
 
 impl OperationId {
-    /// Returns a new random identifier, for writers that were given none by their caller.
+    /// Returns a new random identifier, used where neither an operator nor a caller supplies one.
     pub fn random() -> Self {
         Self(format!("{:032x}", rand::rng().random::<u128>()))
     }
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -35,7 +35,7 @@
     Wrong,
 }
 
-/// HTTP caller with pooled connections, which plays the part of all callers of a run.
+/// HTTP client with pooled connections, which sends all requests of a load run.
 #[derive(Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -11,7 +11,7 @@
 
 use crate::clock;
 
-/// Libraries whose records below warnings are of no use to operators; these are not logged.
+/// Libraries whose records below warnings are not logged, because they are of no use to operators.
 const QUIET_TARGETS: [&str; 5] = ["quinn", "rustls", "hyper", "slog", "dropshot"];
 
 /// Writes each log record as one JSON object.
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -107,7 +107,8 @@
     pub leading: bool,
     /// Term of the leader row as the host last read it.
     pub term: u64,
-    /// True if no host acts any more on the registry from before its last change.
+    /// True if the last change of the registry of hosts is settled: no host acts on an earlier
+    /// version.
     pub registry_settled: bool,
     /// All registered hosts, those that are joining or leaving included.
     pub hosts: Vec<HostStatus>,
@@ -129,9 +130,9 @@
     /// Revision that the host last reported; `None` if the responding host has heard nothing from
     /// it.
     pub revision: Option<u64>,
-    /// Time since the host was first heard with this revision.
+    /// Time in milliseconds since the responding host first heard this revision from the host.
     pub since_ms: Option<u64>,
-    /// Time since the host was last heard; 0 for the responding host itself.
+    /// Time in milliseconds since the responding host last heard from this host; 0 for itself.
     pub heard_ms: Option<u64>,
 }
 
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -52,5 +52,5 @@
     },
 }
 
-/// Result of an operation of the peer protocol.
+/// Result of setting up the endpoint, or of exchanging a message with another host.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -68,9 +68,9 @@
     LeaseHorizon {
         /// Server that was declared lost.
         server: ServerKey,
-        /// Membership period that ended with the loss.
+        /// Membership period of the server that ended when it was declared lost.
         lease_epoch: LeaseEpoch,
-        /// Revision at which the loss was recorded.
+        /// Revision of the change that recorded the loss of the server.
         lost: Revision,
     },
     /// Requests a probe: the receiver checks if a server responds.
--- a/src/platform/error.rs
+++ b/src/platform/error.rs
@@ -71,5 +71,6 @@
     }
 }
 
-/// Result of a call to the store or to a server.
+/// Result of a call to the store or to a server; the error tells whether the call may have taken
+/// effect.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -94,9 +94,9 @@
     }
 }
 
-/// Parses the rest that a server asks for when it rejects a request with 503 or 429, from
-/// `Retry-After` in seconds with fractions. HTTP also allows a date there, but the platform's
-/// servers never send one.
+/// Parses the rest (a period without requests from this host) that a server asks for when it
+/// rejects a request with 503 or 429, from `Retry-After` in seconds with fractions. HTTP also
+/// allows a date there, but the platform's servers never send one.
 fn rest_ms(status: StatusCode, headers: &HeaderMap) -> Option<u64> {
     let rejected = [
         StatusCode::SERVICE_UNAVAILABLE,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -209,7 +209,8 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClaimSettings {
-    /// Time for which the record of a request is kept; a duplicate is recognised only until then.
+    /// Age in milliseconds after which the record of a request may be removed, so that a duplicate
+    /// is no longer recognised.
     pub retention_ms: u64,
 }
 
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -45,7 +45,7 @@
 const DRAIN_POLL_MS: u64 = 1;
 /// Pause between the first half of a truncated response and its end.
 const TRUNCATION_PAUSE_MS: u64 = 30;
-/// Extra run time of a request while the server is cold.
+/// Extra run time of a request while the server is cold, i.e. shortly after its start.
 const COLD_EXTRA_MS: u64 = 20;
 
 /// Behaviour of one stand-in server, fixed at its start; faults can be set later.
@@ -57,9 +57,10 @@
     pub slots: usize,
     /// Number of requests that wait for a slot; further ones are shed.
     pub queue: usize,
-    /// Time for which a request occupies its slot.
+    /// Time in milliseconds for which a request occupies its slot.
     pub work_ms: u64,
-    /// Time after the start in which requests take 20 ms longer.
+    /// Time in milliseconds after the start in which the server is cold: requests take 20 ms
+    /// longer.
     pub cold_ms: u64,
     /// False for a server that runs requests without checking their epoch and incarnation.
     pub checks_orders: bool,
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -16,5 +16,5 @@
     },
 }
 
-/// Result of a call to the platform.
+/// Result of a call to the platform; a write that failed may have taken effect all the same.
 pub type Result<T> = std::result::Result<T, Error>;
