--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -130,7 +130,8 @@
     /// Revision that the host last reported; `None` if the responding host has heard nothing from
     /// it.
     pub revision: Option<u64>,
-    /// Time in milliseconds since the responding host first heard this revision from the host.
+    /// Time in milliseconds since the responding host first heard this revision from the host, or
+    /// applied it itself if the entry is about the responding host.
     pub since_ms: Option<u64>,
     /// Time in milliseconds since the responding host last heard from this host; 0 for itself.
     pub heard_ms: Option<u64>,
