--- a/src/bin/ashroad/app.rs
+++ b/src/bin/ashroad/app.rs
@@ -61,7 +61,7 @@
     Completions(CompletionsArgs),
 }
 
-/// Flags of `serve` and `entry`.
+/// Flags of `serve` and `entry`, which both take nothing but a settings file.
 #[derive(Debug, Args)]
 pub struct ServeArgs {
     /// Settings file of this host, in YAML.
@@ -69,28 +69,28 @@
     pub settings: PathBuf,
 }
 
-/// Flags of `explain`.
+/// Flags of `explain`: the request to trace and the logs to read.
 #[derive(Debug, Args)]
 pub struct ExplainArgs {
     /// Request identifier that the caller sent.
     pub request_id: String,
-    /// Logs of the hosts.
+    /// Log files of the hosts, one JSON event per line.
     #[arg(required = true)]
     pub logs: Vec<PathBuf>,
 }
 
-/// Flags of `losses`.
+/// Flags of `losses`: the logs to read and the length of the counted intervals.
 #[derive(Debug, Args)]
 pub struct LossesArgs {
     /// Length of the intervals by which requests are counted, in seconds.
     #[arg(long, default_value_t = 2)]
     pub step_s: u64,
-    /// Logs of the hosts.
+    /// Log files of the hosts, one JSON event per line.
     #[arg(required = true)]
     pub logs: Vec<PathBuf>,
 }
 
-/// Flags of `check`.
+/// Flags of `check`, which reads files and calls no host.
 #[derive(Debug, Args)]
 pub struct CheckArgs {
     /// Files to check; a workspace needs its template among them.
@@ -109,7 +109,7 @@
     pub token_file: Option<PathBuf>,
 }
 
-/// Flags of `template` and `workspace`.
+/// Flags of `template` and `workspace`, which have the same actions.
 #[derive(Debug, Args)]
 pub struct DeclarationArgs {
     /// Action on templates or workspaces.
@@ -128,17 +128,17 @@
     Withdraw(WithdrawArgs),
     /// Print a declaration.
     Show {
-        /// Operators' API to query.
+        /// Operators' API of the host to query.
         #[command(flatten)]
         api: ApiArgs,
-        /// Name of the declaration.
+        /// Name of the template or workspace, as written in its document.
         name: String,
     },
     /// List declarations.
     List(ApiArgs),
 }
 
-/// Flags of `submit` and `amend`.
+/// Flags of `submit` and `amend`: the document to send and the conditions of the change.
 #[derive(Debug, Args)]
 pub struct SubmitArgs {
     /// Operators' API to send the change to.
@@ -146,7 +146,7 @@
     pub api: ApiArgs,
     /// File with the declaration, in YAML.
     pub file: PathBuf,
-    /// Flags common to all changes.
+    /// Flags that every change accepts: its conditions, its author and whether to wait for it.
     #[command(flatten)]
     pub change: ChangeArgs,
     /// Only show what would change.
@@ -154,26 +154,26 @@
     pub dry_run: bool,
 }
 
-/// Flags of `withdraw`.
+/// Flags of `withdraw`: the declaration to remove and the conditions of the change.
 #[derive(Debug, Args)]
 pub struct WithdrawArgs {
     /// Operators' API to send the change to.
     #[command(flatten)]
     pub api: ApiArgs,
-    /// Name of the declaration.
+    /// Name of the template or workspace, as written in its document.
     pub name: String,
-    /// Flags common to all changes.
+    /// Flags that every change accepts: its conditions, its author and whether to wait for it.
     #[command(flatten)]
     pub change: ChangeArgs,
 }
 
-/// Flags common to all changes.
+/// Flags that every change accepts: its conditions, its author and whether to wait for it.
 #[derive(Debug, Args)]
 pub struct ChangeArgs {
     /// Refuse the change unless the configuration is at this revision.
     #[arg(long)]
     pub expect_revision: Option<u64>,
-    /// Identifier of this change; a repeated change with the same identifier is not applied again.
+    /// Identifier of this change; a retry with the same identifier is not applied a second time.
     #[arg(long)]
     pub operation_id: Option<String>,
     /// Name of the person who makes the change, for the audit trail.
@@ -187,31 +187,31 @@
     pub wait_ms: u64,
 }
 
-/// Flags of `owner`.
+/// Flags of `owner`: the service and the key to look up.
 #[derive(Debug, Args)]
 pub struct OwnerArgs {
-    /// Operators' API to query.
+    /// Operators' API of the host to query.
     #[command(flatten)]
     pub api: ApiArgs,
     /// Service, as workspace/service.
     #[arg(long)]
     pub service: String,
-    /// Key whose owner is shown.
+    /// Key to look up, spelled as in callers' requests.
     pub key: String,
 }
 
 /// Flags of `audit`.
 #[derive(Debug, Args)]
 pub struct AuditArgs {
-    /// Operators' API to query.
+    /// Operators' API of the host to query.
     #[command(flatten)]
     pub api: ApiArgs,
-    /// Only entries after this revision.
+    /// Show only entries after this revision; 0 shows the whole trail.
     #[arg(long, default_value_t = 0)]
     pub after: u64,
 }
 
-/// Flags of `host`.
+/// Flags of `host`: list all hosts, or stop the one whose API is called.
 #[derive(Debug, Args)]
 pub struct HostArgs {
     /// Action on hosts.
@@ -219,7 +219,7 @@
     pub action: HostAction,
 }
 
-/// Actions on hosts: list them, or stop one as planned.
+/// Actions on hosts: list them, or begin the planned stop (an announced shutdown) of one.
 #[derive(Debug, Subcommand)]
 pub enum HostAction {
     /// List hosts.
@@ -249,7 +249,7 @@
     Host {
         /// Directory with ca.pem and ca-key.pem.
         directory: PathBuf,
-        /// Name of the host.
+        /// Name of the host, used only for the names of the two files, e.g. host-1.
         name: String,
     },
 }
@@ -257,7 +257,7 @@
 /// Flags of `standin`.
 #[derive(Debug, Args)]
 pub struct StandinArgs {
-    /// Kind of stand-in.
+    /// System to replace: the platform or a backend server.
     #[command(subcommand)]
     pub kind: StandinKind,
 }
@@ -267,19 +267,19 @@
 pub enum StandinKind {
     /// The platform: table service, object store and list of hosts.
     Platform {
-        /// Listening address.
+        /// Address to listen on, as IP:PORT; port 0 picks a free port.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
     },
     /// A backend server.
     Server {
-        /// Listening address.
+        /// Address to listen on, as IP:PORT; port 0 picks a free port.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// Number of requests that run at the same time.
+        /// Maximum number of requests that run at the same time.
         #[arg(long, default_value_t = 4)]
         slots: usize,
-        /// Number of requests that wait for a slot; further ones are shed.
+        /// Maximum number of requests that wait for a free slot; further ones are shed.
         #[arg(long, default_value_t = 64)]
         queue: usize,
         /// Run time of each request, in milliseconds.
@@ -294,10 +294,10 @@
     },
 }
 
-/// Flags of `load`.
+/// Flags of `load`: targets, rate, duration and mix of the requests.
 #[derive(Debug, Args)]
 pub struct LoadArgs {
-    /// Addresses of entry hosts.
+    /// Addresses of entry hosts, as IP:PORT; requests are sent to them in turn.
     #[arg(long, required = true, value_delimiter = ',')]
     pub to: Vec<SocketAddr>,
     /// Addresses of backend servers, to send the same load to them directly first.
@@ -306,13 +306,13 @@
     /// Services, as /workspace/service, whose key is the path's first segment.
     #[arg(long, required = true, value_delimiter = ',')]
     pub service: Vec<String>,
-    /// Requests per second.
+    /// Requests per second, over all addresses.
     #[arg(long, default_value_t = 1_000)]
     pub rate_per_s: u64,
     /// Length of each run, in milliseconds.
     #[arg(long, default_value_t = 10_000)]
     pub duration_ms: u64,
-    /// Number of keys.
+    /// Number of distinct keys per service.
     #[arg(long, default_value_t = 10_000)]
     pub keys: u64,
     /// Exponent of the Zipf distribution of the keys; 0 for a uniform distribution.
@@ -327,7 +327,7 @@
     /// Deadline of each request, in milliseconds.
     #[arg(long, default_value_t = 5_000)]
     pub deadline_ms: u64,
-    /// Seed of the random choices.
+    /// Seed of the random choices of services, keys and kinds of requests.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
@@ -349,13 +349,13 @@
     Planner,
     /// Measure the cost of the control traffic by number of hosts.
     Control {
-        /// Numbers of hosts.
+        /// Numbers of hosts, for each of which the cost is measured.
         #[arg(long, value_delimiter = ',', default_value = "8,32,128")]
         hosts: Vec<usize>,
     },
 }
 
-/// Flags of `completions`.
+/// Flags of `completions`: the shell that will load the script.
 #[derive(Debug, Args)]
 pub struct CompletionsArgs {
     /// Shell to print the script for.
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -25,7 +25,7 @@
 /// Outcome of a request as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A complete response arrived, and it is the one for the requested path.
+    /// A complete response arrived and belongs to the requested path.
     Answered,
     /// The response stated that the request did not run, or no connection could be established.
     NotRun,
@@ -35,7 +35,7 @@
     Wrong,
 }
 
-/// HTTP caller with pooled connections, which plays the part of all callers of a run.
+/// HTTP client with pooled connections, which sends all requests of a load run.
 #[derive(Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -107,7 +107,8 @@
     pub leading: bool,
     /// Term of the leader row as the host last read it.
     pub term: u64,
-    /// True if no host acts any more on the registry from before its last change.
+    /// True if the last change of the registry of hosts is settled: no host acts on an earlier
+    /// version.
     pub registry_settled: bool,
     /// All registered hosts, those that are joining or leaving included.
     pub hosts: Vec<HostStatus>,
@@ -126,11 +127,13 @@
     pub availability_zone: String,
     /// Stage of the life cycle: `joining`, `live` or `leaving`.
     pub state: String,
-    /// Revision that the host last reported; `None` if the responding host did not hear it.
+    /// Revision that the host last reported; `None` if the responding host has heard nothing from
+    /// it.
     pub revision: Option<u64>,
-    /// Time since the host was first heard with this revision.
+    /// Time in milliseconds since the responding host first heard this revision from the host, or
+    /// applied it itself if the entry is about the responding host.
     pub since_ms: Option<u64>,
-    /// Time since the host was last heard; 0 for the responding host itself.
+    /// Time in milliseconds since the responding host last heard from this host; 0 for itself.
     pub heard_ms: Option<u64>,
 }
 
@@ -204,7 +207,7 @@
     pub entries: Vec<AuditEntry>,
 }
 
-/// Query for the owner of a key.
+/// Query parameters for the owner of a key of one service.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct OwnerQuery {
     /// Full name of the service, `workspace/service`.
@@ -213,7 +216,7 @@
     pub key: String,
 }
 
-/// Query for a page of the audit trail.
+/// Query parameters for a page of the audit trail.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct AuditQuery {
     /// Revision after which the page begins; 0 for the start of the log.
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -12,7 +12,7 @@
 pub const EXPECTED_SERVER: HeaderName = HeaderName::from_static("expect-instance");
 /// Name of the server that sent the response.
 pub const SERVER_NAME: HeaderName = HeaderName::from_static("instance-id");
-/// Header that a server sets if it did not run the request.
+/// Header by which a server states that it did not run the request, so that a retry is safe.
 const NOT_RUN: HeaderName = HeaderName::from_static("not-run");
 /// Key of a request to a sharded service: a number from 0 to 65535.
 pub const KEY: HeaderName = HeaderName::from_static("shard-key");
@@ -94,9 +94,9 @@
     }
 }
 
-/// Parses the rest that a server asks for when it rejects a request with 503 or 429, from
-/// `Retry-After` in seconds with fractions. HTTP also allows a date there, but the platform's
-/// servers never send one.
+/// Parses the rest (a period without requests from this host) that a server asks for when it
+/// rejects a request with 503 or 429, from `Retry-After` in seconds with fractions. HTTP also
+/// allows a date there, but the platform's servers never send one.
 fn rest_ms(status: StatusCode, headers: &HeaderMap) -> Option<u64> {
     let rejected = [
         StatusCode::SERVICE_UNAVAILABLE,
