--- a/src/entry/duty/mod.rs
+++ b/src/entry/duty/mod.rs
@@ -34,9 +34,9 @@
 const DUTY_TABLE: &str = "ashroad_duty";
 const DUTY_KEY: &str = "leases";
 /// Age of the last confirmation up to which the duty holder tells other hosts that it has the duty.
-/// Two confirmations in a row may fail within it. A duty holder that has lost its own connection to
-/// the store can record no move. With 3 s, another host took the duty only 5.7 s after the duty
-/// holder lost the store, and the keys of a lost zone waited for that long.
+/// Two confirmations in a row may fail before this age is reached. A duty holder that has lost its
+/// own connection to the store can record no move. With 3 s, another host took the duty only 5.7 s
+/// after the duty holder lost the store, and the keys of a lost zone waited for that long.
 const CONFIRMED_MS: u64 = 1_900;
 /// Timeout of a write of the duty row. When the store returns from an outage, the duty holder must
 /// have written the row before other hosts have seen it unchanged for the takeover time, 1.6 s. At
@@ -51,7 +51,7 @@
 struct DutyRow {
     /// Incarnation of the host process that has the duty; 0 after a host has given it up.
     holder: u64,
-    /// Number of the term. Each takeover of the duty adds 1.
+    /// Number of the holder's term. Each takeover of the duty adds 1, so a higher number is later.
     term: u64,
     /// Number of the confirmation within the term. It makes each write change the row.
     confirmation: u64,
@@ -106,8 +106,8 @@
         self.term.load(Ordering::Relaxed)
     }
 
-    /// Returns true if this host may grant leases: it has the duty, and its last confirmation is
-    /// not older than `outage_ms`.
+    /// Returns true if this host may grant leases: it has the duty (leader role) and confirmed it
+    /// in the store less than `outage_ms` ago.
     pub fn may_lease(&self, outage_ms: u64) -> bool {
         let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
         self.term() > 0 && clock::now_ms() < confirmed_ms + outage_ms
@@ -291,8 +291,8 @@
         writer.confirmation = writer.confirmation.max(row.confirmation);
     }
 
-    /// Gives up the duty during a planned stop by clearing the holder in the row, so that another
-    /// host takes it at once.
+    /// Gives up the duty during a planned stop of this host by clearing the holder in the row, so
+    /// that another host takes it at once.
     pub(super) async fn give_up_duty(&self) {
         if self.duty.term() == 0 {
             return;
--- a/src/entry/duty/record.rs
+++ b/src/entry/duty/record.rs
@@ -21,7 +21,7 @@
 /// Reason why a change of holdings was not recorded, which no retry can mend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFailure {
-    /// Another host has the duty, or this host can no longer be sure that it has it.
+    /// Another host has the duty (leader role), or this host can no longer be sure that it has it.
     DutyLost,
     /// The store rejects the transaction with an error that no retry can mend.
     Refused,
@@ -33,7 +33,8 @@
 /// one transaction.
 const ROWS_MAX: usize = 32;
 
-/// Row of holdings that is written if the stored row still has the expected version.
+/// Row with one key partition of a service's holdings, to be written on the condition that the
+/// stored row still has the expected version.
 struct PendingRow {
     part: KeyPartition,
     key: String,
--- a/src/entry/duty/takeover.rs
+++ b/src/entry/duty/takeover.rs
@@ -20,7 +20,8 @@
     },
 };
 
-/// Interval at which a host without the duty checks if it must take the duty.
+/// Interval at which a host without the duty (leader role) checks whether the duty holder has
+/// become silent.
 const CHECK_EVERY_MS: u64 = 100;
 /// Time after its start in which a host does not watch the duty row, as it may not have received a
 /// heartbeat of the duty holder yet.
@@ -41,12 +42,12 @@
 /// Number of hosts that begin at the same time to watch the row of a silent duty holder. Reads are
 /// billed, so not all hosts watch it.
 const WATCHERS: u64 = 2;
-/// Delay until the next `WATCHERS` hosts begin to watch the row too.
+/// Delay after which the next `WATCHERS` hosts in the takeover order also begin to watch the row.
 const WATCHERS_STEP_MS: u64 = 500;
 
 impl Entry {
-    /// Runs the duty on this host: confirms it while the host has it, and otherwise takes it when
-    /// no host confirms it any more.
+    /// Confirms the duty (leader role) while this host has it. Otherwise takes it over when no host
+    /// confirms it any more.
     pub(in crate::entry) async fn maintain_duty(self: Arc<Self>) {
         let leases = self.settings.leases;
         if !self.view.hosts_known().await {
@@ -217,9 +218,10 @@
         self.check_predecessor_process().await;
     }
 
-    /// Checks if the host of the predecessor already runs another process. It may be this host.
-    /// This host's data on the processes of other hosts may be older than the predecessor, but the
-    /// predecessor's own row is not, since a process registers before it takes the duty.
+    /// Checks if the host of the predecessor (previous duty holder) already runs another process.
+    /// The predecessor may have been an earlier process of this host. This host's data on the
+    /// processes of other hosts may be older than the predecessor, but the predecessor's own row is
+    /// not, since a process registers before it takes the duty.
     async fn check_predecessor_process(&self) {
         self.duty
             .note_process(self.settings.listen.peers, self.incarnation);
--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -42,8 +42,8 @@
     /// servers or missed changes.
     fn queries_peers_first(&self, followed: FollowedTable) -> bool {
         match followed {
-            // While the store is unavailable, only this feed detects its return, for the other
-            // feeds too.
+            // While the store is unavailable, only the feed of servers' entries detects its return,
+            // on behalf of the other feeds.
             FollowedTable::Servers if *self.view.store_lost().borrow() => false,
             FollowedTable::Servers => self.has_many_servers() || self.missed(followed) > MISSED_MAX,
             FollowedTable::Configuration => self.peers.use_relays(),
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -40,8 +40,8 @@
 const SYNC_RETRY_MS: u64 = 250;
 /// Time for which a host queries seed hosts before it reads the store's tables.
 const SYNC_TIMEOUT_MS: u64 = 4_000;
-/// Time for which an early host queries seed hosts. It is shorter because other hosts will query
-/// this one.
+/// Time for which an early host queries seed hosts. It is shorter than [`SYNC_TIMEOUT_MS`] because
+/// other hosts will query the early one.
 const EARLY_SYNC_TIMEOUT_MS: u64 = 600;
 /// Time after which a host that found no seed hosts reads their list again. At the first start of a
 /// deployment the first duty holder has stored the list by then.
@@ -67,7 +67,7 @@
     },
 }
 
-/// Source of the initial state of this host.
+/// Source from which this host obtains its initial state of servers, holdings and hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SyncOutcome {
     Pending,
@@ -109,7 +109,8 @@
         self.sync_outcome().await == SyncOutcome::Synced
     }
 
-    /// Records that the hosts' secret may have been replaced, which only the store can show.
+    /// Records that the hosts' secret may have been replaced. Only a read of the secret's row in
+    /// the store can show whether it was.
     pub(super) fn flag_stale_secret(&self) {
         self.secret_may_be_stale.store(true, Ordering::Relaxed);
     }
--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -55,7 +55,7 @@
     format!("{HOST_PREFIX}{address}")
 }
 
-/// Newcomer with the channel that completes its registration request.
+/// Newcomer with the channel over which its request learns whether it was registered.
 #[derive(Debug)]
 struct Waiting {
     newcomer: Newcomer,
--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -26,7 +26,7 @@
     platform::{self, Link},
 };
 
-/// Timeout for the head of a response.
+/// Timeout until the head (status and headers) of a response arrives.
 const QUERY_TIMEOUT_MS: u64 = 1_500;
 /// Pauses before the first three queries for hosts that have joined. They are short because hosts
 /// that start together do not know each other yet.
--- a/src/entry/join/seed_hosts.rs
+++ b/src/entry/join/seed_hosts.rs
@@ -18,14 +18,14 @@
 /// Interval at which the duty holder checks whether the stored list of seed hosts is out of date.
 const SEED_HOSTS_EVERY_MS: u64 = 300;
 /// Number of servers up to which a host reads the tables from the store: reading a few pages is
-/// faster than a query to another host that may be starting too.
+/// faster than a query to another host, which may itself still be starting.
 const READ_SERVERS_MAX: usize = 1_000;
 
 /// Row in which the duty holder stores the seed hosts; starting hosts read it together with the
 /// secret.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct SeedHosts {
-    /// Seed hosts of all zones.
+    /// Seed hosts of all zones; empty if the row cannot be decoded.
     pub hosts: Vec<SeedHost>,
     /// True if there are more servers than every host should read from the store by itself.
     pub has_many_servers: bool,
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -1,4 +1,5 @@
-//! HTTP server for hosts that start or have missed changes.
+//! HTTP server that sends snapshots and missed changes to other hosts, and registers starting
+//! hosts.
 
 use std::sync::{Arc, PoisonError};
 
@@ -27,8 +28,8 @@
 /// Maximum number of connections of other hosts that are served at a time. Further connections wait
 /// to be accepted.
 const CONNECTIONS_MAX: usize = 16;
-/// Time for which an encoded snapshot is served again: hosts that start together request it
-/// together.
+/// Time for which an encoded snapshot is reused. Hosts that start together request it at the same
+/// time, and encoding it for each would be wasteful.
 const ENCODED_KEPT_MS: u64 = 500;
 
 impl Entry {
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -48,16 +48,17 @@
 const FAILURES_BEFORE_PROBE: u32 = 2;
 /// Maximum number of concurrent moves of a service with few servers.
 const CONCURRENT_MOVES_MIN: usize = 8;
-/// Number of servers of a service for which one concurrent move is allowed, once that is more than
-/// `CONCURRENT_MOVES_MIN` moves.
+/// Number of servers per concurrent move of a service. A service with so many servers that this
+/// exceeds `CONCURRENT_MOVES_MIN` may have one move per this number of servers in progress.
 const SERVERS_PER_MOVE: usize = 4;
-/// Factor by which the wait for the end of a lease is longer than the lease, since a server's clock
-/// may run slow by 2%. `LEASE_MARGIN_MS` is added, since a grant may arrive until its timeout.
+/// Factor by which the wait for the end of a lease is longer than the lease. A server whose clock
+/// runs slow, by up to 2%, still counts on its lease for that much longer. `LEASE_MARGIN_MS` is
+/// added, since a grant may arrive until its timeout.
 const LEASE_CLOCK_FACTOR: f64 = 1.03;
 const LEASE_MARGIN_MS: u64 = GRANT_TIMEOUT_MS + 250;
 /// Rounds per second. Reported request counts are added up once per round.
 const ROUNDS_PER_S: f32 = 1_000.0 / ROUND_MS as f32;
-/// Age of the last response of the store above which no planned move begins, since it could not be
+/// Age of the store's last response above which no planned move begins, since the move could not be
 /// recorded.
 const STORE_AGE_MAX_MS: u64 = 3_600;
 
@@ -100,8 +101,8 @@
 struct Moving {
     service: Arc<str>,
     range: KeyRange,
-    /// True while the move waits for the last lease of a silent server to expire. It does not count
-    /// towards the maximum of concurrent moves then.
+    /// True while the move waits for the last lease of a silent server to expire. A waiting move
+    /// does not count towards the maximum of concurrent moves.
     waits_for_lease: bool,
 }
 
@@ -275,8 +276,8 @@
         servers
     }
 
-    /// Removes the servers that have asked many hosts for a rest, so that others hold their keys.
-    /// Returns all servers if too few would remain.
+    /// Removes the servers that have asked many hosts for a rest (a period without requests), so
+    /// that other servers hold their keys. Returns all servers if too few would remain.
     fn not_resting(&self, servers: Vec<PlanServer>) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
         let hosts = self.entry.peers.hosts();
@@ -355,8 +356,8 @@
         }
     }
 
-    /// Lets silent servers hold keys again after a while. If they still do not answer, they are
-    /// marked as silent again.
+    /// Lets silent servers hold keys again once twice the lease time has passed since their last
+    /// grant. If they still do not answer, they are marked as silent again.
     fn retry_silent_servers(&self, service: &str) {
         let registry = self.entry.view.registry();
         let now_ms = clock::now_ms();
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -30,17 +30,18 @@
 /// Minimum timeout of a release order, used when the lease of the server is about to expire or has
 /// expired.
 const RELEASE_TIMEOUT_MIN_MS: u64 = 300;
-/// Maximum timeout of a release order: a server responds only when its work on the keys has ended.
+/// Maximum timeout of a release order. It is long because a server responds only when its work on
+/// the keys has ended.
 const RELEASE_TIMEOUT_MS: u64 = 2_500;
-/// Delay until a release order is sent again in parallel, as its response may be lost and the keys
-/// have no server until it arrives. Most work on keys ends within this time.
+/// Delay until an unanswered release order is sent again in parallel. Its response may be lost, and
+/// the keys have no server until one arrives. Most work on keys ends within this time.
 const RELEASE_RETRY_MS: u64 = 600;
 /// Maximum number of times that one release order is sent, including the first. If servers lose
 /// half of their responses, four attempts get a response from 94% of them.
 const RELEASES_MAX: usize = 4;
 
 impl Term {
-    /// Resumes moves that an earlier duty holder recorded but did not complete.
+    /// Resumes the recorded moves of a service that an earlier duty holder did not complete.
     pub(super) fn resume_unfinished_moves(
         self: &Arc<Self>,
         service: &Arc<str>,
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -249,10 +249,10 @@
         .log();
     }
 
-    /// Grants a holding to the same server again under a higher fence. Needed when the server has
-    /// seen a higher fence than the recorded one, because an earlier duty holder released the keys
-    /// but recorded nothing more. Counts as a move, so that no other move of these keys begins
-    /// before the new lease is certain.
+    /// Grants a holding to the same server again under a higher fence. This is needed when the
+    /// server has seen a higher fence than the recorded one, because an earlier duty holder
+    /// released the keys but recorded nothing more. Counts as a move, so that no other move of
+    /// these keys begins before the new lease is certain.
     async fn raise_fence(&self, service: &Arc<str>, server: &Arc<Server>, holding: &Holding) {
         if !self.mark_moving(service, holding.range) {
             return;
--- a/src/entry/peers/fanout.rs
+++ b/src/entry/peers/fanout.rs
@@ -12,9 +12,10 @@
 pub const DIRECT_HOSTS_MAX: usize = 20;
 /// Relays per zone. With two, the loss of one relay loses no messages.
 const RELAYS: usize = 2;
-/// Time without an acknowledgement after which another host replaces a relay. It spans three
-/// heartbeats of the duty holder. With time limits of 2 s it ends before the hosts of the zone stop
-/// relying on the duty holder; with tighter limits they query the store in the meantime.
+/// Time without an acknowledgement after which another host replaces a relay. Three heartbeats of
+/// the duty holder fit into this time. With time limits of 2 s, the relay is replaced before the
+/// hosts of its zone stop relying on the duty holder; with tighter limits they query the store in
+/// the meantime.
 pub const RELAY_SILENT_MS: u64 = 900;
 
 /// Properties of a host that determine whether it is chosen as a relay.
@@ -41,8 +42,8 @@
     pub relays: Vec<SocketAddr>,
 }
 
-/// Chooses the recipients of a message to all hosts. `term` varies the choice between equally
-/// strong hosts.
+/// Chooses the recipients of a message to all hosts. `term` varies the choice between hosts with
+/// equal processor shares.
 pub fn fanout(hosts: &[RelayCandidate], term: u64) -> Fanout {
     if hosts.len() < DIRECT_HOSTS_MAX {
         return Fanout {
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -1,4 +1,5 @@
-//! Datagram messages between hosts, encoded with postcard.
+//! Datagram messages between hosts, encoded with postcard. The encoding is positional: reordering
+//! or adding fields or variants requires a new [`VERSION`].
 
 use std::net::SocketAddr;
 
@@ -29,7 +30,8 @@
 pub const RATES_MAX: usize = 45;
 /// Maximum number of workspaces in one datagram, of up to 15 bytes each.
 pub const QUOTAS_MAX: usize = 80;
-/// Maximum number of caller-independent suspects in one datagram, of up to 17 bytes each.
+/// Maximum number of caller-independent suspects (requests in flight when a server crashed) in one
+/// datagram, of up to 17 bytes each.
 pub const SHARED_SUSPECTS_MAX: usize = 80;
 /// Maximum size of a datagram, and the size of the receive buffer.
 pub const DATAGRAM_BYTES_MAX: usize = 2_048;
@@ -182,7 +184,7 @@
         sender: Sender,
         /// Requests of the sender in flight, by server.
         servers: Vec<ServerLoad>,
-        /// Paces that servers announced to the sender.
+        /// Paces (slowdown factors) that servers announced to the sender since its last report.
         paces: Vec<ServerPace>,
     },
     /// Average run times of servers as measured by the sender.
@@ -194,7 +196,7 @@
         /// Summaries by server; those that have not changed lately may be missing.
         summaries: Vec<ServerSummary>,
     },
-    /// Request counts by key, for the duty holder.
+    /// Reports the sender's request counts by key to the duty holder, which plans moves by them.
     Keys(Vec<KeyCount>),
     /// Announces moves of keys to other servers.
     Moving {
@@ -223,36 +225,42 @@
     ServerEnded {
         /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
         server_tag: u32,
-        /// Digests of the sender's requests in flight, each specific to its caller.
+        /// Digests of the sender's requests in flight at the server. Equal requests of different
+        /// callers have different digests.
         digests: Vec<RequestDigest>,
-        /// Caller-independent digests of the same requests.
+        /// Digests of the same requests that do not depend on the caller, so that equal requests of
+        /// different callers match.
         shared: Vec<SharedSuspect>,
     },
-    /// Reports that a server successfully ran a suspect request, which clears it.
+    /// Reports that a server successfully ran a suspect request (one that was in flight when a
+    /// server crashed), so that the request is no longer suspect.
     SuspectCleared {
         /// Digest of the request that is no longer suspect.
         digest: RequestDigest,
         /// Time since the request was sent to the server.
         sent_ago_ms: u32,
     },
-    /// Announces that the sender starts a trial of a suspect request.
+    /// Announces that the sender starts a trial (single supervised attempt) of a suspect request.
     TrialStarted(ClaimSubject),
     /// Announces that the server survived a trial, as announced by [`Message::TrialStarted`].
     TrialPassed(ClaimSubject),
-    /// Servers that asked the sender for a rest. For the duty holder.
+    /// Reports servers that asked the sender for a rest (a period without requests). Sent to the
+    /// duty holder.
     ReportRests(Vec<ServerRest>),
-    /// Rate limits of servers with the demand of the sender's callers. For the duty holder.
+    /// Reports rate limits of servers with the demand of the sender's callers. Sent to the duty
+    /// holder.
     ReportRates(Vec<ServerRate>),
     /// Rate limits of servers as the duty holder knows them, with the demand of the callers of all
     /// hosts.
     RateTotals(Vec<ServerRate>),
-    /// Hashes of servers that announced to the sender that they are leaving, while their entries do
-    /// not show it yet. For the duty holder.
+    /// Reports the tags of servers that announced to the sender that they are leaving, while their
+    /// entries do not show it yet. Sent to the duty holder.
     ReportLeaving(Vec<u32>),
-    /// Hashes of servers that announced their leaving to any host; sent by the duty holder to all
-    /// hosts.
+    /// Announces the tags of servers that told any host that they are leaving. Sent by the duty
+    /// holder to all hosts.
     AnnounceLeaving(Vec<u32>),
-    /// Numbers of requests by workspace at the sender. For the duty holder, which adds them up.
+    /// Reports the numbers of requests by workspace at the sender. Sent to the duty holder, which
+    /// adds up the reports of all hosts.
     ReportUsage(Vec<WorkspaceUse>),
     /// Shares of the workspaces' requests that hosts may admit; sent by the duty holder.
     AdmittedShare(Vec<WorkspaceAdmitted>),
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -47,7 +47,7 @@
     reporters: f64,
 }
 
-/// Pace of a server as reported by another host.
+/// Pace (slowdown factor) that a server announced to another host, which reported it.
 #[derive(Clone, Copy, Debug)]
 struct ReportedPace {
     server_tag: u32,
@@ -131,7 +131,7 @@
     duty_holder_term: AtomicU64,
     duty_holder_hosts: AtomicUsize,
     duty_holder_heard_ms: AtomicU64,
-    /// Paces that other hosts reported and that are not applied yet.
+    /// Paces (slowdown factors) of servers that other hosts reported and that are not applied yet.
     paces: Mutex<Vec<ReportedPace>>,
     one_way_delay: Mutex<OneWayDelay>,
     zone_loads: Mutex<ZoneLoads>,
@@ -153,7 +153,8 @@
         peer.facts = facts;
     }
 
-    /// Records that a host has sent a datagram, which counts as an acknowledgement.
+    /// Records that a host has sent a datagram, which counts as an acknowledgement of messages to
+    /// relay.
     fn note_heard(&self, address: SocketAddr) {
         if let Some(peer) = self.peers().get_mut(&address) {
             peer.relay_since_ms = 0;
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -16,7 +16,8 @@
     entry::{Entry, keys::Holding, updates::announcement::MoveAnnouncement},
 };
 
-/// Interval at which the duty holder sends announcements. Requests for moved keys wait for them.
+/// Interval at which the duty holder sends queued announcements. It is short because requests for
+/// moved keys wait for them.
 const SEND_EVERY_MS: u64 = 20;
 /// Interval at which a host without the duty checks for announcements.
 const IDLE_EVERY_MS: u64 = 200;
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -26,7 +26,8 @@
 const READ_PAUSE_MS: u64 = 100;
 
 impl Entry {
-    /// Receives and handles datagrams of the other hosts.
+    /// Receives datagrams of the other hosts, and handles those that are sealed with the hosts'
+    /// secret.
     pub(in crate::entry) async fn keep_listening(self: Arc<Self>, socket: UdpSocket) {
         let socket = Arc::new(socket);
         if self.peers.socket.set(socket.clone()).is_err() {
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Adds a host whose row was not read yet. A host describes itself in its reports and
-    /// queries, so that not every host reads the rows for each new one.
+    /// Adds the sending host if its row was not read yet. Hosts describe themselves in their
+    /// reports and queries, so that not every host must read the rows for each new host.
     fn learn_sender(&self, from: SocketAddr, message: Option<&Message>) {
         let Some(Message::Report { sender, .. } | Message::QueryStoreState { sender, .. }) =
             message
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -36,8 +36,8 @@
 }
 
 impl Reporter {
-    /// Sends a report if the loads have changed, a server announced a pace, or a full report is
-    /// due.
+    /// Sends a report if the loads have changed, a server announced a pace (slowdown factor), or a
+    /// full report is due.
     fn report(&mut self, entry: &Entry, servers: Vec<ServerLoad>, to: &[SocketAddr]) {
         let full = self.round.is_multiple_of(FULL_REPORT_EVERY);
         self.round += 1;
@@ -176,7 +176,7 @@
         loads
     }
 
-    /// Returns the paces that servers announced to this host since `since_ms`.
+    /// Returns the paces (slowdown factors) that servers announced to this host since `since_ms`.
     fn own_paces(&self, since_ms: u64) -> Vec<ServerPace> {
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -10,7 +10,8 @@
 /// Age after which a zone's sums of requests in flight are ignored, since updates may have been
 /// lost.
 const LOADS_KEPT_MS: u64 = 1_600;
-/// Age after which run times are ignored. It is longer because run times change little.
+/// Age after which run times are ignored. It is longer than [`LOADS_KEPT_MS`] because run times
+/// change little.
 const RUN_TIMES_KEPT_MS: u64 = 12_000;
 /// Maximum number of server summaries in one datagram, of up to 11 bytes each.
 const SUMMARIES_MAX: usize = 120;
@@ -34,7 +35,8 @@
 }
 
 impl ZoneLoads {
-    /// Records the sums that the aggregator of a zone has sent; servers that they lack keep theirs.
+    /// Records the sums that the aggregator of a zone has sent. Servers that are not in the message
+    /// keep their previous sums.
     pub fn note(&mut self, zone_tag: u32, summaries: Vec<ServerSummary>, now_ms: u64) {
         let zone = self.zones.entry(zone_tag).or_default();
         zone.retain(|_, heard| now_ms < heard.at_ms + RUN_TIMES_KEPT_MS);
--- a/src/entry/updates/confirmation.rs
+++ b/src/entry/updates/confirmation.rs
@@ -25,7 +25,7 @@
 }
 
 impl ConfigurationConfirmation {
-    /// Records that the configuration in force was the current one at a time.
+    /// Records that the configuration in force was the current one at `at_ms`.
     pub fn note(&self, at_ms: u64) {
         self.confirmed_ms.fetch_max(at_ms, Ordering::Relaxed);
     }
--- a/src/entry/updates/evacuation.rs
+++ b/src/entry/updates/evacuation.rs
@@ -11,7 +11,7 @@
 pub struct Evacuations {
     /// Version of the operators' table that the list belongs to; 0 if the table was not read yet.
     pub version: u64,
-    /// Names of the evacuated zones, sorted.
+    /// Names of the evacuated zones, sorted; empty if no zone is evacuated.
     pub zones: Vec<Arc<str>>,
 }
 
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -22,18 +22,19 @@
 /// Time after its start that a host waits for a heartbeat of the duty holder before it reads the
 /// entry hosts' own rows again.
 const OWN_START_WAIT_MS: u64 = 2_500;
-/// Minimum pause of the feed of the entry hosts' own rows.
+/// Minimum pause of the change feed of the entry hosts' own rows (holdings and hosts).
 const OWN_PAUSE_MIN_MS: u64 = 300;
 /// Time without a feed call after which the whole table is read. The store keeps 20 s of history,
 /// and a feed call that comes too late costs an extra call.
 pub const HISTORY_MS: u64 = 15_000;
-/// Number of hosts up to which feeds use their minimum pause.
+/// Number of hosts up to which change feeds use their minimum pause. With more hosts the pause
+/// grows.
 const FEW_HOSTS: u64 = 11;
 
 /// Source from which a host learns that the store has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncRole {
-    /// This host is the duty holder; the others depend on its feeds.
+    /// This host is the duty holder; the other hosts depend on its change feeds of the store.
     DutyHolder,
     /// This host is a relay without confirmation of the store by the duty holder; the hosts of its
     /// zone depend on its feeds.
@@ -109,8 +110,8 @@
             scaled_ms.clamp(few_hosts_ms.min(many_hosts_ms), many_hosts_ms)
         };
         match (self, sync_role) {
-            // The other hosts learn of changes from the duty holder or a relay, so the feeds of
-            // these pause only briefly.
+            // The other hosts learn of changes from the duty holder or a relay, so the change feeds
+            // of the duty holder and the relays pause only briefly.
             (Self::Configuration | Self::Servers, SyncRole::DutyHolder | SyncRole::Relay) => {
                 FeedPause::fixed(limits.duty_holder_pause_ms)
             }
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -59,8 +59,8 @@
     }
 }
 
-/// Versions and times of a host's own feeds, and the latest report of the store's state by another
-/// host.
+/// Versions and times of a host's own change feeds of the store, and the latest report of another
+/// host on the store's state.
 #[derive(Debug)]
 pub struct Freshness {
     /// Age up to which a report of another host is trusted.
@@ -108,7 +108,7 @@
 pub enum RecallReason {
     /// Another host has reported a change that the feed did not deliver.
     Behind,
-    /// No other host confirms the store any more.
+    /// No other host has reported a recent response of the store.
     Unconfirmed,
     /// Another feed has found the store unavailable, and the store has not responded since.
     StoreLost,
@@ -170,7 +170,8 @@
         self.changed[followed.index()].fetch_max(version, Ordering::Relaxed);
     }
 
-    /// Returns the version of the latest change seen; 0 before the first.
+    /// Returns the version of the latest change of a table that this host has seen; 0 before the
+    /// first.
     pub fn changed(&self, followed: FollowedTable) -> u64 {
         self.changed[followed.index()].load(Ordering::Relaxed)
     }
--- a/src/entry/updates/server_changes.rs
+++ b/src/entry/updates/server_changes.rs
@@ -25,7 +25,7 @@
 pub struct ServerChange {
     /// Version that the row has in the store after the change.
     pub version: u64,
-    /// State of the entry after the change.
+    /// New content of the entry, or the name of an entry that was removed or cannot be decoded.
     pub update: ServerUpdate,
 }
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// Maximum number of changes kept for other hosts; each takes about 100 bytes.
+/// Maximum number of changes kept for hosts that have missed some; each takes about 100 bytes.
 const KEPT_MAX: usize = 4_000;
 
 /// Latest changes of servers' entries, as a range without gaps.
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -95,7 +95,7 @@
     pub leave_version: u64,
     /// Versions of the table of the entry hosts' own rows.
     pub own_versions: TableVersions,
-    /// Known hosts, including the sender.
+    /// Hosts that the sender knows, itself included.
     pub hosts: Vec<SnapshotHost>,
     strings: StringTable,
     servers: Vec<SnapshotServer>,
