--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -20,7 +20,8 @@
     },
 };
 
-/// Minimum pause between two queries; a random time of up to the same length is added.
+/// Minimum pause between two queries to other hosts for missed changes; a random time of up to the
+/// same length is added.
 const RETRY_AFTER_MS: u64 = 150;
 /// Number of missed changes above which other hosts are queried instead of the store. One response
 /// of the store contains at most this number.
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -36,7 +36,7 @@
 };
 use crate::{clock, platform::store::DEFAULT_PARTITION};
 
-/// Pause between two queries for a snapshot.
+/// Pause of a starting host between two queries for a snapshot.
 const SYNC_RETRY_MS: u64 = 250;
 /// Time for which a host queries seed hosts before it reads the store's tables.
 const SYNC_TIMEOUT_MS: u64 = 4_000;
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -29,7 +29,7 @@
 /// to be accepted.
 const CONNECTIONS_MAX: usize = 16;
 /// Time for which an encoded snapshot is reused. Hosts that start together request it at the same
-/// time, and encoding it for each would be wasteful.
+/// time, so one encoding serves many of them.
 const ENCODED_KEPT_MS: u64 = 500;
 
 impl Entry {
--- a/src/entry/peers/fanout.rs
+++ b/src/entry/peers/fanout.rs
@@ -100,7 +100,8 @@
     at_ms: u64,
 }
 
-/// Time in which the clocks of two hosts may drift apart by 1 ms.
+/// Time in which the clocks of two hosts may drift apart by 1 ms. The shortest delay seen is raised
+/// by this drift, so that it does not become unreachable.
 const DRIFT_MS: u64 = 1_000;
 
 impl OneWayDelay {
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -1,5 +1,5 @@
-//! Datagram messages between hosts, encoded with postcard. The encoding is positional: reordering
-//! or adding fields or variants requires a new [`VERSION`].
+//! Datagram messages between hosts, encoded with postcard. The encoding is positional: a change of
+//! the order, number or types of fields or variants needs a new [`VERSION`].
 
 use std::net::SocketAddr;
 
@@ -173,14 +173,16 @@
         hosts: u32,
         /// Hot keys, which receive more requests than their server can handle.
         hot: Vec<HotKey>,
-        /// Zones that are being evacuated.
+        /// Zones that operators have evacuated: their servers get no new work. The list is
+        /// complete.
         evacuations: Evacuations,
         /// Requests that were quarantined last; they are sent to no server.
         quarantined: Vec<RequestDigest>,
     },
     /// Report of the sender's load on servers.
     Report {
-        /// Sending host, for receivers that have not read its row yet.
+        /// Zone and processor share of the sending host, for receivers that have not read its row
+        /// yet.
         sender: Sender,
         /// Requests of the sender in flight, by server.
         servers: Vec<ServerLoad>,
@@ -268,7 +270,7 @@
     QueryStoreState {
         /// Identifies the query; returned in the response.
         nonce: u64,
-        /// Sending host, for relays that have not read its row yet.
+        /// Zone and processor share of the sending host, for relays that have not read its row yet.
         sender: Sender,
     },
     /// Responds to [`Message::QueryStoreState`] with the sender's view of the store.
@@ -277,7 +279,8 @@
         nonce: u64,
         /// Latest state of the store that the sender has seen.
         updates: StoreStateReport,
-        /// Zones that are being evacuated.
+        /// Zones that operators have evacuated: their servers get no new work. The list is
+        /// complete.
         evacuations: Evacuations,
     },
     /// Queries the receiver for the time since its configuration was known to be current.
@@ -299,7 +302,7 @@
     Granted {
         /// Tag of the service: a hash of its name.
         service_tag: u32,
-        /// Granted key ranges with their servers.
+        /// Granted key ranges, each with the server that now holds it and the fence of the grant.
         holdings: Vec<Holding>,
     },
 }
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -39,7 +39,7 @@
 };
 use crate::clock;
 
-/// Sum of the other hosts' reports on one server.
+/// Requests in flight at one server and its run times, summed over the reports of the other hosts.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportedLoad {
     in_flight: u32,
@@ -140,7 +140,7 @@
 }
 
 impl Peers {
-    /// Adds a host; if it is known, replaces its properties and keeps its reports.
+    /// Adds a host. If the host is already known, replaces its properties and keeps its reports.
     pub fn add(&self, address: SocketAddr, facts: HostProperties) {
         let mut peers = self.peers();
         let peer = peers.entry(address).or_insert_with(|| Peer {
@@ -242,7 +242,7 @@
         self.peers().len() + 1
     }
 
-    /// Records the number of hosts that the duty holder knows.
+    /// Records the number of hosts that the duty holder knows, as stated in its heartbeat.
     fn note_duty_holder_hosts(&self, hosts: u32) {
         self.duty_holder_hosts
             .store(hosts as usize, Ordering::Relaxed);
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -21,7 +21,7 @@
 };
 
 const TABLES: usize = FollowedTable::ALL.len();
-/// Age of a report that is too old to be trusted.
+/// Age given to a report whose real age does not fit the field; it is too old to be trusted.
 const TOO_OLD_MS: u32 = u32::MAX;
 
 /// Report of the duty holder, or of a relay, on its view of the store.
@@ -164,8 +164,8 @@
         self.applied[followed.index()].load(Ordering::Relaxed)
     }
 
-    /// Records the version of a change that this host has seen; an earlier one than known is
-    /// ignored.
+    /// Records the version of a change that this host has seen. A version earlier than the latest
+    /// known one is ignored.
     pub fn note_change(&self, followed: FollowedTable, version: u64) {
         self.changed[followed.index()].fetch_max(version, Ordering::Relaxed);
     }
@@ -337,10 +337,10 @@
         received.is_some_and(|received| received.updates.leave_version > version)
     }
 
-    /// Waits until a feed call for changes after `requested_after` should be abandoned and repeated,
-    /// and returns the reason. `relies_on_duty_holder` is true if its long wait depends on the duty
-    /// holder or a relay that confirms the store; `is_silent` returns true while no response has
-    /// begun.
+    /// Waits until a feed call for changes after `requested_after` should be abandoned and
+    /// repeated, and returns the reason. `relies_on_duty_holder` is true if the call waits long
+    /// because the duty holder or a relay confirms the store; `is_silent` returns true while no
+    /// response has begun.
     pub async fn recall_reason(
         &self,
         followed: FollowedTable,
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -58,11 +58,11 @@
 /// Host in a snapshot, with the properties that the sender of the snapshot knows.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotHost {
-    /// Address at which the host receives messages of other hosts.
+    /// Address at which the host receives datagrams (UDP) and queries (TCP) of other hosts.
     pub address: SocketAddr,
     /// Incarnation of the process on the host; `None` if it is not known.
     pub incarnation: Option<u64>,
-    /// Tag of the host's availability zone, as in messages between hosts.
+    /// Tag of the host's availability zone: a hash of its name, the same for all hosts of the zone.
     pub zone_tag: u32,
     /// Share of a processor that the host may use; 1.0 is a whole one.
     pub processor_share: f32,
@@ -89,11 +89,12 @@
 /// A host's view of servers, holdings and hosts. Without servers, their versions are 0.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Versions of the table of servers' entries.
+    /// Progress of the sender in following the table of servers' entries; 0 if servers are left
+    /// out.
     pub servers_versions: TableVersions,
     /// Version of the latest change after which some server takes no new work.
     pub leave_version: u64,
-    /// Versions of the table of the entry hosts' own rows.
+    /// Progress of the sender in following the entry hosts' own rows (holdings and hosts).
     pub own_versions: TableVersions,
     /// Hosts that the sender knows, itself included.
     pub hosts: Vec<SnapshotHost>,
