--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -80,7 +80,8 @@
         waiting.drain(..count).collect()
     }
 
-    /// Puts newcomers back at the head of the queue after a failed transaction.
+    /// Puts newcomers back at the head of the queue after a failed transaction, so that the next
+    /// one registers them first.
     fn put_back(&self, again: Vec<Waiting>) {
         self.waiting().splice(0..0, again);
     }
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -48,8 +48,8 @@
 const FAILURES_BEFORE_PROBE: u32 = 2;
 /// Maximum number of concurrent moves of a service with few servers.
 const CONCURRENT_MOVES_MIN: usize = 8;
-/// Number of servers per concurrent move of a service. A service with so many servers that this
-/// exceeds `CONCURRENT_MOVES_MIN` may have one move per this number of servers in progress.
+/// Number of servers of a service per concurrent move. It sets the maximum number of moves in
+/// progress where it allows more than `CONCURRENT_MOVES_MIN`.
 const SERVERS_PER_MOVE: usize = 4;
 /// Factor by which the wait for the end of a lease is longer than the lease. A server whose clock
 /// runs slow, by up to 2%, still counts on its lease for that much longer. `LEASE_MARGIN_MS` is
