--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -20,7 +20,8 @@
     },
 };
 
-/// Minimum pause between two queries; a random time of up to the same length is added.
+/// Minimum pause between two queries to other hosts for missed changes; a random time of up to the
+/// same length is added.
 const RETRY_AFTER_MS: u64 = 150;
 /// Number of missed changes above which other hosts are queried instead of the store. One response
 /// of the store contains at most this number.
@@ -42,8 +43,8 @@
     /// servers or missed changes.
     fn queries_peers_first(&self, followed: FollowedTable) -> bool {
         match followed {
-            // While the store is unavailable, only this feed detects its return, for the other
-            // feeds too.
+            // While the store is unavailable, only the feed of servers' entries detects its return,
+            // on behalf of the other feeds.
             FollowedTable::Servers if *self.view.store_lost().borrow() => false,
             FollowedTable::Servers => self.has_many_servers() || self.missed(followed) > MISSED_MAX,
             FollowedTable::Configuration => self.peers.use_relays(),
--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/newcomers.rs
@@ -55,7 +55,7 @@
     format!("{HOST_PREFIX}{address}")
 }
 
-/// Newcomer with the channel that completes its registration request.
+/// Newcomer with the channel over which its request learns whether it was registered.
 #[derive(Debug)]
 struct Waiting {
     newcomer: Newcomer,
@@ -80,7 +80,8 @@
         waiting.drain(..count).collect()
     }
 
-    /// Puts newcomers back at the head of the queue after a failed transaction.
+    /// Puts newcomers back at the head of the queue after a failed transaction, so that the next
+    /// one registers them first.
     fn put_back(&self, again: Vec<Waiting>) {
         self.waiting().splice(0..0, again);
     }
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -39,7 +39,7 @@
 };
 use crate::clock;
 
-/// Sum of the other hosts' reports on one server.
+/// Requests in flight at one server and its run times, summed over the reports of the other hosts.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportedLoad {
     in_flight: u32,
@@ -47,7 +47,7 @@
     reporters: f64,
 }
 
-/// Pace of a server as reported by another host.
+/// Pace (slowdown factor) that a server announced to another host, which reported it.
 #[derive(Clone, Copy, Debug)]
 struct ReportedPace {
     server_tag: u32,
@@ -131,7 +131,7 @@
     duty_holder_term: AtomicU64,
     duty_holder_hosts: AtomicUsize,
     duty_holder_heard_ms: AtomicU64,
-    /// Paces that other hosts reported and that are not applied yet.
+    /// Paces (slowdown factors) of servers that other hosts reported and that are not applied yet.
     paces: Mutex<Vec<ReportedPace>>,
     one_way_delay: Mutex<OneWayDelay>,
     zone_loads: Mutex<ZoneLoads>,
@@ -140,7 +140,7 @@
 }
 
 impl Peers {
-    /// Adds a host; if it is known, replaces its properties and keeps its reports.
+    /// Adds a host. If the host is already known, replaces its properties and keeps its reports.
     pub fn add(&self, address: SocketAddr, facts: HostProperties) {
         let mut peers = self.peers();
         let peer = peers.entry(address).or_insert_with(|| Peer {
@@ -153,7 +153,8 @@
         peer.facts = facts;
     }
 
-    /// Records that a host has sent a datagram, which counts as an acknowledgement.
+    /// Records that a host has sent a datagram, which counts as an acknowledgement of messages to
+    /// relay.
     fn note_heard(&self, address: SocketAddr) {
         if let Some(peer) = self.peers().get_mut(&address) {
             peer.relay_since_ms = 0;
@@ -241,7 +242,7 @@
         self.peers().len() + 1
     }
 
-    /// Records the number of hosts that the duty holder knows.
+    /// Records the number of hosts that the duty holder knows, as stated in its heartbeat.
     fn note_duty_holder_hosts(&self, hosts: u32) {
         self.duty_holder_hosts
             .store(hosts as usize, Ordering::Relaxed);
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -21,7 +21,7 @@
 };
 
 const TABLES: usize = FollowedTable::ALL.len();
-/// Age of a report that is too old to be trusted.
+/// Age given to a report whose real age does not fit the field; it is too old to be trusted.
 const TOO_OLD_MS: u32 = u32::MAX;
 
 /// Report of the duty holder, or of a relay, on its view of the store.
@@ -59,8 +59,8 @@
     }
 }
 
-/// Versions and times of a host's own feeds, and the latest report of the store's state by another
-/// host.
+/// Versions and times of a host's own change feeds of the store, and the latest report of another
+/// host on the store's state.
 #[derive(Debug)]
 pub struct Freshness {
     /// Age up to which a report of another host is trusted.
@@ -108,7 +108,7 @@
 pub enum RecallReason {
     /// Another host has reported a change that the feed did not deliver.
     Behind,
-    /// No other host confirms the store any more.
+    /// No other host has reported a recent response of the store.
     Unconfirmed,
     /// Another feed has found the store unavailable, and the store has not responded since.
     StoreLost,
@@ -164,13 +164,14 @@
         self.applied[followed.index()].load(Ordering::Relaxed)
     }
 
-    /// Records the version of a change that this host has seen; an earlier one than known is
-    /// ignored.
+    /// Records the version of a change that this host has seen. A version earlier than the latest
+    /// known one is ignored.
     pub fn note_change(&self, followed: FollowedTable, version: u64) {
         self.changed[followed.index()].fetch_max(version, Ordering::Relaxed);
     }
 
-    /// Returns the version of the latest change seen; 0 before the first.
+    /// Returns the version of the latest change of a table that this host has seen; 0 before the
+    /// first.
     pub fn changed(&self, followed: FollowedTable) -> u64 {
         self.changed[followed.index()].load(Ordering::Relaxed)
     }
@@ -336,10 +337,10 @@
         received.is_some_and(|received| received.updates.leave_version > version)
     }
 
-    /// Waits until a feed call for changes after `requested_after` should be abandoned and repeated,
-    /// and returns the reason. `relies_on_duty_holder` is true if its long wait depends on the duty
-    /// holder or a relay that confirms the store; `is_silent` returns true while no response has
-    /// begun.
+    /// Waits until a feed call for changes after `requested_after` should be abandoned and
+    /// repeated, and returns the reason. `relies_on_duty_holder` is true if the call waits long
+    /// because the duty holder or a relay confirms the store; `is_silent` returns true while no
+    /// response has begun.
     pub async fn recall_reason(
         &self,
         followed: FollowedTable,
