--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -35,9 +35,9 @@
 const IN_FLIGHT: usize = 2;
 /// Minimum time for which a batch is collected.
 const BATCH_DELAY_MS: u64 = 2;
-/// Delay before a failed read or transaction is retried.
+/// Delay before a failed read or transaction of the table service is retried.
 const RETRY_MS: u64 = 25;
-/// Time limit for recording the end of a claim.
+/// Time limit for recording how a claim ended.
 const END_TIMEOUT_MS: u64 = 10_000;
 
 /// Operation on the row of one claim, queued for the writer.
--- a/src/claims/row.rs
+++ b/src/claims/row.rs
@@ -1,4 +1,5 @@
-//! Row of the table service that records the claim on one unrepeatable request.
+//! Row of the table service that records the claim on one unrepeatable request (one that must run
+//! at most once).
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_128;
--- a/src/configuration/error.rs
+++ b/src/configuration/error.rs
@@ -3,7 +3,7 @@
 
 use snafu::Snafu;
 
-/// Error that an operator can correct in a template or workspace.
+/// Reason why a template or workspace is rejected; the operator must correct the document.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
@@ -15,7 +15,7 @@
         /// Maximum size of a document in bytes.
         max: usize,
     },
-    /// The document has no text.
+    /// The document contains no text to parse.
     #[snafu(display("the document is empty; expected a template or a workspace"))]
     Empty,
     /// The document is not UTF-8.
--- a/src/configuration/expand.rs
+++ b/src/configuration/expand.rs
@@ -8,7 +8,7 @@
     workspace::{Target, Value, Workspace},
 };
 
-/// Service of one workspace with every parameter filled in.
+/// Service of one workspace, with each `${name}` replaced by the value of that parameter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
     /// Full name, `workspace/service`.
@@ -19,7 +19,7 @@
     pub slots: u32,
     /// Backend servers that may own slots of the service.
     pub targets: Vec<Target>,
-    /// Number of requests that one server runs concurrently. A host sends it no more at a time.
+    /// Number of requests that one server runs concurrently; a host has no more in flight to it.
     pub server_slots: u64,
     /// Maximum number of connections to one server, over all entry hosts.
     pub server_connections: u64,
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! Templates and workspaces: the declarations of operators, which are checked and expanded here.
+//! Reads templates and workspaces (the YAML documents of operators), checks them and expands them.
 
 mod error;
 pub mod expand;
--- a/src/configuration/template.rs
+++ b/src/configuration/template.rs
@@ -13,11 +13,11 @@
 /// Maximum length of a name in characters.
 const NAME_CHARS_MAX: usize = 63;
 
-/// Template as written by an operator.
+/// Template as parsed from the YAML document of an operator; [`Template::problems`] checks it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
-    /// Name, unique among templates.
+    /// Name by which workspaces refer to the template; unique among templates.
     pub template: String,
     /// Parameters that a workspace sets; those without a default must be set.
     #[serde(default)]
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Number {
-    /// Number that is the same in every workspace.
+    /// Fixed number, the same in every workspace of the template.
     Value(u64),
     /// Reference to a parameter, with its `${` and `}`.
     Reference(String),
@@ -103,7 +103,7 @@
     /// Number of slots over which the keys are spread; fixed for the life of a workspace.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Number of requests that one server runs concurrently. A host sends it no more at a time.
+    /// Number of requests that one server runs concurrently; a host has no more in flight to it.
     pub server_slots: Number,
     /// Maximum number of connections to one server, over all entry hosts.
     pub server_connections: Number,
@@ -162,7 +162,7 @@
     Number::Value(5_000)
 }
 
-/// Checks the size and encoding of a document.
+/// Returns the document as text, or an error if it is too large, empty or not UTF-8.
 pub fn check_text(bytes: &[u8]) -> Result<&str> {
     ensure!(
         bytes.len() <= DOCUMENT_BYTES_MAX,
@@ -178,7 +178,7 @@
     Ok(text)
 }
 
-/// Parses a document, after checking its size and encoding.
+/// Parses a YAML document; fails if its size, encoding or structure is wrong.
 pub fn read_document<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
     let text = check_text(bytes)?;
     serde_saphyr::from_str(text).map_err(|error| Error::Syntax {
--- a/src/configuration/workspace.rs
+++ b/src/configuration/workspace.rs
@@ -9,7 +9,7 @@
     template::{check_name, read_document},
 };
 
-/// Workspace as written by an operator.
+/// Workspace as parsed from the YAML document of an operator; [`super::expand`] checks its values.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -44,12 +44,12 @@
         /// Cause: a failure of the store, or an entry that cannot be decoded.
         source: LogError,
     },
-    /// Other writers appended their changes first in every attempt.
+    /// Other writers appended their changes first in all [`ATTEMPTS_MAX`] attempts.
     #[snafu(display("other changes took precedence {ATTEMPTS_MAX} times; try again"))]
     Contention,
 }
 
-/// Request of an operator or of a host to commit a change.
+/// Change that an operator or a host asks to be committed, with its author and conditions.
 #[derive(Clone, Debug)]
 pub struct CommitRequest {
     /// Identifier chosen by the writer. A change whose identifier was accepted before is not
--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -40,14 +40,15 @@
     pub(super) loads: Vec<Vec<f64>>,
     /// Revision of the state and time of the loads from which the last plan was made.
     pub(super) planned: Option<(Revision, u64)>,
-    /// Progress towards settling the last change of the registry of hosts.
+    /// Progress towards settling the last change of the registry of hosts, that is, until no host
+    /// acts on the previous registry any more.
     pub(super) registry: SettlementTracker,
     snapshot: Revision,
     sweep: Sweep,
     swept_ms: u64,
 }
 
-/// Message that a task sends to the controller when it has ended.
+/// Message by which a task tells the controller (the leader's control loop) that it has ended.
 #[derive(Debug)]
 pub(super) enum FinishedTask {
     /// The task of a group of moves has ended, with success or failure.
--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -16,7 +16,7 @@
 
 /// Key of the row that holds the leader's lease and term.
 const LEADER_ROW: &str = "leader";
-/// Number of renewals of the leader row within one lease.
+/// Number of times that the leader renews its row within one lease.
 const RENEWALS_PER_LEASE: u64 = 4;
 /// Key in the hash ring that selects the candidates for the leader.
 const LEADER_RING_KEY: u32 = 0;
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -246,7 +246,7 @@
     }
 }
 
-/// Lost server whose lease may still be valid, as of the revision of the loss.
+/// Server that was reported as lost and whose lease may still be valid.
 #[derive(Clone, Copy, Debug)]
 struct LostServer {
     server: ServerKey,
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -53,9 +53,9 @@
     pub view: View,
     /// Counters of the requests routed to each slot since the leader last read them.
     pub traffic: Traffic,
-    /// Connections to backend servers, and the limits of requests in flight.
+    /// Connections to backend servers, and the limits on requests in flight to each.
     pub targets: Targets,
-    /// Records that keep unrepeatable requests from running twice.
+    /// Claims: records that keep unrepeatable requests from running twice.
     pub claims: Claims,
     /// Client that sends metrics to statsd, if the settings name a receiver.
     pub metrics: Metrics,
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Records the reply to a heartbeat, which may raise the basis of this host's view.
+    /// Records the reply to a heartbeat, which may raise the basis of this host's view (the time
+    /// for which the view is known to be complete).
     fn receive_pong(&self, answer: HeartbeatReply) {
         let Some(host) = self.key() else { return };
         let own = Voter {
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -291,7 +291,7 @@
         self.servers.post(address, LEASE_PATH, &query).await
     }
 
-    /// Commits the loss of a server, if it is still live in the same membership period.
+    /// Commits that a server is lost, if it is still live in the same membership period.
     async fn report_lost(self: &Arc<Self>, leased: LeasedServer, reason: &str) {
         let state = self.view.state();
         let entry = state.server(leased.server);
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -1,4 +1,4 @@
-//! Starts an entry host, registers it, and ends it by a planned stop or as a crash would.
+//! Starts an entry host, registers it, and ends it by an orderly stop or a simulated crash.
 
 use std::{
     net::SocketAddr,
@@ -48,7 +48,7 @@
 /// down.
 const LEAVE_TIMEOUT_MS: u64 = 2_000;
 
-/// A host that runs in this process, with its tasks.
+/// Running host: its context, bound addresses and tasks. Ended by [`RunningHost::stop`].
 #[derive(Debug)]
 pub struct RunningHost {
     /// Context shared with the tasks of the host.
@@ -177,7 +177,8 @@
 }
 
 impl RunningHost {
-    /// Stops the host as planned: withdraws readiness, announces the stop, waits for the notice
+    /// Stops the host in an orderly way: withdraws readiness, announces the stop, waits for the
+    /// notice
     /// time, lets the requests in flight finish within the drain time of the settings, and then
     /// ends all tasks.
     pub async fn stop(mut self) {
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -29,7 +29,8 @@
 const PEER_TIMEOUT_MS: u64 = 500;
 
 impl Host {
-    /// Reads the log when the basis is too old or a read is requested, until the process ends.
+    /// Reads the log whenever the basis is too old or a read is requested; runs until the process
+    /// ends.
     pub(super) async fn keep_synced(self: Arc<Self>) {
         let percent_ms = |percent| self.settings.ownership.freshness_ms * percent / 100;
         loop {
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -26,7 +26,7 @@
 /// further behind gets a snapshot.
 const ENTRIES_KEPT: usize = 1_024;
 
-/// A log entry, and when this host applied it.
+/// Log entry, with the time at which this host applied it.
 #[derive(Clone, Debug)]
 struct Applied {
     entry: LogEntry,
@@ -91,12 +91,13 @@
         self.changed.subscribe()
     }
 
-    /// Returns true if the basis is recent enough for this host to act on the state.
+    /// Returns true if the age of the basis is within the freshness limit, so that this host may
+    /// act on the state.
     pub fn fresh(&self) -> bool {
         clock::now_ms() <= self.basis_ms.load(Ordering::Acquire) + self.freshness_ms
     }
 
-    /// Returns the age of the basis; `None` before the first one.
+    /// Returns the time since the basis in milliseconds; `None` while the view has no basis.
     pub fn basis_age_ms(&self) -> Option<u64> {
         let basis_ms = self.basis_ms.load(Ordering::Acquire);
         (basis_ms > 0).then(|| clock::now_ms().saturating_sub(basis_ms))
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -160,7 +160,8 @@
         self.basis_ms = self.basis_ms.max(Some(basis_ms));
     }
 
-    /// Returns the basis; `None` before the first one.
+    /// Returns the basis: the time for which the view is known to be complete. `None` until a log
+    /// read or a majority of replies has set it.
     pub fn basis_ms(&self) -> Option<u64> {
         self.basis_ms
     }
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns the change that settles the registry, once it is due.
+    /// Returns the change that records the registry as settled; `None` until the settlement is due.
     pub fn settlement(&self, state: &State, now_ms: u64) -> Option<Change> {
         let registry = state.registry.changed;
         let due = self
--- a/src/ownership/lapse.rs
+++ b/src/ownership/lapse.rs
@@ -18,7 +18,7 @@
     pub host: HostKey,
     /// Process of that host.
     pub incarnation: Incarnation,
-    /// Time by which the host had applied the loss at the latest.
+    /// Time by which the host had, at the latest, applied the change that marks the server as lost.
     pub applied_ms: u64,
     /// Time after which no renewal of the host keeps the lease valid, with allowance for clock
     /// drift.
@@ -76,7 +76,7 @@
     Some(latest_ms)
 }
 
-/// Returns the time at which more than half of `voters` had applied the loss.
+/// Returns the time at which more than half of `voters` had applied the loss of the server.
 fn majority_ms(voters: &[Voter], reports: &[HorizonReport]) -> Option<u64> {
     let mut applied: Vec<u64> = voters
         .iter()
--- a/src/ownership/planner.rs
+++ b/src/ownership/planner.rs
@@ -101,7 +101,8 @@
     keys_per_move: f64,
 }
 
-/// Plans moves. Returns an empty plan if no move lowers the cost and no slot is orphaned.
+/// Plans moves of slots. Returns an empty plan if no move lowers the cost and no slot lacks an
+/// eligible owner.
 pub fn plan(input: PlannerInput<'_>) -> Vec<PlannedMove> {
     let Some(mut plan) = Plan::new(input) else {
         return Vec::new();
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Takes the cost of one retry; returns false if the budget is exhausted.
+    /// Takes one retry out of the budget; returns false if the budget is exhausted.
     pub fn retry(&self) -> bool {
         let taken = self.units.fetch_sub(RETRY_COST, Ordering::Relaxed);
         if taken < RETRY_COST {
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -207,7 +207,7 @@
     Ok(body.to_bytes())
 }
 
-/// Runs an unrepeatable request under a claim.
+/// Runs an unrepeatable request at most once, under a claim (the stored right to run it).
 async fn run_once(
     host: &Arc<Host>,
     routed: &RoutedRequest,
--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -75,7 +75,7 @@
         /// Process of the host; the change is refused if another process has replaced it.
         incarnation: Incarnation,
     },
-    /// A host was silent for too long and no longer belongs to the registry.
+    /// A host sent no heartbeats for too long and was removed from the registry.
     HostRemoved {
         /// Host whose entry is marked as removed; its key may be reused by a later host.
         host: HostKey,
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -17,7 +17,7 @@
     membership::freshness::Voter,
 };
 
-/// A template or workspace in force, as it was submitted.
+/// Template or workspace in force, with its text as the operator submitted it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
     /// YAML text as submitted, comments and formatting included.
@@ -174,7 +174,7 @@
     }
 }
 
-/// One service of one workspace, with the ownership of its slots.
+/// Service of one workspace, with the ownership of its slots.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceEntry {
     /// Declaration, expanded from the template with the parameters of the workspace.
