--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -140,7 +140,8 @@
         claimed
     }
 
-    /// Ends a claim whose request was answered; `None` if the response is too long to be stored.
+    /// Ends a claim whose request was answered. `response` is stored for duplicates; `None` if it
+    /// is too long to be stored.
     pub fn answered(&self, claim: Claim, response: Option<StoredResponse>) {
         let state = match response {
             Some(response) => ClaimState::Answered(response),
--- a/src/configuration/expand.rs
+++ b/src/configuration/expand.rs
@@ -27,7 +27,8 @@
     pub queue_requests: u64,
     /// Deadline of a request whose caller sets none.
     pub deadline_ms: u64,
-    /// False for servers that accept orders of any sender; not supported yet, so always true.
+    /// False if the servers accept orders of any sender. Always true, because a template with false
+    /// is rejected.
     pub checks_orders: bool,
     /// Rules for requests that must run at most once.
     pub unrepeatable: Vec<UnrepeatableRule>,
--- a/src/configuration/template.rs
+++ b/src/configuration/template.rs
@@ -113,7 +113,8 @@
     /// Deadline of a request whose caller sets none.
     #[serde(default = "default_deadline")]
     pub deadline_ms: Number,
-    /// False for servers that accept orders of any sender and any age; not supported yet.
+    /// False if the servers accept orders of any sender and any age. A template with false is
+    /// rejected, because such servers are not supported yet.
     #[serde(default = "yes")]
     pub checks_orders: bool,
     /// Rules for requests that must run at most once.
--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -1,6 +1,6 @@
-//! Heartbeats between hosts: a ping and its reply. They carry the revision and the age of the
-//! basis, so that a host notices a missed push, and stays fresh through its peers while its own
-//! reads of the log fail.
+//! Heartbeats between hosts: a ping and its reply. They carry the revision and the age of the basis
+//! (the time for which the sender's view is known to be complete), so that a host notices a missed
+//! push, and stays fresh through its peers while its own reads of the log fail.
 
 use std::{sync::Arc, time::Duration};
 
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -21,7 +21,7 @@
     state::{Change, HostEntry, ServerState, State},
 };
 
-/// Interval at which servers without a lease are queried, so that those that respond can join.
+/// Interval at which the leader queries servers without a lease; those that respond can join.
 const QUERY_SERVERS_MS: u64 = 300;
 /// Timeout of a query to another host for its lease horizon or its applied revision.
 const HORIZON_TIMEOUT_MS: u64 = 200;
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -139,8 +139,8 @@
     }
 
     /// Returns the time for which this host's renewals may still keep the lease of a lost server
-    /// valid. Renewals are checked under the same lock, so none can follow a reply which states
-    /// that the loss is applied.
+    /// valid. Renewals are checked under the same lock, so none can follow a reply stating that
+    /// this host has applied the loss of the server.
     pub(super) fn horizon(
         &self,
         server: ServerKey,
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -33,8 +33,8 @@
 /// host sends an order of its own within it.
 const PROBE_TIMEOUT_MS: u64 = 250;
 
-/// Server whose lease is renewed, with the process and membership period that the renewal is valid
-/// for.
+/// Server whose lease this host renews, with the process and membership period to which the
+/// renewals apply.
 #[derive(Clone, Copy, Debug)]
 struct LeasedServer {
     server: ServerKey,
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -131,7 +131,7 @@
         Ok(())
     }
 
-    /// Replaces the state with a snapshot if that is newer.
+    /// Replaces the state with a snapshot if the snapshot has a higher revision.
     pub fn replace(&self, state: State) {
         let mut inner = self.lock();
         if state.revision <= self.state.load().revision {
@@ -218,7 +218,7 @@
         self.basis_ms.fetch_max(basis_ms, Ordering::AcqRel);
     }
 
-    /// Records a ping received from another host.
+    /// Records the current time as that of the last ping received from another host.
     pub fn record_ping(&self, host: HostKey, incarnation: Incarnation) {
         let sender = Voter { host, incarnation };
         self.lock().last_pings.insert(sender, clock::now_ms());
@@ -229,7 +229,7 @@
         self.lock().last_pings.get(&sender).copied()
     }
 
-    /// Forgets the pings of hosts that are no longer registered.
+    /// Drops the times of pings of all hosts but the registered ones.
     pub fn forget_unregistered(&self, registered: &[Voter]) {
         let mut inner = self.lock();
         inner
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -43,12 +43,12 @@
     pub heard_ms: u64,
 }
 
-/// Reply of a peer to a heartbeat of this host.
+/// Reply of a peer to a heartbeat of this host, with the time at which the heartbeat was sent.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatReply {
     /// Host that replied, by its key in the registry.
     pub host: HostKey,
-    /// Process that replied; it differs after a restart of the host.
+    /// Process that replied; a restarted host replies with a new one.
     pub incarnation: Incarnation,
     /// Time at which this host sent the ping, on its own clock.
     pub sent_ms: u64,
--- a/src/membership/heartbeat_tree.rs
+++ b/src/membership/heartbeat_tree.rs
@@ -11,7 +11,7 @@
 
 /// Number of root hosts, which all ping each other.
 pub const ROOT_HOSTS: usize = 15;
-/// Number of hosts that have the same first parent.
+/// Number of hosts that have the same first parent (host that they ping first).
 const FANOUT: usize = 8;
 /// Number of parents that a host below the root hosts pings, so that it can lose one of them.
 const PARENTS: usize = 2;
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// A leader's record of the settlement of the last change of the registry. It is kept in memory
-/// only; a new leader starts again.
+/// Progress of a leader in settling the last change of the registry. It is kept in memory only, so
+/// a new leader begins with none.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SettlementTracker {
     changed: Revision,
--- a/src/ownership/lapse.rs
+++ b/src/ownership/lapse.rs
@@ -28,7 +28,7 @@
 /// Hosts whose renewals may keep the lease valid.
 #[derive(Clone, Copy, Debug)]
 pub struct RenewingHosts<'a> {
-    /// Every registered host.
+    /// All registered hosts, voters or not.
     pub registered: &'a [Voter],
     /// Voters of the current registry: the hosts that count in majorities.
     pub voters: &'a [Voter],
--- a/src/ownership/message.rs
+++ b/src/ownership/message.rs
@@ -15,9 +15,9 @@
 /// Path at which a server takes orders to release slots (POST).
 pub const REVOKE_PATH: &str = "/_server/revoke";
 
-/// Header with the service, as `workspace/service`.
+/// Header with the full name of the service, `workspace/service`.
 pub const SERVICE_HEADER: &str = "ashroad-service";
-/// Header with the slot of the key.
+/// Header with the number of the slot that the request's key belongs to.
 pub const SLOT_HEADER: &str = "ashroad-slot";
 /// Header with the epoch of the slot's grant.
 pub const EPOCH_HEADER: &str = "ashroad-epoch";
@@ -37,7 +37,7 @@
 /// Right of a server to serve one slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotGrant {
-    /// Service, as `workspace/service`.
+    /// Full name of the service that the slot belongs to, `workspace/service`.
     pub service: String,
     /// Slot that the server may serve while its lease is valid.
     pub slot: Slot,
@@ -45,7 +45,7 @@
     pub epoch: Epoch,
 }
 
-/// Order to extend the lease and to hold these grants in addition to those held.
+/// Order to extend the lease of a server and to add grants to those that the server holds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// Process that the order is for; any other refuses it. `None` only queries the state of the
@@ -90,7 +90,7 @@
     pub drain_ms: u64,
 }
 
-/// Response to a [`RevokeRequest`].
+/// Response to a [`RevokeRequest`]; it states if the slots are free for the next owner.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct RevokeResponse {
     /// Process that responds; it differs from the intended one if the server has restarted.
--- a/src/ownership/mod.rs
+++ b/src/ownership/mod.rs
@@ -1,4 +1,5 @@
-//! Ownership of slots by backend servers: leases, moves and the planner.
+//! Ownership of slots by backend servers: leases, moves of slots, and the planner that proposes
+//! moves.
 
 pub mod lapse;
 pub mod message;
--- a/src/ownership/planner.rs
+++ b/src/ownership/planner.rs
@@ -10,10 +10,11 @@
 
 use crate::configuration::template::Weights;
 
-/// Expected time for which requests of a moving slot wait, used in the cost of a move.
+/// Expected time in seconds for which requests of a moving slot wait; a longer one makes a move
+/// more costly.
 pub const EXPECTED_HOLD_S: f64 = 0.02;
 
-/// One server as input of the planner.
+/// Server as the planner sees it: its capacity, and whether it may own slots.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerServer {
     /// Number of requests that the server runs at a time, reduced during a cold start.
@@ -22,10 +23,10 @@
     pub eligible: bool,
 }
 
-/// One slot as input of the planner.
+/// Slot as the planner sees it: its owner and load.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerSlot {
-    /// Index of the slot's owner; `None` if the slot has none.
+    /// Index of the owner in [`PlannerInput::servers`]; `None` if no server owns the slot.
     pub owner: Option<u32>,
     /// Smoothed load; only the proportion to other slots matters.
     pub load: f64,
--- a/src/routing/key.rs
+++ b/src/routing/key.rs
@@ -1,4 +1,4 @@
-//! Maps a request to its service, key and slot.
+//! Maps a request to its service, key and slot (the hash bucket of the key, which one server owns).
 
 use http::{HeaderMap, Method};
 use xxhash_rust::xxh3::xxh3_64;
@@ -11,7 +11,7 @@
     id::Slot,
 };
 
-/// Path of a caller's request, `/workspace/service/rest`.
+/// Path of a caller's request, `/workspace/service/rest`, split into service and rest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerPath<'a> {
     /// Full name of the service, `workspace/service`.
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,4 +1,5 @@
-//! Routes callers' requests to the owners of their keys.
+//! Routes callers' requests to the owners of their keys, with admission, retries and failure
+//! reports.
 
 pub mod admission;
 pub mod key;
--- a/src/routing/outcome.rs
+++ b/src/routing/outcome.rs
@@ -23,7 +23,8 @@
     Unknown,
 }
 
-/// Reason why a request got no regular response, sent to the caller in a header.
+/// Reason why a request got no regular response; the caller finds it in
+/// [`crate::ownership::message::REASON_HEADER`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
@@ -98,7 +99,7 @@
     }
 }
 
-/// Failure of a request: the outcome and its reason, as reported to the caller.
+/// Failure that a caller gets in place of a server's response: an outcome and its reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
     /// Certainty about the run: the request did not run, or it may have run.
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -2,8 +2,8 @@
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
-/// Cost of a retry in units. Every request adds one unit to the budget, so 20 requests pay for one
-/// retry.
+/// Number of units that a retry takes from the budget. Every request adds one unit, so 20 requests
+/// allow one retry.
 const RETRY_COST: i64 = 20;
 /// Maximum number of units that can accumulate: enough for ten retries in a row.
 const BUDGET_UNITS_MAX: i64 = 10 * RETRY_COST;
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -70,7 +70,7 @@
     traffic: Arc<ServiceTraffic>,
 }
 
-/// Owner of a slot when it was looked up; the slot may move afterwards.
+/// Owner of a slot at the time of the lookup; the slot may move afterwards.
 #[derive(Clone, Copy, Debug)]
 struct Owner {
     server: ServerKey,
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -49,7 +49,8 @@
     Unknown(Reason),
 }
 
-/// Connections and permits of all backend servers in one host.
+/// Connections of one host to backend servers, and the permits that limit its requests in flight to
+/// each server.
 #[derive(Debug)]
 pub struct Targets {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -132,7 +133,7 @@
     }
 }
 
-/// Body of a response together with the permit that it occupies.
+/// Body of a response, which holds the server's permit until the caller has received it all.
 struct BodyWithPermit {
     body: Incoming,
     #[allow(dead_code, reason = "held until the body is dropped")]
--- a/src/routing/traffic.rs
+++ b/src/routing/traffic.rs
@@ -11,17 +11,17 @@
     peer::message::SlotLoad,
 };
 
-/// Counters and limits of one service in one host.
+/// Request counts by slot, admission limit and retry budget of one service in one host.
 #[derive(Debug, Default)]
 pub struct ServiceTraffic {
     counts: Vec<AtomicU32>,
-    /// Limit on the requests of the service in flight in this host.
+    /// Counter of requests in flight in this host, which refuses requests above the limit.
     pub admission: Admission,
-    /// Retry budget of the service in this host.
+    /// Budget of retries: one per 20 requests of the service in this host.
     pub retries: RetryBudget,
 }
 
-/// Counters and limits of all services in one host.
+/// Request counts, admission limits and retry budgets of all services in one host.
 #[derive(Debug, Default)]
 pub struct Traffic {
     services: RwLock<Vec<Arc<ServiceTraffic>>>,
--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -44,7 +44,7 @@
         /// applied.
         document: String,
     },
-    /// A workspace was withdrawn, and its services with it.
+    /// A workspace was withdrawn, which withdraws its services.
     WorkspaceWithdrawn {
         /// Name from the `workspace` field of the document; its services are withdrawn too.
         name: String,
@@ -68,7 +68,7 @@
         /// Process of the host; the change is refused if another process has replaced it.
         incarnation: Incarnation,
     },
-    /// A host has begun its planned stop.
+    /// A host was asked to stop and has announced it.
     HostLeaving {
         /// Host that stops; it remains a voter until its removal.
         host: HostKey,
@@ -95,7 +95,7 @@
         /// address.
         incarnation: Incarnation,
     },
-    /// A server has begun or ended draining.
+    /// A server has begun or ended draining (its slots are moved away).
     ServerDraining {
         /// Live server that begins or ends draining.
         server: ServerKey,
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -33,11 +33,11 @@
     /// Registered, but not a voter: the host is not a root host of the heartbeat tree, or is not
     /// yet promoted.
     Joining,
-    /// Registered and a voter.
+    /// Registered, and counted as a voter in majorities.
     Live,
-    /// The host makes its planned stop and is still a voter.
+    /// The host has announced its stop and remains a voter until it is removed.
     Leaving,
-    /// No longer registered.
+    /// The host is not registered any more, and a later host may reuse its entry.
     Removed,
 }
 
@@ -120,7 +120,7 @@
     }
 }
 
-/// One backend server, identified by its address.
+/// Backend server, identified by its address, with its latest lease and membership period.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEntry {
     /// Address at which hosts reach the server; unique among servers.
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The template or workspace is invalid.
+    /// The submitted template or workspace has errors.
     #[snafu(display("{}", join(problems)))]
     Declaration {
         /// All problems found, so that they can be corrected at once.
@@ -34,7 +34,7 @@
     /// The number of slots differs from that of the existing service, which is fixed.
     #[snafu(display("service {service} has {slots} slots, which cannot change"))]
     SlotsFixed {
-        /// Full name of the service, `workspace/service`.
+        /// Full name of the existing service, `workspace/service`.
         service: String,
         /// Number of slots of the existing service, which the declaration must keep.
         slots: u32,
@@ -45,7 +45,7 @@
         /// Condition of the change that no longer holds, for logs and operators.
         reason: &'static str,
     },
-    /// The entry is not the next one of the log.
+    /// The revision of the entry is not one above the last revision applied.
     #[snafu(display("revision {found} does not follow {applied}"))]
     Order {
         /// Revision of the entry that was to be applied.
@@ -53,7 +53,7 @@
         /// Last revision applied; the entry should have had the one after it.
         applied: u64,
     },
-    /// A snapshot cannot be read.
+    /// A snapshot is damaged or cannot be decoded.
     #[snafu(display("the snapshot cannot be read: {message}"))]
     Snapshot {
         /// Wrong hash or revision, or an error of the decoder.
