--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -91,12 +91,12 @@
         self.ready.load(Ordering::Relaxed) && self.view.fresh()
     }
 
-    /// Requests an orderly stop of this host; [`Host::stop_requested`] then returns.
+    /// Requests a planned stop of this host; [`Host::stop_requested`] then returns.
     pub fn request_stop(&self) {
         self.stop_wanted.notify_one();
     }
 
-    /// Waits until an orderly stop of this host is requested.
+    /// Waits until a planned stop of this host is requested.
     pub async fn stop_requested(&self) {
         self.stop_wanted.notified().await;
     }
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -1,4 +1,4 @@
-//! Starts an entry host, registers it, and ends it by an orderly stop or a simulated crash.
+//! Starts an entry host, registers it, and ends it by a planned stop or a simulated crash.
 
 use std::{
     net::SocketAddr,
@@ -44,7 +44,7 @@
 const IDLE_CONNECTIONS: usize = 8;
 /// Pause between two attempts to register this host, which fail while the store is unreachable.
 const REGISTER_PAUSE_MS: u64 = 100;
-/// Time limit for announcing the stop of this host, so that the host can stop while the store is
+/// Time limit for announcing the planned stop of this host, so that the host can stop while the store is
 /// down.
 const LEAVE_TIMEOUT_MS: u64 = 2_000;
 
@@ -177,7 +177,7 @@
 }
 
 impl RunningHost {
-    /// Stops the host in an orderly way: withdraws readiness, announces the stop, waits for the
+    /// Carries out a planned stop: withdraws readiness, announces the stop, waits for the
     /// notice
     /// time, lets the requests in flight finish within the drain time of the settings, and then
     /// ends all tasks.
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -133,7 +133,7 @@
     }
 }
 
-/// Body of a response, which holds the server's permit until the caller has received it all.
+/// Body of a response, which holds the server's permit until it is dropped.
 struct BodyWithPermit {
     body: Incoming,
     #[allow(dead_code, reason = "held until the body is dropped")]
