--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -44,8 +44,8 @@
 const IDLE_CONNECTIONS: usize = 8;
 /// Pause between two attempts to register this host, which fail while the store is unreachable.
 const REGISTER_PAUSE_MS: u64 = 100;
-/// Time limit for announcing the planned stop of this host, so that the host can stop while the store is
-/// down.
+/// Time limit for announcing the planned stop of this host, so that the host can stop while the
+/// store is down.
 const LEAVE_TIMEOUT_MS: u64 = 2_000;
 
 /// Running host: its context, bound addresses and tasks. Ended by [`RunningHost::stop`].
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -160,8 +160,8 @@
         self.basis_ms = self.basis_ms.max(Some(basis_ms));
     }
 
-    /// Returns the basis: the latest time for which the view is known to be complete. `None` until it
-    /// is first set.
+    /// Returns the basis: the latest time for which the view is known to be complete. `None` until
+    /// it is first set.
     pub fn basis_ms(&self) -> Option<u64> {
         self.basis_ms
     }
