--- a/src/configuration/workspace.rs
+++ b/src/configuration/workspace.rs
@@ -17,7 +17,7 @@
     pub workspace: String,
     /// Name of the template that the workspace instantiates.
     pub template: String,
-    /// Values of the template's parameters, by name.
+    /// Values of the template's parameters, by parameter name; one with a default may be left out.
     #[serde(default)]
     pub parameters: BTreeMap<String, Value>,
 }
--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -94,7 +94,8 @@
     Conflict,
 }
 
-/// Client of the change log and of the snapshots of the state.
+/// Client of the platform, through which a host reads and appends to the change log and loads and
+/// stores snapshots.
 #[derive(Clone, Debug)]
 pub struct ChangeLog {
     platform: Platform,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Reads the entries after `after`, oldest first, at most 1,000.
+    /// Reads at most 1,000 entries that follow revision `after`, oldest first.
     pub async fn tail(&self, after: Revision) -> Result<Vec<LogEntry>, LogError> {
         let rows = self
             .platform
--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the state for the object store and for peers.
+//! Snapshots of the state: encoding, naming and verification by hash and revision.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
