--- a/src/configuration/expand.rs
+++ b/src/configuration/expand.rs
@@ -8,7 +8,7 @@
     workspace::{Target, Value, Workspace},
 };
 
-/// Service of one workspace with every parameter filled in.
+/// Service of one workspace, with each `${name}` replaced by the value of that parameter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
     /// Full name, `workspace/service`.
@@ -19,7 +19,7 @@
     pub slots: u32,
     /// Backend servers that may own slots of the service.
     pub targets: Vec<Target>,
-    /// Number of requests that one server runs concurrently. A host sends it no more at a time.
+    /// Number of requests that one server runs concurrently; a host has no more in flight to it.
     pub server_slots: u64,
     /// Maximum number of connections to one server, over all entry hosts.
     pub server_connections: u64,
@@ -27,7 +27,8 @@
     pub queue_requests: u64,
     /// Deadline of a request whose caller sets none.
     pub deadline_ms: u64,
-    /// False for servers that accept orders of any sender; not supported yet, so always true.
+    /// False if the servers accept orders of any sender. Always true, because a template with false
+    /// is rejected.
     pub checks_orders: bool,
     /// Rules for requests that must run at most once.
     pub unrepeatable: Vec<UnrepeatableRule>,
--- a/src/configuration/workspace.rs
+++ b/src/configuration/workspace.rs
@@ -9,7 +9,7 @@
     template::{check_name, read_document},
 };
 
-/// Workspace as written by an operator.
+/// Workspace as parsed from the YAML document of an operator; [`super::expand`] checks its values.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
@@ -17,7 +17,7 @@
     pub workspace: String,
     /// Name of the template that the workspace instantiates.
     pub template: String,
-    /// Values of the template's parameters, by name.
+    /// Values of the template's parameters, by parameter name; one with a default may be left out.
     #[serde(default)]
     pub parameters: BTreeMap<String, Value>,
 }
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -53,9 +53,9 @@
     pub view: View,
     /// Counters of the requests routed to each slot since the leader last read them.
     pub traffic: Traffic,
-    /// Connections to backend servers, and the limits of requests in flight.
+    /// Connections to backend servers, and the limits on requests in flight to each.
     pub targets: Targets,
-    /// Records that keep unrepeatable requests from running twice.
+    /// Claims: records that keep unrepeatable requests from running twice.
     pub claims: Claims,
     /// Client that sends metrics to statsd, if the settings name a receiver.
     pub metrics: Metrics,
@@ -91,12 +91,12 @@
         self.ready.load(Ordering::Relaxed) && self.view.fresh()
     }
 
-    /// Requests the planned stop of this host; [`Host::stop_requested`] then returns.
+    /// Requests a planned stop of this host; [`Host::stop_requested`] then returns.
     pub fn request_stop(&self) {
         self.stop_wanted.notify_one();
     }
 
-    /// Waits until a planned stop is requested.
+    /// Waits until a planned stop of this host is requested.
     pub async fn stop_requested(&self) {
         self.stop_wanted.notified().await;
     }
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Records the reply to a heartbeat, which may raise the basis of this host's view.
+    /// Records the reply to a heartbeat, which may raise the basis of this host's view (the time
+    /// for which the view is known to be complete).
     fn receive_pong(&self, answer: HeartbeatReply) {
         let Some(host) = self.key() else { return };
         let own = Voter {
@@ -138,8 +139,8 @@
     }
 
     /// Returns the time for which this host's renewals may still keep the lease of a lost server
-    /// valid. Renewals are checked under the same lock, so none can follow a reply which states
-    /// that the loss is applied.
+    /// valid. Renewals are checked under the same lock, so none can follow a reply stating that
+    /// this host has applied the loss of the server.
     pub(super) fn horizon(
         &self,
         server: ServerKey,
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -33,8 +33,8 @@
 /// host sends an order of its own within it.
 const PROBE_TIMEOUT_MS: u64 = 250;
 
-/// Server whose lease is renewed, with the process and membership period that the renewal is valid
-/// for.
+/// Server whose lease this host renews, with the process and membership period to which the
+/// renewals apply.
 #[derive(Clone, Copy, Debug)]
 struct LeasedServer {
     server: ServerKey,
@@ -291,7 +291,7 @@
         self.servers.post(address, LEASE_PATH, &query).await
     }
 
-    /// Commits the loss of a server, if it is still live in the same membership period.
+    /// Commits that a server is lost, if it is still live in the same membership period.
     async fn report_lost(self: &Arc<Self>, leased: LeasedServer, reason: &str) {
         let state = self.view.state();
         let entry = state.server(leased.server);
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -26,7 +26,7 @@
 /// further behind gets a snapshot.
 const ENTRIES_KEPT: usize = 1_024;
 
-/// A log entry, and when this host applied it.
+/// Log entry, with the time at which this host applied it.
 #[derive(Clone, Debug)]
 struct Applied {
     entry: LogEntry,
@@ -91,12 +91,13 @@
         self.changed.subscribe()
     }
 
-    /// Returns true if the basis is recent enough for this host to act on the state.
+    /// Returns true if the age of the basis is within the freshness limit, so that this host may
+    /// act on the state.
     pub fn fresh(&self) -> bool {
         clock::now_ms() <= self.basis_ms.load(Ordering::Acquire) + self.freshness_ms
     }
 
-    /// Returns the age of the basis; `None` before the first one.
+    /// Returns the time since the basis in milliseconds; `None` while the view has no basis.
     pub fn basis_age_ms(&self) -> Option<u64> {
         let basis_ms = self.basis_ms.load(Ordering::Acquire);
         (basis_ms > 0).then(|| clock::now_ms().saturating_sub(basis_ms))
@@ -130,7 +131,7 @@
         Ok(())
     }
 
-    /// Replaces the state with a snapshot if that is newer.
+    /// Replaces the state with a snapshot if the snapshot has a higher revision.
     pub fn replace(&self, state: State) {
         let mut inner = self.lock();
         if state.revision <= self.state.load().revision {
@@ -217,7 +218,7 @@
         self.basis_ms.fetch_max(basis_ms, Ordering::AcqRel);
     }
 
-    /// Records a ping received from another host.
+    /// Records the current time as that of the last ping received from another host.
     pub fn record_ping(&self, host: HostKey, incarnation: Incarnation) {
         let sender = Voter { host, incarnation };
         self.lock().last_pings.insert(sender, clock::now_ms());
@@ -228,7 +229,7 @@
         self.lock().last_pings.get(&sender).copied()
     }
 
-    /// Forgets the pings of hosts that are no longer registered.
+    /// Drops the times of pings of all hosts but the registered ones.
     pub fn forget_unregistered(&self, registered: &[Voter]) {
         let mut inner = self.lock();
         inner
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -43,12 +43,12 @@
     pub heard_ms: u64,
 }
 
-/// Reply of a peer to a heartbeat of this host.
+/// Reply of a peer to a heartbeat of this host, with the time at which the heartbeat was sent.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatReply {
     /// Host that replied, by its key in the registry.
     pub host: HostKey,
-    /// Process that replied; it differs after a restart of the host.
+    /// Process that replied; a restarted host replies with a new one.
     pub incarnation: Incarnation,
     /// Time at which this host sent the ping, on its own clock.
     pub sent_ms: u64,
@@ -160,7 +160,8 @@
         self.basis_ms = self.basis_ms.max(Some(basis_ms));
     }
 
-    /// Returns the basis; `None` before the first one.
+    /// Returns the basis: the latest time for which the view is known to be complete. `None` until
+    /// it is first set.
     pub fn basis_ms(&self) -> Option<u64> {
         self.basis_ms
     }
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -17,7 +17,7 @@
     membership::freshness::Voter,
 };
 
-/// A template or workspace in force, as it was submitted.
+/// Template or workspace in force, with its text as the operator submitted it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
     /// YAML text as submitted, comments and formatting included.
@@ -33,11 +33,11 @@
     /// Registered, but not a voter: the host is not a root host of the heartbeat tree, or is not
     /// yet promoted.
     Joining,
-    /// Registered and a voter.
+    /// Registered, and counted as a voter in majorities.
     Live,
-    /// The host makes its planned stop and is still a voter.
+    /// The host has announced its stop and remains a voter until it is removed.
     Leaving,
-    /// No longer registered.
+    /// The host is not registered any more, and a later host may reuse its entry.
     Removed,
 }
 
@@ -120,7 +120,7 @@
     }
 }
 
-/// One backend server, identified by its address.
+/// Backend server, identified by its address, with its latest lease and membership period.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEntry {
     /// Address at which hosts reach the server; unique among servers.
@@ -174,7 +174,7 @@
     }
 }
 
-/// One service of one workspace, with the ownership of its slots.
+/// Service of one workspace, with the ownership of its slots.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceEntry {
     /// Declaration, expanded from the template with the parameters of the workspace.
