--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -86,7 +86,7 @@
         let every_ms = bound_ms / CONFIRMATIONS_PER_BOUND;
         loop {
             time::sleep(Duration::from_millis(every_ms)).await;
-            let due_ms = if self.duty.term() > 0 {
+            let due_ms = if self.leadership.term() > 0 {
                 every_ms
             } else {
                 self.query_confirmation();
--- a/src/entry/crashes/stored.rs
+++ b/src/entry/crashes/stored.rs
@@ -75,7 +75,7 @@
             {
                 log::debug!("checking the stored quarantine: a request was quarantined");
             }
-            if self.duty.is_confirmed() && self.view.are_hosts_known() {
+            if self.leadership.is_confirmed() && self.view.are_hosts_known() {
                 self.store_quarantine().await;
             }
         }
--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -129,7 +129,7 @@
     async fn is_store_confirmed_soon(&self) -> bool {
         let since_ms = clock::now_ms();
         let until_ms = since_ms + self.limits.start_wait_ms;
-        while self.duty.term() == 0 && clock::now_ms() < until_ms {
+        while self.leadership.term() == 0 && clock::now_ms() < until_ms {
             if self.freshness.is_store_confirmed_since(since_ms) {
                 return true;
             }
--- a/src/entry/join/seed_hosts.rs
+++ b/src/entry/join/seed_hosts.rs
@@ -52,7 +52,7 @@
         let mut named = None;
         loop {
             time::sleep(Duration::from_millis(SEED_HOSTS_EVERY_MS)).await;
-            if !self.duty.is_confirmed() || !self.peers.seal.is_known() {
+            if !self.leadership.is_confirmed() || !self.peers.seal.is_known() {
                 named = None;
                 continue;
             }
--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -204,7 +204,7 @@
             return Some((None, 0));
         };
         match serde_json::from_slice(&row.value) {
-            Ok(duty) => Some((Some(duty), row.version)),
+            Ok(leadership) => Some((Some(leadership), row.version)),
             Err(error) => {
                 log::warn!("cannot decode the duty row: {error}");
                 None
@@ -258,23 +258,23 @@
 
     async fn confirm_duty(&self) {
         let sent_ms = clock::now_ms();
-        let mut writer = self.duty.writer.lock().await;
-        let term = self.duty.term();
+        let mut writer = self.leadership.writer.lock().await;
+        let term = self.leadership.term();
         if term == 0 {
             return;
         }
-        let releasing = self.duty.giving_up.load(Ordering::Relaxed);
+        let releasing = self.leadership.giving_up.load(Ordering::Relaxed);
         let next = DutyRow {
             holder: if releasing { 0 } else { self.incarnation },
             term,
             confirmation: writer.confirmation + 1,
             address: Some(self.settings.listen.peers),
-            earlier_ms: self.duty.earlier_ms(),
+            earlier_ms: self.leadership.earlier_ms(),
         };
         if let Some(version) = self.write_duty(&next, writer.row_version).await {
             writer.row_version = version;
             writer.confirmation += 1;
-            self.duty.confirmed_ms.store(sent_ms, Ordering::Relaxed);
+            self.leadership.confirmed_ms.store(sent_ms, Ordering::Relaxed);
             self.note_store_response(clock::now_ms());
             return;
         }
@@ -284,7 +284,7 @@
             return;
         };
         if row.holder != next.holder || row.term != term {
-            self.duty.lose("another host has taken it");
+            self.leadership.lose("another host has taken it");
             return;
         }
         writer.row_version = version;
@@ -294,11 +294,11 @@
     /// Gives up the duty during a planned stop of this host by clearing the holder in the row, so
     /// that another host takes it at once.
     pub(super) async fn give_up_duty(&self) {
-        if self.duty.term() == 0 {
+        if self.leadership.term() == 0 {
             return;
         }
-        self.duty.giving_up.store(true, Ordering::Relaxed);
+        self.leadership.giving_up.store(true, Ordering::Relaxed);
         self.confirm_duty().await;
-        self.duty.lose("planned stop");
+        self.leadership.lose("planned stop");
     }
 }
--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -110,8 +110,8 @@
         service: &Arc<str>,
         change: &Change,
     ) -> Result<Vec<Holding>, WriteFailure> {
-        let mut writer = self.duty.writer.lock().await;
-        if self.duty.term() == 0 {
+        let mut writer = self.leadership.writer.lock().await;
+        if self.leadership.term() == 0 {
             return Err(WriteFailure::DutyLost);
         }
         let held = self.view.held(service).unwrap_or_default();
@@ -159,7 +159,7 @@
                         }
                         Conflict::HoldingsChanged => return Err(WriteFailure::HoldingsChanged),
                         Conflict::DutyTaken => {
-                            self.duty.lose("another host has taken it");
+                            self.leadership.lose("another host has taken it");
                             return Err(WriteFailure::DutyLost);
                         }
                     }
@@ -193,11 +193,11 @@
         let Some(row) = find(DUTY_KEY) else {
             return Conflict::DutyTaken;
         };
-        let Ok(duty) = serde_json::from_slice::<DutyRow>(&row.value) else {
+        let Ok(leadership) = serde_json::from_slice::<DutyRow>(&row.value) else {
             log::error!("cannot decode the duty row");
             return Conflict::DutyTaken;
         };
-        let own = duty.holder == self.incarnation && duty.term == self.duty.term();
+        let own = leadership.holder == self.incarnation && leadership.term == self.leadership.term();
         if own && row.version != writer.row_version {
             return Conflict::Confirmed(row.version);
         }
@@ -210,12 +210,12 @@
             key,
             version,
         };
-        let duty = expect(DUTY_TABLE, DUTY_KEY, duty_version);
+        let leadership = expect(DUTY_TABLE, DUTY_KEY, duty_version);
         let as_held = rows
             .iter()
             .map(|row| expect(TABLE, &row.key, row.expected_version));
         let transaction = Transaction {
-            expect: std::iter::once(duty).chain(as_held).collect(),
+            expect: std::iter::once(leadership).chain(as_held).collect(),
             puts: rows.iter().map(PendingRow::put).collect(),
             ..Transaction::default()
         };
@@ -225,7 +225,7 @@
                 Ok(TransactionOutcome::Done { version }) => {
                     // The transaction is conditional on the duty row, so its success also confirms
                     // the duty.
-                    self.duty.confirmed_ms.store(sent_ms, Ordering::Relaxed);
+                    self.leadership.confirmed_ms.store(sent_ms, Ordering::Relaxed);
                     return WriteOutcome::Done(version);
                 }
                 Ok(TransactionOutcome::Conflict { rows }) => return WriteOutcome::Conflict(rows),
@@ -235,8 +235,8 @@
                 }
                 Err(error) => log::debug!("cannot write holdings, retrying: {error}"),
             }
-            if !self.duty.may_lease(self.settings.leases.outage_ms) {
-                self.duty.lose("the store did not answer");
+            if !self.leadership.may_lease(self.settings.leases.outage_ms) {
+                self.leadership.lose("the store did not answer");
                 return WriteOutcome::DutyLost;
             }
             pause().await;
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -58,10 +58,10 @@
         }
         let started_ms = clock::now_ms();
         loop {
-            if self.duty.term() > 0 {
+            if self.leadership.term() > 0 {
                 let every_ms = self.limits.confirm_every_ms(leases.confirm_every_ms);
                 time::sleep(Duration::from_millis(every_ms)).await;
-                if self.duty.term() > 0 {
+                if self.leadership.term() > 0 {
                     self.confirm_duty_through_outages().await;
                 }
                 continue;
@@ -179,7 +179,7 @@
         } else {
             before_predecessor_until_ms.max(seen_ms + self.settings.leases.outage_ms)
         };
-        let mut writer = self.duty.writer.lock().await;
+        let mut writer = self.leadership.writer.lock().await;
         *writer = Writer {
             row_version: version,
             confirmation: 0,
@@ -201,10 +201,10 @@
         if !self.read_holdings().await {
             return;
         }
-        self.duty
+        self.leadership
             .earlier_leases_until_ms
             .store(leases_until_ms, Ordering::Relaxed);
-        *self.duty.predecessor() = row.filter(|_| !handed_over).and_then(|row| {
+        *self.leadership.predecessor() = row.filter(|_| !handed_over).and_then(|row| {
             Some(Predecessor {
                 incarnation: row.holder,
                 term: row.term,
@@ -212,8 +212,8 @@
                 before_predecessor_until_ms,
             })
         });
-        self.duty.confirmed_ms.store(sent_ms, Ordering::Relaxed);
-        self.duty.term.store(term, Ordering::Relaxed);
+        self.leadership.confirmed_ms.store(sent_ms, Ordering::Relaxed);
+        self.leadership.term.store(term, Ordering::Relaxed);
         Event::DutyTaken { term, handed_over }.log();
         self.check_predecessor_process().await;
     }
@@ -223,9 +223,9 @@
     /// processes of other hosts may be older than the predecessor, but the predecessor's own row is
     /// not, since a process registers before it takes the duty.
     async fn check_predecessor_process(&self) {
-        self.duty
+        self.leadership
             .note_process(self.settings.listen.peers, self.incarnation);
-        let Some(address) = self.duty.predecessor().map(|p| p.address) else {
+        let Some(address) = self.leadership.predecessor().map(|p| p.address) else {
             return;
         };
         let key = format!("{HOST_PREFIX}{address}");
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -28,7 +28,7 @@
         plan::{self, Inputs, PlanServer},
         rests,
     },
-    duty::Change,
+    leadership::Change,
     keys::{Holding, KeyRange},
     server::{Server, tag_of},
     watch::store_age_ms,
@@ -148,7 +148,7 @@
     pub(super) async fn manage_leases(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(ROUND_MS)).await;
-            let number = self.duty.term();
+            let number = self.leadership.term();
             if number == 0 {
                 continue;
             }
@@ -169,7 +169,7 @@
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         for round in 0u64.. {
             ticks.tick().await;
-            if self.entry.duty.term() != self.number {
+            if self.entry.leadership.term() != self.number {
                 return;
             }
             // The state of the leases is kept while the store is unavailable for too long to grant
@@ -189,8 +189,8 @@
     /// Returns true while this host has the duty in this term and may grant leases, so that it may
     /// send orders to servers.
     fn may_send_orders(&self) -> bool {
-        let duty = &self.entry.duty;
-        duty.term() == self.number && duty.may_lease(self.entry.settings.leases.outage_ms)
+        let leadership = &self.entry.leadership;
+        leadership.term() == self.number && leadership.may_lease(self.entry.settings.leases.outage_ms)
     }
 
     fn state(&self) -> MutexGuard<'_, TermState> {
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -13,7 +13,7 @@
             hold::{MoveTimeLeft, MoveWait},
             plan::Move,
         },
-        duty::{Change, Reassignment},
+        leadership::{Change, Reassignment},
         events::Event,
         keys::{Assignment, Holding, KeyRange},
         server::tag_of,
@@ -351,7 +351,7 @@
             .servers
             .get(id)
             .map_or(0, |record| record.last_grant_ms(now_ms));
-        let others_ms = self.entry.duty.earlier_leases_until_ms();
+        let others_ms = self.entry.leadership.earlier_leases_until_ms();
         let lease_ms = self.entry.settings.leases.lease_ms as f64 * LEASE_CLOCK_FACTOR;
         own_ms.max(others_ms) + lease_ms as u64 + LEASE_MARGIN_MS
     }
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -12,7 +12,7 @@
 use crate::{
     clock,
     entry::{
-        duty::Change,
+        leadership::Change,
         events::Event,
         keys::{Assignment, Holding, KeyRange},
         model::ServerEntry,
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -69,7 +69,7 @@
         if rests.is_empty() {
             return;
         }
-        if self.duty.term() > 0 {
+        if self.leadership.term() > 0 {
             self.handle_rest_report(self.settings.listen.peers, &rests);
         } else if !self.peers.send_to_duty_holder(&Message::ReportRests(rests)) {
             log::debug!("rests of servers not reported: no duty holder can be reached");
@@ -78,7 +78,7 @@
 
     /// Records, as the duty holder, which servers asked a host for a rest.
     pub(in crate::entry) fn handle_rest_report(&self, host: SocketAddr, rests: &[ServerRest]) {
-        if self.duty.term() == 0 {
+        if self.leadership.term() == 0 {
             return;
         }
         let now_ms = clock::now_ms();
@@ -90,7 +90,7 @@
 
     fn report_leaving(&self) {
         let registry = self.view.registry();
-        if self.duty.term() == 0 {
+        if self.leadership.term() == 0 {
             let leaving_servers = registry.servers().filter(|s| s.leaves_by_notice_only());
             let tags: Vec<u32> = leaving_servers.map(|s| s.tag).take(ENTRIES_MAX).collect();
             if !tags.is_empty()
@@ -115,7 +115,7 @@
 
     /// Records, as the duty holder, servers that announced to another host that they are leaving.
     pub(in crate::entry) fn handle_leaving_report(&self, tags: &[u32]) {
-        if self.duty.term() > 0 && self.note_leaving_elsewhere(tags) {
+        if self.leadership.term() > 0 && self.note_leaving_elsewhere(tags) {
             self.notice_received.notify_one();
         }
     }
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -126,7 +126,7 @@
     /// Sends due announcements of moves and grants to all hosts.
     pub(in crate::entry) async fn keep_announcing(self: Arc<Self>) {
         loop {
-            let every_ms = match self.duty.term() {
+            let every_ms = match self.leadership.term() {
                 0 => IDLE_EVERY_MS,
                 _ => SEND_EVERY_MS,
             };
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -138,9 +138,9 @@
             Message::QueryKeyOwner { service_tag, key } => {
                 self.send_key_owner(from, service_tag, key)
             }
-            Message::Stopped { term } => self.duty.note_stopped(from, term),
+            Message::Stopped { term } => self.leadership.note_stopped(from, term),
             Message::Keys(keys) => {
-                if self.duty.term() > 0 {
+                if self.leadership.term() > 0 {
                     self.peers.add_reported(&keys);
                 }
             }
@@ -209,7 +209,7 @@
         updates: StoreStateReport,
         hot: Vec<HotKey>,
     ) {
-        if let Some(term) = self.duty.note_other_term(term) {
+        if let Some(term) = self.leadership.note_other_term(term) {
             self.peers.send(&Message::Stopped { term }, &[from]);
         }
         if self.peers.note_duty_holder(from, term) {
@@ -239,7 +239,7 @@
     /// Sends the holding of a key, if this host has the duty, to a host whose request reached a
     /// server that does not hold the key.
     fn send_key_owner(&self, to: SocketAddr, service_tag: u32, key: u16) {
-        if self.duty.term() == 0 {
+        if self.leadership.term() == 0 {
             return;
         }
         let Some(service) = self.service_of(service_tag) else {
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -127,7 +127,7 @@
         loop {
             time::sleep(Duration::from_millis(KEYS_EVERY_MS)).await;
             let keys = self.peers.take_key_counts();
-            if self.duty.term() > 0 {
+            if self.leadership.term() > 0 {
                 self.peers.add_reported(&keys);
             } else if !keys.is_empty() {
                 self.report_keys(&keys);
@@ -146,11 +146,11 @@
 
     /// Sends one heartbeat if this host has the duty and the duty is confirmed.
     pub(in crate::entry) fn send_heartbeat(&self) {
-        if !self.duty.is_confirmed() {
+        if !self.leadership.is_confirmed() {
             return;
         }
         let message = Message::Heartbeat {
-            term: self.duty.term(),
+            term: self.leadership.term(),
             sent_ms: clock::now_ms(),
             updates: self.freshness.updates(self.view.store_answered_ms()),
             hosts: self.peers.known() as u32,
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -196,7 +196,7 @@
                 continue;
             };
             let reports = self.quotas.take_report();
-            if self.duty.term() == 0 {
+            if self.leadership.term() == 0 {
                 self.quotas.forget_ledgers();
                 self.report_quotas(&reports);
                 continue;
@@ -235,7 +235,7 @@
 
     /// Handles a host's usage report, if this host has the duty.
     pub(in crate::entry) fn handle_usage_report(&self, reports: &[WorkspaceUse]) {
-        if self.duty.term() == 0 {
+        if self.leadership.term() == 0 {
             return;
         }
         let configuration = self.view.configuration();
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -47,7 +47,7 @@
                 REPORT_INTERVAL_MS.max(REPORT_INTERVAL_MS_PER_HOST * self.peers.hosts() as u64);
             time::sleep(Duration::from_millis(every_ms)).await;
             let rates = self.own_rates();
-            if self.duty.term() == 0 {
+            if self.leadership.term() == 0 {
                 self.report_rates(rates);
             } else {
                 self.handle_rate_report(self.settings.listen.peers, &rates);
@@ -86,7 +86,7 @@
 
     /// Handles a host's report of limits and request rates, if this host has the duty.
     pub(in crate::entry) fn handle_rate_report(&self, host: SocketAddr, rates: &[ServerRate]) {
-        if self.duty.term() == 0 {
+        if self.leadership.term() == 0 {
             return;
         }
         let now_ms = clock::now_ms();
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -167,7 +167,7 @@
                     processor_share: host.processor_share,
                 };
                 self.peers.add(address, facts);
-                self.duty.note_process(address, host.incarnation);
+                self.leadership.note_process(address, host.incarnation);
             }
             Err(error) => log::warn!("cannot decode host row {address}: {error}"),
         }
--- a/src/entry/secret.rs
+++ b/src/entry/secret.rs
@@ -37,7 +37,7 @@
     pub(super) async fn maintain_secret(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(SECRET_CHECK_MS)).await;
-            if !self.duty.is_confirmed() {
+            if !self.leadership.is_confirmed() {
                 continue;
             }
             let known = self.peers.seal.row();
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -29,7 +29,7 @@
     /// Returns this host's role, which decides whom it learns of changes from: the store, the duty
     /// holder or relays.
     pub(super) fn sync_role(&self) -> SyncRole {
-        if self.duty.term() > 0 {
+        if self.leadership.term() > 0 {
             SyncRole::DutyHolder
         } else if self.freshness.is_store_confirmed() {
             SyncRole::Follower
@@ -92,7 +92,7 @@
     /// Queries the relays of the zone if this host needs a newer report on the store. Returns true
     /// if a query was sent.
     fn query_relays(&self) -> bool {
-        let is_without_relays = self.duty.term() > 0 || !self.peers.use_relays();
+        let is_without_relays = self.leadership.term() > 0 || !self.peers.use_relays();
         let relays = if is_without_relays {
             Vec::new()
         } else {
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -181,7 +181,7 @@
         let began_ms = clock::now_ms();
         let until_ms = began_ms + followed.start_wait_ms(&self.limits);
         // A duty holder does not wait: the other hosts depend on its feeds.
-        let is_holder = || self.duty.term() > 0;
+        let is_holder = || self.leadership.term() > 0;
         while !is_holder() && !self.freshness.is_store_confirmed() && clock::now_ms() < until_ms {
             time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
         }
@@ -198,7 +198,7 @@
             return;
         }
         let applied = self.freshness.applied(followed);
-        if self.duty.term() > 0 && followed == FollowedTable::Configuration {
+        if self.leadership.term() > 0 && followed == FollowedTable::Configuration {
             self.broadcast_configuration(&changes);
         }
         let evacuated = self.view.evacuations().version;
@@ -217,7 +217,7 @@
             up_to: rows.version,
             changes: decode_servers(&rows.rows),
         };
-        if self.duty.term() > 0 {
+        if self.leadership.term() > 0 {
             self.broadcast_server_changes(&updates);
         }
         self.apply_server_changes(updates);
@@ -333,7 +333,7 @@
             Ok(rows) => {
                 self.note_store_response(clock::now_ms());
                 let version = rows.version;
-                if self.duty.term() > 0 {
+                if self.leadership.term() > 0 {
                     self.broadcast_difference(followed, &rows);
                 }
                 self.apply_table(followed, rows);
