--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -77,7 +77,7 @@
 
 /// State of the duty on this host: its term, confirmations and predecessor.
 #[derive(Debug, Default)]
-pub struct Duty {
+pub struct Leadership {
     /// Number of this host's term while it has the duty, else 0.
     term: AtomicU64,
     /// Time at which the last successful confirmation was sent, taken before the call.
@@ -100,7 +100,7 @@
     confirmation: u64,
 }
 
-impl Duty {
+impl Leadership {
     /// Returns the number of this host's term while it has the duty, else 0.
     pub fn term(&self) -> u64 {
         self.term.load(Ordering::Relaxed)
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -61,7 +61,7 @@
         budget::RetryBudget, hot_keys::HotKeys, rate_shares::DemandByHost, rests::Rests,
         run_shares::RunShares,
     },
-    leadership::Duty,
+    leadership::Leadership,
     forward::body::BodyMemory,
     join::Join,
     limits::TimeLimits,
@@ -101,7 +101,7 @@
     /// Other hosts, and the messages exchanged with them.
     pub peers: Peers,
     /// State of the duty (leader role) of granting leases, at this host and as seen at others.
-    pub leadership: Duty,
+    pub leadership: Leadership,
     /// Budget that limits retries to a share of all requests.
     pub retries: RetryBudget,
     /// Memory that request and response bodies may take in this host.
@@ -161,7 +161,7 @@
             broadcast: Broadcast::default(),
             hot_keys: HotKeys::default(),
             peers: Peers::default(),
-            leadership: Duty::default(),
+            leadership: Leadership::default(),
             retries: RetryBudget::new(&settings.bounds),
             body_memory: BodyMemory::of_host(settings.memory_bytes()),
             quotas: Quotas::default(),
