--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -65,7 +65,7 @@
     /// Time since the store's last response, in seconds.
     pub store_age_s: Gauge<f64, AtomicU64>,
     /// Term of this host while it holds the duty (leader role) of granting leases; 0 otherwise.
-    pub duty_term: Gauge,
+    pub leadership_term: Gauge,
     /// Version of the configuration in effect; 0 for none.
     pub configuration_version: Gauge,
     /// Number of availability zones that are evacuated.
@@ -93,7 +93,7 @@
             store_calls: Family::default(),
             in_flight: Gauge::default(),
             store_age_s: Gauge::default(),
-            duty_term: Gauge::default(),
+            leadership_term: Gauge::default(),
             configuration_version: Gauge::default(),
             evacuated_zones: Gauge::default(),
             quarantined_requests: Gauge::default(),
@@ -127,7 +127,7 @@
         let help = "Age of the store's last answer";
         registry.register("store_age_seconds", help, self.store_age_s.clone());
         let help = "Term of this host as holder of the duty of giving leases, or 0";
-        registry.register("duty_term", help, self.duty_term.clone());
+        registry.register("duty_term", help, self.leadership_term.clone());
         let help = "Version of the configuration in force";
         registry.register(
             "configuration_version",
