--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -48,7 +48,7 @@
 
 /// Content of the duty row, stored as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct DutyRow {
+struct LeadershipRow {
     /// Incarnation of the host process that has the duty; 0 after a host has given it up.
     holder: u64,
     /// Number of the holder's term. Each takeover of the duty adds 1, so a higher number is later.
@@ -192,7 +192,7 @@
 }
 
 impl Entry {
-    async fn read_duty(&self) -> Option<(Option<DutyRow>, u64)> {
+    async fn read_duty(&self) -> Option<(Option<LeadershipRow>, u64)> {
         let rows = match self.store.table(DUTY_TABLE).await {
             Ok(rows) => rows.rows,
             Err(error) => {
@@ -214,7 +214,7 @@
 
     /// Writes the duty row if it still has `version`. Returns the new version, or `None` if the
     /// write failed or its outcome is unknown.
-    async fn write_duty(&self, row: &DutyRow, version: u64) -> Option<u64> {
+    async fn write_duty(&self, row: &LeadershipRow, version: u64) -> Option<u64> {
         let value = serde_json::to_vec(row).ok()?;
         let transaction = Transaction {
             expect: vec![Expect {
@@ -264,7 +264,7 @@
             return;
         }
         let releasing = self.leadership.giving_up.load(Ordering::Relaxed);
-        let next = DutyRow {
+        let next = LeadershipRow {
             holder: if releasing { 0 } else { self.incarnation },
             term,
             confirmation: writer.confirmation + 1,
--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, atomic::Ordering};
 
-use super::{Change, DUTY_KEY, DUTY_TABLE, DutyRow, Writer};
+use super::{Change, DUTY_KEY, DUTY_TABLE, LeadershipRow, Writer};
 use crate::{
     clock,
     entry::{
@@ -193,7 +193,7 @@
         let Some(row) = find(DUTY_KEY) else {
             return Conflict::DutyTaken;
         };
-        let Ok(leadership) = serde_json::from_slice::<DutyRow>(&row.value) else {
+        let Ok(leadership) = serde_json::from_slice::<LeadershipRow>(&row.value) else {
             log::error!("cannot decode the duty row");
             return Conflict::DutyTaken;
         };
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -8,7 +8,7 @@
 
 use tokio::time;
 
-use super::{DutyRow, Predecessor, Writer};
+use super::{LeadershipRow, Predecessor, Writer};
 use crate::{
     clock,
     entry::{
@@ -170,7 +170,7 @@
     /// Takes the duty. The row was first read with this content at `seen_ms`, so the previous duty
     /// holder sent its last confirmation before that. `handed_over` is true if that host had given
     /// the duty up.
-    async fn take_duty(&self, row: Option<DutyRow>, version: u64, seen_ms: u64, handed_over: bool) {
+    async fn take_duty(&self, row: Option<LeadershipRow>, version: u64, seen_ms: u64, handed_over: bool) {
         let sent_ms = clock::now_ms();
         let term = row.as_ref().map_or(0, |row| row.term) + 1;
         let before_predecessor_until_ms = seen_ms + row.as_ref().map_or(0, |row| row.earlier_ms);
@@ -184,7 +184,7 @@
             row_version: version,
             confirmation: 0,
         };
-        let next = DutyRow {
+        let next = LeadershipRow {
             holder: self.incarnation,
             term,
             confirmation: 1,
