--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -31,7 +31,7 @@
 
 /// Table of the duty row. The row has a table of its own because it changes often and no host
 /// follows it by a change feed.
-const DUTY_TABLE: &str = "ashroad_duty";
+const LEADERSHIP_TABLE: &str = "ashroad_duty";
 const DUTY_KEY: &str = "leases";
 /// Age of the last confirmation up to which the duty holder tells other hosts that it has the duty.
 /// Two confirmations in a row may fail before this age is reached. A duty holder that has lost its
@@ -193,7 +193,7 @@
 
 impl Entry {
     async fn read_duty(&self) -> Option<(Option<LeadershipRow>, u64)> {
-        let rows = match self.store.table(DUTY_TABLE).await {
+        let rows = match self.store.table(LEADERSHIP_TABLE).await {
             Ok(rows) => rows.rows,
             Err(error) => {
                 log::debug!("cannot read the duty row: {error}");
@@ -218,12 +218,12 @@
         let value = serde_json::to_vec(row).ok()?;
         let transaction = Transaction {
             expect: vec![Expect {
-                table: DUTY_TABLE,
+                table: LEADERSHIP_TABLE,
                 key: DUTY_KEY,
                 version,
             }],
             puts: vec![Put {
-                table: DUTY_TABLE,
+                table: LEADERSHIP_TABLE,
                 key: DUTY_KEY,
                 value: &value,
             }],
--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, atomic::Ordering};
 
-use super::{Change, DUTY_KEY, DUTY_TABLE, LeadershipRow, Writer};
+use super::{Change, DUTY_KEY, LEADERSHIP_TABLE, LeadershipRow, Writer};
 use crate::{
     clock,
     entry::{
@@ -210,7 +210,7 @@
             key,
             version,
         };
-        let leadership = expect(DUTY_TABLE, DUTY_KEY, duty_version);
+        let leadership = expect(LEADERSHIP_TABLE, DUTY_KEY, duty_version);
         let as_held = rows
             .iter()
             .map(|row| expect(TABLE, &row.key, row.expected_version));
