--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -32,7 +32,7 @@
 /// Table of the duty row. The row has a table of its own because it changes often and no host
 /// follows it by a change feed.
 const LEADERSHIP_TABLE: &str = "ashroad_duty";
-const DUTY_KEY: &str = "leases";
+const LEADERSHIP_KEY: &str = "leases";
 /// Age of the last confirmation up to which the duty holder tells other hosts that it has the duty.
 /// Two confirmations in a row may fail before this age is reached. A duty holder that has lost its
 /// own connection to the store can record no move. With 3 s, another host took the duty only 5.7 s
@@ -200,7 +200,7 @@
                 return None;
             }
         };
-        let Some(row) = rows.into_iter().find(|row| row.key == DUTY_KEY) else {
+        let Some(row) = rows.into_iter().find(|row| row.key == LEADERSHIP_KEY) else {
             return Some((None, 0));
         };
         match serde_json::from_slice(&row.value) {
@@ -219,12 +219,12 @@
         let transaction = Transaction {
             expect: vec![Expect {
                 table: LEADERSHIP_TABLE,
-                key: DUTY_KEY,
+                key: LEADERSHIP_KEY,
                 version,
             }],
             puts: vec![Put {
                 table: LEADERSHIP_TABLE,
-                key: DUTY_KEY,
+                key: LEADERSHIP_KEY,
                 value: &value,
             }],
             ..Transaction::default()
@@ -234,7 +234,7 @@
             Ok(TransactionOutcome::Done { version }) => Some(version),
             Ok(TransactionOutcome::Conflict { rows }) => {
                 // An earlier attempt may have taken effect although its response was lost.
-                let found = rows.into_iter().find(|r| r.key == DUTY_KEY)?;
+                let found = rows.into_iter().find(|r| r.key == LEADERSHIP_KEY)?;
                 (found.value == value).then_some(found.version)
             }
             Err(error) => {
--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, atomic::Ordering};
 
-use super::{Change, DUTY_KEY, LEADERSHIP_TABLE, LeadershipRow, Writer};
+use super::{Change, LEADERSHIP_KEY, LEADERSHIP_TABLE, LeadershipRow, Writer};
 use crate::{
     clock,
     entry::{
@@ -190,7 +190,7 @@
         if !rows.iter().all(is_as_held) {
             return Conflict::HoldingsChanged;
         }
-        let Some(row) = find(DUTY_KEY) else {
+        let Some(row) = find(LEADERSHIP_KEY) else {
             return Conflict::DutyTaken;
         };
         let Ok(leadership) = serde_json::from_slice::<LeadershipRow>(&row.value) else {
@@ -210,7 +210,7 @@
             key,
             version,
         };
-        let leadership = expect(LEADERSHIP_TABLE, DUTY_KEY, duty_version);
+        let leadership = expect(LEADERSHIP_TABLE, LEADERSHIP_KEY, duty_version);
         let as_held = rows
             .iter()
             .map(|row| expect(TABLE, &row.key, row.expected_version));
