--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -30,7 +30,7 @@
     /// holder or relays.
     pub(super) fn sync_role(&self) -> SyncRole {
         if self.leadership.term() > 0 {
-            SyncRole::DutyHolder
+            SyncRole::Leader
         } else if self.freshness.is_store_confirmed() {
             SyncRole::Follower
         } else if self.freshness.is_relay() {
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncRole {
     /// This host is the duty holder; the other hosts depend on its change feeds of the store.
-    DutyHolder,
+    Leader,
     /// This host is a relay without confirmation of the store by the duty holder; the hosts of its
     /// zone depend on its feeds.
     Relay,
@@ -84,7 +84,7 @@
     pub fn wait_ms(self, sync_role: SyncRole, limits: &TimeLimits) -> u64 {
         match (self, sync_role) {
             (Self::Own, _) | (_, SyncRole::Follower) => FOLLOWER_WAIT_MS,
-            (_, SyncRole::DutyHolder) => limits.duty_holder_wait_ms,
+            (_, SyncRole::Leader) => limits.duty_holder_wait_ms,
             (_, SyncRole::Relay) => limits.relay_wait_ms,
             (_, SyncRole::Alone) => ALONE_WAIT_MS,
         }
@@ -112,7 +112,7 @@
         match (self, sync_role) {
             // The other hosts learn of changes from the duty holder or a relay, so the change feeds
             // of the duty holder and the relays pause only briefly.
-            (Self::Configuration | Self::Servers, SyncRole::DutyHolder | SyncRole::Relay) => {
+            (Self::Configuration | Self::Servers, SyncRole::Leader | SyncRole::Relay) => {
                 FeedPause::fixed(limits.duty_holder_pause_ms)
             }
             (Self::Configuration, SyncRole::Follower) => FeedPause {
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -248,7 +248,7 @@
             }
             let after = self.freshness.applied(followed);
             let now = self.sync_role();
-            let role_changed = (now == SyncRole::DutyHolder) != (sync_role == SyncRole::DutyHolder)
+            let role_changed = (now == SyncRole::Leader) != (sync_role == SyncRole::Leader)
                 || sync_role == SyncRole::Follower && now != SyncRole::Follower;
             if role_changed || self.should_call_now(followed, after) {
                 return;
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -82,7 +82,7 @@
     /// Response of the store to a query.
     Store { sent_ms: u64, version: u64 },
     /// Response of the duty holder to a query.
-    DutyHolder {
+    Leader {
         nonce: u64,
         age_ms: u64,
         version: u64,
@@ -114,12 +114,12 @@
                     self.version = self.version.max(version);
                     self.confirmation.note(sent_ms);
                 }
-                Delivery::DutyHolder {
+                Delivery::Leader {
                     nonce,
                     age_ms,
                     version,
                 } if self.version >= version => self.confirmation.note_response(nonce, age_ms),
-                Delivery::DutyHolder { .. } => {}
+                Delivery::Leader { .. } => {}
                 Delivery::Relayed { version } => self.version = self.version.max(version),
             }
         }
@@ -191,7 +191,7 @@
             let Some(age_ms) = duty_holder.confirmation.age_ms(now_ms) else {
                 return;
             };
-            Delivery::DutyHolder {
+            Delivery::Leader {
                 nonce,
                 age_ms,
                 version: duty_holder.version,
