--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -143,7 +143,7 @@
     let cut = Instant::now();
     deployment
         .apply_disturbance(
-            Disturbance::DutyHolderPartitioned,
+            Disturbance::LeaderPartitioned,
             Workload::Orders,
             Duration::from_secs(5),
         )
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -45,7 +45,7 @@
     /// The store responds to all hosts but the first.
     FirstHostPartitioned,
     /// The store responds to all hosts but the duty holder.
-    DutyHolderPartitioned,
+    LeaderPartitioned,
     /// The server's entry is rewritten repeatedly and states that the server is ready.
     ReadyEntryRewritten,
     /// The server's entry is removed and later written again, as that of a ready server.
@@ -61,7 +61,7 @@
     Disturbance::Nothing,
     Disturbance::StoreUnavailable,
     Disturbance::FirstHostPartitioned,
-    Disturbance::DutyHolderPartitioned,
+    Disturbance::LeaderPartitioned,
     Disturbance::ReadyEntryRewritten,
     Disturbance::EntryExpires,
     Disturbance::FirstHostPaused,
@@ -75,7 +75,7 @@
         match self {
             // The lost host may be the duty holder; then another host takes the duty before it
             // moves the keys.
-            Self::FirstHostPartitioned | Self::DutyHolderPartitioned => {
+            Self::FirstHostPartitioned | Self::LeaderPartitioned => {
                 CONTACT_GRACE + SERVED_AGAIN
             }
             _ => one_loss,
@@ -162,7 +162,7 @@
             Disturbance::Nothing => {}
             Disturbance::StoreUnavailable => store(self, Mode::Silent, hosts),
             Disturbance::FirstHostPartitioned => store(self, Mode::Silent, 1),
-            Disturbance::DutyHolderPartitioned => {
+            Disturbance::LeaderPartitioned => {
                 self.proxies[self.duty_holder()].set(Mode::Silent)
             }
             Disturbance::ReadyEntryRewritten => {
