--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -23,7 +23,7 @@
 const DELAY_MAX_MS: u64 = 4_000;
 const HOSTS: usize = 4;
 /// Index of the duty holder, which queries the store; the other hosts query it.
-const DUTY_HOLDER: usize = 0;
+const LEADER: usize = 0;
 
 /// API key with the times at which operators add and revoke it.
 #[derive(Clone, Copy, Debug)]
@@ -177,7 +177,7 @@
         }
         let [to_ms, back_ms] = [self.delay_ms(), self.delay_ms()];
         let answered_ms = now_ms + to_ms;
-        let updates = if index == DUTY_HOLDER {
+        let updates = if index == LEADER {
             Delivery::Store {
                 sent_ms: now_ms,
                 version: self.operators.version(answered_ms),
@@ -185,7 +185,7 @@
         } else {
             let nonce = self.rng.random();
             self.hosts[index].confirmation.start_query(nonce, now_ms);
-            let duty_holder = &self.hosts[DUTY_HOLDER];
+            let duty_holder = &self.hosts[LEADER];
             // The response has the state of the duty holder at the time of the query, and may be
             // delayed.
             let Some(age_ms) = duty_holder.confirmation.age_ms(now_ms) else {
