--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -127,7 +127,7 @@
     counted: Mutex<HashMap<(u32, u16), u16>>,
     /// Request counts that other hosts reported to this one while it has the duty.
     reported: Mutex<Vec<KeyCount>>,
-    duty_holder: Mutex<Option<SocketAddr>>,
+    leader: Mutex<Option<SocketAddr>>,
     duty_holder_term: AtomicU64,
     duty_holder_hosts: AtomicUsize,
     duty_holder_heard_ms: AtomicU64,
@@ -210,11 +210,11 @@
     /// with few hosts, or on a relay itself, the duty holder.
     pub fn sync_peer(&self, own: RelayCandidate) -> Option<SocketAddr> {
         if !self.use_relays() {
-            return *self.duty_holder();
+            return *self.leader();
         }
         let relays = self.own_zone_relays(own);
         if relays.contains(&own.address) {
-            return *self.duty_holder();
+            return *self.leader();
         }
         relays.choose(&mut rand::rng()).copied()
     }
@@ -347,18 +347,18 @@
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn duty_holder(&self) -> MutexGuard<'_, Option<SocketAddr>> {
-        self.duty_holder
+    fn leader(&self) -> MutexGuard<'_, Option<SocketAddr>> {
+        self.leader
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Sends a message to the duty holder. Returns false if none is known.
     pub(in crate::entry) fn send_to_duty_holder(&self, message: &Message) -> bool {
-        let Some(duty_holder) = *self.duty_holder() else {
+        let Some(leader) = *self.leader() else {
             return false;
         };
-        self.send(message, &[duty_holder]);
+        self.send(message, &[leader]);
         true
     }
 
@@ -427,7 +427,7 @@
         self.duty_holder_term.store(term, Ordering::Relaxed);
         self.duty_holder_heard_ms
             .store(clock::now_ms(), Ordering::Relaxed);
-        *self.duty_holder() = Some(from);
+        *self.leader() = Some(from);
         true
     }
 
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -204,12 +204,12 @@
     }
 
     fn report_keys(&self, keys: &[KeyCount]) {
-        let Some(duty_holder) = *self.peers.duty_holder() else {
+        let Some(leader) = *self.peers.leader() else {
             return;
         };
         for keys in keys.chunks(ENTRIES_MAX) {
             self.peers
-                .send(&Message::Keys(keys.to_vec()), &[duty_holder]);
+                .send(&Message::Keys(keys.to_vec()), &[leader]);
         }
     }
 
--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -84,7 +84,7 @@
 }
 
 /// Returns the index of the host that has the duty.
-fn duty_holder(site: &Site) -> usize {
+fn leader(site: &Site) -> usize {
     let index = site.hosts.iter().position(has_taken_duty);
     index.expect("a duty holder")
 }
@@ -225,8 +225,8 @@
 #[tokio::test]
 async fn crash_reports_to_the_previous_duty_holder_still_count() {
     let (mut site, _servers) = start(4, 14).await;
-    let duty_holder = duty_holder(&site);
-    site.hosts.swap(0, duty_holder);
+    let leader = leader(&site);
+    site.hosts.swap(0, leader);
     read(&site.hosts[1], CALLER, CRASH_PATH).await;
     time::sleep(Duration::from_millis(1_500)).await;
     site.hosts[0].kill();
--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -24,9 +24,9 @@
     host.events("duty_taken").len()
 }
 
-fn duty_holder(site: &Site) -> usize {
-    let duty_holder = site.hosts.iter().position(|host| times_taken(host) > 0);
-    duty_holder.expect("a host has the duty")
+fn leader(site: &Site) -> usize {
+    let leader = site.hosts.iter().position(|host| times_taken(host) > 0);
+    leader.expect("a host has the duty")
 }
 
 fn all_keys_held(servers: &[Server]) -> bool {
@@ -36,7 +36,7 @@
 #[tokio::test]
 async fn a_restarted_duty_holder_resumes_the_duty_also_when_reads_are_slower_than_writes() {
     let mut site = Site::start(3, 2).await;
-    let duty_holder = duty_holder(&site);
+    let leader = leader(&site);
     for host in &mut site.hosts {
         host.kill();
     }
@@ -52,7 +52,7 @@
     eventually(
         "the previous duty holder has the duty again",
         1_600,
-        async || times_taken(&site.hosts[duty_holder]) == 2,
+        async || times_taken(&site.hosts[leader]) == 2,
     )
     .await;
     assert_eq!(site.record.violations(), Vec::<String>::new());
@@ -101,7 +101,7 @@
     // Resumes the paused host at different phases of the new duty holder's calls.
     for extra_ms in [0, 130, 260] {
         let site = Site::start(3, 3).await;
-        let paused = &site.hosts[duty_holder(&site)];
+        let paused = &site.hosts[leader(&site)];
         paused.signal("STOP");
         let lost = &site.keyed[0];
         lost.crash(&site.store);
@@ -234,11 +234,11 @@
 ) -> u64 {
     const DRAIN_MS: u64 = 2_000;
     let mut site = Site::start(3, 2).await;
-    let duty_holder = duty_holder(&site);
+    let leader = leader(&site);
     if restarted {
-        site.hosts[duty_holder].restart();
+        site.hosts[leader].restart();
         eventually("the duty holder has resumed", 3_000, async || {
-            times_taken(&site.hosts[duty_holder]) == 2
+            times_taken(&site.hosts[leader]) == 2
         })
         .await;
     }
@@ -248,7 +248,7 @@
     let declared = Instant::now();
     let since_ms = || declared.elapsed().as_millis() as u64;
     time::sleep(Duration::from_millis(lost_after_ms)).await;
-    site.hosts[duty_holder].signal(signal);
+    site.hosts[leader].signal(signal);
     let mut within = 0;
     let mut number = 0;
     while since_ms() < DRAIN_MS + 1_500 {
@@ -256,7 +256,7 @@
             within = leaving.served();
         }
         for (index, host) in site.hosts.iter().enumerate() {
-            if index == duty_holder {
+            if index == leader {
                 continue;
             }
             number += 1;
@@ -279,7 +279,7 @@
 async fn many_hosts_learn_of_changes_by_relays_also_while_most_of_them_are_stopped() {
     const HOSTS: usize = 24;
     let site = Site::start(HOSTS, 2).await;
-    let duty_holder = duty_holder(&site);
+    let leader = leader(&site);
     time::sleep(Duration::from_millis(4_000)).await;
     let before = site.store.calls();
     let mut joined_servers = Vec::new();
@@ -298,7 +298,7 @@
         }
     }
     // With a probability of 96%, the relays are among the stopped hosts.
-    let others = || (0..HOSTS).filter(|number| *number != duty_holder);
+    let others = || (0..HOSTS).filter(|number| *number != leader);
     let stopped: Vec<usize> = others().take(18).collect();
     for number in &stopped {
         site.hosts[*number].signal("STOP");
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -364,14 +364,14 @@
 #[tokio::test]
 async fn keys_stay_served_when_the_duty_holder_is_killed() {
     let mut site = Site::start(3, 3).await;
-    let duty_holder = site
+    let leader = site
         .hosts
         .iter()
         .position(|host| !host.events("duty_taken").is_empty())
         .expect("a duty holder");
-    site.hosts[duty_holder].kill();
+    site.hosts[leader].kill();
     let others: Vec<&Host> = (0..3)
-        .filter(|i| *i != duty_holder)
+        .filter(|i| *i != leader)
         .map(|i| &site.hosts[i])
         .collect();
     // Leases last longer than a takeover of the duty, so every key is served throughout.
@@ -393,15 +393,15 @@
 #[tokio::test]
 async fn a_restarted_duty_holder_soon_moves_keys_of_a_crashed_server() {
     let mut site = Site::start(2, 3).await;
-    let duty_holder = site
+    let leader = site
         .hosts
         .iter()
         .position(|host| !host.events("duty_taken").is_empty())
         .expect("a duty holder");
-    site.hosts[duty_holder].kill();
+    site.hosts[leader].kill();
     site.keyed[0].crash(&site.store);
     time::sleep(Duration::from_millis(1_000)).await;
-    site.hosts[duty_holder].restart();
+    site.hosts[leader].restart();
     // If the previous duty holder does not report that its term has ended, the next one waits 13 s,
     // and then the duration of a lease.
     eventually("all keys are held", 12_000, async || {
@@ -435,8 +435,8 @@
 async fn a_restarted_duty_holder_resumes_the_duty_at_once() {
     let mut site = Site::start(3, 2).await;
     let taken = |host: &Host| host.events("duty_taken").len();
-    let duty_holder = site.hosts.iter().position(|host| taken(host) > 0);
-    let duty_holder = duty_holder.expect("a duty holder");
+    let leader = site.hosts.iter().position(|host| taken(host) > 0);
+    let leader = leader.expect("a duty holder");
     for host in &mut site.hosts {
         host.kill();
     }
@@ -448,7 +448,7 @@
     eventually(
         "the previous duty holder has the duty again",
         1_200,
-        async || taken(&site.hosts[duty_holder]) == 2,
+        async || taken(&site.hosts[leader]) == 2,
     )
     .await;
     site.await_ready().await;
@@ -459,7 +459,7 @@
 async fn a_planned_stop_of_the_duty_holder_hands_the_duty_over() {
     let site = Site::start(2, 2).await;
     let is_duty_holder = |host: &&Host| !host.events("duty_taken").is_empty();
-    let duty_holder = site
+    let leader = site
         .hosts
         .iter()
         .find(is_duty_holder)
@@ -469,7 +469,7 @@
         .iter()
         .find(|host| !is_duty_holder(host))
         .expect("another host");
-    duty_holder.signal("TERM");
+    leader.signal("TERM");
     eventually("the other host takes the duty", 2_500, async || {
         let taken = other.events("duty_taken");
         taken
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -185,16 +185,16 @@
         } else {
             let nonce = self.rng.random();
             self.hosts[index].confirmation.start_query(nonce, now_ms);
-            let duty_holder = &self.hosts[LEADER];
+            let leader = &self.hosts[LEADER];
             // The response has the state of the duty holder at the time of the query, and may be
             // delayed.
-            let Some(age_ms) = duty_holder.confirmation.age_ms(now_ms) else {
+            let Some(age_ms) = leader.confirmation.age_ms(now_ms) else {
                 return;
             };
             Delivery::Leader {
                 nonce,
                 age_ms,
-                version: duty_holder.version,
+                version: leader.version,
             }
         };
         self.hosts[index]
--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -75,13 +75,13 @@
         if duty_holder_is_lost {
             time::sleep(Duration::from_millis(300)).await;
             let is_duty_holder = |host: &Host| !host.events("duty_taken").is_empty();
-            let duty_holder = site
+            let leader = site
                 .hosts
                 .iter()
                 .position(is_duty_holder)
                 .expect("a host has the duty");
-            site.hosts[duty_holder].kill();
-            site.hosts.remove(duty_holder);
+            site.hosts[leader].kill();
+            site.hosts.remove(leader);
         }
         let since = |began: Instant| began.elapsed().as_millis() as u64;
         let mut number = 0;
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -126,7 +126,7 @@
     }
 
     /// Returns the index of the host that holds the duty.
-    fn duty_holder(&self) -> usize {
+    fn leader(&self) -> usize {
         let has_duty = |host: &Host| !host.events("duty_taken").is_empty();
         let index = self.site.hosts.iter().position(has_duty);
         index.expect("a duty holder")
@@ -163,7 +163,7 @@
             Disturbance::StoreUnavailable => store(self, Mode::Silent, hosts),
             Disturbance::FirstHostPartitioned => store(self, Mode::Silent, 1),
             Disturbance::LeaderPartitioned => {
-                self.proxies[self.duty_holder()].set(Mode::Silent)
+                self.proxies[self.leader()].set(Mode::Silent)
             }
             Disturbance::ReadyEntryRewritten => {
                 while Instant::now() < end {
