--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -281,7 +281,7 @@
     /// Sends the crash reports of this host to the other hosts, and again to each new duty holder.
     pub(in crate::entry) async fn report_crashes(self: Arc<Self>) {
         loop {
-            let term = self.peers.duty_holder_term();
+            let term = self.peers.leader_term();
             let due = lock(&self.crashes.reports).due(term);
             for report in &due {
                 self.send_crash_report(report);
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -128,7 +128,7 @@
     /// Request counts that other hosts reported to this one while it has the duty.
     reported: Mutex<Vec<KeyCount>>,
     leader: Mutex<Option<SocketAddr>>,
-    duty_holder_term: AtomicU64,
+    leader_term: AtomicU64,
     duty_holder_hosts: AtomicUsize,
     duty_holder_heard_ms: AtomicU64,
     /// Paces (slowdown factors) of servers that other hosts reported and that are not applied yet.
@@ -201,7 +201,7 @@
                 .map(|(address, peer)| peer.relay_candidate(*address, now_ms))
                 .collect()
         };
-        let term = self.duty_holder_term.load(Ordering::Relaxed);
+        let term = self.leader_term.load(Ordering::Relaxed);
         let zone: Vec<RelayCandidate> = same_zone.into_iter().chain([own]).collect();
         fanout::choose_zone_relays(&zone, term)
     }
@@ -266,7 +266,7 @@
     /// hosts and orders to all servers that hold keys. The order of equally strong hosts differs by
     /// term, so that the same crashed hosts do not come first in every term.
     pub fn takeover_rank(&self, own: SocketAddr, processor_share: f32) -> usize {
-        let term = self.duty_holder_term.load(Ordering::Relaxed);
+        let term = self.leader_term.load(Ordering::Relaxed);
         let place = |address: &SocketAddr| tag_of(&format!("{address} {term}"));
         let own = place(&own);
         let is_before = |address: &SocketAddr, share: f32| {
@@ -295,8 +295,8 @@
     }
 
     /// Returns the latest term for which a heartbeat of the duty holder was received.
-    pub fn duty_holder_term(&self) -> u64 {
-        self.duty_holder_term.load(Ordering::Relaxed)
+    pub fn leader_term(&self) -> u64 {
+        self.leader_term.load(Ordering::Relaxed)
     }
 
     /// Returns the time of the last heartbeat received from the duty holder.
@@ -421,10 +421,10 @@
     /// Records a heartbeat of the duty holder. Returns false and ignores it if a later term is
     /// known.
     fn note_duty_holder(&self, from: SocketAddr, term: u64) -> bool {
-        if term < self.duty_holder_term.load(Ordering::Relaxed) {
+        if term < self.leader_term.load(Ordering::Relaxed) {
             return false;
         }
-        self.duty_holder_term.store(term, Ordering::Relaxed);
+        self.leader_term.store(term, Ordering::Relaxed);
         self.duty_holder_heard_ms
             .store(clock::now_ms(), Ordering::Relaxed);
         *self.leader() = Some(from);
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -39,7 +39,7 @@
     /// acknowledgements.
     pub(super) fn current_fanout(&self) -> Fanout {
         let now_ms = clock::now_ms();
-        let term = self.duty_holder_term.load(Ordering::Relaxed);
+        let term = self.leader_term.load(Ordering::Relaxed);
         let peers = self.peers();
         let candidates = peers.iter();
         let candidates = candidates.map(|(address, peer)| peer.relay_candidate(*address, now_ms));
