--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -97,7 +97,7 @@
     /// Returns true if the duty holder has been silent for so long that this host should watch the
     /// duty row. If this host has never received a heartbeat, the time counts from `started_ms`.
     fn is_duty_holder_silent(&self, started_ms: u64) -> bool {
-        let heard_ms = self.peers.duty_holder_heard_ms();
+        let heard_ms = self.peers.leader_heard_ms();
         if heard_ms == 0 && !self.peers.seal.is_known() {
             return clock::now_ms() > started_ms + self.first_start_grace_ms();
         }
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -130,7 +130,7 @@
     leader: Mutex<Option<SocketAddr>>,
     leader_term: AtomicU64,
     duty_holder_hosts: AtomicUsize,
-    duty_holder_heard_ms: AtomicU64,
+    leader_heard_ms: AtomicU64,
     /// Paces (slowdown factors) of servers that other hosts reported and that are not applied yet.
     paces: Mutex<Vec<ReportedPace>>,
     one_way_delay: Mutex<OneWayDelay>,
@@ -300,8 +300,8 @@
     }
 
     /// Returns the time of the last heartbeat received from the duty holder.
-    pub fn duty_holder_heard_ms(&self) -> u64 {
-        self.duty_holder_heard_ms.load(Ordering::Relaxed)
+    pub fn leader_heard_ms(&self) -> u64 {
+        self.leader_heard_ms.load(Ordering::Relaxed)
     }
 
     /// Counts a request for a key, for the next report to the duty holder.
@@ -425,7 +425,7 @@
             return false;
         }
         self.leader_term.store(term, Ordering::Relaxed);
-        self.duty_holder_heard_ms
+        self.leader_heard_ms
             .store(clock::now_ms(), Ordering::Relaxed);
         *self.leader() = Some(from);
         true
