--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -106,7 +106,7 @@
         self.confirmation.start_query(nonce, clock::now_ms());
         if !self
             .peers
-            .send_to_duty_holder(&Message::QueryConfigurationAge { nonce })
+            .send_to_leader(&Message::QueryConfigurationAge { nonce })
         {
             log::debug!("configuration not confirmed: no duty holder can be reached");
         }
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -319,7 +319,7 @@
             service_tag: tag_of(&self.service),
             key,
         };
-        let asked = entry.freshness.is_store_confirmed() && entry.peers.send_to_duty_holder(&query);
+        let asked = entry.freshness.is_store_confirmed() && entry.peers.send_to_leader(&query);
         if !asked {
             entry.view.request_read(FollowedTable::Own);
         }
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -71,7 +71,7 @@
         }
         if self.leadership.term() > 0 {
             self.handle_rest_report(self.settings.listen.peers, &rests);
-        } else if !self.peers.send_to_duty_holder(&Message::ReportRests(rests)) {
+        } else if !self.peers.send_to_leader(&Message::ReportRests(rests)) {
             log::debug!("rests of servers not reported: no duty holder can be reached");
         }
     }
@@ -96,7 +96,7 @@
             if !tags.is_empty()
                 && !self
                     .peers
-                    .send_to_duty_holder(&Message::ReportLeaving(tags))
+                    .send_to_leader(&Message::ReportLeaving(tags))
             {
                 log::debug!("leaving servers not reported: no duty holder can be reached");
             }
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -354,7 +354,7 @@
     }
 
     /// Sends a message to the duty holder. Returns false if none is known.
-    pub(in crate::entry) fn send_to_duty_holder(&self, message: &Message) -> bool {
+    pub(in crate::entry) fn send_to_leader(&self, message: &Message) -> bool {
         let Some(leader) = *self.leader() else {
             return false;
         };
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -213,7 +213,7 @@
         for reports in reports.chunks(QUOTAS_MAX) {
             if !self
                 .peers
-                .send_to_duty_holder(&Message::ReportUsage(reports.to_vec()))
+                .send_to_leader(&Message::ReportUsage(reports.to_vec()))
             {
                 log::debug!("usage report not sent: no duty holder can be reached");
             }
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -77,7 +77,7 @@
         for rates in rates.chunks(RATES_MAX) {
             if !self
                 .peers
-                .send_to_duty_holder(&Message::ReportRates(rates.to_vec()))
+                .send_to_leader(&Message::ReportRates(rates.to_vec()))
             {
                 log::debug!("rate report not sent: no duty holder can be reached");
             }
