--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -420,7 +420,7 @@
 
     /// Records a heartbeat of the duty holder. Returns false and ignores it if a later term is
     /// known.
-    fn note_duty_holder(&self, from: SocketAddr, term: u64) -> bool {
+    fn note_leader(&self, from: SocketAddr, term: u64) -> bool {
         if term < self.leader_term.load(Ordering::Relaxed) {
             return false;
         }
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -122,7 +122,7 @@
                 self.view.evacuate(evacuations);
                 self.put_in_quarantine(&quarantined, "the holder of the duty tells it");
                 let updates = updates.aged_by(self.peers.excess_delay_ms(term, sent_ms));
-                self.note_duty_holder(from, term, updates, hot);
+                self.note_leader(from, term, updates, hot);
             }
             Message::Report { servers, paces, .. } => {
                 self.peers.note_report(from, servers);
@@ -202,7 +202,7 @@
         }
     }
 
-    fn note_duty_holder(
+    fn note_leader(
         &self,
         from: SocketAddr,
         term: u64,
@@ -212,7 +212,7 @@
         if let Some(term) = self.leadership.note_other_term(term) {
             self.peers.send(&Message::Stopped { term }, &[from]);
         }
-        if self.peers.note_duty_holder(from, term) {
+        if self.peers.note_leader(from, term) {
             self.note_store_response(self.freshness.note_announced(updates));
             self.hot_keys.note_announced(hot, clock::now_ms());
         }
