--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -458,16 +458,16 @@
 #[tokio::test]
 async fn a_planned_stop_of_the_duty_holder_hands_the_duty_over() {
     let site = Site::start(2, 2).await;
-    let is_duty_holder = |host: &&Host| !host.events("duty_taken").is_empty();
+    let is_leader = |host: &&Host| !host.events("duty_taken").is_empty();
     let leader = site
         .hosts
         .iter()
-        .find(is_duty_holder)
+        .find(is_leader)
         .expect("a duty holder");
     let other = site
         .hosts
         .iter()
-        .find(|host| !is_duty_holder(host))
+        .find(|host| !is_leader(host))
         .expect("another host");
     leader.signal("TERM");
     eventually("the other host takes the duty", 2_500, async || {
--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -74,11 +74,11 @@
         site.store.put("op", "evacuate/a", &json!({}));
         if duty_holder_is_lost {
             time::sleep(Duration::from_millis(300)).await;
-            let is_duty_holder = |host: &Host| !host.events("duty_taken").is_empty();
+            let is_leader = |host: &Host| !host.events("duty_taken").is_empty();
             let leader = site
                 .hosts
                 .iter()
-                .position(is_duty_holder)
+                .position(is_leader)
                 .expect("a host has the duty");
             site.hosts[leader].kill();
             site.hosts.remove(leader);
