--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -69,7 +69,7 @@
             time::sleep(Duration::from_millis(CHECK_EVERY_MS)).await;
             let may_take =
                 self.is_registered() && self.view.are_servers_known() && !self.stopping();
-            if may_take && self.is_duty_holder_silent(started_ms) {
+            if may_take && self.is_leader_silent(started_ms) {
                 // Calls are billed, so none is made before the feed of the servers' table shows
                 // that the store answers.
                 self.view.wait_for_store().await;
@@ -96,7 +96,7 @@
 
     /// Returns true if the duty holder has been silent for so long that this host should watch the
     /// duty row. If this host has never received a heartbeat, the time counts from `started_ms`.
-    fn is_duty_holder_silent(&self, started_ms: u64) -> bool {
+    fn is_leader_silent(&self, started_ms: u64) -> bool {
         let heard_ms = self.peers.leader_heard_ms();
         if heard_ms == 0 && !self.peers.seal.is_known() {
             return clock::now_ms() > started_ms + self.first_start_grace_ms();
