--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -67,11 +67,11 @@
     /// confirmation.
     fn configuration_age_ms(&self) -> Option<u64> {
         let followed = FollowedTable::Configuration;
-        let is_confirmed_by_duty_holder = self.freshness.is_store_confirmed()
+        let is_confirmed_by_leader = self.freshness.is_store_confirmed()
             && !self
                 .freshness
                 .is_behind(followed, self.freshness.applied(followed));
-        if is_confirmed_by_duty_holder && self.settings.bounds.revocation_ms.is_none() {
+        if is_confirmed_by_leader && self.settings.bounds.revocation_ms.is_none() {
             return Some(0);
         }
         self.confirmation.age_ms(clock::now_ms())
