--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -338,14 +338,14 @@
     }
 
     /// Waits until a feed call for changes after `requested_after` should be abandoned and
-    /// repeated, and returns the reason. `relies_on_duty_holder` is true if the call waits long
+    /// repeated, and returns the reason. `relies_on_leader` is true if the call waits long
     /// because the duty holder or a relay confirms the store; `is_silent` returns true while no
     /// response has begun.
     pub async fn recall_reason(
         &self,
         followed: FollowedTable,
         requested_after: u64,
-        relies_on_duty_holder: bool,
+        relies_on_leader: bool,
         is_silent: impl Fn() -> bool,
     ) -> RecallReason {
         let mut behind_ms = 0;
@@ -354,7 +354,7 @@
             if !is_silent() {
                 continue;
             }
-            if relies_on_duty_holder && !self.is_store_confirmed() {
+            if relies_on_leader && !self.is_store_confirmed() {
                 return RecallReason::Unconfirmed;
             }
             if self.is_behind(followed, requested_after) {
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -158,7 +158,7 @@
         }
         let sync_role = self.sync_role();
         let wait_ms = followed.wait_ms(sync_role, &self.limits);
-        let relies_on_duty_holder =
+        let relies_on_leader =
             self.freshness.is_store_confirmed() && followed != FollowedTable::Own;
         let is_silent = || !begun.load(Ordering::Relaxed);
         tokio::select! {
@@ -166,7 +166,7 @@
             recall_reason = self.freshness.recall_reason(
                 followed,
                 after,
-                relies_on_duty_holder,
+                relies_on_leader,
                 is_silent,
             ) => Err(recall_reason),
             _ = store_lost.wait_for(|lost| *lost) => Err(RecallReason::Behind),
