--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -80,7 +80,7 @@
                 continue;
             }
             self.broadcast.end_reading(followed);
-            self.wait_for_duty_holder_at_start(followed).await;
+            self.wait_for_leader_at_start(followed).await;
             let mut called_ms = clock::now_ms();
             let mut health = FeedHealth::Healthy;
             let mut pause_ms = RETRY_PAUSE_MS;
@@ -175,7 +175,7 @@
 
     /// Waits until the duty holder or a relay confirms the state of the store, or the start period
     /// ends. Then pauses the feed if the state is confirmed.
-    async fn wait_for_duty_holder_at_start(&self, followed: FollowedTable) {
+    async fn wait_for_leader_at_start(&self, followed: FollowedTable) {
         // The relays that could confirm the store are known only after the join.
         self.join.sync_outcome().await;
         let began_ms = clock::now_ms();
