--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -52,7 +52,7 @@
     /// may fail right after a heartbeat, before it broadcasts that a server leaves.
     pub trust_ms: u64,
     /// Heartbeat interval of the duty holder; several heartbeats fit into the trust period.
-    pub duty_holder_heartbeat_ms: u64,
+    pub leader_heartbeat_ms: u64,
     /// Pause of the feeds of servers' entries and the configuration on the duty holder and on
     /// relays.
     pub duty_holder_pause_ms: u64,
@@ -139,7 +139,7 @@
         let evacuation_known_ms = trust_ms + after_wait_ms;
         Self {
             trust_ms,
-            duty_holder_heartbeat_ms: (trust_ms / 4).min(DUTY_HOLDER_HEARTBEAT_MAX_MS),
+            leader_heartbeat_ms: (trust_ms / 4).min(DUTY_HOLDER_HEARTBEAT_MAX_MS),
             duty_holder_pause_ms: (trust_ms / 4).min(DUTY_HOLDER_PAUSE_MAX_MS),
             duty_holder_wait_ms: (bounds.contact_ms + drain_room_ms.min(configuration_room_ms))
                 .saturating_sub(FEED_SLACK_MS)
@@ -188,7 +188,7 @@
             bound_ms: bounds.evacuation_ms,
         };
         let next_heartbeat_ms =
-            self.duty_holder_pause_ms + 2 * self.duty_holder_heartbeat_ms + POLL_EVERY_MS;
+            self.duty_holder_pause_ms + 2 * self.leader_heartbeat_ms + POLL_EVERY_MS;
         [
             drain(
                 "the duty holder fails before it broadcasts that a server leaves",
@@ -224,7 +224,7 @@
             configuration(
                 "a piece of the configuration is lost and detected by the duty holder's next heartbeat",
                 self.duty_holder_pause_ms
-                    + self.duty_holder_heartbeat_ms
+                    + self.leader_heartbeat_ms
                     + self.lag_grace_ms
                     + POLL_EVERY_MS
                     + self.catch_up_ms,
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -139,7 +139,7 @@
     /// check whether to take the duty over.
     pub(in crate::entry) async fn keep_sending_heartbeats(self: Arc<Self>) {
         loop {
-            time::sleep(Duration::from_millis(self.limits.duty_holder_heartbeat_ms)).await;
+            time::sleep(Duration::from_millis(self.limits.leader_heartbeat_ms)).await;
             self.send_heartbeat();
         }
     }
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -83,7 +83,7 @@
             let every_ms = if is_asking {
                 self.limits.relay_query_every_ms
             } else {
-                self.limits.duty_holder_heartbeat_ms
+                self.limits.leader_heartbeat_ms
             };
             time::sleep(Duration::from_millis(every_ms)).await;
         }
--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -36,7 +36,7 @@
     fn the_duty_holder_is_heard_three_times_within_the_trust_period(drain: u16) -> bool {
         let limits = TimeLimits::new(&drawn(drain, 0));
         let confirm_every_ms = limits.confirm_every_ms(700);
-        let two_heartbeats_ms = confirm_every_ms + 2 * limits.duty_holder_heartbeat_ms;
+        let two_heartbeats_ms = confirm_every_ms + 2 * limits.leader_heartbeat_ms;
         two_heartbeats_ms <= limits.trust_ms
     }
 }
@@ -61,7 +61,7 @@
         }),
         case("notice_hold_ms", |limits| limits.notice_hold_ms += 1),
         case("duty_holder_heartbeat_ms", |limits| {
-            limits.duty_holder_heartbeat_ms += 500
+            limits.leader_heartbeat_ms += 500
         }),
     ];
     for Case { name, raise } in cases {
