--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -55,7 +55,7 @@
     pub leader_heartbeat_ms: u64,
     /// Pause of the feeds of servers' entries and the configuration on the duty holder and on
     /// relays.
-    pub duty_holder_pause_ms: u64,
+    pub leader_pause_ms: u64,
     /// Longest wait of the duty holder's feed calls at the store. It is short because no other host
     /// can tell the duty holder that its connection has failed silently.
     pub duty_holder_wait_ms: u64,
@@ -140,7 +140,7 @@
         Self {
             trust_ms,
             leader_heartbeat_ms: (trust_ms / 4).min(DUTY_HOLDER_HEARTBEAT_MAX_MS),
-            duty_holder_pause_ms: (trust_ms / 4).min(DUTY_HOLDER_PAUSE_MAX_MS),
+            leader_pause_ms: (trust_ms / 4).min(DUTY_HOLDER_PAUSE_MAX_MS),
             duty_holder_wait_ms: (bounds.contact_ms + drain_room_ms.min(configuration_room_ms))
                 .saturating_sub(FEED_SLACK_MS)
                 .clamp(TRUST_MIN_MS, DUTY_HOLDER_WAIT_MAX_MS),
@@ -188,7 +188,7 @@
             bound_ms: bounds.evacuation_ms,
         };
         let next_heartbeat_ms =
-            self.duty_holder_pause_ms + 2 * self.leader_heartbeat_ms + POLL_EVERY_MS;
+            self.leader_pause_ms + 2 * self.leader_heartbeat_ms + POLL_EVERY_MS;
         [
             drain(
                 "the duty holder fails before it broadcasts that a server leaves",
@@ -223,7 +223,7 @@
             ),
             configuration(
                 "a piece of the configuration is lost and detected by the duty holder's next heartbeat",
-                self.duty_holder_pause_ms
+                self.leader_pause_ms
                     + self.leader_heartbeat_ms
                     + self.lag_grace_ms
                     + POLL_EVERY_MS
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -113,7 +113,7 @@
             // The other hosts learn of changes from the duty holder or a relay, so the change feeds
             // of the duty holder and the relays pause only briefly.
             (Self::Configuration | Self::Servers, SyncRole::Leader | SyncRole::Relay) => {
-                FeedPause::fixed(limits.duty_holder_pause_ms)
+                FeedPause::fixed(limits.leader_pause_ms)
             }
             (Self::Configuration, SyncRole::Follower) => FeedPause {
                 min_ms: limits.configuration_pause_ms,
--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -57,7 +57,7 @@
             limits.configuration_pause_ms += 101;
         }),
         case("duty_holder_pause_ms", |limits| {
-            limits.duty_holder_pause_ms += 1_000
+            limits.leader_pause_ms += 1_000
         }),
         case("notice_hold_ms", |limits| limits.notice_hold_ms += 1),
         case("duty_holder_heartbeat_ms", |limits| {
