--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -58,7 +58,7 @@
     pub leader_pause_ms: u64,
     /// Longest wait of the duty holder's feed calls at the store. It is short because no other host
     /// can tell the duty holder that its connection has failed silently.
-    pub duty_holder_wait_ms: u64,
+    pub leader_wait_ms: u64,
     /// Wait of a relay's feed calls while it reports in place of the duty holder. It is short
     /// because the other hosts of the zone query the relay often.
     pub relay_wait_ms: u64,
@@ -141,7 +141,7 @@
             trust_ms,
             leader_heartbeat_ms: (trust_ms / 4).min(DUTY_HOLDER_HEARTBEAT_MAX_MS),
             leader_pause_ms: (trust_ms / 4).min(DUTY_HOLDER_PAUSE_MAX_MS),
-            duty_holder_wait_ms: (bounds.contact_ms + drain_room_ms.min(configuration_room_ms))
+            leader_wait_ms: (bounds.contact_ms + drain_room_ms.min(configuration_room_ms))
                 .saturating_sub(FEED_SLACK_MS)
                 .clamp(TRUST_MIN_MS, DUTY_HOLDER_WAIT_MAX_MS),
             relay_wait_ms: trust_ms / 16,
@@ -201,7 +201,7 @@
             TimingPath {
                 name: "the duty holder's connection to the store has failed silently",
                 bound: "contact",
-                worst_ms: self.duty_holder_wait_ms + FEED_SLACK_MS + CALL_MS + LATE_MS,
+                worst_ms: self.leader_wait_ms + FEED_SLACK_MS + CALL_MS + LATE_MS,
                 bound_ms: bounds.contact_ms + bounds.drain_ms.min(bounds.configuration_ms),
             },
             drain("no duty holder is heard", self.servers_pause_ms),
@@ -240,7 +240,7 @@
             TimingPath {
                 name: "a zone is evacuated while the duty holder's connection to the store has failed silently",
                 bound: "evacuation",
-                worst_ms: self.duty_holder_wait_ms
+                worst_ms: self.leader_wait_ms
                     + FEED_SLACK_MS
                     + self.evacuation_hold_ms
                     + CALL_MS
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -84,7 +84,7 @@
     pub fn wait_ms(self, sync_role: SyncRole, limits: &TimeLimits) -> u64 {
         match (self, sync_role) {
             (Self::Own, _) | (_, SyncRole::Follower) => FOLLOWER_WAIT_MS,
-            (_, SyncRole::Leader) => limits.duty_holder_wait_ms,
+            (_, SyncRole::Leader) => limits.leader_wait_ms,
             (_, SyncRole::Relay) => limits.relay_wait_ms,
             (_, SyncRole::Alone) => ALONE_WAIT_MS,
         }
