--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -24,7 +24,7 @@
 /// holder confirms its duty and sends several heartbeats within it.
 const TRUST_MAX_MS: u64 = 2_000;
 /// Longest heartbeat interval of the duty holder.
-const DUTY_HOLDER_HEARTBEAT_MAX_MS: u64 = 300;
+const LEADER_HEARTBEAT_MAX_MS: u64 = 300;
 /// Longest time for which a host may lag behind the versions reported by the duty holder before it
 /// queries the store itself.
 const LAG_GRACE_MAX_MS: u64 = 400;
@@ -139,7 +139,7 @@
         let evacuation_known_ms = trust_ms + after_wait_ms;
         Self {
             trust_ms,
-            leader_heartbeat_ms: (trust_ms / 4).min(DUTY_HOLDER_HEARTBEAT_MAX_MS),
+            leader_heartbeat_ms: (trust_ms / 4).min(LEADER_HEARTBEAT_MAX_MS),
             leader_pause_ms: (trust_ms / 4).min(DUTY_HOLDER_PAUSE_MAX_MS),
             leader_wait_ms: (bounds.contact_ms + drain_room_ms.min(configuration_room_ms))
                 .saturating_sub(FEED_SLACK_MS)
