--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -30,7 +30,7 @@
 const LAG_GRACE_MAX_MS: u64 = 400;
 /// Longest pause of the feeds of servers' entries and the configuration on the duty holder and on
 /// relays, which lets changes in quick succession share one call.
-const DUTY_HOLDER_PAUSE_MAX_MS: u64 = 250;
+const LEADER_PAUSE_MAX_MS: u64 = 250;
 /// Longest wait of the duty holder's feed calls. Calls are billed, and the duty holder makes them
 /// continuously.
 const DUTY_HOLDER_WAIT_MAX_MS: u64 = 3_000;
@@ -140,7 +140,7 @@
         Self {
             trust_ms,
             leader_heartbeat_ms: (trust_ms / 4).min(LEADER_HEARTBEAT_MAX_MS),
-            leader_pause_ms: (trust_ms / 4).min(DUTY_HOLDER_PAUSE_MAX_MS),
+            leader_pause_ms: (trust_ms / 4).min(LEADER_PAUSE_MAX_MS),
             leader_wait_ms: (bounds.contact_ms + drain_room_ms.min(configuration_room_ms))
                 .saturating_sub(FEED_SLACK_MS)
                 .clamp(TRUST_MIN_MS, DUTY_HOLDER_WAIT_MAX_MS),
