--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -33,7 +33,7 @@
 const LEADER_PAUSE_MAX_MS: u64 = 250;
 /// Longest wait of the duty holder's feed calls. Calls are billed, and the duty holder makes them
 /// continuously.
-const DUTY_HOLDER_WAIT_MAX_MS: u64 = 3_000;
+const LEADER_WAIT_MAX_MS: u64 = 3_000;
 /// Longest pause of the feed of servers' entries on a host that receives no heartbeats of a duty
 /// holder.
 const SERVERS_PAUSE_MAX_MS: u64 = 1_500;
@@ -143,7 +143,7 @@
             leader_pause_ms: (trust_ms / 4).min(LEADER_PAUSE_MAX_MS),
             leader_wait_ms: (bounds.contact_ms + drain_room_ms.min(configuration_room_ms))
                 .saturating_sub(FEED_SLACK_MS)
-                .clamp(TRUST_MIN_MS, DUTY_HOLDER_WAIT_MAX_MS),
+                .clamp(TRUST_MIN_MS, LEADER_WAIT_MAX_MS),
             relay_wait_ms: trust_ms / 16,
             relay_query_every_ms: trust_ms / 16,
             catch_up_ms: trust_ms / 5,
