--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -39,7 +39,7 @@
     /// True if callers retry refused requests at once.
     retries_at_once: bool,
     /// Time span in ms without a duty holder.
-    without_duty_holder: std::ops::Range<u64>,
+    without_leader: std::ops::Range<u64>,
 }
 
 impl Default for Case {
@@ -54,7 +54,7 @@
             demand: (0.6, 0.6),
             spread: Spread::Even,
             retries_at_once: false,
-            without_duty_holder: 0..0,
+            without_leader: 0..0,
         }
     }
 }
@@ -96,8 +96,8 @@
         let every_ms = self.report_interval_ms();
         let mut retries = 0;
         for now_ms in (0..SIMULATED_MS).step_by(STEP_MS as usize) {
-            let is_away = self.without_duty_holder.contains(&now_ms);
-            if now_ms == self.without_duty_holder.end {
+            let is_away = self.without_leader.contains(&now_ms);
+            if now_ms == self.without_leader.end {
                 ledger = Ledger::new(now_ms);
             }
             if now_ms.is_multiple_of(every_ms - every_ms % STEP_MS) && !is_away {
@@ -245,13 +245,13 @@
         },
         Case {
             name: "a quiet workspace without a duty holder",
-            without_duty_holder: 12_000..15_000,
+            without_leader: 12_000..15_000,
             ..Case::default()
         },
         Case {
             name: "a surge without a duty holder",
             demand: surge,
-            without_duty_holder: 9_000..12_000,
+            without_leader: 9_000..12_000,
             ..Case::default()
         },
     ]
