--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -63,7 +63,7 @@
 
 #[tokio::test]
 async fn an_evacuated_zone_gets_nothing_past_its_bound_also_when_the_duty_holder_is_lost() {
-    for duty_holder_is_lost in [false, true] {
+    for leader_is_lost in [false, true] {
         let mut site = Site::start(3, 2).await;
         let second = start_second_zone(&site).await;
         eventually("the second zone holds keys", 6_000, async || {
@@ -72,7 +72,7 @@
         .await;
         let evacuated = Instant::now();
         site.store.put("op", "evacuate/a", &json!({}));
-        if duty_holder_is_lost {
+        if leader_is_lost {
             time::sleep(Duration::from_millis(300)).await;
             let is_leader = |host: &Host| !host.events("duty_taken").is_empty();
             let leader = site
@@ -103,7 +103,7 @@
             let late = server.last_arrival().is_some_and(|at| at > bound);
             assert!(
                 !late,
-                "{} got a request after the bound; duty holder lost: {duty_holder_is_lost}",
+                "{} got a request after the bound; duty holder lost: {leader_is_lost}",
                 server.id
             );
         }
