--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -129,7 +129,7 @@
     reported: Mutex<Vec<KeyCount>>,
     leader: Mutex<Option<SocketAddr>>,
     leader_term: AtomicU64,
-    duty_holder_hosts: AtomicUsize,
+    hosts_known_to_leader: AtomicUsize,
     leader_heard_ms: AtomicU64,
     /// Paces (slowdown factors) of servers that other hosts reported and that are not applied yet.
     paces: Mutex<Vec<ReportedPace>>,
@@ -234,7 +234,7 @@
     /// safer than an underestimate.
     pub fn hosts(&self) -> usize {
         self.known()
-            .max(self.duty_holder_hosts.load(Ordering::Relaxed))
+            .max(self.hosts_known_to_leader.load(Ordering::Relaxed))
     }
 
     /// Returns the number of hosts that this host knows, itself included.
@@ -244,7 +244,7 @@
 
     /// Records the number of hosts that the duty holder knows, as stated in its heartbeat.
     fn note_duty_holder_hosts(&self, hosts: u32) {
-        self.duty_holder_hosts
+        self.hosts_known_to_leader
             .store(hosts as usize, Ordering::Relaxed);
     }
 
