--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -243,7 +243,7 @@
     }
 
     /// Records the number of hosts that the duty holder knows, as stated in its heartbeat.
-    fn note_duty_holder_hosts(&self, hosts: u32) {
+    fn note_hosts_known_to_leader(&self, hosts: u32) {
         self.hosts_known_to_leader
             .store(hosts as usize, Ordering::Relaxed);
     }
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -117,7 +117,7 @@
                 evacuations,
                 quarantined,
             } => {
-                self.peers.note_duty_holder_hosts(hosts);
+                self.peers.note_hosts_known_to_leader(hosts);
                 // The state with the latest version is kept, also if an older one arrives later.
                 self.view.evacuate(evacuations);
                 self.put_in_quarantine(&quarantined, "the holder of the duty tells it");
