--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -48,7 +48,7 @@
 impl Entry {
     /// Confirms the duty (leader role) while this host has it. Otherwise takes it over when no host
     /// confirms it any more.
-    pub(in crate::entry) async fn maintain_duty(self: Arc<Self>) {
+    pub(in crate::entry) async fn maintain_leadership(self: Arc<Self>) {
         let leases = self.settings.leases;
         if !self.view.hosts_known().await {
             return;
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -134,7 +134,7 @@
     tokio::spawn(entry.clone().keep_reporting_keys());
     tokio::spawn(entry.clone().keep_announcing());
     tokio::spawn(entry.clone().keep_sending_heartbeats());
-    tokio::spawn(entry.clone().maintain_duty());
+    tokio::spawn(entry.clone().maintain_leadership());
     tokio::spawn(entry.clone().maintain_secret());
     tokio::spawn(entry.clone().manage_leases());
     tokio::spawn(entry.clone().report_crashes());
