--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -54,7 +54,7 @@
             return;
         }
         if self.view.had_former_process() {
-            self.resume_duty().await;
+            self.resume_leadership().await;
         }
         let started_ms = clock::now_ms();
         loop {
@@ -80,7 +80,7 @@
 
     /// Takes the duty at once if the previous process of this host had it. That process has
     /// certainly ended, since this one listens on its address.
-    async fn resume_duty(&self) {
+    async fn resume_leadership(&self) {
         while !self.view.are_servers_known() || !self.is_registered() {
             time::sleep(Duration::from_millis(CHECK_EVERY_MS)).await;
         }
