--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -89,7 +89,7 @@
         };
         let own = row.address == Some(self.settings.listen.peers);
         if own && row.holder != 0 && row.holder != self.incarnation {
-            self.take_duty(Some(row), version, clock::now_ms(), false)
+            self.take_leadership(Some(row), version, clock::now_ms(), false)
                 .await;
         }
     }
@@ -160,7 +160,7 @@
             if free || now_ms >= since_ms + takeover_ms {
                 let spread_ms = rand::random_range(0..TAKEOVER_JITTER_MS);
                 time::sleep(Duration::from_millis(spread_ms)).await;
-                self.take_duty(row, version, since_ms, free).await;
+                self.take_leadership(row, version, since_ms, free).await;
                 return;
             }
             time::sleep(Duration::from_millis(READ_EVERY_MS)).await;
@@ -170,7 +170,7 @@
     /// Takes the duty. The row was first read with this content at `seen_ms`, so the previous duty
     /// holder sent its last confirmation before that. `handed_over` is true if that host had given
     /// the duty up.
-    async fn take_duty(&self, row: Option<LeadershipRow>, version: u64, seen_ms: u64, handed_over: bool) {
+    async fn take_leadership(&self, row: Option<LeadershipRow>, version: u64, seen_ms: u64, handed_over: bool) {
         let sent_ms = clock::now_ms();
         let term = row.as_ref().map_or(0, |row| row.term) + 1;
         let before_predecessor_until_ms = seen_ms + row.as_ref().map_or(0, |row| row.earlier_ms);
