--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -250,13 +250,13 @@
     async fn confirm_duty_through_outages(&self) {
         loop {
             tokio::select! {
-                () = self.confirm_duty() => return,
+                () = self.confirm_leadership() => return,
                 () = self.view.wait_for_outage_end() => {}
             }
         }
     }
 
-    async fn confirm_duty(&self) {
+    async fn confirm_leadership(&self) {
         let sent_ms = clock::now_ms();
         let mut writer = self.leadership.writer.lock().await;
         let term = self.leadership.term();
@@ -298,7 +298,7 @@
             return;
         }
         self.leadership.giving_up.store(true, Ordering::Relaxed);
-        self.confirm_duty().await;
+        self.confirm_leadership().await;
         self.leadership.lose("planned stop");
     }
 }
