--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -247,7 +247,7 @@
     /// Confirms the duty. If the store stops answering during the call and then returns, the call
     /// is abandoned and repeated at once, so that the confirmation arrives before other hosts take
     /// the duty.
-    async fn confirm_duty_through_outages(&self) {
+    async fn confirm_leadership_through_outages(&self) {
         loop {
             tokio::select! {
                 () = self.confirm_leadership() => return,
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -62,7 +62,7 @@
                 let every_ms = self.limits.confirm_every_ms(leases.confirm_every_ms);
                 time::sleep(Duration::from_millis(every_ms)).await;
                 if self.leadership.term() > 0 {
-                    self.confirm_duty_through_outages().await;
+                    self.confirm_leadership_through_outages().await;
                 }
                 continue;
             }
