--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -293,7 +293,7 @@
 
     /// Gives up the duty during a planned stop of this host by clearing the holder in the row, so
     /// that another host takes it at once.
-    pub(super) async fn give_up_duty(&self) {
+    pub(super) async fn give_up_leadership(&self) {
         if self.leadership.term() == 0 {
             return;
         }
