--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -79,13 +79,13 @@
     response.map(|response| response.status)
 }
 
-fn has_taken_duty(host: &Host) -> bool {
+fn has_taken_leadership(host: &Host) -> bool {
     !host.events("duty_taken").is_empty()
 }
 
 /// Returns the index of the host that has the duty.
 fn leader(site: &Site) -> usize {
-    let index = site.hosts.iter().position(has_taken_duty);
+    let index = site.hosts.iter().position(has_taken_leadership);
     index.expect("a duty holder")
 }
 
@@ -118,7 +118,7 @@
     }
     // Waits until the hosts know each other and one of them has the duty.
     eventually("a host has the duty", 8_000, async || {
-        site.hosts.iter().any(has_taken_duty)
+        site.hosts.iter().any(has_taken_leadership)
     })
     .await;
     // The bounds do not apply to hosts that have just started: they have not read the shared secret
@@ -232,7 +232,7 @@
     site.hosts[0].kill();
     site.hosts.remove(0);
     eventually("another host has the duty", 8_000, async || {
-        site.hosts.iter().any(has_taken_duty)
+        site.hosts.iter().any(has_taken_leadership)
     })
     .await;
     time::sleep(DETECTION_TIME).await;
