--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -127,8 +127,8 @@
 
     /// Returns the index of the host that holds the duty.
     fn leader(&self) -> usize {
-        let has_duty = |host: &Host| !host.events("duty_taken").is_empty();
-        let index = self.site.hosts.iter().position(has_duty);
+        let has_leadership = |host: &Host| !host.events("duty_taken").is_empty();
+        let index = self.site.hosts.iter().position(has_leadership);
         index.expect("a duty holder")
     }
 
