--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -65,7 +65,7 @@
     let mut sites = JoinSet::new();
     let local = LocalSet::new();
     for outage_ms in outages {
-        sites.spawn_local_on(duty_takeovers_over_outage(outage_ms), &local);
+        sites.spawn_local_on(leadership_takeovers_over_outage(outage_ms), &local);
     }
     for (outage_ms, times_taken) in local.run_until(sites.join_all()).await {
         assert_eq!(
@@ -79,7 +79,7 @@
 /// Runs an outage of the store. Returns its length, and one line for each time that a host took the
 /// duty until 3.5 s after the outage. The first line is from the start of the hosts. Each line ends
 /// with the events of that host about the store.
-async fn duty_takeovers_over_outage(outage_ms: u64) -> (u64, Vec<String>) {
+async fn leadership_takeovers_over_outage(outage_ms: u64) -> (u64, Vec<String>) {
     let site = Site::start(3, 2).await;
     site.store.set_faults(Faults {
         silent: true,
