--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -204,13 +204,13 @@
         Conflict::DutyTaken
     }
 
-    async fn write_holdings(&self, rows: &[PendingRow], duty_version: u64) -> WriteOutcome {
+    async fn write_holdings(&self, rows: &[PendingRow], leadership_version: u64) -> WriteOutcome {
         let expect = |table, key, version| Expect {
             table,
             key,
             version,
         };
-        let leadership = expect(LEADERSHIP_TABLE, LEADERSHIP_KEY, duty_version);
+        let leadership = expect(LEADERSHIP_TABLE, LEADERSHIP_KEY, leadership_version);
         let as_held = rows
             .iter()
             .map(|row| expect(TABLE, &row.key, row.expected_version));
