--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -192,7 +192,7 @@
 }
 
 impl Entry {
-    async fn read_duty(&self) -> Option<(Option<LeadershipRow>, u64)> {
+    async fn read_leadership_row(&self) -> Option<(Option<LeadershipRow>, u64)> {
         let rows = match self.store.table(LEADERSHIP_TABLE).await {
             Ok(rows) => rows.rows,
             Err(error) => {
@@ -280,7 +280,7 @@
         }
         // The write may have failed, taken effect without a response, or met a row that another
         // host has written.
-        let Some((Some(row), version)) = self.read_duty().await else {
+        let Some((Some(row), version)) = self.read_leadership_row().await else {
             return;
         };
         if row.holder != next.holder || row.term != term {
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -84,7 +84,7 @@
         while !self.view.are_servers_known() || !self.is_registered() {
             time::sleep(Duration::from_millis(CHECK_EVERY_MS)).await;
         }
-        let Some((Some(row), version)) = self.read_duty().await else {
+        let Some((Some(row), version)) = self.read_leadership_row().await else {
             return;
         };
         let own = row.address == Some(self.settings.listen.peers);
@@ -138,7 +138,7 @@
         let mut seen: Option<(u64, u64)> = None;
         let started_ms = clock::now_ms();
         loop {
-            let Some((row, version)) = self.read_duty().await else {
+            let Some((row, version)) = self.read_leadership_row().await else {
                 // Time in which the store did not answer does not count: the duty holder could not
                 // confirm then either.
                 seen = None;
