--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -214,7 +214,7 @@
 
     /// Writes the duty row if it still has `version`. Returns the new version, or `None` if the
     /// write failed or its outcome is unknown.
-    async fn write_duty(&self, row: &LeadershipRow, version: u64) -> Option<u64> {
+    async fn write_leadership_row(&self, row: &LeadershipRow, version: u64) -> Option<u64> {
         let value = serde_json::to_vec(row).ok()?;
         let transaction = Transaction {
             expect: vec![Expect {
@@ -271,7 +271,7 @@
             address: Some(self.settings.listen.peers),
             earlier_ms: self.leadership.earlier_ms(),
         };
-        if let Some(version) = self.write_duty(&next, writer.row_version).await {
+        if let Some(version) = self.write_leadership_row(&next, writer.row_version).await {
             writer.row_version = version;
             writer.confirmation += 1;
             self.leadership.confirmed_ms.store(sent_ms, Ordering::Relaxed);
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -191,7 +191,7 @@
             address: Some(self.settings.listen.peers),
             earlier_ms: leases_until_ms.saturating_sub(sent_ms),
         };
-        let Some(version) = self.write_duty(&next, version).await else {
+        let Some(version) = self.write_leadership_row(&next, version).await else {
             return;
         };
         writer.row_version = version;
