--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -97,7 +97,7 @@
     /// The recorded holdings differ from the ones that this host knows.
     HoldingsChanged,
     /// The duty row does not name this host and term, or is missing or undecodable.
-    DutyTaken,
+    LeadershipTaken,
 }
 
 impl Entry {
@@ -158,7 +158,7 @@
                             continue;
                         }
                         Conflict::HoldingsChanged => return Err(WriteFailure::HoldingsChanged),
-                        Conflict::DutyTaken => {
+                        Conflict::LeadershipTaken => {
                             self.leadership.lose("another host has taken it");
                             return Err(WriteFailure::DutyLost);
                         }
@@ -191,17 +191,17 @@
             return Conflict::HoldingsChanged;
         }
         let Some(row) = find(LEADERSHIP_KEY) else {
-            return Conflict::DutyTaken;
+            return Conflict::LeadershipTaken;
         };
         let Ok(leadership) = serde_json::from_slice::<LeadershipRow>(&row.value) else {
             log::error!("cannot decode the duty row");
-            return Conflict::DutyTaken;
+            return Conflict::LeadershipTaken;
         };
         let own = leadership.holder == self.incarnation && leadership.term == self.leadership.term();
         if own && row.version != writer.row_version {
             return Conflict::Confirmed(row.version);
         }
-        Conflict::DutyTaken
+        Conflict::LeadershipTaken
     }
 
     async fn write_holdings(&self, rows: &[PendingRow], leadership_version: u64) -> WriteOutcome {
