--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFailure {
     /// Another host has the duty (leader role), or this host can no longer be sure that it has it.
-    DutyLost,
+    LeadershipLost,
     /// The store rejects the transaction with an error that no retry can mend.
     Refused,
     /// The recorded holdings differ from the ones that this host knows, or cannot be encoded.
@@ -84,7 +84,7 @@
     Conflict(Vec<Row>),
     /// The store rejects the transaction with an error that no retry can mend.
     Refused,
-    DutyLost,
+    LeadershipLost,
 }
 
 /// Reason why the conditions of a transaction were not met.
@@ -112,7 +112,7 @@
     ) -> Result<Vec<Holding>, WriteFailure> {
         let mut writer = self.leadership.writer.lock().await;
         if self.leadership.term() == 0 {
-            return Err(WriteFailure::DutyLost);
+            return Err(WriteFailure::LeadershipLost);
         }
         let held = self.view.held(service).unwrap_or_default();
         let mut assignment = Assignment::clone(&held.assignment);
@@ -148,7 +148,7 @@
         loop {
             let version = match self.write_holdings(&rows, writer.row_version).await {
                 WriteOutcome::Done(version) => version,
-                WriteOutcome::DutyLost => return Err(WriteFailure::DutyLost),
+                WriteOutcome::LeadershipLost => return Err(WriteFailure::LeadershipLost),
                 WriteOutcome::Refused => return Err(WriteFailure::Refused),
                 WriteOutcome::Conflict(found) => {
                     match self.classify_conflict(&found, &rows, writer) {
@@ -160,7 +160,7 @@
                         Conflict::HoldingsChanged => return Err(WriteFailure::HoldingsChanged),
                         Conflict::LeadershipTaken => {
                             self.leadership.lose("another host has taken it");
-                            return Err(WriteFailure::DutyLost);
+                            return Err(WriteFailure::LeadershipLost);
                         }
                     }
                 }
@@ -237,7 +237,7 @@
             }
             if !self.leadership.may_lease(self.settings.leases.outage_ms) {
                 self.leadership.lose("the store did not answer");
-                return WriteOutcome::DutyLost;
+                return WriteOutcome::LeadershipLost;
             }
             pause().await;
         }
