--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -274,7 +274,9 @@
         if let Some(version) = self.write_leadership_row(&next, writer.row_version).await {
             writer.row_version = version;
             writer.confirmation += 1;
-            self.leadership.confirmed_ms.store(sent_ms, Ordering::Relaxed);
+            self.leadership
+                .confirmed_ms
+                .store(sent_ms, Ordering::Relaxed);
             self.note_store_response(clock::now_ms());
             return;
         }
--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -197,7 +197,8 @@
             log::error!("cannot decode the duty row");
             return Conflict::LeadershipTaken;
         };
-        let own = leadership.holder == self.incarnation && leadership.term == self.leadership.term();
+        let own =
+            leadership.holder == self.incarnation && leadership.term == self.leadership.term();
         if own && row.version != writer.row_version {
             return Conflict::Confirmed(row.version);
         }
@@ -225,7 +226,9 @@
                 Ok(TransactionOutcome::Done { version }) => {
                     // The transaction is conditional on the duty row, so its success also confirms
                     // the duty.
-                    self.leadership.confirmed_ms.store(sent_ms, Ordering::Relaxed);
+                    self.leadership
+                        .confirmed_ms
+                        .store(sent_ms, Ordering::Relaxed);
                     return WriteOutcome::Done(version);
                 }
                 Ok(TransactionOutcome::Conflict { rows }) => return WriteOutcome::Conflict(rows),
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -170,7 +170,13 @@
     /// Takes the duty. The row was first read with this content at `seen_ms`, so the previous duty
     /// holder sent its last confirmation before that. `handed_over` is true if that host had given
     /// the duty up.
-    async fn take_leadership(&self, row: Option<LeadershipRow>, version: u64, seen_ms: u64, handed_over: bool) {
+    async fn take_leadership(
+        &self,
+        row: Option<LeadershipRow>,
+        version: u64,
+        seen_ms: u64,
+        handed_over: bool,
+    ) {
         let sent_ms = clock::now_ms();
         let term = row.as_ref().map_or(0, |row| row.term) + 1;
         let before_predecessor_until_ms = seen_ms + row.as_ref().map_or(0, |row| row.earlier_ms);
@@ -212,7 +218,9 @@
                 before_predecessor_until_ms,
             })
         });
-        self.leadership.confirmed_ms.store(sent_ms, Ordering::Relaxed);
+        self.leadership
+            .confirmed_ms
+            .store(sent_ms, Ordering::Relaxed);
         self.leadership.term.store(term, Ordering::Relaxed);
         Event::DutyTaken { term, handed_over }.log();
         self.check_predecessor_process().await;
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -28,8 +28,8 @@
         plan::{self, Inputs, PlanServer},
         rests,
     },
-    leadership::Change,
     keys::{Holding, KeyRange},
+    leadership::Change,
     server::{Server, tag_of},
     watch::store_age_ms,
 };
@@ -190,7 +190,8 @@
     /// send orders to servers.
     fn may_send_orders(&self) -> bool {
         let leadership = &self.entry.leadership;
-        leadership.term() == self.number && leadership.may_lease(self.entry.settings.leases.outage_ms)
+        leadership.term() == self.number
+            && leadership.may_lease(self.entry.settings.leases.outage_ms)
     }
 
     fn state(&self) -> MutexGuard<'_, TermState> {
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -12,9 +12,9 @@
 use crate::{
     clock,
     entry::{
-        leadership::Change,
         events::Event,
         keys::{Assignment, Holding, KeyRange},
+        leadership::Change,
         model::ServerEntry,
         server::Server,
     },
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -187,8 +187,7 @@
             worst_ms: wait_ms + self.evacuation_hold_ms + CALL_MS + 2 * LATE_MS,
             bound_ms: bounds.evacuation_ms,
         };
-        let next_heartbeat_ms =
-            self.leader_pause_ms + 2 * self.leader_heartbeat_ms + POLL_EVERY_MS;
+        let next_heartbeat_ms = self.leader_pause_ms + 2 * self.leader_heartbeat_ms + POLL_EVERY_MS;
         [
             drain(
                 "the duty holder fails before it broadcasts that a server leaves",
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -7,12 +7,12 @@
 pub mod crashes;
 pub mod decide;
 pub mod digest;
-mod leadership;
 mod events;
 pub mod explain;
 mod forward;
 mod join;
 pub mod keys;
+mod leadership;
 mod leases;
 pub mod limits;
 pub mod log_writer;
@@ -61,9 +61,9 @@
         budget::RetryBudget, hot_keys::HotKeys, rate_shares::DemandByHost, rests::Rests,
         run_shares::RunShares,
     },
-    leadership::Leadership,
     forward::body::BodyMemory,
     join::Join,
+    leadership::Leadership,
     limits::TimeLimits,
     metrics::Metrics,
     model::Warmup,
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -93,11 +93,7 @@
         if self.leadership.term() == 0 {
             let leaving_servers = registry.servers().filter(|s| s.leaves_by_notice_only());
             let tags: Vec<u32> = leaving_servers.map(|s| s.tag).take(ENTRIES_MAX).collect();
-            if !tags.is_empty()
-                && !self
-                    .peers
-                    .send_to_leader(&Message::ReportLeaving(tags))
-            {
+            if !tags.is_empty() && !self.peers.send_to_leader(&Message::ReportLeaving(tags)) {
                 log::debug!("leaving servers not reported: no duty holder can be reached");
             }
             return;
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -348,9 +348,7 @@
     }
 
     fn leader(&self) -> MutexGuard<'_, Option<SocketAddr>> {
-        self.leader
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
+        self.leader.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Sends a message to the duty holder. Returns false if none is known.
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -208,8 +208,7 @@
             return;
         };
         for keys in keys.chunks(ENTRIES_MAX) {
-            self.peers
-                .send(&Message::Keys(keys.to_vec()), &[leader]);
+            self.peers.send(&Message::Keys(keys.to_vec()), &[leader]);
         }
     }
 
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -459,11 +459,7 @@
 async fn a_planned_stop_of_the_duty_holder_hands_the_duty_over() {
     let site = Site::start(2, 2).await;
     let is_leader = |host: &&Host| !host.events("duty_taken").is_empty();
-    let leader = site
-        .hosts
-        .iter()
-        .find(is_leader)
-        .expect("a duty holder");
+    let leader = site.hosts.iter().find(is_leader).expect("a duty holder");
     let other = site
         .hosts
         .iter()
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -75,9 +75,7 @@
         match self {
             // The lost host may be the duty holder; then another host takes the duty before it
             // moves the keys.
-            Self::FirstHostPartitioned | Self::LeaderPartitioned => {
-                CONTACT_GRACE + SERVED_AGAIN
-            }
+            Self::FirstHostPartitioned | Self::LeaderPartitioned => CONTACT_GRACE + SERVED_AGAIN,
             _ => one_loss,
         }
     }
@@ -162,9 +160,7 @@
             Disturbance::Nothing => {}
             Disturbance::StoreUnavailable => store(self, Mode::Silent, hosts),
             Disturbance::FirstHostPartitioned => store(self, Mode::Silent, 1),
-            Disturbance::LeaderPartitioned => {
-                self.proxies[self.leader()].set(Mode::Silent)
-            }
+            Disturbance::LeaderPartitioned => self.proxies[self.leader()].set(Mode::Silent),
             Disturbance::ReadyEntryRewritten => {
                 while Instant::now() < end {
                     self.server(workload).write_entry(&self.site.store, "ready");
