--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -108,7 +108,7 @@
             .peers
             .send_to_leader(&Message::QueryConfigurationAge { nonce })
         {
-            log::debug!("configuration not confirmed: no duty holder can be reached");
+            log::debug!("configuration not confirmed: no leader can be reached");
         }
     }
 
--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -323,7 +323,7 @@
         if report.to_all {
             self.peers.send_to_all(message);
         } else if self.leadership.term() == 0 && !self.peers.send_to_leader(&message) {
-            log::debug!("crash report not sent: no duty holder can be reached");
+            log::debug!("crash report not sent: no leader can be reached");
         }
     }
 }
--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -173,7 +173,7 @@
             return None;
         }
         if own > 0 {
-            self.lose("another host has the duty in a later term");
+            self.lose("another host is the leader in a later term");
         }
         let lost_term = self.lost_term.load(Ordering::Relaxed);
         let lost_ms = self.lost_ms.load(Ordering::Relaxed);
@@ -196,7 +196,7 @@
         let rows = match self.store.table(LEADERSHIP_TABLE).await {
             Ok(rows) => rows.rows,
             Err(error) => {
-                log::debug!("cannot read the duty row: {error}");
+                log::debug!("cannot read the leadership row: {error}");
                 return None;
             }
         };
@@ -206,7 +206,7 @@
         match serde_json::from_slice(&row.value) {
             Ok(leadership) => Some((Some(leadership), row.version)),
             Err(error) => {
-                log::warn!("cannot decode the duty row: {error}");
+                log::warn!("cannot decode the leadership row: {error}");
                 None
             }
         }
@@ -238,7 +238,7 @@
                 (found.value == value).then_some(found.version)
             }
             Err(error) => {
-                log::debug!("cannot write the duty row: {error}");
+                log::debug!("cannot write the leadership row: {error}");
                 None
             }
         }
--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -194,7 +194,7 @@
             return Conflict::LeadershipTaken;
         };
         let Ok(leadership) = serde_json::from_slice::<LeadershipRow>(&row.value) else {
-            log::error!("cannot decode the duty row");
+            log::error!("cannot decode the leadership row");
             return Conflict::LeadershipTaken;
         };
         let own =
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -190,22 +190,22 @@
         let next_heartbeat_ms = self.leader_pause_ms + 2 * self.leader_heartbeat_ms + POLL_EVERY_MS;
         [
             drain(
-                "the duty holder fails before it broadcasts that a server leaves",
+                "the leader fails before it broadcasts that a server leaves",
                 self.trust_ms + POLL_EVERY_MS,
             ),
             drain(
-                "the broadcast that a server leaves is lost and detected by the duty holder's next heartbeat",
+                "the broadcast that a server leaves is lost and detected by the leader's next heartbeat",
                 next_heartbeat_ms + self.catch_up_ms,
             ),
             TimingPath {
-                name: "the duty holder's connection to the store has failed silently",
+                name: "the leader's connection to the store has failed silently",
                 bound: "contact",
                 worst_ms: self.leader_wait_ms + FEED_SLACK_MS + CALL_MS + LATE_MS,
                 bound_ms: bounds.contact_ms + bounds.drain_ms.min(bounds.configuration_ms),
             },
-            drain("no duty holder is heard", self.servers_pause_ms),
+            drain("no leader is heard", self.servers_pause_ms),
             TimingPath {
-                name: "neither the duty holder nor a relay is heard when the store comes back",
+                name: "neither the leader nor a relay is heard when the store comes back",
                 bound: "contact",
                 worst_ms: self.alone_pause_ms + RETRY_PAUSE_LONGEST_MS + CALL_MS + LATE_MS,
                 bound_ms: bounds.contact_ms + bounds.drain_ms.min(bounds.configuration_ms),
@@ -217,11 +217,11 @@
                 bound_ms: bounds.drain_ms,
             },
             configuration(
-                "the duty holder fails before it broadcasts the configuration",
+                "the leader fails before it broadcasts the configuration",
                 self.trust_ms + POLL_EVERY_MS,
             ),
             configuration(
-                "a piece of the configuration is lost and detected by the duty holder's next heartbeat",
+                "a piece of the configuration is lost and detected by the leader's next heartbeat",
                 self.leader_pause_ms
                     + self.leader_heartbeat_ms
                     + self.lag_grace_ms
@@ -229,15 +229,15 @@
                     + self.catch_up_ms,
             ),
             evacuation(
-                "the duty holder fails before it broadcasts that a zone is evacuated",
+                "the leader fails before it broadcasts that a zone is evacuated",
                 self.trust_ms + POLL_EVERY_MS,
             ),
             evacuation(
-                "no duty holder is heard when a zone is evacuated",
+                "no leader is heard when a zone is evacuated",
                 self.configuration_pause_ms,
             ),
             TimingPath {
-                name: "a zone is evacuated while the duty holder's connection to the store has failed silently",
+                name: "a zone is evacuated while the leader's connection to the store has failed silently",
                 bound: "evacuation",
                 worst_ms: self.leader_wait_ms
                     + FEED_SLACK_MS
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -72,7 +72,7 @@
         if self.leadership.term() > 0 {
             self.handle_rest_report(self.settings.listen.peers, &rests);
         } else if !self.peers.send_to_leader(&Message::ReportRests(rests)) {
-            log::debug!("rests of servers not reported: no duty holder can be reached");
+            log::debug!("rests of servers not reported: no leader can be reached");
         }
     }
 
@@ -94,7 +94,7 @@
             let leaving_servers = registry.servers().filter(|s| s.leaves_by_notice_only());
             let tags: Vec<u32> = leaving_servers.map(|s| s.tag).take(ENTRIES_MAX).collect();
             if !tags.is_empty() && !self.peers.send_to_leader(&Message::ReportLeaving(tags)) {
-                log::debug!("leaving servers not reported: no duty holder can be reached");
+                log::debug!("leaving servers not reported: no leader can be reached");
             }
             return;
         }
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -120,7 +120,7 @@
                 self.peers.note_hosts_known_to_leader(hosts);
                 // The state with the latest version is kept, also if an older one arrives later.
                 self.view.evacuate(evacuations);
-                self.put_in_quarantine(&quarantined, "the holder of the duty tells it");
+                self.put_in_quarantine(&quarantined, "the leader announced it");
                 let updates = updates.aged_by(self.peers.excess_delay_ms(term, sent_ms));
                 self.note_leader(from, term, updates, hot);
             }
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -215,7 +215,7 @@
                 .peers
                 .send_to_leader(&Message::ReportUsage(reports.to_vec()))
             {
-                log::debug!("usage report not sent: no duty holder can be reached");
+                log::debug!("usage report not sent: no leader can be reached");
             }
         }
     }
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -79,7 +79,7 @@
                 .peers
                 .send_to_leader(&Message::ReportRates(rates.to_vec()))
             {
-                log::debug!("rate report not sent: no duty holder can be reached");
+                log::debug!("rate report not sent: no leader can be reached");
             }
         }
     }
--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -86,7 +86,7 @@
 /// Returns the index of the host that has the duty.
 fn leader(site: &Site) -> usize {
     let index = site.hosts.iter().position(has_taken_leadership);
-    index.expect("a duty holder")
+    index.expect("a leader")
 }
 
 /// Starts hosts, and servers that crash under requests for [`CRASH_PATH`] and whose entries stay in
@@ -117,7 +117,7 @@
         .await;
     }
     // Waits until the hosts know each other and one of them has the duty.
-    eventually("a host has the duty", 8_000, async || {
+    eventually("a host is the leader", 8_000, async || {
         site.hosts.iter().any(has_taken_leadership)
     })
     .await;
@@ -231,7 +231,7 @@
     time::sleep(Duration::from_millis(1_500)).await;
     site.hosts[0].kill();
     site.hosts.remove(0);
-    eventually("another host has the duty", 8_000, async || {
+    eventually("another host is the leader", 8_000, async || {
         site.hosts.iter().any(has_taken_leadership)
     })
     .await;
--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -26,7 +26,7 @@
 
 fn leader(site: &Site) -> usize {
     let leader = site.hosts.iter().position(|host| times_taken(host) > 0);
-    leader.expect("a host has the duty")
+    leader.expect("a host is the leader")
 }
 
 fn all_keys_held(servers: &[Server]) -> bool {
@@ -50,7 +50,7 @@
     // The limit is well below the takeover time, for which the duty row must stay unchanged before
     // another host may take the duty.
     eventually(
-        "the previous duty holder has the duty again",
+        "the previous leader is the leader again",
         1_600,
         async || times_taken(&site.hosts[leader]) == 2,
     )
@@ -106,9 +106,11 @@
         let lost = &site.keyed[0];
         lost.crash(&site.store);
         let began = Instant::now();
-        eventually("another host takes the duty", 6_000, async || {
-            site.hosts.iter().map(times_taken).sum::<usize>() == 2
-        })
+        eventually(
+            "another host takes over the leadership",
+            6_000,
+            async || site.hosts.iter().map(times_taken).sum::<usize>() == 2,
+        )
         .await;
         time::sleep(Duration::from_millis(extra_ms)).await;
         paused.signal("CONT");
@@ -237,7 +239,7 @@
     let leader = leader(&site);
     if restarted {
         site.hosts[leader].restart();
-        eventually("the duty holder has resumed", 3_000, async || {
+        eventually("the leader has resumed", 3_000, async || {
             times_taken(&site.hosts[leader]) == 2
         })
         .await;
@@ -352,9 +354,11 @@
     assert_eq!(times_taken(&site.hosts[0]), 1);
     proxy.set(Mode::Silent);
     let began = Instant::now();
-    eventually("another host takes the duty", 8_000, async || {
-        site.hosts[1..].iter().map(times_taken).sum::<usize>() == 1
-    })
+    eventually(
+        "another host takes over the leadership",
+        8_000,
+        async || site.hosts[1..].iter().map(times_taken).sum::<usize>() == 1,
+    )
     .await;
     began.elapsed().as_millis() as u64
 }
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -368,7 +368,7 @@
         .hosts
         .iter()
         .position(|host| !host.events("duty_taken").is_empty())
-        .expect("a duty holder");
+        .expect("a leader");
     site.hosts[leader].kill();
     let others: Vec<&Host> = (0..3)
         .filter(|i| *i != leader)
@@ -397,7 +397,7 @@
         .hosts
         .iter()
         .position(|host| !host.events("duty_taken").is_empty())
-        .expect("a duty holder");
+        .expect("a leader");
     site.hosts[leader].kill();
     site.keyed[0].crash(&site.store);
     time::sleep(Duration::from_millis(1_000)).await;
@@ -436,7 +436,7 @@
     let mut site = Site::start(3, 2).await;
     let taken = |host: &Host| host.events("duty_taken").len();
     let leader = site.hosts.iter().position(|host| taken(host) > 0);
-    let leader = leader.expect("a duty holder");
+    let leader = leader.expect("a leader");
     for host in &mut site.hosts {
         host.kill();
     }
@@ -446,7 +446,7 @@
     // The limit is well below the time without a change of the row after which any host may take
     // the duty.
     eventually(
-        "the previous duty holder has the duty again",
+        "the previous leader is the leader again",
         1_200,
         async || taken(&site.hosts[leader]) == 2,
     )
@@ -459,19 +459,23 @@
 async fn a_planned_stop_of_the_duty_holder_hands_the_duty_over() {
     let site = Site::start(2, 2).await;
     let is_leader = |host: &&Host| !host.events("duty_taken").is_empty();
-    let leader = site.hosts.iter().find(is_leader).expect("a duty holder");
+    let leader = site.hosts.iter().find(is_leader).expect("a leader");
     let other = site
         .hosts
         .iter()
         .find(|host| !is_leader(host))
         .expect("another host");
     leader.signal("TERM");
-    eventually("the other host takes the duty", 2_500, async || {
-        let taken = other.events("duty_taken");
-        taken
-            .iter()
-            .any(|line| line.contains("\"handed_over\":true"))
-    })
+    eventually(
+        "the other host takes over the leadership",
+        2_500,
+        async || {
+            let taken = other.events("duty_taken");
+            taken
+                .iter()
+                .any(|line| line.contains("\"handed_over\":true"))
+        },
+    )
     .await;
 }
 
--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -56,11 +56,9 @@
         case("configuration_pause_ms", |limits| {
             limits.configuration_pause_ms += 101;
         }),
-        case("duty_holder_pause_ms", |limits| {
-            limits.leader_pause_ms += 1_000
-        }),
+        case("leader_pause_ms", |limits| limits.leader_pause_ms += 1_000),
         case("notice_hold_ms", |limits| limits.notice_hold_ms += 1),
-        case("duty_holder_heartbeat_ms", |limits| {
+        case("leader_heartbeat_ms", |limits| {
             limits.leader_heartbeat_ms += 500
         }),
     ];
@@ -97,7 +95,7 @@
             drain: "790ms",
             configuration: "2s",
             problems: &[
-                "bounds.drain of 790 ms cannot be kept when the duty holder fails before it \
+                "bounds.drain of 790 ms cannot be kept when the leader fails before it \
                  broadcasts that a server leaves: that takes 800 ms",
             ],
         },
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -244,12 +244,12 @@
             ..Case::default()
         },
         Case {
-            name: "a quiet workspace without a duty holder",
+            name: "a quiet workspace without a leader",
             without_leader: 12_000..15_000,
             ..Case::default()
         },
         Case {
-            name: "a surge without a duty holder",
+            name: "a surge without a leader",
             demand: surge,
             without_leader: 9_000..12_000,
             ..Case::default()
--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -79,7 +79,7 @@
                 .hosts
                 .iter()
                 .position(is_leader)
-                .expect("a host has the duty");
+                .expect("a host is the leader");
             site.hosts[leader].kill();
             site.hosts.remove(leader);
         }
@@ -103,7 +103,7 @@
             let late = server.last_arrival().is_some_and(|at| at > bound);
             assert!(
                 !late,
-                "{} got a request after the bound; duty holder lost: {leader_is_lost}",
+                "{} got a request after the bound; leader lost: {leader_is_lost}",
                 server.id
             );
         }
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -127,7 +127,7 @@
     fn leader(&self) -> usize {
         let has_leadership = |host: &Host| !host.events("duty_taken").is_empty();
         let index = self.site.hosts.iter().position(has_leadership);
-        index.expect("a duty holder")
+        index.expect("a leader")
     }
 
     /// Returns the servers that get the requests of a workload.
