--- a/src/clock.rs
+++ b/src/clock.rs
@@ -7,10 +7,10 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Clock of leases, deadlines and the duty (assigning keys to servers and granting their leases).
-/// Unlike `CLOCK_MONOTONIC` it includes the time for which the machine was suspended. Without that
-/// time, a duty holder that was suspended for six seconds would still consider its duty confirmed,
-/// although another host took it over four seconds ago.
+/// Clock of leases, deadlines and the leadership (assigning keys to servers and granting their
+/// leases). Unlike `CLOCK_MONOTONIC` it includes the time for which the machine was suspended.
+/// Without that time, a leader that was suspended for six seconds would still consider its
+/// leadership confirmed, although another host took over the leadership four seconds ago.
 pub const CLOCK_ID: ClockId = ClockId::CLOCK_BOOTTIME;
 
 static START: LazyLock<Duration> = LazyLock::new(read_clock);
--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -1,6 +1,6 @@
-//! Broadcasts changes of server entries and configurations from the duty holder to the other hosts,
-//! so that not every host reads them from the store: calls are billed. The duty holder also reports
-//! the version up to which it has read each table, so that a host that missed a change notices and
+//! Broadcasts changes of server entries and configurations from the leader to the other hosts, so
+//! that not every host reads them from the store: calls are billed. The leader also reports the
+//! version up to which it has read each table, so that a host that missed a change notices and
 //! queries the store.
 
 use std::sync::{
@@ -102,8 +102,7 @@
 }
 
 impl Entry {
-    /// Broadcasts changes of server entries that this host, the duty holder, received from the
-    /// store.
+    /// Broadcasts changes of server entries that this host, the leader, received from the store.
     pub(super) fn broadcast_server_changes(&self, updates: &ServerChanges) {
         if updates.changes.is_empty() || updates.changes.len() > BROADCAST_CHANGES_MAX {
             return;
@@ -113,9 +112,9 @@
         }
     }
 
-    /// Broadcasts the difference between a table as this host, the duty holder, knew it and its
-    /// rows, which it has read as a whole because the store had dropped its history. Otherwise all
-    /// the other hosts, for example 295, would each read the whole table.
+    /// Broadcasts the difference between a table as this host, the leader, knew it and its rows,
+    /// which it has read as a whole because the store had dropped its history. Otherwise all the
+    /// other hosts, for example 295, would each read the whole table.
     pub(super) fn broadcast_difference(&self, followed: FollowedTable, rows: &Rows) {
         let after = self.freshness.applied(followed);
         if after == 0 {
@@ -135,7 +134,7 @@
         }
     }
 
-    /// Broadcasts a configuration that this host, the duty holder, received from the store.
+    /// Broadcasts a configuration that this host, the leader, received from the store.
     pub(super) fn broadcast_configuration(&self, rows: &Rows) {
         let current = |row: &&Row| row.key == config::KEY && !row.removed;
         let Some(row) = rows.rows.iter().rfind(current) else {
@@ -147,8 +146,8 @@
         }
     }
 
-    /// Receives a piece of a configuration that the duty holder broadcast, and applies the
-    /// configuration once it is complete.
+    /// Receives a piece of a configuration that the leader broadcast, and applies the configuration
+    /// once it is complete.
     pub(super) fn receive_configuration_piece(&self, piece: Piece) {
         let version = piece.version;
         if version <= self.freshness.applied(FollowedTable::Configuration) {
@@ -208,8 +207,8 @@
             .note_applied(FollowedTable::Configuration, known.up_to);
     }
 
-    /// Applies changes of server entries that the duty holder broadcast, unless the whole table is
-    /// being read.
+    /// Applies changes of server entries that the leader broadcast, unless the whole table is being
+    /// read.
     pub(super) fn receive_server_changes(&self, changes: ServerChanges) {
         if self.broadcast.accepts_changes() {
             self.apply_server_changes(changes);
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -20,8 +20,8 @@
     platform::{headers, store::Feed},
 };
 
-/// Number of queries to the duty holder within the bound on revocations. Each refreshes the
-/// confirmation before it is too old.
+/// Number of queries to the leader within the bound on revocations. Each refreshes the confirmation
+/// before it is too old.
 const CONFIRMATIONS_PER_BOUND: u64 = 8;
 /// Age of the confirmation, in percent of the bound on revocations, from which a host queries the
 /// store itself.
@@ -63,8 +63,7 @@
 
     /// Returns the time since the configuration in force was confirmed to be the latest one; `None`
     /// if it never was, or the latest one cannot be decoded. Without a bound on revocations, a
-    /// recent report of the duty holder or a relay that shows no later change counts as
-    /// confirmation.
+    /// recent report of the leader or a relay that shows no later change counts as confirmation.
     fn configuration_age_ms(&self) -> Option<u64> {
         let followed = FollowedTable::Configuration;
         let is_confirmed_by_leader = self.freshness.is_store_confirmed()
@@ -99,7 +98,7 @@
         }
     }
 
-    /// Queries the duty holder for the age of its confirmed configuration. The nonce matches the
+    /// Queries the leader for the age of its confirmed configuration. The nonce matches the
     /// response to the time of this query.
     fn query_confirmation(&self) {
         let nonce = rand::random();
--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -4,8 +4,8 @@
 //! reports to the other hosts which of its requests were in flight there: the suspects. All hosts
 //! count this evidence, both for each caller and over all callers. While one server has crashed
 //! during a request, only one host at a time may run it, as a trial. With enough crashes the
-//! request is quarantined: the duty holder names it in each heartbeat and keeps it in the store. So
-//! a request that is retried at any host, even after the loss of all hosts, reaches no further
+//! request is quarantined: the leader names it in each heartbeat and keeps it in the store. So a
+//! request that is retried at any host, even after the loss of all hosts, reaches no further
 //! server.
 
 pub mod broken_connections;
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Sends the crash reports of this host to the other hosts, and again to each new duty holder.
+    /// Sends the crash reports of this host to the other hosts, and again to each new leader.
     pub(in crate::entry) async fn report_crashes(self: Arc<Self>) {
         loop {
             let term = self.peers.leader_term();
@@ -307,8 +307,8 @@
         }
     }
 
-    /// Sends a part of a crash report to all hosts, or only to the duty holder if `report.to_all`
-    /// is false.
+    /// Sends a part of a crash report to all hosts, or only to the leader if `report.to_all` is
+    /// false.
     fn send_suspects(
         &self,
         report: &Report,
--- a/src/entry/crashes/probe.rs
+++ b/src/entry/crashes/probe.rs
@@ -62,8 +62,8 @@
         }
         .log();
         self.note_suspects(server.tag, digests, shared);
-        // In a mass crash only the duty holder gets the reports: a lost zone of 216 servers would
-        // mean 2,600 reports for each of 295 hosts.
+        // In a mass crash only the leader gets the reports: a lost zone of 216 servers would mean
+        // 2,600 reports for each of 295 hosts.
         let to_all = !lock(&self.crashes.tally).has_recent_mass_crash(clock::now_ms());
         lock(&self.crashes.reports).add(server.tag, suspects, to_all);
         self.crashes.crashed.notify_one();
--- a/src/entry/crashes/reports.rs
+++ b/src/entry/crashes/reports.rs
@@ -4,7 +4,7 @@
 
 /// Number of times that a report is sent in each term, since datagrams may be lost.
 const SEND_TIMES: u32 = 3;
-/// Maximum number of reports that are kept for later duty holders; the oldest are dropped.
+/// Maximum number of reports that are kept for later leaders; the oldest are dropped.
 const REPORTS_MAX: usize = 64;
 
 /// Requests in flight at a server when it crashed.
@@ -34,9 +34,9 @@
     pub digests: Vec<RequestDigest>,
     /// Digests of the same requests that leave out the caller.
     pub shared: Vec<SharedSuspect>,
-    /// True if the report goes to all hosts, not only to the duty holder.
+    /// True if the report goes to all hosts, not only to the leader.
     pub to_all: bool,
-    /// Term of the duty holder that the report was last sent to; 0 before the first.
+    /// Term of the leader that the report was last sent to; 0 before the first.
     sent_term: u64,
     /// Number of times that the report was sent in that term, at most [`SEND_TIMES`].
     sent_count: u32,
@@ -63,9 +63,9 @@
         });
     }
 
-    /// Returns the reports to send now, given the term of the current duty holder. Each new duty
-    /// holder gets all reports again, since it may have started after the crash. The other hosts
-    /// received them in an earlier term.
+    /// Returns the reports to send now, given the term of the current leader. Each new leader gets
+    /// all reports again, since it may have started after the crash. The other hosts received them
+    /// in an earlier term.
     pub fn due(&mut self, term: u64) -> Vec<Report> {
         let mut due = Vec::new();
         for report in &mut self.0 {
--- a/src/entry/crashes/stored.rs
+++ b/src/entry/crashes/stored.rs
@@ -20,7 +20,7 @@
     platform::store::{Expect, Put, Row, Transaction, TransactionOutcome},
 };
 
-/// Interval at which the duty holder compares its quarantine with the row in the store.
+/// Interval at which the leader compares its quarantine with the row in the store.
 const STORE_CHECK_INTERVAL_MS: u64 = 1_000;
 
 /// Quarantined requests as last read from or written to the store, and the version of their row.
@@ -64,7 +64,7 @@
         self.put_in_quarantine(&digests, "the store has it");
     }
 
-    /// Keeps the row in the store up to date while this host has the duty (leader role).
+    /// Keeps the row in the store up to date while this host is the leader.
     pub(in crate::entry) async fn keep_quarantine_stored(self: Arc<Self>) {
         loop {
             let pause = Duration::from_millis(STORE_CHECK_INTERVAL_MS);
--- a/src/entry/decide/hold.rs
+++ b/src/entry/decide/hold.rs
@@ -18,7 +18,7 @@
     Lease,
 }
 
-/// Expected time until a move completes, as announced by the duty holder (leader of the hosts).
+/// Expected time until a move completes, as announced by the leader of the hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveTimeLeft {
     /// Condition that the move waits for, which decides how exact `remaining_ms` is.
--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -1,6 +1,6 @@
 //! Keys that get more requests than any one server can serve. A key cannot be split among servers,
-//! so the duty holder, which sees the load of all hosts, announces the share of its requests that
-//! each host may admit. Hosts refuse the others before they reach the server, where they would only
+//! so the leader, which sees the load of all hosts, announces the share of its requests that each
+//! host may admit. Hosts refuse the others before they reach the server, where they would only
 //! lengthen the queue.
 
 use std::{
@@ -15,7 +15,7 @@
 
 /// Maximum number of hot keys in one announcement; those with the largest excess are named.
 const HOT_MAX: usize = 40;
-/// Time for which an announcement of the duty holder is valid; one is sent every 0.3 s.
+/// Time for which an announcement of the leader is valid; one is sent every 0.3 s.
 const ANNOUNCED_KEPT_MS: u64 = 1_000;
 
 /// A key that gets more requests than its server can serve.
@@ -79,16 +79,15 @@
     found
 }
 
-/// Hot keys that this host has found as the duty holder, and those that a duty holder announced to
-/// it.
+/// Hot keys that this host has found as the leader, and those that a leader announced to it.
 #[derive(Debug, Default)]
 pub struct HotKeys {
-    /// Hot keys by service tag that this host found as the duty holder.
+    /// Hot keys by service tag that this host found as the leader.
     found: Mutex<HashMap<u32, Vec<HotKey>>>,
     announced: Mutex<Announced>,
 }
 
-/// Hot keys in the duty holder's latest announcement, with the time at which it expires.
+/// Hot keys in the leader's latest announcement, with the time at which it expires.
 #[derive(Debug, Default)]
 struct Announced {
     keys: Vec<HotKey>,
@@ -96,8 +95,8 @@
 }
 
 impl HotKeys {
-    /// Stores the hot keys that this host, as the duty holder, has found for a service; replaces
-    /// the earlier ones.
+    /// Stores the hot keys that this host, as the leader, has found for a service; replaces the
+    /// earlier ones.
     pub fn note_found(&self, service_tag: u32, keys: Vec<HotKey>) {
         self.found().insert(service_tag, keys);
     }
@@ -119,7 +118,7 @@
         *self.announced() = Announced { keys, until_ms };
     }
 
-    /// Returns a hot key from the duty holder's latest announcement, unless that has expired.
+    /// Returns a hot key from the leader's latest announcement, unless that has expired.
     pub fn get(&self, service_tag: u32, key: u16, now_ms: u64) -> Option<HotKey> {
         let announced = self.announced();
         if now_ms >= announced.until_ms {
--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -3,8 +3,8 @@
 //! A workspace's callers may send more requests than its quota, through any hosts. Hundreds of
 //! hosts receive less than one request per second each from most workspaces, so a fixed part of the
 //! quota for each host would refuse requests that are within the quota. Instead every host reports
-//! the requests that it received and sent on; the duty holder keeps one [`Ledger`] for each
-//! workspace and announces the share of its requests that hosts may admit. A host that receives no
+//! the requests that it received and sent on; the leader keeps one [`Ledger`] for each workspace
+//! and announces the share of its requests that hosts may admit. A host that receives no
 //! announcements continues to use the last one ([`HostShare`]).
 
 use serde::{Deserialize, Serialize};
@@ -31,7 +31,7 @@
     pub sent: u32,
 }
 
-/// Share of a workspace's requests that each host may admit, as announced by the duty holder.
+/// Share of a workspace's requests that each host may admit, as announced by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdmittedShare {
     /// Probability with which a request is admitted, from 0 to 1.
@@ -59,8 +59,8 @@
 /// within the quota for too long.
 const OVERDRAWN_MAX_S: f64 = 2.0;
 
-/// Balance of a workspace's quota, kept by the duty holder. A new ledger is empty, since a previous
-/// duty holder may just have handed out the whole quota.
+/// Balance of a workspace's quota, kept by the leader. A new ledger is empty, since a previous
+/// leader may just have handed out the whole quota.
 #[derive(Clone, Copy, Debug)]
 pub struct Ledger {
     left: f64,
@@ -131,18 +131,18 @@
 /// State of a workspace's quota at one host, which decides which requests that host admits.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HostShare {
-    /// Last announcement of the duty holder, and its arrival time.
+    /// Last announcement of the leader, and its arrival time.
     announced: Option<(AdmittedShare, u64)>,
     /// This host's share of the requests of all hosts, as of the last announcement.
     demand_share: Option<f64>,
-    /// Limit on what this host sends while the duty holder does not confirm its share.
+    /// Limit on what this host sends while the leader does not confirm its share.
     fallback_bucket: Bucket,
     since_report: QuotaUsage,
     /// Rate of requests that this host has recently received from the workspace's callers.
     own: RateMeter,
 }
 
-/// Time for which a share stays valid without confirmation by the duty holder.
+/// Time for which a share stays valid without confirmation by the leader.
 const SHARE_KEPT_MS: u64 = 5_000;
 
 /// Inputs of the admission decision besides the announced share.
@@ -150,7 +150,7 @@
 pub struct QuotaContext {
     /// Number of hosts that share quotas, including this one.
     pub hosts: usize,
-    /// True if this host has recently received an announcement of the duty holder.
+    /// True if this host has recently received an announcement of the leader.
     pub is_confirmed: bool,
 }
 
@@ -184,7 +184,7 @@
         true
     }
 
-    /// Counts a request that was sent to a server, for the next report to the duty holder.
+    /// Counts a request that was sent to a server, for the next report to the leader.
     pub fn note_sent(&mut self) {
         self.since_report.sent += 1;
     }
@@ -198,7 +198,7 @@
         self.announced = Some((announced, now_ms));
     }
 
-    /// Returns the last announcement of the duty holder, however old; `None` before the first.
+    /// Returns the last announcement of the leader, however old; `None` before the first.
     pub fn announced(&self) -> Option<AdmittedShare> {
         self.announced.map(|(announced, _)| announced)
     }
--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -1,9 +1,9 @@
 //! Shares of hosts in the rate limit that a server advertises to all of them together.
 //!
 //! A host's share of the limit follows the request rate of its callers, relative to that of all
-//! hosts' callers, which the duty holder sums up. Equal shares would waste what a quiet host does
-//! not use; shares lent by the duty holder would have to be reclaimed when it fails. While no sum
-//! is received, shares are equal.
+//! hosts' callers, which the leader sums up. Equal shares would waste what a quiet host does not
+//! use; shares lent by the leader would have to be reclaimed when it fails. While no sum is
+//! received, shares are equal.
 //!
 //! A request must pass two checks, since neither bounds the total rate by itself. A random draw
 //! with an admission probability bounds the sum over all hosts relative to the request rate, for
@@ -104,8 +104,8 @@
     }
 }
 
-/// Request rates that callers direct at a server: of this host and, as announced by the duty
-/// holder, of all hosts.
+/// Request rates that callers direct at a server: of this host and, as announced by the leader, of
+/// all hosts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerDemand {
     /// Meters of this host's callers: all requests, and the urgent ones.
@@ -113,7 +113,7 @@
     own_urgent: RateMeter,
     /// Rates of this host's callers in its last report.
     reported: DemandRates,
-    /// Rates of the callers of all hosts, as summed by the duty holder, and the arrival time.
+    /// Rates of the callers of all hosts, as summed by the leader, and the arrival time.
     sum: Option<(DemandRates, u64)>,
 }
 
@@ -133,8 +133,7 @@
         self.reported
     }
 
-    /// Stores the rates of all hosts' callers as summed by the duty holder, valid for
-    /// [`SUM_KEPT_MS`].
+    /// Stores the rates of all hosts' callers as summed by the leader, valid for [`SUM_KEPT_MS`].
     pub fn note_sum(&mut self, sum: DemandRates, now_ms: u64) {
         self.sum = Some((sum, now_ms));
     }
@@ -196,7 +195,7 @@
     (point - before).rem_euclid(1.0) < admit_probability
 }
 
-/// Request rates for servers as reported by hosts, kept by the duty holder.
+/// Request rates for servers as reported by hosts, kept by the leader.
 #[derive(Debug, Default)]
 pub struct DemandByHost(HashMap<u32, HashMap<SocketAddr, (DemandRates, u64)>>);
 
--- a/src/entry/decide/rests.rs
+++ b/src/entry/decide/rests.rs
@@ -21,7 +21,7 @@
 /// overloaded, and moved keys would be no better off.
 const NOT_RESTING_SHARE_MIN: f64 = 0.5;
 
-/// Ends of the rests that servers asked hosts for, by server tag and host; kept by the duty holder.
+/// Ends of the rests that servers asked hosts for, by server tag and host; kept by the leader.
 #[derive(Debug, Default)]
 pub struct Rests(Mutex<HashMap<u32, HashMap<SocketAddr, u64>>>);
 
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -67,7 +67,7 @@
         /// Reason that the response to the caller states.
         reason: &'static str,
     },
-    /// A workspace started or stopped exceeding its quota. Logged by the duty holder.
+    /// A workspace started or stopped exceeding its quota. Logged by the leader.
     Quota {
         /// Name of the workspace, as in the configuration.
         workspace: Arc<str>,
@@ -170,23 +170,25 @@
         /// Origin of the information: this host's own attempts, or another host.
         source: &'static str,
     },
-    /// This host took over the duty (leader role) of granting leases.
+    /// This host took over the leadership, which operators see as the `duty` in the name of the
+    /// event.
     DutyTaken {
         /// Number of the term that begins.
         term: u64,
-        /// True if the previous duty holder had given the duty up.
+        /// True if the previous leader had given up the leadership.
         handed_over: bool,
     },
-    /// The previous duty holder is known to grant no more leases.
+    /// The previous leader is known to grant no more leases.
     PredecessorEnded {
-        /// Number of the previous duty holder's term.
+        /// Number of the previous leader's term.
         term: u64,
     },
-    /// This host no longer holds the duty (leader role) of granting leases.
+    /// This host is no longer the leader. Operators see the leadership as the `duty` in the name of
+    /// the event.
     DutyLost {
         /// Number of the term that ended.
         term: u64,
-        /// Reason for which this host lost the duty or gave it up.
+        /// Reason for which this host lost the leadership or gave it up.
         reason: &'static str,
     },
     /// A key range moved to another server.
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -310,9 +310,9 @@
         }
     }
 
-    /// Asks the duty holder (leader of the hosts) which server holds the key. Requests a read from
-    /// the store instead if the query cannot be sent, or if no report confirms that the store has
-    /// responded lately.
+    /// Asks the leader of the hosts which server holds the key. Requests a read from the store
+    /// instead if the query cannot be sent, or if no report confirms that the store has responded
+    /// lately.
     fn query_key_owner(&self, entry: &Entry) {
         let Some(key) = self.key else { return };
         let query = Message::QueryKeyOwner {
--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -138,8 +138,7 @@
         followed: FollowedTable,
         peer: SocketAddr,
     ) -> Result<bool, Error> {
-        // A snapshot made earlier lacks the changes that the duty holder broadcasts in the
-        // meantime.
+        // A snapshot made earlier lacks the changes that the leader broadcasts in the meantime.
         self.broadcast.begin_reading(followed);
         let snapshot = self.query::<Snapshot>(peer, SNAPSHOT).await;
         let snapshot = match snapshot {
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -1,7 +1,7 @@
 //! Loads servers, holdings and hosts when a host starts: from another host that knows them, if
-//! there is one, otherwise from the store's tables. The duty holder stores the addresses of a few
-//! seed hosts of each zone next to the hosts' secret, so that one call returns both. Seed hosts
-//! also register starting hosts, and later serve changes that other hosts have missed.
+//! there is one, otherwise from the store's tables. The leader stores the addresses of a few seed
+//! hosts of each zone next to the hosts' secret, so that one call returns both. Seed hosts also
+//! register starting hosts, and later serve changes that other hosts have missed.
 
 mod catch_up;
 mod newcomers;
@@ -44,7 +44,7 @@
 /// other hosts will query the early one.
 const EARLY_SYNC_TIMEOUT_MS: u64 = 600;
 /// Time after which a host that found no seed hosts reads their list again. At the first start of a
-/// deployment the first duty holder has stored the list by then.
+/// deployment the first leader has stored the list by then.
 const LOOKUP_RETRY_MS: u64 = 2_200;
 /// Maximum random time that is added to [`LOOKUP_RETRY_MS`], so that hosts do not call the store at
 /// the same moment.
@@ -240,8 +240,9 @@
         })
     }
 
-    /// Returns true for early hosts, which read the tables and check the duty at once, so that the
-    /// other hosts can query them and the first duty holder's secret is stored by then.
+    /// Returns true for early hosts, which read the tables and check at once whether there is a
+    /// leader, so that the other hosts can query them and the first leader's secret is stored by
+    /// then.
     pub(super) fn is_early(&self) -> bool {
         let tag = tag_of(&self.settings.listen.peers.to_string());
         self.settings.processor_share >= EARLY_PROCESSOR_SHARE || tag.is_multiple_of(EARLY_ONE_IN)
--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -123,9 +123,9 @@
         self.peers.sync_peer(self.as_relay_candidate())
     }
 
-    /// Waits until the duty holder reports a response of the store from after the start of the
-    /// wait, which takes a moment after an outage. Returns false after a time limit, or if this
-    /// host is the duty holder, which receives no such reports.
+    /// Waits until the leader reports a response of the store from after the start of the wait,
+    /// which takes a moment after an outage. Returns false after a time limit, or if this host is
+    /// the leader, which receives no such reports.
     async fn is_store_confirmed_soon(&self) -> bool {
         let since_ms = clock::now_ms();
         let until_ms = since_ms + self.limits.start_wait_ms;
--- a/src/entry/join/seed_hosts.rs
+++ b/src/entry/join/seed_hosts.rs
@@ -1,4 +1,4 @@
-//! Seed hosts, from which starting hosts fetch a snapshot. The duty holder stores the list.
+//! Seed hosts, from which starting hosts fetch a snapshot. The leader stores the list.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,14 +15,13 @@
     platform::store::{Put, Row, Transaction},
 };
 
-/// Interval at which the duty holder checks whether the stored list of seed hosts is out of date.
+/// Interval at which the leader checks whether the stored list of seed hosts is out of date.
 const SEED_HOSTS_EVERY_MS: u64 = 300;
 /// Number of servers up to which a host reads the tables from the store: reading a few pages is
 /// faster than a query to another host, which may itself still be starting.
 const READ_SERVERS_MAX: usize = 1_000;
 
-/// Row in which the duty holder stores the seed hosts; starting hosts read it together with the
-/// secret.
+/// Row in which the leader stores the seed hosts; starting hosts read it together with the secret.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct SeedHosts {
     /// Seed hosts of all zones; empty if the row cannot be decoded.
@@ -47,7 +46,7 @@
         self.view.registry().servers().count() > READ_SERVERS_MAX
     }
 
-    /// Stores the list of seed hosts whenever it has changed, while this host has the duty.
+    /// Stores the list of seed hosts whenever it has changed, while this host is the leader.
     pub(in crate::entry) async fn maintain_seed_hosts(self: Arc<Self>) {
         let mut named = None;
         loop {
--- a/src/entry/leadership/change.rs
+++ b/src/entry/leadership/change.rs
@@ -1,11 +1,11 @@
-//! Changes of holdings that the duty holder records in the store.
+//! Changes of holdings that the leader records in the store.
 
 use std::sync::Arc;
 
 use crate::entry::keys::{Assignment, Holding, KeyRange};
 
-/// Change of one service's holdings, which the duty holder records under the condition that it
-/// still has the duty.
+/// Change of one service's holdings, which the leader records under the condition that it is still
+/// the leader.
 #[derive(Clone, Debug)]
 pub enum Change {
     /// Assigns all keys of the service for the first time: key ranges and their servers.
--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -1,10 +1,12 @@
-//! The duty: the leader role among the entry hosts. The host that has it (the duty holder) grants
-//! leases to servers and records which server holds which keys.
+//! Leadership: the role of the one entry host, the leader, that grants leases to servers, moves
+//! keys between servers and records which server holds which keys. The outer names of the
+//! leadership (events, the metric and the table in the store) call it the "duty".
 //!
-//! One row of the store names the duty holder, which confirms its role at short intervals by a
-//! conditional write. Another host takes the duty over if the row stays unchanged for the takeover
-//! time although the store answers. All writes of holdings are conditional on the row's version, so
-//! a duty holder that has been replaced cannot record anything any more.
+//! One row of the store, the leadership row, names the leader. The leader confirms the leadership
+//! at short intervals by a conditional write of that row. Another host takes over the leadership if
+//! the row stays unchanged for the takeover time although the store answers. All writes of holdings
+//! are conditional on the version of the leadership row, so a host that is no longer the leader
+//! cannot record anything.
 
 mod change;
 mod record;
@@ -29,60 +31,63 @@
     platform::store::{Expect, Put, Transaction, TransactionOutcome},
 };
 
-/// Table of the duty row. The row has a table of its own because it changes often and no host
+/// Table of the leadership row. The row has a table of its own because it changes often and no host
 /// follows it by a change feed.
 const LEADERSHIP_TABLE: &str = "ashroad_duty";
 const LEADERSHIP_KEY: &str = "leases";
-/// Age of the last confirmation up to which the duty holder tells other hosts that it has the duty.
-/// Two confirmations in a row may fail before this age is reached. A duty holder that has lost its
-/// own connection to the store can record no move. With 3 s, another host took the duty only 5.7 s
-/// after the duty holder lost the store, and the keys of a lost zone waited for that long.
+/// Age of the last confirmation up to which the leader tells other hosts that it is the leader. Two
+/// confirmations in a row may fail before this age is reached. A leader that has lost its own
+/// connection to the store can record no move. With 3 s, another host took over the leadership only
+/// 5.7 s after the leader had lost the store, and the keys of a lost zone waited for that long.
 const CONFIRMED_MS: u64 = 1_900;
-/// Timeout of a write of the duty row. When the store returns from an outage, the duty holder must
+/// Timeout of a write of the leadership row. When the store returns from an outage, the leader must
 /// have written the row before other hosts have seen it unchanged for the takeover time, 1.6 s. At
 /// its slowest, the store takes 0.5 s for a write.
 const CONFIRM_TIMEOUT_MS: u64 = 1_000;
-/// Time after the loss of the duty in which a host answers its successor that it has stopped
-/// granting leases.
+/// Time after the loss of the leadership in which a host reports to the new leader that it has
+/// stopped granting leases.
 const STOPPED_REPORT_MS: u64 = 3_000;
 
-/// Content of the duty row, stored as JSON.
+/// Content of the leadership row, stored as JSON in a table that operators see as `ashroad_duty`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct LeadershipRow {
-    /// Incarnation of the host process that has the duty; 0 after a host has given it up.
+    /// Incarnation of the host process that is the leader; 0 after the leader has given up the
+    /// leadership.
     holder: u64,
-    /// Number of the holder's term. Each takeover of the duty adds 1, so a higher number is later.
+    /// Number of the leader's term. Each takeover of the leadership adds 1, so a higher number is
+    /// later.
     term: u64,
     /// Number of the confirmation within the term. It makes each write change the row.
     confirmation: u64,
-    /// Peer address of the duty holder; `None` in rows of versions without this field.
+    /// Peer address of the leader; `None` in rows of versions without this field.
     #[serde(default)]
     address: Option<SocketAddr>,
-    /// Time after this write in which hosts that had the duty in earlier terms may still grant
-    /// leases.
+    /// Time after this write in which leaders of earlier terms may still grant leases.
     #[serde(default)]
     earlier_ms: u64,
 }
 
-/// Previous duty holder. The duty holder must wait for leases that it may still grant, but not once
-/// its process is known to have ended or stepped down.
+/// Previous leader. The current leader must wait for the leases that the previous leader may still
+/// grant, until the previous leader's process is known to have ended or to have stopped granting
+/// leases.
 #[derive(Clone, Copy, Debug)]
 struct Predecessor {
     incarnation: u64,
     term: u64,
     address: SocketAddr,
-    /// Time up to which duty holders before this predecessor may have granted leases.
+    /// Time up to which leaders before this predecessor may have granted leases.
     before_predecessor_until_ms: u64,
 }
 
-/// State of the duty on this host: its term, confirmations and predecessor.
+/// State of the leadership on this host: the term and confirmations of this host as the leader, and
+/// the previous leader.
 #[derive(Debug, Default)]
 pub struct Leadership {
-    /// Number of this host's term while it has the duty, else 0.
+    /// Number of this host's term while it is the leader, else 0.
     term: AtomicU64,
     /// Time at which the last successful confirmation was sent, taken before the call.
     confirmed_ms: AtomicU64,
-    /// Time up to which duty holders of earlier terms may have granted leases.
+    /// Time up to which leaders of earlier terms may have granted leases.
     earlier_leases_until_ms: AtomicU64,
     predecessor: StdMutex<Option<Predecessor>>,
     /// Number and end of the last term that this host has lost; 0 if there was none.
@@ -92,8 +97,8 @@
     writer: Mutex<Writer>,
 }
 
-/// Version and confirmation number of the last write of the duty row. The lock is held during each
-/// write that depends on the row.
+/// Version and confirmation number of the last write of the leadership row. The lock is held during
+/// each write that depends on the row.
 #[derive(Debug, Default)]
 struct Writer {
     row_version: u64,
@@ -101,30 +106,30 @@
 }
 
 impl Leadership {
-    /// Returns the number of this host's term while it has the duty, else 0.
+    /// Returns the number of this host's term while it is the leader, else 0.
     pub fn term(&self) -> u64 {
         self.term.load(Ordering::Relaxed)
     }
 
-    /// Returns true if this host may grant leases: it has the duty (leader role) and confirmed it
+    /// Returns true if this host may grant leases: it is the leader, and confirmed the leadership
     /// in the store less than `outage_ms` ago.
     pub fn may_lease(&self, outage_ms: u64) -> bool {
         let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
         self.term() > 0 && clock::now_ms() < confirmed_ms + outage_ms
     }
 
-    /// Returns true if this host has the duty and its last confirmation is recent enough to tell
+    /// Returns true if this host is the leader and its last confirmation is recent enough to tell
     /// other hosts so.
     pub fn is_confirmed(&self) -> bool {
         self.may_lease(CONFIRMED_MS)
     }
 
-    /// Returns the time up to which duty holders of earlier terms may have granted leases.
+    /// Returns the time up to which leaders of earlier terms may have granted leases.
     pub fn earlier_leases_until_ms(&self) -> u64 {
         self.earlier_leases_until_ms.load(Ordering::Relaxed)
     }
 
-    /// Returns the remaining time in which duty holders of earlier terms may still grant leases.
+    /// Returns the remaining time in which leaders of earlier terms may still grant leases.
     fn earlier_ms(&self) -> u64 {
         self.earlier_leases_until_ms()
             .saturating_sub(clock::now_ms())
@@ -162,8 +167,8 @@
         self.predecessor_ended(|p| p.address == address && p.term == term);
     }
 
-    /// Records that another host has the duty in `term`. If that is later than this host's own
-    /// term, this host gives up the duty.
+    /// Records that another host is the leader in `term`. If `term` is later than this host's own
+    /// term, this host gives up the leadership.
     ///
     /// Returns the term that this host has lost within the last `STOPPED_REPORT_MS`, if any. The
     /// other host waits for the leases of that term until it knows that they are no longer granted.
@@ -212,8 +217,8 @@
         }
     }
 
-    /// Writes the duty row if it still has `version`. Returns the new version, or `None` if the
-    /// write failed or its outcome is unknown.
+    /// Writes the leadership row if it still has `version`. Returns the new version, or `None` if
+    /// the write failed or its outcome is unknown.
     async fn write_leadership_row(&self, row: &LeadershipRow, version: u64) -> Option<u64> {
         let value = serde_json::to_vec(row).ok()?;
         let transaction = Transaction {
@@ -244,9 +249,9 @@
         }
     }
 
-    /// Confirms the duty. If the store stops answering during the call and then returns, the call
-    /// is abandoned and repeated at once, so that the confirmation arrives before other hosts take
-    /// the duty.
+    /// Confirms the leadership. If the store stops answering during the call and then returns, the
+    /// call is abandoned and repeated at once, so that the confirmation arrives before other hosts
+    /// take over the leadership.
     async fn confirm_leadership_through_outages(&self) {
         loop {
             tokio::select! {
@@ -293,8 +298,8 @@
         writer.confirmation = writer.confirmation.max(row.confirmation);
     }
 
-    /// Gives up the duty during a planned stop of this host by clearing the holder in the row, so
-    /// that another host takes it at once.
+    /// Gives up the leadership during a planned stop of this host by clearing the leader in the
+    /// leadership row, so that another host takes over the leadership at once.
     pub(super) async fn give_up_leadership(&self) {
         if self.leadership.term() == 0 {
             return;
--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -1,4 +1,4 @@
-//! Records changes of holdings in the store, on the condition that this host still has the duty.
+//! Records changes of holdings in the store, on the condition that this host is still the leader.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -21,7 +21,7 @@
 /// Reason why a change of holdings was not recorded, which no retry can mend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFailure {
-    /// Another host has the duty (leader role), or this host can no longer be sure that it has it.
+    /// Another host is the leader, or this host can no longer be sure that it is the leader itself.
     LeadershipLost,
     /// The store rejects the transaction with an error that no retry can mend.
     Refused,
@@ -91,20 +91,20 @@
 enum Conflict {
     /// An earlier attempt took effect, but its response was lost. Contains the version of the rows.
     TookEffect(u64),
-    /// A confirmation of the duty took effect, but its response was lost. Contains the version of
-    /// the duty row.
+    /// A confirmation of the leadership took effect, but its response was lost. Contains the
+    /// version of the leadership row.
     Confirmed(u64),
     /// The recorded holdings differ from the ones that this host knows.
     HoldingsChanged,
-    /// The duty row does not name this host and term, or is missing or undecodable.
+    /// The leadership row does not name this host and term, or is missing or undecodable.
     LeadershipTaken,
 }
 
 impl Entry {
     /// Records a change of a service's holdings and returns the holdings that it created or
-    /// replaced. The write is conditional on the duty row and on the unchanged versions of the rows
-    /// that it replaces. Retries for as long as this host may have the duty, and returns only once
-    /// the outcome is certain.
+    /// replaced. The write is conditional on the leadership row and on the unchanged versions of
+    /// the rows that it replaces. Retries for as long as this host may be the leader, and returns
+    /// only once the outcome is certain.
     pub(in crate::entry) async fn record(
         &self,
         service: &Arc<str>,
@@ -138,7 +138,7 @@
         Ok(changed)
     }
 
-    /// Writes rows in one transaction and retries for as long as this host may have the duty.
+    /// Writes rows in one transaction and retries for as long as this host may be the leader.
     async fn record_rows(
         &self,
         service: &Arc<str>,
@@ -224,8 +224,8 @@
             let sent_ms = clock::now_ms();
             match self.store.transact(&transaction).await {
                 Ok(TransactionOutcome::Done { version }) => {
-                    // The transaction is conditional on the duty row, so its success also confirms
-                    // the duty.
+                    // The transaction is conditional on the leadership row, so its success also
+                    // confirms the leadership.
                     self.leadership
                         .confirmed_ms
                         .store(sent_ms, Ordering::Relaxed);
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -1,5 +1,6 @@
-//! Takeover of the duty. A restarted host whose previous process had the duty takes it again at
-//! once. Other hosts take it when the duty row has stayed unchanged for the takeover time.
+//! Takeover of the leadership. A restarted host whose previous process was the leader takes over
+//! the leadership again at once. Other hosts take over the leadership when the leadership row has
+//! stayed unchanged for the takeover time.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -20,34 +21,34 @@
     },
 };
 
-/// Interval at which a host without the duty (leader role) checks whether the duty holder has
-/// become silent.
+/// Interval at which a host that is not the leader checks whether the leader has become silent.
 const CHECK_EVERY_MS: u64 = 100;
-/// Time after its start in which a host does not watch the duty row, as it may not have received a
-/// heartbeat of the duty holder yet.
+/// Time after its start in which a host does not watch the leadership row, as it may not have
+/// received a heartbeat of the leader yet.
 const START_GRACE_MS: u64 = 600;
-/// Time after the first start of a deployment in which a host does not watch the duty row, unless
-/// it is an early host, see [`SLOW_HOST_DELAY_MS`]. A first start is recognised by the lack of a
-/// shared secret for datagrams. Hosts that start together must know each other, or all of them
+/// Time after the first start of a deployment in which a host does not watch the leadership row,
+/// unless it is an early host, see [`SLOW_HOST_DELAY_MS`]. A first start is recognised by the lack
+/// of a shared secret for datagrams. Hosts that start together must know each other, or all of them
 /// would watch the row. They read the rows of each other 2.5 s after their start.
 const FIRST_START_GRACE_MS: u64 = 3_200;
-/// Maximum delay, in addition to [`START_GRACE_MS`], before an early host watches the duty row at
-/// the first start of a deployment. A larger processor share shortens the delay, so that stronger
-/// hosts watch the row before weaker ones.
+/// Maximum delay, in addition to [`START_GRACE_MS`], before an early host watches the leadership
+/// row at the first start of a deployment. A larger processor share shortens the delay, so that
+/// stronger hosts watch the row before weaker ones.
 const SLOW_HOST_DELAY_MS: f32 = 800.0;
-/// Interval of reads of the duty row while the duty holder is silent.
+/// Interval of reads of the leadership row while the leader is silent.
 const READ_EVERY_MS: u64 = 300;
-/// Longest random delay before a host takes the duty, so that hosts do not all take it at once.
+/// Longest random delay before a host takes over the leadership, so that not all hosts try to take
+/// it over at once.
 const TAKEOVER_JITTER_MS: u64 = 120;
-/// Number of hosts that begin at the same time to watch the row of a silent duty holder. Reads are
+/// Number of hosts that begin at the same time to watch the row of a silent leader. Reads are
 /// billed, so not all hosts watch it.
 const WATCHERS: u64 = 2;
 /// Delay after which the next `WATCHERS` hosts in the takeover order also begin to watch the row.
 const WATCHERS_STEP_MS: u64 = 500;
 
 impl Entry {
-    /// Confirms the duty (leader role) while this host has it. Otherwise takes it over when no host
-    /// confirms it any more.
+    /// Confirms the leadership while this host is the leader. Otherwise takes over the leadership
+    /// once no host confirms it.
     pub(in crate::entry) async fn maintain_leadership(self: Arc<Self>) {
         let leases = self.settings.leases;
         if !self.view.hosts_known().await {
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Takes the duty at once if the previous process of this host had it. That process has
-    /// certainly ended, since this one listens on its address.
+    /// Takes over the leadership at once if the previous process of this host was the leader. The
+    /// previous process has certainly ended, since this process listens on its address.
     async fn resume_leadership(&self) {
         while !self.view.are_servers_known() || !self.is_registered() {
             time::sleep(Duration::from_millis(CHECK_EVERY_MS)).await;
@@ -94,8 +95,9 @@
         }
     }
 
-    /// Returns true if the duty holder has been silent for so long that this host should watch the
-    /// duty row. If this host has never received a heartbeat, the time counts from `started_ms`.
+    /// Returns true if the leader has been silent for so long that this host should watch the
+    /// leadership row. If this host has never received a heartbeat, the time counts from
+    /// `started_ms`.
     fn is_leader_silent(&self, started_ms: u64) -> bool {
         let heard_ms = self.peers.leader_heard_ms();
         if heard_ms == 0 && !self.peers.seal.is_known() {
@@ -110,7 +112,7 @@
     }
 
     /// Returns the time after the first start of a deployment in which this host does not watch the
-    /// duty row.
+    /// leadership row.
     fn first_start_grace_ms(&self) -> u64 {
         let share = self.settings.processor_share.clamp(0.0, 1.0);
         if self.is_early() {
@@ -120,8 +122,8 @@
         }
     }
 
-    /// Returns the time for which hosts with a lower rank watch the row of a silent duty holder
-    /// before this host does.
+    /// Returns the time for which hosts with a lower rank watch the row of a silent leader before
+    /// this host does.
     fn watch_delay_ms(&self) -> u64 {
         let rank = {
             let settings = &self.settings;
@@ -131,15 +133,15 @@
         rank as u64 / WATCHERS * WATCHERS_STEP_MS
     }
 
-    /// Reads the duty row until it changes or may be taken: it names no holder, or has stayed
-    /// unchanged for the takeover time.
+    /// Reads the leadership row until the row changes, or this host may take over the leadership
+    /// because the row names no leader or has stayed unchanged for the takeover time.
     async fn await_takeover(&self) {
         let takeover_ms = self.settings.leases.takeover_ms;
         let mut seen: Option<(u64, u64)> = None;
         let started_ms = clock::now_ms();
         loop {
             let Some((row, version)) = self.read_leadership_row().await else {
-                // Time in which the store did not answer does not count: the duty holder could not
+                // Time in which the store did not answer does not count: the leader could not
                 // confirm then either.
                 seen = None;
                 pause().await;
@@ -167,9 +169,9 @@
         }
     }
 
-    /// Takes the duty. The row was first read with this content at `seen_ms`, so the previous duty
-    /// holder sent its last confirmation before that. `handed_over` is true if that host had given
-    /// the duty up.
+    /// Takes over the leadership. The row was first read with this content at `seen_ms`, so the
+    /// previous leader sent its last confirmation before that. `handed_over` is true if the
+    /// previous leader had given up the leadership.
     async fn take_leadership(
         &self,
         row: Option<LeadershipRow>,
@@ -203,7 +205,8 @@
         writer.row_version = version;
         writer.confirmation = 1;
         drop(writer);
-        // Holdings are read after the duty is taken, as no other host can change them from then on.
+        // Holdings are read after the leadership is taken over, as no other host can change them
+        // from then on.
         if !self.read_holdings().await {
             return;
         }
@@ -226,10 +229,10 @@
         self.check_predecessor_process().await;
     }
 
-    /// Checks if the host of the predecessor (previous duty holder) already runs another process.
-    /// The predecessor may have been an earlier process of this host. This host's data on the
-    /// processes of other hosts may be older than the predecessor, but the predecessor's own row is
-    /// not, since a process registers before it takes the duty.
+    /// Checks if the host of the predecessor (previous leader) already runs another process. The
+    /// predecessor may have been an earlier process of this host. This host's data on the processes
+    /// of other hosts may be older than the predecessor, but the predecessor's own row is not,
+    /// since a process registers before it takes over the leadership.
     async fn check_predecessor_process(&self) {
         self.leadership
             .note_process(self.settings.listen.peers, self.incarnation);
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -1,11 +1,11 @@
-//! Work of the duty holder: grants and renews the leases of servers, moves keys to balance load,
-//! and reassigns the keys of servers that leave or stop answering.
+//! Work of the leader: grants and renews the leases of servers, moves keys to balance load, and
+//! reassigns the keys of servers that leave or stop answering.
 //!
 //! A move is recorded in the store first, together with the server that may still hold the keys.
 //! That server is then asked to release them under the new fence. If it does not answer, the keys
-//! are granted to the new server only after the last lease that any duty holder may have granted to
-//! the old one has expired. A later duty holder finds the move among the recorded holdings and
-//! completes it in the same way.
+//! are granted to the new server only after the last lease that any leader may have granted to the
+//! old one has expired. A later leader finds the move among the recorded holdings and completes it
+//! in the same way.
 
 mod moves;
 mod renewal;
@@ -35,7 +35,7 @@
 };
 use crate::clock;
 
-/// Interval of the duty holder's rounds of renewals and planning.
+/// Interval of the leader's rounds of renewals and planning.
 const ROUND_MS: u64 = 100;
 /// Number of rounds between plans that move keys to balance load. Hosts report their request counts
 /// about as often.
@@ -106,7 +106,7 @@
     waits_for_lease: bool,
 }
 
-/// State of one term of the duty holder, discarded when the term ends.
+/// State of one term of the leader, discarded when the term ends.
 #[derive(Debug, Default)]
 struct TermState {
     servers: HashMap<Arc<str>, ServerLeaseState>,
@@ -135,7 +135,7 @@
     }
 }
 
-/// One term in which this host has the duty; its work stops when the term ends.
+/// One term in which this host is the leader; its work stops when the term ends.
 #[derive(Debug)]
 struct Term {
     entry: Arc<Entry>,
@@ -144,7 +144,7 @@
 }
 
 impl Entry {
-    /// Grants leases and plans moves, in one run for each term in which this host has the duty.
+    /// Grants leases and plans moves, in one run for each term in which this host is the leader.
     pub(super) async fn manage_leases(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(ROUND_MS)).await;
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Returns true while this host has the duty in this term and may grant leases, so that it may
+    /// Returns true while this host is the leader in this term and may grant leases, so that it may
     /// send orders to servers.
     fn may_send_orders(&self) -> bool {
         let leadership = &self.entry.leadership;
@@ -311,7 +311,7 @@
         if store_age_ms(&self.entry) > STORE_AGE_MAX_MS {
             return;
         }
-        // Moves of an earlier duty holder are resumed first, so that no plan touches their keys.
+        // Moves of an earlier leader are resumed first, so that no plan touches their keys.
         self.resume_unfinished_moves(service, &held.assignment, tasks);
         let moves = {
             let mut state = self.state();
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -41,7 +41,7 @@
 const RELEASES_MAX: usize = 4;
 
 impl Term {
-    /// Resumes the recorded moves of a service that an earlier duty holder did not complete.
+    /// Resumes the recorded moves of a service that an earlier leader did not complete.
     pub(super) fn resume_unfinished_moves(
         self: &Arc<Self>,
         service: &Arc<str>,
@@ -342,8 +342,8 @@
         }
     }
 
-    /// Returns the time at which the last lease that any duty holder may have granted to a server
-    /// has expired.
+    /// Returns the time at which the last lease that any leader may have granted to a server has
+    /// expired.
     fn lease_end_ms(&self, id: &Arc<str>) -> u64 {
         let now_ms = clock::now_ms();
         let own_ms = self
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -24,7 +24,7 @@
     },
 };
 
-/// Increment of a raised fence. It skips fences that an earlier duty holder may have used without
+/// Increment of a raised fence. It skips fences that an earlier leader may have used without
 /// recording them.
 const FENCE_STEP: u64 = 16;
 
@@ -250,9 +250,9 @@
     }
 
     /// Grants a holding to the same server again under a higher fence. This is needed when the
-    /// server has seen a higher fence than the recorded one, because an earlier duty holder
-    /// released the keys but recorded nothing more. Counts as a move, so that no other move of
-    /// these keys begins before the new lease is certain.
+    /// server has seen a higher fence than the recorded one, because an earlier leader released the
+    /// keys but recorded nothing more. Counts as a move, so that no other move of these keys begins
+    /// before the new lease is certain.
     async fn raise_fence(&self, service: &Arc<str>, server: &Arc<Server>, holding: &Holding) {
         if !self.mark_moving(service, holding.range) {
             return;
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -1,7 +1,7 @@
 //! Timeouts and pauses derived from the bounds in the settings.
 //!
-//! Every delay that contributes to a bound (the pause of a feed, a heartbeat interval of the duty
-//! holder, a call of this host to the store) gets a share of it, and the delays on each path must
+//! Every delay that contributes to a bound (the pause of a feed, a heartbeat interval of the
+//! leader, a call of this host to the store) gets a share of it, and the delays on each path must
 //! add up to no more than the bound.
 
 use std::fmt;
@@ -17,27 +17,26 @@
 /// Interval at which a feed (a task that reads the changes of a table) checks, while it pauses or
 /// waits, for reasons to call the store now.
 pub const POLL_EVERY_MS: u64 = 100;
-/// Shortest trust period for reports of the duty holder. With less, every heartbeat would be too
-/// old on arrival.
+/// Shortest trust period for reports of the leader. With less, every heartbeat would be too old on
+/// arrival.
 const TRUST_MIN_MS: u64 = 200;
-/// Longest trust period for reports of the duty holder. A longer one would save no calls: the duty
-/// holder confirms its duty and sends several heartbeats within it.
+/// Longest trust period for reports of the leader. A longer one would save no calls: the leader
+/// confirms its leadership and sends several heartbeats within it.
 const TRUST_MAX_MS: u64 = 2_000;
-/// Longest heartbeat interval of the duty holder.
+/// Longest heartbeat interval of the leader.
 const LEADER_HEARTBEAT_MAX_MS: u64 = 300;
-/// Longest time for which a host may lag behind the versions reported by the duty holder before it
+/// Longest time for which a host may lag behind the versions reported by the leader before it
 /// queries the store itself.
 const LAG_GRACE_MAX_MS: u64 = 400;
-/// Longest pause of the feeds of servers' entries and the configuration on the duty holder and on
+/// Longest pause of the feeds of servers' entries and the configuration on the leader and on
 /// relays, which lets changes in quick succession share one call.
 const LEADER_PAUSE_MAX_MS: u64 = 250;
-/// Longest wait of the duty holder's feed calls. Calls are billed, and the duty holder makes them
+/// Longest wait of the leader's feed calls. Calls are billed, and the leader makes them
 /// continuously.
 const LEADER_WAIT_MAX_MS: u64 = 3_000;
-/// Longest pause of the feed of servers' entries on a host that receives no heartbeats of a duty
-/// holder.
+/// Longest pause of the feed of servers' entries on a host that receives no heartbeats of a leader.
 const SERVERS_PAUSE_MAX_MS: u64 = 1_500;
-/// Longest pause of the configuration's feed on hosts other than the duty holder and relays.
+/// Longest pause of the configuration's feed on hosts other than the leader and relays.
 const CONFIGURATION_PAUSE_MAX_MS: u64 = 500;
 
 /// Longest time for which keys are served in an evacuated zone. Moves of keys complete within a few
@@ -48,38 +47,37 @@
 /// changes of a table of the store; its pause is the time between two of its calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeLimits {
-    /// Trust period: age up to which the duty holder's report of the store counts. A duty holder
-    /// may fail right after a heartbeat, before it broadcasts that a server leaves.
+    /// Trust period: age up to which the leader's report of the store counts. A leader may fail
+    /// right after a heartbeat, before it broadcasts that a server leaves.
     pub trust_ms: u64,
-    /// Heartbeat interval of the duty holder; several heartbeats fit into the trust period.
+    /// Heartbeat interval of the leader; several heartbeats fit into the trust period.
     pub leader_heartbeat_ms: u64,
-    /// Pause of the feeds of servers' entries and the configuration on the duty holder and on
-    /// relays.
+    /// Pause of the feeds of servers' entries and the configuration on the leader and on relays.
     pub leader_pause_ms: u64,
-    /// Longest wait of the duty holder's feed calls at the store. It is short because no other host
-    /// can tell the duty holder that its connection has failed silently.
+    /// Longest wait of the leader's feed calls at the store. It is short because no other host can
+    /// tell the leader that its connection has failed silently.
     pub leader_wait_ms: u64,
-    /// Wait of a relay's feed calls while it reports in place of the duty holder. It is short
-    /// because the other hosts of the zone query the relay often.
+    /// Wait of a relay's feed calls while it reports in place of the leader. It is short because
+    /// the other hosts of the zone query the relay often.
     pub relay_wait_ms: u64,
-    /// Interval at which a host queries the relays of its zone once the duty holder's last report
-    /// is old. Several queries fit into the time until that report is no longer trusted.
+    /// Interval at which a host queries the relays of its zone once the leader's last report is
+    /// old. Several queries fit into the time until that report is no longer trusted.
     pub relay_query_every_ms: u64,
-    /// Pause between the calls of one host, among many, to the store, while neither the duty holder
-    /// nor a relay reports that the store responds. Two pauses fit into the contact grace period.
+    /// Pause between the calls of one host, among many, to the store, while neither the leader nor
+    /// a relay reports that the store responds. Two pauses fit into the contact grace period.
     pub alone_pause_ms: u64,
     /// Time for other hosts to send a host the changes that it missed, before it queries the
     /// store.
     pub catch_up_ms: u64,
-    /// Longest pause of the feed of servers' entries while no heartbeats of a duty holder arrive.
+    /// Longest pause of the feed of servers' entries while no heartbeats of a leader arrive.
     pub servers_pause_ms: u64,
-    /// Longest pause of the configuration's feed on hosts other than the duty holder and relays.
+    /// Longest pause of the configuration's feed on hosts other than the leader and relays.
     pub configuration_pause_ms: u64,
     /// Time for which a host may lag behind the reported versions before it queries the store: a
     /// response or a broadcast may be on its way.
     pub lag_grace_ms: u64,
-    /// Time for which a host waits for the first heartbeat of a duty holder after its start, or
-    /// after the store no longer has the history that the host needs.
+    /// Time for which a host waits for the first heartbeat of a leader after its start, or after
+    /// the store no longer has the history that the host needs.
     pub start_wait_ms: u64,
     /// Time for which keys of an evacuated zone are still served there, after a host has learned of
     /// the evacuation, while they are moved to other servers.
@@ -160,9 +158,9 @@
         }
     }
 
-    /// Returns the interval at which the duty holder confirms at the store that it still has the
-    /// duty (leader role). It is at most half of the trust period, so that the store's last
-    /// response is still within that period two heartbeats later.
+    /// Returns the interval at which the leader confirms at the store that it is still the leader.
+    /// It is at most half of the trust period, so that the store's last response is still within
+    /// that period two heartbeats later.
     pub fn confirm_every_ms(&self, wanted_ms: u64) -> u64 {
         wanted_ms.min(self.trust_ms / 2)
     }
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -64,7 +64,8 @@
     pub in_flight: Gauge,
     /// Time since the store's last response, in seconds.
     pub store_age_s: Gauge<f64, AtomicU64>,
-    /// Term of this host while it holds the duty (leader role) of granting leases; 0 otherwise.
+    /// Term of this host while it is the leader; 0 otherwise. Operators see the leadership as the
+    /// `duty` in the name of the metric, `duty_term`.
     pub leadership_term: Gauge,
     /// Version of the configuration in effect; 0 for none.
     pub configuration_version: Gauge,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,5 +1,5 @@
 //! An entry host on the users' platform. It forwards requests to backend servers; one host at a
-//! time holds the duty, which is to assign keys to servers and to grant their leases.
+//! time is the leader, which assigns keys to servers and grants their leases.
 
 pub mod bounds;
 pub mod broadcast;
@@ -94,13 +94,13 @@
     pub confirmation: ConfigurationConfirmation,
     /// Progress of the synchronisation with other hosts after the start.
     join: Join,
-    /// State of the changes that the duty holder broadcasts to all hosts.
+    /// State of the changes that the leader broadcasts to all hosts.
     pub broadcast: Broadcast,
     /// Keys whose request rate exceeds what their server can serve.
     pub hot_keys: HotKeys,
     /// Other hosts, and the messages exchanged with them.
     pub peers: Peers,
-    /// State of the duty (leader role) of granting leases, at this host and as seen at others.
+    /// State of the leadership, at this host and as seen at others.
     pub leadership: Leadership,
     /// Budget that limits retries to a share of all requests.
     pub retries: RetryBudget,
@@ -110,14 +110,14 @@
     pub quotas: Quotas,
     /// Server crashes, and the suspects: requests that may have caused them.
     pub crashes: Crashes,
-    /// Wakes the task that reports a server's notice to the duty holder: the server leaves, or asks
-    /// for a rest (a time without requests).
+    /// Wakes the task that reports a server's notice to the leader: the server leaves, or asks for
+    /// a rest (a time without requests).
     notice_received: Notify,
-    /// Rests (times without requests) that servers asked of hosts; collected while this host holds
-    /// the duty.
+    /// Rests (times without requests) that servers asked of hosts; collected while this host is the
+    /// leader.
     rests: Rests,
     /// Request rates that each host reports for servers with a rate limit; collected while this
-    /// host holds the duty.
+    /// host is the leader.
     demand_by_host: Mutex<DemandByHost>,
     /// Run time of each route's requests relative to the average of their server.
     pub run_shares: RunShares,
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -1,7 +1,7 @@
 //! Notices in servers' responses: that a server leaves, or that it asks for a rest (a time without
-//! requests). The host that receives a notice reports it to the duty holder, which moves the
-//! server's keys and announces leaving servers to all hosts. A rest applies only to the host that
-//! the server asked for it.
+//! requests). The host that receives a notice reports it to the leader, which moves the server's
+//! keys and announces leaving servers to all hosts. A rest applies only to the host that the server
+//! asked for it.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,10 +16,10 @@
 };
 use crate::clock;
 
-/// Interval at which notices are sent again: datagrams may be lost, and a new duty holder knows of
-/// no notices.
+/// Interval at which notices are sent again: datagrams may be lost, and a new leader knows of no
+/// notices.
 const REPORT_EVERY_MS: u64 = 500;
-/// Time for which the duty holder announces a leaving server to all hosts, enough for four
+/// Time for which the leader announces a leaving server to all hosts, enough for four
 /// announcements.
 const ANNOUNCE_FOR_MS: u64 = 3 * REPORT_EVERY_MS + REPORT_EVERY_MS / 2;
 
@@ -37,8 +37,8 @@
         self.notice_received.notify_one();
     }
 
-    /// Reports notices to the duty holder periodically and after each new notice. As the duty
-    /// holder, announces leaving servers to all hosts.
+    /// Reports notices to the leader periodically and after each new notice. As the leader,
+    /// announces leaving servers to all hosts.
     pub(in crate::entry) async fn keep_reporting_notices(self: Arc<Self>) {
         loop {
             let pause = Duration::from_millis(REPORT_EVERY_MS);
@@ -54,8 +54,7 @@
         }
     }
 
-    /// Reports to the duty holder which servers asked this host for a rest. As the duty holder,
-    /// records them.
+    /// Reports to the leader which servers asked this host for a rest. As the leader, records them.
     fn report_rests(&self) {
         let registry = self.view.registry();
         let rests = registry.servers().filter_map(|server| {
@@ -76,7 +75,7 @@
         }
     }
 
-    /// Records, as the duty holder, which servers asked a host for a rest.
+    /// Records, as the leader, which servers asked a host for a rest.
     pub(in crate::entry) fn handle_rest_report(&self, host: SocketAddr, rests: &[ServerRest]) {
         if self.leadership.term() == 0 {
             return;
@@ -109,7 +108,7 @@
         }
     }
 
-    /// Records, as the duty holder, servers that announced to another host that they are leaving.
+    /// Records, as the leader, servers that announced to another host that they are leaving.
     pub(in crate::entry) fn handle_leaving_report(&self, tags: &[u32]) {
         if self.leadership.term() > 0 && self.note_leaving_elsewhere(tags) {
             self.notice_received.notify_one();
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -1,5 +1,5 @@
 //! Owners of keys as this host knows them: the servers in the recorded holdings, updated by the
-//! grants and moves that the duty holder announces before this host has read them from the store.
+//! grants and moves that the leader announces before this host has read them from the store.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -17,7 +17,7 @@
 use crate::clock;
 
 /// Maximum time for which requests wait for a move whose end was not announced. It is the longest
-/// wait for leases to expire after a server and the duty holder have failed together.
+/// wait for leases to expire after a server and the leader have failed together.
 const MOVE_HOLD_MAX_MS: u64 = 20_000;
 /// Time in which no request goes to a server after it was found not to hold the key.
 const NOT_HELD_MS: u64 = 250;
--- a/src/entry/peers/fanout.rs
+++ b/src/entry/peers/fanout.rs
@@ -7,15 +7,15 @@
 use crate::entry::server::tag_of;
 
 /// Number of hosts up to which the sender addresses each of them. Sending some 20 moves a second to
-/// hundreds of hosts fills a link of 20 Mbit/s; heartbeats of the duty holder are then lost, and
-/// with them the duty.
+/// hundreds of hosts fills a link of 20 Mbit/s; heartbeats of the leader are then lost, and with
+/// them the leadership.
 pub const DIRECT_HOSTS_MAX: usize = 20;
 /// Relays per zone. With two, the loss of one relay loses no messages.
 const RELAYS: usize = 2;
 /// Time without an acknowledgement after which another host replaces a relay. Three heartbeats of
-/// the duty holder fit into this time. With time limits of 2 s, the relay is replaced before the
-/// hosts of its zone stop relying on the duty holder; with tighter limits they query the store in
-/// the meantime.
+/// the leader fit into this time. With time limits of 2 s, the relay is replaced before the hosts
+/// of its zone stop relying on the leader; with tighter limits they query the store in the
+/// meantime.
 pub const RELAY_SILENT_MS: u64 = 900;
 
 /// Properties of a host that determine whether it is chosen as a relay.
@@ -110,8 +110,8 @@
     pub fn delay_ms(&mut self, term: u64, sent_ms: u64, now_ms: u64) -> u64 {
         let offset_ms = now_ms as i64 - sent_ms as i64;
         if term < self.term {
-            // Heartbeats of a previous duty holder are not trusted; the baseline of the current one
-            // is kept.
+            // Heartbeats of a previous leader are not trusted; the baseline of the current one is
+            // kept.
             return u64::MAX;
         }
         if term > self.term {
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -161,15 +161,15 @@
     },
     /// Acknowledges a message to relay, which shows that the relay is alive.
     RelayAck,
-    /// Heartbeat of the duty holder.
+    /// Heartbeat of the leader.
     Heartbeat {
-        /// Term of the duty holder. A heartbeat is ignored if a later term is known.
+        /// Term of the leader. A heartbeat is ignored if a later term is known.
         term: u64,
         /// Time of sending, by the sender's clock.
         sent_ms: u64,
-        /// Latest state of the store that the duty holder has seen.
+        /// Latest state of the store that the leader has seen.
         updates: StoreStateReport,
-        /// Number of hosts that the duty holder knows, itself included.
+        /// Number of hosts that the leader knows, itself included.
         hosts: u32,
         /// Hot keys, which receive more requests than their server can handle.
         hot: Vec<HotKey>,
@@ -198,7 +198,7 @@
         /// Summaries by server; those that have not changed lately may be missing.
         summaries: Vec<ServerSummary>,
     },
-    /// Reports the sender's request counts by key to the duty holder, which plans moves by them.
+    /// Reports the sender's request counts by key to the leader, which plans moves by them.
     Keys(Vec<KeyCount>),
     /// Announces moves of keys to other servers.
     Moving {
@@ -207,20 +207,20 @@
         /// Keys that are being moved, with their targets.
         announcements: Vec<MoveAnnouncement>,
     },
-    /// Changes of server entries that the sender, the duty holder, received from the store.
+    /// Changes of server entries that the sender, the leader, received from the store.
     Servers(ServerChanges),
-    /// Piece of a configuration that the sender, the duty holder, received from the store.
+    /// Piece of a configuration that the sender, the leader, received from the store.
     Configuration(Piece),
-    /// Queries the duty holder for the server that holds a key.
+    /// Queries the leader for the server that holds a key.
     QueryKeyOwner {
         /// Tag of the service: a hash of its name.
         service_tag: u32,
         /// Key whose server is unknown to the sender.
         key: u16,
     },
-    /// States that the sender, which had the duty in this term, grants no more leases.
+    /// States that the sender, which was the leader in this term, grants no more leases.
     Stopped {
-        /// Term in which the sender had the duty.
+        /// Term in which the sender was the leader.
         term: u64,
     },
     /// Reports a server crash that the sender saw with requests of its own in flight.
@@ -248,24 +248,23 @@
     /// has ended without a crash, as the server answered, or the sender released its claim without
     /// a trial.
     TrialEnded(ClaimSubject),
-    /// Servers that asked the sender for a rest. For the duty holder.
+    /// Servers that asked the sender for a rest. For the leader.
     ReportRests(Vec<ServerRest>),
-    /// Reports rate limits of servers with the demand of the sender's callers. Sent to the duty
-    /// holder.
+    /// Reports rate limits of servers with the demand of the sender's callers. Sent to the leader.
     ReportRates(Vec<ServerRate>),
-    /// Rate limits of servers as the duty holder knows them, with the demand of the callers of all
+    /// Rate limits of servers as the leader knows them, with the demand of the callers of all
     /// hosts.
     RateTotals(Vec<ServerRate>),
     /// Reports the tags of servers that announced to the sender that they are leaving, while their
-    /// entries do not show it yet. Sent to the duty holder.
+    /// entries do not show it yet. Sent to the leader.
     ReportLeaving(Vec<u32>),
-    /// Announces the tags of servers that told any host that they are leaving. Sent by the duty
-    /// holder to all hosts.
+    /// Announces the tags of servers that told any host that they are leaving. Sent by the leader
+    /// to all hosts.
     AnnounceLeaving(Vec<u32>),
-    /// Reports the numbers of requests by workspace at the sender. Sent to the duty holder, which
-    /// adds up the reports of all hosts.
+    /// Reports the numbers of requests by workspace at the sender. Sent to the leader, which adds
+    /// up the reports of all hosts.
     ReportUsage(Vec<WorkspaceUse>),
-    /// Shares of the workspaces' requests that hosts may admit; sent by the duty holder.
+    /// Shares of the workspaces' requests that hosts may admit; sent by the leader.
     AdmittedShare(Vec<WorkspaceAdmitted>),
     /// Queries a relay for the age of its view of the store.
     QueryStoreState {
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -1,6 +1,6 @@
 //! Datagrams between hosts: their load on each server, request counts by key for the planner, moves
 //! and grants of keys. All of them are best effort and only improve decisions, with one exception:
-//! the statement of a previous duty holder that it grants no more leases ends a wait that keeps
+//! the statement of a previous leader that it grants no more leases ends a wait that keeps
 //! ownership exclusive. All datagrams are sealed with a secret that the hosts share.
 
 pub mod fanout;
@@ -125,7 +125,7 @@
     socket: std::sync::OnceLock<Arc<UdpSocket>>,
     /// Requests by service tag and key since the last report.
     counted: Mutex<HashMap<(u32, u16), u16>>,
-    /// Request counts that other hosts reported to this one while it has the duty.
+    /// Request counts that other hosts reported to this host while it is the leader.
     reported: Mutex<Vec<KeyCount>>,
     leader: Mutex<Option<SocketAddr>>,
     leader_term: AtomicU64,
@@ -207,7 +207,7 @@
     }
 
     /// Returns the host to fetch missed changes from: with many hosts, a relay of the own zone;
-    /// with few hosts, or on a relay itself, the duty holder.
+    /// with few hosts, or on a relay itself, the leader.
     pub fn sync_peer(&self, own: RelayCandidate) -> Option<SocketAddr> {
         if !self.use_relays() {
             return *self.leader();
@@ -230,8 +230,8 @@
     }
 
     /// Returns the number of hosts, this one included: the larger of the numbers that this host and
-    /// the duty holder know. Limits that all hosts share are divided by it, so an overestimate is
-    /// safer than an underestimate.
+    /// the leader know. Limits that all hosts share are divided by it, so an overestimate is safer
+    /// than an underestimate.
     pub fn hosts(&self) -> usize {
         self.known()
             .max(self.hosts_known_to_leader.load(Ordering::Relaxed))
@@ -242,7 +242,7 @@
         self.peers().len() + 1
     }
 
-    /// Records the number of hosts that the duty holder knows, as stated in its heartbeat.
+    /// Records the number of hosts that the leader knows, as stated in its heartbeat.
     fn note_hosts_known_to_leader(&self, hosts: u32) {
         self.hosts_known_to_leader
             .store(hosts as usize, Ordering::Relaxed);
@@ -262,9 +262,9 @@
     }
 
     /// Returns the number of hosts that come before the host at `own` in the takeover order. Hosts
-    /// with a larger share of a processor come first, since the duty holder sends messages to all
-    /// hosts and orders to all servers that hold keys. The order of equally strong hosts differs by
-    /// term, so that the same crashed hosts do not come first in every term.
+    /// with a larger share of a processor come first, since the leader sends messages to all hosts
+    /// and orders to all servers that hold keys. The order of equally strong hosts differs by term,
+    /// so that the same crashed hosts do not come first in every term.
     pub fn takeover_rank(&self, own: SocketAddr, processor_share: f32) -> usize {
         let term = self.leader_term.load(Ordering::Relaxed);
         let place = |address: &SocketAddr| tag_of(&format!("{address} {term}"));
@@ -294,17 +294,17 @@
         }
     }
 
-    /// Returns the latest term for which a heartbeat of the duty holder was received.
+    /// Returns the latest term for which a heartbeat of the leader was received.
     pub fn leader_term(&self) -> u64 {
         self.leader_term.load(Ordering::Relaxed)
     }
 
-    /// Returns the time of the last heartbeat received from the duty holder.
+    /// Returns the time of the last heartbeat received from the leader.
     pub fn leader_heard_ms(&self) -> u64 {
         self.leader_heard_ms.load(Ordering::Relaxed)
     }
 
-    /// Counts a request for a key, for the next report to the duty holder.
+    /// Counts a request for a key, for the next report to the leader.
     pub fn count(&self, service_tag: u32, key: u16) {
         let mut counted = self.counted.lock().unwrap_or_else(PoisonError::into_inner);
         *counted.entry((service_tag, key)).or_default() += 1;
@@ -351,7 +351,7 @@
         self.leader.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a message to the duty holder. Returns false if none is known.
+    /// Sends a message to the leader. Returns false if none is known.
     pub(in crate::entry) fn send_to_leader(&self, message: &Message) -> bool {
         let Some(leader) = *self.leader() else {
             return false;
@@ -416,8 +416,7 @@
         self.paces.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a heartbeat of the duty holder. Returns false and ignores it if a later term is
-    /// known.
+    /// Records a heartbeat of the leader. Returns false and ignores it if a later term is known.
     fn note_leader(&self, from: SocketAddr, term: u64) -> bool {
         if term < self.leader_term.load(Ordering::Relaxed) {
             return false;
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -16,10 +16,10 @@
     entry::{Entry, keys::Holding, updates::announcement::MoveAnnouncement},
 };
 
-/// Interval at which the duty holder sends queued announcements. It is short because requests for
-/// moved keys wait for them.
+/// Interval at which the leader sends queued announcements. It is short because requests for moved
+/// keys wait for them.
 const SEND_EVERY_MS: u64 = 20;
-/// Interval at which a host without the duty checks for announcements.
+/// Interval at which a host that is not the leader checks for announcements.
 const IDLE_EVERY_MS: u64 = 200;
 /// Delays after a grant at which it is announced. Datagrams may be lost, and a host that misses a
 /// grant holds the requests for the granted keys back.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Sends the holding of a key, if this host has the duty, to a host whose request reached a
+    /// Sends the holding of a key, if this host is the leader, to a host whose request reached a
     /// server that does not hold the key.
     fn send_key_owner(&self, to: SocketAddr, service_tag: u32, key: u16) {
         if self.leadership.term() == 0 {
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -1,5 +1,5 @@
-//! Periodic reports of a host: its load on servers, its request counts by key for the duty holder,
-//! and the heartbeat of the duty holder itself.
+//! Periodic reports of a host: its load on servers, its request counts by key for the leader, and
+//! the heartbeat of the leader itself.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,7 +16,7 @@
     entry::{Entry, server::tag_of},
 };
 
-/// Interval at which request counts by key are sent to the duty holder.
+/// Interval at which request counts by key are sent to the leader.
 const KEYS_EVERY_MS: u64 = 150;
 /// Interval at which reports of the other hosts are applied to the loads of up to [`APPLY_SERVERS`]
 /// servers. With more servers it grows in proportion to their number, which keeps the processor
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Reports request counts by key to the duty holder.
+    /// Reports request counts by key to the leader.
     pub(in crate::entry) async fn keep_reporting_keys(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(KEYS_EVERY_MS)).await;
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Sends heartbeats while this host's duty is confirmed. Without them the other hosts must
-    /// check whether to take the duty over.
+    /// Sends heartbeats while this host's leadership is confirmed. Without them the other hosts
+    /// must check whether to take over the leadership.
     pub(in crate::entry) async fn keep_sending_heartbeats(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(self.limits.leader_heartbeat_ms)).await;
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Sends one heartbeat if this host has the duty and the duty is confirmed.
+    /// Sends one heartbeat if this host is the leader and has confirmed the leadership recently.
     pub(in crate::entry) fn send_heartbeat(&self) {
         if !self.leadership.is_confirmed() {
             return;
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -68,7 +68,7 @@
         self.send(&Message::Relayed { origin, message }, &to);
     }
 
-    /// Returns the excess delay of a heartbeat of the duty holder over the shortest one seen.
+    /// Returns the excess delay of a heartbeat of the leader over the shortest one seen.
     pub(super) fn excess_delay_ms(&self, term: u64, sent_ms: u64) -> u64 {
         let mut one_way_delay = self
             .one_way_delay
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -1,5 +1,5 @@
-//! Quotas of workspaces across hosts. Each host reports its requests to the duty holder, which adds
-//! them up in ledgers and announces which share of the requests all hosts may admit.
+//! Quotas of workspaces across hosts. Each host reports its requests to the leader, which adds them
+//! up in ledgers and announces which share of the requests all hosts may admit.
 
 use std::{
     collections::HashMap,
@@ -22,7 +22,7 @@
 /// not known yet, grows with it.
 const REPORT_INTERVAL_MS: u64 = 150;
 /// Interval of reports per host: among many hosts the interval grows with their number, which
-/// bounds the number of messages that the duty holder receives.
+/// bounds the number of messages that the leader receives.
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 1;
 /// Number of intervals without an announcement after which a host no longer relies on the last one.
 const MISSED_ANNOUNCEMENTS: u64 = 4;
@@ -35,8 +35,8 @@
     REPORT_INTERVAL_MS.max(REPORT_INTERVAL_MS_PER_HOST * hosts as u64)
 }
 
-/// State of the workspaces' quotas at one host: its own shares, and the ledgers while it has the
-/// duty (leader role).
+/// State of the workspaces' quotas at one host: its own shares, and the ledgers while it is the
+/// leader.
 #[derive(Debug, Default)]
 pub struct Quotas {
     state: Mutex<QuotaState>,
@@ -46,7 +46,7 @@
 struct QuotaState {
     /// This host's shares of the quotas, by workspace tag.
     shares: HashMap<u32, HostShare>,
-    /// Ledgers of all hosts' requests, by workspace tag; kept while this host has the duty.
+    /// Ledgers of all hosts' requests, by workspace tag; kept while this host is the leader.
     ledgers: HashMap<u32, Ledger>,
     /// Time at which the last announcement was received; `None` before the first.
     heard_ms: Option<u64>,
@@ -91,7 +91,7 @@
             .collect()
     }
 
-    /// Adds a host's report to the ledgers of the duty holder.
+    /// Adds a host's report to the ledgers of the leader.
     fn note_report(&self, workspaces: &Workspaces, reports: &[WorkspaceUse]) {
         let now_ms = clock::now_ms();
         let mut state = self.state();
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Returns the shares that hosts may admit, by the ledgers of the duty holder: those of all
+    /// Returns the shares that hosts may admit, by the ledgers of the leader: those of all
     /// workspaces if `is_for_all`, else only those that limit a workspace or have just ceased to.
     fn admitted(&self, workspaces: &Workspaces, is_for_all: bool) -> Vec<WorkspaceAdmitted> {
         let now_ms = clock::now_ms();
@@ -135,7 +135,7 @@
         announced
     }
 
-    /// Applies the shares that the duty holder announced.
+    /// Applies the shares that the leader announced.
     pub(super) fn note_announced(&self, announced: &[WorkspaceAdmitted]) {
         let now_ms = clock::now_ms();
         let mut state = self.state();
@@ -151,7 +151,7 @@
         self.state().shares.get(&workspace_tag)?.announced()
     }
 
-    /// Discards the ledgers of a host that does not have the duty (leader role).
+    /// Discards the ledgers of a host that is not the leader.
     fn forget_ledgers(&self) {
         self.state().ledgers.clear();
     }
@@ -181,8 +181,8 @@
 }
 
 impl Entry {
-    /// Reports the usage of workspaces to the duty holder; as the duty holder, announces to all
-    /// hosts the shares that they may admit.
+    /// Reports the usage of workspaces to the leader; as the leader, announces to all hosts the
+    /// shares that they may admit.
     pub(in crate::entry) async fn exchange_quota_usage(self: Arc<Self>) {
         let mut round: u64 = 0;
         loop {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Sends this host's usage report to the duty holder.
+    /// Sends this host's usage report to the leader.
     fn report_quotas(&self, reports: &[WorkspaceUse]) {
         for reports in reports.chunks(QUOTAS_MAX) {
             if !self
@@ -221,7 +221,7 @@
     }
 
     /// Announces to all hosts the shares that they may admit. An announcement without workspaces
-    /// shows that the duty holder is alive.
+    /// shows that the leader is alive.
     fn announce_quotas(&self, announced: &[WorkspaceAdmitted]) {
         self.quotas.note_announced(announced);
         if announced.is_empty() {
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Handles a host's usage report, if this host has the duty.
+    /// Handles a host's usage report, if this host is the leader.
     pub(in crate::entry) fn handle_usage_report(&self, reports: &[WorkspaceUse]) {
         if self.leadership.term() == 0 {
             return;
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -1,6 +1,6 @@
-//! Rate limits that servers advertise for all hosts together. Each host reports to the duty holder
-//! the limits that servers have sent it, and the request rates of its callers. The duty holder
-//! announces the latest limits and the total rates, from which each host computes its share.
+//! Rate limits that servers advertise for all hosts together. Each host reports to the leader the
+//! limits that servers have sent it, and the request rates of its callers. The leader announces the
+//! latest limits and the total rates, from which each host computes its share.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,7 +19,7 @@
 /// Interval of reports and announcements among few hosts.
 const REPORT_INTERVAL_MS: u64 = 150;
 /// Interval of reports per host: among many hosts the interval grows with their number, which
-/// bounds the number of messages that the duty holder receives.
+/// bounds the number of messages that the leader receives.
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 2;
 
 impl Entry {
@@ -39,8 +39,8 @@
         log_change(server, is_change, "its answer");
     }
 
-    /// Reports the limits known to this host and the request rates of its callers to the duty
-    /// holder; as the duty holder, announces the latest limits and total rates to all hosts.
+    /// Reports the limits known to this host and the request rates of its callers to the leader; as
+    /// the leader, announces the latest limits and total rates to all hosts.
     pub(in crate::entry) async fn exchange_rate_limits(self: Arc<Self>) {
         loop {
             let every_ms =
@@ -72,7 +72,7 @@
         rates.collect()
     }
 
-    /// Sends limits and request rates as known to this host to the duty holder.
+    /// Sends limits and request rates as known to this host to the leader.
     fn report_rates(&self, rates: Vec<ServerRate>) {
         for rates in rates.chunks(RATES_MAX) {
             if !self
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Handles a host's report of limits and request rates, if this host has the duty.
+    /// Handles a host's report of limits and request rates, if this host is the leader.
     pub(in crate::entry) fn handle_rate_report(&self, host: SocketAddr, rates: &[ServerRate]) {
         if self.leadership.term() == 0 {
             return;
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Announces, as the duty holder, the latest limits and the total request rates to all hosts.
+    /// Announces, as the leader, the latest limits and the total request rates to all hosts.
     fn announce_rates(&self) {
         let now_ms = clock::now_ms();
         let rates: Vec<ServerRate> = {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Applies an announcement of the duty holder: the latest limits and the total request rates.
+    /// Applies an announcement of the leader: the latest limits and the total request rates.
     pub(in crate::entry) fn apply_rate_totals(&self, rates: &[ServerRate]) {
         let now_ms = clock::now_ms();
         self.note_limits(rates, now_ms);
--- a/src/entry/register.rs
+++ b/src/entry/register.rs
@@ -24,7 +24,8 @@
 
 impl Entry {
     /// Writes this host's row and retries until it is stored. The previous row, if any, is read
-    /// before it is replaced: it shows that this process may resume the duty of the previous one.
+    /// before it is replaced: it shows that this process may resume the leadership of the previous
+    /// process.
     pub(super) async fn register(self: Arc<Self>) {
         let key = host_key(self.settings.listen.peers);
         let row = HostRow {
@@ -78,8 +79,8 @@
     }
 
     /// Returns true once this host's row in the store names this process. Only then may the process
-    /// take the duty (leader role): a later duty holder takes a row that names another process as
-    /// proof that this one has ended.
+    /// take over the leadership: a later leader takes a row that names another process as proof
+    /// that this one has ended.
     pub(super) fn is_registered(&self) -> bool {
         self.registered.load(Ordering::Relaxed)
     }
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -213,7 +213,7 @@
 /// Rows with holdings, by service; each with the key partition that it covers.
 pub(super) type HoldingsByService = HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>>;
 
-/// Returns true for a row of an evacuated zone. The duty holder sends the evacuated zones in each
+/// Returns true for a row of an evacuated zone. The leader sends the evacuated zones in each
 /// heartbeat, so hosts need not read the store for the versions of these rows.
 fn is_evacuation(followed: FollowedTable, row: &Row) -> bool {
     followed == FollowedTable::Configuration && config::evacuated_zone(&row.key).is_some()
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -244,9 +244,9 @@
     Event::Reloaded { problem }.log();
 }
 
-/// Carries out a planned stop: fails readiness first and gives up the duty, closes the callers'
-/// listener once the balancer has noticed, and returns when no request is in flight or the grace
-/// period ends.
+/// Carries out a planned stop: fails readiness first and gives up the leadership, closes the
+/// callers' listener once the balancer has noticed, and returns when no request is in flight or the
+/// grace period ends.
 async fn stop(
     entry: &Arc<Entry>,
     stop_callers: &stop::Sender<bool>,
--- a/src/entry/seal.rs
+++ b/src/entry/seal.rs
@@ -1,8 +1,7 @@
 //! Authentication of the datagrams between hosts. A seal is a truncated HMAC tag in front of a
-//! message. All hosts share its secret, which the duty holder generates and keeps in the store, so
-//! that a sender without access to the store can neither forge nor alter a datagram. Messages are
-//! not encrypted. A datagram can be replayed, so every message must be harmless when it arrives
-//! twice.
+//! message. All hosts share its secret, which the leader generates and keeps in the store, so that
+//! a sender without access to the store can neither forge nor alter a datagram. Messages are not
+//! encrypted. A datagram can be replayed, so every message must be harmless when it arrives twice.
 
 use std::{fmt, sync::Arc};
 
@@ -19,7 +18,7 @@
 const SECRET_BYTES: usize = 32;
 /// Length to which the tag is truncated. A forger gets only one guess per datagram.
 const TAG_BYTES: usize = 8;
-/// Age at which the duty holder replaces the secret.
+/// Age at which the leader replaces the secret.
 const ROTATION_AGE_MS: u64 = 24 * 3_600 * 1_000;
 
 /// Time after a new secret was read in which this host still signs with the previous one. By its
--- a/src/entry/secret.rs
+++ b/src/entry/secret.rs
@@ -1,5 +1,5 @@
-//! Distribution of the secret that authenticates datagrams between hosts. The duty holder generates
-//! and replaces it; all hosts read it from the store.
+//! Distribution of the secret that authenticates datagrams between hosts. The leader generates and
+//! replaces it; all hosts read it from the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,7 +18,7 @@
     platform::store::{Expect, Put, Row, Transaction, TransactionOutcome},
 };
 
-/// Interval at which the duty holder checks whether the secret is missing or due for rotation.
+/// Interval at which the leader checks whether the secret is missing or due for rotation.
 const SECRET_CHECK_MS: u64 = 300;
 
 impl Entry {
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Generates the shared secret if there is none or it is due for rotation, while this host
-    /// holds the duty.
+    /// Generates the shared secret if there is none or it is due for rotation, while this host is
+    /// the leader.
     pub(super) async fn maintain_secret(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(SECRET_CHECK_MS)).await;
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -41,7 +41,7 @@
     pub store: StoreSettings,
     /// Bounds that the users set, such as those on stops, leases, configurations and retries.
     pub bounds: Bounds,
-    /// Durations of the servers' leases, and of the duty to grant them.
+    /// Durations of the servers' leases, and of the leadership of the host that grants them.
     #[serde(default)]
     pub leases: Leases,
     /// Thresholds of routing, queueing and load shedding.
@@ -79,22 +79,24 @@
     pub server_heartbeat_ms: u64,
 }
 
-/// Durations of the servers' leases, and of the duty to grant them.
+/// Durations of the servers' leases, and of the leadership of the host that grants them.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Leases {
-    /// Length of a server's lease. It must outlast a change of the duty holder, and be short enough
-    /// that the keys of an unresponsive server are soon released.
+    /// Length of a server's lease. It must outlast a change of the leader, and be short enough that
+    /// the keys of an unresponsive server are soon released.
     pub lease_ms: u64,
     /// Interval of lease renewals. Two consecutive renewals may be lost before a lease expires.
     pub renew_every_ms: u64,
-    /// Interval at which the duty holder confirms the duty by a write of its row in the store.
+    /// Interval at which the leader confirms the leadership by a write of the leadership row in the
+    /// store.
     pub confirm_every_ms: u64,
-    /// Time without a change of the duty's row after which another host takes the duty over.
+    /// Time without a change of the leadership row after which another host takes over the
+    /// leadership.
     pub takeover_ms: u64,
-    /// Time after its last confirmation of the duty up to which a duty holder renews leases.
+    /// Time after its last confirmation of the leadership up to which a leader renews leases.
     /// Together with a lease it outlasts the store's usual outages of about 9 s. In exchange, the
-    /// keys of servers that are lost together with the duty holder stay unassigned for as long.
+    /// keys of servers that are lost together with the leader stay unassigned for as long.
     pub outage_ms: u64,
 }
 
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -1,9 +1,8 @@
-//! Relays report to other hosts that the store responds, and its versions, in place of the duty
-//! holder. Hosts rely on the duty holder to learn that nothing has changed in the store. When the
-//! duty holder is lost, or the store rejects its calls, each of a thousand hosts would call the
-//! store until there is another duty holder. With many hosts, the relays of each zone therefore
-//! call the store a little earlier than the other hosts would, and the other hosts query the
-//! relays.
+//! Relays report to other hosts that the store responds, and its versions, in place of the leader.
+//! Hosts rely on the leader to learn that nothing has changed in the store. When the leader is
+//! lost, or the store rejects its calls, each of a thousand hosts would call the store until there
+//! is another leader. With many hosts, the relays of each zone therefore call the store a little
+//! earlier than the other hosts would, and the other hosts query the relays.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,13 +20,13 @@
 };
 use crate::clock;
 
-/// Pause after a failed call while the duty holder reports that nothing has changed in the store.
-/// It is longer than others, since the store may reject only this host and the host misses nothing.
+/// Pause after a failed call while the leader reports that nothing has changed in the store. It is
+/// longer than others, since the store may reject only this host and the host misses nothing.
 const CONFIRMED_PAUSE_MS: u64 = 1_500;
 
 impl Entry {
-    /// Returns this host's role, which decides whom it learns of changes from: the store, the duty
-    /// holder or relays.
+    /// Returns this host's role, which decides whom it learns of changes from: the store, the
+    /// leader or relays.
     pub(super) fn sync_role(&self) -> SyncRole {
         if self.leadership.term() > 0 {
             SyncRole::Leader
@@ -60,7 +59,7 @@
         }
     }
 
-    /// Extends the pause while this host has all changes that the duty holder has reported.
+    /// Extends the pause while this host has all changes that the leader has reported.
     async fn pause_while_confirmed(&self) {
         let until_ms = clock::now_ms() + CONFIRMED_PAUSE_MS;
         let is_behind = |followed| {
@@ -75,8 +74,8 @@
         }
     }
 
-    /// Queries the relays of the own zone while the duty holder's report becomes stale, and
-    /// determines whether this host is a relay.
+    /// Queries the relays of the own zone while the leader's report becomes stale, and determines
+    /// whether this host is a relay.
     pub(super) async fn keep_querying_relays(self: Arc<Self>) {
         loop {
             let is_asking = self.query_relays();
@@ -112,7 +111,7 @@
     }
 
     /// Returns the state of the store as this host sees it, for a host that receives no heartbeats
-    /// of the duty holder.
+    /// of the leader.
     pub(super) fn store_state_for(&self, nonce: u64) -> Option<Message> {
         let updates = self.freshness.store_state(self.view.store_answered_ms())?;
         Some(Message::StoreState {
--- a/src/entry/updates/announcement.rs
+++ b/src/entry/updates/announcement.rs
@@ -1,10 +1,10 @@
-//! Announcements by the duty holder that keys are being moved between servers.
+//! Announcements by the leader that keys are being moved between servers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::entry::{decide::hold::MoveTimeLeft, keys::KeyRange};
 
-/// Message of the duty holder that a range of keys is being moved to another server.
+/// Message of the leader that a range of keys is being moved to another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveAnnouncement {
     /// Keys being moved. Requests for them wait for the grant or the expiry.
--- a/src/entry/updates/confirmation.rs
+++ b/src/entry/updates/confirmation.rs
@@ -5,8 +5,8 @@
 //! longer than that.
 //!
 //! A confirmation counts from the time at which the query was sent. A response of the store
-//! confirms the configuration as of that time. A response of the duty holder confirms it as of that
-//! time minus the age of the duty holder's own confirmation.
+//! confirms the configuration as of that time. A response of the leader confirms it as of that time
+//! minus the age of the leader's own confirmation.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
@@ -20,7 +20,7 @@
     /// True while the latest configuration cannot be decoded: the one in force is then outdated and
     /// must not count as confirmed.
     unreadable: AtomicBool,
-    /// Query to the duty holder, while it waits for the response.
+    /// Query to the leader, while it waits for the response.
     query: PendingQuery,
 }
 
@@ -43,12 +43,12 @@
         proves.then(|| now_ms.saturating_sub(confirmed_ms))
     }
 
-    /// Records a query to the duty holder.
+    /// Records a query to the leader.
     pub fn start_query(&self, nonce: u64, at_ms: u64) {
         self.query.start_query(nonce, at_ms);
     }
 
-    /// Records the duty holder's response: its configuration, which this host has as well, was the
+    /// Records the leader's response: its configuration, which this host has as well, was the
     /// current one `age_ms` before the response. Responses to earlier queries are ignored.
     pub fn note_response(&self, nonce: u64, age_ms: u64) {
         if let Some(sent_ms) = self.query.answered(nonce) {
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -15,12 +15,12 @@
 /// change that the feed did not deliver. Calls are billed, so the wait is long; the store allows up
 /// to 30 s.
 const FOLLOWER_WAIT_MS: u64 = 25_000;
-/// Maximum pause of a feed while the duty holder broadcasts all changes. A host that has missed a
-/// change notices it by the versions in the duty holder's heartbeat, or when it encounters an
-/// unknown host or secret, or a server that no longer holds a key.
+/// Maximum pause of a feed while the leader broadcasts all changes. A host that has missed a change
+/// notices it by the versions in the leader's heartbeat, or when it encounters an unknown host or
+/// secret, or a server that no longer holds a key.
 pub const FOLLOWER_PAUSE_MAX_MS: u64 = 120_000;
-/// Time after its start that a host waits for a heartbeat of the duty holder before it reads the
-/// entry hosts' own rows again.
+/// Time after its start that a host waits for a heartbeat of the leader before it reads the entry
+/// hosts' own rows again.
 const OWN_START_WAIT_MS: u64 = 2_500;
 /// Minimum pause of the change feed of the entry hosts' own rows (holdings and hosts).
 const OWN_PAUSE_MIN_MS: u64 = 300;
@@ -34,12 +34,12 @@
 /// Source from which a host learns that the store has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncRole {
-    /// This host is the duty holder; the other hosts depend on its change feeds of the store.
+    /// This host is the leader; the other hosts depend on its change feeds of the store.
     Leader,
-    /// This host is a relay without confirmation of the store by the duty holder; the hosts of its
-    /// zone depend on its feeds.
+    /// This host is a relay without confirmation of the store by the leader; the hosts of its zone
+    /// depend on its feeds.
     Relay,
-    /// This host depends on the duty holder or a relay, which confirms the store.
+    /// This host depends on the leader or a relay, which confirms the store.
     Follower,
     /// No other host confirms the store; this host depends on its own feeds alone.
     Alone,
@@ -78,9 +78,9 @@
         }
     }
 
-    /// Returns the maximum wait of a feed call at the store. The duty holder and hosts that hear no
-    /// duty holder use short waits, since no other host reports changes to them if their connection
-    /// has failed silently.
+    /// Returns the maximum wait of a feed call at the store. The leader and hosts that hear no
+    /// leader use short waits, since no other host reports changes to them if their connection has
+    /// failed silently.
     pub fn wait_ms(self, sync_role: SyncRole, limits: &TimeLimits) -> u64 {
         match (self, sync_role) {
             (Self::Own, _) | (_, SyncRole::Follower) => FOLLOWER_WAIT_MS,
@@ -91,9 +91,9 @@
     }
 
     /// Returns the time for which a host that has just read the table waits for a heartbeat of the
-    /// duty holder before it requests changes. Hosts that start together would otherwise all fetch
-    /// each other's rows; the rows are written after 2 s, and by then there is a duty holder as
-    /// well. The wait lies within the contact grace period, in which the bounds do not apply.
+    /// leader before it requests changes. Hosts that start together would otherwise all fetch each
+    /// other's rows; the rows are written after 2 s, and by then there is a leader as well. The
+    /// wait lies within the contact grace period, in which the bounds do not apply.
     pub fn start_wait_ms(self, limits: &TimeLimits) -> u64 {
         match self {
             Self::Own => OWN_START_WAIT_MS,
@@ -110,8 +110,8 @@
             scaled_ms.clamp(few_hosts_ms.min(many_hosts_ms), many_hosts_ms)
         };
         match (self, sync_role) {
-            // The other hosts learn of changes from the duty holder or a relay, so the change feeds
-            // of the duty holder and the relays pause only briefly.
+            // The other hosts learn of changes from the leader or a relay, so the change feeds of
+            // the leader and the relays pause only briefly.
             (Self::Configuration | Self::Servers, SyncRole::Leader | SyncRole::Relay) => {
                 FeedPause::fixed(limits.leader_pause_ms)
             }
@@ -129,7 +129,7 @@
             (Self::Servers, SyncRole::Alone) => {
                 FeedPause::fixed(scaled(SERVERS_PAUSE_MS, limits.servers_pause_ms))
             }
-            // Holdings also arrive by datagram once the duty holder knows this host.
+            // Holdings also arrive by datagram once the leader knows this host.
             (Self::Own, SyncRole::Follower) => FeedPause {
                 min_ms: OWN_PAUSE_MIN_MS,
                 max_ms: FOLLOWER_PAUSE_MAX_MS,
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -1,7 +1,7 @@
-//! Tracks how recent a host's view of the store is. The duty holder writes to the store
-//! continuously. It reports to the other hosts the time since the store last responded to it, and
-//! the version up to which it has seen each table. The feeds of the others can therefore wait for
-//! long: a feed that lags behind the reported version has failed silently and is called again.
+//! Tracks how recent a host's view of the store is. The leader writes to the store continuously. It
+//! reports to the other hosts the time since the store last responded to it, and the version up to
+//! which it has seen each table. The feeds of the others can therefore wait for long: a feed that
+//! lags behind the reported version has failed silently and is called again.
 
 use std::{
     sync::{
@@ -24,7 +24,7 @@
 /// Age given to a report whose real age does not fit the field; it is too old to be trusted.
 const TOO_OLD_MS: u32 = u32::MAX;
 
-/// Report of the duty holder, or of a relay, on its view of the store.
+/// Report of the leader, or of a relay, on its view of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStateReport {
     /// Time since the store's last response, or since the servers' entries or the configuration
@@ -77,7 +77,7 @@
     received: Mutex<Option<ReceivedReport>>,
     /// Query to a relay, while it waits for the response.
     query: PendingQuery,
-    /// True while this host reports the store's state to its zone in place of the duty holder.
+    /// True while this host reports the store's state to its zone in place of the leader.
     is_relay: AtomicBool,
 }
 
@@ -130,12 +130,12 @@
         }
     }
 
-    /// Records whether this host reports the store's state to its zone in place of the duty holder.
+    /// Records whether this host reports the store's state to its zone in place of the leader.
     pub fn set_relay(&self, is_relay: bool) {
         self.is_relay.store(is_relay, Ordering::Relaxed);
     }
 
-    /// Returns true if this host reports the store's state to its zone in place of the duty holder.
+    /// Returns true if this host reports the store's state to its zone in place of the leader.
     pub fn is_relay(&self) -> bool {
         self.is_relay.load(Ordering::Relaxed)
     }
@@ -194,8 +194,8 @@
         self.leave_version.fetch_max(version, Ordering::Relaxed);
     }
 
-    /// Returns this host's own report for the others, sent while it has the duty. `heard_ms` is the
-    /// time of the store's last response.
+    /// Returns this host's own report for the others, sent while it is the leader. `heard_ms` is
+    /// the time of the store's last response.
     pub fn updates(&self, heard_ms: u64) -> StoreStateReport {
         let followed_ms = |followed: FollowedTable| {
             let followed_ms = &self.followed_ms[followed.index()];
@@ -252,8 +252,7 @@
         is_new.then_some(answered_ms)
     }
 
-    /// Records a report of the duty holder. Returns the time at which the store last responded to
-    /// it.
+    /// Records a report of the leader. Returns the time at which the store last responded to it.
     pub fn note_announced(&self, updates: StoreStateReport) -> u64 {
         let answered_ms = clock::now_ms().saturating_sub(u64::from(updates.age_ms));
         let received = ReceivedReport {
@@ -279,9 +278,9 @@
         }
     }
 
-    /// Returns true if the duty holder, or a relay in its place, has reported a recent response of
-    /// the store. A relay stops trusting the duty holder earlier than other hosts do, so that it
-    /// has a state of its own by the time they query it.
+    /// Returns true if the leader, or a relay in its place, has reported a recent response of the
+    /// store. A relay stops trusting the leader earlier than other hosts do, so that it has a state
+    /// of its own by the time they query it.
     pub fn is_store_confirmed(&self) -> bool {
         let trust_ms = if self.is_relay() {
             self.relay_query_age_ms()
@@ -305,8 +304,8 @@
     }
 
     /// Returns the age of the last report from which relays are queried. It lies above the usual
-    /// age of the duty holder's reports, which is at most half of the trust period plus a quarter
-    /// of it for one heartbeat.
+    /// age of the leader's reports, which is at most half of the trust period plus a quarter of it
+    /// for one heartbeat.
     fn relay_query_age_ms(&self) -> u64 {
         self.trust_ms * 3 / 4
     }
@@ -338,9 +337,9 @@
     }
 
     /// Waits until a feed call for changes after `requested_after` should be abandoned and
-    /// repeated, and returns the reason. `relies_on_leader` is true if the call waits long
-    /// because the duty holder or a relay confirms the store; `is_silent` returns true while no
-    /// response has begun.
+    /// repeated, and returns the reason. `relies_on_leader` is true if the call waits long because
+    /// the leader or a relay confirms the store; `is_silent` returns true while no response has
+    /// begun.
     pub async fn recall_reason(
         &self,
         followed: FollowedTable,
--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -13,7 +13,7 @@
 /// Separator between the name of the service and the number of the key partition.
 const PARTITION_SEPARATOR: char = '#';
 /// Partition of the table with the rows of hosts. It is separate so that hundreds of hosts that
-/// register at once do not delay the duty holder's writes.
+/// register at once do not delay the leader's writes.
 pub const HOSTS_PARTITION: &str = "hosts";
 /// Prefix of the keys of host rows; the host's address follows.
 pub const HOST_PREFIX: &str = "host/";
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -173,14 +173,14 @@
         }
     }
 
-    /// Waits until the duty holder or a relay confirms the state of the store, or the start period
-    /// ends. Then pauses the feed if the state is confirmed.
+    /// Waits until the leader or a relay confirms the state of the store, or the start period ends.
+    /// Then pauses the feed if the state is confirmed.
     async fn wait_for_leader_at_start(&self, followed: FollowedTable) {
         // The relays that could confirm the store are known only after the join.
         self.join.sync_outcome().await;
         let began_ms = clock::now_ms();
         let until_ms = began_ms + followed.start_wait_ms(&self.limits);
-        // A duty holder does not wait: the other hosts depend on its feeds.
+        // A leader does not wait: the other hosts depend on its feeds.
         let is_holder = || self.leadership.term() > 0;
         while !is_holder() && !self.freshness.is_store_confirmed() && clock::now_ms() < until_ms {
             time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Applies the changes that a feed delivered, and broadcasts them while this host has the duty
-    /// (leader role).
+    /// Applies the changes that a feed delivered, and broadcasts them while this host is the
+    /// leader.
     pub(super) fn apply_changes(&self, followed: FollowedTable, after: u64, mut changes: Rows) {
         if followed == FollowedTable::Servers {
             self.apply_server_rows(after, &changes);
@@ -309,7 +309,7 @@
         }
     }
 
-    /// Records that the store answered this host or the duty holder.
+    /// Records that the store answered this host or the leader.
     pub(super) fn note_store_response(&self, at_ms: u64) {
         let lapse_ms = MISSED_HEARTBEATS * self.settings.store.server_heartbeat_ms;
         let lapse_ms = lapse_ms.max(FollowedTable::OUTAGE_DETECTION_MS);
--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -83,7 +83,7 @@
     !host.events("duty_taken").is_empty()
 }
 
-/// Returns the index of the host that has the duty.
+/// Returns the index of the host that is the leader.
 fn leader(site: &Site) -> usize {
     let index = site.hosts.iter().position(has_taken_leadership);
     index.expect("a leader")
@@ -116,7 +116,7 @@
         })
         .await;
     }
-    // Waits until the hosts know each other and one of them has the duty.
+    // Waits until the hosts know each other and one of them is the leader.
     eventually("a host is the leader", 8_000, async || {
         site.hosts.iter().any(has_taken_leadership)
     })
--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -1,4 +1,4 @@
-//! Tests of the duty when the duty holder, the store or both fail: real entry hosts against
+//! Tests of the leadership when the leader, the store or both fail: real entry hosts against
 //! stand-ins of the platform.
 
 mod platform_standin;
@@ -19,7 +19,7 @@
     store::Faults,
 };
 
-/// Returns the number of times that a host has taken the duty.
+/// Returns the number of times that a host has taken over the leadership.
 fn times_taken(host: &Host) -> usize {
     host.events("duty_taken").len()
 }
@@ -47,8 +47,8 @@
     for host in &mut site.hosts {
         host.restart();
     }
-    // The limit is well below the takeover time, for which the duty row must stay unchanged before
-    // another host may take the duty.
+    // The limit is well below the takeover time, for which the leadership row must stay unchanged
+    // before another host may take over the leadership.
     eventually(
         "the previous leader is the leader again",
         1_600,
@@ -60,7 +60,7 @@
 
 #[tokio::test]
 async fn the_holder_keeps_the_duty_over_an_outage() {
-    // The outages end at different phases of the duty holder's calls to the store.
+    // The outages end at different phases of the leader's calls to the store.
     let outages = (0..8).map(|phase| 4_200 + phase * 450);
     let mut sites = JoinSet::new();
     let local = LocalSet::new();
@@ -76,9 +76,9 @@
     }
 }
 
-/// Runs an outage of the store. Returns its length, and one line for each time that a host took the
-/// duty until 3.5 s after the outage. The first line is from the start of the hosts. Each line ends
-/// with the events of that host about the store.
+/// Runs an outage of the store. Returns its length, and one line for each time that a host took
+/// over the leadership until 3.5 s after the outage. The first line is from the start of the hosts.
+/// Each line ends with the events of that host about the store.
 async fn leadership_takeovers_over_outage(outage_ms: u64) -> (u64, Vec<String>) {
     let site = Site::start(3, 2).await;
     site.store.set_faults(Faults {
@@ -98,7 +98,7 @@
 
 #[tokio::test]
 async fn a_paused_duty_holder_reports_to_its_successor_that_it_has_stopped() {
-    // Resumes the paused host at different phases of the new duty holder's calls.
+    // Resumes the paused host at different phases of the new leader's calls.
     for extra_ms in [0, 130, 260] {
         let site = Site::start(3, 3).await;
         let paused = &site.hosts[leader(&site)];
@@ -141,7 +141,7 @@
     let leaving = &joined_servers[0];
     leaving.write_entry(&site.store, "draining");
     time::sleep(Duration::from_millis(1_000)).await;
-    // The duty holder confirms the duty 12 times in 7 s, and reads the servers for each of the six
+    // The leader confirms the leadership 12 times in 7 s, and reads the servers for each of the six
     // changes, and again when a feed call ends. Without its messages, each of the other five hosts
     // would read them for each change as well.
     let calls = site.store.calls() - before;
@@ -174,12 +174,12 @@
 #[tokio::test]
 async fn a_server_that_leaves_as_the_duty_holder_is_lost_gets_no_work_past_the_bound() {
     struct Case {
-        /// True if the duty holder is restarted and has the duty again before the server leaves.
+        /// True if the leader is restarted and resumes the leadership before the server leaves.
         restarted: bool,
-        /// Time until the server leaves, from the resumption of the duty or from the start of the
-        /// test.
+        /// Time until the server leaves, from the resumption of the leadership or from the start of
+        /// the test.
         phase_ms: u64,
-        /// Time from the announcement that the server leaves until the duty holder fails.
+        /// Time from the announcement that the server leaves until the leader fails.
         lost_after_ms: u64,
         signal: &'static str,
     }
@@ -290,8 +290,8 @@
         time::sleep(Duration::from_millis(1_000)).await;
     }
     let calls = site.store.calls() - before;
-    // Calls of the duty holder alone. Without relays, 23 hosts would make a call for each of the
-    // three changes.
+    // Calls of the leader alone. Without relays, 23 hosts would make a call for each of the three
+    // changes.
     assert!(calls <= 20, "{calls} calls");
     for host in &site.hosts {
         let seen = host.events("server");
@@ -326,7 +326,7 @@
 
 #[tokio::test]
 async fn another_host_takes_the_duty_soon_when_only_the_duty_holder_is_without_the_store() {
-    // The disconnections begin at different phases of the duty holder's calls to the store.
+    // The disconnections begin at different phases of the leader's calls to the store.
     let mut sites = JoinSet::new();
     let local = LocalSet::new();
     for phase_ms in [0, 170, 340, 510] {
@@ -334,13 +334,13 @@
     }
     let taken_ms = local.run_until(sites.join_all()).await;
     let mean_ms = taken_ms.iter().sum::<u64>() / taken_ms.len() as u64;
-    // The mean was 5,260 ms when the duty holder went on sending heartbeats for 3 s after the store
-    // had last confirmed the duty.
+    // The mean was 5,260 ms when the leader went on sending heartbeats for 3 s after the store had
+    // last confirmed the leadership.
     assert!(mean_ms < 4_900, "{taken_ms:?}");
 }
 
-/// Returns the time until another host takes the duty after the store has stopped responding to the
-/// duty holder.
+/// Returns the time until another host takes over the leadership after the store has stopped
+/// responding to the leader.
 async fn taken_after_ms(phase_ms: u64) -> u64 {
     let mut site = Site::start_servers(2).await;
     let proxy = Proxy::start(site.store.address).await;
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -162,7 +162,7 @@
 async fn hosts_that_hear_the_duty_holder_rarely_call_the_store() {
     let site = Site::start(5, 2).await;
     time::sleep(Duration::from_millis(4_000)).await;
-    // Uses the lowest count of three periods: a duty holder that gets no processor time for 2 s is
+    // Uses the lowest count of three periods: a leader that gets no processor time for 2 s is
     // considered unresponsive, and the other hosts then call the store themselves.
     let mut least = u64::MAX;
     for _ in 0..3 {
@@ -173,7 +173,7 @@
             break;
         }
     }
-    // Allows for the duty holder's renewals every 0.7 s, its feeds every 3 s, and a few calls more.
+    // Allows for the leader's renewals every 0.7 s, its feeds every 3 s, and a few calls more.
     assert!(least <= 22, "{least} calls");
 }
 
@@ -222,7 +222,8 @@
     let site = Site::start(2, 1).await;
     let unauthenticated = tokio::net::UdpSocket::bind("127.0.0.1:0").await;
     let unauthenticated = unauthenticated.expect("a socket");
-    // The message claims the duty for term 99. It is sent without a seal and with a guessed one.
+    // The message claims the leadership for term 99. It is sent without a seal and with a guessed
+    // one.
     let claim = [5, 0, 99, 0, 0, 0, 0, 0, 0];
     let guessed = [&[7; 8], &claim[..]].concat();
     for host in &site.hosts {
@@ -249,8 +250,7 @@
     let before = site.store.calls();
     time::sleep(Duration::from_millis(4_000)).await;
     let calls = site.store.calls() - before;
-    // Allows for a call of each host every 0.4 to 0.6 s, and for the duty holder's renewals and
-    // reads.
+    // Allows for a call of each host every 0.4 to 0.6 s, and for the leader's renewals and reads.
     assert!(calls <= 5 * 10 + 14, "{calls} calls");
 }
 
@@ -286,7 +286,7 @@
     let prefixes: Vec<String> = (0..600).map(|number| format!("/added-{number}/")).collect();
     let prefixes: Vec<&str> = prefixes.iter().map(String::as_str).collect();
     let large = configuration(0x10, &prefixes);
-    // The transfer to the host behind the slow link takes over a second; the duty holder has the
+    // The transfer to the host behind the slow link takes over a second; the leader has the
     // configuration at once.
     assert!(large.to_string().len() > 80_000);
     site.store.put("op", "config", &large);
@@ -374,7 +374,7 @@
         .filter(|i| *i != leader)
         .map(|i| &site.hosts[i])
         .collect();
-    // Leases last longer than a takeover of the duty, so every key is served throughout.
+    // Leases last longer than a takeover of the leadership, so every key is served throughout.
     let until = Instant::now() + Duration::from_millis(7_000);
     while Instant::now() < until {
         for key in [3, 30_000, 60_000] {
@@ -402,8 +402,8 @@
     site.keyed[0].crash(&site.store);
     time::sleep(Duration::from_millis(1_000)).await;
     site.hosts[leader].restart();
-    // If the previous duty holder does not report that its term has ended, the next one waits 13 s,
-    // and then the duration of a lease.
+    // If the previous leader does not report that its term has ended, the next one waits 13 s, and
+    // then the duration of a lease.
     eventually("all keys are held", 12_000, async || {
         site.keyed[1..].iter().map(Server::keys_held).sum::<usize>() == 1 << 16
     })
@@ -444,7 +444,7 @@
         host.restart();
     }
     // The limit is well below the time without a change of the row after which any host may take
-    // the duty.
+    // over the leadership.
     eventually(
         "the previous leader is the leader again",
         1_200,
@@ -581,8 +581,8 @@
 
 #[tokio::test]
 async fn the_duty_holder_remembers_its_leases_over_a_long_outage() {
-    // The outage lasts longer than a duty holder may grant leases without a confirmation. A server
-    // that drains after it still holds its keys when the store responds again.
+    // The outage lasts longer than a leader may grant leases without a confirmation. A server that
+    // drains after it still holds its keys when the store responds again.
     let site = Site::start(1, 3).await;
     site.store.set_faults(Faults {
         refusing: true,
@@ -604,8 +604,8 @@
 
 #[tokio::test]
 async fn an_unfinished_move_is_finished_before_its_keys_move_again() {
-    // The stored record of an earlier duty holder moves all keys from the first server to the
-    // second, which drains in the meantime. The first server still holds them.
+    // The stored record of an earlier leader moves all keys from the first server to the second,
+    // which drains in the meantime. The first server still holds them.
     let mut site = Site::start_servers(3).await;
     site.keyed[0].hold_all(4, 20_000);
     let assignment = Assignment {
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -57,7 +57,7 @@
     })
 }
 
-/// More hosts than the duty holder addresses directly.
+/// More hosts than the leader addresses directly.
 const MANY_HOSTS: usize = 24;
 
 fn feeds(site: &Site) -> u64 {
@@ -67,7 +67,7 @@
 
 #[tokio::test]
 async fn many_hosts_learn_of_many_new_servers_with_few_calls() {
-    /// Allows for calls of the duty holder, of relays, and of hosts that got no response from other
+    /// Allows for calls of the leader, of relays, and of hosts that got no response from other
     /// hosts in time.
     const CALLS_MAX: u64 = MANY_HOSTS as u64;
     let site = Site::start(MANY_HOSTS, 2).await;
@@ -89,11 +89,11 @@
 
 /// Guards against hosts that keep using an outdated configuration after the store has rejected
 /// calls; among 985 hosts some did so for up to 17.7 s. A host's feed of servers was rejected, and
-/// its other feeds waited until that feed got a response. When the duty holder confirmed the store
+/// its other feeds waited until that feed got a response. When the leader confirmed the store
 /// again, that feed had nothing to request and paused, so the other feeds kept waiting.
 #[tokio::test]
 async fn a_configuration_reaches_many_hosts_after_the_store_was_away() {
-    /// More than the duty holder broadcasts in datagrams.
+    /// More than the leader broadcasts in datagrams.
     const ROUTES: usize = 200;
     const IN_FORCE_MS: u64 = 2_500;
     let site = Site::start(MANY_HOSTS, 2).await;
@@ -125,7 +125,7 @@
 /// a later one. A configuration that cannot be read may revoke API keys.
 #[tokio::test]
 async fn all_hosts_know_that_a_configuration_cannot_be_read() {
-    /// More than the duty holder broadcasts in datagrams.
+    /// More than the leader broadcasts in datagrams.
     const BYTES: usize = 20_000;
     let site = Site::start(MANY_HOSTS, 2).await;
     time::sleep(Duration::from_secs(4)).await;
@@ -179,7 +179,7 @@
 async fn hosts_that_join_read_no_table_of_servers() {
     let mut site = Site::start(3, 3).await;
     add_many_servers(&site);
-    // The duty holder updates the list of seed hosts once it knows that there are many servers.
+    // The leader updates the list of seed hosts once it knows that there are many servers.
     eventually("seed hosts are stored", 8_000, async || {
         let seed_hosts = site.store.row("ashroad", "secret-guides");
         seed_hosts.is_some_and(|seed_hosts| seed_hosts["has_many_servers"] == true)
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -17,12 +17,12 @@
 };
 const SIMULATION_MS: u64 = 30_000;
 const STEP_MS: u64 = 50;
-/// Interval at which a host queries the duty holder or the store.
+/// Interval at which a host queries the leader or the store.
 const QUERY_EVERY_MS: u64 = REVOCATION_MS / 8;
 /// Longest delay of a message, in the network or in the inbox of a suspended host.
 const DELAY_MAX_MS: u64 = 4_000;
 const HOSTS: usize = 4;
-/// Index of the duty holder, which queries the store; the other hosts query it.
+/// Index of the leader, which queries the store; the other hosts query it.
 const LEADER: usize = 0;
 
 /// API key with the times at which operators add and revoke it.
@@ -81,7 +81,7 @@
 enum Delivery {
     /// Response of the store to a query.
     Store { sent_ms: u64, version: u64 },
-    /// Response of the duty holder to a query.
+    /// Response of the leader to a query.
     Leader {
         nonce: u64,
         age_ms: u64,
@@ -186,7 +186,7 @@
             let nonce = self.rng.random();
             self.hosts[index].confirmation.start_query(nonce, now_ms);
             let leader = &self.hosts[LEADER];
-            // The response has the state of the duty holder at the time of the query, and may be
+            // The response has the state of the leader at the time of the query, and may be
             // delayed.
             let Some(age_ms) = leader.confirmation.age_ms(now_ms) else {
                 return;
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -38,7 +38,7 @@
     spread: Spread,
     /// True if callers retry refused requests at once.
     retries_at_once: bool,
-    /// Time span in ms without a duty holder.
+    /// Time span in ms without a leader.
     without_leader: std::ops::Range<u64>,
 }
 
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -246,7 +246,7 @@
             evacuations: evacuations(5, &["z"]),
             usable: &["b"],
         },
-        // A later duty holder that does not know of the evacuation yet.
+        // A later leader that does not know of the evacuation yet.
         Case {
             evacuations: evacuations(0, &[]),
             usable: &["b"],
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -1,8 +1,8 @@
-//! Hosts use the relays of their zone when the duty holder does not confirm the store.
+//! Hosts use the relays of their zone when the leader does not confirm the store.
 //!
 //! Guards against each host calling the store by itself: with 985 hosts, each made 34 calls to the
-//! store in a day. The store rejected the duty holder's calls, its reports became stale, and each
-//! host followed the store by itself until there was another duty holder.
+//! store in a day. The store rejected the leader's calls, its reports became stale, and each host
+//! followed the store by itself until there was another leader.
 
 mod platform_standin;
 
@@ -26,10 +26,10 @@
     traffic::Workload,
 };
 
-/// More hosts than the duty holder addresses directly.
+/// More hosts than the leader addresses directly.
 const HOSTS: usize = 24;
 /// Maximum number of hosts that follow the store: the relays of the zone, the hosts that watch the
-/// duty's row, and duty holders.
+/// leadership row, and the leaders.
 const CALLERS_MAX: usize = 8;
 
 fn limits() -> TimeLimits {
@@ -102,7 +102,7 @@
     host.note_relay_report(1, updates(100, 10));
     assert!(host.is_behind(FollowedTable::Servers, 19));
     assert!(host.has_leave_since(19));
-    // An older report of the duty holder does not invalidate that of the relay.
+    // An older report of the leader does not invalidate that of the relay.
     host.note_announced(updates(limits.trust_ms as u32, 20));
     assert!(host.is_store_confirmed());
 }
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -135,10 +135,10 @@
     assert_eq!(one_way_delay.delay_ms(4, 9_000_600, 1_006_600), 5_999);
     // Clocks may drift apart by 1 ms per second.
     assert_eq!(one_way_delay.delay_ms(4, 9_600_300, 1_600_600), 0);
-    // The duty holder of a later term has another clock.
+    // The leader of a later term has another clock.
     assert_eq!(one_way_delay.delay_ms(5, 100, 1_600_900), 0);
     assert_eq!(one_way_delay.delay_ms(5, 400, 1_601_250), 50);
-    // A late message of the previous duty holder changes nothing.
+    // A late message of the previous leader changes nothing.
     assert_eq!(one_way_delay.delay_ms(4, 9_600_400, 1_601_300), u64::MAX);
     assert_eq!(one_way_delay.delay_ms(5, 700, 1_601_550), 50);
 }
--- a/tests/platform_link.rs
+++ b/tests/platform_link.rs
@@ -2,8 +2,8 @@
 //!
 //! Guards against a configuration that comes into force too late: at one host it did so 4.2 s after
 //! its acknowledgement, where 4 s are allowed. The store had stopped responding to some hosts, and
-//! their connections of that time no longer carried data. Later it rejected the calls of the duty
-//! holder, so the hosts followed the store by their own feeds. On a broken connection, a feed call
+//! their connections of that time no longer carried data. Later it rejected the calls of the
+//! leader, so the hosts followed the store by their own feeds. On a broken connection, a feed call
 //! that waits 3 s fails only after 4 s.
 
 use std::{
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -44,7 +44,7 @@
     StoreUnavailable,
     /// The store responds to all hosts but the first.
     FirstHostPartitioned,
-    /// The store responds to all hosts but the duty holder.
+    /// The store responds to all hosts but the leader.
     LeaderPartitioned,
     /// The server's entry is rewritten repeatedly and states that the server is ready.
     ReadyEntryRewritten,
@@ -73,8 +73,8 @@
     /// single loss takes.
     pub fn recovery_limit(self, one_loss: Duration) -> Duration {
         match self {
-            // The lost host may be the duty holder; then another host takes the duty before it
-            // moves the keys.
+            // The lost host may be the leader; then another host takes over the leadership before
+            // it moves the keys.
             Self::FirstHostPartitioned | Self::LeaderPartitioned => CONTACT_GRACE + SERVED_AGAIN,
             _ => one_loss,
         }
@@ -123,7 +123,7 @@
         self.proxies.push(proxy);
     }
 
-    /// Returns the index of the host that holds the duty.
+    /// Returns the index of the host that is the leader.
     fn leader(&self) -> usize {
         let has_leadership = |host: &Host| !host.events("duty_taken").is_empty();
         let index = self.site.hosts.iter().position(has_leadership);
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -466,7 +466,7 @@
             .store(every, Ordering::Relaxed);
     }
 
-    /// Makes the server hold all keys, as if an earlier duty holder had granted them.
+    /// Makes the server hold all keys, as if an earlier leader had granted them.
     pub fn hold_all(&self, fence: u64, lease_ms: u64) {
         let until = Some(Instant::now() + Duration::from_millis(lease_ms));
         for state in lock(&self.state.holdings.keys).iter_mut() {
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -14,7 +14,7 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// Interval at which hosts report and the duty holder announces the sum.
+/// Interval at which hosts report and the leader announces the sum.
 const ANNOUNCE_EVERY_MS: u64 = 150;
 /// Time from a report until it is part of the sums that all hosts know.
 const ANNOUNCE_DELAY_MS: u64 = 100;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -114,8 +114,8 @@
     soak.clear_faults().await;
     done.store(true, Ordering::Relaxed);
     callers.join_all().await;
-    // The limit covers the time of previous duty holders, a lease and a takeover. It is far below
-    // the platform's bound.
+    // The limit covers the time of previous leaders, a lease and a takeover. It is far below the
+    // platform's bound.
     let hosts = &soak.site.hosts;
     eventually("all keys are served again", 26_000, async || {
         for key in (0..=u16::MAX).step_by(5_003) {
