--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -53,7 +53,8 @@
 struct LeadershipRow {
     /// Incarnation of the host process that is the leader; 0 after the leader has given up the
     /// leadership.
-    holder: u64,
+    #[serde(rename = "holder")]
+    leader_incarnation: u64,
     /// Number of the leader's term. Each takeover of the leadership adds 1, so a higher number is
     /// later.
     term: u64,
@@ -270,7 +271,7 @@
         }
         let releasing = self.leadership.giving_up.load(Ordering::Relaxed);
         let next = LeadershipRow {
-            holder: if releasing { 0 } else { self.incarnation },
+            leader_incarnation: if releasing { 0 } else { self.incarnation },
             term,
             confirmation: writer.confirmation + 1,
             address: Some(self.settings.listen.peers),
@@ -290,7 +291,7 @@
         let Some((Some(row), version)) = self.read_leadership_row().await else {
             return;
         };
-        if row.holder != next.holder || row.term != term {
+        if row.leader_incarnation != next.leader_incarnation || row.term != term {
             self.leadership.lose("another host has taken it");
             return;
         }
--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -197,8 +197,8 @@
             log::error!("cannot decode the leadership row");
             return Conflict::LeadershipTaken;
         };
-        let own =
-            leadership.holder == self.incarnation && leadership.term == self.leadership.term();
+        let own = leadership.leader_incarnation == self.incarnation
+            && leadership.term == self.leadership.term();
         if own && row.version != writer.row_version {
             return Conflict::Confirmed(row.version);
         }
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -89,7 +89,7 @@
             return;
         };
         let own = row.address == Some(self.settings.listen.peers);
-        if own && row.holder != 0 && row.holder != self.incarnation {
+        if own && row.leader_incarnation != 0 && row.leader_incarnation != self.incarnation {
             self.take_leadership(Some(row), version, clock::now_ms(), false)
                 .await;
         }
@@ -152,7 +152,7 @@
                 continue;
             };
             let now_ms = clock::now_ms();
-            let free = row.as_ref().is_none_or(|row| row.holder == 0);
+            let free = row.as_ref().is_none_or(|row| row.leader_incarnation == 0);
             let since_ms = match seen {
                 Some((seen_version, since_ms)) if seen_version == version => since_ms,
                 Some(_) => return,
@@ -193,7 +193,7 @@
             confirmation: 0,
         };
         let next = LeadershipRow {
-            holder: self.incarnation,
+            leader_incarnation: self.incarnation,
             term,
             confirmation: 1,
             address: Some(self.settings.listen.peers),
@@ -215,7 +215,7 @@
             .store(leases_until_ms, Ordering::Relaxed);
         *self.leadership.predecessor() = row.filter(|_| !handed_over).and_then(|row| {
             Some(Predecessor {
-                incarnation: row.holder,
+                incarnation: row.leader_incarnation,
                 term: row.term,
                 address: row.address?,
                 before_predecessor_until_ms,
