--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -181,11 +181,11 @@
         let began_ms = clock::now_ms();
         let until_ms = began_ms + followed.start_wait_ms(&self.limits);
         // A leader does not wait: the other hosts depend on its feeds.
-        let is_holder = || self.leadership.term() > 0;
-        while !is_holder() && !self.freshness.is_store_confirmed() && clock::now_ms() < until_ms {
+        let is_leader = || self.leadership.term() > 0;
+        while !is_leader() && !self.freshness.is_store_confirmed() && clock::now_ms() < until_ms {
             time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
         }
-        if !is_holder() && self.freshness.is_store_confirmed() {
+        if !is_leader() && self.freshness.is_store_confirmed() {
             self.feed_pause(followed, began_ms).await;
         }
     }
