--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -58,7 +58,8 @@
     /// Number of the leader's term. Each takeover of the leadership adds 1, so a higher number is
     /// later.
     term: u64,
-    /// Number of the confirmation within the term. It makes each write change the row.
+    /// Number of the confirmation within the term. This number makes the content of the row differ
+    /// from one confirmation to the next.
     confirmation: u64,
     /// Peer address of the leader; `None` in rows of versions without this field.
     #[serde(default)]
@@ -91,9 +92,12 @@
     /// Time up to which leaders of earlier terms may have granted leases.
     earlier_leases_until_ms: AtomicU64,
     predecessor: StdMutex<Option<Predecessor>>,
-    /// Number and end of the last term that this host has lost; 0 if there was none.
+    /// Number of the last term in which this host lost the leadership; 0 if there was none.
     lost_term: AtomicU64,
+    /// Time at which this host lost the leadership in the term `lost_term`.
     lost_ms: AtomicU64,
+    /// True once this host gives up the leadership in a planned stop. The next write of the
+    /// leadership row then names no leader.
     giving_up: AtomicBool,
     writer: Mutex<Writer>,
 }
@@ -142,8 +146,9 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Shortens the wait for the leases of the predecessor if `is_over` holds for it: its host runs
-    /// another process now, or it has reported that it stopped.
+    /// Shortens the wait for the leases of the previous leader if `is_over` returns true for the
+    /// previous leader: its host runs another process, or the previous leader has reported that it
+    /// has stopped granting leases.
     fn predecessor_ended(&self, is_over: impl FnOnce(&Predecessor) -> bool) {
         let mut predecessor = self.predecessor();
         let Some(over) = predecessor.filter(|p| is_over(p)) else {
@@ -157,13 +162,13 @@
         Event::PredecessorEnded { term: over.term }.log();
     }
 
-    /// Records the incarnation that a host runs. If it is not that of the predecessor, the
-    /// predecessor has ended.
+    /// Records the incarnation of the process that runs on the host at `address`. If the previous
+    /// leader ran on that host under another incarnation, its process has ended.
     pub fn note_process(&self, address: SocketAddr, incarnation: u64) {
         self.predecessor_ended(|p| p.address == address && p.incarnation != incarnation);
     }
 
-    /// Records the report of another host that it has stopped granting leases of a term.
+    /// Records the report of the host at `address` that it has stopped granting leases of `term`.
     pub fn note_stopped(&self, address: SocketAddr, term: u64) {
         self.predecessor_ended(|p| p.address == address && p.term == term);
     }
@@ -171,8 +176,9 @@
     /// Records that another host is the leader in `term`. If `term` is later than this host's own
     /// term, this host gives up the leadership.
     ///
-    /// Returns the term that this host has lost within the last `STOPPED_REPORT_MS`, if any. The
-    /// other host waits for the leases of that term until it knows that they are no longer granted.
+    /// Returns the term in which this host lost the leadership, if that was within the last
+    /// `STOPPED_REPORT_MS`. The new leader waits for the leases of that term until it knows that
+    /// this host grants them no longer.
     pub fn note_other_term(&self, term: u64) -> Option<u64> {
         let own = self.term();
         if own >= term {
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -33,17 +33,18 @@
 const FIRST_START_GRACE_MS: u64 = 3_200;
 /// Maximum delay, in addition to [`START_GRACE_MS`], before an early host watches the leadership
 /// row at the first start of a deployment. A larger processor share shortens the delay, so that
-/// stronger hosts watch the row before weaker ones.
+/// hosts with a larger processor share watch the row before the others.
 const SLOW_HOST_DELAY_MS: f32 = 800.0;
 /// Interval of reads of the leadership row while the leader is silent.
 const READ_EVERY_MS: u64 = 300;
 /// Longest random delay before a host takes over the leadership, so that not all hosts try to take
 /// it over at once.
 const TAKEOVER_JITTER_MS: u64 = 120;
-/// Number of hosts that begin at the same time to watch the row of a silent leader. Reads are
-/// billed, so not all hosts watch it.
+/// Number of hosts that begin at the same time to watch the leadership row once the leader is
+/// silent. Reads are billed, so not all hosts watch the row.
 const WATCHERS: u64 = 2;
-/// Delay after which the next `WATCHERS` hosts in the takeover order also begin to watch the row.
+/// Delay after which the next `WATCHERS` hosts in the takeover order also begin to watch the
+/// leadership row.
 const WATCHERS_STEP_MS: u64 = 500;
 
 impl Entry {
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Returns the time for which hosts with a lower rank watch the row of a silent leader before
-    /// this host does.
+    /// Returns the time for which hosts with a lower rank watch the leadership row before this host
+    /// does, once the leader is silent.
     fn watch_delay_ms(&self) -> u64 {
         let rank = {
             let settings = &self.settings;
@@ -141,8 +142,8 @@
         let started_ms = clock::now_ms();
         loop {
             let Some((row, version)) = self.read_leadership_row().await else {
-                // Time in which the store did not answer does not count: the leader could not
-                // confirm then either.
+                // Time in which the store did not answer does not count towards the takeover time,
+                // since the leader could not confirm the leadership in that time either.
                 seen = None;
                 pause().await;
                 self.view.wait_for_store().await;
