--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -33,24 +33,27 @@
 const BATCH_OPERATIONS_MAX: usize = 256;
 /// Maximum number of transactions in flight; operations that arrive meanwhile form the next batch.
 const IN_FLIGHT: usize = 2;
-/// Minimum time for which a batch is collected.
+/// Minimum time for which the writer collects further operations before it writes a batch that is
+/// not full.
 const BATCH_DELAY_MS: u64 = 2;
 /// Delay before a failed read or transaction of the table service is retried.
 const RETRY_MS: u64 = 25;
-/// Time limit for recording how a claim ended.
+/// Time after the deadline of a request during which the writer still tries to record how the claim
+/// of the request ended; the operation is dropped afterwards.
 const END_TIMEOUT_MS: u64 = 10_000;
 
 /// Operation on the row of one claim, queued for the writer.
 #[derive(Debug)]
 pub(super) enum Operation {
-    /// Records a new claim, unless a row of an earlier request, other than a released one, exists.
+    /// Records a new claim. Fails if an earlier request has already created the row, unless that
+    /// request released its claim.
     Insert {
         key: String,
         row: ClaimRow,
         give_up_ms: u64,
         reply: oneshot::Sender<ClaimResult>,
     },
-    /// Records how a claim ended, in the row that the claim created.
+    /// Records how a claim ended, in the row that the claim wrote.
     End {
         key: String,
         version: u64,
@@ -58,7 +61,8 @@
     },
 }
 
-/// Writes operations until the queue closes.
+/// Collects operations from the queue into batches and writes each batch in a task of its own,
+/// until the queue closes.
 pub(super) async fn run(
     platform: Platform,
     mut queue: mpsc::Receiver<Operation>,
@@ -105,11 +109,12 @@
 }
 
 impl Writer {
-    /// Writes the batch; each round takes out the operations whose condition failed.
+    /// Writes the batch in one or more transactions. If a transaction conflicts, the operations
+    /// whose condition failed are resolved one by one, and the others are written again.
     async fn write(&self, mut batch: Vec<Operation>) {
         while !batch.is_empty() {
-            // Two operations on one key must not be in one transaction, so the second one waits for
-            // the next round.
+            // A transaction must not contain two operations on one key, so all operations but the
+            // first on each key wait for the next transaction.
             let (first, mut repeated) = take_repeated(batch);
             batch = first;
             let transaction = transaction(&batch);
@@ -126,7 +131,8 @@
                         self.resolve_conflict(operation).await;
                     }
                 }
-                // The transaction may have taken effect; then the next round reports a conflict.
+                // The transaction may have taken effect in spite of the error. If it has, the
+                // repeated transaction reports a conflict.
                 Err(error) => {
                     log::debug!("claims cannot be recorded: {error}");
                     batch = give_up(batch);
@@ -149,7 +155,8 @@
                 let claimed = self.resolve_insert_conflict(key, row, give_up_ms).await;
                 let _ = reply.send(claimed);
             }
-            // An earlier round took effect, or the row was swept.
+            // Either an earlier transaction has already recorded the end of the claim although its
+            // call failed, or the sweep has removed the row.
             Operation::End { .. } => {}
         }
     }
@@ -179,8 +186,8 @@
             if held.state != ClaimState::Released || held.fingerprint != row.fingerprint {
                 return duplicate(held, &row);
             }
-            // Takes over a released row. The next read of the row shows if that succeeded, so the
-            // result of the transaction is not needed.
+            // Takes over a released row. The next iteration reads the row again and thereby finds
+            // out whether the transaction took effect, so its result is not needed.
             let transaction = put(&key, Expect::Version(found.version), &row);
             self.counters.transactions.fetch_add(1, Ordering::Relaxed);
             let _ = self.platform.transact(&transaction).await;
@@ -216,7 +223,8 @@
     }
 }
 
-/// Returns the outcome of a claim whose row was made by an earlier request.
+/// Returns the result for a request whose claim row was already created by an earlier request with
+/// the same idempotency key.
 fn duplicate(held: ClaimRow, row: &ClaimRow) -> ClaimResult {
     if held.fingerprint != row.fingerprint {
         return ClaimResult::Refused(Reason::KeyReused);
@@ -278,8 +286,9 @@
         .partition(|operation| keys.iter().any(|key| key == operation.key()))
 }
 
-/// Refuses the claims that have waited too long. If a refused claim was recorded all the same, its
-/// row stays pending and the request never runs, which matches the response to its caller.
+/// Removes the operations that have waited too long, and refuses the claims among them. A failed
+/// transaction may have recorded a refused claim all the same. The row of such a claim stays
+/// pending and its request never runs, which matches the response to the caller.
 fn give_up(batch: Vec<Operation>) -> Vec<Operation> {
     let (expired, rest): (Vec<_>, Vec<_>) = batch.into_iter().partition(Operation::expired);
     for operation in expired {
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -1,6 +1,7 @@
-//! Claims on unrepeatable requests (requests that must run at most once). A claim is recorded in
-//! the table service before the first byte of its request is sent, so that a duplicate at any host
-//! never runs.
+//! Claims on unrepeatable requests (requests that must run at most once). A claim is the stored
+//! right to run one such request. A host records the claim in the table service before it sends the
+//! first byte of the request to a server, so that a duplicate of the request never runs, whichever
+//! host receives the duplicate.
 
 mod batch;
 mod row;
@@ -22,13 +23,13 @@
 };
 use crate::{clock, id::OperationId, routing::outcome::Reason, store::Platform};
 
-/// Maximum length in bytes of a response body that is stored for duplicates. After a longer one,
-/// duplicates are refused.
+/// Maximum length in bytes of a response body that is stored for duplicates of the request. If the
+/// body is longer, duplicates are refused.
 pub const STORED_BODY_BYTES_MAX: usize = 64 * 1024;
-/// Time limit for recording a claim; after it the request is refused.
+/// Timeout for recording a claim; after the timeout the request is refused and does not run.
 const CLAIM_TIMEOUT_MS: u64 = 1_000;
-/// Maximum number of operations that wait for the writer; beyond it, new claims are refused and the
-/// ends of claims are not recorded.
+/// Maximum number of operations that wait for the writer. While the queue is full, new claims are
+/// refused and the ends of claims are not recorded.
 const QUEUE_OPERATIONS: usize = 10_000;
 
 /// Counters of the claims that one host has made since its process started.
@@ -36,7 +37,8 @@
 pub struct ClaimCounters {
     /// Number of claims that were recorded, so that their requests could run.
     pub claims: AtomicU64,
-    /// Number of transactions that recorded claims or their ends; one covers many operations.
+    /// Number of transactions that were sent to record claims or their ends, failed ones included;
+    /// a transaction covers many operations.
     pub transactions: AtomicU64,
 }
 
@@ -52,8 +54,8 @@
     counters: std::sync::Arc<ClaimCounters>,
 }
 
-/// Right to run one unrepeatable request; the owner must end it with one of the methods of
-/// [`Claims`].
+/// Right to run one unrepeatable request. The holder of the value must end the claim with
+/// [`Claims::answered`], [`Claims::released`] or [`Claims::unknown`].
 #[derive(Debug)]
 pub struct Claim {
     key: String,
@@ -66,7 +68,7 @@
 pub enum ClaimResult {
     /// The request may run, once.
     Granted(Claim),
-    /// The request was answered before; this is the stored response.
+    /// A server already answered an earlier attempt at the same request, with this stored response.
     Answered(StoredResponse),
     /// The request must not run, for the given reason; the caller gets a failure.
     Refused(Reason),
@@ -75,7 +77,7 @@
 }
 
 impl Claims {
-    /// Starts the task that writes claims; it ends when the returned value is dropped.
+    /// Starts the task that writes claims; the task ends when the returned value is dropped.
     pub fn start(platform: Platform) -> Self {
         let (operations, queue) = mpsc::channel(QUEUE_OPERATIONS);
         let counters = std::sync::Arc::new(ClaimCounters::default());
@@ -94,14 +96,15 @@
         }
     }
 
-    /// Sets the number of hosts, over which the writes of the table service are divided equally.
+    /// Sets the number of hosts. The transactions per second that all hosts together may make are
+    /// divided equally among the hosts.
     pub fn set_host_count(&self, hosts: usize) {
         let transaction_interval_ms = hosts as u64 * 1_000 / TRANSACTIONS_PER_S;
         self.transaction_interval_ms
             .store(transaction_interval_ms, Ordering::Relaxed);
     }
 
-    /// Returns the counters since the start of the process.
+    /// Returns the counters of this host's claims, which start at zero with the process.
     pub fn counters(&self) -> &ClaimCounters {
         &self.counters
     }
@@ -140,8 +143,8 @@
         claimed
     }
 
-    /// Ends a claim whose request was answered. `response` is stored for duplicates; `None` if it
-    /// is too long to be stored.
+    /// Ends a claim whose request a server answered. `response` is stored for duplicates of the
+    /// request; pass `None` if the response is too long to be stored.
     pub fn answered(&self, claim: Claim, response: Option<StoredResponse>) {
         let state = match response {
             Some(response) => ClaimState::Answered(response),
@@ -167,14 +170,15 @@
             row: ClaimRow { state, ..claim.row },
         };
         if self.operations.try_send(operation).is_err() {
-            // The row stays pending, so duplicates get an unknown outcome: as in progress until the
-            // deadline, and as unsettled after it.
+            // The row stays pending, so duplicates of the request get an unknown outcome: with the
+            // reason "in progress" until the deadline, and with the reason "unsettled" afterwards.
             log::warn!("the end of a claim was not recorded: the queue of operations is full");
         }
     }
 }
 
-/// Returns a random identifier for one request of a caller, which all its attempts carry.
+/// Returns a random identifier for one request of a caller. All attempts to send the request to a
+/// server carry the same identifier.
 pub fn request_id() -> String {
     OperationId::random().0
 }
--- a/src/claims/row.rs
+++ b/src/claims/row.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Prefix of the keys of all claim rows, by which the sweep finds them.
+/// Prefix of the keys of all claim rows, by which [`super::Sweep`] finds the rows.
 pub const CLAIM_PREFIX: &str = "claim/";
 
 /// Hash over the parts of a request that a duplicate must share with the original.
@@ -37,35 +37,38 @@
     pub body_base64: String,
 }
 
-/// Stage of a claim. It decides how a duplicate of the request is answered.
+/// State of a claim, which decides how a duplicate of the request is answered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// The request may be running.
+    /// The request may be running; the claim has not been ended.
     Pending,
     /// The request was answered, and this is the response.
     Answered(StoredResponse),
     /// The request was answered, but the response was too long to be stored.
     AnswerNotKept,
-    /// The request provably did not run.
+    /// The request provably did not run, so it may be claimed again.
     Released,
-    /// The request may have run.
+    /// The request may have run, but its result is not known; duplicates are refused.
     Unknown,
 }
 
 /// Value of a claim row, stored as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
-    /// Random number of the request that made the claim; it distinguishes that request from its
-    /// duplicates.
+    /// Random number drawn for the request that made the claim, which distinguishes the request
+    /// from its duplicates.
     pub nonce: u64,
-    /// Fingerprint of the request; a duplicate must have the same.
+    /// Fingerprint of the request. A request with the same idempotency key but another fingerprint
+    /// is not a duplicate and is refused.
     pub fingerprint: Fingerprint,
-    /// Time of the claim; the row is removed when its retention has passed.
+    /// Unix time of the claim in milliseconds; the sweep removes the row once the retention has
+    /// passed since this time.
     pub at_unix_ms: u64,
-    /// Deadline of the request. A claim that is still pending after it has an unknown outcome.
+    /// Deadline of the request, as Unix time in milliseconds. If the claim is still pending after
+    /// the deadline, the outcome of the request is unknown.
     pub until_unix_ms: u64,
-    /// Stage of the claim; it begins as pending.
+    /// State of the claim; a new claim is [`ClaimState::Pending`].
     pub state: ClaimState,
 }
 
--- a/src/claims/sweep.rs
+++ b/src/claims/sweep.rs
@@ -9,19 +9,19 @@
     },
 };
 
-/// Maximum number of rows that one step reads, which bounds the load that a sweep puts on the
-/// store.
+/// Maximum number of rows that one call of [`Sweep::step`] reads, which bounds the load that a
+/// sweep puts on the store.
 pub const PAGE_ROWS: usize = 200;
 
-/// Position of a sweep over all claims.
+/// Position of a sweep, i.e. of the repeated pass over all claim rows that removes old ones.
 #[derive(Clone, Debug, Default)]
 pub struct Sweep {
     after: String,
 }
 
 impl Sweep {
-    /// Reads the next page of claims and removes those older than `retention_ms`. Returns the
-    /// number of rows removed.
+    /// Reads the next page of claims and removes the claims older than `retention_ms`. After the
+    /// last page, the next step starts again with the first. Returns the number of rows removed.
     pub async fn step(&mut self, platform: &Platform, retention_ms: u64) -> store::Result<usize> {
         let rows = platform.range(CLAIM_PREFIX, &self.after, PAGE_ROWS).await?;
         let Some(last) = rows.last() else {
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -81,7 +81,7 @@
             .context(CallSnafu)
     }
 
-    /// Reads the list of hosts, which lags behind the hosts that really run.
+    /// Reads the platform's list of hosts, which may lag behind the set of running hosts.
     pub async fn hosts(&self) -> Result<HostList> {
         self.client
             .get(self.address, HOSTS_PATH)
--- a/src/store/message.rs
+++ b/src/store/message.rs
@@ -19,14 +19,14 @@
 pub enum Expect {
     /// The row does not exist.
     Absent,
-    /// The row has been written this many times.
+    /// The row exists and has been written this many times since it was created.
     Version(u64),
 }
 
 /// Condition on one row that must hold for a transaction to take effect.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Condition {
-    /// Key of the row that the condition or write is about.
+    /// Key of the row that must be in the expected state.
     pub key: String,
     /// Required state of the row when the transaction is executed.
     pub expect: Expect,
@@ -35,18 +35,19 @@
 /// Write of one row in a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Write {
-    /// Key of the row that the condition or write is about.
+    /// Key of the row that is written or deleted.
     pub key: String,
-    /// New value; `None` deletes the row.
+    /// New value of the row; `None` deletes the row.
     pub value: Option<String>,
 }
 
 /// Writes that take effect together, if all conditions hold.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Conditions that are checked before the writes; with none, the writes always take effect.
+    /// Conditions that are checked before the writes. Without conditions, the writes always take
+    /// effect.
     pub conditions: Vec<Condition>,
-    /// Writes to make; either all of them take effect or none.
+    /// Rows to write or delete; either all of the writes take effect or none of them.
     pub writes: Vec<Write>,
 }
 
@@ -68,7 +69,7 @@
 pub struct RangeRead {
     /// Prefix that the keys of the returned rows share; empty for all rows.
     pub prefix: String,
-    /// Exclusive lower bound of the keys; empty for none.
+    /// Exclusive lower bound of the keys; empty for no lower bound.
     pub after: String,
     /// Maximum number of rows to return.
     pub limit: usize,
@@ -77,9 +78,9 @@
 /// Row of the table service, with the version that conditions refer to.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Row {
-    /// Key, unique in the table service.
+    /// Key of the row, unique in the table service.
     pub key: String,
-    /// Number of writes of the row so far.
+    /// Number of times that the row has been written since it was created.
     pub version: u64,
     /// Value of the row, as text.
     pub value: String,
@@ -98,7 +99,7 @@
 pub enum ListedState {
     /// The host is running.
     Live,
-    /// The host is about to be removed by the platform.
+    /// The platform is about to remove the host.
     Leaving,
 }
 
