--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -16,15 +16,16 @@
 pub struct AdmissionGuard(Arc<AtomicU64>);
 
 impl Admission {
-    /// Admits a request, or returns `None` if `max` requests are in flight.
+    /// Admits a request and counts it as in flight until the returned guard is dropped. Returns
+    /// `None` if `max` requests are already in flight.
     pub fn admit(&self, max: u64) -> Option<AdmissionGuard> {
         let guard = AdmissionGuard(self.in_flight.clone());
         let before = self.in_flight.fetch_add(1, Ordering::Relaxed);
-        // On refusal the guard is dropped here, which takes the request off the count again.
+        // If the request is refused, the guard is dropped here, which decrements the counter again.
         (before < max).then_some(guard)
     }
 
-    /// Returns the number of admitted requests whose guards are still held.
+    /// Returns the number of admitted requests whose guards have not been dropped yet.
     pub fn in_flight(&self) -> u64 {
         self.in_flight.load(Ordering::Relaxed)
     }
--- a/src/routing/outcome.rs
+++ b/src/routing/outcome.rs
@@ -10,16 +10,18 @@
     transport::{self, ResponseBody},
 };
 
-/// Upper bound of the random time added to `Retry-After`, so that callers do not retry all at once.
+/// Upper bound in seconds of the random time that is added to `Retry-After`, so that callers do not
+/// all retry at the same time.
 const RETRY_AFTER_JITTER_S: u64 = 2;
 
-/// Outcome of a request that got no regular response; it tells the caller whether a retry is safe.
+/// Outcome of a request that got no regular response. The outcome tells the caller whether a retry
+/// is safe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The request provably did not run.
+    /// The request provably did not run, so a retry is safe.
     NotRun,
-    /// The request may have run.
+    /// The request may have run, so a retry may run it a second time.
     Unknown,
 }
 
@@ -34,21 +36,21 @@
     NoKey,
     /// The idempotency key is empty or is not text.
     BadIdempotencyKey,
-    /// The body exceeds the size limit.
+    /// The request body exceeds the size limit that the host's settings give.
     BodyTooLarge,
-    /// The caller ended the body early.
+    /// The request body could not be read completely from the caller.
     BodyBroken,
     /// Too many requests of the service are in flight in this host.
     Overloaded,
     /// The deadline passed before the request could be sent.
     Deadline,
-    /// The host's view of the owners may be outdated, so it must not route.
+    /// The host's view of the owners may be outdated, so the host must not route the request.
     NotFresh,
-    /// The server is at its limit of concurrent requests and shed this one.
+    /// The server has reached its limit of concurrent requests and rejected the request.
     Shed,
     /// The connection to the server could not be established.
     NoConnection,
-    /// The connection broke after the request was sent.
+    /// The connection to the server broke after the request was sent.
     Broken,
     /// The server was declared lost while the request may have been running.
     ServerLost,
@@ -56,11 +58,14 @@
     NoAnswer,
     /// The claim of an unrepeatable request cannot be recorded because the store is unreachable.
     ClaimsUnavailable,
-    /// The same unrepeatable request is still running.
+    /// An unrepeatable request with the same idempotency key is pending and its deadline has not
+    /// passed.
     InProgress,
-    /// The same unrepeatable request was sent before, and its outcome is unknown.
+    /// An unrepeatable request with the same idempotency key was sent before, and its outcome is
+    /// unknown.
     Unsettled,
-    /// The same unrepeatable request was answered, but the response was too long to be stored.
+    /// An unrepeatable request with the same idempotency key was answered before, but the response
+    /// was too long to be stored.
     AnswerNotKept,
     /// The idempotency key was used for a different request.
     KeyReused,
@@ -87,7 +92,8 @@
         }
     }
 
-    /// Returns the minimum time after which the caller should retry; `None` if a retry cannot help.
+    /// Returns the minimum time in seconds after which the caller should retry; `None` if the
+    /// caller gets no `Retry-After` header for this reason.
     fn retry_after_s(self) -> Option<u64> {
         match self {
             Self::Overloaded | Self::Shed | Self::Deadline | Self::InProgress => Some(1),
@@ -102,7 +108,7 @@
 /// Failure that a caller gets in place of a server's response: an outcome and its reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Certainty about the run: the request did not run, or it may have run.
+    /// Outcome of the request: the request provably did not run, or it may have run.
     pub outcome: Outcome,
     /// Cause of the failure; it also determines the status and `Retry-After` of the response.
     pub reason: Reason,
@@ -125,7 +131,8 @@
         }
     }
 
-    /// Builds the response to the caller, with outcome and reason in headers and in the JSON body.
+    /// Builds the response to the caller, with the outcome and the reason both in headers and in
+    /// the JSON body.
     pub fn answer(self, request_id: &str) -> Response<ResponseBody> {
         let wait_s = self.reason.retry_after_s();
         let wait_s =
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -1,5 +1,6 @@
-//! Routes one caller's request: finds the service, the key, its slot and the owner, makes attempts,
-//! and turns the outcome into a response.
+//! Routes one caller's request: finds the service, the key, the slot of the key and the owner of
+//! the slot, makes attempts to send the request to the owner, and turns the outcome into a
+//! response.
 
 use std::{sync::Arc, time::Duration};
 
@@ -29,22 +30,25 @@
     transport::{self, ResponseBody},
 };
 
-/// Path at which the load balancer checks if this host should get requests.
+/// Path at which the load balancer checks whether it should send requests to this host.
 pub const READY_PATH: &str = "/_ashroad/ready";
-/// Path at which the platform checks if the process is alive.
+/// Path at which the platform checks whether the router process is alive.
 pub const ALIVE_PATH: &str = "/_ashroad/alive";
 /// Maximum deadline that a caller may request, in milliseconds from the arrival of the request.
 const DEADLINE_MS_MAX: u64 = 300_000;
-/// Delay before the owner of a slot is looked up again after a server refused a request because it
-/// disagrees with this host on the owner.
+/// Delay in milliseconds before the owner of a slot is looked up again, after a server refused an
+/// attempt because the server and this host disagree on the owner, or because the server is
+/// draining.
 const STALE_PAUSE_MS: u64 = 3;
-/// Delay before a retry that counts against the retry budget.
+/// Delay in milliseconds before a retry that counts against the retry budget, and between two
+/// checks whether this host's view is fresh again.
 const RETRY_PAUSE_MS: u64 = 10;
-/// Delay before a new attempt after a failed connection.
+/// Delay in milliseconds before a new attempt after a connection to the server could not be
+/// established.
 const RECONNECT_PAUSE_MS: u64 = 25;
 
-/// Request headers that are not forwarded: those of one connection only, and those that ashroad
-/// sets itself.
+/// Request headers that are not forwarded, because they apply to the connection of the caller only
+/// or because ashroad sets them itself.
 const DROPPED_HEADERS: [HeaderName; 7] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -55,7 +59,7 @@
     header::EXPECT,
 ];
 
-/// Caller's request, with everything that an attempt needs to send it.
+/// Caller's request, with all data that is needed to make attempts to send it to a server.
 struct RoutedRequest {
     request_id: String,
     service: ServiceKey,
@@ -70,7 +74,8 @@
     traffic: Arc<ServiceTraffic>,
 }
 
-/// Owner of a slot at the time of the lookup; the slot may move afterwards.
+/// Server that owned a slot when the owner was looked up; the slot may move to another server
+/// afterwards.
 #[derive(Clone, Copy, Debug)]
 struct Owner {
     server: ServerKey,
@@ -242,7 +247,8 @@
     }
 }
 
-/// Guard of the claim of a running request; if dropped early, it records an unknown outcome.
+/// Guard of the claim of a running request. If the guard is dropped before the claim has been
+/// ended, it ends the claim with an unknown outcome.
 struct ClaimGuard {
     host: Arc<Host>,
     claim: Option<Claim>,
@@ -266,8 +272,8 @@
         }
     }
 
-    /// Stores the response and returns it to the caller. A response that ends early leaves the
-    /// outcome unknown.
+    /// Reads the whole response, stores it with the claim and returns it for the caller. If the
+    /// response breaks off early, the outcome of the request is unknown.
     async fn answered(
         mut self,
         answer: Response<ResponseBody>,
@@ -313,7 +319,8 @@
     Ok(response)
 }
 
-/// Makes attempts until one is answered, the deadline passes or no further attempt is allowed.
+/// Makes attempts until a server answers one of them, the deadline passes or no further attempt is
+/// allowed.
 async fn run(host: &Arc<Host>, routed: &RoutedRequest) -> Result<Response<ResponseBody>, Failure> {
     loop {
         let owner = owner(host, routed).await?;
@@ -339,7 +346,8 @@
                 if routed.unrepeatable || !idempotent(&routed.method) {
                     return Err(Failure::unknown(reason));
                 }
-                // The key gets another owner, which has not seen this request.
+                // The slot moves to another owner, which has not seen this request, so a further
+                // attempt does not count against the retry budget.
                 if reason == Reason::ServerLost {
                     continue;
                 }
@@ -349,7 +357,8 @@
                 time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
             }
             AttemptOutcome::Stale => pause(routed, STALE_PAUSE_MS).await?,
-            // Nothing was sent, and other servers serve the keys of a lost server within seconds.
+            // Nothing was sent, so a further attempt is safe. If the server is lost, other servers
+            // own its slots within seconds.
             AttemptOutcome::NotRun(Reason::NoConnection) => {
                 pause(routed, RECONNECT_PAUSE_MS).await?
             }
@@ -370,7 +379,7 @@
     )
 }
 
-/// Sleeps for `pause_ms`, or fails at once if the deadline comes first.
+/// Sleeps for `pause_ms`, or fails at once if the deadline of the request would pass meanwhile.
 async fn pause(routed: &RoutedRequest, pause_ms: u64) -> Result<(), Failure> {
     if clock::now_ms() + pause_ms >= routed.deadline_ms {
         return Err(Failure::not_run(Reason::Deadline));
@@ -379,14 +388,16 @@
     Ok(())
 }
 
-/// Waits until the slot has an owner and this host is fresh enough to route, up to the deadline.
+/// Waits until the slot has an owner and this host's view is fresh enough to route, and returns the
+/// owner. Fails at the deadline of the request.
 async fn owner(host: &Arc<Host>, routed: &RoutedRequest) -> Result<Owner, Failure> {
     if host.view.fresh()
         && let Some(owner) = find_owner(&host.view.peek(), routed)
     {
         return Ok(owner);
     }
-    // Subscribes before the next lookup, so that no change is missed between lookup and wait.
+    // The subscription starts before the next lookup, so that a change of the state between the
+    // lookup and the wait is not missed.
     let mut changes = host.view.watch();
     loop {
         let fresh = host.view.fresh();
@@ -402,7 +413,7 @@
             };
             return Err(Failure::not_run(reason));
         }
-        // A host becomes fresh without a change of the state, so freshness is polled.
+        // The view can become fresh without a change of the state, so the loop polls freshness.
         let wait_ms = if fresh {
             left_ms
         } else {
@@ -415,8 +426,8 @@
     }
 }
 
-/// Waits until the owner's membership period has ended, so that an attempt in flight can be
-/// abandoned.
+/// Waits until the owner is no longer live under the same lease epoch, so that an attempt in flight
+/// to it can be abandoned.
 async fn owner_lost(host: &Host, owner: Owner) {
     let mut changes = host.view.watch();
     loop {
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -30,18 +30,20 @@
     transport::{ResponseBody, header_text},
 };
 
-/// Time limit for a connection to a server to be established.
+/// Timeout for establishing a connection to a server.
 const CONNECT_TIMEOUT_MS: u64 = 500;
 /// Time after which an idle connection to a server is closed.
 const IDLE_CONNECTION_MS: u64 = 30_000;
 
-/// Outcome of one attempt, by which the router decides on a retry.
+/// Outcome of one attempt (one sending of a request to one server), by which the router decides
+/// whether to make another attempt.
 #[derive(Debug)]
 pub enum AttemptOutcome {
     /// The server sent a regular response, whatever its status.
     Answered(Response<ResponseBody>),
-    /// The attempt provably did not run, because server and host disagree on the owner of the slot
-    /// (another epoch or another incarnation of the server), or because the server is draining.
+    /// The attempt provably did not run, because the server and this host disagree on the owner of
+    /// the slot (their epochs of the slot or incarnations of the server differ), or because the
+    /// server is draining.
     Stale,
     /// The attempt provably did not run, for the given reason.
     NotRun(Reason),
@@ -57,11 +59,11 @@
     permits: Mutex<HashMap<SocketAddr, Arc<Semaphore>>>,
 }
 
-/// Right to send one request to a server; released when dropped.
+/// Right to send one request to a server, which is released when the permit is dropped.
 pub type Permit = OwnedSemaphorePermit;
 
 impl Targets {
-    /// Creates the client; it keeps at most `idle_connections` idle connections to each server.
+    /// Creates a client that keeps at most `idle_connections` idle connections to each server.
     pub fn new(idle_connections: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -77,8 +79,8 @@
         }
     }
 
-    /// Waits until `deadline_ms` for one of the `permits` of the server at `address`; `None` if
-    /// none became free. The number of permits is set by the first call for an address.
+    /// Waits until `deadline_ms` for one of the `permits` of the server at `address`; `None` if no
+    /// permit became free. The first call for an address sets the number of its permits.
     pub async fn permit(
         &self,
         address: SocketAddr,
@@ -100,8 +102,8 @@
         acquired.await.ok()?.ok()
     }
 
-    /// Sends one attempt and waits until `deadline_ms` for the head of its response. The permit is
-    /// held until the caller has received the whole response.
+    /// Sends one attempt and waits until `deadline_ms` for the head of its response. An answered
+    /// attempt holds the permit until the body of the response is dropped.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -111,7 +113,8 @@
         let left_ms = deadline_ms.saturating_sub(clock::now_ms());
         let response = time::timeout(Duration::from_millis(left_ms), self.client.request(request));
         match response.await {
-            // Dropping the exchange closes its connection, which cancels the request at the server.
+            // The timeout drops the pending request, which closes its connection and thereby
+            // cancels the request at the server.
             Err(_) => AttemptOutcome::Unknown(Reason::NoAnswer),
             Ok(Err(error)) if error.is_connect() => AttemptOutcome::NotRun(Reason::NoConnection),
             Ok(Err(_)) => AttemptOutcome::Unknown(Reason::Broken),
@@ -133,7 +136,7 @@
     }
 }
 
-/// Body of a response, which holds the server's permit until it is dropped.
+/// Body of a response, which holds the permit of its attempt until the body is dropped.
 struct BodyWithPermit {
     body: Incoming,
     #[allow(dead_code, reason = "held until the body is dropped")]
--- a/src/routing/traffic.rs
+++ b/src/routing/traffic.rs
@@ -1,4 +1,5 @@
-//! Request counts by slot, for the planner, and the admission and retry budget of each service.
+//! Request counts by slot, from which the planner learns the load, and the admission limit and the
+//! retry budget of each service.
 
 use std::sync::{
     Arc, RwLock,
@@ -15,7 +16,8 @@
 #[derive(Debug, Default)]
 pub struct ServiceTraffic {
     counts: Vec<AtomicU32>,
-    /// Counter of requests in flight in this host, which refuses requests above the limit.
+    /// Counter of the service's requests in flight in this host, which refuses requests above the
+    /// limit of the service.
     pub admission: Admission,
     /// Budget of retries: one per 20 requests of the service in this host.
     pub retries: RetryBudget,
@@ -35,7 +37,7 @@
         }
     }
 
-    /// Counts one request for `slot`, for the loads that the leader reads.
+    /// Counts one request for `slot`; the leader collects the counts through [`Traffic::take`].
     pub fn count(&self, slot: Slot) {
         if let Some(count) = self.counts.get(slot.0 as usize) {
             count.fetch_add(1, Ordering::Relaxed);
@@ -66,7 +68,8 @@
         services[index].clone()
     }
 
-    /// Returns the number of requests by slot since the last call, and resets it.
+    /// Returns the number of requests by slot since the last call of this method, and resets the
+    /// counts. Slots without requests are left out.
     pub fn take(&self) -> Vec<SlotLoad> {
         let Ok(services) = self.services.read() else {
             return Vec::new();
