--- a/src/peer/endpoint.rs
+++ b/src/peer/endpoint.rs
@@ -20,8 +20,8 @@
     message::{Datagram, MESSAGE_BYTES_MAX, PeerReply, PeerRequest, decode, encode},
 };
 
-/// Maximum number of messages that wait to be handled. Beyond it, streams wait and datagrams are
-/// dropped.
+/// Maximum number of received messages that wait to be handled. While the inbox is full, requests
+/// on streams wait and datagrams are dropped.
 const INBOX_MESSAGES: usize = 4_096;
 
 /// Message received from a peer.
@@ -34,11 +34,12 @@
         /// Ping or pong that the peer sent.
         datagram: Datagram,
     },
-    /// Request on a stream; the reply is sent through the channel.
+    /// Request on a stream; the handler sends its reply through the channel.
     Request {
         /// Request that the peer waits for a reply to.
         request: PeerRequest,
-        /// Channel for the reply; the stream is reset if it is dropped unused.
+        /// Channel for the reply; if the channel is dropped unused, the stream is reset, so that
+        /// the peer sees a failure.
         reply: oneshot::Sender<PeerReply>,
     },
 }
@@ -52,7 +53,8 @@
 }
 
 impl PeerEndpoint {
-    /// Opens the endpoint and returns it with a receiver of incoming messages.
+    /// Opens the endpoint on the UDP address and returns it with a receiver of the messages that
+    /// peers send.
     pub fn bind(address: SocketAddr, tls: TlsConfigs) -> Result<(Self, mpsc::Receiver<Inbound>)> {
         let opened = Endpoint::server(tls.server, address);
         let mut endpoint = opened.context(BindSnafu { address })?;
@@ -74,7 +76,8 @@
         })
     }
 
-    /// Sends a heartbeat. Its loss in the network is not reported.
+    /// Sends a heartbeat, after connecting to the peer if needed. The loss of the heartbeat in the
+    /// network is not reported.
     pub async fn send(&self, address: SocketAddr, datagram: Datagram) -> Result<()> {
         let connection = self.connect(address).await?;
         let bytes = encode(&datagram)?;
@@ -82,7 +85,7 @@
         sent.map_err(|error| self.unreachable(address, &error))
     }
 
-    /// Sends a request and waits for the reply, at most `timeout_ms`.
+    /// Sends a request and waits for its reply; fails after `timeout_ms`.
     pub async fn call(
         &self,
         address: SocketAddr,
--- a/src/peer/keys.rs
+++ b/src/peer/keys.rs
@@ -19,7 +19,8 @@
 use super::error::{Error, GenerateSnafu, Result};
 use crate::settings::Peers;
 
-/// Name in every host's certificate. Hosts trust the authority that signed it, not the name.
+/// Name in the certificate of every host. Hosts trust the authority that signed a certificate, not
+/// the name in it.
 pub const HOST_NAME: &str = "ashroad-host";
 /// File name of the authority's certificate, which every host needs to verify its peers.
 pub const CA_FILE: &str = "ca.pem";
@@ -31,7 +32,7 @@
 const IDLE_TIMEOUT_MS: u32 = 1_000;
 /// Interval of keep-alive packets; below the idle timeout, so that idle connections stay open.
 const KEEP_ALIVE_MS: u64 = 300;
-/// Maximum number of concurrent requests on one connection; further ones wait at the sender.
+/// Maximum number of concurrent requests on one connection; further requests wait at the sender.
 const STREAMS_MAX: u32 = 256;
 
 /// TLS configurations of the QUIC endpoint. Both directions require a certificate of the same
@@ -44,12 +45,13 @@
     pub client: ClientConfig,
 }
 
-/// Installs the crypto provider of the process; needed once before any use of TLS.
+/// Installs the crypto provider of the process, which must happen once before any use of TLS.
 pub fn install_crypto_provider() {
     let _ = ring::default_provider().install_default();
 }
 
-/// Loads the certificates and the key named in the settings.
+/// Loads the authority's certificates, the host's certificate chain and the private key from the
+/// files that the settings name.
 pub fn load(peers: &Peers) -> Result<TlsConfigs> {
     let mut roots = RootCertStore::empty();
     for certificate in certificates(&peers.ca_file)? {
@@ -140,7 +142,7 @@
     }
 }
 
-/// Generates a certificate authority and writes it to `directory`.
+/// Generates a certificate authority and writes its certificate and private key to `directory`.
 pub fn create_ca(directory: &Path) -> Result<()> {
     let key = KeyPair::generate().context(GenerateSnafu)?;
     let mut params = CertificateParams::new(Vec::new()).context(GenerateSnafu)?;
@@ -151,8 +153,8 @@
     write(&directory.join(CA_KEY_FILE), &key.serialize_pem())
 }
 
-/// Generates a certificate `NAME.pem` and a key `NAME-key.pem` in `directory`, signed by its
-/// authority.
+/// Generates a host's certificate `NAME.pem` and private key `NAME-key.pem` in `directory`. The
+/// certificate is signed by the authority whose files are in the same directory.
 pub fn create_host(directory: &Path, name: &str) -> Result<()> {
     let ca = read(&directory.join(CA_FILE))?;
     let ca_key = read(&directory.join(CA_KEY_FILE))?;
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -1,5 +1,6 @@
-//! Messages of the peer protocol. Heartbeats are datagrams; everything else is one request and one
-//! reply on a stream of its own. Each message starts with a version byte; the rest is postcard.
+//! Messages of the peer protocol, by which entry hosts talk to each other. Heartbeats are
+//! datagrams; all other messages are pairs of a request and its reply, each pair on a stream of its
+//! own. A message starts with a version byte, which the message in the postcard encoding follows.
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use snafu::{OptionExt, ensure};
@@ -10,8 +11,8 @@
     state::{LogEntry, SnapshotPointer},
 };
 
-/// Version of the protocol, the first byte of each message; messages of other versions are
-/// rejected.
+/// Version of the peer protocol, which is the first byte of each message. Messages of other
+/// versions are rejected.
 pub const VERSION: u8 = 1;
 /// Maximum size of an encoded message, which bounds the memory that one peer can occupy.
 pub const MESSAGE_BYTES_MAX: usize = 64 * 1024 * 1024;
@@ -19,29 +20,31 @@
 /// Heartbeats between hosts, sent as datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Queries a peer for its revision and the age of its basis (the latest time for which it knows
-    /// that it had applied every change).
+    /// Asks a peer for its revision and for the age of its basis. The basis is the latest time for
+    /// which the peer knows that it had applied every change.
     Ping {
-        /// Sender, by its key in the registry of hosts.
+        /// Key of the sender in the registry of hosts.
         host: HostKey,
-        /// Incarnation of the host's process; it changes when the host restarts.
+        /// Incarnation of the sender's process, which changes when the sender restarts.
         incarnation: Incarnation,
-        /// Time at which the ping was sent, on the sender's clock; returned unchanged.
+        /// Time in milliseconds at which the ping was sent, on the sender's clock; the peer returns
+        /// it unchanged.
         sent_ms: u64,
         /// Revision that the sender has applied.
         revision: Revision,
     },
     /// Reply to a ping, sent on the same connection.
     Pong {
-        /// Host that replies, by its key in the registry of hosts.
+        /// Key of the replying host in the registry of hosts.
         host: HostKey,
-        /// Incarnation of the host's process; it changes when the host restarts.
+        /// Incarnation of the replying host's process, which changes when that host restarts.
         incarnation: Incarnation,
-        /// Time of sending, copied from the ping.
+        /// Time at which the ping was sent, copied from the ping.
         sent_ms: u64,
-        /// Revision that the host has applied.
+        /// Revision that the replying host has applied.
         revision: Revision,
-        /// Age of the host's basis (see [`crate::membership::freshness`]); `None` if it has none.
+        /// Age of the replying host's basis (see [`crate::membership::freshness`]); `None` if that
+        /// host has no basis yet.
         basis_age_ms: Option<u64>,
     },
 }
@@ -63,31 +66,32 @@
     },
     /// Requests a snapshot of the whole state.
     Snapshot,
-    /// Queries the receiver for the time for which its renewals may still keep the lease of a lost
-    /// server valid.
+    /// Asks for how long the lease renewals that the receiver has sent to a lost server may still
+    /// keep the lease of that server valid.
     LeaseHorizon {
         /// Server that was declared lost.
         server: ServerKey,
-        /// Membership period of the server that ended when it was declared lost.
+        /// Lease epoch of the server that ended when the server was declared lost.
         lease_epoch: LeaseEpoch,
         /// Revision of the change that recorded the loss of the server.
         lost: Revision,
     },
-    /// Requests a probe: the receiver checks if a server responds.
+    /// Requests a probe: the receiver sends a check to a server and reports whether it responds.
     Probe {
-        /// Server to check, by its key in the state.
+        /// Key of the server to check.
         server: ServerKey,
     },
-    /// Requests the load that the receiver has counted since the last such request.
+    /// Requests the numbers of requests by slot that the receiver has counted since it last
+    /// reported them.
     Loads,
 }
 
 /// Replies to a [`PeerRequest`], on the same stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// Revision that the host has applied, in reply to a push.
+    /// Reply to [`PeerRequest::Push`].
     Applied {
-        /// Revision after the pushed entries were applied.
+        /// Latest revision that the replying host has applied, after the push was handled.
         revision: Revision,
     },
     /// Log entries after the requested revision.
@@ -107,10 +111,10 @@
     /// Reply to [`PeerRequest::LeaseHorizon`], from which [`crate::ownership::lapse`] computes when
     /// the lost server's lease has ended.
     Horizon {
-        /// Time since the host applied the change that records the loss of the server; `None` if it
-        /// has not applied that change.
+        /// Time since the replying host applied the change that records the loss of the server;
+        /// `None` if the replying host has not applied that change.
         applied_age_ms: Option<u64>,
-        /// Time for which the host's renewals may still keep the lease valid.
+        /// Time for which renewals sent by the replying host may still keep the lease valid.
         remaining_ms: u64,
     },
     /// Result of a probe, in reply to [`PeerRequest::Probe`].
@@ -118,9 +122,10 @@
         /// True if the process that holds the lease responded.
         alive: bool,
     },
-    /// Requests by slot, counted by the replying host since the last such request.
+    /// Numbers of requests by slot, which the replying host has counted since it last reported
+    /// them.
     Loads {
-        /// Slots with at least one request.
+        /// Loads of the slots that got at least one request.
         loads: Vec<SlotLoad>,
     },
 }
@@ -132,8 +137,7 @@
     pub service: ServiceKey,
     /// Slot that the keys of the requests belong to.
     pub slot: Slot,
-    /// Number of requests that the host routed to the slot since the previous
-    /// [`PeerRequest::Loads`].
+    /// Number of requests that the host routed to the slot since the host last reported its loads.
     pub requests: u32,
 }
 
