--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,4 +1,5 @@
-//! Decodes the configuration document that operators write to the platform's store.
+//! Decodes the configuration document that operators write to the platform's store: services,
+//! routes, limits and workspaces.
 
 use super::{
     error::{Error, Result},
@@ -24,7 +25,7 @@
     key.strip_prefix(EVACUATION_PREFIX)
 }
 
-/// Decodes the configuration document; fails with a reason if any required field is missing or
+/// Decodes the configuration document. Fails with the reason if a required field is missing or
 /// invalid.
 pub fn decode(value: &[u8]) -> Result<Configuration> {
     let document_error = |message: String| Error::Document {
--- a/src/platform/error.rs
+++ b/src/platform/error.rs
@@ -1,12 +1,13 @@
-//! Failures of calls to the platform's store and to backend servers, and what they say about a
-//! retry.
+//! Failures of calls to the platform's store and to backend servers. An error tells whether the
+//! failed call may have taken effect and whether a retry can succeed.
 
 use std::net::SocketAddr;
 
 use http::StatusCode;
 use snafu::Snafu;
 
-/// Reason why one call failed. It tells whether the call may have taken effect.
+/// Reason why a call failed; [`Error::may_have_run`] tells whether the call may have taken effect
+/// all the same.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
@@ -18,8 +19,8 @@
         /// Cause, worded for the log.
         message: String,
     },
-    /// The call was sent but no complete response arrived; it may have taken effect, or may still
-    /// do so.
+    /// The call was sent but no complete response arrived. The call may have taken effect, or may
+    /// still take effect.
     #[snafu(display("{address} sent no complete response: {message}"))]
     Unanswered {
         /// Address of the store or server that was called.
@@ -27,7 +28,7 @@
         /// Cause, worded for the log.
         message: String,
     },
-    /// The peer responded with a status that the caller does not expect.
+    /// The store or server responded with a status that the caller does not expect.
     #[snafu(display("{address} responded with status {status}"))]
     Status {
         /// Address of the store or server that was called.
@@ -54,8 +55,8 @@
 }
 
 impl Error {
-    /// Returns true if a retry of the same call would be refused as well: the peer reported a
-    /// client error other than 429.
+    /// Returns true if a retry of the same call would be refused as well, because the store or
+    /// server reported a client error other than 429.
     pub fn is_final(&self) -> bool {
         match self {
             Self::Status { status, .. } => {
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -6,9 +6,11 @@
 
 /// Identifier that a caller gives to one attempt of a request; the response repeats it.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
-/// Time in milliseconds until the caller gives up waiting.
+/// Time in milliseconds, counted from the sending of the request, after which the caller no longer
+/// waits for a response.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
-/// Name of the only server that may run the request; any other process at the address refuses it.
+/// Name of the only server that may run the request. Any other server process at the address
+/// refuses the request.
 pub const EXPECTED_SERVER: HeaderName = HeaderName::from_static("expect-instance");
 /// Name of the server that sent the response.
 pub const SERVER_NAME: HeaderName = HeaderName::from_static("instance-id");
@@ -23,14 +25,15 @@
 const LOAD: HeaderName = HeaderName::from_static("server-load");
 /// Header that a leaving server sets in every response; `0` means that it is not leaving.
 const LEAVING: HeaderName = HeaderName::from_static("server-leaving");
-/// Rate limit, in requests per second from all hosts together, that a server under pressure asks
-/// for; absent when it needs none.
+/// Rate limit, in requests per second from all hosts together, that an overloaded server asks for.
+/// The header is absent while the server needs no limit.
 const LIMIT: HeaderName = HeaderName::from_static("server-limit");
 /// Name of the workspace that the caller's API key belongs to.
 pub const WORKSPACE: HeaderName = HeaderName::from_static("tenant");
 /// Scheme of the `Authorization` header that carries a caller's API key.
 pub const API_KEY_SCHEME: &str = "Token";
-/// Token of a server that released keys; their next owner uses it to start warm.
+/// Token that a server returns when it releases keys. The next owner of the keys gets the token
+/// with its grant and uses the token to start warm.
 pub const HANDOVER: HeaderName = HeaderName::from_static("handover");
 
 /// Returns the caller's API key; `None` if the header is missing or malformed.
@@ -57,8 +60,8 @@
     })
 }
 
-/// Returns true if the response states that the server did not run the request. Status 421 states
-/// it without the header.
+/// Returns true if the response states that the server did not run the request, either by the
+/// header `not-run` or by status 421.
 pub fn says_not_run(status: StatusCode, headers: &HeaderMap) -> bool {
     headers.contains_key(NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST
 }
@@ -72,9 +75,10 @@
     }
 }
 
-/// Parses the rate limit that a server reports in a response. A missing header means that there is
-/// no limit only if the response certainly comes from the server, i.e. is signed or marked as not
-/// run; otherwise the limit is unknown.
+/// Parses the rate limit that a server reports in a response. A response without the header means
+/// that the server has no limit if the response certainly comes from the server, which is the case
+/// if it is signed or states that the request was not run. In any other response without the
+/// header, the limit is unknown.
 pub fn reported_limit(status: StatusCode, headers: &HeaderMap) -> ReportedLimit {
     let Some(value) = headers.get(LIMIT) else {
         let is_of_server = headers.contains_key(SIGNATURE) || says_not_run(status, headers);
--- a/src/platform/link.rs
+++ b/src/platform/link.rs
@@ -1,4 +1,5 @@
-//! HTTP client that makes small calls to one peer over a persistent connection.
+//! HTTP client that makes small calls to one address (of the store or of a server) over a
+//! persistent connection.
 
 use std::{
     net::SocketAddr,
@@ -24,9 +25,9 @@
 /// Timeout for the body after the head of a response has arrived. The largest body, a configuration
 /// of some thousand routes, takes over a second on a link of 10 Mbit/s with other traffic.
 const BODY_TIMEOUT_MS: u64 = 3_000;
-/// Idle time after which a connection is replaced. The network may have dropped it silently, and a
-/// call on it would wait for its whole timeout. The limit exceeds the lease renewal intervals, so
-/// that renewals reuse their connections.
+/// Idle time after which a connection is replaced. The network may have dropped an idle connection
+/// silently, and a call on such a connection would wait for the whole timeout of the call. The idle
+/// timeout exceeds the lease renewal intervals, so that renewals reuse their connections.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// HTTP response whose whole body is in memory.
@@ -40,9 +41,9 @@
     pub body: Bytes,
 }
 
-/// HTTP client of one peer that keeps its connection open. It connects on the first call, reuses
-/// the connection after a complete response and resets it after any failure, so that bytes delayed
-/// in the network are not delivered later.
+/// HTTP client of one address, which keeps its connection open. The client connects on the first
+/// call and reuses the connection after a complete response. After any failure the client resets
+/// the connection, so that bytes delayed in the network are not delivered later.
 #[derive(Debug)]
 pub struct Link {
     address: SocketAddr,
@@ -57,7 +58,7 @@
 }
 
 impl Link {
-    /// Creates a client that connects on its first call.
+    /// Creates a client for calls to `address`, which connects on its first call.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -70,8 +71,8 @@
         self.address
     }
 
-    /// Sends a request and reads the whole response, whose head must arrive within `timeout_ms`.
-    /// Concurrent calls use separate connections.
+    /// Sends a request and reads the whole response. The head of the response must arrive within
+    /// `timeout_ms`. Concurrent calls use separate connections.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
@@ -81,7 +82,8 @@
         self.call_noting_start(request, timeout_ms, &begun).await
     }
 
-    /// Does the same as [`Link::call`], and sets `begun` when the head of the response has arrived.
+    /// Sends a request as [`Link::call`] does, and sets `begun` to true when the head of the
+    /// response has arrived.
     pub async fn call_noting_start(
         &self,
         request: Request<Full<Bytes>>,
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! Adapter to the users' platform: the client of its store, the decoding of its configuration
-//! documents and server entries, the orders to its servers and its header names. The adapter only
-//! translates and takes no decisions; names of the platform's protocol are used only in this
-//! module.
+//! Adapter to the users' platform. The module contains the client of the platform's store, the
+//! decoding of configuration documents and server entries, the orders to backend servers, and the
+//! names of headers. The adapter only translates and takes no decisions; names of the platform's
+//! protocol are used only in this module.
 
 pub mod config;
 mod duration;
--- a/src/platform/orders.rs
+++ b/src/platform/orders.rs
@@ -1,5 +1,5 @@
-//! Orders to backend servers. An order is a request by which an entry host makes a server hold keys
-//! (grant) or give them up (release); health checks are sent here as well.
+//! Orders to backend servers. An order is a request by which an entry host makes a server hold a
+//! range of keys (grant) or release a range of keys (release). The module also sends health checks.
 
 use bytes::Bytes;
 use http::{Method, Request, StatusCode, header};
@@ -20,38 +20,45 @@
 /// Response of a server to a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantOutcome {
-    /// The server holds the keys for the requested time, counted from the arrival of the order.
+    /// The server holds the keys for the requested time, counted from the arrival of the grant at
+    /// the server.
     Held,
-    /// The server has seen a higher fence for one of the keys.
+    /// The server refused the grant, because it has seen a higher fence for one of the keys.
     Superseded,
-    /// Another server has the address now: the process of the intended one has ended.
+    /// Another server uses the address, which means that the process of the intended server has
+    /// ended.
     OtherServer,
 }
 
 /// Order that makes one server hold a range of keys.
 #[derive(Clone, Copy, Debug)]
 pub struct Grant<'a> {
-    /// Name of the server that the order is for; another process at the address refuses it.
+    /// Name of the server that the order is for; another server process at the address refuses the
+    /// order.
     pub server: &'a str,
     /// Range of keys, both ends included.
     pub range: KeyRange,
-    /// Fencing token of the grant; the server refuses it after a higher one.
+    /// Fencing token of the grant. The server refuses the grant if it has seen a higher fencing
+    /// token for one of the keys.
     pub fence: u64,
-    /// Length of the lease; the server stops serving the keys when it ends.
+    /// Length of the lease in milliseconds, counted from the arrival of the grant at the server,
+    /// which stops serving the keys when the lease ends.
     pub lease_ms: u64,
-    /// Token of the previous owner, by which the server starts warm; `None` if there is none.
+    /// Token that the previous owner of the keys returned at their release and that lets the server
+    /// start warm; `None` if there is no such token.
     pub handover: Option<&'a str>,
 }
 
 /// Order that makes one server release a range of keys.
 #[derive(Clone, Copy, Debug)]
 pub struct Release<'a> {
-    /// Name of the server that the order is for; another process at the address refuses it.
+    /// Name of the server that the order is for; another server process at the address refuses the
+    /// order.
     pub server: &'a str,
     /// Range of keys, both ends included.
     pub range: KeyRange,
-    /// Fencing token of the release; it is higher than that of the grant, so that the server
-    /// refuses a delayed renewal of the grant.
+    /// Fencing token of the release, which is higher than the fencing token of the grant, so that
+    /// the server refuses a delayed renewal of the grant.
     pub fence: u64,
 }
 
@@ -60,14 +67,16 @@
 pub enum ReleaseOutcome {
     /// All requests for the keys have ended on the server.
     Ended {
-        /// Token by which the next owner starts warm; `None` if the server sent none.
+        /// Token that lets the next owner of the keys start warm; `None` if the server sent no
+        /// token.
         handover: Option<String>,
     },
-    /// Another server has the address now: the process of the intended one has ended.
+    /// Another server uses the address, which means that the process of the intended server has
+    /// ended.
     OtherServer,
 }
 
-/// Grants keys to a server, or renews its lease on them.
+/// Grants a range of keys to a server, or renews the server's lease on the range.
 pub async fn grant(link: &Link, grant: Grant<'_>, timeout_ms: u64) -> Result<GrantOutcome> {
     let body = WireGrant {
         from: grant.range.first,
@@ -89,7 +98,8 @@
     }
 }
 
-/// Makes a server release keys; it responds once all requests for them have ended.
+/// Makes a server release a range of keys. The server responds once all its requests for the keys
+/// have ended.
 pub async fn release(link: &Link, release: Release<'_>, timeout_ms: u64) -> Result<ReleaseOutcome> {
     let body = WireRelease {
         from: release.range.first,
@@ -114,9 +124,9 @@
     }
 }
 
-/// Sends a health check and returns true if the expected server responded, whatever the status: an
-/// overloaded server is alive as well. A response without a server name counts as the expected
-/// server's.
+/// Sends a health check and returns true if the expected server responded. The status of the
+/// response does not matter, because an overloaded server is alive as well. A response without a
+/// server name counts as a response of the expected server.
 pub async fn is_alive(
     link: &Link,
     health_path: &str,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -21,12 +21,13 @@
 
 /// Timeout of a transaction. The store usually takes 8 ms, and 60 times as long when it is slow.
 const CALL_TIMEOUT_MS: u64 = 2_000;
-/// Timeout for reading one page, which takes half as long as a transaction.
+/// Timeout for reading one page of rows. A read takes half as long as a transaction.
 const READ_TIMEOUT_MS: u64 = 1_000;
-/// Additional timeout of a feed call, on top of the time for which the store holds it.
+/// Time that the timeout of a feed call adds to the wait for which the store may hold the call.
 pub const FEED_SLACK_MS: u64 = 1_000;
-/// Timeout of a feed call that returns at once. Such calls probe whether the store is back, and
-/// must not hang on a connection that a network failure has silently broken.
+/// Timeout of a feed call whose wait is 0, to which the store responds at once. Hosts use such
+/// calls to probe whether the store is reachable again, and a probe must not hang on a connection
+/// that a network failure has silently broken.
 const PROBE_SLACK_MS: u64 = 500;
 /// Maximum number of rows that one read requests.
 const PAGE_ROWS: usize = 500;
@@ -37,9 +38,9 @@
 /// Row of the store, decoded from its wire form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// Key, unique within table and partition.
+    /// Key of the row, unique within its table and partition.
     pub key: String,
-    /// Content; empty if the row was removed or its encoding is invalid.
+    /// Content of the row; empty if the row was removed or if its content is not valid base64.
     pub value: Vec<u8>,
     /// Version of the store at the row's last change.
     pub version: u64,
@@ -83,7 +84,7 @@
 pub struct Transaction<'a> {
     /// Partition that contains all rows of the transaction; empty for [`DEFAULT_PARTITION`].
     pub part: &'a str,
-    /// Conditions; if one of them does not hold, nothing is changed.
+    /// Conditions on rows; if one of the conditions does not hold, the transaction changes no row.
     pub expect: Vec<Expect<'a>>,
     /// Rows to create or replace.
     pub puts: Vec<Put<'a>>,
@@ -96,12 +97,13 @@
 pub enum TransactionOutcome {
     /// The transaction took effect: all its writes and removals were made.
     Done {
-        /// Version of the store that all its rows have now.
+        /// Version of the store after the transaction, which all rows that it wrote have.
         version: u64,
     },
-    /// A condition did not hold, so nothing was changed.
+    /// A condition did not hold, so the transaction changed no row.
     Conflict {
-        /// Current rows of the conditions; rows that do not exist are left out.
+        /// Current state of the rows that the conditions refer to; rows that do not exist are left
+        /// out.
         rows: Vec<Row>,
     },
 }
@@ -109,14 +111,15 @@
 /// Rows of a table, or the changes of a table after a version.
 #[derive(Clone, Debug)]
 pub struct Rows {
-    /// Rows; changes are in the order of their versions.
+    /// Rows that were read; if the rows are changes, they are in the order of their versions.
     pub rows: Vec<Row>,
     /// Version of the store up to which the rows are current.
     pub version: u64,
 }
 
 impl Rows {
-    /// Returns true if the response has as many rows as fit, so that the store may have more.
+    /// Returns true if the response contains the maximum number of rows, so that the store may have
+    /// more.
     pub fn is_full_page(&self) -> bool {
         self.rows.len() >= PAGE_ROWS
     }
@@ -127,8 +130,8 @@
 pub enum Feed {
     /// Changes in the order of their versions, possibly none.
     Changes(Rows),
-    /// The store no longer has the changes after the requested version; the table must be read
-    /// anew.
+    /// The store no longer has the changes after the requested version, so the whole table must be
+    /// read again.
     HistoryGone,
 }
 
@@ -137,7 +140,8 @@
 pub enum CallKind {
     /// Read of one page of rows; reading a large table takes several.
     Read,
-    /// Call of a change feed, which the store holds until there are changes or the wait has passed.
+    /// Call of a change feed. The store holds the call until there are changes or the requested
+    /// wait has passed.
     Feed,
     /// Transaction, with or without conditions.
     Transaction,
@@ -211,14 +215,16 @@
             let path = format!("/rows-get?table={table}&part={part}&from={from}&limit={PAGE_ROWS}");
             self.count(CallKind::Read, table);
             let page: WireRows = self.get(&path, READ_TIMEOUT_MS).await?;
-            // The feed repeats all changes after the first page's version.
+            // Takes the version of the first page, because a feed after that version returns all
+            // changes that were made while later pages were read.
             if all.rows.is_empty() {
                 all.version = page.ver;
             }
             let Some(last) = page.rows.last() else {
                 return Ok(all);
             };
-            // Smallest key that is greater than the last one.
+            // The next page starts at the smallest key that is greater than the last key of this
+            // page.
             from = format!("{}%00", last.key_file);
             all.rows.extend(decode_rows(page.rows));
             if !page.has_more {
@@ -227,7 +233,8 @@
         }
     }
 
-    /// Reads the rows of a table with keys from `first` to `last`, both included; at most one page.
+    /// Reads the rows of a table whose keys are between `first` and `last`, both included. Returns
+    /// at most one page of rows.
     pub async fn range(&self, table: &str, part: &str, first: &str, last: &str) -> Result<Rows> {
         let path = format!(
             "/rows-get?table={table}&part={part}&from={first}&toVersion={last}%00&limit={PAGE_ROWS}"
@@ -240,8 +247,8 @@
         })
     }
 
-    /// Waits up to `wait_ms` for changes of a table after a version. Sets `begun` when the head of
-    /// the response has arrived.
+    /// Waits up to `wait_ms` for changes of a table after version `after`. Sets `begun` to true
+    /// when the head of the response has arrived.
     pub async fn feed(
         &self,
         table: &str,
@@ -271,13 +278,14 @@
         }))
     }
 
-    /// Runs a transaction. After an error for which [`Error::may_have_run`] returns true, it may
-    /// have taken effect, or may do so seconds later if its conditions still hold then.
+    /// Runs a transaction. After an error for which [`Error::may_have_run`] returns true, the
+    /// transaction may have taken effect. It may also take effect seconds later, if its conditions
+    /// still hold at that time.
     pub async fn transact(&self, transaction: &Transaction<'_>) -> Result<TransactionOutcome> {
         self.transact_within(transaction, CALL_TIMEOUT_MS).await
     }
 
-    /// Does the same as [`Store::transact`], with a timeout chosen by the caller.
+    /// Runs a transaction as [`Store::transact`] does, but with the given timeout.
     pub async fn transact_within(
         &self,
         transaction: &Transaction<'_>,
@@ -355,7 +363,7 @@
 }
 
 /// Decodes the rows of a response. A row whose content is not valid base64 gets empty content, so
-/// that it does not make the other rows unusable.
+/// that one invalid row does not make the other rows unusable.
 fn decode_rows(rows: Vec<WireRow>) -> Vec<Row> {
     rows.into_iter().map(decode_row).collect()
 }
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -11,15 +11,16 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireRow {
-    /// Key of the row within table and partition; it does not name a file.
+    /// Key of the row within its table and partition. In spite of its name, the field does not name
+    /// a file.
     pub key_file: String,
-    /// Content in base64; missing in deleted rows.
+    /// Content of the row in base64; missing in deleted rows.
     #[serde(default)]
     pub value: String,
     /// Version of the store at the row's last change.
     #[serde(default)]
     pub ver: u64,
-    /// True if the row was removed; set only by feeds.
+    /// True if the row was removed; only change feeds return such rows.
     #[serde(default)]
     pub deleted: bool,
 }
@@ -71,13 +72,14 @@
     pub rows: Vec<WireRow>,
     #[serde(default)]
     pub has_more: bool,
-    /// Newest version of the whole store; 0 if the store left it out.
+    /// Newest version of the whole store; 0 if the response has no version.
     #[serde(default)]
     pub ver: u64,
 }
 
-/// Entry of a backend server. All fields but `born` and `warmupLeft` are required. Any of them may
-/// be missing or invalid, because other programs write entries as well; the entry is refused then.
+/// Entry of a backend server. All fields except `born` and `warmupLeft` are required. An entry with
+/// a missing or invalid field is refused; such entries occur because other programs write entries
+/// as well.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WireServer {
     pub addr: SocketAddr,
@@ -93,7 +95,7 @@
 pub struct WireServerInfo {
     pub service: String,
     pub zone: String,
-    /// Version of the server's software; required, but not used.
+    /// Version of the server's software; the field is required but not used.
     #[serde(rename = "version")]
     pub _version: String,
     pub slots: u32,
@@ -104,14 +106,14 @@
 #[serde(rename_all = "camelCase")]
 pub struct WireServerStatus {
     pub state: WireServerState,
-    /// Sequence number of the heartbeat; required, but not used.
+    /// Sequence number of the server's heartbeat; the field is required but not used.
     #[serde(rename = "seq")]
     pub _seq: u64,
     #[serde(default, deserialize_with = "deserialize_optional_ms")]
     pub warmup_left: Option<u64>,
 }
 
-/// Readiness of a server. An entry with any other value is refused.
+/// Readiness of a server. An entry with a value other than these is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WireServerState {
@@ -132,7 +134,7 @@
     pub tenants: Option<Vec<WireTenant>>,
 }
 
-/// Workspace with its API keys and quota; the platform calls it a tenant.
+/// Workspace with its API keys and quota; the platform calls a workspace a tenant.
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireTenant {
@@ -144,7 +146,7 @@
     /// Quota in requests per second; 0 or missing for no quota.
     #[serde(default)]
     pub rate_per_s: f64,
-    /// Requests that the workspace may send at once beyond its quota.
+    /// Number of requests that the workspace may send at once beyond its quota.
     #[serde(default)]
     pub burst: f64,
     #[serde(default)]
@@ -168,10 +170,11 @@
     pub max_conns: u32,
     #[serde(default)]
     pub sharded: bool,
-    /// Time for which a server remains cold once it has become cold.
+    /// Time in milliseconds for which a server remains cold after it has become cold.
     #[serde(default, deserialize_with = "deserialize_optional_ms")]
     pub warmup: Option<u64>,
-    /// Requests per second that a cold server can serve.
+    /// Number of requests per second that a cold server can serve; `None` if servers need no
+    /// warm-up.
     #[serde(default)]
     pub warmup_per_s: Option<f64>,
 }
@@ -188,7 +191,8 @@
     pub idle_timeout: u64,
 }
 
-/// Routes for one value of the `Host` header; it does not stand for an entry host.
+/// Routes for one value of the `Host` header. In spite of its name, the type does not describe an
+/// entry host.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WireHost {
     pub host: String,
@@ -217,7 +221,7 @@
     pub split: Vec<WireShare>,
     #[serde(default)]
     pub max_attempts: Option<u32>,
-    /// True if requests need no API key even if there are workspaces.
+    /// True if requests of the route need no API key even if workspaces are configured.
     #[serde(default)]
     pub public: bool,
     #[serde(default)]
@@ -231,27 +235,30 @@
     pub weight: f64,
 }
 
-/// Order that makes a server hold a range of keys.
+/// Body of the order that makes a server hold a range of keys.
 #[derive(Clone, Debug, Serialize)]
 pub struct WireGrant<'a> {
     /// First key of the range, included.
     pub from: u16,
-    /// Last key, included; despite its name on the wire it is not a version.
+    /// Last key of the range, included. In spite of its name on the wire, the field is not a
+    /// version.
     #[serde(rename = "toVersion")]
     pub to: u16,
     pub fence: u64,
-    /// Length of the lease, counted from the arrival of the order; a duration with unit.
+    /// Length of the lease, counted from the arrival of the order at the server, as a duration with
+    /// its unit such as `1500ms`.
     pub hold_time: String,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub handover: Option<&'a str>,
 }
 
-/// Order that makes a server release a range of keys.
+/// Body of the order that makes a server release a range of keys.
 #[derive(Clone, Debug, Serialize)]
 pub struct WireRelease {
     /// First key of the range, included.
     pub from: u16,
-    /// Last key, included; despite its name on the wire it is not a version.
+    /// Last key of the range, included. In spite of its name on the wire, the field is not a
+    /// version.
     #[serde(rename = "toVersion")]
     pub to: u16,
     pub fence: u64,
