--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -1,5 +1,5 @@
 //! Stand-in of a backend server: accepts fenced grants, drains, sheds load, honours deadlines and
-//! cancellation, and records when it owned which slot and which requests it ran.
+//! cancellation, and records which slots it owned at which times and which requests it ran.
 
 use std::{
     collections::HashMap,
@@ -41,11 +41,12 @@
 
 /// Maximum size of a request body on the stand-in's own endpoints.
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
-/// Interval at which a drain checks whether the requests for the revoked slots have ended.
+/// Interval at which the handling of a revocation checks whether the requests for the revoked slots
+/// have ended.
 const DRAIN_POLL_MS: u64 = 1;
-/// Pause between the first half of a truncated response and its end.
+/// Pause between the first half of a truncated response and the close of its connection.
 const TRUNCATION_PAUSE_MS: u64 = 30;
-/// Extra run time of a request while the server is cold, i.e. shortly after its start.
+/// Additional run time of a request while the server is cold, i.e. shortly after its start.
 const COLD_EXTRA_MS: u64 = 20;
 
 /// Behaviour of one stand-in server, fixed at its start; faults can be set later.
@@ -53,14 +54,14 @@
 pub struct Config {
     /// Address to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// Number of requests that run at the same time.
+    /// Maximum number of requests that run at the same time.
     pub slots: usize,
-    /// Number of requests that wait for a slot; further ones are shed.
+    /// Maximum number of requests that wait for a slot; further requests are shed.
     pub queue: usize,
     /// Time in milliseconds for which a request occupies its slot.
     pub work_ms: u64,
-    /// Time in milliseconds after the start in which the server is cold: requests take 20 ms
-    /// longer.
+    /// Time in milliseconds after the start for which the server is cold, so that each request
+    /// takes 20 ms longer.
     pub cold_ms: u64,
     /// False for a server that runs requests without checking their epoch and incarnation.
     pub checks_orders: bool,
@@ -75,7 +76,8 @@
     running_max: usize,
     waiting: usize,
     faults: Faults,
-    /// Time of the last load measurement, and the load that the endpoint reports until the next.
+    /// Time of the last load measurement, and the load that the load endpoint reports until the
+    /// next measurement.
     last_load: (u64, LoadResponse),
 }
 
@@ -242,7 +244,8 @@
         transport::json(StatusCode::OK, &inner.last_load.1)
     }
 
-    /// Returns the extra run time of a request, which is 0 once the server is warm.
+    /// Returns the additional run time of a request in milliseconds, which is 0 once the server is
+    /// warm.
     fn cold_extra_ms(&self) -> u64 {
         let cold = clock::now_ms() < self.started_ms + self.config.cold_ms;
         if cold { COLD_EXTRA_MS } else { 0 }
@@ -348,9 +351,9 @@
         transport::json(StatusCode::OK, &answer)
     }
 
-    /// Checks the epoch and incarnation of a request and counts it as in flight. Both happen under
-    /// one lock, so that a revocation in between cannot miss the request. Returns `None` for
-    /// requests without service or slot.
+    /// Checks the epoch and the incarnation of a request and counts the request as in flight. The
+    /// check and the count happen under the same lock, so that a revocation in between cannot miss
+    /// the request. Returns `None` for a request without service or slot.
     fn admit(&self, headers: &HeaderMap) -> Result<Option<InFlightGuard>, &'static str> {
         let Some(service) = header_text(headers, SERVICE_HEADER) else {
             return Ok(None);
@@ -410,7 +413,7 @@
     _permit: OwnedSemaphorePermit,
 }
 
-/// Body that ends before the announced length, a short pause after its first half.
+/// Body that ends after its first half and a short pause, before the announced length is reached.
 struct TruncatedBody {
     half: Option<Bytes>,
     pause: Pin<Box<time::Sleep>>,
--- a/src/standin/backend_message.rs
+++ b/src/standin/backend_message.rs
@@ -19,18 +19,18 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
     /// The server stops responding, except on the endpoints for faults and the record. When the
-    /// fault ends, all requests continue.
+    /// fault ends, all pending requests continue.
     pub frozen: bool,
-    /// The server reports in lease responses and health checks that it drains.
+    /// The server reports in its lease responses and its health endpoint that it drains.
     pub draining: bool,
     /// The health endpoint reports the opposite of the actual health.
     pub health_lies: bool,
-    /// Interval between updates of the load that the load endpoint reports; 0 to report the current
-    /// load.
+    /// Minimum interval in milliseconds between updates of the load that the load endpoint reports;
+    /// 0 to always report the current load.
     pub load_lag_ms: u64,
     /// Additional run time of each request, in milliseconds.
     pub extra_ms: u64,
-    /// Responses end in the middle of the body.
+    /// The connection of a response is closed in the middle of the response body.
     pub cut_answers: bool,
 }
 
@@ -65,10 +65,10 @@
     pub running_max: usize,
 }
 
-/// Body of the response to a request; it repeats what the server received.
+/// Body of the response to a request, which repeats properties of the received request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EchoResponse {
-    /// Identifier of the request; empty if it had none.
+    /// Identifier of the request; empty if the request had none.
     pub request: String,
     /// Path of the request, without the host.
     pub path: String,
--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -1,5 +1,5 @@
-//! State machine of the grants that a backend server holds. It takes the time as an argument, so
-//! that tests control it.
+//! State machine of the lease and the slot grants that a backend server holds. Its methods take the
+//! time as an argument, so that tests control the time.
 
 use std::collections::HashMap;
 
@@ -10,7 +10,7 @@
     ownership::message::{LeaseRequest, SlotGrant, grant_hash},
 };
 
-/// Time span in which a server owned a slot, by the machine's wall clock.
+/// Time span in which a server owned a slot, measured by the wall clock of the machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnershipSpan {
     /// Full name of the service, `workspace/service`.
@@ -28,16 +28,17 @@
 #[derive(Clone, Copy, Debug)]
 struct SlotState {
     epoch: Epoch,
-    /// Start of the ownership; `None` if the slot was released at `epoch`.
+    /// Unix time in microseconds at which the ownership began; `None` if the server no longer owns
+    /// the slot.
     since_us: Option<u64>,
 }
 
 /// Time by the server's monotonic clock and by the wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
-    /// Monotonic time of the server, by which its lease ends.
+    /// Monotonic time of the server in milliseconds, on which the end of its lease is based.
     pub clock_ms: u64,
-    /// Wall clock time, used for the record.
+    /// Wall clock time as Unix time in microseconds, used for the spans of the record.
     pub unix_us: u64,
 }
 
@@ -53,19 +54,20 @@
 }
 
 impl Grants {
-    /// Returns the highest membership period seen; orders of earlier ones are refused.
+    /// Returns the highest lease epoch of all accepted lease requests; requests with a lower lease
+    /// epoch are refused.
     pub fn lease_epoch(&self) -> LeaseEpoch {
         self.lease_epoch
     }
 
-    /// Returns the digest of the grants held, which hosts compare with that of the grants in their
-    /// state.
+    /// Returns the digest of the grants that the server holds. Hosts compare it with the digest of
+    /// the grants that their own state contains for the server.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Extends the lease and adds the grants; returns false if the order is of an earlier
-    /// membership period.
+    /// Extends the lease and adds the grants of a lease request. Returns false, without a change,
+    /// if the lease epoch of the request is lower than that of an earlier request.
     pub fn renew(&mut self, request: &LeaseRequest, now: ClockReading) -> bool {
         if request.lease_epoch < self.lease_epoch {
             return false;
@@ -81,8 +83,8 @@
         true
     }
 
-    /// Ends all grants at the start of a new membership period, because slots of the previous
-    /// period may have moved to other servers.
+    /// Ends the lease and all grants at the start of a new lease epoch, because slots granted in
+    /// the previous lease epoch may have moved to other servers.
     fn end_all(&mut self, now: ClockReading) {
         let keys: Vec<(String, Slot)> = self.slots.keys().cloned().collect();
         for key in keys {
@@ -122,7 +124,7 @@
         self.slots.insert(key, held);
     }
 
-    /// Releases a slot; grants with an epoch below `next.epoch` are refused afterwards.
+    /// Releases a slot. Grants of the slot with an epoch below `next.epoch` are refused afterwards.
     pub fn revoke(&mut self, next: &SlotGrant, now: ClockReading) {
         let key = (next.service.clone(), next.slot);
         if self
@@ -157,7 +159,8 @@
         });
     }
 
-    /// Returns true if a request for `slot` at `epoch` may run at `clock_ms`.
+    /// Returns true if a request for `slot` at `epoch` may run at `clock_ms`: the lease is valid
+    /// and the server owns the slot at exactly this epoch.
     pub fn admits(&self, service: &str, slot: Slot, epoch: Epoch, clock_ms: u64) -> bool {
         if clock_ms >= self.not_after_ms {
             return false;
@@ -167,8 +170,8 @@
             .is_some_and(|held| held.since_us.is_some() && held.epoch == epoch)
     }
 
-    /// Returns true if the server would admit requests for `slot` at the epoch of its grant at
-    /// `clock_ms`.
+    /// Returns true if the server owns `slot` under a lease that is valid at `clock_ms`, whatever
+    /// the epoch of the grant is.
     pub fn owns(&self, service: &str, slot: Slot, clock_ms: u64) -> bool {
         let held = self.slots.get(&(service.to_owned(), slot));
         clock_ms < self.not_after_ms && held.is_some_and(|held| held.since_us.is_some())
--- a/src/standin/invariants.rs
+++ b/src/standin/invariants.rs
@@ -1,5 +1,5 @@
-//! Checks two invariants over the records of stand-in servers: no slot has two owners at a time,
-//! and no request runs twice.
+//! Checks two invariants over the records of stand-in servers: no slot has two owners at the same
+//! time, and no request runs twice.
 
 use std::collections::HashMap;
 
@@ -46,7 +46,8 @@
     one.service == other.service && one.slot == other.slot
 }
 
-/// Returns the requests that ran more than once, summed over all servers.
+/// Returns the requests that ran more than once, with the number of their runs on all servers
+/// together.
 pub fn double_runs(records: &[Record]) -> Vec<RunCount> {
     let mut runs: HashMap<&str, u64> = HashMap::new();
     for run in records.iter().flat_map(|record| &record.runs) {
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -39,7 +39,8 @@
         let _ = self.task.await;
     }
 
-    /// Waits until the stand-in ends, which it only does with the process.
+    /// Waits for the end of the stand-in, which without a call of [`Running::stop`] comes only with
+    /// the end of the process.
     pub async fn wait(self) {
         let _ = self.task.await;
     }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -30,7 +30,7 @@
 /// Path of the endpoint that returns the counters (GET).
 pub const COUNTERS_PATH: &str = "/counters";
 
-/// Maximum size of a request body, which has to hold a snapshot.
+/// Maximum size of a request body in bytes, large enough for a snapshot of the state.
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
 
 /// Faults that the stand-in injects until other faults are set.
@@ -41,7 +41,8 @@
     pub down: bool,
     /// Delay in milliseconds before each call takes effect.
     pub slow_ms: u64,
-    /// Every n-th transaction gets no response although it took effect; 0 for none.
+    /// Interval of lost responses: every n-th transaction, if its conditions hold, takes effect but
+    /// gets no response; 0 to lose no response.
     pub lose_answer_every: u64,
     /// Age in milliseconds of the list of hosts that readers get; 0 for the current list.
     pub list_lag_ms: u64,
@@ -56,7 +57,7 @@
     pub transactions: u64,
     /// Number of transactions that took effect.
     pub committed: u64,
-    /// Number of responses dropped by the fault `lose_answer_every`.
+    /// Number of transactions whose response was dropped by the fault `lose_answer_every`.
     pub lost_answers: u64,
 }
 
@@ -129,7 +130,8 @@
         if faults.slow_ms > 0 {
             time::sleep(Duration::from_millis(faults.slow_ms)).await;
         }
-        // Stays silent as in a network partition: callers notice it by their own timeouts.
+        // Sends no response, as in a network partition. Callers notice the fault by their own
+        // timeouts.
         while self.lock().faults.down {
             time::sleep(Duration::from_millis(20)).await;
         }
@@ -193,8 +195,8 @@
 }
 
 impl Table {
-    /// Runs a transaction. The returned flag is true if the fault `lose_answer_every` requires that
-    /// its response is dropped.
+    /// Runs a transaction. The returned flag is true if the transaction's response must be dropped
+    /// because of the fault `lose_answer_every`.
     fn transact(&mut self, transaction: Transaction) -> (TransactionOutcome, bool) {
         self.counters.transactions += 1;
         let conflicts = self.conflicts(&transaction);
