--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Starts processes of the built binary for tests, and sends requests to them.
+//! Starts entry hosts and stand-ins as processes of the built binary, and sends requests to them.
 #![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::{
@@ -38,7 +38,8 @@
 }
 
 impl Process {
-    /// Starts the binary and parses the first line that it prints, which has its addresses.
+    /// Starts the binary with its standard error in the file `log`, and parses the first line that
+    /// the binary prints, which contains the addresses on which it listens.
     fn start<T: DeserializeOwned>(args: &[&str], log: &Path) -> (Self, T) {
         let log = fs::File::create(log).expect("log file");
         let mut child = Command::new(BINARY)
@@ -69,8 +70,8 @@
         let _ = self.child.wait();
     }
 
-    /// Waits until the process exits and returns its exit code; panics after `limit`. It does not
-    /// block the other tasks of the test.
+    /// Waits until the process exits and returns its exit code; panics after `limit`. The wait does
+    /// not block the other tasks of the test.
     pub async fn wait(&mut self, limit: Duration) -> Option<i32> {
         let end = Instant::now() + limit;
         while Instant::now() < end {
@@ -127,7 +128,8 @@
 pub const NO_FLAGS: &[&str] = &[];
 
 impl Cluster {
-    /// Starts a platform, servers and hosts; no template or workspace is declared yet.
+    /// Starts a platform, servers and hosts, without templates or workspaces. `server_flags` are
+    /// additional command line flags of each server.
     pub fn start(servers: usize, hosts: usize, server_flags: &[&str]) -> Self {
         ashroad::peer::keys::install_crypto_provider();
         let directory = new_directory();
@@ -197,7 +199,8 @@
     }
 
     /// Submits a template `t` with one service `s` of 64 slots, and a workspace `w` with all
-    /// servers, and waits until all slots are owned. `service_extra` is added to the service.
+    /// servers, and waits until all slots are owned. `service_extra` contains additional lines of
+    /// YAML for the service.
     pub async fn declare(&self, service_extra: &str) {
         let template = format!(
             "template: t\nparameters:\n  - {{ name: targets, type: targets, max: 100 }}\n\
@@ -211,7 +214,7 @@
         self.settled().await;
     }
 
-    /// Returns the document of the workspace `w` with these servers.
+    /// Returns the document of the workspace `w` with the servers that have these indices.
     pub fn workspace(&self, servers: &[usize]) -> String {
         let mut text = "workspace: w\ntemplate: t\nparameters:\n  targets:\n".to_owned();
         for index in servers {
@@ -244,7 +247,8 @@
         status.unwrap_or_else(|error| panic!("no status of host {host}: {error}"))
     }
 
-    /// Waits until every host reports that all slots have an owner and that all hosts are voters.
+    /// Waits until every host reports that all slots have an owner, that all hosts are voters and
+    /// that the last change of the registry of hosts is settled.
     pub async fn settled(&self) {
         let all: Vec<usize> = (0..self.hosts.len()).collect();
         self.settled_on(&all).await;
@@ -259,7 +263,7 @@
         .await;
     }
 
-    /// Waits until these hosts report that exactly `servers` servers own slots.
+    /// Waits until each of these hosts reports that exactly `servers` servers own slots.
     pub async fn owned_by(&self, servers: usize, hosts: &[usize]) {
         let what = format!("{servers} servers own all slots");
         self.wait_for(&what, hosts, |status| {
@@ -311,7 +315,7 @@
         record.expect("the record is read")
     }
 
-    /// Reads the records of these stand-in servers.
+    /// Reads the records of the stand-in servers that have these indices.
     pub async fn records(&self, servers: &[usize]) -> Vec<backend::Record> {
         let mut records = Vec::new();
         for server in servers {
--- a/tests/platform_standin/caller.rs
+++ b/tests/platform_standin/caller.rs
@@ -12,9 +12,9 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpSocket, time};
 
-/// Time after the deadline for which a caller still waits, since a process may wait for a processor
-/// on a busy machine. The test `answers_come_by_the_deadline` checks that hosts respond by the
-/// deadline itself.
+/// Time after the deadline of a request for which the caller still waits for the response, because
+/// processes may be scheduled late on a busy machine. The test `answers_come_by_the_deadline`
+/// checks that hosts respond by the deadline itself.
 const SCHEDULING_ALLOWANCE_MS: u64 = 10_000;
 
 /// Response of a host, with its complete body.
@@ -53,7 +53,8 @@
         Self::connect_from(Ipv4Addr::LOCALHOST.into(), address).await
     }
 
-    /// Connects from a given local address, so that hosts see another caller.
+    /// Connects to a host from the local address `own`, so that the host takes the connection for
+    /// one of another caller; `None` if the connection fails.
     pub async fn connect_from(own: IpAddr, address: SocketAddr) -> Option<Self> {
         let socket = TcpSocket::new_v4().ok()?;
         socket.bind(SocketAddr::new(own, 0)).ok()?;
@@ -67,8 +68,8 @@
         Some(Self { sender })
     }
 
-    /// Sends a request and returns the response; `None` if the connection closes first or no
-    /// response arrives in time.
+    /// Sends a request and returns the response; `None` if the connection closes before the
+    /// response is complete or if no response arrives in time.
     pub async fn ask(&mut self, ask: TestRequest<'_>) -> Option<CallerResponse> {
         self.ask_with_headers(ask, &[]).await
     }
@@ -109,7 +110,7 @@
     }
 }
 
-/// Sends one request on a new connection.
+/// Sends one request on a new connection; `None` if the connection fails or no response arrives.
 pub async fn ask_once(address: SocketAddr, ask: TestRequest<'_>) -> Option<CallerResponse> {
     Caller::connect(address).await?.ask(ask).await
 }
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -27,15 +27,15 @@
 pub const CONTACT_GRACE: Duration = Duration::from_secs(3);
 /// Time within which a key must be served again after a loss.
 pub const SERVED_AGAIN: Duration = Duration::from_secs(3);
-/// Usual number of hosts.
+/// Number of hosts that [`Deployment::start`] starts.
 pub const HOSTS: usize = 3;
-/// Usual number of servers of each service.
+/// Number of servers of each service that [`Deployment::start`] starts.
 pub const SERVERS: usize = 3;
 /// Lock that a test holds while it runs its cases, since all tests together would start over a
 /// hundred processes.
 static RUN_LOCK: Mutex<()> = Mutex::const_new(());
 
-/// Fault or event in addition to the one that a test is about.
+/// Fault or event that occurs in addition to the fault that a test is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disturbance {
     /// No disturbance.
@@ -52,7 +52,7 @@
     EntryExpires,
     /// The process of the first host is paused for 1.2 s.
     FirstHostPaused,
-    /// Another host starts.
+    /// A further host starts and joins the deployment.
     HostStarts,
 }
 
@@ -69,8 +69,8 @@
 ];
 
 impl Disturbance {
-    /// Returns the time after which other servers must serve the callers, given the time that a
-    /// single loss takes.
+    /// Returns the time within which other servers must serve the callers after a loss under this
+    /// disturbance. `one_loss` is the time that applies unless the disturbance partitions a host.
     pub fn recovery_limit(self, one_loss: Duration) -> Duration {
         match self {
             // The lost host may be the duty holder; then another host takes the duty before it
@@ -98,7 +98,8 @@
         Self::start_sized(workload, HOSTS, SERVERS).await
     }
 
-    /// Starts hosts, servers of each service, and one caller at each host.
+    /// Starts the given number of hosts, the given number of servers of each service, and one
+    /// caller at each host.
     pub async fn start_sized(workload: Workload, hosts: usize, servers: usize) -> Self {
         let site = Site::start_servers(servers).await;
         let mut deployment = Self {
@@ -113,8 +114,8 @@
         for (index, host) in deployment.site.hosts.iter().enumerate() {
             deployment.traffic.add(index, host.callers);
         }
-        // Waits until each host has had responses of all servers and the initial rebalancing is
-        // complete.
+        // Within this time each host gets responses of all servers and the initial rebalancing of
+        // keys ends.
         time::sleep(Duration::from_secs(2)).await;
         deployment
     }
@@ -132,7 +133,7 @@
         index.expect("a duty holder")
     }
 
-    /// Returns the servers that get the requests of a workload.
+    /// Returns the servers of the service to which a workload sends its requests.
     pub fn servers(&self, workload: Workload) -> &[Server] {
         match workload {
             Workload::Keys | Workload::BusyKeys => &self.site.keyed,
@@ -140,12 +141,12 @@
         }
     }
 
-    /// Returns the server whose fault a test is about.
+    /// Returns the server that a test with this workload makes fail.
     pub fn server(&self, workload: Workload) -> &Server {
         &self.servers(workload)[0]
     }
 
-    /// Applies a disturbance for the given time.
+    /// Applies a disturbance for the given time; afterwards all hosts reach the store again.
     pub async fn apply_disturbance(
         &mut self,
         disturbance: Disturbance,
@@ -174,8 +175,8 @@
             Disturbance::EntryExpires => {
                 time::sleep(Duration::from_millis(300)).await;
                 self.server(workload).remove_entry(&self.site.store);
-                // The entry is written again only when hosts may no longer send requests to the
-                // server because of its own announcement that it leaves.
+                // Waits until the drain period has passed after the server's own announcement that
+                // it leaves, so that hosts may no longer send requests to the server.
                 time::sleep(DRAIN).await;
                 self.server(workload).write_entry(&self.site.store, "ready");
             }
@@ -196,8 +197,8 @@
     }
 }
 
-/// Returns the requests that a server received, each with its outcome at the caller, by the index
-/// of the host that forwarded it.
+/// Returns the requests that a server received, grouped by the index of the host that forwarded
+/// them. Each request comes with its outcome at the caller.
 pub fn received_by_host(
     server: &Server,
     traffic: &Traffic,
@@ -205,7 +206,8 @@
     let sent = traffic.sent();
     let mut by_host: HashMap<usize, Vec<(ReceivedRequest, Sent)>> = HashMap::new();
     for visit in server.received_requests() {
-        // Requests that are in flight, or that the test itself sent, are left out.
+        // The traffic knows no outcome of requests that are still in flight or that the test itself
+        // sent, so these requests are left out.
         if let Some(sent) = sent.get(&visit.id) {
             by_host
                 .entry(sent.host)
@@ -216,7 +218,7 @@
     by_host
 }
 
-/// Returns the violated invariants that servers recorded as an error.
+/// Fails with the descriptions of the violated invariants if servers recorded any violation.
 pub fn violations(deployment: &Deployment) -> Result<(), String> {
     let violations = deployment.site.record.violations();
     if violations.is_empty() {
--- a/tests/platform_standin/hosts.rs
+++ b/tests/platform_standin/hosts.rs
@@ -1,4 +1,4 @@
-//! Entry hosts as real processes.
+//! Entry hosts of tests, each of which is a process of the built binary.
 
 use std::{
     fs,
@@ -21,13 +21,13 @@
 /// Process of an entry host; killed when dropped.
 #[derive(Debug)]
 pub struct Host {
-    /// Address for callers' requests.
+    /// Address on which the host accepts callers' requests.
     pub callers: SocketAddr,
-    /// Address for readiness probes.
+    /// Address on which the host responds to readiness probes.
     pub readiness: SocketAddr,
-    /// Address for messages of other hosts.
+    /// Address on which the host accepts messages of other hosts.
     pub peers: SocketAddr,
-    /// Address for scrapes of the metrics.
+    /// Address on which the host serves its metrics.
     pub metrics: SocketAddr,
     /// File that the host's log events are appended to.
     pub log: PathBuf,
@@ -92,7 +92,7 @@
         self.child.wait().expect("the process exits");
     }
 
-    /// Kills the process if it runs, and starts it again with the same addresses.
+    /// Kills the process if it runs, and starts a process with the same settings and addresses.
     pub fn restart(&mut self) {
         self.kill();
         self.child = spawn(&self.settings, &self.log);
--- a/tests/platform_standin/mod.rs
+++ b/tests/platform_standin/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins of the users' platform for tests: its store, its backend servers, and entry hosts as
-//! real processes. All listen on loopback addresses that are derived from the process id of the
-//! test, so that concurrent tests do not collide.
+//! Stand-ins of the users' platform for tests: its store and its backend servers, and entry hosts
+//! in processes of their own. All of them listen on loopback addresses that are derived from the
+//! process id of the test, so that concurrent tests do not use the same address.
 
 #![allow(dead_code, reason = "each test binary uses a part of this")]
 
@@ -20,7 +20,8 @@
 
 static NEXT: AtomicU16 = AtomicU16::new(1);
 
-/// Returns a loopback address that no other test uses.
+/// Returns a loopback address that was not returned before in this process and that concurrent test
+/// processes are unlikely to use.
 pub fn fresh_ip() -> IpAddr {
     let pid = std::process::id();
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -31,7 +32,7 @@
     IpAddr::V4(Ipv4Addr::new(127, second, third, fourth))
 }
 
-/// Returns an unused loopback address with the given port.
+/// Returns a socket address with a loopback address from [`fresh_ip`] and the given port.
 pub fn fresh_address(port: u16) -> SocketAddr {
     SocketAddr::new(fresh_ip(), port)
 }
--- a/tests/platform_standin/proxy.rs
+++ b/tests/platform_standin/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy between a host and the store that injects network faults.
+//! A TCP proxy between a host and the store that injects network faults.
 
 use std::{
     net::SocketAddr,
@@ -20,7 +20,7 @@
 
 use super::fresh_address;
 
-/// Fault that the proxy injects.
+/// Way in which the proxy forwards data, i.e. the network fault that it injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mode {
@@ -28,9 +28,10 @@
     Pass = 0,
     /// Forwards data with a delay of 150 ms.
     Delay = 1,
-    /// Holds back all data in both directions.
+    /// Holds back all data in both directions until the mode changes.
     Silent = 2,
-    /// Holds back the data from the store to the host.
+    /// Holds back the data from the store to the host until the mode changes, and forwards the data
+    /// from the host to the store.
     OneWay = 3,
     /// Closes connections and refuses new ones.
     Reset = 4,
@@ -39,7 +40,7 @@
 }
 
 impl Mode {
-    /// All modes, for random choice.
+    /// All modes, from which tests choose at random.
     pub const ALL: [Self; 6] = [
         Self::Pass,
         Self::Delay,
@@ -50,7 +51,7 @@
     ];
 }
 
-/// Proxy in front of one address.
+/// Proxy that forwards connections to one address.
 #[derive(Debug)]
 pub struct Proxy {
     /// Address that the host connects to.
@@ -76,7 +77,7 @@
         Self { address, mode }
     }
 
-    /// Sets the fault to inject.
+    /// Sets the mode of all current and later connections.
     pub fn set(&self, mode: Mode) {
         self.mode.store(mode as u8, Ordering::Relaxed);
     }
@@ -95,15 +96,15 @@
     let (far_read, far_write) = far.into_split();
     let up = pump(near_read, far_write, mode.clone(), false);
     let down = pump(far_read, near_write, mode, true);
-    // Both directions are closed when one of them ends.
+    // When one direction ends, the other one is closed as well.
     tokio::select! {
         () = up => {}
         () = down => {}
     }
 }
 
-/// Copies the data of one direction and applies the fault; `down` is true from the store to the
-/// host.
+/// Copies the data of one direction of a connection and applies the mode. `down` is true for the
+/// direction from the store to the host.
 async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mode: Arc<AtomicU8>, down: bool) {
     let mut buffer = vec![0; 16 * 1024];
     loop {
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -35,12 +35,14 @@
 pub const LARGE_PATH: &str = "/large/";
 /// Length of a large body.
 pub const LARGE_BYTES: usize = 2_000_000;
-/// Time from the beginning of a crashing request to the crash of its server.
+/// Time in milliseconds from the start of a crashing request to the crash of the server that runs
+/// it.
 const CRASH_DELAY_MS: u64 = 40;
-/// Delay after which an order that gets no response is carried out.
+/// Delay in milliseconds after which a server carries out an order to which it sends no response.
 const LATE_ORDER_MS: u64 = 2_000;
 
-/// Record of the runs at all servers of a test. It checks that each key has a single owner.
+/// Record of the runs of requests at all servers of a test. The record checks that each key has a
+/// single owner at a time.
 #[derive(Debug, Default)]
 pub struct RunRecord {
     /// Number of runs by request id.
@@ -49,28 +51,29 @@
     all_holdings: Mutex<Vec<Arc<Holdings>>>,
     /// Descriptions of violated invariants.
     violations: Mutex<Vec<String>>,
-    /// Paths of crashing requests, and the crashes that they caused.
+    /// Paths of crashing requests, and the crashes that such requests caused.
     crash_triggers: Mutex<CrashTriggers>,
     /// Headers of the requests that ran, by request id.
     heads: Mutex<HashMap<String, HeaderMap>>,
-    /// Time until which ownership is not checked; `None` if it is checked.
+    /// Time until which the single ownership of keys is not checked; `None` if the checks were
+    /// never suspended.
     ownership_unchecked_until: Mutex<Option<Instant>>,
 }
 
-/// Requests that crash the servers that run them.
+/// Crashing requests, i.e. requests that crash each crashable server that begins to run them.
 #[derive(Debug, Default)]
 struct CrashTriggers {
     /// Paths of crashing requests.
     paths: Vec<&'static str>,
-    /// Times at which servers began to run one.
+    /// Times at which servers began to run a crashing request.
     runs: Vec<Instant>,
-    /// Times at which servers crashed.
+    /// Times at which servers crashed because of a crashing request.
     crashes: Vec<Instant>,
 }
 
 impl RunRecord {
-    /// Makes requests for a path crash each crashable server that begins to run them; `None` for no
-    /// path.
+    /// Makes requests for a path crash each crashable server that begins to run them. With `None`,
+    /// no request crashes a server.
     pub fn set_crash_path(&self, path: Option<&'static str>) {
         self.set_crash_paths(path.into_iter().collect());
     }
@@ -80,7 +83,7 @@
         lock(&self.crash_triggers).paths = paths;
     }
 
-    /// Returns the times of crashes under crashing requests.
+    /// Returns the times at which servers crashed because of crashing requests.
     pub fn crashes(&self) -> Vec<Instant> {
         lock(&self.crash_triggers).crashes.clone()
     }
@@ -90,7 +93,8 @@
         lock(&self.crash_triggers).runs.clone()
     }
 
-    /// Returns true if the request that is about to run crashes its server, and records the run.
+    /// Returns true if a request for `path` that is about to run is a crashing request, and records
+    /// the time of its run in this case.
     fn note_crashing_run(&self, path: &str) -> bool {
         let mut crash_triggers = lock(&self.crash_triggers);
         let triggers_crash = crash_triggers.paths.contains(&path);
@@ -108,8 +112,8 @@
         lock(&self.violations).push(text);
     }
 
-    /// Suspends the checks of ownership for a while. A host that was paused may have had a grant in
-    /// flight, which arrives late.
+    /// Suspends the checks of single ownership for `time_ms`. Tests that pause a host need this,
+    /// because a grant that the host had in flight when it was paused arrives late.
     pub fn pause_ownership_checks(&self, time_ms: u64) {
         *lock(&self.ownership_unchecked_until) =
             Some(Instant::now() + Duration::from_millis(time_ms));
@@ -119,7 +123,8 @@
         lock(&self.ownership_unchecked_until).is_some_and(|until| Instant::now() < until)
     }
 
-    /// Returns the headers with which a request ran.
+    /// Returns the headers with which a request arrived at the server that ran it; `None` if the
+    /// request did not run.
     pub fn head(&self, id: &str) -> Option<HeaderMap> {
         lock(&self.heads).get(id).cloned()
     }
@@ -129,7 +134,8 @@
         lock(&self.runs).get(id).copied().unwrap_or(0)
     }
 
-    /// Records a run, and a violation if another server holds the key.
+    /// Records a run of a request at `server`, and a violation if another server of the same
+    /// service holds the key of the request.
     fn record_run(&self, id: &str, key: Option<u16>, server: &Holdings) {
         *lock(&self.runs).entry(id.to_owned()).or_default() += 1;
         let Some(key) = key.filter(|_| !self.ownership_checks_paused()) else {
@@ -145,7 +151,8 @@
         }
     }
 
-    /// Checks the grant of a key: its fence must be greater than that of all other servers.
+    /// Checks the grant of a key to `server`. The fence of the grant must be greater than the
+    /// fences at which other servers of the same service were granted the key.
     fn take(&self, key: u16, fence: u64, server: &Holdings) {
         if self.ownership_checks_paused() {
             return;
@@ -171,11 +178,12 @@
 /// State of one key at one server.
 #[derive(Clone, Copy, Debug, Default)]
 struct KeyState {
-    /// Highest fence of a grant or a release.
+    /// Highest fence of all accepted grants and releases of the key.
     fence: u64,
-    /// Highest fence of an accepted grant.
+    /// Highest fence of all accepted grants of the key.
     granted_fence: u64,
-    /// End of the lease; `None` if the key is not held.
+    /// End of the lease on the key; `None` if the server was never granted the key or has released
+    /// the key.
     until: Option<Instant>,
 }
 
@@ -198,10 +206,10 @@
     }
 }
 
-/// A running backend server.
+/// Stand-in of one backend server, which runs in the process of the test.
 #[derive(Debug)]
 pub struct Server {
-    /// Identifier of this run of the server.
+    /// Name of the server, which is also the row key of its entry in the store.
     pub id: String,
     /// Address that the server listens on.
     pub address: SocketAddr,
@@ -218,29 +226,31 @@
     zone: String,
     /// True if the server runs only requests for keys that it holds.
     sharded: bool,
-    /// Limit of the requests that run concurrently.
+    /// Permits that limit the number of requests that run concurrently.
     slots: Semaphore,
-    /// Run time of a request.
+    /// Run time of each request in milliseconds.
     work_ms: AtomicU64,
-    /// Number of requests that run.
+    /// Number of requests that currently run.
     running: AtomicU64,
-    /// True if the server responds to no request.
+    /// True if the server accepts connections but responds to no request.
     silent: AtomicBool,
-    /// One in this many responses is lost; 0 for none.
+    /// Interval of lost responses: one in this many completed requests gets no response; 0 to lose
+    /// no response.
     lose_response_every: AtomicU64,
-    /// One in this many orders is carried out late and gets no response; 0 for none.
+    /// Interval of late orders: one in this many orders is carried out late and gets no response; 0
+    /// for no late orders.
     late_order_every: AtomicU64,
-    /// Number of orders so far.
+    /// Number of grants and releases that have arrived so far.
     orders: AtomicU64,
-    /// Times at which requests arrived.
+    /// Times at which callers' requests arrived, whether accepted or rejected.
     arrivals: Mutex<Vec<Instant>>,
     /// True if all responses announce that the server leaves.
     leaving: AtomicBool,
     /// Rest that the server asks for while it rejects all requests; 0 if it accepts them.
     rest_ms: AtomicU64,
-    /// Rate limit that all responses advertise; `None` for no limit.
+    /// Rate limit in requests per second that all responses advertise; `None` for no limit.
     rate_limit: Mutex<Option<String>>,
-    /// Requests that arrived, accepted or rejected.
+    /// Callers' requests that arrived, whether accepted or rejected.
     received_requests: Mutex<Vec<ReceivedRequest>>,
     /// Number of completed requests.
     served: AtomicU64,
@@ -249,31 +259,32 @@
     runtime: Mutex<Option<Runtime>>,
 }
 
-/// Request that arrived at a server.
+/// Caller's request that arrived at a server.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     /// Identifier of the request.
     pub id: String,
-    /// Time of its arrival.
+    /// Time at which the request arrived at the server.
     pub at: Instant,
     /// Rest that the server asked for when it rejected the request; `None` if it was accepted.
     pub rest: Option<Duration>,
 }
 
-/// Properties of a server.
+/// Properties with which a test starts a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerKind<'a> {
     pub service: &'a str,
     pub zone: &'a str,
-    /// True if it runs only requests for keys that it holds.
+    /// True if the server runs only requests for keys that it holds.
     pub sharded: bool,
-    /// Run time of a request.
+    /// Run time of each request in milliseconds.
     pub work_ms: u64,
 }
 
 impl Server {
-    /// Starts a server that crashes when it begins to run a crashing request. Its entry remains
-    /// until the platform notices the crash, which this stand-in does not do.
+    /// Starts a server that crashes when it begins to run a crashing request. The platform would
+    /// remove the server's entry when it notices the crash; this stand-in leaves the entry in the
+    /// store.
     pub async fn start_crashable(
         store: &Store,
         record: &Arc<RunRecord>,
@@ -287,7 +298,7 @@
         server
     }
 
-    /// Starts a server and writes its entry.
+    /// Starts a server that never crashes by itself, and writes its entry to the store.
     pub async fn start(store: &Store, record: &Arc<RunRecord>, kind: ServerKind<'_>) -> Self {
         let runtime = Handle::current();
         Self::start_on(&runtime, store, record, kind).await
@@ -366,7 +377,8 @@
         store.put("servers", &self.id, &entry);
     }
 
-    /// Writes the server's entry as that of a cold server with this much warm-up time left.
+    /// Writes the server's entry as the entry of a cold server whose warm-up takes another
+    /// `cold_ms`.
     pub fn write_cold_entry(&self, store: &Store, cold_ms: u64) {
         let entry = json!({
             "addr": self.address.to_string(),
@@ -398,17 +410,18 @@
         self.state.work_ms.store(work_ms, Ordering::Relaxed);
     }
 
-    /// Returns the requests that arrived.
+    /// Returns the callers' requests that arrived, whether accepted or rejected.
     pub fn received_requests(&self) -> Vec<ReceivedRequest> {
         lock(&self.state.received_requests).clone()
     }
 
-    /// Removes the entry, as the platform does when heartbeats stop.
+    /// Removes the server's entry, as the platform does when the server's heartbeats stop.
     pub fn remove_entry(&self, store: &Store) {
         store.remove("servers", &self.id);
     }
 
-    /// Leaves one in `every` orders unanswered and carries it out two seconds later; 0 for none.
+    /// Makes the server send no response to one in `every` orders and carry out this order two
+    /// seconds later. With 0, all orders get a response at once.
     pub fn delay_orders(&self, every: u64) {
         self.state.late_order_every.store(every, Ordering::Relaxed);
     }
@@ -433,7 +446,7 @@
         lock(&self.state.arrivals).last().copied()
     }
 
-    /// Stops the server as a crash does, and removes its entry.
+    /// Makes the server stop serving and lose its keys, as a crash does, and removes its entry.
     pub fn crash(&self, store: &Store) {
         self.state.holdings.up.store(false, Ordering::Relaxed);
         self.state.silent.store(true, Ordering::Relaxed);
@@ -454,12 +467,13 @@
         store.put("servers", id, &entry);
     }
 
-    /// Makes the server stop or resume responding. It keeps its keys.
+    /// Makes the server stop or resume responding to requests. The server keeps its keys.
     pub fn set_silent(&self, silent: bool) {
         self.state.silent.store(silent, Ordering::Relaxed);
     }
 
-    /// Loses one in `every` responses; 0 for none.
+    /// Makes the server send no response to one in `every` requests that it completed. With 0, all
+    /// completed requests get a response.
     pub fn lose_responses(&self, every: u64) {
         self.state
             .lose_response_every
@@ -488,7 +502,7 @@
         self.state.served.load(Ordering::Relaxed)
     }
 
-    /// Returns the number of keys that the server holds now.
+    /// Returns the number of keys on which the server has a valid lease.
     pub fn keys_held(&self) -> usize {
         (0..=u16::MAX)
             .filter(|key| self.state.holdings.holds(*key))
@@ -655,7 +669,8 @@
         response
     }
 
-    /// Crashes a crashable server: all of its sockets close, as at the exit of a process.
+    /// Crashes the server if it is crashable: all of its sockets close, as at the exit of a
+    /// process.
     fn end(&self) {
         let Some(runtime) = lock(&self.runtime).take() else {
             return;
--- a/tests/platform_standin/site.rs
+++ b/tests/platform_standin/site.rs
@@ -1,4 +1,5 @@
-//! A small deployment: a store, servers of two services, entry hosts, and a configuration.
+//! A small deployment for tests, called a site: a store, servers of two services, entry hosts, and
+//! a configuration.
 
 use std::{
     sync::Arc,
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Waits until every host serves keys of the whole range.
+    /// Waits until every host serves requests for keys at the start, in the middle and at the end
+    /// of the key range; panics after 8 s per host.
     pub async fn await_ready(&self) {
         for host in &self.hosts {
             eventually("a host serves all keys", 8_000, async || {
@@ -92,7 +94,8 @@
     }
 }
 
-/// Builds a configuration with the two routes and one more route for each further prefix.
+/// Builds a configuration with the routes `/keyed/` and `/orders/` and one more route to the
+/// service `orders` for each prefix in `more_prefixes`.
 pub fn configuration(version: u32, more_prefixes: &[&str]) -> Value {
     let mut paths = vec![
         json!({"name": "r-keyed", "pathPrefix": "/keyed/", "kind": "safe", "timeout": "800ms",
@@ -119,7 +122,8 @@
     })
 }
 
-/// Sends a read of a key; returns the status of the response.
+/// Sends a read of a key of the sharded service to a host and returns the status of the response;
+/// `None` if no response arrives.
 pub async fn get(host: &Host, key: u16) -> Option<StatusCode> {
     let id = format!("{:016x}", rand::random::<u64>());
     let ask = TestRequest {
@@ -134,7 +138,7 @@
         .map(|response| response.status)
 }
 
-/// Waits until a condition holds; fails the test if it does not within `limit_ms`.
+/// Waits until a condition holds; fails the test if the condition does not hold within `limit_ms`.
 pub async fn eventually(what: &str, limit_ms: u64, mut condition: impl AsyncFnMut() -> bool) {
     let until = Instant::now() + Duration::from_millis(limit_ms);
     while !condition().await {
--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -29,14 +29,15 @@
     pub silent: bool,
     /// True if calls are rejected with 503 and have no effect.
     pub refusing: bool,
-    /// One in this many transactions takes effect but gets no response; 0 for none.
+    /// Interval of lost responses: one in this many transactions gets no response but takes effect
+    /// if its conditions hold; 0 to lose no response.
     pub lose_response_every: u64,
-    /// Minimum time between two transactions of a named partition; earlier ones are rejected with
-    /// 429. 0 for no limit.
+    /// Minimum time in milliseconds between two transactions of named partitions; transactions that
+    /// follow sooner are rejected with 429. 0 for no limit.
     pub part_writes_every_ms: u64,
-    /// Delay before each call takes effect.
+    /// Delay in milliseconds before each call takes effect.
     pub slow_ms: u64,
-    /// Additional delay before a read takes effect.
+    /// Additional delay in milliseconds before a read of rows takes effect.
     pub slow_reads_ms: u64,
 }
 
@@ -56,16 +57,17 @@
     compacted_version: u64,
     /// Faults that are in effect.
     faults: Faults,
-    /// Number of transactions, which selects those whose response is lost.
+    /// Number of transactions so far, by which the fault `lose_response_every` selects
+    /// transactions.
     transactions: u64,
-    /// Time of the last transaction of a named partition.
+    /// Time of the last transaction of a named partition that was not rejected with 429.
     part_written: Option<Instant>,
     calls: u64,
-    /// Number of calls by path and table.
+    /// Number of calls so far by path and table.
     kinds: BTreeMap<String, u64>,
 }
 
-/// A running store.
+/// Stand-in of the platform's store, which runs in the process of the test.
 #[derive(Debug)]
 pub struct Store {
     /// Address that the store listens on.
@@ -80,7 +82,7 @@
     rows: Mutex<Rows>,
     /// Wakes the feeds that wait for a change.
     changed: Notify,
-    /// Origin of the times that responses state.
+    /// Start of the store, from which the times in its responses are counted.
     began: Instant,
 }
 
@@ -138,7 +140,8 @@
         self.state.rows().faults = faults;
     }
 
-    /// Compacts the whole history, so that feeds from earlier versions have to start again.
+    /// Compacts the whole history of changes, so that feeds from earlier versions are rejected and
+    /// their callers have to read the table again.
     pub fn compact_history(&self) {
         let mut rows = self.state.rows();
         rows.compacted_version = rows.version;
@@ -153,7 +156,8 @@
         self.state.rows().kinds.clone()
     }
 
-    /// Returns a row's content; `None` if it is missing or no JSON.
+    /// Returns the content of a row as JSON; `None` if the row is missing or its content is not
+    /// JSON.
     pub fn row(&self, table: &str, key: &str) -> Option<Value> {
         let rows = self.state.rows();
         let (value, _) = rows.rows.get(&(table.to_owned(), key.to_owned()))?;
@@ -205,7 +209,8 @@
         Some(json!({"table": table, "part": "", "keyFile": key, "value": value, "ver": version}))
     }
 
-    /// Returns true if a transaction follows another one of a named partition too soon.
+    /// Returns true if a transaction of a named partition follows the previous transaction of a
+    /// named partition too soon.
     fn is_over_write_rate(&mut self, body: &Value, faults: Faults) -> bool {
         let part = body["puts"][0]["part"].as_str().unwrap_or_default();
         if part.is_empty() || faults.part_writes_every_ms == 0 {
--- a/tests/platform_standin/traffic.rs
+++ b/tests/platform_standin/traffic.rs
@@ -1,4 +1,5 @@
-//! Continuous traffic of callers at all hosts of a test, with the outcome of each request.
+//! Callers that continuously send requests to the hosts of a test, and a record of the outcome of
+//! each request.
 
 use std::{
     collections::HashMap,
@@ -15,9 +16,9 @@
 
 use super::caller::{Caller, CallerResponse, TestRequest};
 
-/// Pause between two requests of one caller.
+/// Pause between the response to one request of a caller and the caller's next request.
 const PAUSE: Duration = Duration::from_millis(15);
-/// Deadline of the callers' requests.
+/// Deadline of the callers' requests, in milliseconds after the sending of a request.
 const DEADLINE_MS: u64 = 800;
 
 /// Kind of requests that the callers send.
@@ -25,7 +26,7 @@
 pub enum Workload {
     /// Reads of random keys of the sharded service.
     Keys,
-    /// Reads of the sharded service in which a few adjacent keys get most requests.
+    /// Reads of keys of the sharded service, of which 400 adjacent keys get most requests.
     BusyKeys,
     /// Unrepeatable requests to the service without keys.
     Orders,
@@ -34,13 +35,13 @@
 /// Outcome of a caller's request.
 #[derive(Clone, Debug)]
 pub struct Sent {
-    /// Index of the host that it was sent to.
+    /// Index of the host that the request was sent to.
     pub host: usize,
-    /// Time at which it was sent.
+    /// Time at which the request was sent.
     pub at: Instant,
-    /// Status of the response; `None` if none arrived.
+    /// Status of the response; `None` if no response arrived.
     pub status: Option<StatusCode>,
-    /// Time at which the response arrived or the connection closed.
+    /// Time at which the response arrived, the connection closed or the caller's wait ended.
     pub response_arrived: Instant,
     /// True if the response announces that its server leaves.
     pub announces_leaving: bool,
@@ -48,7 +49,8 @@
     pub advertises_limit: bool,
 }
 
-/// Callers that send requests until this is dropped.
+/// Callers of a test, which send requests until this value is dropped, and the outcomes of their
+/// requests.
 #[derive(Debug)]
 pub struct Traffic {
     sent: Arc<Mutex<HashMap<String, Sent>>>,
@@ -143,8 +145,8 @@
     (id, sent)
 }
 
-/// Draws a key. Three of four requests read one of 400 adjacent keys, and half of these read one of
-/// the first 40.
+/// Draws a key at random. With a probability of 3/4 the key is one of 400 adjacent keys, and half
+/// of these draws take one of the first 40 of them.
 fn busy_key() -> u16 {
     const FIRST: u16 = 41_500;
     const BUSY: u16 = 400;
