--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -32,7 +32,7 @@
 /// Maximum number of operations in one transaction, which bounds its size.
 const BATCH_OPERATIONS_MAX: usize = 256;
 /// Maximum number of transactions in flight; operations that arrive meanwhile form the next batch.
-const IN_FLIGHT: usize = 2;
+const TRANSACTIONS_IN_FLIGHT_MAX: usize = 2;
 /// Minimum time for which the writer collects further operations before it writes a batch that is
 /// not full.
 const BATCH_DELAY_MS: u64 = 2;
@@ -70,7 +70,7 @@
     transaction_interval_ms: Arc<AtomicU64>,
 ) {
     let mut last_ms = 0;
-    let permits = Arc::new(Semaphore::new(IN_FLIGHT));
+    let permits = Arc::new(Semaphore::new(TRANSACTIONS_IN_FLIGHT_MAX));
     loop {
         let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
