--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -176,15 +176,17 @@
                     continue;
                 }
             };
-            let Ok(held) = serde_json::from_str::<ClaimRow>(&found.value) else {
+            let Ok(existing_claim) = serde_json::from_str::<ClaimRow>(&found.value) else {
                 return ClaimResult::Refused(Reason::Unsettled);
             };
-            if held.nonce == row.nonce {
+            if existing_claim.nonce == row.nonce {
                 let version = found.version;
                 return ClaimResult::Granted(Claim { key, row, version });
             }
-            if held.state != ClaimState::Released || held.fingerprint != row.fingerprint {
-                return duplicate(held, &row);
+            if existing_claim.state != ClaimState::Released
+                || existing_claim.fingerprint != row.fingerprint
+            {
+                return duplicate(existing_claim, &row);
             }
             // Takes over a released row. The next iteration reads the row again and thereby finds
             // out whether the transaction took effect, so its result is not needed.
@@ -225,14 +227,14 @@
 
 /// Returns the result for a request whose claim row was already created by an earlier request with
 /// the same idempotency key.
-fn duplicate(held: ClaimRow, row: &ClaimRow) -> ClaimResult {
-    if held.fingerprint != row.fingerprint {
+fn duplicate(existing_claim: ClaimRow, row: &ClaimRow) -> ClaimResult {
+    if existing_claim.fingerprint != row.fingerprint {
         return ClaimResult::Refused(Reason::KeyReused);
     }
-    match held.state {
+    match existing_claim.state {
         ClaimState::Answered(response) => ClaimResult::Answered(response),
         ClaimState::AnswerNotKept => ClaimResult::Refused(Reason::AnswerNotKept),
-        ClaimState::Pending if clock::unix_ms() <= held.until_unix_ms => {
+        ClaimState::Pending if clock::unix_ms() <= existing_claim.until_unix_ms => {
             ClaimResult::Refused(Reason::InProgress)
         }
         ClaimState::Pending | ClaimState::Unknown | ClaimState::Released => {
