--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -39,7 +39,7 @@
 /// Delay in milliseconds before the owner of a slot is looked up again, after a server refused an
 /// attempt because the server and this host disagree on the owner, or because the server is
 /// draining.
-const STALE_PAUSE_MS: u64 = 3;
+const STALE_OWNER_DELAY_MS: u64 = 3;
 /// Delay in milliseconds before a retry that counts against the retry budget, and between two
 /// checks whether this host's view is fresh again.
 const RETRY_PAUSE_MS: u64 = 10;
@@ -356,7 +356,7 @@
                 }
                 time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
             }
-            AttemptOutcome::Stale => pause(routed, STALE_PAUSE_MS).await?,
+            AttemptOutcome::Stale => pause(routed, STALE_OWNER_DELAY_MS).await?,
             // Nothing was sent, so a further attempt is safe. If the server is lost, other servers
             // own its slots within seconds.
             AttemptOutcome::NotRun(Reason::NoConnection) => {
