--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -42,7 +42,7 @@
 const STALE_OWNER_DELAY_MS: u64 = 3;
 /// Delay in milliseconds before a retry that counts against the retry budget, and between two
 /// checks whether this host's view is fresh again.
-const RETRY_PAUSE_MS: u64 = 10;
+const RETRY_DELAY_MS: u64 = 10;
 /// Delay in milliseconds before a new attempt after a connection to the server could not be
 /// established.
 const RECONNECT_PAUSE_MS: u64 = 25;
@@ -354,7 +354,7 @@
                 if clock::now_ms() >= routed.deadline_ms || !routed.traffic.retries.retry() {
                     return Err(Failure::unknown(reason));
                 }
-                time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
+                time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
             }
             AttemptOutcome::Stale => pause(routed, STALE_OWNER_DELAY_MS).await?,
             // Nothing was sent, so a further attempt is safe. If the server is lost, other servers
@@ -366,7 +366,7 @@
                 if !routed.traffic.retries.retry() {
                     return Err(Failure::not_run(reason));
                 }
-                pause(routed, RETRY_PAUSE_MS).await?;
+                pause(routed, RETRY_DELAY_MS).await?;
             }
         }
     }
@@ -417,7 +417,7 @@
         let wait_ms = if fresh {
             left_ms
         } else {
-            left_ms.min(RETRY_PAUSE_MS)
+            left_ms.min(RETRY_DELAY_MS)
         };
         let wait = time::timeout(Duration::from_millis(wait_ms), changes.changed());
         if let Ok(Err(closed)) = wait.await {
