--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -45,7 +45,7 @@
 const RETRY_DELAY_MS: u64 = 10;
 /// Delay in milliseconds before a new attempt after a connection to the server could not be
 /// established.
-const RECONNECT_PAUSE_MS: u64 = 25;
+const RECONNECT_DELAY_MS: u64 = 25;
 
 /// Request headers that are not forwarded, because they apply to the connection of the caller only
 /// or because ashroad sets them itself.
@@ -360,7 +360,7 @@
             // Nothing was sent, so a further attempt is safe. If the server is lost, other servers
             // own its slots within seconds.
             AttemptOutcome::NotRun(Reason::NoConnection) => {
-                pause(routed, RECONNECT_PAUSE_MS).await?
+                pause(routed, RECONNECT_DELAY_MS).await?
             }
             AttemptOutcome::NotRun(reason) => {
                 if !routed.traffic.retries.retry() {
