--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -379,12 +379,12 @@
     )
 }
 
-/// Sleeps for `pause_ms`, or fails at once if the deadline of the request would pass meanwhile.
-async fn pause(routed: &RoutedRequest, pause_ms: u64) -> Result<(), Failure> {
-    if clock::now_ms() + pause_ms >= routed.deadline_ms {
+/// Sleeps for `delay_ms`, or fails at once if the deadline of the request would pass meanwhile.
+async fn pause(routed: &RoutedRequest, delay_ms: u64) -> Result<(), Failure> {
+    if clock::now_ms() + delay_ms >= routed.deadline_ms {
         return Err(Failure::not_run(Reason::Deadline));
     }
-    time::sleep(Duration::from_millis(pause_ms)).await;
+    time::sleep(Duration::from_millis(delay_ms)).await;
     Ok(())
 }
 
