--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -176,8 +176,10 @@
     let headers = request.headers();
     let key = key::key(&spec.key, caller_path.rest, headers);
     let key = key.ok_or(Failure::not_run(Reason::NoKey))?;
-    let asked_ms = transport::header_number(headers, DEADLINE_HEADER);
-    let deadline_ms = asked_ms.unwrap_or(spec.deadline_ms).min(DEADLINE_MS_MAX);
+    let requested_ms = transport::header_number(headers, DEADLINE_HEADER);
+    let deadline_ms = requested_ms
+        .unwrap_or(spec.deadline_ms)
+        .min(DEADLINE_MS_MAX);
     let path_and_query = request.uri().path_and_query();
     let idempotent_key = headers.contains_key(IDEMPOTENCY_HEADER);
     let marked = key::unrepeatable(spec, request.method(), caller_path.rest);
