--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -287,13 +287,13 @@
         let body = body.to_bytes();
         let content_type = parts.headers.get(header::CONTENT_TYPE);
         let content_type = content_type.and_then(|value| value.to_str().ok());
-        let kept = (body.len() <= STORED_BODY_BYTES_MAX).then(|| StoredResponse {
+        let stored = (body.len() <= STORED_BODY_BYTES_MAX).then(|| StoredResponse {
             status: parts.status.as_u16(),
             content_type: content_type.map(str::to_owned),
             body_base64: STANDARD.encode(&body),
         });
         if let Some(claim) = self.claim.take() {
-            self.host.claims.answered(claim, kept);
+            self.host.claims.answered(claim, stored);
         }
         let body = Full::new(body).map_err(|never| match never {}).boxed();
         Ok(Response::from_parts(parts, body))
