--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -239,11 +239,11 @@
         ClaimResult::Refused(reason) => return Err(Failure::unknown(reason)),
     };
     // The guard ends the claim even if the caller disconnects.
-    let ended = ClaimGuard::new(host.clone(), claim);
+    let claim_guard = ClaimGuard::new(host.clone(), claim);
     match run(host, routed).await {
-        Ok(answer) => ended.answered(answer).await,
+        Ok(answer) => claim_guard.answered(answer).await,
         Err(failure) => {
-            ended.failed(failure.outcome);
+            claim_guard.failed(failure.outcome);
             Err(failure)
         }
     }
