--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -26,8 +26,8 @@
 impl RetryBudget {
     /// Adds one unit for a request, unless the budget is full.
     pub fn request(&self) {
-        let saved = self.units.load(Ordering::Relaxed);
-        if saved < BUDGET_UNITS_MAX {
+        let available = self.units.load(Ordering::Relaxed);
+        if available < BUDGET_UNITS_MAX {
             self.units.fetch_add(1, Ordering::Relaxed);
         }
     }
