--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -81,8 +81,8 @@
 /// header, the limit is unknown.
 pub fn reported_limit(status: StatusCode, headers: &HeaderMap) -> ReportedLimit {
     let Some(value) = headers.get(LIMIT) else {
-        let is_of_server = headers.contains_key(SIGNATURE) || says_not_run(status, headers);
-        return if is_of_server {
+        let is_from_server = headers.contains_key(SIGNATURE) || says_not_run(status, headers);
+        return if is_from_server {
             ReportedLimit::Unlimited
         } else {
             ReportedLimit::Unknown
