--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -28,7 +28,7 @@
 /// Timeout of a feed call whose wait is 0, to which the store responds at once. Hosts use such
 /// calls to probe whether the store is reachable again, and a probe must not hang on a connection
 /// that a network failure has silently broken.
-const PROBE_SLACK_MS: u64 = 500;
+const PROBE_TIMEOUT_MS: u64 = 500;
 /// Maximum number of rows that one read requests.
 const PAGE_ROWS: usize = 500;
 /// Default partition of a table. A transaction covers rows of one partition only, and each
@@ -259,7 +259,7 @@
         self.count(CallKind::Feed, table);
         let path = format!("/rows-feed?table={table}&after={after}&waitMs={wait_ms}");
         let slack_ms = if wait_ms == 0 {
-            PROBE_SLACK_MS
+            PROBE_TIMEOUT_MS
         } else {
             FEED_SLACK_MS
         };
