--- a/src/platform/link.rs
+++ b/src/platform/link.rs
@@ -78,22 +78,23 @@
         request: Request<Full<Bytes>>,
         timeout_ms: u64,
     ) -> Result<BufferedResponse> {
-        let begun = AtomicBool::new(false);
-        self.call_noting_start(request, timeout_ms, &begun).await
+        let head_received = AtomicBool::new(false);
+        self.call_noting_start(request, timeout_ms, &head_received)
+            .await
     }
 
-    /// Sends a request as [`Link::call`] does, and sets `begun` to true when the head of the
+    /// Sends a request as [`Link::call`] does, and sets `head_received` to true when the head of the
     /// response has arrived.
     pub async fn call_noting_start(
         &self,
         request: Request<Full<Bytes>>,
         timeout_ms: u64,
-        begun: &AtomicBool,
+        head_received: &AtomicBool,
     ) -> Result<BufferedResponse> {
         let mut sender = self.connection(timeout_ms).await?;
         let head = sender.send_request(request);
         let response = self.with_timeout(timeout_ms, head).await?;
-        begun.store(true, Ordering::Relaxed);
+        head_received.store(true, Ordering::Relaxed);
         let (head, body) = response.into_parts();
         let body = self.with_timeout(BODY_TIMEOUT_MS, body.collect()).await?;
         *self.idle() = Some(IdleConnection {
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -247,14 +247,14 @@
         })
     }
 
-    /// Waits up to `wait_ms` for changes of a table after version `after`. Sets `begun` to true
+    /// Waits up to `wait_ms` for changes of a table after version `after`. Sets `head_received` to true
     /// when the head of the response has arrived.
     pub async fn feed(
         &self,
         table: &str,
         after: u64,
         wait_ms: u64,
-        begun: &AtomicBool,
+        head_received: &AtomicBool,
     ) -> Result<Feed> {
         self.count(CallKind::Feed, table);
         let path = format!("/rows-feed?table={table}&after={after}&waitMs={wait_ms}");
@@ -266,7 +266,7 @@
         let request = self.request(Method::GET, &path, Bytes::new())?;
         let response = self
             .link
-            .call_noting_start(request, wait_ms + slack_ms, begun);
+            .call_noting_start(request, wait_ms + slack_ms, head_received);
         let response = response.await?;
         if response.status == StatusCode::GONE {
             return Ok(Feed::HistoryGone);
