--- a/src/platform/link.rs
+++ b/src/platform/link.rs
@@ -79,13 +79,13 @@
         timeout_ms: u64,
     ) -> Result<BufferedResponse> {
         let head_received = AtomicBool::new(false);
-        self.call_noting_start(request, timeout_ms, &head_received)
+        self.call_with_head_flag(request, timeout_ms, &head_received)
             .await
     }
 
     /// Sends a request as [`Link::call`] does, and sets `head_received` to true when the head of the
     /// response has arrived.
-    pub async fn call_noting_start(
+    pub async fn call_with_head_flag(
         &self,
         request: Request<Full<Bytes>>,
         timeout_ms: u64,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -266,7 +266,7 @@
         let request = self.request(Method::GET, &path, Bytes::new())?;
         let response = self
             .link
-            .call_noting_start(request, wait_ms + slack_ms, head_received);
+            .call_with_head_flag(request, wait_ms + slack_ms, head_received);
         let response = response.await?;
         if response.status == StatusCode::GONE {
             return Ok(Feed::HistoryGone);
