--- a/src/platform/link.rs
+++ b/src/platform/link.rs
@@ -139,9 +139,9 @@
         {
             return Ok(sender);
         }
-        let limit = Duration::from_millis(timeout_ms.min(CONNECT_TIMEOUT_MS));
+        let connect_timeout = Duration::from_millis(timeout_ms.min(CONNECT_TIMEOUT_MS));
         let address = self.address;
-        match time::timeout(limit, connect(address)).await {
+        match time::timeout(connect_timeout, connect(address)).await {
             Ok(connected) => connected,
             Err(_) => {
                 let message = "timeout".to_owned();
