--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -111,17 +111,17 @@
         if self
             .slots
             .get(&key)
-            .is_some_and(|held| grant.epoch <= held.epoch)
+            .is_some_and(|slot_state| grant.epoch <= slot_state.epoch)
         {
             return;
         }
         self.end_ownership(&key, now);
         self.digest ^= grant_hash(&grant.service, grant.slot, grant.epoch);
-        let held = SlotState {
+        let slot_state = SlotState {
             epoch: grant.epoch,
             since_us: Some(now.unix_us),
         };
-        self.slots.insert(key, held);
+        self.slots.insert(key, slot_state);
     }
 
     /// Releases a slot. Grants of the slot with an epoch below `next.epoch` are refused afterwards.
@@ -130,30 +130,30 @@
         if self
             .slots
             .get(&key)
-            .is_some_and(|held| next.epoch <= held.epoch)
+            .is_some_and(|slot_state| next.epoch <= slot_state.epoch)
         {
             return;
         }
         self.end_ownership(&key, now);
-        let held = SlotState {
+        let slot_state = SlotState {
             epoch: Epoch(next.epoch.0 - 1),
             since_us: None,
         };
-        self.slots.insert(key, held);
+        self.slots.insert(key, slot_state);
     }
 
     fn end_ownership(&mut self, key: &(String, Slot), now: ClockReading) {
-        let Some(held) = self.slots.get_mut(key) else {
+        let Some(slot_state) = self.slots.get_mut(key) else {
             return;
         };
-        let Some(since_us) = held.since_us.take() else {
+        let Some(since_us) = slot_state.since_us.take() else {
             return;
         };
-        self.digest ^= grant_hash(&key.0, key.1, held.epoch);
+        self.digest ^= grant_hash(&key.0, key.1, slot_state.epoch);
         self.ended.push(OwnershipSpan {
             service: key.0.clone(),
             slot: key.1,
-            epoch: held.epoch,
+            epoch: slot_state.epoch,
             from_us: since_us,
             until_us: now.unix_us,
         });
@@ -167,27 +167,31 @@
         }
         self.slots
             .get(&(service.to_owned(), slot))
-            .is_some_and(|held| held.since_us.is_some() && held.epoch == epoch)
+            .is_some_and(|slot_state| slot_state.since_us.is_some() && slot_state.epoch == epoch)
     }
 
     /// Returns true if the server owns `slot` under a lease that is valid at `clock_ms`, whatever
     /// the epoch of the grant is.
     pub fn owns(&self, service: &str, slot: Slot, clock_ms: u64) -> bool {
-        let held = self.slots.get(&(service.to_owned(), slot));
-        clock_ms < self.not_after_ms && held.is_some_and(|held| held.since_us.is_some())
+        let slot_state = self.slots.get(&(service.to_owned(), slot));
+        clock_ms < self.not_after_ms
+            && slot_state.is_some_and(|slot_state| slot_state.since_us.is_some())
     }
 
     /// Returns every span up to `now` in which a slot was owned under a valid lease.
     pub fn record(&self, now: ClockReading) -> Vec<OwnershipSpan> {
-        let open = self.slots.iter().filter_map(|((service, slot), held)| {
-            Some(OwnershipSpan {
-                service: service.clone(),
-                slot: *slot,
-                epoch: held.epoch,
-                from_us: held.since_us?,
-                until_us: now.unix_us,
-            })
-        });
+        let open = self
+            .slots
+            .iter()
+            .filter_map(|((service, slot), slot_state)| {
+                Some(OwnershipSpan {
+                    service: service.clone(),
+                    slot: *slot,
+                    epoch: slot_state.epoch,
+                    from_us: slot_state.since_us?,
+                    until_us: now.unix_us,
+                })
+            });
         let spans: Vec<OwnershipSpan> = self.ended.iter().cloned().chain(open).collect();
         let mut record = Vec::new();
         for (start_us, end_us) in &self.leases_us {
