--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -30,7 +30,7 @@
     epoch: Epoch,
     /// Unix time in microseconds at which the ownership began; `None` if the server no longer owns
     /// the slot.
-    since_us: Option<u64>,
+    owned_since_us: Option<u64>,
 }
 
 /// Time by the server's monotonic clock and by the wall clock.
@@ -119,7 +119,7 @@
         self.digest ^= grant_hash(&grant.service, grant.slot, grant.epoch);
         let slot_state = SlotState {
             epoch: grant.epoch,
-            since_us: Some(now.unix_us),
+            owned_since_us: Some(now.unix_us),
         };
         self.slots.insert(key, slot_state);
     }
@@ -137,7 +137,7 @@
         self.end_ownership(&key, now);
         let slot_state = SlotState {
             epoch: Epoch(next.epoch.0 - 1),
-            since_us: None,
+            owned_since_us: None,
         };
         self.slots.insert(key, slot_state);
     }
@@ -146,7 +146,7 @@
         let Some(slot_state) = self.slots.get_mut(key) else {
             return;
         };
-        let Some(since_us) = slot_state.since_us.take() else {
+        let Some(owned_since_us) = slot_state.owned_since_us.take() else {
             return;
         };
         self.digest ^= grant_hash(&key.0, key.1, slot_state.epoch);
@@ -154,7 +154,7 @@
             service: key.0.clone(),
             slot: key.1,
             epoch: slot_state.epoch,
-            from_us: since_us,
+            from_us: owned_since_us,
             until_us: now.unix_us,
         });
     }
@@ -167,7 +167,9 @@
         }
         self.slots
             .get(&(service.to_owned(), slot))
-            .is_some_and(|slot_state| slot_state.since_us.is_some() && slot_state.epoch == epoch)
+            .is_some_and(|slot_state| {
+                slot_state.owned_since_us.is_some() && slot_state.epoch == epoch
+            })
     }
 
     /// Returns true if the server owns `slot` under a lease that is valid at `clock_ms`, whatever
@@ -175,7 +177,7 @@
     pub fn owns(&self, service: &str, slot: Slot, clock_ms: u64) -> bool {
         let slot_state = self.slots.get(&(service.to_owned(), slot));
         clock_ms < self.not_after_ms
-            && slot_state.is_some_and(|slot_state| slot_state.since_us.is_some())
+            && slot_state.is_some_and(|slot_state| slot_state.owned_since_us.is_some())
     }
 
     /// Returns every span up to `now` in which a slot was owned under a valid lease.
@@ -188,7 +190,7 @@
                     service: service.clone(),
                     slot: *slot,
                     epoch: slot_state.epoch,
-                    from_us: slot_state.since_us?,
+                    from_us: slot_state.owned_since_us?,
                     until_us: now.unix_us,
                 })
             });
