--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -50,7 +50,7 @@
     slots: HashMap<(String, Slot), SlotState>,
     digest: u64,
     leases_us: Vec<(u64, u64)>,
-    ended: Vec<OwnershipSpan>,
+    ended_spans: Vec<OwnershipSpan>,
 }
 
 impl Grants {
@@ -150,7 +150,7 @@
             return;
         };
         self.digest ^= grant_hash(&key.0, key.1, slot_state.epoch);
-        self.ended.push(OwnershipSpan {
+        self.ended_spans.push(OwnershipSpan {
             service: key.0.clone(),
             slot: key.1,
             epoch: slot_state.epoch,
@@ -194,7 +194,7 @@
                     until_us: now.unix_us,
                 })
             });
-        let spans: Vec<OwnershipSpan> = self.ended.iter().cloned().chain(open).collect();
+        let spans: Vec<OwnershipSpan> = self.ended_spans.iter().cloned().chain(open).collect();
         let mut record = Vec::new();
         for (start_us, end_us) in &self.leases_us {
             record.extend(spans.iter().filter_map(|span| {
