--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -95,7 +95,7 @@
 
     /// Returns true if a request for `path` that is about to run is a crashing request, and records
     /// the time of its run in this case.
-    fn note_crashing_run(&self, path: &str) -> bool {
+    fn record_crashing_run(&self, path: &str) -> bool {
         let mut crash_triggers = lock(&self.crash_triggers);
         let triggers_crash = crash_triggers.paths.contains(&path);
         if triggers_crash {
@@ -641,7 +641,7 @@
         self.record.record_run(&id, checked, &self.holdings);
         lock(&self.record.heads).insert(id.clone(), request.headers().clone());
         let path = request.uri().path().to_owned();
-        if self.record.note_crashing_run(&path) {
+        if self.record.record_crashing_run(&path) {
             time::sleep(Duration::from_millis(CRASH_DELAY_MS)).await;
             self.end();
             return std::future::pending().await;
