--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -575,7 +575,7 @@
         let (first, last, fence) = range_of(order);
         let hold = parse_ms(order["hold_time"].as_str().unwrap_or_default()).expect("hold time");
         let until = arrived + Duration::from_millis(hold);
-        let mut taken = Vec::new();
+        let mut newly_granted = Vec::new();
         {
             let mut keys = lock(&self.holdings.keys);
             let seen = keys[first..=last].iter().map(|key| key.fence).max();
@@ -585,7 +585,7 @@
             for (key, state) in (first..=last).zip(&mut keys[first..=last]) {
                 let held = state.until.is_some_and(|until| arrived < until);
                 if !held || state.granted_fence != fence {
-                    taken.push(key as u16);
+                    newly_granted.push(key as u16);
                 }
                 state.fence = fence;
                 state.granted_fence = fence;
@@ -594,7 +594,7 @@
         }
         // Only the first and the last key of the range are checked; a check of each key would take
         // too long.
-        if let (Some(first), Some(last)) = (taken.first(), taken.last()) {
+        if let (Some(first), Some(last)) = (newly_granted.first(), newly_granted.last()) {
             self.record.take(*first, fence, &self.holdings);
             self.record.take(*last, fence, &self.holdings);
         }
