--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -54,7 +54,7 @@
     /// Paths of crashing requests, and the crashes that such requests caused.
     crash_triggers: Mutex<CrashTriggers>,
     /// Headers of the requests that ran, by request id.
-    heads: Mutex<HashMap<String, HeaderMap>>,
+    headers_by_request: Mutex<HashMap<String, HeaderMap>>,
     /// Time until which the single ownership of keys is not checked; `None` if the checks were
     /// never suspended.
     ownership_unchecked_until: Mutex<Option<Instant>>,
@@ -126,7 +126,7 @@
     /// Returns the headers with which a request arrived at the server that ran it; `None` if the
     /// request did not run.
     pub fn head(&self, id: &str) -> Option<HeaderMap> {
-        lock(&self.heads).get(id).cloned()
+        lock(&self.headers_by_request).get(id).cloned()
     }
 
     /// Returns the number of runs of a request.
@@ -639,7 +639,7 @@
         let running = Running(&self.running);
         let checked = if self.sharded { key } else { None };
         self.record.record_run(&id, checked, &self.holdings);
-        lock(&self.record.heads).insert(id.clone(), request.headers().clone());
+        lock(&self.record.headers_by_request).insert(id.clone(), request.headers().clone());
         let path = request.uri().path().to_owned();
         if self.record.record_crashing_run(&path) {
             time::sleep(Duration::from_millis(CRASH_DELAY_MS)).await;
