--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -637,8 +637,8 @@
         }
         self.running.fetch_add(1, Ordering::Relaxed);
         let running = Running(&self.running);
-        let checked = if self.sharded { key } else { None };
-        self.record.record_run(&id, checked, &self.holdings);
+        let checked_key = if self.sharded { key } else { None };
+        self.record.record_run(&id, checked_key, &self.holdings);
         lock(&self.record.headers_by_request).insert(id.clone(), request.headers().clone());
         let path = request.uri().path().to_owned();
         if self.record.record_crashing_run(&path) {
