--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -25,7 +25,7 @@
         ALL, DRAIN, Deployment, Disturbance, SERVED_AGAIN, received_by_host, run_cases, violations,
     },
     server::{ReceivedRequest, Server},
-    traffic::{Sent, Traffic, Workload},
+    traffic::{RequestOutcome, Traffic, Workload},
 };
 
 /// Time after a server has asked for a rest in which requests in transit may still arrive.
@@ -62,7 +62,7 @@
 /// Returns the maximum number of requests that reached a server from one host during a rest that
 /// the server had asked this host for.
 fn most_in_a_rest(server: &Server, traffic: &Traffic) -> usize {
-    let in_a_rest = |received_requests: &Vec<(ReceivedRequest, Sent)>| {
+    let in_a_rest = |received_requests: &Vec<(ReceivedRequest, RequestOutcome)>| {
         let rests = received_requests
             .iter()
             .filter_map(|(visit, _)| Some((visit.at, visit.rest?)));
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -17,7 +17,7 @@
     proxy::{Mode, Proxy},
     server::{ReceivedRequest, Server},
     site::Site,
-    traffic::{Sent, Traffic, Workload},
+    traffic::{RequestOutcome, Traffic, Workload},
 };
 
 /// Time for which a host may still send requests to a server after it forwarded the server's
@@ -202,9 +202,9 @@
 pub fn received_by_host(
     server: &Server,
     traffic: &Traffic,
-) -> HashMap<usize, Vec<(ReceivedRequest, Sent)>> {
+) -> HashMap<usize, Vec<(ReceivedRequest, RequestOutcome)>> {
     let sent = traffic.sent();
-    let mut by_host: HashMap<usize, Vec<(ReceivedRequest, Sent)>> = HashMap::new();
+    let mut by_host: HashMap<usize, Vec<(ReceivedRequest, RequestOutcome)>> = HashMap::new();
     for visit in server.received_requests() {
         // The traffic knows no outcome of requests that are still in flight or that the test itself
         // sent, so these requests are left out.
--- a/tests/platform_standin/traffic.rs
+++ b/tests/platform_standin/traffic.rs
@@ -34,7 +34,7 @@
 
 /// Outcome of a caller's request.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct RequestOutcome {
     /// Index of the host that the request was sent to.
     pub host: usize,
     /// Time at which the request was sent.
@@ -53,7 +53,7 @@
 /// requests.
 #[derive(Debug)]
 pub struct Traffic {
-    sent: Arc<Mutex<HashMap<String, Sent>>>,
+    sent: Arc<Mutex<HashMap<String, RequestOutcome>>>,
     stopped: Arc<AtomicBool>,
     workload: Workload,
 }
@@ -92,16 +92,16 @@
     }
 
     /// Returns the completed requests by their identifier.
-    pub fn sent(&self) -> HashMap<String, Sent> {
+    pub fn sent(&self) -> HashMap<String, RequestOutcome> {
         lock(&self.sent).clone()
     }
 
     /// Returns the share of the requests sent between two times that were answered with 200.
     pub fn served(&self, from: Instant, until: Instant) -> f64 {
         let sent = lock(&self.sent);
-        let within = |sent: &&Sent| (from..until).contains(&sent.at);
+        let within = |sent: &&RequestOutcome| (from..until).contains(&sent.at);
         let all = sent.values().filter(within).count();
-        let is_served = |sent: &&Sent| sent.status == Some(StatusCode::OK);
+        let is_served = |sent: &&RequestOutcome| sent.status == Some(StatusCode::OK);
         let served = sent.values().filter(within).filter(is_served).count();
         served as f64 / all.max(1) as f64
     }
@@ -113,7 +113,7 @@
     }
 }
 
-async fn send(caller: &mut Caller, host: usize, workload: Workload) -> (String, Sent) {
+async fn send(caller: &mut Caller, host: usize, workload: Workload) -> (String, RequestOutcome) {
     let id = format!("{:016x}", rand::random::<u64>());
     let (method, path, key) = match workload {
         Workload::Keys => ("GET", "/keyed/level", Some(rand::random())),
@@ -134,7 +134,7 @@
         |response: &CallerResponse| response.headers.contains_key("server-leaving");
     let advertises_limit =
         |response: &CallerResponse| response.headers.contains_key("server-limit");
-    let sent = Sent {
+    let sent = RequestOutcome {
         host,
         at,
         status: response.as_ref().map(|response| response.status),
