--- a/tests/platform_standin/proxy.rs
+++ b/tests/platform_standin/proxy.rs
@@ -94,8 +94,8 @@
     };
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    let up = pump(near_read, far_write, mode.clone(), false);
-    let down = pump(far_read, near_write, mode, true);
+    let up = forward(near_read, far_write, mode.clone(), false);
+    let down = forward(far_read, near_write, mode, true);
     // When one direction ends, the other one is closed as well.
     tokio::select! {
         () = up => {}
@@ -105,7 +105,7 @@
 
 /// Copies the data of one direction of a connection and applies the mode. `down` is true for the
 /// direction from the store to the host.
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mode: Arc<AtomicU8>, down: bool) {
+async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mode: Arc<AtomicU8>, down: bool) {
     let mut buffer = vec![0; 16 * 1024];
     loop {
         let length = match from.read(&mut buffer).await {
