--- a/tests/platform_standin/proxy.rs
+++ b/tests/platform_standin/proxy.rs
@@ -68,7 +68,7 @@
         let shared = mode.clone();
         tokio::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
-                if is(&shared, Mode::Reset) {
+                if is_in_mode(&shared, Mode::Reset) {
                     continue;
                 }
                 tokio::spawn(connect(near, target, shared.clone()));
@@ -84,7 +84,7 @@
 }
 
 /// Returns true if the proxy is in the given mode.
-fn is(shared: &AtomicU8, mode: Mode) -> bool {
+fn is_in_mode(shared: &AtomicU8, mode: Mode) -> bool {
     shared.load(Ordering::Relaxed) == mode as u8
 }
 
@@ -112,16 +112,16 @@
             Ok(0) | Err(_) => return,
             Ok(length) => length,
         };
-        while is(&mode, Mode::Silent) || down && is(&mode, Mode::OneWay) {
+        while is_in_mode(&mode, Mode::Silent) || down && is_in_mode(&mode, Mode::OneWay) {
             time::sleep(Duration::from_millis(20)).await;
         }
-        if is(&mode, Mode::Reset) {
+        if is_in_mode(&mode, Mode::Reset) {
             return;
         }
-        if is(&mode, Mode::Delay) {
+        if is_in_mode(&mode, Mode::Delay) {
             time::sleep(Duration::from_millis(150)).await;
         }
-        if is(&mode, Mode::Throttled) {
+        if is_in_mode(&mode, Mode::Throttled) {
             time::sleep(Duration::from_millis(length as u64 / 100)).await;
         }
         if to.write_all(&buffer[..length]).await.is_err() {
