--- a/tests/platform_standin/proxy.rs
+++ b/tests/platform_standin/proxy.rs
@@ -67,11 +67,11 @@
         let mode = Arc::new(AtomicU8::new(Mode::Pass as u8));
         let shared = mode.clone();
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
+            while let Ok((host_stream, _)) = listener.accept().await {
                 if is_in_mode(&shared, Mode::Reset) {
                     continue;
                 }
-                tokio::spawn(connect(near, target, shared.clone()));
+                tokio::spawn(connect(host_stream, target, shared.clone()));
             }
         });
         Self { address, mode }
@@ -88,11 +88,11 @@
     shared.load(Ordering::Relaxed) == mode as u8
 }
 
-async fn connect(near: TcpStream, target: SocketAddr, mode: Arc<AtomicU8>) {
+async fn connect(host_stream: TcpStream, target: SocketAddr, mode: Arc<AtomicU8>) {
     let Ok(far) = TcpStream::connect(target).await else {
         return;
     };
-    let (near_read, near_write) = near.into_split();
+    let (near_read, near_write) = host_stream.into_split();
     let (far_read, far_write) = far.into_split();
     let up = forward(near_read, far_write, mode.clone(), false);
     let down = forward(far_read, near_write, mode, true);
