--- a/tests/platform_standin/proxy.rs
+++ b/tests/platform_standin/proxy.rs
@@ -89,11 +89,11 @@
 }
 
 async fn connect(host_stream: TcpStream, target: SocketAddr, mode: Arc<AtomicU8>) {
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(store_stream) = TcpStream::connect(target).await else {
         return;
     };
     let (near_read, near_write) = host_stream.into_split();
-    let (far_read, far_write) = far.into_split();
+    let (far_read, far_write) = store_stream.into_split();
     let up = forward(near_read, far_write, mode.clone(), false);
     let down = forward(far_read, near_write, mode, true);
     // When one direction ends, the other one is closed as well.
