--- a/tests/platform_standin/proxy.rs
+++ b/tests/platform_standin/proxy.rs
@@ -93,8 +93,8 @@
         return;
     };
     let (host_read, host_write) = host_stream.into_split();
-    let (store_read, far_write) = store_stream.into_split();
-    let up = forward(host_read, far_write, mode.clone(), false);
+    let (store_read, store_write) = store_stream.into_split();
+    let up = forward(host_read, store_write, mode.clone(), false);
     let down = forward(store_read, host_write, mode, true);
     // When one direction ends, the other one is closed as well.
     tokio::select! {
