--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -61,7 +61,7 @@
     /// transactions.
     transactions: u64,
     /// Time of the last transaction of a named partition that was not rejected with 429.
-    part_written: Option<Instant>,
+    partition_written_at: Option<Instant>,
     calls: u64,
     /// Number of calls so far by path and table.
     kinds: BTreeMap<String, u64>,
@@ -217,9 +217,11 @@
             return false;
         }
         let every = Duration::from_millis(faults.part_writes_every_ms);
-        let is_over_write_rate = self.part_written.is_some_and(|at| at.elapsed() < every);
+        let is_over_write_rate = self
+            .partition_written_at
+            .is_some_and(|at| at.elapsed() < every);
         if !is_over_write_rate {
-            self.part_written = Some(Instant::now());
+            self.partition_written_at = Some(Instant::now());
         }
         is_over_write_rate
     }
