--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -83,7 +83,7 @@
     /// Wakes the feeds that wait for a change.
     changed: Notify,
     /// Start of the store, from which the times in its responses are counted.
-    began: Instant,
+    started_at: Instant,
 }
 
 impl Store {
@@ -94,7 +94,7 @@
         let state = Arc::new(State {
             rows: Mutex::default(),
             changed: Notify::new(),
-            began: Instant::now(),
+            started_at: Instant::now(),
         });
         let (stop, stopped) = watch::channel(false);
         let handled = state.clone();
@@ -383,7 +383,7 @@
     }
 
     fn answer(&self, status: StatusCode, mut answer: Value) -> Response<ResponseBody> {
-        answer["now"] = json!(format!("{}ms", self.began.elapsed().as_millis()));
+        answer["now"] = json!(format!("{}ms", self.started_at.elapsed().as_millis()));
         transport::json(status, &answer)
     }
 }
