--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -11,7 +11,7 @@
 };
 
 use self::platform_standin::{
-    caller::{TestRequest, ask_once},
+    caller::{TestRequest, send_once},
     hosts::Host,
     proxy::{Mode, Proxy},
     server::Server,
@@ -163,7 +163,7 @@
                 key: None,
                 deadline_ms: 800,
             };
-            ask_once(host.callers, ask).await;
+            send_once(host.callers, ask).await;
         }
         assert_eq!(leaving.served(), served, "{}", host.callers);
     }
@@ -268,7 +268,7 @@
                 key: None,
                 deadline_ms: 300,
             };
-            ask_once(host.callers, ask).await;
+            send_once(host.callers, ask).await;
         }
         time::sleep(Duration::from_millis(10)).await;
     }
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -10,7 +10,7 @@
 use tokio::time;
 
 use self::platform_standin::{
-    caller::{Caller, TestRequest, ask_once},
+    caller::{Caller, TestRequest, send_once},
     hosts::Host,
     proxy::{Mode, Proxy},
     server::Server,
@@ -77,7 +77,7 @@
     let site = Site::start(2, 2).await;
     for host in &site.hosts {
         for case in &cases {
-            let response = ask_once(host.callers, case.ask).await.expect("a response");
+            let response = send_once(host.callers, case.ask).await.expect("a response");
             assert_eq!(response.status, case.status, "{case:?}", case = case.ask);
             assert_eq!(response.body, case.body);
             assert_eq!(
@@ -100,11 +100,11 @@
         Caller::connect(host.callers).await.is_some()
     })
     .await;
-    let response = ask_once(host.callers, read("id", "/keyed/")).await;
+    let response = send_once(host.callers, read("id", "/keyed/")).await;
     let response = response.expect("a response");
     assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(response.headers.contains_key("retry-after"));
-    let ready = ask_once(host.readiness, read("id", "/readyz")).await;
+    let ready = send_once(host.readiness, read("id", "/readyz")).await;
     assert_eq!(
         ready.expect("a response").status,
         StatusCode::SERVICE_UNAVAILABLE
@@ -119,7 +119,7 @@
         .put("op", "config", &configuration(0x10, &["/added/"]));
     for host in &site.hosts {
         eventually("the new route is served", 2_000, async || {
-            let response = ask_once(host.callers, added("id")).await;
+            let response = send_once(host.callers, added("id")).await;
             response.is_some_and(|response| response.status == StatusCode::OK)
         })
         .await;
@@ -129,7 +129,7 @@
     site.store.compact_history();
     time::sleep(Duration::from_millis(600)).await;
     for host in &site.hosts {
-        let response = ask_once(host.callers, added("id"))
+        let response = send_once(host.callers, added("id"))
             .await
             .expect("a response");
         assert_eq!(response.status, StatusCode::OK);
@@ -151,7 +151,7 @@
         site.store
             .put("op", "config", &configuration(version, &[&prefix]));
         eventually("the new route is served", 2_000, async || {
-            let response = ask_once(site.hosts[0].callers, read("id", &prefix)).await;
+            let response = send_once(site.hosts[0].callers, read("id", &prefix)).await;
             response.is_some_and(|response| response.status == StatusCode::OK)
         })
         .await;
@@ -188,7 +188,7 @@
     for number in 0..12 {
         let id = format!("lost-{number}");
         let began = Instant::now();
-        let response = ask_once(site.hosts[0].callers, order(&id)).await;
+        let response = send_once(site.hosts[0].callers, order(&id)).await;
         let status = response.expect("a response").status;
         unanswered += u32::from(status == StatusCode::GATEWAY_TIMEOUT);
         late += u32::from(began.elapsed() > Duration::from_millis(1_000));
@@ -269,7 +269,7 @@
     time::sleep(Duration::from_millis(2_500)).await;
     proxy.set(Mode::Pass);
     eventually("the new route is served", 1_500, async || {
-        let response = ask_once(site.hosts[1].callers, read("id", "/added/x")).await;
+        let response = send_once(site.hosts[1].callers, read("id", "/added/x")).await;
         response.is_some_and(|response| response.status == StatusCode::OK)
     })
     .await;
@@ -291,7 +291,7 @@
     assert!(large.to_string().len() > 80_000);
     site.store.put("op", "config", &large);
     eventually("the new route is served", 2_500, async || {
-        let response = ask_once(site.hosts[1].callers, read("id", "/added-599/x")).await;
+        let response = send_once(site.hosts[1].callers, read("id", "/added-599/x")).await;
         response.is_some_and(|response| response.status == StatusCode::OK)
     })
     .await;
@@ -317,7 +317,7 @@
     let served = removed_server.served();
     for number in 0..30 {
         let id = format!("after-{number}");
-        ask_once(site.hosts[0].callers, order(&id)).await;
+        send_once(site.hosts[0].callers, order(&id)).await;
     }
     assert_eq!(removed_server.served(), served);
 }
@@ -335,7 +335,7 @@
     site.hosts[0].signal("TERM");
     let began = Instant::now();
     time::sleep(Duration::from_millis(100)).await;
-    let ready = ask_once(site.hosts[0].readiness, read("id", "/readyz")).await;
+    let ready = send_once(site.hosts[0].readiness, read("id", "/readyz")).await;
     assert_eq!(
         ready.expect("a response").status,
         StatusCode::SERVICE_UNAVAILABLE
@@ -570,7 +570,7 @@
         eventually("a server that joined is used", 6_000, async || {
             for _ in 0..8 {
                 let id = format!("{:016x}", rand::random::<u64>());
-                ask_once(site.hosts[0].callers, order(&id)).await;
+                send_once(site.hosts[0].callers, order(&id)).await;
             }
             joined.served() > 0
         })
@@ -665,7 +665,7 @@
     let mut statuses = Vec::new();
     for number in 0..40 {
         let id = format!("order-{number}");
-        let response = ask_once(site.hosts[number % 2].callers, order(&id)).await;
+        let response = send_once(site.hosts[number % 2].callers, order(&id)).await;
         let status = response.expect("a response").status;
         assert!(site.record.runs(&id) <= 1, "{id} ran twice");
         if status == StatusCode::SERVICE_UNAVAILABLE {
--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -13,7 +13,7 @@
 use tokio::time;
 
 use self::platform_standin::{
-    caller::{TestRequest, ask_once},
+    caller::{TestRequest, send_once},
     hosts::Host,
     server::{Server, ServerKind},
     site::{KEYED, ORDERS, Site, configuration, eventually, get},
@@ -31,7 +31,7 @@
         key: None,
         deadline_ms: 800,
     };
-    ask_once(host.callers, ask).await;
+    send_once(host.callers, ask).await;
 }
 
 /// Awaits several futures concurrently.
--- a/tests/platform_standin/caller.rs
+++ b/tests/platform_standin/caller.rs
@@ -111,6 +111,6 @@
 }
 
 /// Sends one request on a new connection; `None` if the connection fails or no response arrives.
-pub async fn ask_once(address: SocketAddr, ask: TestRequest<'_>) -> Option<CallerResponse> {
+pub async fn send_once(address: SocketAddr, ask: TestRequest<'_>) -> Option<CallerResponse> {
     Caller::connect(address).await?.ask(ask).await
 }
--- a/tests/platform_standin/site.rs
+++ b/tests/platform_standin/site.rs
@@ -11,7 +11,7 @@
 use tokio::time;
 
 use super::{
-    caller::{TestRequest, ask_once},
+    caller::{TestRequest, send_once},
     hosts::Host,
     server::{RunRecord, Server, ServerKind},
     store::Store,
@@ -133,7 +133,7 @@
         key: Some(key),
         deadline_ms: 800,
     };
-    ask_once(host.callers, ask)
+    send_once(host.callers, ask)
         .await
         .map(|response| response.status)
 }
