--- a/tests/platform_standin/caller.rs
+++ b/tests/platform_standin/caller.rs
@@ -59,8 +59,8 @@
         let socket = TcpSocket::new_v4().ok()?;
         socket.bind(SocketAddr::new(own, 0)).ok()?;
         let stream = {
-            let limit = Duration::from_millis(SCHEDULING_ALLOWANCE_MS);
-            time::timeout(limit, socket.connect(address)).await
+            let call_timeout = Duration::from_millis(SCHEDULING_ALLOWANCE_MS);
+            time::timeout(call_timeout, socket.connect(address)).await
         };
         let stream = stream.ok()?.ok()?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
@@ -105,8 +105,8 @@
                 body,
             })
         };
-        let limit = Duration::from_millis(ask.deadline_ms + SCHEDULING_ALLOWANCE_MS);
-        time::timeout(limit, exchange).await.ok()?
+        let call_timeout = Duration::from_millis(ask.deadline_ms + SCHEDULING_ALLOWANCE_MS);
+        time::timeout(call_timeout, exchange).await.ok()?
     }
 }
 
