--- a/tests/platform_standin/caller.rs
+++ b/tests/platform_standin/caller.rs
@@ -78,7 +78,7 @@
     pub async fn ask_with_headers(
         &mut self,
         ask: TestRequest<'_>,
-        more: &[(&str, &str)],
+        more_headers: &[(&str, &str)],
     ) -> Option<CallerResponse> {
         let mut request = Request::builder()
             .method(ask.method)
@@ -89,7 +89,7 @@
         if let Some(key) = ask.key {
             request = request.header("shard-key", key);
         }
-        for (name, value) in more {
+        for (name, value) in more_headers {
             request = request.header(*name, *value);
         }
         let body = if ask.method == "GET" { "" } else { "a body" };
