--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -205,14 +205,14 @@
 ) -> HashMap<usize, Vec<(ReceivedRequest, RequestOutcome)>> {
     let sent = traffic.sent();
     let mut by_host: HashMap<usize, Vec<(ReceivedRequest, RequestOutcome)>> = HashMap::new();
-    for visit in server.received_requests() {
+    for received_request in server.received_requests() {
         // The traffic knows no outcome of requests that are still in flight or that the test itself
         // sent, so these requests are left out.
-        if let Some(sent) = sent.get(&visit.id) {
+        if let Some(sent) = sent.get(&received_request.id) {
             by_host
                 .entry(sent.host)
                 .or_default()
-                .push((visit, sent.clone()));
+                .push((received_request, sent.clone()));
         }
     }
     by_host
