--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -161,6 +161,9 @@
         }
     }
 
+    /// Finds out why a claim could not be recorded. Grants the claim if this request created the
+    /// row after all or if it can take over a released row, and otherwise returns the result for a
+    /// duplicate. Gives up at `give_up_ms`.
     async fn resolve_insert_conflict(
         &self,
         key: String,
@@ -243,6 +246,7 @@
     }
 }
 
+/// Builds one transaction of all operations of a batch.
 fn transaction(batch: &[Operation]) -> Transaction {
     let mut whole = Transaction {
         conditions: Vec::with_capacity(batch.len()),
@@ -259,6 +263,7 @@
     whole
 }
 
+/// Builds a transaction that writes one claim row if the row is in the expected state.
 fn put(key: &str, expect: Expect, row: &ClaimRow) -> Transaction {
     let condition = Condition {
         key: key.to_owned(),
--- a/src/peer/endpoint.rs
+++ b/src/peer/endpoint.rs
@@ -167,6 +167,8 @@
     }
 }
 
+/// Accepts connections of peers until the endpoint is closed, and delivers their messages to the
+/// inbox.
 async fn accept(endpoint: Endpoint, inbox: mpsc::Sender<Inbound>) {
     while let Some(incoming) = endpoint.accept().await {
         let inbox = inbox.clone();
@@ -196,6 +198,8 @@
     }
 }
 
+/// Reads one request from a stream, delivers it to the inbox and sends the reply on the same
+/// stream.
 async fn serve_request(
     mut send: SendStream,
     mut receive: RecvStream,
--- a/src/platform/link.rs
+++ b/src/platform/link.rs
@@ -83,8 +83,8 @@
             .await
     }
 
-    /// Sends a request as [`Link::call`] does, and sets `head_received` to true when the head of the
-    /// response has arrived.
+    /// Sends a request as [`Link::call`] does, and sets `head_received` to true when the head of
+    /// the response has arrived.
     pub async fn call_with_head_flag(
         &self,
         request: Request<Full<Bytes>>,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -247,8 +247,8 @@
         })
     }
 
-    /// Waits up to `wait_ms` for changes of a table after version `after`. Sets `head_received` to true
-    /// when the head of the response has arrived.
+    /// Waits up to `wait_ms` for changes of a table after version `after`. Sets `head_received` to
+    /// true when the head of the response has arrived.
     pub async fn feed(
         &self,
         table: &str,
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -70,6 +70,7 @@
 pub struct WireRows {
     #[serde(default)]
     pub rows: Vec<WireRow>,
+    /// True if the store has more rows than fit into the response.
     #[serde(default)]
     pub has_more: bool,
     /// Newest version of the whole store; 0 if the response has no version.
@@ -109,6 +110,7 @@
     /// Sequence number of the server's heartbeat; the field is required but not used.
     #[serde(rename = "seq")]
     pub _seq: u64,
+    /// Remaining time in milliseconds for which the server is cold; missing if the server is warm.
     #[serde(default, deserialize_with = "deserialize_optional_ms")]
     pub warmup_left: Option<u64>,
 }
@@ -139,8 +141,10 @@
 #[serde(rename_all = "camelCase")]
 pub struct WireTenant {
     pub name: String,
+    /// API keys in plain text, by which callers identify themselves as the workspace.
     #[serde(default)]
     pub api_keys: Vec<String>,
+    /// Priority of the workspace's requests; 0 is the highest.
     #[serde(default)]
     pub priority: u32,
     /// Quota in requests per second; 0 or missing for no quota.
@@ -149,6 +153,7 @@
     /// Number of requests that the workspace may send at once beyond its quota.
     #[serde(default)]
     pub burst: f64,
+    /// Regions in which the workspace's requests may be served; empty for all regions.
     #[serde(default)]
     pub allowed_regions: Vec<String>,
 }
@@ -167,14 +172,17 @@
 pub struct WireService {
     pub name: String,
     pub health_path: String,
+    /// Number of connections that one server accepts from all hosts together.
     pub max_conns: u32,
+    /// True if each key is served only by the server that holds the key.
     #[serde(default)]
     pub sharded: bool,
-    /// Time in milliseconds for which a server remains cold after it has become cold.
+    /// Time in milliseconds for which servers are treated as cold after the evacuation of their
+    /// availability zone has ended.
     #[serde(default, deserialize_with = "deserialize_optional_ms")]
     pub warmup: Option<u64>,
-    /// Number of requests per second that a cold server can serve; `None` if servers need no
-    /// warm-up.
+    /// Number of requests per second that a cold server gets from all hosts together; `None` if
+    /// cold servers have no rate limit.
     #[serde(default)]
     pub warmup_per_s: Option<f64>,
 }
@@ -185,8 +193,10 @@
 pub struct WireLimits {
     pub max_header_bytes: u64,
     pub max_body_bytes: u64,
+    /// Timeout in milliseconds for receiving the line and the headers of a caller's request.
     #[serde(deserialize_with = "deserialize_ms")]
     pub header_timeout: u64,
+    /// Time in milliseconds after which an idle connection of a caller is closed.
     #[serde(deserialize_with = "deserialize_ms")]
     pub idle_timeout: u64,
 }
@@ -209,16 +219,22 @@
     /// most once.
     #[serde(default)]
     pub kind: String,
+    /// Longest time in milliseconds until a request is answered, which sets its deadline.
     #[serde(deserialize_with = "deserialize_ms")]
     pub timeout: u64,
+    /// Latency objective in milliseconds; if it is missing, `timeout` is used instead.
     #[serde(default, deserialize_with = "deserialize_optional_ms")]
     pub aim: Option<u64>,
+    /// Priority of the route's requests; 0 is the highest.
     #[serde(default)]
     pub priority: u32,
+    /// Service that gets all requests of the route; it overrides `split`.
     #[serde(default)]
     pub service: Option<String>,
+    /// Services that share the requests of the route by weight.
     #[serde(default)]
     pub split: Vec<WireShare>,
+    /// Maximum number of servers that one request may be sent to; 1 if it is missing.
     #[serde(default)]
     pub max_attempts: Option<u32>,
     /// True if requests of the route need no API key even if workspaces are configured.
@@ -232,6 +248,7 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct WireShare {
     pub service: String,
+    /// Share of the requests, relative to the weights of the route's other services.
     pub weight: f64,
 }
 
@@ -248,6 +265,8 @@
     /// Length of the lease, counted from the arrival of the order at the server, as a duration with
     /// its unit such as `1500ms`.
     pub hold_time: String,
+    /// Token that the previous owner of the keys returned at their release and that lets the server
+    /// start warm.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub handover: Option<&'a str>,
 }
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -116,6 +116,7 @@
     transport::whole(status, "text/plain", Bytes::new())
 }
 
+/// Counts a failed request in the metric of its outcome.
 fn count_failure(host: &Host, failure: Failure) {
     match failure.outcome {
         Outcome::NotRun => host.metrics.count("not_run"),
@@ -162,6 +163,8 @@
     }
 }
 
+/// Extracts key, slot and deadline of a request. The body is left empty, because the caller of this
+/// function reads it afterwards.
 fn prepare(
     host: &Arc<Host>,
     state: &State,
@@ -199,6 +202,7 @@
     })
 }
 
+/// Reads the whole body of a request, which must not exceed `body_bytes`.
 async fn read_body(request: Request<Incoming>, body_bytes: usize) -> Result<Bytes, Failure> {
     let body = Limited::new(request.into_body(), body_bytes)
         .collect()
@@ -308,6 +312,7 @@
     }
 }
 
+/// Rebuilds the response that was stored with a claim, for a duplicate of the request.
 fn stored_response(answer: &StoredResponse) -> Result<Response<ResponseBody>, Failure> {
     let unsettled = Failure::unknown(Reason::Unsettled);
     let body = STANDARD.decode(&answer.body_base64);
@@ -374,6 +379,8 @@
     }
 }
 
+/// Returns true if HTTP defines the method as idempotent, so that a request that may have run can
+/// be sent again. TRACE requests are not sent again, although HTTP defines them as idempotent.
 fn idempotent(method: &Method) -> bool {
     matches!(
         *method,
@@ -443,6 +450,8 @@
     }
 }
 
+/// Looks up the live server that owns the slot of a request; `None` if the slot has no settled
+/// owner or if the owner is not live.
 fn find_owner(state: &State, routed: &RoutedRequest) -> Option<Owner> {
     let service = state.service(routed.service)?;
     let slot = service.slots.get(routed.slot.0 as usize)?;
@@ -461,12 +470,16 @@
     })
 }
 
+/// Returns true if the owner still has the slot at the same epoch with the same process, and this
+/// host's view is fresh.
 fn is_still_owner(host: &Host, routed: &RoutedRequest, owner: Owner) -> bool {
     let found = find_owner(&host.view.peek(), routed);
     let same = found.is_some_and(|f| f.epoch == owner.epoch && f.incarnation == owner.incarnation);
     same && host.view.fresh()
 }
 
+/// Builds the HTTP request that one attempt sends to the owner, with the headers that let the
+/// server check the epoch of the slot and its own incarnation.
 fn attempt(routed: &RoutedRequest, owner: Owner) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(routed.body.clone()));
     *request.method_mut() = routed.method.clone();
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -123,6 +123,8 @@
     }
 }
 
+/// Determines the outcome of an attempt from its response: a server that did not run the request
+/// says so in the outcome header and gives the reason in the reason header.
 fn classify(response: Response<Incoming>, permit: Permit) -> AttemptOutcome {
     let headers = response.headers();
     if header_text(headers, OUTCOME_HEADER) != Some("not-run") {
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -285,6 +285,8 @@
         transport::json(StatusCode::OK, &answer)
     }
 
+    /// Revokes slots and waits until the requests for them have ended. Returns false if requests
+    /// are still in flight when the drain time of the order has passed.
     async fn release(&self, order: &RevokeRequest) -> bool {
         let now = read_clocks();
         for next in &order.slots {
@@ -381,6 +383,8 @@
         }))
     }
 
+    /// Waits for a free slot until the deadline of the request. Fails with the reason `shed` if too
+    /// many requests wait already, and with the reason `deadline` at the deadline.
     async fn acquire_slot(&self, headers: &HeaderMap) -> Result<SlotGuard, &'static str> {
         let waiting = {
             let mut inner = self.lock();
--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -93,6 +93,8 @@
         self.not_after_ms = 0;
     }
 
+    /// Extends the lease to `not_after_ms` on the server's clock; the end of a lease never moves
+    /// backwards. Records the time span of the lease.
     fn extend(&mut self, not_after_ms: u64, now: ClockReading) {
         if not_after_ms <= now.clock_ms || not_after_ms <= self.not_after_ms {
             return;
@@ -142,6 +144,7 @@
         self.slots.insert(key, slot_state);
     }
 
+    /// Ends the ownership of a slot, if the server owns the slot, and records its time span.
     fn end_ownership(&mut self, key: &(String, Slot), now: ClockReading) {
         let Some(slot_state) = self.slots.get_mut(key) else {
             return;
