--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -134,7 +134,7 @@
                 // The transaction may have taken effect in spite of the error. If it has, the
                 // repeated transaction reports a conflict.
                 Err(error) => {
-                    log::debug!("claims cannot be recorded: {error}");
+                    log::debug!("a transaction of claims failed: {error}");
                     batch = give_up(batch);
                     time::sleep(Duration::from_millis(RETRY_MS)).await;
                 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -236,7 +236,9 @@
         loop {
             match self.operator(0).submit(kind, &body).await {
                 Ok(accepted) => return accepted,
-                Err(error) if Instant::now() > end => panic!("not accepted: {error}"),
+                Err(error) if Instant::now() > end => {
+                    panic!("the declaration was not accepted: {error}")
+                }
                 Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
             }
         }
@@ -244,7 +246,7 @@
 
     pub async fn status(&self, host: usize) -> StatusBody {
         let status = self.operator(host).status().await;
-        status.unwrap_or_else(|error| panic!("no status of host {host}: {error}"))
+        status.unwrap_or_else(|error| panic!("the status of host {host} cannot be read: {error}"))
     }
 
     /// Waits until every host reports that all slots have an owner, that all hosts are voters and
@@ -283,7 +285,7 @@
                     break;
                 }
                 if Instant::now() > end {
-                    panic!("host {host}: not within 20 s: {what}; status {status:#?}");
+                    panic!("host {host} did not report within 20 s: {what}; status {status:#?}");
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -165,7 +165,7 @@
             let held = lock(&other.keys)[usize::from(key)].granted_fence;
             if held >= fence {
                 let text = format!(
-                    "{} takes key {key} at fence {fence} under {held}",
+                    "{} was granted key {key} at fence {fence}, not above fence {held} of another server",
                     server.id
                 );
                 self.report_violation(text);
--- a/tests/platform_standin/site.rs
+++ b/tests/platform_standin/site.rs
@@ -142,7 +142,10 @@
 pub async fn eventually(what: &str, limit_ms: u64, mut condition: impl AsyncFnMut() -> bool) {
     let until = Instant::now() + Duration::from_millis(limit_ms);
     while !condition().await {
-        assert!(Instant::now() < until, "not within {limit_ms} ms: {what}");
+        assert!(
+            Instant::now() < until,
+            "condition does not hold within {limit_ms} ms: {what}"
+        );
         time::sleep(Duration::from_millis(50)).await;
     }
 }
