--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -54,7 +54,7 @@
 /// Connections of one host to backend servers, and the permits that limit its requests in flight to
 /// each server.
 #[derive(Debug)]
-pub struct Targets {
+pub struct BackendConnections {
     client: Client<HttpConnector, Full<Bytes>>,
     permits: Mutex<HashMap<SocketAddr, Arc<Semaphore>>>,
 }
@@ -62,7 +62,7 @@
 /// Right to send one request to a server, which is released when the permit is dropped.
 pub type Permit = OwnedSemaphorePermit;
 
-impl Targets {
+impl BackendConnections {
     /// Creates a client that keeps at most `idle_connections` idle connections to each server.
     pub fn new(idle_connections: usize) -> Self {
         let mut connector = HttpConnector::new();
