--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -54,7 +54,7 @@
     /// Counters of the requests routed to each slot since the leader last read them.
     pub traffic: Traffic,
     /// Connections to backend servers, and the limits on requests in flight to each.
-    pub targets: BackendConnections,
+    pub backend_connections: BackendConnections,
     /// Claims: records that keep unrepeatable requests from running twice.
     pub claims: Claims,
     /// Client that sends metrics to statsd, if the settings name a receiver.
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -102,7 +102,7 @@
         incarnation: Incarnation::random(),
         view: View::new(settings.ownership.freshness_ms),
         traffic: Traffic::default(),
-        targets: BackendConnections::new(IDLE_CONNECTIONS),
+        backend_connections: BackendConnections::new(IDLE_CONNECTIONS),
         claims: Claims::start(platform.clone()),
         metrics,
         log: ChangeLog::new(platform.clone(), RESOLVE_TIMEOUT_MS),
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -333,7 +333,7 @@
         let owner = owner(host, routed).await?;
         let deadline = Failure::not_run(Reason::Deadline);
         let permit = host
-            .targets
+            .backend_connections
             .permit(owner.address, owner.permits, routed.deadline_ms)
             .await;
         let permit = permit.ok_or(deadline)?;
@@ -342,7 +342,9 @@
             continue;
         }
         let request = attempt(routed, owner);
-        let sent = host.targets.send(request, permit, routed.deadline_ms);
+        let sent = host
+            .backend_connections
+            .send(request, permit, routed.deadline_ms);
         let attempt = tokio::select! {
             attempt = sent => attempt,
             () = owner_lost(host, owner) => AttemptOutcome::Unknown(Reason::ServerLost),
