--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -135,7 +135,7 @@
                 // repeated transaction reports a conflict.
                 Err(error) => {
                     log::debug!("a transaction of claims failed: {error}");
-                    batch = give_up(batch);
+                    batch = refuse_expired(batch);
                     time::sleep(Duration::from_millis(RETRY_MS)).await;
                 }
             }
@@ -296,7 +296,7 @@
 /// Removes the operations that have waited too long, and refuses the claims among them. A failed
 /// transaction may have recorded a refused claim all the same. The row of such a claim stays
 /// pending and its request never runs, which matches the response to the caller.
-fn give_up(batch: Vec<Operation>) -> Vec<Operation> {
+fn refuse_expired(batch: Vec<Operation>) -> Vec<Operation> {
     let (expired, rest): (Vec<_>, Vec<_>) = batch.into_iter().partition(Operation::expired);
     for operation in expired {
         if let Operation::Insert { reply, .. } = operation {
