--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -50,7 +50,7 @@
     Insert {
         key: String,
         row: ClaimRow,
-        give_up_ms: u64,
+        claim_deadline_ms: u64,
         reply: oneshot::Sender<ClaimResult>,
     },
     /// Records how a claim ended, in the row that the claim wrote.
@@ -149,10 +149,12 @@
             Operation::Insert {
                 key,
                 row,
-                give_up_ms,
+                claim_deadline_ms,
                 reply,
             } => {
-                let claimed = self.resolve_insert_conflict(key, row, give_up_ms).await;
+                let claimed = self
+                    .resolve_insert_conflict(key, row, claim_deadline_ms)
+                    .await;
                 let _ = reply.send(claimed);
             }
             // Either an earlier transaction has already recorded the end of the claim although its
@@ -163,14 +165,14 @@
 
     /// Finds out why a claim could not be recorded. Grants the claim if this request created the
     /// row after all or if it can take over a released row, and otherwise returns the result for a
-    /// duplicate. Gives up at `give_up_ms`.
+    /// duplicate. Gives up at `claim_deadline_ms`.
     async fn resolve_insert_conflict(
         &self,
         key: String,
         row: ClaimRow,
-        give_up_ms: u64,
+        claim_deadline_ms: u64,
     ) -> ClaimResult {
-        while clock::now_ms() < give_up_ms {
+        while clock::now_ms() < claim_deadline_ms {
             let found = match self.platform.row(&key).await {
                 Ok(Some(found)) => found,
                 Ok(None) => return ClaimResult::Unavailable,
@@ -222,7 +224,9 @@
     fn expired(&self) -> bool {
         let now_ms = clock::now_ms();
         match self {
-            Self::Insert { give_up_ms, .. } => now_ms >= *give_up_ms,
+            Self::Insert {
+                claim_deadline_ms, ..
+            } => now_ms >= *claim_deadline_ms,
             Self::End { row, .. } => clock::unix_ms() > row.until_unix_ms + END_TIMEOUT_MS,
         }
     }
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -130,7 +130,7 @@
         let operation = Operation::Insert {
             key: key.clone(),
             row: row.clone(),
-            give_up_ms: deadline_ms.min(now_ms + CLAIM_TIMEOUT_MS),
+            claim_deadline_ms: deadline_ms.min(now_ms + CLAIM_TIMEOUT_MS),
             reply,
         };
         if self.operations.try_send(operation).is_err() {
