--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -115,7 +115,7 @@
         while !batch.is_empty() {
             // A transaction must not contain two operations on one key, so all operations but the
             // first on each key wait for the next transaction.
-            let (first, mut repeated) = take_repeated(batch);
+            let (first, mut repeated) = split_repeated(batch);
             batch = first;
             let transaction = transaction(&batch);
             self.counters.transactions.fetch_add(1, Ordering::Relaxed);
@@ -284,7 +284,7 @@
 }
 
 /// Separates the first operation on each key from all later ones on the same key.
-fn take_repeated(batch: Vec<Operation>) -> (Vec<Operation>, Vec<Operation>) {
+fn split_repeated(batch: Vec<Operation>) -> (Vec<Operation>, Vec<Operation>) {
     let mut keys = HashSet::new();
     let is_first = |operation: &Operation| keys.insert(operation.key().to_owned());
     batch.into_iter().partition(is_first)
