--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -572,7 +572,7 @@
     }
 
     fn grant(&self, order: &Value, arrived: Instant) -> Response<ResponseBody> {
-        let (first, last, fence) = range_of(order);
+        let (first, last, fence) = parse_range(order);
         let hold = parse_ms(order["hold_time"].as_str().unwrap_or_default()).expect("hold time");
         let until = arrived + Duration::from_millis(hold);
         let mut newly_granted = Vec::new();
@@ -602,7 +602,7 @@
     }
 
     async fn release(&self, order: &Value) -> Response<ResponseBody> {
-        let (first, last, fence) = range_of(order);
+        let (first, last, fence) = parse_range(order);
         {
             let mut keys = lock(&self.holdings.keys);
             for state in &mut keys[first..=last] {
@@ -725,7 +725,7 @@
     serde_json::from_slice(&body.to_bytes()).expect("order")
 }
 
-fn range_of(order: &Value) -> (usize, usize, u64) {
+fn parse_range(order: &Value) -> (usize, usize, u64) {
     let number = |name: &str| order[name].as_u64().expect("number");
     (
         number("from") as usize,
