--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -30,7 +30,7 @@
 
 pub const BINARY: &str = env!("CARGO_BIN_EXE_ashroad");
 const TOKEN: &str = "test-token";
-static DIRECTORIES: AtomicU32 = AtomicU32::new(0);
+static NEXT_DIRECTORY: AtomicU32 = AtomicU32::new(0);
 
 /// A child process that is killed when dropped.
 pub struct Process {
@@ -352,7 +352,7 @@
 }
 
 fn new_directory() -> PathBuf {
-    let number = DIRECTORIES.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_DIRECTORY.fetch_add(1, Ordering::Relaxed);
     let name = format!("ashroad-test-{}-{number}", std::process::id());
     let directory = std::env::temp_dir().join(name);
     fs::create_dir_all(&directory).expect("directory");
