--- a/tests/platform_standin/mod.rs
+++ b/tests/platform_standin/mod.rs
@@ -18,13 +18,13 @@
     sync::atomic::{AtomicU16, Ordering},
 };
 
-static NEXT: AtomicU16 = AtomicU16::new(1);
+static NEXT_ADDRESS: AtomicU16 = AtomicU16::new(1);
 
 /// Returns a loopback address that was not returned before in this process and that concurrent test
 /// processes are unlikely to use.
 pub fn fresh_ip() -> IpAddr {
     let pid = std::process::id();
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
     // Maps the process id and a counter to 127.1.0.0 to 127.255.255.255.
     let second = 1 + (pid % 250) as u8;
     let third = (pid / 250 % 64) as u8 * 4 + (number / 250) as u8;
