--- a/tests/platform_standin/hosts.rs
+++ b/tests/platform_standin/hosts.rs
@@ -16,7 +16,7 @@
 const PEERS_PORT: u16 = 7620;
 const METRICS_PORT: u16 = 7621;
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_HOST: AtomicU32 = AtomicU32::new(0);
 
 /// Process of an entry host; killed when dropped.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
     /// Starts a host with additional lines in the `bounds` section of its settings.
     pub fn start_with(store_address: SocketAddr, more_bounds: &str) -> Self {
         let ip = fresh_ip();
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
         let directory = std::env::temp_dir().join(format!("ashroad-{}", std::process::id()));
         fs::create_dir_all(&directory).expect("directory");
         let settings = directory.join(format!("host-{number}.yaml"));
