--- a/tests/platform_standin/hosts.rs
+++ b/tests/platform_standin/hosts.rs
@@ -9,7 +9,7 @@
     sync::atomic::{AtomicU32, Ordering},
 };
 
-use super::{fresh_ip, store::Store};
+use super::{next_ip, store::Store};
 
 const CALLERS_PORT: u16 = 8641;
 const READINESS_PORT: u16 = 8640;
@@ -43,7 +43,7 @@
 
     /// Starts a host with additional lines in the `bounds` section of its settings.
     pub fn start_with(store_address: SocketAddr, more_bounds: &str) -> Self {
-        let ip = fresh_ip();
+        let ip = next_ip();
         let number = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
         let directory = std::env::temp_dir().join(format!("ashroad-{}", std::process::id()));
         fs::create_dir_all(&directory).expect("directory");
--- a/tests/platform_standin/mod.rs
+++ b/tests/platform_standin/mod.rs
@@ -22,7 +22,7 @@
 
 /// Returns a loopback address that was not returned before in this process and that concurrent test
 /// processes are unlikely to use.
-pub fn fresh_ip() -> IpAddr {
+pub fn next_ip() -> IpAddr {
     let pid = std::process::id();
     let number = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
     // Maps the process id and a counter to 127.1.0.0 to 127.255.255.255.
@@ -32,7 +32,7 @@
     IpAddr::V4(Ipv4Addr::new(127, second, third, fourth))
 }
 
-/// Returns a socket address with a loopback address from [`fresh_ip`] and the given port.
+/// Returns a socket address with a loopback address from [`next_ip`] and the given port.
 pub fn fresh_address(port: u16) -> SocketAddr {
-    SocketAddr::new(fresh_ip(), port)
+    SocketAddr::new(next_ip(), port)
 }
