--- a/tests/platform_standin/mod.rs
+++ b/tests/platform_standin/mod.rs
@@ -33,6 +33,6 @@
 }
 
 /// Returns a socket address with a loopback address from [`next_ip`] and the given port.
-pub fn fresh_address(port: u16) -> SocketAddr {
+pub fn next_address(port: u16) -> SocketAddr {
     SocketAddr::new(next_ip(), port)
 }
--- a/tests/platform_standin/proxy.rs
+++ b/tests/platform_standin/proxy.rs
@@ -18,7 +18,7 @@
     time,
 };
 
-use super::fresh_address;
+use super::next_address;
 
 /// Way in which the proxy forwards data, i.e. the network fault that it injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -62,7 +62,7 @@
 impl Proxy {
     /// Starts a proxy in front of `target`.
     pub async fn start(target: SocketAddr) -> Self {
-        let listener = TcpListener::bind(fresh_address(0)).await.expect("listener");
+        let listener = TcpListener::bind(next_address(0)).await.expect("listener");
         let address = listener.local_addr().expect("address");
         let mode = Arc::new(AtomicU8::new(Mode::Pass as u8));
         let shared = mode.clone();
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -27,7 +27,7 @@
     time,
 };
 
-use super::{fresh_address, store::Store};
+use super::{next_address, store::Store};
 
 /// Number of keys of a service.
 const KEYS: usize = 1 << 16;
@@ -313,7 +313,7 @@
     ) -> Self {
         let listener = {
             let _entered = runtime.enter();
-            let listener = std::net::TcpListener::bind(fresh_address(0)).expect("listener");
+            let listener = std::net::TcpListener::bind(next_address(0)).expect("listener");
             listener.set_nonblocking(true).expect("not blocking");
             TcpListener::from_std(listener).expect("listener")
         };
--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -20,7 +20,7 @@
     time,
 };
 
-use super::fresh_address;
+use super::next_address;
 
 /// Faults that the store injects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -89,7 +89,7 @@
 impl Store {
     /// Starts a store without rows.
     pub async fn start() -> Self {
-        let listener = TcpListener::bind(fresh_address(0)).await.expect("listener");
+        let listener = TcpListener::bind(next_address(0)).await.expect("listener");
         let address = listener.local_addr().expect("address");
         let state = Arc::new(State {
             rows: Mutex::default(),
