--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -64,7 +64,7 @@
     partition_written_at: Option<Instant>,
     calls: u64,
     /// Number of calls so far by path and table.
-    kinds: BTreeMap<String, u64>,
+    calls_by_path: BTreeMap<String, u64>,
 }
 
 /// Stand-in of the platform's store, which runs in the process of the test.
@@ -153,7 +153,7 @@
     /// Returns the number of calls by path and table, which a failed test prints to explain its
     /// count.
     pub fn calls_by_kind(&self) -> BTreeMap<String, u64> {
-        self.state.rows().kinds.clone()
+        self.state.rows().calls_by_path.clone()
     }
 
     /// Returns the content of a row as JSON; `None` if the row is missing or its content is not
@@ -309,7 +309,7 @@
         let faults = {
             let mut rows = self.rows();
             rows.calls += 1;
-            *rows.kinds.entry(kind_of(&request)).or_default() += 1;
+            *rows.calls_by_path.entry(kind_of(&request)).or_default() += 1;
             rows.faults
         };
         let is_read = request.uri().path() == "/rows-get";
