--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -29,7 +29,7 @@
     },
 };
 
-/// Maximum number of operations in one transaction, which bounds its size.
+/// Maximum number of operations in one transaction, which bounds the size of the transaction.
 const BATCH_OPERATIONS_MAX: usize = 256;
 /// Maximum number of transactions in flight; operations that arrive meanwhile form the next batch.
 const TRANSACTIONS_IN_FLIGHT_MAX: usize = 2;
--- a/src/claims/row.rs
+++ b/src/claims/row.rs
@@ -1,5 +1,5 @@
-//! Row of the table service that records the claim on one unrepeatable request (one that must run
-//! at most once).
+//! Row of the table service that records the claim on one unrepeatable request, i.e. on a request
+//! that must run at most once.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_128;
@@ -31,7 +31,7 @@
 pub struct StoredResponse {
     /// HTTP status code that the server returned.
     pub status: u16,
-    /// Value of the `Content-Type` header, if there was one.
+    /// Value of the `Content-Type` header; `None` if the response had no such header.
     pub content_type: Option<String>,
     /// Body in Base64, because a row holds text.
     pub body_base64: String,
--- a/src/peer/endpoint.rs
+++ b/src/peer/endpoint.rs
@@ -38,8 +38,7 @@
     Request {
         /// Request that the peer waits for a reply to.
         request: PeerRequest,
-        /// Channel for the reply; if the channel is dropped unused, the stream is reset, so that
-        /// the peer sees a failure.
+        /// Channel for the reply; if the channel is dropped unused, the peer's call fails.
         reply: oneshot::Sender<PeerReply>,
     },
 }
@@ -211,7 +210,8 @@
     let request = decode(&bytes)?;
     let (reply, replied) = oneshot::channel();
     let _ = inbox.send(Inbound::Request { request, reply }).await;
-    // Dropping the stream resets it, so that the peer sees a failure instead of an empty reply.
+    // If the handler drops the reply channel, the stream is dropped before anything is written to
+    // it, and the peer's call fails.
     let Ok(reply) = replied.await else {
         return Ok(());
     };
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -76,7 +76,8 @@
         /// Revision of the change that recorded the loss of the server.
         lost: Revision,
     },
-    /// Requests a probe: the receiver sends a check to a server and reports whether it responds.
+    /// Requests a probe: the receiver sends a check to a server and reports whether the server
+    /// responds.
     Probe {
         /// Key of the server to check.
         server: ServerKey,
--- a/src/platform/duration.rs
+++ b/src/platform/duration.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Deserializer, de::Error};
 
-/// Parses a duration such as `1500ms` or `2.5s` into milliseconds; `None` if it has no unit, is
-/// negative or is not finite.
+/// Parses a duration such as `1500ms` or `2.5s` into milliseconds; `None` if the text has no
+/// unit or if the number is negative or not finite.
 pub fn parse_ms(text: &str) -> Option<u64> {
     let (number, factor) = match text.strip_suffix("ms") {
         Some(number) => (number, 1.0),
@@ -13,7 +13,7 @@
     (value.is_finite() && value >= 0.0).then_some((value * factor).round() as u64)
 }
 
-/// Deserializes a duration such as `1500ms` into milliseconds; fails if it is malformed.
+/// Deserializes a duration such as `1500ms` into milliseconds; fails if the text is malformed.
 pub fn deserialize_ms<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     let text = String::deserialize(deserializer)?;
     parse_ms(&text).ok_or_else(|| D::Error::custom(format!("'{text}' is not a duration")))
--- a/src/platform/error.rs
+++ b/src/platform/error.rs
@@ -47,7 +47,7 @@
     /// A document of the store could not be decoded or encoded.
     #[snafu(display("{what} is invalid: {message}"))]
     Document {
-        /// Kind of the document, with its name if it has one.
+        /// Kind of the document, followed by the name of the document if there is one.
         what: String,
         /// Cause, worded for the log.
         message: String,
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Returns true if the call may have taken effect although it failed.
+    /// Returns true if the failed call may have taken effect all the same: no complete response
+    /// arrived, or the response could not be decoded.
     pub fn may_have_run(&self) -> bool {
         matches!(self, Self::Unanswered { .. } | Self::Decode { .. })
     }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -23,7 +23,7 @@
 /// Load of the responding server: running requests, queued requests, slots and, where servers share
 /// machines, the current pace (slowdown factor) in percent.
 const LOAD: HeaderName = HeaderName::from_static("server-load");
-/// Header that a leaving server sets in every response; `0` means that it is not leaving.
+/// Header that a leaving server sets in every response; `0` means that the server is not leaving.
 const LEAVING: HeaderName = HeaderName::from_static("server-leaving");
 /// Rate limit, in requests per second from all hosts together, that an overloaded server asks for.
 /// The header is absent while the server needs no limit.
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -19,7 +19,8 @@
     wire::{WireExpect, WirePut, WireRemove, WireRow, WireRows, WireTransaction},
 };
 
-/// Timeout of a transaction. The store usually takes 8 ms, and 60 times as long when it is slow.
+/// Timeout of a transaction. The store usually takes 8 ms for a transaction, and 60 times as long
+/// when the store is slow.
 const CALL_TIMEOUT_MS: u64 = 2_000;
 /// Timeout for reading one page of rows. A read takes half as long as a transaction.
 const READ_TIMEOUT_MS: u64 = 1_000;
@@ -55,7 +56,7 @@
     pub table: &'a str,
     /// Key of the row within the table and the transaction's partition.
     pub key: &'a str,
-    /// Version that the row must have; 0 if it must not exist.
+    /// Version that the row must have; 0 if the row must not exist.
     pub version: u64,
 }
 
@@ -138,7 +139,7 @@
 /// Kind of a call to the store; calls are counted by kind, because the platform charges for each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallKind {
-    /// Read of one page of rows; reading a large table takes several.
+    /// Read of one page of rows; reading a large table takes several such calls.
     Read,
     /// Call of a change feed. The store holds the call until there are changes or the requested
     /// wait has passed.
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -32,7 +32,7 @@
     pub table: &'a str,
     pub part: &'a str,
     pub key_file: &'a str,
-    /// Version that the row must have; 0 if it must not exist.
+    /// Version that the row must have; 0 if the row must not exist.
     pub ver: u64,
 }
 
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct WireServer {
     pub addr: SocketAddr,
-    /// Unix time of the server's start in milliseconds; servers of older platforms do not write it.
+    /// Unix time of the server's start in milliseconds; servers of older platforms leave it out.
     #[serde(default)]
     pub born: Option<u64>,
     pub info: WireServerInfo,
--- a/src/routing/outcome.rs
+++ b/src/routing/outcome.rs
@@ -21,7 +21,7 @@
 pub enum Outcome {
     /// The request provably did not run, so a retry is safe.
     NotRun,
-    /// The request may have run, so a retry may run it a second time.
+    /// The request may have run, so a retry may run the request a second time.
     Unknown,
 }
 
@@ -32,7 +32,7 @@
 pub enum Reason {
     /// The workspace or service does not exist.
     NoSuchService,
-    /// The request has no key where the service expects it.
+    /// The request has no key in the path segment or header where the service expects the key.
     NoKey,
     /// The idempotency key is empty or is not text.
     BadIdempotencyKey,
@@ -110,7 +110,7 @@
 pub struct Failure {
     /// Outcome of the request: the request provably did not run, or it may have run.
     pub outcome: Outcome,
-    /// Cause of the failure; it also determines the status and `Retry-After` of the response.
+    /// Cause of the failure, which also determines the status and `Retry-After` of the response.
     pub reason: Reason,
 }
 
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -8,8 +8,8 @@
 /// Maximum number of units that the budget accumulates, enough for ten retries in a row.
 const BUDGET_UNITS_MAX: i64 = 10 * RETRY_COST;
 
-/// Retry budget of one service on one host: one retry per 20 requests, and a reserve of ten retries
-/// at the start.
+/// Retry budget of one service on one host. The budget allows one retry per 20 requests, and starts
+/// with a reserve of ten retries.
 #[derive(Debug)]
 pub struct RetryBudget {
     units: AtomicI64,
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -51,8 +51,8 @@
     Unknown(Reason),
 }
 
-/// Connections of one host to backend servers, and the permits that limit its requests in flight to
-/// each server.
+/// Connections of one host to backend servers, and the permits that limit the number of requests in
+/// flight from the host to each server.
 #[derive(Debug)]
 pub struct BackendConnections {
     client: Client<HttpConnector, Full<Bytes>>,
--- a/src/routing/traffic.rs
+++ b/src/routing/traffic.rs
@@ -19,7 +19,7 @@
     /// Counter of the service's requests in flight in this host, which refuses requests above the
     /// limit of the service.
     pub admission: Admission,
-    /// Budget of retries: one per 20 requests of the service in this host.
+    /// Budget of retries, which allows one retry per 20 requests of the service in this host.
     pub retries: RetryBudget,
 }
 
--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -42,7 +42,8 @@
     pub unix_us: u64,
 }
 
-/// Lease and slot grants of one server process.
+/// Lease and slot grants of one server process, and the record of the spans in which it owned
+/// slots.
 #[derive(Clone, Debug, Default)]
 pub struct Grants {
     lease_epoch: LeaseEpoch,
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -14,7 +14,7 @@
 /// Handle of a stand-in that runs inside this process.
 #[derive(Debug)]
 pub struct Running {
-    /// Bound address; it contains the actual port if port 0 was requested.
+    /// Address on which the stand-in listens, with the actual port if port 0 was requested.
     pub address: SocketAddr,
     stop: watch::Sender<bool>,
     task: JoinHandle<()>,
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Runs a conditional transaction. After an error it is unknown whether it took effect.
+    /// Runs a conditional transaction. After an error, the caller cannot know whether the
+    /// transaction took effect.
     pub async fn transact(&self, transaction: &Transaction) -> Result<TransactionOutcome> {
         self.client
             .post(self.address, TRANSACT_PATH, transaction)
@@ -56,7 +57,7 @@
         Ok(rows.rows)
     }
 
-    /// Reads the row `key`; `None` if it does not exist.
+    /// Reads the row `key`; `None` if the row does not exist.
     pub async fn row(&self, key: &str) -> Result<Option<Row>> {
         let rows = self.range(key, "", 1).await?;
         Ok(rows.into_iter().find(|row| row.key == key))
@@ -72,7 +73,7 @@
         Ok(())
     }
 
-    /// Reads the object `name`; fails if it does not exist.
+    /// Reads the object `name`; fails if the object does not exist.
     pub async fn object(&self, name: &str) -> Result<Bytes> {
         let path = format!("{OBJECT_PATH}{name}");
         self.client
--- a/tests/platform_standin/deployment.rs
+++ b/tests/platform_standin/deployment.rs
@@ -20,8 +20,8 @@
     traffic::{RequestOutcome, Traffic, Workload},
 };
 
-/// Time for which a host may still send requests to a server after it forwarded the server's
-/// announcement that it leaves.
+/// Time for which a host may still send requests to a leaving server, counted from the moment at
+/// which the host forwarded the server's announcement that it leaves.
 pub const DRAIN: Duration = Duration::from_millis(2_000);
 /// Contact grace period: time after a partition in which the bounds do not apply to a host.
 pub const CONTACT_GRACE: Duration = Duration::from_secs(3);
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -193,7 +193,7 @@
     id: String,
     /// Service that the server belongs to.
     service: String,
-    /// False once the server has crashed, so that it holds no keys.
+    /// False once the server has crashed, which ends all its leases.
     up: AtomicBool,
     keys: Mutex<Vec<KeyState>>,
 }
@@ -426,7 +426,7 @@
         self.state.late_order_every.store(every, Ordering::Relaxed);
     }
 
-    /// Returns the largest number of requests that arrived within one second after `since`.
+    /// Returns the largest number of requests that arrived within any single second after `since`.
     pub fn peak_requests_per_s(&self, since: Instant) -> usize {
         let arrivals = lock(&self.state.arrivals);
         let later: Vec<Instant> = arrivals
@@ -457,7 +457,8 @@
         store.remove("servers", &self.id);
     }
 
-    /// Writes the entry of a server of another service that has this server's address.
+    /// Writes the entry of a server `id` of the service `orders` that has the same address as this
+    /// server.
     pub fn register_another(&self, store: &Store, id: &str) {
         let entry = json!({
             "addr": self.address.to_string(),
