--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -29,28 +29,31 @@
     },
 };
 
-/// Maximum number of operations in one transaction, which bounds its size.
+/// Maximum number of operations in one transaction, which bounds the size of the transaction.
 const BATCH_OPERATIONS_MAX: usize = 256;
 /// Maximum number of transactions in flight; operations that arrive meanwhile form the next batch.
-const IN_FLIGHT: usize = 2;
-/// Minimum time for which a batch is collected.
+const TRANSACTIONS_IN_FLIGHT_MAX: usize = 2;
+/// Minimum time for which the writer collects further operations before it writes a batch that is
+/// not full.
 const BATCH_DELAY_MS: u64 = 2;
 /// Delay before a failed read or transaction of the table service is retried.
 const RETRY_MS: u64 = 25;
-/// Time limit for recording how a claim ended.
+/// Time after the deadline of a request during which the writer still tries to record how the claim
+/// of the request ended; the operation is dropped afterwards.
 const END_TIMEOUT_MS: u64 = 10_000;
 
 /// Operation on the row of one claim, queued for the writer.
 #[derive(Debug)]
 pub(super) enum Operation {
-    /// Records a new claim, unless a row of an earlier request, other than a released one, exists.
+    /// Records a new claim. Fails if an earlier request has already created the row, unless that
+    /// request released its claim.
     Insert {
         key: String,
         row: ClaimRow,
-        give_up_ms: u64,
+        claim_deadline_ms: u64,
         reply: oneshot::Sender<ClaimResult>,
     },
-    /// Records how a claim ended, in the row that the claim created.
+    /// Records how a claim ended, in the row that the claim wrote.
     End {
         key: String,
         version: u64,
@@ -58,7 +61,8 @@
     },
 }
 
-/// Writes operations until the queue closes.
+/// Collects operations from the queue into batches and writes each batch in a task of its own,
+/// until the queue closes.
 pub(super) async fn run(
     platform: Platform,
     mut queue: mpsc::Receiver<Operation>,
@@ -66,7 +70,7 @@
     transaction_interval_ms: Arc<AtomicU64>,
 ) {
     let mut last_ms = 0;
-    let permits = Arc::new(Semaphore::new(IN_FLIGHT));
+    let permits = Arc::new(Semaphore::new(TRANSACTIONS_IN_FLIGHT_MAX));
     loop {
         let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
@@ -105,12 +109,13 @@
 }
 
 impl Writer {
-    /// Writes the batch; each round takes out the operations whose condition failed.
+    /// Writes the batch in one or more transactions. If a transaction conflicts, the operations
+    /// whose condition failed are resolved one by one, and the others are written again.
     async fn write(&self, mut batch: Vec<Operation>) {
         while !batch.is_empty() {
-            // Two operations on one key must not be in one transaction, so the second one waits for
-            // the next round.
-            let (first, mut repeated) = take_repeated(batch);
+            // A transaction must not contain two operations on one key, so all operations but the
+            // first on each key wait for the next transaction.
+            let (first, mut repeated) = split_repeated(batch);
             batch = first;
             let transaction = transaction(&batch);
             self.counters.transactions.fetch_add(1, Ordering::Relaxed);
@@ -126,10 +131,11 @@
                         self.resolve_conflict(operation).await;
                     }
                 }
-                // The transaction may have taken effect; then the next round reports a conflict.
+                // The transaction may have taken effect in spite of the error. If it has, the
+                // repeated transaction reports a conflict.
                 Err(error) => {
-                    log::debug!("claims cannot be recorded: {error}");
-                    batch = give_up(batch);
+                    log::debug!("a transaction of claims failed: {error}");
+                    batch = refuse_expired(batch);
                     time::sleep(Duration::from_millis(RETRY_MS)).await;
                 }
             }
@@ -143,24 +149,30 @@
             Operation::Insert {
                 key,
                 row,
-                give_up_ms,
+                claim_deadline_ms,
                 reply,
             } => {
-                let claimed = self.resolve_insert_conflict(key, row, give_up_ms).await;
+                let claimed = self
+                    .resolve_insert_conflict(key, row, claim_deadline_ms)
+                    .await;
                 let _ = reply.send(claimed);
             }
-            // An earlier round took effect, or the row was swept.
+            // Either an earlier transaction has already recorded the end of the claim although its
+            // call failed, or the sweep has removed the row.
             Operation::End { .. } => {}
         }
     }
 
+    /// Finds out why a claim could not be recorded. Grants the claim if this request created the
+    /// row after all or if it can take over a released row, and otherwise returns the result for a
+    /// duplicate. Gives up at `claim_deadline_ms`.
     async fn resolve_insert_conflict(
         &self,
         key: String,
         row: ClaimRow,
-        give_up_ms: u64,
+        claim_deadline_ms: u64,
     ) -> ClaimResult {
-        while clock::now_ms() < give_up_ms {
+        while clock::now_ms() < claim_deadline_ms {
             let found = match self.platform.row(&key).await {
                 Ok(Some(found)) => found,
                 Ok(None) => return ClaimResult::Unavailable,
@@ -169,18 +181,20 @@
                     continue;
                 }
             };
-            let Ok(held) = serde_json::from_str::<ClaimRow>(&found.value) else {
+            let Ok(existing_claim) = serde_json::from_str::<ClaimRow>(&found.value) else {
                 return ClaimResult::Refused(Reason::Unsettled);
             };
-            if held.nonce == row.nonce {
+            if existing_claim.nonce == row.nonce {
                 let version = found.version;
                 return ClaimResult::Granted(Claim { key, row, version });
             }
-            if held.state != ClaimState::Released || held.fingerprint != row.fingerprint {
-                return duplicate(held, &row);
+            if existing_claim.state != ClaimState::Released
+                || existing_claim.fingerprint != row.fingerprint
+            {
+                return duplicate(existing_claim, &row);
             }
-            // Takes over a released row. The next read of the row shows if that succeeded, so the
-            // result of the transaction is not needed.
+            // Takes over a released row. The next iteration reads the row again and thereby finds
+            // out whether the transaction took effect, so its result is not needed.
             let transaction = put(&key, Expect::Version(found.version), &row);
             self.counters.transactions.fetch_add(1, Ordering::Relaxed);
             let _ = self.platform.transact(&transaction).await;
@@ -210,21 +224,24 @@
     fn expired(&self) -> bool {
         let now_ms = clock::now_ms();
         match self {
-            Self::Insert { give_up_ms, .. } => now_ms >= *give_up_ms,
+            Self::Insert {
+                claim_deadline_ms, ..
+            } => now_ms >= *claim_deadline_ms,
             Self::End { row, .. } => clock::unix_ms() > row.until_unix_ms + END_TIMEOUT_MS,
         }
     }
 }
 
-/// Returns the outcome of a claim whose row was made by an earlier request.
-fn duplicate(held: ClaimRow, row: &ClaimRow) -> ClaimResult {
-    if held.fingerprint != row.fingerprint {
+/// Returns the result for a request whose claim row was already created by an earlier request with
+/// the same idempotency key.
+fn duplicate(existing_claim: ClaimRow, row: &ClaimRow) -> ClaimResult {
+    if existing_claim.fingerprint != row.fingerprint {
         return ClaimResult::Refused(Reason::KeyReused);
     }
-    match held.state {
+    match existing_claim.state {
         ClaimState::Answered(response) => ClaimResult::Answered(response),
         ClaimState::AnswerNotKept => ClaimResult::Refused(Reason::AnswerNotKept),
-        ClaimState::Pending if clock::unix_ms() <= held.until_unix_ms => {
+        ClaimState::Pending if clock::unix_ms() <= existing_claim.until_unix_ms => {
             ClaimResult::Refused(Reason::InProgress)
         }
         ClaimState::Pending | ClaimState::Unknown | ClaimState::Released => {
@@ -233,6 +250,7 @@
     }
 }
 
+/// Builds one transaction of all operations of a batch.
 fn transaction(batch: &[Operation]) -> Transaction {
     let mut whole = Transaction {
         conditions: Vec::with_capacity(batch.len()),
@@ -249,6 +267,7 @@
     whole
 }
 
+/// Builds a transaction that writes one claim row if the row is in the expected state.
 fn put(key: &str, expect: Expect, row: &ClaimRow) -> Transaction {
     let condition = Condition {
         key: key.to_owned(),
@@ -265,7 +284,7 @@
 }
 
 /// Separates the first operation on each key from all later ones on the same key.
-fn take_repeated(batch: Vec<Operation>) -> (Vec<Operation>, Vec<Operation>) {
+fn split_repeated(batch: Vec<Operation>) -> (Vec<Operation>, Vec<Operation>) {
     let mut keys = HashSet::new();
     let is_first = |operation: &Operation| keys.insert(operation.key().to_owned());
     batch.into_iter().partition(is_first)
@@ -278,9 +297,10 @@
         .partition(|operation| keys.iter().any(|key| key == operation.key()))
 }
 
-/// Refuses the claims that have waited too long. If a refused claim was recorded all the same, its
-/// row stays pending and the request never runs, which matches the response to its caller.
-fn give_up(batch: Vec<Operation>) -> Vec<Operation> {
+/// Removes the operations that have waited too long, and refuses the claims among them. A failed
+/// transaction may have recorded a refused claim all the same. The row of such a claim stays
+/// pending and its request never runs, which matches the response to the caller.
+fn refuse_expired(batch: Vec<Operation>) -> Vec<Operation> {
     let (expired, rest): (Vec<_>, Vec<_>) = batch.into_iter().partition(Operation::expired);
     for operation in expired {
         if let Operation::Insert { reply, .. } = operation {
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -11,15 +11,16 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireRow {
-    /// Key of the row within table and partition; it does not name a file.
+    /// Key of the row within its table and partition. In spite of its name, the field does not name
+    /// a file.
     pub key_file: String,
-    /// Content in base64; missing in deleted rows.
+    /// Content of the row in base64; missing in deleted rows.
     #[serde(default)]
     pub value: String,
     /// Version of the store at the row's last change.
     #[serde(default)]
     pub ver: u64,
-    /// True if the row was removed; set only by feeds.
+    /// True if the row was removed; only change feeds return such rows.
     #[serde(default)]
     pub deleted: bool,
 }
@@ -31,7 +32,7 @@
     pub table: &'a str,
     pub part: &'a str,
     pub key_file: &'a str,
-    /// Version that the row must have; 0 if it must not exist.
+    /// Version that the row must have; 0 if the row must not exist.
     pub ver: u64,
 }
 
@@ -69,19 +70,21 @@
 pub struct WireRows {
     #[serde(default)]
     pub rows: Vec<WireRow>,
+    /// True if the store has more rows than fit into the response.
     #[serde(default)]
     pub has_more: bool,
-    /// Newest version of the whole store; 0 if the store left it out.
+    /// Newest version of the whole store; 0 if the response has no version.
     #[serde(default)]
     pub ver: u64,
 }
 
-/// Entry of a backend server. All fields but `born` and `warmupLeft` are required. Any of them may
-/// be missing or invalid, because other programs write entries as well; the entry is refused then.
+/// Entry of a backend server. All fields except `born` and `warmupLeft` are required. An entry with
+/// a missing or invalid field is refused; such entries occur because other programs write entries
+/// as well.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WireServer {
     pub addr: SocketAddr,
-    /// Unix time of the server's start in milliseconds; servers of older platforms do not write it.
+    /// Unix time of the server's start in milliseconds; servers of older platforms leave it out.
     #[serde(default)]
     pub born: Option<u64>,
     pub info: WireServerInfo,
@@ -93,7 +96,7 @@
 pub struct WireServerInfo {
     pub service: String,
     pub zone: String,
-    /// Version of the server's software; required, but not used.
+    /// Version of the server's software; the field is required but not used.
     #[serde(rename = "version")]
     pub _version: String,
     pub slots: u32,
@@ -104,14 +107,15 @@
 #[serde(rename_all = "camelCase")]
 pub struct WireServerStatus {
     pub state: WireServerState,
-    /// Sequence number of the heartbeat; required, but not used.
+    /// Sequence number of the server's heartbeat; the field is required but not used.
     #[serde(rename = "seq")]
     pub _seq: u64,
+    /// Remaining time in milliseconds for which the server is cold; missing if the server is warm.
     #[serde(default, deserialize_with = "deserialize_optional_ms")]
     pub warmup_left: Option<u64>,
 }
 
-/// Readiness of a server. An entry with any other value is refused.
+/// Readiness of a server. An entry with a value other than these is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WireServerState {
@@ -132,21 +136,24 @@
     pub tenants: Option<Vec<WireTenant>>,
 }
 
-/// Workspace with its API keys and quota; the platform calls it a tenant.
+/// Workspace with its API keys and quota; the platform calls a workspace a tenant.
 #[derive(Clone, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireTenant {
     pub name: String,
+    /// API keys in plain text, by which callers identify themselves as the workspace.
     #[serde(default)]
     pub api_keys: Vec<String>,
+    /// Priority of the workspace's requests; 0 is the highest.
     #[serde(default)]
     pub priority: u32,
     /// Quota in requests per second; 0 or missing for no quota.
     #[serde(default)]
     pub rate_per_s: f64,
-    /// Requests that the workspace may send at once beyond its quota.
+    /// Number of requests that the workspace may send at once beyond its quota.
     #[serde(default)]
     pub burst: f64,
+    /// Regions in which the workspace's requests may be served; empty for all regions.
     #[serde(default)]
     pub allowed_regions: Vec<String>,
 }
@@ -165,13 +172,17 @@
 pub struct WireService {
     pub name: String,
     pub health_path: String,
+    /// Number of connections that one server accepts from all hosts together.
     pub max_conns: u32,
+    /// True if each key is served only by the server that holds the key.
     #[serde(default)]
     pub sharded: bool,
-    /// Time for which a server remains cold once it has become cold.
+    /// Time in milliseconds for which servers are treated as cold after the evacuation of their
+    /// availability zone has ended.
     #[serde(default, deserialize_with = "deserialize_optional_ms")]
     pub warmup: Option<u64>,
-    /// Requests per second that a cold server can serve.
+    /// Number of requests per second that a cold server gets from all hosts together; `None` if
+    /// cold servers have no rate limit.
     #[serde(default)]
     pub warmup_per_s: Option<f64>,
 }
@@ -182,13 +193,16 @@
 pub struct WireLimits {
     pub max_header_bytes: u64,
     pub max_body_bytes: u64,
+    /// Timeout in milliseconds for receiving the line and the headers of a caller's request.
     #[serde(deserialize_with = "deserialize_ms")]
     pub header_timeout: u64,
+    /// Time in milliseconds after which an idle connection of a caller is closed.
     #[serde(deserialize_with = "deserialize_ms")]
     pub idle_timeout: u64,
 }
 
-/// Routes for one value of the `Host` header; it does not stand for an entry host.
+/// Routes for one value of the `Host` header. In spite of its name, the type does not describe an
+/// entry host.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WireHost {
     pub host: String,
@@ -205,19 +219,25 @@
     /// most once.
     #[serde(default)]
     pub kind: String,
+    /// Longest time in milliseconds until a request is answered, which sets its deadline.
     #[serde(deserialize_with = "deserialize_ms")]
     pub timeout: u64,
+    /// Latency objective in milliseconds; if it is missing, `timeout` is used instead.
     #[serde(default, deserialize_with = "deserialize_optional_ms")]
     pub aim: Option<u64>,
+    /// Priority of the route's requests; 0 is the highest.
     #[serde(default)]
     pub priority: u32,
+    /// Service that gets all requests of the route; it overrides `split`.
     #[serde(default)]
     pub service: Option<String>,
+    /// Services that share the requests of the route by weight.
     #[serde(default)]
     pub split: Vec<WireShare>,
+    /// Maximum number of servers that one request may be sent to; 1 if it is missing.
     #[serde(default)]
     pub max_attempts: Option<u32>,
-    /// True if requests need no API key even if there are workspaces.
+    /// True if requests of the route need no API key even if workspaces are configured.
     #[serde(default)]
     pub public: bool,
     #[serde(default)]
@@ -228,30 +248,36 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct WireShare {
     pub service: String,
+    /// Share of the requests, relative to the weights of the route's other services.
     pub weight: f64,
 }
 
-/// Order that makes a server hold a range of keys.
+/// Body of the order that makes a server hold a range of keys.
 #[derive(Clone, Debug, Serialize)]
 pub struct WireGrant<'a> {
     /// First key of the range, included.
     pub from: u16,
-    /// Last key, included; despite its name on the wire it is not a version.
+    /// Last key of the range, included. In spite of its name on the wire, the field is not a
+    /// version.
     #[serde(rename = "toVersion")]
     pub to: u16,
     pub fence: u64,
-    /// Length of the lease, counted from the arrival of the order; a duration with unit.
+    /// Length of the lease, counted from the arrival of the order at the server, as a duration with
+    /// its unit such as `1500ms`.
     pub hold_time: String,
+    /// Token that the previous owner of the keys returned at their release and that lets the server
+    /// start warm.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub handover: Option<&'a str>,
 }
 
-/// Order that makes a server release a range of keys.
+/// Body of the order that makes a server release a range of keys.
 #[derive(Clone, Debug, Serialize)]
 pub struct WireRelease {
     /// First key of the range, included.
     pub from: u16,
-    /// Last key, included; despite its name on the wire it is not a version.
+    /// Last key of the range, included. In spite of its name on the wire, the field is not a
+    /// version.
     #[serde(rename = "toVersion")]
     pub to: u16,
     pub fence: u64,
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -2,14 +2,14 @@
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
-/// Number of units that a retry takes from the budget. Every request adds one unit, so 20 requests
-/// allow one retry.
+/// Number of units that a retry takes from the budget. Every request adds one unit, so every 20
+/// requests allow one retry.
 const RETRY_COST: i64 = 20;
-/// Maximum number of units that can accumulate: enough for ten retries in a row.
+/// Maximum number of units that the budget accumulates, enough for ten retries in a row.
 const BUDGET_UNITS_MAX: i64 = 10 * RETRY_COST;
 
-/// Retry budget of one service on one host: one retry per 20 requests, and a reserve of ten retries
-/// at the start.
+/// Retry budget of one service on one host. The budget allows one retry per 20 requests, and starts
+/// with a reserve of ten retries.
 #[derive(Debug)]
 pub struct RetryBudget {
     units: AtomicI64,
@@ -26,13 +26,14 @@
 impl RetryBudget {
     /// Adds one unit for a request, unless the budget is full.
     pub fn request(&self) {
-        let saved = self.units.load(Ordering::Relaxed);
-        if saved < BUDGET_UNITS_MAX {
+        let available = self.units.load(Ordering::Relaxed);
+        if available < BUDGET_UNITS_MAX {
             self.units.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Takes one retry out of the budget; returns false if the budget is exhausted.
+    /// Takes the cost of one retry out of the budget. Returns false, without a charge, if the
+    /// budget is exhausted and the request must not be retried.
     pub fn retry(&self) -> bool {
         let taken = self.units.fetch_sub(RETRY_COST, Ordering::Relaxed);
         if taken < RETRY_COST {
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -1,5 +1,6 @@
-//! Routes one caller's request: finds the service, the key, its slot and the owner, makes attempts,
-//! and turns the outcome into a response.
+//! Routes one caller's request: finds the service, the key, the slot of the key and the owner of
+//! the slot, makes attempts to send the request to the owner, and turns the outcome into a
+//! response.
 
 use std::{sync::Arc, time::Duration};
 
@@ -29,22 +30,25 @@
     transport::{self, ResponseBody},
 };
 
-/// Path at which the load balancer checks if this host should get requests.
+/// Path at which the load balancer checks whether it should send requests to this host.
 pub const READY_PATH: &str = "/_ashroad/ready";
-/// Path at which the platform checks if the process is alive.
+/// Path at which the platform checks whether the router process is alive.
 pub const ALIVE_PATH: &str = "/_ashroad/alive";
 /// Maximum deadline that a caller may request, in milliseconds from the arrival of the request.
 const DEADLINE_MS_MAX: u64 = 300_000;
-/// Delay before the owner of a slot is looked up again after a server refused a request because it
-/// disagrees with this host on the owner.
-const STALE_PAUSE_MS: u64 = 3;
-/// Delay before a retry that counts against the retry budget.
-const RETRY_PAUSE_MS: u64 = 10;
-/// Delay before a new attempt after a failed connection.
-const RECONNECT_PAUSE_MS: u64 = 25;
+/// Delay in milliseconds before the owner of a slot is looked up again, after a server refused an
+/// attempt because the server and this host disagree on the owner, or because the server is
+/// draining.
+const STALE_OWNER_DELAY_MS: u64 = 3;
+/// Delay in milliseconds before a retry that counts against the retry budget, and between two
+/// checks whether this host's view is fresh again.
+const RETRY_DELAY_MS: u64 = 10;
+/// Delay in milliseconds before a new attempt after a connection to the server could not be
+/// established.
+const RECONNECT_DELAY_MS: u64 = 25;
 
-/// Request headers that are not forwarded: those of one connection only, and those that ashroad
-/// sets itself.
+/// Request headers that are not forwarded, because they apply to the connection of the caller only
+/// or because ashroad sets them itself.
 const DROPPED_HEADERS: [HeaderName; 7] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -55,7 +59,7 @@
     header::EXPECT,
 ];
 
-/// Caller's request, with everything that an attempt needs to send it.
+/// Caller's request, with all data that is needed to make attempts to send it to a server.
 struct RoutedRequest {
     request_id: String,
     service: ServiceKey,
@@ -70,7 +74,8 @@
     traffic: Arc<ServiceTraffic>,
 }
 
-/// Owner of a slot at the time of the lookup; the slot may move afterwards.
+/// Server that owned a slot when the owner was looked up; the slot may move to another server
+/// afterwards.
 #[derive(Clone, Copy, Debug)]
 struct Owner {
     server: ServerKey,
@@ -111,6 +116,7 @@
     transport::whole(status, "text/plain", Bytes::new())
 }
 
+/// Counts a failed request in the metric of its outcome.
 fn count_failure(host: &Host, failure: Failure) {
     match failure.outcome {
         Outcome::NotRun => host.metrics.count("not_run"),
@@ -157,6 +163,8 @@
     }
 }
 
+/// Extracts key, slot and deadline of a request. The body is left empty, because the caller of this
+/// function reads it afterwards.
 fn prepare(
     host: &Arc<Host>,
     state: &State,
@@ -171,8 +179,10 @@
     let headers = request.headers();
     let key = key::key(&spec.key, caller_path.rest, headers);
     let key = key.ok_or(Failure::not_run(Reason::NoKey))?;
-    let asked_ms = transport::header_number(headers, DEADLINE_HEADER);
-    let deadline_ms = asked_ms.unwrap_or(spec.deadline_ms).min(DEADLINE_MS_MAX);
+    let requested_ms = transport::header_number(headers, DEADLINE_HEADER);
+    let deadline_ms = requested_ms
+        .unwrap_or(spec.deadline_ms)
+        .min(DEADLINE_MS_MAX);
     let path_and_query = request.uri().path_and_query();
     let idempotent_key = headers.contains_key(IDEMPOTENCY_HEADER);
     let marked = key::unrepeatable(spec, request.method(), caller_path.rest);
@@ -192,6 +202,7 @@
     })
 }
 
+/// Reads the whole body of a request, which must not exceed `body_bytes`.
 async fn read_body(request: Request<Incoming>, body_bytes: usize) -> Result<Bytes, Failure> {
     let body = Limited::new(request.into_body(), body_bytes)
         .collect()
@@ -232,17 +243,18 @@
         ClaimResult::Refused(reason) => return Err(Failure::unknown(reason)),
     };
     // The guard ends the claim even if the caller disconnects.
-    let ended = ClaimGuard::new(host.clone(), claim);
+    let claim_guard = ClaimGuard::new(host.clone(), claim);
     match run(host, routed).await {
-        Ok(answer) => ended.answered(answer).await,
+        Ok(answer) => claim_guard.answered(answer).await,
         Err(failure) => {
-            ended.failed(failure.outcome);
+            claim_guard.failed(failure.outcome);
             Err(failure)
         }
     }
 }
 
-/// Guard of the claim of a running request; if dropped early, it records an unknown outcome.
+/// Guard of the claim of a running request. If the guard is dropped before the claim has been
+/// ended, it ends the claim with an unknown outcome.
 struct ClaimGuard {
     host: Arc<Host>,
     claim: Option<Claim>,
@@ -266,8 +278,8 @@
         }
     }
 
-    /// Stores the response and returns it to the caller. A response that ends early leaves the
-    /// outcome unknown.
+    /// Reads the whole response, stores it with the claim and returns it for the caller. If the
+    /// response breaks off early, the outcome of the request is unknown.
     async fn answered(
         mut self,
         answer: Response<ResponseBody>,
@@ -279,13 +291,13 @@
         let body = body.to_bytes();
         let content_type = parts.headers.get(header::CONTENT_TYPE);
         let content_type = content_type.and_then(|value| value.to_str().ok());
-        let kept = (body.len() <= STORED_BODY_BYTES_MAX).then(|| StoredResponse {
+        let stored = (body.len() <= STORED_BODY_BYTES_MAX).then(|| StoredResponse {
             status: parts.status.as_u16(),
             content_type: content_type.map(str::to_owned),
             body_base64: STANDARD.encode(&body),
         });
         if let Some(claim) = self.claim.take() {
-            self.host.claims.answered(claim, kept);
+            self.host.claims.answered(claim, stored);
         }
         let body = Full::new(body).map_err(|never| match never {}).boxed();
         Ok(Response::from_parts(parts, body))
@@ -300,6 +312,7 @@
     }
 }
 
+/// Rebuilds the response that was stored with a claim, for a duplicate of the request.
 fn stored_response(answer: &StoredResponse) -> Result<Response<ResponseBody>, Failure> {
     let unsettled = Failure::unknown(Reason::Unsettled);
     let body = STANDARD.decode(&answer.body_base64);
@@ -313,13 +326,14 @@
     Ok(response)
 }
 
-/// Makes attempts until one is answered, the deadline passes or no further attempt is allowed.
+/// Makes attempts until a server answers one of them, the deadline passes or no further attempt is
+/// allowed.
 async fn run(host: &Arc<Host>, routed: &RoutedRequest) -> Result<Response<ResponseBody>, Failure> {
     loop {
         let owner = owner(host, routed).await?;
         let deadline = Failure::not_run(Reason::Deadline);
         let permit = host
-            .targets
+            .backend_connections
             .permit(owner.address, owner.permits, routed.deadline_ms)
             .await;
         let permit = permit.ok_or(deadline)?;
@@ -328,7 +342,9 @@
             continue;
         }
         let request = attempt(routed, owner);
-        let sent = host.targets.send(request, permit, routed.deadline_ms);
+        let sent = host
+            .backend_connections
+            .send(request, permit, routed.deadline_ms);
         let attempt = tokio::select! {
             attempt = sent => attempt,
             () = owner_lost(host, owner) => AttemptOutcome::Unknown(Reason::ServerLost),
@@ -339,30 +355,34 @@
                 if routed.unrepeatable || !idempotent(&routed.method) {
                     return Err(Failure::unknown(reason));
                 }
-                // The key gets another owner, which has not seen this request.
+                // The slot moves to another owner, which has not seen this request, so a further
+                // attempt does not count against the retry budget.
                 if reason == Reason::ServerLost {
                     continue;
                 }
                 if clock::now_ms() >= routed.deadline_ms || !routed.traffic.retries.retry() {
                     return Err(Failure::unknown(reason));
                 }
-                time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
+                time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
             }
-            AttemptOutcome::Stale => pause(routed, STALE_PAUSE_MS).await?,
-            // Nothing was sent, and other servers serve the keys of a lost server within seconds.
+            AttemptOutcome::Stale => pause(routed, STALE_OWNER_DELAY_MS).await?,
+            // Nothing was sent, so a further attempt is safe. If the server is lost, other servers
+            // own its slots within seconds.
             AttemptOutcome::NotRun(Reason::NoConnection) => {
-                pause(routed, RECONNECT_PAUSE_MS).await?
+                pause(routed, RECONNECT_DELAY_MS).await?
             }
             AttemptOutcome::NotRun(reason) => {
                 if !routed.traffic.retries.retry() {
                     return Err(Failure::not_run(reason));
                 }
-                pause(routed, RETRY_PAUSE_MS).await?;
+                pause(routed, RETRY_DELAY_MS).await?;
             }
         }
     }
 }
 
+/// Returns true if HTTP defines the method as idempotent, so that a request that may have run can
+/// be sent again. TRACE requests are not sent again, although HTTP defines them as idempotent.
 fn idempotent(method: &Method) -> bool {
     matches!(
         *method,
@@ -370,23 +390,25 @@
     )
 }
 
-/// Sleeps for `pause_ms`, or fails at once if the deadline comes first.
-async fn pause(routed: &RoutedRequest, pause_ms: u64) -> Result<(), Failure> {
-    if clock::now_ms() + pause_ms >= routed.deadline_ms {
+/// Sleeps for `delay_ms`, or fails at once if the deadline of the request would pass meanwhile.
+async fn pause(routed: &RoutedRequest, delay_ms: u64) -> Result<(), Failure> {
+    if clock::now_ms() + delay_ms >= routed.deadline_ms {
         return Err(Failure::not_run(Reason::Deadline));
     }
-    time::sleep(Duration::from_millis(pause_ms)).await;
+    time::sleep(Duration::from_millis(delay_ms)).await;
     Ok(())
 }
 
-/// Waits until the slot has an owner and this host is fresh enough to route, up to the deadline.
+/// Waits until the slot has an owner and this host's view is fresh enough to route, and returns the
+/// owner. Fails at the deadline of the request.
 async fn owner(host: &Arc<Host>, routed: &RoutedRequest) -> Result<Owner, Failure> {
     if host.view.fresh()
         && let Some(owner) = find_owner(&host.view.peek(), routed)
     {
         return Ok(owner);
     }
-    // Subscribes before the next lookup, so that no change is missed between lookup and wait.
+    // The subscription starts before the next lookup, so that a change of the state between the
+    // lookup and the wait is not missed.
     let mut changes = host.view.watch();
     loop {
         let fresh = host.view.fresh();
@@ -402,11 +424,11 @@
             };
             return Err(Failure::not_run(reason));
         }
-        // A host becomes fresh without a change of the state, so freshness is polled.
+        // The view can become fresh without a change of the state, so the loop polls freshness.
         let wait_ms = if fresh {
             left_ms
         } else {
-            left_ms.min(RETRY_PAUSE_MS)
+            left_ms.min(RETRY_DELAY_MS)
         };
         let wait = time::timeout(Duration::from_millis(wait_ms), changes.changed());
         if let Ok(Err(closed)) = wait.await {
@@ -415,21 +437,23 @@
     }
 }
 
-/// Waits until the owner's membership period has ended, so that an attempt in flight can be
-/// abandoned.
+/// Waits until the owner is no longer live under the same lease epoch, so that an attempt in flight
+/// to it can be abandoned.
 async fn owner_lost(host: &Host, owner: Owner) {
     let mut changes = host.view.watch();
     loop {
-        let period = host.view.peek().server(owner.server).map(|server| {
+        let is_same_lease = host.view.peek().server(owner.server).map(|server| {
             let live = server.state == ServerState::Live;
             live && server.lease_epoch == owner.lease_epoch
         });
-        if period != Some(true) || changes.changed().await.is_err() {
+        if is_same_lease != Some(true) || changes.changed().await.is_err() {
             return;
         }
     }
 }
 
+/// Looks up the live server that owns the slot of a request; `None` if the slot has no settled
+/// owner or if the owner is not live.
 fn find_owner(state: &State, routed: &RoutedRequest) -> Option<Owner> {
     let service = state.service(routed.service)?;
     let slot = service.slots.get(routed.slot.0 as usize)?;
@@ -448,12 +472,16 @@
     })
 }
 
+/// Returns true if the owner still has the slot at the same epoch with the same process, and this
+/// host's view is fresh.
 fn is_still_owner(host: &Host, routed: &RoutedRequest, owner: Owner) -> bool {
     let found = find_owner(&host.view.peek(), routed);
     let same = found.is_some_and(|f| f.epoch == owner.epoch && f.incarnation == owner.incarnation);
     same && host.view.fresh()
 }
 
+/// Builds the HTTP request that one attempt sends to the owner, with the headers that let the
+/// server check the epoch of the slot and its own incarnation.
 fn attempt(routed: &RoutedRequest, owner: Owner) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(routed.body.clone()));
     *request.method_mut() = routed.method.clone();
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -14,7 +14,7 @@
 /// Handle of a stand-in that runs inside this process.
 #[derive(Debug)]
 pub struct Running {
-    /// Bound address; it contains the actual port if port 0 was requested.
+    /// Address on which the stand-in listens, with the actual port if port 0 was requested.
     pub address: SocketAddr,
     stop: watch::Sender<bool>,
     task: JoinHandle<()>,
@@ -39,7 +39,8 @@
         let _ = self.task.await;
     }
 
-    /// Waits until the stand-in ends, which it only does with the process.
+    /// Waits for the end of the stand-in, which without a call of [`Running::stop`] comes only with
+    /// the end of the process.
     pub async fn wait(self) {
         let _ = self.task.await;
     }
--- a/tests/platform_standin/hosts.rs
+++ b/tests/platform_standin/hosts.rs
@@ -1,4 +1,4 @@
-//! Entry hosts as real processes.
+//! Entry hosts of tests, each of which is a process of the built binary.
 
 use std::{
     fs,
@@ -9,25 +9,25 @@
     sync::atomic::{AtomicU32, Ordering},
 };
 
-use super::{fresh_ip, store::Store};
+use super::{next_ip, store::Store};
 
 const CALLERS_PORT: u16 = 8641;
 const READINESS_PORT: u16 = 8640;
 const PEERS_PORT: u16 = 7620;
 const METRICS_PORT: u16 = 7621;
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_HOST: AtomicU32 = AtomicU32::new(0);
 
 /// Process of an entry host; killed when dropped.
 #[derive(Debug)]
 pub struct Host {
-    /// Address for callers' requests.
+    /// Address on which the host accepts callers' requests.
     pub callers: SocketAddr,
-    /// Address for readiness probes.
+    /// Address on which the host responds to readiness probes.
     pub readiness: SocketAddr,
-    /// Address for messages of other hosts.
+    /// Address on which the host accepts messages of other hosts.
     pub peers: SocketAddr,
-    /// Address for scrapes of the metrics.
+    /// Address on which the host serves its metrics.
     pub metrics: SocketAddr,
     /// File that the host's log events are appended to.
     pub log: PathBuf,
@@ -43,8 +43,8 @@
 
     /// Starts a host with additional lines in the `bounds` section of its settings.
     pub fn start_with(store_address: SocketAddr, more_bounds: &str) -> Self {
-        let ip = fresh_ip();
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let ip = next_ip();
+        let number = NEXT_HOST.fetch_add(1, Ordering::Relaxed);
         let directory = std::env::temp_dir().join(format!("ashroad-{}", std::process::id()));
         fs::create_dir_all(&directory).expect("directory");
         let settings = directory.join(format!("host-{number}.yaml"));
@@ -92,7 +92,7 @@
         self.child.wait().expect("the process exits");
     }
 
-    /// Kills the process if it runs, and starts it again with the same addresses.
+    /// Kills the process if it runs, and starts a process with the same settings and addresses.
     pub fn restart(&mut self) {
         self.kill();
         self.child = spawn(&self.settings, &self.log);
--- a/tests/platform_standin/mod.rs
+++ b/tests/platform_standin/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins of the users' platform for tests: its store, its backend servers, and entry hosts as
-//! real processes. All listen on loopback addresses that are derived from the process id of the
-//! test, so that concurrent tests do not collide.
+//! Stand-ins of the users' platform for tests: its store and its backend servers, and entry hosts
+//! in processes of their own. All of them listen on loopback addresses that are derived from the
+//! process id of the test, so that concurrent tests do not use the same address.
 
 #![allow(dead_code, reason = "each test binary uses a part of this")]
 
@@ -18,12 +18,13 @@
     sync::atomic::{AtomicU16, Ordering},
 };
 
-static NEXT: AtomicU16 = AtomicU16::new(1);
+static NEXT_ADDRESS: AtomicU16 = AtomicU16::new(1);
 
-/// Returns a loopback address that no other test uses.
-pub fn fresh_ip() -> IpAddr {
+/// Returns a loopback address that was not returned before in this process and that concurrent test
+/// processes are unlikely to use.
+pub fn next_ip() -> IpAddr {
     let pid = std::process::id();
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
     // Maps the process id and a counter to 127.1.0.0 to 127.255.255.255.
     let second = 1 + (pid % 250) as u8;
     let third = (pid / 250 % 64) as u8 * 4 + (number / 250) as u8;
@@ -31,7 +32,7 @@
     IpAddr::V4(Ipv4Addr::new(127, second, third, fourth))
 }
 
-/// Returns an unused loopback address with the given port.
-pub fn fresh_address(port: u16) -> SocketAddr {
-    SocketAddr::new(fresh_ip(), port)
+/// Returns a socket address with a loopback address from [`next_ip`] and the given port.
+pub fn next_address(port: u16) -> SocketAddr {
+    SocketAddr::new(next_ip(), port)
 }
--- a/tests/platform_standin/proxy.rs
+++ b/tests/platform_standin/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy between a host and the store that injects network faults.
+//! A TCP proxy between a host and the store that injects network faults.
 
 use std::{
     net::SocketAddr,
@@ -18,9 +18,9 @@
     time,
 };
 
-use super::fresh_address;
+use super::next_address;
 
-/// Fault that the proxy injects.
+/// Way in which the proxy forwards data, i.e. the network fault that it injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mode {
@@ -28,9 +28,10 @@
     Pass = 0,
     /// Forwards data with a delay of 150 ms.
     Delay = 1,
-    /// Holds back all data in both directions.
+    /// Holds back all data in both directions until the mode changes.
     Silent = 2,
-    /// Holds back the data from the store to the host.
+    /// Holds back the data from the store to the host until the mode changes, and forwards the data
+    /// from the host to the store.
     OneWay = 3,
     /// Closes connections and refuses new ones.
     Reset = 4,
@@ -39,7 +40,7 @@
 }
 
 impl Mode {
-    /// All modes, for random choice.
+    /// All modes, from which tests choose at random.
     pub const ALL: [Self; 6] = [
         Self::Pass,
         Self::Delay,
@@ -50,7 +51,7 @@
     ];
 }
 
-/// Proxy in front of one address.
+/// Proxy that forwards connections to one address.
 #[derive(Debug)]
 pub struct Proxy {
     /// Address that the host connects to.
@@ -61,66 +62,66 @@
 impl Proxy {
     /// Starts a proxy in front of `target`.
     pub async fn start(target: SocketAddr) -> Self {
-        let listener = TcpListener::bind(fresh_address(0)).await.expect("listener");
+        let listener = TcpListener::bind(next_address(0)).await.expect("listener");
         let address = listener.local_addr().expect("address");
         let mode = Arc::new(AtomicU8::new(Mode::Pass as u8));
         let shared = mode.clone();
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                if is(&shared, Mode::Reset) {
+            while let Ok((host_stream, _)) = listener.accept().await {
+                if is_in_mode(&shared, Mode::Reset) {
                     continue;
                 }
-                tokio::spawn(connect(near, target, shared.clone()));
+                tokio::spawn(connect(host_stream, target, shared.clone()));
             }
         });
         Self { address, mode }
     }
 
-    /// Sets the fault to inject.
+    /// Sets the mode of all current and later connections.
     pub fn set(&self, mode: Mode) {
         self.mode.store(mode as u8, Ordering::Relaxed);
     }
 }
 
 /// Returns true if the proxy is in the given mode.
-fn is(shared: &AtomicU8, mode: Mode) -> bool {
+fn is_in_mode(shared: &AtomicU8, mode: Mode) -> bool {
     shared.load(Ordering::Relaxed) == mode as u8
 }
 
-async fn connect(near: TcpStream, target: SocketAddr, mode: Arc<AtomicU8>) {
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn connect(host_stream: TcpStream, target: SocketAddr, mode: Arc<AtomicU8>) {
+    let Ok(store_stream) = TcpStream::connect(target).await else {
         return;
     };
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let up = pump(near_read, far_write, mode.clone(), false);
-    let down = pump(far_read, near_write, mode, true);
-    // Both directions are closed when one of them ends.
+    let (host_read, host_write) = host_stream.into_split();
+    let (store_read, store_write) = store_stream.into_split();
+    let up = forward(host_read, store_write, mode.clone(), false);
+    let down = forward(store_read, host_write, mode, true);
+    // When one direction ends, the other one is closed as well.
     tokio::select! {
         () = up => {}
         () = down => {}
     }
 }
 
-/// Copies the data of one direction and applies the fault; `down` is true from the store to the
-/// host.
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mode: Arc<AtomicU8>, down: bool) {
+/// Copies the data of one direction of a connection and applies the mode. `down` is true for the
+/// direction from the store to the host.
+async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mode: Arc<AtomicU8>, down: bool) {
     let mut buffer = vec![0; 16 * 1024];
     loop {
         let length = match from.read(&mut buffer).await {
             Ok(0) | Err(_) => return,
             Ok(length) => length,
         };
-        while is(&mode, Mode::Silent) || down && is(&mode, Mode::OneWay) {
+        while is_in_mode(&mode, Mode::Silent) || down && is_in_mode(&mode, Mode::OneWay) {
             time::sleep(Duration::from_millis(20)).await;
         }
-        if is(&mode, Mode::Reset) {
+        if is_in_mode(&mode, Mode::Reset) {
             return;
         }
-        if is(&mode, Mode::Delay) {
+        if is_in_mode(&mode, Mode::Delay) {
             time::sleep(Duration::from_millis(150)).await;
         }
-        if is(&mode, Mode::Throttled) {
+        if is_in_mode(&mode, Mode::Throttled) {
             time::sleep(Duration::from_millis(length as u64 / 100)).await;
         }
         if to.write_all(&buffer[..length]).await.is_err() {
--- a/tests/platform_standin/store.rs
+++ b/tests/platform_standin/store.rs
@@ -20,7 +20,7 @@
     time,
 };
 
-use super::fresh_address;
+use super::next_address;
 
 /// Faults that the store injects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -29,14 +29,15 @@
     pub silent: bool,
     /// True if calls are rejected with 503 and have no effect.
     pub refusing: bool,
-    /// One in this many transactions takes effect but gets no response; 0 for none.
+    /// Interval of lost responses: one in this many transactions gets no response but takes effect
+    /// if its conditions hold; 0 to lose no response.
     pub lose_response_every: u64,
-    /// Minimum time between two transactions of a named partition; earlier ones are rejected with
-    /// 429. 0 for no limit.
+    /// Minimum time in milliseconds between two transactions of named partitions; transactions that
+    /// follow sooner are rejected with 429. 0 for no limit.
     pub part_writes_every_ms: u64,
-    /// Delay before each call takes effect.
+    /// Delay in milliseconds before each call takes effect.
     pub slow_ms: u64,
-    /// Additional delay before a read takes effect.
+    /// Additional delay in milliseconds before a read of rows takes effect.
     pub slow_reads_ms: u64,
 }
 
@@ -56,16 +57,17 @@
     compacted_version: u64,
     /// Faults that are in effect.
     faults: Faults,
-    /// Number of transactions, which selects those whose response is lost.
+    /// Number of transactions so far, by which the fault `lose_response_every` selects
+    /// transactions.
     transactions: u64,
-    /// Time of the last transaction of a named partition.
-    part_written: Option<Instant>,
+    /// Time of the last transaction of a named partition that was not rejected with 429.
+    partition_written_at: Option<Instant>,
     calls: u64,
-    /// Number of calls by path and table.
-    kinds: BTreeMap<String, u64>,
+    /// Number of calls so far by path and table.
+    calls_by_path: BTreeMap<String, u64>,
 }
 
-/// A running store.
+/// Stand-in of the platform's store, which runs in the process of the test.
 #[derive(Debug)]
 pub struct Store {
     /// Address that the store listens on.
@@ -80,19 +82,19 @@
     rows: Mutex<Rows>,
     /// Wakes the feeds that wait for a change.
     changed: Notify,
-    /// Origin of the times that responses state.
-    began: Instant,
+    /// Start of the store, from which the times in its responses are counted.
+    started_at: Instant,
 }
 
 impl Store {
     /// Starts a store without rows.
     pub async fn start() -> Self {
-        let listener = TcpListener::bind(fresh_address(0)).await.expect("listener");
+        let listener = TcpListener::bind(next_address(0)).await.expect("listener");
         let address = listener.local_addr().expect("address");
         let state = Arc::new(State {
             rows: Mutex::default(),
             changed: Notify::new(),
-            began: Instant::now(),
+            started_at: Instant::now(),
         });
         let (stop, stopped) = watch::channel(false);
         let handled = state.clone();
@@ -138,7 +140,8 @@
         self.state.rows().faults = faults;
     }
 
-    /// Compacts the whole history, so that feeds from earlier versions have to start again.
+    /// Compacts the whole history of changes, so that feeds from earlier versions are rejected and
+    /// their callers have to read the table again.
     pub fn compact_history(&self) {
         let mut rows = self.state.rows();
         rows.compacted_version = rows.version;
@@ -150,10 +153,11 @@
     /// Returns the number of calls by path and table, which a failed test prints to explain its
     /// count.
     pub fn calls_by_kind(&self) -> BTreeMap<String, u64> {
-        self.state.rows().kinds.clone()
+        self.state.rows().calls_by_path.clone()
     }
 
-    /// Returns a row's content; `None` if it is missing or no JSON.
+    /// Returns the content of a row as JSON; `None` if the row is missing or its content is not
+    /// JSON.
     pub fn row(&self, table: &str, key: &str) -> Option<Value> {
         let rows = self.state.rows();
         let (value, _) = rows.rows.get(&(table.to_owned(), key.to_owned()))?;
@@ -205,16 +209,19 @@
         Some(json!({"table": table, "part": "", "keyFile": key, "value": value, "ver": version}))
     }
 
-    /// Returns true if a transaction follows another one of a named partition too soon.
+    /// Returns true if a transaction of a named partition follows the previous transaction of a
+    /// named partition too soon.
     fn is_over_write_rate(&mut self, body: &Value, faults: Faults) -> bool {
         let part = body["puts"][0]["part"].as_str().unwrap_or_default();
         if part.is_empty() || faults.part_writes_every_ms == 0 {
             return false;
         }
         let every = Duration::from_millis(faults.part_writes_every_ms);
-        let is_over_write_rate = self.part_written.is_some_and(|at| at.elapsed() < every);
+        let is_over_write_rate = self
+            .partition_written_at
+            .is_some_and(|at| at.elapsed() < every);
         if !is_over_write_rate {
-            self.part_written = Some(Instant::now());
+            self.partition_written_at = Some(Instant::now());
         }
         is_over_write_rate
     }
@@ -302,7 +309,7 @@
         let faults = {
             let mut rows = self.rows();
             rows.calls += 1;
-            *rows.kinds.entry(kind_of(&request)).or_default() += 1;
+            *rows.calls_by_path.entry(kind_of(&request)).or_default() += 1;
             rows.faults
         };
         let is_read = request.uri().path() == "/rows-get";
@@ -376,7 +383,7 @@
     }
 
     fn answer(&self, status: StatusCode, mut answer: Value) -> Response<ResponseBody> {
-        answer["now"] = json!(format!("{}ms", self.began.elapsed().as_millis()));
+        answer["now"] = json!(format!("{}ms", self.started_at.elapsed().as_millis()));
         transport::json(status, &answer)
     }
 }
