--- a/src/clock.rs
+++ b/src/clock.rs
@@ -7,21 +7,24 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Clock of leases, deadlines and the duty (assigning keys to servers and granting their leases).
-/// Unlike `CLOCK_MONOTONIC` it includes the time for which the machine was suspended. Without that
-/// time, a duty holder that was suspended for six seconds would still consider its duty confirmed,
-/// although another host took it over four seconds ago.
+/// Clock for leases, deadlines and the leadership. The leader is the one entry host that assigns
+/// keys to servers and grants their leases. `CLOCK_BOOTTIME` includes the time for which the
+/// machine was suspended, and `CLOCK_MONOTONIC` does not. With `CLOCK_MONOTONIC`, a leader that was
+/// suspended for six seconds would still consider itself the leader, although another host became
+/// the leader four seconds ago.
 pub const CLOCK_ID: ClockId = ClockId::CLOCK_BOOTTIME;
 
 static START: LazyLock<Duration> = LazyLock::new(read_clock);
 
-/// Offset of all readings. It keeps them positive when a freshness or lease period is subtracted
-/// from an early one.
+/// Offset in milliseconds that is added to all readings. The offset keeps the result positive when
+/// a freshness limit or the length of a lease is subtracted from a reading that was taken soon
+/// after the process started.
 const ORIGIN_MS: u64 = 1_000_000;
 
-/// Returns the monotonic time in milliseconds. Readings of different processes cannot be compared.
+/// Returns the monotonic time in milliseconds, counted from the first reading in this process plus
+/// a fixed offset. Readings of different processes cannot be compared.
 pub fn now_ms() -> u64 {
-    // The origin must be read before the current time.
+    // The start must be read before the current time, because the first access sets it.
     let start = *START;
     ORIGIN_MS + read_clock().saturating_sub(start).as_millis() as u64
 }
@@ -37,8 +40,8 @@
     unix_time().as_millis() as u64
 }
 
-/// Returns the wall time in microseconds since 1970, for comparing records of processes on one
-/// machine.
+/// Returns the wall time in microseconds since 1970. Load samples and the records of backend
+/// servers use this time, so that records of several processes on one machine can be compared.
 pub fn unix_us() -> u64 {
     unix_time().as_micros() as u64
 }
--- a/src/id.rs
+++ b/src/id.rs
@@ -23,55 +23,62 @@
 }
 
 number!(
-    /// Position of a change in the log; each accepted change has the next higher number.
+    /// Position of a change in the change log. The first change has revision 1, and each later
+    /// change has the next higher number.
     Revision,
     u64
 );
 number!(
-    /// Fencing token of a slot's grant; never decreases.
+    /// Epoch of a slot, which is the fencing token of its grants. Each grant of the slot to a
+    /// server has a higher epoch than the grant before, and a server refuses requests that carry an
+    /// outdated epoch.
     Epoch,
     u64
 );
 number!(
-    /// Number of a server's membership period; rises each time the server joins.
+    /// Lease epoch of a backend server: a number that rises by one each time the server joins. A
+    /// change that refers to an earlier lease epoch of the server is refused.
     LeaseEpoch,
     u64
 );
 number!(
-    /// Random number that identifies one run of a process; a restarted process draws a new one.
+    /// Random number that identifies one run of a process of a host or a backend server. A
+    /// restarted process draws a new number.
     Incarnation,
     u64
 );
 number!(
-    /// Index of an entry host in the table of the state.
+    /// Index of an entry host in the table of hosts in [`crate::state::State`].
     HostKey,
     u32
 );
 number!(
-    /// Index of a backend server in the table of the state.
+    /// Index of a backend server in the table of servers in [`crate::state::State`].
     ServerKey,
     u32
 );
 number!(
-    /// Index of a service of one workspace in the table of the state.
+    /// Index of a service of one workspace in the table of services in [`crate::state::State`].
     ServiceKey,
     u32
 );
 number!(
-    /// Number of a slot within its service, from 0.
+    /// Number of a slot within its service, counted from 0. A slot is the group of keys whose
+    /// hashes fall into the same part of the range of hashes. One server owns all keys of a slot at
+    /// a time, and a slot moves as a whole.
     Slot,
     u32
 );
 
 impl Revision {
-    /// Returns the revision of the next change in the log.
+    /// Returns the revision of the change that follows this revision in the change log.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
 impl Epoch {
-    /// Returns the epoch of the next grant of the slot.
+    /// Returns the epoch that the next grant of the same slot gets.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -81,13 +88,13 @@
     /// Returns a new random number of 53 bits, which makes equal numbers of two processes
     /// improbable.
     pub fn random() -> Self {
-        // JSON readers may hold numbers as doubles, so only 53 bits are used.
+        // Readers of JSON may represent numbers as doubles, which are exact up to 53 bits.
         Self(rand::rng().random::<u64>() >> 11)
     }
 }
 
 /// Idempotency identifier that a writer attaches to a change. If the response to the write is lost,
-/// the writer looks the identifier up to learn whether the change was made.
+/// the writer looks up the identifier to find out whether the change was made.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct OperationId(pub String);
@@ -98,8 +105,8 @@
         Self(format!("{:032x}", rand::rng().random::<u128>()))
     }
 
-    /// Returns the 128-bit hash that the state keeps instead of the identifier, to recognise
-    /// retries.
+    /// Returns the 128-bit hash of the identifier. The state keeps the hash instead of the
+    /// identifier, to recognise retries.
     pub fn hash(&self) -> u128 {
         xxhash_rust::xxh3::xxh3_128(self.0.as_bytes())
     }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -11,16 +11,18 @@
 
 use crate::clock;
 
-/// Libraries whose records below warnings are not logged, because they are of no use to operators.
+/// Libraries of which only warnings and errors are logged, because their less severe records are of
+/// no use to operators.
 const QUIET_TARGETS: [&str; 5] = ["quinn", "rustls", "hyper", "slog", "dropshot"];
 
-/// Writes each log record as one JSON object.
+/// Logger that writes each record to standard error, as one JSON object on a line of its own.
 #[derive(Debug)]
 pub struct JsonLogger {
     level: LevelFilter,
 }
 
-/// Sets the process's logger. A second call has no effect.
+/// Makes a [`JsonLogger`] with this level the logger of the process. A second call has no effect,
+/// because the logger of a process can be set only once.
 pub fn start(level: LevelFilter) {
     if let Err(error) = CombinedLogger::init(vec![Box::new(JsonLogger { level })]) {
         log::debug!("keeping the logger that is already set: {error}");
@@ -33,7 +35,7 @@
     slog::Logger::root(slog_stdlog::StdLog.fuse(), slog::o!())
 }
 
-/// Collects a record's key-value pairs into a JSON object.
+/// Visitor that collects the key-value pairs of a log record into a JSON object.
 struct Fields<'a>(&'a mut Map<String, serde_json::Value>);
 
 impl<'kvs> VisitSource<'kvs> for Fields<'_> {
@@ -73,7 +75,8 @@
             line.insert("fields_lost".to_owned(), json!(error.to_string()));
         }
         let text = serde_json::Value::Object(line).to_string();
-        // A failed write cannot be reported, since this is the log itself.
+        // The result of the write is ignored, because there is no other place to report a failure
+        // of the log.
         writeln!(stderr().lock(), "{text}").ok();
     }
 
@@ -89,7 +92,7 @@
         None
     }
 
-    // The trait of `simplelog` requires this type.
+    // The trait `simplelog::SharedLogger` requires the boxed receiver.
     fn as_log(self: Box<Self>) -> Box<dyn Log> {
         Box::new(*self)
     }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Exports metrics as statsd datagrams, which may be lost.
+//! Exports metrics to a statsd receiver over UDP, so that some of the datagrams may be lost.
 
 use std::net::{SocketAddr, UdpSocket};
 
@@ -6,7 +6,7 @@
     Counted, Gauged, NopMetricSink, QueuingMetricSink, StatsdClient, Timed, UdpMetricSink,
 };
 
-/// First part of all metric names, by which receivers tell these metrics from others.
+/// First part of all metric names, by which a receiver tells the metrics of ashroad from others.
 const PREFIX: &str = "ashroad";
 
 /// Client that sends metrics to a statsd receiver, or discards them if there is none.
@@ -35,21 +35,23 @@
         })
     }
 
-    /// Increments the counter `name` by one; does nothing if metrics are not exported.
+    /// Increments the counter `name` by one. Does nothing if metrics are not exported.
     pub fn count(&self, name: &str) {
         if self.enabled {
             let _ = self.client.count(name, 1u64);
         }
     }
 
-    /// Sets a gauge, which keeps its value until it is set again.
+    /// Sets the gauge `name` to `value`, which remains in force until the gauge is set again. Does
+    /// nothing if metrics are not exported.
     pub fn gauge(&self, name: &str, value: u64) {
         if self.enabled {
             let _ = self.client.gauge(name, value);
         }
     }
 
-    /// Records a duration in milliseconds under `name`, as a statsd timer.
+    /// Records a duration in milliseconds under `name`, as a statsd timer. Does nothing if metrics
+    /// are not exported.
     pub fn time_ms(&self, name: &str, value_ms: u64) {
         if self.enabled {
             let _ = self.client.time(name, value_ms);
--- a/src/transport.rs
+++ b/src/transport.rs
@@ -1,5 +1,5 @@
-//! HTTP code that all parts share: an HTTP/1 listener with connection limits, and a client for JSON
-//! calls.
+//! HTTP code shared by all modules: an HTTP/1 listener with connection limits, and a client for
+//! JSON calls.
 
 use std::{
     convert::Infallible,
@@ -24,16 +24,17 @@
 /// Body of a response, either complete in memory or streamed as it arrives.
 pub type ResponseBody = BoxBody<Bytes, hyper::Error>;
 
-/// Limits of one listener, which bound the memory and time that its clients can take.
+/// Limits of one listener. They bound the memory and the time that clients can take up.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenerLimits {
-    /// Maximum number of open connections; further ones wait in the accept queue.
+    /// Maximum number of open connections. Further connections wait in the accept queue of the
+    /// operating system.
     pub connections: usize,
-    /// Time for a caller to send its complete request head.
+    /// Timeout in milliseconds within which a client must send the complete head of a request.
     pub head_timeout_ms: u64,
-    /// Size of the read buffer, which limits the size of a request head.
+    /// Size of the read buffer of a connection in bytes, which limits the size of a request head.
     pub head_bytes: usize,
-    /// Time for requests in flight to complete after the listener was stopped.
+    /// Time in milliseconds that requests in flight get to complete after the listener was stopped.
     pub drain_ms: u64,
 }
 
@@ -48,7 +49,8 @@
     }
 }
 
-/// Failure of a JSON call. The variant tells whether the request may have been processed.
+/// Failure of an HTTP call of [`JsonClient`]. The variant tells whether the server may have
+/// processed the request.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum CallError {
@@ -68,12 +70,13 @@
         /// Cause, as reported by the HTTP library.
         message: String,
     },
-    /// No response arrived in time; the request may have been processed.
+    /// No response arrived within the timeout of the call. The server may have processed the
+    /// request.
     #[snafu(display("{address} did not respond within {timeout_ms} ms"))]
     Timeout {
         /// Host and port that were called.
         address: String,
-        /// Timeout of the call in milliseconds, which has passed.
+        /// Timeout of the call in milliseconds, which has expired.
         timeout_ms: u64,
     },
     /// The response has a status other than success.
@@ -86,7 +89,8 @@
         /// Body of the response, as text.
         body: String,
     },
-    /// A body cannot be converted from or to JSON.
+    /// The body of the request cannot be encoded as JSON, or the body of the response is not the
+    /// expected JSON.
     #[snafu(display("{address} sent an invalid JSON response"))]
     Decode {
         /// Host and port that were called.
@@ -103,13 +107,14 @@
     }
 }
 
-/// Address that a request came from. [`serve`] adds it to the extensions of each request.
+/// IP address of the client that sent a request. [`serve`] adds the address to the extensions of
+/// each request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerAddress(pub IpAddr);
 
 /// Accepts connections on `listener` and answers each request with `handler` until `stop` becomes
-/// true. Then completes the requests in flight, for at most [`ListenerLimits::drain_ms`], and
-/// returns.
+/// true. Then [`serve`] closes the listener, lets the requests in flight complete for at most
+/// [`ListenerLimits::drain_ms`], and returns.
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: ListenerLimits,
@@ -130,8 +135,8 @@
             _ = stop.wait_for(|stopped| *stopped) => break,
         };
         let Ok((stream, caller)) = accepted else {
-            // The usual cause is a lack of file descriptors; the pause lets other connections
-            // close.
+            // `accept` usually fails because of a lack of file descriptors. The pause gives open
+            // connections time to close.
             time::sleep(Duration::from_millis(10)).await;
             continue;
         };
@@ -207,7 +212,7 @@
     serde_json::from_slice(&body.to_bytes()).map_err(|error| bad(error.to_string()))
 }
 
-/// Client for small JSON calls over pooled connections.
+/// HTTP client for small JSON calls over pooled connections, with one timeout for all calls.
 #[derive(Clone, Debug)]
 pub struct JsonClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -216,7 +221,7 @@
 }
 
 impl JsonClient {
-    /// Creates a client whose calls take at most `timeout_ms`.
+    /// Creates a client whose calls end after at most `timeout_ms` milliseconds.
     pub fn new(timeout_ms: u64) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -232,7 +237,7 @@
         }
     }
 
-    /// Adds a bearer token to all calls of the client.
+    /// Makes the client send `token` as a bearer token with all calls; `None` sends no token.
     pub fn with_token(mut self, token: Option<String>) -> Self {
         self.token = token;
         self
@@ -262,7 +267,8 @@
         self.decode(address, &answer)
     }
 
-    /// Sends a body as it is and returns the body of the response.
+    /// Sends `body` unchanged to `http://address/path` and returns the body of the response. Fails
+    /// if the status of the response is not a success.
     pub async fn send(
         &self,
         method: Method,
