--- a/src/settings.rs
+++ b/src/settings.rs
@@ -10,8 +10,9 @@
 
 use crate::configuration::{self, template::read_document};
 
-/// Upper limit of [`Ownership::lapse_ms`]: the time from a loss until keys must be served again,
-/// less the time for detection and for the new grant.
+/// Maximum value of [`Ownership::lapse_ms`] in milliseconds. The value is the bound on the time
+/// from the loss of a server until its keys are served again, less the time needed to detect the
+/// loss and to grant the keys to other servers.
 const LAPSE_MS_MAX: u64 = 2_600;
 
 /// Reason why a settings file is unusable.
@@ -39,7 +40,7 @@
     Values {
         /// Path of the settings file, as given on the command line.
         path: PathBuf,
-        /// One message for each problem, so that all of them can be corrected at once.
+        /// One message for each problem, so that the operator can correct all problems at once.
         problems: Vec<String>,
     },
 }
@@ -58,9 +59,10 @@
     pub operators: Operators,
     /// Listener for other hosts, with mutual TLS.
     pub peers: Peers,
-    /// Connection to the platform.
+    /// Connection to the platform, which supplies the table service, the object store and the list
+    /// of hosts.
     pub platform: PlatformSettings,
-    /// Times of leases, heartbeats and failover.
+    /// Times of leases, heartbeats and failover, in milliseconds.
     #[serde(default)]
     pub ownership: Ownership,
     /// Claims: records that keep unrepeatable requests (those that may run at most once) from
@@ -81,16 +83,20 @@
 pub struct Callers {
     /// IP address and port to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// Maximum number of open connections; further ones wait in the accept queue.
+    /// Maximum number of open connections from callers. Further connections wait in the accept
+    /// queue of the operating system.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// Maximum size of a request body; a larger one is refused with 413.
+    /// Maximum size of a request body in bytes. A request with a larger body is refused with HTTP
+    /// status 413.
     #[serde(default = "default_body_bytes")]
     pub body_bytes: usize,
-    /// Time for requests in flight to complete in a planned stop.
+    /// Time in milliseconds that requests in flight get to complete in a planned stop, after the
+    /// listener has been closed.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
-    /// Time from failing the readiness probe to closing the listener in a planned stop.
+    /// Time in milliseconds from failing the readiness probe to closing the listener in a planned
+    /// stop. During this time the load balancer notices that the host is stopping.
     #[serde(default = "default_notice_ms")]
     pub notice_ms: u64,
 }
@@ -101,8 +107,8 @@
 pub struct Operators {
     /// IP address and port to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// File whose first line is the token that changes must carry. Without it, only reads are
-    /// allowed.
+    /// File whose first line is the token that a request for a change must carry. Without a token
+    /// file the host refuses all changes and allows only reads.
     #[serde(default)]
     pub token_file: Option<PathBuf>,
 }
@@ -113,11 +119,11 @@
 pub struct Peers {
     /// IP address and port to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// PEM file of the CA certificates that other hosts' certificates are checked against.
+    /// PEM file with the CA certificates against which the certificates of other hosts are checked.
     pub ca_file: PathBuf,
-    /// PEM file of this host's certificate.
+    /// PEM file with the certificate that this host presents to other hosts.
     pub certificate_file: PathBuf,
-    /// PEM file of this host's private key.
+    /// PEM file with the private key of the certificate that this host presents to other hosts.
     pub private_key_file: PathBuf,
 }
 
@@ -132,30 +138,38 @@
     pub timeout_ms: u64,
 }
 
-/// Times of leases, heartbeats and failover, in milliseconds. They are checked against each other,
-/// so that a lease outlasts several renewals and failover stays within its time limit.
+/// Times of leases, heartbeats and failover, in milliseconds. [`Ownership::problems`] checks the
+/// times against each other, so that a lease outlasts several renewals and failover stays within
+/// its bound.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Ownership {
-    /// Freshness limit: maximum age of the basis (see [`crate::membership::freshness`]) with which
-    /// a host may act on its view.
+    /// Freshness limit in milliseconds: maximum age of the basis (see
+    /// [`crate::membership::freshness`]) at which a host may still act on its view.
     pub freshness_ms: u64,
-    /// Length of a server's lease, counted from the sending of a renewal.
+    /// Length of a server's lease in milliseconds, counted from the time at which a host sends the
+    /// renewal of the lease.
     pub lease_ttl_ms: u64,
-    /// Allowance for clock drift between hosts and servers, in milliseconds.
+    /// Allowance in milliseconds for the drift between the clocks of hosts and servers. A lease
+    /// counts as lapsed only after this additional time.
     pub margin_ms: u64,
-    /// Interval at which a host renews a server's lease; a lease outlasts several intervals.
+    /// Interval in milliseconds at which a host renews a server's lease. The length of a lease is
+    /// at least three intervals.
     pub renew_every_ms: u64,
-    /// Interval at which a host pings each of its targets in the heartbeat tree.
+    /// Interval in milliseconds at which a host pings each of its targets in the heartbeat tree.
     pub heartbeat_ms: u64,
-    /// Time without a successful renewal after which a server is suspected to be down.
+    /// Time in milliseconds without a response from a server after which a failed renewal makes the
+    /// host suspect that the server is down. The host then asks other hosts to probe the server,
+    /// and reports the server as lost if none of them reaches it.
     pub suspect_ms: u64,
-    /// Length of the leader's lease: time without a renewal of the leader row after which another
-    /// host takes over.
+    /// Length of the leader's lease in milliseconds: if the leader does not renew the leader row
+    /// for this time, another host becomes the leader.
     pub leader_lease_ms: u64,
-    /// Time without a heartbeat after which a host is removed from the registry.
+    /// Time in milliseconds without a heartbeat after which a host that has not announced its stop
+    /// is removed from the registry.
     pub host_removal_ms: u64,
-    /// Time for requests in flight to complete on a slot that moves.
+    /// Time in milliseconds that requests in flight to a slot get to complete at the old owner when
+    /// the slot moves.
     pub drain_ms: u64,
 }
 
@@ -176,7 +190,9 @@
 }
 
 impl Ownership {
-    /// Returns the time after which a host that missed a change can no longer keep a lease alive.
+    /// Returns the time in milliseconds from a change until every lease has lapsed that was renewed
+    /// by a host without this change. The time is the sum of the freshness limit, the length of a
+    /// lease and the allowance for clock drift.
     pub fn lapse_ms(&self) -> u64 {
         self.freshness_ms + self.lease_ttl_ms + self.margin_ms
     }
@@ -209,8 +225,8 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClaimSettings {
-    /// Age in milliseconds after which the record of a request may be removed, so that a duplicate
-    /// is no longer recognised.
+    /// Age in milliseconds after which the record of a request may be removed. Once the record is
+    /// removed, a duplicate of the request is no longer recognised.
     pub retention_ms: u64,
 }
 
@@ -267,7 +283,8 @@
 }
 
 impl Settings {
-    /// Reads a settings file and checks its values; fails with all problems found.
+    /// Reads a settings file and checks its values. The error lists all invalid values that were
+    /// found.
     pub fn read(path: &Path) -> Result<Self, Error> {
         let bytes = std::fs::read(path).context(ReadSnafu { path })?;
         let settings: Self = read_document(&bytes).context(DocumentSnafu { path })?;
