--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -1,4 +1,4 @@
-//! Endpoints of the operators' API. Reading needs no token; changes need the operators' token.
+//! Endpoints of the operators' API. Reads need no token. Changes need the operators' token.
 
 use std::{fs, net::SocketAddr, sync::Arc};
 
@@ -27,20 +27,22 @@
     state::{self, Change, Document, LogEntry, ServerEntry, State},
 };
 
-/// Number of bytes allowed in a request body for the JSON around a document.
+/// Number of bytes that a request body may have for the JSON fields around the document.
 const BODY_EXTRA_BYTES: usize = 512 * 1024;
 
-/// Context that every endpoint gets: the host and the operators' token.
+/// Context that dropshot passes to every endpoint: the host that serves the API, and the operators'
+/// token if the settings name one.
 #[derive(Debug)]
 pub struct Context {
     host: Arc<Host>,
     token: Option<String>,
 }
 
-/// The running HTTP server of the operators' API.
+/// Handle of the running HTTP server of the operators' API of one host.
 #[derive(Debug)]
 pub struct OperatorServer {
-    /// Bound address; it contains the actual port if the settings have port 0.
+    /// Address on which the server listens. If the settings have port 0, the address contains the
+    /// port that the operating system chose.
     pub address: SocketAddr,
     server: Server,
 }
@@ -62,7 +64,8 @@
     }
 }
 
-/// Starts the operators' API of a host.
+/// Starts the operators' API of a host on the address in its settings. Fails if the token file
+/// cannot be read or has no token, or if the address cannot be bound.
 pub async fn start(host: Arc<Host>) -> Result<OperatorServer, HostError> {
     let token = match &host.settings.operators.token_file {
         Some(path) => Some(read_token(path)?),
@@ -87,7 +90,7 @@
     })
 }
 
-/// Reads the operators' token from the first line of a file.
+/// Reads the operators' token from the first line of a file. Fails if the line is empty.
 fn read_token(path: &std::path::Path) -> Result<String, HostError> {
     let text = fs::read_to_string(path).context(TokenSnafu { path })?;
     let token = text.lines().next().unwrap_or_default().trim().to_owned();
@@ -338,8 +341,8 @@
     .await
 }
 
-/// Begins the planned stop of the host that receives the request. Responds at once, before the
-/// requests in flight have finished.
+/// Begins the planned stop of the host that receives the request. The host responds at once, before
+/// its requests in flight have finished.
 #[endpoint { method = POST, path = "/v1/host/drain" }]
 async fn drain_host(context: RequestContext<Context>) -> ApiResult<Draining> {
     authorize(&context)?;
@@ -392,15 +395,16 @@
     }
 }
 
-/// Computes the effect of a change by applying it to a copy of the state; fails as the change
-/// itself would.
+/// Computes the effect of a change by applying the change to a copy of the state. Fails with the
+/// error with which the state would refuse the change itself.
 fn dry_run_effect(before: &State, change: &Change) -> state::Result<super::message::Effect> {
     let mut after = before.clone();
     after.apply_dry_run(change.clone())?;
     Ok(dry_run::effect(before, &after))
 }
 
-/// Checks the bearer token of a request. Without a token in the settings all changes are refused.
+/// Checks the bearer token of a request for a change or a planned stop. If the settings of the host
+/// name no token file, every such request is refused.
 fn authorize(context: &RequestContext<Context>) -> Result<(), HttpError> {
     let Some(token) = &context.context().token else {
         let message = "changes are refused: the host's settings name no token_file";
@@ -449,12 +453,13 @@
 }
 
 impl Host {
-    /// Reads the entries of the audit trail after a revision from the change log.
+    /// Reads the entries after a revision from the change log, which is the audit trail.
     async fn audit(&self, after: Revision) -> Result<Vec<LogEntry>, state::LogError> {
         self.log.tail(after).await
     }
 
-    /// Describes the change at `revision`, for the operator whose own change conflicts with it.
+    /// Describes the change that was committed at `revision`, for an operator whose own change
+    /// conflicts with that change.
     async fn other_change(&self, revision: Revision) -> String {
         let before = Revision(revision.0.saturating_sub(1));
         let entries = self.log.tail(before).await.unwrap_or_default();
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -9,8 +9,8 @@
 };
 use crate::transport::{CallError, JsonClient};
 
-/// Timeout of one call. It exceeds the time that the host spends on finding out if a change took
-/// effect, so that the operator gets the result.
+/// Timeout of one call in milliseconds. The timeout exceeds the time that the host spends on
+/// finding out whether a change took effect, so that the operator gets the result.
 const TIMEOUT_MS: u64 = 15_000;
 
 /// Kind of a declaration; each kind has its own paths in the API.
@@ -22,7 +22,7 @@
     Workspace,
 }
 
-/// Client of the API of one host.
+/// Client of the operators' API of one host.
 #[derive(Clone, Debug)]
 pub struct OperatorClient {
     address: SocketAddr,
@@ -39,7 +39,7 @@
 }
 
 impl OperatorClient {
-    /// Returns a client that sends `token` with each call. Reading calls need no token.
+    /// Returns a client that sends `token` with each call. Calls that only read need no token.
     pub fn new(address: SocketAddr, token: Option<String>) -> Self {
         Self {
             address,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Submits a declaration, or replaces the one of the same name.
+    /// Submits a declaration, which replaces any declaration of the same kind and name.
     pub async fn submit(
         &self,
         kind: DeclarationKind,
--- a/src/operator/dry_run.rs
+++ b/src/operator/dry_run.rs
@@ -3,8 +3,8 @@
 use super::message::Effect;
 use crate::state::{ServiceEntry, State};
 
-/// Returns the services that a change adds, withdraws or modifies, and the number of slots that
-/// have to move.
+/// Compares the states before and after a change. Returns the services that the change adds,
+/// withdraws or modifies, and the number of slots that have to move.
 pub fn effect(before: &State, after: &State) -> Effect {
     let mut effect = Effect::default();
     for (key, service) in after.active_services() {
@@ -26,7 +26,8 @@
     effect
 }
 
-/// Counts the slots without an owner among the declared servers of the service.
+/// Counts the slots of a service that have no owner, or whose owner is not among the declared
+/// servers of the service.
 fn unplaced_slots(service: &ServiceEntry) -> u64 {
     let placed = |owner: Option<_>| owner.is_some_and(|owner| service.targets.contains(&owner));
     let slots = service.slots.iter();
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -10,17 +10,17 @@
     /// YAML text of the template or workspace.
     pub document: String,
     /// Identifier of this submission. A retry with the same identifier, for example after a lost
-    /// response, is not applied twice. By default the host chooses a random one.
+    /// response, is not applied twice. By default the host chooses a random identifier.
     #[serde(default)]
     pub operation_id: Option<String>,
-    /// Configuration revision that the change is based on; at any other revision it is refused. By
-    /// default every revision is accepted.
+    /// Configuration revision that the change is based on. The host refuses the change if the
+    /// configuration is at another revision. By default every revision is accepted.
     #[serde(default)]
     pub expect_revision: Option<u64>,
     /// Name of the operator, for the audit trail; `operator` by default.
     #[serde(default)]
     pub actor: Option<String>,
-    /// Computes the effects without applying the change.
+    /// True if the host should only compute the effects of the change, without applying the change.
     #[serde(default)]
     pub dry_run: bool,
 }
@@ -31,11 +31,12 @@
 pub struct WithdrawBody {
     /// Name of the template or workspace, as declared in its document.
     pub name: String,
-    /// Identifier of this withdrawal. A retry with the same identifier is not applied twice.
+    /// Identifier of this withdrawal. A retry with the same identifier is not applied twice. By
+    /// default the host chooses a random identifier.
     #[serde(default)]
     pub operation_id: Option<String>,
-    /// Configuration revision that the change is based on; at any other revision it is refused. By
-    /// default every revision is accepted.
+    /// Configuration revision that the change is based on. The host refuses the change if the
+    /// configuration is at another revision. By default every revision is accepted.
     #[serde(default)]
     pub expect_revision: Option<u64>,
     /// Name of the operator, for the audit trail; `operator` by default.
@@ -46,10 +47,10 @@
 /// Response to an accepted change or a dry run.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Accepted {
-    /// Revision at which the change was committed; for a dry run the revision of the state that it
-    /// was tried on.
+    /// Revision at which the change was committed. For a dry run, the revision of the state to
+    /// which the change was applied on trial.
     pub revision: u64,
-    /// Effects on services and slots, computed on the view of the host before the change.
+    /// Effects on services and slots, computed from the state that the host had before the change.
     pub effect: Effect,
 }
 
@@ -74,9 +75,9 @@
 pub struct DocumentBody {
     /// Name of the template or workspace, as declared in its document.
     pub name: String,
-    /// Revision of its last submission.
+    /// Revision at which the document was last submitted.
     pub revision: u64,
-    /// YAML text as submitted.
+    /// YAML text of the document as submitted, with its comments.
     pub document: String,
 }
 
@@ -94,18 +95,22 @@
 pub struct StatusBody {
     /// Name of the host that responds.
     pub host: String,
-    /// Last revision that the host has applied.
+    /// Last revision that the responding host has applied.
     pub revision: u64,
     /// Revision of the last change of any template or workspace.
     pub configuration: u64,
-    /// True if the host's view is recent enough to act on.
+    /// True if the responding host's view is fresh, so that the host may act on it (see
+    /// [`crate::membership::freshness`]).
     pub fresh: bool,
-    /// Age of the view's basis, the latest time for which the host knows that it had applied every
-    /// change; `None` before the first one.
+    /// Age in milliseconds of the basis of the responding host's view. The basis is the latest time
+    /// for which the host knows that it has applied every change that was in force then. `None`
+    /// before the view has a basis.
     pub basis_age_ms: Option<u64>,
-    /// True if the host believes that it is the leader.
+    /// True if the responding host believes that it is the leader. Two hosts may believe so for a
+    /// short time.
     pub leading: bool,
-    /// Term of the leader row as the host last read it.
+    /// Term of the leader row as the responding host last read or wrote it; 0 before the first
+    /// read.
     pub term: u64,
     /// True if the last change of the registry of hosts is settled: no host acts on an earlier
     /// version.
@@ -114,26 +119,28 @@
     pub hosts: Vec<HostStatus>,
     /// All backend servers that were ever declared.
     pub servers: Vec<ServerStatus>,
-    /// Services in force; withdrawn ones are left out.
+    /// Services in force. Withdrawn services are left out.
     pub services: Vec<ServiceStatus>,
 }
 
-/// State of one host, as the responding host sees it from heartbeats and its view.
+/// State of one registered host, as the responding host knows it from heartbeats and its view.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct HostStatus {
     /// Name from the settings of the host.
     pub name: String,
     /// Availability zone from the settings of the host.
     pub availability_zone: String,
-    /// Stage of the life cycle: `joining`, `live` or `leaving`.
+    /// Stage of the life cycle of the host: `joining`, `live` or `leaving`.
     pub state: String,
-    /// Revision that the host last reported; `None` if the responding host has heard nothing from
-    /// it.
+    /// Revision that the host of this entry last reported. `None` if the responding host has
+    /// received no report from this host.
     pub revision: Option<u64>,
-    /// Time in milliseconds since the responding host first heard this revision from the host, or
-    /// applied it itself if the entry is about the responding host.
+    /// Time in milliseconds since the responding host sent the first heartbeat to which the host of
+    /// this entry replied with `revision`. If the entry is about the responding host, the time
+    /// since the responding host applied `revision`.
     pub since_ms: Option<u64>,
-    /// Time in milliseconds since the responding host last heard from this host; 0 for itself.
+    /// Time in milliseconds since the responding host sent the last heartbeat to which the host of
+    /// this entry replied. 0 if the entry is about the responding host.
     pub heard_ms: Option<u64>,
 }
 
@@ -144,18 +151,18 @@
     pub address: String,
     /// Availability zone from the workspace.
     pub availability_zone: String,
-    /// Stage of the life cycle: `absent`, `live` or `lost`.
+    /// Stage of the life cycle of the server: `absent`, `live` or `lost`.
     pub state: String,
     /// True if the server wants to leave, so that its slots are moved away.
     pub draining: bool,
-    /// Number of slots that it owns, over all services.
+    /// Number of slots that the server owns, over all services.
     pub slots: u64,
 }
 
 /// Progress of one service in giving every slot an owner.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct ServiceStatus {
-    /// Full name, `workspace/service`.
+    /// Full name of the service, `workspace/service`.
     pub name: String,
     /// Number of slots of the service, which is fixed when it is declared.
     pub slots: u64,
@@ -177,7 +184,7 @@
 pub struct OwnerBody {
     /// Slot that the hash of the key selects.
     pub slot: u32,
-    /// Highest epoch issued for the slot.
+    /// Highest epoch (fencing token) issued for the slot.
     pub epoch: u64,
     /// Address of the owner; `None` while the slot has no owner.
     pub owner: Option<String>,
@@ -188,13 +195,13 @@
 /// One entry of the audit trail: an accepted change, with its author and time.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct AuditEntry {
-    /// Position of the change in the log; the first has 1.
+    /// Position of the change in the change log. The first change has position 1.
     pub revision: u64,
-    /// Wall-clock time of the writer, in milliseconds since 1970.
+    /// Wall-clock time at which the writer wrote the change, in milliseconds since 1970.
     pub at_unix_ms: u64,
     /// Operator or host that made the change.
     pub actor: String,
-    /// Identifier that the writer chose and that a retry repeats.
+    /// Idempotency identifier of the change, which the writer repeats when it retries the write.
     pub operation_id: String,
     /// Change with its parameters, as JSON text.
     pub change: String,
@@ -203,7 +210,7 @@
 /// Page of the audit trail. An empty page means that there are no later entries.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct AuditPage {
-    /// Entries, oldest first. The next page begins after the revision of the last one.
+    /// Entries, oldest first. The next page begins after the revision of the last entry.
     pub entries: Vec<AuditEntry>,
 }
 
