--- a/src/configuration/error.rs
+++ b/src/configuration/error.rs
@@ -1,5 +1,5 @@
-//! Errors in templates and workspaces. Each message is complete enough for the operator who wrote
-//! the file.
+//! Errors in templates and workspaces. Each message contains all that the operator who wrote the
+//! file needs to correct it.
 
 use snafu::Snafu;
 
@@ -21,7 +21,7 @@
     /// The document is not UTF-8.
     #[snafu(display("the document is not UTF-8 text (first bad byte at {offset})"))]
     NotText {
-        /// Offset of the first invalid byte.
+        /// Offset of the first byte that is not valid UTF-8, counted from 0.
         offset: usize,
     },
     /// The YAML does not match the expected structure.
--- a/src/configuration/expand.rs
+++ b/src/configuration/expand.rs
@@ -1,4 +1,5 @@
-//! Expands a template into the services of one workspace, with its parameters filled in.
+//! Expands a template into the services of one workspace, with the parameters replaced by the
+//! values that the workspace sets.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,24 +12,27 @@
 /// Service of one workspace, with each `${name}` replaced by the value of that parameter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// Full name, `workspace/service`.
+    /// Full name of the service, `workspace/service`.
     pub name: String,
     /// Part of a request that holds the key: a path segment or a header.
     pub key: KeySource,
-    /// Number of slots over which the keys are spread by hash; at least 1.
+    /// Number of slots over which the keys of the service are spread by hash; at least 1.
     pub slots: u32,
     /// Backend servers that may own slots of the service.
     pub targets: Vec<Target>,
-    /// Number of requests that one server runs concurrently; a host has no more in flight to it.
+    /// Number of requests that one server runs concurrently. Each host has at most this number of
+    /// requests in flight to the server.
     pub server_slots: u64,
-    /// Maximum number of connections to one server, over all entry hosts.
+    /// Maximum number of connections to one server, over all entry hosts. The value is checked and
+    /// expanded, but no host enforces it.
     pub server_connections: u64,
-    /// Maximum number of requests in flight in one entry host, waiting ones included.
+    /// Maximum number of requests of the service in flight in one entry host, including requests
+    /// that wait. The host refuses further requests.
     pub queue_requests: u64,
-    /// Deadline of a request whose caller sets none.
+    /// Time in milliseconds that a request may take if its caller sets no deadline.
     pub deadline_ms: u64,
-    /// False if the servers accept orders of any sender. Always true, because a template with false
-    /// is rejected.
+    /// True if the servers check the sender of orders. Always true, because a template with
+    /// `checks_orders: false` is rejected.
     pub checks_orders: bool,
     /// Rules for requests that must run at most once.
     pub unrepeatable: Vec<UnrepeatableRule>,
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -12,5 +12,5 @@
     workspace::Workspace,
 };
 
-/// Maximum size of a document in bytes; a larger one is refused before it is parsed.
+/// Maximum size of a document in bytes. A larger document is refused before it is parsed.
 pub const DOCUMENT_BYTES_MAX: usize = 1024 * 1024;
--- a/src/configuration/template.rs
+++ b/src/configuration/template.rs
@@ -8,9 +8,9 @@
     error::{EmptySnafu, Error, FieldSnafu, Result, TooLargeSnafu, field},
 };
 
-/// Maximum number of slots of one service, which bounds the size of the state.
+/// Maximum number of slots of one service. The maximum bounds the size of the replicated state.
 pub const SLOTS_MAX: u32 = 1_000_000;
-/// Maximum length of a name in characters.
+/// Maximum length in characters of the name of a template, service or workspace.
 const NAME_CHARS_MAX: usize = 63;
 
 /// Template as parsed from the YAML document of an operator; [`Template::problems`] checks it.
@@ -19,7 +19,7 @@
 pub struct Template {
     /// Name by which workspaces refer to the template; unique among templates.
     pub template: String,
-    /// Parameters that a workspace sets; those without a default must be set.
+    /// Parameters that a workspace sets. A workspace must set each parameter that has no default.
     #[serde(default)]
     pub parameters: Vec<Parameter>,
     /// Weights of the planner's cost function; the defaults apply if the template has none.
@@ -38,12 +38,13 @@
     /// Type that the values of workspaces must have.
     #[serde(rename = "type")]
     pub kind: ParameterKind,
-    /// Minimum value, or minimum number of targets.
+    /// Minimum value of an integer parameter, or minimum number of servers of a targets parameter.
     #[serde(default = "one")]
     pub min: u64,
-    /// Maximum value, or maximum number of targets.
+    /// Maximum value of an integer parameter, or maximum number of servers of a targets parameter.
     pub max: u64,
-    /// Value for a workspace that sets none; for integers only.
+    /// Value of an integer parameter in a workspace that does not set the parameter. A default of a
+    /// targets parameter has no effect.
     #[serde(default)]
     pub default: Option<u64>,
 }
@@ -62,9 +63,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Weights {
-    /// Weight of load above the mean, per server capacity and hour.
+    /// Weight of imbalance: the squared difference between the load per capacity of a server and
+    /// the mean, relative to the mean, summed over the servers.
     pub imbalance: f64,
-    /// Weight of moving as many keys as one server owns on average.
+    /// Weight of moving as many keys as one server owns on average, which makes moves costly.
     pub churn: f64,
     /// Weight of one second in which the keys of one server cannot be served.
     pub unavailable: f64,
@@ -94,27 +96,32 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Name, unique in the template; part of callers' paths.
+    /// Name of the service. The name is unique in the template and is part of the paths that
+    /// callers request.
     pub name: String,
     /// Name of the parameter that lists the backend servers.
     pub targets: String,
-    /// Part of a request that holds the key.
+    /// Part of a request that contains the key.
     pub key: KeySource,
-    /// Number of slots over which the keys are spread; fixed for the life of a workspace.
+    /// Number of slots over which the keys of the service are spread. The number cannot change once
+    /// a workspace with the service has been declared, because keys would get other slots.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Number of requests that one server runs concurrently; a host has no more in flight to it.
+    /// Number of requests that one server runs concurrently. Each host has at most this number of
+    /// requests in flight to the server.
     pub server_slots: Number,
-    /// Maximum number of connections to one server, over all entry hosts.
+    /// Maximum number of connections to one server, over all entry hosts. The value is checked and
+    /// expanded, but no host enforces it.
     pub server_connections: Number,
-    /// Maximum number of requests in flight in one entry host, waiting ones included.
+    /// Maximum number of requests of the service in flight in one entry host, including requests
+    /// that wait. The host refuses further requests.
     #[serde(default = "default_queue")]
     pub queue_requests: Number,
-    /// Deadline of a request whose caller sets none.
+    /// Time in milliseconds that a request may take if its caller sets no deadline.
     #[serde(default = "default_deadline")]
     pub deadline_ms: Number,
-    /// False if the servers accept orders of any sender and any age. A template with false is
-    /// rejected, because such servers are not supported yet.
+    /// False if the servers accept orders of any sender and any age. A template with the value
+    /// false is rejected, because such servers are not supported.
     #[serde(default = "yes")]
     pub checks_orders: bool,
     /// Rules for requests that must run at most once.
@@ -122,7 +129,7 @@
     pub unrepeatable: Vec<UnrepeatableRule>,
 }
 
-/// Part of a request that holds the key.
+/// Part of a request that contains the key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeySource {
@@ -132,13 +139,14 @@
     Header(String),
 }
 
-/// Rule that marks requests as unrepeatable.
+/// Rule that marks the matching requests as unrepeatable: they must run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UnrepeatableRule {
     /// HTTP method that a request must have for the rule to apply.
     pub method: String,
-    /// Prefix of the path after the service; empty for all paths.
+    /// Prefix that the path after the service must have for the rule to apply. An empty prefix
+    /// matches all paths.
     #[serde(default)]
     pub path_prefix: String,
 }
@@ -187,7 +195,8 @@
     })
 }
 
-/// Checks a name that becomes part of callers' paths.
+/// Checks a name that becomes part of the paths that callers request. `path` is the place of the
+/// name in the document, for the error message.
 pub fn check_name(path: &str, name: &str) -> Result<()> {
     let fits = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
     let good = !name.is_empty() && name.len() <= NAME_CHARS_MAX && name.chars().all(fits);
@@ -212,7 +221,8 @@
         }
     }
 
-    /// Returns all errors that a syntactically correct template contains; empty if it is valid.
+    /// Returns all errors in the values of a parsed template. The list is empty if the template is
+    /// valid.
     pub fn problems(&self) -> Vec<Error> {
         let mut problems = Vec::new();
         problems.extend(check_name("template", &self.template).err());
@@ -307,7 +317,8 @@
         }
     }
 
-    /// Returns the declaration of the parameter `name`; `None` if the template has none.
+    /// Returns the declaration of the parameter `name`; `None` if the template declares no such
+    /// parameter.
     pub fn parameter(&self, name: &str) -> Option<&Parameter> {
         self.parameters.iter().find(|p| p.name == name)
     }
--- a/src/configuration/workspace.rs
+++ b/src/configuration/workspace.rs
@@ -13,11 +13,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// Name, unique among workspaces; part of callers' paths.
+    /// Name of the workspace. The name is unique among workspaces and is part of the paths that
+    /// callers request.
     pub workspace: String,
     /// Name of the template that the workspace instantiates.
     pub template: String,
-    /// Values of the template's parameters, by parameter name; one with a default may be left out.
+    /// Values of the template's parameters, by parameter name. A parameter that has a default may
+    /// be left out.
     #[serde(default)]
     pub parameters: BTreeMap<String, Value>,
 }
@@ -26,24 +28,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Value {
-    /// Value of an integer parameter, such as a queue length.
+    /// Value of a parameter of the type `integer`, such as a queue length.
     Integer(u64),
-    /// Servers for a parameter of the type `targets`, in the order of the document.
+    /// Backend servers of a parameter of the type `targets`, in the order of the document.
     Targets(Vec<Target>),
 }
 
-/// Backend server that a workspace lists, with the place where it runs.
+/// Backend server that a workspace lists, with the availability zone in which the server runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// IP address and port; host names are not accepted.
+    /// IP address and port of the server. Host names are not accepted.
     pub address: SocketAddr,
     /// Availability zone in which the server runs, as declared by the operator.
     pub availability_zone: String,
 }
 
 impl Workspace {
-    /// Parses a workspace. Its parameters are checked by [`super::expand`] against the template.
+    /// Parses a workspace and checks its name. [`super::expand`] checks its parameters against the
+    /// template.
     pub fn read(bytes: &[u8]) -> Result<Self> {
         let workspace: Self = read_document(bytes)?;
         check_name("workspace", &workspace.workspace)?;
