--- a/src/demo/error.rs
+++ b/src/demo/error.rs
@@ -4,7 +4,8 @@
 
 use crate::{host, peer, transport::CallError};
 
-/// Failure of a component of the demonstration, which ends it without a summary.
+/// Failure of a component of the demonstration. The failure ends the demonstration without a
+/// summary.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
@@ -38,12 +39,12 @@
         /// Failure of the HTTP call, such as a timeout or an error status.
         source: CallError,
     },
-    /// A condition that the demonstration waits for did not hold within its time limit.
+    /// A condition that the demonstration waits for did not become true within the timeout.
     #[snafu(display("timed out after {limit_ms} ms while waiting until {what}"))]
     Timeout {
-        /// Condition that did not come true, worded for the user.
+        /// Condition that did not become true, worded for the user.
         what: &'static str,
-        /// Time limit of the wait in milliseconds.
+        /// Timeout of the wait in milliseconds.
         limit_ms: u64,
     },
 }
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -19,18 +19,28 @@
     load::{self, LoadConfig, LoadReport, Sample},
 };
 
+/// Number of entry hosts of the demonstration.
 const HOSTS: usize = 3;
-/// Duration of each of the two baseline measurements.
+/// Duration in milliseconds of each of the two baseline measurements.
 const BASELINE_MS: u64 = 2_000;
+/// Time in milliseconds after the start of the mixed load at which a server freezes.
 const LOSS_AT_MS: u64 = 4_000;
+/// Time in milliseconds after the start of the mixed load at which another server is withdrawn from
+/// its workspace, so that its keys move.
 const MOVE_AT_MS: u64 = 10_000;
+/// Time in milliseconds after the start of the mixed load at which a host makes its planned stop.
 const STOP_AT_MS: u64 = 14_000;
+/// Duration of the mixed load in milliseconds.
 const RUN_MS: u64 = 18_000;
+/// Requests per second of every load of the demonstration.
 const RATE_PER_S: u64 = 900;
+/// Number of distinct keys per service.
 const KEYS: u64 = 2_000;
+/// Seed of the random choices of the load generator.
 const SEED: u64 = 11;
 
-/// Runs the demonstration; `report_event` gets one line of text for each event.
+/// Runs the demonstration and returns its figures. Calls `report_event` with one line of text for
+/// each event, such as the start of a phase or a disturbance.
 pub async fn run(report_event: impl Fn(&str)) -> Result<Summary, Error> {
     report_event("starting a platform, 12 backend servers and 3 entry hosts");
     let mut system = System::start(HOSTS).await?;
@@ -44,7 +54,8 @@
     let loading = tokio::spawn(load::run(mixed_load(&system)));
     let disturbances = inject_disturbances(&mut system, &report_event).await?;
     let samples = loading.await.unwrap_or_default();
-    // A server writes its record shortly after it sends the response.
+    // A server updates its record shortly after it has sent the response, so the records are read
+    // after a pause.
     time::sleep(Duration::from_millis(300)).await;
     let records = system.records().await;
     system.stop().await;
@@ -56,7 +67,8 @@
     ))
 }
 
-/// Measures the same load twice, directly at the servers and through the hosts.
+/// Measures the latency of the same load twice, first sent directly to the servers and then through
+/// the hosts.
 async fn measure_baseline(system: &System, report_event: &impl Fn(&str)) -> Baseline {
     let through = LoadConfig {
         unrepeatable_share: 0.0,
@@ -89,6 +101,8 @@
     }
 }
 
+/// Injects the disturbances at their fixed times: the loss of a server, the withdrawal of another
+/// server, and the planned stop of a host.
 async fn inject_disturbances(
     system: &mut System,
     report_event: &impl Fn(&str),
@@ -117,7 +131,9 @@
     })
 }
 
-/// Returns true if no disturbance can have affected the request of a sample.
+/// Returns true if no disturbance can have affected the request of a sample. A request is disturbed
+/// if the lost server owned its key, or if the request was sent to the stopped host and had not
+/// ended when the planned stop of this host began.
 pub(crate) fn undisturbed(sample: &Sample, disturbances: &Disturbances) -> bool {
     let after_stop = disturbances.stopped.address == sample.address
         && sample.intended_us + sample.latency_us >= disturbances.stopped.at_us;
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -34,21 +34,28 @@
     transport::JsonClient,
 };
 
+/// Number of backend servers of the demonstration.
 const SERVERS: usize = 12;
+/// Availability zones, to which hosts and servers are assigned in turn.
 const ZONES: [&str; 3] = ["bern-ost", "solothurn", "aarau"];
-/// Time limit for all slots to get an owner.
+/// Timeout in milliseconds within which all slots must get an owner.
 const SETTLE_LIMIT_MS: u64 = 15_000;
-/// Time limit for a submission with its retries, and for each call to a stand-in.
+/// Timeout in milliseconds of a submission with its retries, and of each call to a stand-in.
 const SUBMIT_LIMIT_MS: u64 = 10_000;
+/// Interval in milliseconds between attempts of a submission, and between checks of a condition.
 const POLL_MS: u64 = 50;
+/// Index of the server that freezes and is lost.
 const LOST_SERVER: usize = 0;
+/// Index of the server that is withdrawn from its workspace.
 const LEAVING_SERVER: usize = 1;
+/// Index of the host that makes a planned stop.
 const STOPPED_HOST: usize = 2;
 
 const DRAINAGE_TEMPLATE: &str = include_str!("../../examples/mittelland/template.yaml");
 const RESORT_TEMPLATE: &str = include_str!("../../examples/etna/template.yaml");
 
-/// Service of the demonstration, with the indices of its servers.
+/// Service of the demonstration, with the indices of its servers among all servers of the
+/// demonstration.
 struct Placement {
     workspace: &'static str,
     service: &'static str,
@@ -78,7 +85,8 @@
     }
 }
 
-/// Returns the paths of the services whose key is in the path.
+/// Returns the paths of the services whose key is in the path of the request. The service `beitrag`
+/// is left out, because the load generator sends keys only in paths.
 pub(crate) fn service_paths() -> Vec<String> {
     let by_path = PLACEMENTS.iter().filter(|p| p.service != "beitrag");
     by_path
@@ -86,7 +94,8 @@
         .collect()
 }
 
-/// Platform stand-in, servers and hosts of the demonstration, all running.
+/// Running components of the demonstration: the platform stand-in, the backend servers and the
+/// hosts.
 pub(crate) struct System {
     platform: Running,
     servers: Vec<Running>,
@@ -95,7 +104,8 @@
 }
 
 impl System {
-    /// Starts the platform, the servers and `hosts` hosts.
+    /// Starts the platform stand-in, the backend servers and `hosts` entry hosts, with newly
+    /// created certificates.
     pub(crate) async fn start(hosts: usize) -> Result<Self, Error> {
         let name = format!("ashroad-demo-{}-{hosts}", std::process::id());
         let directory = std::env::temp_dir().join(name);
@@ -138,8 +148,8 @@
         self.servers.iter().map(|server| server.address).collect()
     }
 
-    /// Submits templates and workspaces, and waits until every slot has an owner in every host's
-    /// state.
+    /// Submits the templates and workspaces, and waits until every host's state has an owner for
+    /// every slot and no slot moves.
     pub(crate) async fn declare(&self) -> Result<(), Error> {
         self.submit(DeclarationKind::Template, DRAINAGE_TEMPLATE.to_owned())
             .await?;
@@ -216,7 +226,8 @@
         }
     }
 
-    /// Returns the keys of the load that are owned by the server that will be lost.
+    /// Returns the keys that the server that will be lost owns, among the keys with numbers from 0
+    /// to `keys` of each service.
     pub(crate) fn keys_of_lost_server(&self, keys: u64) -> Vec<LostKey> {
         let state = self.hosts[0].host.view.state();
         let lost = state.server_key(self.servers[LOST_SERVER].address);
@@ -260,19 +271,20 @@
         Ok(())
     }
 
-    /// Submits a workspace again without one of its servers, whose slots then move to others.
+    /// Submits a workspace again without one of its servers. The slots of this server then move to
+    /// the other servers.
     pub(crate) async fn withdraw_target(&self) -> Result<(), Error> {
         let document = self.workspace("mittelland", Some(LEAVING_SERVER));
         self.submit(DeclarationKind::Workspace, document).await
     }
 
-    /// Makes one host carry out a planned stop; returns the host and the time at which the stop
-    /// began.
+    /// Carries out a planned stop of one host. Returns the address of the host and the time at
+    /// which the stop began.
     pub(crate) async fn stop_host(&mut self) -> Stopped {
         let host = self.hosts.remove(STOPPED_HOST);
         let address = host.callers;
-        // From here on the host reports to the load balancer that it is not ready, and it may
-        // refuse a request that arrives later.
+        // From this time on the host reports to the load balancer that it is not ready, and may
+        // refuse requests that arrive.
         let at_us = clock::unix_us();
         host.stop().await;
         Stopped { address, at_us }
@@ -292,7 +304,8 @@
         counters.await.unwrap_or_default()
     }
 
-    /// Returns the records of all servers that can be reached.
+    /// Returns the records that the servers keep of their grants and runs. Servers that cannot be
+    /// reached are left out.
     pub(crate) async fn records(&self) -> Vec<Record> {
         let client = JsonClient::new(SUBMIT_LIMIT_MS);
         let mut records = Vec::new();
--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -1,4 +1,5 @@
-//! Result of the demonstration: compares the responses to callers with the servers' own records.
+//! Result of the demonstration: compares the responses that callers got with the records of the
+//! servers.
 
 use std::{collections::HashMap, fmt, net::SocketAddr};
 
@@ -10,7 +11,8 @@
     standin::{backend::Record, invariants},
 };
 
-/// Key owned by the lost server; its first request after the loss measures the unavailability.
+/// Key that the lost server owned. The latency of the first request for this key after the loss is
+/// the time for which the key was unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LostKey {
     pub(crate) service: usize,
@@ -24,8 +26,8 @@
     pub(crate) at_us: u64,
 }
 
-/// Disturbances (lost server, planned stop) during the run, used to exclude the requests that they
-/// may have affected.
+/// Disturbances during the run (the lost server and the planned stop of a host), used to exclude
+/// the requests that the disturbances may have affected.
 #[derive(Clone, Debug)]
 pub(crate) struct Disturbances {
     pub(crate) lost_us: u64,
@@ -33,7 +35,7 @@
     pub(crate) stopped: Stopped,
 }
 
-/// Reports of the same load, sent directly to the servers and through the hosts.
+/// Reports of the same load, once sent directly to the servers and once through the hosts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Baseline {
     pub(crate) direct: LoadReport,
@@ -43,30 +45,37 @@
 /// Figures of the demonstration, printed as JSON at its end.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Summary {
-    /// Requests sent during the run.
+    /// Number of requests sent during the run, duplicates included.
     pub requests: u64,
-    /// Requests that got a complete response, and not that of another request.
+    /// Number of requests that got a complete response which belonged to the request.
     pub answered: u64,
-    /// Requests whose responses stated that they did not run.
+    /// Number of requests that did not run: the response said so, or no connection could be
+    /// established.
     pub not_run: u64,
-    /// Requests that may have run: the response said so, was incomplete or did not arrive.
+    /// Number of requests that may have run: the response said so, was incomplete or did not
+    /// arrive.
     pub unknown: u64,
-    /// Requests that got the response to another request, or an error without a stated outcome.
+    /// Number of requests that got the response to another request, or an error without a stated
+    /// outcome.
     pub wrong_answers: u64,
     /// Pairs of time spans in which two servers owned the same slot.
     pub double_owned: u64,
-    /// Unrepeatable requests that ran more than once.
+    /// Number of unrepeatable requests that ran more than once.
     pub double_run: u64,
-    /// Unrepeatable requests that ran although every response to them stated that they did not run.
+    /// Number of unrepeatable requests that ran, although every response to the request and its
+    /// duplicate stated that the request did not run.
     pub false_not_run: u64,
-    /// Share of requests answered, among those that no disturbance can have affected.
+    /// Share of answered requests among the requests without a duplicate that no disturbance can
+    /// have affected, from 0 to 1.
     pub undisturbed_answered: f64,
     /// 99th percentile, in milliseconds, of the time until the keys of the lost server were served
     /// again.
     pub unavailable_ms_p99: u64,
-    /// Median latency through the hosts minus the median latency directly at the servers.
+    /// Median latency through the hosts minus the median latency directly at the servers, in
+    /// microseconds.
     pub added_latency_us_p50: i64,
-    /// 99th percentile of latency through the hosts minus that directly at the servers.
+    /// 99th percentile of the latency through the hosts minus the 99th percentile directly at the
+    /// servers, in microseconds.
     pub added_latency_us_p99: i64,
 }
 
@@ -103,8 +112,8 @@
     }
 }
 
-/// Counts unrepeatable requests that ran although every response to them stated that they did not
-/// run.
+/// Counts the unrepeatable requests that ran, although every response to the request and its
+/// duplicate stated that the request did not run.
 fn false_not_run(samples: &[Sample], records: &[Record]) -> u64 {
     let mut all_not_run: HashMap<&str, bool> = HashMap::new();
     for sample in samples {
@@ -118,8 +127,8 @@
     violations.count() as u64
 }
 
-/// Returns the share of undisturbed requests that were answered. Requests with duplicates are left
-/// out, because a duplicate may rightly be refused.
+/// Returns the share of answered requests among the requests that no disturbance can have affected.
+/// Requests with duplicates are left out, because a host may correctly refuse a duplicate.
 fn undisturbed_answered(samples: &[Sample], disturbances: &Disturbances) -> f64 {
     let mut arrivals: HashMap<&str, u64> = HashMap::new();
     for key in samples.iter().filter_map(|s| s.idempotency_key.as_deref()) {
@@ -139,8 +148,8 @@
     answered as f64 / concerned().count().max(1) as f64
 }
 
-/// Returns the latency of the first request after the loss of the server, for each key that it
-/// owned.
+/// Returns the percentiles of the time for which the keys of the lost server were unavailable: for
+/// each key, the latency of the first request after the loss of the server.
 fn unavailability(samples: &[Sample], disturbances: &Disturbances) -> LatencyReport {
     let firsts = disturbances.lost_keys.iter().filter_map(|lost| {
         let of_key = samples.iter().filter(|sample| {
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -19,7 +19,8 @@
     transport::header_text,
 };
 
-/// Time after a request's deadline at which the caller stops waiting for the response.
+/// Time in milliseconds after the deadline of a request for which the caller still waits for the
+/// response.
 const RESPONSE_GRACE_MS: u64 = 1_000;
 
 /// Outcome of a request as its caller saw it.
@@ -35,7 +36,8 @@
     Wrong,
 }
 
-/// HTTP client with pooled connections, which sends all requests of a load run.
+/// HTTP client with pooled connections that sends all requests of a load run and classifies the
+/// responses.
 #[derive(Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -43,7 +45,7 @@
 }
 
 impl Caller {
-    /// Creates a caller whose requests carry this deadline.
+    /// Creates a caller whose requests carry a deadline of `deadline_ms` milliseconds.
     pub fn new(deadline_ms: u64) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -1,5 +1,6 @@
-//! Open-loop load generator. Requests are sent at their intended times, regardless of earlier
-//! responses, and latencies count from these times, so that the queue of a slow system is measured.
+//! Open-loop load generator. Each request is sent at its intended time, regardless of responses to
+//! earlier requests. Latencies count from the intended times, so that the time for which requests
+//! queue in a slow system is measured.
 
 mod caller;
 mod report;
@@ -21,9 +22,10 @@
 /// Rate, duration and mix of requests of one load run.
 #[derive(Clone, Debug)]
 pub struct LoadConfig {
-    /// Addresses of hosts or servers, to which requests are sent in turn.
+    /// Addresses of the entry hosts or backend servers, to which requests are sent in turn.
     pub addresses: Vec<SocketAddr>,
-    /// Paths of the services, as `/workspace/service`; each request picks one at random.
+    /// Paths of the services, as `/workspace/service`. Each request is for a service picked at
+    /// random.
     pub services: Vec<String>,
     /// Requests per second, over all addresses.
     pub rate_per_s: u64,
@@ -38,13 +40,13 @@
     pub unrepeatable_share: f64,
     /// Share of the unrepeatable requests that are sent twice, to two addresses; from 0 to 1.
     pub duplicate_share: f64,
-    /// Deadline of each request, sent in its header.
+    /// Deadline of each request in milliseconds, sent in a header of the request.
     pub deadline_ms: u64,
     /// Seed of the random choices of services, keys and kinds of requests.
     pub seed: u64,
 }
 
-/// Request that is due at `intended_us`.
+/// Request that the load generator sends at the Unix time `intended_us`, in microseconds.
 #[derive(Clone, Debug)]
 pub(crate) struct PlannedRequest {
     pub(crate) address: SocketAddr,
@@ -56,7 +58,8 @@
     pub(crate) intended_us: u64,
 }
 
-/// Generator of the requests of a run, from a seeded random number generator.
+/// Generator of the requests of a load run. Services, keys and kinds of requests come from a seeded
+/// random number generator; the idempotency keys differ in each run.
 struct RequestGenerator {
     config: LoadConfig,
     run: String,
@@ -65,7 +68,7 @@
     number: u64,
 }
 
-/// Runs the load and returns one sample per request.
+/// Runs the load and returns one sample per request. Waits for the responses to all requests.
 pub async fn run(config: LoadConfig) -> Vec<Sample> {
     let caller = Arc::new(Caller::new(config.deadline_ms));
     let mut chooser = RequestGenerator::new(config.clone());
@@ -91,8 +94,8 @@
 }
 
 /// Sleeps until a Unix time in microseconds. The timer has a resolution of a millisecond, so
-/// requests due within the same millisecond are sent together; their latency still counts from
-/// their intended times.
+/// requests with intended times within the same millisecond are sent together. The latency of each
+/// request still counts from its intended time.
 async fn sleep_until_us(at_us: u64) {
     let left_us = at_us.saturating_sub(clock::unix_us());
     if left_us > 0 {
@@ -112,7 +115,8 @@
         }
     }
 
-    /// Returns the next request, followed by its duplicate if it has one.
+    /// Returns the next request, followed by its duplicate to the next address if the request is
+    /// sent twice.
     fn next(&mut self, intended_us: u64) -> Vec<PlannedRequest> {
         self.number += 1;
         let number = self.number;
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -7,7 +7,8 @@
 
 use super::RequestOutcome;
 
-/// Maximum latency that the histogram records; longer ones are recorded as this value.
+/// Maximum latency in microseconds that the histogram records. A longer latency is recorded as this
+/// value.
 const LATENCY_US_MAX: u64 = 600_000_000;
 /// Precision of the recorded latencies, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
@@ -19,20 +20,20 @@
     pub address: SocketAddr,
     /// Index of the requested service in [`LoadConfig::services`](super::LoadConfig::services).
     pub service: usize,
-    /// Number of the key among the keys of its service; popular keys have low numbers if the keys
-    /// have a Zipf distribution.
+    /// Number of the key among the keys of the service. With a Zipf distribution of the keys, the
+    /// keys with low numbers are requested most often.
     pub key: u64,
     /// Idempotency key of an unrepeatable request; `None` for requests that may run twice.
     pub idempotency_key: Option<String>,
     /// Intended time of sending, as Unix time in microseconds.
     pub intended_us: u64,
-    /// Time from `intended_us` to the end of the request.
+    /// Time in microseconds from `intended_us` to the end of the request.
     pub latency_us: u64,
     /// Outcome of the request as its caller saw it.
     pub outcome: RequestOutcome,
 }
 
-/// Latency percentiles of answered requests; all 0 if there are none.
+/// Latency percentiles of answered requests. All fields are 0 if no request was answered.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct LatencyReport {
     /// Median latency in microseconds.
@@ -63,7 +64,7 @@
 }
 
 impl LatencyReport {
-    /// Computes the percentiles of latencies in microseconds.
+    /// Computes the percentiles of the given latencies, which are in microseconds.
     pub fn of(latencies_us: impl Iterator<Item = u64>) -> Self {
         let histogram = Histogram::<u64>::new_with_max(LATENCY_US_MAX, SIGNIFICANT_DIGITS);
         let Ok(mut histogram) = histogram else {
