--- a/src/bench/control.rs
+++ b/src/bench/control.rs
@@ -1,4 +1,4 @@
-//! Measures the cost per host of the coordination between hosts, by the number of hosts. Real
+//! Measures the cost per host of the coordination between hosts, by the number of hosts. Entry
 //! hosts, a platform stand-in and backend servers run in this process, without callers.
 
 use std::time::Duration;
@@ -12,10 +12,13 @@
     standin::platform::Counters,
 };
 
-/// Time for hosts to register and settle before the measurement, added per host.
+/// Time in milliseconds per host that is added to [`SETTLE_MS`], so that all hosts have registered
+/// before the measurement.
 const SETTLE_MS_PER_HOST: u64 = 60;
-/// Time to register and settle that does not depend on the number of hosts.
+/// Time in milliseconds for which the hosts run before the measurement, so that their registration
+/// is complete. [`SETTLE_MS_PER_HOST`] is added for each host.
 const SETTLE_MS: u64 = 6_000;
+/// Duration of the measurement in milliseconds.
 const MEASURE_MS: u64 = 10_000;
 
 /// Cost of the coordination between hosts, measured with a fixed number of hosts.
@@ -23,21 +26,23 @@
 pub struct ControlFigures {
     /// Number of hosts that ran during the measurement.
     pub hosts: usize,
-    /// Number of hosts that were voters during the measurement.
+    /// Number of hosts that were voters (counted in majorities) when the measurement began.
     pub counted: usize,
     /// Bytes that one host sends per second, including its share of the stand-ins' traffic.
     pub sent_bytes_per_s: f64,
     /// Share of one processor core that one host uses, including its share of the stand-ins' work.
     pub core_share: f64,
-    /// Resident memory of the process, divided by the number of hosts.
+    /// Increase of the resident memory of the process in bytes, divided by the number of hosts. The
+    /// memory of the stand-ins is included.
     pub resident_bytes: f64,
-    /// Reads of the table service per second, over all hosts.
+    /// Reads of the platform's table service per second, over all hosts.
     pub reads_per_s: f64,
-    /// Transactions per second, over all hosts.
+    /// Transactions of the platform's table service per second, over all hosts.
     pub transactions_per_s: f64,
 }
 
-/// Measures the cost of the coordination between `hosts` hosts; fails if they cannot be started.
+/// Measures the cost of the coordination between `hosts` hosts. Fails if a component cannot be
+/// started or the declarations do not come into force.
 pub async fn run(hosts: usize) -> Result<ControlFigures, Error> {
     let memory = process::resident_bytes();
     let system = System::start(hosts).await?;
@@ -66,7 +71,8 @@
     })
 }
 
-/// Values of all counters at one time, to compute their increase over the measurement.
+/// Values of the measured counters at one time. The difference between two snapshots is the
+/// increase during the measurement.
 struct CounterSnapshot {
     cpu_ms: u64,
     sent_bytes: u64,
--- a/src/bench/day.rs
+++ b/src/bench/day.rs
@@ -1,8 +1,9 @@
-//! Generated days of both example templates: load by slot and available servers, minute by minute.
+//! Generates days on which policies are compared, with scenarios of both example templates: the
+//! load of each slot and the available servers, minute by minute.
 
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::SliceRandom};
 
-/// Number of minutes in a day, which is simulated minute by minute.
+/// Number of minutes in a day, and so of steps in which a generated day is simulated.
 pub const MINUTES: usize = 24 * 60;
 /// Number of slots of the generated service.
 pub const SLOTS: usize = 256;
@@ -13,15 +14,16 @@
 pub enum Event {
     /// Daily load curve without further events.
     Steady,
-    /// A tenth of the slots gets ten times its load for four hours.
+    /// A tenth of the slots get ten times their load from 6:00 to 10:00.
     Thaw,
-    /// Four slots get forty times their load, one after the other, in the morning.
+    /// Four slots, one after the other, get forty times their load for an hour each, from 8:00 to
+    /// 12:00.
     SunnySunday,
-    /// Every hour one server leaves, and it returns half an hour later.
+    /// One server leaves at the start of every hour and returns half an hour later.
     JoinsAndLeaves,
-    /// A third of the servers is lost at noon and returns at two.
+    /// A third of the servers are lost at 12:00 and return at 14:00.
     ZoneLoss,
-    /// All servers are replaced one by one between eight and noon.
+    /// All servers are replaced by new servers, one by one, from 8:00 to 12:00.
     Migration,
 }
 
@@ -35,7 +37,7 @@
     Event::Migration,
 ];
 
-/// Day of generated load and server availability, which policies are compared on.
+/// Day of generated load and server availability, on which policies are compared.
 #[derive(Clone, Debug)]
 pub struct Day {
     event: Event,
@@ -46,7 +48,7 @@
 }
 
 impl Day {
-    /// Generates a day with `servers` servers; the same seed gives the same day.
+    /// Generates a day with `servers` servers. The same seed always gives the same day.
     pub fn new(event: Event, servers: usize, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut order: Vec<usize> = (0..SLOTS).collect();
@@ -61,7 +63,8 @@
         }
     }
 
-    /// Returns the number of servers that exist at any time of the day.
+    /// Returns the number of servers that exist over the whole day, including servers that replace
+    /// others.
     pub fn servers_max(&self) -> usize {
         match self.event {
             Event::Migration => self.servers * 2,
@@ -74,7 +77,8 @@
         self.base[slot] * self.daily_factor(minute) * self.hot_slot_factor(minute, slot)
     }
 
-    /// Returns the load that the planner sees: one minute old and with an error of up to 20%.
+    /// Returns the load that a policy sees in the given minute: the actual load of the minute
+    /// before, with a random error of up to 20%.
     pub fn observed(&self, minute: usize, slot: usize) -> f64 {
         let mut rng = StdRng::seed_from_u64(self.seed ^ ((minute * SLOTS + slot) as u64) << 8);
         self.load(minute.saturating_sub(1), slot) * rng.random_range(0.8..1.2)
--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -13,7 +13,7 @@
     state::{Change, MoveDone, Snapshot, State},
 };
 
-/// Sizes to measure, as numbers of slots and servers.
+/// Sizes to measure, as pairs of a number of slots and a number of servers.
 const SIZES: [(u32, u32); 4] = [
     (10_000, 40),
     (50_000, 200),
@@ -21,9 +21,11 @@
     (1_000_000, 4_000),
 ];
 const SEED: u64 = 3;
+/// Maximum number of servers that the generated template allows in a workspace.
 const TARGETS_PER_DOCUMENT: u32 = 4_000;
 
-/// Times and memory of the planner and the state, for one number of slots and one of servers.
+/// Times and memory of the planner and the state, measured with one pair of a number of slots and a
+/// number of servers.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct SizeFigures {
     /// Number of slots of the measured service.
@@ -34,7 +36,7 @@
     pub place_ms: f64,
     /// Time in milliseconds to plan after the loss of one server.
     pub loss_ms: f64,
-    /// Time in milliseconds to plan when nothing needs to move.
+    /// Time in milliseconds to plan when every slot has an owner and no server was lost.
     pub idle_ms: f64,
     /// Memory in bytes of the state, divided by the number of slots.
     pub state_bytes_per_slot: f64,
@@ -44,7 +46,7 @@
     pub apply_ms: f64,
 }
 
-/// Measures each pair of a number of slots and a number of servers, the smallest first.
+/// Measures the planner and the state for each of the fixed sizes, the smallest size first.
 pub fn run() -> Vec<SizeFigures> {
     SIZES
         .iter()
@@ -82,6 +84,8 @@
     }
 }
 
+/// Plans the moves of the slots and applies them to the owners in `slots`. Returns the time that the
+/// planner took, in milliseconds.
 fn timed_plan(servers: &[PlannerServer], slots: &mut [PlannerSlot]) -> f64 {
     let input = PlannerInput {
         servers,
@@ -154,6 +158,7 @@
     state
 }
 
+/// Returns the time in milliseconds that the state takes to apply the completion of one move.
 fn timed_apply(state: &State) -> f64 {
     let mut state = state.clone();
     let service = ServiceKey(0);
@@ -165,7 +170,8 @@
         epoch,
     }];
     apply(&mut state, Change::MovesBegun { service, moves });
-    // Keeps a reference to the old state, as readers on a host do, so that the change has to copy.
+    // Keeps a reference to the old state, as readers on a host do, so that the change has to copy
+    // the slots of the service.
     let held = state.clone();
     let start = Instant::now();
     let done = vec![MoveDone { slot, epoch }];
--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -11,17 +11,18 @@
     },
 };
 
+/// Number of servers of the generated days.
 const SERVERS: usize = 10;
 const SEED: u64 = 5;
-/// Maximum load of a server under bounded loads, relative to the mean.
+/// Maximum load of a server under consistent hashing with bounded loads, relative to the mean load.
 const LOAD_BOUND: f64 = 1.25;
-/// Imbalance above which a minute counts as imbalanced.
+/// Ratio of the highest load to the mean load above which a minute counts as imbalanced.
 const HIGH_IMBALANCE: f64 = 1.25;
-/// Weight of the latest observation in the smoothed load.
+/// Weight of the latest observation in the exponentially smoothed load of a slot.
 const SMOOTHING: f64 = 0.2;
-/// Maximum number of balance moves per minute.
+/// Maximum number of moves per minute that the planner makes only for balance.
 const MOVES_PER_MINUTE: usize = 64;
-/// Time from the loss of a server until its keys are served again, as measured by the
+/// Time in seconds from the loss of a server until its keys are served again, as measured by the
 /// demonstration.
 const LOSS_S: f64 = 2.5;
 
@@ -38,7 +39,7 @@
     unavailable: 4.0,
 };
 
-/// Policy by which slots are placed and moved.
+/// Policy by which slots are placed on servers and moved between them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Policy {
     Planner(&'static str, Weights),
@@ -62,19 +63,23 @@
     pub event: Event,
     /// Name of the policy, as printed in the table.
     pub policy: &'static str,
-    /// Mean over the day of the highest load divided by the mean load.
+    /// Mean over the day of the imbalance, which is the highest load of a server divided by the
+    /// mean load.
     pub imbalance_mean: f64,
-    /// Share of the day with an imbalance over 1.25.
+    /// Share of the minutes of the day in which the highest load was more than 1.25 times the mean
+    /// load.
     pub imbalanced_share: f64,
-    /// Share of all keys moved per hour.
+    /// Share of all keys that the policy moved per hour, on average over the day.
     pub churn_per_h: f64,
-    /// Number of keys moved, divided by the number that had to move; `None` if none had to.
+    /// Number of keys moved, divided by the number of keys whose owner became unavailable and which
+    /// had to move. `None` if no key had to move.
     pub churn_ratio: Option<f64>,
     /// Seconds in which a key could not be served, summed over the day, per 1,000 keys.
     pub unavailable_s: f64,
 }
 
-/// Runs every policy on every scenario, and returns one row of figures for each pair.
+/// Runs every policy on a generated day of every scenario, and returns the figures of each pair of
+/// a policy and a scenario.
 pub fn run() -> Vec<PolicyFigures> {
     let mut figures = Vec::new();
     for event in EVENTS {
@@ -178,8 +183,9 @@
     }
 }
 
-/// Places slots by consistent hashing with bounded loads: each slot goes to the first server in its
-/// hash order that stays within the bound.
+/// Places slots by consistent hashing with bounded loads. Each slot goes to the first server in the
+/// hash order of the slot whose load stays within the bound, or to the first server of the order if
+/// no server has room.
 fn place_bounded(smoothed_loads: &[f64], up: &[u32], owners: &mut [Option<u32>]) {
     let total: f64 = smoothed_loads.iter().sum();
     let most = total / up.len() as f64 * LOAD_BOUND;
--- a/src/bench/process.rs
+++ b/src/bench/process.rs
@@ -2,13 +2,15 @@
 
 use std::fs;
 
-/// Clock ticks per second in the processor times that Linux reports.
+/// Number of clock ticks per second, in which Linux reports processor times.
 const TICKS_PER_S: u64 = 100;
 /// Number of fields of `/proc/self/stat` between the process name and the user time, to be skipped.
 const FIELDS_BEFORE_USER_TIME: usize = 11;
+/// Name of the loopback interface in `/proc/net/dev`.
 const LOOPBACK: &str = "lo:";
 
-/// Returns the processor time that this process has used, in milliseconds of user and system time.
+/// Returns the processor time that this process has used so far, the sum of user and system time,
+/// in milliseconds.
 pub fn cpu_ms() -> u64 {
     let text = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     // The process name in parentheses may contain spaces, so fields are counted after it.
@@ -37,6 +39,7 @@
     let line = text
         .lines()
         .find(|line| line.trim_start().starts_with(LOOPBACK));
+    // Every byte sent over loopback is also received, so the first column counts the sent bytes.
     let received = line.and_then(|line| line.split_whitespace().nth(1));
     received.and_then(|bytes| bytes.parse().ok()).unwrap_or(0)
 }
