--- a/src/bin/ashroad/app.rs
+++ b/src/bin/ashroad/app.rs
@@ -1,5 +1,5 @@
-//! Definition of the command line: subcommands and their flags. The doc comments here are the help
-//! texts that users see.
+//! Definition of the command line: subcommands and their flags. The doc comments in this module are
+//! the help texts that users see.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -200,7 +200,7 @@
     pub key: String,
 }
 
-/// Flags of `audit`.
+/// Flags of `audit`: the host to query and the revision to start after.
 #[derive(Debug, Args)]
 pub struct AuditArgs {
     /// Operators' API of the host to query.
@@ -228,7 +228,7 @@
     Drain(ApiArgs),
 }
 
-/// Flags of `keys`.
+/// Flags of `keys`: the kind of certificate to create and its directory.
 #[derive(Debug, Args)]
 pub struct KeysArgs {
     /// Kind of certificate to create.
@@ -254,7 +254,7 @@
     },
 }
 
-/// Flags of `standin`.
+/// Flags of `standin`: the system to replace and its simulated behaviour.
 #[derive(Debug, Args)]
 pub struct StandinArgs {
     /// System to replace: the platform or a backend server.
@@ -332,7 +332,7 @@
     pub seed: u64,
 }
 
-/// Flags of `bench`.
+/// Flags of `bench`: the measurement to run.
 #[derive(Debug, Args)]
 pub struct BenchArgs {
     /// Measurement to run.
--- a/src/bin/ashroad/check.rs
+++ b/src/bin/ashroad/check.rs
@@ -19,21 +19,22 @@
     output,
 };
 
-/// One problem found in one file, printed as a line or as JSON.
+/// One problem found in one file. The command prints it as a line of text or as JSON.
 #[derive(Debug, Serialize)]
 struct Problem {
     file: PathBuf,
     problem: String,
 }
 
-/// Parsed document of one file, by its kind.
+/// Document that a file contains. Settings are checked while they are read, so that their values
+/// are not kept.
 enum Document {
     Template(Template),
     Workspace(Workspace),
     Settings,
 }
 
-/// Checks files and prints every problem; fails if there is any.
+/// Checks the files and prints every problem. Fails if there is any problem.
 pub fn run(args: &CheckArgs, json: bool) -> Result<()> {
     let mut problems = Vec::new();
     let mut templates = Vec::new();
--- a/src/bin/ashroad/declaration.rs
+++ b/src/bin/ashroad/declaration.rs
@@ -19,7 +19,8 @@
     output,
 };
 
-/// Interval between status queries while waiting for a revision to be in force.
+/// Interval in milliseconds between status queries while the command waits for a revision to be in
+/// force.
 const WAIT_POLL_MS: u64 = 20;
 
 /// Runs `ashroad template`: submits, withdraws, shows or lists templates.
@@ -102,7 +103,8 @@
     finish(&client, &args.change, &accepted, json).await
 }
 
-/// Reads a declaration and checks its size and encoding before it is sent.
+/// Reads a declaration from a file and checks its size and encoding, so that an unusable file is
+/// refused before it is sent.
 fn read(path: &Path) -> Result<String> {
     let bytes = fs::read(path).context(ReadSnafu { path })?;
     let checked = ashroad::configuration::template::check_text(&bytes);
@@ -133,8 +135,9 @@
     Ok(())
 }
 
-/// Waits until the status shows the revision, or a later one, for every registered host; fails
-/// after `wait_ms`. A host whose revision the responding host does not know counts as behind.
+/// Waits until the status shows the revision, or a later one, for every registered host. Fails
+/// after `wait_ms` milliseconds. A host whose revision the responding host does not know counts as
+/// behind.
 async fn wait(client: &OperatorClient, revision: u64, wait_ms: u64) -> Result<()> {
     let deadline_ms = clock::now_ms() + wait_ms;
     while clock::now_ms() < deadline_ms {
@@ -173,7 +176,8 @@
     }
 }
 
-/// Creates a client of the operators' API that the flags select.
+/// Creates a client for the operators' API at the address in the flags, with the token from the
+/// token file if one is given.
 pub fn client(api: &ApiArgs) -> Result<OperatorClient> {
     let token = match &api.token_file {
         Some(path) => {
--- a/src/bin/ashroad/demo.rs
+++ b/src/bin/ashroad/demo.rs
@@ -8,8 +8,8 @@
     output,
 };
 
-/// Runs the demonstration; the last line of output is the summary as JSON. Fails if an invariant
-/// was violated.
+/// Runs the demonstration and prints the summary as JSON in the last line of output. Fails if an
+/// invariant was violated.
 pub async fn run(json: bool) -> Result<()> {
     logging::start(log::LevelFilter::Error);
     let print_step = |text: &str| {
--- a/src/bin/ashroad/entry.rs
+++ b/src/bin/ashroad/entry.rs
@@ -9,8 +9,8 @@
     error::{EntrySnafu, Result, RuntimeSnafu},
 };
 
-/// Runs an entry host on the users' platform until a signal starts its planned stop. The runtime
-/// has a single thread, because a host has one core.
+/// Runs an entry host on the users' platform until a signal starts its planned stop. The async
+/// runtime has a single thread, because a host has one processor core.
 pub fn run(args: &ServeArgs) -> Result<()> {
     let runtime = Builder::new_current_thread()
         .enable_all()
--- a/src/bin/ashroad/error.rs
+++ b/src/bin/ashroad/error.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use snafu::Snafu;
 
-/// Exit code of a failure without an exit code of its own.
+/// Exit code of every failure that has no specific exit code.
 const FAILED: u8 = 1;
 /// Exit code for invalid settings, declarations or files; nothing was changed.
 const BAD_INPUT: u8 = 3;
@@ -35,13 +35,13 @@
         /// Cause, as reported by the operating system.
         source: std::io::Error,
     },
-    /// The settings of a host are invalid.
+    /// The settings of a host cannot be read or are invalid.
     #[snafu(display("{source}"))]
     Settings {
         /// Cause: the file cannot be read, or its values are invalid.
         source: settings::Error,
     },
-    /// Checked files have problems, which were printed.
+    /// The checked files have problems, which were printed before this error.
     #[snafu(display("{count} problems in {files} files"))]
     Problems {
         /// Number of problems in all files.
@@ -70,13 +70,13 @@
         /// Reason why the entry host failed.
         source: entry::Error,
     },
-    /// The host cannot start.
+    /// An entry host cannot start.
     #[snafu(display("{source}"))]
     Host {
         /// Reason why the host cannot start.
         source: host::Error,
     },
-    /// A task of the host ended unexpectedly.
+    /// A task of the entry host panicked.
     #[snafu(display("the host stopped after an internal failure; see its log"))]
     HostFailed,
     /// A stand-in cannot start.
@@ -113,12 +113,12 @@
     NotInForce {
         /// Revision at which the change was committed.
         revision: u64,
-        /// Time waited, in milliseconds.
+        /// Time in milliseconds that the command waited.
         wait_ms: u64,
     },
 }
 
-/// Result of a command; an error determines the exit code.
+/// Result of a command. In case of an error, the error determines the exit code of the process.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
@@ -143,7 +143,8 @@
     }
 }
 
-/// Returns the message in the host's response if it has one, otherwise that of the error.
+/// Returns the message from the response of a host that refused the call. If the response has no
+/// message, or no host responded, returns the text of the error.
 fn call_message(error: &CallError) -> String {
     let CallError::Refused { body, .. } = error else {
         return error.to_string();
--- a/src/bin/ashroad/keys.rs
+++ b/src/bin/ashroad/keys.rs
@@ -8,7 +8,7 @@
     error::{KeysSnafu, Result},
 };
 
-/// Creates a certificate authority or a host certificate.
+/// Creates a certificate authority or a host certificate, as selected on the command line.
 pub fn run(args: &KeysArgs) -> Result<()> {
     match &args.action {
         KeysAction::Ca { directory } => keys::create_ca(directory).context(KeysSnafu),
--- a/src/bin/ashroad/load.rs
+++ b/src/bin/ashroad/load.rs
@@ -5,7 +5,8 @@
 
 use crate::{app::LoadArgs, error::Result, output};
 
-/// Results of the load through entry hosts, and of the same load sent to the servers directly.
+/// Results of the load through entry hosts, and of the same load sent to the servers directly. The
+/// ratios are latencies through the hosts divided by direct latencies.
 #[derive(Debug, Serialize)]
 struct LoadComparison {
     direct: Option<LoadReport>,
--- a/src/bin/ashroad/logs.rs
+++ b/src/bin/ashroad/logs.rs
@@ -7,7 +7,7 @@
 
 use crate::error::{ReadSnafu, Result};
 
-/// Content of a log file with the path as its name.
+/// Content of a log file. Its name is the path of the file.
 #[derive(Debug)]
 pub struct Log {
     name: String,
@@ -15,7 +15,8 @@
 }
 
 impl Log {
-    /// Returns the log in the form that the library reads.
+    /// Returns the name and the text of the log in the form that `explain` and `losses` of the
+    /// library read.
     pub fn source(&self) -> Source<'_> {
         Source {
             name: &self.name,
--- a/src/bin/ashroad/query.rs
+++ b/src/bin/ashroad/query.rs
@@ -59,7 +59,8 @@
     }
 }
 
-/// Runs `ashroad owner`: prints the server that owns a key, and the next one while the key moves.
+/// Runs `ashroad owner`: prints the server that owns a key, and the next owner while the slot of
+/// the key moves.
 pub async fn owner(args: OwnerArgs, json: bool) -> Result<()> {
     let client = client(&args.api)?;
     let owner = client.owner(&args.service, &args.key).await;
--- a/src/bin/ashroad/serve.rs
+++ b/src/bin/ashroad/serve.rs
@@ -13,7 +13,7 @@
     output,
 };
 
-/// Addresses that a host listens on, printed as JSON when it has started.
+/// Addresses that a host listens on. The command prints them as JSON when the host has started.
 #[derive(Debug, Serialize)]
 struct Listening {
     callers: SocketAddr,
--- a/src/bin/ashroad/standin.rs
+++ b/src/bin/ashroad/standin.rs
@@ -12,7 +12,7 @@
     output,
 };
 
-/// Address that a stand-in listens on, printed as JSON when it has started.
+/// Address that a stand-in listens on. The command prints it as JSON when the stand-in has started.
 #[derive(Debug, Serialize)]
 struct Listening {
     listen: SocketAddr,
