--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -39,7 +39,7 @@
 /// Availability zones, to which hosts and servers are assigned in turn.
 const ZONES: [&str; 3] = ["bern-ost", "solothurn", "aarau"];
 /// Timeout in milliseconds within which all slots must get an owner.
-const SETTLE_LIMIT_MS: u64 = 15_000;
+const SETTLE_TIMEOUT_MS: u64 = 15_000;
 /// Timeout in milliseconds of a submission with its retries, and of each call to a stand-in.
 const SUBMIT_LIMIT_MS: u64 = 10_000;
 /// Interval in milliseconds between attempts of a submission, and between checks of a condition.
@@ -175,10 +175,10 @@
         what: &'static str,
         holds: impl Fn(&RunningHost) -> bool,
     ) -> Result<(), Error> {
-        let deadline_ms = clock::now_ms() + SETTLE_LIMIT_MS;
+        let deadline_ms = clock::now_ms() + SETTLE_TIMEOUT_MS;
         while !self.hosts.iter().all(&holds) {
             if clock::now_ms() > deadline_ms {
-                let limit_ms = SETTLE_LIMIT_MS;
+                let limit_ms = SETTLE_TIMEOUT_MS;
                 return Err(Error::Timeout { what, limit_ms });
             }
             time::sleep(Duration::from_millis(POLL_MS)).await;
