--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -41,7 +41,7 @@
 /// Timeout in milliseconds within which all slots must get an owner.
 const SETTLE_TIMEOUT_MS: u64 = 15_000;
 /// Timeout in milliseconds of a submission with its retries, and of each call to a stand-in.
-const SUBMIT_LIMIT_MS: u64 = 10_000;
+const SUBMIT_TIMEOUT_MS: u64 = 10_000;
 /// Interval in milliseconds between attempts of a submission, and between checks of a condition.
 const POLL_MS: u64 = 50;
 /// Index of the server that freezes and is lost.
@@ -213,7 +213,7 @@
             actor: Some("demo".to_owned()),
             dry_run: false,
         };
-        let deadline_ms = clock::now_ms() + SUBMIT_LIMIT_MS;
+        let deadline_ms = clock::now_ms() + SUBMIT_TIMEOUT_MS;
         loop {
             let submitted = client.submit(kind, &body).await;
             match submitted {
@@ -265,7 +265,7 @@
             ..Faults::default()
         };
         let address = self.servers[LOST_SERVER].address;
-        let client = JsonClient::new(SUBMIT_LIMIT_MS);
+        let client = JsonClient::new(SUBMIT_TIMEOUT_MS);
         let set: Result<Faults, _> = client.post(address, backend::FAULTS_PATH, &faults).await;
         set.context(CallSnafu)?;
         Ok(())
@@ -299,7 +299,7 @@
 
     /// Returns the number of calls by type that the platform has received.
     pub(crate) async fn platform_counters(&self) -> platform::Counters {
-        let client = JsonClient::new(SUBMIT_LIMIT_MS);
+        let client = JsonClient::new(SUBMIT_TIMEOUT_MS);
         let counters = client.get(self.platform.address, platform::COUNTERS_PATH);
         counters.await.unwrap_or_default()
     }
@@ -307,7 +307,7 @@
     /// Returns the records that the servers keep of their grants and runs. Servers that cannot be
     /// reached are left out.
     pub(crate) async fn records(&self) -> Vec<Record> {
-        let client = JsonClient::new(SUBMIT_LIMIT_MS);
+        let client = JsonClient::new(SUBMIT_TIMEOUT_MS);
         let mut records = Vec::new();
         for server in &self.servers {
             let record = client.get(server.address, backend::RECORD_PATH).await;
