--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -119,7 +119,7 @@
     system.freeze_server().await?;
     wait_until(MOVE_AT_MS).await;
     report_event("the lost server resumes; another server is withdrawn from its workspace");
-    system.thaw_server().await?;
+    system.unfreeze_server().await?;
     system.withdraw_target().await?;
     wait_until(STOP_AT_MS).await;
     report_event("a host makes its planned stop");
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -255,7 +255,7 @@
         self.set_frozen(true).await
     }
 
-    pub(crate) async fn thaw_server(&self) -> Result<(), Error> {
+    pub(crate) async fn unfreeze_server(&self) -> Result<(), Error> {
         self.set_frozen(false).await
     }
 
