--- a/src/bin/ashroad/error.rs
+++ b/src/bin/ashroad/error.rs
@@ -15,7 +15,7 @@
 /// Exit code if a host or the platform cannot be reached.
 const UNREACHABLE: u8 = 5;
 /// Exit code if the demonstration violated an invariant.
-const BROKEN: u8 = 6;
+const INVARIANT_VIOLATED: u8 = 6;
 
 /// Reason why a command failed. It is printed to standard error and determines the exit code.
 #[derive(Debug, Snafu)]
@@ -127,7 +127,7 @@
         ExitCode::from(match self {
             Self::Settings { .. } | Self::Problems { .. } | Self::Declaration { .. } => BAD_INPUT,
             Self::Read { .. } => BAD_INPUT,
-            Self::Broken => BROKEN,
+            Self::Broken => INVARIANT_VIOLATED,
             Self::Call { source } => call_code(source),
             _ => FAILED,
         })
