--- a/src/bin/ashroad/error.rs
+++ b/src/bin/ashroad/error.rs
@@ -9,7 +9,7 @@
 /// Exit code of every failure that has no specific exit code.
 const FAILED: u8 = 1;
 /// Exit code for invalid settings, declarations or files; nothing was changed.
-const BAD_INPUT: u8 = 3;
+const INVALID_INPUT: u8 = 3;
 /// Exit code if another change was applied first; nothing was changed.
 const CHANGE_CONFLICT: u8 = 4;
 /// Exit code if a host or the platform cannot be reached.
@@ -125,8 +125,10 @@
     /// Returns the exit code of the process, by which scripts tell the kinds of failures apart.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
-            Self::Settings { .. } | Self::Problems { .. } | Self::Declaration { .. } => BAD_INPUT,
-            Self::Read { .. } => BAD_INPUT,
+            Self::Settings { .. } | Self::Problems { .. } | Self::Declaration { .. } => {
+                INVALID_INPUT
+            }
+            Self::Read { .. } => INVALID_INPUT,
             Self::Broken => INVARIANT_VIOLATED,
             Self::Call { source } => call_code(source),
             _ => FAILED,
@@ -137,7 +139,7 @@
 fn call_code(error: &CallError) -> u8 {
     match error {
         CallError::Refused { status, .. } if *status == StatusCode::CONFLICT => CHANGE_CONFLICT,
-        CallError::Refused { status, .. } if status.is_client_error() => BAD_INPUT,
+        CallError::Refused { status, .. } if status.is_client_error() => INVALID_INPUT,
         CallError::Connect { .. } | CallError::Timeout { .. } => UNREACHABLE,
         _ => FAILED,
     }
