--- a/src/bin/ashroad/error.rs
+++ b/src/bin/ashroad/error.rs
@@ -130,13 +130,13 @@
             }
             Self::Read { .. } => INVALID_INPUT,
             Self::Broken => INVARIANT_VIOLATED,
-            Self::Call { source } => call_code(source),
+            Self::Call { source } => call_exit_code(source),
             _ => FAILED,
         })
     }
 }
 
-fn call_code(error: &CallError) -> u8 {
+fn call_exit_code(error: &CallError) -> u8 {
     match error {
         CallError::Refused { status, .. } if *status == StatusCode::CONFLICT => CHANGE_CONFLICT,
         CallError::Refused { status, .. } if status.is_client_error() => INVALID_INPUT,
