--- a/src/logging.rs
+++ b/src/logging.rs
@@ -13,7 +13,7 @@
 
 /// Libraries of which only warnings and errors are logged, because their less severe records are of
 /// no use to operators.
-const QUIET_TARGETS: [&str; 5] = ["quinn", "rustls", "hyper", "slog", "dropshot"];
+const WARN_ONLY_TARGETS: [&str; 5] = ["quinn", "rustls", "hyper", "slog", "dropshot"];
 
 /// Logger that writes each record to standard error, as one JSON object on a line of its own.
 #[derive(Debug)]
@@ -51,7 +51,7 @@
 
 impl Log for JsonLogger {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
-        let library = QUIET_TARGETS
+        let library = WARN_ONLY_TARGETS
             .iter()
             .any(|t| metadata.target().starts_with(t));
         let level = if library {
