--- a/src/logging.rs
+++ b/src/logging.rs
@@ -36,9 +36,9 @@
 }
 
 /// Visitor that collects the key-value pairs of a log record into a JSON object.
-struct Fields<'a>(&'a mut Map<String, serde_json::Value>);
+struct FieldVisitor<'a>(&'a mut Map<String, serde_json::Value>);
 
-impl<'kvs> VisitSource<'kvs> for Fields<'_> {
+impl<'kvs> VisitSource<'kvs> for FieldVisitor<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let value = match value.to_u64() {
             Some(number) => json!(number),
@@ -71,7 +71,7 @@
         line.insert("level".to_owned(), json!(record.level().as_str()));
         line.insert("target".to_owned(), json!(record.target()));
         line.insert("message".to_owned(), json!(record.args().to_string()));
-        if let Err(error) = record.key_values().visit(&mut Fields(&mut line)) {
+        if let Err(error) = record.key_values().visit(&mut FieldVisitor(&mut line)) {
             line.insert("fields_lost".to_owned(), json!(error.to_string()));
         }
         let text = serde_json::Value::Object(line).to_string();
