--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -113,8 +113,8 @@
         None => {}
     }
     let response: Option<EchoResponse> = serde_json::from_slice(body).ok();
-    let is_own = response.is_some_and(|response| response.path == path);
-    if status == StatusCode::OK && is_own {
+    let matches_request = response.is_some_and(|response| response.path == path);
+    if status == StatusCode::OK && matches_request {
         return RequestOutcome::Answered;
     }
     RequestOutcome::Wrong
