--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -71,7 +71,7 @@
 /// Runs the load and returns one sample per request. Waits for the responses to all requests.
 pub async fn run(config: LoadConfig) -> Vec<Sample> {
     let caller = Arc::new(Caller::new(config.deadline_ms));
-    let mut chooser = RequestGenerator::new(config.clone());
+    let mut request_generator = RequestGenerator::new(config.clone());
     let mut running = JoinSet::new();
     let mut samples = Vec::new();
     let start_us = clock::unix_us();
@@ -79,7 +79,7 @@
     for number in 0..total {
         let intended_us = start_us + number * 1_000_000 / config.rate_per_s.max(1);
         sleep_until_us(intended_us).await;
-        for planned in chooser.next(intended_us) {
+        for planned in request_generator.next(intended_us) {
             let caller = caller.clone();
             running.spawn(async move { caller.send(planned).await });
         }
