--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -103,10 +103,15 @@
         }
         place(policy, &smoothed_loads, &servers, &mut owners);
         if minute > 0 {
-            let gone = |owner: &&Option<u32>| owner.is_some_and(|o| !servers[o as usize].eligible);
-            let gone = before.iter().filter(gone).count();
-            forced += gone;
-            lost += if event == Event::ZoneLoss { gone } else { 0 };
+            let orphaned =
+                |owner: &&Option<u32>| owner.is_some_and(|o| !servers[o as usize].eligible);
+            let orphaned = before.iter().filter(orphaned).count();
+            forced += orphaned;
+            lost += if event == Event::ZoneLoss {
+                orphaned
+            } else {
+                0
+            };
             moved += before.iter().zip(&owners).filter(|(b, o)| b != o).count();
         }
         let slots = slots(&owners, |slot| day.load(minute, slot));
