--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -91,7 +91,7 @@
 
 fn run_day(day: &Day, event: Event, policy: Policy) -> PolicyFigures {
     let mut owners: Vec<Option<u32>> = vec![None; SLOTS];
-    let (mut moved, mut forced, mut lost) = (0_usize, 0_usize, 0_usize);
+    let (mut moved, mut forced_moves, mut lost) = (0_usize, 0_usize, 0_usize);
     let (mut sum, mut high) = (0.0, 0_usize);
     // Uses the same smoothing as hosts do for their load readings.
     let mut smoothed_loads: Vec<f64> = (0..SLOTS).map(|slot| day.observed(0, slot)).collect();
@@ -106,7 +106,7 @@
             let orphaned =
                 |owner: &&Option<u32>| owner.is_some_and(|o| !servers[o as usize].eligible);
             let orphaned = before.iter().filter(orphaned).count();
-            forced += orphaned;
+            forced_moves += orphaned;
             lost += if event == Event::ZoneLoss {
                 orphaned
             } else {
@@ -127,7 +127,7 @@
         imbalance_mean: sum / MINUTES as f64,
         imbalanced_share: high as f64 / MINUTES as f64,
         churn_per_h: moved as f64 / SLOTS as f64 / hours,
-        churn_ratio: (forced > 0).then(|| moved as f64 / forced as f64),
+        churn_ratio: (forced_moves > 0).then(|| moved as f64 / forced_moves as f64),
         unavailable_s: held / SLOTS as f64 * 1_000.0,
     }
 }
