--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -92,7 +92,7 @@
 fn run_day(day: &Day, event: Event, policy: Policy) -> PolicyFigures {
     let mut owners: Vec<Option<u32>> = vec![None; SLOTS];
     let (mut moved, mut forced_moves, mut lost) = (0_usize, 0_usize, 0_usize);
-    let (mut sum, mut high) = (0.0, 0_usize);
+    let (mut sum, mut imbalanced_minutes) = (0.0, 0_usize);
     // Uses the same smoothing as hosts do for their load readings.
     let mut smoothed_loads: Vec<f64> = (0..SLOTS).map(|slot| day.observed(0, slot)).collect();
     for minute in 0..MINUTES {
@@ -117,7 +117,7 @@
         let slots = slots(&owners, |slot| day.load(minute, slot));
         let value = imbalance(&servers, &slots);
         sum += value;
-        high += usize::from(value > HIGH_IMBALANCE);
+        imbalanced_minutes += usize::from(value > HIGH_IMBALANCE);
     }
     let hours = MINUTES as f64 / 60.0;
     let held = (moved - lost) as f64 * EXPECTED_HOLD_S + lost as f64 * LOSS_S;
@@ -125,7 +125,7 @@
         event,
         policy: policy.name(),
         imbalance_mean: sum / MINUTES as f64,
-        imbalanced_share: high as f64 / MINUTES as f64,
+        imbalanced_share: imbalanced_minutes as f64 / MINUTES as f64,
         churn_per_h: moved as f64 / SLOTS as f64 / hours,
         churn_ratio: (forced_moves > 0).then(|| moved as f64 / forced_moves as f64),
         unavailable_s: held / SLOTS as f64 * 1_000.0,
