--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -193,7 +193,7 @@
 /// no server has room.
 fn place_bounded(smoothed_loads: &[f64], up: &[u32], owners: &mut [Option<u32>]) {
     let total: f64 = smoothed_loads.iter().sum();
-    let most = total / up.len() as f64 * LOAD_BOUND;
+    let load_max = total / up.len() as f64 * LOAD_BOUND;
     let mut loads = vec![0.0; up.len()];
     for (slot, owner) in owners.iter_mut().enumerate() {
         let load = smoothed_loads[slot];
@@ -202,7 +202,7 @@
         let fits = order
             .iter()
             .copied()
-            .find(|index| loads[*index] + load <= most);
+            .find(|index| loads[*index] + load <= load_max);
         let chosen = fits.unwrap_or(order[0]);
         loads[chosen] += load;
         *owner = Some(up[chosen]);
