--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -104,7 +104,7 @@
 
 fn measure_state(slots: u32, servers: u32) -> SizeFigures {
     let before = process::resident_bytes();
-    let state = build(slots, servers);
+    let state = build_state(slots, servers);
     let held = process::resident_bytes().saturating_sub(before);
     let snapshot = Snapshot::encode(&state).map_or(0, |snapshot| snapshot.body.len());
     SizeFigures {
@@ -120,7 +120,7 @@
 }
 
 /// Builds a state whose slots are assigned to the servers in turn.
-fn build(slots: u32, servers: u32) -> State {
+fn build_state(slots: u32, servers: u32) -> State {
     let mut state = State::default();
     let template = format!(
         "template: t\nparameters: [{{ name: targets, type: targets, max: {TARGETS_PER_DOCUMENT} }}]\n\
