--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -56,7 +56,7 @@
 
 fn measure(slots: u32, servers: u32) -> SizeFigures {
     let mut rng = StdRng::seed_from_u64(SEED);
-    let mut servers_in: Vec<PlannerServer> = (0..servers)
+    let mut planner_servers: Vec<PlannerServer> = (0..servers)
         .map(|_| PlannerServer {
             capacity: 4.0,
             eligible: true,
@@ -69,10 +69,10 @@
             moving: false,
         })
         .collect();
-    let place_ms = timed_plan(&servers_in, &mut slots_in);
-    let idle_ms = timed_plan(&servers_in, &mut slots_in);
-    servers_in[0].eligible = false;
-    let loss_ms = timed_plan(&servers_in, &mut slots_in);
+    let place_ms = timed_plan(&planner_servers, &mut slots_in);
+    let idle_ms = timed_plan(&planner_servers, &mut slots_in);
+    planner_servers[0].eligible = false;
+    let loss_ms = timed_plan(&planner_servers, &mut slots_in);
     let state = measure_state(slots, servers);
     SizeFigures {
         slots,
