--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -62,17 +62,17 @@
             eligible: true,
         })
         .collect();
-    let mut slots_in: Vec<PlannerSlot> = (0..slots)
+    let mut planner_slots: Vec<PlannerSlot> = (0..slots)
         .map(|_| PlannerSlot {
             owner: None,
             load: rng.random_range(0.5..1.5),
             moving: false,
         })
         .collect();
-    let place_ms = timed_plan(&planner_servers, &mut slots_in);
-    let idle_ms = timed_plan(&planner_servers, &mut slots_in);
+    let place_ms = timed_plan(&planner_servers, &mut planner_slots);
+    let idle_ms = timed_plan(&planner_servers, &mut planner_slots);
     planner_servers[0].eligible = false;
-    let loss_ms = timed_plan(&planner_servers, &mut slots_in);
+    let loss_ms = timed_plan(&planner_servers, &mut planner_slots);
     let state = measure_state(slots, servers);
     SizeFigures {
         slots,
