--- a/src/bin/ashroad/declaration.rs
+++ b/src/bin/ashroad/declaration.rs
@@ -52,7 +52,7 @@
                 actor: args.change.actor.clone(),
             };
             let accepted = client.withdraw(kind, &body).await.context(CallSnafu)?;
-            finish(&client, &args.change, &accepted, json).await
+            wait_and_print(&client, &args.change, &accepted, json).await
         }
         DeclarationAction::Show { api, name: wanted } => {
             let list = client(&api)?.list(kind).await.context(CallSnafu)?;
@@ -100,7 +100,7 @@
         show(&accepted, "dry run at", json);
         return Ok(());
     }
-    finish(&client, &args.change, &accepted, json).await
+    wait_and_print(&client, &args.change, &accepted, json).await
 }
 
 /// Reads a declaration from a file and checks its size and encoding, so that an unusable file is
@@ -117,7 +117,7 @@
     given.unwrap_or_else(|| OperationId::random().0)
 }
 
-async fn finish(
+async fn wait_and_print(
     client: &OperatorClient,
     change: &ChangeArgs,
     accepted: &Accepted,
