--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -112,11 +112,13 @@
         std::fs::create_dir_all(&directory).context(DirectorySnafu)?;
         keys::create_ca(&directory).context(KeysSnafu)?;
         std::fs::write(directory.join("token"), "demo").context(DirectorySnafu)?;
-        let platform = platform::start(local()).await.context(StandinSnafu)?;
+        let platform = platform::start(loopback_address())
+            .await
+            .context(StandinSnafu)?;
         let mut servers = Vec::new();
         for index in 0..SERVERS {
             let config = backend::Config {
-                listen: local(),
+                listen: loopback_address(),
                 slots: if index < SERVERS / 2 { 4 } else { 6 },
                 queue: 64,
                 work_ms: 1,
@@ -328,7 +330,7 @@
     }
 }
 
-fn local() -> SocketAddr {
+fn loopback_address() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
@@ -337,18 +339,18 @@
         name: name.to_owned(),
         availability_zone: zone.to_owned(),
         callers: Callers {
-            listen: local(),
+            listen: loopback_address(),
             connections: 10_000,
             body_bytes: 1024 * 1024,
             drain_ms: 5_000,
             notice_ms: 300,
         },
         operators: Operators {
-            listen: local(),
+            listen: loopback_address(),
             token_file: Some(directory.join("token")),
         },
         peers: Peers {
-            listen: local(),
+            listen: loopback_address(),
             ca_file: directory.join(keys::CA_FILE),
             certificate_file: directory.join(format!("{name}.pem")),
             private_key_file: directory.join(format!("{name}-key.pem")),
