--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -151,7 +151,7 @@
 /// Returns the percentiles of the time for which the keys of the lost server were unavailable: for
 /// each key, the latency of the first request after the loss of the server.
 fn unavailability(samples: &[Sample], disturbances: &Disturbances) -> LatencyReport {
-    let firsts = disturbances.lost_keys.iter().filter_map(|lost| {
+    let first_latencies_us = disturbances.lost_keys.iter().filter_map(|lost| {
         let of_key = samples.iter().filter(|sample| {
             let same = sample.service == lost.service && sample.key == lost.key;
             same && sample.intended_us >= disturbances.lost_us
@@ -159,7 +159,7 @@
         let first = of_key.min_by_key(|sample| sample.intended_us)?;
         Some(first.latency_us)
     });
-    LatencyReport::of(firsts)
+    LatencyReport::of(first_latencies_us)
 }
 
 impl fmt::Display for Summary {
