--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -138,14 +138,14 @@
         let key = sample.idempotency_key.as_deref();
         key.is_none_or(|key| arrivals.get(key) == Some(&1))
     };
-    let concerned = || {
+    let counted_samples = || {
         let samples = samples.iter().filter(single);
         samples.filter(|sample| undisturbed(sample, disturbances))
     };
-    let answered = concerned()
+    let answered = counted_samples()
         .filter(|s| s.outcome == RequestOutcome::Answered)
         .count();
-    answered as f64 / concerned().count().max(1) as f64
+    answered as f64 / counted_samples().count().max(1) as f64
 }
 
 /// Returns the percentiles of the time for which the keys of the lost server were unavailable: for
