--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -51,9 +51,9 @@
         "{RATE_PER_S} requests/s for {} s, mixed",
         RUN_MS / 1_000
     ));
-    let loading = tokio::spawn(load::run(mixed_load(&system)));
+    let load_task = tokio::spawn(load::run(mixed_load(&system)));
     let disturbances = inject_disturbances(&mut system, &report_event).await?;
-    let samples = loading.await.unwrap_or_default();
+    let samples = load_task.await.unwrap_or_default();
     // A server updates its record shortly after it has sent the response, so the records are read
     // after a pause.
     time::sleep(Duration::from_millis(300)).await;
