--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -158,7 +158,7 @@
     let status = |(key, entry): (HostKey, &state::HostEntry)| {
         let heard = host.view.peer_revision(key);
         let is_own = Some(key) == own;
-        let own_age = host.view.applied_age_ms(state.revision);
+        let own_age_ms = host.view.applied_age_ms(state.revision);
         let since = heard.map(|heard| now_ms.saturating_sub(heard.since_ms));
         let last = heard.map(|heard| now_ms.saturating_sub(heard.heard_ms));
         HostStatus {
@@ -170,7 +170,7 @@
             } else {
                 heard.map(|heard| heard.revision.0)
             },
-            since_ms: if is_own { own_age } else { since },
+            since_ms: if is_own { own_age_ms } else { since },
             heard_ms: if is_own { Some(0) } else { last },
         }
     };
