--- a/src/configuration/template.rs
+++ b/src/configuration/template.rs
@@ -232,10 +232,10 @@
         self.check_weights(&mut problems);
         self.check_parameters(&mut problems);
         for (index, service) in self.services.iter().enumerate() {
-            let again = self.services[..index]
+            let is_duplicate = self.services[..index]
                 .iter()
                 .any(|s| s.name == service.name);
-            if again {
+            if is_duplicate {
                 let path = format!("services[{index}].name");
                 problems.push(field(path, service.name.clone(), "a name used once"));
             }
@@ -261,10 +261,10 @@
     fn check_parameters(&self, problems: &mut Vec<Error>) {
         for (index, parameter) in self.parameters.iter().enumerate() {
             let path = format!("parameters[{index}]");
-            let again = self.parameters[..index]
+            let is_duplicate = self.parameters[..index]
                 .iter()
                 .any(|other| other.name == parameter.name);
-            if again {
+            if is_duplicate {
                 problems.push(field(&path, parameter.name.clone(), "a name used once"));
             }
             if parameter.min > parameter.max {
