--- a/src/configuration/template.rs
+++ b/src/configuration/template.rs
@@ -199,9 +199,9 @@
 /// name in the document, for the error message.
 pub fn check_name(path: &str, name: &str) -> Result<()> {
     let fits = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-    let good = !name.is_empty() && name.len() <= NAME_CHARS_MAX && name.chars().all(fits);
+    let is_valid = !name.is_empty() && name.len() <= NAME_CHARS_MAX && name.chars().all(fits);
     ensure!(
-        good,
+        is_valid,
         FieldSnafu {
             path,
             found: format!("{name:?}"),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -200,8 +200,8 @@
     /// Returns a message for each value that is invalid or contradicts another one.
     pub fn problems(&self) -> Vec<String> {
         let mut problems = Vec::new();
-        let mut check = |good: bool, message: &str| {
-            if !good {
+        let mut check = |is_valid: bool, message: &str| {
+            if !is_valid {
                 problems.push(format!("ownership: {message}"));
             }
         };
