--- a/src/id.rs
+++ b/src/id.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-macro_rules! number {
+macro_rules! numeric_id {
     ($(#[$doc:meta])* $name:ident, $inner:ty) => {
         $(#[$doc])*
         #[derive(
@@ -22,47 +22,47 @@
     };
 }
 
-number!(
+numeric_id!(
     /// Position of a change in the change log. The first change has revision 1, and each later
     /// change has the next higher number.
     Revision,
     u64
 );
-number!(
+numeric_id!(
     /// Epoch of a slot, which is the fencing token of its grants. Each grant of the slot to a
     /// server has a higher epoch than the grant before, and a server refuses requests that carry an
     /// outdated epoch.
     Epoch,
     u64
 );
-number!(
+numeric_id!(
     /// Lease epoch of a backend server: a number that rises by one each time the server joins. A
     /// change that refers to an earlier lease epoch of the server is refused.
     LeaseEpoch,
     u64
 );
-number!(
+numeric_id!(
     /// Random number that identifies one run of a process of a host or a backend server. A
     /// restarted process draws a new number.
     Incarnation,
     u64
 );
-number!(
+numeric_id!(
     /// Index of an entry host in the table of hosts in [`crate::state::State`].
     HostKey,
     u32
 );
-number!(
+numeric_id!(
     /// Index of a backend server in the table of servers in [`crate::state::State`].
     ServerKey,
     u32
 );
-number!(
+numeric_id!(
     /// Index of a service of one workspace in the table of services in [`crate::state::State`].
     ServiceKey,
     u32
 );
-number!(
+numeric_id!(
     /// Number of a slot within its service, counted from 0. A slot is the group of keys whose
     /// hashes fall into the same part of the range of hashes. One server owns all keys of a slot at
     /// a time, and a slot moves as a whole.
