--- a/src/operator/dry_run.rs
+++ b/src/operator/dry_run.rs
@@ -29,7 +29,7 @@
 /// Counts the slots of a service that have no owner, or whose owner is not among the declared
 /// servers of the service.
 fn unplaced_slots(service: &ServiceEntry) -> u64 {
-    let placed = |owner: Option<_>| owner.is_some_and(|owner| service.targets.contains(&owner));
+    let is_placed = |owner: Option<_>| owner.is_some_and(|owner| service.targets.contains(&owner));
     let slots = service.slots.iter();
-    slots.filter(|slot| !placed(slot.owner)).count() as u64
+    slots.filter(|slot| !is_placed(slot.owner)).count() as u64
 }
