--- a/src/entry/forward/head.rs
+++ b/src/entry/forward/head.rs
@@ -6,7 +6,7 @@
 use crate::{
     entry::decide::retry_after::Refused,
     platform::headers,
-    transport::{ResponseBody, whole},
+    transport::{ResponseBody, buffered},
 };
 
 /// Hop-by-hop headers, and others that concern one connection only; never forwarded.
@@ -63,7 +63,7 @@
 
 /// Returns a response that the host itself makes, with the message as `text/plain` body.
 pub fn plain_text(status: StatusCode, message: &str) -> Response<ResponseBody> {
-    whole(
+    buffered(
         status,
         "text/plain",
         Bytes::copy_from_slice(message.as_bytes()),
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -150,7 +150,7 @@
             Some(body) => (StatusCode::OK, body),
             None => (self.refusal_status(&path), Bytes::new()),
         };
-        let mut response = transport::whole(status, SEALED_TYPE, body);
+        let mut response = transport::buffered(status, SEALED_TYPE, body);
         // Closes the connection, so that waiting connections are accepted.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -183,7 +183,7 @@
 async fn serve_metrics(entry: Arc<Entry>, listener: TcpListener, stop: stop::Receiver<bool>) {
     let handler = move |_: Request<Incoming>| {
         let text = metrics_text(&entry);
-        async move { transport::whole(StatusCode::OK, METRICS_CONTENT_TYPE, text.into()) }
+        async move { transport::buffered(StatusCode::OK, METRICS_CONTENT_TYPE, text.into()) }
     };
     transport::serve(listener, ListenerLimits::default(), stop, handler).await;
 }
@@ -220,7 +220,7 @@
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     };
-    transport::whole(status, "text/plain", Bytes::new())
+    transport::buffered(status, "text/plain", Bytes::new())
 }
 
 async fn sweep_connections(entry: Arc<Entry>) {
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -108,7 +108,7 @@
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     };
-    transport::whole(status, "text/plain", Bytes::new())
+    transport::buffered(status, "text/plain", Bytes::new())
 }
 
 fn count_failure(host: &Host, failure: Failure) {
@@ -305,7 +305,7 @@
     let body = STANDARD.decode(&answer.body_base64);
     let body = body.map_err(|_| unsettled)?;
     let status = StatusCode::from_u16(answer.status).map_err(|_| unsettled)?;
-    let mut response = transport::whole(status, "application/octet-stream", body.into());
+    let mut response = transport::buffered(status, "application/octet-stream", body.into());
     let content_type = answer.content_type.as_deref();
     if let Some(Ok(value)) = content_type.map(HeaderValue::from_str) {
         response.headers_mut().insert(header::CONTENT_TYPE, value);
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -124,7 +124,8 @@
 }
 
 fn not_run(status: StatusCode, reason: &'static str) -> Response<ResponseBody> {
-    let mut answer = transport::whole(status, "text/plain", Bytes::from_static(reason.as_bytes()));
+    let mut answer =
+        transport::buffered(status, "text/plain", Bytes::from_static(reason.as_bytes()));
     let headers = answer.headers_mut();
     headers.insert(OUTCOME_HEADER, HeaderValue::from_static("not-run"));
     headers.insert(REASON_HEADER, HeaderValue::from_static(reason));
@@ -226,7 +227,7 @@
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         };
-        transport::whole(status, "text/plain", Bytes::new())
+        transport::buffered(status, "text/plain", Bytes::new())
     }
 
     fn load(&self) -> Response<ResponseBody> {
@@ -433,9 +434,9 @@
 
 /// Builds a response that announces its full length but ends in the middle of the body.
 fn truncated(answer: &EchoResponse) -> Response<ResponseBody> {
-    let mut whole = Bytes::from(serde_json::to_vec(answer).unwrap_or_default());
-    let announced = HeaderValue::from(whole.len());
-    let half = whole.split_to(whole.len() / 2);
+    let mut buffered = Bytes::from(serde_json::to_vec(answer).unwrap_or_default());
+    let announced = HeaderValue::from(buffered.len());
+    let half = buffered.split_to(buffered.len() / 2);
     let mut response = Response::new(
         TruncatedBody {
             half: Some(half),
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -169,19 +169,19 @@
         path: &str,
         request: Request<Incoming>,
     ) -> Result<Response<ResponseBody>, Response<ResponseBody>> {
-        let not_found = || transport::whole(StatusCode::NOT_FOUND, "text/plain", Bytes::new());
+        let not_found = || transport::buffered(StatusCode::NOT_FOUND, "text/plain", Bytes::new());
         let name = path.strip_prefix(OBJECT_PATH).ok_or_else(not_found)?;
         if method != Method::PUT {
             let body = self.lock().objects.get(name).cloned();
             let body = body.ok_or_else(not_found)?;
-            return Ok(transport::whole(
+            return Ok(transport::buffered(
                 StatusCode::OK,
                 "application/octet-stream",
                 body,
             ));
         }
         let body = request.into_body().collect().await.map_err(|error| {
-            transport::whole(
+            transport::buffered(
                 StatusCode::BAD_REQUEST,
                 "text/plain",
                 error.to_string().into(),
--- a/src/transport.rs
+++ b/src/transport.rs
@@ -174,7 +174,7 @@
 }
 
 /// Builds a response whose body is complete in memory.
-pub fn whole(
+pub fn buffered(
     status: StatusCode,
     content_type: &'static str,
     body: Bytes,
@@ -189,8 +189,8 @@
 /// Builds a response with a JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<ResponseBody> {
     match serde_json::to_vec(value) {
-        Ok(body) => whole(status, "application/json", body.into()),
-        Err(error) => whole(
+        Ok(body) => buffered(status, "application/json", body.into()),
+        Err(error) => buffered(
             StatusCode::INTERNAL_SERVER_ERROR,
             "text/plain",
             error.to_string().into(),
@@ -203,7 +203,7 @@
     request: Request<Incoming>,
     body_bytes: usize,
 ) -> Result<T, Response<ResponseBody>> {
-    let bad = |message: String| whole(StatusCode::BAD_REQUEST, "text/plain", message.into());
+    let bad = |message: String| buffered(StatusCode::BAD_REQUEST, "text/plain", message.into());
     let body = Limited::new(request.into_body(), body_bytes);
     let body = body
         .collect()
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -648,7 +648,7 @@
         } else {
             Bytes::from(format!("{id} {path} {length}"))
         };
-        let mut response = transport::whole(StatusCode::OK, "text/plain", body);
+        let mut response = transport::buffered(StatusCode::OK, "text/plain", body);
         let headers = response.headers_mut();
         headers.insert("server-signature", HeaderValue::from_static("signed"));
         headers.insert("request-id", HeaderValue::from_str(&id).expect("id"));
