--- a/src/demo/error.rs
+++ b/src/demo/error.rs
@@ -40,11 +40,11 @@
         source: CallError,
     },
     /// A condition that the demonstration waits for did not become true within the timeout.
-    #[snafu(display("timed out after {limit_ms} ms while waiting until {what}"))]
+    #[snafu(display("timed out after {timeout_ms} ms while waiting until {what}"))]
     Timeout {
         /// Condition that did not become true, worded for the user.
         what: &'static str,
         /// Timeout of the wait in milliseconds.
-        limit_ms: u64,
+        timeout_ms: u64,
     },
 }
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -180,8 +180,8 @@
         let deadline_ms = clock::now_ms() + SETTLE_TIMEOUT_MS;
         while !self.hosts.iter().all(&holds) {
             if clock::now_ms() > deadline_ms {
-                let limit_ms = SETTLE_TIMEOUT_MS;
-                return Err(Error::Timeout { what, limit_ms });
+                let timeout_ms = SETTLE_TIMEOUT_MS;
+                return Err(Error::Timeout { what, timeout_ms });
             }
             time::sleep(Duration::from_millis(POLL_MS)).await;
         }
