--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -34,7 +34,7 @@
     pub servers: u32,
     /// Time in milliseconds to place all slots for the first time.
     pub place_ms: f64,
-    /// Time in milliseconds to plan after the loss of one server.
+    /// Time in milliseconds to plan the moves after the loss of one server that owned slots.
     pub loss_ms: f64,
     /// Time in milliseconds to plan when every slot has an owner and no server was lost.
     pub idle_ms: f64,
--- a/src/bin/ashroad/query.rs
+++ b/src/bin/ashroad/query.rs
@@ -101,7 +101,8 @@
     Ok(())
 }
 
-/// Runs `ashroad host`: lists hosts or begins the planned stop of one.
+/// Runs `ashroad host`: lists the hosts, or begins the planned stop of the host whose API is
+/// called.
 pub async fn host(args: HostArgs, json: bool) -> Result<()> {
     match args.action {
         HostAction::List(api) => {
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,5 @@
-//! Monotonic time of this process in milliseconds, and wall time for records that people read.
+//! Monotonic time of this process in milliseconds for leases and deadlines, and wall time for logs,
+//! audit entries and stored records.
 
 use std::{
     sync::LazyLock,
--- a/src/configuration/template.rs
+++ b/src/configuration/template.rs
@@ -13,7 +13,8 @@
 /// Maximum length in characters of the name of a template, service or workspace.
 const NAME_CHARS_MAX: usize = 63;
 
-/// Template as parsed from the YAML document of an operator; [`Template::problems`] checks it.
+/// Template as parsed from the YAML document of an operator. [`Template::problems`] checks the
+/// values in the template.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
@@ -66,7 +67,7 @@
     /// Weight of imbalance: the squared difference between the load per capacity of a server and
     /// the mean, relative to the mean, summed over the servers.
     pub imbalance: f64,
-    /// Weight of moving as many keys as one server owns on average, which makes moves costly.
+    /// Weight of moves of keys. The unit is a move of as many keys as one server owns on average.
     pub churn: f64,
     /// Weight of one second in which the keys of one server cannot be served.
     pub unavailable: f64,
@@ -171,7 +172,7 @@
     Number::Value(5_000)
 }
 
-/// Returns the document as text, or an error if it is too large, empty or not UTF-8.
+/// Returns the document as text. Fails if the document is too large, empty or not UTF-8.
 pub fn check_text(bytes: &[u8]) -> Result<&str> {
     ensure!(
         bytes.len() <= DOCUMENT_BYTES_MAX,
@@ -187,7 +188,8 @@
     Ok(text)
 }
 
-/// Parses a YAML document; fails if its size, encoding or structure is wrong.
+/// Parses a YAML document. Fails if the size, the encoding or the structure of the document is
+/// wrong.
 pub fn read_document<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
     let text = check_text(bytes)?;
     serde_saphyr::from_str(text).map_err(|error| Error::Syntax {
--- a/src/configuration/workspace.rs
+++ b/src/configuration/workspace.rs
@@ -9,7 +9,8 @@
     template::{check_name, read_document},
 };
 
-/// Workspace as parsed from the YAML document of an operator; [`super::expand`] checks its values.
+/// Workspace as parsed from the YAML document of an operator. [`super::expand`] checks the values
+/// of the parameters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
@@ -24,7 +25,8 @@
     pub parameters: BTreeMap<String, Value>,
 }
 
-/// Value that a workspace gives a parameter; it must match the parameter's type and bounds.
+/// Value that a workspace gives to a parameter of its template. The value must match the type and
+/// the bounds of the parameter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Value {
--- a/src/demo/error.rs
+++ b/src/demo/error.rs
@@ -1,4 +1,5 @@
-//! Reasons why the demonstration cannot run to its end. A violated invariant is not among them.
+//! Reasons why the demonstration cannot run to its end. A violated invariant is not an error here,
+//! but a result in the summary.
 
 use snafu::Snafu;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,4 @@
-//! A router for backend servers that own keys exclusively.
-//!
-//! The binary is a thin layer over this library: every subcommand builds a configuration struct
-//! and passes it to one of the modules below.
+//! A request router for backend servers, each of which exclusively owns the keys assigned to it.
 
 pub mod bench;
 pub mod claims;
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -13,7 +13,7 @@
 /// Precision of the recorded latencies, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// One request of a run, with its outcome and latency.
+/// Request of a load run, with its outcome and latency.
 #[derive(Clone, Debug)]
 pub struct Sample {
     /// Address that the request was sent to.
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -9,7 +9,8 @@
 /// First part of all metric names, by which a receiver tells the metrics of ashroad from others.
 const PREFIX: &str = "ashroad";
 
-/// Client that sends metrics to a statsd receiver, or discards them if there is none.
+/// Client that sends metrics to a statsd receiver, or discards the metrics if the settings name no
+/// receiver.
 #[derive(Debug)]
 pub struct Metrics {
     client: StatsdClient,
@@ -17,7 +18,8 @@
 }
 
 impl Metrics {
-    /// Creates a client that sends to `receiver`; without a receiver it discards all metrics.
+    /// Creates a client that sends metrics to `receiver`; `None` makes a client that discards all
+    /// metrics.
     pub fn new(receiver: Option<SocketAddr>) -> std::io::Result<Self> {
         let Some(receiver) = receiver else {
             return Ok(Self {
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -75,7 +75,8 @@
         self.client.post(self.address, "/v1/host/drain", &()).await
     }
 
-    /// Reads the state of the system as the called host sees it, which may lag behind other hosts.
+    /// Reads the state of the system as the called host sees it. The view of the called host may
+    /// lag behind the views of other hosts.
     pub async fn status(&self) -> Result<StatusBody, CallError> {
         self.client.get(self.address, "/v1/status").await
     }
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -103,8 +103,8 @@
     /// [`crate::membership::freshness`]).
     pub fresh: bool,
     /// Age in milliseconds of the basis of the responding host's view. The basis is the latest time
-    /// for which the host knows that it has applied every change that was in force then. `None`
-    /// before the view has a basis.
+    /// for which this host knows that it has applied every change that was in force at that time.
+    /// `None` before the view has a basis.
     pub basis_age_ms: Option<u64>,
     /// True if the responding host believes that it is the leader. Two hosts may believe so for a
     /// short time.
@@ -115,7 +115,7 @@
     /// True if the last change of the registry of hosts is settled: no host acts on an earlier
     /// version.
     pub registry_settled: bool,
-    /// All registered hosts, those that are joining or leaving included.
+    /// All registered hosts, including hosts that are joining or leaving.
     pub hosts: Vec<HostStatus>,
     /// All backend servers that were ever declared.
     pub servers: Vec<ServerStatus>,
@@ -159,12 +159,13 @@
     pub slots: u64,
 }
 
-/// Progress of one service in giving every slot an owner.
+/// Progress of one service: the number of its slots that have an owner, and the number of slots
+/// that are moving.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct ServiceStatus {
     /// Full name of the service, `workspace/service`.
     pub name: String,
-    /// Number of slots of the service, which is fixed when it is declared.
+    /// Number of slots of the service, which is fixed when the service is first declared.
     pub slots: u64,
     /// Number of slots that have an owner and do not move.
     pub settled: u64,
@@ -192,7 +193,7 @@
     pub next: Option<String>,
 }
 
-/// One entry of the audit trail: an accepted change, with its author and time.
+/// Entry of the audit trail: an accepted change, with its author and time.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct AuditEntry {
     /// Position of the change in the change log. The first change has position 1.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -72,12 +72,13 @@
     /// Settings of the log that the process writes to standard error.
     #[serde(default)]
     pub log: LogSettings,
-    /// Settings of the export of metrics by statsd; without them no metrics are exported.
+    /// Settings of the export of metrics by statsd. Without these settings no metrics are exported.
     #[serde(default)]
     pub metrics: MetricsSettings,
 }
 
-/// Listener for callers' requests, with its limits and the times of a planned stop.
+/// Settings of the listener for requests of callers: its address, its limits and the times of a
+/// planned stop.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Callers {
@@ -197,7 +198,7 @@
         self.freshness_ms + self.lease_ttl_ms + self.margin_ms
     }
 
-    /// Returns a message for each value that is invalid or contradicts another one.
+    /// Returns a message for each value that is invalid or contradicts another value.
     pub fn problems(&self) -> Vec<String> {
         let mut problems = Vec::new();
         let mut check = |is_valid: bool, message: &str| {
@@ -254,7 +255,7 @@
     }
 }
 
-/// Settings of the export of metrics by statsd; without them no metrics are exported.
+/// Settings of the export of metrics by statsd. Without these settings no metrics are exported.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MetricsSettings {
@@ -293,7 +294,7 @@
         Ok(settings)
     }
 
-    /// Returns a message for each value that is invalid or contradicts another one.
+    /// Returns a message for each value that is invalid or contradicts another value.
     pub fn problems(&self) -> Vec<String> {
         let mut problems = self.ownership.problems();
         if self.name.is_empty() {
