--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -11,17 +11,18 @@
     },
 };
 
+/// Number of servers of the generated days.
 const SERVERS: usize = 10;
 const SEED: u64 = 5;
-/// Maximum load of a server under bounded loads, relative to the mean.
+/// Maximum load of a server under consistent hashing with bounded loads, relative to the mean load.
 const LOAD_BOUND: f64 = 1.25;
-/// Imbalance above which a minute counts as imbalanced.
+/// Ratio of the highest load to the mean load above which a minute counts as imbalanced.
 const HIGH_IMBALANCE: f64 = 1.25;
-/// Weight of the latest observation in the smoothed load.
+/// Weight of the latest observation in the exponentially smoothed load of a slot.
 const SMOOTHING: f64 = 0.2;
-/// Maximum number of balance moves per minute.
+/// Maximum number of moves per minute that the planner makes only for balance.
 const MOVES_PER_MINUTE: usize = 64;
-/// Time from the loss of a server until its keys are served again, as measured by the
+/// Time in seconds from the loss of a server until its keys are served again, as measured by the
 /// demonstration.
 const LOSS_S: f64 = 2.5;
 
@@ -38,7 +39,7 @@
     unavailable: 4.0,
 };
 
-/// Policy by which slots are placed and moved.
+/// Policy by which slots are placed on servers and moved between them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Policy {
     Planner(&'static str, Weights),
@@ -62,19 +63,23 @@
     pub event: Event,
     /// Name of the policy, as printed in the table.
     pub policy: &'static str,
-    /// Mean over the day of the highest load divided by the mean load.
+    /// Mean over the day of the imbalance, which is the highest load of a server divided by the
+    /// mean load.
     pub imbalance_mean: f64,
-    /// Share of the day with an imbalance over 1.25.
+    /// Share of the minutes of the day in which the highest load was more than 1.25 times the mean
+    /// load.
     pub imbalanced_share: f64,
-    /// Share of all keys moved per hour.
+    /// Share of all keys that the policy moved per hour, on average over the day.
     pub churn_per_h: f64,
-    /// Number of keys moved, divided by the number that had to move; `None` if none had to.
+    /// Number of keys moved, divided by the number of keys whose owner became unavailable and which
+    /// had to move. `None` if no key had to move.
     pub churn_ratio: Option<f64>,
     /// Seconds in which a key could not be served, summed over the day, per 1,000 keys.
     pub unavailable_s: f64,
 }
 
-/// Runs every policy on every scenario, and returns one row of figures for each pair.
+/// Runs every policy on a generated day of every scenario, and returns the figures of each pair of
+/// a policy and a scenario.
 pub fn run() -> Vec<PolicyFigures> {
     let mut figures = Vec::new();
     for event in EVENTS {
@@ -86,8 +91,8 @@
 
 fn run_day(day: &Day, event: Event, policy: Policy) -> PolicyFigures {
     let mut owners: Vec<Option<u32>> = vec![None; SLOTS];
-    let (mut moved, mut forced, mut lost) = (0_usize, 0_usize, 0_usize);
-    let (mut sum, mut high) = (0.0, 0_usize);
+    let (mut moved, mut forced_moves, mut lost) = (0_usize, 0_usize, 0_usize);
+    let (mut sum, mut imbalanced_minutes) = (0.0, 0_usize);
     // Uses the same smoothing as hosts do for their load readings.
     let mut smoothed_loads: Vec<f64> = (0..SLOTS).map(|slot| day.observed(0, slot)).collect();
     for minute in 0..MINUTES {
@@ -98,16 +103,21 @@
         }
         place(policy, &smoothed_loads, &servers, &mut owners);
         if minute > 0 {
-            let gone = |owner: &&Option<u32>| owner.is_some_and(|o| !servers[o as usize].eligible);
-            let gone = before.iter().filter(gone).count();
-            forced += gone;
-            lost += if event == Event::ZoneLoss { gone } else { 0 };
+            let orphaned =
+                |owner: &&Option<u32>| owner.is_some_and(|o| !servers[o as usize].eligible);
+            let orphaned = before.iter().filter(orphaned).count();
+            forced_moves += orphaned;
+            lost += if event == Event::ZoneLoss {
+                orphaned
+            } else {
+                0
+            };
             moved += before.iter().zip(&owners).filter(|(b, o)| b != o).count();
         }
         let slots = slots(&owners, |slot| day.load(minute, slot));
         let value = imbalance(&servers, &slots);
         sum += value;
-        high += usize::from(value > HIGH_IMBALANCE);
+        imbalanced_minutes += usize::from(value > HIGH_IMBALANCE);
     }
     let hours = MINUTES as f64 / 60.0;
     let held = (moved - lost) as f64 * EXPECTED_HOLD_S + lost as f64 * LOSS_S;
@@ -115,9 +125,9 @@
         event,
         policy: policy.name(),
         imbalance_mean: sum / MINUTES as f64,
-        imbalanced_share: high as f64 / MINUTES as f64,
+        imbalanced_share: imbalanced_minutes as f64 / MINUTES as f64,
         churn_per_h: moved as f64 / SLOTS as f64 / hours,
-        churn_ratio: (forced > 0).then(|| moved as f64 / forced as f64),
+        churn_ratio: (forced_moves > 0).then(|| moved as f64 / forced_moves as f64),
         unavailable_s: held / SLOTS as f64 * 1_000.0,
     }
 }
@@ -178,11 +188,12 @@
     }
 }
 
-/// Places slots by consistent hashing with bounded loads: each slot goes to the first server in its
-/// hash order that stays within the bound.
+/// Places slots by consistent hashing with bounded loads. Each slot goes to the first server in the
+/// hash order of the slot whose load stays within the bound, or to the first server of the order if
+/// no server has room.
 fn place_bounded(smoothed_loads: &[f64], up: &[u32], owners: &mut [Option<u32>]) {
     let total: f64 = smoothed_loads.iter().sum();
-    let most = total / up.len() as f64 * LOAD_BOUND;
+    let load_max = total / up.len() as f64 * LOAD_BOUND;
     let mut loads = vec![0.0; up.len()];
     for (slot, owner) in owners.iter_mut().enumerate() {
         let load = smoothed_loads[slot];
@@ -191,7 +202,7 @@
         let fits = order
             .iter()
             .copied()
-            .find(|index| loads[*index] + load <= most);
+            .find(|index| loads[*index] + load <= load_max);
         let chosen = fits.unwrap_or(order[0]);
         loads[chosen] += load;
         *owner = Some(up[chosen]);
--- a/src/bin/ashroad/error.rs
+++ b/src/bin/ashroad/error.rs
@@ -6,16 +6,16 @@
 use http::StatusCode;
 use snafu::Snafu;
 
-/// Exit code of a failure without an exit code of its own.
+/// Exit code of every failure that has no specific exit code.
 const FAILED: u8 = 1;
 /// Exit code for invalid settings, declarations or files; nothing was changed.
-const BAD_INPUT: u8 = 3;
+const INVALID_INPUT: u8 = 3;
 /// Exit code if another change was applied first; nothing was changed.
 const CHANGE_CONFLICT: u8 = 4;
 /// Exit code if a host or the platform cannot be reached.
 const UNREACHABLE: u8 = 5;
 /// Exit code if the demonstration violated an invariant.
-const BROKEN: u8 = 6;
+const INVARIANT_VIOLATED: u8 = 6;
 
 /// Reason why a command failed. It is printed to standard error and determines the exit code.
 #[derive(Debug, Snafu)]
@@ -35,13 +35,13 @@
         /// Cause, as reported by the operating system.
         source: std::io::Error,
     },
-    /// The settings of a host are invalid.
+    /// The settings of a host cannot be read or are invalid.
     #[snafu(display("{source}"))]
     Settings {
         /// Cause: the file cannot be read, or its values are invalid.
         source: settings::Error,
     },
-    /// Checked files have problems, which were printed.
+    /// The checked files have problems, which were printed before this error.
     #[snafu(display("{count} problems in {files} files"))]
     Problems {
         /// Number of problems in all files.
@@ -70,13 +70,13 @@
         /// Reason why the entry host failed.
         source: entry::Error,
     },
-    /// The host cannot start.
+    /// An entry host cannot start.
     #[snafu(display("{source}"))]
     Host {
         /// Reason why the host cannot start.
         source: host::Error,
     },
-    /// A task of the host ended unexpectedly.
+    /// A task of the entry host panicked.
     #[snafu(display("the host stopped after an internal failure; see its log"))]
     HostFailed,
     /// A stand-in cannot start.
@@ -113,37 +113,40 @@
     NotInForce {
         /// Revision at which the change was committed.
         revision: u64,
-        /// Time waited, in milliseconds.
+        /// Time in milliseconds that the command waited.
         wait_ms: u64,
     },
 }
 
-/// Result of a command; an error determines the exit code.
+/// Result of a command. In case of an error, the error determines the exit code of the process.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
     /// Returns the exit code of the process, by which scripts tell the kinds of failures apart.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
-            Self::Settings { .. } | Self::Problems { .. } | Self::Declaration { .. } => BAD_INPUT,
-            Self::Read { .. } => BAD_INPUT,
-            Self::Broken => BROKEN,
-            Self::Call { source } => call_code(source),
+            Self::Settings { .. } | Self::Problems { .. } | Self::Declaration { .. } => {
+                INVALID_INPUT
+            }
+            Self::Read { .. } => INVALID_INPUT,
+            Self::Broken => INVARIANT_VIOLATED,
+            Self::Call { source } => call_exit_code(source),
             _ => FAILED,
         })
     }
 }
 
-fn call_code(error: &CallError) -> u8 {
+fn call_exit_code(error: &CallError) -> u8 {
     match error {
         CallError::Refused { status, .. } if *status == StatusCode::CONFLICT => CHANGE_CONFLICT,
-        CallError::Refused { status, .. } if status.is_client_error() => BAD_INPUT,
+        CallError::Refused { status, .. } if status.is_client_error() => INVALID_INPUT,
         CallError::Connect { .. } | CallError::Timeout { .. } => UNREACHABLE,
         _ => FAILED,
     }
 }
 
-/// Returns the message in the host's response if it has one, otherwise that of the error.
+/// Returns the message from the response of a host that refused the call. If the response has no
+/// message, or no host responded, returns the text of the error.
 fn call_message(error: &CallError) -> String {
     let CallError::Refused { body, .. } = error else {
         return error.to_string();
--- a/src/bin/ashroad/query.rs
+++ b/src/bin/ashroad/query.rs
@@ -59,7 +59,8 @@
     }
 }
 
-/// Runs `ashroad owner`: prints the server that owns a key, and the next one while the key moves.
+/// Runs `ashroad owner`: prints the server that owns a key, and the next owner while the slot of
+/// the key moves.
 pub async fn owner(args: OwnerArgs, json: bool) -> Result<()> {
     let client = client(&args.api)?;
     let owner = client.owner(&args.service, &args.key).await;
@@ -100,7 +101,8 @@
     Ok(())
 }
 
-/// Runs `ashroad host`: lists hosts or begins the planned stop of one.
+/// Runs `ashroad host`: lists the hosts, or begins the planned stop of the host whose API is
+/// called.
 pub async fn host(args: HostArgs, json: bool) -> Result<()> {
     match args.action {
         HostAction::List(api) => {
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -34,21 +34,28 @@
     transport::JsonClient,
 };
 
+/// Number of backend servers of the demonstration.
 const SERVERS: usize = 12;
+/// Availability zones, to which hosts and servers are assigned in turn.
 const ZONES: [&str; 3] = ["bern-ost", "solothurn", "aarau"];
-/// Time limit for all slots to get an owner.
-const SETTLE_LIMIT_MS: u64 = 15_000;
-/// Time limit for a submission with its retries, and for each call to a stand-in.
-const SUBMIT_LIMIT_MS: u64 = 10_000;
+/// Timeout in milliseconds within which all slots must get an owner.
+const SETTLE_TIMEOUT_MS: u64 = 15_000;
+/// Timeout in milliseconds of a submission with its retries, and of each call to a stand-in.
+const SUBMIT_TIMEOUT_MS: u64 = 10_000;
+/// Interval in milliseconds between attempts of a submission, and between checks of a condition.
 const POLL_MS: u64 = 50;
+/// Index of the server that freezes and is lost.
 const LOST_SERVER: usize = 0;
+/// Index of the server that is withdrawn from its workspace.
 const LEAVING_SERVER: usize = 1;
+/// Index of the host that makes a planned stop.
 const STOPPED_HOST: usize = 2;
 
 const DRAINAGE_TEMPLATE: &str = include_str!("../../examples/mittelland/template.yaml");
 const RESORT_TEMPLATE: &str = include_str!("../../examples/etna/template.yaml");
 
-/// Service of the demonstration, with the indices of its servers.
+/// Service of the demonstration, with the indices of its servers among all servers of the
+/// demonstration.
 struct Placement {
     workspace: &'static str,
     service: &'static str,
@@ -78,7 +85,8 @@
     }
 }
 
-/// Returns the paths of the services whose key is in the path.
+/// Returns the paths of the services whose key is in the path of the request. The service `beitrag`
+/// is left out, because the load generator sends keys only in paths.
 pub(crate) fn service_paths() -> Vec<String> {
     let by_path = PLACEMENTS.iter().filter(|p| p.service != "beitrag");
     by_path
@@ -86,7 +94,8 @@
         .collect()
 }
 
-/// Platform stand-in, servers and hosts of the demonstration, all running.
+/// Running components of the demonstration: the platform stand-in, the backend servers and the
+/// hosts.
 pub(crate) struct System {
     platform: Running,
     servers: Vec<Running>,
@@ -95,18 +104,21 @@
 }
 
 impl System {
-    /// Starts the platform, the servers and `hosts` hosts.
+    /// Starts the platform stand-in, the backend servers and `hosts` entry hosts, with newly
+    /// created certificates.
     pub(crate) async fn start(hosts: usize) -> Result<Self, Error> {
         let name = format!("ashroad-demo-{}-{hosts}", std::process::id());
         let directory = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&directory).context(DirectorySnafu)?;
         keys::create_ca(&directory).context(KeysSnafu)?;
         std::fs::write(directory.join("token"), "demo").context(DirectorySnafu)?;
-        let platform = platform::start(local()).await.context(StandinSnafu)?;
+        let platform = platform::start(loopback_address())
+            .await
+            .context(StandinSnafu)?;
         let mut servers = Vec::new();
         for index in 0..SERVERS {
             let config = backend::Config {
-                listen: local(),
+                listen: loopback_address(),
                 slots: if index < SERVERS / 2 { 4 } else { 6 },
                 queue: 64,
                 work_ms: 1,
@@ -138,8 +150,8 @@
         self.servers.iter().map(|server| server.address).collect()
     }
 
-    /// Submits templates and workspaces, and waits until every slot has an owner in every host's
-    /// state.
+    /// Submits the templates and workspaces, and waits until every host's state has an owner for
+    /// every slot and no slot moves.
     pub(crate) async fn declare(&self) -> Result<(), Error> {
         self.submit(DeclarationKind::Template, DRAINAGE_TEMPLATE.to_owned())
             .await?;
@@ -165,11 +177,11 @@
         what: &'static str,
         holds: impl Fn(&RunningHost) -> bool,
     ) -> Result<(), Error> {
-        let deadline_ms = clock::now_ms() + SETTLE_LIMIT_MS;
+        let deadline_ms = clock::now_ms() + SETTLE_TIMEOUT_MS;
         while !self.hosts.iter().all(&holds) {
             if clock::now_ms() > deadline_ms {
-                let limit_ms = SETTLE_LIMIT_MS;
-                return Err(Error::Timeout { what, limit_ms });
+                let timeout_ms = SETTLE_TIMEOUT_MS;
+                return Err(Error::Timeout { what, timeout_ms });
             }
             time::sleep(Duration::from_millis(POLL_MS)).await;
         }
@@ -203,7 +215,7 @@
             actor: Some("demo".to_owned()),
             dry_run: false,
         };
-        let deadline_ms = clock::now_ms() + SUBMIT_LIMIT_MS;
+        let deadline_ms = clock::now_ms() + SUBMIT_TIMEOUT_MS;
         loop {
             let submitted = client.submit(kind, &body).await;
             match submitted {
@@ -216,7 +228,8 @@
         }
     }
 
-    /// Returns the keys of the load that are owned by the server that will be lost.
+    /// Returns the keys that the server that will be lost owns, among the keys with numbers from 0
+    /// to `keys` of each service.
     pub(crate) fn keys_of_lost_server(&self, keys: u64) -> Vec<LostKey> {
         let state = self.hosts[0].host.view.state();
         let lost = state.server_key(self.servers[LOST_SERVER].address);
@@ -244,7 +257,7 @@
         self.set_frozen(true).await
     }
 
-    pub(crate) async fn thaw_server(&self) -> Result<(), Error> {
+    pub(crate) async fn unfreeze_server(&self) -> Result<(), Error> {
         self.set_frozen(false).await
     }
 
@@ -254,25 +267,26 @@
             ..Faults::default()
         };
         let address = self.servers[LOST_SERVER].address;
-        let client = JsonClient::new(SUBMIT_LIMIT_MS);
+        let client = JsonClient::new(SUBMIT_TIMEOUT_MS);
         let set: Result<Faults, _> = client.post(address, backend::FAULTS_PATH, &faults).await;
         set.context(CallSnafu)?;
         Ok(())
     }
 
-    /// Submits a workspace again without one of its servers, whose slots then move to others.
+    /// Submits a workspace again without one of its servers. The slots of this server then move to
+    /// the other servers.
     pub(crate) async fn withdraw_target(&self) -> Result<(), Error> {
         let document = self.workspace("mittelland", Some(LEAVING_SERVER));
         self.submit(DeclarationKind::Workspace, document).await
     }
 
-    /// Makes one host carry out a planned stop; returns the host and the time at which the stop
-    /// began.
+    /// Carries out a planned stop of one host. Returns the address of the host and the time at
+    /// which the stop began.
     pub(crate) async fn stop_host(&mut self) -> Stopped {
         let host = self.hosts.remove(STOPPED_HOST);
         let address = host.callers;
-        // From here on the host reports to the load balancer that it is not ready, and it may
-        // refuse a request that arrives later.
+        // From this time on the host reports to the load balancer that it is not ready, and may
+        // refuse requests that arrive.
         let at_us = clock::unix_us();
         host.stop().await;
         Stopped { address, at_us }
@@ -287,14 +301,15 @@
 
     /// Returns the number of calls by type that the platform has received.
     pub(crate) async fn platform_counters(&self) -> platform::Counters {
-        let client = JsonClient::new(SUBMIT_LIMIT_MS);
+        let client = JsonClient::new(SUBMIT_TIMEOUT_MS);
         let counters = client.get(self.platform.address, platform::COUNTERS_PATH);
         counters.await.unwrap_or_default()
     }
 
-    /// Returns the records of all servers that can be reached.
+    /// Returns the records that the servers keep of their grants and runs. Servers that cannot be
+    /// reached are left out.
     pub(crate) async fn records(&self) -> Vec<Record> {
-        let client = JsonClient::new(SUBMIT_LIMIT_MS);
+        let client = JsonClient::new(SUBMIT_TIMEOUT_MS);
         let mut records = Vec::new();
         for server in &self.servers {
             let record = client.get(server.address, backend::RECORD_PATH).await;
@@ -315,7 +330,7 @@
     }
 }
 
-fn local() -> SocketAddr {
+fn loopback_address() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
 }
 
@@ -324,18 +339,18 @@
         name: name.to_owned(),
         availability_zone: zone.to_owned(),
         callers: Callers {
-            listen: local(),
+            listen: loopback_address(),
             connections: 10_000,
             body_bytes: 1024 * 1024,
             drain_ms: 5_000,
             notice_ms: 300,
         },
         operators: Operators {
-            listen: local(),
+            listen: loopback_address(),
             token_file: Some(directory.join("token")),
         },
         peers: Peers {
-            listen: local(),
+            listen: loopback_address(),
             ca_file: directory.join(keys::CA_FILE),
             certificate_file: directory.join(format!("{name}.pem")),
             private_key_file: directory.join(format!("{name}-key.pem")),
