--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -9,7 +9,7 @@
 use super::Host;
 use crate::{
     clock,
-    membership::{freshness::Voter, heartbeat_tree},
+    membership::{freshness::HostProcess, heartbeat_tree},
     peer::message::Datagram,
 };
 
@@ -28,7 +28,7 @@
     /// Sends one ping to each host that this host has to ping in the heartbeat tree.
     fn on_heartbeat(self: &Arc<Self>) {
         let Some(own) = self.key() else { return };
-        self.view.on_heartbeat(Voter {
+        self.view.on_heartbeat(HostProcess {
             host: own,
             incarnation: self.incarnation,
         });
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -12,7 +12,7 @@
     clock,
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
     membership::{
-        freshness::Voter,
+        freshness::HostProcess,
         heartbeat_tree,
         registry::{self, RegistryLimits, Silence, registered, voters},
     },
@@ -177,7 +177,7 @@
     }
 
     /// Queries all hosts and returns those that have applied `revision`, this host included.
-    async fn hosts_with_revision(&self, revision: Revision) -> Vec<Voter> {
+    async fn hosts_with_revision(&self, revision: Revision) -> Vec<HostProcess> {
         let mut calls = JoinSet::new();
         for (host, incarnation, address) in self.other_hosts() {
             let peers = self.peers.clone();
@@ -189,14 +189,14 @@
                 let reply = peers.call(address, &request, HORIZON_TIMEOUT_MS).await;
                 let applied =
                     matches!(reply, Ok(PeerReply::Applied { revision: r }) if r >= revision);
-                applied.then_some(Voter { host, incarnation })
+                applied.then_some(HostProcess { host, incarnation })
             });
         }
-        let own = self.key().map(|host| Voter {
+        let own = self.key().map(|host| HostProcess {
             host,
             incarnation: self.incarnation,
         });
-        let mut applied: Vec<Voter> = own.into_iter().collect();
+        let mut applied: Vec<HostProcess> = own.into_iter().collect();
         while let Some(found) = calls.join_next().await {
             applied.extend(found.ok().flatten());
         }
@@ -228,7 +228,7 @@
             .map(|own| heartbeat_tree::heartbeat_targets(&hosts, own))
             .unwrap_or_default();
         let silence = |host: HostKey, entry: &HostEntry| {
-            let sender = Voter {
+            let sender = HostProcess {
                 host,
                 incarnation: entry.incarnation,
             };
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -9,7 +9,7 @@
 use crate::{
     clock,
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
-    membership::freshness::{HeartbeatReply, Voter},
+    membership::freshness::{HeartbeatReply, HostProcess},
     peer::{
         Inbound,
         message::{Datagram, PeerReply, PeerRequest, encode},
@@ -77,7 +77,7 @@
     /// for which the view is known to be complete).
     fn receive_pong(&self, answer: HeartbeatReply) {
         let Some(host) = self.key() else { return };
-        let own = Voter {
+        let own = HostProcess {
             host,
             incarnation: self.incarnation,
         };
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -16,7 +16,7 @@
     clock,
     id::{HostKey, Incarnation, Revision},
     membership::{
-        freshness::{Freshness, HeartbeatReply, PeerRevision, Voter},
+        freshness::{Freshness, HeartbeatReply, HostProcess, PeerRevision},
         registry::voters,
     },
     state::{self, LogEntry, State},
@@ -36,7 +36,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     /// Time of the last ping received from each host.
-    last_pings: HashMap<Voter, u64>,
+    last_pings: HashMap<HostProcess, u64>,
     recent: VecDeque<Applied>,
     freshness: Freshness,
     /// Revision and time at which a snapshot last replaced the state.
@@ -193,7 +193,7 @@
     }
 
     /// Records the reply of a peer to a heartbeat, which may raise the basis.
-    pub fn record_heartbeat_reply(&self, reply: HeartbeatReply, own: Voter) {
+    pub fn record_heartbeat_reply(&self, reply: HeartbeatReply, own: HostProcess) {
         let mut inner = self.lock();
         let state = self.state.load();
         let voters = voters(&state);
@@ -204,7 +204,7 @@
     }
 
     /// Raises the basis to now if this host is the only voter. Called at each heartbeat.
-    pub fn on_heartbeat(&self, own: Voter) {
+    pub fn on_heartbeat(&self, own: HostProcess) {
         let mut inner = self.lock();
         let voters = voters(&self.state.load());
         inner
@@ -220,17 +220,17 @@
 
     /// Records the current time as that of the last ping received from another host.
     pub fn record_ping(&self, host: HostKey, incarnation: Incarnation) {
-        let sender = Voter { host, incarnation };
+        let sender = HostProcess { host, incarnation };
         self.lock().last_pings.insert(sender, clock::now_ms());
     }
 
     /// Returns the time of the last ping received from a host; `None` if there was none.
-    pub fn last_ping_ms(&self, sender: Voter) -> Option<u64> {
+    pub fn last_ping_ms(&self, sender: HostProcess) -> Option<u64> {
         self.lock().last_pings.get(&sender).copied()
     }
 
     /// Drops the times of pings of all hosts but the registered ones.
-    pub fn forget_unregistered(&self, registered: &[Voter]) {
+    pub fn forget_unregistered(&self, registered: &[HostProcess]) {
         let mut inner = self.lock();
         inner
             .last_pings
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -61,7 +61,7 @@
 /// A host process that counts in majorities. The type also identifies processes of registered hosts
 /// that are not voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Voter {
+pub struct HostProcess {
     /// Key of the host; a restarted host may get the same one.
     pub host: HostKey,
     /// Process of the host; a restarted one is another voter.
@@ -87,8 +87,8 @@
         &mut self,
         reply: HeartbeatReply,
         applied: Revision,
-        own: Voter,
-        voters: &[Voter],
+        own: HostProcess,
+        voters: &[HostProcess],
     ) {
         if reply.revision > applied {
             return;
@@ -103,7 +103,7 @@
     }
 
     /// Raises the basis to `now_ms` if this host is the only voter, and so a majority by itself.
-    pub fn raise_if_only_voter(&mut self, now_ms: u64, own: Voter, voters: &[Voter]) {
+    pub fn raise_if_only_voter(&mut self, now_ms: u64, own: HostProcess, voters: &[HostProcess]) {
         if voters == [own] {
             self.raise_basis(now_ms);
         }
@@ -133,7 +133,7 @@
 
     /// Returns the time of the oldest ping among the latest replies that form a majority with this
     /// host; `None` if too few voters have replied.
-    fn majority_ms(&self, own: Voter, voters: &[Voter]) -> Option<u64> {
+    fn majority_ms(&self, own: HostProcess, voters: &[HostProcess]) -> Option<u64> {
         let needed = voters.len() / 2 + 1;
         let own_counts = voters.contains(&own);
         let needed = needed - usize::from(own_counts);
@@ -141,7 +141,7 @@
             .heard
             .iter()
             .filter(|heard| {
-                let voter = Voter {
+                let voter = HostProcess {
                     host: heard.host,
                     incarnation: heard.incarnation,
                 };
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -4,7 +4,7 @@
 //! *settled*: more than half of the voters have applied it, and no other host acts on an earlier
 //! registry any more. Hence the majorities of any two registries that hosts act on share a host.
 
-use super::{freshness::Voter, heartbeat_tree};
+use super::{freshness::HostProcess, heartbeat_tree};
 use crate::{
     id::{HostKey, Revision},
     state::{Change, HostEntry, HostState, State},
@@ -15,7 +15,7 @@
 const PROMOTION_SILENCE_MS: u64 = 1_000;
 
 /// Returns the voters: the live and leaving hosts, which count in majorities.
-pub fn voters(state: &State) -> Vec<Voter> {
+pub fn voters(state: &State) -> Vec<HostProcess> {
     let is_voter = |(_, host): &(HostKey, &HostEntry)| host.is_voter();
     state
         .registered_hosts()
@@ -25,12 +25,12 @@
 }
 
 /// Returns all registered hosts, the voters and the others.
-pub fn registered(state: &State) -> Vec<Voter> {
+pub fn registered(state: &State) -> Vec<HostProcess> {
     state.registered_hosts().map(voter).collect()
 }
 
-fn voter((host, entry): (HostKey, &HostEntry)) -> Voter {
-    Voter {
+fn voter((host, entry): (HostKey, &HostEntry)) -> HostProcess {
+    HostProcess {
         host,
         incarnation: entry.incarnation,
     }
@@ -59,8 +59,14 @@
     /// Records the hosts that have reported before `now_ms` that they have applied the last change.
     /// Once they are a majority, the settlement is due at once if they are all hosts and none was
     /// removed, and otherwise after `lapse_ms`, when hosts that missed the change cannot act.
-    pub fn record_applied(&mut self, state: &State, applied: &[Voter], now_ms: u64, lapse_ms: u64) {
-        let majority = |voters: &[Voter]| {
+    pub fn record_applied(
+        &mut self,
+        state: &State,
+        applied: &[HostProcess],
+        now_ms: u64,
+        lapse_ms: u64,
+    ) {
+        let majority = |voters: &[HostProcess]| {
             let confirmed = voters.iter().filter(|voter| applied.contains(voter));
             voters.is_empty() || confirmed.count() * 2 > voters.len()
         };
--- a/src/ownership/lapse.rs
+++ b/src/ownership/lapse.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     id::{HostKey, Incarnation},
-    membership::freshness::Voter,
+    membership::freshness::HostProcess,
 };
 
 /// Report of one host on a lost server, with times on the clock of the host that requested it.
@@ -29,11 +29,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RenewingHosts<'a> {
     /// All registered hosts, voters or not.
-    pub registered: &'a [Voter],
+    pub registered: &'a [HostProcess],
     /// Voters of the current registry: the hosts that count in majorities.
-    pub voters: &'a [Voter],
+    pub voters: &'a [HostProcess],
     /// Voters before the last change of the registry; empty once that change is settled.
-    pub previous: &'a [Voter],
+    pub previous: &'a [HostProcess],
     /// Time at which the revision [`crate::state::Registry::majority_since`] was in force at the
     /// latest. A majority counts from this time on; a value that is too late only lengthens the
     /// wait.
@@ -77,7 +77,7 @@
 }
 
 /// Returns the time at which more than half of `voters` had applied the loss of the server.
-fn majority_ms(voters: &[Voter], reports: &[HorizonReport]) -> Option<u64> {
+fn majority_ms(voters: &[HostProcess], reports: &[HorizonReport]) -> Option<u64> {
     let mut applied: Vec<u64> = voters
         .iter()
         .filter_map(|voter| reports.iter().find(|report| is_from(report, voter)))
@@ -91,6 +91,6 @@
     Some(applied[needed - 1])
 }
 
-fn is_from(report: &HorizonReport, voter: &Voter) -> bool {
+fn is_from(report: &HorizonReport, voter: &HostProcess) -> bool {
     report.host == voter.host && report.incarnation == voter.incarnation
 }
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -14,7 +14,7 @@
     id::{
         Epoch, HostKey, Incarnation, LeaseEpoch, OperationId, Revision, ServerKey, ServiceKey, Slot,
     },
-    membership::freshness::Voter,
+    membership::freshness::HostProcess,
 };
 
 /// Template or workspace in force, with its text as the operator submitted it.
@@ -99,7 +99,7 @@
     /// `changed`.
     pub settled: Revision,
     /// Voters from before the last promotion or removal, until that is settled; then empty.
-    pub previous_voters: Vec<Voter>,
+    pub previous_voters: Vec<HostProcess>,
 }
 
 impl Registry {
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -3,7 +3,7 @@
 use ashroad::{
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
     membership::{
-        freshness::{Freshness, HeartbeatReply, Voter},
+        freshness::{Freshness, HeartbeatReply, HostProcess},
         registry::{self, RegistryLimits, SettlementTracker, Silence, registered, voters},
     },
     ownership::{
@@ -96,8 +96,8 @@
         self.state.host_key(self.incarnation)
     }
 
-    fn own(&self) -> Option<Voter> {
-        Some(Voter {
+    fn own(&self) -> Option<HostProcess> {
+        Some(HostProcess {
             host: self.key()?,
             incarnation: self.incarnation,
         })
@@ -534,7 +534,7 @@
                 let cut = |link| self.cut.get(link).is_some_and(|ms| *ms > self.now_ms);
                 !cut(&link) && !cut(&back) && self.hosts[peer].paused_until_ms <= self.now_ms
             };
-            let applied: Vec<Voter> = (0..self.hosts.len())
+            let applied: Vec<HostProcess> = (0..self.hosts.len())
                 .filter(|peer| *peer == index || reach(*peer))
                 .filter(|peer| self.hosts[*peer].state.revision >= latest)
                 .filter_map(|peer| self.hosts[peer].own())
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -3,7 +3,7 @@
 use ashroad::{
     id::{Epoch, HostKey, Incarnation, LeaseEpoch, Revision, Slot},
     membership::{
-        freshness::{Freshness, HeartbeatReply, Voter},
+        freshness::{Freshness, HeartbeatReply, HostProcess},
         registry::{SettlementTracker, voters},
     },
     ownership::{
@@ -17,8 +17,8 @@
 
 const LAPSE_MS: u64 = 2_000;
 
-fn voter(number: u32) -> Voter {
-    Voter {
+fn voter(number: u32) -> HostProcess {
+    HostProcess {
         host: HostKey(number),
         incarnation: Incarnation(number.into()),
     }
@@ -94,8 +94,8 @@
         },
     ];
     for case in cases {
-        let voters: Vec<Voter> = case.voters.iter().copied().map(voter).collect();
-        let previous: Vec<Voter> = case.previous.iter().copied().map(voter).collect();
+        let voters: Vec<HostProcess> = case.voters.iter().copied().map(voter).collect();
+        let previous: Vec<HostProcess> = case.previous.iter().copied().map(voter).collect();
         let reports = case.reports.iter();
         let reports: Vec<HorizonReport> = reports.map(|r| report(r.0, r.1, r.2)).collect();
         let renewing_hosts = RenewingHosts {
@@ -175,7 +175,7 @@
     register(&mut state, 0, 1);
     promote(&mut state, 0);
     register(&mut state, 7, 1);
-    let successor = Voter {
+    let successor = HostProcess {
         host: HostKey(0),
         incarnation: Incarnation(7),
     };
@@ -232,7 +232,7 @@
             revision: Revision(case.revision),
             basis_age_ms: case.basis_age_ms,
         };
-        let voters: Vec<Voter> = (0..case.voters).map(voter).collect();
+        let voters: Vec<HostProcess> = (0..case.voters).map(voter).collect();
         freshness.record_heartbeat_reply(response, Revision(5), voter(0), &voters);
         assert_eq!(freshness.basis_ms(), case.basis_ms, "{}", case.name);
     }
