--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -281,7 +281,9 @@
     /// Returns the number of hosts that are voters.
     pub(crate) fn voter_count(&self) -> usize {
         let state = self.hosts[0].host.view.state();
-        let voters = state.registered_hosts().filter(|(_, host)| host.is_voter());
+        let voters = state
+            .registered_hosts()
+            .filter(|(_, host)| host.is_quorum_member());
         voters.count()
     }
 
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -16,10 +16,10 @@
 
 /// Returns the voters: the live and leaving hosts, which count in majorities.
 pub fn voters(state: &State) -> Vec<HostProcess> {
-    let is_voter = |(_, host): &(HostKey, &HostEntry)| host.is_voter();
+    let is_quorum_member = |(_, host): &(HostKey, &HostEntry)| host.is_quorum_member();
     state
         .registered_hosts()
-        .filter(is_voter)
+        .filter(is_quorum_member)
         .map(voter)
         .collect()
 }
@@ -140,7 +140,7 @@
         };
         let silent_ms = silence.silent_ms.unwrap_or(silence.known_ms);
         // Without a majority the removal of a voter would never be settled.
-        let allowed = majority || !entry.is_voter();
+        let allowed = majority || !entry.is_quorum_member();
         if !is_own && silence.expected && silent_ms > limit_ms && allowed {
             return Some(Change::HostRemoved { host, incarnation });
         }
@@ -154,7 +154,11 @@
     own: Option<HostKey>,
     silence: &impl Fn(HostKey, &HostEntry) -> Silence,
 ) -> bool {
-    let voters = || state.registered_hosts().filter(|(_, host)| host.is_voter());
+    let voters = || {
+        state
+            .registered_hosts()
+            .filter(|(_, host)| host.is_quorum_member())
+    };
     let heard = voters().filter(|(key, entry)| {
         let silent_ms = silence(*key, entry).silent_ms;
         Some(*key) == own || silent_ms.is_some_and(|ms| ms <= PROMOTION_SILENCE_MS)
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -301,7 +301,7 @@
         // replaces it as a voter, because it has applied everything that the earlier one had
         // confirmed.
         if let Some(dead) = self.hosts.iter_mut().find(is_predecessor) {
-            if dead.is_voter() {
+            if dead.is_quorum_member() {
                 entry.state = HostState::Live;
                 self.registry.changed = self.revision;
                 self.registry.removal = self.revision;
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -61,7 +61,7 @@
 
 impl HostEntry {
     /// Returns true if the host is a voter (live or leaving) and so counts in majorities.
-    pub fn is_voter(&self) -> bool {
+    pub fn is_quorum_member(&self) -> bool {
         matches!(self.state, HostState::Live | HostState::Leaving)
     }
 
