--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -66,7 +66,7 @@
         let renewing_hosts = RenewingHosts {
             registered: &registered(&state),
             voters: &voters(&state),
-            previous: &state.registry.previous_voters,
+            previous: &state.registry.previous_quorum_members,
             since_ms: clock::now_ms() - since_age_ms.unwrap_or_default(),
             settled: state.registry.is_settled(),
         };
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -71,7 +71,7 @@
             voters.is_empty() || confirmed.count() * 2 > voters.len()
         };
         let registry = &state.registry;
-        if majority(&voters(state)) && majority(&registry.previous_voters) {
+        if majority(&voters(state)) && majority(&registry.previous_quorum_members) {
             let all = registered(state).iter().all(|host| applied.contains(host));
             // A removed host is not queried, so it may still act on an earlier registry.
             let at_once = all && registry.removal < registry.changed;
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -101,7 +101,7 @@
                 let due = self.registry.changed == *registry && !self.registry.is_settled();
                 ensure!(due, OutdatedSnafu { reason });
                 self.registry.settled = self.revision;
-                self.registry.previous_voters.clear();
+                self.registry.previous_quorum_members.clear();
                 Ok(())
             }
             Change::ServerJoined {
@@ -305,7 +305,7 @@
                 entry.state = HostState::Live;
                 self.registry.changed = self.revision;
                 self.registry.removal = self.revision;
-                let mut previous = self.registry.previous_voters.iter_mut();
+                let mut previous = self.registry.previous_quorum_members.iter_mut();
                 if let Some(seat) = previous.find(|v| v.incarnation == dead.incarnation) {
                     seat.incarnation = entry.incarnation;
                 }
@@ -335,7 +335,7 @@
         self.set_host(key, incarnation, to)?;
         self.registry.changed = self.revision;
         self.registry.voters_changed = self.revision;
-        self.registry.previous_voters = before;
+        self.registry.previous_quorum_members = before;
         Ok(())
     }
 
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -99,7 +99,8 @@
     /// `changed`.
     pub settled: Revision,
     /// Voters from before the last promotion or removal, until that is settled; then empty.
-    pub previous_voters: Vec<HostProcess>,
+    #[serde(rename = "previous_voters")]
+    pub previous_quorum_members: Vec<HostProcess>,
 }
 
 impl Registry {
@@ -112,7 +113,7 @@
     /// (see [`crate::ownership::lapse`]): the change of the voters while that is not settled, and
     /// the last settlement otherwise.
     pub fn majority_since(&self) -> Revision {
-        if self.previous_voters.is_empty() {
+        if self.previous_quorum_members.is_empty() {
             self.settled
         } else {
             self.voters_changed
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -209,7 +209,7 @@
             previous: if broken == BrokenRule::Majority {
                 &[]
             } else {
-                &self.state.registry.previous_voters
+                &self.state.registry.previous_quorum_members
             },
             since_ms: self.applied_at(self.state.registry.majority_since()),
             settled: self.state.registry.is_settled(),
