--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -334,7 +334,7 @@
         let before = voters(self);
         self.set_host(key, incarnation, to)?;
         self.registry.changed = self.revision;
-        self.registry.voters_changed = self.revision;
+        self.registry.quorum_changed = self.revision;
         self.registry.previous_quorum_members = before;
         Ok(())
     }
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -94,7 +94,8 @@
     /// Revision of the last removal of a host or replacement of a voter.
     pub removal: Revision,
     /// Revision of the last promotion or removal.
-    pub voters_changed: Revision,
+    #[serde(rename = "voters_changed")]
+    pub quorum_changed: Revision,
     /// Revision of the last settlement. From then on no host acts on a registry from before
     /// `changed`.
     pub settled: Revision,
@@ -116,7 +117,7 @@
         if self.previous_quorum_members.is_empty() {
             self.settled
         } else {
-            self.voters_changed
+            self.quorum_changed
         }
     }
 }
