--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -86,13 +86,13 @@
                 Ok(())
             }
             Change::HostPromoted { host, incarnation } => {
-                self.change_voters(*host, *incarnation, HostState::Live)
+                self.change_quorum(*host, *incarnation, HostState::Live)
             }
             Change::HostLeaving { host, incarnation } => {
                 self.set_host(*host, *incarnation, HostState::Leaving)
             }
             Change::HostRemoved { host, incarnation } => {
-                self.change_voters(*host, *incarnation, HostState::Removed)?;
+                self.change_quorum(*host, *incarnation, HostState::Removed)?;
                 self.registry.removal = self.revision;
                 Ok(())
             }
@@ -323,7 +323,7 @@
 
     /// Promotes or removes a host, which changes the voters. The last change of the registry must
     /// be settled, so that at most two sets of voters are in use.
-    fn change_voters(
+    fn change_quorum(
         &mut self,
         key: HostKey,
         incarnation: Incarnation,
