--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -209,7 +209,7 @@
         let voters = voters(&self.state.load());
         inner
             .freshness
-            .raise_if_only_voter(clock::now_ms(), own, &voters);
+            .advance_if_only_quorum_member(clock::now_ms(), own, &voters);
         self.store_basis(&inner);
     }
 
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -103,7 +103,12 @@
     }
 
     /// Raises the basis to `now_ms` if this host is the only voter, and so a majority by itself.
-    pub fn raise_if_only_voter(&mut self, now_ms: u64, own: HostProcess, voters: &[HostProcess]) {
+    pub fn advance_if_only_quorum_member(
+        &mut self,
+        now_ms: u64,
+        own: HostProcess,
+        voters: &[HostProcess],
+    ) {
         if voters == [own] {
             self.raise_basis(now_ms);
         }
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -441,7 +441,8 @@
         let clock_ms = host.clock_ms(self.now_ms);
         if let Some(own) = host.own() {
             let voters = voters(&host.state);
-            host.freshness.raise_if_only_voter(clock_ms, own, &voters);
+            host.freshness
+                .advance_if_only_quorum_member(clock_ms, own, &voters);
         }
         let after = host.state.revision;
         if clock_ms >= host.read_ms + READ_MS {
