--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -281,10 +281,10 @@
     /// Returns the number of hosts that are voters.
     pub(crate) fn voter_count(&self) -> usize {
         let state = self.hosts[0].host.view.state();
-        let voters = state
+        let quorum_members = state
             .registered_hosts()
             .filter(|(_, host)| host.is_quorum_member());
-        voters.count()
+        quorum_members.count()
     }
 
     /// Returns the number of calls by type that the platform has received.
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -14,7 +14,7 @@
     membership::{
         freshness::HostProcess,
         heartbeat_tree,
-        registry::{self, RegistryLimits, Silence, registered, voters},
+        registry::{self, RegistryLimits, Silence, quorum_members, registered},
     },
     ownership::lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
     peer::message::{PeerReply, PeerRequest},
@@ -65,7 +65,7 @@
         let since_age_ms = self.view.applied_age_ms(state.registry.majority_since());
         let renewing_hosts = RenewingHosts {
             registered: &registered(&state),
-            voters: &voters(&state),
+            quorum_members: &quorum_members(&state),
             previous: &state.registry.previous_quorum_members,
             since_ms: clock::now_ms() - since_age_ms.unwrap_or_default(),
             settled: state.registry.is_settled(),
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -17,7 +17,7 @@
     id::{HostKey, Incarnation, Revision},
     membership::{
         freshness::{Freshness, HeartbeatReply, HostProcess, PeerRevision},
-        registry::voters,
+        registry::quorum_members,
     },
     state::{self, LogEntry, State},
 };
@@ -196,20 +196,20 @@
     pub fn record_heartbeat_reply(&self, reply: HeartbeatReply, own: HostProcess) {
         let mut inner = self.lock();
         let state = self.state.load();
-        let voters = voters(&state);
+        let quorum_members = quorum_members(&state);
         inner
             .freshness
-            .record_heartbeat_reply(reply, state.revision, own, &voters);
+            .record_heartbeat_reply(reply, state.revision, own, &quorum_members);
         self.store_basis(&inner);
     }
 
     /// Raises the basis to now if this host is the only voter. Called at each heartbeat.
     pub fn on_heartbeat(&self, own: HostProcess) {
         let mut inner = self.lock();
-        let voters = voters(&self.state.load());
+        let quorum_members = quorum_members(&self.state.load());
         inner
             .freshness
-            .advance_if_only_quorum_member(clock::now_ms(), own, &voters);
+            .advance_if_only_quorum_member(clock::now_ms(), own, &quorum_members);
         self.store_basis(&inner);
     }
 
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -81,14 +81,14 @@
         self.raise_basis(sent_ms);
     }
 
-    /// Records the reply of a peer; `applied` is this host's revision, and `voters` are the voters
+    /// Records the reply of a peer; `applied` is this host's revision, and `quorum_members` are the voters
     /// of the state at that revision.
     pub fn record_heartbeat_reply(
         &mut self,
         reply: HeartbeatReply,
         applied: Revision,
         own: HostProcess,
-        voters: &[HostProcess],
+        quorum_members: &[HostProcess],
     ) {
         if reply.revision > applied {
             return;
@@ -97,7 +97,7 @@
         if let Some(age_ms) = reply.basis_age_ms {
             self.raise_basis(reply.sent_ms.saturating_sub(age_ms));
         }
-        if let Some(oldest_ms) = self.majority_ms(own, voters) {
+        if let Some(oldest_ms) = self.majority_ms(own, quorum_members) {
             self.raise_basis(oldest_ms);
         }
     }
@@ -107,9 +107,9 @@
         &mut self,
         now_ms: u64,
         own: HostProcess,
-        voters: &[HostProcess],
+        quorum_members: &[HostProcess],
     ) {
-        if voters == [own] {
+        if quorum_members == [own] {
             self.raise_basis(now_ms);
         }
     }
@@ -138,9 +138,9 @@
 
     /// Returns the time of the oldest ping among the latest replies that form a majority with this
     /// host; `None` if too few voters have replied.
-    fn majority_ms(&self, own: HostProcess, voters: &[HostProcess]) -> Option<u64> {
-        let needed = voters.len() / 2 + 1;
-        let own_counts = voters.contains(&own);
+    fn majority_ms(&self, own: HostProcess, quorum_members: &[HostProcess]) -> Option<u64> {
+        let needed = quorum_members.len() / 2 + 1;
+        let own_counts = quorum_members.contains(&own);
         let needed = needed - usize::from(own_counts);
         let mut ping_times_ms: Vec<u64> = self
             .heard
@@ -150,7 +150,7 @@
                     host: heard.host,
                     incarnation: heard.incarnation,
                 };
-                voter != own && voters.contains(&voter)
+                voter != own && quorum_members.contains(&voter)
             })
             .map(|heard| heard.sent_ms)
             .collect();
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -15,7 +15,7 @@
 const PROMOTION_SILENCE_MS: u64 = 1_000;
 
 /// Returns the voters: the live and leaving hosts, which count in majorities.
-pub fn voters(state: &State) -> Vec<HostProcess> {
+pub fn quorum_members(state: &State) -> Vec<HostProcess> {
     let is_quorum_member = |(_, host): &(HostKey, &HostEntry)| host.is_quorum_member();
     state
         .registered_hosts()
@@ -66,12 +66,14 @@
         now_ms: u64,
         lapse_ms: u64,
     ) {
-        let majority = |voters: &[HostProcess]| {
-            let confirmed = voters.iter().filter(|voter| applied.contains(voter));
-            voters.is_empty() || confirmed.count() * 2 > voters.len()
+        let majority = |quorum_members: &[HostProcess]| {
+            let confirmed = quorum_members
+                .iter()
+                .filter(|voter| applied.contains(voter));
+            quorum_members.is_empty() || confirmed.count() * 2 > quorum_members.len()
         };
         let registry = &state.registry;
-        if majority(&voters(state)) && majority(&registry.previous_quorum_members) {
+        if majority(&quorum_members(state)) && majority(&registry.previous_quorum_members) {
             let all = registered(state).iter().all(|host| applied.contains(host));
             // A removed host is not queried, so it may still act on an earlier registry.
             let at_once = all && registry.removal < registry.changed;
@@ -154,16 +156,16 @@
     own: Option<HostKey>,
     silence: &impl Fn(HostKey, &HostEntry) -> Silence,
 ) -> bool {
-    let voters = || {
+    let quorum_members = || {
         state
             .registered_hosts()
             .filter(|(_, host)| host.is_quorum_member())
     };
-    let heard = voters().filter(|(key, entry)| {
+    let heard = quorum_members().filter(|(key, entry)| {
         let silent_ms = silence(*key, entry).silent_ms;
         Some(*key) == own || silent_ms.is_some_and(|ms| ms <= PROMOTION_SILENCE_MS)
     });
-    heard.count() * 2 > voters().count()
+    heard.count() * 2 > quorum_members().count()
 }
 
 /// Returns true if a later process with the same name is registered.
--- a/src/ownership/lapse.rs
+++ b/src/ownership/lapse.rs
@@ -31,7 +31,7 @@
     /// All registered hosts, voters or not.
     pub registered: &'a [HostProcess],
     /// Voters of the current registry: the hosts that count in majorities.
-    pub voters: &'a [HostProcess],
+    pub quorum_members: &'a [HostProcess],
     /// Voters before the last change of the registry; empty once that change is settled.
     pub previous: &'a [HostProcess],
     /// Time at which the revision [`crate::state::Registry::majority_since`] was in force at the
@@ -53,7 +53,7 @@
     reports: &[HorizonReport],
     lapse_ms: u64,
 ) -> Option<u64> {
-    let majority = majority_ms(renewing_hosts.voters, reports);
+    let majority = majority_ms(renewing_hosts.quorum_members, reports);
     let previous = match renewing_hosts.previous {
         [] => Some(0),
         previous => majority_ms(previous, reports),
@@ -76,14 +76,14 @@
     Some(latest_ms)
 }
 
-/// Returns the time at which more than half of `voters` had applied the loss of the server.
-fn majority_ms(voters: &[HostProcess], reports: &[HorizonReport]) -> Option<u64> {
-    let mut applied: Vec<u64> = voters
+/// Returns the time at which more than half of `quorum_members` had applied the loss of the server.
+fn majority_ms(quorum_members: &[HostProcess], reports: &[HorizonReport]) -> Option<u64> {
+    let mut applied: Vec<u64> = quorum_members
         .iter()
         .filter_map(|voter| reports.iter().find(|report| is_from(report, voter)))
         .map(|report| report.applied_ms)
         .collect();
-    let needed = voters.len() / 2 + 1;
+    let needed = quorum_members.len() / 2 + 1;
     if applied.len() < needed {
         return None;
     }
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -15,7 +15,7 @@
 use crate::{
     configuration::{self, ServiceSpec, Template, Workspace, expand, workspace::Target},
     id::{Epoch, HostKey, Incarnation, LeaseEpoch, OperationId, ServerKey, ServiceKey, Slot},
-    membership::registry::voters,
+    membership::registry::quorum_members,
 };
 
 /// Maximum number of operation identifiers kept to recognise retried changes. A retry of an older
@@ -331,7 +331,7 @@
     ) -> Result<()> {
         let reason = "the registry's last change is not settled";
         ensure!(self.registry.is_settled(), OutdatedSnafu { reason });
-        let before = voters(self);
+        let before = quorum_members(self);
         self.set_host(key, incarnation, to)?;
         self.registry.changed = self.revision;
         self.registry.quorum_changed = self.revision;
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -4,7 +4,7 @@
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
     membership::{
         freshness::{Freshness, HeartbeatReply, HostProcess},
-        registry::{self, RegistryLimits, SettlementTracker, Silence, registered, voters},
+        registry::{self, RegistryLimits, SettlementTracker, Silence, quorum_members, registered},
     },
     ownership::{
         lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
@@ -194,17 +194,17 @@
             .filter(|(s, r, _)| *s == server && *r == lost)
             .map(|(_, _, report)| *report)
             .collect();
-        let (registered, voters) = (registered(&self.state), voters(&self.state));
-        let few = [voters.first().copied()]
+        let (registered, quorum_members) = (registered(&self.state), quorum_members(&self.state));
+        let few = [quorum_members.first().copied()]
             .into_iter()
             .flatten()
             .collect::<Vec<_>>();
         let renewing_hosts = RenewingHosts {
             registered: &registered,
-            voters: if broken == BrokenRule::Majority {
+            quorum_members: if broken == BrokenRule::Majority {
                 &few
             } else {
-                &voters
+                &quorum_members
             },
             previous: if broken == BrokenRule::Majority {
                 &[]
@@ -267,10 +267,10 @@
                 }
             }
             Message::Pong(response) => {
-                let (applied, voters) = (host.state.revision, voters(&host.state));
+                let (applied, quorum_members) = (host.state.revision, quorum_members(&host.state));
                 if let Some(own) = host.own() {
                     host.freshness
-                        .record_heartbeat_reply(response, applied, own, &voters);
+                        .record_heartbeat_reply(response, applied, own, &quorum_members);
                 }
             }
             Message::LogRead { entries, sent_ms } => {
@@ -440,9 +440,9 @@
         let host = &mut self.hosts[index];
         let clock_ms = host.clock_ms(self.now_ms);
         if let Some(own) = host.own() {
-            let voters = voters(&host.state);
+            let quorum_members = quorum_members(&host.state);
             host.freshness
-                .advance_if_only_quorum_member(clock_ms, own, &voters);
+                .advance_if_only_quorum_member(clock_ms, own, &quorum_members);
         }
         let after = host.state.revision;
         if clock_ms >= host.read_ms + READ_MS {
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -4,7 +4,7 @@
     id::{Epoch, HostKey, Incarnation, LeaseEpoch, Revision, Slot},
     membership::{
         freshness::{Freshness, HeartbeatReply, HostProcess},
-        registry::{SettlementTracker, voters},
+        registry::{SettlementTracker, quorum_members},
     },
     ownership::{
         lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
@@ -35,7 +35,7 @@
 
 struct LapseCase {
     name: &'static str,
-    voters: &'static [u32],
+    quorum_members: &'static [u32],
     previous: &'static [u32],
     since_ms: u64,
     settled: bool,
@@ -48,7 +48,7 @@
     let cases = [
         LapseCase {
             name: "all hosts report when their last renewal ends",
-            voters: &[0, 1, 2],
+            quorum_members: &[0, 1, 2],
             previous: &[],
             since_ms: 0,
             settled: true,
@@ -57,7 +57,7 @@
         },
         LapseCase {
             name: "a majority has applied the loss; the other hosts are bounded by their freshness",
-            voters: &[0, 1, 2],
+            quorum_members: &[0, 1, 2],
             previous: &[],
             since_ms: 0,
             settled: true,
@@ -66,7 +66,7 @@
         },
         LapseCase {
             name: "half of the voters are no majority",
-            voters: &[0, 1, 2, 3],
+            quorum_members: &[0, 1, 2, 3],
             previous: &[],
             since_ms: 0,
             settled: true,
@@ -76,7 +76,7 @@
         LapseCase {
             name: "hosts 1 and 2 were promoted after they had applied the loss, while host 0, \
                    alone in the registry before, still acted on it",
-            voters: &[0, 1, 2],
+            quorum_members: &[0, 1, 2],
             previous: &[0, 1],
             since_ms: 8_000,
             settled: false,
@@ -85,7 +85,7 @@
         },
         LapseCase {
             name: "the majority counts only from the change of the registry on",
-            voters: &[0, 1, 2],
+            quorum_members: &[0, 1, 2],
             previous: &[0, 1],
             since_ms: 8_000,
             settled: false,
@@ -94,13 +94,14 @@
         },
     ];
     for case in cases {
-        let voters: Vec<HostProcess> = case.voters.iter().copied().map(voter).collect();
+        let quorum_members: Vec<HostProcess> =
+            case.quorum_members.iter().copied().map(voter).collect();
         let previous: Vec<HostProcess> = case.previous.iter().copied().map(voter).collect();
         let reports = case.reports.iter();
         let reports: Vec<HorizonReport> = reports.map(|r| report(r.0, r.1, r.2)).collect();
         let renewing_hosts = RenewingHosts {
-            registered: &voters,
-            voters: &voters,
+            registered: &quorum_members,
+            quorum_members: &quorum_members,
             previous: &previous,
             since_ms: case.since_ms,
             settled: case.settled,
@@ -179,7 +180,7 @@
         host: HostKey(0),
         incarnation: Incarnation(7),
     };
-    assert_eq!(voters(&state), [successor]);
+    assert_eq!(quorum_members(&state), [successor]);
     let mut watch = SettlementTracker::default();
     assert!(watch.pending(&state));
     watch.record_applied(&state, &[successor], 5_000, LAPSE_MS);
@@ -197,7 +198,7 @@
         name: &'static str,
         revision: u64,
         basis_age_ms: Option<u64>,
-        voters: u32,
+        quorum_members: u32,
         basis_ms: Option<u64>,
     }
     let cases = [
@@ -205,21 +206,21 @@
             name: "a peer's basis counts, less its age",
             revision: 5,
             basis_age_ms: Some(40),
-            voters: 5,
+            quorum_members: 5,
             basis_ms: Some(960),
         },
         Case {
             name: "two of three hosts are a majority",
             revision: 5,
             basis_age_ms: None,
-            voters: 3,
+            quorum_members: 3,
             basis_ms: Some(1_000),
         },
         Case {
             name: "a revision that is not applied yet does not count",
             revision: 6,
             basis_age_ms: Some(0),
-            voters: 3,
+            quorum_members: 3,
             basis_ms: None,
         },
     ];
@@ -232,8 +233,8 @@
             revision: Revision(case.revision),
             basis_age_ms: case.basis_age_ms,
         };
-        let voters: Vec<HostProcess> = (0..case.voters).map(voter).collect();
-        freshness.record_heartbeat_reply(response, Revision(5), voter(0), &voters);
+        let quorum_members: Vec<HostProcess> = (0..case.quorum_members).map(voter).collect();
+        freshness.record_heartbeat_reply(response, Revision(5), voter(0), &quorum_members);
         assert_eq!(freshness.basis_ms(), case.basis_ms, "{}", case.name);
     }
 }
