--- a/src/bench/control.rs
+++ b/src/bench/control.rs
@@ -46,7 +46,7 @@
         SETTLE_MS + SETTLE_MS_PER_HOST * hosts as u64,
     ))
     .await;
-    let counted = system.voter_count();
+    let counted = system.quorum_size();
     let before = CounterSnapshot::take(&system).await;
     time::sleep(Duration::from_millis(MEASURE_MS)).await;
     let after = CounterSnapshot::take(&system).await;
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -279,7 +279,7 @@
     }
 
     /// Returns the number of hosts that are voters.
-    pub(crate) fn voter_count(&self) -> usize {
+    pub(crate) fn quorum_size(&self) -> usize {
         let state = self.hosts[0].host.view.state();
         let quorum_members = state
             .registered_hosts()
