--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -78,7 +78,7 @@
 impl Freshness {
     /// Records that a read of the change log, sent at `sent_ms`, found no further entries.
     pub fn record_log_read(&mut self, sent_ms: u64) {
-        self.raise_basis(sent_ms);
+        self.advance_up_to_date_ms(sent_ms);
     }
 
     /// Records the reply of a peer; `applied` is this host's revision, and `quorum_members` are the voters
@@ -95,10 +95,10 @@
         }
         self.store_reply(reply);
         if let Some(age_ms) = reply.basis_age_ms {
-            self.raise_basis(reply.sent_ms.saturating_sub(age_ms));
+            self.advance_up_to_date_ms(reply.sent_ms.saturating_sub(age_ms));
         }
         if let Some(oldest_ms) = self.majority_ms(own, quorum_members) {
-            self.raise_basis(oldest_ms);
+            self.advance_up_to_date_ms(oldest_ms);
         }
     }
 
@@ -110,7 +110,7 @@
         quorum_members: &[HostProcess],
     ) {
         if quorum_members == [own] {
-            self.raise_basis(now_ms);
+            self.advance_up_to_date_ms(now_ms);
         }
     }
 
@@ -161,7 +161,7 @@
         Some(ping_times_ms[needed - 1])
     }
 
-    fn raise_basis(&mut self, basis_ms: u64) {
+    fn advance_up_to_date_ms(&mut self, basis_ms: u64) {
         self.basis_ms = self.basis_ms.max(Some(basis_ms));
     }
 
