--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -189,7 +189,7 @@
     pub fn record_log_read(&self, sent_ms: u64) {
         let mut inner = self.lock();
         inner.freshness.record_log_read(sent_ms);
-        self.store_basis(&inner);
+        self.store_up_to_date_ms(&inner);
     }
 
     /// Records the reply of a peer to a heartbeat, which may raise the basis.
@@ -200,7 +200,7 @@
         inner
             .freshness
             .record_heartbeat_reply(reply, state.revision, own, &quorum_members);
-        self.store_basis(&inner);
+        self.store_up_to_date_ms(&inner);
     }
 
     /// Raises the basis to now if this host is the only voter. Called at each heartbeat.
@@ -210,10 +210,10 @@
         inner
             .freshness
             .advance_if_only_quorum_member(clock::now_ms(), own, &quorum_members);
-        self.store_basis(&inner);
+        self.store_up_to_date_ms(&inner);
     }
 
-    fn store_basis(&self, inner: &Inner) {
+    fn store_up_to_date_ms(&self, inner: &Inner) {
         let basis_ms = inner.freshness.basis_ms().unwrap_or_default();
         self.basis_ms.fetch_max(basis_ms, Ordering::AcqRel);
     }
