--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -50,7 +50,7 @@
     state: ArcSwap<State>,
     changed: watch::Sender<Revision>,
     inner: Mutex<Inner>,
-    basis_ms: AtomicU64,
+    up_to_date_ms: AtomicU64,
     freshness_ms: u64,
 }
 
@@ -61,7 +61,7 @@
             state: ArcSwap::from_pointee(State::default()),
             changed: watch::channel(Revision::default()).0,
             inner: Mutex::default(),
-            basis_ms: AtomicU64::new(0),
+            up_to_date_ms: AtomicU64::new(0),
             freshness_ms,
         }
     }
@@ -94,13 +94,13 @@
     /// Returns true if the age of the basis is within the freshness limit, so that this host may
     /// act on the state.
     pub fn fresh(&self) -> bool {
-        clock::now_ms() <= self.basis_ms.load(Ordering::Acquire) + self.freshness_ms
+        clock::now_ms() <= self.up_to_date_ms.load(Ordering::Acquire) + self.freshness_ms
     }
 
     /// Returns the time since the basis in milliseconds; `None` while the view has no basis.
     pub fn basis_age_ms(&self) -> Option<u64> {
-        let basis_ms = self.basis_ms.load(Ordering::Acquire);
-        (basis_ms > 0).then(|| clock::now_ms().saturating_sub(basis_ms))
+        let up_to_date_ms = self.up_to_date_ms.load(Ordering::Acquire);
+        (up_to_date_ms > 0).then(|| clock::now_ms().saturating_sub(up_to_date_ms))
     }
 
     /// Applies the entries that follow the current revision. Entries applied before are skipped,
@@ -214,8 +214,9 @@
     }
 
     fn store_up_to_date_ms(&self, inner: &Inner) {
-        let basis_ms = inner.freshness.basis_ms().unwrap_or_default();
-        self.basis_ms.fetch_max(basis_ms, Ordering::AcqRel);
+        let up_to_date_ms = inner.freshness.up_to_date_ms().unwrap_or_default();
+        self.up_to_date_ms
+            .fetch_max(up_to_date_ms, Ordering::AcqRel);
     }
 
     /// Records the current time as that of the last ping received from another host.
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -71,7 +71,7 @@
 /// Basis of one host's view, and the replies to its heartbeats.
 #[derive(Clone, Debug, Default)]
 pub struct Freshness {
-    basis_ms: Option<u64>,
+    up_to_date_ms: Option<u64>,
     heard: Vec<LastReply>,
 }
 
@@ -161,14 +161,14 @@
         Some(ping_times_ms[needed - 1])
     }
 
-    fn advance_up_to_date_ms(&mut self, basis_ms: u64) {
-        self.basis_ms = self.basis_ms.max(Some(basis_ms));
+    fn advance_up_to_date_ms(&mut self, up_to_date_ms: u64) {
+        self.up_to_date_ms = self.up_to_date_ms.max(Some(up_to_date_ms));
     }
 
     /// Returns the basis: the latest time for which the view is known to be complete. `None` until
     /// it is first set.
-    pub fn basis_ms(&self) -> Option<u64> {
-        self.basis_ms
+    pub fn up_to_date_ms(&self) -> Option<u64> {
+        self.up_to_date_ms
     }
 
     /// Returns the time at which the last ping that `host` replied to was sent.
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -108,8 +108,9 @@
     }
 
     fn fresh(&self, clock_ms: u64, broken: BrokenRule) -> bool {
-        let basis_ms = self.freshness.basis_ms();
-        broken == BrokenRule::Freshness || basis_ms.is_some_and(|b| clock_ms <= b + FRESHNESS_MS)
+        let up_to_date_ms = self.freshness.up_to_date_ms();
+        broken == BrokenRule::Freshness
+            || up_to_date_ms.is_some_and(|b| clock_ms <= b + FRESHNESS_MS)
     }
 
     fn apply(&mut self, entries: &[LogEntry], clock_ms: u64) {
@@ -134,13 +135,13 @@
     }
 
     fn pong(&self, sent_ms: u64, clock_ms: u64) -> Option<HeartbeatReply> {
-        let basis_ms = self.freshness.basis_ms();
+        let up_to_date_ms = self.freshness.up_to_date_ms();
         Some(HeartbeatReply {
             host: self.key()?,
             incarnation: self.incarnation,
             sent_ms,
             revision: self.state.revision,
-            basis_age_ms: basis_ms.map(|basis_ms| clock_ms - basis_ms),
+            basis_age_ms: up_to_date_ms.map(|up_to_date_ms| clock_ms - up_to_date_ms),
         })
     }
 
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -199,7 +199,7 @@
         revision: u64,
         basis_age_ms: Option<u64>,
         quorum_members: u32,
-        basis_ms: Option<u64>,
+        up_to_date_ms: Option<u64>,
     }
     let cases = [
         Case {
@@ -207,21 +207,21 @@
             revision: 5,
             basis_age_ms: Some(40),
             quorum_members: 5,
-            basis_ms: Some(960),
+            up_to_date_ms: Some(960),
         },
         Case {
             name: "two of three hosts are a majority",
             revision: 5,
             basis_age_ms: None,
             quorum_members: 3,
-            basis_ms: Some(1_000),
+            up_to_date_ms: Some(1_000),
         },
         Case {
             name: "a revision that is not applied yet does not count",
             revision: 6,
             basis_age_ms: Some(0),
             quorum_members: 3,
-            basis_ms: None,
+            up_to_date_ms: None,
         },
     ];
     for case in cases {
@@ -235,7 +235,12 @@
         };
         let quorum_members: Vec<HostProcess> = (0..case.quorum_members).map(voter).collect();
         freshness.record_heartbeat_reply(response, Revision(5), voter(0), &quorum_members);
-        assert_eq!(freshness.basis_ms(), case.basis_ms, "{}", case.name);
+        assert_eq!(
+            freshness.up_to_date_ms(),
+            case.up_to_date_ms,
+            "{}",
+            case.name
+        );
     }
 }
 
