--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -61,7 +61,7 @@
             incarnation: self.incarnation,
             sent_ms,
             revision: self.view.revision(),
-            basis_age_ms: self.view.basis_age_ms(),
+            staleness_ms: self.view.staleness_ms(),
         })
     }
 }
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -57,7 +57,7 @@
                 incarnation,
                 sent_ms,
                 revision,
-                basis_age_ms,
+                staleness_ms,
             } => {
                 if revision > self.view.revision() {
                     self.spawn_catch_up(connection.remote_address(), revision);
@@ -67,7 +67,7 @@
                     incarnation,
                     sent_ms,
                     revision,
-                    basis_age_ms,
+                    staleness_ms,
                 });
             }
         }
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -45,7 +45,7 @@
                 true => percent_ms(ROOT_READS_AT_PERCENT),
                 false => percent_ms(OTHER_READS_AT_PERCENT),
             };
-            let age_ms = self.view.basis_age_ms().unwrap_or(u64::MAX);
+            let age_ms = self.view.staleness_ms().unwrap_or(u64::MAX);
             if wanted || age_ms >= read_at_ms + spread_ms {
                 self.read_log().await;
             }
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -98,7 +98,7 @@
     }
 
     /// Returns the time since the basis in milliseconds; `None` while the view has no basis.
-    pub fn basis_age_ms(&self) -> Option<u64> {
+    pub fn staleness_ms(&self) -> Option<u64> {
         let up_to_date_ms = self.up_to_date_ms.load(Ordering::Acquire);
         (up_to_date_ms > 0).then(|| clock::now_ms().saturating_sub(up_to_date_ms))
     }
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -55,7 +55,7 @@
     /// Revision that the peer had applied when it replied.
     pub revision: Revision,
     /// Age of the peer's basis when it replied; `None` if it has no basis.
-    pub basis_age_ms: Option<u64>,
+    pub staleness_ms: Option<u64>,
 }
 
 /// A host process that counts in majorities. The type also identifies processes of registered hosts
@@ -94,7 +94,7 @@
             return;
         }
         self.store_reply(reply);
-        if let Some(age_ms) = reply.basis_age_ms {
+        if let Some(age_ms) = reply.staleness_ms {
             self.advance_up_to_date_ms(reply.sent_ms.saturating_sub(age_ms));
         }
         if let Some(oldest_ms) = self.majority_ms(own, quorum_members) {
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -139,7 +139,7 @@
         revision: state.revision.0,
         configuration: state.configuration.0,
         fresh: host.view.fresh(),
-        basis_age_ms: host.view.basis_age_ms(),
+        staleness_ms: host.view.staleness_ms(),
         leading: host.leading(),
         term: host.leader_term(),
         registry_settled: state.registry.is_settled(),
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -102,7 +102,8 @@
     pub fresh: bool,
     /// Age of the view's basis, the latest time for which the host knows that it had applied every
     /// change; `None` before the first one.
-    pub basis_age_ms: Option<u64>,
+    #[serde(rename = "basis_age_ms")]
+    pub staleness_ms: Option<u64>,
     /// True if the host believes that it is the leader.
     pub leading: bool,
     /// Term of the leader row as the host last read it.
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -42,7 +42,8 @@
         /// Revision that the host has applied.
         revision: Revision,
         /// Age of the host's basis (see [`crate::membership::freshness`]); `None` if it has none.
-        basis_age_ms: Option<u64>,
+        #[serde(rename = "basis_age_ms")]
+        staleness_ms: Option<u64>,
     },
 }
 
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -141,7 +141,7 @@
             incarnation: self.incarnation,
             sent_ms,
             revision: self.state.revision,
-            basis_age_ms: up_to_date_ms.map(|up_to_date_ms| clock_ms - up_to_date_ms),
+            staleness_ms: up_to_date_ms.map(|up_to_date_ms| clock_ms - up_to_date_ms),
         })
     }
 
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -197,7 +197,7 @@
     struct Case {
         name: &'static str,
         revision: u64,
-        basis_age_ms: Option<u64>,
+        staleness_ms: Option<u64>,
         quorum_members: u32,
         up_to_date_ms: Option<u64>,
     }
@@ -205,21 +205,21 @@
         Case {
             name: "a peer's basis counts, less its age",
             revision: 5,
-            basis_age_ms: Some(40),
+            staleness_ms: Some(40),
             quorum_members: 5,
             up_to_date_ms: Some(960),
         },
         Case {
             name: "two of three hosts are a majority",
             revision: 5,
-            basis_age_ms: None,
+            staleness_ms: None,
             quorum_members: 3,
             up_to_date_ms: Some(1_000),
         },
         Case {
             name: "a revision that is not applied yet does not count",
             revision: 6,
-            basis_age_ms: Some(0),
+            staleness_ms: Some(0),
             quorum_members: 3,
             up_to_date_ms: None,
         },
@@ -231,7 +231,7 @@
             incarnation: Incarnation(1),
             sent_ms: 1_000,
             revision: Revision(case.revision),
-            basis_age_ms: case.basis_age_ms,
+            staleness_ms: case.staleness_ms,
         };
         let quorum_members: Vec<HostProcess> = (0..case.quorum_members).map(voter).collect();
         freshness.record_heartbeat_reply(response, Revision(5), voter(0), &quorum_members);
