--- a/src/host/planning.rs
+++ b/src/host/planning.rs
@@ -37,11 +37,11 @@
     /// the loads change.
     pub(super) async fn plan_moves(self: &Arc<Self>, controller: &mut Controller) {
         let state = self.view.state();
-        let basis = (state.revision, controller.loads_ms);
-        if controller.planned == Some(basis) {
+        let planned_from = (state.revision, controller.loads_ms);
+        if controller.planned == Some(planned_from) {
             return;
         }
-        controller.planned = Some(basis);
+        controller.planned = Some(planned_from);
         for planned in plans(&state, controller) {
             let moves: Vec<SlotMove> = planned
                 .moves
