--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -16,7 +16,7 @@
     clock,
     id::{HostKey, Incarnation, Revision},
     membership::{
-        freshness::{Freshness, HeartbeatReply, HostProcess, PeerRevision},
+        freshness::{HeartbeatReply, HostProcess, PeerRevision, StalenessTracker},
         registry::quorum_members,
     },
     state::{self, LogEntry, State},
@@ -38,7 +38,7 @@
     /// Time of the last ping received from each host.
     last_pings: HashMap<HostProcess, u64>,
     recent: VecDeque<Applied>,
-    freshness: Freshness,
+    freshness: StalenessTracker,
     /// Revision and time at which a snapshot last replaced the state.
     replaced: Option<(Revision, u64)>,
 }
--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -70,12 +70,12 @@
 
 /// Basis of one host's view, and the replies to its heartbeats.
 #[derive(Clone, Debug, Default)]
-pub struct Freshness {
+pub struct StalenessTracker {
     up_to_date_ms: Option<u64>,
     heard: Vec<LastReply>,
 }
 
-impl Freshness {
+impl StalenessTracker {
     /// Records that a read of the change log, sent at `sent_ms`, found no further entries.
     pub fn record_log_read(&mut self, sent_ms: u64) {
         self.advance_up_to_date_ms(sent_ms);
