--- a/src/membership/freshness.rs
+++ b/src/membership/freshness.rs
@@ -146,11 +146,11 @@
             .heard
             .iter()
             .filter(|heard| {
-                let voter = HostProcess {
+                let host_process = HostProcess {
                     host: heard.host,
                     incarnation: heard.incarnation,
                 };
-                voter != own && quorum_members.contains(&voter)
+                host_process != own && quorum_members.contains(&host_process)
             })
             .map(|heard| heard.sent_ms)
             .collect();
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -20,16 +20,16 @@
     state
         .registered_hosts()
         .filter(is_quorum_member)
-        .map(voter)
+        .map(host_process)
         .collect()
 }
 
 /// Returns all registered hosts, the voters and the others.
 pub fn registered(state: &State) -> Vec<HostProcess> {
-    state.registered_hosts().map(voter).collect()
+    state.registered_hosts().map(host_process).collect()
 }
 
-fn voter((host, entry): (HostKey, &HostEntry)) -> HostProcess {
+fn host_process((host, entry): (HostKey, &HostEntry)) -> HostProcess {
     HostProcess {
         host,
         incarnation: entry.incarnation,
@@ -69,7 +69,7 @@
         let majority = |quorum_members: &[HostProcess]| {
             let confirmed = quorum_members
                 .iter()
-                .filter(|voter| applied.contains(voter));
+                .filter(|host_process| applied.contains(host_process));
             quorum_members.is_empty() || confirmed.count() * 2 > quorum_members.len()
         };
         let registry = &state.registry;
--- a/src/ownership/lapse.rs
+++ b/src/ownership/lapse.rs
@@ -69,8 +69,10 @@
         return None;
     }
     let mut latest_ms = 0;
-    for voter in renewing_hosts.registered {
-        let report = reports.iter().find(|report| is_from(report, voter))?;
+    for host_process in renewing_hosts.registered {
+        let report = reports
+            .iter()
+            .find(|report| is_from(report, host_process))?;
         latest_ms = latest_ms.max(report.horizon_ms);
     }
     Some(latest_ms)
@@ -80,7 +82,7 @@
 fn majority_ms(quorum_members: &[HostProcess], reports: &[HorizonReport]) -> Option<u64> {
     let mut applied: Vec<u64> = quorum_members
         .iter()
-        .filter_map(|voter| reports.iter().find(|report| is_from(report, voter)))
+        .filter_map(|host_process| reports.iter().find(|report| is_from(report, host_process)))
         .map(|report| report.applied_ms)
         .collect();
     let needed = quorum_members.len() / 2 + 1;
@@ -91,6 +93,6 @@
     Some(applied[needed - 1])
 }
 
-fn is_from(report: &HorizonReport, voter: &HostProcess) -> bool {
-    report.host == voter.host && report.incarnation == voter.incarnation
+fn is_from(report: &HorizonReport, host_process: &HostProcess) -> bool {
+    report.host == host_process.host && report.incarnation == host_process.incarnation
 }
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -17,7 +17,7 @@
 
 const LAPSE_MS: u64 = 2_000;
 
-fn voter(number: u32) -> HostProcess {
+fn host_process(number: u32) -> HostProcess {
     HostProcess {
         host: HostKey(number),
         incarnation: Incarnation(number.into()),
@@ -94,9 +94,13 @@
         },
     ];
     for case in cases {
-        let quorum_members: Vec<HostProcess> =
-            case.quorum_members.iter().copied().map(voter).collect();
-        let previous: Vec<HostProcess> = case.previous.iter().copied().map(voter).collect();
+        let quorum_members: Vec<HostProcess> = case
+            .quorum_members
+            .iter()
+            .copied()
+            .map(host_process)
+            .collect();
+        let previous: Vec<HostProcess> = case.previous.iter().copied().map(host_process).collect();
         let reports = case.reports.iter();
         let reports: Vec<HorizonReport> = reports.map(|r| report(r.0, r.1, r.2)).collect();
         let renewing_hosts = RenewingHosts {
@@ -165,7 +169,7 @@
     apply(&mut state, Change::HostRemoved { host, incarnation });
     let mut watch = SettlementTracker::default();
     assert!(watch.pending(&state));
-    watch.record_applied(&state, &[voter(1)], 5_000, LAPSE_MS);
+    watch.record_applied(&state, &[host_process(1)], 5_000, LAPSE_MS);
     let settlement = watch.settlement(&state, 60_000);
     assert!(settlement.is_none(), "host 0 may be fresh by itself");
 }
@@ -233,8 +237,8 @@
             revision: Revision(case.revision),
             staleness_ms: case.staleness_ms,
         };
-        let quorum_members: Vec<HostProcess> = (0..case.quorum_members).map(voter).collect();
-        freshness.record_heartbeat_reply(response, Revision(5), voter(0), &quorum_members);
+        let quorum_members: Vec<HostProcess> = (0..case.quorum_members).map(host_process).collect();
+        freshness.record_heartbeat_reply(response, Revision(5), host_process(0), &quorum_members);
         assert_eq!(
             freshness.up_to_date_ms(),
             case.up_to_date_ms,
