--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -109,7 +109,7 @@
 
     fn fresh(&self, clock_ms: u64, broken: BrokenRule) -> bool {
         let up_to_date_ms = self.freshness.up_to_date_ms();
-        broken == BrokenRule::Freshness
+        broken == BrokenRule::StalenessBound
             || up_to_date_ms.is_some_and(|b| clock_ms <= b + FRESHNESS_MS)
     }
 
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -42,7 +42,7 @@
     /// The lapse of a lease is declared when one host has reported.
     Majority,
     /// Hosts renew leases however old their view is.
-    Freshness,
+    StalenessBound,
     /// The duration of a lease is counted from the arrival of the order.
     ClockBound,
     /// A writer whose response was lost writes the same change again after the current head of the
--- a/tests/ownership_model.rs
+++ b/tests/ownership_model.rs
@@ -108,7 +108,7 @@
         BrokenRule::LeaseEpoch,
         BrokenRule::LapseWait,
         BrokenRule::Majority,
-        BrokenRule::Freshness,
+        BrokenRule::StalenessBound,
         BrokenRule::ClockBound,
         BrokenRule::OperationId,
     ];
