--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -3,7 +3,7 @@
 use ashroad::{
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
     membership::{
-        freshness::{Freshness, HeartbeatReply, HostProcess},
+        freshness::{HeartbeatReply, HostProcess, StalenessTracker},
         registry::{self, RegistryLimits, SettlementTracker, Silence, quorum_members, registered},
     },
     ownership::{
@@ -47,7 +47,7 @@
     index: usize,
     offset_ms: u64,
     drift_ppt: u64,
-    freshness: Freshness,
+    freshness: StalenessTracker,
     renewal_states: Vec<RenewalState>,
     waiting: Vec<Option<u64>>,
     applied_ms: Vec<(Revision, u64)>,
@@ -70,7 +70,7 @@
             index,
             offset_ms: rng.random_range(0..1_000_000),
             drift_ppt: rng.random_range(0..5),
-            freshness: Freshness::default(),
+            freshness: StalenessTracker::default(),
             renewal_states: vec![RenewalState::default(); SERVERS],
             waiting: vec![None; SERVERS],
             applied_ms: Vec::new(),
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -3,7 +3,7 @@
 use ashroad::{
     id::{Epoch, HostKey, Incarnation, LeaseEpoch, Revision, Slot},
     membership::{
-        freshness::{Freshness, HeartbeatReply, HostProcess},
+        freshness::{HeartbeatReply, HostProcess, StalenessTracker},
         registry::{SettlementTracker, quorum_members},
     },
     ownership::{
@@ -229,7 +229,7 @@
         },
     ];
     for case in cases {
-        let mut freshness = Freshness::default();
+        let mut freshness = StalenessTracker::default();
         let response = HeartbeatReply {
             host: HostKey(1),
             incarnation: Incarnation(1),
