--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -9,7 +9,7 @@
 use super::Host;
 use crate::{
     clock,
-    membership::{freshness::HostProcess, heartbeat_tree},
+    membership::{heartbeat_tree, staleness::HostProcess},
     peer::message::Datagram,
 };
 
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -12,9 +12,9 @@
     clock,
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
     membership::{
-        freshness::HostProcess,
         heartbeat_tree,
         registry::{self, RegistryLimits, Silence, quorum_members, registered},
+        staleness::HostProcess,
     },
     ownership::lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
     peer::message::{PeerReply, PeerRequest},
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -9,7 +9,7 @@
 use crate::{
     clock,
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
-    membership::freshness::{HeartbeatReply, HostProcess},
+    membership::staleness::{HeartbeatReply, HostProcess},
     peer::{
         Inbound,
         message::{Datagram, PeerReply, PeerRequest, encode},
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -16,8 +16,8 @@
     clock,
     id::{HostKey, Incarnation, Revision},
     membership::{
-        freshness::{HeartbeatReply, HostProcess, PeerRevision, StalenessTracker},
         registry::quorum_members,
+        staleness::{HeartbeatReply, HostProcess, PeerRevision, StalenessTracker},
     },
     state::{self, LogEntry, State},
 };
@@ -38,13 +38,13 @@
     /// Time of the last ping received from each host.
     last_pings: HashMap<HostProcess, u64>,
     recent: VecDeque<Applied>,
-    freshness: StalenessTracker,
+    staleness: StalenessTracker,
     /// Revision and time at which a snapshot last replaced the state.
     replaced: Option<(Revision, u64)>,
 }
 
 /// The replicated state as one host has applied it. A host may act on it only while it is fresh:
-/// while its basis is no older than the freshness limit (see [`crate::membership::freshness`]).
+/// while its basis is no older than the freshness limit (see [`crate::membership::staleness`]).
 #[derive(Debug)]
 pub struct View {
     state: ArcSwap<State>,
@@ -188,7 +188,7 @@
     /// Records that a read of the change log, sent at `sent_ms`, found no further entries.
     pub fn record_log_read(&self, sent_ms: u64) {
         let mut inner = self.lock();
-        inner.freshness.record_log_read(sent_ms);
+        inner.staleness.record_log_read(sent_ms);
         self.store_up_to_date_ms(&inner);
     }
 
@@ -198,7 +198,7 @@
         let state = self.state.load();
         let quorum_members = quorum_members(&state);
         inner
-            .freshness
+            .staleness
             .record_heartbeat_reply(reply, state.revision, own, &quorum_members);
         self.store_up_to_date_ms(&inner);
     }
@@ -208,13 +208,13 @@
         let mut inner = self.lock();
         let quorum_members = quorum_members(&self.state.load());
         inner
-            .freshness
+            .staleness
             .advance_if_only_quorum_member(clock::now_ms(), own, &quorum_members);
         self.store_up_to_date_ms(&inner);
     }
 
     fn store_up_to_date_ms(&self, inner: &Inner) {
-        let up_to_date_ms = inner.freshness.up_to_date_ms().unwrap_or_default();
+        let up_to_date_ms = inner.staleness.up_to_date_ms().unwrap_or_default();
         self.up_to_date_ms
             .fetch_max(up_to_date_ms, Ordering::AcqRel);
     }
@@ -241,12 +241,12 @@
     /// Returns the revision that `host` last reported in a reply to a heartbeat; `None` if it has
     /// not replied yet.
     pub fn peer_revision(&self, host: HostKey) -> Option<PeerRevision> {
-        self.lock().freshness.peer_revision(host)
+        self.lock().staleness.peer_revision(host)
     }
 
     /// Returns the time at which the last ping that `host` replied to was sent; `None` if it has
     /// not replied yet.
     pub fn heard_ms(&self, host: HostKey) -> Option<u64> {
-        self.lock().freshness.heard_ms(host)
+        self.lock().staleness.heard_ms(host)
     }
 }
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -4,7 +4,7 @@
 //! *settled*: more than half of the voters have applied it, and no other host acts on an earlier
 //! registry any more. Hence the majorities of any two registries that hosts act on share a host.
 
-use super::{freshness::HostProcess, heartbeat_tree};
+use super::{heartbeat_tree, staleness::HostProcess};
 use crate::{
     id::{HostKey, Revision},
     state::{Change, HostEntry, HostState, State},
--- a/src/ownership/lapse.rs
+++ b/src/ownership/lapse.rs
@@ -2,13 +2,13 @@
 //!
 //! A host that has applied the loss never renews the lease again, and it reports how long its
 //! earlier renewals may keep the lease valid. A host that has not applied the loss is bounded by
-//! its freshness: its basis (see [`crate::membership::freshness`]) is older than the moment at
+//! its freshness: its basis (see [`crate::membership::staleness`]) is older than the moment at
 //! which more than half of the voters had applied the loss. Its last renewal therefore ends at most
 //! freshness + TTL after that moment.
 
 use crate::{
     id::{HostKey, Incarnation},
-    membership::freshness::HostProcess,
+    membership::staleness::HostProcess,
 };
 
 /// Report of one host on a lost server, with times on the clock of the host that requested it.
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -41,7 +41,7 @@
         sent_ms: u64,
         /// Revision that the host has applied.
         revision: Revision,
-        /// Age of the host's basis (see [`crate::membership::freshness`]); `None` if it has none.
+        /// Age of the host's basis (see [`crate::membership::staleness`]); `None` if it has none.
         #[serde(rename = "basis_age_ms")]
         staleness_ms: Option<u64>,
     },
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -137,7 +137,7 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Ownership {
-    /// Freshness limit: maximum age of the basis (see [`crate::membership::freshness`]) with which
+    /// Freshness limit: maximum age of the basis (see [`crate::membership::staleness`]) with which
     /// a host may act on its view.
     pub freshness_ms: u64,
     /// Length of a server's lease, counted from the sending of a renewal.
--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -61,7 +61,7 @@
         availability_zone: String,
     },
     /// A host has become a voter: it counts in the majorities of
-    /// [`crate::membership::freshness`].
+    /// [`crate::membership::staleness`].
     HostPromoted {
         /// Registered host that becomes a voter.
         host: HostKey,
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -14,7 +14,7 @@
     id::{
         Epoch, HostKey, Incarnation, LeaseEpoch, OperationId, Revision, ServerKey, ServiceKey, Slot,
     },
-    membership::freshness::HostProcess,
+    membership::staleness::HostProcess,
 };
 
 /// Template or workspace in force, with its text as the operator submitted it.
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -3,8 +3,8 @@
 use ashroad::{
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
     membership::{
-        freshness::{HeartbeatReply, HostProcess, StalenessTracker},
         registry::{self, RegistryLimits, SettlementTracker, Silence, quorum_members, registered},
+        staleness::{HeartbeatReply, HostProcess, StalenessTracker},
     },
     ownership::{
         lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
@@ -47,7 +47,7 @@
     index: usize,
     offset_ms: u64,
     drift_ppt: u64,
-    freshness: StalenessTracker,
+    staleness: StalenessTracker,
     renewal_states: Vec<RenewalState>,
     waiting: Vec<Option<u64>>,
     applied_ms: Vec<(Revision, u64)>,
@@ -70,7 +70,7 @@
             index,
             offset_ms: rng.random_range(0..1_000_000),
             drift_ppt: rng.random_range(0..5),
-            freshness: StalenessTracker::default(),
+            staleness: StalenessTracker::default(),
             renewal_states: vec![RenewalState::default(); SERVERS],
             waiting: vec![None; SERVERS],
             applied_ms: Vec::new(),
@@ -108,7 +108,7 @@
     }
 
     fn fresh(&self, clock_ms: u64, broken: BrokenRule) -> bool {
-        let up_to_date_ms = self.freshness.up_to_date_ms();
+        let up_to_date_ms = self.staleness.up_to_date_ms();
         broken == BrokenRule::StalenessBound
             || up_to_date_ms.is_some_and(|b| clock_ms <= b + FRESHNESS_MS)
     }
@@ -135,7 +135,7 @@
     }
 
     fn pong(&self, sent_ms: u64, clock_ms: u64) -> Option<HeartbeatReply> {
-        let up_to_date_ms = self.freshness.up_to_date_ms();
+        let up_to_date_ms = self.staleness.up_to_date_ms();
         Some(HeartbeatReply {
             host: self.key()?,
             incarnation: self.incarnation,
@@ -225,7 +225,7 @@
             leaving_ms: LAPSE_MS,
         };
         let silence = |host, entry: &ashroad::state::HostEntry| {
-            let heard_ms = self.freshness.heard_ms(host);
+            let heard_ms = self.staleness.heard_ms(host);
             Silence {
                 silent_ms: heard_ms.map(|heard_ms| clock_ms.saturating_sub(heard_ms)),
                 expected: true,
@@ -270,7 +270,7 @@
             Message::Pong(response) => {
                 let (applied, quorum_members) = (host.state.revision, quorum_members(&host.state));
                 if let Some(own) = host.own() {
-                    host.freshness
+                    host.staleness
                         .record_heartbeat_reply(response, applied, own, &quorum_members);
                 }
             }
@@ -278,7 +278,7 @@
                 host.apply(&entries, clock_ms);
                 let end = entries.last().map(|entry| entry.revision);
                 if end.is_none_or(|end| host.state.revision >= end) {
-                    host.freshness.record_log_read(sent_ms);
+                    host.staleness.record_log_read(sent_ms);
                 }
             }
             Message::AppendOutcome(entry) => {
@@ -442,7 +442,7 @@
         let clock_ms = host.clock_ms(self.now_ms);
         if let Some(own) = host.own() {
             let quorum_members = quorum_members(&host.state);
-            host.freshness
+            host.staleness
                 .advance_if_only_quorum_member(clock_ms, own, &quorum_members);
         }
         let after = host.state.revision;
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -11,7 +11,7 @@
 
 use ashroad::{
     id::{HostKey, Incarnation, OperationId, Revision, ServerKey, Slot},
-    membership::freshness::HeartbeatReply,
+    membership::staleness::HeartbeatReply,
     ownership::message::{LeaseRequest, LeaseResponse, SlotGrant},
     standin::grants::{ClockReading, Grants},
     state::{Change, LogEntry, MoveDone, SlotMove, State},
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -3,8 +3,8 @@
 use ashroad::{
     id::{Epoch, HostKey, Incarnation, LeaseEpoch, Revision, Slot},
     membership::{
-        freshness::{HeartbeatReply, HostProcess, StalenessTracker},
         registry::{SettlementTracker, quorum_members},
+        staleness::{HeartbeatReply, HostProcess, StalenessTracker},
     },
     ownership::{
         lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
@@ -229,7 +229,7 @@
         },
     ];
     for case in cases {
-        let mut freshness = StalenessTracker::default();
+        let mut staleness = StalenessTracker::default();
         let response = HeartbeatReply {
             host: HostKey(1),
             incarnation: Incarnation(1),
@@ -238,9 +238,9 @@
             staleness_ms: case.staleness_ms,
         };
         let quorum_members: Vec<HostProcess> = (0..case.quorum_members).map(host_process).collect();
-        freshness.record_heartbeat_reply(response, Revision(5), host_process(0), &quorum_members);
+        staleness.record_heartbeat_reply(response, Revision(5), host_process(0), &quorum_members);
         assert_eq!(
-            freshness.up_to_date_ms(),
+            staleness.up_to_date_ms(),
             case.up_to_date_ms,
             "{}",
             case.name
