--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -100,7 +100,7 @@
     let metrics = Metrics::new(settings.metrics.statsd_address).context(MetricsSnafu)?;
     Ok(Host {
         incarnation: Incarnation::random(),
-        view: View::new(settings.ownership.freshness_ms),
+        view: View::new(settings.ownership.max_staleness_ms),
         traffic: Traffic::default(),
         targets: Targets::new(IDLE_CONNECTIONS),
         claims: Claims::start(platform.clone()),
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -32,7 +32,7 @@
     /// Reads the log whenever the basis is too old or a read is requested; runs until the process
     /// ends.
     pub(super) async fn keep_synced(self: Arc<Self>) {
-        let percent_ms = |percent| self.settings.ownership.freshness_ms * percent / 100;
+        let percent_ms = |percent| self.settings.ownership.max_staleness_ms * percent / 100;
         loop {
             let wanted = time::timeout(
                 Duration::from_millis(TICK_MS),
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -51,18 +51,18 @@
     changed: watch::Sender<Revision>,
     inner: Mutex<Inner>,
     up_to_date_ms: AtomicU64,
-    freshness_ms: u64,
+    max_staleness_ms: u64,
 }
 
 impl View {
-    /// Returns an empty view that is fresh while its basis is no older than `freshness_ms`.
-    pub fn new(freshness_ms: u64) -> Self {
+    /// Returns an empty view that is fresh while its basis is no older than `max_staleness_ms`.
+    pub fn new(max_staleness_ms: u64) -> Self {
         Self {
             state: ArcSwap::from_pointee(State::default()),
             changed: watch::channel(Revision::default()).0,
             inner: Mutex::default(),
             up_to_date_ms: AtomicU64::new(0),
-            freshness_ms,
+            max_staleness_ms,
         }
     }
 
@@ -94,7 +94,7 @@
     /// Returns true if the age of the basis is within the freshness limit, so that this host may
     /// act on the state.
     pub fn fresh(&self) -> bool {
-        clock::now_ms() <= self.up_to_date_ms.load(Ordering::Acquire) + self.freshness_ms
+        clock::now_ms() <= self.up_to_date_ms.load(Ordering::Acquire) + self.max_staleness_ms
     }
 
     /// Returns the time since the basis in milliseconds; `None` while the view has no basis.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -139,7 +139,8 @@
 pub struct Ownership {
     /// Freshness limit: maximum age of the basis (see [`crate::membership::staleness`]) with which
     /// a host may act on its view.
-    pub freshness_ms: u64,
+    #[serde(rename = "freshness_ms")]
+    pub max_staleness_ms: u64,
     /// Length of a server's lease, counted from the sending of a renewal.
     pub lease_ttl_ms: u64,
     /// Allowance for clock drift between hosts and servers, in milliseconds.
@@ -162,7 +163,7 @@
 impl Default for Ownership {
     fn default() -> Self {
         Self {
-            freshness_ms: 700,
+            max_staleness_ms: 700,
             lease_ttl_ms: 1_200,
             margin_ms: 100,
             renew_every_ms: 300,
@@ -178,7 +179,7 @@
 impl Ownership {
     /// Returns the time after which a host that missed a change can no longer keep a lease alive.
     pub fn lapse_ms(&self) -> u64 {
-        self.freshness_ms + self.lease_ttl_ms + self.margin_ms
+        self.max_staleness_ms + self.lease_ttl_ms + self.margin_ms
     }
 
     /// Returns a message for each value that is invalid or contradicts another one.
@@ -195,10 +196,10 @@
         let fits = self.renew_every_ms > 0 && self.renew_every_ms * 3 <= self.lease_ttl_ms;
         check(fits, renew);
         let heartbeat = "heartbeat_ms must be at most a third of freshness_ms, and not 0";
-        let fits = self.heartbeat_ms > 0 && self.heartbeat_ms * 3 <= self.freshness_ms;
+        let fits = self.heartbeat_ms > 0 && self.heartbeat_ms * 3 <= self.max_staleness_ms;
         check(fits, heartbeat);
         let drift = "margin_ms must be at least 1% of freshness_ms + lease_ttl_ms";
-        let fits = self.margin_ms * 100 >= self.freshness_ms + self.lease_ttl_ms;
+        let fits = self.margin_ms * 100 >= self.max_staleness_ms + self.lease_ttl_ms;
         check(fits, drift);
         problems
     }
