--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -17,7 +17,7 @@
 use rand::{Rng, rngs::StdRng};
 
 use super::{
-    BrokenRule, FRESHNESS_MS, LAPSE_MS, MARGIN_MS, Message, Node, SERVERS, SERVICE, Simulation,
+    BrokenRule, LAPSE_MS, MARGIN_MS, MAX_STALENESS_MS, Message, Node, SERVERS, SERVICE, Simulation,
     TTL_MS, local_ms, wanted_moves,
 };
 
@@ -110,7 +110,7 @@
     fn fresh(&self, clock_ms: u64, broken: BrokenRule) -> bool {
         let up_to_date_ms = self.staleness.up_to_date_ms();
         broken == BrokenRule::StalenessBound
-            || up_to_date_ms.is_some_and(|b| clock_ms <= b + FRESHNESS_MS)
+            || up_to_date_ms.is_some_and(|b| clock_ms <= b + MAX_STALENESS_MS)
     }
 
     fn apply(&mut self, entries: &[LogEntry], clock_ms: u64) {
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -22,10 +22,10 @@
 
 pub const SERVICE: &str = "w/s";
 pub const SLOTS: u32 = 4;
-pub const FRESHNESS_MS: u64 = 700;
+pub const MAX_STALENESS_MS: u64 = 700;
 pub const TTL_MS: u64 = 1_200;
 pub const MARGIN_MS: u64 = 100;
-pub const LAPSE_MS: u64 = FRESHNESS_MS + TTL_MS + MARGIN_MS;
+pub const LAPSE_MS: u64 = MAX_STALENESS_MS + TTL_MS + MARGIN_MS;
 const TICK_MS: u64 = 50;
 const SERVERS: usize = 3;
 
