--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -90,7 +90,7 @@
                 };
                 continue;
             }
-            if !self.view.fresh() {
+            if !self.view.is_up_to_date() {
                 continue;
             }
             self.wait_for_lapses(&mut controller, &done);
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -207,7 +207,7 @@
     /// hosts below them in the heartbeat tree, which the leader may not hear.
     pub(super) async fn remove_silent_hosts(self: &Arc<Self>) {
         let state = self.view.state();
-        if self.leading() || !self.view.fresh() || !state.registry.is_settled() {
+        if self.leading() || !self.view.is_up_to_date() || !state.registry.is_settled() {
             return;
         }
         if let Some(change @ Change::HostRemoved { .. }) = self.registry_change(&state) {
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -88,7 +88,7 @@
     /// Returns true if the load balancer should send requests to this host: it is not stopping and
     /// its view is fresh.
     pub fn ready(&self) -> bool {
-        self.ready.load(Ordering::Relaxed) && self.view.fresh()
+        self.ready.load(Ordering::Relaxed) && self.view.is_up_to_date()
     }
 
     /// Requests a planned stop of this host; [`Host::stop_requested`] then returns.
--- a/src/host/moves.rs
+++ b/src/host/moves.rs
@@ -131,7 +131,7 @@
         };
         // A host with a stale view must not send orders.
         let state = self.view.state();
-        if !self.view.fresh() || !is_live(&state, key) {
+        if !self.view.is_up_to_date() || !is_live(&state, key) {
             return Err(MoveError::Changed);
         }
         let response: LeaseResponse = self
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -73,7 +73,7 @@
                 assigned = self.assigned_servers();
                 assigned_ms = now_ms;
             }
-            if self.view.fresh() {
+            if self.view.is_up_to_date() {
                 self.renew_due(&assigned);
             }
         }
@@ -167,7 +167,7 @@
         state.host_key(self.incarnation)?;
         let entry = state.server(leased.server)?;
         let current = entry.state == ServerState::Live && entry.lease_epoch == leased.lease_epoch;
-        if !current || !self.view.fresh() {
+        if !current || !self.view.is_up_to_date() {
             return None;
         }
         let renewal_state = renewal_states.get_mut(leased.server.0 as usize)?;
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -93,7 +93,7 @@
 
     /// Returns true if the age of the basis is within the freshness limit, so that this host may
     /// act on the state.
-    pub fn fresh(&self) -> bool {
+    pub fn is_up_to_date(&self) -> bool {
         clock::now_ms() <= self.up_to_date_ms.load(Ordering::Acquire) + self.max_staleness_ms
     }
 
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -138,7 +138,7 @@
         host: host.settings.name.clone(),
         revision: state.revision.0,
         configuration: state.configuration.0,
-        fresh: host.view.fresh(),
+        fresh: host.view.is_up_to_date(),
         staleness_ms: host.view.staleness_ms(),
         leading: host.leading(),
         term: host.leader_term(),
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -381,7 +381,7 @@
 
 /// Waits until the slot has an owner and this host is fresh enough to route, up to the deadline.
 async fn owner(host: &Arc<Host>, routed: &RoutedRequest) -> Result<Owner, Failure> {
-    if host.view.fresh()
+    if host.view.is_up_to_date()
         && let Some(owner) = find_owner(&host.view.peek(), routed)
     {
         return Ok(owner);
@@ -389,13 +389,13 @@
     // Subscribes before the next lookup, so that no change is missed between lookup and wait.
     let mut changes = host.view.watch();
     loop {
-        let fresh = host.view.fresh();
-        if fresh && let Some(owner) = find_owner(&host.view.peek(), routed) {
+        let is_up_to_date = host.view.is_up_to_date();
+        if is_up_to_date && let Some(owner) = find_owner(&host.view.peek(), routed) {
             return Ok(owner);
         }
         let left_ms = routed.deadline_ms.saturating_sub(clock::now_ms());
         if left_ms == 0 {
-            let reason = if fresh {
+            let reason = if is_up_to_date {
                 Reason::Deadline
             } else {
                 Reason::NotFresh
@@ -403,7 +403,7 @@
             return Err(Failure::not_run(reason));
         }
         // A host becomes fresh without a change of the state, so freshness is polled.
-        let wait_ms = if fresh {
+        let wait_ms = if is_up_to_date {
             left_ms
         } else {
             left_ms.min(RETRY_PAUSE_MS)
@@ -451,7 +451,7 @@
 fn is_still_owner(host: &Host, routed: &RoutedRequest, owner: Owner) -> bool {
     let found = find_owner(&host.view.peek(), routed);
     let same = found.is_some_and(|f| f.epoch == owner.epoch && f.incarnation == owner.incarnation);
-    same && host.view.fresh()
+    same && host.view.is_up_to_date()
 }
 
 fn attempt(routed: &RoutedRequest, owner: Owner) -> Request<Full<Bytes>> {
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -107,7 +107,7 @@
         local_ms(now_ms, self.offset_ms, self.drift_ppt)
     }
 
-    fn fresh(&self, clock_ms: u64, broken: BrokenRule) -> bool {
+    fn is_up_to_date(&self, clock_ms: u64, broken: BrokenRule) -> bool {
         let up_to_date_ms = self.staleness.up_to_date_ms();
         broken == BrokenRule::StalenessBound
             || up_to_date_ms.is_some_and(|b| clock_ms <= b + MAX_STALENESS_MS)
@@ -169,7 +169,7 @@
         let key = ServerKey(server as u32);
         self.key()?;
         let entry = self.state.server(key)?.clone();
-        if entry.state != ServerState::Live || !self.fresh(clock_ms, broken) {
+        if entry.state != ServerState::Live || !self.is_up_to_date(clock_ms, broken) {
             return None;
         }
         let renewal_state = &mut self.renewal_states[server];
@@ -388,7 +388,7 @@
     fn grant(&mut self, index: usize, slots: &[MoveDone]) {
         let host = &self.hosts[index];
         let clock_ms = host.clock_ms(self.now_ms);
-        if !host.fresh(clock_ms, self.broken) {
+        if !host.is_up_to_date(clock_ms, self.broken) {
             return;
         }
         let Some((_, service)) = host.state.active_services().next() else {
@@ -504,7 +504,7 @@
         self.lead_registry(index, clock_ms);
         self.lead_losses(index, clock_ms);
         let host = &mut self.hosts[index];
-        if !host.fresh(clock_ms, self.broken) {
+        if !host.is_up_to_date(clock_ms, self.broken) {
             return;
         }
         if clock_ms >= host.query_ms + RENEW_MS {
