--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -16,7 +16,7 @@
         registry::{self, RegistryLimits, Silence, quorum_members, registered},
         staleness::HostProcess,
     },
-    ownership::lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
+    ownership::expiry::{HorizonReport, RenewingHosts, lapsed_at_ms},
     peer::message::{PeerReply, PeerRequest},
     state::{Change, HostEntry, ServerState, State},
 };
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -111,7 +111,7 @@
     }
 
     /// Returns the revision before which majorities of the voters do not count towards a lapse
-    /// (see [`crate::ownership::lapse`]): the change of the voters while that is not settled, and
+    /// (see [`crate::ownership::expiry`]): the change of the voters while that is not settled, and
     /// the last settlement otherwise.
     pub fn majority_since(&self) -> Revision {
         if self.previous_quorum_members.is_empty() {
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -7,7 +7,7 @@
         staleness::{HeartbeatReply, HostProcess, StalenessTracker},
     },
     ownership::{
-        lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
+        expiry::{HorizonReport, RenewingHosts, lapsed_at_ms},
         message::{LeaseRequest, LeaseResponse, SlotGrant},
         renewal::RenewalState,
     },
