--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -16,7 +16,7 @@
         registry::{self, RegistryLimits, Silence, quorum_members, registered},
         staleness::HostProcess,
     },
-    ownership::expiry::{HorizonReport, RenewingHosts, lapsed_at_ms},
+    ownership::expiry::{HorizonReport, RenewingHosts, expired_at_ms},
     peer::message::{PeerReply, PeerRequest},
     state::{Change, HostEntry, ServerState, State},
 };
@@ -71,7 +71,7 @@
             settled: state.registry.is_settled(),
         };
         let lapse_ms = self.settings.ownership.lapse_ms();
-        let at_ms = lapsed_at_ms(renewing_hosts, &reports, lapse_ms);
+        let at_ms = expired_at_ms(renewing_hosts, &reports, lapse_ms);
         let now_ms = clock::now_ms();
         let Some(at_ms) = at_ms else {
             time::sleep(Duration::from_millis(HORIZON_PAUSE_MS)).await;
--- a/src/ownership/expiry.rs
+++ b/src/ownership/expiry.rs
@@ -48,7 +48,7 @@
 /// Until a change of the registry is settled, a host may act on the new or on the previous
 /// registry. So a majority of the voters of each is needed. A majority counts only from the time at
 /// which no host acts on a registry older than these two.
-pub fn lapsed_at_ms(
+pub fn expired_at_ms(
     renewing_hosts: RenewingHosts<'_>,
     reports: &[HorizonReport],
     lapse_ms: u64,
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -7,7 +7,7 @@
         staleness::{HeartbeatReply, HostProcess, StalenessTracker},
     },
     ownership::{
-        expiry::{HorizonReport, RenewingHosts, lapsed_at_ms},
+        expiry::{HorizonReport, RenewingHosts, expired_at_ms},
         message::{LeaseRequest, SlotGrant, grant_hash},
         moves::{next_grants, ready_groups},
         renewal::{RenewalOutcome, RenewalState},
@@ -215,7 +215,7 @@
             since_ms: self.applied_at(self.state.registry.majority_since()),
             settled: self.state.registry.is_settled(),
         };
-        let at_ms = lapsed_at_ms(renewing_hosts, &reports, LAPSE_MS);
+        let at_ms = expired_at_ms(renewing_hosts, &reports, LAPSE_MS);
         broken == BrokenRule::LapseWait || at_ms.is_some_and(|at_ms| clock_ms >= at_ms)
     }
 
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -7,7 +7,7 @@
         staleness::{HeartbeatReply, HostProcess, StalenessTracker},
     },
     ownership::{
-        expiry::{HorizonReport, RenewingHosts, lapsed_at_ms},
+        expiry::{HorizonReport, RenewingHosts, expired_at_ms},
         message::{LeaseRequest, LeaseResponse, SlotGrant},
         renewal::RenewalState,
     },
@@ -40,7 +40,7 @@
     since_ms: u64,
     settled: bool,
     reports: &'static [(u32, u64, u64)],
-    lapsed_at_ms: Option<u64>,
+    expired_at_ms: Option<u64>,
 }
 
 #[test]
@@ -53,7 +53,7 @@
             since_ms: 0,
             settled: true,
             reports: &[(0, 5_000, 5_900), (1, 5_010, 5_500), (2, 5_020, 5_600)],
-            lapsed_at_ms: Some(5_900),
+            expired_at_ms: Some(5_900),
         },
         LapseCase {
             name: "a majority has applied the loss; the other hosts are bounded by their freshness",
@@ -62,7 +62,7 @@
             since_ms: 0,
             settled: true,
             reports: &[(0, 5_000, 5_900), (1, 5_010, 5_500)],
-            lapsed_at_ms: Some(7_010),
+            expired_at_ms: Some(7_010),
         },
         LapseCase {
             name: "half of the voters are no majority",
@@ -71,7 +71,7 @@
             since_ms: 0,
             settled: true,
             reports: &[(0, 5_000, 5_900), (1, 5_010, 5_500)],
-            lapsed_at_ms: None,
+            expired_at_ms: None,
         },
         LapseCase {
             name: "hosts 1 and 2 were promoted after they had applied the loss, while host 0, \
@@ -81,7 +81,7 @@
             since_ms: 8_000,
             settled: false,
             reports: &[(1, 5_000, 5_000), (2, 5_000, 5_000)],
-            lapsed_at_ms: None,
+            expired_at_ms: None,
         },
         LapseCase {
             name: "the majority counts only from the change of the registry on",
@@ -90,7 +90,7 @@
             since_ms: 8_000,
             settled: false,
             reports: &[(0, 5_500, 5_000), (1, 5_000, 5_000), (2, 5_000, 5_000)],
-            lapsed_at_ms: Some(10_000),
+            expired_at_ms: Some(10_000),
         },
     ];
     for case in cases {
@@ -110,8 +110,8 @@
             since_ms: case.since_ms,
             settled: case.settled,
         };
-        let lapsed = lapsed_at_ms(renewing_hosts, &reports, LAPSE_MS);
-        assert_eq!(lapsed, case.lapsed_at_ms, "{}", case.name);
+        let lapsed = expired_at_ms(renewing_hosts, &reports, LAPSE_MS);
+        assert_eq!(lapsed, case.expired_at_ms, "{}", case.name);
     }
 }
 
