--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -70,8 +70,8 @@
             since_ms: clock::now_ms() - since_age_ms.unwrap_or_default(),
             settled: state.registry.is_settled(),
         };
-        let lapse_ms = self.settings.ownership.lapse_ms();
-        let at_ms = expired_at_ms(renewing_hosts, &reports, lapse_ms);
+        let expiry_bound_ms = self.settings.ownership.expiry_bound_ms();
+        let at_ms = expired_at_ms(renewing_hosts, &reports, expiry_bound_ms);
         let now_ms = clock::now_ms();
         let Some(at_ms) = at_ms else {
             time::sleep(Duration::from_millis(HORIZON_PAUSE_MS)).await;
@@ -161,10 +161,10 @@
         let state = self.view.state();
         if controller.registry.pending(&state) {
             let applied = self.hosts_with_revision(state.registry.changed).await;
-            let lapse_ms = self.settings.ownership.lapse_ms();
+            let expiry_bound_ms = self.settings.ownership.expiry_bound_ms();
             controller
                 .registry
-                .record_applied(&state, &applied, clock::now_ms(), lapse_ms);
+                .record_applied(&state, &applied, clock::now_ms(), expiry_bound_ms);
         }
         let settlement = controller.registry.settlement(&state, clock::now_ms());
         let change = match settlement {
@@ -220,7 +220,7 @@
         let ownership = &self.settings.ownership;
         let limits = RegistryLimits {
             removal_ms: ownership.host_removal_ms,
-            leaving_ms: ownership.lapse_ms(),
+            leaving_ms: ownership.expiry_bound_ms(),
         };
         let own = self.key();
         let hosts = heartbeat_tree::order(state);
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -58,13 +58,13 @@
 
     /// Records the hosts that have reported before `now_ms` that they have applied the last change.
     /// Once they are a majority, the settlement is due at once if they are all hosts and none was
-    /// removed, and otherwise after `lapse_ms`, when hosts that missed the change cannot act.
+    /// removed, and otherwise after `expiry_bound_ms`, when hosts that missed the change cannot act.
     pub fn record_applied(
         &mut self,
         state: &State,
         applied: &[HostProcess],
         now_ms: u64,
-        lapse_ms: u64,
+        expiry_bound_ms: u64,
     ) {
         let majority = |quorum_members: &[HostProcess]| {
             let confirmed = quorum_members
@@ -77,7 +77,11 @@
             let all = registered(state).iter().all(|host| applied.contains(host));
             // A removed host is not queried, so it may still act on an earlier registry.
             let at_once = all && registry.removal < registry.changed;
-            self.settled_ms = Some(if at_once { now_ms } else { now_ms + lapse_ms });
+            self.settled_ms = Some(if at_once {
+                now_ms
+            } else {
+                now_ms + expiry_bound_ms
+            });
         }
     }
 
--- a/src/ownership/expiry.rs
+++ b/src/ownership/expiry.rs
@@ -51,7 +51,7 @@
 pub fn expired_at_ms(
     renewing_hosts: RenewingHosts<'_>,
     reports: &[HorizonReport],
-    lapse_ms: u64,
+    expiry_bound_ms: u64,
 ) -> Option<u64> {
     let majority = majority_ms(renewing_hosts.quorum_members, reports);
     let previous = match renewing_hosts.previous {
@@ -59,7 +59,7 @@
         previous => majority_ms(previous, reports),
     };
     let joint = majority.zip(previous).map(|(one, other)| one.max(other));
-    let joint = joint.map(|at_ms| at_ms.max(renewing_hosts.since_ms) + lapse_ms);
+    let joint = joint.map(|at_ms| at_ms.max(renewing_hosts.since_ms) + expiry_bound_ms);
     let by_all = all_reported(renewing_hosts, reports);
     [joint, by_all].into_iter().flatten().min()
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -10,7 +10,7 @@
 
 use crate::configuration::{self, template::read_document};
 
-/// Upper limit of [`Ownership::lapse_ms`]: the time from a loss until keys must be served again,
+/// Upper limit of [`Ownership::expiry_bound_ms`]: the time from a loss until keys must be served again,
 /// less the time for detection and for the new grant.
 const LAPSE_MS_MAX: u64 = 2_600;
 
@@ -178,7 +178,7 @@
 
 impl Ownership {
     /// Returns the time after which a host that missed a change can no longer keep a lease alive.
-    pub fn lapse_ms(&self) -> u64 {
+    pub fn expiry_bound_ms(&self) -> u64 {
         self.max_staleness_ms + self.lease_ttl_ms + self.margin_ms
     }
 
@@ -191,7 +191,7 @@
             }
         };
         let sum = "freshness_ms + lease_ttl_ms + margin_ms must be at most 2600";
-        check(self.lapse_ms() <= LAPSE_MS_MAX, sum);
+        check(self.expiry_bound_ms() <= LAPSE_MS_MAX, sum);
         let renew = "renew_every_ms must be at most a third of lease_ttl_ms, and not 0";
         let fits = self.renew_every_ms > 0 && self.renew_every_ms * 3 <= self.lease_ttl_ms;
         check(fits, renew);
