--- a/src/settings.rs
+++ b/src/settings.rs
@@ -12,7 +12,7 @@
 
 /// Upper limit of [`Ownership::expiry_bound_ms`]: the time from a loss until keys must be served again,
 /// less the time for detection and for the new grant.
-const LAPSE_MS_MAX: u64 = 2_600;
+const EXPIRY_BOUND_MS_MAX: u64 = 2_600;
 
 /// Reason why a settings file is unusable.
 #[derive(Debug, Snafu)]
@@ -191,7 +191,7 @@
             }
         };
         let sum = "freshness_ms + lease_ttl_ms + margin_ms must be at most 2600";
-        check(self.expiry_bound_ms() <= LAPSE_MS_MAX, sum);
+        check(self.expiry_bound_ms() <= EXPIRY_BOUND_MS_MAX, sum);
         let renew = "renew_every_ms must be at most a third of lease_ttl_ms, and not 0";
         let fits = self.renew_every_ms > 0 && self.renew_every_ms * 3 <= self.lease_ttl_ms;
         check(fits, renew);
