--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -17,8 +17,8 @@
 use rand::{Rng, rngs::StdRng};
 
 use super::{
-    BrokenRule, LAPSE_MS, MARGIN_MS, MAX_STALENESS_MS, Message, Node, SERVERS, SERVICE, Simulation,
-    TTL_MS, local_ms, wanted_moves,
+    BrokenRule, EXPIRY_BOUND_MS, MARGIN_MS, MAX_STALENESS_MS, Message, Node, SERVERS, SERVICE,
+    Simulation, TTL_MS, local_ms, wanted_moves,
 };
 
 const RENEW_MS: u64 = 300;
@@ -215,14 +215,14 @@
             since_ms: self.applied_at(self.state.registry.majority_since()),
             settled: self.state.registry.is_settled(),
         };
-        let at_ms = expired_at_ms(renewing_hosts, &reports, LAPSE_MS);
+        let at_ms = expired_at_ms(renewing_hosts, &reports, EXPIRY_BOUND_MS);
         broken == BrokenRule::LapseWait || at_ms.is_some_and(|at_ms| clock_ms >= at_ms)
     }
 
     fn registry_change(&self, clock_ms: u64) -> Option<Change> {
         let limits = RegistryLimits {
             removal_ms: 5_000,
-            leaving_ms: LAPSE_MS,
+            leaving_ms: EXPIRY_BOUND_MS,
         };
         let silence = |host, entry: &ashroad::state::HostEntry| {
             let heard_ms = self.staleness.heard_ms(host);
@@ -542,7 +542,12 @@
                 .filter_map(|peer| self.hosts[peer].own())
                 .chain(own)
                 .collect();
-            watch.record_applied(&self.hosts[index].state, &applied, clock_ms, LAPSE_MS);
+            watch.record_applied(
+                &self.hosts[index].state,
+                &applied,
+                clock_ms,
+                EXPIRY_BOUND_MS,
+            );
         }
         self.hosts[index].registry = watch;
         let host = &self.hosts[index];
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -25,7 +25,7 @@
 pub const MAX_STALENESS_MS: u64 = 700;
 pub const TTL_MS: u64 = 1_200;
 pub const MARGIN_MS: u64 = 100;
-pub const LAPSE_MS: u64 = MAX_STALENESS_MS + TTL_MS + MARGIN_MS;
+pub const EXPIRY_BOUND_MS: u64 = MAX_STALENESS_MS + TTL_MS + MARGIN_MS;
 const TICK_MS: u64 = 50;
 const SERVERS: usize = 3;
 
@@ -315,7 +315,7 @@
     fn isolate_hosts(&mut self, until_ms: u64) {
         let isolated: Vec<bool> = self.hosts.iter().map(|_| self.rng.random()).collect();
         // The remaining hosts continue to make changes, and have enough time to complete them.
-        let until_ms = until_ms + LAPSE_MS * 2;
+        let until_ms = until_ms + EXPIRY_BOUND_MS * 2;
         for (host, _) in self
             .hosts
             .iter_mut()
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -15,7 +15,7 @@
     state::{Change, State},
 };
 
-const LAPSE_MS: u64 = 2_000;
+const EXPIRY_BOUND_MS: u64 = 2_000;
 
 fn host_process(number: u32) -> HostProcess {
     HostProcess {
@@ -110,7 +110,7 @@
             since_ms: case.since_ms,
             settled: case.settled,
         };
-        let lapsed = expired_at_ms(renewing_hosts, &reports, LAPSE_MS);
+        let lapsed = expired_at_ms(renewing_hosts, &reports, EXPIRY_BOUND_MS);
         assert_eq!(lapsed, case.expired_at_ms, "{}", case.name);
     }
 }
@@ -169,7 +169,7 @@
     apply(&mut state, Change::HostRemoved { host, incarnation });
     let mut watch = SettlementTracker::default();
     assert!(watch.pending(&state));
-    watch.record_applied(&state, &[host_process(1)], 5_000, LAPSE_MS);
+    watch.record_applied(&state, &[host_process(1)], 5_000, EXPIRY_BOUND_MS);
     let settlement = watch.settlement(&state, 60_000);
     assert!(settlement.is_none(), "host 0 may be fresh by itself");
 }
@@ -187,13 +187,13 @@
     assert_eq!(quorum_members(&state), [successor]);
     let mut watch = SettlementTracker::default();
     assert!(watch.pending(&state));
-    watch.record_applied(&state, &[successor], 5_000, LAPSE_MS);
+    watch.record_applied(&state, &[successor], 5_000, EXPIRY_BOUND_MS);
     let early = watch.settlement(&state, 5_000);
     assert!(
         early.is_none(),
         "a late order of the previous process may arrive"
     );
-    assert!(watch.settlement(&state, 5_000 + LAPSE_MS).is_some());
+    assert!(watch.settlement(&state, 5_000 + EXPIRY_BOUND_MS).is_some());
 }
 
 #[test]
