--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -93,7 +93,7 @@
             if !self.view.is_up_to_date() {
                 continue;
             }
-            self.wait_for_lapses(&mut controller, &done);
+            self.wait_for_expiries(&mut controller, &done);
             self.drive_moves(&mut controller, &done);
             self.update_registry(&mut controller).await;
             self.join_servers(&mut controller).await;
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -31,7 +31,7 @@
 impl Host {
     /// Starts one task per lost server, which waits until the server's lease has lapsed; a task
     /// that is already running is not started again.
-    pub(super) fn wait_for_lapses(
+    pub(super) fn wait_for_expiries(
         self: &Arc<Self>,
         controller: &mut Controller,
         done: &UnboundedSender<FinishedTask>,
