--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -49,7 +49,7 @@
                 revision: entry.changed,
             };
             tokio::spawn(async move {
-                host.wait_for_lapse(lost).await;
+                host.wait_for_expiry(lost).await;
                 let _ = done.send(FinishedTask::Lapsed(server));
             });
         }
@@ -58,7 +58,7 @@
     /// Queries all hosts once for their lease horizons (the latest time at which their renewals may
     /// still keep the lease valid), waits at most [`HORIZON_PAUSE_MS`], and records the lapse if it
     /// is then certain.
-    async fn wait_for_lapse(self: &Arc<Self>, lost: LostServer) {
+    async fn wait_for_expiry(self: &Arc<Self>, lost: LostServer) {
         let reports = self.horizon_reports(lost).await;
         let state = self.view.state();
         // An unknown age counts as zero, which only lengthens the wait.
