--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -31,7 +31,7 @@
     /// Groups of moves that a task of this process is carrying out.
     pub(super) moving: HashSet<MoveGroup>,
     /// Lost servers for which a task of this process is waiting until their lease has lapsed.
-    pub(super) lapsing: HashSet<ServerKey>,
+    pub(super) expiring: HashSet<ServerKey>,
     /// Time at which the servers without a lease were last queried.
     pub(super) joins_checked_ms: u64,
     /// Time at which the loads were last read from the hosts.
@@ -85,7 +85,7 @@
                 }
                 controller = Controller {
                     moving: controller.moving,
-                    lapsing: controller.lapsing,
+                    expiring: controller.expiring,
                     ..Controller::default()
                 };
                 continue;
@@ -134,7 +134,7 @@
     fn forget(&mut self, done: &FinishedTask) {
         match done {
             FinishedTask::Moved(group) => self.moving.remove(group),
-            FinishedTask::Lapsed(server) => self.lapsing.remove(server),
+            FinishedTask::Lapsed(server) => self.expiring.remove(server),
         };
     }
 }
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -38,7 +38,7 @@
     ) {
         let state = self.view.state();
         for (server, entry) in state.server_entries() {
-            if entry.state != ServerState::Lost || !controller.lapsing.insert(server) {
+            if entry.state != ServerState::Lost || !controller.expiring.insert(server) {
                 continue;
             }
             let host = self.clone();
