--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -54,7 +54,7 @@
     /// The task of a group of moves has ended, with success or failure.
     Moved(MoveGroup),
     /// The task that waits for the lapse of a server's lease has ended, with success or failure.
-    Lapsed(ServerKey),
+    Expired(ServerKey),
 }
 
 /// Moves that the planner proposes for one service, not committed yet.
@@ -134,7 +134,7 @@
     fn forget(&mut self, done: &FinishedTask) {
         match done {
             FinishedTask::Moved(group) => self.moving.remove(group),
-            FinishedTask::Lapsed(server) => self.expiring.remove(server),
+            FinishedTask::Expired(server) => self.expiring.remove(server),
         };
     }
 }
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -50,7 +50,7 @@
             };
             tokio::spawn(async move {
                 host.wait_for_expiry(lost).await;
-                let _ = done.send(FinishedTask::Lapsed(server));
+                let _ = done.send(FinishedTask::Expired(server));
             });
         }
     }
