--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -33,7 +33,7 @@
     }
 }
 
-struct LapseCase {
+struct ExpiryCase {
     name: &'static str,
     quorum_members: &'static [u32],
     previous: &'static [u32],
@@ -46,7 +46,7 @@
 #[test]
 fn a_lease_is_lapsed_only_when_no_host_can_have_renewed_it() {
     let cases = [
-        LapseCase {
+        ExpiryCase {
             name: "all hosts report when their last renewal ends",
             quorum_members: &[0, 1, 2],
             previous: &[],
@@ -55,7 +55,7 @@
             reports: &[(0, 5_000, 5_900), (1, 5_010, 5_500), (2, 5_020, 5_600)],
             expired_at_ms: Some(5_900),
         },
-        LapseCase {
+        ExpiryCase {
             name: "a majority has applied the loss; the other hosts are bounded by their freshness",
             quorum_members: &[0, 1, 2],
             previous: &[],
@@ -64,7 +64,7 @@
             reports: &[(0, 5_000, 5_900), (1, 5_010, 5_500)],
             expired_at_ms: Some(7_010),
         },
-        LapseCase {
+        ExpiryCase {
             name: "half of the voters are no majority",
             quorum_members: &[0, 1, 2, 3],
             previous: &[],
@@ -73,7 +73,7 @@
             reports: &[(0, 5_000, 5_900), (1, 5_010, 5_500)],
             expired_at_ms: None,
         },
-        LapseCase {
+        ExpiryCase {
             name: "hosts 1 and 2 were promoted after they had applied the loss, while host 0, \
                    alone in the registry before, still acted on it",
             quorum_members: &[0, 1, 2],
@@ -83,7 +83,7 @@
             reports: &[(1, 5_000, 5_000), (2, 5_000, 5_000)],
             expired_at_ms: None,
         },
-        LapseCase {
+        ExpiryCase {
             name: "the majority counts only from the change of the registry on",
             quorum_members: &[0, 1, 2],
             previous: &[0, 1],
