--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -216,7 +216,7 @@
             settled: self.state.registry.is_settled(),
         };
         let at_ms = expired_at_ms(renewing_hosts, &reports, EXPIRY_BOUND_MS);
-        broken == BrokenRule::LapseWait || at_ms.is_some_and(|at_ms| clock_ms >= at_ms)
+        broken == BrokenRule::ExpiryWait || at_ms.is_some_and(|at_ms| clock_ms >= at_ms)
     }
 
     fn registry_change(&self, clock_ms: u64) -> Option<Change> {
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -38,7 +38,7 @@
     /// A server keeps its grants in a new membership period.
     LeaseEpoch,
     /// Leases are declared lapsed without waiting.
-    LapseWait,
+    ExpiryWait,
     /// The lapse of a lease is declared when one host has reported.
     Majority,
     /// Hosts renew leases however old their view is.
--- a/tests/ownership_model.rs
+++ b/tests/ownership_model.rs
@@ -106,7 +106,7 @@
     let broken = [
         BrokenRule::Fence,
         BrokenRule::LeaseEpoch,
-        BrokenRule::LapseWait,
+        BrokenRule::ExpiryWait,
         BrokenRule::Majority,
         BrokenRule::StalenessBound,
         BrokenRule::ClockBound,
