--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -109,8 +109,8 @@
             };
         }
         let lease_ms = self.settings.ownership.leader_lease_ms;
-        let lapsed = version == 0 || now_ms >= observed.since_ms + lease_ms;
-        if !own && !lapsed {
+        let expired = version == 0 || now_ms >= observed.since_ms + lease_ms;
+        if !own && !expired {
             self.leading.store(false, Ordering::Relaxed);
             return false;
         }
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -433,7 +433,7 @@
 fn find_owner(state: &State, routed: &RoutedRequest) -> Option<Owner> {
     let service = state.service(routed.service)?;
     let slot = service.slots.get(routed.slot.0 as usize)?;
-    let key = slot.settled()?;
+    let key = slot.stable_owner()?;
     let server = state.server(key)?;
     if server.state != ServerState::Live {
         return None;
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -188,7 +188,13 @@
         })
     }
 
-    fn lapsed(&self, server: ServerKey, lost: Revision, clock_ms: u64, broken: BrokenRule) -> bool {
+    fn expired(
+        &self,
+        server: ServerKey,
+        lost: Revision,
+        clock_ms: u64,
+        broken: BrokenRule,
+    ) -> bool {
         let reports: Vec<HorizonReport> = self
             .reports
             .iter()
@@ -578,7 +584,7 @@
                 };
                 host.reports.push((server, revision, report));
             }
-            if host.lapsed(server, revision, clock_ms, self.broken) {
+            if host.expired(server, revision, clock_ms, self.broken) {
                 self.append(
                     index,
                     Change::ServerLapsed {
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -110,8 +110,8 @@
             since_ms: case.since_ms,
             settled: case.settled,
         };
-        let lapsed = expired_at_ms(renewing_hosts, &reports, EXPIRY_BOUND_MS);
-        assert_eq!(lapsed, case.expired_at_ms, "{}", case.name);
+        let expired = expired_at_ms(renewing_hosts, &reports, EXPIRY_BOUND_MS);
+        assert_eq!(expired, case.expired_at_ms, "{}", case.name);
     }
 }
 
