--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -155,7 +155,7 @@
                 .active_services()
                 .flat_map(|(_, service)| &service.slots);
             let mut slots = slots.peekable();
-            slots.peek().is_some() && slots.all(|slot| slot.settled().is_some())
+            slots.peek().is_some() && slots.all(|slot| slot.stable_owner().is_some())
         };
         self.wait_for("every slot has an owner", settled).await
     }
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -322,7 +322,7 @@
     for (_, service) in state.active_services() {
         let name = &service.spec.name;
         for (slot, entry) in service.slot_entries() {
-            if entry.settled() != Some(server) {
+            if entry.stable_owner() != Some(server) {
                 continue;
             }
             expected ^= grant_hash(name, slot, entry.epoch);
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -198,7 +198,7 @@
         statuses.push(ServiceStatus {
             name: service.spec.name.clone(),
             slots: slots.len() as u64,
-            settled: slots.iter().filter(|s| s.settled().is_some()).count() as u64,
+            settled: slots.iter().filter(|s| s.stable_owner().is_some()).count() as u64,
             moving: slots.iter().filter(|s| s.next.is_some()).count() as u64,
         });
     }
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -168,7 +168,7 @@
     }
 
     /// Returns the owner; `None` while the slot moves or has no owner.
-    pub fn settled(&self) -> Option<ServerKey> {
+    pub fn stable_owner(&self) -> Option<ServerKey> {
         match self.next {
             Some(_) => None,
             None => self.owner,
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -249,7 +249,7 @@
     let mut expected = 0;
     for (_, service) in state.active_services() {
         for (slot, entry) in service.slot_entries() {
-            if entry.settled() == Some(server) {
+            if entry.stable_owner() == Some(server) {
                 expected ^= grant_hash(SERVICE, slot, entry.epoch);
                 let epoch = entry.epoch;
                 grants.push(super::slot_grant(&MoveDone { slot, epoch }));
