--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -68,7 +68,7 @@
             quorum_members: &quorum_members(&state),
             previous: &state.registry.previous_quorum_members,
             since_ms: clock::now_ms() - since_age_ms.unwrap_or_default(),
-            settled: state.registry.is_settled(),
+            settled: state.registry.is_change_complete(),
         };
         let expiry_bound_ms = self.settings.ownership.expiry_bound_ms();
         let at_ms = expired_at_ms(renewing_hosts, &reports, expiry_bound_ms);
@@ -168,7 +168,7 @@
         }
         let settlement = controller.registry.settlement(&state, clock::now_ms());
         let change = match settlement {
-            None if state.registry.is_settled() => self.registry_change(&state),
+            None if state.registry.is_change_complete() => self.registry_change(&state),
             settlement => settlement,
         };
         if let Some(change) = change {
@@ -207,7 +207,7 @@
     /// hosts below them in the heartbeat tree, which the leader may not hear.
     pub(super) async fn remove_silent_hosts(self: &Arc<Self>) {
         let state = self.view.state();
-        if self.leading() || !self.view.is_up_to_date() || !state.registry.is_settled() {
+        if self.leading() || !self.view.is_up_to_date() || !state.registry.is_change_complete() {
             return;
         }
         if let Some(change @ Change::HostRemoved { .. }) = self.registry_change(&state) {
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -53,7 +53,7 @@
                 settled_ms: None,
             };
         }
-        !state.registry.is_settled() && self.settled_ms.is_none()
+        !state.registry.is_change_complete() && self.settled_ms.is_none()
     }
 
     /// Records the hosts that have reported before `now_ms` that they have applied the last change.
@@ -91,7 +91,7 @@
         let due = self
             .settled_ms
             .is_some_and(|settled_ms| now_ms >= settled_ms);
-        let same = self.changed == registry && !state.registry.is_settled();
+        let same = self.changed == registry && !state.registry.is_change_complete();
         (due && same).then_some(Change::RegistrySettled { registry })
     }
 }
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -142,7 +142,7 @@
         staleness_ms: host.view.staleness_ms(),
         leading: host.leading(),
         term: host.leader_term(),
-        registry_settled: state.registry.is_settled(),
+        registry_settled: state.registry.is_change_complete(),
         hosts: host_statuses(host, &state),
         servers: server_statuses(&state),
         services: service_statuses(&state),
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -98,7 +98,7 @@
             }
             Change::RegistrySettled { registry } => {
                 let reason = "the registry has changed or is settled";
-                let due = self.registry.changed == *registry && !self.registry.is_settled();
+                let due = self.registry.changed == *registry && !self.registry.is_change_complete();
                 ensure!(due, OutdatedSnafu { reason });
                 self.registry.settled = self.revision;
                 self.registry.previous_quorum_members.clear();
@@ -330,7 +330,7 @@
         to: HostState,
     ) -> Result<()> {
         let reason = "the registry's last change is not settled";
-        ensure!(self.registry.is_settled(), OutdatedSnafu { reason });
+        ensure!(self.registry.is_change_complete(), OutdatedSnafu { reason });
         let before = quorum_members(self);
         self.set_host(key, incarnation, to)?;
         self.registry.changed = self.revision;
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -106,7 +106,7 @@
 
 impl Registry {
     /// Returns true if no host acts on an earlier version of the registry any more.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_change_complete(&self) -> bool {
         self.settled >= self.changed
     }
 
