--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -10,7 +10,7 @@
     claims::Sweep,
     clock,
     id::{Revision, ServerKey, ServiceKey},
-    membership::registry::SettlementTracker,
+    membership::registry::ChangeTracker,
     ownership::{moves::MoveGroup, planner::PlannedMove},
 };
 
@@ -42,7 +42,7 @@
     pub(super) planned: Option<(Revision, u64)>,
     /// Progress towards settling the last change of the registry of hosts, that is, until no host
     /// acts on the previous registry any more.
-    pub(super) registry: SettlementTracker,
+    pub(super) registry: ChangeTracker,
     snapshot: Revision,
     sweep: Sweep,
     swept_ms: u64,
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -39,12 +39,12 @@
 /// Progress of a leader in settling the last change of the registry. It is kept in memory only, so
 /// a new leader begins with none.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SettlementTracker {
+pub struct ChangeTracker {
     changed: Revision,
     settled_ms: Option<u64>,
 }
 
-impl SettlementTracker {
+impl ChangeTracker {
     /// Returns true while the hosts must still be queried for the revision of the last change.
     pub fn pending(&mut self, state: &State) -> bool {
         if self.changed != state.registry.changed {
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -3,7 +3,7 @@
 use ashroad::{
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
     membership::{
-        registry::{self, RegistryLimits, SettlementTracker, Silence, quorum_members, registered},
+        registry::{self, ChangeTracker, RegistryLimits, Silence, quorum_members, registered},
         staleness::{HeartbeatReply, HostProcess, StalenessTracker},
     },
     ownership::{
@@ -52,7 +52,7 @@
     waiting: Vec<Option<u64>>,
     applied_ms: Vec<(Revision, u64)>,
     reports: Vec<(ServerKey, Revision, HorizonReport)>,
-    registry: SettlementTracker,
+    registry: ChangeTracker,
     read_ms: u64,
     append_ms: u64,
     move_ms: u64,
@@ -75,7 +75,7 @@
             waiting: vec![None; SERVERS],
             applied_ms: Vec::new(),
             reports: Vec::new(),
-            registry: SettlementTracker::default(),
+            registry: ChangeTracker::default(),
             read_ms: 0,
             append_ms: 0,
             move_ms: 0,
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -3,7 +3,7 @@
 use ashroad::{
     id::{Epoch, HostKey, Incarnation, LeaseEpoch, Revision, Slot},
     membership::{
-        registry::{SettlementTracker, quorum_members},
+        registry::{ChangeTracker, quorum_members},
         staleness::{HeartbeatReply, HostProcess, StalenessTracker},
     },
     ownership::{
@@ -167,7 +167,7 @@
     let host = HostKey(0);
     let incarnation = Incarnation(0);
     apply(&mut state, Change::HostRemoved { host, incarnation });
-    let mut watch = SettlementTracker::default();
+    let mut watch = ChangeTracker::default();
     assert!(watch.pending(&state));
     watch.record_applied(&state, &[host_process(1)], 5_000, EXPIRY_BOUND_MS);
     let settlement = watch.settlement(&state, 60_000);
@@ -185,7 +185,7 @@
         incarnation: Incarnation(7),
     };
     assert_eq!(quorum_members(&state), [successor]);
-    let mut watch = SettlementTracker::default();
+    let mut watch = ChangeTracker::default();
     assert!(watch.pending(&state));
     watch.record_applied(&state, &[successor], 5_000, EXPIRY_BOUND_MS);
     let early = watch.settlement(&state, 5_000);
