--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -166,10 +166,10 @@
                 .registry
                 .record_applied(&state, &applied, clock::now_ms(), expiry_bound_ms);
         }
-        let settlement = controller.registry.settlement(&state, clock::now_ms());
-        let change = match settlement {
+        let completion = controller.registry.completion(&state, clock::now_ms());
+        let change = match completion {
             None if state.registry.is_change_complete() => self.registry_change(&state),
-            settlement => settlement,
+            completion => completion,
         };
         if let Some(change) = change {
             let _ = self.commit_own(change).await;
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -86,7 +86,7 @@
     }
 
     /// Returns the change that records the registry as settled; `None` until the settlement is due.
-    pub fn settlement(&self, state: &State, now_ms: u64) -> Option<Change> {
+    pub fn completion(&self, state: &State, now_ms: u64) -> Option<Change> {
         let registry = state.registry.changed;
         let due = self
             .settled_ms
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -557,9 +557,9 @@
         }
         self.hosts[index].registry = watch;
         let host = &self.hosts[index];
-        let change = match watch.settlement(&host.state, clock_ms) {
+        let change = match watch.completion(&host.state, clock_ms) {
             None if host.state.registry.is_change_complete() => host.registry_change(clock_ms),
-            settlement => settlement,
+            completion => completion,
         };
         if let Some(change) = change {
             self.append(index, change);
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -170,8 +170,8 @@
     let mut watch = ChangeTracker::default();
     assert!(watch.pending(&state));
     watch.record_applied(&state, &[host_process(1)], 5_000, EXPIRY_BOUND_MS);
-    let settlement = watch.settlement(&state, 60_000);
-    assert!(settlement.is_none(), "host 0 may be fresh by itself");
+    let completion = watch.completion(&state, 60_000);
+    assert!(completion.is_none(), "host 0 may be fresh by itself");
 }
 
 #[test]
@@ -188,12 +188,12 @@
     let mut watch = ChangeTracker::default();
     assert!(watch.pending(&state));
     watch.record_applied(&state, &[successor], 5_000, EXPIRY_BOUND_MS);
-    let early = watch.settlement(&state, 5_000);
+    let early = watch.completion(&state, 5_000);
     assert!(
         early.is_none(),
         "a late order of the previous process may arrive"
     );
-    assert!(watch.settlement(&state, 5_000 + EXPIRY_BOUND_MS).is_some());
+    assert!(watch.completion(&state, 5_000 + EXPIRY_BOUND_MS).is_some());
 }
 
 #[test]
