--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ChangeTracker {
     changed: Revision,
-    settled_ms: Option<u64>,
+    complete_ms: Option<u64>,
 }
 
 impl ChangeTracker {
@@ -50,10 +50,10 @@
         if self.changed != state.registry.changed {
             *self = Self {
                 changed: state.registry.changed,
-                settled_ms: None,
+                complete_ms: None,
             };
         }
-        !state.registry.is_change_complete() && self.settled_ms.is_none()
+        !state.registry.is_change_complete() && self.complete_ms.is_none()
     }
 
     /// Records the hosts that have reported before `now_ms` that they have applied the last change.
@@ -77,7 +77,7 @@
             let all = registered(state).iter().all(|host| applied.contains(host));
             // A removed host is not queried, so it may still act on an earlier registry.
             let at_once = all && registry.removal < registry.changed;
-            self.settled_ms = Some(if at_once {
+            self.complete_ms = Some(if at_once {
                 now_ms
             } else {
                 now_ms + expiry_bound_ms
@@ -89,8 +89,8 @@
     pub fn completion(&self, state: &State, now_ms: u64) -> Option<Change> {
         let registry = state.registry.changed;
         let due = self
-            .settled_ms
-            .is_some_and(|settled_ms| now_ms >= settled_ms);
+            .complete_ms
+            .is_some_and(|complete_ms| now_ms >= complete_ms);
         let same = self.changed == registry && !state.registry.is_change_complete();
         (due && same).then_some(Change::RegistrySettled { registry })
     }
