--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -100,7 +100,7 @@
                 let reason = "the registry has changed or is settled";
                 let due = self.registry.changed == *registry && !self.registry.is_change_complete();
                 ensure!(due, OutdatedSnafu { reason });
-                self.registry.settled = self.revision;
+                self.registry.completed = self.revision;
                 self.registry.previous_quorum_members.clear();
                 Ok(())
             }
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -98,7 +98,8 @@
     pub quorum_changed: Revision,
     /// Revision of the last settlement. From then on no host acts on a registry from before
     /// `changed`.
-    pub settled: Revision,
+    #[serde(rename = "settled")]
+    pub completed: Revision,
     /// Voters from before the last promotion or removal, until that is settled; then empty.
     #[serde(rename = "previous_voters")]
     pub previous_quorum_members: Vec<HostProcess>,
@@ -107,7 +108,7 @@
 impl Registry {
     /// Returns true if no host acts on an earlier version of the registry any more.
     pub fn is_change_complete(&self) -> bool {
-        self.settled >= self.changed
+        self.completed >= self.changed
     }
 
     /// Returns the revision before which majorities of the voters do not count towards a lapse
@@ -115,7 +116,7 @@
     /// the last settlement otherwise.
     pub fn majority_since(&self) -> Revision {
         if self.previous_quorum_members.is_empty() {
-            self.settled
+            self.completed
         } else {
             self.quorum_changed
         }
