--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -68,7 +68,7 @@
             quorum_members: &quorum_members(&state),
             previous: &state.registry.previous_quorum_members,
             since_ms: clock::now_ms() - since_age_ms.unwrap_or_default(),
-            settled: state.registry.is_change_complete(),
+            change_complete: state.registry.is_change_complete(),
         };
         let expiry_bound_ms = self.settings.ownership.expiry_bound_ms();
         let at_ms = expired_at_ms(renewing_hosts, &reports, expiry_bound_ms);
--- a/src/ownership/expiry.rs
+++ b/src/ownership/expiry.rs
@@ -39,7 +39,7 @@
     /// wait.
     pub since_ms: u64,
     /// True if the registry is settled, so that only registered hosts act.
-    pub settled: bool,
+    pub change_complete: bool,
 }
 
 /// Returns the time from which the lease cannot be valid any more, or `None` while too few hosts
@@ -65,7 +65,7 @@
 }
 
 fn all_reported(renewing_hosts: RenewingHosts<'_>, reports: &[HorizonReport]) -> Option<u64> {
-    if !renewing_hosts.settled {
+    if !renewing_hosts.change_complete {
         return None;
     }
     let mut latest_ms = 0;
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -219,7 +219,7 @@
                 &self.state.registry.previous_quorum_members
             },
             since_ms: self.applied_at(self.state.registry.majority_since()),
-            settled: self.state.registry.is_change_complete(),
+            change_complete: self.state.registry.is_change_complete(),
         };
         let at_ms = expired_at_ms(renewing_hosts, &reports, EXPIRY_BOUND_MS);
         broken == BrokenRule::ExpiryWait || at_ms.is_some_and(|at_ms| clock_ms >= at_ms)
