--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -48,7 +48,7 @@
     },
     /// The time limit was reached before it was known if the change took effect.
     #[snafu(display("it is unknown whether the change took effect: {source}"))]
-    Unsettled {
+    OutcomeUnknown {
         /// Error of the last attempt before the time limit.
         source: store::Error,
     },
@@ -164,7 +164,7 @@
                 Err(source) => source,
             };
             if clock::now_ms() >= deadline_ms {
-                return Err(LogError::Unsettled { source });
+                return Err(LogError::OutcomeUnknown { source });
             }
             time::sleep(Duration::from_millis(TRANSACT_RETRY_MS)).await;
         }
