--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -175,7 +175,7 @@
     async fn resolve_conflict(&self, entry: LogEntry) -> Result<AppendOutcome, LogError> {
         let key = log_row(entry.revision);
         let row = self.platform.row(&key).await;
-        let row = row.context(UnsettledSnafu)?;
+        let row = row.context(OutcomeUnknownSnafu)?;
         let Some(row) = row else {
             return Ok(AppendOutcome::Conflict);
         };
