--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -136,7 +136,7 @@
             renewal_states.resize_with(index + 1, Default::default);
         }
         let renewal_state = &mut renewal_states[index];
-        renewal_state.start_period(leased.lease_epoch, now_ms);
+        renewal_state.start_lease_epoch(leased.lease_epoch, now_ms);
         let is_due = renewal_state.is_due(now_ms);
         if is_due {
             renewal_state.sent(now_ms, ORDER_TIMEOUT_MS);
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -43,7 +43,7 @@
 
 impl RenewalState {
     /// Resets the state if `lease_epoch` is a new membership period.
-    pub fn start_period(&mut self, lease_epoch: LeaseEpoch, now_ms: u64) {
+    pub fn start_lease_epoch(&mut self, lease_epoch: LeaseEpoch, now_ms: u64) {
         if self.lease_epoch == lease_epoch {
             return;
         }
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -173,7 +173,7 @@
             return None;
         }
         let renewal_state = &mut self.renewal_states[server];
-        renewal_state.start_period(entry.lease_epoch, clock_ms);
+        renewal_state.start_lease_epoch(entry.lease_epoch, clock_ms);
         if !renewal_state.is_due(clock_ms) {
             return None;
         }
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -119,7 +119,7 @@
 fn a_renewal_is_valid_for_its_lease_plus_the_margin() {
     let mut renewal_state = RenewalState::default();
     let (period, process) = (LeaseEpoch(1), Incarnation(4));
-    renewal_state.start_period(period, 1_000);
+    renewal_state.start_lease_epoch(period, 1_000);
     let response = LeaseResponse {
         incarnation: process,
         clock_ms: 50,
