--- a/src/membership/heartbeat_tree.rs
+++ b/src/membership/heartbeat_tree.rs
@@ -10,7 +10,7 @@
 use crate::{id::HostKey, state::State};
 
 /// Number of root hosts, which all ping each other.
-pub const ROOT_HOSTS: usize = 15;
+pub const TOP_LEVEL_HOSTS: usize = 15;
 /// Number of hosts that have the same first parent (host that they ping first).
 const FANOUT: usize = 8;
 /// Number of parents that a host below the root hosts pings, so that it can lose one of them.
@@ -35,20 +35,23 @@
 
 /// Returns true if `own` is a root host; `hosts` are the registered ones in the order of the tree.
 pub fn is_root(hosts: &[HostKey], own: HostKey) -> bool {
-    hosts.iter().take(ROOT_HOSTS).any(|host| *host == own)
+    hosts.iter().take(TOP_LEVEL_HOSTS).any(|host| *host == own)
 }
 
 /// Returns the hosts that `own` pings; `hosts` are the registered ones in the order of the tree. A
 /// host that is not among them pings all root hosts.
 pub fn heartbeat_targets(hosts: &[HostKey], own: HostKey) -> Vec<HostKey> {
     let Some(position) = hosts.iter().position(|host| *host == own) else {
-        return hosts.iter().copied().take(ROOT_HOSTS).collect();
+        return hosts.iter().copied().take(TOP_LEVEL_HOSTS).collect();
     };
-    if position < ROOT_HOSTS {
-        let others = hosts.iter().take(ROOT_HOSTS).filter(|host| **host != own);
+    if position < TOP_LEVEL_HOSTS {
+        let others = hosts
+            .iter()
+            .take(TOP_LEVEL_HOSTS)
+            .filter(|host| **host != own);
         return others.copied().collect();
     }
-    let parent = (position - ROOT_HOSTS) / FANOUT;
+    let parent = (position - TOP_LEVEL_HOSTS) / FANOUT;
     (0..PARENTS)
         .map(|offset| (parent + offset) % position)
         .map(|index| hosts[index])
