--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -74,7 +74,7 @@
             return true;
         }
         let state = self.view.state();
-        if !heartbeat_tree::is_root(&heartbeat_tree::order(&state), own) {
+        if !heartbeat_tree::is_top_level(&heartbeat_tree::order(&state), own) {
             return false;
         }
         let now_ms = clock::now_ms();
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -41,7 +41,7 @@
             let wanted = wanted.await.is_ok();
             // The random delay keeps the hosts from reading at the same moment.
             let spread_ms = rand::rng().random_range(0..=percent_ms(SPREAD_PERCENT));
-            let read_at_ms = match self.is_root() {
+            let read_at_ms = match self.is_top_level() {
                 true => percent_ms(ROOT_READS_AT_PERCENT),
                 false => percent_ms(OTHER_READS_AT_PERCENT),
             };
@@ -53,11 +53,11 @@
     }
 
     /// Returns true if this host is a root host of the heartbeat tree, or is not registered yet.
-    fn is_root(&self) -> bool {
+    fn is_top_level(&self) -> bool {
         let Some(own) = self.key() else { return true };
         let state = self.view.state();
         let hosts = heartbeat_tree::order(&state);
-        heartbeat_tree::is_root(&hosts, own)
+        heartbeat_tree::is_top_level(&hosts, own)
     }
 
     /// Reads the log to its end and applies it; returns false on failure.
--- a/src/membership/heartbeat_tree.rs
+++ b/src/membership/heartbeat_tree.rs
@@ -34,7 +34,7 @@
 }
 
 /// Returns true if `own` is a root host; `hosts` are the registered ones in the order of the tree.
-pub fn is_root(hosts: &[HostKey], own: HostKey) -> bool {
+pub fn is_top_level(hosts: &[HostKey], own: HostKey) -> bool {
     hosts.iter().take(TOP_LEVEL_HOSTS).any(|host| *host == own)
 }
 
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -134,7 +134,8 @@
         let silence = silence(host, entry);
         let heard_within = |span_ms| silence.silent_ms.is_some_and(|ms| ms <= span_ms);
         let heard = is_own || heard_within(PROMOTION_SILENCE_MS);
-        let wanted = entry.state == HostState::Joining && heartbeat_tree::is_root(&hosts, host);
+        let wanted =
+            entry.state == HostState::Joining && heartbeat_tree::is_top_level(&hosts, host);
         if wanted && heard {
             return Some(Change::HostPromoted { host, incarnation });
         }
