--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -19,7 +19,7 @@
 const TICK_MS: u64 = 20;
 /// Age of the basis at which a root host reads the log, in percent of the freshness limit. Root
 /// hosts read early, so that the hosts below them in the heartbeat tree need not read.
-const ROOT_READS_AT_PERCENT: u64 = 25;
+const TOP_LEVEL_READS_AT_PERCENT: u64 = 25;
 /// Age of the basis at which any other host reads the log, in percent of the freshness limit. It
 /// does not read while replies to its heartbeats keep the basis younger.
 const OTHER_READS_AT_PERCENT: u64 = 75;
@@ -42,7 +42,7 @@
             // The random delay keeps the hosts from reading at the same moment.
             let spread_ms = rand::rng().random_range(0..=percent_ms(SPREAD_PERCENT));
             let read_at_ms = match self.is_top_level() {
-                true => percent_ms(ROOT_READS_AT_PERCENT),
+                true => percent_ms(TOP_LEVEL_READS_AT_PERCENT),
                 false => percent_ms(OTHER_READS_AT_PERCENT),
             };
             let age_ms = self.view.staleness_ms().unwrap_or(u64::MAX);
