--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -201,7 +201,7 @@
             renewal_state.answered(response, leased.incarnation, ordered, now_ms, every_ms)
         };
         match outcome {
-            RenewalOutcome::Renewed => self.note_draining(leased, response.draining).await,
+            RenewalOutcome::Renewed => self.commit_draining(leased, response.draining).await,
             RenewalOutcome::Replaced => {
                 self.report_lost(leased, "another process responds at its address")
                     .await
@@ -211,7 +211,7 @@
     }
 
     /// Commits that a server has begun or ended draining, if the state does not say so already.
-    async fn note_draining(self: &Arc<Self>, leased: LeasedServer, draining: bool) {
+    async fn commit_draining(self: &Arc<Self>, leased: LeasedServer, draining: bool) {
         let state = self.view.state();
         let Some(entry) = state.server(leased.server) else {
             return;
