--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -75,12 +75,12 @@
         Some(reading.clock_ms + (end_ms - reading.received_ms))
     }
 
-    /// Applies a response; `meant` is the process that the order was for. `ordered` is false for a
+    /// Applies a response; `intended` is the process that the order was for. `ordered` is false for a
     /// request that only queried the server's clock.
     pub fn answered(
         &mut self,
         response: &LeaseResponse,
-        meant: Incarnation,
+        intended: Incarnation,
         ordered: bool,
         now_ms: u64,
         renew_every_ms: u64,
@@ -90,7 +90,7 @@
             clock_ms: response.clock_ms,
             received_ms: now_ms,
         });
-        if response.incarnation != meant {
+        if response.incarnation != intended {
             return RenewalOutcome::Replaced;
         }
         self.answered_ms = now_ms;
