--- a/src/membership/heartbeat_tree.rs
+++ b/src/membership/heartbeat_tree.rs
@@ -1,24 +1,24 @@
 //! The heartbeat tree, which selects the hosts that each host pings. Its shape keeps the number of
 //! heartbeats per host constant as the number of hosts grows.
 //!
-//! The first 15 hosts, taken from the availability zones in turn, are the *root hosts*. They ping
-//! each other and become voters. Every other host pings two parents that stand above it in the
-//! tree. The age of the basis adds up on the way down from the root hosts.
+//! The first 15 hosts, taken from the availability zones in turn, are the *top-level hosts*. They
+//! ping each other and become quorum members. Every other host pings two parents that stand above
+//! it in the tree. The staleness of the views adds up on the way down from the top-level hosts.
 
 use std::collections::HashMap;
 
 use crate::{id::HostKey, state::State};
 
-/// Number of root hosts, which all ping each other.
+/// Number of top-level hosts, which all ping each other.
 pub const TOP_LEVEL_HOSTS: usize = 15;
 /// Number of hosts that have the same first parent (host that they ping first).
 const FANOUT: usize = 8;
-/// Number of parents that a host below the root hosts pings, so that it can lose one of them.
+/// Number of parents that a host below the top level pings, so that the host can lose one of them.
 const PARENTS: usize = 2;
 
 /// Returns the registered hosts in the order of the tree: the first host of each availability zone,
-/// then the second of each, and so on, so that the loss of a zone leaves a majority of the root
-/// hosts.
+/// then the second of each, and so on, so that the loss of a zone leaves a majority of the
+/// top-level hosts.
 pub fn order(state: &State) -> Vec<HostKey> {
     let mut ranks: HashMap<&str, u32> = HashMap::new();
     let mut ranked: Vec<(u32, HostKey)> = state
@@ -33,13 +33,14 @@
     ranked.into_iter().map(|(_, key)| key).collect()
 }
 
-/// Returns true if `own` is a root host; `hosts` are the registered ones in the order of the tree.
+/// Returns true if `own` is a top-level host. `hosts` are the registered hosts in the order of the
+/// tree.
 pub fn is_top_level(hosts: &[HostKey], own: HostKey) -> bool {
     hosts.iter().take(TOP_LEVEL_HOSTS).any(|host| *host == own)
 }
 
-/// Returns the hosts that `own` pings; `hosts` are the registered ones in the order of the tree. A
-/// host that is not among them pings all root hosts.
+/// Returns the hosts that `own` pings. `hosts` are the registered hosts in the order of the tree. A
+/// host that is not among them pings all top-level hosts.
 pub fn heartbeat_targets(hosts: &[HostKey], own: HostKey) -> Vec<HostKey> {
     let Some(position) = hosts.iter().position(|host| *host == own) else {
         return hosts.iter().copied().take(TOP_LEVEL_HOSTS).collect();
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,5 +1,6 @@
-//! Membership of hosts: the registry and its voters, the heartbeat tree, the hash ring that divides
-//! work among hosts, and the freshness of a host's view.
+//! Membership of hosts: the registry and its quorum members (the hosts that count in majorities),
+//! the heartbeat tree, the hash ring that divides work among hosts, and the staleness of a host's
+//! view.
 
 pub mod heartbeat_tree;
 pub mod registry;
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -1,8 +1,10 @@
 //! The registry of hosts, and the rules by which it changes.
 //!
-//! Hosts are promoted and removed one at a time. The next change waits until the last one is
-//! *settled*: more than half of the voters have applied it, and no other host acts on an earlier
-//! registry any more. Hence the majorities of any two registries that hosts act on share a host.
+//! Live and leaving hosts are the *quorum members*: the hosts that count in majorities. Hosts are
+//! promoted to quorum members and removed one at a time. The next change waits until the last one
+//! is *complete*: more than half of the quorum members have applied it, and no other host acts on
+//! an earlier version of the registry. Hence the majorities of any two versions of the registry
+//! that hosts act on share a host.
 
 use super::{heartbeat_tree, staleness::HostProcess};
 use crate::{
@@ -10,11 +12,12 @@
     state::{Change, HostEntry, HostState, State},
 };
 
-/// Maximum time since the last heartbeat of a host that counts as heard. Only heard hosts are
-/// promoted, and only heard voters count in the majority that the removal of a voter needs.
+/// Maximum time in milliseconds since the last heartbeat of a host for the host to count as heard.
+/// Only heard hosts are promoted, and only heard quorum members count in the majority that the
+/// removal of a quorum member needs.
 const PROMOTION_SILENCE_MS: u64 = 1_000;
 
-/// Returns the voters: the live and leaving hosts, which count in majorities.
+/// Returns the quorum members: the live and leaving hosts, which count in majorities.
 pub fn quorum_members(state: &State) -> Vec<HostProcess> {
     let is_quorum_member = |(_, host): &(HostKey, &HostEntry)| host.is_quorum_member();
     state
@@ -24,7 +27,7 @@
         .collect()
 }
 
-/// Returns all registered hosts, the voters and the others.
+/// Returns the processes of all registered hosts, whether or not they are quorum members.
 pub fn registered(state: &State) -> Vec<HostProcess> {
     state.registered_hosts().map(host_process).collect()
 }
@@ -36,8 +39,9 @@
     }
 }
 
-/// Progress of a leader in settling the last change of the registry. It is kept in memory only, so
-/// a new leader begins with none.
+/// Progress of a leader towards completing the last change of the registry, that is, until no host
+/// acts on an earlier version. The progress is kept in memory only, so a new leader begins with
+/// none.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ChangeTracker {
     changed: Revision,
@@ -45,7 +49,8 @@
 }
 
 impl ChangeTracker {
-    /// Returns true while the hosts must still be queried for the revision of the last change.
+    /// Returns true while the leader must still query the hosts whether they have applied the last
+    /// change of the registry.
     pub fn pending(&mut self, state: &State) -> bool {
         if self.changed != state.registry.changed {
             *self = Self {
@@ -56,9 +61,11 @@
         !state.registry.is_change_complete() && self.complete_ms.is_none()
     }
 
-    /// Records the hosts that have reported before `now_ms` that they have applied the last change.
-    /// Once they are a majority, the settlement is due at once if they are all hosts and none was
-    /// removed, and otherwise after `expiry_bound_ms`, when hosts that missed the change cannot act.
+    /// Records in `applied` which hosts have reported before `now_ms` that they have applied the
+    /// last change of the registry. Once these hosts are a majority, the change is complete at
+    /// `now_ms` if they are all hosts and no host was removed. Otherwise it is complete
+    /// `expiry_bound_ms` later, when the views of hosts that missed the change are too stale to act
+    /// on.
     pub fn record_applied(
         &mut self,
         state: &State,
@@ -75,7 +82,8 @@
         let registry = &state.registry;
         if majority(&quorum_members(state)) && majority(&registry.previous_quorum_members) {
             let all = registered(state).iter().all(|host| applied.contains(host));
-            // A removed host is not queried, so it may still act on an earlier registry.
+            // A removed host is not queried, so it may still act on an earlier version of the
+            // registry.
             let at_once = all && registry.removal < registry.changed;
             self.complete_ms = Some(if at_once {
                 now_ms
@@ -85,7 +93,8 @@
         }
     }
 
-    /// Returns the change that records the registry as settled; `None` until the settlement is due.
+    /// Returns the change that records the last change of the registry as complete; `None` before
+    /// the time at which it is complete.
     pub fn completion(&self, state: &State, now_ms: u64) -> Option<Change> {
         let registry = state.registry.changed;
         let due = self
@@ -96,19 +105,23 @@
     }
 }
 
-/// Silence of a host (the time without heartbeats from it), as one other host sees it.
+/// Silence of one host (the time without heartbeats from it), as seen by the host that decides on
+/// its removal.
 #[derive(Clone, Copy, Debug)]
 pub struct Silence {
-    /// Time since the last heartbeat of the host; `None` if there was none.
+    /// Time in milliseconds since the last heartbeat of the silent host was received, or since the
+    /// last ping that it replied to was sent; `None` if there was neither.
     pub silent_ms: Option<u64>,
-    /// True if heartbeats are expected: the host has pinged this one, or this host pings it.
+    /// True if heartbeats are expected: the silent host has pinged the deciding host before, or the
+    /// deciding host pings it in the heartbeat tree.
     pub expected: bool,
-    /// Time since this host applied the entry of the host; it counts if there was no heartbeat of
-    /// the host.
+    /// Time in milliseconds since the deciding host applied the registry entry of the silent host.
+    /// It stands in for `silent_ms` if that is `None`.
     pub known_ms: u64,
 }
 
-/// Limits for the silence of hosts (the time without heartbeats); beyond them a host is removed.
+/// Limits for the silence of hosts (the time without heartbeats). A host that is silent for longer
+/// is removed from the registry.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryLimits {
     /// Limit for a host that has not announced its stop, in milliseconds.
@@ -118,8 +131,8 @@
     pub leaving_ms: u64,
 }
 
-/// Returns the next change of the registry: the promotion of a joining root host that is heard, or
-/// the removal of a silent host. `None` if neither is due.
+/// Returns the next change of the registry: the promotion of a joining top-level host that is
+/// heard, or the removal of a silent host. `None` if neither is due.
 pub fn next_change(
     state: &State,
     own: Option<HostKey>,
@@ -146,7 +159,8 @@
             limits.removal_ms
         };
         let silent_ms = silence.silent_ms.unwrap_or(silence.known_ms);
-        // Without a majority the removal of a voter would never be settled.
+        // Without a majority of heard quorum members, the removal of a quorum member would never be
+        // complete.
         let allowed = majority || !entry.is_quorum_member();
         if !is_own && silence.expected && silent_ms > limit_ms && allowed {
             return Some(Change::HostRemoved { host, incarnation });
@@ -155,7 +169,8 @@
     None
 }
 
-/// Returns true if more than half of the voters are heard, this host included.
+/// Returns true if more than half of the quorum members are heard; the deciding host counts as
+/// heard.
 fn majority_heard(
     state: &State,
     own: Option<HostKey>,
@@ -173,7 +188,7 @@
     heard.count() * 2 > quorum_members().count()
 }
 
-/// Returns true if a later process with the same name is registered.
+/// Returns true if a later process of a host with the same name is registered.
 fn is_replaced(state: &State, entry: &HostEntry) -> bool {
     let mut hosts = state.registered_hosts();
     hosts.any(|(_, other)| other.name == entry.name && other.changed > entry.changed)
--- a/src/membership/ring.rs
+++ b/src/membership/ring.rs
@@ -6,10 +6,10 @@
 
 use crate::id::HostKey;
 
-/// Seed of the hashes of hosts. All hosts must use the same, so that they agree on the ring.
+/// Seed of the hashes of hosts. All hosts must use the same seed, so that they agree on the ring.
 const HOST_SEED: u64 = 1;
-/// Seed of the hashes of work. It differs from that of hosts, so that a host and a work item with
-/// the same number have unrelated positions.
+/// Seed of the hashes of work. It differs from the seed for hosts, so that a host and a work item
+/// with the same number have unrelated positions in the ring.
 const WORK_SEED: u64 = 2;
 
 /// Hash ring: hosts in the order of their hashes.
--- a/src/membership/staleness.rs
+++ b/src/membership/staleness.rs
@@ -1,27 +1,30 @@
-//! Freshness of a host's view, which decides if the host may act on it.
+//! Staleness of a host's view of the replicated state, which decides whether the host may act on
+//! it.
 //!
-//! A host's *basis* is the latest time for which the host knows that it has applied every change
-//! that was in force then. The view is fresh while the basis is recent enough. The basis comes from
-//! one of three sources:
+//! The *up-to-date time* of a host is the latest time for which the host knows that it has applied
+//! every change that was in force then. The *staleness* of its view is the time that has passed
+//! since. A host acts on its view only while the staleness is at most the configured maximum. The
+//! up-to-date time comes from one of three sources:
 //!
-//! - a read of the change log: the time at which the read was sent;
-//! - the reply to a heartbeat by one peer that has a basis itself: the time at which the ping was
-//!   sent, less the age of the peer's basis;
-//! - replies to heartbeats by more than half of the voters, this host included: the time at which
-//!   the oldest of these pings was sent.
+//! - a read of the change log that found no further entries: the time at which the host sent the
+//!   read;
+//! - the reply of one peer to a heartbeat, if that peer has an up-to-date time itself: the time at
+//!   which the ping was sent, less the staleness that the peer reports;
+//! - replies to heartbeats by more than half of the quorum members, the host itself included: the
+//!   time at which the oldest of these pings was sent.
 //!
 //! The last source also works while the platform's store is down: the lease of a lost server is
-//! recorded as lapsed only after more than half of the voters have applied the loss, and any two
-//! majorities share a host. Every source counts from the sending of the read or the ping, so that a
-//! delayed reply does not make the basis younger. A reply counts only if this host has applied the
-//! revision that it carries.
+//! recorded as expired only after more than half of the quorum members have applied the loss, and
+//! any two majorities share a host. Every source counts from the sending of the read or the ping,
+//! so that a delayed reply does not make the view look more recent than it is. A reply counts only
+//! if the host that receives it has applied the revision that the reply carries.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{HostKey, Incarnation, Revision};
 
-/// Latest reply of one peer to a heartbeat, with the time since which it has reported the same
-/// revision.
+/// Latest reply of one peer to a heartbeat, with the time since which the peer has reported the
+/// same revision.
 #[derive(Clone, Copy, Debug)]
 struct LastReply {
     host: HostKey,
@@ -48,27 +51,31 @@
 pub struct HeartbeatReply {
     /// Host that replied, by its key in the registry.
     pub host: HostKey,
-    /// Process that replied; a restarted host replies with a new one.
+    /// Process that replied; a restarted host replies with another incarnation.
     pub incarnation: Incarnation,
     /// Time at which this host sent the ping, on its own clock.
     pub sent_ms: u64,
     /// Revision that the peer had applied when it replied.
     pub revision: Revision,
-    /// Age of the peer's basis when it replied; `None` if it has no basis.
+    /// Staleness of the peer's view when it replied, in milliseconds; `None` if the peer has not
+    /// been up to date yet.
     pub staleness_ms: Option<u64>,
 }
 
-/// A host process that counts in majorities. The type also identifies processes of registered hosts
-/// that are not voters.
+/// One process of a registered host, identified by the key of the host and the incarnation of the
+/// process. A *quorum member* is such a process that counts in majorities (see
+/// [`super::registry`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HostProcess {
-    /// Key of the host; a restarted host may get the same one.
+    /// Key of the host in the registry; a restarted host may get the same key.
     pub host: HostKey,
-    /// Process of the host; a restarted one is another voter.
+    /// Random identifier of the process; a restarted host has another one and so is another
+    /// process.
     pub incarnation: Incarnation,
 }
 
-/// Basis of one host's view, and the replies to its heartbeats.
+/// Up-to-date time of one host (the latest time for which the host knows that it had applied every
+/// change in force), and the latest replies of its peers to heartbeats.
 #[derive(Clone, Debug, Default)]
 pub struct StalenessTracker {
     up_to_date_ms: Option<u64>,
@@ -81,8 +88,8 @@
         self.advance_up_to_date_ms(sent_ms);
     }
 
-    /// Records the reply of a peer; `applied` is this host's revision, and `quorum_members` are the voters
-    /// of the state at that revision.
+    /// Records the reply of a peer. `applied` is the revision that this host has applied, and
+    /// `quorum_members` are the quorum members of the state at that revision.
     pub fn record_heartbeat_reply(
         &mut self,
         reply: HeartbeatReply,
@@ -102,7 +109,8 @@
         }
     }
 
-    /// Raises the basis to `now_ms` if this host is the only voter, and so a majority by itself.
+    /// Advances the up-to-date time to `now_ms` if this host is the only quorum member, and so a
+    /// majority by itself.
     pub fn advance_if_only_quorum_member(
         &mut self,
         now_ms: u64,
@@ -114,7 +122,7 @@
         }
     }
 
-    /// Keeps the reply if its ping was sent later than that of the last reply of the same peer.
+    /// Keeps the reply if its ping was sent later than the ping of the last reply of the same peer.
     fn store_reply(&mut self, reply: HeartbeatReply) {
         let mut heard = LastReply {
             host: reply.host,
@@ -136,8 +144,8 @@
         *previous = heard;
     }
 
-    /// Returns the time of the oldest ping among the latest replies that form a majority with this
-    /// host; `None` if too few voters have replied.
+    /// Returns the time of the oldest ping among the latest replies that form a majority of the
+    /// quorum members together with this host; `None` if too few quorum members have replied.
     fn majority_ms(&self, own: HostProcess, quorum_members: &[HostProcess]) -> Option<u64> {
         let needed = quorum_members.len() / 2 + 1;
         let own_counts = quorum_members.contains(&own);
@@ -165,8 +173,8 @@
         self.up_to_date_ms = self.up_to_date_ms.max(Some(up_to_date_ms));
     }
 
-    /// Returns the basis: the latest time for which the view is known to be complete. `None` until
-    /// it is first set.
+    /// Returns the up-to-date time: the latest time for which the view is known to be complete.
+    /// `None` until the first log read or sufficient heartbeat reply.
     pub fn up_to_date_ms(&self) -> Option<u64> {
         self.up_to_date_ms
     }
--- a/src/ownership/expiry.rs
+++ b/src/ownership/expiry.rs
@@ -1,53 +1,58 @@
-//! Decides when the lease of a lost server has lapsed for certain, so that its slots may move.
+//! Decides from which time on the lease of a lost server has certainly expired, so that its slots
+//! may move.
 //!
-//! A host that has applied the loss never renews the lease again, and it reports how long its
-//! earlier renewals may keep the lease valid. A host that has not applied the loss is bounded by
-//! its freshness: its basis (see [`crate::membership::staleness`]) is older than the moment at
-//! which more than half of the voters had applied the loss. Its last renewal therefore ends at most
-//! freshness + TTL after that moment.
+//! A host that has applied the loss of the server never renews the lease again, and it reports its
+//! *lease horizon*: how long its earlier renewals may keep the lease valid. A host that has not
+//! applied the loss is bounded by the maximum staleness of its view: its up-to-date time (see
+//! [`crate::membership::staleness`]) is earlier than the moment at which more than half of the
+//! quorum members had applied the loss. The last renewal of such a host therefore ends at most
+//! maximum staleness + TTL after that moment.
 
 use crate::{
     id::{HostKey, Incarnation},
     membership::staleness::HostProcess,
 };
 
-/// Report of one host on a lost server, with times on the clock of the host that requested it.
+/// Report of one host on its renewals of a lost server's lease. The times are on the clock of the
+/// leader that requested the report.
 #[derive(Clone, Copy, Debug)]
 pub struct HorizonReport {
     /// Host whose renewals the report is about.
     pub host: HostKey,
     /// Process of that host.
     pub incarnation: Incarnation,
-    /// Time by which the host had, at the latest, applied the change that marks the server as lost.
+    /// Latest possible time at which the reporting host applied the change that marks the server as
+    /// lost.
     pub applied_ms: u64,
-    /// Time after which no renewal of the host keeps the lease valid, with allowance for clock
-    /// drift.
+    /// Lease horizon: time after which no renewal of the reporting host keeps the lease valid, with
+    /// allowance for clock drift.
     pub horizon_ms: u64,
 }
 
 /// Hosts whose renewals may keep the lease valid.
 #[derive(Clone, Copy, Debug)]
 pub struct RenewingHosts<'a> {
-    /// All registered hosts, voters or not.
+    /// Processes of all registered hosts, whether or not they are quorum members.
     pub registered: &'a [HostProcess],
-    /// Voters of the current registry: the hosts that count in majorities.
+    /// Quorum members of the current registry: the hosts that count in majorities.
     pub quorum_members: &'a [HostProcess],
-    /// Voters before the last change of the registry; empty once that change is settled.
+    /// Quorum members before the last promotion or removal of a host; empty once that change is
+    /// complete.
     pub previous: &'a [HostProcess],
-    /// Time at which the revision [`crate::state::Registry::majority_since`] was in force at the
-    /// latest. A majority counts from this time on; a value that is too late only lengthens the
+    /// Time by which the revision [`crate::state::Registry::majority_since`] was certainly in
+    /// force. A majority counts only from this time on; a value that is too late only lengthens the
     /// wait.
     pub since_ms: u64,
-    /// True if the registry is settled, so that only registered hosts act.
+    /// True if the last change of the registry is complete, so that only registered hosts act.
     pub change_complete: bool,
 }
 
-/// Returns the time from which the lease cannot be valid any more, or `None` while too few hosts
-/// have reported.
+/// Returns the time from which the lease has certainly expired, or `None` while too few hosts have
+/// reported.
 ///
-/// Until a change of the registry is settled, a host may act on the new or on the previous
-/// registry. So a majority of the voters of each is needed. A majority counts only from the time at
-/// which no host acts on a registry older than these two.
+/// Until a change of the registry is complete, a host may act on the new or on the previous version
+/// of the registry. So a majority of the quorum members of each version is needed. A majority
+/// counts only from the time at which no host acts on a version older than these two.
 pub fn expired_at_ms(
     renewing_hosts: RenewingHosts<'_>,
     reports: &[HorizonReport],
@@ -78,7 +83,8 @@
     Some(latest_ms)
 }
 
-/// Returns the time at which more than half of `quorum_members` had applied the loss of the server.
+/// Returns the time at which more than half of `quorum_members` had applied the loss of the server;
+/// `None` while too few of them have reported.
 fn majority_ms(quorum_members: &[HostProcess], reports: &[HorizonReport]) -> Option<u64> {
     let mut applied: Vec<u64> = quorum_members
         .iter()
--- a/src/ownership/message.rs
+++ b/src/ownership/message.rs
@@ -3,8 +3,9 @@
 //! A server holds one lease for itself and one grant for each slot. It serves a slot while its
 //! lease is valid and the request carries the epoch of the grant. The end of the lease is given on
 //! the server's own monotonic clock, so that a delayed renewal cannot extend the lease past the
-//! time that its sender intended. A lease of a higher membership period ends all grants that were
-//! made before: the server had been declared lost, and its slots may have moved to other servers.
+//! time that its sender intended. The *lease epoch* rises each time the server joins. A lease of a
+//! higher lease epoch ends all grants that were made before: the server had been declared lost, and
+//! its slots may have moved to other servers.
 
 use serde::{Deserialize, Serialize};
 
@@ -25,7 +26,7 @@
 pub const INCARNATION_HEADER: &str = "ashroad-incarnation";
 /// Header with the identifier of the request; all attempts of one request carry the same.
 pub const REQUEST_HEADER: &str = "ashroad-request-id";
-/// Header with the time left for the request, in milliseconds.
+/// Header with the time left until the deadline of the request, in milliseconds.
 pub const DEADLINE_HEADER: &str = "ashroad-deadline-ms";
 /// Header of a response that is not a regular one: the outcome of the request.
 pub const OUTCOME_HEADER: &str = "ashroad-outcome";
@@ -48,12 +49,12 @@
 /// Order to extend the lease of a server and to add grants to those that the server holds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Process that the order is for; any other refuses it. `None` only queries the state of the
-    /// server.
+    /// Process that the order is for; any other process refuses the order. With `None`, the request
+    /// orders nothing and only queries the state of the server.
     pub incarnation: Option<Incarnation>,
-    /// Membership period of the order. The server refuses it if it has seen a higher one.
+    /// Lease epoch of the order. The server refuses the order if it has seen a higher lease epoch.
     pub lease_epoch: LeaseEpoch,
-    /// End of the lease on the server's clock.
+    /// End of the ordered lease, in milliseconds on the server's monotonic clock.
     pub not_after_ms: u64,
     /// Grants to hold in addition to those held already; may be empty.
     pub grants: Vec<SlotGrant>,
@@ -62,18 +63,19 @@
 /// State of a server and its lease, in response to a [`LeaseRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// Process that responds; it differs from the intended one if the server has restarted.
+    /// Process that responds; it differs from the process that the order is for if the server has
+    /// restarted.
     pub incarnation: Incarnation,
     /// Monotonic clock of the process when it responded; the end of the lease is given on this
     /// clock.
     pub clock_ms: u64,
-    /// Highest membership period that the process has seen.
+    /// Highest lease epoch that the process has seen.
     pub lease_epoch: LeaseEpoch,
-    /// True if the order was for this process and not outdated.
+    /// True if the order was for the responding process and its lease epoch was not outdated.
     pub accepted: bool,
-    /// True if the server is leaving and should get no new work.
+    /// True if the server is about to stop and should get no new work.
     pub draining: bool,
-    /// Combination of [`grant_hash`] over all grants held.
+    /// Combination by exclusive or of [`grant_hash`] over all grants that the server holds.
     pub grants_digest: u64,
 }
 
@@ -81,21 +83,22 @@
 /// `drain_ms` has passed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RevokeRequest {
-    /// Process that the order is for; any other refuses it.
+    /// Process that the order is for; any other process refuses the order.
     pub incarnation: Incarnation,
-    /// Slots, each with the epoch of its next grant; the server refuses every lower epoch from now
-    /// on.
+    /// Slots to release, each with the epoch of its next grant. From then on the server refuses
+    /// every lower epoch of the slot.
     pub slots: Vec<SlotGrant>,
-    /// Maximum time for which the server waits for requests in flight on the slots.
+    /// Maximum time in milliseconds for which the server waits for requests in flight on the slots.
     pub drain_ms: u64,
 }
 
-/// Response to a [`RevokeRequest`]; it states if the slots are free for the next owner.
+/// Response to a [`RevokeRequest`], which states whether the slots are free for the next owner.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct RevokeResponse {
-    /// Process that responds; it differs from the intended one if the server has restarted.
+    /// Process that responds; it differs from the process that the order is for if the server has
+    /// restarted.
     pub incarnation: Incarnation,
-    /// True if the slots are released and none of their requests runs any more.
+    /// True if the slots are released and no request on them is still running.
     pub released: bool,
 }
 
--- a/src/ownership/moves.rs
+++ b/src/ownership/moves.rs
@@ -1,5 +1,5 @@
 //! Next steps of the moves of slots, derived from the state alone, so that any leader can continue
-//! a move that another one began.
+//! a move that an earlier leader began.
 
 use std::collections::HashMap;
 
@@ -14,14 +14,16 @@
 pub struct MoveGroup {
     /// Service that all slots of the group belong to.
     pub service: ServiceKey,
-    /// Current owner; `None` if the slots have none or if the lease of their owner has lapsed.
+    /// Current owner; `None` if the slots have no owner, or if the lease of their owner has
+    /// expired.
     pub from: Option<ServerKey>,
     /// Next owner, to which the slots are moving.
     pub to: ServerKey,
 }
 
-/// Returns the groups whose next step can be taken now. Slots of a lost owner wait until its lease
-/// has lapsed for certain; then the state no longer names it as their owner.
+/// Returns the groups of moving slots whose next step can be taken now. Slots of a lost owner wait
+/// until the owner's lease has certainly expired; the state then no longer names that server as
+/// their owner.
 pub fn ready_groups(state: &State) -> HashMap<MoveGroup, Vec<MoveDone>> {
     let mut groups: HashMap<MoveGroup, Vec<MoveDone>> = HashMap::new();
     let services = (0..).map(ServiceKey).zip(&state.services);
@@ -43,7 +45,7 @@
     groups
 }
 
-/// Returns true if the server holds a lease that hosts renew.
+/// Returns true if the server is live, that is, has a lease that hosts renew.
 pub fn is_live(state: &State, server: ServerKey) -> bool {
     let entry = state.server(server);
     entry.is_some_and(|entry| entry.state == ServerState::Live)
--- a/src/ownership/planner.rs
+++ b/src/ownership/planner.rs
@@ -10,11 +10,11 @@
 
 use crate::configuration::template::Weights;
 
-/// Expected time in seconds for which requests of a moving slot wait; a longer one makes a move
+/// Expected time in seconds for which requests of a moving slot wait. A longer time makes a move
 /// more costly.
 pub const EXPECTED_HOLD_S: f64 = 0.02;
 
-/// Server as the planner sees it: its capacity, and whether it may own slots.
+/// Server in the input of the planner: its capacity, and whether it may own slots.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerServer {
     /// Number of requests that the server runs at a time, reduced during a cold start.
@@ -23,15 +23,15 @@
     pub eligible: bool,
 }
 
-/// Slot as the planner sees it: its owner and load.
+/// Slot in the input of the planner: its owner and load.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerSlot {
     /// Index of the owner in [`PlannerInput::servers`]; `None` if no server owns the slot.
     pub owner: Option<u32>,
     /// Smoothed load; only the proportion to other slots matters.
     pub load: f64,
-    /// True while the slot is being moved. Its load then counts for the next owner, given as
-    /// `owner`.
+    /// True while the slot is being moved. `owner` is then the next owner, for which the load of
+    /// the slot counts.
     pub moving: bool,
 }
 
@@ -70,7 +70,8 @@
     pub gain: f64,
 }
 
-/// Entry of a max-heap of servers, ordered by `key`; of equal keys the lower server comes first.
+/// Entry of a max-heap of servers, ordered by `key`. Of two entries with equal keys, the one with
+/// the lower server index comes first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct RankedServer {
     key: f64,
@@ -255,7 +256,7 @@
                 return;
             };
             let Some((position, gain)) = self.best_slot(&owned[from as usize], from, to) else {
-                // No move off this server lowers the cost; the next server may hold smaller slots.
+                // No move from this server lowers the cost; the next server may own smaller slots.
                 continue;
             };
             let slot = owned[from as usize].remove(position);
@@ -281,8 +282,9 @@
         owned
     }
 
-    /// Returns the slot whose move from `from` to `to` gains more, of the two slots whose loads are
-    /// next to the load that would even out the servers; `None` if neither move gains.
+    /// Returns the position in `slots` and the gain of the better of two moves from `from` to `to`.
+    /// The candidates are the two slots whose loads are next below and next above the load that
+    /// would make both servers equally loaded. `None` if neither move lowers the cost.
     fn best_slot(&self, slots: &[u32], from: u32, to: u32) -> Option<(usize, f64)> {
         if from == to || slots.is_empty() {
             return None;
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -1,4 +1,4 @@
-//! Renewal of one server's lease by one host, as a state machine that takes the time as an
+//! Renewal of one server's lease by one host, as a state machine that gets the current time as an
 //! argument.
 
 use crate::{
@@ -6,7 +6,7 @@
     ownership::message::LeaseResponse,
 };
 
-/// Delay before a failed renewal is retried.
+/// Delay in milliseconds before a failed renewal is retried.
 const RETRY_MS: u64 = 75;
 
 /// Reading of the server's clock, with the time of its receipt on this host's clock.
@@ -20,11 +20,14 @@
 /// Result of one renewal, derived from the server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RenewalOutcome {
-    /// The server accepted the renewal, or returned the clock reading needed for the first one.
+    /// The server accepted the renewal, or returned the reading of its clock that the first renewal
+    /// needs.
     Renewed,
-    /// Another process responds at the server's address, so the process with the lease has ended.
+    /// Another process responds at the server's address, so the process that held the lease has
+    /// ended.
     Replaced,
-    /// The order was refused as outdated: this host's view of the state is behind.
+    /// The server refused the order as outdated: the view of the host that sent the order is
+    /// behind.
     Outdated,
 }
 
@@ -35,14 +38,16 @@
     reading: Option<ClockReading>,
     answered_ms: u64,
     due_ms: u64,
-    /// End of the lease on this host's clock, over all renewals sent so far.
+    /// Latest end of the lease that any renewal sent so far has ordered, on the clock of the
+    /// renewing host.
     horizon_ms: u64,
-    /// Digest over the server's grants in its last response; `None` before the first response.
+    /// Digest over all grants of the server, from its last response; `None` before the first
+    /// response.
     pub digest: Option<u64>,
 }
 
 impl RenewalState {
-    /// Resets the state if `lease_epoch` is a new membership period.
+    /// Resets the state if `lease_epoch` differs from the lease epoch of the earlier renewals.
     pub fn start_lease_epoch(&mut self, lease_epoch: LeaseEpoch, now_ms: u64) {
         if self.lease_epoch == lease_epoch {
             return;
@@ -60,14 +65,15 @@
         now_ms >= self.due_ms
     }
 
-    /// Postpones the next renewal while one is in flight.
+    /// Records that a renewal was sent, and postpones the next one until the timeout of the sent
+    /// renewal has passed.
     pub fn sent(&mut self, now_ms: u64, timeout_ms: u64) {
         self.due_ms = now_ms + timeout_ms + RETRY_MS;
     }
 
-    /// Returns the end of the lease to request, on the server's clock. It corresponds to `now +
-    /// ttl` on this host's clock, and a delay of the order in the network does not move it. `None`
-    /// before the first reading of the server's clock.
+    /// Returns the end of the lease to request, on the server's clock. This end corresponds to `now
+    /// + ttl` on the clock of the renewing host, and a delay of the order in the network does not
+    /// move it. `None` before the first reading of the server's clock.
     pub fn order(&mut self, incarnation: Incarnation, now_ms: u64, ttl_ms: u64) -> Option<u64> {
         let reading = self.reading.filter(|r| r.incarnation == incarnation)?;
         let end_ms = now_ms + ttl_ms;
@@ -75,8 +81,8 @@
         Some(reading.clock_ms + (end_ms - reading.received_ms))
     }
 
-    /// Applies a response; `intended` is the process that the order was for. `ordered` is false for a
-    /// request that only queried the server's clock.
+    /// Applies a response of the server. `intended` is the process that the order was for.
+    /// `ordered` is false for a request that only queried the server's clock.
     pub fn answered(
         &mut self,
         response: &LeaseResponse,
@@ -99,7 +105,8 @@
             self.due_ms = now_ms + RETRY_MS;
             return RenewalOutcome::Outdated;
         }
-        // The first response only supplies the clock; the order follows at once.
+        // The response to a query only supplies the reading of the clock, so the order that renews
+        // the lease is due at once.
         self.due_ms = if ordered {
             now_ms + renew_every_ms
         } else {
@@ -108,15 +115,15 @@
         RenewalOutcome::Renewed
     }
 
-    /// Records a failed renewal. Returns true if the server has not responded to this host for
-    /// `suspect_ms`.
+    /// Records a failed renewal. Returns true if the server has not responded to the renewing host
+    /// for `suspect_ms`.
     pub fn failed(&mut self, now_ms: u64, suspect_ms: u64) -> bool {
         self.due_ms = now_ms + RETRY_MS;
         now_ms >= self.answered_ms + suspect_ms
     }
 
-    /// Returns the time for which renewals sent in this membership period may still be valid, plus
-    /// `margin_ms` for drift between the clocks.
+    /// Returns the time in milliseconds for which renewals sent in this lease epoch may still keep
+    /// the lease valid, plus `margin_ms` for drift between the clocks.
     pub fn remaining_ms(&self, lease_epoch: LeaseEpoch, now_ms: u64, margin_ms: u64) -> u64 {
         if self.lease_epoch != lease_epoch {
             return 0;
