--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -1,4 +1,5 @@
-//! Applies changes to the state. An invalid change is refused and leaves the state as it is.
+//! Applies changes to the replicated state. An invalid change is refused and leaves the state
+//! unchanged.
 
 use std::sync::Arc;
 
@@ -19,11 +20,11 @@
 };
 
 /// Maximum number of operation identifiers kept to recognise retried changes. A retry of an older
-/// change is no longer recognised.
+/// change is not recognised and is applied again if it is still valid.
 const OPERATIONS_KEPT: usize = 4096;
 
 impl State {
-    /// Applies the next entry of the log; on an error the state is unchanged.
+    /// Applies the next entry of the change log. On an error the state is unchanged.
     pub fn apply(&mut self, entry: &LogEntry) -> Result<()> {
         ensure!(
             entry.revision == self.revision.next(),
@@ -52,7 +53,7 @@
     }
 
     /// Applies a change as if it were the next entry of the log, to find out its effect or the
-    /// reason of a refusal. The caller applies it to a copy of the state.
+    /// reason of a refusal. The caller applies the change to a copy of the state.
     pub fn apply_dry_run(&mut self, change: Change) -> Result<()> {
         self.apply(&LogEntry {
             revision: self.revision.next(),
@@ -97,7 +98,7 @@
                 Ok(())
             }
             Change::RegistrySettled { registry } => {
-                let reason = "the registry has changed or is settled";
+                let reason = "the registry has changed, or its last change is already complete";
                 let due = self.registry.changed == *registry && !self.registry.is_change_complete();
                 ensure!(due, OutdatedSnafu { reason });
                 self.registry.completed = self.revision;
@@ -297,9 +298,9 @@
         let address = entry.peer_address;
         let is_predecessor =
             |host: &&mut HostEntry| host.registered() && host.peer_address == address;
-        // Two processes cannot bind one address, so the earlier one has ended. The new process
-        // replaces it as a voter, because it has applied everything that the earlier one had
-        // confirmed.
+        // Two processes cannot bind one address, so the earlier process has ended. The new process
+        // replaces it as a quorum member, because the new process has applied everything that the
+        // earlier one had confirmed.
         if let Some(dead) = self.hosts.iter_mut().find(is_predecessor) {
             if dead.is_quorum_member() {
                 entry.state = HostState::Live;
@@ -313,23 +314,23 @@
             *dead = entry;
             return;
         }
-        // An earlier process of the same name at another address remains a voter until its removal
-        // is settled.
+        // An earlier process of the same name at another address remains a quorum member until it
+        // is removed and that change is complete.
         match self.hosts.iter_mut().find(|host| !host.registered()) {
             Some(free) => *free = entry,
             None => self.hosts.push(entry),
         }
     }
 
-    /// Promotes or removes a host, which changes the voters. The last change of the registry must
-    /// be settled, so that at most two sets of voters are in use.
+    /// Promotes or removes a host, which changes the quorum members. The last change of the
+    /// registry must be complete, so that at most two sets of quorum members are in use.
     fn change_quorum(
         &mut self,
         key: HostKey,
         incarnation: Incarnation,
         to: HostState,
     ) -> Result<()> {
-        let reason = "the registry's last change is not settled";
+        let reason = "the registry's last change is not complete";
         ensure!(self.registry.is_change_complete(), OutdatedSnafu { reason });
         let before = quorum_members(self);
         self.set_host(key, incarnation, to)?;
@@ -339,14 +340,14 @@
         Ok(())
     }
 
-    /// Sets the state of a host. Fails if another process has replaced the host, or if it already
-    /// has that state.
+    /// Sets the state of a host. Fails if another process has replaced the process `incarnation`,
+    /// or if the host is already in the state `to`.
     fn set_host(&mut self, key: HostKey, incarnation: Incarnation, to: HostState) -> Result<()> {
         let revision = self.revision;
         let entry = self.hosts.get_mut(key.0 as usize);
         let entry = entry.filter(|host| host.incarnation == incarnation && host.state != to);
         let entry = entry.context(OutdatedSnafu {
-            reason: "the host has restarted or is in that state",
+            reason: "the host has restarted or is already in that state",
         })?;
         entry.state = to;
         entry.changed = revision;
@@ -354,7 +355,7 @@
     }
 
     /// Returns the entry of a server for modification and sets its `changed` revision. Fails unless
-    /// the server is in the given membership period and state.
+    /// the server is in the given lease epoch and state.
     fn server_in(
         &mut self,
         key: ServerKey,
@@ -365,19 +366,19 @@
         let entry = self.servers.get_mut(key.0 as usize);
         let entry = entry.filter(|s| s.lease_epoch == lease_epoch && s.state == state);
         let entry = entry.context(OutdatedSnafu {
-            reason: "the server is in another membership period or state",
+            reason: "the server is in another lease epoch or state",
         })?;
         entry.changed = revision;
         Ok(entry)
     }
 
-    /// Begins a new membership period for a server that has no lease; fails for any other server.
+    /// Begins a new lease epoch for a server that has no lease; fails for any other server.
     fn join_server(&mut self, key: ServerKey, incarnation: Incarnation) -> Result<()> {
         let revision = self.revision;
         let entry = self.servers.get_mut(key.0 as usize);
         let entry = entry.filter(|server| server.state == ServerState::Absent);
         let entry = entry.context(OutdatedSnafu {
-            reason: "the server already has a membership period",
+            reason: "the server's last lease may still be valid",
         })?;
         entry.incarnation = incarnation;
         entry.lease_epoch.0 += 1;
@@ -387,7 +388,7 @@
         Ok(())
     }
 
-    /// Removes a server whose lease has lapsed from every slot. A move to that server is turned
+    /// Removes a server whose lease has expired from every slot. A move to that server is turned
     /// into a move back to the old owner.
     fn remove_server_from_slots(&mut self, server: ServerKey) {
         let concerns = |slot: &SlotEntry| slot.owner == Some(server) || slot.next == Some(server);
@@ -410,7 +411,7 @@
             ensure!(live, OutdatedSnafu { reason });
             let slot = self.slot(service, begun.slot)?;
             let free = slot.next.is_none() && slot.epoch.next() == begun.epoch;
-            let reason = "the slot moves already or has moved";
+            let reason = "the slot is already moving or has moved";
             ensure!(free, OutdatedSnafu { reason });
         }
         for begun in moves {
@@ -426,7 +427,7 @@
         for done in done {
             let slot = self.slot(service, done.slot)?;
             let moving = slot.next.is_some() && slot.epoch == done.epoch;
-            let reason = "the slot does not move at this epoch";
+            let reason = "the slot is not moving at this epoch";
             ensure!(moving, OutdatedSnafu { reason });
         }
         for done in done {
--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -51,26 +51,27 @@
     },
     /// A host process has started and registers.
     HostRegistered {
-        /// Name from the settings; a process that restarts under it replaces the earlier one.
+        /// Name of the host from its settings, the same for its later processes. A later process of
+        /// the same name makes the leader remove the earlier one sooner.
         name: String,
-        /// Random identifier of the process, new after each restart.
+        /// Random identifier of the process; each restart of the host chooses another one.
         incarnation: Incarnation,
         /// Address at which other hosts reach the host.
         peer_address: SocketAddr,
         /// Availability zone of the host, from its settings.
         availability_zone: String,
     },
-    /// A host has become a voter: it counts in the majorities of
+    /// A host has become a quorum member: it counts in the majorities of
     /// [`crate::membership::staleness`].
     HostPromoted {
-        /// Registered host that becomes a voter.
+        /// Registered host that becomes a quorum member.
         host: HostKey,
         /// Process of the host; the change is refused if another process has replaced it.
         incarnation: Incarnation,
     },
     /// A host was asked to stop and has announced it.
     HostLeaving {
-        /// Host that stops; it remains a voter until its removal.
+        /// Host that stops; it remains a quorum member until its removal.
         host: HostKey,
         /// Process of the host; the change is refused if another process has replaced it.
         incarnation: Incarnation,
@@ -82,12 +83,14 @@
         /// Process of the host; the change is refused if another process has replaced it.
         incarnation: Incarnation,
     },
-    /// No host acts on an earlier version of the registry any more.
+    /// The last change of the registry is complete: no host acts on an earlier version of the
+    /// registry.
     RegistrySettled {
-        /// Revision of the last change of the registry; settling an earlier one is refused.
+        /// Revision of the last change of the registry. The change is refused if the registry has
+        /// changed again since.
         registry: Revision,
     },
-    /// A server process has responded and begins a new membership period.
+    /// A server process has responded and begins a new lease epoch.
     ServerJoined {
         /// Server that joins; it must have no lease.
         server: ServerKey,
@@ -99,38 +102,38 @@
     ServerDraining {
         /// Live server that begins or ends draining.
         server: ServerKey,
-        /// Membership period of the server; the change is refused in any other one.
+        /// Lease epoch of the server; the change is refused in any other lease epoch.
         lease_epoch: LeaseEpoch,
         /// True if the server wants to leave and its slots are to be moved away.
         draining: bool,
     },
-    /// A server does not respond; no host that has applied this revision renews its lease.
+    /// A server does not respond. No host that has applied this revision renews the server's lease.
     ServerLost {
         /// Live server that stopped responding; it becomes
         /// [`ServerState::Lost`](super::ServerState::Lost).
         server: ServerKey,
-        /// Membership period of the server; the change is refused in any other one.
+        /// Lease epoch of the server; the change is refused in any other lease epoch.
         lease_epoch: LeaseEpoch,
     },
-    /// The lease of a lost server has lapsed for certain, so its slots have no owner any more.
+    /// The lease of a lost server has certainly expired, so its slots have no owner.
     ServerLapsed {
         /// Lost server; it becomes absent and may join again.
         server: ServerKey,
-        /// Membership period of the server; the change is refused in any other one.
+        /// Lease epoch of the server; the change is refused in any other lease epoch.
         lease_epoch: LeaseEpoch,
     },
     /// Moves of slots to new owners have begun.
     MovesBegun {
         /// Service that all slots of this change belong to.
         service: ServiceKey,
-        /// Moves to begin; if one of them is invalid, none is applied.
+        /// Moves to begin. If one move is invalid, the whole change is refused.
         moves: Vec<SlotMove>,
     },
     /// Moves are completed: the new owners hold the slots.
     MovesCompleted {
         /// Service that all slots of this change belong to.
         service: ServiceKey,
-        /// Moves to complete; if one of them is invalid, none is applied.
+        /// Moves to complete. If one move is invalid, the whole change is refused.
         done: Vec<MoveDone>,
     },
 }
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -30,21 +30,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// Registered, but not a voter: the host is not a root host of the heartbeat tree, or is not
-    /// yet promoted.
+    /// Registered, but not a quorum member: the host is not a top-level host of the heartbeat tree,
+    /// or is not yet promoted.
     Joining,
-    /// Registered, and counted as a voter in majorities.
+    /// Registered, and counted in majorities as a quorum member.
     Live,
-    /// The host has announced its stop and remains a voter until it is removed.
+    /// The host has announced its stop. It remains a quorum member until it is removed.
     Leaving,
-    /// The host is not registered any more, and a later host may reuse its entry.
+    /// The host is not registered. A later host may reuse its entry.
     Removed,
 }
 
 /// One process of an entry host. A restarted host gets a new entry or replaces its old one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// Name of the host, from its settings; the same for its later processes.
+    /// Name of the host, from its settings; later processes of the host have the same name.
     pub name: String,
     /// Random identifier of the process; it differs after each restart.
     pub incarnation: Incarnation,
@@ -52,15 +52,15 @@
     pub peer_address: SocketAddr,
     /// Availability zone of the host, from its settings.
     pub availability_zone: String,
-    /// Stage of the life cycle; it decides whether the host is registered and whether it is a
-    /// voter.
+    /// Stage of the life cycle, which decides whether the host is registered and whether it is a
+    /// quorum member.
     pub state: HostState,
     /// Revision of the last change of this entry.
     pub changed: Revision,
 }
 
 impl HostEntry {
-    /// Returns true if the host is a voter (live or leaving) and so counts in majorities.
+    /// Returns true if the host is a quorum member (live or leaving) and so counts in majorities.
     pub fn is_quorum_member(&self) -> bool {
         matches!(self.state, HostState::Live | HostState::Leaving)
     }
@@ -75,45 +75,47 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerState {
-    /// The server has not joined yet, or its last lease has lapsed.
+    /// The server has not joined yet, or its last lease has expired.
     Absent,
     /// The server has a lease that hosts renew.
     Live,
-    /// The lease is no longer renewed, but may still be valid.
+    /// No host that has applied the loss renews the lease, but the lease may still be valid.
     Lost,
 }
 
-/// Revisions at which the registry of hosts changed and was settled.
+/// Revisions at which the registry of hosts changed and at which its last change was complete.
 ///
-/// The registry is *settled* when no host acts on an earlier version of it any more. Only then may
-/// the voters change again (see [`crate::membership::registry`]).
+/// A change of the registry is *complete* when no host acts on an earlier version of the registry.
+/// Only then may the quorum members change again (see [`crate::membership::registry`]).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registry {
-    /// Revision of the last promotion, removal or replacement of a voter.
+    /// Revision of the last promotion or removal of a host, or replacement of a quorum member.
     pub changed: Revision,
-    /// Revision of the last removal of a host or replacement of a voter.
+    /// Revision of the last removal of a host or replacement of a quorum member.
     pub removal: Revision,
-    /// Revision of the last promotion or removal.
+    /// Revision of the last promotion or removal of a host, which changed the quorum members.
     #[serde(rename = "voters_changed")]
     pub quorum_changed: Revision,
-    /// Revision of the last settlement. From then on no host acts on a registry from before
-    /// `changed`.
+    /// Revision at which the last change of the registry was recorded as complete. From this
+    /// revision on, no host acts on a version of the registry from before `changed`.
     #[serde(rename = "settled")]
     pub completed: Revision,
-    /// Voters from before the last promotion or removal, until that is settled; then empty.
+    /// Quorum members from before the last promotion or removal of a host; empty once that change
+    /// is complete.
     #[serde(rename = "previous_voters")]
     pub previous_quorum_members: Vec<HostProcess>,
 }
 
 impl Registry {
-    /// Returns true if no host acts on an earlier version of the registry any more.
+    /// Returns true if the last change is complete: no host acts on an earlier version of the
+    /// registry.
     pub fn is_change_complete(&self) -> bool {
         self.completed >= self.changed
     }
 
-    /// Returns the revision before which majorities of the voters do not count towards a lapse
-    /// (see [`crate::ownership::expiry`]): the change of the voters while that is not settled, and
-    /// the last settlement otherwise.
+    /// Returns the revision before which majorities of the quorum members do not count towards the
+    /// expiry of a lease (see [`crate::ownership::expiry`]). This is the last promotion or removal
+    /// until that is complete, and the completion of the last change afterwards.
     pub fn majority_since(&self) -> Revision {
         if self.previous_quorum_members.is_empty() {
             self.completed
@@ -123,7 +125,7 @@
     }
 }
 
-/// Backend server, identified by its address, with its latest lease and membership period.
+/// Backend server, identified by its address, with its latest lease and lease epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEntry {
     /// Address at which hosts reach the server; unique among servers.
@@ -132,9 +134,9 @@
     pub availability_zone: String,
     /// Process that has the lease, or had the last one.
     pub incarnation: Incarnation,
-    /// Number of the server's membership period; rises with each join.
+    /// Lease epoch of the server: a number that rises each time the server joins.
     pub lease_epoch: LeaseEpoch,
-    /// Stage of the life cycle; it decides whether hosts renew the server's lease.
+    /// Stage of the life cycle, which decides whether hosts renew the server's lease.
     pub state: ServerState,
     /// True if the server wants to leave, so that its slots are moved away.
     pub draining: bool,
@@ -145,7 +147,7 @@
 /// Ownership of one slot: its owner, the next owner while it moves, and the last epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotEntry {
-    /// Current owner; `None` before the first grant and after its lease has lapsed.
+    /// Current owner; `None` before the first grant and after the owner's lease has expired.
     pub owner: Option<ServerKey>,
     /// Next owner while the slot moves; `None` otherwise.
     pub next: Option<ServerKey>,
@@ -155,9 +157,9 @@
 }
 
 impl SlotEntry {
-    /// Removes a server whose lease has lapsed. A move to that server is turned into a move back to
-    /// the current owner, at a new epoch because the lapsed server may hold a grant of the last
-    /// one.
+    /// Removes a server whose lease has expired. A move to that server is turned into a move back
+    /// to the current owner. The move back gets a new epoch, because the removed server may hold a
+    /// grant of the last epoch.
     pub(super) fn remove_server(&mut self, server: ServerKey) {
         if self.owner == Some(server) {
             self.owner = None;
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Returns the owner; `None` while the slot moves or has no owner.
+    /// Returns the owner of a slot that does not move; `None` while the slot moves or has no owner.
     pub fn stable_owner(&self) -> Option<ServerKey> {
         match self.next {
             Some(_) => None,
@@ -186,7 +188,8 @@
     pub targets: Vec<ServerKey>,
     /// Ownership of each slot; the index is the slot number. The length is fixed.
     pub slots: Vec<SlotEntry>,
-    /// False once the service is withdrawn. The entry is kept so that its epochs never repeat.
+    /// False once the service is withdrawn. The entry is kept so that the epochs of its slots never
+    /// repeat.
     pub active: bool,
 }
 
@@ -195,7 +198,8 @@
 pub struct RecentOperation {
     /// Hash of the identifier that the writer chose.
     pub id_hash: u128,
-    /// Revision at which the change was appended, which is returned to a retry of it.
+    /// Revision at which the change was appended to the log, which is returned to a retry of the
+    /// change.
     pub revision: Revision,
 }
 
@@ -206,19 +210,20 @@
     pub revision: Revision,
     /// Revision of the last change of a template or workspace.
     pub configuration: Revision,
-    /// Templates in force, by name; a withdrawn one is removed.
+    /// Templates in force, by name; a withdrawn template is removed.
     pub templates: BTreeMap<String, Document>,
-    /// Workspaces in force, by name; a withdrawn one is removed.
+    /// Workspaces in force, by name; a withdrawn workspace is removed.
     pub workspaces: BTreeMap<String, Document>,
-    /// Revisions of the last changes and of the last settlement of the registry of hosts.
+    /// Revisions of the last changes of the registry of hosts and of their completion.
     pub registry: Registry,
     /// Entry hosts by [`HostKey`], one entry per process. Entries of removed hosts are reused.
     pub hosts: Vec<HostEntry>,
     /// Backend servers by [`ServerKey`]; entries are never removed.
     pub servers: Vec<ServerEntry>,
-    /// Services by [`ServiceKey`]. Successive states share the unchanged ones.
+    /// Services by [`ServiceKey`], withdrawn services included. Successive states share the
+    /// unchanged services.
     pub services: Vec<Arc<ServiceEntry>>,
-    /// Latest changes, oldest first, so that a retried submission is recognised.
+    /// Latest changes, oldest first, from which a retried submission is recognised.
     pub recent_operations: VecDeque<RecentOperation>,
 }
 
@@ -276,8 +281,8 @@
         keys.zip(services).filter(|(_, service)| service.active)
     }
 
-    /// Returns the revision of the recent change with identifier `id`; `None` if there is none or
-    /// it is no longer kept.
+    /// Returns the revision of the recent change with identifier `id`; `None` if no such change was
+    /// made or it is no longer kept.
     pub fn operation(&self, id: &OperationId) -> Option<Revision> {
         let hash = id.hash();
         let found = self
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -39,7 +39,7 @@
         /// Number of slots of the existing service, which the declaration must keep.
         slots: u32,
     },
-    /// The change was decided on a state that has changed since.
+    /// The change was decided on an earlier state, and the current state no longer allows it.
     #[snafu(display("the change is outdated: {reason}"))]
     Outdated {
         /// Condition of the change that no longer holds, for logs and operators.
@@ -50,7 +50,7 @@
     Order {
         /// Revision of the entry that was to be applied.
         found: u64,
-        /// Last revision applied; the entry should have had the one after it.
+        /// Last revision applied; the entry should have had the next revision.
         applied: u64,
     },
     /// A snapshot is damaged or cannot be decoded.
--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -1,10 +1,10 @@
 //! The change log in the platform's table service.
 //!
-//! The row `head` is written with every entry, so its version equals the last revision. An entry
-//! is appended by one transaction that requires that version, so only one of two writers at the
-//! same revision can commit. If the response is lost, the same transaction is sent again: it either
-//! takes effect then, or conflicts, and the operation id of the entry in the log shows whose change
-//! was committed.
+//! The row `head` is written with every entry, so its version equals the last revision. An entry is
+//! appended by one transaction that requires that version, so only one of two writers at the same
+//! revision can commit. If the response is lost, the writer sends the same transaction again. The
+//! repeated transaction either takes effect or conflicts; after a conflict, the operation id of the
+//! entry in the log shows whose change was committed.
 
 use std::time::Duration;
 
@@ -34,22 +34,23 @@
 const SNAPSHOT_ROW: &str = "snapshot";
 /// Maximum number of entries that one read returns; a host that is further behind reads again.
 const TAIL_ROWS: usize = 1_000;
-/// Pause before a transaction without a response is sent again.
+/// Pause in milliseconds before a transaction without a response is sent again.
 const TRANSACT_RETRY_MS: u64 = 50;
 
 /// Failure to read or append entries of the change log, or to load or store a snapshot.
 #[derive(Debug, Snafu)]
 pub enum LogError {
-    /// A call of the platform failed, so the read or write has to be repeated.
+    /// A call to the platform failed, so the read or write has to be repeated.
     #[snafu(display("{source}"))]
     Platform {
-        /// Failed HTTP call; a write may have taken effect all the same.
+        /// Error of the HTTP call; a write may have taken effect all the same.
         source: store::Error,
     },
-    /// The time limit was reached before it was known if the change took effect.
+    /// The resolve timeout passed, or reading the conflicting entry failed, before it was known
+    /// whether the change took effect.
     #[snafu(display("it is unknown whether the change took effect: {source}"))]
     OutcomeUnknown {
-        /// Error of the last attempt before the time limit.
+        /// Error of the last call to the store.
         source: store::Error,
     },
     /// The content of a row cannot be encoded or decoded.
@@ -74,10 +75,11 @@
     },
 }
 
-/// A change to be appended, without the revision that it will get.
+/// Change to be appended to the log, without the revision that it will get.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    /// Identifier chosen by the writer, by which its own entry is recognised after a lost response.
+    /// Identifier chosen by the writer, by which the writer recognises its own entry after a lost
+    /// response.
     pub operation_id: OperationId,
     /// Operator or host that makes the change.
     pub actor: String,
@@ -151,8 +153,8 @@
         }
     }
 
-    /// Sends a transaction until the store responds or the time limit is reached. Sending it again
-    /// is safe, because its condition holds at most once.
+    /// Sends a transaction until the store responds or the resolve timeout has passed. Sending the
+    /// transaction again is safe, because its condition holds at most once.
     async fn transact_until_known(
         &self,
         transaction: &Transaction,
--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -15,7 +15,8 @@
 pub struct SnapshotPointer {
     /// Revision of the state in the snapshot.
     pub revision: Revision,
-    /// Name of the object, which contains the revision and the start of the hash.
+    /// Name of the object in the object store, which contains the revision and the start of the
+    /// hash.
     pub object: String,
     /// SHA-256 of the object, in hexadecimal.
     pub sha256: String,
@@ -24,7 +25,7 @@
 /// Encoded state, with the pointer by which readers find and verify it.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// Name, revision and hash, by which the body is found and verified.
+    /// Name, revision and hash of the body, by which readers find and verify the body.
     pub pointer: SnapshotPointer,
     /// State in the postcard encoding.
     pub body: Vec<u8>,
