--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -13,12 +13,13 @@
     state::{self, AppendOutcome, Change, LogEntry, LogError, Proposal, State},
 };
 
-/// Maximum number of attempts to append one change if other writers append theirs first.
+/// Maximum number of attempts to append one change while other writers append theirs first.
 const ATTEMPTS_MAX: usize = 50;
 /// Maximum number of hosts that one host pushes entries to directly. Each of them relays the
 /// entries to its share of the remaining hosts.
 const PUSH_FANOUT: usize = 16;
-/// Timeout of one push. A host that misses a push learns of the revision by the next heartbeat.
+/// Timeout of one push in milliseconds. A host that misses a push learns of the revision by the
+/// next heartbeat.
 const PUSH_TIMEOUT_MS: u64 = 500;
 
 /// Reason why a change was not committed.
@@ -44,7 +45,7 @@
         /// Cause: a failure of the store, or an entry that cannot be decoded.
         source: LogError,
     },
-    /// Other writers appended their changes first in all [`ATTEMPTS_MAX`] attempts.
+    /// Another writer appended its change first in each of the [`ATTEMPTS_MAX`] attempts.
     #[snafu(display("other changes took precedence {ATTEMPTS_MAX} times; try again"))]
     Contention,
 }
@@ -65,7 +66,7 @@
 }
 
 impl Host {
-    /// Commits a change that this host itself decided on, with a random identifier.
+    /// Commits a change that this host itself has decided on. The change gets a random identifier.
     pub(super) async fn commit_own(self: &Arc<Self>, change: Change) -> Result<(), CommitError> {
         let request = CommitRequest {
             operation_id: OperationId::random(),
@@ -77,18 +78,20 @@
         Ok(())
     }
 
-    /// Commits a change and returns the revision at which it was appended. A change whose
-    /// identifier was accepted before gets the earlier revision.
+    /// Commits a change and returns the revision at which it was appended. If a change with the
+    /// same identifier was accepted before, nothing is appended and the revision of that change is
+    /// returned.
     pub async fn commit(self: &Arc<Self>, request: CommitRequest) -> Result<Revision, CommitError> {
-        // Each host commits one change at a time; concurrent ones would only conflict.
+        // Each host commits one change at a time, because its concurrent changes would only
+        // conflict with each other.
         let _turn = self.commits.lock().await;
         for _ in 0..ATTEMPTS_MAX {
             let state = self.view.state();
             if let Some(revision) = state.operation(&request.operation_id) {
                 return Ok(revision);
             }
-            // A stale view must not refuse a change, so the log is read before the change is
-            // refused.
+            // A change must not be refused because the view is stale, so the log is read before the
+            // change is refused.
             if let Err(error) = check(&state, &request) {
                 if !self.read_log().await || self.view.revision() == state.revision {
                     return Err(error);
--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -1,5 +1,5 @@
 //! The control loop of the leader: joins servers, records when the leases of lost servers have
-//! lapsed, updates the registry of hosts, plans moves and stores snapshots.
+//! expired, updates the registry of hosts, plans moves and stores snapshots.
 
 use std::{collections::HashSet, sync::Arc, time::Duration};
 
@@ -14,23 +14,24 @@
     ownership::{moves::MoveGroup, planner::PlannedMove},
 };
 
-/// Pause between two rounds of the control loop.
+/// Pause between two rounds of the control loop, in milliseconds.
 const TICK_MS: u64 = 25;
 /// Number of rounds of the control loop between two checks for silent hosts, on a host that is not
 /// the leader.
 const WATCH_EVERY_ROUNDS: u64 = 80;
-/// Pause between two pages of the sweep that deletes old claims.
+/// Pause between two pages of the sweep that deletes old claims, in milliseconds.
 const SWEEP_MS: u64 = 1_000;
 /// Number of log entries between two snapshots.
 const SNAPSHOT_EVERY: u64 = 500;
 
-/// State of the control loop between rounds. It is kept in memory only, so a new leader starts
-/// with the default.
+/// State of the control loop between rounds. The state is kept in memory only, so a new leader
+/// starts with the default.
 #[derive(Debug, Default)]
 pub(super) struct Controller {
     /// Groups of moves that a task of this process is carrying out.
     pub(super) moving: HashSet<MoveGroup>,
-    /// Lost servers for which a task of this process is waiting until their lease has lapsed.
+    /// Lost servers for which a task of this process is waiting until the server's lease has
+    /// expired.
     pub(super) expiring: HashSet<ServerKey>,
     /// Time at which the servers without a lease were last queried.
     pub(super) joins_checked_ms: u64,
@@ -40,8 +41,8 @@
     pub(super) loads: Vec<Vec<f64>>,
     /// Revision of the state and time of the loads from which the last plan was made.
     pub(super) planned: Option<(Revision, u64)>,
-    /// Progress towards settling the last change of the registry of hosts, that is, until no host
-    /// acts on the previous registry any more.
+    /// Progress towards completing the last change of the registry of hosts, that is, until no host
+    /// acts on an earlier version of the registry.
     pub(super) registry: ChangeTracker,
     snapshot: Revision,
     sweep: Sweep,
@@ -53,7 +54,7 @@
 pub(super) enum FinishedTask {
     /// The task of a group of moves has ended, with success or failure.
     Moved(MoveGroup),
-    /// The task that waits for the lapse of a server's lease has ended, with success or failure.
+    /// The task that waits for the expiry of a server's lease has ended, with success or failure.
     Expired(ServerKey),
 }
 
@@ -65,8 +66,8 @@
 }
 
 impl Host {
-    /// Runs the control loop until the process ends. It acts only while this host leads and its
-    /// view is fresh.
+    /// Runs the control loop until the process ends. The loop acts only while this host leads and
+    /// the staleness of its view is within the maximum.
     pub(super) async fn run_controller(self: Arc<Self>) {
         let mut ticks = time::interval(Duration::from_millis(TICK_MS));
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -1,6 +1,7 @@
-//! Heartbeats between hosts: a ping and its reply. They carry the revision and the age of the basis
-//! (the time for which the sender's view is known to be complete), so that a host notices a missed
-//! push, and stays fresh through its peers while its own reads of the log fail.
+//! Heartbeats between hosts: a ping and its reply. A ping carries the revision of its sender. The
+//! reply carries the revision of the replying host and the staleness of its view (the time since
+//! that view was known to be complete). So a host notices a missed push, and its view stays up to
+//! date through its peers while its own reads of the log fail.
 
 use std::{sync::Arc, time::Duration};
 
--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -20,7 +20,7 @@
 const RENEWALS_PER_LEASE: u64 = 4;
 /// Key in the hash ring that selects the candidates for the leader.
 const LEADER_RING_KEY: u32 = 0;
-/// Number of hosts that watch the leader row to take over when its lease lapses.
+/// Number of hosts that watch the leader row, to take over when the lease of the leader expires.
 const CANDIDATES: usize = 3;
 
 /// Content of the leader row, stored as JSON.
@@ -31,9 +31,9 @@
     incarnation: Incarnation,
 }
 
-/// Version of the leader row as a candidate last read it, and when it first read that version. The
-/// lease has lapsed once the version stays the same for the length of a lease, so the candidate
-/// needs no clock but its own.
+/// Version of the leader row as a candidate last read it, and the time at which the candidate first
+/// read that version. The lease has expired once the version stays the same for the length of a
+/// lease, so the candidate needs no clock but its own.
 #[derive(Clone, Copy, Debug, Default)]
 struct ObservedRow {
     version: u64,
@@ -41,8 +41,8 @@
 }
 
 impl Host {
-    /// Renews the leader row while this host leads, and tries to take it over while this host is a
-    /// candidate, until the process ends.
+    /// Renews the leader row while this host leads, and tries to take the row over while this host
+    /// is a candidate. Runs until the process ends.
     pub(super) async fn run_leader_election(self: Arc<Self>) {
         let lease_ms = self.settings.ownership.leader_lease_ms;
         let pause = Duration::from_millis(lease_ms / RENEWALS_PER_LEASE);
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Decides whether this host reads the leader row: it leads, or it is a root host and one of
-    /// the first [`CANDIDATES`] hosts in the ring that were heard within the last lease.
+    /// Returns true if this host reads the leader row: it leads, or it is a top-level host and one
+    /// of the first [`CANDIDATES`] hosts in the ring that were heard within the last lease.
     fn is_candidate(&self) -> bool {
         let Some(own) = self.key() else { return false };
         if self.leading() {
@@ -89,8 +89,8 @@
         candidates.any(|host| host == own)
     }
 
-    /// Renews the row, or takes it over if its lease has lapsed. Returns true if this host holds
-    /// the row afterwards.
+    /// Renews the leader row, or takes it over if the lease of its holder has expired. Returns true
+    /// if this host holds the row afterwards.
     async fn acquire_or_renew(
         &self,
         row: Option<Row>,
@@ -118,7 +118,8 @@
         self.write_leader(version, term).await
     }
 
-    /// Writes the row if it is still at `version`; returns true if this host holds it afterwards.
+    /// Writes the leader row if it is still at `version`. Returns true if this host holds the row
+    /// afterwards.
     async fn write_leader(&self, version: u64, term: u64) -> bool {
         let row = LeaderRow {
             term,
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -21,15 +21,17 @@
     state::{Change, HostEntry, ServerState, State},
 };
 
-/// Interval at which the leader queries servers without a lease; those that respond can join.
+/// Interval in milliseconds at which the leader queries the servers without a lease. Those that
+/// respond can join.
 const QUERY_SERVERS_MS: u64 = 300;
-/// Timeout of a query to another host for its lease horizon or its applied revision.
+/// Timeout in milliseconds of a query to another host for its lease horizon or its applied
+/// revision.
 const HORIZON_TIMEOUT_MS: u64 = 200;
-/// Maximum pause between two rounds of horizon queries for one lost server.
+/// Maximum pause in milliseconds between two rounds of horizon queries for one lost server.
 const HORIZON_PAUSE_MS: u64 = 50;
 
 impl Host {
-    /// Starts one task per lost server, which waits until the server's lease has lapsed; a task
+    /// Starts one task per lost server, which waits until the server's lease has expired. A task
     /// that is already running is not started again.
     pub(super) fn wait_for_expiries(
         self: &Arc<Self>,
@@ -56,8 +58,8 @@
     }
 
     /// Queries all hosts once for their lease horizons (the latest time at which their renewals may
-    /// still keep the lease valid), waits at most [`HORIZON_PAUSE_MS`], and records the lapse if it
-    /// is then certain.
+    /// still keep the lease valid), waits at most [`HORIZON_PAUSE_MS`], and records the expiry of
+    /// the lease if it is then certain.
     async fn wait_for_expiry(self: &Arc<Self>, lost: LostServer) {
         let reports = self.horizon_reports(lost).await;
         let state = self.view.state();
@@ -91,7 +93,7 @@
             lease_epoch: lost.lease_epoch,
         };
         if let Err(error) = self.commit_own(change).await {
-            log::warn!("cannot record that the lease of a lost server has lapsed: {error}");
+            log::warn!("cannot record that the lease of a lost server has expired: {error}");
         }
     }
 
@@ -121,8 +123,8 @@
         reports
     }
 
-    /// Queries the servers that have no lease, and records those that reply and are not draining
-    /// as joined.
+    /// Queries the servers that have no lease, and records the servers that respond and are not
+    /// draining as joined.
     pub(super) async fn join_servers(self: &Arc<Self>, controller: &mut Controller) {
         let now_ms = clock::now_ms();
         if now_ms < controller.joins_checked_ms + QUERY_SERVERS_MS {
@@ -155,8 +157,8 @@
         }
     }
 
-    /// Promotes and removes hosts and settles the registry, one change at a time (see
-    /// [`crate::membership::registry`]).
+    /// Promotes and removes hosts and records the completion of these changes of the registry, one
+    /// change at a time (see [`crate::membership::registry`]).
     pub(super) async fn update_registry(self: &Arc<Self>, controller: &mut Controller) {
         let state = self.view.state();
         if controller.registry.pending(&state) {
@@ -203,8 +205,8 @@
         applied
     }
 
-    /// Removes hosts that have stopped pinging this one. Hosts that do not lead do this for the
-    /// hosts below them in the heartbeat tree, which the leader may not hear.
+    /// Removes hosts that have stopped pinging this host. Hosts that do not lead do this for the
+    /// hosts below them in the heartbeat tree, whose heartbeats the leader may not receive.
     pub(super) async fn remove_silent_hosts(self: &Arc<Self>) {
         let state = self.view.state();
         if self.leading() || !self.view.is_up_to_date() || !state.registry.is_change_complete() {
@@ -246,7 +248,7 @@
     }
 }
 
-/// Server that was reported as lost and whose lease may still be valid.
+/// Server that was declared lost and whose lease may still be valid.
 #[derive(Clone, Copy, Debug)]
 struct LostServer {
     server: ServerKey,
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -1,5 +1,5 @@
-//! The entry host: its view of the replicated state, the tasks that keep the view fresh, and those
-//! that act on it.
+//! The entry host (a process of the router): its view of the replicated state, the tasks that keep
+//! the view up to date, and those that act on it.
 
 mod commit;
 mod controller;
@@ -47,9 +47,10 @@
 pub struct Host {
     /// Settings, read once at the start of the process.
     pub settings: Settings,
-    /// Random identifier of this process; a restarted host has a new one.
+    /// Random identifier of this process; a restarted host has another one.
     pub incarnation: Incarnation,
-    /// Replicated state as this host has applied it, and its freshness.
+    /// Replicated state as this host has applied it, with its staleness (the time since the state
+    /// was known to be complete).
     pub view: View,
     /// Counters of the requests routed to each slot since the leader last read them.
     pub traffic: Traffic,
@@ -73,20 +74,20 @@
 }
 
 impl Host {
-    /// Returns true while this host believes that it holds the leader row. Two hosts may do so for
-    /// a short time, which is safe.
+    /// Returns true while this host believes that it holds the leader row. Two hosts may believe so
+    /// for a short time, which is safe.
     pub fn leading(&self) -> bool {
         self.leading.load(Ordering::Relaxed)
     }
 
-    /// Returns the term of the leader row as this host last read or wrote it; 0 before the first
-    /// read.
+    /// Returns the term of the leader row, a number that rises with each change of the leader, as
+    /// this host last read or wrote it; 0 before the first read.
     pub fn leader_term(&self) -> u64 {
         self.leader_term.load(Ordering::Relaxed)
     }
 
-    /// Returns true if the load balancer should send requests to this host: it is not stopping and
-    /// its view is fresh.
+    /// Returns true if the load balancer should send requests to this host: the host is not
+    /// stopping, and the staleness of its view is within the maximum.
     pub fn ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed) && self.view.is_up_to_date()
     }
--- a/src/host/moves.rs
+++ b/src/host/moves.rs
@@ -1,6 +1,6 @@
-//! Completes moves of slots: revokes the slots from the old owner, grants them to the new one and
+//! Completes moves of slots: revokes the slots from the old owner, grants them to the new owner and
 //! records the result. Each step depends only on the state and is idempotent, so any leader can
-//! complete a move that another one began.
+//! complete a move that an earlier leader began.
 
 use std::{sync::Arc, time::Duration};
 
@@ -25,10 +25,10 @@
     transport::{CallError, JsonClient},
 };
 
-/// Delay before a failed group of moves is retried.
+/// Delay in milliseconds before a failed group of moves is retried.
 const RETRY_MS: u64 = 50;
 
-/// Reason why a group of moves could not be completed; it is retried after [`RETRY_MS`].
+/// Reason why a group of moves could not be completed; the group is retried after [`RETRY_MS`].
 #[derive(Debug, Snafu)]
 enum MoveError {
     #[snafu(display("the old owner does not respond: {source}"))]
@@ -46,7 +46,8 @@
 }
 
 impl Host {
-    /// Starts a task for each group of moving slots, unless one runs already.
+    /// Starts a task for each group of moving slots, unless a task for that group is already
+    /// running.
     pub(super) fn drive_moves(
         self: &Arc<Self>,
         controller: &mut Controller,
@@ -95,8 +96,8 @@
         committed.map_err(|source| MoveError::Commit { source })
     }
 
-    /// Orders the old owner to release the slots; its requests in flight may run on for the drain
-    /// time of the settings.
+    /// Orders the old owner to release the slots. Its requests in flight on them may run on for the
+    /// drain time of the settings.
     async fn revoke(&self, from: &ServerEntry, grants: &[SlotGrant]) -> Result<(), MoveError> {
         let drain_ms = self.settings.ownership.drain_ms;
         let order = RevokeRequest {
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -18,8 +18,8 @@
 };
 
 impl Host {
-    /// Handles messages of other hosts until the endpoint closes. Requests are handled in tasks of
-    /// their own, so that a slow one delays no heartbeat.
+    /// Handles messages of other hosts until the endpoint closes. Each request is handled in a task
+    /// of its own, so that a slow request delays no heartbeat.
     pub(super) async fn serve_peers(self: Arc<Self>, mut inbox: mpsc::Receiver<Inbound>) {
         while let Some(inbound) = inbox.recv().await {
             match inbound {
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Records the reply to a heartbeat, which may raise the basis of this host's view (the time
-    /// for which the view is known to be complete).
+    /// Records the reply to a heartbeat, which may advance the up-to-date time of this host's view
+    /// (the latest time for which the view is known to be complete).
     fn receive_pong(&self, answer: HeartbeatReply) {
         let Some(host) = self.key() else { return };
         let own = HostProcess {
@@ -126,7 +126,8 @@
         let _ = reply.send(answer);
     }
 
-    /// Applies pushed entries. If entries before them are missing, it requests a read of the log.
+    /// Applies pushed entries. If entries before them are missing in this host's view, requests a
+    /// read of the log.
     fn receive_push(&self, entries: &[crate::state::LogEntry]) -> PeerReply {
         self.apply(entries);
         let last = entries.last().map(|entry| entry.revision);
@@ -139,8 +140,8 @@
     }
 
     /// Returns the time for which this host's renewals may still keep the lease of a lost server
-    /// valid. Renewals are checked under the same lock, so none can follow a reply stating that
-    /// this host has applied the loss of the server.
+    /// valid. Renewals are checked under the same lock, so this host sends no renewal after a reply
+    /// which states that it has applied the loss of the server.
     pub(super) fn horizon(
         &self,
         server: ServerKey,
--- a/src/host/planning.rs
+++ b/src/host/planning.rs
@@ -22,9 +22,9 @@
 const BALANCE_IN_FLIGHT_MAX: usize = 8;
 /// Maximum number of slots in one change, which bounds the size of a row of the log.
 const SLOTS_PER_CHANGE: usize = 2_000;
-/// Interval at which the leader reads the loads of all hosts.
+/// Interval in milliseconds at which the leader reads the loads of all hosts.
 const READ_LOADS_MS: u64 = 2_000;
-/// Timeout of the request for the loads of one host.
+/// Timeout in milliseconds of the request for the loads of one host.
 const LOADS_TIMEOUT_MS: u64 = 500;
 /// Weight of the latest reading in the exponentially smoothed load.
 const LOAD_SMOOTHING: f64 = 0.2;
@@ -33,8 +33,8 @@
 const LOAD_REQUESTS_MIN: f64 = 200.0;
 
 impl Host {
-    /// Plans moves for each service and commits them. Nothing is planned again until the state or
-    /// the loads change.
+    /// Plans moves for each service and commits them. Does nothing while neither the state nor the
+    /// loads have changed since the last plan.
     pub(super) async fn plan_moves(self: &Arc<Self>, controller: &mut Controller) {
         let state = self.view.state();
         let planned_from = (state.revision, controller.loads_ms);
@@ -122,8 +122,8 @@
     plans
 }
 
-/// Plans the moves of one service. If it has fewer than [`LOAD_REQUESTS_MIN`] requests, the load of
-/// all its slots is passed as 0, and the planner then counts every slot the same.
+/// Plans the moves of one service. If the service has fewer than [`LOAD_REQUESTS_MIN`] requests,
+/// the load of all its slots is passed as 0, and the planner then counts every slot the same.
 fn plan_service(state: &State, service: &ServiceEntry, loads: Option<&[f64]>) -> Vec<PlannedMove> {
     let capacity = service.spec.server_slots as f64;
     let servers: Vec<PlannerServer> = state
@@ -157,7 +157,7 @@
         weights: service.spec.weights,
         balance_moves: BALANCE_IN_FLIGHT_MAX.saturating_sub(in_flight),
     };
-    // A slot whose owner is lost is planned at once, because its move waits until the lease has
-    // lapsed anyway.
+    // The move of a slot whose owner is lost is planned at once, because the move waits until the
+    // lease of that owner has expired.
     plan(input)
 }
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -18,23 +18,23 @@
     transport::{CallError, JsonClient},
 };
 
-/// Interval at which the host checks which renewals are due.
+/// Interval in milliseconds at which the host checks which renewals are due.
 const TICK_MS: u64 = 25;
 /// Number of hosts that renew the lease of one server independently of each other.
 const RENEWERS: usize = 2;
-/// Number of heartbeats without a reply after which the renewals of a silent host are assigned to
-/// another host.
+/// Number of heartbeat intervals without a reply after which the renewals of a silent host are
+/// assigned to another host.
 const SILENT_HEARTBEATS: u64 = 5;
-/// Number of other hosts that probe a server before it is reported as lost.
+/// Number of other hosts that probe a server before it is declared lost.
 const INDIRECT_PROBES: usize = 2;
-/// Timeout of one order to a server.
+/// Timeout in milliseconds of one order to a server.
 pub(super) const ORDER_TIMEOUT_MS: u64 = 200;
-/// Timeout of a probe by another host. It is longer than [`ORDER_TIMEOUT_MS`], because the other
-/// host sends an order of its own within it.
+/// Timeout in milliseconds of a probe by another host. It is longer than [`ORDER_TIMEOUT_MS`],
+/// because the probing host itself waits up to that long for the server.
 const PROBE_TIMEOUT_MS: u64 = 250;
 
-/// Server whose lease this host renews, with the process and membership period to which the
-/// renewals apply.
+/// Server whose lease this host renews, with the process and the lease epoch to which the renewals
+/// apply.
 #[derive(Clone, Copy, Debug)]
 struct LeasedServer {
     server: ServerKey,
@@ -60,7 +60,8 @@
 }
 
 impl Host {
-    /// Renews the leases assigned to this host until the process ends, while its view is fresh.
+    /// Renews the leases assigned to this host until the process ends. Sends no renewals while the
+    /// staleness of the view exceeds the maximum.
     pub(super) async fn run_lease_renewal(self: Arc<Self>) {
         let mut ticks = time::interval(Duration::from_millis(TICK_MS));
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
@@ -126,8 +127,8 @@
             .collect()
     }
 
-    /// Returns true if a renewal is due, and then postpones the next one while this one is in
-    /// flight.
+    /// Returns true if a renewal is due. In that case also postpones the next renewal while the one
+    /// that is due is in flight.
     fn start_if_due(&self, leased: LeasedServer) -> bool {
         let now_ms = clock::now_ms();
         let mut renewal_states = self.renewal_states();
@@ -156,14 +157,14 @@
         }
     }
 
-    /// Returns the order to send; `None` if this host must not renew the lease any more. The state
-    /// and the freshness are checked under the lock that [`Host::horizon`] also takes, so that no
-    /// renewal follows its reply.
+    /// Returns the order to send; `None` if this host must not renew the lease. The state and its
+    /// staleness are checked under the lock that [`Host::horizon`] also takes, so that no renewal
+    /// follows the reply of that method.
     fn order(&self, leased: LeasedServer) -> Option<LeaseRequest> {
         let mut renewal_states = self.renewal_states();
         let state = self.view.state();
-        // Only registered hosts are queried for their horizons before a lapse is recorded, so an
-        // unregistered host must not renew.
+        // Only registered hosts are queried for their horizons before the expiry of a lease is
+        // recorded, so an unregistered host must not renew.
         state.host_key(self.incarnation)?;
         let entry = state.server(leased.server)?;
         let current = entry.state == ServerState::Live && entry.lease_epoch == leased.lease_epoch;
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Commits that a server has begun or ended draining, if the state does not say so already.
+    /// Commits that a server has begun or ended draining, unless the state already says so.
     async fn commit_draining(self: &Arc<Self>, leased: LeasedServer, draining: bool) {
         let state = self.view.state();
         let Some(entry) = state.server(leased.server) else {
@@ -227,8 +228,8 @@
         let _ = self.commit_own(change).await;
     }
 
-    /// Records a failed renewal, and reports the server as lost if it has not responded to this
-    /// host for the suspicion time and does not respond to other hosts either.
+    /// Records a failed renewal. Declares the server lost if it has not responded to this host for
+    /// the suspicion time (`suspect_ms`) and does not respond to other hosts either.
     async fn renewal_failed(self: &Arc<Self>, leased: LeasedServer, error: &CallError) {
         log::debug!(server = leased.server.0 as u64; "renewal failed: {error}");
         let suspected = {
@@ -244,7 +245,7 @@
         }
     }
 
-    /// Returns true if one of up to [`INDIRECT_PROBES`] other hosts reaches the server.
+    /// Returns true if at least one of up to [`INDIRECT_PROBES`] other hosts reaches the server.
     async fn is_reachable_by_others(&self, server: ServerKey) -> bool {
         let mut probes = tokio::task::JoinSet::new();
         let request = PeerRequest::Probe { server };
@@ -264,7 +265,7 @@
         false
     }
 
-    /// Probes a server; returns true if the process that holds the lease responds.
+    /// Queries a server; returns true if the process that holds the lease responds.
     pub(super) async fn probe(&self, server: ServerKey) -> bool {
         let state = self.view.state();
         let Some(entry) = state.server(server) else {
@@ -291,7 +292,7 @@
         self.servers.post(address, LEASE_PATH, &query).await
     }
 
-    /// Commits that a server is lost, if it is still live in the same membership period.
+    /// Commits that a server is lost, if it is still live in the same lease epoch.
     async fn report_lost(self: &Arc<Self>, leased: LeasedServer, reason: &str) {
         let state = self.view.state();
         let entry = state.server(leased.server);
@@ -311,8 +312,8 @@
     }
 }
 
-/// Returns all grants that a server should hold, if the digest that it reported does not match
-/// them. Returns an empty list if it matches, or before the server has reported a digest.
+/// Returns all grants that a server should hold, if the digest that the server reported does not
+/// match them. Returns an empty list if the digest matches, or before the server has reported one.
 fn missing_grants(state: &State, server: ServerKey, digest: Option<u64>) -> Vec<SlotGrant> {
     let Some(digest) = digest else {
         return Vec::new();
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -38,17 +38,19 @@
     transport::{self, ListenerLimits},
 };
 
-/// Time limit for the change log to find out if a transaction whose response was lost took effect.
+/// Timeout in milliseconds within which the change log finds out whether a transaction whose
+/// response was lost took effect.
 const RESOLVE_TIMEOUT_MS: u64 = 5_000;
 /// Maximum number of idle connections kept open to one backend server.
 const IDLE_CONNECTIONS: usize = 8;
-/// Pause between two attempts to register this host, which fail while the store is unreachable.
+/// Pause in milliseconds between two attempts to register this host, which fail while the store is
+/// unreachable.
 const REGISTER_PAUSE_MS: u64 = 100;
-/// Time limit for announcing the planned stop of this host, so that the host can stop while the
-/// store is down.
+/// Timeout in milliseconds of the announcement of a planned stop, so that the host can stop while
+/// the store is down.
 const LEAVE_TIMEOUT_MS: u64 = 2_000;
 
-/// Running host: its context, bound addresses and tasks. Ended by [`RunningHost::stop`].
+/// Running host: its context, bound addresses and tasks. [`RunningHost::stop`] ends the host.
 #[derive(Debug)]
 pub struct RunningHost {
     /// Context shared with the tasks of the host.
@@ -63,7 +65,7 @@
     tasks: JoinSet<()>,
 }
 
-/// Starts a host: opens its listeners and spawns its tasks. It registers in the background.
+/// Starts a host: opens its listeners and spawns its tasks. The host registers in the background.
 pub async fn start(settings: Settings) -> Result<RunningHost> {
     let tls = keys::load(&settings.peers).context(PeerSnafu)?;
     let bound = PeerEndpoint::bind(settings.peers.listen, tls);
@@ -135,7 +137,7 @@
 }
 
 impl Host {
-    /// Retries the registration of this process until it has succeeded.
+    /// Registers this process, and retries until the registration has succeeded.
     async fn keep_registered(self: Arc<Self>) {
         let Ok(peer_address) = self.peers.address() else {
             return;
@@ -161,7 +163,8 @@
         log::info!(host = self.settings.name.as_str(); "registered");
     }
 
-    /// Commits that this host leaves, so that it is removed soon after it has stopped.
+    /// Commits that this host leaves, so that the leader removes the host soon after it has
+    /// stopped.
     async fn announce_leaving(self: &Arc<Self>) {
         let Some(host) = self.key() else { return };
         let change = Change::HostLeaving {
@@ -177,9 +180,8 @@
 }
 
 impl RunningHost {
-    /// Carries out a planned stop: withdraws readiness, announces the stop, waits for the
-    /// notice
-    /// time, lets the requests in flight finish within the drain time of the settings, and then
+    /// Carries out a planned stop: withdraws readiness, announces the stop and waits for the notice
+    /// time. Then lets the requests in flight finish within the drain time of the settings, and
     /// ends all tasks.
     pub async fn stop(mut self) {
         let host = &self.host;
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -1,4 +1,5 @@
-//! Keeps the view up to date from the change log, and from peers while the store is down.
+//! Keeps the view up to date from the change log, and from peers while the store is down. The
+//! staleness of the view is the time since the view was known to be complete.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,22 +15,24 @@
     state::{LogEntry, LogError, Snapshot},
 };
 
-/// Interval at which the host checks the age of its basis (the time for which its view is known to
-/// be complete).
+/// Interval in milliseconds at which the host checks the staleness of its view (the time since the
+/// view was known to be complete).
 const TICK_MS: u64 = 20;
-/// Age of the basis at which a root host reads the log, in percent of the freshness limit. Root
-/// hosts read early, so that the hosts below them in the heartbeat tree need not read.
+/// Staleness at which a top-level host reads the log, in percent of the maximum staleness.
+/// Top-level hosts read early, so that the hosts below them in the heartbeat tree need not read.
 const TOP_LEVEL_READS_AT_PERCENT: u64 = 25;
-/// Age of the basis at which any other host reads the log, in percent of the freshness limit. It
-/// does not read while replies to its heartbeats keep the basis younger.
+/// Staleness at which a host below the top level of the heartbeat tree reads the log, in percent of
+/// the maximum staleness. Such a host does not read while replies to its heartbeats keep the
+/// staleness lower.
 const OTHER_READS_AT_PERCENT: u64 = 75;
-/// Upper bound of the random delay that is added to these ages, in percent of the freshness limit.
+/// Upper bound of the random delay after which a host reads the log once its view has reached the
+/// staleness for a read, in percent of the maximum staleness.
 const SPREAD_PERCENT: u64 = 12;
-/// Timeout of fetching entries or a snapshot from a peer.
+/// Timeout in milliseconds of fetching entries or a snapshot from a peer.
 const PEER_TIMEOUT_MS: u64 = 500;
 
 impl Host {
-    /// Reads the log whenever the basis is too old or a read is requested; runs until the process
+    /// Reads the log whenever the view is too stale or a read is requested. Runs until the process
     /// ends.
     pub(super) async fn keep_synced(self: Arc<Self>) {
         let percent_ms = |percent| self.settings.ownership.max_staleness_ms * percent / 100;
@@ -52,7 +55,8 @@
         }
     }
 
-    /// Returns true if this host is a root host of the heartbeat tree, or is not registered yet.
+    /// Returns true if this host is a top-level host of the heartbeat tree, or is not registered
+    /// yet.
     fn is_top_level(&self) -> bool {
         let Some(own) = self.key() else { return true };
         let state = self.view.state();
@@ -60,7 +64,7 @@
         heartbeat_tree::is_top_level(&hosts, own)
     }
 
-    /// Reads the log to its end and applies it; returns false on failure.
+    /// Reads the log to its end and applies its entries; returns false on failure.
     pub(super) async fn read_log(&self) -> bool {
         loop {
             let sent_ms = clock::now_ms();
@@ -88,16 +92,16 @@
         }
     }
 
-    /// Applies entries to the view. Panics if an entry cannot be applied: this program and the log
-    /// then disagree, so the host must not go on acting.
+    /// Applies entries to the view. Panics if an entry cannot be applied: this program then
+    /// disagrees with the log, so the host must not go on acting.
     pub(super) fn apply(&self, entries: &[LogEntry]) {
         if let Err(error) = self.view.apply(entries) {
             panic!("invariant: an entry of the log cannot be applied: {error}");
         }
     }
 
-    /// Fetches the missing entries up to `revision` from the peer at `address`, or requests a read
-    /// of the log if that does not succeed.
+    /// Fetches the missing entries up to `revision` from the peer at `address`. Requests a read of
+    /// the log if the peer does not supply all of them.
     pub(super) async fn catch_up(&self, address: std::net::SocketAddr, revision: Revision) {
         let request = PeerRequest::Entries {
             after: self.view.revision(),
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Fetches the whole state of a peer and replaces the view with it if it is newer.
+    /// Fetches the whole state of a peer, and replaces the view with it if its revision is higher.
     pub(super) async fn fetch_snapshot(&self, address: std::net::SocketAddr) {
         let request = PeerRequest::Snapshot;
         let reply = self.peers.call(address, &request, PEER_TIMEOUT_MS).await;
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -1,4 +1,4 @@
-//! The host's view: the replicated state at one revision, its freshness, and the latest log entries
+//! The host's view: the replicated state at one revision, its staleness, and the latest log entries
 //! with the times at which they were applied.
 
 use std::{
@@ -22,7 +22,7 @@
     state::{self, LogEntry, State},
 };
 
-/// Maximum number of latest entries kept in memory for peers that request them. A peer that is
+/// Maximum number of latest log entries kept in memory for peers that request them. A peer that is
 /// further behind gets a snapshot.
 const ENTRIES_KEPT: usize = 1_024;
 
@@ -35,7 +35,7 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// Time of the last ping received from each host.
+    /// Time in milliseconds at which the last ping of each host process was received.
     last_pings: HashMap<HostProcess, u64>,
     recent: VecDeque<Applied>,
     staleness: StalenessTracker,
@@ -43,8 +43,9 @@
     replaced: Option<(Revision, u64)>,
 }
 
-/// The replicated state as one host has applied it. A host may act on it only while it is fresh:
-/// while its basis is no older than the freshness limit (see [`crate::membership::staleness`]).
+/// The replicated state as one host has applied it. The host may act on the state only while its
+/// staleness is within the maximum: while the up-to-date time, the latest time for which the state
+/// is known to be complete, is recent enough (see [`crate::membership::staleness`]).
 #[derive(Debug)]
 pub struct View {
     state: ArcSwap<State>,
@@ -55,7 +56,8 @@
 }
 
 impl View {
-    /// Returns an empty view that is fresh while its basis is no older than `max_staleness_ms`.
+    /// Returns an empty view, on which the host may act while its staleness is at most
+    /// `max_staleness_ms`.
     pub fn new(max_staleness_ms: u64) -> Self {
         Self {
             state: ArcSwap::from_pointee(State::default()),
@@ -91,20 +93,20 @@
         self.changed.subscribe()
     }
 
-    /// Returns true if the age of the basis is within the freshness limit, so that this host may
-    /// act on the state.
+    /// Returns true if the staleness is within the maximum, so that this host may act on the state.
     pub fn is_up_to_date(&self) -> bool {
         clock::now_ms() <= self.up_to_date_ms.load(Ordering::Acquire) + self.max_staleness_ms
     }
 
-    /// Returns the time since the basis in milliseconds; `None` while the view has no basis.
+    /// Returns the staleness of the view in milliseconds (the time since the view was known to be
+    /// complete); `None` if the view was never known to be complete.
     pub fn staleness_ms(&self) -> Option<u64> {
         let up_to_date_ms = self.up_to_date_ms.load(Ordering::Acquire);
         (up_to_date_ms > 0).then(|| clock::now_ms().saturating_sub(up_to_date_ms))
     }
 
-    /// Applies the entries that follow the current revision. Entries applied before are skipped,
-    /// and entries after a gap are ignored; a later read of the log brings them.
+    /// Applies the entries that follow the current revision. Entries applied before are skipped.
+    /// Entries after a gap are ignored, and a later read of the log supplies them.
     pub fn apply(&self, entries: &[LogEntry]) -> state::Result<()> {
         let mut inner = self.lock();
         let mut state = State::clone(&self.state.load());
@@ -154,9 +156,9 @@
         self.changed.send_replace(revision);
     }
 
-    /// Returns the time since this host applied `revision`; `None` if it has not. For an entry that
-    /// is no longer kept, returns the time since a snapshot last replaced the state, or 0 if there
-    /// was none.
+    /// Returns the time in milliseconds since this host applied `revision`; `None` if it has not
+    /// applied that revision. For an entry that is no longer kept, returns the time since a
+    /// snapshot last replaced the state, or 0 if no snapshot has.
     pub fn applied_age_ms(&self, revision: Revision) -> Option<u64> {
         let inner = self.lock();
         if self.state.load().revision < revision {
@@ -171,7 +173,7 @@
         Some(clock::now_ms().saturating_sub(applied_ms))
     }
 
-    /// Returns the entries after `after`; `None` if they are no longer kept.
+    /// Returns the log entries after revision `after`; `None` if they are no longer kept.
     pub fn entries(&self, after: Revision) -> Option<Vec<LogEntry>> {
         let inner = self.lock();
         if after >= self.state.load().revision {
@@ -192,7 +194,7 @@
         self.store_up_to_date_ms(&inner);
     }
 
-    /// Records the reply of a peer to a heartbeat, which may raise the basis.
+    /// Records the reply of a peer to a heartbeat, which may advance the up-to-date time.
     pub fn record_heartbeat_reply(&self, reply: HeartbeatReply, own: HostProcess) {
         let mut inner = self.lock();
         let state = self.state.load();
@@ -203,7 +205,8 @@
         self.store_up_to_date_ms(&inner);
     }
 
-    /// Raises the basis to now if this host is the only voter. Called at each heartbeat.
+    /// Advances the up-to-date time to now if this host is the only quorum member. Called at each
+    /// heartbeat.
     pub fn on_heartbeat(&self, own: HostProcess) {
         let mut inner = self.lock();
         let quorum_members = quorum_members(&self.state.load());
@@ -225,7 +228,7 @@
         self.lock().last_pings.insert(sender, clock::now_ms());
     }
 
-    /// Returns the time of the last ping received from a host; `None` if there was none.
+    /// Returns the time of the last ping received from a host process; `None` if there was no ping.
     pub fn last_ping_ms(&self, sender: HostProcess) -> Option<u64> {
         self.lock().last_pings.get(&sender).copied()
     }
