--- a/src/bench/control.rs
+++ b/src/bench/control.rs
@@ -23,7 +23,7 @@
 pub struct ControlFigures {
     /// Number of hosts that ran during the measurement.
     pub hosts: usize,
-    /// Number of hosts that were voters during the measurement.
+    /// Number of hosts that were quorum members (counted in majorities) during the measurement.
     pub counted: usize,
     /// Bytes that one host sends per second, including its share of the stand-ins' traffic.
     pub sent_bytes_per_s: f64,
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -15,8 +15,8 @@
 
 static START: LazyLock<Duration> = LazyLock::new(read_clock);
 
-/// Offset of all readings. It keeps them positive when a freshness or lease period is subtracted
-/// from an early one.
+/// Offset of all readings. The offset keeps results positive when a staleness or the length of a
+/// lease is subtracted from an early reading.
 const ORIGIN_MS: u64 = 1_000_000;
 
 /// Returns the monotonic time in milliseconds. Readings of different processes cannot be compared.
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -278,7 +278,7 @@
         Stopped { address, at_us }
     }
 
-    /// Returns the number of hosts that are voters.
+    /// Returns the number of hosts that are quorum members, that is, that count in majorities.
     pub(crate) fn quorum_size(&self) -> usize {
         let state = self.hosts[0].host.view.state();
         let quorum_members = state
--- a/src/id.rs
+++ b/src/id.rs
@@ -33,7 +33,8 @@
     u64
 );
 number!(
-    /// Number of a server's membership period; rises each time the server joins.
+    /// Lease epoch of a server: a number that rises each time the server joins. A lease of a higher
+    /// epoch ends all grants of the earlier ones.
     LeaseEpoch,
     u64
 );
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -98,18 +98,19 @@
     pub revision: u64,
     /// Revision of the last change of any template or workspace.
     pub configuration: u64,
-    /// True if the host's view is recent enough to act on.
+    /// True if the staleness of the host's view is within the maximum, so that the host may act on
+    /// the view.
     pub fresh: bool,
-    /// Age of the view's basis, the latest time for which the host knows that it had applied every
-    /// change; `None` before the first one.
+    /// Staleness of the host's view in milliseconds: the time since the latest time for which the
+    /// host knows that it had applied every change; `None` while there is no such time.
     #[serde(rename = "basis_age_ms")]
     pub staleness_ms: Option<u64>,
     /// True if the host believes that it is the leader.
     pub leading: bool,
     /// Term of the leader row as the host last read it.
     pub term: u64,
-    /// True if the last change of the registry of hosts is settled: no host acts on an earlier
-    /// version.
+    /// True if the last change of the registry of hosts is complete: no host acts on an earlier
+    /// version of the registry.
     pub registry_settled: bool,
     /// All registered hosts, those that are joining or leaving included.
     pub hosts: Vec<HostStatus>,
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -19,8 +19,8 @@
 /// Heartbeats between hosts, sent as datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Queries a peer for its revision and the age of its basis (the latest time for which it knows
-    /// that it had applied every change).
+    /// Queries a peer for its revision and the staleness of its view (the time since that view was
+    /// known to be complete).
     Ping {
         /// Sender, by its key in the registry of hosts.
         host: HostKey,
@@ -41,7 +41,8 @@
         sent_ms: u64,
         /// Revision that the host has applied.
         revision: Revision,
-        /// Age of the host's basis (see [`crate::membership::staleness`]); `None` if it has none.
+        /// Staleness of the replying host's view (see [`crate::membership::staleness`]); `None` if
+        /// the host has not been up to date yet.
         #[serde(rename = "basis_age_ms")]
         staleness_ms: Option<u64>,
     },
@@ -69,7 +70,7 @@
     LeaseHorizon {
         /// Server that was declared lost.
         server: ServerKey,
-        /// Membership period of the server that ended when it was declared lost.
+        /// Lease epoch of the server that ended when the server was declared lost.
         lease_epoch: LeaseEpoch,
         /// Revision of the change that recorded the loss of the server.
         lost: Revision,
@@ -105,8 +106,8 @@
         /// State in the postcard encoding, to be verified against `pointer`.
         body: Vec<u8>,
     },
-    /// Reply to [`PeerRequest::LeaseHorizon`], from which [`crate::ownership::lapse`] computes when
-    /// the lost server's lease has ended.
+    /// Reply to [`PeerRequest::LeaseHorizon`], from which [`crate::ownership::expiry`] computes
+    /// when the lost server's lease has ended.
     Horizon {
         /// Time since the host applied the change that records the loss of the server; `None` if it
         /// has not applied that change.
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -379,7 +379,8 @@
     Ok(())
 }
 
-/// Waits until the slot has an owner and this host is fresh enough to route, up to the deadline.
+/// Waits up to the deadline until the slot has an owner and the staleness of this host's view is
+/// within the maximum.
 async fn owner(host: &Arc<Host>, routed: &RoutedRequest) -> Result<Owner, Failure> {
     if host.view.is_up_to_date()
         && let Some(owner) = find_owner(&host.view.peek(), routed)
@@ -402,7 +403,7 @@
             };
             return Err(Failure::not_run(reason));
         }
-        // A host becomes fresh without a change of the state, so freshness is polled.
+        // The view becomes up to date without a change of the state, so the loop polls for it.
         let wait_ms = if is_up_to_date {
             left_ms
         } else {
@@ -415,8 +416,7 @@
     }
 }
 
-/// Waits until the owner's membership period has ended, so that an attempt in flight can be
-/// abandoned.
+/// Waits until the owner's lease epoch has ended, so that an attempt in flight can be abandoned.
 async fn owner_lost(host: &Host, owner: Owner) {
     let mut changes = host.view.watch();
     loop {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -137,8 +137,8 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Ownership {
-    /// Freshness limit: maximum age of the basis (see [`crate::membership::staleness`]) with which
-    /// a host may act on its view.
+    /// Maximum staleness (see [`crate::membership::staleness`]), in milliseconds, with which a host
+    /// may act on its view.
     #[serde(rename = "freshness_ms")]
     pub max_staleness_ms: u64,
     /// Length of a server's lease, counted from the sending of a renewal.
@@ -177,7 +177,9 @@
 }
 
 impl Ownership {
-    /// Returns the time after which a host that missed a change can no longer keep a lease alive.
+    /// Returns the time in milliseconds after which a host that missed a change can no longer keep
+    /// a lease valid: the sum of the maximum staleness, the length of a lease and the allowance for
+    /// clock drift.
     pub fn expiry_bound_ms(&self) -> u64 {
         self.max_staleness_ms + self.lease_ttl_ms + self.margin_ms
     }
--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -53,7 +53,7 @@
 }
 
 impl Grants {
-    /// Returns the highest membership period seen; orders of earlier ones are refused.
+    /// Returns the highest lease epoch seen; orders with a lower lease epoch are refused.
     pub fn lease_epoch(&self) -> LeaseEpoch {
         self.lease_epoch
     }
@@ -64,8 +64,8 @@
         self.digest
     }
 
-    /// Extends the lease and adds the grants; returns false if the order is of an earlier
-    /// membership period.
+    /// Extends the lease and adds the grants; returns false if the order is of an earlier lease
+    /// epoch.
     pub fn renew(&mut self, request: &LeaseRequest, now: ClockReading) -> bool {
         if request.lease_epoch < self.lease_epoch {
             return false;
@@ -81,8 +81,8 @@
         true
     }
 
-    /// Ends all grants at the start of a new membership period, because slots of the previous
-    /// period may have moved to other servers.
+    /// Ends all grants at the start of a new lease epoch, because slots of the previous lease epoch
+    /// may have moved to other servers.
     fn end_all(&mut self, now: ClockReading) {
         let keys: Vec<(String, Slot)> = self.slots.keys().cloned().collect();
         for key in keys {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -244,7 +244,8 @@
         status.unwrap_or_else(|error| panic!("no status of host {host}: {error}"))
     }
 
-    /// Waits until every host reports that all slots have an owner and that all hosts are voters.
+    /// Waits until every host reports that all slots have an owner and that all hosts are quorum
+    /// members.
     pub async fn settled(&self) {
         let all: Vec<usize> = (0..self.hosts.len()).collect();
         self.settled_on(&all).await;
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -1,6 +1,7 @@
-//! Simulation around the real ownership code: state, freshness, renewals, lapses, registry and the
-//! grants of a server. Time is virtual. Messages are delayed, lost, duplicated and reordered;
-//! processes are paused, killed and restarted; the store is down or its responses are lost.
+//! Simulation around the real ownership code: state, staleness, renewals, expiry of leases,
+//! registry and the grants of a server. Time is virtual. Messages are delayed, lost, duplicated and
+//! reordered; processes are paused, killed and restarted; the store is down or its responses are
+//! lost.
 
 mod host;
 
@@ -35,13 +36,13 @@
     Nothing,
     /// A server forgets which slots were revoked.
     Fence,
-    /// A server keeps its grants in a new membership period.
+    /// A server keeps its grants in a new lease epoch.
     LeaseEpoch,
-    /// Leases are declared lapsed without waiting.
+    /// Leases are declared expired without waiting.
     ExpiryWait,
-    /// The lapse of a lease is declared when one host has reported.
+    /// The expiry of a lease is declared when one host has reported.
     Majority,
-    /// Hosts renew leases however old their view is.
+    /// Hosts renew leases however stale their view is.
     StalenessBound,
     /// The duration of a lease is counted from the arrival of the order.
     ClockBound,
@@ -50,7 +51,8 @@
     OperationId,
 }
 
-/// Host process that sent a request. Replies use its connection, so a restarted process gets none.
+/// Host process that sent a request. Replies use the connection of the request, so a restarted
+/// process gets none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Requester {
     host: usize,
@@ -196,7 +198,7 @@
         simulation
     }
 
-    /// Registers every host and makes it a voter.
+    /// Registers every host and promotes it to a quorum member.
     fn register_all_hosts(&mut self) {
         let changes: Vec<Change> = self.hosts.iter().map(Host::registration).collect();
         let promote = |(key, host): (u32, &Host)| Change::HostPromoted {
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -56,7 +56,7 @@
             expired_at_ms: Some(5_900),
         },
         ExpiryCase {
-            name: "a majority has applied the loss; the other hosts are bounded by their freshness",
+            name: "a majority has applied the loss; the views of the others become too stale",
             quorum_members: &[0, 1, 2],
             previous: &[],
             since_ms: 0,
@@ -65,7 +65,7 @@
             expired_at_ms: Some(7_010),
         },
         ExpiryCase {
-            name: "half of the voters are no majority",
+            name: "half of the quorum members are no majority",
             quorum_members: &[0, 1, 2, 3],
             previous: &[],
             since_ms: 0,
@@ -131,7 +131,7 @@
     renewal_state.answered(&response, process, false, 1_000, 300);
     assert_eq!(renewal_state.order(process, 1_010, 1_200), Some(50 + 1_210));
     assert_eq!(renewal_state.remaining_ms(period, 2_210, 100), 100);
-    // The remaining time must reach 0 at a later query, or the lease would never count as lapsed.
+    // The remaining time must reach 0 at a later query, or the lease would never count as expired.
     assert_eq!(renewal_state.remaining_ms(period, 2_310, 100), 0);
     assert_eq!(renewal_state.remaining_ms(LeaseEpoch(2), 1_010, 100), 0);
 }
@@ -171,7 +171,10 @@
     assert!(watch.pending(&state));
     watch.record_applied(&state, &[host_process(1)], 5_000, EXPIRY_BOUND_MS);
     let completion = watch.completion(&state, 60_000);
-    assert!(completion.is_none(), "host 0 may be fresh by itself");
+    assert!(
+        completion.is_none(),
+        "host 0 alone is a majority and may still act"
+    );
 }
 
 #[test]
@@ -207,7 +210,7 @@
     }
     let cases = [
         Case {
-            name: "a peer's basis counts, less its age",
+            name: "a peer's reply counts from its ping, less the staleness of the peer",
             revision: 5,
             staleness_ms: Some(40),
             quorum_members: 5,
@@ -294,7 +297,7 @@
     grants.renew(&order(2, 9_000, &[]), reading(8_000));
     assert!(
         !admits(&grants, 4, 8_500),
-        "a grant of the last membership period"
+        "a grant of the last lease epoch"
     );
     assert!(!grants.renew(&order(1, 9_900, &[4]), reading(8_600)));
 }
