--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -10,7 +10,7 @@
     configuration::template::Weights,
     id::{Incarnation, ServerKey, ServiceKey, Slot},
     ownership::planner::{PlannerInput, PlannerServer, PlannerSlot, plan},
-    state::{Change, MoveDone, Snapshot, State},
+    state::{Change, CompletedMove, Snapshot, State},
 };
 
 /// Sizes to measure, as numbers of slots and servers.
@@ -168,7 +168,7 @@
     // Keeps a reference to the old state, as readers on a host do, so that the change has to copy.
     let held = state.clone();
     let start = Instant::now();
-    let done = vec![MoveDone { slot, epoch }];
+    let done = vec![CompletedMove { slot, epoch }];
     apply(&mut state, Change::MovesCompleted { service, done });
     let took = start.elapsed();
     drop(held);
--- a/src/host/moves.rs
+++ b/src/host/moves.rs
@@ -21,7 +21,7 @@
         },
         moves::{MoveGroup, is_live, next_grants, ready_groups},
     },
-    state::{Change, MoveDone, ServerEntry, State},
+    state::{Change, CompletedMove, ServerEntry, State},
     transport::{CallError, JsonClient},
 };
 
@@ -78,7 +78,7 @@
         self: &Arc<Self>,
         state: &State,
         group: MoveGroup,
-        slots: &[MoveDone],
+        slots: &[CompletedMove],
     ) -> Result<(), MoveError> {
         let service = state.service(group.service).ok_or(MoveError::Changed)?;
         let grants = next_grants(service, slots);
--- a/src/ownership/moves.rs
+++ b/src/ownership/moves.rs
@@ -6,7 +6,7 @@
 use super::message::SlotGrant;
 use crate::{
     id::{ServerKey, ServiceKey},
-    state::{MoveDone, ServerState, ServiceEntry, State},
+    state::{CompletedMove, ServerState, ServiceEntry, State},
 };
 
 /// Slots that move together: they belong to one service and move between the same two servers.
@@ -24,8 +24,8 @@
 /// Returns the groups of moving slots whose next step can be taken now. Slots of a lost owner wait
 /// until the owner's lease has certainly expired; the state then no longer names that server as
 /// their owner.
-pub fn ready_groups(state: &State) -> HashMap<MoveGroup, Vec<MoveDone>> {
-    let mut groups: HashMap<MoveGroup, Vec<MoveDone>> = HashMap::new();
+pub fn ready_groups(state: &State) -> HashMap<MoveGroup, Vec<CompletedMove>> {
+    let mut groups: HashMap<MoveGroup, Vec<CompletedMove>> = HashMap::new();
     let services = (0..).map(ServiceKey).zip(&state.services);
     for (service, entry) in services {
         for (slot, slot_entry) in entry.slot_entries() {
@@ -39,7 +39,7 @@
             groups
                 .entry(group)
                 .or_default()
-                .push(MoveDone { slot, epoch });
+                .push(CompletedMove { slot, epoch });
         }
     }
     groups
@@ -52,8 +52,8 @@
 }
 
 /// Returns the grants that the next owner of `slots` gets, each with the epoch of its move.
-pub fn next_grants(service: &ServiceEntry, slots: &[MoveDone]) -> Vec<SlotGrant> {
-    let grant = |done: &MoveDone| SlotGrant {
+pub fn next_grants(service: &ServiceEntry, slots: &[CompletedMove]) -> Vec<SlotGrant> {
+    let grant = |done: &CompletedMove| SlotGrant {
         service: service.spec.name.clone(),
         slot: done.slot,
         epoch: done.epoch,
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -6,7 +6,7 @@
 use snafu::{OptionExt, ensure};
 
 use super::{
-    change::{Change, LogEntry, MoveDone, SlotMove},
+    change::{Change, CompletedMove, LogEntry, SlotMove},
     entry::{
         Document, HostEntry, HostState, RecentOperation, ServerEntry, ServerState, ServiceEntry,
         SlotEntry, State,
@@ -423,7 +423,7 @@
     }
 
     /// Completes moves of slots. All of them are checked before the first is applied.
-    fn complete_moves(&mut self, service: ServiceKey, done: &[MoveDone]) -> Result<()> {
+    fn complete_moves(&mut self, service: ServiceKey, done: &[CompletedMove]) -> Result<()> {
         for done in done {
             let slot = self.slot(service, done.slot)?;
             let moving = slot.next.is_some() && slot.epoch == done.epoch;
--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -134,7 +134,7 @@
         /// Service that all slots of this change belong to.
         service: ServiceKey,
         /// Moves to complete. If one move is invalid, the whole change is refused.
-        done: Vec<MoveDone>,
+        done: Vec<CompletedMove>,
     },
 }
 
@@ -164,7 +164,7 @@
 
 /// Completion of the move of one slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MoveDone {
+pub struct CompletedMove {
     /// Number of the slot within the service, from 0.
     pub slot: Slot,
     /// Epoch at which the slot was granted to the new owner.
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -11,7 +11,7 @@
 mod snapshot;
 
 pub use self::{
-    change::{Change, LogEntry, MoveDone, SlotMove},
+    change::{Change, CompletedMove, LogEntry, SlotMove},
     entry::{
         Document, HostEntry, HostState, RecentOperation, Registry, ServerEntry, ServerState,
         ServiceEntry, SlotEntry, State,
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -12,7 +12,7 @@
         moves::{next_grants, ready_groups},
         renewal::{RenewalOutcome, RenewalState},
     },
-    state::{Change, LogEntry, MoveDone, ServerState, State},
+    state::{Change, CompletedMove, LogEntry, ServerState, State},
 };
 use rand::{Rng, rngs::StdRng};
 
@@ -252,7 +252,7 @@
             if entry.stable_owner() == Some(server) {
                 expected ^= grant_hash(SERVICE, slot, entry.epoch);
                 let epoch = entry.epoch;
-                grants.push(super::slot_grant(&MoveDone { slot, epoch }));
+                grants.push(super::slot_grant(&CompletedMove { slot, epoch }));
             }
         }
     }
@@ -391,7 +391,7 @@
         self.send(Node::Host(index), Node::Store, message);
     }
 
-    fn grant(&mut self, index: usize, slots: &[MoveDone]) {
+    fn grant(&mut self, index: usize, slots: &[CompletedMove]) {
         let host = &self.hosts[index];
         let clock_ms = host.clock_ms(self.now_ms);
         if !host.is_up_to_date(clock_ms, self.broken) {
@@ -402,7 +402,7 @@
         };
         // The slots must still have the epochs for which they were released, in this host's current
         // state.
-        let same = |done: &MoveDone| service.slots[done.slot.0 as usize].epoch == done.epoch;
+        let same = |done: &CompletedMove| service.slots[done.slot.0 as usize].epoch == done.epoch;
         let Some(first) = slots.first().filter(|_| slots.iter().all(same)) else {
             return;
         };
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -15,7 +15,7 @@
     membership::staleness::HeartbeatReply,
     ownership::message::{LeaseRequest, LeaseResponse, SlotGrant},
     standin::grants::{ClockReading, Grants},
-    state::{Change, LogEntry, MoveDone, SlotMove, State},
+    state::{Change, CompletedMove, LogEntry, SlotMove, State},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -94,18 +94,18 @@
     Revoke {
         from: Requester,
         incarnation: Incarnation,
-        slots: Vec<MoveDone>,
+        slots: Vec<CompletedMove>,
     },
     Released {
-        slots: Vec<MoveDone>,
+        slots: Vec<CompletedMove>,
     },
     Grant {
         from: Requester,
         order: LeaseRequest,
-        slots: Vec<MoveDone>,
+        slots: Vec<CompletedMove>,
     },
     Granted {
-        slots: Vec<MoveDone>,
+        slots: Vec<CompletedMove>,
     },
     QueryHorizon {
         from: Requester,
@@ -587,7 +587,7 @@
     }
 }
 
-pub fn slot_grant(done: &MoveDone) -> SlotGrant {
+pub fn slot_grant(done: &CompletedMove) -> SlotGrant {
     SlotGrant {
         service: SERVICE.to_owned(),
         slot: done.slot,
