--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -33,7 +33,7 @@
     },
     /// The configuration is not at the revision that the writer expects.
     #[snafu(display("the configuration is at revision {found}, not {expected}"))]
-    Raced {
+    ConfigurationChanged {
         /// Configuration revision that the writer based its decision on.
         expected: Revision,
         /// Configuration revision at which the change was refused.
@@ -172,7 +172,7 @@
     if let Some(expected) = request.expect_revision
         && expected != state.configuration
     {
-        return Err(CommitError::Raced {
+        return Err(CommitError::ConfigurationChanged {
             expected,
             found: state.configuration,
         });
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -436,11 +436,11 @@
 async fn commit_error(host: &Host, failure: CommitError) -> HttpError {
     match failure {
         CommitError::Refused { source } => refusal(&source),
-        CommitError::Raced { expected, found } => {
+        CommitError::ConfigurationChanged { expected, found } => {
             let other = host.other_change(found).await;
             let message = format!(
                 "{}; the other change: {other}",
-                CommitError::Raced { expected, found }
+                CommitError::ConfigurationChanged { expected, found }
             );
             error(ErrorStatusCode::CONFLICT, message)
         }
