--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -307,8 +307,8 @@
                 self.registry.changed = self.revision;
                 self.registry.removal = self.revision;
                 let mut previous = self.registry.previous_quorum_members.iter_mut();
-                if let Some(seat) = previous.find(|v| v.incarnation == dead.incarnation) {
-                    seat.incarnation = entry.incarnation;
+                if let Some(quorum_member) = previous.find(|v| v.incarnation == dead.incarnation) {
+                    quorum_member.incarnation = entry.incarnation;
                 }
             }
             *dead = entry;
