--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -301,17 +301,19 @@
         // Two processes cannot bind one address, so the earlier process has ended. The new process
         // replaces it as a quorum member, because the new process has applied everything that the
         // earlier one had confirmed.
-        if let Some(dead) = self.hosts.iter_mut().find(is_predecessor) {
-            if dead.is_quorum_member() {
+        if let Some(predecessor) = self.hosts.iter_mut().find(is_predecessor) {
+            if predecessor.is_quorum_member() {
                 entry.state = HostState::Live;
                 self.registry.changed = self.revision;
                 self.registry.removal = self.revision;
                 let mut previous = self.registry.previous_quorum_members.iter_mut();
-                if let Some(quorum_member) = previous.find(|v| v.incarnation == dead.incarnation) {
+                if let Some(quorum_member) =
+                    previous.find(|v| v.incarnation == predecessor.incarnation)
+                {
                     quorum_member.incarnation = entry.incarnation;
                 }
             }
-            *dead = entry;
+            *predecessor = entry;
             return;
         }
         // An earlier process of the same name at another address remains a quorum member until it
