--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -420,11 +420,11 @@
 async fn owner_lost(host: &Host, owner: Owner) {
     let mut changes = host.view.watch();
     loop {
-        let period = host.view.peek().server(owner.server).map(|server| {
+        let is_current = host.view.peek().server(owner.server).map(|server| {
             let live = server.state == ServerState::Live;
             live && server.lease_epoch == owner.lease_epoch
         });
-        if period != Some(true) || changes.changed().await.is_err() {
+        if is_current != Some(true) || changes.changed().await.is_err() {
             return;
         }
     }
