--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -118,21 +118,21 @@
 #[test]
 fn a_renewal_is_valid_for_its_lease_plus_the_margin() {
     let mut renewal_state = RenewalState::default();
-    let (period, process) = (LeaseEpoch(1), Incarnation(4));
-    renewal_state.start_lease_epoch(period, 1_000);
+    let (epoch, process) = (LeaseEpoch(1), Incarnation(4));
+    renewal_state.start_lease_epoch(epoch, 1_000);
     let response = LeaseResponse {
         incarnation: process,
         clock_ms: 50,
-        lease_epoch: period,
+        lease_epoch: epoch,
         accepted: false,
         draining: false,
         grants_digest: 0,
     };
     renewal_state.answered(&response, process, false, 1_000, 300);
     assert_eq!(renewal_state.order(process, 1_010, 1_200), Some(50 + 1_210));
-    assert_eq!(renewal_state.remaining_ms(period, 2_210, 100), 100);
+    assert_eq!(renewal_state.remaining_ms(epoch, 2_210, 100), 100);
     // The remaining time must reach 0 at a later query, or the lease would never count as expired.
-    assert_eq!(renewal_state.remaining_ms(period, 2_310, 100), 0);
+    assert_eq!(renewal_state.remaining_ms(epoch, 2_310, 100), 0);
     assert_eq!(renewal_state.remaining_ms(LeaseEpoch(2), 1_010, 100), 0);
 }
 
