--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -530,8 +530,8 @@
 
     fn lead_registry(&mut self, index: usize, clock_ms: u64) {
         let host = &self.hosts[index];
-        let mut watch = host.registry;
-        if watch.pending(&host.state) {
+        let mut tracker = host.registry;
+        if tracker.pending(&host.state) {
             let latest = host.state.registry.changed;
             let own = host.own();
             // All peers are queried at the same instant here; hosts that are cut off or paused do
@@ -548,16 +548,16 @@
                 .filter_map(|peer| self.hosts[peer].own())
                 .chain(own)
                 .collect();
-            watch.record_applied(
+            tracker.record_applied(
                 &self.hosts[index].state,
                 &applied,
                 clock_ms,
                 EXPIRY_BOUND_MS,
             );
         }
-        self.hosts[index].registry = watch;
+        self.hosts[index].registry = tracker;
         let host = &self.hosts[index];
-        let change = match watch.completion(&host.state, clock_ms) {
+        let change = match tracker.completion(&host.state, clock_ms) {
             None if host.state.registry.is_change_complete() => host.registry_change(clock_ms),
             completion => completion,
         };
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -167,10 +167,10 @@
     let host = HostKey(0);
     let incarnation = Incarnation(0);
     apply(&mut state, Change::HostRemoved { host, incarnation });
-    let mut watch = ChangeTracker::default();
-    assert!(watch.pending(&state));
-    watch.record_applied(&state, &[host_process(1)], 5_000, EXPIRY_BOUND_MS);
-    let completion = watch.completion(&state, 60_000);
+    let mut tracker = ChangeTracker::default();
+    assert!(tracker.pending(&state));
+    tracker.record_applied(&state, &[host_process(1)], 5_000, EXPIRY_BOUND_MS);
+    let completion = tracker.completion(&state, 60_000);
     assert!(
         completion.is_none(),
         "host 0 alone is a majority and may still act"
@@ -188,15 +188,19 @@
         incarnation: Incarnation(7),
     };
     assert_eq!(quorum_members(&state), [successor]);
-    let mut watch = ChangeTracker::default();
-    assert!(watch.pending(&state));
-    watch.record_applied(&state, &[successor], 5_000, EXPIRY_BOUND_MS);
-    let early = watch.completion(&state, 5_000);
+    let mut tracker = ChangeTracker::default();
+    assert!(tracker.pending(&state));
+    tracker.record_applied(&state, &[successor], 5_000, EXPIRY_BOUND_MS);
+    let early = tracker.completion(&state, 5_000);
     assert!(
         early.is_none(),
         "a late order of the previous process may arrive"
     );
-    assert!(watch.completion(&state, 5_000 + EXPIRY_BOUND_MS).is_some());
+    assert!(
+        tracker
+            .completion(&state, 5_000 + EXPIRY_BOUND_MS)
+            .is_some()
+    );
 }
 
 #[test]
