--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -259,7 +259,7 @@
 
     /// Ends all faults, makes one host the leader and runs until moves and registrations are
     /// complete.
-    pub fn settle(&mut self) {
+    pub fn recover(&mut self) {
         self.faults_ended = true;
         self.cut.clear();
         self.store_down_until_ms = 0;
@@ -534,7 +534,7 @@
         }
     }
 
-    /// Describes the state of the first host, which is the leader after [`Self::settle`], for the
+    /// Describes the state of the first host, which is the leader after [`Self::recover`], for the
     /// report of a failed case.
     pub fn describe(&self) -> String {
         let state = &self.hosts[0].state;
--- a/tests/ownership_model.rs
+++ b/tests/ownership_model.rs
@@ -35,7 +35,7 @@
         simulation.step();
     }
     if broken == BrokenRule::Nothing {
-        simulation.settle();
+        simulation.recover();
         for slot in (0..SLOTS).map(Slot) {
             let owners = simulation.owners(slot).len();
             assert_eq!(
