--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -294,10 +294,10 @@
             Message::LeaseAnswered {
                 server,
                 ordered,
-                meant,
+                intended,
                 response,
             } => {
-                self.apply_lease_reply(index, server, ordered, meant, &response);
+                self.apply_lease_reply(index, server, ordered, intended, &response);
             }
             Message::Released { slots } => self.grant(index, &slots),
             Message::Granted { slots } => {
@@ -331,7 +331,7 @@
         index: usize,
         server: usize,
         ordered: bool,
-        meant: Incarnation,
+        intended: Incarnation,
         response: &ashroad::ownership::message::LeaseResponse,
     ) {
         let host = &mut self.hosts[index];
@@ -352,9 +352,9 @@
             return;
         }
         host.waiting[server] = None;
-        let meant = if ordered { meant } else { entry.incarnation };
+        let intended = if ordered { intended } else { entry.incarnation };
         let outcome =
-            host.renewal_states[server].answered(response, meant, ordered, clock_ms, RENEW_MS);
+            host.renewal_states[server].answered(response, intended, ordered, clock_ms, RENEW_MS);
         if outcome == RenewalOutcome::Replaced && response.incarnation != entry.incarnation {
             let lease_epoch = entry.lease_epoch;
             self.append(
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -88,7 +88,7 @@
     LeaseAnswered {
         server: usize,
         ordered: bool,
-        meant: Incarnation,
+        intended: Incarnation,
         response: LeaseResponse,
     },
     Revoke {
@@ -520,7 +520,7 @@
         let message = Message::LeaseAnswered {
             server: index,
             ordered: order.incarnation.is_some(),
-            meant: order.incarnation.unwrap_or_default(),
+            intended: order.incarnation.unwrap_or_default(),
             response,
         };
         self.reply(Node::Server(index), to, message);
