--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -42,7 +42,7 @@
     pub incarnation: Incarnation,
     pub paused_until_ms: u64,
     pub leading: bool,
-    pub suspect_wrongly: bool,
+    pub false_suspicion: bool,
     pub state: State,
     index: usize,
     offset_ms: u64,
@@ -65,7 +65,7 @@
             incarnation: Incarnation(rng.random()),
             paused_until_ms: 0,
             leading: rng.random_bool(0.5),
-            suspect_wrongly: false,
+            false_suspicion: false,
             state: State::default(),
             index,
             offset_ms: rng.random_range(0..1_000_000),
@@ -477,7 +477,7 @@
             let broken = self.broken;
             let host = &mut self.hosts[index];
             let clock_ms = host.clock_ms(self.now_ms);
-            let mut lost = std::mem::take(&mut host.suspect_wrongly);
+            let mut lost = std::mem::take(&mut host.false_suspicion);
             if host.waiting[server].is_some_and(|sent_ms| clock_ms > sent_ms + ORDER_MS) {
                 host.waiting[server] = None;
                 lost |= host.renewal_states[server].failed(clock_ms, SUSPECT_MS);
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -306,7 +306,7 @@
                 self.servers[server].grants = Grants::default();
                 self.servers[server].incarnation = Incarnation(self.rng.random());
             }
-            9 => self.hosts[host].suspect_wrongly = true,
+            9 => self.hosts[host].false_suspicion = true,
             10 => self.isolate_hosts(until_ms),
             _ => {}
         }
@@ -325,7 +325,7 @@
             .filter(|(_, isolated)| !**isolated)
         {
             host.leading = true;
-            host.suspect_wrongly = true;
+            host.false_suspicion = true;
         }
         for (one, one_isolated) in isolated.iter().enumerate() {
             let host = Node::Host(one);
