--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -88,14 +88,14 @@
         };
         let state = self.view.state();
         let ring = HashRing::new(self.heard_hosts(&state, own).into_iter());
-        let mine = |server: ServerKey| {
+        let is_assigned = |server: ServerKey| {
             let mut renewers = ring.successors(server.0).take(RENEWERS);
             renewers.any(|host| host == own)
         };
         state
             .server_entries()
             .filter(|(_, entry)| entry.state == ServerState::Live)
-            .filter(|(server, _)| mine(*server))
+            .filter(|(server, _)| is_assigned(*server))
             .map(|(server, entry)| LeasedServer::of(server, entry))
             .collect()
     }
