--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -147,9 +147,9 @@
         let silence = silence(host, entry);
         let heard_within = |span_ms| silence.silent_ms.is_some_and(|ms| ms <= span_ms);
         let heard = is_own || heard_within(PROMOTION_SILENCE_MS);
-        let wanted =
+        let is_promotable =
             entry.state == HostState::Joining && heartbeat_tree::is_top_level(&hosts, host);
-        if wanted && heard {
+        if is_promotable && heard {
             return Some(Change::HostPromoted { host, incarnation });
         }
         let leaving = entry.state == HostState::Leaving || is_replaced(state, entry);
