--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -134,8 +134,8 @@
         let state = self.view.state();
         let mut calls = JoinSet::new();
         for (server, entry) in state.server_entries() {
-            let wanted = entry.state == ServerState::Absent && is_target(&state, server);
-            if !wanted {
+            let can_join = entry.state == ServerState::Absent && is_target(&state, server);
+            if !can_join {
                 continue;
             }
             let host = self.clone();
