--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -37,11 +37,11 @@
     pub(super) async fn keep_synced(self: Arc<Self>) {
         let percent_ms = |percent| self.settings.ownership.max_staleness_ms * percent / 100;
         loop {
-            let wanted = time::timeout(
+            let read_requested = time::timeout(
                 Duration::from_millis(TICK_MS),
                 self.sync_requested.notified(),
             );
-            let wanted = wanted.await.is_ok();
+            let read_requested = read_requested.await.is_ok();
             // The random delay keeps the hosts from reading at the same moment.
             let spread_ms = rand::rng().random_range(0..=percent_ms(SPREAD_PERCENT));
             let read_at_ms = match self.is_top_level() {
@@ -49,7 +49,7 @@
                 false => percent_ms(OTHER_READS_AT_PERCENT),
             };
             let age_ms = self.view.staleness_ms().unwrap_or(u64::MAX);
-            if wanted || age_ms >= read_at_ms + spread_ms {
+            if read_requested || age_ms >= read_at_ms + spread_ms {
                 self.read_log().await;
             }
         }
