--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -245,8 +245,9 @@
 
     /// Returns the key of a registered host process; `None` if it is not registered.
     pub fn host_key(&self, incarnation: Incarnation) -> Option<HostKey> {
-        let is_it = |host: &HostEntry| host.incarnation == incarnation && host.registered();
-        let index = self.hosts.iter().position(is_it)?;
+        let is_same_process =
+            |host: &HostEntry| host.incarnation == incarnation && host.registered();
+        let index = self.hosts.iter().position(is_same_process)?;
         Some(HostKey(index as u32))
     }
 
