--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -77,7 +77,7 @@
         loop {
             ticks.tick().await;
             while let Ok(done) = finished.try_recv() {
-                controller.forget(&done);
+                controller.remove_finished(&done);
             }
             if !self.leading() {
                 rounds += 1;
@@ -132,7 +132,7 @@
 }
 
 impl Controller {
-    fn forget(&mut self, done: &FinishedTask) {
+    fn remove_finished(&mut self, done: &FinishedTask) {
         match done {
             FinishedTask::Moved(group) => self.moving.remove(group),
             FinishedTask::Expired(server) => self.expiring.remove(server),
