--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -240,7 +240,7 @@
             Silence {
                 silent_ms,
                 expected: last_ping_ms.is_some() || heartbeat_targets.contains(&host),
-                known_ms: self.view.applied_age_ms(entry.changed).unwrap_or_default(),
+                entry_age_ms: self.view.applied_age_ms(entry.changed).unwrap_or_default(),
             }
         };
         self.view.forget_unregistered(&registered(state));
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -117,7 +117,7 @@
     pub expected: bool,
     /// Time in milliseconds since the deciding host applied the registry entry of the silent host.
     /// It stands in for `silent_ms` if that is `None`.
-    pub known_ms: u64,
+    pub entry_age_ms: u64,
 }
 
 /// Limits for the silence of hosts (the time without heartbeats). A host that is silent for longer
@@ -158,7 +158,7 @@
         } else {
             limits.removal_ms
         };
-        let silent_ms = silence.silent_ms.unwrap_or(silence.known_ms);
+        let silent_ms = silence.silent_ms.unwrap_or(silence.entry_age_ms);
         // Without a majority of heard quorum members, the removal of a quorum member would never be
         // complete.
         let allowed = majority || !entry.is_quorum_member();
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -235,7 +235,7 @@
             Silence {
                 silent_ms: heard_ms.map(|heard_ms| clock_ms.saturating_sub(heard_ms)),
                 expected: true,
-                known_ms: self
+                entry_age_ms: self
                     .applied_age_ms(entry.changed, clock_ms)
                     .unwrap_or_default(),
             }
