--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -69,7 +69,7 @@
             registered: &registered(&state),
             quorum_members: &quorum_members(&state),
             previous: &state.registry.previous_quorum_members,
-            since_ms: clock::now_ms() - since_age_ms.unwrap_or_default(),
+            majority_since_ms: clock::now_ms() - since_age_ms.unwrap_or_default(),
             change_complete: state.registry.is_change_complete(),
         };
         let expiry_bound_ms = self.settings.ownership.expiry_bound_ms();
--- a/src/ownership/expiry.rs
+++ b/src/ownership/expiry.rs
@@ -42,7 +42,7 @@
     /// Time by which the revision [`crate::state::Registry::majority_since`] was certainly in
     /// force. A majority counts only from this time on; a value that is too late only lengthens the
     /// wait.
-    pub since_ms: u64,
+    pub majority_since_ms: u64,
     /// True if the last change of the registry is complete, so that only registered hosts act.
     pub change_complete: bool,
 }
@@ -64,7 +64,7 @@
         previous => majority_ms(previous, reports),
     };
     let joint = majority.zip(previous).map(|(one, other)| one.max(other));
-    let joint = joint.map(|at_ms| at_ms.max(renewing_hosts.since_ms) + expiry_bound_ms);
+    let joint = joint.map(|at_ms| at_ms.max(renewing_hosts.majority_since_ms) + expiry_bound_ms);
     let by_all = all_reported(renewing_hosts, reports);
     [joint, by_all].into_iter().flatten().min()
 }
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -218,7 +218,7 @@
             } else {
                 &self.state.registry.previous_quorum_members
             },
-            since_ms: self.applied_at(self.state.registry.majority_since()),
+            majority_since_ms: self.applied_at(self.state.registry.majority_since()),
             change_complete: self.state.registry.is_change_complete(),
         };
         let at_ms = expired_at_ms(renewing_hosts, &reports, EXPIRY_BOUND_MS);
