--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -15,7 +15,7 @@
 /// Maximum time in milliseconds since the last heartbeat of a host for the host to count as heard.
 /// Only heard hosts are promoted, and only heard quorum members count in the majority that the
 /// removal of a quorum member needs.
-const PROMOTION_SILENCE_MS: u64 = 1_000;
+const HEARD_WITHIN_MS: u64 = 1_000;
 
 /// Returns the quorum members: the live and leaving hosts, which count in majorities.
 pub fn quorum_members(state: &State) -> Vec<HostProcess> {
@@ -146,7 +146,7 @@
         let is_own = Some(host) == own;
         let silence = silence(host, entry);
         let heard_within = |span_ms| silence.silent_ms.is_some_and(|ms| ms <= span_ms);
-        let heard = is_own || heard_within(PROMOTION_SILENCE_MS);
+        let heard = is_own || heard_within(HEARD_WITHIN_MS);
         let is_promotable =
             entry.state == HostState::Joining && heartbeat_tree::is_top_level(&hosts, host);
         if is_promotable && heard {
@@ -183,7 +183,7 @@
     };
     let heard = quorum_members().filter(|(key, entry)| {
         let silent_ms = silence(*key, entry).silent_ms;
-        Some(*key) == own || silent_ms.is_some_and(|ms| ms <= PROMOTION_SILENCE_MS)
+        Some(*key) == own || silent_ms.is_some_and(|ms| ms <= HEARD_WITHIN_MS)
     });
     heard.count() * 2 > quorum_members().count()
 }
