--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -36,7 +36,7 @@
 pub struct RenewalState {
     lease_epoch: LeaseEpoch,
     reading: Option<ClockReading>,
-    answered_ms: u64,
+    last_response_ms: u64,
     due_ms: u64,
     /// Latest end of the lease that any renewal sent so far has ordered, on the clock of the
     /// renewing host.
@@ -54,7 +54,7 @@
         }
         *self = Self {
             lease_epoch,
-            answered_ms: now_ms,
+            last_response_ms: now_ms,
             due_ms: now_ms,
             ..Self::default()
         };
@@ -99,7 +99,7 @@
         if response.incarnation != intended {
             return RenewalOutcome::Replaced;
         }
-        self.answered_ms = now_ms;
+        self.last_response_ms = now_ms;
         self.digest = Some(response.grants_digest);
         if ordered && !response.accepted {
             self.due_ms = now_ms + RETRY_MS;
@@ -119,7 +119,7 @@
     /// for `suspect_ms`.
     pub fn failed(&mut self, now_ms: u64, suspect_ms: u64) -> bool {
         self.due_ms = now_ms + RETRY_MS;
-        now_ms >= self.answered_ms + suspect_ms
+        now_ms >= self.last_response_ms + suspect_ms
     }
 
     /// Returns the time in milliseconds for which renewals sent in this lease epoch may still keep
