--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -140,7 +140,7 @@
         renewal_state.start_lease_epoch(leased.lease_epoch, now_ms);
         let is_due = renewal_state.is_due(now_ms);
         if is_due {
-            renewal_state.sent(now_ms, ORDER_TIMEOUT_MS);
+            renewal_state.record_sent(now_ms, ORDER_TIMEOUT_MS);
         }
         is_due
     }
@@ -238,7 +238,7 @@
                 return;
             };
             let suspect_ms = self.settings.ownership.suspect_ms;
-            renewal_state.failed(clock::now_ms(), suspect_ms)
+            renewal_state.record_failure(clock::now_ms(), suspect_ms)
         };
         if suspected && !self.is_reachable_by_others(leased.server).await {
             self.report_lost(leased, "it does not respond").await;
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -67,7 +67,7 @@
 
     /// Records that a renewal was sent, and postpones the next one until the timeout of the sent
     /// renewal has passed.
-    pub fn sent(&mut self, now_ms: u64, timeout_ms: u64) {
+    pub fn record_sent(&mut self, now_ms: u64, timeout_ms: u64) {
         self.due_ms = now_ms + timeout_ms + RETRY_MS;
     }
 
@@ -117,7 +117,7 @@
 
     /// Records a failed renewal. Returns true if the server has not responded to the renewing host
     /// for `suspect_ms`.
-    pub fn failed(&mut self, now_ms: u64, suspect_ms: u64) -> bool {
+    pub fn record_failure(&mut self, now_ms: u64, suspect_ms: u64) -> bool {
         self.due_ms = now_ms + RETRY_MS;
         now_ms >= self.last_response_ms + suspect_ms
     }
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -177,7 +177,7 @@
         if !renewal_state.is_due(clock_ms) {
             return None;
         }
-        renewal_state.sent(clock_ms, ORDER_MS);
+        renewal_state.record_sent(clock_ms, ORDER_MS);
         let not_after_ms = renewal_state.order(entry.incarnation, clock_ms, TTL_MS);
         let grants = missing(&self.state, key, renewal_state.digest);
         Some(LeaseRequest {
@@ -480,7 +480,7 @@
             let mut lost = std::mem::take(&mut host.false_suspicion);
             if host.waiting[server].is_some_and(|sent_ms| clock_ms > sent_ms + ORDER_MS) {
                 host.waiting[server] = None;
-                lost |= host.renewal_states[server].failed(clock_ms, SUSPECT_MS);
+                lost |= host.renewal_states[server].record_failure(clock_ms, SUSPECT_MS);
             }
             let key = ServerKey(server as u32);
             let lease_epoch = host.state.server(key).map(|entry| entry.lease_epoch);
