--- a/src/membership/staleness.rs
+++ b/src/membership/staleness.rs
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct StalenessTracker {
     up_to_date_ms: Option<u64>,
-    heard: Vec<LastReply>,
+    last_replies: Vec<LastReply>,
 }
 
 impl StalenessTracker {
@@ -131,8 +131,8 @@
             revision: reply.revision,
             since_ms: reply.sent_ms,
         };
-        let Some(previous) = self.heard.iter_mut().find(|h| h.host == reply.host) else {
-            self.heard.push(heard);
+        let Some(previous) = self.last_replies.iter_mut().find(|h| h.host == reply.host) else {
+            self.last_replies.push(heard);
             return;
         };
         if previous.sent_ms >= heard.sent_ms {
@@ -151,7 +151,7 @@
         let own_counts = quorum_members.contains(&own);
         let needed = needed - usize::from(own_counts);
         let mut ping_times_ms: Vec<u64> = self
-            .heard
+            .last_replies
             .iter()
             .filter(|heard| {
                 let host_process = HostProcess {
@@ -186,7 +186,7 @@
 
     /// Returns the revision that `host` reported last; `None` if it has not replied yet.
     pub fn peer_revision(&self, host: HostKey) -> Option<PeerRevision> {
-        let heard = self.heard.iter().find(|heard| heard.host == host)?;
+        let heard = self.last_replies.iter().find(|heard| heard.host == host)?;
         Some(PeerRevision {
             revision: heard.revision,
             since_ms: heard.since_ms,
