--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_lease_is_lapsed_only_when_no_host_can_have_renewed_it() {
+fn a_lease_expires_only_when_no_host_can_have_renewed_it() {
     let cases = [
         ExpiryCase {
             name: "all hosts report when their last renewal ends",
