--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn the_removal_of_the_only_voter_is_not_settled_without_it() {
+fn the_removal_of_the_only_quorum_member_is_not_complete_without_it() {
     let mut state = State::default();
     register(&mut state, 0, 1);
     register(&mut state, 1, 2);
