--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -199,7 +199,7 @@
             };
             let now_ms = clock::now_ms();
             let every_ms = self.settings.ownership.renew_every_ms;
-            renewal_state.answered(response, leased.incarnation, ordered, now_ms, every_ms)
+            renewal_state.record_response(response, leased.incarnation, ordered, now_ms, every_ms)
         };
         match outcome {
             RenewalOutcome::Renewed => self.commit_draining(leased, response.draining).await,
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -83,7 +83,7 @@
 
     /// Applies a response of the server. `intended` is the process that the order was for.
     /// `ordered` is false for a request that only queried the server's clock.
-    pub fn answered(
+    pub fn record_response(
         &mut self,
         response: &LeaseResponse,
         intended: Incarnation,
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -353,8 +353,8 @@
         }
         host.waiting[server] = None;
         let intended = if ordered { intended } else { entry.incarnation };
-        let outcome =
-            host.renewal_states[server].answered(response, intended, ordered, clock_ms, RENEW_MS);
+        let outcome = host.renewal_states[server]
+            .record_response(response, intended, ordered, clock_ms, RENEW_MS);
         if outcome == RenewalOutcome::Replaced && response.incarnation != entry.incarnation {
             let lease_epoch = entry.lease_epoch;
             self.append(
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -128,7 +128,7 @@
         draining: false,
         grants_digest: 0,
     };
-    renewal_state.answered(&response, process, false, 1_000, 300);
+    renewal_state.record_response(&response, process, false, 1_000, 300);
     assert_eq!(renewal_state.order(process, 1_010, 1_200), Some(50 + 1_210));
     assert_eq!(renewal_state.remaining_ms(epoch, 2_210, 100), 100);
     // The remaining time must reach 0 at a later query, or the lease would never count as expired.
