--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -95,11 +95,11 @@
         if not_after_ms <= now.clock_ms || not_after_ms <= self.not_after_ms {
             return;
         }
-        let lapsed = self.not_after_ms <= now.clock_ms;
+        let expired = self.not_after_ms <= now.clock_ms;
         self.not_after_ms = not_after_ms;
         let until_us = now.unix_us + (not_after_ms - now.clock_ms) * 1000;
         match self.leases_us.last_mut() {
-            Some(lease) if !lapsed => lease.1 = until_us,
+            Some(lease) if !expired => lease.1 = until_us,
             _ => self.leases_us.push((now.unix_us, until_us)),
         }
     }
