--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -15,11 +15,11 @@
 
 /// Maximum number of attempts to append one change while other writers append theirs first.
 const ATTEMPTS_MAX: usize = 50;
-/// Maximum number of hosts that one host pushes entries to directly. Each of them relays the
+/// Maximum number of hosts that one host pushes entries to directly. Each of these hosts relays the
 /// entries to its share of the remaining hosts.
 const PUSH_FANOUT: usize = 16;
-/// Timeout of one push in milliseconds. A host that misses a push learns of the revision by the
-/// next heartbeat.
+/// Timeout of one push in milliseconds. A host that misses a push learns of the new revision from
+/// the next heartbeat.
 const PUSH_TIMEOUT_MS: u64 = 500;
 
 /// Reason why a change was not committed.
@@ -130,8 +130,8 @@
         self.push(&entries, &others);
     }
 
-    /// Pushes entries to `hosts` along a tree: up to [`PUSH_FANOUT`] hosts get them directly, and
-    /// each of those relays them to its share of the remaining hosts.
+    /// Pushes entries to `hosts` along a tree: up to [`PUSH_FANOUT`] hosts get the entries
+    /// directly, and each of them relays the entries to its share of the remaining hosts.
     pub(super) fn push(self: &Arc<Self>, entries: &[LogEntry], hosts: &[HostKey]) {
         if hosts.is_empty() {
             return;
@@ -161,7 +161,7 @@
             .await;
         match reply {
             Ok(_) => self.metrics.time_ms("push", clock::now_ms() - sent_ms),
-            // The host learns of the revision by the next heartbeat.
+            // The host that missed the push learns of the new revision from the next heartbeat.
             Err(error) => log::debug!("cannot push log entries to {}: {error}", entry.name),
         }
     }
--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -21,7 +21,7 @@
 const WATCH_EVERY_ROUNDS: u64 = 80;
 /// Pause between two pages of the sweep that deletes old claims, in milliseconds.
 const SWEEP_MS: u64 = 1_000;
-/// Number of log entries between two snapshots.
+/// Number of log entries after which the leader stores the next snapshot of the state.
 const SNAPSHOT_EVERY: u64 = 500;
 
 /// State of the control loop between rounds. The state is kept in memory only, so a new leader
@@ -49,7 +49,8 @@
     swept_ms: u64,
 }
 
-/// Message by which a task tells the controller (the leader's control loop) that it has ended.
+/// Message by which a task tells the controller (the leader's control loop) that the task has
+/// ended.
 #[derive(Debug)]
 pub(super) enum FinishedTask {
     /// The task of a group of moves has ended, with success or failure.
@@ -118,7 +119,8 @@
         }
     }
 
-    /// Stores a snapshot when the log has grown by [`SNAPSHOT_EVERY`] entries since the last one.
+    /// Stores a snapshot of the state when the log has grown by [`SNAPSHOT_EVERY`] entries since
+    /// the last snapshot that this leader stored.
     async fn store_snapshot_if_due(&self, controller: &mut Controller) {
         let state = self.view.state();
         if state.revision.0 < controller.snapshot.0 + SNAPSHOT_EVERY {
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -63,7 +63,8 @@
     async fn wait_for_expiry(self: &Arc<Self>, lost: LostServer) {
         let reports = self.horizon_reports(lost).await;
         let state = self.view.state();
-        // An unknown age counts as zero, which only lengthens the wait.
+        // If this host does not know when it applied the revision, the age counts as zero, which
+        // only lengthens the wait.
         let since_age_ms = self.view.applied_age_ms(state.registry.majority_since());
         let renewing_hosts = RenewingHosts {
             registered: &registered(&state),
@@ -79,8 +80,8 @@
             time::sleep(Duration::from_millis(HORIZON_PAUSE_MS)).await;
             return;
         };
-        // A long wait is not completed in this round, because hosts that reply in a later round can
-        // shorten it.
+        // If the wait is longer than the pause, this round ends without recording the expiry,
+        // because hosts that reply in a later round can shorten the wait.
         if at_ms > now_ms {
             let wait_ms = (at_ms - now_ms).min(HORIZON_PAUSE_MS);
             time::sleep(Duration::from_millis(wait_ms)).await;
@@ -268,7 +269,8 @@
     Some(HorizonReport {
         host,
         incarnation,
-        // The age was measured before the reply arrived, so this time is never too early.
+        // The host measured the age before its reply arrived here, so `applied_ms` is never too
+        // early.
         applied_ms: now_ms - applied_age_ms?,
         horizon_ms: now_ms + remaining_ms,
     })
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -102,7 +102,7 @@
         self.stop_wanted.notified().await;
     }
 
-    /// Returns the key of this host in the state; `None` until it is registered.
+    /// Returns the key of this host in the state; `None` until the host is registered.
     pub fn key(&self) -> Option<HostKey> {
         self.view.peek().host_key(self.incarnation)
     }
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -160,7 +160,8 @@
         }
     }
 
-    /// Returns the registered hosts other than this one, with their processes and peer addresses.
+    /// Returns the registered hosts other than this one, each with its key, the incarnation of its
+    /// process and its peer address.
     pub(super) fn other_hosts(&self) -> Vec<(HostKey, Incarnation, std::net::SocketAddr)> {
         let own = self.key();
         let state = self.view.state();
--- a/src/host/planning.rs
+++ b/src/host/planning.rs
@@ -29,7 +29,7 @@
 /// Weight of the latest reading in the exponentially smoothed load.
 const LOAD_SMOOTHING: f64 = 0.2;
 /// Minimum number of smoothed requests of a service, over all slots, for balancing by load. With
-/// fewer, the loads are too uncertain.
+/// fewer requests the loads are too uncertain, and every slot counts the same.
 const LOAD_REQUESTS_MIN: f64 = 200.0;
 
 impl Host {
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -1,4 +1,4 @@
-//! Renews the leases of backend servers, and reports servers that do not respond as lost.
+//! Renews the leases of backend servers, and declares servers lost that do not respond.
 
 use std::{sync::Arc, time::Duration};
 
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Returns the live servers whose leases this host renews: those for which it is among the
-    /// first [`RENEWERS`] hosts in the hash ring.
+    /// Returns the live servers whose leases this host renews: the servers for which this host is
+    /// among the first [`RENEWERS`] hosts in the hash ring.
     fn assigned_servers(&self) -> Vec<LeasedServer> {
         let Some(own) = self.key() else {
             return Vec::new();
@@ -110,8 +110,8 @@
     }
 
     /// Returns this host and the hosts that replied to a heartbeat of this host within the last
-    /// [`SILENT_HEARTBEATS`] heartbeats. Hosts that have never replied to one, such as those that
-    /// this host does not ping, are included.
+    /// [`SILENT_HEARTBEATS`] heartbeat intervals. Hosts that have never replied to a heartbeat of
+    /// this host, such as those that this host does not ping, are included.
     fn heard_hosts(&self, state: &State, own: HostKey) -> Vec<HostKey> {
         let heartbeat_ms = self.settings.ownership.heartbeat_ms;
         let silent_ms = heartbeat_ms * SILENT_HEARTBEATS;
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -83,7 +83,7 @@
         self.state.load()
     }
 
-    /// Returns the last revision that this host has applied; 0 before the first.
+    /// Returns the last revision that this host has applied; 0 before the first change.
     pub fn revision(&self) -> Revision {
         self.state.load().revision
     }
@@ -173,7 +173,8 @@
         Some(clock::now_ms().saturating_sub(applied_ms))
     }
 
-    /// Returns the log entries after revision `after`; `None` if they are no longer kept.
+    /// Returns the log entries after revision `after`; `None` if some of these entries are no
+    /// longer kept.
     pub fn entries(&self, after: Revision) -> Option<Vec<LogEntry>> {
         let inner = self.lock();
         if after >= self.state.load().revision {
@@ -222,7 +223,8 @@
             .fetch_max(up_to_date_ms, Ordering::AcqRel);
     }
 
-    /// Records the current time as that of the last ping received from another host.
+    /// Records the current time as the time of the last ping received from the process
+    /// `incarnation` of `host`.
     pub fn record_ping(&self, host: HostKey, incarnation: Incarnation) {
         let sender = HostProcess { host, incarnation };
         self.lock().last_pings.insert(sender, clock::now_ms());
@@ -233,7 +235,7 @@
         self.lock().last_pings.get(&sender).copied()
     }
 
-    /// Drops the times of pings of all hosts but the registered ones.
+    /// Removes the recorded ping times of host processes that are not registered.
     pub fn forget_unregistered(&self, registered: &[HostProcess]) {
         let mut inner = self.lock();
         inner
@@ -241,14 +243,14 @@
             .retain(|sender, _| registered.contains(sender));
     }
 
-    /// Returns the revision that `host` last reported in a reply to a heartbeat; `None` if it has
-    /// not replied yet.
+    /// Returns the revision that `host` last reported in a reply to a heartbeat; `None` if `host`
+    /// has not replied to one yet.
     pub fn peer_revision(&self, host: HostKey) -> Option<PeerRevision> {
         self.lock().staleness.peer_revision(host)
     }
 
-    /// Returns the time at which the last ping that `host` replied to was sent; `None` if it has
-    /// not replied yet.
+    /// Returns the time at which the last ping that `host` replied to was sent; `None` if `host`
+    /// has not replied to a ping yet.
     pub fn heard_ms(&self, host: HostKey) -> Option<u64> {
         self.lock().staleness.heard_ms(host)
     }
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -61,11 +61,11 @@
         !state.registry.is_change_complete() && self.complete_ms.is_none()
     }
 
-    /// Records in `applied` which hosts have reported before `now_ms` that they have applied the
-    /// last change of the registry. Once these hosts are a majority, the change is complete at
-    /// `now_ms` if they are all hosts and no host was removed. Otherwise it is complete
-    /// `expiry_bound_ms` later, when the views of hosts that missed the change are too stale to act
-    /// on.
+    /// Records that the hosts in `applied` have reported before `now_ms` that they have applied the
+    /// last change of the registry. Once they are a majority of the quorum members before and after
+    /// the change, the change is complete at `now_ms` if they are all registered hosts and the
+    /// change removed or replaced no host. Otherwise the change is complete `expiry_bound_ms`
+    /// later, when the views of hosts that missed the change are too stale to act on.
     pub fn record_applied(
         &mut self,
         state: &State,
@@ -120,8 +120,8 @@
     pub entry_age_ms: u64,
 }
 
-/// Limits for the silence of hosts (the time without heartbeats). A host that is silent for longer
-/// is removed from the registry.
+/// Limits for the silence of hosts (the time without heartbeats). A host whose silence exceeds its
+/// limit is removed from the registry.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryLimits {
     /// Limit for a host that has not announced its stop, in milliseconds.
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -33,7 +33,7 @@
                 applied: self.revision.0,
             }
         );
-        // The revision is raised first, because changed entries are stamped with it.
+        // The revision is raised first, because each entry that the change modifies records it.
         self.revision = entry.revision;
         if let Err(error) = self.change(&entry.change) {
             self.revision.0 -= 1;
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Puts a template in force and expands it again for each workspace that uses it. All
-    /// workspaces must still be valid.
+    /// Puts a template in force and expands it again for each workspace that uses it. Refuses the
+    /// template if one of these workspaces would become invalid.
     fn submit_template(&mut self, document: &str) -> Result<()> {
         let template = Template::read(document.as_bytes()).map_err(declaration)?;
         let mut problems = Vec::new();
@@ -223,7 +223,7 @@
     }
 
     /// Refuses a declaration that changes the number of slots of an existing service, because the
-    /// slots of its keys would change.
+    /// keys of the service would then belong to other slots.
     fn check_slots(&self, specs: &[ServiceSpec]) -> Result<()> {
         for spec in specs {
             let existing = self
@@ -404,7 +404,8 @@
         }
     }
 
-    /// Begins moves of slots. All of them are checked before the first is applied.
+    /// Begins moves of slots. All moves are checked before the first is applied, so that a refused
+    /// change has no effect.
     fn begin_moves(&mut self, service: ServiceKey, moves: &[SlotMove]) -> Result<()> {
         for begun in moves {
             let server = self.server(begun.to);
@@ -424,7 +425,8 @@
         Ok(())
     }
 
-    /// Completes moves of slots. All of them are checked before the first is applied.
+    /// Completes moves of slots. All moves are checked before the first is applied, so that a
+    /// refused change has no effect.
     fn complete_moves(&mut self, service: ServiceKey, done: &[CompletedMove]) -> Result<()> {
         for done in done {
             let slot = self.slot(service, done.slot)?;
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -41,12 +41,13 @@
     Removed,
 }
 
-/// One process of an entry host. A restarted host gets a new entry or replaces its old one.
+/// One process of an entry host. A restarted host replaces its old entry if it has the same peer
+/// address, and gets a new entry otherwise.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
     /// Name of the host, from its settings; later processes of the host have the same name.
     pub name: String,
-    /// Random identifier of the process; it differs after each restart.
+    /// Random identifier of the process; each restart of the host chooses another one.
     pub incarnation: Incarnation,
     /// UDP address of the QUIC endpoint at which other hosts reach the host.
     pub peer_address: SocketAddr,
@@ -130,9 +131,9 @@
 pub struct ServerEntry {
     /// Address at which hosts reach the server; unique among servers.
     pub address: SocketAddr,
-    /// Availability zone from the workspace that declared it last.
+    /// Availability zone from the workspace that declared the server last.
     pub availability_zone: String,
-    /// Process that has the lease, or had the last one.
+    /// Incarnation of the process that has the lease, or that had the last lease.
     pub incarnation: Incarnation,
     /// Lease epoch of the server: a number that rises each time the server joins.
     pub lease_epoch: LeaseEpoch,
@@ -151,8 +152,8 @@
     pub owner: Option<ServerKey>,
     /// Next owner while the slot moves; `None` otherwise.
     pub next: Option<ServerKey>,
-    /// Highest epoch issued: that of the owner's grant, or of the next owner's while the slot
-    /// moves.
+    /// Highest epoch (fencing token) issued for the slot: the epoch of the owner's grant, or of the
+    /// next owner's grant while the slot moves.
     pub epoch: Epoch,
 }
 
@@ -184,9 +185,10 @@
 pub struct ServiceEntry {
     /// Declaration, expanded from the template with the parameters of the workspace.
     pub spec: ServiceSpec,
-    /// Servers of `spec.targets`, in that order.
+    /// Keys of the servers in `spec.targets`, in the same order.
     pub targets: Vec<ServerKey>,
-    /// Ownership of each slot; the index is the slot number. The length is fixed.
+    /// Ownership of each slot; the index is the slot number. The number of slots is fixed when the
+    /// service is first declared.
     pub slots: Vec<SlotEntry>,
     /// False once the service is withdrawn. The entry is kept so that the epochs of its slots never
     /// repeat.
@@ -228,22 +230,26 @@
 }
 
 impl State {
-    /// Returns the host `key`, also if it was removed.
+    /// Returns the entry of the host `key`, also if the host was removed; `None` if the key was
+    /// never assigned.
     pub fn host(&self, key: HostKey) -> Option<&HostEntry> {
         self.hosts.get(key.0 as usize)
     }
 
-    /// Returns the server `key`, also if it is absent; `None` if the key was never assigned.
+    /// Returns the entry of the server `key`, also if the server is absent; `None` if the key was
+    /// never assigned.
     pub fn server(&self, key: ServerKey) -> Option<&ServerEntry> {
         self.servers.get(key.0 as usize)
     }
 
-    /// Returns the service `key`, also if it was withdrawn.
+    /// Returns the entry of the service `key`, also if the service was withdrawn; `None` if the key
+    /// was never assigned.
     pub fn service(&self, key: ServiceKey) -> Option<&ServiceEntry> {
         self.services.get(key.0 as usize).map(Arc::as_ref)
     }
 
-    /// Returns the key of a registered host process; `None` if it is not registered.
+    /// Returns the key of the registered host whose process has this incarnation; `None` if no such
+    /// process is registered.
     pub fn host_key(&self, incarnation: Incarnation) -> Option<HostKey> {
         let is_same_process =
             |host: &HostEntry| host.incarnation == incarnation && host.registered();
@@ -274,7 +280,7 @@
         (0..).map(ServerKey).zip(&self.servers)
     }
 
-    /// Iterates over the services in force and their keys, in key order; withdrawn ones are
+    /// Iterates over the services in force and their keys, in key order; withdrawn services are
     /// skipped.
     pub fn active_services(&self) -> impl Iterator<Item = (ServiceKey, &ServiceEntry)> {
         let keys = (0..).map(ServiceKey);
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -163,8 +163,8 @@
         })
     }
 
-    /// Returns the order that renews a lease, if the host may send one. Decides this as the real
-    /// host does.
+    /// Returns the order that renews a lease, or `None` if the host must not send one. The
+    /// conditions are those of the real host.
     fn order(&mut self, server: usize, clock_ms: u64, broken: BrokenRule) -> Option<LeaseRequest> {
         let key = ServerKey(server as u32);
         self.key()?;
@@ -367,7 +367,8 @@
         }
     }
 
-    /// Appends a change as one conditional write, if it fits the state that this host has applied.
+    /// Appends a change as one conditional write, if the change is valid in the state that this
+    /// host has applied.
     fn append(&mut self, index: usize, change: Change) {
         let now_ms = self.now_ms;
         let host = &mut self.hosts[index];
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -30,7 +30,7 @@
 const TICK_MS: u64 = 50;
 const SERVERS: usize = 3;
 
-/// Rule that a test can disable, to show that the invariant check detects its absence.
+/// Rule that a test can disable, to show that the invariant check detects the absence of the rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenRule {
     Nothing,
@@ -526,7 +526,7 @@
         self.reply(Node::Server(index), to, message);
     }
 
-    /// Checks the invariant: no slot is owned by two servers.
+    /// Checks the invariant: no slot is owned by two servers at a time.
     fn check(&self) {
         for slot in (0..SLOTS).map(Slot) {
             let owners = self.owners(slot);
@@ -629,7 +629,7 @@
     }
 }
 
-/// Returns moves for all slots without an owner, and now and then for slots with one.
+/// Returns moves for all slots without a live owner, and at random for a few slots with one.
 pub fn wanted_moves(state: &State, rng: &mut StdRng, faults_ended: bool) -> Option<Change> {
     let live: Vec<ServerKey> = state
         .server_entries()
