--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -204,7 +204,7 @@
         match outcome {
             RenewalOutcome::Renewed => self.commit_draining(leased, response.draining).await,
             RenewalOutcome::Replaced => {
-                self.report_lost(leased, "another process responds at its address")
+                self.declare_lost(leased, "another process responds at its address")
                     .await
             }
             RenewalOutcome::Outdated => self.sync_requested.notify_one(),
@@ -241,7 +241,7 @@
             renewal_state.record_failure(clock::now_ms(), suspect_ms)
         };
         if suspected && !self.is_reachable_by_others(leased.server).await {
-            self.report_lost(leased, "it does not respond").await;
+            self.declare_lost(leased, "it does not respond").await;
         }
     }
 
@@ -293,7 +293,7 @@
     }
 
     /// Commits that a server is lost, if it is still live in the same lease epoch.
-    async fn report_lost(self: &Arc<Self>, leased: LeasedServer, reason: &str) {
+    async fn declare_lost(self: &Arc<Self>, leased: LeasedServer, reason: &str) {
         let state = self.view.state();
         let entry = state.server(leased.server);
         let live =
