--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -96,7 +96,7 @@
                 continue;
             }
             self.wait_for_expiries(&mut controller, &done);
-            self.drive_moves(&mut controller, &done);
+            self.start_ready_moves(&mut controller, &done);
             self.update_registry(&mut controller).await;
             self.join_servers(&mut controller).await;
             self.read_loads(&mut controller).await;
--- a/src/host/moves.rs
+++ b/src/host/moves.rs
@@ -48,7 +48,7 @@
 impl Host {
     /// Starts a task for each group of moving slots, unless a task for that group is already
     /// running.
-    pub(super) fn drive_moves(
+    pub(super) fn start_ready_moves(
         self: &Arc<Self>,
         controller: &mut Controller,
         done: &UnboundedSender<FinishedTask>,
