--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -147,11 +147,11 @@
             };
             let host = self.clone();
             let first = *first;
-            tokio::spawn(async move { host.push_one(first, request).await });
+            tokio::spawn(async move { host.push_to_host(first, request).await });
         }
     }
 
-    async fn push_one(&self, to: HostKey, request: PeerRequest) {
+    async fn push_to_host(&self, to: HostKey, request: PeerRequest) {
         let state = self.view.state();
         let Some(entry) = state.host(to) else { return };
         let sent_ms = clock::now_ms();
