--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -26,7 +26,7 @@
                 Inbound::Datagram {
                     connection,
                     datagram,
-                } => self.heartbeat(&connection, datagram),
+                } => self.handle_heartbeat(&connection, datagram),
                 Inbound::Request { request, reply } => {
                     let host = self.clone();
                     tokio::spawn(async move { host.reply(request, reply).await });
@@ -35,7 +35,7 @@
         }
     }
 
-    fn heartbeat(self: &Arc<Self>, connection: &quinn::Connection, datagram: Datagram) {
+    fn handle_heartbeat(self: &Arc<Self>, connection: &quinn::Connection, datagram: Datagram) {
         match datagram {
             Datagram::Ping {
                 host,
