--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -29,7 +29,7 @@
                 } => self.handle_heartbeat(&connection, datagram),
                 Inbound::Request { request, reply } => {
                     let host = self.clone();
-                    tokio::spawn(async move { host.reply(request, reply).await });
+                    tokio::spawn(async move { host.handle_request(request, reply).await });
                 }
             }
         }
@@ -90,7 +90,11 @@
         tokio::spawn(async move { host.catch_up(address, revision).await });
     }
 
-    async fn reply(self: Arc<Self>, request: PeerRequest, reply: oneshot::Sender<PeerReply>) {
+    async fn handle_request(
+        self: Arc<Self>,
+        request: PeerRequest,
+        reply: oneshot::Sender<PeerReply>,
+    ) {
         let answer = match request {
             PeerRequest::Push { entries, relay } => {
                 self.push(&entries, &relay);
