--- a/src/bench/control.rs
+++ b/src/bench/control.rs
@@ -26,7 +26,7 @@
 pub struct ControlFigures {
     /// Number of hosts that ran during the measurement.
     pub hosts: usize,
-    /// Number of hosts that were voters (counted in majorities) when the measurement began.
+    /// Number of hosts that were quorum members (counted in majorities) during the measurement.
     pub counted: usize,
     /// Bytes that one host sends per second, including its share of the stand-ins' traffic.
     pub sent_bytes_per_s: f64,
@@ -51,7 +51,7 @@
         SETTLE_MS + SETTLE_MS_PER_HOST * hosts as u64,
     ))
     .await;
-    let counted = system.voter_count();
+    let counted = system.quorum_size();
     let before = CounterSnapshot::take(&system).await;
     time::sleep(Duration::from_millis(MEASURE_MS)).await;
     let after = CounterSnapshot::take(&system).await;
--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -10,7 +10,7 @@
     configuration::template::Weights,
     id::{Incarnation, ServerKey, ServiceKey, Slot},
     ownership::planner::{PlannerInput, PlannerServer, PlannerSlot, plan},
-    state::{Change, MoveDone, Snapshot, State},
+    state::{Change, CompletedMove, Snapshot, State},
 };
 
 /// Sizes to measure, as pairs of a number of slots and a number of servers.
@@ -174,7 +174,7 @@
     // the slots of the service.
     let held = state.clone();
     let start = Instant::now();
-    let done = vec![MoveDone { slot, epoch }];
+    let done = vec![CompletedMove { slot, epoch }];
     apply(&mut state, Change::MovesCompleted { service, done });
     let took = start.elapsed();
     drop(held);
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -17,9 +17,8 @@
 
 static START: LazyLock<Duration> = LazyLock::new(read_clock);
 
-/// Offset in milliseconds that is added to all readings. The offset keeps the result positive when
-/// a freshness limit or the length of a lease is subtracted from a reading that was taken soon
-/// after the process started.
+/// Offset of all readings. The offset keeps results positive when a staleness or the length of a
+/// lease is subtracted from an early reading.
 const ORIGIN_MS: u64 = 1_000_000;
 
 /// Returns the monotonic time in milliseconds, counted from the first reading in this process plus
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -167,7 +167,7 @@
                 .active_services()
                 .flat_map(|(_, service)| &service.slots);
             let mut slots = slots.peekable();
-            slots.peek().is_some() && slots.all(|slot| slot.settled().is_some())
+            slots.peek().is_some() && slots.all(|slot| slot.stable_owner().is_some())
         };
         self.wait_for("every slot has an owner", settled).await
     }
@@ -292,11 +292,13 @@
         Stopped { address, at_us }
     }
 
-    /// Returns the number of hosts that are voters.
-    pub(crate) fn voter_count(&self) -> usize {
+    /// Returns the number of hosts that are quorum members, that is, that count in majorities.
+    pub(crate) fn quorum_size(&self) -> usize {
         let state = self.hosts[0].host.view.state();
-        let voters = state.registered_hosts().filter(|(_, host)| host.is_voter());
-        voters.count()
+        let quorum_members = state
+            .registered_hosts()
+            .filter(|(_, host)| host.is_quorum_member());
+        quorum_members.count()
     }
 
     /// Returns the number of calls by type that the platform has received.
--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -13,12 +13,13 @@
     state::{self, AppendOutcome, Change, LogEntry, LogError, Proposal, State},
 };
 
-/// Maximum number of attempts to append one change if other writers append theirs first.
+/// Maximum number of attempts to append one change while other writers append theirs first.
 const ATTEMPTS_MAX: usize = 50;
-/// Maximum number of hosts that one host pushes entries to directly. Each of them relays the
+/// Maximum number of hosts that one host pushes entries to directly. Each of these hosts relays the
 /// entries to its share of the remaining hosts.
 const PUSH_FANOUT: usize = 16;
-/// Timeout of one push. A host that misses a push learns of the revision by the next heartbeat.
+/// Timeout of one push in milliseconds. A host that misses a push learns of the new revision from
+/// the next heartbeat.
 const PUSH_TIMEOUT_MS: u64 = 500;
 
 /// Reason why a change was not committed.
@@ -32,7 +33,7 @@
     },
     /// The configuration is not at the revision that the writer expects.
     #[snafu(display("the configuration is at revision {found}, not {expected}"))]
-    Raced {
+    ConfigurationChanged {
         /// Configuration revision that the writer based its decision on.
         expected: Revision,
         /// Configuration revision at which the change was refused.
@@ -44,7 +45,7 @@
         /// Cause: a failure of the store, or an entry that cannot be decoded.
         source: LogError,
     },
-    /// Other writers appended their changes first in all [`ATTEMPTS_MAX`] attempts.
+    /// Another writer appended its change first in each of the [`ATTEMPTS_MAX`] attempts.
     #[snafu(display("other changes took precedence {ATTEMPTS_MAX} times; try again"))]
     Contention,
 }
@@ -65,7 +66,7 @@
 }
 
 impl Host {
-    /// Commits a change that this host itself decided on, with a random identifier.
+    /// Commits a change that this host itself has decided on. The change gets a random identifier.
     pub(super) async fn commit_own(self: &Arc<Self>, change: Change) -> Result<(), CommitError> {
         let request = CommitRequest {
             operation_id: OperationId::random(),
@@ -77,18 +78,20 @@
         Ok(())
     }
 
-    /// Commits a change and returns the revision at which it was appended. A change whose
-    /// identifier was accepted before gets the earlier revision.
+    /// Commits a change and returns the revision at which it was appended. If a change with the
+    /// same identifier was accepted before, nothing is appended and the revision of that change is
+    /// returned.
     pub async fn commit(self: &Arc<Self>, request: CommitRequest) -> Result<Revision, CommitError> {
-        // Each host commits one change at a time; concurrent ones would only conflict.
+        // Each host commits one change at a time, because its concurrent changes would only
+        // conflict with each other.
         let _turn = self.commits.lock().await;
         for _ in 0..ATTEMPTS_MAX {
             let state = self.view.state();
             if let Some(revision) = state.operation(&request.operation_id) {
                 return Ok(revision);
             }
-            // A stale view must not refuse a change, so the log is read before the change is
-            // refused.
+            // A change must not be refused because the view is stale, so the log is read before the
+            // change is refused.
             if let Err(error) = check(&state, &request) {
                 if !self.read_log().await || self.view.revision() == state.revision {
                     return Err(error);
@@ -127,8 +130,8 @@
         self.push(&entries, &others);
     }
 
-    /// Pushes entries to `hosts` along a tree: up to [`PUSH_FANOUT`] hosts get them directly, and
-    /// each of those relays them to its share of the remaining hosts.
+    /// Pushes entries to `hosts` along a tree: up to [`PUSH_FANOUT`] hosts get the entries
+    /// directly, and each of them relays the entries to its share of the remaining hosts.
     pub(super) fn push(self: &Arc<Self>, entries: &[LogEntry], hosts: &[HostKey]) {
         if hosts.is_empty() {
             return;
@@ -144,11 +147,11 @@
             };
             let host = self.clone();
             let first = *first;
-            tokio::spawn(async move { host.push_one(first, request).await });
+            tokio::spawn(async move { host.push_to_host(first, request).await });
         }
     }
 
-    async fn push_one(&self, to: HostKey, request: PeerRequest) {
+    async fn push_to_host(&self, to: HostKey, request: PeerRequest) {
         let state = self.view.state();
         let Some(entry) = state.host(to) else { return };
         let sent_ms = clock::now_ms();
@@ -158,7 +161,7 @@
             .await;
         match reply {
             Ok(_) => self.metrics.time_ms("push", clock::now_ms() - sent_ms),
-            // The host learns of the revision by the next heartbeat.
+            // The host that missed the push learns of the new revision from the next heartbeat.
             Err(error) => log::debug!("cannot push log entries to {}: {error}", entry.name),
         }
     }
@@ -169,7 +172,7 @@
     if let Some(expected) = request.expect_revision
         && expected != state.configuration
     {
-        return Err(CommitError::Raced {
+        return Err(CommitError::ConfigurationChanged {
             expected,
             found: state.configuration,
         });
--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -1,5 +1,5 @@
 //! The control loop of the leader: joins servers, records when the leases of lost servers have
-//! lapsed, updates the registry of hosts, plans moves and stores snapshots.
+//! expired, updates the registry of hosts, plans moves and stores snapshots.
 
 use std::{collections::HashSet, sync::Arc, time::Duration};
 
@@ -10,28 +10,29 @@
     claims::Sweep,
     clock,
     id::{Revision, ServerKey, ServiceKey},
-    membership::registry::SettlementTracker,
+    membership::registry::ChangeTracker,
     ownership::{moves::MoveGroup, planner::PlannedMove},
 };
 
-/// Pause between two rounds of the control loop.
+/// Pause between two rounds of the control loop, in milliseconds.
 const TICK_MS: u64 = 25;
 /// Number of rounds of the control loop between two checks for silent hosts, on a host that is not
 /// the leader.
 const WATCH_EVERY_ROUNDS: u64 = 80;
-/// Pause between two pages of the sweep that deletes old claims.
+/// Pause between two pages of the sweep that deletes old claims, in milliseconds.
 const SWEEP_MS: u64 = 1_000;
-/// Number of log entries between two snapshots.
+/// Number of log entries after which the leader stores the next snapshot of the state.
 const SNAPSHOT_EVERY: u64 = 500;
 
-/// State of the control loop between rounds. It is kept in memory only, so a new leader starts
-/// with the default.
+/// State of the control loop between rounds. The state is kept in memory only, so a new leader
+/// starts with the default.
 #[derive(Debug, Default)]
 pub(super) struct Controller {
     /// Groups of moves that a task of this process is carrying out.
     pub(super) moving: HashSet<MoveGroup>,
-    /// Lost servers for which a task of this process is waiting until their lease has lapsed.
-    pub(super) lapsing: HashSet<ServerKey>,
+    /// Lost servers for which a task of this process is waiting until the server's lease has
+    /// expired.
+    pub(super) expiring: HashSet<ServerKey>,
     /// Time at which the servers without a lease were last queried.
     pub(super) joins_checked_ms: u64,
     /// Time at which the loads were last read from the hosts.
@@ -40,21 +41,22 @@
     pub(super) loads: Vec<Vec<f64>>,
     /// Revision of the state and time of the loads from which the last plan was made.
     pub(super) planned: Option<(Revision, u64)>,
-    /// Progress towards settling the last change of the registry of hosts, that is, until no host
-    /// acts on the previous registry any more.
-    pub(super) registry: SettlementTracker,
+    /// Progress towards completing the last change of the registry of hosts, that is, until no host
+    /// acts on an earlier version of the registry.
+    pub(super) registry: ChangeTracker,
     snapshot: Revision,
     sweep: Sweep,
     swept_ms: u64,
 }
 
-/// Message by which a task tells the controller (the leader's control loop) that it has ended.
+/// Message by which a task tells the controller (the leader's control loop) that the task has
+/// ended.
 #[derive(Debug)]
 pub(super) enum FinishedTask {
     /// The task of a group of moves has ended, with success or failure.
     Moved(MoveGroup),
-    /// The task that waits for the lapse of a server's lease has ended, with success or failure.
-    Lapsed(ServerKey),
+    /// The task that waits for the expiry of a server's lease has ended, with success or failure.
+    Expired(ServerKey),
 }
 
 /// Moves that the planner proposes for one service, not committed yet.
@@ -65,8 +67,8 @@
 }
 
 impl Host {
-    /// Runs the control loop until the process ends. It acts only while this host leads and its
-    /// view is fresh.
+    /// Runs the control loop until the process ends. The loop acts only while this host leads and
+    /// the staleness of its view is within the maximum.
     pub(super) async fn run_controller(self: Arc<Self>) {
         let mut ticks = time::interval(Duration::from_millis(TICK_MS));
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
@@ -76,7 +78,7 @@
         loop {
             ticks.tick().await;
             while let Ok(done) = finished.try_recv() {
-                controller.forget(&done);
+                controller.remove_finished(&done);
             }
             if !self.leading() {
                 rounds += 1;
@@ -85,16 +87,16 @@
                 }
                 controller = Controller {
                     moving: controller.moving,
-                    lapsing: controller.lapsing,
+                    expiring: controller.expiring,
                     ..Controller::default()
                 };
                 continue;
             }
-            if !self.view.fresh() {
+            if !self.view.is_up_to_date() {
                 continue;
             }
-            self.wait_for_lapses(&mut controller, &done);
-            self.drive_moves(&mut controller, &done);
+            self.wait_for_expiries(&mut controller, &done);
+            self.start_ready_moves(&mut controller, &done);
             self.update_registry(&mut controller).await;
             self.join_servers(&mut controller).await;
             self.read_loads(&mut controller).await;
@@ -117,7 +119,8 @@
         }
     }
 
-    /// Stores a snapshot when the log has grown by [`SNAPSHOT_EVERY`] entries since the last one.
+    /// Stores a snapshot of the state when the log has grown by [`SNAPSHOT_EVERY`] entries since
+    /// the last snapshot that this leader stored.
     async fn store_snapshot_if_due(&self, controller: &mut Controller) {
         let state = self.view.state();
         if state.revision.0 < controller.snapshot.0 + SNAPSHOT_EVERY {
@@ -131,10 +134,10 @@
 }
 
 impl Controller {
-    fn forget(&mut self, done: &FinishedTask) {
+    fn remove_finished(&mut self, done: &FinishedTask) {
         match done {
             FinishedTask::Moved(group) => self.moving.remove(group),
-            FinishedTask::Lapsed(server) => self.lapsing.remove(server),
+            FinishedTask::Expired(server) => self.expiring.remove(server),
         };
     }
 }
--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -1,6 +1,7 @@
-//! Heartbeats between hosts: a ping and its reply. They carry the revision and the age of the basis
-//! (the time for which the sender's view is known to be complete), so that a host notices a missed
-//! push, and stays fresh through its peers while its own reads of the log fail.
+//! Heartbeats between hosts: a ping and its reply. A ping carries the revision of its sender. The
+//! reply carries the revision of the replying host and the staleness of its view (the time since
+//! that view was known to be complete). So a host notices a missed push, and its view stays up to
+//! date through its peers while its own reads of the log fail.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,7 +10,7 @@
 use super::Host;
 use crate::{
     clock,
-    membership::{freshness::Voter, heartbeat_tree},
+    membership::{heartbeat_tree, staleness::HostProcess},
     peer::message::Datagram,
 };
 
@@ -28,7 +29,7 @@
     /// Sends one ping to each host that this host has to ping in the heartbeat tree.
     fn on_heartbeat(self: &Arc<Self>) {
         let Some(own) = self.key() else { return };
-        self.view.on_heartbeat(Voter {
+        self.view.on_heartbeat(HostProcess {
             host: own,
             incarnation: self.incarnation,
         });
@@ -61,7 +62,7 @@
             incarnation: self.incarnation,
             sent_ms,
             revision: self.view.revision(),
-            basis_age_ms: self.view.basis_age_ms(),
+            staleness_ms: self.view.staleness_ms(),
         })
     }
 }
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -12,33 +12,35 @@
     clock,
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
     membership::{
-        freshness::Voter,
         heartbeat_tree,
-        registry::{self, RegistryLimits, Silence, registered, voters},
+        registry::{self, RegistryLimits, Silence, quorum_members, registered},
+        staleness::HostProcess,
     },
-    ownership::lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
+    ownership::expiry::{HorizonReport, RenewingHosts, expired_at_ms},
     peer::message::{PeerReply, PeerRequest},
     state::{Change, HostEntry, ServerState, State},
 };
 
-/// Interval at which the leader queries servers without a lease; those that respond can join.
+/// Interval in milliseconds at which the leader queries the servers without a lease. Those that
+/// respond can join.
 const QUERY_SERVERS_MS: u64 = 300;
-/// Timeout of a query to another host for its lease horizon or its applied revision.
+/// Timeout in milliseconds of a query to another host for its lease horizon or its applied
+/// revision.
 const HORIZON_TIMEOUT_MS: u64 = 200;
-/// Maximum pause between two rounds of horizon queries for one lost server.
+/// Maximum pause in milliseconds between two rounds of horizon queries for one lost server.
 const HORIZON_PAUSE_MS: u64 = 50;
 
 impl Host {
-    /// Starts one task per lost server, which waits until the server's lease has lapsed; a task
+    /// Starts one task per lost server, which waits until the server's lease has expired. A task
     /// that is already running is not started again.
-    pub(super) fn wait_for_lapses(
+    pub(super) fn wait_for_expiries(
         self: &Arc<Self>,
         controller: &mut Controller,
         done: &UnboundedSender<FinishedTask>,
     ) {
         let state = self.view.state();
         for (server, entry) in state.server_entries() {
-            if entry.state != ServerState::Lost || !controller.lapsing.insert(server) {
+            if entry.state != ServerState::Lost || !controller.expiring.insert(server) {
                 continue;
             }
             let host = self.clone();
@@ -49,36 +51,37 @@
                 revision: entry.changed,
             };
             tokio::spawn(async move {
-                host.wait_for_lapse(lost).await;
-                let _ = done.send(FinishedTask::Lapsed(server));
+                host.wait_for_expiry(lost).await;
+                let _ = done.send(FinishedTask::Expired(server));
             });
         }
     }
 
     /// Queries all hosts once for their lease horizons (the latest time at which their renewals may
-    /// still keep the lease valid), waits at most [`HORIZON_PAUSE_MS`], and records the lapse if it
-    /// is then certain.
-    async fn wait_for_lapse(self: &Arc<Self>, lost: LostServer) {
+    /// still keep the lease valid), waits at most [`HORIZON_PAUSE_MS`], and records the expiry of
+    /// the lease if it is then certain.
+    async fn wait_for_expiry(self: &Arc<Self>, lost: LostServer) {
         let reports = self.horizon_reports(lost).await;
         let state = self.view.state();
-        // An unknown age counts as zero, which only lengthens the wait.
+        // If this host does not know when it applied the revision, the age counts as zero, which
+        // only lengthens the wait.
         let since_age_ms = self.view.applied_age_ms(state.registry.majority_since());
         let renewing_hosts = RenewingHosts {
             registered: &registered(&state),
-            voters: &voters(&state),
-            previous: &state.registry.previous_voters,
-            since_ms: clock::now_ms() - since_age_ms.unwrap_or_default(),
-            settled: state.registry.is_settled(),
+            quorum_members: &quorum_members(&state),
+            previous: &state.registry.previous_quorum_members,
+            majority_since_ms: clock::now_ms() - since_age_ms.unwrap_or_default(),
+            change_complete: state.registry.is_change_complete(),
         };
-        let lapse_ms = self.settings.ownership.lapse_ms();
-        let at_ms = lapsed_at_ms(renewing_hosts, &reports, lapse_ms);
+        let expiry_bound_ms = self.settings.ownership.expiry_bound_ms();
+        let at_ms = expired_at_ms(renewing_hosts, &reports, expiry_bound_ms);
         let now_ms = clock::now_ms();
         let Some(at_ms) = at_ms else {
             time::sleep(Duration::from_millis(HORIZON_PAUSE_MS)).await;
             return;
         };
-        // A long wait is not completed in this round, because hosts that reply in a later round can
-        // shorten it.
+        // If the wait is longer than the pause, this round ends without recording the expiry,
+        // because hosts that reply in a later round can shorten the wait.
         if at_ms > now_ms {
             let wait_ms = (at_ms - now_ms).min(HORIZON_PAUSE_MS);
             time::sleep(Duration::from_millis(wait_ms)).await;
@@ -91,7 +94,7 @@
             lease_epoch: lost.lease_epoch,
         };
         if let Err(error) = self.commit_own(change).await {
-            log::warn!("cannot record that the lease of a lost server has lapsed: {error}");
+            log::warn!("cannot record that the lease of a lost server has expired: {error}");
         }
     }
 
@@ -121,8 +124,8 @@
         reports
     }
 
-    /// Queries the servers that have no lease, and records those that reply and are not draining
-    /// as joined.
+    /// Queries the servers that have no lease, and records the servers that respond and are not
+    /// draining as joined.
     pub(super) async fn join_servers(self: &Arc<Self>, controller: &mut Controller) {
         let now_ms = clock::now_ms();
         if now_ms < controller.joins_checked_ms + QUERY_SERVERS_MS {
@@ -132,8 +135,8 @@
         let state = self.view.state();
         let mut calls = JoinSet::new();
         for (server, entry) in state.server_entries() {
-            let wanted = entry.state == ServerState::Absent && is_target(&state, server);
-            if !wanted {
+            let can_join = entry.state == ServerState::Absent && is_target(&state, server);
+            if !can_join {
                 continue;
             }
             let host = self.clone();
@@ -155,21 +158,21 @@
         }
     }
 
-    /// Promotes and removes hosts and settles the registry, one change at a time (see
-    /// [`crate::membership::registry`]).
+    /// Promotes and removes hosts and records the completion of these changes of the registry, one
+    /// change at a time (see [`crate::membership::registry`]).
     pub(super) async fn update_registry(self: &Arc<Self>, controller: &mut Controller) {
         let state = self.view.state();
         if controller.registry.pending(&state) {
             let applied = self.hosts_with_revision(state.registry.changed).await;
-            let lapse_ms = self.settings.ownership.lapse_ms();
+            let expiry_bound_ms = self.settings.ownership.expiry_bound_ms();
             controller
                 .registry
-                .record_applied(&state, &applied, clock::now_ms(), lapse_ms);
+                .record_applied(&state, &applied, clock::now_ms(), expiry_bound_ms);
         }
-        let settlement = controller.registry.settlement(&state, clock::now_ms());
-        let change = match settlement {
-            None if state.registry.is_settled() => self.registry_change(&state),
-            settlement => settlement,
+        let completion = controller.registry.completion(&state, clock::now_ms());
+        let change = match completion {
+            None if state.registry.is_change_complete() => self.registry_change(&state),
+            completion => completion,
         };
         if let Some(change) = change {
             let _ = self.commit_own(change).await;
@@ -177,7 +180,7 @@
     }
 
     /// Queries all hosts and returns those that have applied `revision`, this host included.
-    async fn hosts_with_revision(&self, revision: Revision) -> Vec<Voter> {
+    async fn hosts_with_revision(&self, revision: Revision) -> Vec<HostProcess> {
         let mut calls = JoinSet::new();
         for (host, incarnation, address) in self.other_hosts() {
             let peers = self.peers.clone();
@@ -189,25 +192,25 @@
                 let reply = peers.call(address, &request, HORIZON_TIMEOUT_MS).await;
                 let applied =
                     matches!(reply, Ok(PeerReply::Applied { revision: r }) if r >= revision);
-                applied.then_some(Voter { host, incarnation })
+                applied.then_some(HostProcess { host, incarnation })
             });
         }
-        let own = self.key().map(|host| Voter {
+        let own = self.key().map(|host| HostProcess {
             host,
             incarnation: self.incarnation,
         });
-        let mut applied: Vec<Voter> = own.into_iter().collect();
+        let mut applied: Vec<HostProcess> = own.into_iter().collect();
         while let Some(found) = calls.join_next().await {
             applied.extend(found.ok().flatten());
         }
         applied
     }
 
-    /// Removes hosts that have stopped pinging this one. Hosts that do not lead do this for the
-    /// hosts below them in the heartbeat tree, which the leader may not hear.
+    /// Removes hosts that have stopped pinging this host. Hosts that do not lead do this for the
+    /// hosts below them in the heartbeat tree, whose heartbeats the leader may not receive.
     pub(super) async fn remove_silent_hosts(self: &Arc<Self>) {
         let state = self.view.state();
-        if self.leading() || !self.view.fresh() || !state.registry.is_settled() {
+        if self.leading() || !self.view.is_up_to_date() || !state.registry.is_change_complete() {
             return;
         }
         if let Some(change @ Change::HostRemoved { .. }) = self.registry_change(&state) {
@@ -220,7 +223,7 @@
         let ownership = &self.settings.ownership;
         let limits = RegistryLimits {
             removal_ms: ownership.host_removal_ms,
-            leaving_ms: ownership.lapse_ms(),
+            leaving_ms: ownership.expiry_bound_ms(),
         };
         let own = self.key();
         let hosts = heartbeat_tree::order(state);
@@ -228,7 +231,7 @@
             .map(|own| heartbeat_tree::heartbeat_targets(&hosts, own))
             .unwrap_or_default();
         let silence = |host: HostKey, entry: &HostEntry| {
-            let sender = Voter {
+            let sender = HostProcess {
                 host,
                 incarnation: entry.incarnation,
             };
@@ -238,7 +241,7 @@
             Silence {
                 silent_ms,
                 expected: last_ping_ms.is_some() || heartbeat_targets.contains(&host),
-                known_ms: self.view.applied_age_ms(entry.changed).unwrap_or_default(),
+                entry_age_ms: self.view.applied_age_ms(entry.changed).unwrap_or_default(),
             }
         };
         self.view.forget_unregistered(&registered(state));
@@ -246,7 +249,7 @@
     }
 }
 
-/// Server that was reported as lost and whose lease may still be valid.
+/// Server that was declared lost and whose lease may still be valid.
 #[derive(Clone, Copy, Debug)]
 struct LostServer {
     server: ServerKey,
@@ -266,7 +269,8 @@
     Some(HorizonReport {
         host,
         incarnation,
-        // The age was measured before the reply arrived, so this time is never too early.
+        // The host measured the age before its reply arrived here, so `applied_ms` is never too
+        // early.
         applied_ms: now_ms - applied_age_ms?,
         horizon_ms: now_ms + remaining_ms,
     })
--- a/src/host/moves.rs
+++ b/src/host/moves.rs
@@ -1,6 +1,6 @@
-//! Completes moves of slots: revokes the slots from the old owner, grants them to the new one and
+//! Completes moves of slots: revokes the slots from the old owner, grants them to the new owner and
 //! records the result. Each step depends only on the state and is idempotent, so any leader can
-//! complete a move that another one began.
+//! complete a move that an earlier leader began.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,14 +21,14 @@
         },
         moves::{MoveGroup, is_live, next_grants, ready_groups},
     },
-    state::{Change, MoveDone, ServerEntry, State},
+    state::{Change, CompletedMove, ServerEntry, State},
     transport::{CallError, JsonClient},
 };
 
-/// Delay before a failed group of moves is retried.
+/// Delay in milliseconds before a failed group of moves is retried.
 const RETRY_MS: u64 = 50;
 
-/// Reason why a group of moves could not be completed; it is retried after [`RETRY_MS`].
+/// Reason why a group of moves could not be completed; the group is retried after [`RETRY_MS`].
 #[derive(Debug, Snafu)]
 enum MoveError {
     #[snafu(display("the old owner does not respond: {source}"))]
@@ -46,8 +46,9 @@
 }
 
 impl Host {
-    /// Starts a task for each group of moving slots, unless one runs already.
-    pub(super) fn drive_moves(
+    /// Starts a task for each group of moving slots, unless a task for that group is already
+    /// running.
+    pub(super) fn start_ready_moves(
         self: &Arc<Self>,
         controller: &mut Controller,
         done: &UnboundedSender<FinishedTask>,
@@ -77,7 +78,7 @@
         self: &Arc<Self>,
         state: &State,
         group: MoveGroup,
-        slots: &[MoveDone],
+        slots: &[CompletedMove],
     ) -> Result<(), MoveError> {
         let service = state.service(group.service).ok_or(MoveError::Changed)?;
         let grants = next_grants(service, slots);
@@ -95,8 +96,8 @@
         committed.map_err(|source| MoveError::Commit { source })
     }
 
-    /// Orders the old owner to release the slots; its requests in flight may run on for the drain
-    /// time of the settings.
+    /// Orders the old owner to release the slots. Its requests in flight on them may run on for the
+    /// drain time of the settings.
     async fn revoke(&self, from: &ServerEntry, grants: &[SlotGrant]) -> Result<(), MoveError> {
         let drain_ms = self.settings.ownership.drain_ms;
         let order = RevokeRequest {
@@ -131,7 +132,7 @@
         };
         // A host with a stale view must not send orders.
         let state = self.view.state();
-        if !self.view.fresh() || !is_live(&state, key) {
+        if !self.view.is_up_to_date() || !is_live(&state, key) {
             return Err(MoveError::Changed);
         }
         let response: LeaseResponse = self
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -9,7 +9,7 @@
 use crate::{
     clock,
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
-    membership::freshness::{HeartbeatReply, Voter},
+    membership::staleness::{HeartbeatReply, HostProcess},
     peer::{
         Inbound,
         message::{Datagram, PeerReply, PeerRequest, encode},
@@ -18,24 +18,24 @@
 };
 
 impl Host {
-    /// Handles messages of other hosts until the endpoint closes. Requests are handled in tasks of
-    /// their own, so that a slow one delays no heartbeat.
+    /// Handles messages of other hosts until the endpoint closes. Each request is handled in a task
+    /// of its own, so that a slow request delays no heartbeat.
     pub(super) async fn serve_peers(self: Arc<Self>, mut inbox: mpsc::Receiver<Inbound>) {
         while let Some(inbound) = inbox.recv().await {
             match inbound {
                 Inbound::Datagram {
                     connection,
                     datagram,
-                } => self.heartbeat(&connection, datagram),
+                } => self.handle_heartbeat(&connection, datagram),
                 Inbound::Request { request, reply } => {
                     let host = self.clone();
-                    tokio::spawn(async move { host.reply(request, reply).await });
+                    tokio::spawn(async move { host.handle_request(request, reply).await });
                 }
             }
         }
     }
 
-    fn heartbeat(self: &Arc<Self>, connection: &quinn::Connection, datagram: Datagram) {
+    fn handle_heartbeat(self: &Arc<Self>, connection: &quinn::Connection, datagram: Datagram) {
         match datagram {
             Datagram::Ping {
                 host,
@@ -57,7 +57,7 @@
                 incarnation,
                 sent_ms,
                 revision,
-                basis_age_ms,
+                staleness_ms,
             } => {
                 if revision > self.view.revision() {
                     self.spawn_catch_up(connection.remote_address(), revision);
@@ -67,17 +67,17 @@
                     incarnation,
                     sent_ms,
                     revision,
-                    basis_age_ms,
+                    staleness_ms,
                 });
             }
         }
     }
 
-    /// Records the reply to a heartbeat, which may raise the basis of this host's view (the time
-    /// for which the view is known to be complete).
+    /// Records the reply to a heartbeat, which may advance the up-to-date time of this host's view
+    /// (the latest time for which the view is known to be complete).
     fn receive_pong(&self, answer: HeartbeatReply) {
         let Some(host) = self.key() else { return };
-        let own = Voter {
+        let own = HostProcess {
             host,
             incarnation: self.incarnation,
         };
@@ -90,7 +90,11 @@
         tokio::spawn(async move { host.catch_up(address, revision).await });
     }
 
-    async fn reply(self: Arc<Self>, request: PeerRequest, reply: oneshot::Sender<PeerReply>) {
+    async fn handle_request(
+        self: Arc<Self>,
+        request: PeerRequest,
+        reply: oneshot::Sender<PeerReply>,
+    ) {
         let answer = match request {
             PeerRequest::Push { entries, relay } => {
                 self.push(&entries, &relay);
@@ -126,7 +130,8 @@
         let _ = reply.send(answer);
     }
 
-    /// Applies pushed entries. If entries before them are missing, it requests a read of the log.
+    /// Applies pushed entries. If entries before them are missing in this host's view, requests a
+    /// read of the log.
     fn receive_push(&self, entries: &[crate::state::LogEntry]) -> PeerReply {
         self.apply(entries);
         let last = entries.last().map(|entry| entry.revision);
@@ -139,8 +144,8 @@
     }
 
     /// Returns the time for which this host's renewals may still keep the lease of a lost server
-    /// valid. Renewals are checked under the same lock, so none can follow a reply stating that
-    /// this host has applied the loss of the server.
+    /// valid. Renewals are checked under the same lock, so this host sends no renewal after a reply
+    /// which states that it has applied the loss of the server.
     pub(super) fn horizon(
         &self,
         server: ServerKey,
@@ -159,7 +164,8 @@
         }
     }
 
-    /// Returns the registered hosts other than this one, with their processes and peer addresses.
+    /// Returns the registered hosts other than this one, each with its key, the incarnation of its
+    /// process and its peer address.
     pub(super) fn other_hosts(&self) -> Vec<(HostKey, Incarnation, std::net::SocketAddr)> {
         let own = self.key();
         let state = self.view.state();
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -1,4 +1,4 @@
-//! The host's view: the replicated state at one revision, its freshness, and the latest log entries
+//! The host's view: the replicated state at one revision, its staleness, and the latest log entries
 //! with the times at which they were applied.
 
 use std::{
@@ -16,13 +16,13 @@
     clock,
     id::{HostKey, Incarnation, Revision},
     membership::{
-        freshness::{Freshness, HeartbeatReply, PeerRevision, Voter},
-        registry::voters,
+        registry::quorum_members,
+        staleness::{HeartbeatReply, HostProcess, PeerRevision, StalenessTracker},
     },
     state::{self, LogEntry, State},
 };
 
-/// Maximum number of latest entries kept in memory for peers that request them. A peer that is
+/// Maximum number of latest log entries kept in memory for peers that request them. A peer that is
 /// further behind gets a snapshot.
 const ENTRIES_KEPT: usize = 1_024;
 
@@ -35,34 +35,36 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// Time of the last ping received from each host.
-    last_pings: HashMap<Voter, u64>,
+    /// Time in milliseconds at which the last ping of each host process was received.
+    last_pings: HashMap<HostProcess, u64>,
     recent: VecDeque<Applied>,
-    freshness: Freshness,
+    staleness: StalenessTracker,
     /// Revision and time at which a snapshot last replaced the state.
     replaced: Option<(Revision, u64)>,
 }
 
-/// The replicated state as one host has applied it. A host may act on it only while it is fresh:
-/// while its basis is no older than the freshness limit (see [`crate::membership::freshness`]).
+/// The replicated state as one host has applied it. The host may act on the state only while its
+/// staleness is within the maximum: while the up-to-date time, the latest time for which the state
+/// is known to be complete, is recent enough (see [`crate::membership::staleness`]).
 #[derive(Debug)]
 pub struct View {
     state: ArcSwap<State>,
     changed: watch::Sender<Revision>,
     inner: Mutex<Inner>,
-    basis_ms: AtomicU64,
-    freshness_ms: u64,
+    up_to_date_ms: AtomicU64,
+    max_staleness_ms: u64,
 }
 
 impl View {
-    /// Returns an empty view that is fresh while its basis is no older than `freshness_ms`.
-    pub fn new(freshness_ms: u64) -> Self {
+    /// Returns an empty view, on which the host may act while its staleness is at most
+    /// `max_staleness_ms`.
+    pub fn new(max_staleness_ms: u64) -> Self {
         Self {
             state: ArcSwap::from_pointee(State::default()),
             changed: watch::channel(Revision::default()).0,
             inner: Mutex::default(),
-            basis_ms: AtomicU64::new(0),
-            freshness_ms,
+            up_to_date_ms: AtomicU64::new(0),
+            max_staleness_ms,
         }
     }
 
@@ -81,7 +83,7 @@
         self.state.load()
     }
 
-    /// Returns the last revision that this host has applied; 0 before the first.
+    /// Returns the last revision that this host has applied; 0 before the first change.
     pub fn revision(&self) -> Revision {
         self.state.load().revision
     }
@@ -91,20 +93,20 @@
         self.changed.subscribe()
     }
 
-    /// Returns true if the age of the basis is within the freshness limit, so that this host may
-    /// act on the state.
-    pub fn fresh(&self) -> bool {
-        clock::now_ms() <= self.basis_ms.load(Ordering::Acquire) + self.freshness_ms
+    /// Returns true if the staleness is within the maximum, so that this host may act on the state.
+    pub fn is_up_to_date(&self) -> bool {
+        clock::now_ms() <= self.up_to_date_ms.load(Ordering::Acquire) + self.max_staleness_ms
     }
 
-    /// Returns the time since the basis in milliseconds; `None` while the view has no basis.
-    pub fn basis_age_ms(&self) -> Option<u64> {
-        let basis_ms = self.basis_ms.load(Ordering::Acquire);
-        (basis_ms > 0).then(|| clock::now_ms().saturating_sub(basis_ms))
+    /// Returns the staleness of the view in milliseconds (the time since the view was known to be
+    /// complete); `None` if the view was never known to be complete.
+    pub fn staleness_ms(&self) -> Option<u64> {
+        let up_to_date_ms = self.up_to_date_ms.load(Ordering::Acquire);
+        (up_to_date_ms > 0).then(|| clock::now_ms().saturating_sub(up_to_date_ms))
     }
 
-    /// Applies the entries that follow the current revision. Entries applied before are skipped,
-    /// and entries after a gap are ignored; a later read of the log brings them.
+    /// Applies the entries that follow the current revision. Entries applied before are skipped.
+    /// Entries after a gap are ignored, and a later read of the log supplies them.
     pub fn apply(&self, entries: &[LogEntry]) -> state::Result<()> {
         let mut inner = self.lock();
         let mut state = State::clone(&self.state.load());
@@ -154,9 +156,9 @@
         self.changed.send_replace(revision);
     }
 
-    /// Returns the time since this host applied `revision`; `None` if it has not. For an entry that
-    /// is no longer kept, returns the time since a snapshot last replaced the state, or 0 if there
-    /// was none.
+    /// Returns the time in milliseconds since this host applied `revision`; `None` if it has not
+    /// applied that revision. For an entry that is no longer kept, returns the time since a
+    /// snapshot last replaced the state, or 0 if no snapshot has.
     pub fn applied_age_ms(&self, revision: Revision) -> Option<u64> {
         let inner = self.lock();
         if self.state.load().revision < revision {
@@ -171,7 +173,8 @@
         Some(clock::now_ms().saturating_sub(applied_ms))
     }
 
-    /// Returns the entries after `after`; `None` if they are no longer kept.
+    /// Returns the log entries after revision `after`; `None` if some of these entries are no
+    /// longer kept.
     pub fn entries(&self, after: Revision) -> Option<Vec<LogEntry>> {
         let inner = self.lock();
         if after >= self.state.load().revision {
@@ -188,64 +191,67 @@
     /// Records that a read of the change log, sent at `sent_ms`, found no further entries.
     pub fn record_log_read(&self, sent_ms: u64) {
         let mut inner = self.lock();
-        inner.freshness.record_log_read(sent_ms);
-        self.store_basis(&inner);
+        inner.staleness.record_log_read(sent_ms);
+        self.store_up_to_date_ms(&inner);
     }
 
-    /// Records the reply of a peer to a heartbeat, which may raise the basis.
-    pub fn record_heartbeat_reply(&self, reply: HeartbeatReply, own: Voter) {
+    /// Records the reply of a peer to a heartbeat, which may advance the up-to-date time.
+    pub fn record_heartbeat_reply(&self, reply: HeartbeatReply, own: HostProcess) {
         let mut inner = self.lock();
         let state = self.state.load();
-        let voters = voters(&state);
+        let quorum_members = quorum_members(&state);
         inner
-            .freshness
-            .record_heartbeat_reply(reply, state.revision, own, &voters);
-        self.store_basis(&inner);
+            .staleness
+            .record_heartbeat_reply(reply, state.revision, own, &quorum_members);
+        self.store_up_to_date_ms(&inner);
     }
 
-    /// Raises the basis to now if this host is the only voter. Called at each heartbeat.
-    pub fn on_heartbeat(&self, own: Voter) {
+    /// Advances the up-to-date time to now if this host is the only quorum member. Called at each
+    /// heartbeat.
+    pub fn on_heartbeat(&self, own: HostProcess) {
         let mut inner = self.lock();
-        let voters = voters(&self.state.load());
+        let quorum_members = quorum_members(&self.state.load());
         inner
-            .freshness
-            .raise_if_only_voter(clock::now_ms(), own, &voters);
-        self.store_basis(&inner);
+            .staleness
+            .advance_if_only_quorum_member(clock::now_ms(), own, &quorum_members);
+        self.store_up_to_date_ms(&inner);
     }
 
-    fn store_basis(&self, inner: &Inner) {
-        let basis_ms = inner.freshness.basis_ms().unwrap_or_default();
-        self.basis_ms.fetch_max(basis_ms, Ordering::AcqRel);
+    fn store_up_to_date_ms(&self, inner: &Inner) {
+        let up_to_date_ms = inner.staleness.up_to_date_ms().unwrap_or_default();
+        self.up_to_date_ms
+            .fetch_max(up_to_date_ms, Ordering::AcqRel);
     }
 
-    /// Records the current time as that of the last ping received from another host.
+    /// Records the current time as the time of the last ping received from the process
+    /// `incarnation` of `host`.
     pub fn record_ping(&self, host: HostKey, incarnation: Incarnation) {
-        let sender = Voter { host, incarnation };
+        let sender = HostProcess { host, incarnation };
         self.lock().last_pings.insert(sender, clock::now_ms());
     }
 
-    /// Returns the time of the last ping received from a host; `None` if there was none.
-    pub fn last_ping_ms(&self, sender: Voter) -> Option<u64> {
+    /// Returns the time of the last ping received from a host process; `None` if there was no ping.
+    pub fn last_ping_ms(&self, sender: HostProcess) -> Option<u64> {
         self.lock().last_pings.get(&sender).copied()
     }
 
-    /// Drops the times of pings of all hosts but the registered ones.
-    pub fn forget_unregistered(&self, registered: &[Voter]) {
+    /// Removes the recorded ping times of host processes that are not registered.
+    pub fn forget_unregistered(&self, registered: &[HostProcess]) {
         let mut inner = self.lock();
         inner
             .last_pings
             .retain(|sender, _| registered.contains(sender));
     }
 
-    /// Returns the revision that `host` last reported in a reply to a heartbeat; `None` if it has
-    /// not replied yet.
+    /// Returns the revision that `host` last reported in a reply to a heartbeat; `None` if `host`
+    /// has not replied to one yet.
     pub fn peer_revision(&self, host: HostKey) -> Option<PeerRevision> {
-        self.lock().freshness.peer_revision(host)
+        self.lock().staleness.peer_revision(host)
     }
 
-    /// Returns the time at which the last ping that `host` replied to was sent; `None` if it has
-    /// not replied yet.
+    /// Returns the time at which the last ping that `host` replied to was sent; `None` if `host`
+    /// has not replied to a ping yet.
     pub fn heard_ms(&self, host: HostKey) -> Option<u64> {
-        self.lock().freshness.heard_ms(host)
+        self.lock().staleness.heard_ms(host)
     }
 }
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -1,102 +1,127 @@
 //! The registry of hosts, and the rules by which it changes.
 //!
-//! Hosts are promoted and removed one at a time. The next change waits until the last one is
-//! *settled*: more than half of the voters have applied it, and no other host acts on an earlier
-//! registry any more. Hence the majorities of any two registries that hosts act on share a host.
+//! Live and leaving hosts are the *quorum members*: the hosts that count in majorities. Hosts are
+//! promoted to quorum members and removed one at a time. The next change waits until the last one
+//! is *complete*: more than half of the quorum members have applied it, and no other host acts on
+//! an earlier version of the registry. Hence the majorities of any two versions of the registry
+//! that hosts act on share a host.
 
-use super::{freshness::Voter, heartbeat_tree};
+use super::{heartbeat_tree, staleness::HostProcess};
 use crate::{
     id::{HostKey, Revision},
     state::{Change, HostEntry, HostState, State},
 };
 
-/// Maximum time since the last heartbeat of a host that counts as heard. Only heard hosts are
-/// promoted, and only heard voters count in the majority that the removal of a voter needs.
-const PROMOTION_SILENCE_MS: u64 = 1_000;
+/// Maximum time in milliseconds since the last heartbeat of a host for the host to count as heard.
+/// Only heard hosts are promoted, and only heard quorum members count in the majority that the
+/// removal of a quorum member needs.
+const HEARD_WITHIN_MS: u64 = 1_000;
 
-/// Returns the voters: the live and leaving hosts, which count in majorities.
-pub fn voters(state: &State) -> Vec<Voter> {
-    let is_voter = |(_, host): &(HostKey, &HostEntry)| host.is_voter();
+/// Returns the quorum members: the live and leaving hosts, which count in majorities.
+pub fn quorum_members(state: &State) -> Vec<HostProcess> {
+    let is_quorum_member = |(_, host): &(HostKey, &HostEntry)| host.is_quorum_member();
     state
         .registered_hosts()
-        .filter(is_voter)
-        .map(voter)
+        .filter(is_quorum_member)
+        .map(host_process)
         .collect()
 }
 
-/// Returns all registered hosts, the voters and the others.
-pub fn registered(state: &State) -> Vec<Voter> {
-    state.registered_hosts().map(voter).collect()
+/// Returns the processes of all registered hosts, whether or not they are quorum members.
+pub fn registered(state: &State) -> Vec<HostProcess> {
+    state.registered_hosts().map(host_process).collect()
 }
 
-fn voter((host, entry): (HostKey, &HostEntry)) -> Voter {
-    Voter {
+fn host_process((host, entry): (HostKey, &HostEntry)) -> HostProcess {
+    HostProcess {
         host,
         incarnation: entry.incarnation,
     }
 }
 
-/// Progress of a leader in settling the last change of the registry. It is kept in memory only, so
-/// a new leader begins with none.
+/// Progress of a leader towards completing the last change of the registry, that is, until no host
+/// acts on an earlier version. The progress is kept in memory only, so a new leader begins with
+/// none.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SettlementTracker {
+pub struct ChangeTracker {
     changed: Revision,
-    settled_ms: Option<u64>,
+    complete_ms: Option<u64>,
 }
 
-impl SettlementTracker {
-    /// Returns true while the hosts must still be queried for the revision of the last change.
+impl ChangeTracker {
+    /// Returns true while the leader must still query the hosts whether they have applied the last
+    /// change of the registry.
     pub fn pending(&mut self, state: &State) -> bool {
         if self.changed != state.registry.changed {
             *self = Self {
                 changed: state.registry.changed,
-                settled_ms: None,
+                complete_ms: None,
             };
         }
-        !state.registry.is_settled() && self.settled_ms.is_none()
+        !state.registry.is_change_complete() && self.complete_ms.is_none()
     }
 
-    /// Records the hosts that have reported before `now_ms` that they have applied the last change.
-    /// Once they are a majority, the settlement is due at once if they are all hosts and none was
-    /// removed, and otherwise after `lapse_ms`, when hosts that missed the change cannot act.
-    pub fn record_applied(&mut self, state: &State, applied: &[Voter], now_ms: u64, lapse_ms: u64) {
-        let majority = |voters: &[Voter]| {
-            let confirmed = voters.iter().filter(|voter| applied.contains(voter));
-            voters.is_empty() || confirmed.count() * 2 > voters.len()
+    /// Records that the hosts in `applied` have reported before `now_ms` that they have applied the
+    /// last change of the registry. Once they are a majority of the quorum members before and after
+    /// the change, the change is complete at `now_ms` if they are all registered hosts and the
+    /// change removed or replaced no host. Otherwise the change is complete `expiry_bound_ms`
+    /// later, when the views of hosts that missed the change are too stale to act on.
+    pub fn record_applied(
+        &mut self,
+        state: &State,
+        applied: &[HostProcess],
+        now_ms: u64,
+        expiry_bound_ms: u64,
+    ) {
+        let majority = |quorum_members: &[HostProcess]| {
+            let confirmed = quorum_members
+                .iter()
+                .filter(|host_process| applied.contains(host_process));
+            quorum_members.is_empty() || confirmed.count() * 2 > quorum_members.len()
         };
         let registry = &state.registry;
-        if majority(&voters(state)) && majority(&registry.previous_voters) {
+        if majority(&quorum_members(state)) && majority(&registry.previous_quorum_members) {
             let all = registered(state).iter().all(|host| applied.contains(host));
-            // A removed host is not queried, so it may still act on an earlier registry.
+            // A removed host is not queried, so it may still act on an earlier version of the
+            // registry.
             let at_once = all && registry.removal < registry.changed;
-            self.settled_ms = Some(if at_once { now_ms } else { now_ms + lapse_ms });
+            self.complete_ms = Some(if at_once {
+                now_ms
+            } else {
+                now_ms + expiry_bound_ms
+            });
         }
     }
 
-    /// Returns the change that records the registry as settled; `None` until the settlement is due.
-    pub fn settlement(&self, state: &State, now_ms: u64) -> Option<Change> {
+    /// Returns the change that records the last change of the registry as complete; `None` before
+    /// the time at which it is complete.
+    pub fn completion(&self, state: &State, now_ms: u64) -> Option<Change> {
         let registry = state.registry.changed;
         let due = self
-            .settled_ms
-            .is_some_and(|settled_ms| now_ms >= settled_ms);
-        let same = self.changed == registry && !state.registry.is_settled();
+            .complete_ms
+            .is_some_and(|complete_ms| now_ms >= complete_ms);
+        let same = self.changed == registry && !state.registry.is_change_complete();
         (due && same).then_some(Change::RegistrySettled { registry })
     }
 }
 
-/// Silence of a host (the time without heartbeats from it), as one other host sees it.
+/// Silence of one host (the time without heartbeats from it), as seen by the host that decides on
+/// its removal.
 #[derive(Clone, Copy, Debug)]
 pub struct Silence {
-    /// Time since the last heartbeat of the host; `None` if there was none.
+    /// Time in milliseconds since the last heartbeat of the silent host was received, or since the
+    /// last ping that it replied to was sent; `None` if there was neither.
     pub silent_ms: Option<u64>,
-    /// True if heartbeats are expected: the host has pinged this one, or this host pings it.
+    /// True if heartbeats are expected: the silent host has pinged the deciding host before, or the
+    /// deciding host pings it in the heartbeat tree.
     pub expected: bool,
-    /// Time since this host applied the entry of the host; it counts if there was no heartbeat of
-    /// the host.
-    pub known_ms: u64,
+    /// Time in milliseconds since the deciding host applied the registry entry of the silent host.
+    /// It stands in for `silent_ms` if that is `None`.
+    pub entry_age_ms: u64,
 }
 
-/// Limits for the silence of hosts (the time without heartbeats); beyond them a host is removed.
+/// Limits for the silence of hosts (the time without heartbeats). A host whose silence exceeds its
+/// limit is removed from the registry.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryLimits {
     /// Limit for a host that has not announced its stop, in milliseconds.
@@ -106,8 +131,8 @@
     pub leaving_ms: u64,
 }
 
-/// Returns the next change of the registry: the promotion of a joining root host that is heard, or
-/// the removal of a silent host. `None` if neither is due.
+/// Returns the next change of the registry: the promotion of a joining top-level host that is
+/// heard, or the removal of a silent host. `None` if neither is due.
 pub fn next_change(
     state: &State,
     own: Option<HostKey>,
@@ -121,9 +146,10 @@
         let is_own = Some(host) == own;
         let silence = silence(host, entry);
         let heard_within = |span_ms| silence.silent_ms.is_some_and(|ms| ms <= span_ms);
-        let heard = is_own || heard_within(PROMOTION_SILENCE_MS);
-        let wanted = entry.state == HostState::Joining && heartbeat_tree::is_root(&hosts, host);
-        if wanted && heard {
+        let heard = is_own || heard_within(HEARD_WITHIN_MS);
+        let is_promotable =
+            entry.state == HostState::Joining && heartbeat_tree::is_top_level(&hosts, host);
+        if is_promotable && heard {
             return Some(Change::HostPromoted { host, incarnation });
         }
         let leaving = entry.state == HostState::Leaving || is_replaced(state, entry);
@@ -132,9 +158,10 @@
         } else {
             limits.removal_ms
         };
-        let silent_ms = silence.silent_ms.unwrap_or(silence.known_ms);
-        // Without a majority the removal of a voter would never be settled.
-        let allowed = majority || !entry.is_voter();
+        let silent_ms = silence.silent_ms.unwrap_or(silence.entry_age_ms);
+        // Without a majority of heard quorum members, the removal of a quorum member would never be
+        // complete.
+        let allowed = majority || !entry.is_quorum_member();
         if !is_own && silence.expected && silent_ms > limit_ms && allowed {
             return Some(Change::HostRemoved { host, incarnation });
         }
@@ -142,21 +169,26 @@
     None
 }
 
-/// Returns true if more than half of the voters are heard, this host included.
+/// Returns true if more than half of the quorum members are heard; the deciding host counts as
+/// heard.
 fn majority_heard(
     state: &State,
     own: Option<HostKey>,
     silence: &impl Fn(HostKey, &HostEntry) -> Silence,
 ) -> bool {
-    let voters = || state.registered_hosts().filter(|(_, host)| host.is_voter());
-    let heard = voters().filter(|(key, entry)| {
+    let quorum_members = || {
+        state
+            .registered_hosts()
+            .filter(|(_, host)| host.is_quorum_member())
+    };
+    let heard = quorum_members().filter(|(key, entry)| {
         let silent_ms = silence(*key, entry).silent_ms;
-        Some(*key) == own || silent_ms.is_some_and(|ms| ms <= PROMOTION_SILENCE_MS)
+        Some(*key) == own || silent_ms.is_some_and(|ms| ms <= HEARD_WITHIN_MS)
     });
-    heard.count() * 2 > voters().count()
+    heard.count() * 2 > quorum_members().count()
 }
 
-/// Returns true if a later process with the same name is registered.
+/// Returns true if a later process of a host with the same name is registered.
 fn is_replaced(state: &State, entry: &HostEntry) -> bool {
     let mut hosts = state.registered_hosts();
     hosts.any(|(_, other)| other.name == entry.name && other.changed > entry.changed)
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -141,11 +141,11 @@
         host: host.settings.name.clone(),
         revision: state.revision.0,
         configuration: state.configuration.0,
-        fresh: host.view.fresh(),
-        basis_age_ms: host.view.basis_age_ms(),
+        fresh: host.view.is_up_to_date(),
+        staleness_ms: host.view.staleness_ms(),
         leading: host.leading(),
         term: host.leader_term(),
-        registry_settled: state.registry.is_settled(),
+        registry_settled: state.registry.is_change_complete(),
         hosts: host_statuses(host, &state),
         servers: server_statuses(&state),
         services: service_statuses(&state),
@@ -201,7 +201,7 @@
         statuses.push(ServiceStatus {
             name: service.spec.name.clone(),
             slots: slots.len() as u64,
-            settled: slots.iter().filter(|s| s.settled().is_some()).count() as u64,
+            settled: slots.iter().filter(|s| s.stable_owner().is_some()).count() as u64,
             moving: slots.iter().filter(|s| s.next.is_some()).count() as u64,
         });
     }
@@ -440,11 +440,11 @@
 async fn commit_error(host: &Host, failure: CommitError) -> HttpError {
     match failure {
         CommitError::Refused { source } => refusal(&source),
-        CommitError::Raced { expected, found } => {
+        CommitError::ConfigurationChanged { expected, found } => {
             let other = host.other_change(found).await;
             let message = format!(
                 "{}; the other change: {other}",
-                CommitError::Raced { expected, found }
+                CommitError::ConfigurationChanged { expected, found }
             );
             error(ErrorStatusCode::CONFLICT, message)
         }
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -99,21 +99,20 @@
     pub revision: u64,
     /// Revision of the last change of any template or workspace.
     pub configuration: u64,
-    /// True if the responding host's view is fresh, so that the host may act on it (see
-    /// [`crate::membership::freshness`]).
+    /// True if the staleness of the host's view is within the maximum, so that the host may act on
+    /// the view.
     pub fresh: bool,
-    /// Age in milliseconds of the basis of the responding host's view. The basis is the latest time
-    /// for which this host knows that it has applied every change that was in force at that time.
-    /// `None` before the view has a basis.
-    pub basis_age_ms: Option<u64>,
-    /// True if the responding host believes that it is the leader. Two hosts may believe so for a
-    /// short time.
+    /// Staleness of the host's view in milliseconds: the time since the latest time for which the
+    /// host knows that it had applied every change; `None` while there is no such time.
+    #[serde(rename = "basis_age_ms")]
+    pub staleness_ms: Option<u64>,
+    /// True if the host believes that it is the leader.
     pub leading: bool,
     /// Term of the leader row as the responding host last read or wrote it; 0 before the first
     /// read.
     pub term: u64,
-    /// True if the last change of the registry of hosts is settled: no host acts on an earlier
-    /// version.
+    /// True if the last change of the registry of hosts is complete: no host acts on an earlier
+    /// version of the registry.
     pub registry_settled: bool,
     /// All registered hosts, including hosts that are joining or leaving.
     pub hosts: Vec<HostStatus>,
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -20,8 +20,8 @@
 /// Heartbeats between hosts, sent as datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Asks a peer for its revision and for the age of its basis. The basis is the latest time for
-    /// which the peer knows that it had applied every change.
+    /// Queries a peer for its revision and the staleness of its view (the time since that view was
+    /// known to be complete).
     Ping {
         /// Key of the sender in the registry of hosts.
         host: HostKey,
@@ -43,9 +43,10 @@
         sent_ms: u64,
         /// Revision that the replying host has applied.
         revision: Revision,
-        /// Age of the replying host's basis (see [`crate::membership::freshness`]); `None` if that
-        /// host has no basis yet.
-        basis_age_ms: Option<u64>,
+        /// Staleness of the replying host's view (see [`crate::membership::staleness`]); `None` if
+        /// the host has not been up to date yet.
+        #[serde(rename = "basis_age_ms")]
+        staleness_ms: Option<u64>,
     },
 }
 
@@ -109,8 +110,8 @@
         /// State in the postcard encoding, to be verified against `pointer`.
         body: Vec<u8>,
     },
-    /// Reply to [`PeerRequest::LeaseHorizon`], from which [`crate::ownership::lapse`] computes when
-    /// the lost server's lease has ended.
+    /// Reply to [`PeerRequest::LeaseHorizon`], from which [`crate::ownership::expiry`] computes
+    /// when the lost server's lease has ended.
     Horizon {
         /// Time since the replying host applied the change that records the loss of the server;
         /// `None` if the replying host has not applied that change.
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -399,10 +399,10 @@
     Ok(())
 }
 
-/// Waits until the slot has an owner and this host's view is fresh enough to route, and returns the
-/// owner. Fails at the deadline of the request.
+/// Waits up to the deadline until the slot has an owner and the staleness of this host's view is
+/// within the maximum.
 async fn owner(host: &Arc<Host>, routed: &RoutedRequest) -> Result<Owner, Failure> {
-    if host.view.fresh()
+    if host.view.is_up_to_date()
         && let Some(owner) = find_owner(&host.view.peek(), routed)
     {
         return Ok(owner);
@@ -411,21 +411,21 @@
     // lookup and the wait is not missed.
     let mut changes = host.view.watch();
     loop {
-        let fresh = host.view.fresh();
-        if fresh && let Some(owner) = find_owner(&host.view.peek(), routed) {
+        let is_up_to_date = host.view.is_up_to_date();
+        if is_up_to_date && let Some(owner) = find_owner(&host.view.peek(), routed) {
             return Ok(owner);
         }
         let left_ms = routed.deadline_ms.saturating_sub(clock::now_ms());
         if left_ms == 0 {
-            let reason = if fresh {
+            let reason = if is_up_to_date {
                 Reason::Deadline
             } else {
                 Reason::NotFresh
             };
             return Err(Failure::not_run(reason));
         }
-        // The view can become fresh without a change of the state, so the loop polls freshness.
-        let wait_ms = if fresh {
+        // The view becomes up to date without a change of the state, so the loop polls for it.
+        let wait_ms = if is_up_to_date {
             left_ms
         } else {
             left_ms.min(RETRY_DELAY_MS)
@@ -437,16 +437,15 @@
     }
 }
 
-/// Waits until the owner is no longer live under the same lease epoch, so that an attempt in flight
-/// to it can be abandoned.
+/// Waits until the owner's lease epoch has ended, so that an attempt in flight can be abandoned.
 async fn owner_lost(host: &Host, owner: Owner) {
     let mut changes = host.view.watch();
     loop {
-        let is_same_lease = host.view.peek().server(owner.server).map(|server| {
+        let is_current = host.view.peek().server(owner.server).map(|server| {
             let live = server.state == ServerState::Live;
             live && server.lease_epoch == owner.lease_epoch
         });
-        if is_same_lease != Some(true) || changes.changed().await.is_err() {
+        if is_current != Some(true) || changes.changed().await.is_err() {
             return;
         }
     }
@@ -457,7 +456,7 @@
 fn find_owner(state: &State, routed: &RoutedRequest) -> Option<Owner> {
     let service = state.service(routed.service)?;
     let slot = service.slots.get(routed.slot.0 as usize)?;
-    let key = slot.settled()?;
+    let key = slot.stable_owner()?;
     let server = state.server(key)?;
     if server.state != ServerState::Live {
         return None;
@@ -477,7 +476,7 @@
 fn is_still_owner(host: &Host, routed: &RoutedRequest, owner: Owner) -> bool {
     let found = find_owner(&host.view.peek(), routed);
     let same = found.is_some_and(|f| f.epoch == owner.epoch && f.incarnation == owner.incarnation);
-    same && host.view.fresh()
+    same && host.view.is_up_to_date()
 }
 
 /// Builds the HTTP request that one attempt sends to the owner, with the headers that let the
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -10,10 +10,9 @@
 
 use crate::configuration::{self, template::read_document};
 
-/// Maximum value of [`Ownership::lapse_ms`] in milliseconds. The value is the bound on the time
-/// from the loss of a server until its keys are served again, less the time needed to detect the
-/// loss and to grant the keys to other servers.
-const LAPSE_MS_MAX: u64 = 2_600;
+/// Upper limit of [`Ownership::expiry_bound_ms`]: the time from a loss until keys must be served again,
+/// less the time for detection and for the new grant.
+const EXPIRY_BOUND_MS_MAX: u64 = 2_600;
 
 /// Reason why a settings file is unusable.
 #[derive(Debug, Snafu)]
@@ -145,11 +144,11 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Ownership {
-    /// Freshness limit in milliseconds: maximum age of the basis (see
-    /// [`crate::membership::freshness`]) at which a host may still act on its view.
-    pub freshness_ms: u64,
-    /// Length of a server's lease in milliseconds, counted from the time at which a host sends the
-    /// renewal of the lease.
+    /// Maximum staleness (see [`crate::membership::staleness`]), in milliseconds, with which a host
+    /// may act on its view.
+    #[serde(rename = "freshness_ms")]
+    pub max_staleness_ms: u64,
+    /// Length of a server's lease, counted from the sending of a renewal.
     pub lease_ttl_ms: u64,
     /// Allowance in milliseconds for the drift between the clocks of hosts and servers. A lease
     /// counts as lapsed only after this additional time.
@@ -177,7 +176,7 @@
 impl Default for Ownership {
     fn default() -> Self {
         Self {
-            freshness_ms: 700,
+            max_staleness_ms: 700,
             lease_ttl_ms: 1_200,
             margin_ms: 100,
             renew_every_ms: 300,
@@ -191,11 +190,11 @@
 }
 
 impl Ownership {
-    /// Returns the time in milliseconds from a change until every lease has lapsed that was renewed
-    /// by a host without this change. The time is the sum of the freshness limit, the length of a
-    /// lease and the allowance for clock drift.
-    pub fn lapse_ms(&self) -> u64 {
-        self.freshness_ms + self.lease_ttl_ms + self.margin_ms
+    /// Returns the time in milliseconds after which a host that missed a change can no longer keep
+    /// a lease valid: the sum of the maximum staleness, the length of a lease and the allowance for
+    /// clock drift.
+    pub fn expiry_bound_ms(&self) -> u64 {
+        self.max_staleness_ms + self.lease_ttl_ms + self.margin_ms
     }
 
     /// Returns a message for each value that is invalid or contradicts another value.
@@ -207,15 +206,15 @@
             }
         };
         let sum = "freshness_ms + lease_ttl_ms + margin_ms must be at most 2600";
-        check(self.lapse_ms() <= LAPSE_MS_MAX, sum);
+        check(self.expiry_bound_ms() <= EXPIRY_BOUND_MS_MAX, sum);
         let renew = "renew_every_ms must be at most a third of lease_ttl_ms, and not 0";
         let fits = self.renew_every_ms > 0 && self.renew_every_ms * 3 <= self.lease_ttl_ms;
         check(fits, renew);
         let heartbeat = "heartbeat_ms must be at most a third of freshness_ms, and not 0";
-        let fits = self.heartbeat_ms > 0 && self.heartbeat_ms * 3 <= self.freshness_ms;
+        let fits = self.heartbeat_ms > 0 && self.heartbeat_ms * 3 <= self.max_staleness_ms;
         check(fits, heartbeat);
         let drift = "margin_ms must be at least 1% of freshness_ms + lease_ttl_ms";
-        let fits = self.margin_ms * 100 >= self.freshness_ms + self.lease_ttl_ms;
+        let fits = self.margin_ms * 100 >= self.max_staleness_ms + self.lease_ttl_ms;
         check(fits, drift);
         problems
     }
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -1,11 +1,12 @@
-//! Applies changes to the state. An invalid change is refused and leaves the state as it is.
+//! Applies changes to the replicated state. An invalid change is refused and leaves the state
+//! unchanged.
 
 use std::sync::Arc;
 
 use snafu::{OptionExt, ensure};
 
 use super::{
-    change::{Change, LogEntry, MoveDone, SlotMove},
+    change::{Change, CompletedMove, LogEntry, SlotMove},
     entry::{
         Document, HostEntry, HostState, RecentOperation, ServerEntry, ServerState, ServiceEntry,
         SlotEntry, State,
@@ -15,15 +16,15 @@
 use crate::{
     configuration::{self, ServiceSpec, Template, Workspace, expand, workspace::Target},
     id::{Epoch, HostKey, Incarnation, LeaseEpoch, OperationId, ServerKey, ServiceKey, Slot},
-    membership::registry::voters,
+    membership::registry::quorum_members,
 };
 
 /// Maximum number of operation identifiers kept to recognise retried changes. A retry of an older
-/// change is no longer recognised.
+/// change is not recognised and is applied again if it is still valid.
 const OPERATIONS_KEPT: usize = 4096;
 
 impl State {
-    /// Applies the next entry of the log; on an error the state is unchanged.
+    /// Applies the next entry of the change log. On an error the state is unchanged.
     pub fn apply(&mut self, entry: &LogEntry) -> Result<()> {
         ensure!(
             entry.revision == self.revision.next(),
@@ -32,7 +33,7 @@
                 applied: self.revision.0,
             }
         );
-        // The revision is raised first, because changed entries are stamped with it.
+        // The revision is raised first, because each entry that the change modifies records it.
         self.revision = entry.revision;
         if let Err(error) = self.change(&entry.change) {
             self.revision.0 -= 1;
@@ -52,7 +53,7 @@
     }
 
     /// Applies a change as if it were the next entry of the log, to find out its effect or the
-    /// reason of a refusal. The caller applies it to a copy of the state.
+    /// reason of a refusal. The caller applies the change to a copy of the state.
     pub fn apply_dry_run(&mut self, change: Change) -> Result<()> {
         self.apply(&LogEntry {
             revision: self.revision.next(),
@@ -86,22 +87,22 @@
                 Ok(())
             }
             Change::HostPromoted { host, incarnation } => {
-                self.change_voters(*host, *incarnation, HostState::Live)
+                self.change_quorum(*host, *incarnation, HostState::Live)
             }
             Change::HostLeaving { host, incarnation } => {
                 self.set_host(*host, *incarnation, HostState::Leaving)
             }
             Change::HostRemoved { host, incarnation } => {
-                self.change_voters(*host, *incarnation, HostState::Removed)?;
+                self.change_quorum(*host, *incarnation, HostState::Removed)?;
                 self.registry.removal = self.revision;
                 Ok(())
             }
             Change::RegistrySettled { registry } => {
-                let reason = "the registry has changed or is settled";
-                let due = self.registry.changed == *registry && !self.registry.is_settled();
+                let reason = "the registry has changed, or its last change is already complete";
+                let due = self.registry.changed == *registry && !self.registry.is_change_complete();
                 ensure!(due, OutdatedSnafu { reason });
-                self.registry.settled = self.revision;
-                self.registry.previous_voters.clear();
+                self.registry.completed = self.revision;
+                self.registry.previous_quorum_members.clear();
                 Ok(())
             }
             Change::ServerJoined {
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Puts a template in force and expands it again for each workspace that uses it. All
-    /// workspaces must still be valid.
+    /// Puts a template in force and expands it again for each workspace that uses it. Refuses the
+    /// template if one of these workspaces would become invalid.
     fn submit_template(&mut self, document: &str) -> Result<()> {
         let template = Template::read(document.as_bytes()).map_err(declaration)?;
         let mut problems = Vec::new();
@@ -222,7 +223,7 @@
     }
 
     /// Refuses a declaration that changes the number of slots of an existing service, because the
-    /// slots of its keys would change.
+    /// keys of the service would then belong to other slots.
     fn check_slots(&self, specs: &[ServiceSpec]) -> Result<()> {
         for spec in specs {
             let existing = self
@@ -297,56 +298,58 @@
         let address = entry.peer_address;
         let is_predecessor =
             |host: &&mut HostEntry| host.registered() && host.peer_address == address;
-        // Two processes cannot bind one address, so the earlier one has ended. The new process
-        // replaces it as a voter, because it has applied everything that the earlier one had
-        // confirmed.
-        if let Some(dead) = self.hosts.iter_mut().find(is_predecessor) {
-            if dead.is_voter() {
+        // Two processes cannot bind one address, so the earlier process has ended. The new process
+        // replaces it as a quorum member, because the new process has applied everything that the
+        // earlier one had confirmed.
+        if let Some(predecessor) = self.hosts.iter_mut().find(is_predecessor) {
+            if predecessor.is_quorum_member() {
                 entry.state = HostState::Live;
                 self.registry.changed = self.revision;
                 self.registry.removal = self.revision;
-                let mut previous = self.registry.previous_voters.iter_mut();
-                if let Some(seat) = previous.find(|v| v.incarnation == dead.incarnation) {
-                    seat.incarnation = entry.incarnation;
+                let mut previous = self.registry.previous_quorum_members.iter_mut();
+                if let Some(quorum_member) =
+                    previous.find(|v| v.incarnation == predecessor.incarnation)
+                {
+                    quorum_member.incarnation = entry.incarnation;
                 }
             }
-            *dead = entry;
+            *predecessor = entry;
             return;
         }
-        // An earlier process of the same name at another address remains a voter until its removal
-        // is settled.
+        // An earlier process of the same name at another address remains a quorum member until it
+        // is removed and that change is complete.
         match self.hosts.iter_mut().find(|host| !host.registered()) {
             Some(free) => *free = entry,
             None => self.hosts.push(entry),
         }
     }
 
-    /// Promotes or removes a host, which changes the voters. The last change of the registry must
-    /// be settled, so that at most two sets of voters are in use.
-    fn change_voters(
+    /// Promotes or removes a host, which changes the quorum members. The last change of the
+    /// registry must be complete, so that at most two sets of quorum members are in use.
+    fn change_quorum(
         &mut self,
         key: HostKey,
         incarnation: Incarnation,
         to: HostState,
     ) -> Result<()> {
-        let reason = "the registry's last change is not settled";
-        ensure!(self.registry.is_settled(), OutdatedSnafu { reason });
-        let before = voters(self);
+        let reason = "the registry's last change is not complete";
+        ensure!(self.registry.is_change_complete(), OutdatedSnafu { reason });
+        let before = quorum_members(self);
         self.set_host(key, incarnation, to)?;
         self.registry.changed = self.revision;
-        self.registry.voters_changed = self.revision;
-        self.registry.previous_voters = before;
+        self.registry.quorum_changed = self.revision;
+        self.registry.previous_quorum_members = before;
         Ok(())
     }
 
-    /// Sets the state of a host. Fails if another process has replaced the host, or if it already
-    /// has that state.
+    /// Sets the state of a host. Fails if another process has replaced the process `incarnation`,
+    /// or if the host is already in the state `to`.
     fn set_host(&mut self, key: HostKey, incarnation: Incarnation, to: HostState) -> Result<()> {
         let revision = self.revision;
         let entry = self.hosts.get_mut(key.0 as usize);
         let entry = entry.filter(|host| host.incarnation == incarnation && host.state != to);
         let entry = entry.context(OutdatedSnafu {
-            reason: "the host has restarted or is in that state",
+            reason: "the host has restarted or is already in that state",
         })?;
         entry.state = to;
         entry.changed = revision;
@@ -354,7 +357,7 @@
     }
 
     /// Returns the entry of a server for modification and sets its `changed` revision. Fails unless
-    /// the server is in the given membership period and state.
+    /// the server is in the given lease epoch and state.
     fn server_in(
         &mut self,
         key: ServerKey,
@@ -365,19 +368,19 @@
         let entry = self.servers.get_mut(key.0 as usize);
         let entry = entry.filter(|s| s.lease_epoch == lease_epoch && s.state == state);
         let entry = entry.context(OutdatedSnafu {
-            reason: "the server is in another membership period or state",
+            reason: "the server is in another lease epoch or state",
         })?;
         entry.changed = revision;
         Ok(entry)
     }
 
-    /// Begins a new membership period for a server that has no lease; fails for any other server.
+    /// Begins a new lease epoch for a server that has no lease; fails for any other server.
     fn join_server(&mut self, key: ServerKey, incarnation: Incarnation) -> Result<()> {
         let revision = self.revision;
         let entry = self.servers.get_mut(key.0 as usize);
         let entry = entry.filter(|server| server.state == ServerState::Absent);
         let entry = entry.context(OutdatedSnafu {
-            reason: "the server already has a membership period",
+            reason: "the server's last lease may still be valid",
         })?;
         entry.incarnation = incarnation;
         entry.lease_epoch.0 += 1;
@@ -387,7 +390,7 @@
         Ok(())
     }
 
-    /// Removes a server whose lease has lapsed from every slot. A move to that server is turned
+    /// Removes a server whose lease has expired from every slot. A move to that server is turned
     /// into a move back to the old owner.
     fn remove_server_from_slots(&mut self, server: ServerKey) {
         let concerns = |slot: &SlotEntry| slot.owner == Some(server) || slot.next == Some(server);
@@ -401,7 +404,8 @@
         }
     }
 
-    /// Begins moves of slots. All of them are checked before the first is applied.
+    /// Begins moves of slots. All moves are checked before the first is applied, so that a refused
+    /// change has no effect.
     fn begin_moves(&mut self, service: ServiceKey, moves: &[SlotMove]) -> Result<()> {
         for begun in moves {
             let server = self.server(begun.to);
@@ -410,7 +414,7 @@
             ensure!(live, OutdatedSnafu { reason });
             let slot = self.slot(service, begun.slot)?;
             let free = slot.next.is_none() && slot.epoch.next() == begun.epoch;
-            let reason = "the slot moves already or has moved";
+            let reason = "the slot is already moving or has moved";
             ensure!(free, OutdatedSnafu { reason });
         }
         for begun in moves {
@@ -421,12 +425,13 @@
         Ok(())
     }
 
-    /// Completes moves of slots. All of them are checked before the first is applied.
-    fn complete_moves(&mut self, service: ServiceKey, done: &[MoveDone]) -> Result<()> {
+    /// Completes moves of slots. All moves are checked before the first is applied, so that a
+    /// refused change has no effect.
+    fn complete_moves(&mut self, service: ServiceKey, done: &[CompletedMove]) -> Result<()> {
         for done in done {
             let slot = self.slot(service, done.slot)?;
             let moving = slot.next.is_some() && slot.epoch == done.epoch;
-            let reason = "the slot does not move at this epoch";
+            let reason = "the slot is not moving at this epoch";
             ensure!(moving, OutdatedSnafu { reason });
         }
         for done in done {
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -14,7 +14,7 @@
     id::{
         Epoch, HostKey, Incarnation, LeaseEpoch, OperationId, Revision, ServerKey, ServiceKey, Slot,
     },
-    membership::freshness::Voter,
+    membership::staleness::HostProcess,
 };
 
 /// Template or workspace in force, with its text as the operator submitted it.
@@ -30,38 +30,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// Registered, but not a voter: the host is not a root host of the heartbeat tree, or is not
-    /// yet promoted.
+    /// Registered, but not a quorum member: the host is not a top-level host of the heartbeat tree,
+    /// or is not yet promoted.
     Joining,
-    /// Registered, and counted as a voter in majorities.
+    /// Registered, and counted in majorities as a quorum member.
     Live,
-    /// The host has announced its stop and remains a voter until it is removed.
+    /// The host has announced its stop. It remains a quorum member until it is removed.
     Leaving,
-    /// The host is not registered any more, and a later host may reuse its entry.
+    /// The host is not registered. A later host may reuse its entry.
     Removed,
 }
 
-/// One process of an entry host. A restarted host gets a new entry or replaces its old one.
+/// One process of an entry host. A restarted host replaces its old entry if it has the same peer
+/// address, and gets a new entry otherwise.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// Name of the host, from its settings; the same for its later processes.
+    /// Name of the host, from its settings; later processes of the host have the same name.
     pub name: String,
-    /// Random identifier of the process; it differs after each restart.
+    /// Random identifier of the process; each restart of the host chooses another one.
     pub incarnation: Incarnation,
     /// UDP address of the QUIC endpoint at which other hosts reach the host.
     pub peer_address: SocketAddr,
     /// Availability zone of the host, from its settings.
     pub availability_zone: String,
-    /// Stage of the life cycle; it decides whether the host is registered and whether it is a
-    /// voter.
+    /// Stage of the life cycle, which decides whether the host is registered and whether it is a
+    /// quorum member.
     pub state: HostState,
     /// Revision of the last change of this entry.
     pub changed: Revision,
 }
 
 impl HostEntry {
-    /// Returns true if the host is a voter (live or leaving) and so counts in majorities.
-    pub fn is_voter(&self) -> bool {
+    /// Returns true if the host is a quorum member (live or leaving) and so counts in majorities.
+    pub fn is_quorum_member(&self) -> bool {
         matches!(self.state, HostState::Live | HostState::Leaving)
     }
 
@@ -75,63 +76,68 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerState {
-    /// The server has not joined yet, or its last lease has lapsed.
+    /// The server has not joined yet, or its last lease has expired.
     Absent,
     /// The server has a lease that hosts renew.
     Live,
-    /// The lease is no longer renewed, but may still be valid.
+    /// No host that has applied the loss renews the lease, but the lease may still be valid.
     Lost,
 }
 
-/// Revisions at which the registry of hosts changed and was settled.
+/// Revisions at which the registry of hosts changed and at which its last change was complete.
 ///
-/// The registry is *settled* when no host acts on an earlier version of it any more. Only then may
-/// the voters change again (see [`crate::membership::registry`]).
+/// A change of the registry is *complete* when no host acts on an earlier version of the registry.
+/// Only then may the quorum members change again (see [`crate::membership::registry`]).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registry {
-    /// Revision of the last promotion, removal or replacement of a voter.
+    /// Revision of the last promotion or removal of a host, or replacement of a quorum member.
     pub changed: Revision,
-    /// Revision of the last removal of a host or replacement of a voter.
+    /// Revision of the last removal of a host or replacement of a quorum member.
     pub removal: Revision,
-    /// Revision of the last promotion or removal.
-    pub voters_changed: Revision,
-    /// Revision of the last settlement. From then on no host acts on a registry from before
-    /// `changed`.
-    pub settled: Revision,
-    /// Voters from before the last promotion or removal, until that is settled; then empty.
-    pub previous_voters: Vec<Voter>,
+    /// Revision of the last promotion or removal of a host, which changed the quorum members.
+    #[serde(rename = "voters_changed")]
+    pub quorum_changed: Revision,
+    /// Revision at which the last change of the registry was recorded as complete. From this
+    /// revision on, no host acts on a version of the registry from before `changed`.
+    #[serde(rename = "settled")]
+    pub completed: Revision,
+    /// Quorum members from before the last promotion or removal of a host; empty once that change
+    /// is complete.
+    #[serde(rename = "previous_voters")]
+    pub previous_quorum_members: Vec<HostProcess>,
 }
 
 impl Registry {
-    /// Returns true if no host acts on an earlier version of the registry any more.
-    pub fn is_settled(&self) -> bool {
-        self.settled >= self.changed
+    /// Returns true if the last change is complete: no host acts on an earlier version of the
+    /// registry.
+    pub fn is_change_complete(&self) -> bool {
+        self.completed >= self.changed
     }
 
-    /// Returns the revision before which majorities of the voters do not count towards a lapse
-    /// (see [`crate::ownership::lapse`]): the change of the voters while that is not settled, and
-    /// the last settlement otherwise.
+    /// Returns the revision before which majorities of the quorum members do not count towards the
+    /// expiry of a lease (see [`crate::ownership::expiry`]). This is the last promotion or removal
+    /// until that is complete, and the completion of the last change afterwards.
     pub fn majority_since(&self) -> Revision {
-        if self.previous_voters.is_empty() {
-            self.settled
+        if self.previous_quorum_members.is_empty() {
+            self.completed
         } else {
-            self.voters_changed
+            self.quorum_changed
         }
     }
 }
 
-/// Backend server, identified by its address, with its latest lease and membership period.
+/// Backend server, identified by its address, with its latest lease and lease epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEntry {
     /// Address at which hosts reach the server; unique among servers.
     pub address: SocketAddr,
-    /// Availability zone from the workspace that declared it last.
+    /// Availability zone from the workspace that declared the server last.
     pub availability_zone: String,
-    /// Process that has the lease, or had the last one.
+    /// Incarnation of the process that has the lease, or that had the last lease.
     pub incarnation: Incarnation,
-    /// Number of the server's membership period; rises with each join.
+    /// Lease epoch of the server: a number that rises each time the server joins.
     pub lease_epoch: LeaseEpoch,
-    /// Stage of the life cycle; it decides whether hosts renew the server's lease.
+    /// Stage of the life cycle, which decides whether hosts renew the server's lease.
     pub state: ServerState,
     /// True if the server wants to leave, so that its slots are moved away.
     pub draining: bool,
@@ -142,19 +148,19 @@
 /// Ownership of one slot: its owner, the next owner while it moves, and the last epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotEntry {
-    /// Current owner; `None` before the first grant and after its lease has lapsed.
+    /// Current owner; `None` before the first grant and after the owner's lease has expired.
     pub owner: Option<ServerKey>,
     /// Next owner while the slot moves; `None` otherwise.
     pub next: Option<ServerKey>,
-    /// Highest epoch issued: that of the owner's grant, or of the next owner's while the slot
-    /// moves.
+    /// Highest epoch (fencing token) issued for the slot: the epoch of the owner's grant, or of the
+    /// next owner's grant while the slot moves.
     pub epoch: Epoch,
 }
 
 impl SlotEntry {
-    /// Removes a server whose lease has lapsed. A move to that server is turned into a move back to
-    /// the current owner, at a new epoch because the lapsed server may hold a grant of the last
-    /// one.
+    /// Removes a server whose lease has expired. A move to that server is turned into a move back
+    /// to the current owner. The move back gets a new epoch, because the removed server may hold a
+    /// grant of the last epoch.
     pub(super) fn remove_server(&mut self, server: ServerKey) {
         if self.owner == Some(server) {
             self.owner = None;
@@ -165,8 +171,8 @@
         }
     }
 
-    /// Returns the owner; `None` while the slot moves or has no owner.
-    pub fn settled(&self) -> Option<ServerKey> {
+    /// Returns the owner of a slot that does not move; `None` while the slot moves or has no owner.
+    pub fn stable_owner(&self) -> Option<ServerKey> {
         match self.next {
             Some(_) => None,
             None => self.owner,
@@ -179,11 +185,13 @@
 pub struct ServiceEntry {
     /// Declaration, expanded from the template with the parameters of the workspace.
     pub spec: ServiceSpec,
-    /// Servers of `spec.targets`, in that order.
+    /// Keys of the servers in `spec.targets`, in the same order.
     pub targets: Vec<ServerKey>,
-    /// Ownership of each slot; the index is the slot number. The length is fixed.
+    /// Ownership of each slot; the index is the slot number. The number of slots is fixed when the
+    /// service is first declared.
     pub slots: Vec<SlotEntry>,
-    /// False once the service is withdrawn. The entry is kept so that its epochs never repeat.
+    /// False once the service is withdrawn. The entry is kept so that the epochs of its slots never
+    /// repeat.
     pub active: bool,
 }
 
@@ -192,7 +200,8 @@
 pub struct RecentOperation {
     /// Hash of the identifier that the writer chose.
     pub id_hash: u128,
-    /// Revision at which the change was appended, which is returned to a retry of it.
+    /// Revision at which the change was appended to the log, which is returned to a retry of the
+    /// change.
     pub revision: Revision,
 }
 
@@ -203,42 +212,48 @@
     pub revision: Revision,
     /// Revision of the last change of a template or workspace.
     pub configuration: Revision,
-    /// Templates in force, by name; a withdrawn one is removed.
+    /// Templates in force, by name; a withdrawn template is removed.
     pub templates: BTreeMap<String, Document>,
-    /// Workspaces in force, by name; a withdrawn one is removed.
+    /// Workspaces in force, by name; a withdrawn workspace is removed.
     pub workspaces: BTreeMap<String, Document>,
-    /// Revisions of the last changes and of the last settlement of the registry of hosts.
+    /// Revisions of the last changes of the registry of hosts and of their completion.
     pub registry: Registry,
     /// Entry hosts by [`HostKey`], one entry per process. Entries of removed hosts are reused.
     pub hosts: Vec<HostEntry>,
     /// Backend servers by [`ServerKey`]; entries are never removed.
     pub servers: Vec<ServerEntry>,
-    /// Services by [`ServiceKey`]. Successive states share the unchanged ones.
+    /// Services by [`ServiceKey`], withdrawn services included. Successive states share the
+    /// unchanged services.
     pub services: Vec<Arc<ServiceEntry>>,
-    /// Latest changes, oldest first, so that a retried submission is recognised.
+    /// Latest changes, oldest first, from which a retried submission is recognised.
     pub recent_operations: VecDeque<RecentOperation>,
 }
 
 impl State {
-    /// Returns the host `key`, also if it was removed.
+    /// Returns the entry of the host `key`, also if the host was removed; `None` if the key was
+    /// never assigned.
     pub fn host(&self, key: HostKey) -> Option<&HostEntry> {
         self.hosts.get(key.0 as usize)
     }
 
-    /// Returns the server `key`, also if it is absent; `None` if the key was never assigned.
+    /// Returns the entry of the server `key`, also if the server is absent; `None` if the key was
+    /// never assigned.
     pub fn server(&self, key: ServerKey) -> Option<&ServerEntry> {
         self.servers.get(key.0 as usize)
     }
 
-    /// Returns the service `key`, also if it was withdrawn.
+    /// Returns the entry of the service `key`, also if the service was withdrawn; `None` if the key
+    /// was never assigned.
     pub fn service(&self, key: ServiceKey) -> Option<&ServiceEntry> {
         self.services.get(key.0 as usize).map(Arc::as_ref)
     }
 
-    /// Returns the key of a registered host process; `None` if it is not registered.
+    /// Returns the key of the registered host whose process has this incarnation; `None` if no such
+    /// process is registered.
     pub fn host_key(&self, incarnation: Incarnation) -> Option<HostKey> {
-        let is_it = |host: &HostEntry| host.incarnation == incarnation && host.registered();
-        let index = self.hosts.iter().position(is_it)?;
+        let is_same_process =
+            |host: &HostEntry| host.incarnation == incarnation && host.registered();
+        let index = self.hosts.iter().position(is_same_process)?;
         Some(HostKey(index as u32))
     }
 
@@ -265,7 +280,7 @@
         (0..).map(ServerKey).zip(&self.servers)
     }
 
-    /// Iterates over the services in force and their keys, in key order; withdrawn ones are
+    /// Iterates over the services in force and their keys, in key order; withdrawn services are
     /// skipped.
     pub fn active_services(&self) -> impl Iterator<Item = (ServiceKey, &ServiceEntry)> {
         let keys = (0..).map(ServiceKey);
@@ -273,8 +288,8 @@
         keys.zip(services).filter(|(_, service)| service.active)
     }
 
-    /// Returns the revision of the recent change with identifier `id`; `None` if there is none or
-    /// it is no longer kept.
+    /// Returns the revision of the recent change with identifier `id`; `None` if no such change was
+    /// made or it is no longer kept.
     pub fn operation(&self, id: &OperationId) -> Option<Revision> {
         let hash = id.hash();
         let found = self
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -249,8 +249,8 @@
         status.unwrap_or_else(|error| panic!("the status of host {host} cannot be read: {error}"))
     }
 
-    /// Waits until every host reports that all slots have an owner, that all hosts are voters and
-    /// that the last change of the registry of hosts is settled.
+    /// Waits until every host reports that all slots have an owner and that all hosts are quorum
+    /// members.
     pub async fn settled(&self) {
         let all: Vec<usize> = (0..self.hosts.len()).collect();
         self.settled_on(&all).await;
--- a/tests/model/host.rs
+++ b/tests/model/host.rs
@@ -3,22 +3,22 @@
 use ashroad::{
     id::{HostKey, Incarnation, LeaseEpoch, Revision, ServerKey},
     membership::{
-        freshness::{Freshness, HeartbeatReply, Voter},
-        registry::{self, RegistryLimits, SettlementTracker, Silence, registered, voters},
+        registry::{self, ChangeTracker, RegistryLimits, Silence, quorum_members, registered},
+        staleness::{HeartbeatReply, HostProcess, StalenessTracker},
     },
     ownership::{
-        lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
+        expiry::{HorizonReport, RenewingHosts, expired_at_ms},
         message::{LeaseRequest, SlotGrant, grant_hash},
         moves::{next_grants, ready_groups},
         renewal::{RenewalOutcome, RenewalState},
     },
-    state::{Change, LogEntry, MoveDone, ServerState, State},
+    state::{Change, CompletedMove, LogEntry, ServerState, State},
 };
 use rand::{Rng, rngs::StdRng};
 
 use super::{
-    BrokenRule, FRESHNESS_MS, LAPSE_MS, MARGIN_MS, Message, Node, SERVERS, SERVICE, Simulation,
-    TTL_MS, local_ms, wanted_moves,
+    BrokenRule, EXPIRY_BOUND_MS, MARGIN_MS, MAX_STALENESS_MS, Message, Node, SERVERS, SERVICE,
+    Simulation, TTL_MS, local_ms, wanted_moves,
 };
 
 const RENEW_MS: u64 = 300;
@@ -42,17 +42,17 @@
     pub incarnation: Incarnation,
     pub paused_until_ms: u64,
     pub leading: bool,
-    pub suspect_wrongly: bool,
+    pub false_suspicion: bool,
     pub state: State,
     index: usize,
     offset_ms: u64,
     drift_ppt: u64,
-    freshness: Freshness,
+    staleness: StalenessTracker,
     renewal_states: Vec<RenewalState>,
     waiting: Vec<Option<u64>>,
     applied_ms: Vec<(Revision, u64)>,
     reports: Vec<(ServerKey, Revision, HorizonReport)>,
-    registry: SettlementTracker,
+    registry: ChangeTracker,
     read_ms: u64,
     append_ms: u64,
     move_ms: u64,
@@ -65,17 +65,17 @@
             incarnation: Incarnation(rng.random()),
             paused_until_ms: 0,
             leading: rng.random_bool(0.5),
-            suspect_wrongly: false,
+            false_suspicion: false,
             state: State::default(),
             index,
             offset_ms: rng.random_range(0..1_000_000),
             drift_ppt: rng.random_range(0..5),
-            freshness: Freshness::default(),
+            staleness: StalenessTracker::default(),
             renewal_states: vec![RenewalState::default(); SERVERS],
             waiting: vec![None; SERVERS],
             applied_ms: Vec::new(),
             reports: Vec::new(),
-            registry: SettlementTracker::default(),
+            registry: ChangeTracker::default(),
             read_ms: 0,
             append_ms: 0,
             move_ms: 0,
@@ -96,8 +96,8 @@
         self.state.host_key(self.incarnation)
     }
 
-    fn own(&self) -> Option<Voter> {
-        Some(Voter {
+    fn own(&self) -> Option<HostProcess> {
+        Some(HostProcess {
             host: self.key()?,
             incarnation: self.incarnation,
         })
@@ -107,9 +107,10 @@
         local_ms(now_ms, self.offset_ms, self.drift_ppt)
     }
 
-    fn fresh(&self, clock_ms: u64, broken: BrokenRule) -> bool {
-        let basis_ms = self.freshness.basis_ms();
-        broken == BrokenRule::Freshness || basis_ms.is_some_and(|b| clock_ms <= b + FRESHNESS_MS)
+    fn is_up_to_date(&self, clock_ms: u64, broken: BrokenRule) -> bool {
+        let up_to_date_ms = self.staleness.up_to_date_ms();
+        broken == BrokenRule::StalenessBound
+            || up_to_date_ms.is_some_and(|b| clock_ms <= b + MAX_STALENESS_MS)
     }
 
     fn apply(&mut self, entries: &[LogEntry], clock_ms: u64) {
@@ -134,13 +135,13 @@
     }
 
     fn pong(&self, sent_ms: u64, clock_ms: u64) -> Option<HeartbeatReply> {
-        let basis_ms = self.freshness.basis_ms();
+        let up_to_date_ms = self.staleness.up_to_date_ms();
         Some(HeartbeatReply {
             host: self.key()?,
             incarnation: self.incarnation,
             sent_ms,
             revision: self.state.revision,
-            basis_age_ms: basis_ms.map(|basis_ms| clock_ms - basis_ms),
+            staleness_ms: up_to_date_ms.map(|up_to_date_ms| clock_ms - up_to_date_ms),
         })
     }
 
@@ -162,21 +163,21 @@
         })
     }
 
-    /// Returns the order that renews a lease, if the host may send one. Decides this as the real
-    /// host does.
+    /// Returns the order that renews a lease, or `None` if the host must not send one. The
+    /// conditions are those of the real host.
     fn order(&mut self, server: usize, clock_ms: u64, broken: BrokenRule) -> Option<LeaseRequest> {
         let key = ServerKey(server as u32);
         self.key()?;
         let entry = self.state.server(key)?.clone();
-        if entry.state != ServerState::Live || !self.fresh(clock_ms, broken) {
+        if entry.state != ServerState::Live || !self.is_up_to_date(clock_ms, broken) {
             return None;
         }
         let renewal_state = &mut self.renewal_states[server];
-        renewal_state.start_period(entry.lease_epoch, clock_ms);
+        renewal_state.start_lease_epoch(entry.lease_epoch, clock_ms);
         if !renewal_state.is_due(clock_ms) {
             return None;
         }
-        renewal_state.sent(clock_ms, ORDER_MS);
+        renewal_state.record_sent(clock_ms, ORDER_MS);
         let not_after_ms = renewal_state.order(entry.incarnation, clock_ms, TTL_MS);
         let grants = missing(&self.state, key, renewal_state.digest);
         Some(LeaseRequest {
@@ -187,48 +188,54 @@
         })
     }
 
-    fn lapsed(&self, server: ServerKey, lost: Revision, clock_ms: u64, broken: BrokenRule) -> bool {
+    fn expired(
+        &self,
+        server: ServerKey,
+        lost: Revision,
+        clock_ms: u64,
+        broken: BrokenRule,
+    ) -> bool {
         let reports: Vec<HorizonReport> = self
             .reports
             .iter()
             .filter(|(s, r, _)| *s == server && *r == lost)
             .map(|(_, _, report)| *report)
             .collect();
-        let (registered, voters) = (registered(&self.state), voters(&self.state));
-        let few = [voters.first().copied()]
+        let (registered, quorum_members) = (registered(&self.state), quorum_members(&self.state));
+        let few = [quorum_members.first().copied()]
             .into_iter()
             .flatten()
             .collect::<Vec<_>>();
         let renewing_hosts = RenewingHosts {
             registered: &registered,
-            voters: if broken == BrokenRule::Majority {
+            quorum_members: if broken == BrokenRule::Majority {
                 &few
             } else {
-                &voters
+                &quorum_members
             },
             previous: if broken == BrokenRule::Majority {
                 &[]
             } else {
-                &self.state.registry.previous_voters
+                &self.state.registry.previous_quorum_members
             },
-            since_ms: self.applied_at(self.state.registry.majority_since()),
-            settled: self.state.registry.is_settled(),
+            majority_since_ms: self.applied_at(self.state.registry.majority_since()),
+            change_complete: self.state.registry.is_change_complete(),
         };
-        let at_ms = lapsed_at_ms(renewing_hosts, &reports, LAPSE_MS);
-        broken == BrokenRule::LapseWait || at_ms.is_some_and(|at_ms| clock_ms >= at_ms)
+        let at_ms = expired_at_ms(renewing_hosts, &reports, EXPIRY_BOUND_MS);
+        broken == BrokenRule::ExpiryWait || at_ms.is_some_and(|at_ms| clock_ms >= at_ms)
     }
 
     fn registry_change(&self, clock_ms: u64) -> Option<Change> {
         let limits = RegistryLimits {
             removal_ms: 5_000,
-            leaving_ms: LAPSE_MS,
+            leaving_ms: EXPIRY_BOUND_MS,
         };
         let silence = |host, entry: &ashroad::state::HostEntry| {
-            let heard_ms = self.freshness.heard_ms(host);
+            let heard_ms = self.staleness.heard_ms(host);
             Silence {
                 silent_ms: heard_ms.map(|heard_ms| clock_ms.saturating_sub(heard_ms)),
                 expected: true,
-                known_ms: self
+                entry_age_ms: self
                     .applied_age_ms(entry.changed, clock_ms)
                     .unwrap_or_default(),
             }
@@ -242,10 +249,10 @@
     let mut expected = 0;
     for (_, service) in state.active_services() {
         for (slot, entry) in service.slot_entries() {
-            if entry.settled() == Some(server) {
+            if entry.stable_owner() == Some(server) {
                 expected ^= grant_hash(SERVICE, slot, entry.epoch);
                 let epoch = entry.epoch;
-                grants.push(super::slot_grant(&MoveDone { slot, epoch }));
+                grants.push(super::slot_grant(&CompletedMove { slot, epoch }));
             }
         }
     }
@@ -267,17 +274,17 @@
                 }
             }
             Message::Pong(response) => {
-                let (applied, voters) = (host.state.revision, voters(&host.state));
+                let (applied, quorum_members) = (host.state.revision, quorum_members(&host.state));
                 if let Some(own) = host.own() {
-                    host.freshness
-                        .record_heartbeat_reply(response, applied, own, &voters);
+                    host.staleness
+                        .record_heartbeat_reply(response, applied, own, &quorum_members);
                 }
             }
             Message::LogRead { entries, sent_ms } => {
                 host.apply(&entries, clock_ms);
                 let end = entries.last().map(|entry| entry.revision);
                 if end.is_none_or(|end| host.state.revision >= end) {
-                    host.freshness.record_log_read(sent_ms);
+                    host.staleness.record_log_read(sent_ms);
                 }
             }
             Message::AppendOutcome(entry) => {
@@ -287,10 +294,10 @@
             Message::LeaseAnswered {
                 server,
                 ordered,
-                meant,
+                intended,
                 response,
             } => {
-                self.apply_lease_reply(index, server, ordered, meant, &response);
+                self.apply_lease_reply(index, server, ordered, intended, &response);
             }
             Message::Released { slots } => self.grant(index, &slots),
             Message::Granted { slots } => {
@@ -324,7 +331,7 @@
         index: usize,
         server: usize,
         ordered: bool,
-        meant: Incarnation,
+        intended: Incarnation,
         response: &ashroad::ownership::message::LeaseResponse,
     ) {
         let host = &mut self.hosts[index];
@@ -345,9 +352,9 @@
             return;
         }
         host.waiting[server] = None;
-        let meant = if ordered { meant } else { entry.incarnation };
-        let outcome =
-            host.renewal_states[server].answered(response, meant, ordered, clock_ms, RENEW_MS);
+        let intended = if ordered { intended } else { entry.incarnation };
+        let outcome = host.renewal_states[server]
+            .record_response(response, intended, ordered, clock_ms, RENEW_MS);
         if outcome == RenewalOutcome::Replaced && response.incarnation != entry.incarnation {
             let lease_epoch = entry.lease_epoch;
             self.append(
@@ -360,7 +367,8 @@
         }
     }
 
-    /// Appends a change as one conditional write, if it fits the state that this host has applied.
+    /// Appends a change as one conditional write, if the change is valid in the state that this
+    /// host has applied.
     fn append(&mut self, index: usize, change: Change) {
         let now_ms = self.now_ms;
         let host = &mut self.hosts[index];
@@ -384,10 +392,10 @@
         self.send(Node::Host(index), Node::Store, message);
     }
 
-    fn grant(&mut self, index: usize, slots: &[MoveDone]) {
+    fn grant(&mut self, index: usize, slots: &[CompletedMove]) {
         let host = &self.hosts[index];
         let clock_ms = host.clock_ms(self.now_ms);
-        if !host.fresh(clock_ms, self.broken) {
+        if !host.is_up_to_date(clock_ms, self.broken) {
             return;
         }
         let Some((_, service)) = host.state.active_services().next() else {
@@ -395,7 +403,7 @@
         };
         // The slots must still have the epochs for which they were released, in this host's current
         // state.
-        let same = |done: &MoveDone| service.slots[done.slot.0 as usize].epoch == done.epoch;
+        let same = |done: &CompletedMove| service.slots[done.slot.0 as usize].epoch == done.epoch;
         let Some(first) = slots.first().filter(|_| slots.iter().all(same)) else {
             return;
         };
@@ -440,8 +448,9 @@
         let host = &mut self.hosts[index];
         let clock_ms = host.clock_ms(self.now_ms);
         if let Some(own) = host.own() {
-            let voters = voters(&host.state);
-            host.freshness.raise_if_only_voter(clock_ms, own, &voters);
+            let quorum_members = quorum_members(&host.state);
+            host.staleness
+                .advance_if_only_quorum_member(clock_ms, own, &quorum_members);
         }
         let after = host.state.revision;
         if clock_ms >= host.read_ms + READ_MS {
@@ -469,10 +478,10 @@
             let broken = self.broken;
             let host = &mut self.hosts[index];
             let clock_ms = host.clock_ms(self.now_ms);
-            let mut lost = std::mem::take(&mut host.suspect_wrongly);
+            let mut lost = std::mem::take(&mut host.false_suspicion);
             if host.waiting[server].is_some_and(|sent_ms| clock_ms > sent_ms + ORDER_MS) {
                 host.waiting[server] = None;
-                lost |= host.renewal_states[server].failed(clock_ms, SUSPECT_MS);
+                lost |= host.renewal_states[server].record_failure(clock_ms, SUSPECT_MS);
             }
             let key = ServerKey(server as u32);
             let lease_epoch = host.state.server(key).map(|entry| entry.lease_epoch);
@@ -502,7 +511,7 @@
         self.lead_registry(index, clock_ms);
         self.lead_losses(index, clock_ms);
         let host = &mut self.hosts[index];
-        if !host.fresh(clock_ms, self.broken) {
+        if !host.is_up_to_date(clock_ms, self.broken) {
             return;
         }
         if clock_ms >= host.query_ms + RENEW_MS {
@@ -522,8 +531,8 @@
 
     fn lead_registry(&mut self, index: usize, clock_ms: u64) {
         let host = &self.hosts[index];
-        let mut watch = host.registry;
-        if watch.pending(&host.state) {
+        let mut tracker = host.registry;
+        if tracker.pending(&host.state) {
             let latest = host.state.registry.changed;
             let own = host.own();
             // All peers are queried at the same instant here; hosts that are cut off or paused do
@@ -534,19 +543,24 @@
                 let cut = |link| self.cut.get(link).is_some_and(|ms| *ms > self.now_ms);
                 !cut(&link) && !cut(&back) && self.hosts[peer].paused_until_ms <= self.now_ms
             };
-            let applied: Vec<Voter> = (0..self.hosts.len())
+            let applied: Vec<HostProcess> = (0..self.hosts.len())
                 .filter(|peer| *peer == index || reach(*peer))
                 .filter(|peer| self.hosts[*peer].state.revision >= latest)
                 .filter_map(|peer| self.hosts[peer].own())
                 .chain(own)
                 .collect();
-            watch.record_applied(&self.hosts[index].state, &applied, clock_ms, LAPSE_MS);
+            tracker.record_applied(
+                &self.hosts[index].state,
+                &applied,
+                clock_ms,
+                EXPIRY_BOUND_MS,
+            );
         }
-        self.hosts[index].registry = watch;
+        self.hosts[index].registry = tracker;
         let host = &self.hosts[index];
-        let change = match watch.settlement(&host.state, clock_ms) {
-            None if host.state.registry.is_settled() => host.registry_change(clock_ms),
-            settlement => settlement,
+        let change = match tracker.completion(&host.state, clock_ms) {
+            None if host.state.registry.is_change_complete() => host.registry_change(clock_ms),
+            completion => completion,
         };
         if let Some(change) = change {
             self.append(index, change);
@@ -571,7 +585,7 @@
                 };
                 host.reports.push((server, revision, report));
             }
-            if host.lapsed(server, revision, clock_ms, self.broken) {
+            if host.expired(server, revision, clock_ms, self.broken) {
                 self.append(
                     index,
                     Change::ServerLapsed {
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -1,6 +1,7 @@
-//! Simulation around the real ownership code: state, freshness, renewals, lapses, registry and the
-//! grants of a server. Time is virtual. Messages are delayed, lost, duplicated and reordered;
-//! processes are paused, killed and restarted; the store is down or its responses are lost.
+//! Simulation around the real ownership code: state, staleness, renewals, expiry of leases,
+//! registry and the grants of a server. Time is virtual. Messages are delayed, lost, duplicated and
+//! reordered; processes are paused, killed and restarted; the store is down or its responses are
+//! lost.
 
 mod host;
 
@@ -11,10 +12,10 @@
 
 use ashroad::{
     id::{HostKey, Incarnation, OperationId, Revision, ServerKey, Slot},
-    membership::freshness::HeartbeatReply,
+    membership::staleness::HeartbeatReply,
     ownership::message::{LeaseRequest, LeaseResponse, SlotGrant},
     standin::grants::{ClockReading, Grants},
-    state::{Change, LogEntry, MoveDone, SlotMove, State},
+    state::{Change, CompletedMove, LogEntry, SlotMove, State},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -22,27 +23,27 @@
 
 pub const SERVICE: &str = "w/s";
 pub const SLOTS: u32 = 4;
-pub const FRESHNESS_MS: u64 = 700;
+pub const MAX_STALENESS_MS: u64 = 700;
 pub const TTL_MS: u64 = 1_200;
 pub const MARGIN_MS: u64 = 100;
-pub const LAPSE_MS: u64 = FRESHNESS_MS + TTL_MS + MARGIN_MS;
+pub const EXPIRY_BOUND_MS: u64 = MAX_STALENESS_MS + TTL_MS + MARGIN_MS;
 const TICK_MS: u64 = 50;
 const SERVERS: usize = 3;
 
-/// Rule that a test can disable, to show that the invariant check detects its absence.
+/// Rule that a test can disable, to show that the invariant check detects the absence of the rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenRule {
     Nothing,
     /// A server forgets which slots were revoked.
     Fence,
-    /// A server keeps its grants in a new membership period.
+    /// A server keeps its grants in a new lease epoch.
     LeaseEpoch,
-    /// Leases are declared lapsed without waiting.
-    LapseWait,
-    /// The lapse of a lease is declared when one host has reported.
+    /// Leases are declared expired without waiting.
+    ExpiryWait,
+    /// The expiry of a lease is declared when one host has reported.
     Majority,
-    /// Hosts renew leases however old their view is.
-    Freshness,
+    /// Hosts renew leases however stale their view is.
+    StalenessBound,
     /// The duration of a lease is counted from the arrival of the order.
     ClockBound,
     /// A writer whose response was lost writes the same change again after the current head of the
@@ -50,7 +51,8 @@
     OperationId,
 }
 
-/// Host process that sent a request. Replies use its connection, so a restarted process gets none.
+/// Host process that sent a request. Replies use the connection of the request, so a restarted
+/// process gets none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Requester {
     host: usize,
@@ -86,24 +88,24 @@
     LeaseAnswered {
         server: usize,
         ordered: bool,
-        meant: Incarnation,
+        intended: Incarnation,
         response: LeaseResponse,
     },
     Revoke {
         from: Requester,
         incarnation: Incarnation,
-        slots: Vec<MoveDone>,
+        slots: Vec<CompletedMove>,
     },
     Released {
-        slots: Vec<MoveDone>,
+        slots: Vec<CompletedMove>,
     },
     Grant {
         from: Requester,
         order: LeaseRequest,
-        slots: Vec<MoveDone>,
+        slots: Vec<CompletedMove>,
     },
     Granted {
-        slots: Vec<MoveDone>,
+        slots: Vec<CompletedMove>,
     },
     QueryHorizon {
         from: Requester,
@@ -196,7 +198,7 @@
         simulation
     }
 
-    /// Registers every host and makes it a voter.
+    /// Registers every host and promotes it to a quorum member.
     fn register_all_hosts(&mut self) {
         let changes: Vec<Change> = self.hosts.iter().map(Host::registration).collect();
         let promote = |(key, host): (u32, &Host)| Change::HostPromoted {
@@ -257,7 +259,7 @@
 
     /// Ends all faults, makes one host the leader and runs until moves and registrations are
     /// complete.
-    pub fn settle(&mut self) {
+    pub fn recover(&mut self) {
         self.faults_ended = true;
         self.cut.clear();
         self.store_down_until_ms = 0;
@@ -304,7 +306,7 @@
                 self.servers[server].grants = Grants::default();
                 self.servers[server].incarnation = Incarnation(self.rng.random());
             }
-            9 => self.hosts[host].suspect_wrongly = true,
+            9 => self.hosts[host].false_suspicion = true,
             10 => self.isolate_hosts(until_ms),
             _ => {}
         }
@@ -315,7 +317,7 @@
     fn isolate_hosts(&mut self, until_ms: u64) {
         let isolated: Vec<bool> = self.hosts.iter().map(|_| self.rng.random()).collect();
         // The remaining hosts continue to make changes, and have enough time to complete them.
-        let until_ms = until_ms + LAPSE_MS * 2;
+        let until_ms = until_ms + EXPIRY_BOUND_MS * 2;
         for (host, _) in self
             .hosts
             .iter_mut()
@@ -323,7 +325,7 @@
             .filter(|(_, isolated)| !**isolated)
         {
             host.leading = true;
-            host.suspect_wrongly = true;
+            host.false_suspicion = true;
         }
         for (one, one_isolated) in isolated.iter().enumerate() {
             let host = Node::Host(one);
@@ -518,13 +520,13 @@
         let message = Message::LeaseAnswered {
             server: index,
             ordered: order.incarnation.is_some(),
-            meant: order.incarnation.unwrap_or_default(),
+            intended: order.incarnation.unwrap_or_default(),
             response,
         };
         self.reply(Node::Server(index), to, message);
     }
 
-    /// Checks the invariant: no slot is owned by two servers.
+    /// Checks the invariant: no slot is owned by two servers at a time.
     fn check(&self) {
         for slot in (0..SLOTS).map(Slot) {
             let owners = self.owners(slot);
@@ -532,7 +534,7 @@
         }
     }
 
-    /// Describes the state of the first host, which is the leader after [`Self::settle`], for the
+    /// Describes the state of the first host, which is the leader after [`Self::recover`], for the
     /// report of a failed case.
     pub fn describe(&self) -> String {
         let state = &self.hosts[0].state;
@@ -585,7 +587,7 @@
     }
 }
 
-pub fn slot_grant(done: &MoveDone) -> SlotGrant {
+pub fn slot_grant(done: &CompletedMove) -> SlotGrant {
     SlotGrant {
         service: SERVICE.to_owned(),
         slot: done.slot,
@@ -627,7 +629,7 @@
     }
 }
 
-/// Returns moves for all slots without an owner, and now and then for slots with one.
+/// Returns moves for all slots without a live owner, and at random for a few slots with one.
 pub fn wanted_moves(state: &State, rng: &mut StdRng, faults_ended: bool) -> Option<Change> {
     let live: Vec<ServerKey> = state
         .server_entries()
--- a/tests/ownership_model.rs
+++ b/tests/ownership_model.rs
@@ -35,7 +35,7 @@
         simulation.step();
     }
     if broken == BrokenRule::Nothing {
-        simulation.settle();
+        simulation.recover();
         for slot in (0..SLOTS).map(Slot) {
             let owners = simulation.owners(slot).len();
             assert_eq!(
@@ -106,9 +106,9 @@
     let broken = [
         BrokenRule::Fence,
         BrokenRule::LeaseEpoch,
-        BrokenRule::LapseWait,
+        BrokenRule::ExpiryWait,
         BrokenRule::Majority,
-        BrokenRule::Freshness,
+        BrokenRule::StalenessBound,
         BrokenRule::ClockBound,
         BrokenRule::OperationId,
     ];
--- a/tests/ownership_rules.rs
+++ b/tests/ownership_rules.rs
@@ -3,11 +3,11 @@
 use ashroad::{
     id::{Epoch, HostKey, Incarnation, LeaseEpoch, Revision, Slot},
     membership::{
-        freshness::{Freshness, HeartbeatReply, Voter},
-        registry::{SettlementTracker, voters},
+        registry::{ChangeTracker, quorum_members},
+        staleness::{HeartbeatReply, HostProcess, StalenessTracker},
     },
     ownership::{
-        lapse::{HorizonReport, RenewingHosts, lapsed_at_ms},
+        expiry::{HorizonReport, RenewingHosts, expired_at_ms},
         message::{LeaseRequest, LeaseResponse, SlotGrant},
         renewal::RenewalState,
     },
@@ -15,10 +15,10 @@
     state::{Change, State},
 };
 
-const LAPSE_MS: u64 = 2_000;
+const EXPIRY_BOUND_MS: u64 = 2_000;
 
-fn voter(number: u32) -> Voter {
-    Voter {
+fn host_process(number: u32) -> HostProcess {
+    HostProcess {
         host: HostKey(number),
         incarnation: Incarnation(number.into()),
     }
@@ -33,101 +33,106 @@
     }
 }
 
-struct LapseCase {
+struct ExpiryCase {
     name: &'static str,
-    voters: &'static [u32],
+    quorum_members: &'static [u32],
     previous: &'static [u32],
-    since_ms: u64,
-    settled: bool,
+    majority_since_ms: u64,
+    change_complete: bool,
     reports: &'static [(u32, u64, u64)],
-    lapsed_at_ms: Option<u64>,
+    expired_at_ms: Option<u64>,
 }
 
 #[test]
-fn a_lease_is_lapsed_only_when_no_host_can_have_renewed_it() {
+fn a_lease_expires_only_when_no_host_can_have_renewed_it() {
     let cases = [
-        LapseCase {
+        ExpiryCase {
             name: "all hosts report when their last renewal ends",
-            voters: &[0, 1, 2],
+            quorum_members: &[0, 1, 2],
             previous: &[],
-            since_ms: 0,
-            settled: true,
+            majority_since_ms: 0,
+            change_complete: true,
             reports: &[(0, 5_000, 5_900), (1, 5_010, 5_500), (2, 5_020, 5_600)],
-            lapsed_at_ms: Some(5_900),
+            expired_at_ms: Some(5_900),
         },
-        LapseCase {
-            name: "a majority has applied the loss; the other hosts are bounded by their freshness",
-            voters: &[0, 1, 2],
+        ExpiryCase {
+            name: "a majority has applied the loss; the views of the others become too stale",
+            quorum_members: &[0, 1, 2],
             previous: &[],
-            since_ms: 0,
-            settled: true,
+            majority_since_ms: 0,
+            change_complete: true,
             reports: &[(0, 5_000, 5_900), (1, 5_010, 5_500)],
-            lapsed_at_ms: Some(7_010),
+            expired_at_ms: Some(7_010),
         },
-        LapseCase {
-            name: "half of the voters are no majority",
-            voters: &[0, 1, 2, 3],
+        ExpiryCase {
+            name: "half of the quorum members are no majority",
+            quorum_members: &[0, 1, 2, 3],
             previous: &[],
-            since_ms: 0,
-            settled: true,
+            majority_since_ms: 0,
+            change_complete: true,
             reports: &[(0, 5_000, 5_900), (1, 5_010, 5_500)],
-            lapsed_at_ms: None,
+            expired_at_ms: None,
         },
-        LapseCase {
+        ExpiryCase {
             name: "hosts 1 and 2 were promoted after they had applied the loss, while host 0, \
                    alone in the registry before, still acted on it",
-            voters: &[0, 1, 2],
+            quorum_members: &[0, 1, 2],
             previous: &[0, 1],
-            since_ms: 8_000,
-            settled: false,
+            majority_since_ms: 8_000,
+            change_complete: false,
             reports: &[(1, 5_000, 5_000), (2, 5_000, 5_000)],
-            lapsed_at_ms: None,
+            expired_at_ms: None,
         },
-        LapseCase {
+        ExpiryCase {
             name: "the majority counts only from the change of the registry on",
-            voters: &[0, 1, 2],
+            quorum_members: &[0, 1, 2],
             previous: &[0, 1],
-            since_ms: 8_000,
-            settled: false,
+            majority_since_ms: 8_000,
+            change_complete: false,
             reports: &[(0, 5_500, 5_000), (1, 5_000, 5_000), (2, 5_000, 5_000)],
-            lapsed_at_ms: Some(10_000),
+            expired_at_ms: Some(10_000),
         },
     ];
     for case in cases {
-        let voters: Vec<Voter> = case.voters.iter().copied().map(voter).collect();
-        let previous: Vec<Voter> = case.previous.iter().copied().map(voter).collect();
+        let quorum_members: Vec<HostProcess> = case
+            .quorum_members
+            .iter()
+            .copied()
+            .map(host_process)
+            .collect();
+        let previous: Vec<HostProcess> = case.previous.iter().copied().map(host_process).collect();
         let reports = case.reports.iter();
         let reports: Vec<HorizonReport> = reports.map(|r| report(r.0, r.1, r.2)).collect();
         let renewing_hosts = RenewingHosts {
-            registered: &voters,
-            voters: &voters,
+            registered: &quorum_members,
+            quorum_members: &quorum_members,
             previous: &previous,
-            since_ms: case.since_ms,
-            settled: case.settled,
+            majority_since_ms: case.majority_since_ms,
+            change_complete: case.change_complete,
         };
-        let lapsed = lapsed_at_ms(renewing_hosts, &reports, LAPSE_MS);
-        assert_eq!(lapsed, case.lapsed_at_ms, "{}", case.name);
+        let expired = expired_at_ms(renewing_hosts, &reports, EXPIRY_BOUND_MS);
+        assert_eq!(expired, case.expired_at_ms, "{}", case.name);
     }
 }
 
 #[test]
 fn a_renewal_is_valid_for_its_lease_plus_the_margin() {
     let mut renewal_state = RenewalState::default();
-    let (period, process) = (LeaseEpoch(1), Incarnation(4));
-    renewal_state.start_period(period, 1_000);
+    let (epoch, process) = (LeaseEpoch(1), Incarnation(4));
+    renewal_state.start_lease_epoch(epoch, 1_000);
     let response = LeaseResponse {
         incarnation: process,
         clock_ms: 50,
-        lease_epoch: period,
+        lease_epoch: epoch,
         accepted: false,
         draining: false,
         grants_digest: 0,
     };
-    renewal_state.answered(&response, process, false, 1_000, 300);
+    renewal_state.record_response(&response, process, false, 1_000, 300);
     assert_eq!(renewal_state.order(process, 1_010, 1_200), Some(50 + 1_210));
-    assert_eq!(renewal_state.remaining_ms(period, 2_210, 100), 100);
-    // The remaining time must reach 0 at a later query, or the lease would never count as lapsed.
-    assert_eq!(renewal_state.remaining_ms(period, 2_310, 100), 0);
+    assert_eq!(renewal_state.remaining_ms(epoch, 2_210, 100), 100);
+    // The remaining time must reach 0 at a later query, or the lease would never count as expired.
+    assert_eq!(renewal_state.remaining_ms(epoch, 2_310, 100), 0);
     assert_eq!(renewal_state.remaining_ms(LeaseEpoch(2), 1_010, 100), 0);
 }
 
@@ -154,7 +159,7 @@
 }
 
 #[test]
-fn the_removal_of_the_only_voter_is_not_settled_without_it() {
+fn the_removal_of_the_only_quorum_member_is_not_complete_without_it() {
     let mut state = State::default();
     register(&mut state, 0, 1);
     register(&mut state, 1, 2);
@@ -162,11 +167,14 @@
     let host = HostKey(0);
     let incarnation = Incarnation(0);
     apply(&mut state, Change::HostRemoved { host, incarnation });
-    let mut watch = SettlementTracker::default();
-    assert!(watch.pending(&state));
-    watch.record_applied(&state, &[voter(1)], 5_000, LAPSE_MS);
-    let settlement = watch.settlement(&state, 60_000);
-    assert!(settlement.is_none(), "host 0 may be fresh by itself");
+    let mut tracker = ChangeTracker::default();
+    assert!(tracker.pending(&state));
+    tracker.record_applied(&state, &[host_process(1)], 5_000, EXPIRY_BOUND_MS);
+    let completion = tracker.completion(&state, 60_000);
+    assert!(
+        completion.is_none(),
+        "host 0 alone is a majority and may still act"
+    );
 }
 
 #[test]
@@ -175,20 +183,24 @@
     register(&mut state, 0, 1);
     promote(&mut state, 0);
     register(&mut state, 7, 1);
-    let successor = Voter {
+    let successor = HostProcess {
         host: HostKey(0),
         incarnation: Incarnation(7),
     };
-    assert_eq!(voters(&state), [successor]);
-    let mut watch = SettlementTracker::default();
-    assert!(watch.pending(&state));
-    watch.record_applied(&state, &[successor], 5_000, LAPSE_MS);
-    let early = watch.settlement(&state, 5_000);
+    assert_eq!(quorum_members(&state), [successor]);
+    let mut tracker = ChangeTracker::default();
+    assert!(tracker.pending(&state));
+    tracker.record_applied(&state, &[successor], 5_000, EXPIRY_BOUND_MS);
+    let early = tracker.completion(&state, 5_000);
     assert!(
         early.is_none(),
         "a late order of the previous process may arrive"
     );
-    assert!(watch.settlement(&state, 5_000 + LAPSE_MS).is_some());
+    assert!(
+        tracker
+            .completion(&state, 5_000 + EXPIRY_BOUND_MS)
+            .is_some()
+    );
 }
 
 #[test]
@@ -196,45 +208,50 @@
     struct Case {
         name: &'static str,
         revision: u64,
-        basis_age_ms: Option<u64>,
-        voters: u32,
-        basis_ms: Option<u64>,
+        staleness_ms: Option<u64>,
+        quorum_members: u32,
+        up_to_date_ms: Option<u64>,
     }
     let cases = [
         Case {
-            name: "a peer's basis counts, less its age",
+            name: "a peer's reply counts from its ping, less the staleness of the peer",
             revision: 5,
-            basis_age_ms: Some(40),
-            voters: 5,
-            basis_ms: Some(960),
+            staleness_ms: Some(40),
+            quorum_members: 5,
+            up_to_date_ms: Some(960),
         },
         Case {
             name: "two of three hosts are a majority",
             revision: 5,
-            basis_age_ms: None,
-            voters: 3,
-            basis_ms: Some(1_000),
+            staleness_ms: None,
+            quorum_members: 3,
+            up_to_date_ms: Some(1_000),
         },
         Case {
             name: "a revision that is not applied yet does not count",
             revision: 6,
-            basis_age_ms: Some(0),
-            voters: 3,
-            basis_ms: None,
+            staleness_ms: Some(0),
+            quorum_members: 3,
+            up_to_date_ms: None,
         },
     ];
     for case in cases {
-        let mut freshness = Freshness::default();
+        let mut staleness = StalenessTracker::default();
         let response = HeartbeatReply {
             host: HostKey(1),
             incarnation: Incarnation(1),
             sent_ms: 1_000,
             revision: Revision(case.revision),
-            basis_age_ms: case.basis_age_ms,
+            staleness_ms: case.staleness_ms,
         };
-        let voters: Vec<Voter> = (0..case.voters).map(voter).collect();
-        freshness.record_heartbeat_reply(response, Revision(5), voter(0), &voters);
-        assert_eq!(freshness.basis_ms(), case.basis_ms, "{}", case.name);
+        let quorum_members: Vec<HostProcess> = (0..case.quorum_members).map(host_process).collect();
+        staleness.record_heartbeat_reply(response, Revision(5), host_process(0), &quorum_members);
+        assert_eq!(
+            staleness.up_to_date_ms(),
+            case.up_to_date_ms,
+            "{}",
+            case.name
+        );
     }
 }
 
@@ -284,7 +301,7 @@
     grants.renew(&order(2, 9_000, &[]), reading(8_000));
     assert!(
         !admits(&grants, 4, 8_500),
-        "a grant of the last membership period"
+        "a grant of the last lease epoch"
     );
     assert!(!grants.renew(&order(1, 9_900, &[4]), reading(8_600)));
 }
