--- a/src/entry/decide/key_loads.rs
+++ b/src/entry/decide/key_loads.rs
@@ -1,6 +1,6 @@
 //! Measures the requests per second for each key, averaged over a long and a short time.
 
-use crate::entry::keys::{Holding, KeyRange};
+use crate::entry::keys::{AssignedRange, KeyRange};
 
 /// Number of keys of every sharded service: a key is a 16-bit number.
 pub const KEYS: usize = 1 << 16;
@@ -58,7 +58,7 @@
 
     /// Returns the loads for a plan: the long-term ones, except for holdings whose load has risen
     /// by more than random variation explains.
-    pub fn loads(&self, holdings: &[Holding], per_s: f64) -> KeyLoads {
+    pub fn loads(&self, holdings: &[AssignedRange], per_s: f64) -> KeyLoads {
         let window_s = window_s(Self::FAST_KEPT, per_s);
         let mut loads = self.slow.clone();
         loads.window_s = self::window_s(Self::SLOW_KEPT, per_s);
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -6,7 +6,7 @@
     Policy,
     key_loads::{KEYS, KeyLoads},
 };
-use crate::entry::keys::{Assignment, Holding, KeyRange};
+use crate::entry::keys::{AssignedRange, Assignment, KeyRange};
 
 /// Minimum load, in requests per second, for which a move is worth its cost.
 const LOAD_MOVED_MIN: f64 = 0.3;
@@ -62,7 +62,7 @@
     /// Load by server, in requests per second, after the planned moves and without the excess of
     /// hot keys.
     used: HashMap<Arc<str>, f64>,
-    holdings: Vec<Holding>,
+    holdings: Vec<AssignedRange>,
     moves: Vec<Move>,
 }
 
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -136,7 +136,7 @@
 /// Key range that one server holds under one fence. The fence is a fencing token: it rises with
 /// each change of owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holding {
+pub struct AssignedRange {
     /// Keys that are held. No other holding of the service contains any of them.
     pub range: KeyRange,
     /// Incarnation id of the server. A restarted server gets a new one, even under the same name.
@@ -156,7 +156,7 @@
     /// Highest fence that was ever used for the service.
     pub fence: u64,
     /// Holdings without overlaps, in ascending order of their keys.
-    pub holdings: Vec<Holding>,
+    pub holdings: Vec<AssignedRange>,
 }
 
 impl Assignment {
@@ -197,7 +197,7 @@
         };
         let mut holdings = Vec::with_capacity(encoded.holdings.len());
         for (range, index, fence, from) in &encoded.holdings {
-            holdings.push(Holding {
+            holdings.push(AssignedRange {
                 range: *range,
                 server: server(*index)?,
                 fence: *fence,
@@ -216,7 +216,7 @@
         let start = usize::from(part.0) * usize::from(PARTITION_KEYS);
         let end = start + usize::from(PARTITION_KEYS);
         let place = |key: usize| {
-            let is_before = |h: &Holding| usize::from(h.range.first) < key;
+            let is_before = |h: &AssignedRange| usize::from(h.range.first) < key;
             self.holdings.partition_point(is_before)
         };
         Self {
@@ -234,7 +234,7 @@
             whole.fence = whole.fence.max(row.fence);
             whole.holdings.extend_from_slice(&row.holdings);
         }
-        let in_order = |pair: &[Holding]| pair[0].range.last < pair[1].range.first;
+        let in_order = |pair: &[AssignedRange]| pair[0].range.last < pair[1].range.first;
         if whole.holdings.windows(2).all(in_order) {
             return whole;
         }
@@ -248,7 +248,7 @@
     }
 
     /// Returns the holding that contains a key; `None` if no server holds the key.
-    pub fn holding(&self, key: u16) -> Option<&Holding> {
+    pub fn holding(&self, key: u16) -> Option<&AssignedRange> {
         let position = self.holdings.partition_point(|h| h.range.last < key);
         let holding = self.holdings.get(position)?;
         holding.range.contains(key).then_some(holding)
@@ -282,7 +282,7 @@
     }
 
     /// Inserts a holding in key order, and cuts its range out of the holdings that overlap it.
-    pub fn put(&mut self, holding: Holding) {
+    pub fn put(&mut self, holding: AssignedRange) {
         self.fence = self.fence.max(holding.fence);
         self.clear(holding.range);
         let first = holding.range.first;
--- a/src/entry/leadership/change.rs
+++ b/src/entry/leadership/change.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::entry::keys::{Assignment, Holding, KeyRange};
+use crate::entry::keys::{AssignedRange, Assignment, KeyRange};
 
 /// Change of one service's holdings, which the leader records under the condition that it is still
 /// the leader.
@@ -15,7 +15,7 @@
     /// Gives a holding a fence that is `step` above the service's highest one; the server stays.
     RaiseFence {
         /// Holding as it is recorded now; if it has changed, nothing happens.
-        holding: Holding,
+        holding: AssignedRange,
         /// Increment above the service's highest fence.
         step: u64,
     },
@@ -37,7 +37,7 @@
 impl Change {
     /// Applies the change and returns the holdings that it created or replaced. Returns none of
     /// them for `Distribute` and `CompleteMoves`.
-    pub(super) fn apply(&self, assignment: &mut Assignment) -> Vec<Holding> {
+    pub(super) fn apply(&self, assignment: &mut Assignment) -> Vec<AssignedRange> {
         match self {
             Self::Distribute(ranges) => {
                 for (range, server) in ranges {
@@ -57,7 +57,7 @@
                 if !assignment.holdings.contains(holding) {
                     return Vec::new();
                 }
-                let raised = Holding {
+                let raised = AssignedRange {
                     fence: assignment.next_fence(assignment.fence + step),
                     ..holding.clone()
                 };
@@ -73,8 +73,8 @@
     range: KeyRange,
     server: &Arc<str>,
     from: Option<Arc<str>>,
-) -> Holding {
-    let holding = Holding {
+) -> AssignedRange {
+    let holding = AssignedRange {
         range,
         server: server.clone(),
         fence: assignment.next_fence(1),
--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -7,7 +7,7 @@
     clock,
     entry::{
         Entry,
-        keys::{Assignment, DecodeError, Holding, KeyPartition},
+        keys::{AssignedRange, Assignment, DecodeError, KeyPartition},
         owners::{HoldingsRow, ServiceHoldings},
         updates::{
             followed::FollowedTable,
@@ -109,7 +109,7 @@
         &self,
         service: &Arc<str>,
         change: &Change,
-    ) -> Result<Vec<Holding>, WriteFailure> {
+    ) -> Result<Vec<AssignedRange>, WriteFailure> {
         let mut writer = self.leadership.writer.lock().await;
         if self.leadership.term() == 0 {
             return Err(WriteFailure::LeadershipLost);
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -28,7 +28,7 @@
         plan::{self, Inputs, PlanServer},
         rests,
     },
-    keys::{Holding, KeyRange},
+    keys::{AssignedRange, KeyRange},
     leadership::Change,
     server::{Server, tag_of},
     watch::store_age_ms,
@@ -128,7 +128,7 @@
     }
 
     /// Returns true if the former server of a holding may still hold its keys.
-    fn is_unfinished(&self, service: &str, holding: &Holding) -> bool {
+    fn is_unfinished(&self, service: &str, holding: &AssignedRange) -> bool {
         let completed_fences = self.completed_fences.get(service);
         let done = completed_fences.is_some_and(|fences| fences.contains(&holding.fence));
         holding.from.is_some() && !done
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -14,7 +14,7 @@
             plan::Move,
         },
         events::Event,
-        keys::{Assignment, Holding, KeyRange},
+        keys::{AssignedRange, Assignment, KeyRange},
         leadership::{Change, Reassignment},
         server::tag_of,
         updates::announcement::MoveAnnouncement,
@@ -48,7 +48,7 @@
         assignment: &Assignment,
         tasks: &mut JoinSet<()>,
     ) {
-        let unfinished: Vec<Holding> = {
+        let unfinished: Vec<AssignedRange> = {
             let state = self.state();
             let holdings = assignment.holdings.iter();
             let found = holdings.filter(|h| state.is_unfinished(service, h));
@@ -133,7 +133,7 @@
         self: &Arc<Self>,
         service: &Arc<str>,
         moves: &[Move],
-        owners: Vec<Option<Holding>>,
+        owners: Vec<Option<AssignedRange>>,
     ) {
         let began_ms = clock::now_ms();
         let pairs = moves.iter().zip(&owners);
@@ -171,7 +171,7 @@
     }
 
     /// Announces to all hosts that keys are being moved, and how long that may take.
-    fn announce(&self, service: &Arc<str>, holding: &Holding, above_fence: u64) {
+    fn announce(&self, service: &Arc<str>, holding: &AssignedRange, above_fence: u64) {
         let Some(from) = &holding.from else {
             return;
         };
@@ -199,7 +199,7 @@
     fn announce_time_left(
         &self,
         service: &Arc<str>,
-        holding: &Holding,
+        holding: &AssignedRange,
         above_fence: u64,
         time_left: MoveTimeLeft,
     ) {
@@ -225,7 +225,7 @@
     async fn complete_move(
         &self,
         service: &Arc<str>,
-        holding: &Holding,
+        holding: &AssignedRange,
         cause: &'static str,
         began_ms: u64,
     ) {
@@ -279,10 +279,10 @@
     async fn release_keys(
         &self,
         service: &Arc<str>,
-        holding: &Holding,
+        holding: &AssignedRange,
         id: &Arc<str>,
     ) -> Option<Option<String>> {
-        let Holding { range, fence, .. } = *holding;
+        let AssignedRange { range, fence, .. } = *holding;
         let registry = self.entry.view.registry();
         let server = registry.server(id).cloned();
         // A server whose entry is gone may still serve, so the release order goes there on a new
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -13,7 +13,7 @@
     clock,
     entry::{
         events::Event,
-        keys::{Assignment, Holding, KeyRange},
+        keys::{AssignedRange, Assignment, KeyRange},
         leadership::Change,
         model::ServerEntry,
         server::Server,
@@ -72,10 +72,10 @@
         &self,
         service: &Arc<str>,
         assignment: &Assignment,
-    ) -> HashMap<Arc<str>, Vec<Holding>> {
+    ) -> HashMap<Arc<str>, Vec<AssignedRange>> {
         let now_ms = clock::now_ms();
         let every_ms = self.entry.settings.leases.renew_every_ms;
-        let mut due: HashMap<Arc<str>, Vec<Holding>> = HashMap::new();
+        let mut due: HashMap<Arc<str>, Vec<AssignedRange>> = HashMap::new();
         let mut state = self.state();
         let fences: HashSet<u64> = assignment.holdings.iter().map(|h| h.fence).collect();
         state
@@ -99,7 +99,7 @@
         due
     }
 
-    fn end_renewals(&self, service: &Arc<str>, holdings: &[Holding]) {
+    fn end_renewals(&self, service: &Arc<str>, holdings: &[AssignedRange]) {
         let mut state = self.state();
         for holding in holdings {
             let key = (service.clone(), holding.fence);
@@ -109,7 +109,12 @@
         }
     }
 
-    async fn renew_server(&self, service: &Arc<str>, server: &Arc<Server>, holdings: &[Holding]) {
+    async fn renew_server(
+        &self,
+        service: &Arc<str>,
+        server: &Arc<Server>,
+        holdings: &[AssignedRange],
+    ) {
         for holding in holdings {
             let order = LeaseOrder {
                 service,
@@ -253,7 +258,7 @@
     /// server has seen a higher fence than the recorded one, because an earlier leader released the
     /// keys but recorded nothing more. Counts as a move, so that no other move of these keys begins
     /// before the new lease is certain.
-    async fn raise_fence(&self, service: &Arc<str>, server: &Arc<Server>, holding: &Holding) {
+    async fn raise_fence(&self, service: &Arc<str>, server: &Arc<Server>, holding: &AssignedRange) {
         if !self.mark_moving(service, holding.range) {
             return;
         }
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -11,7 +11,7 @@
         hold::{MoveTimeLeft, MoveWait},
         key_loads::KEYS,
     },
-    keys::{Assignment, Holding, KeyPartition, KeyRange},
+    keys::{AssignedRange, Assignment, KeyPartition, KeyRange},
     updates::{announcement::MoveAnnouncement, followed::FOLLOWER_PAUSE_MAX_MS},
 };
 use crate::clock;
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug)]
 struct AnnouncedGrant {
     service: Arc<str>,
-    holding: Holding,
+    holding: AssignedRange,
     until_ms: u64,
 }
 
@@ -191,7 +191,7 @@
     }
 
     /// Adds an announced grant, which counts before the recorded holdings are read.
-    pub fn note_granted(&self, service: &Arc<str>, holding: Holding) {
+    pub fn note_granted(&self, service: &Arc<str>, holding: AssignedRange) {
         let now_ms = clock::now_ms();
         // A grant with a higher fence ends the move of its keys.
         self.moving().retain(|m| {
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -14,7 +14,7 @@
         trials::ClaimSubject,
     },
     digest::RequestDigest,
-    keys::Holding,
+    keys::AssignedRange,
     updates::{
         announcement::MoveAnnouncement, configuration_pieces::Piece, evacuation::Evacuations,
         freshness::StoreStateReport, server_changes::ServerChanges,
@@ -303,6 +303,6 @@
         /// Tag of the service: a hash of its name.
         service_tag: u32,
         /// Granted key ranges, each with the server that now holds it and the fence of the grant.
-        holdings: Vec<Holding>,
+        holdings: Vec<AssignedRange>,
     },
 }
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -13,7 +13,7 @@
 use super::message::Message;
 use crate::{
     clock,
-    entry::{Entry, keys::Holding, updates::announcement::MoveAnnouncement},
+    entry::{Entry, keys::AssignedRange, updates::announcement::MoveAnnouncement},
 };
 
 /// Interval at which the leader sends queued announcements. It is short because requests for moved
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 enum Announcement {
     Moving(MoveAnnouncement),
-    Granted(Holding),
+    Granted(AssignedRange),
 }
 
 #[derive(Clone, Debug)]
@@ -58,7 +58,7 @@
     }
 
     /// Queues the announcements, one for each delay, that a server was granted keys.
-    pub fn announce_grant(&self, service_tag: u32, holding: &Holding) {
+    pub fn announce_grant(&self, service_tag: u32, holding: &AssignedRange) {
         let now_ms = clock::now_ms();
         let mut items = self.items();
         items.extend(
@@ -83,7 +83,7 @@
         // Items that were queued in the meantime come after the remaining ones.
         self.items().splice(0..0, later);
         let mut moving: BTreeMap<u32, Vec<MoveAnnouncement>> = BTreeMap::new();
-        let mut held: BTreeMap<u32, Vec<Holding>> = BTreeMap::new();
+        let mut held: BTreeMap<u32, Vec<AssignedRange>> = BTreeMap::new();
         for item in due {
             match item.update {
                 Announcement::Moving(update) => {
@@ -105,7 +105,7 @@
                 .collect::<Vec<_>>()
         });
         let held = held.into_iter().flat_map(|(service_tag, updates)| {
-            let message = |updates: &[Holding]| Message::Granted {
+            let message = |updates: &[AssignedRange]| Message::Granted {
                 service_tag,
                 holdings: updates.to_vec(),
             };
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -13,7 +13,7 @@
     entry::{
         Entry,
         decide::hot_keys::HotKey,
-        keys::Holding,
+        keys::AssignedRange,
         owners::Owner,
         server::tag_of,
         updates::{
@@ -227,7 +227,7 @@
         }
     }
 
-    fn note_grants(&self, service_tag: u32, holdings: Vec<Holding>) {
+    fn note_grants(&self, service_tag: u32, holdings: Vec<AssignedRange>) {
         let Some(service) = self.service_of(service_tag) else {
             return;
         };
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -11,7 +11,7 @@
 
 use super::{
     events::Event,
-    keys::{Holding, KeyPartition},
+    keys::{AssignedRange, KeyPartition},
     model::Configuration,
     owners::{HoldingsRow, Owner, Owners, ServiceHoldings},
     registry::Registry,
@@ -166,7 +166,7 @@
     }
 
     /// Records that a server was granted keys, before the stored row of the grant is read.
-    pub fn note_granted(&self, service: &Arc<str>, holding: Holding) {
+    pub fn note_granted(&self, service: &Arc<str>, holding: AssignedRange) {
         self.owners.note_granted(service, holding);
         self.changed.send_modify(|count| *count += 1);
     }
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use ashroad::entry::keys::{Assignment, Holding, KeyRange};
+use ashroad::entry::keys::{AssignedRange, Assignment, KeyRange};
 use http::StatusCode;
 use tokio::time;
 
@@ -610,7 +610,7 @@
     site.keyed[0].hold_all(4, 20_000);
     let assignment = Assignment {
         fence: 5,
-        holdings: vec![Holding {
+        holdings: vec![AssignedRange {
             range: KeyRange::ALL,
             server: site.keyed[1].id.as_str().into(),
             fence: 5,
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use ashroad::entry::{
-    keys::{Assignment, Holding, KeyPartition, KeyRange},
+    keys::{AssignedRange, Assignment, KeyPartition, KeyRange},
     model::{ServerEntry, incarnation_id},
     owners::HoldingsRow,
     updates::snapshot::Snapshot,
@@ -275,7 +275,7 @@
     let entries: Vec<ServerEntry> = (0..10_003).map(entry).collect();
     let mut assignment = Assignment::default();
     for number in 0..3_440u16 {
-        assignment.put(Holding {
+        assignment.put(AssignedRange {
             range: KeyRange {
                 first: number * 19,
                 last: number * 19 + 18,
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -16,7 +16,7 @@
         plan::{self, Inputs, PlanServer},
         run_shares::RunShares,
     },
-    keys::{Assignment, Holding, KeyRange},
+    keys::{AssignedRange, Assignment, KeyRange},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -220,7 +220,7 @@
         } else {
             (number + 1) * keys - 1
         };
-        assignment.put(Holding {
+        assignment.put(AssignedRange {
             range: KeyRange {
                 first: (number * keys) as u16,
                 last: last as u16,
@@ -257,7 +257,7 @@
         }
         for planned in moves {
             let fence = assignment.next_fence(1);
-            assignment.put(Holding {
+            assignment.put(AssignedRange {
                 range: planned.range,
                 server: planned.to,
                 fence,
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -19,7 +19,7 @@
             plan::{self, Inputs, Move, PlanServer},
         },
         explain::Source,
-        keys::{Assignment, Holding, KeyPartition, KeyRange},
+        keys::{AssignedRange, Assignment, KeyPartition, KeyRange},
         losses::{Loss, losses},
         model::{CallerLimits, Configuration, Route, RouteTarget, ServerEntry},
         peers::{message::Message, outbox::Outbox, report_every_ms},
@@ -40,8 +40,8 @@
     KeyRange { first, last }
 }
 
-fn holding(first: u16, last: u16, server: &str, fence: u64) -> Holding {
-    Holding {
+fn holding(first: u16, last: u16, server: &str, fence: u64) -> AssignedRange {
+    AssignedRange {
         range: range(first, last),
         server: server.into(),
         fence,
@@ -49,7 +49,7 @@
     }
 }
 
-fn assignment(holdings: &[Holding]) -> Assignment {
+fn assignment(holdings: &[AssignedRange]) -> Assignment {
     let mut assignment = Assignment::default();
     for holding in holdings {
         assignment.put(holding.clone());
@@ -60,8 +60,8 @@
 #[test]
 fn a_holding_replaces_what_it_overlaps() {
     struct Case {
-        put: Holding,
-        result: Vec<Holding>,
+        put: AssignedRange,
+        result: Vec<AssignedRange>,
         gaps: Vec<KeyRange>,
     }
     let cases = [
@@ -253,7 +253,7 @@
             }
         }
         apply(&mut assignment, &moves);
-        let known = |h: &Holding| servers.iter().any(|s| s.id == h.server);
+        let known = |h: &AssignedRange| servers.iter().any(|s| s.id == h.server);
         servers.is_empty() || assignment.gaps().is_empty() && assignment.holdings.iter().all(known)
     }
 }
