--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -57,14 +57,14 @@
         .map(|server| (&*server.id, server.unlimited_per_s))
         .collect();
     let mut found = Vec::new();
-    for holding in &assignment.holdings {
-        let Some(capacity_per_s) = capacities.get(&*holding.server).copied() else {
+    for assigned_range in &assignment.holdings {
+        let Some(capacity_per_s) = capacities.get(&*assigned_range.server).copied() else {
             continue;
         };
-        if loads.of(holding.range) < capacity_per_s * policy.hot_factor {
+        if loads.of(assigned_range.range) < capacity_per_s * policy.hot_factor {
             continue;
         }
-        for key in holding.range.first..=holding.range.last {
+        for key in assigned_range.range.first..=assigned_range.range.last {
             let load_per_s = loads.key(key);
             if load_per_s >= capacity_per_s * policy.hot_factor {
                 found.push(HotKey {
--- a/src/entry/decide/key_loads.rs
+++ b/src/entry/decide/key_loads.rs
@@ -62,12 +62,15 @@
         let window_s = window_s(Self::FAST_KEPT, per_s);
         let mut loads = self.slow.clone();
         loads.window_s = self::window_s(Self::SLOW_KEPT, per_s);
-        for holding in holdings {
-            let (slow, fast) = (self.slow.of(holding.range), self.fast.of(holding.range));
+        for assigned_range in holdings {
+            let (slow, fast) = (
+                self.slow.of(assigned_range.range),
+                self.fast.of(assigned_range.range),
+            );
             // Standard deviation of the long-term load, in requests per second.
             let deviation = (slow.max(1.0 / window_s) / window_s).sqrt();
             if fast > slow + Self::SURGE_DEVIATIONS * deviation {
-                let keys = holding.range.indices();
+                let keys = assigned_range.range.indices();
                 loads.per_s[keys.clone()].copy_from_slice(&self.fast.per_s[keys]);
             }
         }
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -85,9 +85,9 @@
         let mut used: HashMap<Arc<str>, f64> =
             inputs.servers.iter().map(|s| (s.id.clone(), 0.0)).collect();
         let holdings = inputs.assignment.holdings.clone();
-        for holding in &holdings {
-            let load = inputs.loads.of(holding.range);
-            if let Some(used) = used.get_mut(&holding.server) {
+        for assigned_range in &holdings {
+            let load = inputs.loads.of(assigned_range.range);
+            if let Some(used) = used.get_mut(&assigned_range.server) {
                 *used += load;
             }
         }
@@ -109,10 +109,10 @@
             return;
         }
         for key in self.inputs.hot {
-            let Some(holding) = self.inputs.assignment.holding(*key) else {
+            let Some(assigned_range) = self.inputs.assignment.assigned_range(*key) else {
                 continue;
             };
-            let server = holding.server.clone();
+            let server = assigned_range.server.clone();
             let hot = (*key, server.clone());
             let excess = self.hot_excess(&hot);
             if let Some(used) = self.used.get_mut(&server) {
@@ -224,9 +224,9 @@
     /// half the mean load of a server.
     fn assign_unowned_keys(&mut self) {
         let mut unowned: Vec<KeyRange> = self.inputs.assignment.gaps();
-        for holding in &self.holdings {
-            if !self.used.contains_key(&holding.server) {
-                unowned.push(holding.range);
+        for assigned_range in &self.holdings {
+            if !self.used.contains_key(&assigned_range.server) {
+                unowned.push(assigned_range.range);
             }
         }
         let servers = self.inputs.servers.len() as f64;
@@ -372,11 +372,11 @@
     /// and at most half above it, and with few keys, since moves are billed by key.
     fn select_range(&self, from: &str, wanted: f64) -> Option<KeyRange> {
         let mut best: Option<(KeyRange, f64)> = None;
-        for holding in &self.holdings {
-            if *holding.server != *from || self.is_moving(holding.range) {
+        for assigned_range in &self.holdings {
+            if *assigned_range.server != *from || self.is_moving(assigned_range.range) {
                 continue;
             }
-            let parts = self.without_hot(holding.range).into_iter();
+            let parts = self.without_hot(assigned_range.range).into_iter();
             for candidate in parts.flat_map(|part| self.ends(part, wanted)) {
                 let load = self.inputs.loads.of(candidate);
                 if load <= 0.0 || load > wanted * 1.5 {
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -170,10 +170,10 @@
                 (servers.len() - 1) as u16
             })
         };
-        let holdings = self.holdings.iter().map(|holding| {
-            let server = index(&holding.server);
-            let from = holding.from.as_ref().map(&mut index);
-            (holding.range, server, holding.fence, from)
+        let holdings = self.holdings.iter().map(|assigned_range| {
+            let server = index(&assigned_range.server);
+            let from = assigned_range.from.as_ref().map(&mut index);
+            (assigned_range.range, server, assigned_range.fence, from)
         });
         let holdings = holdings.collect();
         let encoded = Encoded {
@@ -239,36 +239,36 @@
             return whole;
         }
         let mut holdings = std::mem::take(&mut whole.holdings);
-        holdings.sort_by_key(|holding| holding.fence);
+        holdings.sort_by_key(|assigned_range| assigned_range.fence);
         holdings.dedup();
-        for holding in holdings {
-            whole.put(holding);
+        for assigned_range in holdings {
+            whole.put(assigned_range);
         }
         whole
     }
 
     /// Returns the holding that contains a key; `None` if no server holds the key.
-    pub fn holding(&self, key: u16) -> Option<&AssignedRange> {
+    pub fn assigned_range(&self, key: u16) -> Option<&AssignedRange> {
         let position = self.holdings.partition_point(|h| h.range.last < key);
-        let holding = self.holdings.get(position)?;
-        holding.range.contains(key).then_some(holding)
+        let assigned_range = self.holdings.get(position)?;
+        assigned_range.range.contains(key).then_some(assigned_range)
     }
 
     /// Removes a range from all holdings; what remains of a holding keeps its fence.
     pub fn clear(&mut self, range: KeyRange) {
         let mut kept = Vec::with_capacity(self.holdings.len() + 1);
-        for holding in self.holdings.drain(..) {
-            if !holding.range.overlaps(&range) {
-                kept.push(holding);
+        for assigned_range in self.holdings.drain(..) {
+            if !assigned_range.range.overlaps(&range) {
+                kept.push(assigned_range);
                 continue;
             }
-            if holding.range.first < range.first {
-                let mut left = holding.clone();
+            if assigned_range.range.first < range.first {
+                let mut left = assigned_range.clone();
                 left.range.last = range.first - 1;
                 kept.push(left);
             }
-            if holding.range.last > range.last {
-                let mut right = holding;
+            if assigned_range.range.last > range.last {
+                let mut right = assigned_range;
                 right.range.first = range.last + 1;
                 kept.push(right);
             }
@@ -282,19 +282,19 @@
     }
 
     /// Inserts a holding in key order, and cuts its range out of the holdings that overlap it.
-    pub fn put(&mut self, holding: AssignedRange) {
-        self.fence = self.fence.max(holding.fence);
-        self.clear(holding.range);
-        let first = holding.range.first;
+    pub fn put(&mut self, assigned_range: AssignedRange) {
+        self.fence = self.fence.max(assigned_range.fence);
+        self.clear(assigned_range.range);
+        let first = assigned_range.range.first;
         let position = self.holdings.partition_point(|h| h.range.last < first);
-        self.holdings.insert(position, holding);
+        self.holdings.insert(position, assigned_range);
     }
 
     /// Records that the former servers of the holdings with these fences no longer hold the keys.
     pub fn complete_moves(&mut self, fences: &[u64]) {
-        for holding in &mut self.holdings {
-            if fences.contains(&holding.fence) {
-                holding.from = None;
+        for assigned_range in &mut self.holdings {
+            if fences.contains(&assigned_range.fence) {
+                assigned_range.from = None;
             }
         }
     }
@@ -303,15 +303,15 @@
     pub fn gaps(&self) -> Vec<KeyRange> {
         let mut gaps = Vec::new();
         let mut next = 0u32;
-        for holding in &self.holdings {
-            let first = u32::from(holding.range.first);
+        for assigned_range in &self.holdings {
+            let first = u32::from(assigned_range.range.first);
             if first > next {
                 gaps.push(KeyRange {
                     first: next as u16,
                     last: (first - 1) as u16,
                 });
             }
-            next = u32::from(holding.range.last) + 1;
+            next = u32::from(assigned_range.range.last) + 1;
         }
         if next <= u32::from(u16::MAX) {
             gaps.push(KeyRange {
--- a/src/entry/leadership/change.rs
+++ b/src/entry/leadership/change.rs
@@ -15,7 +15,7 @@
     /// Gives a holding a fence that is `step` above the service's highest one; the server stays.
     RaiseFence {
         /// Holding as it is recorded now; if it has changed, nothing happens.
-        holding: AssignedRange,
+        assigned_range: AssignedRange,
         /// Increment above the service's highest fence.
         step: u64,
     },
@@ -53,13 +53,16 @@
                 .iter()
                 .map(|one| assign(assignment, one.range, &one.server, one.from.clone()))
                 .collect(),
-            Self::RaiseFence { holding, step } => {
-                if !assignment.holdings.contains(holding) {
+            Self::RaiseFence {
+                assigned_range,
+                step,
+            } => {
+                if !assignment.holdings.contains(assigned_range) {
                     return Vec::new();
                 }
                 let raised = AssignedRange {
                     fence: assignment.next_fence(assignment.fence + step),
-                    ..holding.clone()
+                    ..assigned_range.clone()
                 };
                 assignment.put(raised.clone());
                 vec![raised]
@@ -74,12 +77,12 @@
     server: &Arc<str>,
     from: Option<Arc<str>>,
 ) -> AssignedRange {
-    let holding = AssignedRange {
+    let assigned_range = AssignedRange {
         range,
         server: server.clone(),
         fence: assignment.next_fence(1),
         from,
     };
-    assignment.put(holding.clone());
-    holding
+    assignment.put(assigned_range.clone());
+    assigned_range
 }
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -128,10 +128,10 @@
     }
 
     /// Returns true if the former server of a holding may still hold its keys.
-    fn is_unfinished(&self, service: &str, holding: &AssignedRange) -> bool {
+    fn is_unfinished(&self, service: &str, assigned_range: &AssignedRange) -> bool {
         let completed_fences = self.completed_fences.get(service);
-        let done = completed_fences.is_some_and(|fences| fences.contains(&holding.fence));
-        holding.from.is_some() && !done
+        let done = completed_fences.is_some_and(|fences| fences.contains(&assigned_range.fence));
+        assigned_range.from.is_some() && !done
     }
 }
 
@@ -320,7 +320,7 @@
             let mut moving: Vec<KeyRange> = of_service().map(|m| m.range).collect();
             let holdings = held.assignment.holdings.iter();
             let unfinished = holdings.filter(|h| state.is_unfinished(service, h));
-            moving.extend(unfinished.map(|holding| holding.range));
+            moving.extend(unfinished.map(|assigned_range| assigned_range.range));
             let moves_max = CONCURRENT_MOVES_MIN.max(servers.len() / SERVERS_PER_MOVE);
             let room = moves_max.saturating_sub(active);
             let balance = round.is_multiple_of(BALANCE_EVERY_ROUNDS);
@@ -351,9 +351,9 @@
         let Some(held) = self.entry.view.held(service) else {
             return;
         };
-        for holding in &held.assignment.holdings {
+        for assigned_range in &held.assignment.holdings {
             let outbox = &self.entry.peers.outbox;
-            outbox.announce_grant(tag_of(service), holding);
+            outbox.announce_grant(tag_of(service), assigned_range);
         }
     }
 
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -54,17 +54,22 @@
             let found = holdings.filter(|h| state.is_unfinished(service, h));
             found.cloned().collect()
         };
-        for holding in unfinished {
-            if !self.mark_moving(service, holding.range) {
+        for assigned_range in unfinished {
+            if !self.mark_moving(service, assigned_range.range) {
                 continue;
             }
-            self.announce(service, &holding, holding.fence - 1);
+            self.announce(service, &assigned_range, assigned_range.fence - 1);
             let term = self.clone();
             let service = service.clone();
             tasks.spawn(async move {
-                term.complete_move(&service, &holding, "found unfinished", clock::now_ms())
-                    .await;
-                term.end_move(&service, holding.range);
+                term.complete_move(
+                    &service,
+                    &assigned_range,
+                    "found unfinished",
+                    clock::now_ms(),
+                )
+                .await;
+                term.end_move(&service, assigned_range.range);
             });
         }
     }
@@ -115,7 +120,7 @@
         if moves.is_empty() {
             return;
         }
-        let owner = |planned: &Move| assignment.holding(planned.range.first).cloned();
+        let owner = |planned: &Move| assignment.assigned_range(planned.range.first).cloned();
         let owners = moves.iter().map(owner).collect();
         let term = self.clone();
         let service = service.clone();
@@ -140,7 +145,9 @@
         let reassignments = pairs.map(|(planned, owner)| Reassignment {
             range: planned.range,
             server: planned.to.clone(),
-            from: owner.as_ref().map(|holding| holding.server.clone()),
+            from: owner
+                .as_ref()
+                .map(|assigned_range| assigned_range.server.clone()),
         });
         let change = Change::Assign(reassignments.collect());
         let holdings = match self.entry.record(service, &change).await {
@@ -154,25 +161,25 @@
             }
         };
         let mut finishing = JoinSet::new();
-        for ((planned, owner), holding) in moves.iter().zip(owners).zip(holdings) {
+        for ((planned, owner), assigned_range) in moves.iter().zip(owners).zip(holdings) {
             if let Some(before) = owner {
-                self.announce(service, &holding, before.fence);
+                self.announce(service, &assigned_range, before.fence);
             }
             let term = self.clone();
             let service = service.clone();
             let cause = planned.cause;
             finishing.spawn(async move {
-                term.complete_move(&service, &holding, cause, began_ms)
+                term.complete_move(&service, &assigned_range, cause, began_ms)
                     .await;
-                term.end_move(&service, holding.range);
+                term.end_move(&service, assigned_range.range);
             });
         }
         finishing.join_all().await;
     }
 
     /// Announces to all hosts that keys are being moved, and how long that may take.
-    fn announce(&self, service: &Arc<str>, holding: &AssignedRange, above_fence: u64) {
-        let Some(from) = &holding.from else {
+    fn announce(&self, service: &Arc<str>, assigned_range: &AssignedRange, above_fence: u64) {
+        let Some(from) = &assigned_range.from else {
             return;
         };
         let registry = self.entry.view.registry();
@@ -193,18 +200,18 @@
                 remaining_ms: self.lease_end_ms(from).saturating_sub(clock::now_ms()),
             }
         };
-        self.announce_time_left(service, holding, above_fence, time_left);
+        self.announce_time_left(service, assigned_range, above_fence, time_left);
     }
 
     fn announce_time_left(
         &self,
         service: &Arc<str>,
-        holding: &AssignedRange,
+        assigned_range: &AssignedRange,
         above_fence: u64,
         time_left: MoveTimeLeft,
     ) {
         let move_ahead = MoveAnnouncement {
-            range: holding.range,
+            range: assigned_range.range,
             above_fence,
             time_left,
         };
@@ -225,45 +232,52 @@
     async fn complete_move(
         &self,
         service: &Arc<str>,
-        holding: &AssignedRange,
+        assigned_range: &AssignedRange,
         cause: &'static str,
         began_ms: u64,
     ) {
-        let range = holding.range;
+        let range = assigned_range.range;
         let mut handover = None;
-        if let Some(from) = &holding.from {
-            let Some(token) = self.release_keys(service, holding, from).await else {
+        if let Some(from) = &assigned_range.from {
+            let Some(token) = self.release_keys(service, assigned_range, from).await else {
                 return;
             };
             handover = token;
         }
-        let server = self.entry.view.registry().server(&holding.server).cloned();
+        let server = self
+            .entry
+            .view
+            .registry()
+            .server(&assigned_range.server)
+            .cloned();
         if let Some(server) = server {
             let order = LeaseOrder {
                 service,
                 range,
-                fence: holding.fence,
+                fence: assigned_range.fence,
                 handover: handover.as_deref(),
             };
             self.grant(&server, order).await;
-            self.entry.view.note_granted(service, holding.clone());
+            self.entry
+                .view
+                .note_granted(service, assigned_range.clone());
             let outbox = &self.entry.peers.outbox;
-            outbox.announce_grant(tag_of(service), holding);
+            outbox.announce_grant(tag_of(service), assigned_range);
         }
-        if holding.from.is_some() {
+        if assigned_range.from.is_some() {
             // The move counts as completed only after the grant. Otherwise a renewal, which has no
             // handover token, could arrive before the grant that has it.
             let mut state = self.state();
             let completed_fences = state.completed_fences.entry(service.clone()).or_default();
-            completed_fences.push(holding.fence);
+            completed_fences.push(assigned_range.fence);
         }
         self.entry.metrics.moved();
         Event::Moved {
             service: service.clone(),
             range,
-            from: holding.from.clone(),
-            to: holding.server.clone(),
-            fence: holding.fence,
+            from: assigned_range.from.clone(),
+            to: assigned_range.server.clone(),
+            fence: assigned_range.fence,
             cause,
             handover: handover.is_some(),
             took_ms: clock::now_ms() - began_ms,
@@ -279,10 +293,10 @@
     async fn release_keys(
         &self,
         service: &Arc<str>,
-        holding: &AssignedRange,
+        assigned_range: &AssignedRange,
         id: &Arc<str>,
     ) -> Option<Option<String>> {
-        let AssignedRange { range, fence, .. } = *holding;
+        let AssignedRange { range, fence, .. } = *assigned_range;
         let registry = self.entry.view.registry();
         let server = registry.server(id).cloned();
         // A server whose entry is gone may still serve, so the release order goes there on a new
@@ -333,7 +347,7 @@
                             wait: MoveWait::Lease,
                             remaining_ms: self.lease_end_ms(id).saturating_sub(clock::now_ms()),
                         };
-                        self.announce_time_left(service, holding, fence - 1, time_left);
+                        self.announce_time_left(service, assigned_range, fence - 1, time_left);
                     }
                     let pause_ms = 200.min(free_ms.saturating_sub(clock::now_ms()).max(1));
                     time::sleep(Duration::from_millis(pause_ms)).await;
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -81,28 +81,28 @@
         state
             .renewals
             .retain(|(of, fence), _| of != service || fences.contains(fence));
-        for holding in &assignment.holdings {
-            let record = state.servers.get(&holding.server);
+        for assigned_range in &assignment.holdings {
+            let record = state.servers.get(&assigned_range.server);
             let is_silent = record.is_some_and(|record| record.is_silent);
-            if is_silent || state.is_unfinished(service, holding) {
+            if is_silent || state.is_unfinished(service, assigned_range) {
                 continue;
             }
-            let key = (service.clone(), holding.fence);
+            let key = (service.clone(), assigned_range.fence);
             let renewal = state.renewals.entry(key).or_default();
             if renewal.is_in_flight || now_ms < renewal.renewed_ms + every_ms {
                 continue;
             }
             renewal.is_in_flight = true;
-            let holdings = due.entry(holding.server.clone()).or_default();
-            holdings.push(holding.clone());
+            let holdings = due.entry(assigned_range.server.clone()).or_default();
+            holdings.push(assigned_range.clone());
         }
         due
     }
 
     fn end_renewals(&self, service: &Arc<str>, holdings: &[AssignedRange]) {
         let mut state = self.state();
-        for holding in holdings {
-            let key = (service.clone(), holding.fence);
+        for assigned_range in holdings {
+            let key = (service.clone(), assigned_range.fence);
             if let Some(renewal) = state.renewals.get_mut(&key) {
                 renewal.is_in_flight = false;
             }
@@ -115,16 +115,18 @@
         server: &Arc<Server>,
         holdings: &[AssignedRange],
     ) {
-        for holding in holdings {
+        for assigned_range in holdings {
             let order = LeaseOrder {
                 service,
-                range: holding.range,
-                fence: holding.fence,
+                range: assigned_range.range,
+                fence: assigned_range.fence,
                 handover: None,
             };
             match self.grant(server, order).await {
                 Some(GrantOutcome::Held) => {}
-                Some(GrantOutcome::Superseded) => self.raise_fence(service, server, holding).await,
+                Some(GrantOutcome::Superseded) => {
+                    self.raise_fence(service, server, assigned_range).await
+                }
                 Some(GrantOutcome::OtherServer) => return,
                 // This renewal is due again in the next round. The remaining holdings are renewed
                 // now.
@@ -258,12 +260,17 @@
     /// server has seen a higher fence than the recorded one, because an earlier leader released the
     /// keys but recorded nothing more. Counts as a move, so that no other move of these keys begins
     /// before the new lease is certain.
-    async fn raise_fence(&self, service: &Arc<str>, server: &Arc<Server>, holding: &AssignedRange) {
-        if !self.mark_moving(service, holding.range) {
+    async fn raise_fence(
+        &self,
+        service: &Arc<str>,
+        server: &Arc<Server>,
+        assigned_range: &AssignedRange,
+    ) {
+        if !self.mark_moving(service, assigned_range.range) {
             return;
         }
         let change = Change::RaiseFence {
-            holding: holding.clone(),
+            assigned_range: assigned_range.clone(),
             step: FENCE_STEP,
         };
         match self.entry.record(service, &change).await {
@@ -280,6 +287,6 @@
             }
             Err(failure) => log::warn!("cannot record a raised fence of {service}: {failure:?}"),
         }
-        self.end_move(service, holding.range);
+        self.end_move(service, assigned_range.range);
     }
 }
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug)]
 struct AnnouncedGrant {
     service: Arc<str>,
-    holding: AssignedRange,
+    assigned_range: AssignedRange,
     until_ms: u64,
 }
 
@@ -162,7 +162,7 @@
     pub fn all_granted(&self, service: &str) -> bool {
         let granted = self.granted();
         let of_service = granted.iter().filter(|g| *g.service == *service);
-        let mut ranges: Vec<KeyRange> = of_service.map(|g| g.holding.range).collect();
+        let mut ranges: Vec<KeyRange> = of_service.map(|g| g.assigned_range.range).collect();
         drop(granted);
         ranges.sort_unstable_by_key(|range| range.first);
         let mut next = 0u32;
@@ -186,26 +186,27 @@
         let highest_fence = held.assignment.fence;
         drop(held_map);
         self.granted()
-            .retain(|g| g.service != *service || g.holding.fence > highest_fence);
+            .retain(|g| g.service != *service || g.assigned_range.fence > highest_fence);
         true
     }
 
     /// Adds an announced grant, which counts before the recorded holdings are read.
-    pub fn note_granted(&self, service: &Arc<str>, holding: AssignedRange) {
+    pub fn note_granted(&self, service: &Arc<str>, assigned_range: AssignedRange) {
         let now_ms = clock::now_ms();
         // A grant with a higher fence ends the move of its keys.
         self.moving().retain(|m| {
-            let same = m.service == *service && holding.range.covers(&m.range);
-            !same || holding.fence <= m.above_fence
+            let same = m.service == *service && assigned_range.range.covers(&m.range);
+            !same || assigned_range.fence <= m.above_fence
         });
         let mut granted = self.granted();
         granted.retain(|g| {
-            let same = g.service == *service && holding.range.covers(&g.holding.range);
-            now_ms < g.until_ms && !(same && g.holding.fence <= holding.fence)
+            let same =
+                g.service == *service && assigned_range.range.covers(&g.assigned_range.range);
+            now_ms < g.until_ms && !(same && g.assigned_range.fence <= assigned_range.fence)
         });
         granted.push(AnnouncedGrant {
             service: service.clone(),
-            holding,
+            assigned_range,
             until_ms: now_ms + GRANTED_KEPT_MS,
         });
     }
@@ -221,8 +222,8 @@
         let now_ms = clock::now_ms();
         // Datagrams may arrive out of order: the grant that ends the move may be known already.
         let has_ended = self.granted().iter().any(|g| {
-            let same = g.service == *service && g.holding.range.covers(&range);
-            same && g.holding.fence > above_fence
+            let same = g.service == *service && g.assigned_range.range.covers(&range);
+            same && g.assigned_range.fence > above_fence
         });
         if has_ended {
             return;
@@ -243,19 +244,19 @@
         let held = self.held_map();
         let recorded = held
             .get(service)
-            .and_then(|held| held.assignment.holding(key))
-            .map(|holding| (holding.server.clone(), holding.fence));
+            .and_then(|held| held.assignment.assigned_range(key))
+            .map(|assigned_range| (assigned_range.server.clone(), assigned_range.fence));
         drop(held);
         let now_ms = clock::now_ms();
         let granted = self.granted();
         let concerns = |g: &&AnnouncedGrant| {
-            now_ms < g.until_ms && g.service == *service && g.holding.range.contains(key)
+            now_ms < g.until_ms && g.service == *service && g.assigned_range.range.contains(key)
         };
         let granted = granted
             .iter()
             .filter(concerns)
-            .max_by_key(|g| g.holding.fence)
-            .map(|g| (g.holding.server.clone(), g.holding.fence));
+            .max_by_key(|g| g.assigned_range.fence)
+            .map(|g| (g.assigned_range.server.clone(), g.assigned_range.fence));
         let latest = higher_fence(granted.clone(), recorded);
         let Some((server, fence)) = latest else {
             return Owner::Unowned;
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -58,7 +58,7 @@
     }
 
     /// Queues the announcements, one for each delay, that a server was granted keys.
-    pub fn announce_grant(&self, service_tag: u32, holding: &AssignedRange) {
+    pub fn announce_grant(&self, service_tag: u32, assigned_range: &AssignedRange) {
         let now_ms = clock::now_ms();
         let mut items = self.items();
         items.extend(
@@ -67,7 +67,7 @@
                 .map(|after_ms| QueuedAnnouncement {
                     due_ms: now_ms + after_ms,
                     service_tag,
-                    update: Announcement::Granted(holding.clone()),
+                    update: Announcement::Granted(assigned_range.clone()),
                 }),
         );
     }
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -231,8 +231,8 @@
         let Some(service) = self.service_of(service_tag) else {
             return;
         };
-        for holding in holdings {
-            self.view.note_granted(&service, holding);
+        for assigned_range in holdings {
+            self.view.note_granted(&service, assigned_range);
         }
     }
 
@@ -251,13 +251,16 @@
         let Some(held) = self.view.held(&service) else {
             return;
         };
-        let holding = held.assignment.holding(key).filter(|h| h.fence == fence);
-        let Some(holding) = holding.cloned() else {
+        let assigned_range = held
+            .assignment
+            .assigned_range(key)
+            .filter(|h| h.fence == fence);
+        let Some(assigned_range) = assigned_range.cloned() else {
             return;
         };
         let message = Message::Granted {
             service_tag,
-            holdings: vec![holding],
+            holdings: vec![assigned_range],
         };
         self.peers.send(&message, &[to]);
     }
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -166,8 +166,8 @@
     }
 
     /// Records that a server was granted keys, before the stored row of the grant is read.
-    pub fn note_granted(&self, service: &Arc<str>, holding: AssignedRange) {
-        self.owners.note_granted(service, holding);
+    pub fn note_granted(&self, service: &Arc<str>, assigned_range: AssignedRange) {
+        self.owners.note_granted(service, assigned_range);
         self.changed.send_modify(|count| *count += 1);
     }
 
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -266,8 +266,8 @@
         }
     }
     let mut used: HashMap<Arc<str>, f64> = HashMap::new();
-    for holding in &assignment.holdings {
-        *used.entry(holding.server.clone()).or_default() += loads.of(holding.range);
+    for assigned_range in &assignment.holdings {
+        *used.entry(assigned_range.server.clone()).or_default() += loads.of(assigned_range.range);
     }
     used
 }
@@ -288,7 +288,7 @@
     let hot = 1_000;
     loads.add(hot, 250.0);
     let used = settle(&servers, &mut assignment, &loads, &[hot]);
-    let hot_holding = assignment.holding(hot).expect("a holding");
+    let hot_holding = assignment.assigned_range(hot).expect("a holding");
     assert_eq!(&*hot_holding.server, "s7");
     let other_load = used["s7"] - loads.key(hot);
     assert!(
@@ -404,7 +404,10 @@
     let mut loads = KeyLoads::default();
     loads.add(1_000, 250.0);
     settle(&servers, &mut assignment, &loads, &[1_000]);
-    assert_eq!(&*assignment.holding(1_000).expect("a holding").server, "s0");
+    assert_eq!(
+        &*assignment.assigned_range(1_000).expect("a holding").server,
+        "s0"
+    );
 }
 
 /// Results for hosts that learn of each other's requests with a delay.
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -40,7 +40,7 @@
     KeyRange { first, last }
 }
 
-fn holding(first: u16, last: u16, server: &str, fence: u64) -> AssignedRange {
+fn assigned_range(first: u16, last: u16, server: &str, fence: u64) -> AssignedRange {
     AssignedRange {
         range: range(first, last),
         server: server.into(),
@@ -51,8 +51,8 @@
 
 fn assignment(holdings: &[AssignedRange]) -> Assignment {
     let mut assignment = Assignment::default();
-    for holding in holdings {
-        assignment.put(holding.clone());
+    for assigned_range in holdings {
+        assignment.put(assigned_range.clone());
     }
     assignment
 }
@@ -66,32 +66,38 @@
     }
     let cases = [
         Case {
-            put: holding(10, 19, "b", 9),
+            put: assigned_range(10, 19, "b", 9),
             result: vec![
-                holding(0, 9, "a", 1),
-                holding(10, 19, "b", 9),
-                holding(20, 99, "a", 1),
-                holding(100, 199, "c", 2),
+                assigned_range(0, 9, "a", 1),
+                assigned_range(10, 19, "b", 9),
+                assigned_range(20, 99, "a", 1),
+                assigned_range(100, 199, "c", 2),
             ],
             gaps: vec![range(200, 65_535)],
         },
         Case {
-            put: holding(50, 300, "b", 9),
-            result: vec![holding(0, 49, "a", 1), holding(50, 300, "b", 9)],
+            put: assigned_range(50, 300, "b", 9),
+            result: vec![
+                assigned_range(0, 49, "a", 1),
+                assigned_range(50, 300, "b", 9),
+            ],
             gaps: vec![range(301, 65_535)],
         },
         Case {
-            put: holding(1_000, 65_535, "b", 9),
+            put: assigned_range(1_000, 65_535, "b", 9),
             result: vec![
-                holding(0, 99, "a", 1),
-                holding(100, 199, "c", 2),
-                holding(1_000, 65_535, "b", 9),
+                assigned_range(0, 99, "a", 1),
+                assigned_range(100, 199, "c", 2),
+                assigned_range(1_000, 65_535, "b", 9),
             ],
             gaps: vec![range(200, 999)],
         },
     ];
     for case in cases {
-        let mut assignment = assignment(&[holding(0, 99, "a", 1), holding(100, 199, "c", 2)]);
+        let mut assignment = assignment(&[
+            assigned_range(0, 99, "a", 1),
+            assigned_range(100, 199, "c", 2),
+        ]);
         assignment.put(case.put.clone());
         assert_eq!(assignment.holdings, case.result, "{:?}", case.put);
         assert_eq!(assignment.gaps(), case.gaps, "{:?}", case.put);
@@ -103,10 +109,10 @@
 /// Expands holdings into a table with the server and fence of each key.
 fn by_key(assignment: &Assignment) -> Vec<Option<(Arc<str>, u64)>> {
     let mut keys = vec![None; 1 << 16];
-    for holding in &assignment.holdings {
-        for key in holding.range.first..=holding.range.last {
+    for assigned_range in &assignment.holdings {
+        for key in assigned_range.range.first..=assigned_range.range.last {
             assert!(keys[usize::from(key)].is_none(), "key {key} is held twice");
-            keys[usize::from(key)] = Some((holding.server.clone(), holding.fence));
+            keys[usize::from(key)] = Some((assigned_range.server.clone(), assigned_range.fence));
         }
     }
     keys
@@ -117,14 +123,14 @@
     let mut many = Assignment::default();
     for number in 0..2_000u16 {
         let fence = many.next_fence(1);
-        let mut holding = holding(
+        let mut assigned_range = assigned_range(
             number * 32,
             number * 32 + 31,
             &format!("i-{:010x}", number % 180),
             fence,
         );
-        holding.from = (number % 3 == 0).then(|| "i-0123456789".into());
-        many.put(holding);
+        assigned_range.from = (number % 3 == 0).then(|| "i-0123456789".into());
+        many.put(assigned_range);
     }
     let bytes = many.encode().expect("a record");
     assert!(bytes.len() < 48 * 1024, "{} bytes", bytes.len());
@@ -163,9 +169,10 @@
         let holdings = (0..case.holdings).map(|number| {
             let server = format!("i-{:010x}@19abcdef012", number % case.servers);
             let (from, to) = (first(number), first(number + 1) - 1);
-            let mut holding = holding(from as u16, to as u16, &server, u64::from(number) + 1);
-            holding.from = (number % 3 == 0).then(|| "i-0123456789@19abcdef012".into());
-            holding
+            let mut assigned_range =
+                assigned_range(from as u16, to as u16, &server, u64::from(number) + 1);
+            assigned_range.from = (number % 3 == 0).then(|| "i-0123456789@19abcdef012".into());
+            assigned_range
         });
         let many = Assignment {
             fence: u64::from(case.holdings),
@@ -186,10 +193,10 @@
     // The first row holds all keys, as an earlier version of ashroad wrote it; a later move is in
     // the row of its keys.
     let mut whole = Assignment::default();
-    whole.put(holding(0, 39_999, "a", 1));
-    whole.put(holding(40_000, 65_535, "b", 2));
+    whole.put(assigned_range(0, 39_999, "a", 1));
+    whole.put(assigned_range(40_000, 65_535, "b", 2));
     let mut moved = whole.clone();
-    moved.put(holding(41_000, 41_999, "c", 3));
+    moved.put(assigned_range(41_000, 41_999, "c", 3));
     let rows: Vec<Assignment> = KeyPartition::all().map(|part| moved.part(part)).collect();
     let later = rows.iter().filter(|row| !row.holdings.is_empty()).skip(1);
     let joined = Assignment::join(std::iter::once(&whole).chain(later));
@@ -212,7 +219,7 @@
             let (first, last) = (one.min(other), one.max(other));
             let fence = assignment.next_fence(1);
             let server: Arc<str> = format!("s{server}").into();
-            assignment.put(holding(first, last, &server, fence));
+            assignment.put(assigned_range(first, last, &server, fence));
             for key in first..=last {
                 expected[usize::from(key)] = Some((server.clone(), fence));
             }
@@ -229,7 +236,7 @@
         for (one, other, server) in ranges.into_iter().take(10) {
             let fence = assignment.next_fence(1);
             let server = format!("s{}", server % 8);
-            assignment.put(holding(one.min(other), one.max(other), &server, fence));
+            assignment.put(assigned_range(one.min(other), one.max(other), &server, fence));
         }
         let servers = servers(&(0..8).filter(|bit| usable >> bit & 1 == 1)
             .map(|bit| format!("s{bit}")).collect::<Vec<_>>());
@@ -270,7 +277,7 @@
 fn apply(assignment: &mut Assignment, moves: &[Move]) {
     for planned in moves {
         let fence = assignment.next_fence(1);
-        assignment.put(holding(
+        assignment.put(assigned_range(
             planned.range.first,
             planned.range.last,
             &planned.to,
@@ -286,7 +293,7 @@
     let mut assignment = Assignment::default();
     for (range, server) in first::first_assignment(&servers) {
         let fence = assignment.next_fence(1);
-        assignment.put(holding(range.first, range.last, &server, fence));
+        assignment.put(assigned_range(range.first, range.last, &server, fence));
     }
     assert!(assignment.gaps().is_empty());
     let mut loads = KeyLoads::default();
@@ -316,8 +323,8 @@
         apply(&mut assignment, &moves);
     }
     let mut used: HashMap<Arc<str>, f64> = HashMap::new();
-    for holding in &assignment.holdings {
-        *used.entry(holding.server.clone()).or_default() += loads.of(holding.range);
+    for assigned_range in &assignment.holdings {
+        *used.entry(assigned_range.server.clone()).or_default() += loads.of(assigned_range.range);
     }
     let mean = loads.of(KeyRange::ALL) / servers.len() as f64;
     let most = used.values().copied().fold(0.0, f64::max);
@@ -329,7 +336,7 @@
     let mut assignment = Assignment::default();
     for (range, server) in first::first_assignment(servers) {
         let fence = assignment.next_fence(1);
-        assignment.put(holding(range.first, range.last, &server, fence));
+        assignment.put(assigned_range(range.first, range.last, &server, fence));
     }
     assignment
 }
@@ -500,7 +507,7 @@
         },
     ];
     let hot = range(30_000, 30_199);
-    let holdings = [holding(30_000, 30_999, "a", 1)];
+    let holdings = [assigned_range(30_000, 30_999, "a", 1)];
     for case in cases {
         let mut counts = KeyCounts::default();
         count_drawn(&mut counts, 100, 1, range(30_000, 30_999));
@@ -767,7 +774,7 @@
             },
         };
         outbox.announce_move(9, announcement);
-        outbox.announce_grant(9, &holding(number, number, "a", 2));
+        outbox.announce_grant(9, &assigned_range(number, number, "a", 2));
     }
     let later_ms = now_ms + 100;
     let first = outbox.take_due(later_ms);
