--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -167,7 +167,7 @@
         for host in &snapshot.hosts {
             self.apply_known_host(*host);
         }
-        for (service, rows) in snapshot.holdings() {
+        for (service, rows) in snapshot.assignment_rows() {
             self.view.put_holdings(&service, rows);
         }
         self.note_known(FollowedTable::Own, snapshot);
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -100,7 +100,8 @@
     pub hosts: Vec<SnapshotHost>,
     strings: StringTable,
     servers: Vec<SnapshotServer>,
-    holdings: Vec<SnapshotHoldings>,
+    #[serde(rename = "holdings")]
+    assignment_rows: Vec<SnapshotHoldings>,
 }
 
 impl Snapshot {
@@ -142,7 +143,7 @@
     /// Adds a row of holdings. A row that cannot be encoded is skipped with a warning.
     pub fn add_holdings(&mut self, service: &Arc<str>, part: KeyPartition, row: &HoldingsRow) {
         match row.assignment.encode() {
-            Ok(record) => self.holdings.push(SnapshotHoldings {
+            Ok(record) => self.assignment_rows.push(SnapshotHoldings {
                 service: service.clone(),
                 part: part.number(),
                 version: row.version,
@@ -154,9 +155,9 @@
 
     /// Returns the rows of holdings by service. Rows that cannot be decoded are skipped with a
     /// warning.
-    pub fn holdings(&self) -> HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>> {
+    pub fn assignment_rows(&self) -> HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>> {
         let mut rows: HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>> = HashMap::new();
-        for known in &self.holdings {
+        for known in &self.assignment_rows {
             let part = KeyPartition::new(known.part);
             let assignment = Assignment::decode(&known.record).ok();
             let Some((part, assignment)) = part.zip(assignment) else {
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -299,7 +299,7 @@
     assert!(bytes.len() < 700_000, "{} bytes", bytes.len());
     let received: Snapshot = postcard::from_bytes(&bytes).expect("decoded");
     assert!(received.servers().eq(entries));
-    let rows = &received.holdings()["service-0"];
+    let rows = &received.assignment_rows()["service-0"];
     let whole = Assignment::join(rows.iter().map(|(_, row)| &row.assignment));
     assert!(whole == assignment);
 }
