--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -46,7 +46,7 @@
     /// Number of runs by request id.
     runs: Mutex<HashMap<String, u32>>,
     /// Holdings of all servers, for the check of single ownership.
-    all_holdings: Mutex<Vec<Arc<Holdings>>>,
+    all_holdings: Mutex<Vec<Arc<HeldKeys>>>,
     /// Descriptions of violated invariants.
     violations: Mutex<Vec<String>>,
     /// Paths of crashing requests, and the crashes that they caused.
@@ -130,7 +130,7 @@
     }
 
     /// Records a run, and a violation if another server holds the key.
-    fn record_run(&self, id: &str, key: Option<u16>, server: &Holdings) {
+    fn record_run(&self, id: &str, key: Option<u16>, server: &HeldKeys) {
         *lock(&self.runs).entry(id.to_owned()).or_default() += 1;
         let Some(key) = key.filter(|_| !self.ownership_checks_paused()) else {
             return;
@@ -146,7 +146,7 @@
     }
 
     /// Checks the grant of a key: its fence must be greater than that of all other servers.
-    fn take(&self, key: u16, fence: u64, server: &Holdings) {
+    fn take(&self, key: u16, fence: u64, server: &HeldKeys) {
         if self.ownership_checks_paused() {
             return;
         }
@@ -181,7 +181,7 @@
 
 /// Keys that one server holds.
 #[derive(Debug)]
-pub struct Holdings {
+pub struct HeldKeys {
     id: String,
     /// Service that the server belongs to.
     service: String,
@@ -190,7 +190,7 @@
     keys: Mutex<Vec<KeyState>>,
 }
 
-impl Holdings {
+impl HeldKeys {
     /// Returns true if the server runs and its lease on a key has not expired.
     fn holds(&self, key: u16) -> bool {
         let until = lock(&self.keys)[usize::from(key)].until;
@@ -213,7 +213,7 @@
 /// State that the server's handlers share.
 #[derive(Debug)]
 struct State {
-    holdings: Arc<Holdings>,
+    holdings: Arc<HeldKeys>,
     record: Arc<RunRecord>,
     zone: String,
     /// True if the server runs only requests for keys that it holds.
@@ -308,7 +308,7 @@
         };
         let address = listener.local_addr().expect("address");
         let id = format!("i-{:010x}", rand::random::<u32>());
-        let holdings = Arc::new(Holdings {
+        let holdings = Arc::new(HeldKeys {
             id: id.clone(),
             service: kind.service.to_owned(),
             up: AtomicBool::new(true),
