--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -213,7 +213,7 @@
 /// State that the server's handlers share.
 #[derive(Debug)]
 struct State {
-    holdings: Arc<HeldKeys>,
+    held_keys: Arc<HeldKeys>,
     record: Arc<RunRecord>,
     zone: String,
     /// True if the server runs only requests for keys that it holds.
@@ -308,15 +308,15 @@
         };
         let address = listener.local_addr().expect("address");
         let id = format!("i-{:010x}", rand::random::<u32>());
-        let holdings = Arc::new(HeldKeys {
+        let held_keys = Arc::new(HeldKeys {
             id: id.clone(),
             service: kind.service.to_owned(),
             up: AtomicBool::new(true),
             keys: Mutex::new(vec![KeyState::default(); KEYS]),
         });
-        lock(&record.all_holdings).push(holdings.clone());
+        lock(&record.all_holdings).push(held_keys.clone());
         let state = Arc::new(State {
-            holdings,
+            held_keys,
             record: record.clone(),
             zone: kind.zone.to_owned(),
             sharded: kind.sharded,
@@ -359,7 +359,7 @@
     pub fn write_entry(&self, store: &Store, state: &str) {
         let entry = json!({
             "addr": self.address.to_string(),
-            "info": {"service": self.state.holdings.service, "version": "v1",
+            "info": {"service": self.state.held_keys.service, "version": "v1",
                 "zone": self.state.zone, "slots": 4},
             "status": {"state": state, "seq": 1, "warmupLeft": "0ms"},
         });
@@ -371,7 +371,7 @@
         let entry = json!({
             "addr": self.address.to_string(),
             "born": 1_791_000_000_000u64,
-            "info": {"service": self.state.holdings.service, "version": "v1",
+            "info": {"service": self.state.held_keys.service, "version": "v1",
                 "zone": self.state.zone, "slots": 4},
             "status": {"state": "ready", "seq": 2, "warmupLeft": format!("{cold_ms}ms")},
         });
@@ -435,7 +435,7 @@
 
     /// Stops the server as a crash does, and removes its entry.
     pub fn crash(&self, store: &Store) {
-        self.state.holdings.up.store(false, Ordering::Relaxed);
+        self.state.held_keys.up.store(false, Ordering::Relaxed);
         self.state.silent.store(true, Ordering::Relaxed);
         self.task.abort();
         if self.stop.send(true).is_err() {
@@ -469,7 +469,7 @@
     /// Makes the server hold all keys, as if an earlier leader had granted them.
     pub fn hold_all(&self, fence: u64, lease_ms: u64) {
         let until = Some(Instant::now() + Duration::from_millis(lease_ms));
-        for state in lock(&self.state.holdings.keys).iter_mut() {
+        for state in lock(&self.state.held_keys.keys).iter_mut() {
             *state = KeyState {
                 fence,
                 granted_fence: fence,
@@ -480,7 +480,7 @@
 
     /// Returns true if the server was crashable and has crashed.
     pub fn has_crashed(&self) -> bool {
-        !self.state.holdings.up.load(Ordering::Relaxed)
+        !self.state.held_keys.up.load(Ordering::Relaxed)
     }
 
     /// Returns the number of completed requests.
@@ -491,7 +491,7 @@
     /// Returns the number of keys that the server holds now.
     pub fn keys_held(&self) -> usize {
         (0..=u16::MAX)
-            .filter(|key| self.state.holdings.holds(*key))
+            .filter(|key| self.state.held_keys.holds(*key))
             .count()
     }
 }
@@ -524,7 +524,7 @@
             return std::future::pending().await;
         }
         let expected = header_text(request.headers(), "expect-instance");
-        if expected.is_some_and(|id| id != self.holdings.id) {
+        if expected.is_some_and(|id| id != self.held_keys.id) {
             return self.not_run(StatusCode::MISDIRECTED_REQUEST, "");
         }
         match request.uri().path() {
@@ -563,7 +563,7 @@
         let until = arrived + Duration::from_millis(hold);
         let mut taken = Vec::new();
         {
-            let mut keys = lock(&self.holdings.keys);
+            let mut keys = lock(&self.held_keys.keys);
             let seen = keys[first..=last].iter().map(|key| key.fence).max();
             if seen > Some(fence) {
                 return transport::json(StatusCode::CONFLICT, &json!({}));
@@ -581,8 +581,8 @@
         // Only the first and the last key of the range are checked; a check of each key would take
         // too long.
         if let (Some(first), Some(last)) = (taken.first(), taken.last()) {
-            self.record.take(*first, fence, &self.holdings);
-            self.record.take(*last, fence, &self.holdings);
+            self.record.take(*first, fence, &self.held_keys);
+            self.record.take(*last, fence, &self.held_keys);
         }
         transport::json(StatusCode::OK, &json!({}))
     }
@@ -590,7 +590,7 @@
     async fn release(&self, order: &Value) -> Response<ResponseBody> {
         let (first, last, fence) = range_of(order);
         {
-            let mut keys = lock(&self.holdings.keys);
+            let mut keys = lock(&self.held_keys.keys);
             for state in &mut keys[first..=last] {
                 state.fence = state.fence.max(fence);
                 state.until = None;
@@ -618,13 +618,13 @@
         let Ok(permit) = self.slots.acquire().await else {
             return std::future::pending().await;
         };
-        if self.sharded && !key.is_some_and(|key| self.holdings.holds(key)) {
+        if self.sharded && !key.is_some_and(|key| self.held_keys.holds(key)) {
             return self.not_run(StatusCode::MISDIRECTED_REQUEST, &id);
         }
         self.running.fetch_add(1, Ordering::Relaxed);
         let running = Running(&self.running);
         let checked = if self.sharded { key } else { None };
-        self.record.record_run(&id, checked, &self.holdings);
+        self.record.record_run(&id, checked, &self.held_keys);
         lock(&self.record.heads).insert(id.clone(), request.headers().clone());
         let path = request.uri().path().to_owned();
         if self.record.note_crashing_run(&path) {
@@ -660,7 +660,7 @@
         let Some(runtime) = lock(&self.runtime).take() else {
             return;
         };
-        self.holdings.up.store(false, Ordering::Relaxed);
+        self.held_keys.up.store(false, Ordering::Relaxed);
         lock(&self.record.crash_triggers)
             .crashes
             .push(Instant::now());
