--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -46,7 +46,7 @@
     /// Number of runs by request id.
     runs: Mutex<HashMap<String, u32>>,
     /// Holdings of all servers, for the check of single ownership.
-    all_holdings: Mutex<Vec<Arc<HeldKeys>>>,
+    held_keys_of_servers: Mutex<Vec<Arc<HeldKeys>>>,
     /// Descriptions of violated invariants.
     violations: Mutex<Vec<String>>,
     /// Paths of crashing requests, and the crashes that they caused.
@@ -135,7 +135,7 @@
         let Some(key) = key.filter(|_| !self.ownership_checks_paused()) else {
             return;
         };
-        let others = lock(&self.all_holdings).clone();
+        let others = lock(&self.held_keys_of_servers).clone();
         for other in others {
             let same_service = other.service == server.service;
             if same_service && other.id != server.id && other.holds(key) {
@@ -150,7 +150,7 @@
         if self.ownership_checks_paused() {
             return;
         }
-        let others = lock(&self.all_holdings).clone();
+        let others = lock(&self.held_keys_of_servers).clone();
         for other in others {
             if other.service != server.service || other.id == server.id {
                 continue;
@@ -314,7 +314,7 @@
             up: AtomicBool::new(true),
             keys: Mutex::new(vec![KeyState::default(); KEYS]),
         });
-        lock(&record.all_holdings).push(held_keys.clone());
+        lock(&record.held_keys_of_servers).push(held_keys.clone());
         let state = Arc::new(State {
             held_keys,
             record: record.clone(),
