--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -57,7 +57,7 @@
         .map(|server| (&*server.id, server.unlimited_per_s))
         .collect();
     let mut found = Vec::new();
-    for assigned_range in &assignment.holdings {
+    for assigned_range in &assignment.assigned_ranges {
         let Some(capacity_per_s) = capacities.get(&*assigned_range.server).copied() else {
             continue;
         };
--- a/src/entry/decide/key_loads.rs
+++ b/src/entry/decide/key_loads.rs
@@ -58,11 +58,11 @@
 
     /// Returns the loads for a plan: the long-term ones, except for holdings whose load has risen
     /// by more than random variation explains.
-    pub fn loads(&self, holdings: &[AssignedRange], per_s: f64) -> KeyLoads {
+    pub fn loads(&self, assigned_ranges: &[AssignedRange], per_s: f64) -> KeyLoads {
         let window_s = window_s(Self::FAST_KEPT, per_s);
         let mut loads = self.slow.clone();
         loads.window_s = self::window_s(Self::SLOW_KEPT, per_s);
-        for assigned_range in holdings {
+        for assigned_range in assigned_ranges {
             let (slow, fast) = (
                 self.slow.of(assigned_range.range),
                 self.fast.of(assigned_range.range),
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -62,7 +62,7 @@
     /// Load by server, in requests per second, after the planned moves and without the excess of
     /// hot keys.
     used: HashMap<Arc<str>, f64>,
-    holdings: Vec<AssignedRange>,
+    assigned_ranges: Vec<AssignedRange>,
     moves: Vec<Move>,
 }
 
@@ -84,8 +84,8 @@
     fn new(inputs: Inputs<'a>) -> Self {
         let mut used: HashMap<Arc<str>, f64> =
             inputs.servers.iter().map(|s| (s.id.clone(), 0.0)).collect();
-        let holdings = inputs.assignment.holdings.clone();
-        for assigned_range in &holdings {
+        let assigned_ranges = inputs.assignment.assigned_ranges.clone();
+        for assigned_range in &assigned_ranges {
             let load = inputs.loads.of(assigned_range.range);
             if let Some(used) = used.get_mut(&assigned_range.server) {
                 *used += load;
@@ -95,7 +95,7 @@
             inputs,
             hot: Vec::new(),
             used,
-            holdings,
+            assigned_ranges,
             moves: Vec::new(),
         };
         plan.add_hot_keys();
@@ -224,7 +224,7 @@
     /// half the mean load of a server.
     fn assign_unowned_keys(&mut self) {
         let mut unowned: Vec<KeyRange> = self.inputs.assignment.gaps();
-        for assigned_range in &self.holdings {
+        for assigned_range in &self.assigned_ranges {
             if !self.used.contains_key(&assigned_range.server) {
                 unowned.push(assigned_range.range);
             }
@@ -269,7 +269,7 @@
     /// Gives each server without keys half the load of the most used server, even if no server is
     /// busy: a server that joins should serve requests before the others are full.
     fn fill_idle_servers(&mut self) {
-        let holds = |id: &Arc<str>| self.holdings.iter().any(|h| h.server == *id);
+        let holds = |id: &Arc<str>| self.assigned_ranges.iter().any(|h| h.server == *id);
         let servers = self.inputs.servers.iter();
         let idle: Vec<Arc<str>> = servers
             .filter(|server| !holds(&server.id) && self.used[&server.id] == 0.0)
@@ -362,17 +362,17 @@
     fn clear(&mut self, range: KeyRange) {
         let mut rest = Assignment {
             fence: 0,
-            holdings: std::mem::take(&mut self.holdings),
+            assigned_ranges: std::mem::take(&mut self.assigned_ranges),
         };
         rest.clear(range);
-        self.holdings = rest.holdings;
+        self.assigned_ranges = rest.assigned_ranges;
     }
 
     /// Selects a range at either end of one of the server's holdings, with a load close to `wanted`
     /// and at most half above it, and with few keys, since moves are billed by key.
     fn select_range(&self, from: &str, wanted: f64) -> Option<KeyRange> {
         let mut best: Option<(KeyRange, f64)> = None;
-        for assigned_range in &self.holdings {
+        for assigned_range in &self.assigned_ranges {
             if *assigned_range.server != *from || self.is_moving(assigned_range.range) {
                 continue;
             }
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -130,7 +130,8 @@
     /// Ids of the servers that the holdings refer to by index.
     servers: Vec<Arc<str>>,
     /// Key range, index of the server, fence, and index of the former server.
-    holdings: Vec<(KeyRange, u16, u64, Option<u16>)>,
+    #[serde(rename = "holdings")]
+    assigned_ranges: Vec<(KeyRange, u16, u64, Option<u16>)>,
 }
 
 /// Key range that one server holds under one fence. The fence is a fencing token: it rises with
@@ -156,7 +157,8 @@
     /// Highest fence that was ever used for the service.
     pub fence: u64,
     /// Holdings without overlaps, in ascending order of their keys.
-    pub holdings: Vec<AssignedRange>,
+    #[serde(rename = "holdings")]
+    pub assigned_ranges: Vec<AssignedRange>,
 }
 
 impl Assignment {
@@ -170,16 +172,16 @@
                 (servers.len() - 1) as u16
             })
         };
-        let holdings = self.holdings.iter().map(|assigned_range| {
+        let assigned_ranges = self.assigned_ranges.iter().map(|assigned_range| {
             let server = index(&assigned_range.server);
             let from = assigned_range.from.as_ref().map(&mut index);
             (assigned_range.range, server, assigned_range.fence, from)
         });
-        let holdings = holdings.collect();
+        let assigned_ranges = assigned_ranges.collect();
         let encoded = Encoded {
             fence: self.fence,
             servers,
-            holdings,
+            assigned_ranges,
         };
         let mut bytes = vec![ENCODING];
         bytes.extend(postcard::to_stdvec(&encoded).context(DamagedSnafu)?);
@@ -195,9 +197,9 @@
             let server = encoded.servers.get(usize::from(index));
             server.cloned().context(ServerSnafu { index })
         };
-        let mut holdings = Vec::with_capacity(encoded.holdings.len());
-        for (range, index, fence, from) in &encoded.holdings {
-            holdings.push(AssignedRange {
+        let mut assigned_ranges = Vec::with_capacity(encoded.assigned_ranges.len());
+        for (range, index, fence, from) in &encoded.assigned_ranges {
+            assigned_ranges.push(AssignedRange {
                 range: *range,
                 server: server(*index)?,
                 fence: *fence,
@@ -206,7 +208,7 @@
         }
         Ok(Self {
             fence: encoded.fence,
-            holdings,
+            assigned_ranges,
         })
     }
 
@@ -217,11 +219,11 @@
         let end = start + usize::from(PARTITION_KEYS);
         let place = |key: usize| {
             let is_before = |h: &AssignedRange| usize::from(h.range.first) < key;
-            self.holdings.partition_point(is_before)
+            self.assigned_ranges.partition_point(is_before)
         };
         Self {
             fence: self.fence,
-            holdings: self.holdings[place(start)..place(end)].to_vec(),
+            assigned_ranges: self.assigned_ranges[place(start)..place(end)].to_vec(),
         }
     }
 
@@ -232,16 +234,18 @@
         let mut whole = Self::default();
         for row in rows {
             whole.fence = whole.fence.max(row.fence);
-            whole.holdings.extend_from_slice(&row.holdings);
+            whole
+                .assigned_ranges
+                .extend_from_slice(&row.assigned_ranges);
         }
         let in_order = |pair: &[AssignedRange]| pair[0].range.last < pair[1].range.first;
-        if whole.holdings.windows(2).all(in_order) {
+        if whole.assigned_ranges.windows(2).all(in_order) {
             return whole;
         }
-        let mut holdings = std::mem::take(&mut whole.holdings);
-        holdings.sort_by_key(|assigned_range| assigned_range.fence);
-        holdings.dedup();
-        for assigned_range in holdings {
+        let mut assigned_ranges = std::mem::take(&mut whole.assigned_ranges);
+        assigned_ranges.sort_by_key(|assigned_range| assigned_range.fence);
+        assigned_ranges.dedup();
+        for assigned_range in assigned_ranges {
             whole.put(assigned_range);
         }
         whole
@@ -249,15 +253,15 @@
 
     /// Returns the holding that contains a key; `None` if no server holds the key.
     pub fn assigned_range(&self, key: u16) -> Option<&AssignedRange> {
-        let position = self.holdings.partition_point(|h| h.range.last < key);
-        let assigned_range = self.holdings.get(position)?;
+        let position = self.assigned_ranges.partition_point(|h| h.range.last < key);
+        let assigned_range = self.assigned_ranges.get(position)?;
         assigned_range.range.contains(key).then_some(assigned_range)
     }
 
     /// Removes a range from all holdings; what remains of a holding keeps its fence.
     pub fn clear(&mut self, range: KeyRange) {
-        let mut kept = Vec::with_capacity(self.holdings.len() + 1);
-        for assigned_range in self.holdings.drain(..) {
+        let mut kept = Vec::with_capacity(self.assigned_ranges.len() + 1);
+        for assigned_range in self.assigned_ranges.drain(..) {
             if !assigned_range.range.overlaps(&range) {
                 kept.push(assigned_range);
                 continue;
@@ -273,7 +277,7 @@
                 kept.push(right);
             }
         }
-        self.holdings = kept;
+        self.assigned_ranges = kept;
     }
 
     /// Returns a fence above all that were used for the service, and not below `least`.
@@ -286,13 +290,15 @@
         self.fence = self.fence.max(assigned_range.fence);
         self.clear(assigned_range.range);
         let first = assigned_range.range.first;
-        let position = self.holdings.partition_point(|h| h.range.last < first);
-        self.holdings.insert(position, assigned_range);
+        let position = self
+            .assigned_ranges
+            .partition_point(|h| h.range.last < first);
+        self.assigned_ranges.insert(position, assigned_range);
     }
 
     /// Records that the former servers of the holdings with these fences no longer hold the keys.
     pub fn complete_moves(&mut self, fences: &[u64]) {
-        for assigned_range in &mut self.holdings {
+        for assigned_range in &mut self.assigned_ranges {
             if fences.contains(&assigned_range.fence) {
                 assigned_range.from = None;
             }
@@ -303,7 +309,7 @@
     pub fn gaps(&self) -> Vec<KeyRange> {
         let mut gaps = Vec::new();
         let mut next = 0u32;
-        for assigned_range in &self.holdings {
+        for assigned_range in &self.assigned_ranges {
             let first = u32::from(assigned_range.range.first);
             if first > next {
                 gaps.push(KeyRange {
--- a/src/entry/leadership/change.rs
+++ b/src/entry/leadership/change.rs
@@ -57,7 +57,7 @@
                 assigned_range,
                 step,
             } => {
-                if !assignment.holdings.contains(assigned_range) {
+                if !assignment.assigned_ranges.contains(assigned_range) {
                     return Vec::new();
                 }
                 let raised = AssignedRange {
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -318,15 +318,15 @@
             let of_service = || state.moving.iter().filter(|m| m.service == *service);
             let active = of_service().filter(|m| !m.waits_for_lease).count();
             let mut moving: Vec<KeyRange> = of_service().map(|m| m.range).collect();
-            let holdings = held.assignment.holdings.iter();
-            let unfinished = holdings.filter(|h| state.is_unfinished(service, h));
+            let assigned_ranges = held.assignment.assigned_ranges.iter();
+            let unfinished = assigned_ranges.filter(|h| state.is_unfinished(service, h));
             moving.extend(unfinished.map(|assigned_range| assigned_range.range));
             let moves_max = CONCURRENT_MOVES_MIN.max(servers.len() / SERVERS_PER_MOVE);
             let room = moves_max.saturating_sub(active);
             let balance = round.is_multiple_of(BALANCE_EVERY_ROUNDS);
             let counts = state.counts.entry(service.clone()).or_default();
-            let holdings = &held.assignment.holdings;
-            let loads = counts.loads(holdings, f64::from(ROUNDS_PER_S));
+            let assigned_ranges = &held.assignment.assigned_ranges;
+            let loads = counts.loads(assigned_ranges, f64::from(ROUNDS_PER_S));
             let tag = tag_of(service);
             let policy = &self.entry.settings.policy;
             let hot = hot_keys::find(tag, &held.assignment, &servers, &loads, policy);
@@ -351,7 +351,7 @@
         let Some(held) = self.entry.view.held(service) else {
             return;
         };
-        for assigned_range in &held.assignment.holdings {
+        for assigned_range in &held.assignment.assigned_ranges {
             let outbox = &self.entry.peers.outbox;
             outbox.announce_grant(tag_of(service), assigned_range);
         }
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -50,8 +50,8 @@
     ) {
         let unfinished: Vec<AssignedRange> = {
             let state = self.state();
-            let holdings = assignment.holdings.iter();
-            let found = holdings.filter(|h| state.is_unfinished(service, h));
+            let assigned_ranges = assignment.assigned_ranges.iter();
+            let found = assigned_ranges.filter(|h| state.is_unfinished(service, h));
             found.cloned().collect()
         };
         for assigned_range in unfinished {
@@ -150,8 +150,8 @@
                 .map(|assigned_range| assigned_range.server.clone()),
         });
         let change = Change::Assign(reassignments.collect());
-        let holdings = match self.entry.record(service, &change).await {
-            Ok(holdings) => holdings,
+        let assigned_ranges = match self.entry.record(service, &change).await {
+            Ok(assigned_ranges) => assigned_ranges,
             Err(failure) => {
                 log::warn!("cannot record moves of {service}: {failure:?}");
                 for planned in moves {
@@ -161,7 +161,7 @@
             }
         };
         let mut finishing = JoinSet::new();
-        for ((planned, owner), assigned_range) in moves.iter().zip(owners).zip(holdings) {
+        for ((planned, owner), assigned_range) in moves.iter().zip(owners).zip(assigned_ranges) {
             if let Some(before) = owner {
                 self.announce(service, &assigned_range, before.fence);
             }
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -51,16 +51,16 @@
             return;
         };
         let registry = self.entry.view.registry();
-        for (id, holdings) in self.due_renewals(service, &held.assignment) {
+        for (id, assigned_ranges) in self.due_renewals(service, &held.assignment) {
             // A server without an entry gets no renewal, so its leases expire.
             let server = registry.server(&id).cloned();
             let term = self.clone();
             let service = service.clone();
             tasks.spawn(async move {
                 if let Some(server) = server {
-                    term.renew_server(&service, &server, &holdings).await;
+                    term.renew_server(&service, &server, &assigned_ranges).await;
                 }
-                term.end_renewals(&service, &holdings);
+                term.end_renewals(&service, &assigned_ranges);
             });
         }
     }
@@ -77,11 +77,11 @@
         let every_ms = self.entry.settings.leases.renew_every_ms;
         let mut due: HashMap<Arc<str>, Vec<AssignedRange>> = HashMap::new();
         let mut state = self.state();
-        let fences: HashSet<u64> = assignment.holdings.iter().map(|h| h.fence).collect();
+        let fences: HashSet<u64> = assignment.assigned_ranges.iter().map(|h| h.fence).collect();
         state
             .renewals
             .retain(|(of, fence), _| of != service || fences.contains(fence));
-        for assigned_range in &assignment.holdings {
+        for assigned_range in &assignment.assigned_ranges {
             let record = state.servers.get(&assigned_range.server);
             let is_silent = record.is_some_and(|record| record.is_silent);
             if is_silent || state.is_unfinished(service, assigned_range) {
@@ -93,15 +93,15 @@
                 continue;
             }
             renewal.is_in_flight = true;
-            let holdings = due.entry(assigned_range.server.clone()).or_default();
-            holdings.push(assigned_range.clone());
+            let assigned_ranges = due.entry(assigned_range.server.clone()).or_default();
+            assigned_ranges.push(assigned_range.clone());
         }
         due
     }
 
-    fn end_renewals(&self, service: &Arc<str>, holdings: &[AssignedRange]) {
+    fn end_renewals(&self, service: &Arc<str>, assigned_ranges: &[AssignedRange]) {
         let mut state = self.state();
-        for assigned_range in holdings {
+        for assigned_range in assigned_ranges {
             let key = (service.clone(), assigned_range.fence);
             if let Some(renewal) = state.renewals.get_mut(&key) {
                 renewal.is_in_flight = false;
@@ -113,9 +113,9 @@
         &self,
         service: &Arc<str>,
         server: &Arc<Server>,
-        holdings: &[AssignedRange],
+        assigned_ranges: &[AssignedRange],
     ) {
-        for assigned_range in holdings {
+        for assigned_range in assigned_ranges {
             let order = LeaseOrder {
                 service,
                 range: assigned_range.range,
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -58,8 +58,8 @@
             let of_row = self
                 .rows
                 .get(part)
-                .map_or(&[][..], |row| &row.assignment.holdings);
-            assignment.part(*part).holdings != *of_row
+                .map_or(&[][..], |row| &row.assignment.assigned_ranges);
+            assignment.part(*part).assigned_ranges != *of_row
         };
         KeyPartition::all().filter(differs).collect()
     }
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -303,6 +303,7 @@
         /// Tag of the service: a hash of its name.
         service_tag: u32,
         /// Granted key ranges, each with the server that now holds it and the fence of the grant.
-        holdings: Vec<AssignedRange>,
+        #[serde(rename = "holdings")]
+        assigned_ranges: Vec<AssignedRange>,
     },
 }
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -107,7 +107,7 @@
         let held = held.into_iter().flat_map(|(service_tag, updates)| {
             let message = |updates: &[AssignedRange]| Message::Granted {
                 service_tag,
-                holdings: updates.to_vec(),
+                assigned_ranges: updates.to_vec(),
             };
             updates
                 .chunks(ANNOUNCEMENTS_MAX)
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -146,8 +146,8 @@
             }
             Message::Granted {
                 service_tag,
-                holdings,
-            } => self.note_grants(service_tag, holdings),
+                assigned_ranges,
+            } => self.note_grants(service_tag, assigned_ranges),
             Message::Moving {
                 service_tag,
                 announcements,
@@ -227,11 +227,11 @@
         }
     }
 
-    fn note_grants(&self, service_tag: u32, holdings: Vec<AssignedRange>) {
+    fn note_grants(&self, service_tag: u32, assigned_ranges: Vec<AssignedRange>) {
         let Some(service) = self.service_of(service_tag) else {
             return;
         };
-        for assigned_range in holdings {
+        for assigned_range in assigned_ranges {
             self.view.note_granted(&service, assigned_range);
         }
     }
@@ -260,7 +260,7 @@
         };
         let message = Message::Granted {
             service_tag,
-            holdings: vec![assigned_range],
+            assigned_ranges: vec![assigned_range],
         };
         self.peers.send(&message, &[to]);
     }
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -610,7 +610,7 @@
     site.keyed[0].hold_all(4, 20_000);
     let assignment = Assignment {
         fence: 5,
-        holdings: vec![AssignedRange {
+        assigned_ranges: vec![AssignedRange {
             range: KeyRange::ALL,
             server: site.keyed[1].id.as_str().into(),
             fence: 5,
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -266,7 +266,7 @@
         }
     }
     let mut used: HashMap<Arc<str>, f64> = HashMap::new();
-    for assigned_range in &assignment.holdings {
+    for assigned_range in &assignment.assigned_ranges {
         *used.entry(assigned_range.server.clone()).or_default() += loads.of(assigned_range.range);
     }
     used
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -49,9 +49,9 @@
     }
 }
 
-fn assignment(holdings: &[AssignedRange]) -> Assignment {
+fn assignment(assigned_ranges: &[AssignedRange]) -> Assignment {
     let mut assignment = Assignment::default();
-    for assigned_range in holdings {
+    for assigned_range in assigned_ranges {
         assignment.put(assigned_range.clone());
     }
     assignment
@@ -99,7 +99,7 @@
             assigned_range(100, 199, "c", 2),
         ]);
         assignment.put(case.put.clone());
-        assert_eq!(assignment.holdings, case.result, "{:?}", case.put);
+        assert_eq!(assignment.assigned_ranges, case.result, "{:?}", case.put);
         assert_eq!(assignment.gaps(), case.gaps, "{:?}", case.put);
         assert_eq!(assignment.fence, 9);
         assert_eq!(assignment.next_fence(0), 10);
@@ -109,7 +109,7 @@
 /// Expands holdings into a table with the server and fence of each key.
 fn by_key(assignment: &Assignment) -> Vec<Option<(Arc<str>, u64)>> {
     let mut keys = vec![None; 1 << 16];
-    for assigned_range in &assignment.holdings {
+    for assigned_range in &assignment.assigned_ranges {
         for key in assigned_range.range.first..=assigned_range.range.last {
             assert!(keys[usize::from(key)].is_none(), "key {key} is held twice");
             keys[usize::from(key)] = Some((assigned_range.server.clone(), assigned_range.fence));
@@ -146,27 +146,27 @@
 #[test]
 fn records_of_thousands_of_servers_fit_rows() {
     struct Case {
-        holdings: u32,
+        assigned_ranges: u32,
         servers: u32,
     }
     let cases = [
         Case {
-            holdings: 3_440,
+            assigned_ranges: 3_440,
             servers: 3_440,
         },
         Case {
-            holdings: 13_760,
+            assigned_ranges: 13_760,
             servers: 6_880,
         },
         // One holding for each key.
         Case {
-            holdings: 65_536,
+            assigned_ranges: 65_536,
             servers: 20_000,
         },
     ];
     for case in cases {
-        let first = |number: u32| u64::from(number) * 65_536 / u64::from(case.holdings);
-        let holdings = (0..case.holdings).map(|number| {
+        let first = |number: u32| u64::from(number) * 65_536 / u64::from(case.assigned_ranges);
+        let assigned_ranges = (0..case.assigned_ranges).map(|number| {
             let server = format!("i-{:010x}@19abcdef012", number % case.servers);
             let (from, to) = (first(number), first(number + 1) - 1);
             let mut assigned_range =
@@ -175,8 +175,8 @@
             assigned_range
         });
         let many = Assignment {
-            fence: u64::from(case.holdings),
-            holdings: holdings.collect(),
+            fence: u64::from(case.assigned_ranges),
+            assigned_ranges: assigned_ranges.collect(),
         };
         let rows: Vec<Assignment> = KeyPartition::all().map(|part| many.part(part)).collect();
         for row in &rows {
@@ -198,7 +198,10 @@
     let mut moved = whole.clone();
     moved.put(assigned_range(41_000, 41_999, "c", 3));
     let rows: Vec<Assignment> = KeyPartition::all().map(|part| moved.part(part)).collect();
-    let later = rows.iter().filter(|row| !row.holdings.is_empty()).skip(1);
+    let later = rows
+        .iter()
+        .filter(|row| !row.assigned_ranges.is_empty())
+        .skip(1);
     let joined = Assignment::join(std::iter::once(&whole).chain(later));
     assert_eq!(by_key(&joined), by_key(&moved));
 }
@@ -261,7 +264,7 @@
         }
         apply(&mut assignment, &moves);
         let known = |h: &AssignedRange| servers.iter().any(|s| s.id == h.server);
-        servers.is_empty() || assignment.gaps().is_empty() && assignment.holdings.iter().all(known)
+        servers.is_empty() || assignment.gaps().is_empty() && assignment.assigned_ranges.iter().all(known)
     }
 }
 
@@ -323,7 +326,7 @@
         apply(&mut assignment, &moves);
     }
     let mut used: HashMap<Arc<str>, f64> = HashMap::new();
-    for assigned_range in &assignment.holdings {
+    for assigned_range in &assignment.assigned_ranges {
         *used.entry(assigned_range.server.clone()).or_default() += loads.of(assigned_range.range);
     }
     let mean = loads.of(KeyRange::ALL) / servers.len() as f64;
@@ -363,7 +366,7 @@
         apply(&mut assignment, &moves);
     }
     for server in &servers {
-        let mut held = assignment.holdings.iter();
+        let mut held = assignment.assigned_ranges.iter();
         let load: f64 = held
             .by_ref()
             .filter(|h| h.server == server.id)
@@ -430,7 +433,7 @@
         let moves = plan::plan(Inputs {
             assignment: &assignment,
             servers: &servers,
-            loads: &counts.loads(&assignment.holdings, 10.0),
+            loads: &counts.loads(&assignment.assigned_ranges, 10.0),
             moving: &[],
             balance_moves_max: 30,
             hot: &[],
@@ -507,12 +510,12 @@
         },
     ];
     let hot = range(30_000, 30_199);
-    let holdings = [assigned_range(30_000, 30_999, "a", 1)];
+    let assigned_ranges = [assigned_range(30_000, 30_999, "a", 1)];
     for case in cases {
         let mut counts = KeyCounts::default();
         count_drawn(&mut counts, 100, 1, range(30_000, 30_999));
         count_drawn(&mut counts, case.intervals, case.per_interval, hot);
-        let load = counts.loads(&holdings, 10.0).of(hot);
+        let load = counts.loads(&assigned_ranges, 10.0).of(hot);
         let truth = f64::from(case.per_interval) * 10.0;
         let seen = load > truth / 2.0;
         assert_eq!(seen, case.is_counted, "{load} of {truth}");
