--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -288,8 +288,8 @@
     let hot = 1_000;
     loads.add(hot, 250.0);
     let used = settle(&servers, &mut assignment, &loads, &[hot]);
-    let hot_holding = assignment.assigned_range(hot).expect("a holding");
-    assert_eq!(&*hot_holding.server, "s7");
+    let hot_range = assignment.assigned_range(hot).expect("a holding");
+    assert_eq!(&*hot_range.server, "s7");
     let other_load = used["s7"] - loads.key(hot);
     assert!(
         other_load < 3.0,
