--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -8,7 +8,7 @@
     entry::{
         Entry,
         keys::{AssignedRange, Assignment, DecodeError, KeyPartition},
-        owners::{HoldingsRow, ServiceHoldings},
+        owners::{HoldingsRow, RecordedAssignment},
         updates::{
             followed::FollowedTable,
             own_rows::{TABLE, holdings_key},
@@ -47,7 +47,7 @@
 impl PendingRow {
     fn new(
         service: &str,
-        held: &ServiceHoldings,
+        held: &RecordedAssignment,
         assignment: &Assignment,
         part: KeyPartition,
     ) -> Result<Self, DecodeError> {
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -26,7 +26,7 @@
 
 /// Recorded holdings of one service, as read from the store's rows.
 #[derive(Clone, Debug, Default)]
-pub struct ServiceHoldings {
+pub struct RecordedAssignment {
     /// Holdings of all rows, merged. Where rows overlap, the higher fence wins.
     pub assignment: Arc<Assignment>,
     rows: BTreeMap<KeyPartition, HoldingsRow>,
@@ -41,7 +41,7 @@
     pub version: u64,
 }
 
-impl ServiceHoldings {
+impl RecordedAssignment {
     /// Returns all known rows with their key partitions.
     pub fn rows(&self) -> impl Iterator<Item = (KeyPartition, &HoldingsRow)> {
         self.rows.iter().map(|(part, row)| (*part, row))
@@ -138,7 +138,7 @@
 /// Owners of the keys of all services, as this host knows them.
 #[derive(Debug, Default)]
 pub struct Owners {
-    held: Mutex<HashMap<Arc<str>, ServiceHoldings>>,
+    held: Mutex<HashMap<Arc<str>, RecordedAssignment>>,
     moving: Mutex<Vec<Moving>>,
     granted: Mutex<Vec<AnnouncedGrant>>,
     not_held: Mutex<Vec<NotHeld>>,
@@ -146,12 +146,12 @@
 
 impl Owners {
     /// Returns the recorded holdings of a service; `None` if no row of them is known.
-    pub fn held(&self, service: &str) -> Option<ServiceHoldings> {
+    pub fn held(&self, service: &str) -> Option<RecordedAssignment> {
         self.held_map().get(service).cloned()
     }
 
     /// Returns the recorded holdings of all services, with the names of the services.
-    pub fn all_held(&self) -> Vec<(Arc<str>, ServiceHoldings)> {
+    pub fn all_held(&self) -> Vec<(Arc<str>, RecordedAssignment)> {
         let held = self.held_map();
         let all = held.iter();
         all.map(|(service, held)| (service.clone(), held.clone()))
@@ -299,7 +299,7 @@
         });
     }
 
-    fn held_map(&self) -> MutexGuard<'_, HashMap<Arc<str>, ServiceHoldings>> {
+    fn held_map(&self) -> MutexGuard<'_, HashMap<Arc<str>, RecordedAssignment>> {
         self.held.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -13,7 +13,7 @@
     events::Event,
     keys::{AssignedRange, KeyPartition},
     model::Configuration,
-    owners::{HoldingsRow, Owner, Owners, ServiceHoldings},
+    owners::{HoldingsRow, Owner, Owners, RecordedAssignment},
     registry::Registry,
     updates::{announcement::MoveAnnouncement, evacuation::Evacuations, followed::FollowedTable},
 };
@@ -138,12 +138,12 @@
     }
 
     /// Returns the holdings of a service; `None` if they are not known.
-    pub fn held(&self, service: &str) -> Option<ServiceHoldings> {
+    pub fn held(&self, service: &str) -> Option<RecordedAssignment> {
         self.owners.held(service)
     }
 
     /// Returns the holdings of all services whose rows are known, with the names of the services.
-    pub fn all_held(&self) -> Vec<(Arc<str>, ServiceHoldings)> {
+    pub fn all_held(&self) -> Vec<(Arc<str>, RecordedAssignment)> {
         self.owners.all_held()
     }
 
