--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -8,7 +8,7 @@
     entry::{
         Entry,
         keys::{AssignedRange, Assignment, DecodeError, KeyPartition},
-        owners::{HoldingsRow, RecordedAssignment},
+        owners::{AssignmentRow, RecordedAssignment},
         updates::{
             followed::FollowedTable,
             own_rows::{TABLE, holdings_key},
@@ -69,8 +69,8 @@
         }
     }
 
-    fn held(self, version: u64) -> (KeyPartition, HoldingsRow) {
-        let row = HoldingsRow {
+    fn held(self, version: u64) -> (KeyPartition, AssignmentRow) {
+        let row = AssignmentRow {
             assignment: self.assignment,
             version,
         };
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -29,12 +29,12 @@
 pub struct RecordedAssignment {
     /// Holdings of all rows, merged. Where rows overlap, the higher fence wins.
     pub assignment: Arc<Assignment>,
-    rows: BTreeMap<KeyPartition, HoldingsRow>,
+    rows: BTreeMap<KeyPartition, AssignmentRow>,
 }
 
 /// Row of the store with the holdings of one key partition.
 #[derive(Clone, Debug)]
-pub struct HoldingsRow {
+pub struct AssignmentRow {
     /// Holdings whose first key lies in the partition.
     pub assignment: Assignment,
     /// Version of the row in the store.
@@ -43,7 +43,7 @@
 
 impl RecordedAssignment {
     /// Returns all known rows with their key partitions.
-    pub fn rows(&self) -> impl Iterator<Item = (KeyPartition, &HoldingsRow)> {
+    pub fn rows(&self) -> impl Iterator<Item = (KeyPartition, &AssignmentRow)> {
         self.rows.iter().map(|(part, row)| (*part, row))
     }
 
@@ -66,7 +66,7 @@
 
     /// Adds rows and replaces older versions. Returns false if none of the rows is newer than the
     /// known one.
-    fn merge(&mut self, rows: Vec<(KeyPartition, HoldingsRow)>) -> bool {
+    fn merge(&mut self, rows: Vec<(KeyPartition, AssignmentRow)>) -> bool {
         let mut is_new = false;
         for (part, row) in rows {
             let known = self.rows.get(&part);
@@ -177,7 +177,11 @@
 
     /// Adds rows with holdings of a service and drops the announced grants that they include.
     /// Returns false if none of the rows is new.
-    pub fn put_holdings(&self, service: &Arc<str>, rows: Vec<(KeyPartition, HoldingsRow)>) -> bool {
+    pub fn put_holdings(
+        &self,
+        service: &Arc<str>,
+        rows: Vec<(KeyPartition, AssignmentRow)>,
+    ) -> bool {
         let mut held_map = self.held_map();
         let held = held_map.entry(service.clone()).or_default();
         if !held.merge(rows) {
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -12,7 +12,7 @@
     Entry,
     events::Event,
     keys::{self, Assignment, KeyPartition},
-    owners::HoldingsRow,
+    owners::AssignmentRow,
     peers::HostProperties,
     server::tag_of,
     updates::{
@@ -198,7 +198,7 @@
         match Assignment::decode(&row.value) {
             Ok(assignment) => {
                 let version = row.version;
-                let row = HoldingsRow {
+                let row = AssignmentRow {
                     assignment,
                     version,
                 };
@@ -211,7 +211,7 @@
 }
 
 /// Rows with holdings, by service; each with the key partition that it covers.
-pub(super) type HoldingsByService = HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>>;
+pub(super) type HoldingsByService = HashMap<Arc<str>, Vec<(KeyPartition, AssignmentRow)>>;
 
 /// Returns true for a row of an evacuated zone. The leader sends the evacuated zones in each
 /// heartbeat, so hosts need not read the store for the versions of these rows.
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -10,7 +10,7 @@
 use crate::entry::{
     keys::{Assignment, KeyPartition},
     model::{ServerEntry, incarnation_id},
-    owners::HoldingsRow,
+    owners::AssignmentRow,
 };
 
 /// Index of a string in the string table of a snapshot.
@@ -141,7 +141,7 @@
     }
 
     /// Adds a row of holdings. A row that cannot be encoded is skipped with a warning.
-    pub fn add_holdings(&mut self, service: &Arc<str>, part: KeyPartition, row: &HoldingsRow) {
+    pub fn add_holdings(&mut self, service: &Arc<str>, part: KeyPartition, row: &AssignmentRow) {
         match row.assignment.encode() {
             Ok(record) => self.assignment_rows.push(SnapshotHoldings {
                 service: service.clone(),
@@ -155,8 +155,8 @@
 
     /// Returns the rows of holdings by service. Rows that cannot be decoded are skipped with a
     /// warning.
-    pub fn assignment_rows(&self) -> HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>> {
-        let mut rows: HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>> = HashMap::new();
+    pub fn assignment_rows(&self) -> HashMap<Arc<str>, Vec<(KeyPartition, AssignmentRow)>> {
+        let mut rows: HashMap<Arc<str>, Vec<(KeyPartition, AssignmentRow)>> = HashMap::new();
         for known in &self.assignment_rows {
             let part = KeyPartition::new(known.part);
             let assignment = Assignment::decode(&known.record).ok();
@@ -167,7 +167,7 @@
                 );
                 continue;
             };
-            let row = HoldingsRow {
+            let row = AssignmentRow {
                 assignment,
                 version: known.version,
             };
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -13,7 +13,7 @@
     events::Event,
     keys::{AssignedRange, KeyPartition},
     model::Configuration,
-    owners::{HoldingsRow, Owner, Owners, RecordedAssignment},
+    owners::{AssignmentRow, Owner, Owners, RecordedAssignment},
     registry::Registry,
     updates::{announcement::MoveAnnouncement, evacuation::Evacuations, followed::FollowedTable},
 };
@@ -159,7 +159,7 @@
     }
 
     /// Applies rows of holdings of a service, unless newer ones are known.
-    pub fn put_holdings(&self, service: &Arc<str>, rows: Vec<(KeyPartition, HoldingsRow)>) {
+    pub fn put_holdings(&self, service: &Arc<str>, rows: Vec<(KeyPartition, AssignmentRow)>) {
         if self.owners.put_holdings(service, rows) {
             self.changed.send_modify(|count| *count += 1);
         }
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -8,7 +8,7 @@
 use ashroad::entry::{
     keys::{AssignedRange, Assignment, KeyPartition, KeyRange},
     model::{ServerEntry, incarnation_id},
-    owners::HoldingsRow,
+    owners::AssignmentRow,
     updates::snapshot::Snapshot,
 };
 use http::StatusCode;
@@ -288,7 +288,7 @@
     let mut snapshot = Snapshot::default();
     snapshot.set_servers(entries.iter().cloned());
     for part in KeyPartition::all() {
-        let row = HoldingsRow {
+        let row = AssignmentRow {
             assignment: assignment.part(part),
             version: 9,
         };
