--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -70,7 +70,7 @@
 
 /// Row with one key partition of a service's holdings, in the encoding of the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct SnapshotHoldings {
+struct SnapshotAssignmentRow {
     service: Arc<str>,
     part: u8,
     version: u64,
@@ -101,7 +101,7 @@
     strings: StringTable,
     servers: Vec<SnapshotServer>,
     #[serde(rename = "holdings")]
-    assignment_rows: Vec<SnapshotHoldings>,
+    assignment_rows: Vec<SnapshotAssignmentRow>,
 }
 
 impl Snapshot {
@@ -143,7 +143,7 @@
     /// Adds a row of holdings. A row that cannot be encoded is skipped with a warning.
     pub fn add_holdings(&mut self, service: &Arc<str>, part: KeyPartition, row: &AssignmentRow) {
         match row.assignment.encode() {
-            Ok(record) => self.assignment_rows.push(SnapshotHoldings {
+            Ok(record) => self.assignment_rows.push(SnapshotAssignmentRow {
                 service: service.clone(),
                 part: part.number(),
                 version: row.version,
