--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -188,8 +188,10 @@
 
 /// Decodes rows with holdings. Returns them by service, and the keys of the rows that cannot be
 /// decoded.
-pub(super) fn decode_holdings(rows: &[Row]) -> (HoldingsByService, Vec<(&str, keys::DecodeError)>) {
-    let mut held = HoldingsByService::new();
+pub(super) fn decode_holdings(
+    rows: &[Row],
+) -> (AssignmentRowsByService, Vec<(&str, keys::DecodeError)>) {
+    let mut held = AssignmentRowsByService::new();
     let mut unreadable = Vec::new();
     for row in rows.iter().filter(|row| !row.removed) {
         let Some((service, part)) = parse_holdings_key(&row.key) else {
@@ -211,7 +213,7 @@
 }
 
 /// Rows with holdings, by service; each with the key partition that it covers.
-pub(super) type HoldingsByService = HashMap<Arc<str>, Vec<(KeyPartition, AssignmentRow)>>;
+pub(super) type AssignmentRowsByService = HashMap<Arc<str>, Vec<(KeyPartition, AssignmentRow)>>;
 
 /// Returns true for a row of an evacuated zone. The leader sends the evacuated zones in each
 /// heartbeat, so hosts need not read the store for the versions of these rows.
