--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -168,7 +168,7 @@
             self.apply_known_host(*host);
         }
         for (service, rows) in snapshot.assignment_rows() {
-            self.view.put_holdings(&service, rows);
+            self.view.put_assignment_rows(&service, rows);
         }
         self.note_known(FollowedTable::Own, snapshot);
         self.view.set_hosts_known();
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -264,7 +264,7 @@
             return false;
         }
         for (service, rows) in held {
-            self.view.put_holdings(&service, rows);
+            self.view.put_assignment_rows(&service, rows);
         }
         true
     }
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -177,7 +177,7 @@
 
     /// Adds rows with holdings of a service and drops the announced grants that they include.
     /// Returns false if none of the rows is new.
-    pub fn put_holdings(
+    pub fn put_assignment_rows(
         &self,
         service: &Arc<str>,
         rows: Vec<(KeyPartition, AssignmentRow)>,
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -181,7 +181,7 @@
             log::warn!("cannot decode holdings in row {row}: {error}");
         }
         for (service, rows) in held {
-            self.view.put_holdings(&service, rows);
+            self.view.put_assignment_rows(&service, rows);
         }
     }
 }
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -159,8 +159,12 @@
     }
 
     /// Applies rows of holdings of a service, unless newer ones are known.
-    pub fn put_holdings(&self, service: &Arc<str>, rows: Vec<(KeyPartition, AssignmentRow)>) {
-        if self.owners.put_holdings(service, rows) {
+    pub fn put_assignment_rows(
+        &self,
+        service: &Arc<str>,
+        rows: Vec<(KeyPartition, AssignmentRow)>,
+    ) {
+        if self.owners.put_assignment_rows(service, rows) {
             self.changed.send_modify(|count| *count += 1);
         }
     }
