--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -15,7 +15,7 @@
     entry::{
         Entry,
         events::Event,
-        rows::decode_holdings,
+        rows::decode_assignment_rows,
         updates::own_rows::{HOST_PREFIX, HOSTS_PARTITION, TABLE},
         watch::pause,
     },
@@ -256,7 +256,7 @@
                 return false;
             }
         };
-        let (held, unreadable) = decode_holdings(&rows);
+        let (held, unreadable) = decode_assignment_rows(&rows);
         for (row, error) in &unreadable {
             log::error!("cannot decode holdings in row {row}: {error}");
         }
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -176,7 +176,7 @@
     /// Applies rows with holdings. Rows of one service are applied together, since one change may
     /// have written several of them.
     fn apply_holdings(&self, rows: &[Row]) {
-        let (held, unreadable) = decode_holdings(rows);
+        let (held, unreadable) = decode_assignment_rows(rows);
         for (row, error) in unreadable {
             log::warn!("cannot decode holdings in row {row}: {error}");
         }
@@ -188,7 +188,7 @@
 
 /// Decodes rows with holdings. Returns them by service, and the keys of the rows that cannot be
 /// decoded.
-pub(super) fn decode_holdings(
+pub(super) fn decode_assignment_rows(
     rows: &[Row],
 ) -> (AssignmentRowsByService, Vec<(&str, keys::DecodeError)>) {
     let mut held = AssignmentRowsByService::new();
