--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -134,7 +134,7 @@
     }
 
     pub(super) fn apply_own(&self, rows: &[Row]) {
-        self.apply_holdings(rows);
+        self.apply_assignment_rows(rows);
         for row in rows {
             if let Some(address) = row.key.strip_prefix(HOST_PREFIX) {
                 self.apply_host(address, row);
@@ -175,7 +175,7 @@
 
     /// Applies rows with holdings. Rows of one service are applied together, since one change may
     /// have written several of them.
-    fn apply_holdings(&self, rows: &[Row]) {
+    fn apply_assignment_rows(&self, rows: &[Row]) {
         let (held, unreadable) = decode_assignment_rows(rows);
         for (row, error) in unreadable {
             log::warn!("cannot decode holdings in row {row}: {error}");
