--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -66,7 +66,7 @@
         snapshot.hosts = self.known_hosts();
         for (service, held) in self.view.all_held() {
             for (part, row) in held.rows() {
-                snapshot.add_holdings(&service, part, row);
+                snapshot.add_assignment_row(&service, part, row);
             }
         }
         snapshot
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -141,7 +141,12 @@
     }
 
     /// Adds a row of holdings. A row that cannot be encoded is skipped with a warning.
-    pub fn add_holdings(&mut self, service: &Arc<str>, part: KeyPartition, row: &AssignmentRow) {
+    pub fn add_assignment_row(
+        &mut self,
+        service: &Arc<str>,
+        part: KeyPartition,
+        row: &AssignmentRow,
+    ) {
         match row.assignment.encode() {
             Ok(record) => self.assignment_rows.push(SnapshotAssignmentRow {
                 service: service.clone(),
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -292,7 +292,7 @@
             assignment: assignment.part(part),
             version: 9,
         };
-        snapshot.add_holdings(&"service-0".into(), part, &row);
+        snapshot.add_assignment_row(&"service-0".into(), part, &row);
     }
     let bytes = postcard::to_stdvec(&snapshot).expect("encoded");
     // Transfer takes about 0.1 s on a link of 40 Mbit/s. The tables are seven times as large.
