--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -18,7 +18,7 @@
     updates::{
         evacuation::Evacuations,
         followed::FollowedTable,
-        own_rows::{HOST_PREFIX, HostRow, QUARANTINE_KEY, SECRET_KEY, parse_holdings_key},
+        own_rows::{HOST_PREFIX, HostRow, QUARANTINE_KEY, SECRET_KEY, parse_assignment_key},
         server_changes::{ServerChange, ServerUpdate},
     },
 };
@@ -194,7 +194,7 @@
     let mut held = AssignmentRowsByService::new();
     let mut unreadable = Vec::new();
     for row in rows.iter().filter(|row| !row.removed) {
-        let Some((service, part)) = parse_holdings_key(&row.key) else {
+        let Some((service, part)) = parse_assignment_key(&row.key) else {
             continue;
         };
         match Assignment::decode(&row.value) {
--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -36,7 +36,7 @@
 
 /// Parses the key of a holdings row into service and key partition. Returns `None` if it is no such
 /// key.
-pub fn parse_holdings_key(key: &str) -> Option<(&str, KeyPartition)> {
+pub fn parse_assignment_key(key: &str) -> Option<(&str, KeyPartition)> {
     let name = key.strip_prefix(HOLDINGS_PREFIX)?;
     let Some((service, number)) = name.rsplit_once(PARTITION_SEPARATOR) else {
         return Some((name, KeyPartition::new(0)?));
