--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -11,7 +11,7 @@
         owners::{AssignmentRow, RecordedAssignment},
         updates::{
             followed::FollowedTable,
-            own_rows::{TABLE, holdings_key},
+            own_rows::{TABLE, assignment_key},
         },
         watch::pause,
     },
@@ -54,7 +54,7 @@
         let assignment = assignment.part(part);
         Ok(Self {
             part,
-            key: holdings_key(service, part),
+            key: assignment_key(service, part),
             value: assignment.encode()?,
             assignment,
             expected_version: held.version(part),
--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -27,7 +27,7 @@
 pub const QUARANTINE_KEY: &str = "quarantine";
 
 /// Returns the key of the row with one key partition of a service's holdings.
-pub fn holdings_key(service: &str, part: KeyPartition) -> String {
+pub fn assignment_key(service: &str, part: KeyPartition) -> String {
     match part.number() {
         0 => format!("{HOLDINGS_PREFIX}{service}"),
         number => format!("{HOLDINGS_PREFIX}{service}{PARTITION_SEPARATOR}{number}"),
