--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -9,7 +9,7 @@
 pub const TABLE: &str = "ashroad";
 /// Prefix of the keys of holdings. The name of the service follows, then the number of the key
 /// partition unless that is 0.
-const HOLDINGS_PREFIX: &str = "keys/";
+const ASSIGNMENT_PREFIX: &str = "keys/";
 /// Separator between the name of the service and the number of the key partition.
 const PARTITION_SEPARATOR: char = '#';
 /// Partition of the table with the rows of hosts. It is separate so that hundreds of hosts that
@@ -29,15 +29,15 @@
 /// Returns the key of the row with one key partition of a service's holdings.
 pub fn assignment_key(service: &str, part: KeyPartition) -> String {
     match part.number() {
-        0 => format!("{HOLDINGS_PREFIX}{service}"),
-        number => format!("{HOLDINGS_PREFIX}{service}{PARTITION_SEPARATOR}{number}"),
+        0 => format!("{ASSIGNMENT_PREFIX}{service}"),
+        number => format!("{ASSIGNMENT_PREFIX}{service}{PARTITION_SEPARATOR}{number}"),
     }
 }
 
 /// Parses the key of a holdings row into service and key partition. Returns `None` if it is no such
 /// key.
 pub fn parse_assignment_key(key: &str) -> Option<(&str, KeyPartition)> {
-    let name = key.strip_prefix(HOLDINGS_PREFIX)?;
+    let name = key.strip_prefix(ASSIGNMENT_PREFIX)?;
     let Some((service, number)) = name.rsplit_once(PARTITION_SEPARATOR) else {
         return Some((name, KeyPartition::new(0)?));
     };
