--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -26,7 +26,7 @@
     /// The store rejects the transaction with an error that no retry can mend.
     Refused,
     /// The recorded holdings differ from the ones that this host knows, or cannot be encoded.
-    HoldingsChanged,
+    AssignmentChanged,
 }
 
 /// Maximum number of rows in one transaction. The store accepts up to 100 conditions and writes in
@@ -95,7 +95,7 @@
     /// version of the leadership row.
     Confirmed(u64),
     /// The recorded holdings differ from the ones that this host knows.
-    HoldingsChanged,
+    AssignmentChanged,
     /// The leadership row does not name this host and term, or is missing or undecodable.
     LeadershipTaken,
 }
@@ -129,7 +129,7 @@
             let mut rows = Vec::with_capacity(parts.len());
             for part in parts {
                 let Ok(row) = PendingRow::new(service, &held, &assignment, *part) else {
-                    return Err(WriteFailure::HoldingsChanged);
+                    return Err(WriteFailure::AssignmentChanged);
                 };
                 rows.push(row);
             }
@@ -157,7 +157,7 @@
                             writer.row_version = version;
                             continue;
                         }
-                        Conflict::HoldingsChanged => return Err(WriteFailure::HoldingsChanged),
+                        Conflict::AssignmentChanged => return Err(WriteFailure::AssignmentChanged),
                         Conflict::LeadershipTaken => {
                             self.leadership.lose("another host has taken it");
                             return Err(WriteFailure::LeadershipLost);
@@ -188,7 +188,7 @@
         let is_as_held =
             |row: &PendingRow| find(&row.key).map_or(0, |f| f.version) == row.expected_version;
         if !rows.iter().all(is_as_held) {
-            return Conflict::HoldingsChanged;
+            return Conflict::AssignmentChanged;
         }
         let Some(row) = find(LEADERSHIP_KEY) else {
             return Conflict::LeadershipTaken;
