--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -102,7 +102,7 @@
         let applied = self.freshness.applied(followed);
         let is_behind = self.freshness.is_behind(followed, applied);
         match followed {
-            FollowedTable::Own => is_behind && self.view.lacks_holdings(),
+            FollowedTable::Own => is_behind && self.view.lacks_assignments(),
             FollowedTable::Servers | FollowedTable::Configuration => is_behind,
         }
     }
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -148,7 +148,7 @@
     }
 
     /// Returns true if the holdings of some sharded service are unknown.
-    pub fn lacks_holdings(&self) -> bool {
+    pub fn lacks_assignments(&self) -> bool {
         let Some(configuration) = self.configuration() else {
             return false;
         };
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -280,7 +280,7 @@
                     || !self.freshness.is_store_confirmed()
             }
             FollowedTable::Own => {
-                let lacks = self.view.lacks_holdings();
+                let lacks = self.view.lacks_assignments();
                 lacks && self.freshness.is_behind(followed, after) || !self.peers.seal.is_known()
             }
         }
