--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -146,7 +146,7 @@
         writer: &mut Writer,
     ) -> Result<(), WriteFailure> {
         loop {
-            let version = match self.write_holdings(&rows, writer.row_version).await {
+            let version = match self.write_assignment_rows(&rows, writer.row_version).await {
                 WriteOutcome::Done(version) => version,
                 WriteOutcome::LeadershipLost => return Err(WriteFailure::LeadershipLost),
                 WriteOutcome::Refused => return Err(WriteFailure::Refused),
@@ -205,7 +205,11 @@
         Conflict::LeadershipTaken
     }
 
-    async fn write_holdings(&self, rows: &[PendingRow], leadership_version: u64) -> WriteOutcome {
+    async fn write_assignment_rows(
+        &self,
+        rows: &[PendingRow],
+        leadership_version: u64,
+    ) -> WriteOutcome {
         let expect = |table, key, version| Expect {
             table,
             key,
