--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -207,7 +207,7 @@
         drop(writer);
         // Holdings are read after the leadership is taken over, as no other host can change them
         // from then on.
-        if !self.read_holdings().await {
+        if !self.read_assignments().await {
             return;
         }
         self.leadership
@@ -248,7 +248,7 @@
         }
     }
 
-    async fn read_holdings(&self) -> bool {
+    async fn read_assignments(&self) -> bool {
         let rows = match self.store.table(TABLE).await {
             Ok(rows) => rows.rows,
             Err(error) => {
