--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -269,7 +269,11 @@
     /// Gives each server without keys half the load of the most used server, even if no server is
     /// busy: a server that joins should serve requests before the others are full.
     fn fill_idle_servers(&mut self) {
-        let holds = |id: &Arc<str>| self.assigned_ranges.iter().any(|h| h.server == *id);
+        let holds = |id: &Arc<str>| {
+            self.assigned_ranges
+                .iter()
+                .any(|assigned| assigned.server == *id)
+        };
         let servers = self.inputs.servers.iter();
         let idle: Vec<Arc<str>> = servers
             .filter(|server| !holds(&server.id) && self.used[&server.id] == 0.0)
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -218,7 +218,7 @@
         let start = usize::from(part.0) * usize::from(PARTITION_KEYS);
         let end = start + usize::from(PARTITION_KEYS);
         let place = |key: usize| {
-            let is_before = |h: &AssignedRange| usize::from(h.range.first) < key;
+            let is_before = |assigned: &AssignedRange| usize::from(assigned.range.first) < key;
             self.assigned_ranges.partition_point(is_before)
         };
         Self {
@@ -253,7 +253,9 @@
 
     /// Returns the holding that contains a key; `None` if no server holds the key.
     pub fn assigned_range(&self, key: u16) -> Option<&AssignedRange> {
-        let position = self.assigned_ranges.partition_point(|h| h.range.last < key);
+        let position = self
+            .assigned_ranges
+            .partition_point(|assigned| assigned.range.last < key);
         let assigned_range = self.assigned_ranges.get(position)?;
         assigned_range.range.contains(key).then_some(assigned_range)
     }
@@ -292,7 +294,7 @@
         let first = assigned_range.range.first;
         let position = self
             .assigned_ranges
-            .partition_point(|h| h.range.last < first);
+            .partition_point(|assigned| assigned.range.last < first);
         self.assigned_ranges.insert(position, assigned_range);
     }
 
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -319,7 +319,8 @@
             let active = of_service().filter(|m| !m.waits_for_lease).count();
             let mut moving: Vec<KeyRange> = of_service().map(|m| m.range).collect();
             let assigned_ranges = held.assignment.assigned_ranges.iter();
-            let unfinished = assigned_ranges.filter(|h| state.is_unfinished(service, h));
+            let unfinished =
+                assigned_ranges.filter(|assigned| state.is_unfinished(service, assigned));
             moving.extend(unfinished.map(|assigned_range| assigned_range.range));
             let moves_max = CONCURRENT_MOVES_MIN.max(servers.len() / SERVERS_PER_MOVE);
             let room = moves_max.saturating_sub(active);
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -51,7 +51,7 @@
         let unfinished: Vec<AssignedRange> = {
             let state = self.state();
             let assigned_ranges = assignment.assigned_ranges.iter();
-            let found = assigned_ranges.filter(|h| state.is_unfinished(service, h));
+            let found = assigned_ranges.filter(|assigned| state.is_unfinished(service, assigned));
             found.cloned().collect()
         };
         for assigned_range in unfinished {
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -77,7 +77,11 @@
         let every_ms = self.entry.settings.leases.renew_every_ms;
         let mut due: HashMap<Arc<str>, Vec<AssignedRange>> = HashMap::new();
         let mut state = self.state();
-        let fences: HashSet<u64> = assignment.assigned_ranges.iter().map(|h| h.fence).collect();
+        let fences: HashSet<u64> = assignment
+            .assigned_ranges
+            .iter()
+            .map(|assigned| assigned.fence)
+            .collect();
         state
             .renewals
             .retain(|(of, fence), _| of != service || fences.contains(fence));
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -254,7 +254,7 @@
         let assigned_range = held
             .assignment
             .assigned_range(key)
-            .filter(|h| h.fence == fence);
+            .filter(|assigned| assigned.fence == fence);
         let Some(assigned_range) = assigned_range.cloned() else {
             return;
         };
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -263,7 +263,7 @@
             }
         }
         apply(&mut assignment, &moves);
-        let known = |h: &AssignedRange| servers.iter().any(|s| s.id == h.server);
+        let known = |assigned: &AssignedRange| servers.iter().any(|s| s.id == assigned.server);
         servers.is_empty() || assignment.gaps().is_empty() && assignment.assigned_ranges.iter().all(known)
     }
 }
@@ -369,8 +369,8 @@
         let mut held = assignment.assigned_ranges.iter();
         let load: f64 = held
             .by_ref()
-            .filter(|h| h.server == server.id)
-            .map(|h| loads.of(h.range))
+            .filter(|assigned| assigned.server == server.id)
+            .map(|assigned| loads.of(assigned.range))
             .sum();
         assert!(load > 0.0, "{} has no load", server.id);
     }
