--- a/src/entry/decide/key_loads.rs
+++ b/src/entry/decide/key_loads.rs
@@ -37,8 +37,8 @@
     const SLOW_KEPT: f32 = 0.975;
     /// Share of the short-term average that is kept: a half-life of 0.3 s.
     const FAST_KEPT: f32 = 0.8;
-    /// Number of standard deviations by which a holding's short-term load must exceed its long-term
-    /// load to count as a surge.
+    /// Number of standard deviations by which an assigned range's short-term load must exceed its
+    /// long-term load to count as a surge.
     const SURGE_DEVIATIONS: f64 = 4.0;
 
     /// Begins a new interval: reduces the weight of all earlier requests.
@@ -56,8 +56,8 @@
         self.fast.add(key, rate * (1.0 - Self::FAST_KEPT));
     }
 
-    /// Returns the loads for a plan: the long-term ones, except for holdings whose load has risen
-    /// by more than random variation explains.
+    /// Returns the loads for a plan: the long-term ones, except for assigned ranges whose load has
+    /// risen by more than random variation explains.
     pub fn loads(&self, assigned_ranges: &[AssignedRange], per_s: f64) -> KeyLoads {
         let window_s = window_s(Self::FAST_KEPT, per_s);
         let mut loads = self.slow.clone();
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -1,4 +1,5 @@
-//! Plans which keys move to which servers, as a pure function of holdings, servers and loads.
+//! Plans which keys move to which servers, as a pure function of assigned ranges, servers and
+//! loads.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -17,7 +18,7 @@
 /// A server that may hold keys, with its capacity as the planner assumes it.
 #[derive(Clone, Debug)]
 pub struct PlanServer {
-    /// Incarnation of the server, as named in holdings.
+    /// Incarnation of the server, as named in assigned ranges.
     pub id: Arc<str>,
     /// Requests per second that the server can run within its advertised rate limit.
     pub capacity_per_s: f64,
@@ -39,9 +40,9 @@
 /// Inputs of the planner for one service.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs<'a> {
-    /// Holdings on which the plan is based: the servers that hold the service's keys now.
+    /// Assigned ranges on which the plan is based: the servers that hold the service's keys now.
     pub assignment: &'a Assignment,
-    /// Servers that may hold keys; holdings of others are reassigned.
+    /// Servers that may hold keys; assigned ranges of others are reassigned.
     pub servers: &'a [PlanServer],
     /// Measured requests per second by key.
     pub loads: &'a KeyLoads,
@@ -372,8 +373,8 @@
         self.assigned_ranges = rest.assigned_ranges;
     }
 
-    /// Selects a range at either end of one of the server's holdings, with a load close to `wanted`
-    /// and at most half above it, and with few keys, since moves are billed by key.
+    /// Selects a range at either end of one of the server's assigned ranges, with a load close to
+    /// `wanted` and at most half above it, and with few keys, since moves are billed by key.
     fn select_range(&self, from: &str, wanted: f64) -> Option<KeyRange> {
         let mut best: Option<(KeyRange, f64)> = None;
         for assigned_range in &self.assigned_ranges {
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -90,8 +90,8 @@
         /// Time for which the store did not respond.
         away_ms: u64,
     },
-    /// The host has its initial data on servers, holdings and hosts, or began to read it from the
-    /// store itself.
+    /// The host has its initial data on servers, assigned ranges and hosts, or began to read it
+    /// from the store itself.
     Joined {
         /// True if the data is a snapshot from another host.
         told: bool,
@@ -201,7 +201,7 @@
         from: Option<Arc<str>>,
         /// New owner.
         to: Arc<str>,
-        /// Fencing token of the new holding.
+        /// Fencing token of the new assigned range.
         fence: u64,
         /// Reason for which the planner moved the keys.
         cause: &'static str,
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -1,7 +1,7 @@
-//! Loads servers, holdings and hosts when a host starts: from another host that knows them, if
-//! there is one, otherwise from the store's tables. The leader stores the addresses of a few seed
-//! hosts of each zone next to the hosts' secret, so that one call returns both. Seed hosts also
-//! register starting hosts, and later serve changes that other hosts have missed.
+//! Loads servers, assigned ranges and hosts when a host starts: from another host that knows them,
+//! if there is one, otherwise from the store's tables. The leader stores the addresses of a few
+//! seed hosts of each zone next to the hosts' secret, so that one call returns both. Seed hosts
+//! also register starting hosts, and later serve changes that other hosts have missed.
 
 mod catch_up;
 mod newcomers;
@@ -67,7 +67,7 @@
     },
 }
 
-/// Source from which this host obtains its initial state of servers, holdings and hosts.
+/// Source from which this host obtains its initial state of servers, assigned ranges and hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SyncOutcome {
     Pending,
--- a/src/entry/join/paths.rs
+++ b/src/entry/join/paths.rs
@@ -1,8 +1,8 @@
 //! HTTP paths of the queries between hosts.
 
-/// Path of the snapshot with servers, holdings and hosts.
+/// Path of the snapshot with servers, assigned ranges and hosts.
 pub const SNAPSHOT: &str = "/snapshot";
-/// Path of the snapshot with holdings and hosts, without servers.
+/// Path of the snapshot with assigned ranges and hosts, without servers.
 pub const OWN: &str = "/own";
 /// Path of the configuration and the evacuated zones as the queried host knows them.
 pub const CONFIGURATION: &str = "/configuration";
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -44,8 +44,8 @@
         hosts
     }
 
-    /// Returns servers, holdings and hosts; `None` until this host knows them all, and while it
-    /// stops.
+    /// Returns servers, assigned ranges and hosts; `None` until this host knows them all, and while
+    /// it stops.
     fn snapshot(&self) -> Option<Snapshot> {
         let is_known = self.view.are_servers_known() && self.view.are_hosts_known();
         if !is_known || self.stopping() {
@@ -59,7 +59,7 @@
         Some(snapshot)
     }
 
-    /// Returns the hosts and holdings that this host knows.
+    /// Returns the hosts and assigned ranges that this host knows.
     fn own_snapshot(&self) -> Snapshot {
         let mut snapshot = Snapshot::default();
         snapshot.own_versions = self.freshness.known(FollowedTable::Own);
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -1,5 +1,5 @@
-//! Key ranges and the holdings of one sharded service: which server holds which keys. Hosts share
-//! them through the store.
+//! Key ranges and the assigned ranges of one sharded service: which server holds which keys. Hosts
+//! share them through the store.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -70,13 +70,13 @@
     }
 }
 
-/// Number of keys in a partition, whose holdings share one row of the store. A row has a bounded
-/// size: with this limit the holdings fit it with any number of servers, and a move writes only the
-/// rows that it concerns.
+/// Number of keys in a partition, whose assigned ranges share one row of the store. A row has a
+/// bounded size: with this limit the assigned ranges fit it with any number of servers, and a move
+/// writes only the rows that it concerns.
 const PARTITION_KEYS: u16 = 1_024;
 
-/// Partition of the keys: consecutive keys whose holdings share one row of the store. A holding
-/// belongs to the partition of its first key.
+/// Partition of the keys: consecutive keys whose assigned ranges share one row of the store. An
+/// assigned range belongs to the partition of its first key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyPartition(u8);
 
@@ -100,7 +100,7 @@
 /// Version of the encoding of [`Assignment`] in the store, the first byte of a record.
 const ENCODING: u8 = 1;
 
-/// Reason why a record of holdings cannot be encoded or decoded.
+/// Reason why a record of assigned ranges cannot be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum DecodeError {
     /// The record has an unknown encoding version, or is empty.
@@ -115,7 +115,7 @@
         /// Error of the serialisation library.
         source: postcard::Error,
     },
-    /// A holding refers to a server that is missing from the record's list.
+    /// An assigned range refers to a server that is missing from the record's list.
     #[snafu(display("server {index} is not listed"))]
     Server {
         /// Index that the list of servers does not reach.
@@ -123,22 +123,23 @@
     },
 }
 
-/// Encoded holdings of one row. Each server's id is stored once, since a row has a bounded size.
+/// Encoded assigned ranges of one row. Each server's id is stored once, since a row has a bounded
+/// size.
 #[derive(Serialize, Deserialize)]
 struct Encoded {
     fence: u64,
-    /// Ids of the servers that the holdings refer to by index.
+    /// Ids of the servers that the assigned ranges refer to by index.
     servers: Vec<Arc<str>>,
     /// Key range, index of the server, fence, and index of the former server.
     #[serde(rename = "holdings")]
     assigned_ranges: Vec<(KeyRange, u16, u64, Option<u16>)>,
 }
 
-/// Key range that one server holds under one fence. The fence is a fencing token: it rises with
-/// each change of owner.
+/// Assigned range: a key range that is assigned to one server under one fence. The fence is a
+/// fencing token: it rises with each change of owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AssignedRange {
-    /// Keys that are held. No other holding of the service contains any of them.
+    /// Keys that are assigned. No other assigned range of the service contains any of them.
     pub range: KeyRange,
     /// Incarnation id of the server. A restarted server gets a new one, even under the same name.
     pub server: Arc<str>,
@@ -150,19 +151,19 @@
     pub from: Option<Arc<str>>,
 }
 
-/// All holdings of one sharded service. Ranges do not overlap and are in ascending order; keys
-/// outside of all ranges have no server.
+/// All assigned ranges of one sharded service. Ranges do not overlap and are in ascending order;
+/// keys outside of all ranges have no server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Assignment {
     /// Highest fence that was ever used for the service.
     pub fence: u64,
-    /// Holdings without overlaps, in ascending order of their keys.
+    /// Assigned ranges without overlaps, in ascending order of their keys.
     #[serde(rename = "holdings")]
     pub assigned_ranges: Vec<AssignedRange>,
 }
 
 impl Assignment {
-    /// Encodes the holdings as a record for the store.
+    /// Encodes the assigned ranges as a record for the store.
     pub fn encode(&self) -> Result<Vec<u8>, DecodeError> {
         let mut servers: Vec<Arc<str>> = Vec::new();
         let mut places: HashMap<Arc<str>, u16> = HashMap::new();
@@ -212,8 +213,8 @@
         })
     }
 
-    /// Returns the holdings whose first key lies in a partition, with the highest fence of the
-    /// whole service.
+    /// Returns the assigned ranges whose first key lies in a partition, with the highest fence of
+    /// the whole service.
     pub fn part(&self, part: KeyPartition) -> Self {
         let start = usize::from(part.0) * usize::from(PARTITION_KEYS);
         let end = start + usize::from(PARTITION_KEYS);
@@ -228,8 +229,8 @@
     }
 
     /// Merges the rows of all partitions. Rows may have been read at different times, or written by
-    /// a version that had one row for all keys: where holdings overlap, the one with the higher
-    /// fence wins.
+    /// a version that had one row for all keys: where assigned ranges overlap, the one with the
+    /// higher fence wins.
     pub fn join<'a>(rows: impl Iterator<Item = &'a Self>) -> Self {
         let mut whole = Self::default();
         for row in rows {
@@ -251,7 +252,7 @@
         whole
     }
 
-    /// Returns the holding that contains a key; `None` if no server holds the key.
+    /// Returns the assigned range that contains a key; `None` if no server holds the key.
     pub fn assigned_range(&self, key: u16) -> Option<&AssignedRange> {
         let position = self
             .assigned_ranges
@@ -260,7 +261,7 @@
         assigned_range.range.contains(key).then_some(assigned_range)
     }
 
-    /// Removes a range from all holdings; what remains of a holding keeps its fence.
+    /// Removes a range from all assigned ranges; what remains of an assigned range keeps its fence.
     pub fn clear(&mut self, range: KeyRange) {
         let mut kept = Vec::with_capacity(self.assigned_ranges.len() + 1);
         for assigned_range in self.assigned_ranges.drain(..) {
@@ -287,7 +288,8 @@
         (self.fence + 1).max(least)
     }
 
-    /// Inserts a holding in key order, and cuts its range out of the holdings that overlap it.
+    /// Inserts an assigned range in key order, and cuts its range out of the assigned ranges that
+    /// overlap it.
     pub fn put(&mut self, assigned_range: AssignedRange) {
         self.fence = self.fence.max(assigned_range.fence);
         self.clear(assigned_range.range);
@@ -298,7 +300,8 @@
         self.assigned_ranges.insert(position, assigned_range);
     }
 
-    /// Records that the former servers of the holdings with these fences no longer hold the keys.
+    /// Records that the former servers of the assigned ranges with these fences no longer hold the
+    /// keys.
     pub fn complete_moves(&mut self, fences: &[u64]) {
         for assigned_range in &mut self.assigned_ranges {
             if fences.contains(&assigned_range.fence) {
--- a/src/entry/leadership/change.rs
+++ b/src/entry/leadership/change.rs
@@ -1,25 +1,27 @@
-//! Changes of holdings that the leader records in the store.
+//! Changes of assigned ranges that the leader records in the store.
 
 use std::sync::Arc;
 
 use crate::entry::keys::{AssignedRange, Assignment, KeyRange};
 
-/// Change of one service's holdings, which the leader records under the condition that it is still
-/// the leader.
+/// Change of one service's assigned ranges, which the leader records under the condition that it is
+/// still the leader.
 #[derive(Clone, Debug)]
 pub enum Change {
     /// Assigns all keys of the service for the first time: key ranges and their servers.
     Distribute(Vec<(KeyRange, Arc<str>)>),
     /// Assigns key ranges to other servers, each under a new fence.
     Assign(Vec<Reassignment>),
-    /// Gives a holding a fence that is `step` above the service's highest one; the server stays.
+    /// Gives an assigned range a fence that is `step` above the service's highest one; the server
+    /// stays.
     RaiseFence {
-        /// Holding as it is recorded now; if it has changed, nothing happens.
+        /// Assigned range as it is recorded now; if it has changed, nothing happens.
         assigned_range: AssignedRange,
         /// Increment above the service's highest fence.
         step: u64,
     },
-    /// Marks moves as completed: clears the former server of the holdings that have these fences.
+    /// Marks moves as completed: clears the former server of the assigned ranges that have these
+    /// fences.
     CompleteMoves(Vec<u64>),
 }
 
@@ -35,8 +37,8 @@
 }
 
 impl Change {
-    /// Applies the change and returns the holdings that it created or replaced. Returns none of
-    /// them for `Distribute` and `CompleteMoves`.
+    /// Applies the change and returns the assigned ranges that it created or replaced. Returns none
+    /// of them for `Distribute` and `CompleteMoves`.
     pub(super) fn apply(&self, assignment: &mut Assignment) -> Vec<AssignedRange> {
         match self {
             Self::Distribute(ranges) => {
--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -4,9 +4,9 @@
 //!
 //! One row of the store, the leadership row, names the leader. The leader confirms the leadership
 //! at short intervals by a conditional write of that row. Another host takes over the leadership if
-//! the row stays unchanged for the takeover time although the store answers. All writes of holdings
-//! are conditional on the version of the leadership row, so a host that is no longer the leader
-//! cannot record anything.
+//! the row stays unchanged for the takeover time although the store answers. All writes of assigned
+//! ranges are conditional on the version of the leadership row, so a host that is no longer the
+//! leader cannot record anything.
 
 mod change;
 mod record;
--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -1,4 +1,5 @@
-//! Records changes of holdings in the store, on the condition that this host is still the leader.
+//! Records changes of assigned ranges in the store, on the condition that this host is still the
+//! leader.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -18,14 +19,15 @@
     platform::store::{Expect, Put, Row, Transaction, TransactionOutcome},
 };
 
-/// Reason why a change of holdings was not recorded, which no retry can mend.
+/// Reason why a change of assigned ranges was not recorded, which no retry can mend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFailure {
     /// Another host is the leader, or this host can no longer be sure that it is the leader itself.
     LeadershipLost,
     /// The store rejects the transaction with an error that no retry can mend.
     Refused,
-    /// The recorded holdings differ from the ones that this host knows, or cannot be encoded.
+    /// The recorded assigned ranges differ from the ones that this host knows, or cannot be
+    /// encoded.
     AssignmentChanged,
 }
 
@@ -33,8 +35,8 @@
 /// one transaction.
 const ROWS_MAX: usize = 32;
 
-/// Row with one key partition of a service's holdings, to be written on the condition that the
-/// stored row still has the expected version.
+/// Row with one key partition of a service's assigned ranges, to be written on the condition that
+/// the stored row still has the expected version.
 struct PendingRow {
     part: KeyPartition,
     key: String,
@@ -94,17 +96,17 @@
     /// A confirmation of the leadership took effect, but its response was lost. Contains the
     /// version of the leadership row.
     Confirmed(u64),
-    /// The recorded holdings differ from the ones that this host knows.
+    /// The recorded assigned ranges differ from the ones that this host knows.
     AssignmentChanged,
     /// The leadership row does not name this host and term, or is missing or undecodable.
     LeadershipTaken,
 }
 
 impl Entry {
-    /// Records a change of a service's holdings and returns the holdings that it created or
-    /// replaced. The write is conditional on the leadership row and on the unchanged versions of
-    /// the rows that it replaces. Retries for as long as this host may be the leader, and returns
-    /// only once the outcome is certain.
+    /// Records a change of a service's assigned ranges and returns the assigned ranges that it
+    /// created or replaced. The write is conditional on the leadership row and on the unchanged
+    /// versions of the rows that it replaces. Retries for as long as this host may be the leader,
+    /// and returns only once the outcome is certain.
     pub(in crate::entry) async fn record(
         &self,
         service: &Arc<str>,
@@ -121,8 +123,8 @@
             return Ok(changed);
         }
         // The row of the first key partition is written last. It may come from an earlier version
-        // of ashroad, which kept all holdings in it, and must not lose them before the other rows
-        // have them.
+        // of ashroad, which kept all assigned ranges in it, and must not lose them before the other
+        // rows have them.
         let mut parts = held.changed_partitions(&assignment);
         parts.reverse();
         for parts in parts.chunks(ROWS_MAX) {
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -205,8 +205,8 @@
         writer.row_version = version;
         writer.confirmation = 1;
         drop(writer);
-        // Holdings are read after the leadership is taken over, as no other host can change them
-        // from then on.
+        // Assigned ranges are read after the leadership is taken over, as no other host can change
+        // them from then on.
         if !self.read_assignments().await {
             return;
         }
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -4,8 +4,8 @@
 //! A move is recorded in the store first, together with the server that may still hold the keys.
 //! That server is then asked to release them under the new fence. If it does not answer, the keys
 //! are granted to the new server only after the last lease that any leader may have granted to the
-//! old one has expired. A later leader finds the move among the recorded holdings and completes it
-//! in the same way.
+//! old one has expired. A later leader finds the move among the recorded assigned ranges and
+//! completes it in the same way.
 
 mod moves;
 mod renewal;
@@ -76,7 +76,8 @@
     is_silent: bool,
 }
 
-/// Renewals of one holding, which is renewed independently of the server's other holdings.
+/// Renewals of one assigned range, which is renewed independently of the server's other assigned
+/// ranges.
 #[derive(Clone, Copy, Debug, Default)]
 struct Renewal {
     /// Time at which the last successful renewal was sent; 0 if none was.
@@ -110,12 +111,13 @@
 #[derive(Debug, Default)]
 struct TermState {
     servers: HashMap<Arc<str>, ServerLeaseState>,
-    /// State of the renewals, by service and by the fence of the holding.
+    /// State of the renewals, by service and by the fence of the assigned range.
     renewals: HashMap<(Arc<str>, u64), Renewal>,
     moving: Vec<Moving>,
     counts: HashMap<Arc<str>, KeyCounts>,
     first_assignment_waits: HashMap<Arc<str>, FirstAssignmentWait>,
-    /// Fences of completed moves whose recorded holding still names the former server, by service.
+    /// Fences of completed moves whose recorded assigned range still names the former server, by
+    /// service.
     completed_fences: HashMap<Arc<str>, Vec<u64>>,
     /// Time at which completed moves were last recorded.
     completed_recorded_ms: u64,
@@ -127,7 +129,7 @@
         moving.any(|m| *m.service == *service && m.range.overlaps(&range))
     }
 
-    /// Returns true if the former server of a holding may still hold its keys.
+    /// Returns true if the former server of an assigned range may still hold its keys.
     fn is_unfinished(&self, service: &str, assigned_range: &AssignedRange) -> bool {
         let completed_fences = self.completed_fences.get(service);
         let done = completed_fences.is_some_and(|fences| fences.contains(&assigned_range.fence));
@@ -347,7 +349,8 @@
         self.record_completed_moves(service, tasks);
     }
 
-    /// Announces the first holdings to all hosts, so that they do not all read them from the store.
+    /// Announces the first assigned ranges to all hosts, so that they do not all read them from the
+    /// store.
     fn announce_grants(&self, service: &Arc<str>) {
         let Some(held) = self.entry.view.held(service) else {
             return;
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -65,9 +65,9 @@
         }
     }
 
-    /// Returns the holdings whose renewal is due, by server, and marks their renewals as in flight.
-    /// Each holding has a renewal time of its own: if a server with five ranges loses half of its
-    /// responses, five renewals in a row succeed only once in 32 attempts.
+    /// Returns the assigned ranges whose renewal is due, by server, and marks their renewals as in
+    /// flight. Each assigned range has a renewal time of its own: if a server with five ranges
+    /// loses half of its responses, five renewals in a row succeed only once in 32 attempts.
     fn due_renewals(
         &self,
         service: &Arc<str>,
@@ -132,8 +132,8 @@
                     self.raise_fence(service, server, assigned_range).await
                 }
                 Some(GrantOutcome::OtherServer) => return,
-                // This renewal is due again in the next round. The remaining holdings are renewed
-                // now.
+                // This renewal is due again in the next round. The remaining assigned ranges are
+                // renewed now.
                 None => {}
             }
         }
@@ -260,10 +260,10 @@
         .log();
     }
 
-    /// Grants a holding to the same server again under a higher fence. This is needed when the
-    /// server has seen a higher fence than the recorded one, because an earlier leader released the
-    /// keys but recorded nothing more. Counts as a move, so that no other move of these keys begins
-    /// before the new lease is certain.
+    /// Grants an assigned range to the same server again under a higher fence. This is needed when
+    /// the server has seen a higher fence than the recorded one, because an earlier leader released
+    /// the keys but recorded nothing more. Counts as a move, so that no other move of these keys
+    /// begins before the new lease is certain.
     async fn raise_fence(
         &self,
         service: &Arc<str>,
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -1,5 +1,5 @@
-//! Owners of keys as this host knows them: the servers in the recorded holdings, updated by the
-//! grants and moves that the leader announces before this host has read them from the store.
+//! Owners of keys as this host knows them: the servers in the recorded assigned ranges, updated by
+//! the grants and moves that the leader announces before this host has read them from the store.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -21,21 +21,22 @@
 const MOVE_HOLD_MAX_MS: u64 = 20_000;
 /// Time in which no request goes to a server after it was found not to hold the key.
 const NOT_HELD_MS: u64 = 250;
-/// Time after which an announced grant is forgotten; the recorded holdings have been read by then.
+/// Time after which an announced grant is forgotten; the recorded assigned ranges have been read by
+/// then.
 const GRANTED_KEPT_MS: u64 = FOLLOWER_PAUSE_MAX_MS + 30_000;
 
-/// Recorded holdings of one service, as read from the store's rows.
+/// Recorded assigned ranges of one service, as read from the store's rows.
 #[derive(Clone, Debug, Default)]
 pub struct RecordedAssignment {
-    /// Holdings of all rows, merged. Where rows overlap, the higher fence wins.
+    /// Assigned ranges of all rows, merged. Where rows overlap, the higher fence wins.
     pub assignment: Arc<Assignment>,
     rows: BTreeMap<KeyPartition, AssignmentRow>,
 }
 
-/// Row of the store with the holdings of one key partition.
+/// Row of the store with the assigned ranges of one key partition.
 #[derive(Clone, Debug)]
 pub struct AssignmentRow {
-    /// Holdings whose first key lies in the partition.
+    /// Assigned ranges whose first key lies in the partition.
     pub assignment: Assignment,
     /// Version of the row in the store.
     pub version: u64,
@@ -52,7 +53,7 @@
         self.rows.get(&part).map_or(0, |row| row.version)
     }
 
-    /// Returns the key partitions whose rows differ from the holdings of `assignment`.
+    /// Returns the key partitions whose rows differ from the assigned ranges of `assignment`.
     pub fn changed_partitions(&self, assignment: &Assignment) -> Vec<KeyPartition> {
         let differs = |part: &KeyPartition| {
             let of_row = self
@@ -88,14 +89,14 @@
 struct Moving {
     service: Arc<str>,
     range: KeyRange,
-    /// Fence of the owner before the move. Requests wait for the grant of a holding with a higher
-    /// fence.
+    /// Fence of the owner before the move. Requests wait for the grant of an assigned range with a
+    /// higher fence.
     above_fence: u64,
     wait: MoveWait,
     until_ms: u64,
 }
 
-/// Holding whose server refused a request because it does not hold the key.
+/// Assigned range whose server refused a request because it does not hold the key.
 #[derive(Clone, Debug)]
 struct NotHeld {
     service: Arc<str>,
@@ -114,7 +115,7 @@
 /// Destination of a request that has a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Owner {
-    /// Server that holds the key, and the fence of its holding.
+    /// Server that holds the key, and the fence of its assigned range.
     Server(Arc<str>, u64),
     /// The key is being moved. The caller looks the owner up again when the view changes, or after
     /// a timeout.
@@ -145,12 +146,12 @@
 }
 
 impl Owners {
-    /// Returns the recorded holdings of a service; `None` if no row of them is known.
+    /// Returns the recorded assigned ranges of a service; `None` if no row of them is known.
     pub fn held(&self, service: &str) -> Option<RecordedAssignment> {
         self.held_map().get(service).cloned()
     }
 
-    /// Returns the recorded holdings of all services, with the names of the services.
+    /// Returns the recorded assigned ranges of all services, with the names of the services.
     pub fn all_held(&self) -> Vec<(Arc<str>, RecordedAssignment)> {
         let held = self.held_map();
         let all = held.iter();
@@ -175,8 +176,8 @@
         next == KEYS as u32
     }
 
-    /// Adds rows with holdings of a service and drops the announced grants that they include.
-    /// Returns false if none of the rows is new.
+    /// Adds rows with assigned ranges of a service and drops the announced grants that they
+    /// include. Returns false if none of the rows is new.
     pub fn put_assignment_rows(
         &self,
         service: &Arc<str>,
@@ -194,7 +195,7 @@
         true
     }
 
-    /// Adds an announced grant, which counts before the recorded holdings are read.
+    /// Adds an announced grant, which counts before the recorded assigned ranges are read.
     pub fn note_granted(&self, service: &Arc<str>, assigned_range: AssignedRange) {
         let now_ms = clock::now_ms();
         // A grant with a higher fence ends the move of its keys.
@@ -266,7 +267,7 @@
             return Owner::Unowned;
         };
         // A move is recorded before the keys are granted, so only an announced grant ends the wait,
-        // not the recorded holding.
+        // not the recorded assigned range.
         let granted_fence = granted.map_or(0, |(_, fence)| fence);
         let moving = self.moving();
         let waits = moving.iter().filter(|m| {
@@ -290,8 +291,8 @@
         Owner::Server(server, fence)
     }
 
-    /// Records that a server does not hold, or does not hold yet, the keys of the holding with this
-    /// fence.
+    /// Records that a server does not hold, or does not hold yet, the keys of the assigned range
+    /// with this fence.
     pub fn note_not_held(&self, service: &Arc<str>, fence: u64) {
         let now_ms = clock::now_ms();
         let mut not_held = self.not_held();
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -236,8 +236,8 @@
         }
     }
 
-    /// Sends the holding of a key, if this host is the leader, to a host whose request reached a
-    /// server that does not hold the key.
+    /// Sends the assigned range of a key, if this host is the leader, to a host whose request
+    /// reached a server that does not hold the key.
     fn send_key_owner(&self, to: SocketAddr, service_tag: u32, key: u16) {
         if self.leadership.term() == 0 {
             return;
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Applies rows with holdings. Rows of one service are applied together, since one change may
-    /// have written several of them.
+    /// Applies rows with assigned ranges. Rows of one service are applied together, since one
+    /// change may have written several of them.
     fn apply_assignment_rows(&self, rows: &[Row]) {
         let (held, unreadable) = decode_assignment_rows(rows);
         for (row, error) in unreadable {
@@ -186,8 +186,8 @@
     }
 }
 
-/// Decodes rows with holdings. Returns them by service, and the keys of the rows that cannot be
-/// decoded.
+/// Decodes rows with assigned ranges. Returns them by service, and the keys of the rows that cannot
+/// be decoded.
 pub(super) fn decode_assignment_rows(
     rows: &[Row],
 ) -> (AssignmentRowsByService, Vec<(&str, keys::DecodeError)>) {
@@ -212,7 +212,7 @@
     (held, unreadable)
 }
 
-/// Rows with holdings, by service; each with the key partition that it covers.
+/// Rows with assigned ranges, by service; each with the key partition that it covers.
 pub(super) type AssignmentRowsByService = HashMap<Arc<str>, Vec<(KeyPartition, AssignmentRow)>>;
 
 /// Returns true for a row of an evacuated zone. The leader sends the evacuated zones in each
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -22,7 +22,7 @@
 /// Time after its start that a host waits for a heartbeat of the leader before it reads the entry
 /// hosts' own rows again.
 const OWN_START_WAIT_MS: u64 = 2_500;
-/// Minimum pause of the change feed of the entry hosts' own rows (holdings and hosts).
+/// Minimum pause of the change feed of the entry hosts' own rows (assigned ranges and hosts).
 const OWN_PAUSE_MIN_MS: u64 = 300;
 /// Time without a feed call after which the whole table is read. The store keeps 20 s of history,
 /// and a feed call that comes too late costs an extra call.
@@ -52,7 +52,7 @@
     Configuration,
     /// Table of the entries by which servers register.
     Servers,
-    /// The entry hosts' own rows: holdings and hosts.
+    /// The entry hosts' own rows: assigned ranges and hosts.
     Own,
 }
 
@@ -129,7 +129,7 @@
             (Self::Servers, SyncRole::Alone) => {
                 FeedPause::fixed(scaled(SERVERS_PAUSE_MS, limits.servers_pause_ms))
             }
-            // Holdings also arrive by datagram once the leader knows this host.
+            // Assigned ranges also arrive by datagram once the leader knows this host.
             (Self::Own, SyncRole::Follower) => FeedPause {
                 min_ms: OWN_PAUSE_MIN_MS,
                 max_ms: FOLLOWER_PAUSE_MAX_MS,
--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -5,10 +5,10 @@
 
 use crate::entry::{bounds::default_processor_share, keys::KeyPartition};
 
-/// Table of the entry hosts' own rows: holdings by service and key partition, and hosts.
+/// Table of the entry hosts' own rows: assigned ranges by service and key partition, and hosts.
 pub const TABLE: &str = "ashroad";
-/// Prefix of the keys of holdings. The name of the service follows, then the number of the key
-/// partition unless that is 0.
+/// Prefix of the keys of assigned ranges. The name of the service follows, then the number of the
+/// key partition unless that is 0.
 const ASSIGNMENT_PREFIX: &str = "keys/";
 /// Separator between the name of the service and the number of the key partition.
 const PARTITION_SEPARATOR: char = '#';
@@ -26,7 +26,7 @@
 /// have crashed while running them.
 pub const QUARANTINE_KEY: &str = "quarantine";
 
-/// Returns the key of the row with one key partition of a service's holdings.
+/// Returns the key of the row with one key partition of a service's assigned ranges.
 pub fn assignment_key(service: &str, part: KeyPartition) -> String {
     match part.number() {
         0 => format!("{ASSIGNMENT_PREFIX}{service}"),
@@ -34,8 +34,8 @@
     }
 }
 
-/// Parses the key of a holdings row into service and key partition. Returns `None` if it is no such
-/// key.
+/// Parses the key of an assignment row into service and key partition. Returns `None` if it is no
+/// such key.
 pub fn parse_assignment_key(key: &str) -> Option<(&str, KeyPartition)> {
     let name = key.strip_prefix(ASSIGNMENT_PREFIX)?;
     let Some((service, number)) = name.rsplit_once(PARTITION_SEPARATOR) else {
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -1,6 +1,7 @@
-//! Snapshot of a host's view of servers, holdings and hosts, sent to a host that starts. Reading
-//! the tables from the store takes each host one call for some hundred rows: with a thousand hosts
-//! and ten thousand servers that would be 20,000 calls and 2.5 GB whenever all hosts start.
+//! Snapshot of a host's view of servers, assigned ranges and hosts, sent to a host that starts.
+//! Reading the tables from the store takes each host one call for some hundred rows: with a
+//! thousand hosts and ten thousand servers that would be 20,000 calls and 2.5 GB whenever all hosts
+//! start.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
@@ -68,7 +69,7 @@
     pub processor_share: f32,
 }
 
-/// Row with one key partition of a service's holdings, in the encoding of the store.
+/// Row with one key partition of a service's assigned ranges, in the encoding of the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SnapshotAssignmentRow {
     service: Arc<str>,
@@ -86,7 +87,7 @@
     pub changed: u64,
 }
 
-/// A host's view of servers, holdings and hosts. Without servers, their versions are 0.
+/// A host's view of servers, assigned ranges and hosts. Without servers, their versions are 0.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Progress of the sender in following the table of servers' entries; 0 if servers are left
@@ -94,7 +95,7 @@
     pub servers_versions: TableVersions,
     /// Version of the latest change after which some server takes no new work.
     pub leave_version: u64,
-    /// Progress of the sender in following the entry hosts' own rows (holdings and hosts).
+    /// Progress of the sender in following the entry hosts' own rows (assigned ranges and hosts).
     pub own_versions: TableVersions,
     /// Hosts that the sender knows, itself included.
     pub hosts: Vec<SnapshotHost>,
@@ -140,7 +141,7 @@
         })
     }
 
-    /// Adds a row of holdings. A row that cannot be encoded is skipped with a warning.
+    /// Adds a row of assigned ranges. A row that cannot be encoded is skipped with a warning.
     pub fn add_assignment_row(
         &mut self,
         service: &Arc<str>,
@@ -158,8 +159,8 @@
         }
     }
 
-    /// Returns the rows of holdings by service. Rows that cannot be decoded are skipped with a
-    /// warning.
+    /// Returns the rows of assigned ranges by service. Rows that cannot be decoded are skipped with
+    /// a warning.
     pub fn assignment_rows(&self) -> HashMap<Arc<str>, Vec<(KeyPartition, AssignmentRow)>> {
         let mut rows: HashMap<Arc<str>, Vec<(KeyPartition, AssignmentRow)>> = HashMap::new();
         for known in &self.assignment_rows {
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// A host's view of configuration, servers and holdings, shared by all its tasks.
+/// A host's view of configuration, servers and assigned ranges, shared by all its tasks.
 #[derive(Debug)]
 pub struct View {
     configuration: ArcSwapOption<Configuration>,
@@ -137,17 +137,18 @@
         self.are_servers_known.store(true, Ordering::Relaxed);
     }
 
-    /// Returns the holdings of a service; `None` if they are not known.
+    /// Returns the assigned ranges of a service; `None` if they are not known.
     pub fn held(&self, service: &str) -> Option<RecordedAssignment> {
         self.owners.held(service)
     }
 
-    /// Returns the holdings of all services whose rows are known, with the names of the services.
+    /// Returns the assigned ranges of all services whose rows are known, with the names of the
+    /// services.
     pub fn all_held(&self) -> Vec<(Arc<str>, RecordedAssignment)> {
         self.owners.all_held()
     }
 
-    /// Returns true if the holdings of some sharded service are unknown.
+    /// Returns true if the assigned ranges of some sharded service are unknown.
     pub fn lacks_assignments(&self) -> bool {
         let Some(configuration) = self.configuration() else {
             return false;
@@ -158,7 +159,7 @@
         })
     }
 
-    /// Applies rows of holdings of a service, unless newer ones are known.
+    /// Applies rows of assigned ranges of a service, unless newer ones are known.
     pub fn put_assignment_rows(
         &self,
         service: &Arc<str>,
@@ -257,7 +258,8 @@
         self.wait_for_store().await;
     }
 
-    /// Returns a receiver that is notified of every change of configuration, servers or holdings.
+    /// Returns a receiver that is notified of every change of configuration, servers or assigned
+    /// ranges.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -65,7 +65,7 @@
         self.follow(FollowedTable::Servers).await;
     }
 
-    /// Follows the table of holdings and hosts.
+    /// Follows the table of assigned ranges and hosts.
     pub(super) async fn watch_own(self: Arc<Self>) {
         self.follow(FollowedTable::Own).await;
     }
@@ -268,7 +268,7 @@
     }
 
     /// Returns true if a pausing feed should be called now: because a server leaves, because no
-    /// other host confirms the store, or to get the first holdings of a service.
+    /// other host confirms the store, or to get the first assigned ranges of a service.
     fn should_call_now(&self, followed: FollowedTable, after: u64) -> bool {
         match followed {
             FollowedTable::Configuration => !self.freshness.is_store_confirmed(),
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -1,5 +1,5 @@
-//! Starting hosts fetch servers, holdings and hosts from other hosts, and read the store's tables
-//! only if no other host has them.
+//! Starting hosts fetch servers, assigned ranges and hosts from other hosts, and read the store's
+//! tables only if no other host has them.
 
 mod platform_standin;
 
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -1,4 +1,4 @@
-//! Tests rules of entry hosts without processes: holdings, plans, routes, choice of servers,
+//! Tests rules of entry hosts without processes: assigned ranges, plans, routes, choice of servers,
 //! retries.
 
 use std::{collections::HashMap, sync::Arc};
@@ -106,7 +106,7 @@
     }
 }
 
-/// Expands holdings into a table with the server and fence of each key.
+/// Expands assigned ranges into a table with the server and fence of each key.
 fn by_key(assignment: &Assignment) -> Vec<Option<(Arc<str>, u64)>> {
     let mut keys = vec![None; 1 << 16];
     for assigned_range in &assignment.assigned_ranges {
@@ -158,7 +158,7 @@
             assigned_ranges: 13_760,
             servers: 6_880,
         },
-        // One holding for each key.
+        // One assigned range for each key.
         Case {
             assigned_ranges: 65_536,
             servers: 20_000,
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -45,7 +45,7 @@
 pub struct RunRecord {
     /// Number of runs by request id.
     runs: Mutex<HashMap<String, u32>>,
-    /// Holdings of all servers, for the check of single ownership.
+    /// Keys that each server holds, for the check of single ownership.
     held_keys_of_servers: Mutex<Vec<Arc<HeldKeys>>>,
     /// Descriptions of violated invariants.
     violations: Mutex<Vec<String>>,
