--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -239,10 +239,10 @@
                 }
                 Ok(TransactionOutcome::Conflict { rows }) => return WriteOutcome::Conflict(rows),
                 Err(error) if error.is_final() => {
-                    log::error!("the store rejects a write of holdings: {error}");
+                    log::error!("the store rejects a write of assigned ranges: {error}");
                     return WriteOutcome::Refused;
                 }
-                Err(error) => log::debug!("cannot write holdings, retrying: {error}"),
+                Err(error) => log::debug!("cannot write assigned ranges, retrying: {error}"),
             }
             if !self.leadership.may_lease(self.settings.leases.outage_ms) {
                 self.leadership.lose("the store did not answer");
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -252,13 +252,13 @@
         let rows = match self.store.table(TABLE).await {
             Ok(rows) => rows.rows,
             Err(error) => {
-                log::warn!("cannot read holdings: {error}");
+                log::warn!("cannot read assigned ranges: {error}");
                 return false;
             }
         };
         let (held, unreadable) = decode_assignment_rows(&rows);
         for (row, error) in &unreadable {
-            log::error!("cannot decode holdings in row {row}: {error}");
+            log::error!("cannot decode assigned ranges in row {row}: {error}");
         }
         if !unreadable.is_empty() {
             return false;
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -405,7 +405,7 @@
             match term.entry.record(&service, &change).await {
                 Ok(_) => term.announce_grants(&service),
                 Err(failure) => {
-                    log::warn!("cannot record the first holdings of {service}: {failure:?}");
+                    log::warn!("cannot record the first assigned ranges of {service}: {failure:?}");
                 }
             }
             term.end_move(&service, KeyRange::ALL);
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -178,7 +178,7 @@
     fn apply_assignment_rows(&self, rows: &[Row]) {
         let (held, unreadable) = decode_assignment_rows(rows);
         for (row, error) in unreadable {
-            log::warn!("cannot decode holdings in row {row}: {error}");
+            log::warn!("cannot decode assigned ranges in row {row}: {error}");
         }
         for (service, rows) in held {
             self.view.put_assignment_rows(&service, rows);
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -155,7 +155,9 @@
                 version: row.version,
                 record,
             }),
-            Err(error) => log::warn!("cannot encode holdings of {service} for a snapshot: {error}"),
+            Err(error) => {
+                log::warn!("cannot encode assigned ranges of {service} for a snapshot: {error}")
+            }
         }
     }
 
@@ -168,7 +170,7 @@
             let assignment = Assignment::decode(&known.record).ok();
             let Some((part, assignment)) = part.zip(assignment) else {
                 log::warn!(
-                    "cannot decode holdings of {} in a received snapshot",
+                    "cannot decode assigned ranges of {} in a received snapshot",
                     known.service
                 );
                 continue;
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -288,7 +288,7 @@
     let hot = 1_000;
     loads.add(hot, 250.0);
     let used = settle(&servers, &mut assignment, &loads, &[hot]);
-    let hot_range = assignment.assigned_range(hot).expect("a holding");
+    let hot_range = assignment.assigned_range(hot).expect("an assigned range");
     assert_eq!(&*hot_range.server, "s7");
     let other_load = used["s7"] - loads.key(hot);
     assert!(
@@ -405,7 +405,10 @@
     loads.add(1_000, 250.0);
     settle(&servers, &mut assignment, &loads, &[1_000]);
     assert_eq!(
-        &*assignment.assigned_range(1_000).expect("a holding").server,
+        &*assignment
+            .assigned_range(1_000)
+            .expect("an assigned range")
+            .server,
         "s0"
     );
 }
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -134,7 +134,7 @@
     }
     let bytes = many.encode().expect("a record");
     assert!(bytes.len() < 48 * 1024, "{} bytes", bytes.len());
-    assert_eq!(Assignment::decode(&bytes).expect("holdings"), many);
+    assert_eq!(Assignment::decode(&bytes).expect("assigned ranges"), many);
     assert!(Assignment::decode(b"").is_err());
     assert!(Assignment::decode(b"{}").is_err());
     assert!(Assignment::decode(&bytes[..bytes.len() / 2]).is_err());
@@ -182,7 +182,7 @@
         for row in &rows {
             let bytes = row.encode().expect("a record");
             assert!(bytes.len() <= ROW_BYTES_MAX, "{} bytes", bytes.len());
-            assert_eq!(Assignment::decode(&bytes).expect("holdings"), *row);
+            assert_eq!(Assignment::decode(&bytes).expect("assigned ranges"), *row);
         }
         assert!(Assignment::join(rows.iter()) == many);
     }
