--- a/src/entry/decide/notices.rs
+++ b/src/entry/decide/notices.rs
@@ -16,7 +16,7 @@
     /// True if this is the server's first response to this host that announces its leaving.
     pub leaves: bool,
     /// True if the notice begins a rest; false if it extends a rest or asks for none.
-    pub rests: bool,
+    pub starts_backoff: bool,
 }
 
 /// Notices received from one incarnation of a server, and its rate limit.
@@ -39,7 +39,7 @@
     pub fn note(&mut self, notice: Notice, now_ms: u64) -> NoticeEffect {
         let learned = NoticeEffect {
             leaves: notice.leaves && self.leaves_since_ms.is_none(),
-            rests: notice.rest_ms.is_some() && self.rest_ms(now_ms) == 0,
+            starts_backoff: notice.rest_ms.is_some() && self.rest_ms(now_ms) == 0,
         };
         if notice.leaves {
             self.leaves_since_ms.get_or_insert(now_ms);
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -30,7 +30,7 @@
             return;
         }
         let learned = server.note_notice(notice);
-        if !learned.leaves && !learned.rests {
+        if !learned.leaves && !learned.starts_backoff {
             return;
         }
         log_notice(server, notice, "its answer");
