--- a/src/entry/decide/backoffs.rs
+++ b/src/entry/decide/backoffs.rs
@@ -33,12 +33,12 @@
             return;
         }
         let until_ms = now_ms + rest_ms;
-        let mut rests = self.rests();
-        for hosts in rests.values_mut() {
+        let mut backoffs = self.backoffs();
+        for hosts in backoffs.values_mut() {
             hosts.retain(|_, until_ms| now_ms < *until_ms);
         }
-        rests.retain(|_, hosts| !hosts.is_empty());
-        let known = rests.entry(server_tag).or_default();
+        backoffs.retain(|_, hosts| !hosts.is_empty());
+        let known = backoffs.entry(server_tag).or_default();
         let known = known.entry(host).or_default();
         *known = (*known).max(until_ms);
     }
@@ -46,8 +46,8 @@
     /// Returns true if the server has asked enough hosts for a rest that its keys should move to
     /// other servers.
     pub fn is_widespread(&self, server_tag: u32, hosts: usize, now_ms: u64) -> bool {
-        let rests = self.rests();
-        let Some(resting) = rests.get(&server_tag) else {
+        let backoffs = self.backoffs();
+        let Some(resting) = backoffs.get(&server_tag) else {
             return false;
         };
         // A rest counts until its end: if keys returned earlier, the hosts would still send them no
@@ -57,18 +57,18 @@
         resting.values().filter(lasts).count() >= needed
     }
 
-    fn rests(&self) -> MutexGuard<'_, HashMap<u32, HashMap<SocketAddr, u64>>> {
+    fn backoffs(&self) -> MutexGuard<'_, HashMap<u32, HashMap<SocketAddr, u64>>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Returns the servers that do not rest, or all servers if fewer than [`NOT_RESTING_SHARE_MIN`] of
 /// them would remain.
-pub fn not_resting<T>(mut servers: Vec<T>, rests: impl Fn(&T) -> bool) -> Vec<T> {
-    let resting = servers.iter().filter(|server| rests(server)).count();
+pub fn not_resting<T>(mut servers: Vec<T>, backoffs: impl Fn(&T) -> bool) -> Vec<T> {
+    let resting = servers.iter().filter(|server| backoffs(server)).count();
     let least_awake = servers.len() as f64 * NOT_RESTING_SHARE_MIN;
     if (servers.len() - resting) as f64 >= least_awake {
-        servers.retain(|server| !rests(server));
+        servers.retain(|server| !backoffs(server));
     }
     servers
 }
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -24,7 +24,7 @@
 //! | [`crash_tally`], [`path_tally`], [`quarantine`], [`trials`] | a request that crashes servers |
 //! | [`warmup`] | servers that have just started and can run few requests |
 //! | [`first`] | keys that no server holds yet, while servers start one after the other |
-//! | [`rests`] | servers that refuse the requests of many hosts for a time |
+//! | [`backoffs`] | servers that refuse the requests of many hosts for a time |
 //! | [`key_loads`], [`plan`] | uneven load by key, servers that join and leave |
 //!
 //! The thresholds are defined in [`Policy`], each with its unit and reason.
@@ -32,6 +32,7 @@
 pub mod admission;
 pub mod api_key_verdict;
 pub mod attempt_stats;
+pub mod backoffs;
 pub mod budget;
 pub mod choice;
 pub mod crash_tally;
@@ -49,7 +50,6 @@
 pub mod rate_limit;
 pub mod rate_meter;
 pub mod rate_shares;
-pub mod rests;
 pub mod retry_after;
 pub mod run_shares;
 pub mod trials;
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -21,12 +21,11 @@
 use super::{
     Entry,
     decide::{
-        admission,
+        admission, backoffs,
         first::{self, FirstAssignmentWait},
         hot_keys,
         key_loads::KeyCounts,
         plan::{self, Inputs, PlanServer},
-        rests,
     },
     keys::{AssignedRange, KeyRange},
     leadership::Change,
@@ -285,9 +284,10 @@
         let registry = self.entry.view.registry();
         let hosts = self.entry.peers.hosts();
         let now_ms = clock::now_ms();
-        rests::not_resting(servers, |planned| {
+        backoffs::not_resting(servers, |planned| {
             let server = registry.server(&planned.id);
-            server.is_some_and(|server| self.entry.rests.is_widespread(server.tag, hosts, now_ms))
+            server
+                .is_some_and(|server| self.entry.backoffs.is_widespread(server.tag, hosts, now_ms))
         })
     }
 
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -57,33 +57,33 @@
     /// Reports to the leader which servers asked this host for a rest. As the leader, records them.
     fn report_rests(&self) {
         let registry = self.view.registry();
-        let rests = registry.servers().filter_map(|server| {
+        let backoffs = registry.servers().filter_map(|server| {
             let rest_ms = u32::try_from(server.rest_ms()).ok()?;
             (rest_ms > 0).then_some(ServerRest {
                 server_tag: server.tag,
                 rest_ms,
             })
         });
-        let rests: Vec<ServerRest> = rests.take(ENTRIES_MAX).collect();
-        if rests.is_empty() {
+        let backoffs: Vec<ServerRest> = backoffs.take(ENTRIES_MAX).collect();
+        if backoffs.is_empty() {
             return;
         }
         if self.leadership.term() > 0 {
-            self.handle_rest_report(self.settings.listen.peers, &rests);
-        } else if !self.peers.send_to_leader(&Message::ReportRests(rests)) {
+            self.handle_rest_report(self.settings.listen.peers, &backoffs);
+        } else if !self.peers.send_to_leader(&Message::ReportRests(backoffs)) {
             log::debug!("rests of servers not reported: no leader can be reached");
         }
     }
 
     /// Records, as the leader, which servers asked a host for a rest.
-    pub(in crate::entry) fn handle_rest_report(&self, host: SocketAddr, rests: &[ServerRest]) {
+    pub(in crate::entry) fn handle_rest_report(&self, host: SocketAddr, backoffs: &[ServerRest]) {
         if self.leadership.term() == 0 {
             return;
         }
         let now_ms = clock::now_ms();
-        for rest in rests {
+        for rest in backoffs {
             let rest_ms = u64::from(rest.rest_ms);
-            self.rests.note(rest.server_tag, host, rest_ms, now_ms);
+            self.backoffs.note(rest.server_tag, host, rest_ms, now_ms);
         }
     }
 
--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -63,7 +63,7 @@
 /// the server had asked this host for.
 fn most_in_a_rest(server: &Server, traffic: &Traffic) -> usize {
     let in_a_rest = |received_requests: &Vec<(ReceivedRequest, Sent)>| {
-        let rests = received_requests
+        let backoffs = received_requests
             .iter()
             .filter_map(|(visit, _)| Some((visit.at, visit.rest?)));
         let within = |(began, rest): (Instant, Duration)| {
@@ -73,7 +73,7 @@
                 .filter(|(v, _)| span.contains(&v.at))
                 .count()
         };
-        rests.map(within).max().unwrap_or(0)
+        backoffs.map(within).max().unwrap_or(0)
     };
     let received_requests = received_by_host(server, traffic);
     received_requests.values().map(in_a_rest).max().unwrap_or(0)
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -4,7 +4,7 @@
 
 use ashroad::entry::decide::{
     Policy,
-    rests::{Rests, not_resting},
+    backoffs::{Rests, not_resting},
     retry_after::Refused,
 };
 
@@ -83,13 +83,13 @@
         },
     ];
     for case in cases {
-        let rests = Rests::default();
+        let backoffs = Rests::default();
         for (number, now_ms, rest_ms) in case.refusals {
-            rests.note(SERVER, host(*number), *rest_ms, *now_ms);
+            backoffs.note(SERVER, host(*number), *rest_ms, *now_ms);
         }
-        let wide = rests.is_widespread(SERVER, case.hosts, case.at_ms);
+        let wide = backoffs.is_widespread(SERVER, case.hosts, case.at_ms);
         assert_eq!(wide, case.wide, "{}", case.name);
-        assert!(!rests.is_widespread(SERVER + 1, case.hosts, case.at_ms));
+        assert!(!backoffs.is_widespread(SERVER + 1, case.hosts, case.at_ms));
     }
 }
 
