--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -494,13 +494,13 @@
     let mut registry = Registry::default();
     registry.put(entry("a", 1));
     registry.put(entry("b", 1));
-    let rests = Notice {
+    let backoff_notice = Notice {
         leaves: false,
         rest_ms: Some(60_000),
     };
     let server = |registry: &Registry, id: &str| registry.server(id).expect("a server").clone();
     server(&registry, "a@1").note_notice(LEAVES);
-    server(&registry, "b@1").note_notice(rests);
+    server(&registry, "b@1").note_notice(backoff_notice);
     // The row is rewritten, or lapses and is added again, with the state of a ready server.
     for _ in 0..3 {
         registry.put(entry("a", 1));
