--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -37,7 +37,7 @@
     NotSent(String),
     /// The server has asked this host for a rest (to send it no requests for a time), so the
     /// request was not sent.
-    Rests,
+    InBackoff,
     /// The server responded that it did not run the request.
     NotRun(StatusCode),
     /// The server may have run the request; its response is not usable.
@@ -126,7 +126,7 @@
         server: &Arc<Server>,
     ) -> Result<Connection, AttemptOutcome> {
         if server.rest_ms() > 0 {
-            return Err(AttemptOutcome::Rests);
+            return Err(AttemptOutcome::InBackoff);
         }
         if let Some(connection) = server.pool.take() {
             return Ok(connection);
@@ -134,7 +134,7 @@
         let connection = self.connect(entry, server).await?;
         if server.rest_ms() > 0 {
             server.pool.keep(connection);
-            return Err(AttemptOutcome::Rests);
+            return Err(AttemptOutcome::InBackoff);
         }
         Ok(connection)
     }
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -158,7 +158,7 @@
                 AttemptOutcome::NotSent(reason) => {
                     self.not_sent(entry, payload, &server, &reason).await
                 }
-                AttemptOutcome::Rests => None,
+                AttemptOutcome::InBackoff => None,
                 AttemptOutcome::NotRun(status) => {
                     self.not_run(entry, payload, &server, status).await
                 }
