--- a/src/entry/decide/backoffs.rs
+++ b/src/entry/decide/backoffs.rs
@@ -23,9 +23,9 @@
 
 /// Ends of the rests that servers asked hosts for, by server tag and host; kept by the leader.
 #[derive(Debug, Default)]
-pub struct Rests(Mutex<HashMap<u32, HashMap<SocketAddr, u64>>>);
+pub struct Backoffs(Mutex<HashMap<u32, HashMap<SocketAddr, u64>>>);
 
-impl Rests {
+impl Backoffs {
     /// Records that a server, given by its tag, asked a host to send it no requests for `rest_ms`;
     /// ignored if shorter than [`REST_MIN_MS`].
     pub fn note(&self, server_tag: u32, host: SocketAddr, rest_ms: u64, now_ms: u64) {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -58,7 +58,7 @@
     broadcast::Broadcast,
     crashes::Crashes,
     decide::{
-        backoffs::Rests, budget::RetryBudget, hot_keys::HotKeys, rate_shares::DemandByHost,
+        backoffs::Backoffs, budget::RetryBudget, hot_keys::HotKeys, rate_shares::DemandByHost,
         run_shares::RunShares,
     },
     forward::body::BodyMemory,
@@ -115,7 +115,7 @@
     notice_received: Notify,
     /// Rests (times without requests) that servers asked of hosts; collected while this host is the
     /// leader.
-    backoffs: Rests,
+    backoffs: Backoffs,
     /// Request rates that each host reports for servers with a rate limit; collected while this
     /// host is the leader.
     demand_by_host: Mutex<DemandByHost>,
@@ -167,7 +167,7 @@
             quotas: Quotas::default(),
             crashes: Crashes::default(),
             notice_received: Notify::new(),
-            backoffs: Rests::default(),
+            backoffs: Backoffs::default(),
             demand_by_host: Mutex::default(),
             run_shares: RunShares::default(),
             metrics: Metrics::default(),
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -4,7 +4,7 @@
 
 use ashroad::entry::decide::{
     Policy,
-    backoffs::{Rests, not_resting},
+    backoffs::{Backoffs, not_resting},
     retry_after::Refused,
 };
 
@@ -83,7 +83,7 @@
         },
     ];
     for case in cases {
-        let backoffs = Rests::default();
+        let backoffs = Backoffs::default();
         for (number, now_ms, rest_ms) in case.refusals {
             backoffs.note(SERVER, host(*number), *rest_ms, *now_ms);
         }
