--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -11,7 +11,7 @@
     Entry,
     events::Event,
     model::Notice,
-    peers::message::{ENTRIES_MAX, Message, ServerRest},
+    peers::message::{ENTRIES_MAX, Message, ServerBackoff},
     server::Server,
 };
 use crate::clock;
@@ -59,12 +59,12 @@
         let registry = self.view.registry();
         let backoffs = registry.servers().filter_map(|server| {
             let rest_ms = u32::try_from(server.rest_ms()).ok()?;
-            (rest_ms > 0).then_some(ServerRest {
+            (rest_ms > 0).then_some(ServerBackoff {
                 server_tag: server.tag,
                 rest_ms,
             })
         });
-        let backoffs: Vec<ServerRest> = backoffs.take(ENTRIES_MAX).collect();
+        let backoffs: Vec<ServerBackoff> = backoffs.take(ENTRIES_MAX).collect();
         if backoffs.is_empty() {
             return;
         }
@@ -76,7 +76,11 @@
     }
 
     /// Records, as the leader, which servers asked a host for a rest.
-    pub(in crate::entry) fn handle_rest_report(&self, host: SocketAddr, backoffs: &[ServerRest]) {
+    pub(in crate::entry) fn handle_rest_report(
+        &self,
+        host: SocketAddr,
+        backoffs: &[ServerBackoff],
+    ) {
         if self.leadership.term() == 0 {
             return;
         }
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -81,7 +81,7 @@
 
 /// Rest that a server asked a host for: a period without requests from that host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServerRest {
+pub struct ServerBackoff {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
     /// Time left of the rest when the report is sent.
@@ -249,7 +249,7 @@
     /// a trial.
     TrialEnded(ClaimSubject),
     /// Servers that asked the sender for a rest. For the leader.
-    ReportRests(Vec<ServerRest>),
+    ReportRests(Vec<ServerBackoff>),
     /// Reports rate limits of servers with the demand of the sender's callers. Sent to the leader.
     ReportRates(Vec<ServerRate>),
     /// Rate limits of servers as the leader knows them, with the demand of the callers of all
