--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -70,7 +70,10 @@
         }
         if self.leadership.term() > 0 {
             self.handle_rest_report(self.settings.listen.peers, &backoffs);
-        } else if !self.peers.send_to_leader(&Message::ReportRests(backoffs)) {
+        } else if !self
+            .peers
+            .send_to_leader(&Message::ReportBackoffs(backoffs))
+        {
             log::debug!("rests of servers not reported: no leader can be reached");
         }
     }
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -249,7 +249,7 @@
     /// a trial.
     TrialEnded(ClaimSubject),
     /// Servers that asked the sender for a rest. For the leader.
-    ReportRests(Vec<ServerBackoff>),
+    ReportBackoffs(Vec<ServerBackoff>),
     /// Reports rate limits of servers with the demand of the sender's callers. Sent to the leader.
     ReportRates(Vec<ServerRate>),
     /// Rate limits of servers as the leader knows them, with the demand of the callers of all
