--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -50,12 +50,12 @@
                 log::debug!("reporting notices: a server has sent a new one");
             }
             self.report_leaving();
-            self.report_rests();
+            self.report_backoffs();
         }
     }
 
     /// Reports to the leader which servers asked this host for a rest. As the leader, records them.
-    fn report_rests(&self) {
+    fn report_backoffs(&self) {
         let registry = self.view.registry();
         let backoffs = registry.servers().filter_map(|server| {
             let rest_ms = u32::try_from(server.rest_ms()).ok()?;
