--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -69,7 +69,7 @@
             return;
         }
         if self.leadership.term() > 0 {
-            self.handle_rest_report(self.settings.listen.peers, &backoffs);
+            self.handle_backoff_report(self.settings.listen.peers, &backoffs);
         } else if !self
             .peers
             .send_to_leader(&Message::ReportBackoffs(backoffs))
@@ -79,7 +79,7 @@
     }
 
     /// Records, as the leader, which servers asked a host for a rest.
-    pub(in crate::entry) fn handle_rest_report(
+    pub(in crate::entry) fn handle_backoff_report(
         &self,
         host: SocketAddr,
         backoffs: &[ServerBackoff],
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -166,7 +166,7 @@
             }
             Message::TrialStarted(claimed) => self.note_trial(claimed, from),
             Message::TrialEnded(claimed) => self.note_trial_end(claimed),
-            Message::ReportBackoffs(backoffs) => self.handle_rest_report(from, &backoffs),
+            Message::ReportBackoffs(backoffs) => self.handle_backoff_report(from, &backoffs),
             Message::ReportRates(rates) => self.handle_rate_report(from, &rates),
             Message::RateTotals(rates) => self.apply_rate_totals(&rates),
             Message::ReportUsage(reports) => self.handle_usage_report(&reports),
