--- a/src/entry/decide/notices.rs
+++ b/src/entry/decide/notices.rs
@@ -28,7 +28,7 @@
     /// host.
     known_since_ms: Option<u64>,
     /// Latest end of the rests that the server asked this host for; 0 if there was none.
-    rests_until_ms: u64,
+    backoff_until_ms: u64,
     /// Rate limit that the server advertises to all hosts together.
     pub rate_limit: RateLimit,
 }
@@ -47,7 +47,7 @@
         }
         if let Some(rest_ms) = notice.rest_ms {
             let until_ms = now_ms + rest_ms.min(REST_MAX_MS);
-            self.rests_until_ms = self.rests_until_ms.max(until_ms);
+            self.backoff_until_ms = self.backoff_until_ms.max(until_ms);
         }
         learned
     }
@@ -91,6 +91,6 @@
     /// Returns the remaining time of the rest that the server asked this host for; 0 if it accepts
     /// requests.
     pub fn rest_ms(&self, now_ms: u64) -> u64 {
-        self.rests_until_ms.saturating_sub(now_ms)
+        self.backoff_until_ms.saturating_sub(now_ms)
     }
 }
