--- a/src/entry/decide/backoffs.rs
+++ b/src/entry/decide/backoffs.rs
@@ -26,13 +26,13 @@
 pub struct Backoffs(Mutex<HashMap<u32, HashMap<SocketAddr, u64>>>);
 
 impl Backoffs {
-    /// Records that a server, given by its tag, asked a host to send it no requests for `rest_ms`;
+    /// Records that a server, given by its tag, asked a host to send it no requests for `backoff_ms`;
     /// ignored if shorter than [`REST_MIN_MS`].
-    pub fn note(&self, server_tag: u32, host: SocketAddr, rest_ms: u64, now_ms: u64) {
-        if rest_ms < REST_MIN_MS {
+    pub fn note(&self, server_tag: u32, host: SocketAddr, backoff_ms: u64, now_ms: u64) {
+        if backoff_ms < REST_MIN_MS {
             return;
         }
-        let until_ms = now_ms + rest_ms;
+        let until_ms = now_ms + backoff_ms;
         let mut backoffs = self.backoffs();
         for hosts in backoffs.values_mut() {
             hosts.retain(|_, until_ms| now_ms < *until_ms);
--- a/src/entry/decide/notices.rs
+++ b/src/entry/decide/notices.rs
@@ -39,14 +39,14 @@
     pub fn note(&mut self, notice: Notice, now_ms: u64) -> NoticeEffect {
         let learned = NoticeEffect {
             leaves: notice.leaves && self.leaves_since_ms.is_none(),
-            starts_backoff: notice.rest_ms.is_some() && self.rest_ms(now_ms) == 0,
+            starts_backoff: notice.backoff_ms.is_some() && self.backoff_ms(now_ms) == 0,
         };
         if notice.leaves {
             self.leaves_since_ms.get_or_insert(now_ms);
             self.known_since_ms.get_or_insert(now_ms);
         }
-        if let Some(rest_ms) = notice.rest_ms {
-            let until_ms = now_ms + rest_ms.min(REST_MAX_MS);
+        if let Some(backoff_ms) = notice.backoff_ms {
+            let until_ms = now_ms + backoff_ms.min(REST_MAX_MS);
             self.backoff_until_ms = self.backoff_until_ms.max(until_ms);
         }
         learned
@@ -90,7 +90,7 @@
 
     /// Returns the remaining time of the rest that the server asked this host for; 0 if it accepts
     /// requests.
-    pub fn rest_ms(&self, now_ms: u64) -> u64 {
+    pub fn backoff_ms(&self, now_ms: u64) -> u64 {
         self.backoff_until_ms.saturating_sub(now_ms)
     }
 }
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -126,7 +126,8 @@
         /// True if the server announced that it leaves.
         leaves: bool,
         /// Duration of the rest, in which this host sends the server no requests; 0 for none.
-        rest_ms: u64,
+        #[serde(rename = "rest_ms")]
+        backoff_ms: u64,
         /// True if the server's entry in the store also says that it leaves.
         leaves_by_entry: bool,
         /// Origin of the information: a response to this host, or another host.
@@ -244,7 +245,8 @@
         /// Load of that server as known to this host.
         load: u32,
         /// Remaining time in which that server wants no requests from this host; 0 for none.
-        rest_ms: u64,
+        #[serde(rename = "rest_ms")]
+        backoff_ms: u64,
         /// Number of attempts so far.
         attempts: u32,
         /// Time since the request's arrival.
--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -125,14 +125,14 @@
         entry: &Arc<Entry>,
         server: &Arc<Server>,
     ) -> Result<Connection, AttemptOutcome> {
-        if server.rest_ms() > 0 {
+        if server.backoff_ms() > 0 {
             return Err(AttemptOutcome::InBackoff);
         }
         if let Some(connection) = server.pool.take() {
             return Ok(connection);
         }
         let connection = self.connect(entry, server).await?;
-        if server.rest_ms() > 0 {
+        if server.backoff_ms() > 0 {
             server.pool.keep(connection);
             return Err(AttemptOutcome::InBackoff);
         }
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -37,10 +37,10 @@
 /// Returns the servers that are not in a rest, a time in which this host must send them nothing. If
 /// all are, returns the shortest remaining rest as the error; `None` if there are no servers.
 fn not_resting(servers: Vec<&Arc<Server>>) -> Result<Vec<&Arc<Server>>, Option<u64>> {
-    let least_rest_ms = servers.iter().map(|server| server.rest_ms()).min();
+    let least_rest_ms = servers.iter().map(|server| server.backoff_ms()).min();
     let not_resting: Vec<_> = servers
         .into_iter()
-        .filter(|server| server.rest_ms() == 0)
+        .filter(|server| server.backoff_ms() == 0)
         .collect();
     if not_resting.is_empty() {
         return Err(least_rest_ms);
@@ -117,14 +117,14 @@
     async fn claim_trial(&mut self, entry: &Entry, server: &Server) -> Result<(), Refused> {
         let wait_until_ms = clock::now_ms() + TRIAL_WAIT_MS;
         while !self.is_trial && entry.crashes.is_suspect(self.digests) {
-            let Err(rest_ms) = entry.claim_trial(self.digests, server.tag).await else {
+            let Err(backoff_ms) = entry.claim_trial(self.digests, server.tag).await else {
                 self.is_trial = true;
                 break;
             };
             self.check_quarantine(entry)?;
             if clock::now_ms() >= wait_until_ms {
                 let reason = "another try of the request may end its server";
-                return Err(Refused::after(reason, rest_ms, &entry.settings.policy));
+                return Err(Refused::after(reason, backoff_ms, &entry.settings.policy));
             }
             time::sleep(Duration::from_millis(TRIAL_POLL_MS)).await;
         }
@@ -184,19 +184,19 @@
         registry: &'r Registry,
     ) -> Result<Vec<&'r Arc<Server>>, Refused> {
         let policy = &entry.settings.policy;
-        let rest_ms = match not_resting(registry.usable(&self.service, &self.tried)) {
+        let backoff_ms = match not_resting(registry.usable(&self.service, &self.tried)) {
             Ok(servers) => return Ok(servers),
-            Err(rest_ms) => rest_ms,
+            Err(backoff_ms) => backoff_ms,
         };
         let (arrived_ms, hold_ms) = (self.times.arrived_ms, entry.limits.notice_hold_ms);
         let leaving_servers =
             registry.usable_while_leaving(&self.service, &self.tried, arrived_ms, hold_ms);
         let leaving_rest_ms = match not_resting(leaving_servers) {
             Ok(servers) => return Ok(servers),
-            Err(rest_ms) => rest_ms,
+            Err(backoff_ms) => backoff_ms,
         };
-        Err(match rest_ms.into_iter().chain(leaving_rest_ms).min() {
-            Some(rest_ms) => Refused::after("all servers want a rest", rest_ms, policy),
+        Err(match backoff_ms.into_iter().chain(leaving_rest_ms).min() {
+            Some(backoff_ms) => Refused::after("all servers want a rest", backoff_ms, policy),
             None => Refused::soon("no server may get work", policy),
         })
     }
@@ -264,8 +264,8 @@
         {
             return Err(Refused::soon("the key's server is leaving", policy));
         }
-        if server.rest_ms() > 0 {
-            return Err(Refused::resting(server.rest_ms(), policy));
+        if server.backoff_ms() > 0 {
+            return Err(Refused::resting(server.backoff_ms(), policy));
         }
         if server.is_limited_by_warmup(self.warmup_limit) {
             let reason = "the key's server is cold";
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -266,8 +266,8 @@
             entry.view.note_not_held(&self.service, self.fences.0);
         }
         let logged = format!("the server answered {status}, not run");
-        if self.key.is_some() && server.rest_ms() > 0 {
-            let refused = Refused::resting(server.rest_ms(), &entry.settings.policy);
+        if self.key.is_some() && server.backoff_ms() > 0 {
+            let refused = Refused::resting(server.backoff_ms(), &entry.settings.policy);
             return Some(self.refuse(entry, logged, &refused));
         }
         if !self.may_retry(entry, payload) {
@@ -355,7 +355,7 @@
             reason,
             server: self.last.as_ref().map(|server| server.entry.id.clone()),
             load: self.last.as_ref().map_or(0, |server| server.load()),
-            rest_ms: self.last.as_ref().map_or(0, |server| server.rest_ms()),
+            backoff_ms: self.last.as_ref().map_or(0, |server| server.backoff_ms()),
             attempts: self.attempts,
             after_ms: self.elapsed_ms(),
             left_ms: self.left_ms(),
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -234,7 +234,7 @@
     pub leaves: bool,
     /// Rest that the server asked for: time in which the host must send it no requests. Set only if
     /// the server refused the request because of the rest.
-    pub rest_ms: Option<u64>,
+    pub backoff_ms: Option<u64>,
 }
 
 /// Rate limit that a response states for the requests of all hosts together.
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -58,10 +58,10 @@
     fn report_backoffs(&self) {
         let registry = self.view.registry();
         let backoffs = registry.servers().filter_map(|server| {
-            let rest_ms = u32::try_from(server.rest_ms()).ok()?;
-            (rest_ms > 0).then_some(ServerBackoff {
+            let backoff_ms = u32::try_from(server.backoff_ms()).ok()?;
+            (backoff_ms > 0).then_some(ServerBackoff {
                 server_tag: server.tag,
-                rest_ms,
+                backoff_ms,
             })
         });
         let backoffs: Vec<ServerBackoff> = backoffs.take(ENTRIES_MAX).collect();
@@ -89,8 +89,9 @@
         }
         let now_ms = clock::now_ms();
         for rest in backoffs {
-            let rest_ms = u64::from(rest.rest_ms);
-            self.backoffs.note(rest.server_tag, host, rest_ms, now_ms);
+            let backoff_ms = u64::from(rest.backoff_ms);
+            self.backoffs
+                .note(rest.server_tag, host, backoff_ms, now_ms);
         }
     }
 
@@ -131,7 +132,7 @@
         for server in named.filter(|s| s.note_leaving_elsewhere()) {
             let notice = Notice {
                 leaves: true,
-                rest_ms: None,
+                backoff_ms: None,
             };
             log_notice(server, notice, "another host");
             is_new = true;
@@ -145,7 +146,7 @@
         server: server.entry.id.clone(),
         service: server.entry.service.clone(),
         leaves: notice.leaves,
-        rest_ms: notice.rest_ms.unwrap_or(0),
+        backoff_ms: notice.backoff_ms.unwrap_or(0),
         leaves_by_entry: server.leaving(),
         source,
     }
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -85,7 +85,8 @@
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
     /// Time left of the rest when the report is sent.
-    pub rest_ms: u32,
+    #[serde(rename = "rest_ms")]
+    pub backoff_ms: u32,
 }
 
 /// Rate limit that a server advertised for the requests of all hosts together.
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -272,8 +272,8 @@
 
     /// Returns the remaining rest, in which this host must send the server no requests; 0 if there
     /// is none.
-    pub fn rest_ms(&self) -> u64 {
-        self.notices().rest_ms(clock::now_ms())
+    pub fn backoff_ms(&self) -> u64 {
+        self.notices().backoff_ms(clock::now_ms())
     }
 
     /// Returns the number of this host's requests in flight at the server.
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -68,7 +68,7 @@
 pub fn notice(status: StatusCode, headers: &HeaderMap) -> Notice {
     Notice {
         leaves: headers.get(LEAVING).is_some_and(|value| value != "0"),
-        rest_ms: rest_ms(status, headers),
+        backoff_ms: backoff_ms(status, headers),
     }
 }
 
@@ -97,7 +97,7 @@
 /// Parses the rest (a period without requests from this host) that a server asks for when it
 /// rejects a request with 503 or 429, from `Retry-After` in seconds with fractions. HTTP also
 /// allows a date there, but the platform's servers never send one.
-fn rest_ms(status: StatusCode, headers: &HeaderMap) -> Option<u64> {
+fn backoff_ms(status: StatusCode, headers: &HeaderMap) -> Option<u64> {
     let rejected = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -84,8 +84,8 @@
     ];
     for case in cases {
         let backoffs = Backoffs::default();
-        for (number, now_ms, rest_ms) in case.refusals {
-            backoffs.note(SERVER, host(*number), *rest_ms, *now_ms);
+        for (number, now_ms, backoff_ms) in case.refusals {
+            backoffs.note(SERVER, host(*number), *backoff_ms, *now_ms);
         }
         let wide = backoffs.is_widespread(SERVER, case.hosts, case.at_ms);
         assert_eq!(wide, case.wide, "{}", case.name);
@@ -131,9 +131,9 @@
 #[test]
 fn callers_retry_when_the_keys_have_moved_or_the_rest_is_over() {
     let policy = Policy::default();
-    for (rest_ms, retry_after_ms) in [(3_000, 150), (150, 150), (120, 120), (5, 100)] {
+    for (backoff_ms, retry_after_ms) in [(3_000, 150), (150, 150), (120, 120), (5, 100)] {
         assert_eq!(
-            Refused::resting(rest_ms, &policy).retry_after_ms,
+            Refused::resting(backoff_ms, &policy).retry_after_ms,
             retry_after_ms
         );
     }
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -292,11 +292,11 @@
     registry.put(entry("a", 1));
     registry.set_evacuations(&evacuations(1, &["z"]), warmup_ms);
     registry.set_evacuations(&evacuations(2, &[]), warmup_ms);
-    let rest_ms = registry
+    let backoff_ms = registry
         .server("a@1")
         .expect("a server")
         .cold_remaining_ms();
-    assert!((2_900..=3_000).contains(&rest_ms), "{rest_ms}");
+    assert!((2_900..=3_000).contains(&backoff_ms), "{backoff_ms}");
     // Reading the same row again does not change the cold time; a row with another cold time does.
     registry.put(entry("a", 1));
     assert!(
@@ -311,11 +311,14 @@
             cold_ms,
             ..entry("a", 1)
         });
-        let rest_ms = registry
+        let backoff_ms = registry
             .server("a@1")
             .expect("a server")
             .cold_remaining_ms();
-        assert!(rest_ms <= cold_ms && rest_ms + 100 > cold_ms, "{rest_ms}");
+        assert!(
+            backoff_ms <= cold_ms && backoff_ms + 100 > cold_ms,
+            "{backoff_ms}"
+        );
     }
 }
 
@@ -420,7 +423,7 @@
 
 const LEAVES: Notice = Notice {
     leaves: true,
-    rest_ms: None,
+    backoff_ms: None,
 };
 
 #[test]
@@ -449,12 +452,12 @@
     struct Case {
         notices_sent: &'static [(u64, u64)],
         at_ms: u64,
-        rest_ms: u64,
+        backoff_ms: u64,
     }
-    let case = |notices_sent, at_ms, rest_ms| Case {
+    let case = |notices_sent, at_ms, backoff_ms| Case {
         notices_sent,
         at_ms,
-        rest_ms,
+        backoff_ms,
     };
     // Each pair is the time at which a server asks for a rest and the duration of the rest.
     let cases = [
@@ -470,20 +473,20 @@
     for Case {
         notices_sent,
         at_ms,
-        rest_ms,
+        backoff_ms,
     } in cases
     {
         let mut notices = Notices::default();
-        for (now_ms, rest_ms) in notices_sent {
+        for (now_ms, backoff_ms) in notices_sent {
             let notice = Notice {
                 leaves: false,
-                rest_ms: Some(*rest_ms),
+                backoff_ms: Some(*backoff_ms),
             };
             notices.note(notice, *now_ms);
         }
         assert_eq!(
-            notices.rest_ms(at_ms),
-            rest_ms,
+            notices.backoff_ms(at_ms),
+            backoff_ms,
             "{notices_sent:?} at {at_ms}"
         );
     }
@@ -496,7 +499,7 @@
     registry.put(entry("b", 1));
     let backoff_notice = Notice {
         leaves: false,
-        rest_ms: Some(60_000),
+        backoff_ms: Some(60_000),
     };
     let server = |registry: &Registry, id: &str| registry.server(id).expect("a server").clone();
     server(&registry, "a@1").note_notice(LEAVES);
@@ -507,7 +510,7 @@
         registry.put(entry("b", 1));
         assert!(!server(&registry, "a@1").takes_new_work());
         assert!(server(&registry, "a@1").leaves_by_notice_only());
-        assert!(server(&registry, "b@1").rest_ms() > 50_000);
+        assert!(server(&registry, "b@1").backoff_ms() > 50_000);
         registry.remove("a", 0);
         registry.remove("b", 0);
         assert!(registry.server("a@1").is_none());
--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -216,13 +216,13 @@
         status: StatusCode,
         headers: &'static [(&'static str, &'static str)],
         leaves: bool,
-        rest_ms: Option<u64>,
+        backoff_ms: Option<u64>,
     }
-    let case = |status: u16, headers, leaves, rest_ms| Case {
+    let case = |status: u16, headers, leaves, backoff_ms| Case {
         status: StatusCode::from_u16(status).expect("a status"),
         headers,
         leaves,
-        rest_ms,
+        backoff_ms,
     };
     let cases = [
         case(200, &[], false, None),
@@ -259,7 +259,7 @@
         status,
         headers: reported,
         leaves,
-        rest_ms,
+        backoff_ms,
     } in cases
     {
         let mut response = HeaderMap::new();
@@ -268,8 +268,8 @@
         }
         let notice = headers::notice(status, &response);
         assert_eq!(
-            (notice.leaves, notice.rest_ms),
-            (leaves, rest_ms),
+            (notice.leaves, notice.backoff_ms),
+            (leaves, backoff_ms),
             "{reported:?}"
         );
     }
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -237,7 +237,7 @@
     /// True if all responses announce that the server leaves.
     leaving: AtomicBool,
     /// Rest that the server asks for while it rejects all requests; 0 if it accepts them.
-    rest_ms: AtomicU64,
+    backoff_ms: AtomicU64,
     /// Rate limit that all responses advertise; `None` for no limit.
     rate_limit: Mutex<Option<String>>,
     /// Requests that arrived, accepted or rejected.
@@ -329,7 +329,7 @@
             orders: AtomicU64::new(0),
             arrivals: Mutex::default(),
             leaving: AtomicBool::new(false),
-            rest_ms: AtomicU64::new(0),
+            backoff_ms: AtomicU64::new(0),
             rate_limit: Mutex::default(),
             received_requests: Mutex::default(),
             served: AtomicU64::new(0),
@@ -385,8 +385,8 @@
 
     /// Makes the server reject every request and ask for a rest of this length; 0 accepts requests
     /// again.
-    pub fn reject_with_rest(&self, rest_ms: u64) {
-        self.state.rest_ms.store(rest_ms, Ordering::Relaxed);
+    pub fn reject_with_rest(&self, backoff_ms: u64) {
+        self.state.backoff_ms.store(backoff_ms, Ordering::Relaxed);
     }
 
     /// Makes all further responses advertise a limit in requests per second; `None` for no limit.
@@ -669,8 +669,8 @@
 
     /// Records a request; returns the rest to ask for if the request is rejected.
     fn record_received(&self, id: &str) -> Option<Duration> {
-        let rest_ms = self.rest_ms.load(Ordering::Relaxed);
-        let rest = (rest_ms > 0).then(|| Duration::from_millis(rest_ms));
+        let backoff_ms = self.backoff_ms.load(Ordering::Relaxed);
+        let rest = (backoff_ms > 0).then(|| Duration::from_millis(backoff_ms));
         lock(&self.received_requests).push(ReceivedRequest {
             id: id.to_owned(),
             at: Instant::now(),
