--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -191,14 +191,16 @@
         let (arrived_ms, hold_ms) = (self.times.arrived_ms, entry.limits.notice_hold_ms);
         let leaving_servers =
             registry.usable_while_leaving(&self.service, &self.tried, arrived_ms, hold_ms);
-        let leaving_rest_ms = match not_resting(leaving_servers) {
+        let leaving_backoff_ms = match not_resting(leaving_servers) {
             Ok(servers) => return Ok(servers),
             Err(backoff_ms) => backoff_ms,
         };
-        Err(match backoff_ms.into_iter().chain(leaving_rest_ms).min() {
-            Some(backoff_ms) => Refused::after("all servers want a rest", backoff_ms, policy),
-            None => Refused::soon("no server may get work", policy),
-        })
+        Err(
+            match backoff_ms.into_iter().chain(leaving_backoff_ms).min() {
+                Some(backoff_ms) => Refused::after("all servers want a rest", backoff_ms, policy),
+                None => Refused::soon("no server may get work", policy),
+            },
+        )
     }
 
     /// Returns the server that holds the key; waits a limited time while the key is being moved.
