--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -37,13 +37,13 @@
 /// Returns the servers that are not in a rest, a time in which this host must send them nothing. If
 /// all are, returns the shortest remaining rest as the error; `None` if there are no servers.
 fn not_resting(servers: Vec<&Arc<Server>>) -> Result<Vec<&Arc<Server>>, Option<u64>> {
-    let least_rest_ms = servers.iter().map(|server| server.backoff_ms()).min();
+    let shortest_backoff_ms = servers.iter().map(|server| server.backoff_ms()).min();
     let not_resting: Vec<_> = servers
         .into_iter()
         .filter(|server| server.backoff_ms() == 0)
         .collect();
     if not_resting.is_empty() {
-        return Err(least_rest_ms);
+        return Err(shortest_backoff_ms);
     }
     Ok(not_resting)
 }
