--- a/src/entry/decide/backoffs.rs
+++ b/src/entry/decide/backoffs.rs
@@ -64,7 +64,7 @@
 
 /// Returns the servers that do not rest, or all servers if fewer than [`NOT_RESTING_SHARE_MIN`] of
 /// them would remain.
-pub fn not_resting<T>(mut servers: Vec<T>, backoffs: impl Fn(&T) -> bool) -> Vec<T> {
+pub fn not_in_backoff<T>(mut servers: Vec<T>, backoffs: impl Fn(&T) -> bool) -> Vec<T> {
     let resting = servers.iter().filter(|server| backoffs(server)).count();
     let least_awake = servers.len() as f64 * NOT_RESTING_SHARE_MIN;
     if (servers.len() - resting) as f64 >= least_awake {
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -36,16 +36,16 @@
 
 /// Returns the servers that are not in a rest, a time in which this host must send them nothing. If
 /// all are, returns the shortest remaining rest as the error; `None` if there are no servers.
-fn not_resting(servers: Vec<&Arc<Server>>) -> Result<Vec<&Arc<Server>>, Option<u64>> {
+fn not_in_backoff(servers: Vec<&Arc<Server>>) -> Result<Vec<&Arc<Server>>, Option<u64>> {
     let shortest_backoff_ms = servers.iter().map(|server| server.backoff_ms()).min();
-    let not_resting: Vec<_> = servers
+    let not_in_backoff: Vec<_> = servers
         .into_iter()
         .filter(|server| server.backoff_ms() == 0)
         .collect();
-    if not_resting.is_empty() {
+    if not_in_backoff.is_empty() {
         return Err(shortest_backoff_ms);
     }
-    Ok(not_resting)
+    Ok(not_in_backoff)
 }
 
 /// Returns the servers that may get the request under their rate limits. Each request is admitted
@@ -184,14 +184,14 @@
         registry: &'r Registry,
     ) -> Result<Vec<&'r Arc<Server>>, Refused> {
         let policy = &entry.settings.policy;
-        let backoff_ms = match not_resting(registry.usable(&self.service, &self.tried)) {
+        let backoff_ms = match not_in_backoff(registry.usable(&self.service, &self.tried)) {
             Ok(servers) => return Ok(servers),
             Err(backoff_ms) => backoff_ms,
         };
         let (arrived_ms, hold_ms) = (self.times.arrived_ms, entry.limits.notice_hold_ms);
         let leaving_servers =
             registry.usable_while_leaving(&self.service, &self.tried, arrived_ms, hold_ms);
-        let leaving_backoff_ms = match not_resting(leaving_servers) {
+        let leaving_backoff_ms = match not_in_backoff(leaving_servers) {
             Ok(servers) => return Ok(servers),
             Err(backoff_ms) => backoff_ms,
         };
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -280,11 +280,11 @@
 
     /// Removes the servers that have asked many hosts for a rest (a period without requests), so
     /// that other servers hold their keys. Returns all servers if too few would remain.
-    fn not_resting(&self, servers: Vec<PlanServer>) -> Vec<PlanServer> {
+    fn not_in_backoff(&self, servers: Vec<PlanServer>) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
         let hosts = self.entry.peers.hosts();
         let now_ms = clock::now_ms();
-        backoffs::not_resting(servers, |planned| {
+        backoffs::not_in_backoff(servers, |planned| {
             let server = registry.server(&planned.id);
             server
                 .is_some_and(|server| self.entry.backoffs.is_widespread(server.tag, hosts, now_ms))
@@ -302,7 +302,7 @@
 
     fn plan(self: &Arc<Self>, service: &Arc<str>, round: u64, tasks: &mut JoinSet<()>) {
         self.retry_silent_servers(service);
-        let servers = self.not_resting(self.usable(service));
+        let servers = self.not_in_backoff(self.usable(service));
         if servers.is_empty() {
             return;
         }
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -4,7 +4,7 @@
 
 use ashroad::entry::decide::{
     Policy,
-    backoffs::{Backoffs, not_resting},
+    backoffs::{Backoffs, not_in_backoff},
     retry_after::Refused,
 };
 
@@ -98,12 +98,12 @@
     struct Case {
         servers: u32,
         resting: u32,
-        not_resting: u32,
+        not_in_backoff: u32,
     }
-    let case = |servers, resting, not_resting| Case {
+    let case = |servers, resting, not_in_backoff| Case {
         servers,
         resting,
-        not_resting,
+        not_in_backoff,
     };
     let cases = [
         case(9, 0, 9),
@@ -118,10 +118,10 @@
     ];
     for case in cases {
         let servers: Vec<u32> = (0..case.servers).collect();
-        let left = not_resting(servers, |server| *server < case.resting);
+        let left = not_in_backoff(servers, |server| *server < case.resting);
         assert_eq!(
             left.len() as u32,
-            case.not_resting,
+            case.not_in_backoff,
             "{} servers rest",
             case.resting
         );
