--- a/src/entry/decide/backoffs.rs
+++ b/src/entry/decide/backoffs.rs
@@ -47,14 +47,14 @@
     /// other servers.
     pub fn is_widespread(&self, server_tag: u32, hosts: usize, now_ms: u64) -> bool {
         let backoffs = self.backoffs();
-        let Some(resting) = backoffs.get(&server_tag) else {
+        let Some(in_backoff) = backoffs.get(&server_tag) else {
             return false;
         };
         // A rest counts until its end: if keys returned earlier, the hosts would still send them no
         // requests.
         let lasts = |until_ms: &&u64| now_ms < **until_ms;
         let needed = hosts.div_ceil(HOSTS_SHARE).clamp(1, HOSTS_NEEDED_MAX);
-        resting.values().filter(lasts).count() >= needed
+        in_backoff.values().filter(lasts).count() >= needed
     }
 
     fn backoffs(&self) -> MutexGuard<'_, HashMap<u32, HashMap<SocketAddr, u64>>> {
@@ -65,9 +65,9 @@
 /// Returns the servers that do not rest, or all servers if fewer than [`NOT_RESTING_SHARE_MIN`] of
 /// them would remain.
 pub fn not_in_backoff<T>(mut servers: Vec<T>, backoffs: impl Fn(&T) -> bool) -> Vec<T> {
-    let resting = servers.iter().filter(|server| backoffs(server)).count();
+    let in_backoff = servers.iter().filter(|server| backoffs(server)).count();
     let least_awake = servers.len() as f64 * NOT_RESTING_SHARE_MIN;
-    if (servers.len() - resting) as f64 >= least_awake {
+    if (servers.len() - in_backoff) as f64 >= least_awake {
         servers.retain(|server| !backoffs(server));
     }
     servers
--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -55,7 +55,7 @@
 
     /// Refuses a request since the key's server has asked this host for a rest. Before the end of
     /// the rest the keys may have moved to another server, or another host may be served.
-    pub fn resting(backoff_ms: u64, policy: &Policy) -> Self {
+    pub fn in_backoff(backoff_ms: u64, policy: &Policy) -> Self {
         let reason = "the key's server wants a rest";
         Self::after(reason, backoff_ms.min(REST_MOVE_MS), policy)
     }
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -267,7 +267,7 @@
             return Err(Refused::soon("the key's server is leaving", policy));
         }
         if server.backoff_ms() > 0 {
-            return Err(Refused::resting(server.backoff_ms(), policy));
+            return Err(Refused::in_backoff(server.backoff_ms(), policy));
         }
         if server.is_limited_by_warmup(self.warmup_limit) {
             let reason = "the key's server is cold";
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -267,7 +267,7 @@
         }
         let logged = format!("the server answered {status}, not run");
         if self.key.is_some() && server.backoff_ms() > 0 {
-            let refused = Refused::resting(server.backoff_ms(), &entry.settings.policy);
+            let refused = Refused::in_backoff(server.backoff_ms(), &entry.settings.policy);
             return Some(self.refuse(entry, logged, &refused));
         }
         if !self.may_retry(entry, payload) {
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -97,12 +97,12 @@
 fn keys_stay_where_they_are_when_most_servers_want_a_rest() {
     struct Case {
         servers: u32,
-        resting: u32,
+        in_backoff: u32,
         not_in_backoff: u32,
     }
-    let case = |servers, resting, not_in_backoff| Case {
+    let case = |servers, in_backoff, not_in_backoff| Case {
         servers,
-        resting,
+        in_backoff,
         not_in_backoff,
     };
     let cases = [
@@ -118,12 +118,12 @@
     ];
     for case in cases {
         let servers: Vec<u32> = (0..case.servers).collect();
-        let left = not_in_backoff(servers, |server| *server < case.resting);
+        let left = not_in_backoff(servers, |server| *server < case.in_backoff);
         assert_eq!(
             left.len() as u32,
             case.not_in_backoff,
             "{} servers rest",
-            case.resting
+            case.in_backoff
         );
     }
 }
@@ -133,7 +133,7 @@
     let policy = Policy::default();
     for (backoff_ms, retry_after_ms) in [(3_000, 150), (150, 150), (120, 120), (5, 100)] {
         assert_eq!(
-            Refused::resting(backoff_ms, &policy).retry_after_ms,
+            Refused::in_backoff(backoff_ms, &policy).retry_after_ms,
             retry_after_ms
         );
     }
