--- a/src/entry/decide/backoffs.rs
+++ b/src/entry/decide/backoffs.rs
@@ -66,8 +66,8 @@
 /// them would remain.
 pub fn not_in_backoff<T>(mut servers: Vec<T>, backoffs: impl Fn(&T) -> bool) -> Vec<T> {
     let in_backoff = servers.iter().filter(|server| backoffs(server)).count();
-    let least_awake = servers.len() as f64 * NOT_RESTING_SHARE_MIN;
-    if (servers.len() - in_backoff) as f64 >= least_awake {
+    let not_in_backoff_min = servers.len() as f64 * NOT_RESTING_SHARE_MIN;
+    if (servers.len() - in_backoff) as f64 >= not_in_backoff_min {
         servers.retain(|server| !backoffs(server));
     }
     servers
