--- a/src/entry/decide/backoffs.rs
+++ b/src/entry/decide/backoffs.rs
@@ -19,7 +19,7 @@
 const REST_MIN_MS: u64 = 300;
 /// Minimum share of a service's servers that must accept requests. With fewer, the whole service is
 /// overloaded, and moved keys would be no better off.
-const NOT_RESTING_SHARE_MIN: f64 = 0.5;
+const NOT_IN_BACKOFF_SHARE_MIN: f64 = 0.5;
 
 /// Ends of the rests that servers asked hosts for, by server tag and host; kept by the leader.
 #[derive(Debug, Default)]
@@ -62,11 +62,11 @@
     }
 }
 
-/// Returns the servers that do not rest, or all servers if fewer than [`NOT_RESTING_SHARE_MIN`] of
+/// Returns the servers that do not rest, or all servers if fewer than [`NOT_IN_BACKOFF_SHARE_MIN`] of
 /// them would remain.
 pub fn not_in_backoff<T>(mut servers: Vec<T>, backoffs: impl Fn(&T) -> bool) -> Vec<T> {
     let in_backoff = servers.iter().filter(|server| backoffs(server)).count();
-    let not_in_backoff_min = servers.len() as f64 * NOT_RESTING_SHARE_MIN;
+    let not_in_backoff_min = servers.len() as f64 * NOT_IN_BACKOFF_SHARE_MIN;
     if (servers.len() - in_backoff) as f64 >= not_in_backoff_min {
         servers.retain(|server| !backoffs(server));
     }
