--- a/src/entry/decide/notices.rs
+++ b/src/entry/decide/notices.rs
@@ -8,7 +8,7 @@
 
 /// Longest rest that is accepted. A longer rest amounts to leaving, and a corrupt value must not
 /// keep a server idle forever.
-const REST_MAX_MS: u64 = 10 * 60 * 1_000;
+const BACKOFF_MAX_MS: u64 = 10 * 60 * 1_000;
 
 /// Changes that one notice makes to the state of a server, so that the host acts on each only once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
             self.known_since_ms.get_or_insert(now_ms);
         }
         if let Some(backoff_ms) = notice.backoff_ms {
-            let until_ms = now_ms + backoff_ms.min(REST_MAX_MS);
+            let until_ms = now_ms + backoff_ms.min(BACKOFF_MAX_MS);
             self.backoff_until_ms = self.backoff_until_ms.max(until_ms);
         }
         learned
