--- a/src/entry/decide/backoffs.rs
+++ b/src/entry/decide/backoffs.rs
@@ -16,7 +16,7 @@
 /// a given server within a rest.
 const HOSTS_NEEDED_MAX: usize = 4;
 /// Shortest rest that is worth two moves, away and back.
-const REST_MIN_MS: u64 = 300;
+const BACKOFF_MIN_MS: u64 = 300;
 /// Minimum share of a service's servers that must accept requests. With fewer, the whole service is
 /// overloaded, and moved keys would be no better off.
 const NOT_IN_BACKOFF_SHARE_MIN: f64 = 0.5;
@@ -27,9 +27,9 @@
 
 impl Backoffs {
     /// Records that a server, given by its tag, asked a host to send it no requests for `backoff_ms`;
-    /// ignored if shorter than [`REST_MIN_MS`].
+    /// ignored if shorter than [`BACKOFF_MIN_MS`].
     pub fn note(&self, server_tag: u32, host: SocketAddr, backoff_ms: u64, now_ms: u64) {
-        if backoff_ms < REST_MIN_MS {
+        if backoff_ms < BACKOFF_MIN_MS {
             return;
         }
         let until_ms = now_ms + backoff_ms;
