--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -10,7 +10,7 @@
 
 /// Time after which the keys of a server that asks many hosts for a rest have moved to another one:
 /// 33 to 112 ms after the first response in 36 of 40 moves, with three hosts on one machine.
-const REST_MOVE_MS: u64 = 150;
+const BACKOFF_MOVE_MS: u64 = 150;
 
 /// Time after which excess keys of a rate-limited server have moved to others: two rounds of the
 /// planner, and a move.
@@ -57,7 +57,7 @@
     /// the rest the keys may have moved to another server, or another host may be served.
     pub fn in_backoff(backoff_ms: u64, policy: &Policy) -> Self {
         let reason = "the key's server wants a rest";
-        Self::after(reason, backoff_ms.min(REST_MOVE_MS), policy)
+        Self::after(reason, backoff_ms.min(BACKOFF_MOVE_MS), policy)
     }
 
     /// Refuses a request since the key's server has reached its rate limit for all hosts. The
