--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -88,10 +88,10 @@
             return;
         }
         let now_ms = clock::now_ms();
-        for rest in backoffs {
-            let backoff_ms = u64::from(rest.backoff_ms);
+        for backoff in backoffs {
+            let backoff_ms = u64::from(backoff.backoff_ms);
             self.backoffs
-                .note(rest.server_tag, host, backoff_ms, now_ms);
+                .note(backoff.server_tag, host, backoff_ms, now_ms);
         }
     }
 
