--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -65,9 +65,9 @@
     let in_a_rest = |received_requests: &Vec<(ReceivedRequest, Sent)>| {
         let backoffs = received_requests
             .iter()
-            .filter_map(|(visit, _)| Some((visit.at, visit.rest?)));
-        let within = |(began, rest): (Instant, Duration)| {
-            let span = began + REST_SLACK..began + rest;
+            .filter_map(|(visit, _)| Some((visit.at, visit.backoff?)));
+        let within = |(began, backoff): (Instant, Duration)| {
+            let span = began + REST_SLACK..began + backoff;
             received_requests
                 .iter()
                 .filter(|(v, _)| span.contains(&v.at))
@@ -106,7 +106,7 @@
     violations(&deployment)
 }
 
-async fn rest(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
+async fn backoff(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
     let mut deployment = Deployment::start(workload).await;
     deployment.server(workload).reject_with_rest(REST_MS);
     let began = Instant::now();
@@ -144,12 +144,20 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_wants_a_rest_gets_it_and_its_keys_go_to_others() {
-    run_cases(ALL.map(|disturbance| (disturbance, Workload::Keys)), rest).await;
+    run_cases(
+        ALL.map(|disturbance| (disturbance, Workload::Keys)),
+        backoff,
+    )
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_wants_a_rest_gets_no_orders() {
-    run_cases(ALL.map(|disturbance| (disturbance, Workload::Orders)), rest).await;
+    run_cases(
+        ALL.map(|disturbance| (disturbance, Workload::Orders)),
+        backoff,
+    )
+    .await;
 }
 
 /// Checks that callers are refused at once while all servers of a service ask for a rest.
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -257,7 +257,7 @@
     /// Time of its arrival.
     pub at: Instant,
     /// Rest that the server asked for when it rejected the request; `None` if it was accepted.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
 }
 
 /// Properties of a server.
@@ -610,9 +610,9 @@
         let id = header_text(request.headers(), "request-id").unwrap_or_default();
         let id = id.to_owned();
         lock(&self.arrivals).push(Instant::now());
-        let rest = self.record_received(&id);
-        if let Some(rest) = rest {
-            return self.rejection(&id, rest);
+        let backoff = self.record_received(&id);
+        if let Some(backoff) = backoff {
+            return self.rejection(&id, backoff);
         }
         let key = header_text(request.headers(), "shard-key").and_then(|key| key.parse().ok());
         let Ok(permit) = self.slots.acquire().await else {
@@ -670,18 +670,18 @@
     /// Records a request; returns the rest to ask for if the request is rejected.
     fn record_received(&self, id: &str) -> Option<Duration> {
         let backoff_ms = self.backoff_ms.load(Ordering::Relaxed);
-        let rest = (backoff_ms > 0).then(|| Duration::from_millis(backoff_ms));
+        let backoff = (backoff_ms > 0).then(|| Duration::from_millis(backoff_ms));
         lock(&self.received_requests).push(ReceivedRequest {
             id: id.to_owned(),
             at: Instant::now(),
-            rest,
+            backoff,
         });
-        rest
+        backoff
     }
 
-    fn rejection(&self, id: &str, rest: Duration) -> Response<ResponseBody> {
+    fn rejection(&self, id: &str, backoff: Duration) -> Response<ResponseBody> {
         let mut response = self.not_run(StatusCode::SERVICE_UNAVAILABLE, id);
-        let seconds = format!("{}", rest.as_secs_f64());
+        let seconds = format!("{}", backoff.as_secs_f64());
         let value = HeaderValue::from_str(&seconds).expect("a number");
         response.headers_mut().insert("retry-after", value);
         response
