--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -33,7 +33,7 @@
 /// Maximum number of requests that may reach a server later in its rest.
 const REST_REQUESTS_MAX: usize = 2;
 /// Duration of the rest that servers ask for.
-const REST_MS: u64 = 2_000;
+const BACKOFF_MS: u64 = 2_000;
 /// Time for which servers reject requests in a test.
 const REJECTION_TIME: Duration = Duration::from_millis(8_000);
 /// Time within which a host refuses requests that no server can serve, as its own log states it.
@@ -108,7 +108,7 @@
 
 async fn backoff(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
     let mut deployment = Deployment::start(workload).await;
-    deployment.server(workload).reject_with_rest(REST_MS);
+    deployment.server(workload).reject_with_rest(BACKOFF_MS);
     let began = Instant::now();
     deployment
         .apply_disturbance(disturbance, workload, REJECTION_TIME)
@@ -165,7 +165,7 @@
     let deployment = Deployment::start(workload).await;
     let servers = deployment.servers(workload);
     for server in servers {
-        server.reject_with_rest(REST_MS);
+        server.reject_with_rest(BACKOFF_MS);
     }
     time::sleep(Duration::from_millis(5_000)).await;
     for server in servers {
