--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -29,7 +29,7 @@
 };
 
 /// Time after a server has asked for a rest in which requests in transit may still arrive.
-const REST_SLACK: Duration = Duration::from_millis(500);
+const BACKOFF_SLACK: Duration = Duration::from_millis(500);
 /// Maximum number of requests that may reach a server later in its rest.
 const REST_REQUESTS_MAX: usize = 2;
 /// Duration of the rest that servers ask for.
@@ -67,7 +67,7 @@
             .iter()
             .filter_map(|(visit, _)| Some((visit.at, visit.backoff?)));
         let within = |(began, backoff): (Instant, Duration)| {
-            let span = began + REST_SLACK..began + backoff;
+            let span = began + BACKOFF_SLACK..began + backoff;
             received_requests
                 .iter()
                 .filter(|(v, _)| span.contains(&v.at))
