--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -31,7 +31,7 @@
 /// Time after a server has asked for a rest in which requests in transit may still arrive.
 const BACKOFF_SLACK: Duration = Duration::from_millis(500);
 /// Maximum number of requests that may reach a server later in its rest.
-const REST_REQUESTS_MAX: usize = 2;
+const BACKOFF_REQUESTS_MAX: usize = 2;
 /// Duration of the rest that servers ask for.
 const BACKOFF_MS: u64 = 2_000;
 /// Time for which servers reject requests in a test.
@@ -114,7 +114,7 @@
         .apply_disturbance(disturbance, workload, REJECTION_TIME)
         .await;
     let most = most_in_a_rest(deployment.server(workload), &deployment.traffic);
-    if most > REST_REQUESTS_MAX {
+    if most > BACKOFF_REQUESTS_MAX {
         return Err(format!("{most} requests in one rest"));
     }
     if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
@@ -170,7 +170,7 @@
     time::sleep(Duration::from_millis(5_000)).await;
     for server in servers {
         let most = most_in_a_rest(server, &deployment.traffic);
-        if most > REST_REQUESTS_MAX {
+        if most > BACKOFF_REQUESTS_MAX {
             return Err(format!("{most} requests in one rest"));
         }
     }
