--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -61,7 +61,7 @@
 
 /// Returns the maximum number of requests that reached a server from one host during a rest that
 /// the server had asked this host for.
-fn most_in_a_rest(server: &Server, traffic: &Traffic) -> usize {
+fn most_in_a_backoff(server: &Server, traffic: &Traffic) -> usize {
     let in_a_rest = |received_requests: &Vec<(ReceivedRequest, Sent)>| {
         let backoffs = received_requests
             .iter()
@@ -113,7 +113,7 @@
     deployment
         .apply_disturbance(disturbance, workload, REJECTION_TIME)
         .await;
-    let most = most_in_a_rest(deployment.server(workload), &deployment.traffic);
+    let most = most_in_a_backoff(deployment.server(workload), &deployment.traffic);
     if most > BACKOFF_REQUESTS_MAX {
         return Err(format!("{most} requests in one rest"));
     }
@@ -169,7 +169,7 @@
     }
     time::sleep(Duration::from_millis(5_000)).await;
     for server in servers {
-        let most = most_in_a_rest(server, &deployment.traffic);
+        let most = most_in_a_backoff(server, &deployment.traffic);
         if most > BACKOFF_REQUESTS_MAX {
             return Err(format!("{most} requests in one rest"));
         }
