--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -62,7 +62,7 @@
 /// Returns the maximum number of requests that reached a server from one host during a rest that
 /// the server had asked this host for.
 fn most_in_a_backoff(server: &Server, traffic: &Traffic) -> usize {
-    let in_a_rest = |received_requests: &Vec<(ReceivedRequest, Sent)>| {
+    let in_a_backoff = |received_requests: &Vec<(ReceivedRequest, Sent)>| {
         let backoffs = received_requests
             .iter()
             .filter_map(|(visit, _)| Some((visit.at, visit.backoff?)));
@@ -76,7 +76,11 @@
         backoffs.map(within).max().unwrap_or(0)
     };
     let received_requests = received_by_host(server, traffic);
-    received_requests.values().map(in_a_rest).max().unwrap_or(0)
+    received_requests
+        .values()
+        .map(in_a_backoff)
+        .max()
+        .unwrap_or(0)
 }
 
 async fn leave(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
