--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -165,7 +165,7 @@
 }
 
 /// Checks that callers are refused at once while all servers of a service ask for a rest.
-async fn rest_of_all(workload: Workload) -> Result<(), String> {
+async fn backoff_of_all(workload: Workload) -> Result<(), String> {
     let deployment = Deployment::start(workload).await;
     let servers = deployment.servers(workload);
     for server in servers {
@@ -198,5 +198,5 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn callers_are_refused_at_once_while_all_servers_rest() {
     let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
-    run_cases(cases, |_, workload| rest_of_all(workload)).await;
+    run_cases(cases, |_, workload| backoff_of_all(workload)).await;
 }
