--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -112,7 +112,7 @@
 
 async fn backoff(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
     let mut deployment = Deployment::start(workload).await;
-    deployment.server(workload).reject_with_rest(BACKOFF_MS);
+    deployment.server(workload).reject_with_backoff(BACKOFF_MS);
     let began = Instant::now();
     deployment
         .apply_disturbance(disturbance, workload, REJECTION_TIME)
@@ -169,7 +169,7 @@
     let deployment = Deployment::start(workload).await;
     let servers = deployment.servers(workload);
     for server in servers {
-        server.reject_with_rest(BACKOFF_MS);
+        server.reject_with_backoff(BACKOFF_MS);
     }
     time::sleep(Duration::from_millis(5_000)).await;
     for server in servers {
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -385,7 +385,7 @@
 
     /// Makes the server reject every request and ask for a rest of this length; 0 accepts requests
     /// again.
-    pub fn reject_with_rest(&self, backoff_ms: u64) {
+    pub fn reject_with_backoff(&self, backoff_ms: u64) {
         self.state.backoff_ms.store(backoff_ms, Ordering::Relaxed);
     }
 
