--- a/src/entry/decide/backoffs.rs
+++ b/src/entry/decide/backoffs.rs
@@ -1,6 +1,7 @@
-//! Rests that servers ask of many hosts. During a rest, a host must not send requests to the server
-//! that asked for it. If a server asks many hosts for one, its keys are moved to others. When three
-//! of nine servers refused all requests for nine seconds, a third of the keys' callers were not
+//! Backoffs that servers ask of many hosts. A backoff is a period in which a server asks a host to
+//! send it no requests. During a backoff, the host must not send requests to the server that asked
+//! for it. If a server asks many hosts for a backoff, its keys are moved to others. When three of
+//! nine servers refused all requests for nine seconds, a third of the keys' callers were not
 //! served, and the planner, which took these servers for idle, gave them more keys.
 
 use std::{
@@ -9,25 +10,25 @@
     sync::{Mutex, MutexGuard, PoisonError},
 };
 
-/// Divisor of the number of hosts: one host in three must have been asked for a rest before the
+/// Divisor of the number of hosts: one host in three must have been asked for a backoff before the
 /// server's keys move. If only one host was asked, that host's requests may be the cause.
 const HOSTS_SHARE: usize = 3;
-/// Maximum number of hosts that must have been asked for a rest: among hundreds of hosts, few reach
-/// a given server within a rest.
+/// Maximum number of hosts that must have been asked for a backoff: among hundreds of hosts, few
+/// reach a given server within a backoff.
 const HOSTS_NEEDED_MAX: usize = 4;
-/// Shortest rest that is worth two moves, away and back.
+/// Shortest backoff that is worth two moves, away and back.
 const BACKOFF_MIN_MS: u64 = 300;
 /// Minimum share of a service's servers that must accept requests. With fewer, the whole service is
 /// overloaded, and moved keys would be no better off.
 const NOT_IN_BACKOFF_SHARE_MIN: f64 = 0.5;
 
-/// Ends of the rests that servers asked hosts for, by server tag and host; kept by the leader.
+/// Ends of the backoffs that servers asked hosts for, by server tag and host; kept by the leader.
 #[derive(Debug, Default)]
 pub struct Backoffs(Mutex<HashMap<u32, HashMap<SocketAddr, u64>>>);
 
 impl Backoffs {
-    /// Records that a server, given by its tag, asked a host to send it no requests for `backoff_ms`;
-    /// ignored if shorter than [`BACKOFF_MIN_MS`].
+    /// Records that a server, given by its tag, asked a host to send it no requests for
+    /// `backoff_ms`; ignored if shorter than [`BACKOFF_MIN_MS`].
     pub fn note(&self, server_tag: u32, host: SocketAddr, backoff_ms: u64, now_ms: u64) {
         if backoff_ms < BACKOFF_MIN_MS {
             return;
@@ -43,15 +44,15 @@
         *known = (*known).max(until_ms);
     }
 
-    /// Returns true if the server has asked enough hosts for a rest that its keys should move to
+    /// Returns true if the server has asked enough hosts for a backoff that its keys should move to
     /// other servers.
     pub fn is_widespread(&self, server_tag: u32, hosts: usize, now_ms: u64) -> bool {
         let backoffs = self.backoffs();
         let Some(in_backoff) = backoffs.get(&server_tag) else {
             return false;
         };
-        // A rest counts until its end: if keys returned earlier, the hosts would still send them no
-        // requests.
+        // A backoff counts until its end: if keys returned earlier, the hosts would still send them
+        // no requests.
         let lasts = |until_ms: &&u64| now_ms < **until_ms;
         let needed = hosts.div_ceil(HOSTS_SHARE).clamp(1, HOSTS_NEEDED_MAX);
         in_backoff.values().filter(lasts).count() >= needed
@@ -62,8 +63,8 @@
     }
 }
 
-/// Returns the servers that do not rest, or all servers if fewer than [`NOT_IN_BACKOFF_SHARE_MIN`] of
-/// them would remain.
+/// Returns the servers that are not in a backoff, or all servers if fewer than
+/// [`NOT_IN_BACKOFF_SHARE_MIN`] of them would remain.
 pub fn not_in_backoff<T>(mut servers: Vec<T>, backoffs: impl Fn(&T) -> bool) -> Vec<T> {
     let in_backoff = servers.iter().filter(|server| backoffs(server)).count();
     let not_in_backoff_min = servers.len() as f64 * NOT_IN_BACKOFF_SHARE_MIN;
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -10,7 +10,7 @@
 //! |---|---|
 //! | [`pace`] | servers that are temporarily slower than usual |
 //! | [`attempt_stats`] | servers that are slow, fail or cannot be reached |
-//! | [`notices`] | servers that announce in their responses that they leave, or ask for a rest |
+//! | [`notices`] | servers that announce in their responses that they leave, or ask for a backoff |
 //! | [`rate_limit`], [`rate_meter`], [`rate_shares`] | rate limits that all hosts share |
 //! | [`quota`] | workspaces that send more requests than their quota |
 //! | [`api_key_verdict`] | API keys that are added and revoked while hosts are disconnected |
--- a/src/entry/decide/notices.rs
+++ b/src/entry/decide/notices.rs
@@ -1,13 +1,13 @@
 //! Notices that a server sends to a host in its responses: that it leaves, or that it asks for a
-//! rest, which is a time during which the host must send it no requests. A notice applies to the
+//! backoff, which is a period in which the host must send it no requests. A notice applies to the
 //! host that received it, regardless of the server's row in the store: the store may be unavailable
 //! or hold an older row.
 
 use super::rate_limit::RateLimit;
 use crate::entry::model::Notice;
 
-/// Longest rest that is accepted. A longer rest amounts to leaving, and a corrupt value must not
-/// keep a server idle forever.
+/// Longest backoff that is accepted. A longer backoff amounts to leaving, and a corrupt value must
+/// not keep a server idle forever.
 const BACKOFF_MAX_MS: u64 = 10 * 60 * 1_000;
 
 /// Changes that one notice makes to the state of a server, so that the host acts on each only once.
@@ -15,7 +15,7 @@
 pub struct NoticeEffect {
     /// True if this is the server's first response to this host that announces its leaving.
     pub leaves: bool,
-    /// True if the notice begins a rest; false if it extends a rest or asks for none.
+    /// True if the notice begins a backoff; false if it extends a backoff or asks for none.
     pub starts_backoff: bool,
 }
 
@@ -27,15 +27,15 @@
     /// Time at which this host first learned of the leaving, from such a response or from another
     /// host.
     known_since_ms: Option<u64>,
-    /// Latest end of the rests that the server asked this host for; 0 if there was none.
+    /// Latest end of the backoffs that the server asked this host for; 0 if there was none.
     backoff_until_ms: u64,
     /// Rate limit that the server advertises to all hosts together.
     pub rate_limit: RateLimit,
 }
 
 impl Notices {
-    /// Applies a notice and returns what it changes. A longer rest extends the current one; leaving
-    /// is final.
+    /// Applies a notice and returns what it changes. A longer backoff extends the current one;
+    /// leaving is final.
     pub fn note(&mut self, notice: Notice, now_ms: u64) -> NoticeEffect {
         let learned = NoticeEffect {
             leaves: notice.leaves && self.leaves_since_ms.is_none(),
@@ -88,8 +88,8 @@
         since_ms.is_some_and(|since_ms| arrived_ms >= since_ms + hold_ms)
     }
 
-    /// Returns the remaining time of the rest that the server asked this host for; 0 if it accepts
-    /// requests.
+    /// Returns the remaining time of the backoff that the server asked this host for; 0 if it
+    /// accepts requests.
     pub fn backoff_ms(&self, now_ms: u64) -> u64 {
         self.backoff_until_ms.saturating_sub(now_ms)
     }
--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -8,8 +8,8 @@
 /// Retry time while a host loads its configuration after its start.
 const START_RETRY_MS: u64 = 500;
 
-/// Time after which the keys of a server that asks many hosts for a rest have moved to another one:
-/// 33 to 112 ms after the first response in 36 of 40 moves, with three hosts on one machine.
+/// Time after which the keys of a server that asks many hosts for a backoff have moved to another
+/// one: 33 to 112 ms after the first response in 36 of 40 moves, with three hosts on one machine.
 const BACKOFF_MOVE_MS: u64 = 150;
 
 /// Time after which excess keys of a rate-limited server have moved to others: two rounds of the
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Refuses a request since the key's server has asked this host for a rest. Before the end of
-    /// the rest the keys may have moved to another server, or another host may be served.
+    /// Refuses a request since the key's server has asked this host for a backoff. Before the end
+    /// of the backoff the keys may have moved to another server, or another host may be served.
     pub fn in_backoff(backoff_ms: u64, policy: &Policy) -> Self {
         let reason = "the key's server wants a rest";
         Self::after(reason, backoff_ms.min(BACKOFF_MOVE_MS), policy)
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -116,8 +116,8 @@
         /// Remaining warm-up time; 0 for a warm server.
         cold_ms: u64,
     },
-    /// A server announced in a response that it leaves, or asked this host for a rest (a time
-    /// without requests). Logged once per server for leaving, and at the beginning of each rest.
+    /// A server announced in a response that it leaves, or asked this host for a backoff (a period
+    /// without requests). Logged once per server for leaving, and at the beginning of each backoff.
     ServerNotice {
         /// Identifier of the server's incarnation; a restarted server gets a new one.
         server: Arc<str>,
@@ -125,7 +125,7 @@
         service: Arc<str>,
         /// True if the server announced that it leaves.
         leaves: bool,
-        /// Duration of the rest, in which this host sends the server no requests; 0 for none.
+        /// Duration of the backoff, in which this host sends the server no requests; 0 for none.
         #[serde(rename = "rest_ms")]
         backoff_ms: u64,
         /// True if the server's entry in the store also says that it leaves.
--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -35,8 +35,8 @@
     Answered(Response<ResponseBody>),
     /// No connection could be opened, so nothing was sent.
     NotSent(String),
-    /// The server has asked this host for a rest (to send it no requests for a time), so the
-    /// request was not sent.
+    /// The server has asked this host for a backoff (a period without requests), so the request was
+    /// not sent.
     InBackoff,
     /// The server responded that it did not run the request.
     NotRun(StatusCode),
@@ -117,9 +117,9 @@
         }
     }
 
-    /// Returns an idle connection to the server, or opens one. Checks for a rest before and after
-    /// connecting: the server may have asked for one while the request waited for other hosts'
-    /// trial claims, or while the connection was being opened.
+    /// Returns an idle connection to the server, or opens one. Checks for a backoff before and
+    /// after connecting: the server may have asked for one while the request waited for other
+    /// hosts' trial claims, or while the connection was being opened.
     async fn connection(
         &self,
         entry: &Arc<Entry>,
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -34,8 +34,9 @@
 /// Interval at which a waiting request checks if the blocking trial has ended.
 const TRIAL_POLL_MS: u64 = 10;
 
-/// Returns the servers that are not in a rest, a time in which this host must send them nothing. If
-/// all are, returns the shortest remaining rest as the error; `None` if there are no servers.
+/// Returns the servers that are not in a backoff, a period in which this host must send them
+/// nothing. If all are, returns the shortest remaining backoff as the error; `None` if there are no
+/// servers.
 fn not_in_backoff(servers: Vec<&Arc<Server>>) -> Result<Vec<&Arc<Server>>, Option<u64>> {
     let shortest_backoff_ms = servers.iter().map(|server| server.backoff_ms()).min();
     let not_in_backoff: Vec<_> = servers
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -278,7 +278,7 @@
         servers
     }
 
-    /// Removes the servers that have asked many hosts for a rest (a period without requests), so
+    /// Removes the servers that have asked many hosts for a backoff (a period without requests), so
     /// that other servers hold their keys. Returns all servers if too few would remain.
     fn not_in_backoff(&self, servers: Vec<PlanServer>) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -111,10 +111,10 @@
     /// Server crashes, and the suspects: requests that may have caused them.
     pub crashes: Crashes,
     /// Wakes the task that reports a server's notice to the leader: the server leaves, or asks for
-    /// a rest (a time without requests).
+    /// a backoff (a period without requests).
     notice_received: Notify,
-    /// Rests (times without requests) that servers asked of hosts; collected while this host is the
-    /// leader.
+    /// Backoffs (periods without requests) that servers asked of hosts; collected while this host
+    /// is the leader.
     backoffs: Backoffs,
     /// Request rates that each host reports for servers with a rate limit; collected while this
     /// host is the leader.
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -232,8 +232,8 @@
 pub struct Notice {
     /// True if the server is about to stop.
     pub leaves: bool,
-    /// Rest that the server asked for: time in which the host must send it no requests. Set only if
-    /// the server refused the request because of the rest.
+    /// Backoff that the server asked for: time in which the host must send it no requests. Set only
+    /// if the server refused the request because of the backoff.
     pub backoff_ms: Option<u64>,
 }
 
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -1,7 +1,7 @@
-//! Notices in servers' responses: that a server leaves, or that it asks for a rest (a time without
-//! requests). The host that receives a notice reports it to the leader, which moves the server's
-//! keys and announces leaving servers to all hosts. A rest applies only to the host that the server
-//! asked for it.
+//! Notices in servers' responses: that a server leaves, or that it asks for a backoff (a period
+//! without requests). The host that receives a notice reports it to the leader, which moves the
+//! server's keys and announces leaving servers to all hosts. A backoff applies only to the host
+//! that the server asked for it.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Reports to the leader which servers asked this host for a rest. As the leader, records them.
+    /// Reports to the leader which servers asked this host for a backoff. As the leader, records
+    /// them.
     fn report_backoffs(&self) {
         let registry = self.view.registry();
         let backoffs = registry.servers().filter_map(|server| {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Records, as the leader, which servers asked a host for a rest.
+    /// Records, as the leader, which servers asked a host for a backoff.
     pub(in crate::entry) fn handle_backoff_report(
         &self,
         host: SocketAddr,
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -79,12 +79,12 @@
     pub age_ms: u16,
 }
 
-/// Rest that a server asked a host for: a period without requests from that host.
+/// Backoff that a server asked a host for: a period without requests from that host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerBackoff {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
-    /// Time left of the rest when the report is sent.
+    /// Time left of the backoff when the report is sent.
     #[serde(rename = "rest_ms")]
     pub backoff_ms: u32,
 }
@@ -249,7 +249,7 @@
     /// has ended without a crash, as the server answered, or the sender released its claim without
     /// a trial.
     TrialEnded(ClaimSubject),
-    /// Servers that asked the sender for a rest. For the leader.
+    /// Servers that asked the sender for a backoff. For the leader.
     ReportBackoffs(Vec<ServerBackoff>),
     /// Reports rate limits of servers with the demand of the sender's callers. Sent to the leader.
     ReportRates(Vec<ServerRate>),
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -241,7 +241,7 @@
         self.leaving.store(leaving, Ordering::Relaxed);
     }
 
-    /// Records the notice in a response: that the server leaves, or asks for a rest, which is a
+    /// Records the notice in a response: that the server leaves, or asks for a backoff, which is a
     /// time without requests.
     pub fn note_notice(&self, notice: Notice) -> NoticeEffect {
         self.notices().note(notice, clock::now_ms())
@@ -270,8 +270,8 @@
         self.notices.clone()
     }
 
-    /// Returns the remaining rest, in which this host must send the server no requests; 0 if there
-    /// is none.
+    /// Returns the remaining backoff, in which this host must send the server no requests; 0 if
+    /// there is none.
     pub fn backoff_ms(&self) -> u64 {
         self.notices().backoff_ms(clock::now_ms())
     }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -63,7 +63,7 @@
     headers.contains_key(NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST
 }
 
-/// Parses the notice in a server's response: whether the server is leaving, and the rest that it
+/// Parses the notice in a server's response: whether the server is leaving, and the backoff that it
 /// asks for (a period without requests from this host).
 pub fn notice(status: StatusCode, headers: &HeaderMap) -> Notice {
     Notice {
@@ -94,7 +94,7 @@
     }
 }
 
-/// Parses the rest (a period without requests from this host) that a server asks for when it
+/// Parses the backoff (a period without requests from this host) that a server asks for when it
 /// rejects a request with 503 or 429, from `Retry-After` in seconds with fractions. HTTP also
 /// allows a date there, but the platform's servers never send one.
 fn backoff_ms(status: StatusCode, headers: &HeaderMap) -> Option<u64> {
--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -1,4 +1,4 @@
-//! Servers that announce in their responses that they leave, or that ask for a rest.
+//! Servers that announce in their responses that they leave, or that ask for a backoff.
 //!
 //! Guards against two failures:
 //!
@@ -8,10 +8,10 @@
 //! the notices and the requests sent to the server until the store responded again.
 //!
 //! A third of the map reads were refused for nine seconds. Three of nine servers rejected every
-//! request and asked for 3 s of rest. Hosts used only the status of such responses, so neither the
-//! choice of a server nor the planner knew of the rest. Hosts kept sending all requests for the
-//! keys there, half of them twice, and the planner gave the servers more keys. All 26 requests that
-//! one host logged to one server during its rest reached that server.
+//! request and asked for a backoff of 3 s. Hosts used only the status of such responses, so neither
+//! the choice of a server nor the planner knew of the backoff. Hosts kept sending all requests for
+//! the keys there, half of them twice, and the planner gave the servers more keys. All 26 requests
+//! that one host logged to one server during its backoff reached that server.
 
 mod platform_standin;
 
@@ -28,11 +28,11 @@
     traffic::{Sent, Traffic, Workload},
 };
 
-/// Time after a server has asked for a rest in which requests in transit may still arrive.
+/// Time after a server has asked for a backoff in which requests in transit may still arrive.
 const BACKOFF_SLACK: Duration = Duration::from_millis(500);
-/// Maximum number of requests that may reach a server later in its rest.
+/// Maximum number of requests that may reach a server later in its backoff.
 const BACKOFF_REQUESTS_MAX: usize = 2;
-/// Duration of the rest that servers ask for.
+/// Duration of the backoff that servers ask for.
 const BACKOFF_MS: u64 = 2_000;
 /// Time for which servers reject requests in a test.
 const REJECTION_TIME: Duration = Duration::from_millis(8_000);
@@ -59,7 +59,7 @@
     late
 }
 
-/// Returns the maximum number of requests that reached a server from one host during a rest that
+/// Returns the maximum number of requests that reached a server from one host during a backoff that
 /// the server had asked this host for.
 fn most_in_a_backoff(server: &Server, traffic: &Traffic) -> usize {
     let in_a_backoff = |received_requests: &Vec<(ReceivedRequest, Sent)>| {
@@ -164,7 +164,7 @@
     .await;
 }
 
-/// Checks that callers are refused at once while all servers of a service ask for a rest.
+/// Checks that callers are refused at once while all servers of a service ask for a backoff.
 async fn backoff_of_all(workload: Workload) -> Result<(), String> {
     let deployment = Deployment::start(workload).await;
     let servers = deployment.servers(workload);
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -1,4 +1,5 @@
-//! Tests decisions about servers that ask hosts for a rest, in virtual time and without processes.
+//! Tests decisions about servers that ask hosts for a backoff, in virtual time and without
+//! processes.
 
 use std::net::SocketAddr;
 
@@ -19,7 +20,7 @@
     struct Case {
         name: &'static str,
         hosts: usize,
-        /// Refusals of hosts as `(host, time of the refusal, length of the rest)`.
+        /// Refusals of hosts as `(host, time of the refusal, length of the backoff)`.
         refusals: &'static [(u8, u64, u64)],
         at_ms: u64,
         wide: bool,
@@ -109,7 +110,7 @@
         case(9, 0, 9),
         case(9, 3, 6),
         case(9, 4, 5),
-        // All servers are overloaded: none is left out, and no key moves because of the rests.
+        // All servers are overloaded: none is left out, and no key moves because of the backoffs.
         case(9, 5, 9),
         case(9, 9, 9),
         case(2, 1, 1),
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -459,7 +459,7 @@
         at_ms,
         backoff_ms,
     };
-    // Each pair is the time at which a server asks for a rest and the duration of the rest.
+    // Each pair is the time at which a server asks for a backoff and the duration of the backoff.
     let cases = [
         case(&[], 0, 0),
         case(&[(100, 3_000)], 100, 3_000),
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -236,7 +236,7 @@
     arrivals: Mutex<Vec<Instant>>,
     /// True if all responses announce that the server leaves.
     leaving: AtomicBool,
-    /// Rest that the server asks for while it rejects all requests; 0 if it accepts them.
+    /// Backoff that the server asks for while it rejects all requests; 0 if it accepts them.
     backoff_ms: AtomicU64,
     /// Rate limit that all responses advertise; `None` for no limit.
     rate_limit: Mutex<Option<String>>,
@@ -256,7 +256,7 @@
     pub id: String,
     /// Time of its arrival.
     pub at: Instant,
-    /// Rest that the server asked for when it rejected the request; `None` if it was accepted.
+    /// Backoff that the server asked for when it rejected the request; `None` if it was accepted.
     pub backoff: Option<Duration>,
 }
 
@@ -383,8 +383,8 @@
         self.state.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Makes the server reject every request and ask for a rest of this length; 0 accepts requests
-    /// again.
+    /// Makes the server reject every request and ask for a backoff of this length; 0 accepts
+    /// requests again.
     pub fn reject_with_backoff(&self, backoff_ms: u64) {
         self.state.backoff_ms.store(backoff_ms, Ordering::Relaxed);
     }
@@ -667,7 +667,7 @@
         runtime.shutdown_background();
     }
 
-    /// Records a request; returns the rest to ask for if the request is rejected.
+    /// Records a request; returns the backoff to ask for if the request is rejected.
     fn record_received(&self, id: &str) -> Option<Duration> {
         let backoff_ms = self.backoff_ms.load(Ordering::Relaxed);
         let backoff = (backoff_ms > 0).then(|| Duration::from_millis(backoff_ms));
