--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -75,7 +75,7 @@
             .peers
             .send_to_leader(&Message::ReportBackoffs(backoffs))
         {
-            log::debug!("rests of servers not reported: no leader can be reached");
+            log::debug!("backoffs of servers not reported: no leader can be reached");
         }
     }
 
--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -119,7 +119,7 @@
         .await;
     let most = most_in_a_backoff(deployment.server(workload), &deployment.traffic);
     if most > BACKOFF_REQUESTS_MAX {
-        return Err(format!("{most} requests in one rest"));
+        return Err(format!("{most} requests in one backoff"));
     }
     if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
@@ -127,7 +127,9 @@
     let due = began + disturbance.recovery_limit(SERVED_AGAIN);
     let served = deployment.traffic.served(due, began + REJECTION_TIME);
     if served < 0.85 {
-        return Err(format!("{served:.2} of the requests served while it rests"));
+        return Err(format!(
+            "{served:.2} of the requests served during the backoff"
+        ));
     }
     violations(&deployment)
 }
@@ -175,7 +177,7 @@
     for server in servers {
         let most = most_in_a_backoff(server, &deployment.traffic);
         if most > BACKOFF_REQUESTS_MAX {
-            return Err(format!("{most} requests in one rest"));
+            return Err(format!("{most} requests in one backoff"));
         }
     }
     let hosts = deployment.site.hosts.iter();
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -48,35 +48,35 @@
             wide: true,
         },
         Case {
-            name: "four of 295: the only ones that send requests within the rest",
+            name: "four of 295: the only ones that send requests within the backoff",
             hosts: 295,
             refusals: &[(1, 0, 3_000), (2, 0, 3_000), (3, 0, 3_000), (4, 0, 3_000)],
             at_ms: 100,
             wide: true,
         },
         Case {
-            name: "just before the end of the rest",
+            name: "just before the end of the backoff",
             hosts: 3,
             refusals: &[(1, 0, 3_000)],
             at_ms: 2_999,
             wide: true,
         },
         Case {
-            name: "after the rest",
+            name: "after the backoff",
             hosts: 3,
             refusals: &[(1, 0, 3_000)],
             at_ms: 3_000,
             wide: false,
         },
         Case {
-            name: "a rest that is shorter than two moves",
+            name: "a backoff that is shorter than two moves",
             hosts: 3,
             refusals: &[(1, 0, 200), (2, 0, 200), (3, 0, 200)],
             at_ms: 100,
             wide: false,
         },
         Case {
-            name: "a later report of the same rest, with less left",
+            name: "a later report of the same backoff, with less left",
             hosts: 3,
             refusals: &[(1, 0, 3_000), (1, 2_900, 100)],
             at_ms: 2_950,
@@ -123,7 +123,7 @@
         assert_eq!(
             left.len() as u32,
             case.not_in_backoff,
-            "{} servers rest",
+            "{} servers in a backoff",
             case.in_backoff
         );
     }
