--- a/src/entry/decide/admission.rs
+++ b/src/entry/decide/admission.rs
@@ -38,7 +38,7 @@
     let ahead = f64::from(server.load + 1);
     let slots = f64::from(server.slots);
     let waiting = (ahead - slots).max(0.0) / slots;
-    run_ms(server, typical_ms) * server.pace * (run_share + waiting)
+    run_ms(server, typical_ms) * server.slowdown * (run_share + waiting)
 }
 
 /// Returns true if a server has room for a request. A request that has missed its objective is
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -8,7 +8,7 @@
 //!
 //! | module | problem that it handles |
 //! |---|---|
-//! | [`pace`] | servers that are temporarily slower than usual |
+//! | [`slowdown`] | servers that are temporarily slower than usual |
 //! | [`attempt_stats`] | servers that are slow, fail or cannot be reached |
 //! | [`notices`] | servers that announce in their responses that they leave, or ask for a backoff |
 //! | [`rate_limit`], [`rate_meter`], [`rate_shares`] | rate limits that all hosts share |
@@ -41,7 +41,6 @@
 pub mod hot_keys;
 pub mod key_loads;
 pub mod notices;
-pub mod pace;
 pub mod path_tally;
 pub mod plan;
 mod policy;
@@ -52,6 +51,7 @@
 pub mod rate_shares;
 pub mod retry_after;
 pub mod run_shares;
+pub mod slowdown;
 pub mod trials;
 pub mod warmup;
 
@@ -70,7 +70,7 @@
     pub since_outcome_ms: u64,
     /// Pace (slowdown factor): the current run time as a multiple of the server's average; 1 is
     /// usual.
-    pub pace: f64,
+    pub slowdown: f64,
     /// Share of recent attempts that failed, from 0 to 1.
     pub failures: f64,
     /// True while connections to the server fail, or while it is cold and outside this host's
--- a/src/entry/decide/slowdown.rs
+++ b/src/entry/decide/slowdown.rs
@@ -31,13 +31,13 @@
 
 impl Pace {
     /// Records the pace that the server reported at `at_ms`; ignored if a later report is known.
-    pub fn note(&mut self, pace: f64, at_ms: u64) {
-        if at_ms < self.at_ms || !pace.is_finite() || pace <= 0.0 {
+    pub fn note(&mut self, slowdown: f64, at_ms: u64) {
+        if at_ms < self.at_ms || !slowdown.is_finite() || slowdown <= 0.0 {
             return;
         }
-        self.latest = pace;
+        self.latest = slowdown;
         self.at_ms = at_ms;
-        self.mean += MEAN_SAMPLE_WEIGHT * (pace - self.mean);
+        self.mean += MEAN_SAMPLE_WEIGHT * (slowdown - self.mean);
     }
 
     /// Returns the expected run time as a multiple of the server's mean run time. The weight of the
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -224,7 +224,7 @@
     /// Number of requests in the server's queue.
     pub waiting: u32,
     /// Pace (slowdown factor): current run time of requests as a multiple of the usual one.
-    pub pace: f64,
+    pub slowdown: f64,
 }
 
 /// Notice in a server's response about further requests of the host that received it.
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ReportedPace {
     server_tag: u32,
-    pace: f64,
+    slowdown: f64,
     /// Time at which the server announced the pace, by this host's clock.
     at_ms: u64,
 }
@@ -399,10 +399,10 @@
 
     fn note_paces(&self, paces: &[ServerPace]) {
         let now_ms = clock::now_ms();
-        let announced = paces.iter().map(|pace| ReportedPace {
-            server_tag: pace.server_tag,
-            pace: f64::from(pace.percent) / 100.0,
-            at_ms: now_ms.saturating_sub(u64::from(pace.age_ms)),
+        let announced = paces.iter().map(|slowdown| ReportedPace {
+            server_tag: slowdown.server_tag,
+            slowdown: f64::from(slowdown.percent) / 100.0,
+            at_ms: now_ms.saturating_sub(u64::from(slowdown.age_ms)),
         });
         self.paces().extend(announced);
     }
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -181,10 +181,10 @@
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
         let announced = registry.servers().filter_map(|server| {
-            let (pace, at_ms) = server.own_pace()?;
+            let (slowdown, at_ms) = server.own_pace()?;
             (at_ms >= since_ms).then_some(ServerPace {
                 server_tag: server.tag,
-                percent: (pace * 100.0) as u16,
+                percent: (slowdown * 100.0) as u16,
                 age_ms: now_ms.saturating_sub(at_ms) as u16,
             })
         });
@@ -226,7 +226,7 @@
             let run_ms = reported.run_ms_sum / reported.reporters.max(1.0);
             server.set_others(reported.in_flight, run_ms);
             if let Some(reported) = latest.get(&server.tag) {
-                server.note_pace(reported.pace, reported.at_ms);
+                server.note_pace(reported.slowdown, reported.at_ms);
             }
         }
     }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -14,7 +14,7 @@
         Candidate, Policy,
         attempt_stats::AttemptStats,
         notices::{NoticeEffect, Notices},
-        pace::Pace,
+        slowdown::Pace,
         warmup::{self, WarmupWindows},
     },
     digest::RequestDigests,
@@ -364,7 +364,7 @@
             load: self.load(),
             run_ms: self.run_ms(),
             since_outcome_ms: attempt_stats.since_outcome_ms(now_ms),
-            pace: self.paces().known.relative(now_ms, policy.pace_memory_ms),
+            slowdown: self.paces().known.relative(now_ms, policy.pace_memory_ms),
             failures: attempt_stats.failures(now_ms),
             is_paused: attempt_stats.is_paused(now_ms) || self.is_limited_by_warmup(rule),
             is_other_region: false,
@@ -383,16 +383,16 @@
     }
 
     /// Records the pace (slowdown factor) that the server reported to another host at `at_ms`.
-    pub fn note_pace(&self, pace: f64, at_ms: u64) {
-        self.paces().known.note(pace, at_ms);
+    pub fn note_pace(&self, slowdown: f64, at_ms: u64) {
+        self.paces().known.note(slowdown, at_ms);
     }
 
     /// Records the pace (slowdown factor) that the server reported to this host.
-    pub fn note_own_pace(&self, pace: f64) {
+    pub fn note_own_pace(&self, slowdown: f64) {
         let now_ms = clock::now_ms();
         let mut paces = self.paces();
-        paces.known.note(pace, now_ms);
-        paces.own = Some((pace, now_ms));
+        paces.known.note(slowdown, now_ms);
+        paces.own = Some((slowdown, now_ms));
     }
 
     /// Returns the latest pace that the server reported to this host, and its time.
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -53,7 +53,7 @@
     Some(ReportedLoad {
         running,
         waiting,
-        pace: f64::from(pace_percent) / 100.0,
+        slowdown: f64::from(pace_percent) / 100.0,
     })
 }
 
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -12,9 +12,9 @@
         choice::{self, HostCount},
         hold::{self, Hold, MoveTimeLeft, MoveWait},
         key_loads::KeyLoads,
-        pace::Pace,
         plan::{self, Inputs, PlanServer},
         run_shares::RunShares,
+        slowdown::Pace,
     },
     keys::{AssignedRange, Assignment, KeyRange},
 };
@@ -26,7 +26,7 @@
     load: 0,
     run_ms: 0.0,
     since_outcome_ms: 0,
-    pace: 1.0,
+    slowdown: 1.0,
     failures: 0.0,
     is_paused: false,
     is_same_zone: true,
@@ -530,7 +530,7 @@
 #[derive(Debug, Default)]
 struct NoisyServer {
     speed: f64,
-    pace: f64,
+    slowdown: f64,
     running: Vec<(u64, Waiting)>,
     queue: VecDeque<Waiting>,
 }
@@ -548,7 +548,7 @@
             let Some(next) = self.queue.pop_front() else {
                 return;
             };
-            let run_ms = next.work_ms * self.speed * self.pace;
+            let run_ms = next.work_ms * self.speed * self.slowdown;
             self.running.push((now_ms + run_ms as u64, next));
         }
     }
@@ -572,7 +572,7 @@
     let mut servers: Vec<NoisyServer> = (0..SERVERS)
         .map(|number| NoisyServer {
             speed: SPEEDS[number % SPEEDS.len()],
-            pace: 1.0,
+            slowdown: 1.0,
             ..NoisyServer::default()
         })
         .collect();
@@ -584,7 +584,7 @@
     for now_ms in 1u64..20_000 {
         for (number, server) in servers.iter_mut().enumerate() {
             if (now_ms + 37 * number as u64).is_multiple_of(NOISE_EVERY_MS) {
-                server.pace = if rng.random_bool(0.2) { 3.0 } else { 1.0 };
+                server.slowdown = if rng.random_bool(0.2) { 3.0 } else { 1.0 };
             }
             let (ended, running) = server.running.iter().partition(|(end, _)| *end <= now_ms);
             server.running = running;
@@ -595,18 +595,19 @@
                     after_ms if after_ms <= DEADLINE_MS => 0.5,
                     _ => 0.0,
                 };
-                paces[request.host][number].note(server.pace, now_ms);
-                reports.push((request.host, number, server.pace, now_ms));
+                paces[request.host][number].note(server.slowdown, now_ms);
+                reports.push((request.host, number, server.slowdown, now_ms));
             }
             server.start_waiting(now_ms);
         }
         for host in 0..HOSTS {
             if (now_ms + 4 * host as u64).is_multiple_of(REPORT_EVERY_MS) {
                 reported[host] = own[host];
-                for (_, server, pace, at_ms) in reports.extract_if(.., |reports| reports.0 == host)
+                for (_, server, slowdown, at_ms) in
+                    reports.extract_if(.., |reports| reports.0 == host)
                 {
                     for paces in &mut paces {
-                        paces[server].note(pace, at_ms);
+                        paces[server].note(slowdown, at_ms);
                     }
                 }
             }
@@ -623,7 +624,7 @@
                         slots: NoisyServer::SLOTS as u32,
                         load: own[host][server] + others,
                         run_ms: MEAN_WORK_MS * servers[server].speed * 1.4,
-                        pace: paces[host][server].relative(now_ms, policy.pace_memory_ms),
+                        slowdown: paces[host][server].relative(now_ms, policy.pace_memory_ms),
                         ..SERVER
                     }
                 })
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -910,7 +910,7 @@
     load: 0,
     run_ms: 50.0,
     since_outcome_ms: 0,
-    pace: 1.0,
+    slowdown: 1.0,
     failures: 0.0,
     is_paused: false,
     is_same_zone: true,
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -301,7 +301,7 @@
         server_tag: u32::MAX,
         in_flight: u8::MAX,
     };
-    let pace = ServerPace {
+    let slowdown = ServerPace {
         server_tag: u32::MAX,
         percent: u16::MAX,
         age_ms: u16::MAX,
@@ -322,7 +322,7 @@
                 processor_share: 1.0,
             },
             servers: vec![load; ENTRIES_MAX],
-            paces: vec![pace; PACES_MAX],
+            paces: vec![slowdown; PACES_MAX],
         },
         Message::RunTimes(vec![run_time; ENTRIES_MAX]),
         Message::ZoneLoads {
