--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -188,7 +188,7 @@
         /// Requests of the sender in flight, by server.
         servers: Vec<ServerLoad>,
         /// Paces (slowdown factors) that servers announced to the sender since its last report.
-        paces: Vec<ServerPace>,
+        slowdowns: Vec<ServerPace>,
     },
     /// Average run times of servers as measured by the sender.
     RunTimes(Vec<RunTime>),
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -132,7 +132,7 @@
     hosts_known_to_leader: AtomicUsize,
     leader_heard_ms: AtomicU64,
     /// Paces (slowdown factors) of servers that other hosts reported and that are not applied yet.
-    paces: Mutex<Vec<ReportedPace>>,
+    slowdowns: Mutex<Vec<ReportedPace>>,
     one_way_delay: Mutex<OneWayDelay>,
     zone_loads: Mutex<ZoneLoads>,
     /// Loads that this host has sent to other zones as the aggregator of its zone.
@@ -397,23 +397,25 @@
         }
     }
 
-    fn note_paces(&self, paces: &[ServerPace]) {
+    fn note_paces(&self, slowdowns: &[ServerPace]) {
         let now_ms = clock::now_ms();
-        let announced = paces.iter().map(|slowdown| ReportedPace {
+        let announced = slowdowns.iter().map(|slowdown| ReportedPace {
             server_tag: slowdown.server_tag,
             slowdown: f64::from(slowdown.percent) / 100.0,
             at_ms: now_ms.saturating_sub(u64::from(slowdown.age_ms)),
         });
-        self.paces().extend(announced);
+        self.slowdowns().extend(announced);
     }
 
     /// Takes the paces that other hosts reported since the last call.
     fn take_paces(&self) -> Vec<ReportedPace> {
-        std::mem::take(&mut *self.paces())
+        std::mem::take(&mut *self.slowdowns())
     }
 
-    fn paces(&self) -> MutexGuard<'_, Vec<ReportedPace>> {
-        self.paces.lock().unwrap_or_else(PoisonError::into_inner)
+    fn slowdowns(&self) -> MutexGuard<'_, Vec<ReportedPace>> {
+        self.slowdowns
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records a heartbeat of the leader. Returns false and ignores it if a later term is known.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -124,9 +124,11 @@
                 let updates = updates.aged_by(self.peers.excess_delay_ms(term, sent_ms));
                 self.note_leader(from, term, updates, hot);
             }
-            Message::Report { servers, paces, .. } => {
+            Message::Report {
+                servers, slowdowns, ..
+            } => {
                 self.peers.note_report(from, servers);
-                self.peers.note_paces(&paces);
+                self.peers.note_paces(&slowdowns);
             }
             Message::RunTimes(run_times) => self.peers.note_run_times(from, run_times),
             Message::ZoneLoads {
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -41,9 +41,9 @@
     fn report(&mut self, entry: &Entry, servers: Vec<ServerLoad>, to: &[SocketAddr]) {
         let full = self.round.is_multiple_of(FULL_REPORT_EVERY);
         self.round += 1;
-        let paces = entry.own_paces(self.at_ms);
+        let slowdowns = entry.own_paces(self.at_ms);
         self.at_ms = clock::now_ms();
-        if servers == self.last && paces.is_empty() && !full {
+        if servers == self.last && slowdowns.is_empty() && !full {
             return;
         }
         self.last.clone_from(&servers);
@@ -51,7 +51,7 @@
         let report = Message::Report {
             sender,
             servers,
-            paces,
+            slowdowns,
         };
         entry.peers.send(&report, to);
         if !full {
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -51,7 +51,7 @@
     others: AtomicU32,
     shared_run_us: AtomicU64,
     answered_ms: AtomicU64,
-    paces: Mutex<PaceReports>,
+    slowdowns: Mutex<PaceReports>,
     attempt_stats: Mutex<AttemptStats>,
     running_requests: Mutex<RunningRequests>,
     /// Rate limit that the server advertises for all hosts together, and this host's share of it.
@@ -115,7 +115,7 @@
             others: AtomicU32::new(0),
             shared_run_us: AtomicU64::new(0),
             answered_ms: AtomicU64::new(0),
-            paces: Mutex::default(),
+            slowdowns: Mutex::default(),
             attempt_stats: Mutex::default(),
             running_requests: Mutex::default(),
             broken_connections: BrokenConnections::default(),
@@ -364,7 +364,10 @@
             load: self.load(),
             run_ms: self.run_ms(),
             since_outcome_ms: attempt_stats.since_outcome_ms(now_ms),
-            slowdown: self.paces().known.relative(now_ms, policy.pace_memory_ms),
+            slowdown: self
+                .slowdowns()
+                .known
+                .relative(now_ms, policy.pace_memory_ms),
             failures: attempt_stats.failures(now_ms),
             is_paused: attempt_stats.is_paused(now_ms) || self.is_limited_by_warmup(rule),
             is_other_region: false,
@@ -384,20 +387,20 @@
 
     /// Records the pace (slowdown factor) that the server reported to another host at `at_ms`.
     pub fn note_pace(&self, slowdown: f64, at_ms: u64) {
-        self.paces().known.note(slowdown, at_ms);
+        self.slowdowns().known.note(slowdown, at_ms);
     }
 
     /// Records the pace (slowdown factor) that the server reported to this host.
     pub fn note_own_pace(&self, slowdown: f64) {
         let now_ms = clock::now_ms();
-        let mut paces = self.paces();
-        paces.known.note(slowdown, now_ms);
-        paces.own = Some((slowdown, now_ms));
+        let mut slowdowns = self.slowdowns();
+        slowdowns.known.note(slowdown, now_ms);
+        slowdowns.own = Some((slowdown, now_ms));
     }
 
     /// Returns the latest pace that the server reported to this host, and its time.
     pub fn own_pace(&self) -> Option<(f64, u64)> {
-        self.paces().own
+        self.slowdowns().own
     }
 
     /// Returns the time at which the server last answered a request of this host; 0 if it never
@@ -416,8 +419,10 @@
         self.attempt_stats().not_connected(clock::now_ms());
     }
 
-    fn paces(&self) -> MutexGuard<'_, PaceReports> {
-        self.paces.lock().unwrap_or_else(PoisonError::into_inner)
+    fn slowdowns(&self) -> MutexGuard<'_, PaceReports> {
+        self.slowdowns
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn notices(&self) -> MutexGuard<'_, Notices> {
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -578,7 +578,7 @@
         .collect();
     let mut own = vec![[0u32; SERVERS]; HOSTS];
     let mut reported = own.clone();
-    let mut paces = vec![[Pace::default(); SERVERS]; HOSTS];
+    let mut slowdowns = vec![[Pace::default(); SERVERS]; HOSTS];
     let mut reports: Vec<(usize, usize, f64, u64)> = Vec::new();
     let (mut requests, mut worth, mut due_ms) = (0.0, 0.0, 0.0);
     for now_ms in 1u64..20_000 {
@@ -595,7 +595,7 @@
                     after_ms if after_ms <= DEADLINE_MS => 0.5,
                     _ => 0.0,
                 };
-                paces[request.host][number].note(server.slowdown, now_ms);
+                slowdowns[request.host][number].note(server.slowdown, now_ms);
                 reports.push((request.host, number, server.slowdown, now_ms));
             }
             server.start_waiting(now_ms);
@@ -606,8 +606,8 @@
                 for (_, server, slowdown, at_ms) in
                     reports.extract_if(.., |reports| reports.0 == host)
                 {
-                    for paces in &mut paces {
-                        paces[server].note(slowdown, at_ms);
+                    for slowdowns in &mut slowdowns {
+                        slowdowns[server].note(slowdown, at_ms);
                     }
                 }
             }
@@ -624,7 +624,7 @@
                         slots: NoisyServer::SLOTS as u32,
                         load: own[host][server] + others,
                         run_ms: MEAN_WORK_MS * servers[server].speed * 1.4,
-                        slowdown: paces[host][server].relative(now_ms, policy.pace_memory_ms),
+                        slowdown: slowdowns[host][server].relative(now_ms, policy.pace_memory_ms),
                         ..SERVER
                     }
                 })
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -322,7 +322,7 @@
                 processor_share: 1.0,
             },
             servers: vec![load; ENTRIES_MAX],
-            paces: vec![slowdown; PACES_MAX],
+            slowdowns: vec![slowdown; PACES_MAX],
         },
         Message::RunTimes(vec![run_time; ENTRIES_MAX]),
         Message::ZoneLoads {
