--- a/src/entry/decide/slowdown.rs
+++ b/src/entry/decide/slowdown.rs
@@ -12,14 +12,14 @@
 
 /// Pace of one server: 1 is its usual speed, 3 means that requests take three times as long.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct Slowdown {
     latest: f64,
     at_ms: u64,
     /// Moving average of all reports, the reference for `latest`.
     mean: f64,
 }
 
-impl Default for Pace {
+impl Default for Slowdown {
     fn default() -> Self {
         Self {
             latest: 1.0,
@@ -29,7 +29,7 @@
     }
 }
 
-impl Pace {
+impl Slowdown {
     /// Records the pace that the server reported at `at_ms`; ignored if a later report is known.
     pub fn note(&mut self, slowdown: f64, at_ms: u64) {
         if at_ms < self.at_ms || !slowdown.is_finite() || slowdown <= 0.0 {
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -14,7 +14,7 @@
         Candidate, Policy,
         attempt_stats::AttemptStats,
         notices::{NoticeEffect, Notices},
-        slowdown::Pace,
+        slowdown::Slowdown,
         warmup::{self, WarmupWindows},
     },
     digest::RequestDigests,
@@ -64,7 +64,7 @@
 #[derive(Debug, Default)]
 struct PaceReports {
     /// Pace from reports to any host.
-    known: Pace,
+    known: Slowdown,
     /// Latest pace reported to this host, and its time.
     own: Option<(f64, u64)>,
 }
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -14,7 +14,7 @@
         key_loads::KeyLoads,
         plan::{self, Inputs, PlanServer},
         run_shares::RunShares,
-        slowdown::Pace,
+        slowdown::Slowdown,
     },
     keys::{AssignedRange, Assignment, KeyRange},
 };
@@ -578,7 +578,7 @@
         .collect();
     let mut own = vec![[0u32; SERVERS]; HOSTS];
     let mut reported = own.clone();
-    let mut slowdowns = vec![[Pace::default(); SERVERS]; HOSTS];
+    let mut slowdowns = vec![[Slowdown::default(); SERVERS]; HOSTS];
     let mut reports: Vec<(usize, usize, f64, u64)> = Vec::new();
     let (mut requests, mut worth, mut due_ms) = (0.0, 0.0, 0.0);
     for now_ms in 1u64..20_000 {
