--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -70,7 +70,7 @@
 
 /// Pace (slowdown factor) that a server announced to a host since that host's last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServerPace {
+pub struct ServerSlowdown {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
     /// Current run time of requests relative to the usual one, in percent: 200 is twice as slow.
@@ -188,7 +188,7 @@
         /// Requests of the sender in flight, by server.
         servers: Vec<ServerLoad>,
         /// Paces (slowdown factors) that servers announced to the sender since its last report.
-        slowdowns: Vec<ServerPace>,
+        slowdowns: Vec<ServerSlowdown>,
     },
     /// Average run times of servers as measured by the sender.
     RunTimes(Vec<RunTime>),
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -30,7 +30,7 @@
 use self::{
     fanout::{DIRECT_HOSTS_MAX, Fanout, OneWayDelay, RELAY_SILENT_MS, RelayCandidate},
     intervals::report_age_max_ms,
-    message::{Message, RunTime, ServerLoad, ServerPace, VERSION},
+    message::{Message, RunTime, ServerLoad, ServerSlowdown, VERSION},
     outbox::Outbox,
     zone_loads::{ZoneLoadChanges, ZoneLoads},
 };
@@ -397,7 +397,7 @@
         }
     }
 
-    fn note_paces(&self, slowdowns: &[ServerPace]) {
+    fn note_paces(&self, slowdowns: &[ServerSlowdown]) {
         let now_ms = clock::now_ms();
         let announced = slowdowns.iter().map(|slowdown| ReportedPace {
             server_tag: slowdown.server_tag,
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -9,7 +9,9 @@
     ReportedPace,
     fanout::RelayCandidate,
     intervals::{FULL_REPORT_EVERY, ZONE_LOADS_EVERY_MS, report_every_ms},
-    message::{ENTRIES_MAX, KeyCount, Message, PACES_MAX, RunTime, Sender, ServerLoad, ServerPace},
+    message::{
+        ENTRIES_MAX, KeyCount, Message, PACES_MAX, RunTime, Sender, ServerLoad, ServerSlowdown,
+    },
 };
 use crate::{
     clock,
@@ -177,12 +179,12 @@
     }
 
     /// Returns the paces (slowdown factors) that servers announced to this host since `since_ms`.
-    fn own_paces(&self, since_ms: u64) -> Vec<ServerPace> {
+    fn own_paces(&self, since_ms: u64) -> Vec<ServerSlowdown> {
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
         let announced = registry.servers().filter_map(|server| {
             let (slowdown, at_ms) = server.own_pace()?;
-            (at_ms >= since_ms).then_some(ServerPace {
+            (at_ms >= since_ms).then_some(ServerSlowdown {
                 server_tag: server.tag,
                 percent: (slowdown * 100.0) as u16,
                 age_ms: now_ms.saturating_sub(at_ms) as u16,
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -16,7 +16,7 @@
         },
         message::{
             AdvertisedRate, DATAGRAM_BYTES_MAX, ENTRIES_MAX, Message, PACES_MAX, RATES_MAX,
-            RunTime, SHARED_SUSPECTS_MAX, Sender, ServerLoad, ServerPace, ServerRate,
+            RunTime, SHARED_SUSPECTS_MAX, Sender, ServerLoad, ServerRate, ServerSlowdown,
             ServerSummary,
         },
         zone_loads::{ZoneLoadChanges, ZoneLoads, parts},
@@ -301,7 +301,7 @@
         server_tag: u32::MAX,
         in_flight: u8::MAX,
     };
-    let slowdown = ServerPace {
+    let slowdown = ServerSlowdown {
         server_tag: u32::MAX,
         percent: u16::MAX,
         age_ms: u16::MAX,
