--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -49,7 +49,7 @@
 
 /// Pace (slowdown factor) that a server announced to another host, which reported it.
 #[derive(Clone, Copy, Debug)]
-struct ReportedPace {
+struct ReportedSlowdown {
     server_tag: u32,
     slowdown: f64,
     /// Time at which the server announced the pace, by this host's clock.
@@ -132,7 +132,7 @@
     hosts_known_to_leader: AtomicUsize,
     leader_heard_ms: AtomicU64,
     /// Paces (slowdown factors) of servers that other hosts reported and that are not applied yet.
-    slowdowns: Mutex<Vec<ReportedPace>>,
+    slowdowns: Mutex<Vec<ReportedSlowdown>>,
     one_way_delay: Mutex<OneWayDelay>,
     zone_loads: Mutex<ZoneLoads>,
     /// Loads that this host has sent to other zones as the aggregator of its zone.
@@ -399,7 +399,7 @@
 
     fn note_paces(&self, slowdowns: &[ServerSlowdown]) {
         let now_ms = clock::now_ms();
-        let announced = slowdowns.iter().map(|slowdown| ReportedPace {
+        let announced = slowdowns.iter().map(|slowdown| ReportedSlowdown {
             server_tag: slowdown.server_tag,
             slowdown: f64::from(slowdown.percent) / 100.0,
             at_ms: now_ms.saturating_sub(u64::from(slowdown.age_ms)),
@@ -408,11 +408,11 @@
     }
 
     /// Takes the paces that other hosts reported since the last call.
-    fn take_paces(&self) -> Vec<ReportedPace> {
+    fn take_paces(&self) -> Vec<ReportedSlowdown> {
         std::mem::take(&mut *self.slowdowns())
     }
 
-    fn slowdowns(&self) -> MutexGuard<'_, Vec<ReportedPace>> {
+    fn slowdowns(&self) -> MutexGuard<'_, Vec<ReportedSlowdown>> {
         self.slowdowns
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -6,7 +6,7 @@
 use tokio::time;
 
 use super::{
-    ReportedPace,
+    ReportedSlowdown,
     fanout::RelayCandidate,
     intervals::{FULL_REPORT_EVERY, ZONE_LOADS_EVERY_MS, report_every_ms},
     message::{
@@ -216,7 +216,7 @@
 
     fn apply_reports(&self) {
         let loads = self.peers.loads();
-        let mut latest: HashMap<u32, ReportedPace> = HashMap::new();
+        let mut latest: HashMap<u32, ReportedSlowdown> = HashMap::new();
         for reported in self.peers.take_paces() {
             let known = latest.entry(reported.server_tag).or_insert(reported);
             if reported.at_ms > known.at_ms {
