--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -51,7 +51,7 @@
     others: AtomicU32,
     shared_run_us: AtomicU64,
     answered_ms: AtomicU64,
-    slowdowns: Mutex<PaceReports>,
+    slowdowns: Mutex<SlowdownReports>,
     attempt_stats: Mutex<AttemptStats>,
     running_requests: Mutex<RunningRequests>,
     /// Rate limit that the server advertises for all hosts together, and this host's share of it.
@@ -62,7 +62,7 @@
 
 /// Paces that the server has reported (how much slower than usual it currently runs).
 #[derive(Debug, Default)]
-struct PaceReports {
+struct SlowdownReports {
     /// Pace from reports to any host.
     known: Slowdown,
     /// Latest pace reported to this host, and its time.
@@ -419,7 +419,7 @@
         self.attempt_stats().not_connected(clock::now_ms());
     }
 
-    fn slowdowns(&self) -> MutexGuard<'_, PaceReports> {
+    fn slowdowns(&self) -> MutexGuard<'_, SlowdownReports> {
         self.slowdowns
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
