--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -25,7 +25,7 @@
 pub const ENTRIES_MAX: usize = 120;
 /// Maximum number of server paces, of up to 11 bytes each, in one datagram. They share it with up
 /// to [`ENTRIES_MAX`] loads.
-pub const PACES_MAX: usize = 80;
+pub const SLOWDOWNS_MAX: usize = 80;
 /// Maximum number of server rates in one datagram, of up to 36 bytes each.
 pub const RATES_MAX: usize = 45;
 /// Maximum number of workspaces in one datagram, of up to 15 bytes each.
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -10,7 +10,7 @@
     fanout::RelayCandidate,
     intervals::{FULL_REPORT_EVERY, ZONE_LOADS_EVERY_MS, report_every_ms},
     message::{
-        ENTRIES_MAX, KeyCount, Message, PACES_MAX, RunTime, Sender, ServerLoad, ServerSlowdown,
+        ENTRIES_MAX, KeyCount, Message, RunTime, SLOWDOWNS_MAX, Sender, ServerLoad, ServerSlowdown,
     },
 };
 use crate::{
@@ -190,7 +190,7 @@
                 age_ms: now_ms.saturating_sub(at_ms) as u16,
             })
         });
-        announced.take(PACES_MAX).collect()
+        announced.take(SLOWDOWNS_MAX).collect()
     }
 
     fn own_run_times(&self) -> Vec<RunTime> {
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -15,8 +15,8 @@
             zone_aggregator,
         },
         message::{
-            AdvertisedRate, DATAGRAM_BYTES_MAX, ENTRIES_MAX, Message, PACES_MAX, RATES_MAX,
-            RunTime, SHARED_SUSPECTS_MAX, Sender, ServerLoad, ServerRate, ServerSlowdown,
+            AdvertisedRate, DATAGRAM_BYTES_MAX, ENTRIES_MAX, Message, RATES_MAX, RunTime,
+            SHARED_SUSPECTS_MAX, SLOWDOWNS_MAX, Sender, ServerLoad, ServerRate, ServerSlowdown,
             ServerSummary,
         },
         zone_loads::{ZoneLoadChanges, ZoneLoads, parts},
@@ -322,7 +322,7 @@
                 processor_share: 1.0,
             },
             servers: vec![load; ENTRIES_MAX],
-            slowdowns: vec![slowdown; PACES_MAX],
+            slowdowns: vec![slowdown; SLOWDOWNS_MAX],
         },
         Message::RunTimes(vec![run_time; ENTRIES_MAX]),
         Message::ZoneLoads {
