--- a/src/entry/decide/slowdown.rs
+++ b/src/entry/decide/slowdown.rs
@@ -8,7 +8,7 @@
 /// Bounds of the relative pace, so that no report makes a server appear to cost nothing or to be
 /// unusable.
 const RELATIVE_SLOWDOWN_MIN: f64 = 0.3;
-const RELATIVE_PACE_MAX: f64 = 5.0;
+const RELATIVE_SLOWDOWN_MAX: f64 = 5.0;
 
 /// Pace of one server: 1 is its usual speed, 3 means that requests take three times as long.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -49,6 +49,6 @@
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         let remembered = 0.5_f64.powf(age_ms / memory_ms as f64);
         let expected = self.mean + (self.latest - self.mean) * remembered;
-        (expected / self.mean).clamp(RELATIVE_SLOWDOWN_MIN, RELATIVE_PACE_MAX)
+        (expected / self.mean).clamp(RELATIVE_SLOWDOWN_MIN, RELATIVE_SLOWDOWN_MAX)
     }
 }
