--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -183,7 +183,7 @@
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
         let announced = registry.servers().filter_map(|server| {
-            let (slowdown, at_ms) = server.own_pace()?;
+            let (slowdown, at_ms) = server.own_slowdown()?;
             (at_ms >= since_ms).then_some(ServerSlowdown {
                 server_tag: server.tag,
                 percent: (slowdown * 100.0) as u16,
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -399,7 +399,7 @@
     }
 
     /// Returns the latest pace that the server reported to this host, and its time.
-    pub fn own_pace(&self) -> Option<(f64, u64)> {
+    pub fn own_slowdown(&self) -> Option<(f64, u64)> {
         self.slowdowns().own
     }
 
