--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -43,7 +43,7 @@
     fn report(&mut self, entry: &Entry, servers: Vec<ServerLoad>, to: &[SocketAddr]) {
         let full = self.round.is_multiple_of(FULL_REPORT_EVERY);
         self.round += 1;
-        let slowdowns = entry.own_paces(self.at_ms);
+        let slowdowns = entry.own_slowdowns(self.at_ms);
         self.at_ms = clock::now_ms();
         if servers == self.last && slowdowns.is_empty() && !full {
             return;
@@ -179,7 +179,7 @@
     }
 
     /// Returns the paces (slowdown factors) that servers announced to this host since `since_ms`.
-    fn own_paces(&self, since_ms: u64) -> Vec<ServerSlowdown> {
+    fn own_slowdowns(&self, since_ms: u64) -> Vec<ServerSlowdown> {
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
         let announced = registry.servers().filter_map(|server| {
