--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -228,7 +228,7 @@
             let run_ms = reported.run_ms_sum / reported.reporters.max(1.0);
             server.set_others(reported.in_flight, run_ms);
             if let Some(reported) = latest.get(&server.tag) {
-                server.note_pace(reported.slowdown, reported.at_ms);
+                server.note_slowdown(reported.slowdown, reported.at_ms);
             }
         }
     }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -386,7 +386,7 @@
     }
 
     /// Records the pace (slowdown factor) that the server reported to another host at `at_ms`.
-    pub fn note_pace(&self, slowdown: f64, at_ms: u64) {
+    pub fn note_slowdown(&self, slowdown: f64, at_ms: u64) {
         self.slowdowns().known.note(slowdown, at_ms);
     }
 
