--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -397,7 +397,7 @@
         }
     }
 
-    fn note_paces(&self, slowdowns: &[ServerSlowdown]) {
+    fn note_slowdowns(&self, slowdowns: &[ServerSlowdown]) {
         let now_ms = clock::now_ms();
         let announced = slowdowns.iter().map(|slowdown| ReportedSlowdown {
             server_tag: slowdown.server_tag,
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -128,7 +128,7 @@
                 servers, slowdowns, ..
             } => {
                 self.peers.note_report(from, servers);
-                self.peers.note_paces(&slowdowns);
+                self.peers.note_slowdowns(&slowdowns);
             }
             Message::RunTimes(run_times) => self.peers.note_run_times(from, run_times),
             Message::ZoneLoads {
