--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -166,7 +166,7 @@
         found_free_slot: bool,
     ) {
         if let Some(load) = headers::reported_load(&head.headers) {
-            server.note_own_pace(load.slowdown);
+            server.note_own_slowdown(load.slowdown);
         }
         if head.status.is_server_error() {
             server.failed();
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -391,7 +391,7 @@
     }
 
     /// Records the pace (slowdown factor) that the server reported to this host.
-    pub fn note_own_pace(&self, slowdown: f64) {
+    pub fn note_own_slowdown(&self, slowdown: f64) {
         let now_ms = clock::now_ms();
         let mut slowdowns = self.slowdowns();
         slowdowns.known.note(slowdown, now_ms);
