--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -408,7 +408,7 @@
     }
 
     /// Takes the paces that other hosts reported since the last call.
-    fn take_paces(&self) -> Vec<ReportedSlowdown> {
+    fn take_slowdowns(&self) -> Vec<ReportedSlowdown> {
         std::mem::take(&mut *self.slowdowns())
     }
 
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -217,7 +217,7 @@
     fn apply_reports(&self) {
         let loads = self.peers.loads();
         let mut latest: HashMap<u32, ReportedSlowdown> = HashMap::new();
-        for reported in self.peers.take_paces() {
+        for reported in self.peers.take_slowdowns() {
             let known = latest.entry(reported.server_tag).or_insert(reported);
             if reported.at_ms > known.at_ms {
                 *known = reported;
