--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -49,11 +49,11 @@
     let running = figures.next()?.ok()?;
     let waiting = figures.next()?.ok()?;
     let _slots = figures.next()?.ok()?;
-    let pace_percent = figures.next().unwrap_or(Ok(100)).ok()?;
+    let slowdown_percent = figures.next().unwrap_or(Ok(100)).ok()?;
     Some(ReportedLoad {
         running,
         waiting,
-        slowdown: f64::from(pace_percent) / 100.0,
+        slowdown: f64::from(slowdown_percent) / 100.0,
     })
 }
 
