--- a/src/entry/decide/policy.rs
+++ b/src/entry/decide/policy.rs
@@ -16,7 +16,8 @@
     pub failure_cost: f64,
     /// Half-life of the pace that a server reported in a response; 0 ignores the pace. Slow periods
     /// last some hundred milliseconds.
-    pub pace_memory_ms: u64,
+    #[serde(rename = "pace_memory_ms")]
+    pub slowdown_memory_ms: u64,
     /// Bonus for a server without recent samples, as a share of the run time, so that servers that
     /// joined or were avoided get requests again.
     pub unknown_bonus: f64,
@@ -84,7 +85,7 @@
             zone_cost: 0.4,
             connect_cost: 0.25,
             failure_cost: 8.0,
-            pace_memory_ms: 140,
+            slowdown_memory_ms: 140,
             unknown_bonus: 0.8,
             jitter: 0.1,
             load_max_factor: 4,
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -367,7 +367,7 @@
             slowdown: self
                 .slowdowns()
                 .known
-                .relative(now_ms, policy.pace_memory_ms),
+                .relative(now_ms, policy.slowdown_memory_ms),
             failures: attempt_stats.failures(now_ms),
             is_paused: attempt_stats.is_paused(now_ms) || self.is_limited_by_warmup(rule),
             is_other_region: false,
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -624,7 +624,8 @@
                         slots: NoisyServer::SLOTS as u32,
                         load: own[host][server] + others,
                         run_ms: MEAN_WORK_MS * servers[server].speed * 1.4,
-                        slowdown: slowdowns[host][server].relative(now_ms, policy.pace_memory_ms),
+                        slowdown: slowdowns[host][server]
+                            .relative(now_ms, policy.slowdown_memory_ms),
                         ..SERVER
                     }
                 })
@@ -671,7 +672,7 @@
     let default = Policy::default();
     let known = simulate_noisy_servers(&default);
     let unknown = simulate_noisy_servers(&Policy {
-        pace_memory_ms: 0,
+        slowdown_memory_ms: 0,
         ..default
     });
     // The value is 0.87 if a host compares ten servers instead of three, because all hosts then
