--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -68,7 +68,7 @@
     pub run_ms: f64,
     /// Time since the last outcome of an attempt that this host made at the server.
     pub since_outcome_ms: u64,
-    /// Pace (slowdown factor): the current run time as a multiple of the server's average; 1 is
+    /// Slowdown of the server: the current run time as a multiple of the server's average; 1 is
     /// usual.
     pub slowdown: f64,
     /// Share of recent attempts that failed, from 0 to 1.
--- a/src/entry/decide/policy.rs
+++ b/src/entry/decide/policy.rs
@@ -14,8 +14,8 @@
     pub connect_cost: f64,
     /// Cost of a server whose attempts all fail, as a multiple of the run time.
     pub failure_cost: f64,
-    /// Half-life of the pace that a server reported in a response; 0 ignores the pace. Slow periods
-    /// last some hundred milliseconds.
+    /// Half-life of the slowdown that a server reported in a response; 0 ignores the slowdown. Slow
+    /// periods last some hundred milliseconds.
     #[serde(rename = "pace_memory_ms")]
     pub slowdown_memory_ms: u64,
     /// Bonus for a server without recent samples, as a share of the run time, so that servers that
--- a/src/entry/decide/slowdown.rs
+++ b/src/entry/decide/slowdown.rs
@@ -1,16 +1,18 @@
-//! Pace (slowdown factor) of a server: its current run time compared with its usual one. Servers
-//! that share their machine with others run several times slower for periods of some hundred
-//! milliseconds. They report their pace in their responses, and hosts exchange these reports.
+//! Slowdown of a server: the factor by which it currently runs slower than usual, as its current
+//! run time divided by its usual one. Servers that share their machine with others run several
+//! times slower for periods of some hundred milliseconds. They report their slowdown in their
+//! responses, and hosts exchange these reports.
 
-/// Weight of a new report in a server's mean pace: low, so that the mean follows the usual pace and
-/// not a slow period.
+/// Weight of a new report in a server's mean slowdown: low, so that the mean follows the usual
+/// slowdown and not a slow period.
 const MEAN_SAMPLE_WEIGHT: f64 = 0.05;
-/// Bounds of the relative pace, so that no report makes a server appear to cost nothing or to be
-/// unusable.
+/// Bounds of the relative slowdown, so that no report makes a server appear to cost nothing or to
+/// be unusable.
 const RELATIVE_SLOWDOWN_MIN: f64 = 0.3;
 const RELATIVE_SLOWDOWN_MAX: f64 = 5.0;
 
-/// Pace of one server: 1 is its usual speed, 3 means that requests take three times as long.
+/// Slowdown of one server, the factor by which it currently runs slower than usual: 1 is its usual
+/// speed, 3 means that requests take three times as long.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Slowdown {
     latest: f64,
@@ -30,7 +32,8 @@
 }
 
 impl Slowdown {
-    /// Records the pace that the server reported at `at_ms`; ignored if a later report is known.
+    /// Records the slowdown that the server reported at `at_ms`; ignored if a later report is
+    /// known.
     pub fn note(&mut self, slowdown: f64, at_ms: u64) {
         if at_ms < self.at_ms || !slowdown.is_finite() || slowdown <= 0.0 {
             return;
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -223,7 +223,7 @@
     pub running: u32,
     /// Number of requests in the server's queue.
     pub waiting: u32,
-    /// Pace (slowdown factor): current run time of requests as a multiple of the usual one.
+    /// Slowdown of the server: current run time of requests as a multiple of the usual one.
     pub slowdown: f64,
 }
 
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -23,8 +23,8 @@
 
 /// Maximum number of servers or keys in one datagram, which keeps it below the usual packet size.
 pub const ENTRIES_MAX: usize = 120;
-/// Maximum number of server paces, of up to 11 bytes each, in one datagram. They share it with up
-/// to [`ENTRIES_MAX`] loads.
+/// Maximum number of server slowdowns, of up to 11 bytes each, in one datagram. They share it with
+/// up to [`ENTRIES_MAX`] loads.
 pub const SLOWDOWNS_MAX: usize = 80;
 /// Maximum number of server rates in one datagram, of up to 36 bytes each.
 pub const RATES_MAX: usize = 45;
@@ -68,7 +68,7 @@
     pub run_ms: u16,
 }
 
-/// Pace (slowdown factor) that a server announced to a host since that host's last report.
+/// Slowdown that a server announced to a host since that host's last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerSlowdown {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
@@ -187,7 +187,7 @@
         sender: Sender,
         /// Requests of the sender in flight, by server.
         servers: Vec<ServerLoad>,
-        /// Paces (slowdown factors) that servers announced to the sender since its last report.
+        /// Slowdowns that servers announced to the sender since its last report.
         slowdowns: Vec<ServerSlowdown>,
     },
     /// Average run times of servers as measured by the sender.
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -47,12 +47,12 @@
     reporters: f64,
 }
 
-/// Pace (slowdown factor) that a server announced to another host, which reported it.
+/// Slowdown that a server announced to another host, which reported it.
 #[derive(Clone, Copy, Debug)]
 struct ReportedSlowdown {
     server_tag: u32,
     slowdown: f64,
-    /// Time at which the server announced the pace, by this host's clock.
+    /// Time at which the server announced the slowdown, by this host's clock.
     at_ms: u64,
 }
 
@@ -131,7 +131,7 @@
     leader_term: AtomicU64,
     hosts_known_to_leader: AtomicUsize,
     leader_heard_ms: AtomicU64,
-    /// Paces (slowdown factors) of servers that other hosts reported and that are not applied yet.
+    /// Slowdowns of servers that other hosts reported and that are not applied yet.
     slowdowns: Mutex<Vec<ReportedSlowdown>>,
     one_way_delay: Mutex<OneWayDelay>,
     zone_loads: Mutex<ZoneLoads>,
@@ -407,7 +407,7 @@
         self.slowdowns().extend(announced);
     }
 
-    /// Takes the paces that other hosts reported since the last call.
+    /// Takes the slowdowns that other hosts reported since the last call.
     fn take_slowdowns(&self) -> Vec<ReportedSlowdown> {
         std::mem::take(&mut *self.slowdowns())
     }
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -38,8 +38,8 @@
 }
 
 impl Reporter {
-    /// Sends a report if the loads have changed, a server announced a pace (slowdown factor), or a
-    /// full report is due.
+    /// Sends a report if the loads have changed, a server announced a slowdown, or a full report is
+    /// due.
     fn report(&mut self, entry: &Entry, servers: Vec<ServerLoad>, to: &[SocketAddr]) {
         let full = self.round.is_multiple_of(FULL_REPORT_EVERY);
         self.round += 1;
@@ -178,7 +178,7 @@
         loads
     }
 
-    /// Returns the paces (slowdown factors) that servers announced to this host since `since_ms`.
+    /// Returns the slowdowns that servers announced to this host since `since_ms`.
     fn own_slowdowns(&self, since_ms: u64) -> Vec<ServerSlowdown> {
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -60,12 +60,12 @@
     pub broken_connections: BrokenConnections,
 }
 
-/// Paces that the server has reported (how much slower than usual it currently runs).
+/// Slowdowns that the server has reported (factors by which it currently runs slower than usual).
 #[derive(Debug, Default)]
 struct SlowdownReports {
-    /// Pace from reports to any host.
+    /// Slowdown from reports to any host.
     known: Slowdown,
-    /// Latest pace reported to this host, and its time.
+    /// Latest slowdown reported to this host, and its time.
     own: Option<(f64, u64)>,
 }
 
@@ -385,12 +385,12 @@
             .answered(run_ms, found_free_slot, now_ms);
     }
 
-    /// Records the pace (slowdown factor) that the server reported to another host at `at_ms`.
+    /// Records the slowdown that the server reported to another host at `at_ms`.
     pub fn note_slowdown(&self, slowdown: f64, at_ms: u64) {
         self.slowdowns().known.note(slowdown, at_ms);
     }
 
-    /// Records the pace (slowdown factor) that the server reported to this host.
+    /// Records the slowdown that the server reported to this host.
     pub fn note_own_slowdown(&self, slowdown: f64) {
         let now_ms = clock::now_ms();
         let mut slowdowns = self.slowdowns();
@@ -398,7 +398,7 @@
         slowdowns.own = Some((slowdown, now_ms));
     }
 
-    /// Returns the latest pace that the server reported to this host, and its time.
+    /// Returns the latest slowdown that the server reported to this host, and its time.
     pub fn own_slowdown(&self) -> Option<(f64, u64)> {
         self.slowdowns().own
     }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -19,7 +19,7 @@
 /// Signature of the server over its response.
 pub const SIGNATURE: HeaderName = HeaderName::from_static("server-signature");
 /// Load of the responding server: running requests, queued requests, slots and, where servers share
-/// machines, the current pace (slowdown factor) in percent.
+/// machines, the current slowdown in percent.
 const LOAD: HeaderName = HeaderName::from_static("server-load");
 /// Header that a leaving server sets in every response; `0` means that it is not leaving.
 const LEAVING: HeaderName = HeaderName::from_static("server-leaving");
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -556,8 +556,8 @@
 
 /// Simulates 20 s of requests to 11 servers of one zone, at 1.25 times their capacity. Each server
 /// has three slots. 25 hosts report to each other every 100 ms how many requests they have at each
-/// server and which pace the servers reported. Returns the earned share of the possible value: a
-/// response within the objective counts 1, a late one 0.5.
+/// server and which slowdown the servers reported. Returns the earned share of the possible value:
+/// a response within the objective counts 1, a late one 0.5.
 fn simulate_noisy_servers(policy: &Policy) -> f64 {
     const HOSTS: usize = 25;
     const SERVERS: usize = 11;
