--- a/src/entry/join/joining_hosts.rs
+++ b/src/entry/join/joining_hosts.rs
@@ -122,7 +122,7 @@
         let newcomer = postcard::from_bytes(opened).ok()?;
         let (done, registered) = oneshot::channel();
         self.join
-            .newcomers
+            .joining_hosts
             .waiting()
             .push(Waiting { newcomer, done });
         let registered = registered.await.unwrap_or(false);
@@ -134,13 +134,13 @@
     pub(in crate::entry) async fn keep_registering_newcomers(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(REGISTER_EVERY_MS)).await;
-            let waiting = self.join.newcomers.take();
+            let waiting = self.join.joining_hosts.take();
             if waiting.is_empty() {
                 continue;
             }
-            let newcomers: Vec<&Newcomer> = waiting.iter().map(|w| &w.newcomer).collect();
-            let Some(registered) = self.register_all(&newcomers).await else {
-                self.join.newcomers.put_back(waiting);
+            let joining_hosts: Vec<&Newcomer> = waiting.iter().map(|w| &w.newcomer).collect();
+            let Some(registered) = self.register_all(&joining_hosts).await else {
+                self.join.joining_hosts.put_back(waiting);
                 continue;
             };
             for Waiting { done, newcomer } in waiting {
@@ -155,8 +155,8 @@
     /// process on the same host and must not be overwritten; in that case `Some(false)` is returned
     /// and all newcomers register themselves. Returns `None` if the store has not accepted the rows
     /// yet.
-    async fn register_all(&self, newcomers: &[&Newcomer]) -> Option<bool> {
-        let encoded = newcomers.iter().map(|newcomer| {
+    async fn register_all(&self, joining_hosts: &[&Newcomer]) -> Option<bool> {
+        let encoded = joining_hosts.iter().map(|newcomer| {
             let value = serde_json::to_vec(&newcomer.row);
             value.map(|value| (newcomer.key(), value))
         });
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -4,7 +4,7 @@
 //! also register starting hosts, and later serve changes that other hosts have missed.
 
 mod catch_up;
-mod newcomers;
+mod joining_hosts;
 mod paths;
 mod query;
 mod seed_hosts;
@@ -22,8 +22,8 @@
 use bytes::Bytes;
 use tokio::{sync::watch, time};
 
-pub(super) use self::newcomers::host_key;
-use self::{newcomers::Newcomers, seed_hosts::SeedHosts};
+pub(super) use self::joining_hosts::host_key;
+use self::{joining_hosts::Newcomers, seed_hosts::SeedHosts};
 use super::{
     Entry,
     events::Event,
@@ -85,7 +85,7 @@
     /// True if a known host sent a datagram that is not sealed with the secret that this host
     /// knows.
     secret_may_be_stale: AtomicBool,
-    newcomers: Newcomers,
+    joining_hosts: Newcomers,
 }
 
 impl Default for Join {
@@ -94,7 +94,7 @@
             outcome: watch::channel(SyncOutcome::Pending).0,
             encoded: Mutex::default(),
             secret_may_be_stale: AtomicBool::new(false),
-            newcomers: Newcomers::default(),
+            joining_hosts: Newcomers::default(),
         }
     }
 }
