--- a/src/entry/join/joining_hosts.rs
+++ b/src/entry/join/joining_hosts.rs
@@ -58,7 +58,7 @@
 /// Newcomer with the channel over which its request learns whether it was registered.
 #[derive(Debug)]
 struct Waiting {
-    newcomer: Newcomer,
+    joining_host: Newcomer,
     done: oneshot::Sender<bool>,
 }
 
@@ -99,12 +99,12 @@
         let Some(peer) = self.peer().filter(|_| self.peers.use_relays()) else {
             return false;
         };
-        let newcomer = Newcomer {
+        let joining_host = Newcomer {
             address: self.settings.listen.peers,
             row: row.clone(),
         };
         for _ in 0..ATTEMPTS_MAX {
-            match self.send_to::<bool>(peer, REGISTER, &newcomer).await {
+            match self.send_to::<bool>(peer, REGISTER, &joining_host).await {
                 Ok(registered) => return registered,
                 Err(error) => log::debug!("registration through {peer} failed: {error}"),
             }
@@ -119,12 +119,12 @@
         let body = Limited::new(request.into_body(), REQUEST_BYTES_MAX);
         let body = body.collect().await.ok()?.to_bytes();
         let opened = self.peers.seal.open(&body)?;
-        let newcomer = postcard::from_bytes(opened).ok()?;
+        let joining_host = postcard::from_bytes(opened).ok()?;
         let (done, registered) = oneshot::channel();
         self.join
             .joining_hosts
             .waiting()
-            .push(Waiting { newcomer, done });
+            .push(Waiting { joining_host, done });
         let registered = registered.await.unwrap_or(false);
         self.sealed(&registered)
     }
@@ -138,14 +138,17 @@
             if waiting.is_empty() {
                 continue;
             }
-            let joining_hosts: Vec<&Newcomer> = waiting.iter().map(|w| &w.newcomer).collect();
+            let joining_hosts: Vec<&Newcomer> = waiting.iter().map(|w| &w.joining_host).collect();
             let Some(registered) = self.register_all(&joining_hosts).await else {
                 self.join.joining_hosts.put_back(waiting);
                 continue;
             };
-            for Waiting { done, newcomer } in waiting {
+            for Waiting { done, joining_host } in waiting {
                 if done.send(registered).is_err() {
-                    log::debug!("{} no longer waits for its registration", newcomer.address);
+                    log::debug!(
+                        "{} no longer waits for its registration",
+                        joining_host.address
+                    );
                 }
             }
         }
@@ -156,9 +159,9 @@
     /// and all newcomers register themselves. Returns `None` if the store has not accepted the rows
     /// yet.
     async fn register_all(&self, joining_hosts: &[&Newcomer]) -> Option<bool> {
-        let encoded = joining_hosts.iter().map(|newcomer| {
-            let value = serde_json::to_vec(&newcomer.row);
-            value.map(|value| (newcomer.key(), value))
+        let encoded = joining_hosts.iter().map(|joining_host| {
+            let value = serde_json::to_vec(&joining_host.row);
+            value.map(|value| (joining_host.key(), value))
         });
         let Ok(rows) = encoded.collect::<Result<Vec<_>, _>>() else {
             return Some(false);
