--- a/src/entry/join/joining_hosts.rs
+++ b/src/entry/join/joining_hosts.rs
@@ -64,9 +64,9 @@
 
 /// Queue of newcomers that wait to be registered.
 #[derive(Debug, Default)]
-pub(super) struct Newcomers(Mutex<Vec<Waiting>>);
+pub(super) struct JoiningHosts(Mutex<Vec<Waiting>>);
 
-impl Newcomers {
+impl JoiningHosts {
     fn waiting(&self) -> MutexGuard<'_, Vec<Waiting>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -23,7 +23,7 @@
 use tokio::{sync::watch, time};
 
 pub(super) use self::joining_hosts::host_key;
-use self::{joining_hosts::Newcomers, seed_hosts::SeedHosts};
+use self::{joining_hosts::JoiningHosts, seed_hosts::SeedHosts};
 use super::{
     Entry,
     events::Event,
@@ -85,7 +85,7 @@
     /// True if a known host sent a datagram that is not sealed with the secret that this host
     /// knows.
     secret_may_be_stale: AtomicBool,
-    joining_hosts: Newcomers,
+    joining_hosts: JoiningHosts,
 }
 
 impl Default for Join {
@@ -94,7 +94,7 @@
             outcome: watch::channel(SyncOutcome::Pending).0,
             encoded: Mutex::default(),
             secret_may_be_stale: AtomicBool::new(false),
-            joining_hosts: Newcomers::default(),
+            joining_hosts: JoiningHosts::default(),
         }
     }
 }
