--- a/src/entry/join/joining_hosts.rs
+++ b/src/entry/join/joining_hosts.rs
@@ -37,14 +37,14 @@
 
 /// Starting host that is to be registered.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) struct Newcomer {
+pub(super) struct JoiningHost {
     /// Address at which the host receives datagrams (UDP) and queries (TCP) of other hosts.
     pub address: SocketAddr,
     /// Row to store for the host, as the host would write it itself.
     pub row: HostRow,
 }
 
-impl Newcomer {
+impl JoiningHost {
     fn key(&self) -> String {
         host_key(self.address)
     }
@@ -58,7 +58,7 @@
 /// Newcomer with the channel over which its request learns whether it was registered.
 #[derive(Debug)]
 struct Waiting {
-    joining_host: Newcomer,
+    joining_host: JoiningHost,
     done: oneshot::Sender<bool>,
 }
 
@@ -99,7 +99,7 @@
         let Some(peer) = self.peer().filter(|_| self.peers.use_relays()) else {
             return false;
         };
-        let joining_host = Newcomer {
+        let joining_host = JoiningHost {
             address: self.settings.listen.peers,
             row: row.clone(),
         };
@@ -138,7 +138,8 @@
             if waiting.is_empty() {
                 continue;
             }
-            let joining_hosts: Vec<&Newcomer> = waiting.iter().map(|w| &w.joining_host).collect();
+            let joining_hosts: Vec<&JoiningHost> =
+                waiting.iter().map(|w| &w.joining_host).collect();
             let Some(registered) = self.register_all(&joining_hosts).await else {
                 self.join.joining_hosts.put_back(waiting);
                 continue;
@@ -158,7 +159,7 @@
     /// process on the same host and must not be overwritten; in that case `Some(false)` is returned
     /// and all newcomers register themselves. Returns `None` if the store has not accepted the rows
     /// yet.
-    async fn register_all(&self, joining_hosts: &[&Newcomer]) -> Option<bool> {
+    async fn register_all(&self, joining_hosts: &[&JoiningHost]) -> Option<bool> {
         let encoded = joining_hosts.iter().map(|joining_host| {
             let value = serde_json::to_vec(&joining_host.row);
             value.map(|value| (joining_host.key(), value))
