--- a/src/entry/join/joining_hosts.rs
+++ b/src/entry/join/joining_hosts.rs
@@ -131,7 +131,7 @@
 
     /// Registers the waiting newcomers at an interval of [`REGISTER_EVERY_MS`], several in one
     /// transaction.
-    pub(in crate::entry) async fn keep_registering_newcomers(self: Arc<Self>) {
+    pub(in crate::entry) async fn keep_registering_joining_hosts(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(REGISTER_EVERY_MS)).await;
             let waiting = self.join.joining_hosts.take();
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -118,7 +118,7 @@
 fn spawn_tasks(entry: &Arc<Entry>, peers: UdpSocket) {
     tokio::spawn(entry.clone().join());
     tokio::spawn(entry.clone().maintain_seed_hosts());
-    tokio::spawn(entry.clone().keep_registering_newcomers());
+    tokio::spawn(entry.clone().keep_registering_joining_hosts());
     tokio::spawn(entry.clone().keep_querying_hosts());
     tokio::spawn(entry.clone().watch_configuration());
     tokio::spawn(entry.clone().watch_servers());
