--- a/src/entry/join/joining_hosts.rs
+++ b/src/entry/join/joining_hosts.rs
@@ -115,7 +115,7 @@
 
     /// Queues the newcomer of a request for the next transaction. Returns the sealed response,
     /// which states whether the newcomer was registered.
-    pub(super) async fn register_newcomer(&self, request: Request<Incoming>) -> Option<Bytes> {
+    pub(super) async fn register_joining_host(&self, request: Request<Incoming>) -> Option<Bytes> {
         let body = Limited::new(request.into_body(), REQUEST_BYTES_MAX);
         let body = body.collect().await.ok()?.to_bytes();
         let opened = self.peers.seal.open(&body)?;
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -142,7 +142,7 @@
     async fn serve_query(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let path = request.uri().path().to_owned();
         let answer = if path == REGISTER {
-            self.register_newcomer(request).await
+            self.register_joining_host(request).await
         } else {
             self.answer_to(&path)
         };
