--- a/src/entry/join/joining_hosts.rs
+++ b/src/entry/join/joining_hosts.rs
@@ -1,6 +1,7 @@
-//! Batched registration of starting hosts (newcomers) by the host that they query. The store
-//! accepts some hundred writes a second. If a thousand hosts that start together registered
-//! themselves, each would be rejected several times, and every call is billed.
+//! Batched registration of joining hosts, which are hosts that start and are not registered yet, by
+//! the host that they query. The store accepts some hundred writes a second. If a thousand hosts
+//! that start together registered themselves, each would be rejected several times, and every call
+//! is billed.
 
 use std::{
     net::SocketAddr,
@@ -25,7 +26,7 @@
     platform::store::{Expect, Put, Transaction, TransactionOutcome},
 };
 
-/// Interval at which waiting newcomers are registered in one transaction.
+/// Interval at which waiting joining hosts are registered in one transaction.
 const REGISTER_EVERY_MS: u64 = 200;
 /// Maximum number of rows in one transaction. The store accepts 100 conditions and writes in total;
 /// each row needs one of each.
@@ -35,7 +36,7 @@
 /// Maximum size of the body of a registration request.
 const REQUEST_BYTES_MAX: usize = 1_024;
 
-/// Starting host that is to be registered.
+/// Joining host: a host that starts and is not registered yet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct JoiningHost {
     /// Address at which the host receives datagrams (UDP) and queries (TCP) of other hosts.
@@ -55,14 +56,14 @@
     format!("{HOST_PREFIX}{address}")
 }
 
-/// Newcomer with the channel over which its request learns whether it was registered.
+/// Joining host with the channel over which its request learns whether it was registered.
 #[derive(Debug)]
 struct Waiting {
     joining_host: JoiningHost,
     done: oneshot::Sender<bool>,
 }
 
-/// Queue of newcomers that wait to be registered.
+/// Queue of joining hosts that wait to be registered.
 #[derive(Debug, Default)]
 pub(super) struct JoiningHosts(Mutex<Vec<Waiting>>);
 
@@ -71,8 +72,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes the newcomers for the next transaction from the queue. Newcomers that no longer wait
-    /// are dropped.
+    /// Takes the joining hosts for the next transaction from the queue. Joining hosts that no
+    /// longer wait are dropped.
     fn take(&self) -> Vec<Waiting> {
         let mut waiting = self.waiting();
         waiting.retain(|one| !one.done.is_closed());
@@ -80,8 +81,8 @@
         waiting.drain(..count).collect()
     }
 
-    /// Puts newcomers back at the head of the queue after a failed transaction, so that the next
-    /// one registers them first.
+    /// Puts joining hosts back at the head of the queue after a failed transaction, so that the
+    /// next one registers them first.
     fn put_back(&self, again: Vec<Waiting>) {
         self.waiting().splice(0..0, again);
     }
@@ -113,8 +114,8 @@
         false
     }
 
-    /// Queues the newcomer of a request for the next transaction. Returns the sealed response,
-    /// which states whether the newcomer was registered.
+    /// Queues the joining host of a request for the next transaction. Returns the sealed response,
+    /// which states whether the joining host was registered.
     pub(super) async fn register_joining_host(&self, request: Request<Incoming>) -> Option<Bytes> {
         let body = Limited::new(request.into_body(), REQUEST_BYTES_MAX);
         let body = body.collect().await.ok()?.to_bytes();
@@ -129,7 +130,7 @@
         self.sealed(&registered)
     }
 
-    /// Registers the waiting newcomers at an interval of [`REGISTER_EVERY_MS`], several in one
+    /// Registers the waiting joining hosts at an interval of [`REGISTER_EVERY_MS`], several in one
     /// transaction.
     pub(in crate::entry) async fn keep_registering_joining_hosts(self: Arc<Self>) {
         loop {
@@ -155,10 +156,10 @@
         }
     }
 
-    /// Writes the rows of newcomers if none of them exists. An existing row may belong to a later
-    /// process on the same host and must not be overwritten; in that case `Some(false)` is returned
-    /// and all newcomers register themselves. Returns `None` if the store has not accepted the rows
-    /// yet.
+    /// Writes the rows of joining hosts if none of them exists. An existing row may belong to a
+    /// later process on the same host and must not be overwritten; in that case `Some(false)` is
+    /// returned and all joining hosts register themselves. Returns `None` if the store has not
+    /// accepted the rows yet.
     async fn register_all(&self, joining_hosts: &[&JoiningHost]) -> Option<bool> {
         let encoded = joining_hosts.iter().map(|joining_host| {
             let value = serde_json::to_vec(&joining_host.row);
