--- a/src/entry/join/joining_hosts.rs
+++ b/src/entry/join/joining_hosts.rs
@@ -191,11 +191,11 @@
         match self.store.transact(&transaction).await {
             Ok(TransactionOutcome::Done { .. }) => Some(true),
             Ok(TransactionOutcome::Conflict { rows }) => {
-                log::debug!("{} of the newcomers are registered already", rows.len());
+                log::debug!("{} of the joining hosts are registered already", rows.len());
                 Some(false)
             }
             Err(error) => {
-                log::debug!("registering newcomers failed: {error}");
+                log::debug!("registering joining hosts failed: {error}");
                 None
             }
         }
