--- a/src/entry/decide/key_loads.rs
+++ b/src/entry/decide/key_loads.rs
@@ -1,6 +1,6 @@
 //! Measures the requests per second for each key, averaged over a long and a short time.
 
-use crate::entry::keys::{Holding, KeyRange};
+use crate::entry::keys::{AssignedRange, KeyRange};
 
 /// Number of keys of every sharded service: a key is a 16-bit number.
 pub const KEYS: usize = 1 << 16;
@@ -37,8 +37,8 @@
     const SLOW_KEPT: f32 = 0.975;
     /// Share of the short-term average that is kept: a half-life of 0.3 s.
     const FAST_KEPT: f32 = 0.8;
-    /// Number of standard deviations by which a holding's short-term load must exceed its long-term
-    /// load to count as a surge.
+    /// Number of standard deviations by which an assigned range's short-term load must exceed its
+    /// long-term load to count as a surge.
     const SURGE_DEVIATIONS: f64 = 4.0;
 
     /// Begins a new interval: reduces the weight of all earlier requests.
@@ -56,18 +56,21 @@
         self.fast.add(key, rate * (1.0 - Self::FAST_KEPT));
     }
 
-    /// Returns the loads for a plan: the long-term ones, except for holdings whose load has risen
-    /// by more than random variation explains.
-    pub fn loads(&self, holdings: &[Holding], per_s: f64) -> KeyLoads {
+    /// Returns the loads for a plan: the long-term ones, except for assigned ranges whose load has
+    /// risen by more than random variation explains.
+    pub fn loads(&self, assigned_ranges: &[AssignedRange], per_s: f64) -> KeyLoads {
         let window_s = window_s(Self::FAST_KEPT, per_s);
         let mut loads = self.slow.clone();
         loads.window_s = self::window_s(Self::SLOW_KEPT, per_s);
-        for holding in holdings {
-            let (slow, fast) = (self.slow.of(holding.range), self.fast.of(holding.range));
+        for assigned_range in assigned_ranges {
+            let (slow, fast) = (
+                self.slow.of(assigned_range.range),
+                self.fast.of(assigned_range.range),
+            );
             // Standard deviation of the long-term load, in requests per second.
             let deviation = (slow.max(1.0 / window_s) / window_s).sqrt();
             if fast > slow + Self::SURGE_DEVIATIONS * deviation {
-                let keys = holding.range.indices();
+                let keys = assigned_range.range.indices();
                 loads.per_s[keys.clone()].copy_from_slice(&self.fast.per_s[keys]);
             }
         }
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -8,9 +8,9 @@
 //!
 //! | module | problem that it handles |
 //! |---|---|
-//! | [`pace`] | servers that are temporarily slower than usual |
+//! | [`slowdown`] | servers that are temporarily slower than usual |
 //! | [`attempt_stats`] | servers that are slow, fail or cannot be reached |
-//! | [`notices`] | servers that announce in their responses that they leave, or ask for a rest |
+//! | [`notices`] | servers that announce in their responses that they leave, or ask for a backoff |
 //! | [`rate_limit`], [`rate_meter`], [`rate_shares`] | rate limits that all hosts share |
 //! | [`quota`] | workspaces that send more requests than their quota |
 //! | [`api_key_verdict`] | API keys that are added and revoked while hosts are disconnected |
@@ -24,7 +24,7 @@
 //! | [`crash_tally`], [`path_tally`], [`quarantine`], [`trials`] | a request that crashes servers |
 //! | [`warmup`] | servers that have just started and can run few requests |
 //! | [`first`] | keys that no server holds yet, while servers start one after the other |
-//! | [`rests`] | servers that refuse the requests of many hosts for a time |
+//! | [`backoffs`] | servers that refuse the requests of many hosts for a time |
 //! | [`key_loads`], [`plan`] | uneven load by key, servers that join and leave |
 //!
 //! The thresholds are defined in [`Policy`], each with its unit and reason.
@@ -32,6 +32,7 @@
 pub mod admission;
 pub mod api_key_verdict;
 pub mod attempt_stats;
+pub mod backoffs;
 pub mod budget;
 pub mod choice;
 pub mod crash_tally;
@@ -40,7 +41,6 @@
 pub mod hot_keys;
 pub mod key_loads;
 pub mod notices;
-pub mod pace;
 pub mod path_tally;
 pub mod plan;
 mod policy;
@@ -49,9 +49,9 @@
 pub mod rate_limit;
 pub mod rate_meter;
 pub mod rate_shares;
-pub mod rests;
 pub mod retry_after;
 pub mod run_shares;
+pub mod slowdown;
 pub mod trials;
 pub mod warmup;
 
@@ -68,9 +68,9 @@
     pub run_ms: f64,
     /// Time since the last outcome of an attempt that this host made at the server.
     pub since_outcome_ms: u64,
-    /// Pace (slowdown factor): the current run time as a multiple of the server's average; 1 is
+    /// Slowdown of the server: the current run time as a multiple of the server's average; 1 is
     /// usual.
-    pub pace: f64,
+    pub slowdown: f64,
     /// Share of recent attempts that failed, from 0 to 1.
     pub failures: f64,
     /// True while connections to the server fail, or while it is cold and outside this host's
--- a/src/entry/decide/notices.rs
+++ b/src/entry/decide/notices.rs
@@ -1,22 +1,22 @@
 //! Notices that a server sends to a host in its responses: that it leaves, or that it asks for a
-//! rest, which is a time during which the host must send it no requests. A notice applies to the
+//! backoff, which is a period in which the host must send it no requests. A notice applies to the
 //! host that received it, regardless of the server's row in the store: the store may be unavailable
 //! or hold an older row.
 
 use super::rate_limit::RateLimit;
 use crate::entry::model::Notice;
 
-/// Longest rest that is accepted. A longer rest amounts to leaving, and a corrupt value must not
-/// keep a server idle forever.
-const REST_MAX_MS: u64 = 10 * 60 * 1_000;
+/// Longest backoff that is accepted. A longer backoff amounts to leaving, and a corrupt value must
+/// not keep a server idle forever.
+const BACKOFF_MAX_MS: u64 = 10 * 60 * 1_000;
 
 /// Changes that one notice makes to the state of a server, so that the host acts on each only once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoticeEffect {
     /// True if this is the server's first response to this host that announces its leaving.
     pub leaves: bool,
-    /// True if the notice begins a rest; false if it extends a rest or asks for none.
-    pub rests: bool,
+    /// True if the notice begins a backoff; false if it extends a backoff or asks for none.
+    pub starts_backoff: bool,
 }
 
 /// Notices received from one incarnation of a server, and its rate limit.
@@ -27,27 +27,27 @@
     /// Time at which this host first learned of the leaving, from such a response or from another
     /// host.
     known_since_ms: Option<u64>,
-    /// Latest end of the rests that the server asked this host for; 0 if there was none.
-    rests_until_ms: u64,
+    /// Latest end of the backoffs that the server asked this host for; 0 if there was none.
+    backoff_until_ms: u64,
     /// Rate limit that the server advertises to all hosts together.
     pub rate_limit: RateLimit,
 }
 
 impl Notices {
-    /// Applies a notice and returns what it changes. A longer rest extends the current one; leaving
-    /// is final.
+    /// Applies a notice and returns what it changes. A longer backoff extends the current one;
+    /// leaving is final.
     pub fn note(&mut self, notice: Notice, now_ms: u64) -> NoticeEffect {
         let learned = NoticeEffect {
             leaves: notice.leaves && self.leaves_since_ms.is_none(),
-            rests: notice.rest_ms.is_some() && self.rest_ms(now_ms) == 0,
+            starts_backoff: notice.backoff_ms.is_some() && self.backoff_ms(now_ms) == 0,
         };
         if notice.leaves {
             self.leaves_since_ms.get_or_insert(now_ms);
             self.known_since_ms.get_or_insert(now_ms);
         }
-        if let Some(rest_ms) = notice.rest_ms {
-            let until_ms = now_ms + rest_ms.min(REST_MAX_MS);
-            self.rests_until_ms = self.rests_until_ms.max(until_ms);
+        if let Some(backoff_ms) = notice.backoff_ms {
+            let until_ms = now_ms + backoff_ms.min(BACKOFF_MAX_MS);
+            self.backoff_until_ms = self.backoff_until_ms.max(until_ms);
         }
         learned
     }
@@ -88,9 +88,9 @@
         since_ms.is_some_and(|since_ms| arrived_ms >= since_ms + hold_ms)
     }
 
-    /// Returns the remaining time of the rest that the server asked this host for; 0 if it accepts
-    /// requests.
-    pub fn rest_ms(&self, now_ms: u64) -> u64 {
-        self.rests_until_ms.saturating_sub(now_ms)
+    /// Returns the remaining time of the backoff that the server asked this host for; 0 if it
+    /// accepts requests.
+    pub fn backoff_ms(&self, now_ms: u64) -> u64 {
+        self.backoff_until_ms.saturating_sub(now_ms)
     }
 }
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -1,4 +1,5 @@
-//! Plans which keys move to which servers, as a pure function of holdings, servers and loads.
+//! Plans which keys move to which servers, as a pure function of assigned ranges, servers and
+//! loads.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -6,7 +7,7 @@
     Policy,
     key_loads::{KEYS, KeyLoads},
 };
-use crate::entry::keys::{Assignment, Holding, KeyRange};
+use crate::entry::keys::{AssignedRange, Assignment, KeyRange};
 
 /// Minimum load, in requests per second, for which a move is worth its cost.
 const LOAD_MOVED_MIN: f64 = 0.3;
@@ -17,7 +18,7 @@
 /// A server that may hold keys, with its capacity as the planner assumes it.
 #[derive(Clone, Debug)]
 pub struct PlanServer {
-    /// Incarnation of the server, as named in holdings.
+    /// Incarnation of the server, as named in assigned ranges.
     pub id: Arc<str>,
     /// Requests per second that the server can run within its advertised rate limit.
     pub capacity_per_s: f64,
@@ -39,9 +40,9 @@
 /// Inputs of the planner for one service.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs<'a> {
-    /// Holdings on which the plan is based: the servers that hold the service's keys now.
+    /// Assigned ranges on which the plan is based: the servers that hold the service's keys now.
     pub assignment: &'a Assignment,
-    /// Servers that may hold keys; holdings of others are reassigned.
+    /// Servers that may hold keys; assigned ranges of others are reassigned.
     pub servers: &'a [PlanServer],
     /// Measured requests per second by key.
     pub loads: &'a KeyLoads,
@@ -62,7 +63,7 @@
     /// Load by server, in requests per second, after the planned moves and without the excess of
     /// hot keys.
     used: HashMap<Arc<str>, f64>,
-    holdings: Vec<Holding>,
+    assigned_ranges: Vec<AssignedRange>,
     moves: Vec<Move>,
 }
 
@@ -84,10 +85,10 @@
     fn new(inputs: Inputs<'a>) -> Self {
         let mut used: HashMap<Arc<str>, f64> =
             inputs.servers.iter().map(|s| (s.id.clone(), 0.0)).collect();
-        let holdings = inputs.assignment.holdings.clone();
-        for holding in &holdings {
-            let load = inputs.loads.of(holding.range);
-            if let Some(used) = used.get_mut(&holding.server) {
+        let assigned_ranges = inputs.assignment.assigned_ranges.clone();
+        for assigned_range in &assigned_ranges {
+            let load = inputs.loads.of(assigned_range.range);
+            if let Some(used) = used.get_mut(&assigned_range.server) {
                 *used += load;
             }
         }
@@ -95,7 +96,7 @@
             inputs,
             hot: Vec::new(),
             used,
-            holdings,
+            assigned_ranges,
             moves: Vec::new(),
         };
         plan.add_hot_keys();
@@ -109,10 +110,10 @@
             return;
         }
         for key in self.inputs.hot {
-            let Some(holding) = self.inputs.assignment.holding(*key) else {
+            let Some(assigned_range) = self.inputs.assignment.assigned_range(*key) else {
                 continue;
             };
-            let server = holding.server.clone();
+            let server = assigned_range.server.clone();
             let hot = (*key, server.clone());
             let excess = self.hot_excess(&hot);
             if let Some(used) = self.used.get_mut(&server) {
@@ -224,9 +225,9 @@
     /// half the mean load of a server.
     fn assign_unowned_keys(&mut self) {
         let mut unowned: Vec<KeyRange> = self.inputs.assignment.gaps();
-        for holding in &self.holdings {
-            if !self.used.contains_key(&holding.server) {
-                unowned.push(holding.range);
+        for assigned_range in &self.assigned_ranges {
+            if !self.used.contains_key(&assigned_range.server) {
+                unowned.push(assigned_range.range);
             }
         }
         let servers = self.inputs.servers.len() as f64;
@@ -269,7 +270,11 @@
     /// Gives each server without keys half the load of the most used server, even if no server is
     /// busy: a server that joins should serve requests before the others are full.
     fn fill_idle_servers(&mut self) {
-        let holds = |id: &Arc<str>| self.holdings.iter().any(|h| h.server == *id);
+        let holds = |id: &Arc<str>| {
+            self.assigned_ranges
+                .iter()
+                .any(|assigned| assigned.server == *id)
+        };
         let servers = self.inputs.servers.iter();
         let idle: Vec<Arc<str>> = servers
             .filter(|server| !holds(&server.id) && self.used[&server.id] == 0.0)
@@ -362,21 +367,21 @@
     fn clear(&mut self, range: KeyRange) {
         let mut rest = Assignment {
             fence: 0,
-            holdings: std::mem::take(&mut self.holdings),
+            assigned_ranges: std::mem::take(&mut self.assigned_ranges),
         };
         rest.clear(range);
-        self.holdings = rest.holdings;
+        self.assigned_ranges = rest.assigned_ranges;
     }
 
-    /// Selects a range at either end of one of the server's holdings, with a load close to `wanted`
-    /// and at most half above it, and with few keys, since moves are billed by key.
+    /// Selects a range at either end of one of the server's assigned ranges, with a load close to
+    /// `wanted` and at most half above it, and with few keys, since moves are billed by key.
     fn select_range(&self, from: &str, wanted: f64) -> Option<KeyRange> {
         let mut best: Option<(KeyRange, f64)> = None;
-        for holding in &self.holdings {
-            if *holding.server != *from || self.is_moving(holding.range) {
+        for assigned_range in &self.assigned_ranges {
+            if *assigned_range.server != *from || self.is_moving(assigned_range.range) {
                 continue;
             }
-            let parts = self.without_hot(holding.range).into_iter();
+            let parts = self.without_hot(assigned_range.range).into_iter();
             for candidate in parts.flat_map(|part| self.ends(part, wanted)) {
                 let load = self.inputs.loads.of(candidate);
                 if load <= 0.0 || load > wanted * 1.5 {
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -90,8 +90,8 @@
         /// Time for which the store did not respond.
         away_ms: u64,
     },
-    /// The host has its initial data on servers, holdings and hosts, or began to read it from the
-    /// store itself.
+    /// The host has its initial data on servers, assigned ranges and hosts, or began to read it
+    /// from the store itself.
     Joined {
         /// True if the data is a snapshot from another host.
         told: bool,
@@ -116,8 +116,8 @@
         /// Remaining warm-up time; 0 for a warm server.
         cold_ms: u64,
     },
-    /// A server announced in a response that it leaves, or asked this host for a rest (a time
-    /// without requests). Logged once per server for leaving, and at the beginning of each rest.
+    /// A server announced in a response that it leaves, or asked this host for a backoff (a period
+    /// without requests). Logged once per server for leaving, and at the beginning of each backoff.
     ServerNotice {
         /// Identifier of the server's incarnation; a restarted server gets a new one.
         server: Arc<str>,
@@ -125,8 +125,9 @@
         service: Arc<str>,
         /// True if the server announced that it leaves.
         leaves: bool,
-        /// Duration of the rest, in which this host sends the server no requests; 0 for none.
-        rest_ms: u64,
+        /// Duration of the backoff, in which this host sends the server no requests; 0 for none.
+        #[serde(rename = "rest_ms")]
+        backoff_ms: u64,
         /// True if the server's entry in the store also says that it leaves.
         leaves_by_entry: bool,
         /// Origin of the information: a response to this host, or another host.
@@ -201,7 +202,7 @@
         from: Option<Arc<str>>,
         /// New owner.
         to: Arc<str>,
-        /// Fencing token of the new holding.
+        /// Fencing token of the new assigned range.
         fence: u64,
         /// Reason for which the planner moved the keys.
         cause: &'static str,
@@ -244,7 +245,8 @@
         /// Load of that server as known to this host.
         load: u32,
         /// Remaining time in which that server wants no requests from this host; 0 for none.
-        rest_ms: u64,
+        #[serde(rename = "rest_ms")]
+        backoff_ms: u64,
         /// Number of attempts so far.
         attempts: u32,
         /// Time since the request's arrival.
--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -35,9 +35,9 @@
     Answered(Response<ResponseBody>),
     /// No connection could be opened, so nothing was sent.
     NotSent(String),
-    /// The server has asked this host for a rest (to send it no requests for a time), so the
-    /// request was not sent.
-    Rests,
+    /// The server has asked this host for a backoff (a period without requests), so the request was
+    /// not sent.
+    InBackoff,
     /// The server responded that it did not run the request.
     NotRun(StatusCode),
     /// The server may have run the request; its response is not usable.
@@ -117,24 +117,24 @@
         }
     }
 
-    /// Returns an idle connection to the server, or opens one. Checks for a rest before and after
-    /// connecting: the server may have asked for one while the request waited for other hosts'
-    /// trial claims, or while the connection was being opened.
+    /// Returns an idle connection to the server, or opens one. Checks for a backoff before and
+    /// after connecting: the server may have asked for one while the request waited for other
+    /// hosts' trial claims, or while the connection was being opened.
     async fn connection(
         &self,
         entry: &Arc<Entry>,
         server: &Arc<Server>,
     ) -> Result<Connection, AttemptOutcome> {
-        if server.rest_ms() > 0 {
-            return Err(AttemptOutcome::Rests);
+        if server.backoff_ms() > 0 {
+            return Err(AttemptOutcome::InBackoff);
         }
         if let Some(connection) = server.pool.take() {
             return Ok(connection);
         }
         let connection = self.connect(entry, server).await?;
-        if server.rest_ms() > 0 {
+        if server.backoff_ms() > 0 {
             server.pool.keep(connection);
-            return Err(AttemptOutcome::Rests);
+            return Err(AttemptOutcome::InBackoff);
         }
         Ok(connection)
     }
@@ -166,7 +166,7 @@
         found_free_slot: bool,
     ) {
         if let Some(load) = headers::reported_load(&head.headers) {
-            server.note_own_pace(load.pace);
+            server.note_own_slowdown(load.slowdown);
         }
         if head.status.is_server_error() {
             server.failed();
--- a/src/entry/join/newcomers.rs
+++ b/src/entry/join/joining_hosts.rs
@@ -1,6 +1,7 @@
-//! Batched registration of starting hosts (newcomers) by the host that they query. The store
-//! accepts some hundred writes a second. If a thousand hosts that start together registered
-//! themselves, each would be rejected several times, and every call is billed.
+//! Batched registration of joining hosts, which are hosts that start and are not registered yet, by
+//! the host that they query. The store accepts some hundred writes a second. If a thousand hosts
+//! that start together registered themselves, each would be rejected several times, and every call
+//! is billed.
 
 use std::{
     net::SocketAddr,
@@ -25,7 +26,7 @@
     platform::store::{Expect, Put, Transaction, TransactionOutcome},
 };
 
-/// Interval at which waiting newcomers are registered in one transaction.
+/// Interval at which waiting joining hosts are registered in one transaction.
 const REGISTER_EVERY_MS: u64 = 200;
 /// Maximum number of rows in one transaction. The store accepts 100 conditions and writes in total;
 /// each row needs one of each.
@@ -35,16 +36,16 @@
 /// Maximum size of the body of a registration request.
 const REQUEST_BYTES_MAX: usize = 1_024;
 
-/// Starting host that is to be registered.
+/// Joining host: a host that starts and is not registered yet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) struct Newcomer {
+pub(super) struct JoiningHost {
     /// Address at which the host receives datagrams (UDP) and queries (TCP) of other hosts.
     pub address: SocketAddr,
     /// Row to store for the host, as the host would write it itself.
     pub row: HostRow,
 }
 
-impl Newcomer {
+impl JoiningHost {
     fn key(&self) -> String {
         host_key(self.address)
     }
@@ -55,24 +56,24 @@
     format!("{HOST_PREFIX}{address}")
 }
 
-/// Newcomer with the channel over which its request learns whether it was registered.
+/// Joining host with the channel over which its request learns whether it was registered.
 #[derive(Debug)]
 struct Waiting {
-    newcomer: Newcomer,
+    joining_host: JoiningHost,
     done: oneshot::Sender<bool>,
 }
 
-/// Queue of newcomers that wait to be registered.
+/// Queue of joining hosts that wait to be registered.
 #[derive(Debug, Default)]
-pub(super) struct Newcomers(Mutex<Vec<Waiting>>);
+pub(super) struct JoiningHosts(Mutex<Vec<Waiting>>);
 
-impl Newcomers {
+impl JoiningHosts {
     fn waiting(&self) -> MutexGuard<'_, Vec<Waiting>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes the newcomers for the next transaction from the queue. Newcomers that no longer wait
-    /// are dropped.
+    /// Takes the joining hosts for the next transaction from the queue. Joining hosts that no
+    /// longer wait are dropped.
     fn take(&self) -> Vec<Waiting> {
         let mut waiting = self.waiting();
         waiting.retain(|one| !one.done.is_closed());
@@ -80,8 +81,8 @@
         waiting.drain(..count).collect()
     }
 
-    /// Puts newcomers back at the head of the queue after a failed transaction, so that the next
-    /// one registers them first.
+    /// Puts joining hosts back at the head of the queue after a failed transaction, so that the
+    /// next one registers them first.
     fn put_back(&self, again: Vec<Waiting>) {
         self.waiting().splice(0..0, again);
     }
@@ -99,12 +100,12 @@
         let Some(peer) = self.peer().filter(|_| self.peers.use_relays()) else {
             return false;
         };
-        let newcomer = Newcomer {
+        let joining_host = JoiningHost {
             address: self.settings.listen.peers,
             row: row.clone(),
         };
         for _ in 0..ATTEMPTS_MAX {
-            match self.send_to::<bool>(peer, REGISTER, &newcomer).await {
+            match self.send_to::<bool>(peer, REGISTER, &joining_host).await {
                 Ok(registered) => return registered,
                 Err(error) => log::debug!("registration through {peer} failed: {error}"),
             }
@@ -113,52 +114,56 @@
         false
     }
 
-    /// Queues the newcomer of a request for the next transaction. Returns the sealed response,
-    /// which states whether the newcomer was registered.
-    pub(super) async fn register_newcomer(&self, request: Request<Incoming>) -> Option<Bytes> {
+    /// Queues the joining host of a request for the next transaction. Returns the sealed response,
+    /// which states whether the joining host was registered.
+    pub(super) async fn register_joining_host(&self, request: Request<Incoming>) -> Option<Bytes> {
         let body = Limited::new(request.into_body(), REQUEST_BYTES_MAX);
         let body = body.collect().await.ok()?.to_bytes();
         let opened = self.peers.seal.open(&body)?;
-        let newcomer = postcard::from_bytes(opened).ok()?;
+        let joining_host = postcard::from_bytes(opened).ok()?;
         let (done, registered) = oneshot::channel();
         self.join
-            .newcomers
+            .joining_hosts
             .waiting()
-            .push(Waiting { newcomer, done });
+            .push(Waiting { joining_host, done });
         let registered = registered.await.unwrap_or(false);
         self.sealed(&registered)
     }
 
-    /// Registers the waiting newcomers at an interval of [`REGISTER_EVERY_MS`], several in one
+    /// Registers the waiting joining hosts at an interval of [`REGISTER_EVERY_MS`], several in one
     /// transaction.
-    pub(in crate::entry) async fn keep_registering_newcomers(self: Arc<Self>) {
+    pub(in crate::entry) async fn keep_registering_joining_hosts(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(REGISTER_EVERY_MS)).await;
-            let waiting = self.join.newcomers.take();
+            let waiting = self.join.joining_hosts.take();
             if waiting.is_empty() {
                 continue;
             }
-            let newcomers: Vec<&Newcomer> = waiting.iter().map(|w| &w.newcomer).collect();
-            let Some(registered) = self.register_all(&newcomers).await else {
-                self.join.newcomers.put_back(waiting);
+            let joining_hosts: Vec<&JoiningHost> =
+                waiting.iter().map(|w| &w.joining_host).collect();
+            let Some(registered) = self.register_all(&joining_hosts).await else {
+                self.join.joining_hosts.put_back(waiting);
                 continue;
             };
-            for Waiting { done, newcomer } in waiting {
+            for Waiting { done, joining_host } in waiting {
                 if done.send(registered).is_err() {
-                    log::debug!("{} no longer waits for its registration", newcomer.address);
+                    log::debug!(
+                        "{} no longer waits for its registration",
+                        joining_host.address
+                    );
                 }
             }
         }
     }
 
-    /// Writes the rows of newcomers if none of them exists. An existing row may belong to a later
-    /// process on the same host and must not be overwritten; in that case `Some(false)` is returned
-    /// and all newcomers register themselves. Returns `None` if the store has not accepted the rows
-    /// yet.
-    async fn register_all(&self, newcomers: &[&Newcomer]) -> Option<bool> {
-        let encoded = newcomers.iter().map(|newcomer| {
-            let value = serde_json::to_vec(&newcomer.row);
-            value.map(|value| (newcomer.key(), value))
+    /// Writes the rows of joining hosts if none of them exists. An existing row may belong to a
+    /// later process on the same host and must not be overwritten; in that case `Some(false)` is
+    /// returned and all joining hosts register themselves. Returns `None` if the store has not
+    /// accepted the rows yet.
+    async fn register_all(&self, joining_hosts: &[&JoiningHost]) -> Option<bool> {
+        let encoded = joining_hosts.iter().map(|joining_host| {
+            let value = serde_json::to_vec(&joining_host.row);
+            value.map(|value| (joining_host.key(), value))
         });
         let Ok(rows) = encoded.collect::<Result<Vec<_>, _>>() else {
             return Some(false);
@@ -186,11 +191,11 @@
         match self.store.transact(&transaction).await {
             Ok(TransactionOutcome::Done { .. }) => Some(true),
             Ok(TransactionOutcome::Conflict { rows }) => {
-                log::debug!("{} of the newcomers are registered already", rows.len());
+                log::debug!("{} of the joining hosts are registered already", rows.len());
                 Some(false)
             }
             Err(error) => {
-                log::debug!("registering newcomers failed: {error}");
+                log::debug!("registering joining hosts failed: {error}");
                 None
             }
         }
--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -167,8 +167,8 @@
         for host in &snapshot.hosts {
             self.apply_known_host(*host);
         }
-        for (service, rows) in snapshot.holdings() {
-            self.view.put_holdings(&service, rows);
+        for (service, rows) in snapshot.assignment_rows() {
+            self.view.put_assignment_rows(&service, rows);
         }
         self.note_known(FollowedTable::Own, snapshot);
         self.view.set_hosts_known();
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -44,8 +44,8 @@
         hosts
     }
 
-    /// Returns servers, holdings and hosts; `None` until this host knows them all, and while it
-    /// stops.
+    /// Returns servers, assigned ranges and hosts; `None` until this host knows them all, and while
+    /// it stops.
     fn snapshot(&self) -> Option<Snapshot> {
         let is_known = self.view.are_servers_known() && self.view.are_hosts_known();
         if !is_known || self.stopping() {
@@ -59,14 +59,14 @@
         Some(snapshot)
     }
 
-    /// Returns the hosts and holdings that this host knows.
+    /// Returns the hosts and assigned ranges that this host knows.
     fn own_snapshot(&self) -> Snapshot {
         let mut snapshot = Snapshot::default();
         snapshot.own_versions = self.freshness.known(FollowedTable::Own);
         snapshot.hosts = self.known_hosts();
         for (service, held) in self.view.all_held() {
             for (part, row) in held.rows() {
-                snapshot.add_holdings(&service, part, row);
+                snapshot.add_assignment_row(&service, part, row);
             }
         }
         snapshot
@@ -142,7 +142,7 @@
     async fn serve_query(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let path = request.uri().path().to_owned();
         let answer = if path == REGISTER {
-            self.register_newcomer(request).await
+            self.register_joining_host(request).await
         } else {
             self.answer_to(&path)
         };
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -1,5 +1,5 @@
-//! Key ranges and the holdings of one sharded service: which server holds which keys. Hosts share
-//! them through the store.
+//! Key ranges and the assigned ranges of one sharded service: which server holds which keys. Hosts
+//! share them through the store.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -70,13 +70,13 @@
     }
 }
 
-/// Number of keys in a partition, whose holdings share one row of the store. A row has a bounded
-/// size: with this limit the holdings fit it with any number of servers, and a move writes only the
-/// rows that it concerns.
+/// Number of keys in a partition, whose assigned ranges share one row of the store. A row has a
+/// bounded size: with this limit the assigned ranges fit it with any number of servers, and a move
+/// writes only the rows that it concerns.
 const PARTITION_KEYS: u16 = 1_024;
 
-/// Partition of the keys: consecutive keys whose holdings share one row of the store. A holding
-/// belongs to the partition of its first key.
+/// Partition of the keys: consecutive keys whose assigned ranges share one row of the store. An
+/// assigned range belongs to the partition of its first key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyPartition(u8);
 
@@ -100,7 +100,7 @@
 /// Version of the encoding of [`Assignment`] in the store, the first byte of a record.
 const ENCODING: u8 = 1;
 
-/// Reason why a record of holdings cannot be encoded or decoded.
+/// Reason why a record of assigned ranges cannot be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum DecodeError {
     /// The record has an unknown encoding version, or is empty.
@@ -115,7 +115,7 @@
         /// Error of the serialisation library.
         source: postcard::Error,
     },
-    /// A holding refers to a server that is missing from the record's list.
+    /// An assigned range refers to a server that is missing from the record's list.
     #[snafu(display("server {index} is not listed"))]
     Server {
         /// Index that the list of servers does not reach.
@@ -123,21 +123,23 @@
     },
 }
 
-/// Encoded holdings of one row. Each server's id is stored once, since a row has a bounded size.
+/// Encoded assigned ranges of one row. Each server's id is stored once, since a row has a bounded
+/// size.
 #[derive(Serialize, Deserialize)]
 struct Encoded {
     fence: u64,
-    /// Ids of the servers that the holdings refer to by index.
+    /// Ids of the servers that the assigned ranges refer to by index.
     servers: Vec<Arc<str>>,
     /// Key range, index of the server, fence, and index of the former server.
-    holdings: Vec<(KeyRange, u16, u64, Option<u16>)>,
+    #[serde(rename = "holdings")]
+    assigned_ranges: Vec<(KeyRange, u16, u64, Option<u16>)>,
 }
 
-/// Key range that one server holds under one fence. The fence is a fencing token: it rises with
-/// each change of owner.
+/// Assigned range: a key range that is assigned to one server under one fence. The fence is a
+/// fencing token: it rises with each change of owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holding {
-    /// Keys that are held. No other holding of the service contains any of them.
+pub struct AssignedRange {
+    /// Keys that are assigned. No other assigned range of the service contains any of them.
     pub range: KeyRange,
     /// Incarnation id of the server. A restarted server gets a new one, even under the same name.
     pub server: Arc<str>,
@@ -149,18 +151,19 @@
     pub from: Option<Arc<str>>,
 }
 
-/// All holdings of one sharded service. Ranges do not overlap and are in ascending order; keys
-/// outside of all ranges have no server.
+/// All assigned ranges of one sharded service. Ranges do not overlap and are in ascending order;
+/// keys outside of all ranges have no server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Assignment {
     /// Highest fence that was ever used for the service.
     pub fence: u64,
-    /// Holdings without overlaps, in ascending order of their keys.
-    pub holdings: Vec<Holding>,
+    /// Assigned ranges without overlaps, in ascending order of their keys.
+    #[serde(rename = "holdings")]
+    pub assigned_ranges: Vec<AssignedRange>,
 }
 
 impl Assignment {
-    /// Encodes the holdings as a record for the store.
+    /// Encodes the assigned ranges as a record for the store.
     pub fn encode(&self) -> Result<Vec<u8>, DecodeError> {
         let mut servers: Vec<Arc<str>> = Vec::new();
         let mut places: HashMap<Arc<str>, u16> = HashMap::new();
@@ -170,16 +173,16 @@
                 (servers.len() - 1) as u16
             })
         };
-        let holdings = self.holdings.iter().map(|holding| {
-            let server = index(&holding.server);
-            let from = holding.from.as_ref().map(&mut index);
-            (holding.range, server, holding.fence, from)
+        let assigned_ranges = self.assigned_ranges.iter().map(|assigned_range| {
+            let server = index(&assigned_range.server);
+            let from = assigned_range.from.as_ref().map(&mut index);
+            (assigned_range.range, server, assigned_range.fence, from)
         });
-        let holdings = holdings.collect();
+        let assigned_ranges = assigned_ranges.collect();
         let encoded = Encoded {
             fence: self.fence,
             servers,
-            holdings,
+            assigned_ranges,
         };
         let mut bytes = vec![ENCODING];
         bytes.extend(postcard::to_stdvec(&encoded).context(DamagedSnafu)?);
@@ -195,9 +198,9 @@
             let server = encoded.servers.get(usize::from(index));
             server.cloned().context(ServerSnafu { index })
         };
-        let mut holdings = Vec::with_capacity(encoded.holdings.len());
-        for (range, index, fence, from) in &encoded.holdings {
-            holdings.push(Holding {
+        let mut assigned_ranges = Vec::with_capacity(encoded.assigned_ranges.len());
+        for (range, index, fence, from) in &encoded.assigned_ranges {
+            assigned_ranges.push(AssignedRange {
                 range: *range,
                 server: server(*index)?,
                 fence: *fence,
@@ -206,74 +209,78 @@
         }
         Ok(Self {
             fence: encoded.fence,
-            holdings,
+            assigned_ranges,
         })
     }
 
-    /// Returns the holdings whose first key lies in a partition, with the highest fence of the
-    /// whole service.
+    /// Returns the assigned ranges whose first key lies in a partition, with the highest fence of
+    /// the whole service.
     pub fn part(&self, part: KeyPartition) -> Self {
         let start = usize::from(part.0) * usize::from(PARTITION_KEYS);
         let end = start + usize::from(PARTITION_KEYS);
         let place = |key: usize| {
-            let is_before = |h: &Holding| usize::from(h.range.first) < key;
-            self.holdings.partition_point(is_before)
+            let is_before = |assigned: &AssignedRange| usize::from(assigned.range.first) < key;
+            self.assigned_ranges.partition_point(is_before)
         };
         Self {
             fence: self.fence,
-            holdings: self.holdings[place(start)..place(end)].to_vec(),
+            assigned_ranges: self.assigned_ranges[place(start)..place(end)].to_vec(),
         }
     }
 
     /// Merges the rows of all partitions. Rows may have been read at different times, or written by
-    /// a version that had one row for all keys: where holdings overlap, the one with the higher
-    /// fence wins.
+    /// a version that had one row for all keys: where assigned ranges overlap, the one with the
+    /// higher fence wins.
     pub fn join<'a>(rows: impl Iterator<Item = &'a Self>) -> Self {
         let mut whole = Self::default();
         for row in rows {
             whole.fence = whole.fence.max(row.fence);
-            whole.holdings.extend_from_slice(&row.holdings);
+            whole
+                .assigned_ranges
+                .extend_from_slice(&row.assigned_ranges);
         }
-        let in_order = |pair: &[Holding]| pair[0].range.last < pair[1].range.first;
-        if whole.holdings.windows(2).all(in_order) {
+        let in_order = |pair: &[AssignedRange]| pair[0].range.last < pair[1].range.first;
+        if whole.assigned_ranges.windows(2).all(in_order) {
             return whole;
         }
-        let mut holdings = std::mem::take(&mut whole.holdings);
-        holdings.sort_by_key(|holding| holding.fence);
-        holdings.dedup();
-        for holding in holdings {
-            whole.put(holding);
+        let mut assigned_ranges = std::mem::take(&mut whole.assigned_ranges);
+        assigned_ranges.sort_by_key(|assigned_range| assigned_range.fence);
+        assigned_ranges.dedup();
+        for assigned_range in assigned_ranges {
+            whole.put(assigned_range);
         }
         whole
     }
 
-    /// Returns the holding that contains a key; `None` if no server holds the key.
-    pub fn holding(&self, key: u16) -> Option<&Holding> {
-        let position = self.holdings.partition_point(|h| h.range.last < key);
-        let holding = self.holdings.get(position)?;
-        holding.range.contains(key).then_some(holding)
+    /// Returns the assigned range that contains a key; `None` if no server holds the key.
+    pub fn assigned_range(&self, key: u16) -> Option<&AssignedRange> {
+        let position = self
+            .assigned_ranges
+            .partition_point(|assigned| assigned.range.last < key);
+        let assigned_range = self.assigned_ranges.get(position)?;
+        assigned_range.range.contains(key).then_some(assigned_range)
     }
 
-    /// Removes a range from all holdings; what remains of a holding keeps its fence.
+    /// Removes a range from all assigned ranges; what remains of an assigned range keeps its fence.
     pub fn clear(&mut self, range: KeyRange) {
-        let mut kept = Vec::with_capacity(self.holdings.len() + 1);
-        for holding in self.holdings.drain(..) {
-            if !holding.range.overlaps(&range) {
-                kept.push(holding);
+        let mut kept = Vec::with_capacity(self.assigned_ranges.len() + 1);
+        for assigned_range in self.assigned_ranges.drain(..) {
+            if !assigned_range.range.overlaps(&range) {
+                kept.push(assigned_range);
                 continue;
             }
-            if holding.range.first < range.first {
-                let mut left = holding.clone();
+            if assigned_range.range.first < range.first {
+                let mut left = assigned_range.clone();
                 left.range.last = range.first - 1;
                 kept.push(left);
             }
-            if holding.range.last > range.last {
-                let mut right = holding;
+            if assigned_range.range.last > range.last {
+                let mut right = assigned_range;
                 right.range.first = range.last + 1;
                 kept.push(right);
             }
         }
-        self.holdings = kept;
+        self.assigned_ranges = kept;
     }
 
     /// Returns a fence above all that were used for the service, and not below `least`.
@@ -281,20 +288,24 @@
         (self.fence + 1).max(least)
     }
 
-    /// Inserts a holding in key order, and cuts its range out of the holdings that overlap it.
-    pub fn put(&mut self, holding: Holding) {
-        self.fence = self.fence.max(holding.fence);
-        self.clear(holding.range);
-        let first = holding.range.first;
-        let position = self.holdings.partition_point(|h| h.range.last < first);
-        self.holdings.insert(position, holding);
+    /// Inserts an assigned range in key order, and cuts its range out of the assigned ranges that
+    /// overlap it.
+    pub fn put(&mut self, assigned_range: AssignedRange) {
+        self.fence = self.fence.max(assigned_range.fence);
+        self.clear(assigned_range.range);
+        let first = assigned_range.range.first;
+        let position = self
+            .assigned_ranges
+            .partition_point(|assigned| assigned.range.last < first);
+        self.assigned_ranges.insert(position, assigned_range);
     }
 
-    /// Records that the former servers of the holdings with these fences no longer hold the keys.
+    /// Records that the former servers of the assigned ranges with these fences no longer hold the
+    /// keys.
     pub fn complete_moves(&mut self, fences: &[u64]) {
-        for holding in &mut self.holdings {
-            if fences.contains(&holding.fence) {
-                holding.from = None;
+        for assigned_range in &mut self.assigned_ranges {
+            if fences.contains(&assigned_range.fence) {
+                assigned_range.from = None;
             }
         }
     }
@@ -303,15 +314,15 @@
     pub fn gaps(&self) -> Vec<KeyRange> {
         let mut gaps = Vec::new();
         let mut next = 0u32;
-        for holding in &self.holdings {
-            let first = u32::from(holding.range.first);
+        for assigned_range in &self.assigned_ranges {
+            let first = u32::from(assigned_range.range.first);
             if first > next {
                 gaps.push(KeyRange {
                     first: next as u16,
                     last: (first - 1) as u16,
                 });
             }
-            next = u32::from(holding.range.last) + 1;
+            next = u32::from(assigned_range.range.last) + 1;
         }
         if next <= u32::from(u16::MAX) {
             gaps.push(KeyRange {
--- a/src/entry/leadership/change.rs
+++ b/src/entry/leadership/change.rs
@@ -1,25 +1,27 @@
-//! Changes of holdings that the leader records in the store.
+//! Changes of assigned ranges that the leader records in the store.
 
 use std::sync::Arc;
 
-use crate::entry::keys::{Assignment, Holding, KeyRange};
+use crate::entry::keys::{AssignedRange, Assignment, KeyRange};
 
-/// Change of one service's holdings, which the leader records under the condition that it is still
-/// the leader.
+/// Change of one service's assigned ranges, which the leader records under the condition that it is
+/// still the leader.
 #[derive(Clone, Debug)]
 pub enum Change {
     /// Assigns all keys of the service for the first time: key ranges and their servers.
     Distribute(Vec<(KeyRange, Arc<str>)>),
     /// Assigns key ranges to other servers, each under a new fence.
     Assign(Vec<Reassignment>),
-    /// Gives a holding a fence that is `step` above the service's highest one; the server stays.
+    /// Gives an assigned range a fence that is `step` above the service's highest one; the server
+    /// stays.
     RaiseFence {
-        /// Holding as it is recorded now; if it has changed, nothing happens.
-        holding: Holding,
+        /// Assigned range as it is recorded now; if it has changed, nothing happens.
+        assigned_range: AssignedRange,
         /// Increment above the service's highest fence.
         step: u64,
     },
-    /// Marks moves as completed: clears the former server of the holdings that have these fences.
+    /// Marks moves as completed: clears the former server of the assigned ranges that have these
+    /// fences.
     CompleteMoves(Vec<u64>),
 }
 
@@ -35,9 +37,9 @@
 }
 
 impl Change {
-    /// Applies the change and returns the holdings that it created or replaced. Returns none of
-    /// them for `Distribute` and `CompleteMoves`.
-    pub(super) fn apply(&self, assignment: &mut Assignment) -> Vec<Holding> {
+    /// Applies the change and returns the assigned ranges that it created or replaced. Returns none
+    /// of them for `Distribute` and `CompleteMoves`.
+    pub(super) fn apply(&self, assignment: &mut Assignment) -> Vec<AssignedRange> {
         match self {
             Self::Distribute(ranges) => {
                 for (range, server) in ranges {
@@ -53,13 +55,16 @@
                 .iter()
                 .map(|one| assign(assignment, one.range, &one.server, one.from.clone()))
                 .collect(),
-            Self::RaiseFence { holding, step } => {
-                if !assignment.holdings.contains(holding) {
+            Self::RaiseFence {
+                assigned_range,
+                step,
+            } => {
+                if !assignment.assigned_ranges.contains(assigned_range) {
                     return Vec::new();
                 }
-                let raised = Holding {
+                let raised = AssignedRange {
                     fence: assignment.next_fence(assignment.fence + step),
-                    ..holding.clone()
+                    ..assigned_range.clone()
                 };
                 assignment.put(raised.clone());
                 vec![raised]
@@ -73,13 +78,13 @@
     range: KeyRange,
     server: &Arc<str>,
     from: Option<Arc<str>>,
-) -> Holding {
-    let holding = Holding {
+) -> AssignedRange {
+    let assigned_range = AssignedRange {
         range,
         server: server.clone(),
         fence: assignment.next_fence(1),
         from,
     };
-    assignment.put(holding.clone());
-    holding
+    assignment.put(assigned_range.clone());
+    assigned_range
 }
--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -1,4 +1,5 @@
-//! Records changes of holdings in the store, on the condition that this host is still the leader.
+//! Records changes of assigned ranges in the store, on the condition that this host is still the
+//! leader.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -7,34 +8,35 @@
     clock,
     entry::{
         Entry,
-        keys::{Assignment, DecodeError, Holding, KeyPartition},
-        owners::{HoldingsRow, ServiceHoldings},
+        keys::{AssignedRange, Assignment, DecodeError, KeyPartition},
+        owners::{AssignmentRow, RecordedAssignment},
         updates::{
             followed::FollowedTable,
-            own_rows::{TABLE, holdings_key},
+            own_rows::{TABLE, assignment_key},
         },
         watch::pause,
     },
     platform::store::{Expect, Put, Row, Transaction, TransactionOutcome},
 };
 
-/// Reason why a change of holdings was not recorded, which no retry can mend.
+/// Reason why a change of assigned ranges was not recorded, which no retry can mend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFailure {
     /// Another host is the leader, or this host can no longer be sure that it is the leader itself.
     LeadershipLost,
     /// The store rejects the transaction with an error that no retry can mend.
     Refused,
-    /// The recorded holdings differ from the ones that this host knows, or cannot be encoded.
-    HoldingsChanged,
+    /// The recorded assigned ranges differ from the ones that this host knows, or cannot be
+    /// encoded.
+    AssignmentChanged,
 }
 
 /// Maximum number of rows in one transaction. The store accepts up to 100 conditions and writes in
 /// one transaction.
 const ROWS_MAX: usize = 32;
 
-/// Row with one key partition of a service's holdings, to be written on the condition that the
-/// stored row still has the expected version.
+/// Row with one key partition of a service's assigned ranges, to be written on the condition that
+/// the stored row still has the expected version.
 struct PendingRow {
     part: KeyPartition,
     key: String,
@@ -47,14 +49,14 @@
 impl PendingRow {
     fn new(
         service: &str,
-        held: &ServiceHoldings,
+        held: &RecordedAssignment,
         assignment: &Assignment,
         part: KeyPartition,
     ) -> Result<Self, DecodeError> {
         let assignment = assignment.part(part);
         Ok(Self {
             part,
-            key: holdings_key(service, part),
+            key: assignment_key(service, part),
             value: assignment.encode()?,
             assignment,
             expected_version: held.version(part),
@@ -69,8 +71,8 @@
         }
     }
 
-    fn held(self, version: u64) -> (KeyPartition, HoldingsRow) {
-        let row = HoldingsRow {
+    fn held(self, version: u64) -> (KeyPartition, AssignmentRow) {
+        let row = AssignmentRow {
             assignment: self.assignment,
             version,
         };
@@ -94,22 +96,22 @@
     /// A confirmation of the leadership took effect, but its response was lost. Contains the
     /// version of the leadership row.
     Confirmed(u64),
-    /// The recorded holdings differ from the ones that this host knows.
-    HoldingsChanged,
+    /// The recorded assigned ranges differ from the ones that this host knows.
+    AssignmentChanged,
     /// The leadership row does not name this host and term, or is missing or undecodable.
     LeadershipTaken,
 }
 
 impl Entry {
-    /// Records a change of a service's holdings and returns the holdings that it created or
-    /// replaced. The write is conditional on the leadership row and on the unchanged versions of
-    /// the rows that it replaces. Retries for as long as this host may be the leader, and returns
-    /// only once the outcome is certain.
+    /// Records a change of a service's assigned ranges and returns the assigned ranges that it
+    /// created or replaced. The write is conditional on the leadership row and on the unchanged
+    /// versions of the rows that it replaces. Retries for as long as this host may be the leader,
+    /// and returns only once the outcome is certain.
     pub(in crate::entry) async fn record(
         &self,
         service: &Arc<str>,
         change: &Change,
-    ) -> Result<Vec<Holding>, WriteFailure> {
+    ) -> Result<Vec<AssignedRange>, WriteFailure> {
         let mut writer = self.leadership.writer.lock().await;
         if self.leadership.term() == 0 {
             return Err(WriteFailure::LeadershipLost);
@@ -121,15 +123,15 @@
             return Ok(changed);
         }
         // The row of the first key partition is written last. It may come from an earlier version
-        // of ashroad, which kept all holdings in it, and must not lose them before the other rows
-        // have them.
+        // of ashroad, which kept all assigned ranges in it, and must not lose them before the other
+        // rows have them.
         let mut parts = held.changed_partitions(&assignment);
         parts.reverse();
         for parts in parts.chunks(ROWS_MAX) {
             let mut rows = Vec::with_capacity(parts.len());
             for part in parts {
                 let Ok(row) = PendingRow::new(service, &held, &assignment, *part) else {
-                    return Err(WriteFailure::HoldingsChanged);
+                    return Err(WriteFailure::AssignmentChanged);
                 };
                 rows.push(row);
             }
@@ -146,7 +148,7 @@
         writer: &mut Writer,
     ) -> Result<(), WriteFailure> {
         loop {
-            let version = match self.write_holdings(&rows, writer.row_version).await {
+            let version = match self.write_assignment_rows(&rows, writer.row_version).await {
                 WriteOutcome::Done(version) => version,
                 WriteOutcome::LeadershipLost => return Err(WriteFailure::LeadershipLost),
                 WriteOutcome::Refused => return Err(WriteFailure::Refused),
@@ -157,7 +159,7 @@
                             writer.row_version = version;
                             continue;
                         }
-                        Conflict::HoldingsChanged => return Err(WriteFailure::HoldingsChanged),
+                        Conflict::AssignmentChanged => return Err(WriteFailure::AssignmentChanged),
                         Conflict::LeadershipTaken => {
                             self.leadership.lose("another host has taken it");
                             return Err(WriteFailure::LeadershipLost);
@@ -166,7 +168,7 @@
                 }
             };
             let held = rows.into_iter().map(|row| row.held(version));
-            self.view.put_holdings(service, held.collect());
+            self.view.put_assignment_rows(service, held.collect());
             self.freshness.note_change(FollowedTable::Own, version);
             return Ok(());
         }
@@ -188,7 +190,7 @@
         let is_as_held =
             |row: &PendingRow| find(&row.key).map_or(0, |f| f.version) == row.expected_version;
         if !rows.iter().all(is_as_held) {
-            return Conflict::HoldingsChanged;
+            return Conflict::AssignmentChanged;
         }
         let Some(row) = find(LEADERSHIP_KEY) else {
             return Conflict::LeadershipTaken;
@@ -205,7 +207,11 @@
         Conflict::LeadershipTaken
     }
 
-    async fn write_holdings(&self, rows: &[PendingRow], leadership_version: u64) -> WriteOutcome {
+    async fn write_assignment_rows(
+        &self,
+        rows: &[PendingRow],
+        leadership_version: u64,
+    ) -> WriteOutcome {
         let expect = |table, key, version| Expect {
             table,
             key,
@@ -233,10 +239,10 @@
                 }
                 Ok(TransactionOutcome::Conflict { rows }) => return WriteOutcome::Conflict(rows),
                 Err(error) if error.is_final() => {
-                    log::error!("the store rejects a write of holdings: {error}");
+                    log::error!("the store rejects a write of assigned ranges: {error}");
                     return WriteOutcome::Refused;
                 }
-                Err(error) => log::debug!("cannot write holdings, retrying: {error}"),
+                Err(error) => log::debug!("cannot write assigned ranges, retrying: {error}"),
             }
             if !self.leadership.may_lease(self.settings.leases.outage_ms) {
                 self.leadership.lose("the store did not answer");
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -15,7 +15,7 @@
     entry::{
         Entry,
         events::Event,
-        rows::decode_holdings,
+        rows::decode_assignment_rows,
         updates::own_rows::{HOST_PREFIX, HOSTS_PARTITION, TABLE},
         watch::pause,
     },
@@ -206,9 +206,9 @@
         writer.row_version = version;
         writer.confirmation = 1;
         drop(writer);
-        // Holdings are read after the leadership is taken over, as no other host can change them
-        // from then on.
-        if !self.read_holdings().await {
+        // Assigned ranges are read after the leadership is taken over, as no other host can change
+        // them from then on.
+        if !self.read_assignments().await {
             return;
         }
         self.leadership
@@ -249,23 +249,23 @@
         }
     }
 
-    async fn read_holdings(&self) -> bool {
+    async fn read_assignments(&self) -> bool {
         let rows = match self.store.table(TABLE).await {
             Ok(rows) => rows.rows,
             Err(error) => {
-                log::warn!("cannot read holdings: {error}");
+                log::warn!("cannot read assigned ranges: {error}");
                 return false;
             }
         };
-        let (held, unreadable) = decode_holdings(&rows);
+        let (held, unreadable) = decode_assignment_rows(&rows);
         for (row, error) in &unreadable {
-            log::error!("cannot decode holdings in row {row}: {error}");
+            log::error!("cannot decode assigned ranges in row {row}: {error}");
         }
         if !unreadable.is_empty() {
             return false;
         }
         for (service, rows) in held {
-            self.view.put_holdings(&service, rows);
+            self.view.put_assignment_rows(&service, rows);
         }
         true
     }
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -4,8 +4,8 @@
 //! A move is recorded in the store first, together with the server that may still hold the keys.
 //! That server is then asked to release them under the new fence. If it does not answer, the keys
 //! are granted to the new server only after the last lease that any leader may have granted to the
-//! old one has expired. A later leader finds the move among the recorded holdings and completes it
-//! in the same way.
+//! old one has expired. A later leader finds the move among the recorded assigned ranges and
+//! completes it in the same way.
 
 mod moves;
 mod renewal;
@@ -21,14 +21,13 @@
 use super::{
     Entry,
     decide::{
-        admission,
+        admission, backoffs,
         first::{self, FirstAssignmentWait},
         hot_keys,
         key_loads::KeyCounts,
         plan::{self, Inputs, PlanServer},
-        rests,
     },
-    keys::{Holding, KeyRange},
+    keys::{AssignedRange, KeyRange},
     leadership::Change,
     server::{Server, tag_of},
     watch::store_age_ms,
@@ -76,7 +75,8 @@
     is_silent: bool,
 }
 
-/// Renewals of one holding, which is renewed independently of the server's other holdings.
+/// Renewals of one assigned range, which is renewed independently of the server's other assigned
+/// ranges.
 #[derive(Clone, Copy, Debug, Default)]
 struct Renewal {
     /// Time at which the last successful renewal was sent; 0 if none was.
@@ -110,12 +110,13 @@
 #[derive(Debug, Default)]
 struct TermState {
     servers: HashMap<Arc<str>, ServerLeaseState>,
-    /// State of the renewals, by service and by the fence of the holding.
+    /// State of the renewals, by service and by the fence of the assigned range.
     renewals: HashMap<(Arc<str>, u64), Renewal>,
     moving: Vec<Moving>,
     counts: HashMap<Arc<str>, KeyCounts>,
     first_assignment_waits: HashMap<Arc<str>, FirstAssignmentWait>,
-    /// Fences of completed moves whose recorded holding still names the former server, by service.
+    /// Fences of completed moves whose recorded assigned range still names the former server, by
+    /// service.
     completed_fences: HashMap<Arc<str>, Vec<u64>>,
     /// Time at which completed moves were last recorded.
     completed_recorded_ms: u64,
@@ -127,11 +128,11 @@
         moving.any(|m| *m.service == *service && m.range.overlaps(&range))
     }
 
-    /// Returns true if the former server of a holding may still hold its keys.
-    fn is_unfinished(&self, service: &str, holding: &Holding) -> bool {
+    /// Returns true if the former server of an assigned range may still hold its keys.
+    fn is_unfinished(&self, service: &str, assigned_range: &AssignedRange) -> bool {
         let completed_fences = self.completed_fences.get(service);
-        let done = completed_fences.is_some_and(|fences| fences.contains(&holding.fence));
-        holding.from.is_some() && !done
+        let done = completed_fences.is_some_and(|fences| fences.contains(&assigned_range.fence));
+        assigned_range.from.is_some() && !done
     }
 }
 
@@ -277,15 +278,16 @@
         servers
     }
 
-    /// Removes the servers that have asked many hosts for a rest (a period without requests), so
+    /// Removes the servers that have asked many hosts for a backoff (a period without requests), so
     /// that other servers hold their keys. Returns all servers if too few would remain.
-    fn not_resting(&self, servers: Vec<PlanServer>) -> Vec<PlanServer> {
+    fn not_in_backoff(&self, servers: Vec<PlanServer>) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
         let hosts = self.entry.peers.hosts();
         let now_ms = clock::now_ms();
-        rests::not_resting(servers, |planned| {
+        backoffs::not_in_backoff(servers, |planned| {
             let server = registry.server(&planned.id);
-            server.is_some_and(|server| self.entry.rests.is_widespread(server.tag, hosts, now_ms))
+            server
+                .is_some_and(|server| self.entry.backoffs.is_widespread(server.tag, hosts, now_ms))
         })
     }
 
@@ -300,7 +302,7 @@
 
     fn plan(self: &Arc<Self>, service: &Arc<str>, round: u64, tasks: &mut JoinSet<()>) {
         self.retry_silent_servers(service);
-        let servers = self.not_resting(self.usable(service));
+        let servers = self.not_in_backoff(self.usable(service));
         if servers.is_empty() {
             return;
         }
@@ -318,15 +320,16 @@
             let of_service = || state.moving.iter().filter(|m| m.service == *service);
             let active = of_service().filter(|m| !m.waits_for_lease).count();
             let mut moving: Vec<KeyRange> = of_service().map(|m| m.range).collect();
-            let holdings = held.assignment.holdings.iter();
-            let unfinished = holdings.filter(|h| state.is_unfinished(service, h));
-            moving.extend(unfinished.map(|holding| holding.range));
+            let assigned_ranges = held.assignment.assigned_ranges.iter();
+            let unfinished =
+                assigned_ranges.filter(|assigned| state.is_unfinished(service, assigned));
+            moving.extend(unfinished.map(|assigned_range| assigned_range.range));
             let moves_max = CONCURRENT_MOVES_MIN.max(servers.len() / SERVERS_PER_MOVE);
             let room = moves_max.saturating_sub(active);
             let balance = round.is_multiple_of(BALANCE_EVERY_ROUNDS);
             let counts = state.counts.entry(service.clone()).or_default();
-            let holdings = &held.assignment.holdings;
-            let loads = counts.loads(holdings, f64::from(ROUNDS_PER_S));
+            let assigned_ranges = &held.assignment.assigned_ranges;
+            let loads = counts.loads(assigned_ranges, f64::from(ROUNDS_PER_S));
             let tag = tag_of(service);
             let policy = &self.entry.settings.policy;
             let hot = hot_keys::find(tag, &held.assignment, &servers, &loads, policy);
@@ -346,14 +349,15 @@
         self.record_completed_moves(service, tasks);
     }
 
-    /// Announces the first holdings to all hosts, so that they do not all read them from the store.
+    /// Announces the first assigned ranges to all hosts, so that they do not all read them from the
+    /// store.
     fn announce_grants(&self, service: &Arc<str>) {
         let Some(held) = self.entry.view.held(service) else {
             return;
         };
-        for holding in &held.assignment.holdings {
+        for assigned_range in &held.assignment.assigned_ranges {
             let outbox = &self.entry.peers.outbox;
-            outbox.announce_grant(tag_of(service), holding);
+            outbox.announce_grant(tag_of(service), assigned_range);
         }
     }
 
@@ -401,7 +405,7 @@
             match term.entry.record(&service, &change).await {
                 Ok(_) => term.announce_grants(&service),
                 Err(failure) => {
-                    log::warn!("cannot record the first holdings of {service}: {failure:?}");
+                    log::warn!("cannot record the first assigned ranges of {service}: {failure:?}");
                 }
             }
             term.end_move(&service, KeyRange::ALL);
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -13,7 +13,7 @@
     clock,
     entry::{
         events::Event,
-        keys::{Assignment, Holding, KeyRange},
+        keys::{AssignedRange, Assignment, KeyRange},
         leadership::Change,
         model::ServerEntry,
         server::Server,
@@ -51,78 +51,89 @@
             return;
         };
         let registry = self.entry.view.registry();
-        for (id, holdings) in self.due_renewals(service, &held.assignment) {
+        for (id, assigned_ranges) in self.due_renewals(service, &held.assignment) {
             // A server without an entry gets no renewal, so its leases expire.
             let server = registry.server(&id).cloned();
             let term = self.clone();
             let service = service.clone();
             tasks.spawn(async move {
                 if let Some(server) = server {
-                    term.renew_server(&service, &server, &holdings).await;
+                    term.renew_server(&service, &server, &assigned_ranges).await;
                 }
-                term.end_renewals(&service, &holdings);
+                term.end_renewals(&service, &assigned_ranges);
             });
         }
     }
 
-    /// Returns the holdings whose renewal is due, by server, and marks their renewals as in flight.
-    /// Each holding has a renewal time of its own: if a server with five ranges loses half of its
-    /// responses, five renewals in a row succeed only once in 32 attempts.
+    /// Returns the assigned ranges whose renewal is due, by server, and marks their renewals as in
+    /// flight. Each assigned range has a renewal time of its own: if a server with five ranges
+    /// loses half of its responses, five renewals in a row succeed only once in 32 attempts.
     fn due_renewals(
         &self,
         service: &Arc<str>,
         assignment: &Assignment,
-    ) -> HashMap<Arc<str>, Vec<Holding>> {
+    ) -> HashMap<Arc<str>, Vec<AssignedRange>> {
         let now_ms = clock::now_ms();
         let every_ms = self.entry.settings.leases.renew_every_ms;
-        let mut due: HashMap<Arc<str>, Vec<Holding>> = HashMap::new();
+        let mut due: HashMap<Arc<str>, Vec<AssignedRange>> = HashMap::new();
         let mut state = self.state();
-        let fences: HashSet<u64> = assignment.holdings.iter().map(|h| h.fence).collect();
+        let fences: HashSet<u64> = assignment
+            .assigned_ranges
+            .iter()
+            .map(|assigned| assigned.fence)
+            .collect();
         state
             .renewals
             .retain(|(of, fence), _| of != service || fences.contains(fence));
-        for holding in &assignment.holdings {
-            let record = state.servers.get(&holding.server);
+        for assigned_range in &assignment.assigned_ranges {
+            let record = state.servers.get(&assigned_range.server);
             let is_silent = record.is_some_and(|record| record.is_silent);
-            if is_silent || state.is_unfinished(service, holding) {
+            if is_silent || state.is_unfinished(service, assigned_range) {
                 continue;
             }
-            let key = (service.clone(), holding.fence);
+            let key = (service.clone(), assigned_range.fence);
             let renewal = state.renewals.entry(key).or_default();
             if renewal.is_in_flight || now_ms < renewal.renewed_ms + every_ms {
                 continue;
             }
             renewal.is_in_flight = true;
-            let holdings = due.entry(holding.server.clone()).or_default();
-            holdings.push(holding.clone());
+            let assigned_ranges = due.entry(assigned_range.server.clone()).or_default();
+            assigned_ranges.push(assigned_range.clone());
         }
         due
     }
 
-    fn end_renewals(&self, service: &Arc<str>, holdings: &[Holding]) {
+    fn end_renewals(&self, service: &Arc<str>, assigned_ranges: &[AssignedRange]) {
         let mut state = self.state();
-        for holding in holdings {
-            let key = (service.clone(), holding.fence);
+        for assigned_range in assigned_ranges {
+            let key = (service.clone(), assigned_range.fence);
             if let Some(renewal) = state.renewals.get_mut(&key) {
                 renewal.is_in_flight = false;
             }
         }
     }
 
-    async fn renew_server(&self, service: &Arc<str>, server: &Arc<Server>, holdings: &[Holding]) {
-        for holding in holdings {
+    async fn renew_server(
+        &self,
+        service: &Arc<str>,
+        server: &Arc<Server>,
+        assigned_ranges: &[AssignedRange],
+    ) {
+        for assigned_range in assigned_ranges {
             let order = LeaseOrder {
                 service,
-                range: holding.range,
-                fence: holding.fence,
+                range: assigned_range.range,
+                fence: assigned_range.fence,
                 handover: None,
             };
             match self.grant(server, order).await {
                 Some(GrantOutcome::Held) => {}
-                Some(GrantOutcome::Superseded) => self.raise_fence(service, server, holding).await,
+                Some(GrantOutcome::Superseded) => {
+                    self.raise_fence(service, server, assigned_range).await
+                }
                 Some(GrantOutcome::OtherServer) => return,
-                // This renewal is due again in the next round. The remaining holdings are renewed
-                // now.
+                // This renewal is due again in the next round. The remaining assigned ranges are
+                // renewed now.
                 None => {}
             }
         }
@@ -249,16 +260,21 @@
         .log();
     }
 
-    /// Grants a holding to the same server again under a higher fence. This is needed when the
-    /// server has seen a higher fence than the recorded one, because an earlier leader released the
-    /// keys but recorded nothing more. Counts as a move, so that no other move of these keys begins
-    /// before the new lease is certain.
-    async fn raise_fence(&self, service: &Arc<str>, server: &Arc<Server>, holding: &Holding) {
-        if !self.mark_moving(service, holding.range) {
+    /// Grants an assigned range to the same server again under a higher fence. This is needed when
+    /// the server has seen a higher fence than the recorded one, because an earlier leader released
+    /// the keys but recorded nothing more. Counts as a move, so that no other move of these keys
+    /// begins before the new lease is certain.
+    async fn raise_fence(
+        &self,
+        service: &Arc<str>,
+        server: &Arc<Server>,
+        assigned_range: &AssignedRange,
+    ) {
+        if !self.mark_moving(service, assigned_range.range) {
             return;
         }
         let change = Change::RaiseFence {
-            holding: holding.clone(),
+            assigned_range: assigned_range.clone(),
             step: FENCE_STEP,
         };
         match self.entry.record(service, &change).await {
@@ -275,6 +291,6 @@
             }
             Err(failure) => log::warn!("cannot record a raised fence of {service}: {failure:?}"),
         }
-        self.end_move(service, holding.range);
+        self.end_move(service, assigned_range.range);
     }
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -58,7 +58,7 @@
     broadcast::Broadcast,
     crashes::Crashes,
     decide::{
-        budget::RetryBudget, hot_keys::HotKeys, rate_shares::DemandByHost, rests::Rests,
+        backoffs::Backoffs, budget::RetryBudget, hot_keys::HotKeys, rate_shares::DemandByHost,
         run_shares::RunShares,
     },
     forward::body::BodyMemory,
@@ -111,11 +111,11 @@
     /// Server crashes, and the suspects: requests that may have caused them.
     pub crashes: Crashes,
     /// Wakes the task that reports a server's notice to the leader: the server leaves, or asks for
-    /// a rest (a time without requests).
+    /// a backoff (a period without requests).
     notice_received: Notify,
-    /// Rests (times without requests) that servers asked of hosts; collected while this host is the
-    /// leader.
-    rests: Rests,
+    /// Backoffs (periods without requests) that servers asked of hosts; collected while this host
+    /// is the leader.
+    backoffs: Backoffs,
     /// Request rates that each host reports for servers with a rate limit; collected while this
     /// host is the leader.
     demand_by_host: Mutex<DemandByHost>,
@@ -167,7 +167,7 @@
             quotas: Quotas::default(),
             crashes: Crashes::default(),
             notice_received: Notify::new(),
-            rests: Rests::default(),
+            backoffs: Backoffs::default(),
             demand_by_host: Mutex::default(),
             run_shares: RunShares::default(),
             metrics: Metrics::default(),
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -223,8 +223,8 @@
     pub running: u32,
     /// Number of requests in the server's queue.
     pub waiting: u32,
-    /// Pace (slowdown factor): current run time of requests as a multiple of the usual one.
-    pub pace: f64,
+    /// Slowdown of the server: current run time of requests as a multiple of the usual one.
+    pub slowdown: f64,
 }
 
 /// Notice in a server's response about further requests of the host that received it.
@@ -232,9 +232,9 @@
 pub struct Notice {
     /// True if the server is about to stop.
     pub leaves: bool,
-    /// Rest that the server asked for: time in which the host must send it no requests. Set only if
-    /// the server refused the request because of the rest.
-    pub rest_ms: Option<u64>,
+    /// Backoff that the server asked for: time in which the host must send it no requests. Set only
+    /// if the server refused the request because of the backoff.
+    pub backoff_ms: Option<u64>,
 }
 
 /// Rate limit that a response states for the requests of all hosts together.
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -1,7 +1,7 @@
-//! Notices in servers' responses: that a server leaves, or that it asks for a rest (a time without
-//! requests). The host that receives a notice reports it to the leader, which moves the server's
-//! keys and announces leaving servers to all hosts. A rest applies only to the host that the server
-//! asked for it.
+//! Notices in servers' responses: that a server leaves, or that it asks for a backoff (a period
+//! without requests). The host that receives a notice reports it to the leader, which moves the
+//! server's keys and announces leaving servers to all hosts. A backoff applies only to the host
+//! that the server asked for it.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -11,7 +11,7 @@
     Entry,
     events::Event,
     model::Notice,
-    peers::message::{ENTRIES_MAX, Message, ServerRest},
+    peers::message::{ENTRIES_MAX, Message, ServerBackoff},
     server::Server,
 };
 use crate::clock;
@@ -30,7 +30,7 @@
             return;
         }
         let learned = server.note_notice(notice);
-        if !learned.leaves && !learned.rests {
+        if !learned.leaves && !learned.starts_backoff {
             return;
         }
         log_notice(server, notice, "its answer");
@@ -50,40 +50,49 @@
                 log::debug!("reporting notices: a server has sent a new one");
             }
             self.report_leaving();
-            self.report_rests();
+            self.report_backoffs();
         }
     }
 
-    /// Reports to the leader which servers asked this host for a rest. As the leader, records them.
-    fn report_rests(&self) {
+    /// Reports to the leader which servers asked this host for a backoff. As the leader, records
+    /// them.
+    fn report_backoffs(&self) {
         let registry = self.view.registry();
-        let rests = registry.servers().filter_map(|server| {
-            let rest_ms = u32::try_from(server.rest_ms()).ok()?;
-            (rest_ms > 0).then_some(ServerRest {
+        let backoffs = registry.servers().filter_map(|server| {
+            let backoff_ms = u32::try_from(server.backoff_ms()).ok()?;
+            (backoff_ms > 0).then_some(ServerBackoff {
                 server_tag: server.tag,
-                rest_ms,
+                backoff_ms,
             })
         });
-        let rests: Vec<ServerRest> = rests.take(ENTRIES_MAX).collect();
-        if rests.is_empty() {
+        let backoffs: Vec<ServerBackoff> = backoffs.take(ENTRIES_MAX).collect();
+        if backoffs.is_empty() {
             return;
         }
         if self.leadership.term() > 0 {
-            self.handle_rest_report(self.settings.listen.peers, &rests);
-        } else if !self.peers.send_to_leader(&Message::ReportRests(rests)) {
-            log::debug!("rests of servers not reported: no leader can be reached");
+            self.handle_backoff_report(self.settings.listen.peers, &backoffs);
+        } else if !self
+            .peers
+            .send_to_leader(&Message::ReportBackoffs(backoffs))
+        {
+            log::debug!("backoffs of servers not reported: no leader can be reached");
         }
     }
 
-    /// Records, as the leader, which servers asked a host for a rest.
-    pub(in crate::entry) fn handle_rest_report(&self, host: SocketAddr, rests: &[ServerRest]) {
+    /// Records, as the leader, which servers asked a host for a backoff.
+    pub(in crate::entry) fn handle_backoff_report(
+        &self,
+        host: SocketAddr,
+        backoffs: &[ServerBackoff],
+    ) {
         if self.leadership.term() == 0 {
             return;
         }
         let now_ms = clock::now_ms();
-        for rest in rests {
-            let rest_ms = u64::from(rest.rest_ms);
-            self.rests.note(rest.server_tag, host, rest_ms, now_ms);
+        for backoff in backoffs {
+            let backoff_ms = u64::from(backoff.backoff_ms);
+            self.backoffs
+                .note(backoff.server_tag, host, backoff_ms, now_ms);
         }
     }
 
@@ -124,7 +133,7 @@
         for server in named.filter(|s| s.note_leaving_elsewhere()) {
             let notice = Notice {
                 leaves: true,
-                rest_ms: None,
+                backoff_ms: None,
             };
             log_notice(server, notice, "another host");
             is_new = true;
@@ -138,7 +147,7 @@
         server: server.entry.id.clone(),
         service: server.entry.service.clone(),
         leaves: notice.leaves,
-        rest_ms: notice.rest_ms.unwrap_or(0),
+        backoff_ms: notice.backoff_ms.unwrap_or(0),
         leaves_by_entry: server.leaving(),
         source,
     }
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -1,5 +1,5 @@
-//! Owners of keys as this host knows them: the servers in the recorded holdings, updated by the
-//! grants and moves that the leader announces before this host has read them from the store.
+//! Owners of keys as this host knows them: the servers in the recorded assigned ranges, updated by
+//! the grants and moves that the leader announces before this host has read them from the store.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -11,7 +11,7 @@
         hold::{MoveTimeLeft, MoveWait},
         key_loads::KEYS,
     },
-    keys::{Assignment, Holding, KeyPartition, KeyRange},
+    keys::{AssignedRange, Assignment, KeyPartition, KeyRange},
     updates::{announcement::MoveAnnouncement, followed::FOLLOWER_PAUSE_MAX_MS},
 };
 use crate::clock;
@@ -21,29 +21,30 @@
 const MOVE_HOLD_MAX_MS: u64 = 20_000;
 /// Time in which no request goes to a server after it was found not to hold the key.
 const NOT_HELD_MS: u64 = 250;
-/// Time after which an announced grant is forgotten; the recorded holdings have been read by then.
+/// Time after which an announced grant is forgotten; the recorded assigned ranges have been read by
+/// then.
 const GRANTED_KEPT_MS: u64 = FOLLOWER_PAUSE_MAX_MS + 30_000;
 
-/// Recorded holdings of one service, as read from the store's rows.
+/// Recorded assigned ranges of one service, as read from the store's rows.
 #[derive(Clone, Debug, Default)]
-pub struct ServiceHoldings {
-    /// Holdings of all rows, merged. Where rows overlap, the higher fence wins.
+pub struct RecordedAssignment {
+    /// Assigned ranges of all rows, merged. Where rows overlap, the higher fence wins.
     pub assignment: Arc<Assignment>,
-    rows: BTreeMap<KeyPartition, HoldingsRow>,
+    rows: BTreeMap<KeyPartition, AssignmentRow>,
 }
 
-/// Row of the store with the holdings of one key partition.
+/// Row of the store with the assigned ranges of one key partition.
 #[derive(Clone, Debug)]
-pub struct HoldingsRow {
-    /// Holdings whose first key lies in the partition.
+pub struct AssignmentRow {
+    /// Assigned ranges whose first key lies in the partition.
     pub assignment: Assignment,
     /// Version of the row in the store.
     pub version: u64,
 }
 
-impl ServiceHoldings {
+impl RecordedAssignment {
     /// Returns all known rows with their key partitions.
-    pub fn rows(&self) -> impl Iterator<Item = (KeyPartition, &HoldingsRow)> {
+    pub fn rows(&self) -> impl Iterator<Item = (KeyPartition, &AssignmentRow)> {
         self.rows.iter().map(|(part, row)| (*part, row))
     }
 
@@ -52,21 +53,21 @@
         self.rows.get(&part).map_or(0, |row| row.version)
     }
 
-    /// Returns the key partitions whose rows differ from the holdings of `assignment`.
+    /// Returns the key partitions whose rows differ from the assigned ranges of `assignment`.
     pub fn changed_partitions(&self, assignment: &Assignment) -> Vec<KeyPartition> {
         let differs = |part: &KeyPartition| {
             let of_row = self
                 .rows
                 .get(part)
-                .map_or(&[][..], |row| &row.assignment.holdings);
-            assignment.part(*part).holdings != *of_row
+                .map_or(&[][..], |row| &row.assignment.assigned_ranges);
+            assignment.part(*part).assigned_ranges != *of_row
         };
         KeyPartition::all().filter(differs).collect()
     }
 
     /// Adds rows and replaces older versions. Returns false if none of the rows is newer than the
     /// known one.
-    fn merge(&mut self, rows: Vec<(KeyPartition, HoldingsRow)>) -> bool {
+    fn merge(&mut self, rows: Vec<(KeyPartition, AssignmentRow)>) -> bool {
         let mut is_new = false;
         for (part, row) in rows {
             let known = self.rows.get(&part);
@@ -88,14 +89,14 @@
 struct Moving {
     service: Arc<str>,
     range: KeyRange,
-    /// Fence of the owner before the move. Requests wait for the grant of a holding with a higher
-    /// fence.
+    /// Fence of the owner before the move. Requests wait for the grant of an assigned range with a
+    /// higher fence.
     above_fence: u64,
     wait: MoveWait,
     until_ms: u64,
 }
 
-/// Holding whose server refused a request because it does not hold the key.
+/// Assigned range whose server refused a request because it does not hold the key.
 #[derive(Clone, Debug)]
 struct NotHeld {
     service: Arc<str>,
@@ -107,14 +108,14 @@
 #[derive(Clone, Debug)]
 struct AnnouncedGrant {
     service: Arc<str>,
-    holding: Holding,
+    assigned_range: AssignedRange,
     until_ms: u64,
 }
 
 /// Destination of a request that has a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Owner {
-    /// Server that holds the key, and the fence of its holding.
+    /// Server that holds the key, and the fence of its assigned range.
     Server(Arc<str>, u64),
     /// The key is being moved. The caller looks the owner up again when the view changes, or after
     /// a timeout.
@@ -138,20 +139,20 @@
 /// Owners of the keys of all services, as this host knows them.
 #[derive(Debug, Default)]
 pub struct Owners {
-    held: Mutex<HashMap<Arc<str>, ServiceHoldings>>,
+    held: Mutex<HashMap<Arc<str>, RecordedAssignment>>,
     moving: Mutex<Vec<Moving>>,
     granted: Mutex<Vec<AnnouncedGrant>>,
     not_held: Mutex<Vec<NotHeld>>,
 }
 
 impl Owners {
-    /// Returns the recorded holdings of a service; `None` if no row of them is known.
-    pub fn held(&self, service: &str) -> Option<ServiceHoldings> {
+    /// Returns the recorded assigned ranges of a service; `None` if no row of them is known.
+    pub fn held(&self, service: &str) -> Option<RecordedAssignment> {
         self.held_map().get(service).cloned()
     }
 
-    /// Returns the recorded holdings of all services, with the names of the services.
-    pub fn all_held(&self) -> Vec<(Arc<str>, ServiceHoldings)> {
+    /// Returns the recorded assigned ranges of all services, with the names of the services.
+    pub fn all_held(&self) -> Vec<(Arc<str>, RecordedAssignment)> {
         let held = self.held_map();
         let all = held.iter();
         all.map(|(service, held)| (service.clone(), held.clone()))
@@ -162,7 +163,7 @@
     pub fn all_granted(&self, service: &str) -> bool {
         let granted = self.granted();
         let of_service = granted.iter().filter(|g| *g.service == *service);
-        let mut ranges: Vec<KeyRange> = of_service.map(|g| g.holding.range).collect();
+        let mut ranges: Vec<KeyRange> = of_service.map(|g| g.assigned_range.range).collect();
         drop(granted);
         ranges.sort_unstable_by_key(|range| range.first);
         let mut next = 0u32;
@@ -175,9 +176,13 @@
         next == KEYS as u32
     }
 
-    /// Adds rows with holdings of a service and drops the announced grants that they include.
-    /// Returns false if none of the rows is new.
-    pub fn put_holdings(&self, service: &Arc<str>, rows: Vec<(KeyPartition, HoldingsRow)>) -> bool {
+    /// Adds rows with assigned ranges of a service and drops the announced grants that they
+    /// include. Returns false if none of the rows is new.
+    pub fn put_assignment_rows(
+        &self,
+        service: &Arc<str>,
+        rows: Vec<(KeyPartition, AssignmentRow)>,
+    ) -> bool {
         let mut held_map = self.held_map();
         let held = held_map.entry(service.clone()).or_default();
         if !held.merge(rows) {
@@ -186,26 +191,27 @@
         let highest_fence = held.assignment.fence;
         drop(held_map);
         self.granted()
-            .retain(|g| g.service != *service || g.holding.fence > highest_fence);
+            .retain(|g| g.service != *service || g.assigned_range.fence > highest_fence);
         true
     }
 
-    /// Adds an announced grant, which counts before the recorded holdings are read.
-    pub fn note_granted(&self, service: &Arc<str>, holding: Holding) {
+    /// Adds an announced grant, which counts before the recorded assigned ranges are read.
+    pub fn note_granted(&self, service: &Arc<str>, assigned_range: AssignedRange) {
         let now_ms = clock::now_ms();
         // A grant with a higher fence ends the move of its keys.
         self.moving().retain(|m| {
-            let same = m.service == *service && holding.range.covers(&m.range);
-            !same || holding.fence <= m.above_fence
+            let same = m.service == *service && assigned_range.range.covers(&m.range);
+            !same || assigned_range.fence <= m.above_fence
         });
         let mut granted = self.granted();
         granted.retain(|g| {
-            let same = g.service == *service && holding.range.covers(&g.holding.range);
-            now_ms < g.until_ms && !(same && g.holding.fence <= holding.fence)
+            let same =
+                g.service == *service && assigned_range.range.covers(&g.assigned_range.range);
+            now_ms < g.until_ms && !(same && g.assigned_range.fence <= assigned_range.fence)
         });
         granted.push(AnnouncedGrant {
             service: service.clone(),
-            holding,
+            assigned_range,
             until_ms: now_ms + GRANTED_KEPT_MS,
         });
     }
@@ -221,8 +227,8 @@
         let now_ms = clock::now_ms();
         // Datagrams may arrive out of order: the grant that ends the move may be known already.
         let has_ended = self.granted().iter().any(|g| {
-            let same = g.service == *service && g.holding.range.covers(&range);
-            same && g.holding.fence > above_fence
+            let same = g.service == *service && g.assigned_range.range.covers(&range);
+            same && g.assigned_range.fence > above_fence
         });
         if has_ended {
             return;
@@ -243,25 +249,25 @@
         let held = self.held_map();
         let recorded = held
             .get(service)
-            .and_then(|held| held.assignment.holding(key))
-            .map(|holding| (holding.server.clone(), holding.fence));
+            .and_then(|held| held.assignment.assigned_range(key))
+            .map(|assigned_range| (assigned_range.server.clone(), assigned_range.fence));
         drop(held);
         let now_ms = clock::now_ms();
         let granted = self.granted();
         let concerns = |g: &&AnnouncedGrant| {
-            now_ms < g.until_ms && g.service == *service && g.holding.range.contains(key)
+            now_ms < g.until_ms && g.service == *service && g.assigned_range.range.contains(key)
         };
         let granted = granted
             .iter()
             .filter(concerns)
-            .max_by_key(|g| g.holding.fence)
-            .map(|g| (g.holding.server.clone(), g.holding.fence));
+            .max_by_key(|g| g.assigned_range.fence)
+            .map(|g| (g.assigned_range.server.clone(), g.assigned_range.fence));
         let latest = higher_fence(granted.clone(), recorded);
         let Some((server, fence)) = latest else {
             return Owner::Unowned;
         };
         // A move is recorded before the keys are granted, so only an announced grant ends the wait,
-        // not the recorded holding.
+        // not the recorded assigned range.
         let granted_fence = granted.map_or(0, |(_, fence)| fence);
         let moving = self.moving();
         let waits = moving.iter().filter(|m| {
@@ -285,8 +291,8 @@
         Owner::Server(server, fence)
     }
 
-    /// Records that a server does not hold, or does not hold yet, the keys of the holding with this
-    /// fence.
+    /// Records that a server does not hold, or does not hold yet, the keys of the assigned range
+    /// with this fence.
     pub fn note_not_held(&self, service: &Arc<str>, fence: u64) {
         let now_ms = clock::now_ms();
         let mut not_held = self.not_held();
@@ -298,7 +304,7 @@
         });
     }
 
-    fn held_map(&self) -> MutexGuard<'_, HashMap<Arc<str>, ServiceHoldings>> {
+    fn held_map(&self) -> MutexGuard<'_, HashMap<Arc<str>, RecordedAssignment>> {
         self.held.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -14,7 +14,7 @@
         trials::ClaimSubject,
     },
     digest::RequestDigest,
-    keys::Holding,
+    keys::AssignedRange,
     updates::{
         announcement::MoveAnnouncement, configuration_pieces::Piece, evacuation::Evacuations,
         freshness::StoreStateReport, server_changes::ServerChanges,
@@ -23,9 +23,9 @@
 
 /// Maximum number of servers or keys in one datagram, which keeps it below the usual packet size.
 pub const ENTRIES_MAX: usize = 120;
-/// Maximum number of server paces, of up to 11 bytes each, in one datagram. They share it with up
-/// to [`ENTRIES_MAX`] loads.
-pub const PACES_MAX: usize = 80;
+/// Maximum number of server slowdowns, of up to 11 bytes each, in one datagram. They share it with
+/// up to [`ENTRIES_MAX`] loads.
+pub const SLOWDOWNS_MAX: usize = 80;
 /// Maximum number of server rates in one datagram, of up to 36 bytes each.
 pub const RATES_MAX: usize = 45;
 /// Maximum number of workspaces in one datagram, of up to 15 bytes each.
@@ -68,9 +68,9 @@
     pub run_ms: u16,
 }
 
-/// Pace (slowdown factor) that a server announced to a host since that host's last report.
+/// Slowdown that a server announced to a host since that host's last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServerPace {
+pub struct ServerSlowdown {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
     /// Current run time of requests relative to the usual one, in percent: 200 is twice as slow.
@@ -79,13 +79,14 @@
     pub age_ms: u16,
 }
 
-/// Rest that a server asked a host for: a period without requests from that host.
+/// Backoff that a server asked a host for: a period without requests from that host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServerRest {
+pub struct ServerBackoff {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
-    /// Time left of the rest when the report is sent.
-    pub rest_ms: u32,
+    /// Time left of the backoff when the report is sent.
+    #[serde(rename = "rest_ms")]
+    pub backoff_ms: u32,
 }
 
 /// Rate limit that a server advertised for the requests of all hosts together.
@@ -186,8 +187,8 @@
         sender: Sender,
         /// Requests of the sender in flight, by server.
         servers: Vec<ServerLoad>,
-        /// Paces (slowdown factors) that servers announced to the sender since its last report.
-        paces: Vec<ServerPace>,
+        /// Slowdowns that servers announced to the sender since its last report.
+        slowdowns: Vec<ServerSlowdown>,
     },
     /// Average run times of servers as measured by the sender.
     RunTimes(Vec<RunTime>),
@@ -248,8 +249,8 @@
     /// has ended without a crash, as the server answered, or the sender released its claim without
     /// a trial.
     TrialEnded(ClaimSubject),
-    /// Servers that asked the sender for a rest. For the leader.
-    ReportRests(Vec<ServerRest>),
+    /// Servers that asked the sender for a backoff. For the leader.
+    ReportBackoffs(Vec<ServerBackoff>),
     /// Reports rate limits of servers with the demand of the sender's callers. Sent to the leader.
     ReportRates(Vec<ServerRate>),
     /// Rate limits of servers as the leader knows them, with the demand of the callers of all
@@ -303,6 +304,7 @@
         /// Tag of the service: a hash of its name.
         service_tag: u32,
         /// Granted key ranges, each with the server that now holds it and the fence of the grant.
-        holdings: Vec<Holding>,
+        #[serde(rename = "holdings")]
+        assigned_ranges: Vec<AssignedRange>,
     },
 }
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -30,7 +30,7 @@
 use self::{
     fanout::{DIRECT_HOSTS_MAX, Fanout, OneWayDelay, RELAY_SILENT_MS, RelayCandidate},
     intervals::report_age_max_ms,
-    message::{Message, RunTime, ServerLoad, ServerPace, VERSION},
+    message::{Message, RunTime, ServerLoad, ServerSlowdown, VERSION},
     outbox::Outbox,
     zone_loads::{ZoneLoadChanges, ZoneLoads},
 };
@@ -47,12 +47,12 @@
     reporters: f64,
 }
 
-/// Pace (slowdown factor) that a server announced to another host, which reported it.
+/// Slowdown that a server announced to another host, which reported it.
 #[derive(Clone, Copy, Debug)]
-struct ReportedPace {
+struct ReportedSlowdown {
     server_tag: u32,
-    pace: f64,
-    /// Time at which the server announced the pace, by this host's clock.
+    slowdown: f64,
+    /// Time at which the server announced the slowdown, by this host's clock.
     at_ms: u64,
 }
 
@@ -131,8 +131,8 @@
     leader_term: AtomicU64,
     hosts_known_to_leader: AtomicUsize,
     leader_heard_ms: AtomicU64,
-    /// Paces (slowdown factors) of servers that other hosts reported and that are not applied yet.
-    paces: Mutex<Vec<ReportedPace>>,
+    /// Slowdowns of servers that other hosts reported and that are not applied yet.
+    slowdowns: Mutex<Vec<ReportedSlowdown>>,
     one_way_delay: Mutex<OneWayDelay>,
     zone_loads: Mutex<ZoneLoads>,
     /// Loads that this host has sent to other zones as the aggregator of its zone.
@@ -397,23 +397,25 @@
         }
     }
 
-    fn note_paces(&self, paces: &[ServerPace]) {
+    fn note_slowdowns(&self, slowdowns: &[ServerSlowdown]) {
         let now_ms = clock::now_ms();
-        let announced = paces.iter().map(|pace| ReportedPace {
-            server_tag: pace.server_tag,
-            pace: f64::from(pace.percent) / 100.0,
-            at_ms: now_ms.saturating_sub(u64::from(pace.age_ms)),
+        let announced = slowdowns.iter().map(|slowdown| ReportedSlowdown {
+            server_tag: slowdown.server_tag,
+            slowdown: f64::from(slowdown.percent) / 100.0,
+            at_ms: now_ms.saturating_sub(u64::from(slowdown.age_ms)),
         });
-        self.paces().extend(announced);
+        self.slowdowns().extend(announced);
     }
 
-    /// Takes the paces that other hosts reported since the last call.
-    fn take_paces(&self) -> Vec<ReportedPace> {
-        std::mem::take(&mut *self.paces())
+    /// Takes the slowdowns that other hosts reported since the last call.
+    fn take_slowdowns(&self) -> Vec<ReportedSlowdown> {
+        std::mem::take(&mut *self.slowdowns())
     }
 
-    fn paces(&self) -> MutexGuard<'_, Vec<ReportedPace>> {
-        self.paces.lock().unwrap_or_else(PoisonError::into_inner)
+    fn slowdowns(&self) -> MutexGuard<'_, Vec<ReportedSlowdown>> {
+        self.slowdowns
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records a heartbeat of the leader. Returns false and ignores it if a later term is known.
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -13,7 +13,7 @@
     entry::{
         Entry,
         decide::hot_keys::HotKey,
-        keys::Holding,
+        keys::AssignedRange,
         owners::Owner,
         server::tag_of,
         updates::{
@@ -124,9 +124,11 @@
                 let updates = updates.aged_by(self.peers.excess_delay_ms(term, sent_ms));
                 self.note_leader(from, term, updates, hot);
             }
-            Message::Report { servers, paces, .. } => {
+            Message::Report {
+                servers, slowdowns, ..
+            } => {
                 self.peers.note_report(from, servers);
-                self.peers.note_paces(&paces);
+                self.peers.note_slowdowns(&slowdowns);
             }
             Message::RunTimes(run_times) => self.peers.note_run_times(from, run_times),
             Message::ZoneLoads {
@@ -146,8 +148,8 @@
             }
             Message::Granted {
                 service_tag,
-                holdings,
-            } => self.note_grants(service_tag, holdings),
+                assigned_ranges,
+            } => self.note_grants(service_tag, assigned_ranges),
             Message::Moving {
                 service_tag,
                 announcements,
@@ -166,7 +168,7 @@
             }
             Message::TrialStarted(claimed) => self.note_trial(claimed, from),
             Message::TrialEnded(claimed) => self.note_trial_end(claimed),
-            Message::ReportRests(rests) => self.handle_rest_report(from, &rests),
+            Message::ReportBackoffs(backoffs) => self.handle_backoff_report(from, &backoffs),
             Message::ReportRates(rates) => self.handle_rate_report(from, &rates),
             Message::RateTotals(rates) => self.apply_rate_totals(&rates),
             Message::ReportUsage(reports) => self.handle_usage_report(&reports),
@@ -227,17 +229,17 @@
         }
     }
 
-    fn note_grants(&self, service_tag: u32, holdings: Vec<Holding>) {
+    fn note_grants(&self, service_tag: u32, assigned_ranges: Vec<AssignedRange>) {
         let Some(service) = self.service_of(service_tag) else {
             return;
         };
-        for holding in holdings {
-            self.view.note_granted(&service, holding);
+        for assigned_range in assigned_ranges {
+            self.view.note_granted(&service, assigned_range);
         }
     }
 
-    /// Sends the holding of a key, if this host is the leader, to a host whose request reached a
-    /// server that does not hold the key.
+    /// Sends the assigned range of a key, if this host is the leader, to a host whose request
+    /// reached a server that does not hold the key.
     fn send_key_owner(&self, to: SocketAddr, service_tag: u32, key: u16) {
         if self.leadership.term() == 0 {
             return;
@@ -251,13 +253,16 @@
         let Some(held) = self.view.held(&service) else {
             return;
         };
-        let holding = held.assignment.holding(key).filter(|h| h.fence == fence);
-        let Some(holding) = holding.cloned() else {
+        let assigned_range = held
+            .assignment
+            .assigned_range(key)
+            .filter(|assigned| assigned.fence == fence);
+        let Some(assigned_range) = assigned_range.cloned() else {
             return;
         };
         let message = Message::Granted {
             service_tag,
-            holdings: vec![holding],
+            assigned_ranges: vec![assigned_range],
         };
         self.peers.send(&message, &[to]);
     }
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -6,10 +6,12 @@
 use tokio::time;
 
 use super::{
-    ReportedPace,
+    ReportedSlowdown,
     fanout::RelayCandidate,
     intervals::{FULL_REPORT_EVERY, ZONE_LOADS_EVERY_MS, report_every_ms},
-    message::{ENTRIES_MAX, KeyCount, Message, PACES_MAX, RunTime, Sender, ServerLoad, ServerPace},
+    message::{
+        ENTRIES_MAX, KeyCount, Message, RunTime, SLOWDOWNS_MAX, Sender, ServerLoad, ServerSlowdown,
+    },
 };
 use crate::{
     clock,
@@ -36,14 +38,14 @@
 }
 
 impl Reporter {
-    /// Sends a report if the loads have changed, a server announced a pace (slowdown factor), or a
-    /// full report is due.
+    /// Sends a report if the loads have changed, a server announced a slowdown, or a full report is
+    /// due.
     fn report(&mut self, entry: &Entry, servers: Vec<ServerLoad>, to: &[SocketAddr]) {
         let full = self.round.is_multiple_of(FULL_REPORT_EVERY);
         self.round += 1;
-        let paces = entry.own_paces(self.at_ms);
+        let slowdowns = entry.own_slowdowns(self.at_ms);
         self.at_ms = clock::now_ms();
-        if servers == self.last && paces.is_empty() && !full {
+        if servers == self.last && slowdowns.is_empty() && !full {
             return;
         }
         self.last.clone_from(&servers);
@@ -51,7 +53,7 @@
         let report = Message::Report {
             sender,
             servers,
-            paces,
+            slowdowns,
         };
         entry.peers.send(&report, to);
         if !full {
@@ -176,19 +178,19 @@
         loads
     }
 
-    /// Returns the paces (slowdown factors) that servers announced to this host since `since_ms`.
-    fn own_paces(&self, since_ms: u64) -> Vec<ServerPace> {
+    /// Returns the slowdowns that servers announced to this host since `since_ms`.
+    fn own_slowdowns(&self, since_ms: u64) -> Vec<ServerSlowdown> {
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
         let announced = registry.servers().filter_map(|server| {
-            let (pace, at_ms) = server.own_pace()?;
-            (at_ms >= since_ms).then_some(ServerPace {
+            let (slowdown, at_ms) = server.own_slowdown()?;
+            (at_ms >= since_ms).then_some(ServerSlowdown {
                 server_tag: server.tag,
-                percent: (pace * 100.0) as u16,
+                percent: (slowdown * 100.0) as u16,
                 age_ms: now_ms.saturating_sub(at_ms) as u16,
             })
         });
-        announced.take(PACES_MAX).collect()
+        announced.take(SLOWDOWNS_MAX).collect()
     }
 
     fn own_run_times(&self) -> Vec<RunTime> {
@@ -214,8 +216,8 @@
 
     fn apply_reports(&self) {
         let loads = self.peers.loads();
-        let mut latest: HashMap<u32, ReportedPace> = HashMap::new();
-        for reported in self.peers.take_paces() {
+        let mut latest: HashMap<u32, ReportedSlowdown> = HashMap::new();
+        for reported in self.peers.take_slowdowns() {
             let known = latest.entry(reported.server_tag).or_insert(reported);
             if reported.at_ms > known.at_ms {
                 *known = reported;
@@ -226,7 +228,7 @@
             let run_ms = reported.run_ms_sum / reported.reporters.max(1.0);
             server.set_others(reported.in_flight, run_ms);
             if let Some(reported) = latest.get(&server.tag) {
-                server.note_pace(reported.pace, reported.at_ms);
+                server.note_slowdown(reported.slowdown, reported.at_ms);
             }
         }
     }
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -12,13 +12,13 @@
     Entry,
     events::Event,
     keys::{self, Assignment, KeyPartition},
-    owners::HoldingsRow,
+    owners::AssignmentRow,
     peers::HostProperties,
     server::tag_of,
     updates::{
         evacuation::Evacuations,
         followed::FollowedTable,
-        own_rows::{HOST_PREFIX, HostRow, QUARANTINE_KEY, SECRET_KEY, parse_holdings_key},
+        own_rows::{HOST_PREFIX, HostRow, QUARANTINE_KEY, SECRET_KEY, parse_assignment_key},
         server_changes::{ServerChange, ServerUpdate},
     },
 };
@@ -134,7 +134,7 @@
     }
 
     pub(super) fn apply_own(&self, rows: &[Row]) {
-        self.apply_holdings(rows);
+        self.apply_assignment_rows(rows);
         for row in rows {
             if let Some(address) = row.key.strip_prefix(HOST_PREFIX) {
                 self.apply_host(address, row);
@@ -173,32 +173,34 @@
         }
     }
 
-    /// Applies rows with holdings. Rows of one service are applied together, since one change may
-    /// have written several of them.
-    fn apply_holdings(&self, rows: &[Row]) {
-        let (held, unreadable) = decode_holdings(rows);
+    /// Applies rows with assigned ranges. Rows of one service are applied together, since one
+    /// change may have written several of them.
+    fn apply_assignment_rows(&self, rows: &[Row]) {
+        let (held, unreadable) = decode_assignment_rows(rows);
         for (row, error) in unreadable {
-            log::warn!("cannot decode holdings in row {row}: {error}");
+            log::warn!("cannot decode assigned ranges in row {row}: {error}");
         }
         for (service, rows) in held {
-            self.view.put_holdings(&service, rows);
+            self.view.put_assignment_rows(&service, rows);
         }
     }
 }
 
-/// Decodes rows with holdings. Returns them by service, and the keys of the rows that cannot be
-/// decoded.
-pub(super) fn decode_holdings(rows: &[Row]) -> (HoldingsByService, Vec<(&str, keys::DecodeError)>) {
-    let mut held = HoldingsByService::new();
+/// Decodes rows with assigned ranges. Returns them by service, and the keys of the rows that cannot
+/// be decoded.
+pub(super) fn decode_assignment_rows(
+    rows: &[Row],
+) -> (AssignmentRowsByService, Vec<(&str, keys::DecodeError)>) {
+    let mut held = AssignmentRowsByService::new();
     let mut unreadable = Vec::new();
     for row in rows.iter().filter(|row| !row.removed) {
-        let Some((service, part)) = parse_holdings_key(&row.key) else {
+        let Some((service, part)) = parse_assignment_key(&row.key) else {
             continue;
         };
         match Assignment::decode(&row.value) {
             Ok(assignment) => {
                 let version = row.version;
-                let row = HoldingsRow {
+                let row = AssignmentRow {
                     assignment,
                     version,
                 };
@@ -210,8 +212,8 @@
     (held, unreadable)
 }
 
-/// Rows with holdings, by service; each with the key partition that it covers.
-pub(super) type HoldingsByService = HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>>;
+/// Rows with assigned ranges, by service; each with the key partition that it covers.
+pub(super) type AssignmentRowsByService = HashMap<Arc<str>, Vec<(KeyPartition, AssignmentRow)>>;
 
 /// Returns true for a row of an evacuated zone. The leader sends the evacuated zones in each
 /// heartbeat, so hosts need not read the store for the versions of these rows.
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -14,7 +14,7 @@
         Candidate, Policy,
         attempt_stats::AttemptStats,
         notices::{NoticeEffect, Notices},
-        pace::Pace,
+        slowdown::Slowdown,
         warmup::{self, WarmupWindows},
     },
     digest::RequestDigests,
@@ -51,7 +51,7 @@
     others: AtomicU32,
     shared_run_us: AtomicU64,
     answered_ms: AtomicU64,
-    paces: Mutex<PaceReports>,
+    slowdowns: Mutex<SlowdownReports>,
     attempt_stats: Mutex<AttemptStats>,
     running_requests: Mutex<RunningRequests>,
     /// Rate limit that the server advertises for all hosts together, and this host's share of it.
@@ -60,12 +60,12 @@
     pub broken_connections: BrokenConnections,
 }
 
-/// Paces that the server has reported (how much slower than usual it currently runs).
+/// Slowdowns that the server has reported (factors by which it currently runs slower than usual).
 #[derive(Debug, Default)]
-struct PaceReports {
-    /// Pace from reports to any host.
-    known: Pace,
-    /// Latest pace reported to this host, and its time.
+struct SlowdownReports {
+    /// Slowdown from reports to any host.
+    known: Slowdown,
+    /// Latest slowdown reported to this host, and its time.
     own: Option<(f64, u64)>,
 }
 
@@ -115,7 +115,7 @@
             others: AtomicU32::new(0),
             shared_run_us: AtomicU64::new(0),
             answered_ms: AtomicU64::new(0),
-            paces: Mutex::default(),
+            slowdowns: Mutex::default(),
             attempt_stats: Mutex::default(),
             running_requests: Mutex::default(),
             broken_connections: BrokenConnections::default(),
@@ -241,7 +241,7 @@
         self.leaving.store(leaving, Ordering::Relaxed);
     }
 
-    /// Records the notice in a response: that the server leaves, or asks for a rest, which is a
+    /// Records the notice in a response: that the server leaves, or asks for a backoff, which is a
     /// time without requests.
     pub fn note_notice(&self, notice: Notice) -> NoticeEffect {
         self.notices().note(notice, clock::now_ms())
@@ -270,10 +270,10 @@
         self.notices.clone()
     }
 
-    /// Returns the remaining rest, in which this host must send the server no requests; 0 if there
-    /// is none.
-    pub fn rest_ms(&self) -> u64 {
-        self.notices().rest_ms(clock::now_ms())
+    /// Returns the remaining backoff, in which this host must send the server no requests; 0 if
+    /// there is none.
+    pub fn backoff_ms(&self) -> u64 {
+        self.notices().backoff_ms(clock::now_ms())
     }
 
     /// Returns the number of this host's requests in flight at the server.
@@ -364,7 +364,10 @@
             load: self.load(),
             run_ms: self.run_ms(),
             since_outcome_ms: attempt_stats.since_outcome_ms(now_ms),
-            pace: self.paces().known.relative(now_ms, policy.pace_memory_ms),
+            slowdown: self
+                .slowdowns()
+                .known
+                .relative(now_ms, policy.slowdown_memory_ms),
             failures: attempt_stats.failures(now_ms),
             is_paused: attempt_stats.is_paused(now_ms) || self.is_limited_by_warmup(rule),
             is_other_region: false,
@@ -382,22 +385,22 @@
             .answered(run_ms, found_free_slot, now_ms);
     }
 
-    /// Records the pace (slowdown factor) that the server reported to another host at `at_ms`.
-    pub fn note_pace(&self, pace: f64, at_ms: u64) {
-        self.paces().known.note(pace, at_ms);
+    /// Records the slowdown that the server reported to another host at `at_ms`.
+    pub fn note_slowdown(&self, slowdown: f64, at_ms: u64) {
+        self.slowdowns().known.note(slowdown, at_ms);
     }
 
-    /// Records the pace (slowdown factor) that the server reported to this host.
-    pub fn note_own_pace(&self, pace: f64) {
+    /// Records the slowdown that the server reported to this host.
+    pub fn note_own_slowdown(&self, slowdown: f64) {
         let now_ms = clock::now_ms();
-        let mut paces = self.paces();
-        paces.known.note(pace, now_ms);
-        paces.own = Some((pace, now_ms));
+        let mut slowdowns = self.slowdowns();
+        slowdowns.known.note(slowdown, now_ms);
+        slowdowns.own = Some((slowdown, now_ms));
     }
 
-    /// Returns the latest pace that the server reported to this host, and its time.
-    pub fn own_pace(&self) -> Option<(f64, u64)> {
-        self.paces().own
+    /// Returns the latest slowdown that the server reported to this host, and its time.
+    pub fn own_slowdown(&self) -> Option<(f64, u64)> {
+        self.slowdowns().own
     }
 
     /// Returns the time at which the server last answered a request of this host; 0 if it never
@@ -416,8 +419,10 @@
         self.attempt_stats().not_connected(clock::now_ms());
     }
 
-    fn paces(&self) -> MutexGuard<'_, PaceReports> {
-        self.paces.lock().unwrap_or_else(PoisonError::into_inner)
+    fn slowdowns(&self) -> MutexGuard<'_, SlowdownReports> {
+        self.slowdowns
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn notices(&self) -> MutexGuard<'_, Notices> {
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -1,6 +1,7 @@
-//! Snapshot of a host's view of servers, holdings and hosts, sent to a host that starts. Reading
-//! the tables from the store takes each host one call for some hundred rows: with a thousand hosts
-//! and ten thousand servers that would be 20,000 calls and 2.5 GB whenever all hosts start.
+//! Snapshot of a host's view of servers, assigned ranges and hosts, sent to a host that starts.
+//! Reading the tables from the store takes each host one call for some hundred rows: with a
+//! thousand hosts and ten thousand servers that would be 20,000 calls and 2.5 GB whenever all hosts
+//! start.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
@@ -10,7 +11,7 @@
 use crate::entry::{
     keys::{Assignment, KeyPartition},
     model::{ServerEntry, incarnation_id},
-    owners::HoldingsRow,
+    owners::AssignmentRow,
 };
 
 /// Index of a string in the string table of a snapshot.
@@ -68,9 +69,9 @@
     pub processor_share: f32,
 }
 
-/// Row with one key partition of a service's holdings, in the encoding of the store.
+/// Row with one key partition of a service's assigned ranges, in the encoding of the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct SnapshotHoldings {
+struct SnapshotAssignmentRow {
     service: Arc<str>,
     part: u8,
     version: u64,
@@ -86,7 +87,7 @@
     pub changed: u64,
 }
 
-/// A host's view of servers, holdings and hosts. Without servers, their versions are 0.
+/// A host's view of servers, assigned ranges and hosts. Without servers, their versions are 0.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Progress of the sender in following the table of servers' entries; 0 if servers are left
@@ -94,13 +95,14 @@
     pub servers_versions: TableVersions,
     /// Version of the latest change after which some server takes no new work.
     pub leave_version: u64,
-    /// Progress of the sender in following the entry hosts' own rows (holdings and hosts).
+    /// Progress of the sender in following the entry hosts' own rows (assigned ranges and hosts).
     pub own_versions: TableVersions,
     /// Hosts that the sender knows, itself included.
     pub hosts: Vec<SnapshotHost>,
     strings: StringTable,
     servers: Vec<SnapshotServer>,
-    holdings: Vec<SnapshotHoldings>,
+    #[serde(rename = "holdings")]
+    assignment_rows: Vec<SnapshotAssignmentRow>,
 }
 
 impl Snapshot {
@@ -139,34 +141,41 @@
         })
     }
 
-    /// Adds a row of holdings. A row that cannot be encoded is skipped with a warning.
-    pub fn add_holdings(&mut self, service: &Arc<str>, part: KeyPartition, row: &HoldingsRow) {
+    /// Adds a row of assigned ranges. A row that cannot be encoded is skipped with a warning.
+    pub fn add_assignment_row(
+        &mut self,
+        service: &Arc<str>,
+        part: KeyPartition,
+        row: &AssignmentRow,
+    ) {
         match row.assignment.encode() {
-            Ok(record) => self.holdings.push(SnapshotHoldings {
+            Ok(record) => self.assignment_rows.push(SnapshotAssignmentRow {
                 service: service.clone(),
                 part: part.number(),
                 version: row.version,
                 record,
             }),
-            Err(error) => log::warn!("cannot encode holdings of {service} for a snapshot: {error}"),
+            Err(error) => {
+                log::warn!("cannot encode assigned ranges of {service} for a snapshot: {error}")
+            }
         }
     }
 
-    /// Returns the rows of holdings by service. Rows that cannot be decoded are skipped with a
-    /// warning.
-    pub fn holdings(&self) -> HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>> {
-        let mut rows: HashMap<Arc<str>, Vec<(KeyPartition, HoldingsRow)>> = HashMap::new();
-        for known in &self.holdings {
+    /// Returns the rows of assigned ranges by service. Rows that cannot be decoded are skipped with
+    /// a warning.
+    pub fn assignment_rows(&self) -> HashMap<Arc<str>, Vec<(KeyPartition, AssignmentRow)>> {
+        let mut rows: HashMap<Arc<str>, Vec<(KeyPartition, AssignmentRow)>> = HashMap::new();
+        for known in &self.assignment_rows {
             let part = KeyPartition::new(known.part);
             let assignment = Assignment::decode(&known.record).ok();
             let Some((part, assignment)) = part.zip(assignment) else {
                 log::warn!(
-                    "cannot decode holdings of {} in a received snapshot",
+                    "cannot decode assigned ranges of {} in a received snapshot",
                     known.service
                 );
                 continue;
             };
-            let row = HoldingsRow {
+            let row = AssignmentRow {
                 assignment,
                 version: known.version,
             };
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -11,9 +11,9 @@
 
 use super::{
     events::Event,
-    keys::{Holding, KeyPartition},
+    keys::{AssignedRange, KeyPartition},
     model::Configuration,
-    owners::{HoldingsRow, Owner, Owners, ServiceHoldings},
+    owners::{AssignmentRow, Owner, Owners, RecordedAssignment},
     registry::Registry,
     updates::{announcement::MoveAnnouncement, evacuation::Evacuations, followed::FollowedTable},
 };
@@ -31,7 +31,7 @@
     }
 }
 
-/// A host's view of configuration, servers and holdings, shared by all its tasks.
+/// A host's view of configuration, servers and assigned ranges, shared by all its tasks.
 #[derive(Debug)]
 pub struct View {
     configuration: ArcSwapOption<Configuration>,
@@ -137,18 +137,19 @@
         self.are_servers_known.store(true, Ordering::Relaxed);
     }
 
-    /// Returns the holdings of a service; `None` if they are not known.
-    pub fn held(&self, service: &str) -> Option<ServiceHoldings> {
+    /// Returns the assigned ranges of a service; `None` if they are not known.
+    pub fn held(&self, service: &str) -> Option<RecordedAssignment> {
         self.owners.held(service)
     }
 
-    /// Returns the holdings of all services whose rows are known, with the names of the services.
-    pub fn all_held(&self) -> Vec<(Arc<str>, ServiceHoldings)> {
+    /// Returns the assigned ranges of all services whose rows are known, with the names of the
+    /// services.
+    pub fn all_held(&self) -> Vec<(Arc<str>, RecordedAssignment)> {
         self.owners.all_held()
     }
 
-    /// Returns true if the holdings of some sharded service are unknown.
-    pub fn lacks_holdings(&self) -> bool {
+    /// Returns true if the assigned ranges of some sharded service are unknown.
+    pub fn lacks_assignments(&self) -> bool {
         let Some(configuration) = self.configuration() else {
             return false;
         };
@@ -158,16 +159,20 @@
         })
     }
 
-    /// Applies rows of holdings of a service, unless newer ones are known.
-    pub fn put_holdings(&self, service: &Arc<str>, rows: Vec<(KeyPartition, HoldingsRow)>) {
-        if self.owners.put_holdings(service, rows) {
+    /// Applies rows of assigned ranges of a service, unless newer ones are known.
+    pub fn put_assignment_rows(
+        &self,
+        service: &Arc<str>,
+        rows: Vec<(KeyPartition, AssignmentRow)>,
+    ) {
+        if self.owners.put_assignment_rows(service, rows) {
             self.changed.send_modify(|count| *count += 1);
         }
     }
 
     /// Records that a server was granted keys, before the stored row of the grant is read.
-    pub fn note_granted(&self, service: &Arc<str>, holding: Holding) {
-        self.owners.note_granted(service, holding);
+    pub fn note_granted(&self, service: &Arc<str>, assigned_range: AssignedRange) {
+        self.owners.note_granted(service, assigned_range);
         self.changed.send_modify(|count| *count += 1);
     }
 
@@ -253,7 +258,8 @@
         self.wait_for_store().await;
     }
 
-    /// Returns a receiver that is notified of every change of configuration, servers or holdings.
+    /// Returns a receiver that is notified of every change of configuration, servers or assigned
+    /// ranges.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -21,7 +21,7 @@
 /// Signature of the server over its response.
 pub const SIGNATURE: HeaderName = HeaderName::from_static("server-signature");
 /// Load of the responding server: running requests, queued requests, slots and, where servers share
-/// machines, the current pace (slowdown factor) in percent.
+/// machines, the current slowdown in percent.
 const LOAD: HeaderName = HeaderName::from_static("server-load");
 /// Header that a leaving server sets in every response; `0` means that the server is not leaving.
 const LEAVING: HeaderName = HeaderName::from_static("server-leaving");
@@ -52,11 +52,11 @@
     let running = figures.next()?.ok()?;
     let waiting = figures.next()?.ok()?;
     let _slots = figures.next()?.ok()?;
-    let pace_percent = figures.next().unwrap_or(Ok(100)).ok()?;
+    let slowdown_percent = figures.next().unwrap_or(Ok(100)).ok()?;
     Some(ReportedLoad {
         running,
         waiting,
-        pace: f64::from(pace_percent) / 100.0,
+        slowdown: f64::from(slowdown_percent) / 100.0,
     })
 }
 
@@ -66,12 +66,12 @@
     headers.contains_key(NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST
 }
 
-/// Parses the notice in a server's response: whether the server is leaving, and the rest that it
+/// Parses the notice in a server's response: whether the server is leaving, and the backoff that it
 /// asks for (a period without requests from this host).
 pub fn notice(status: StatusCode, headers: &HeaderMap) -> Notice {
     Notice {
         leaves: headers.get(LEAVING).is_some_and(|value| value != "0"),
-        rest_ms: rest_ms(status, headers),
+        backoff_ms: backoff_ms(status, headers),
     }
 }
 
@@ -98,10 +98,10 @@
     }
 }
 
-/// Parses the rest (a period without requests from this host) that a server asks for when it
+/// Parses the backoff (a period without requests from this host) that a server asks for when it
 /// rejects a request with 503 or 429, from `Retry-After` in seconds with fractions. HTTP also
 /// allows a date there, but the platform's servers never send one.
-fn rest_ms(status: StatusCode, headers: &HeaderMap) -> Option<u64> {
+fn backoff_ms(status: StatusCode, headers: &HeaderMap) -> Option<u64> {
     let rejected = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -1,14 +1,14 @@
-//! Starting hosts fetch servers, holdings and hosts from other hosts, and read the store's tables
-//! only if no other host has them.
+//! Starting hosts fetch servers, assigned ranges and hosts from other hosts, and read the store's
+//! tables only if no other host has them.
 
 mod platform_standin;
 
 use std::time::{Duration, Instant};
 
 use ashroad::entry::{
-    keys::{Assignment, Holding, KeyPartition, KeyRange},
+    keys::{AssignedRange, Assignment, KeyPartition, KeyRange},
     model::{ServerEntry, incarnation_id},
-    owners::HoldingsRow,
+    owners::AssignmentRow,
     updates::snapshot::Snapshot,
 };
 use http::StatusCode;
@@ -275,7 +275,7 @@
     let entries: Vec<ServerEntry> = (0..10_003).map(entry).collect();
     let mut assignment = Assignment::default();
     for number in 0..3_440u16 {
-        assignment.put(Holding {
+        assignment.put(AssignedRange {
             range: KeyRange {
                 first: number * 19,
                 last: number * 19 + 18,
@@ -288,18 +288,18 @@
     let mut snapshot = Snapshot::default();
     snapshot.set_servers(entries.iter().cloned());
     for part in KeyPartition::all() {
-        let row = HoldingsRow {
+        let row = AssignmentRow {
             assignment: assignment.part(part),
             version: 9,
         };
-        snapshot.add_holdings(&"service-0".into(), part, &row);
+        snapshot.add_assignment_row(&"service-0".into(), part, &row);
     }
     let bytes = postcard::to_stdvec(&snapshot).expect("encoded");
     // Transfer takes about 0.1 s on a link of 40 Mbit/s. The tables are seven times as large.
     assert!(bytes.len() < 700_000, "{} bytes", bytes.len());
     let received: Snapshot = postcard::from_bytes(&bytes).expect("decoded");
     assert!(received.servers().eq(entries));
-    let rows = &received.holdings()["service-0"];
+    let rows = &received.assignment_rows()["service-0"];
     let whole = Assignment::join(rows.iter().map(|(_, row)| &row.assignment));
     assert!(whole == assignment);
 }
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -12,11 +12,11 @@
         choice::{self, HostCount},
         hold::{self, Hold, MoveTimeLeft, MoveWait},
         key_loads::KeyLoads,
-        pace::Pace,
         plan::{self, Inputs, PlanServer},
         run_shares::RunShares,
+        slowdown::Slowdown,
     },
-    keys::{Assignment, Holding, KeyRange},
+    keys::{AssignedRange, Assignment, KeyRange},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -26,7 +26,7 @@
     load: 0,
     run_ms: 0.0,
     since_outcome_ms: 0,
-    pace: 1.0,
+    slowdown: 1.0,
     failures: 0.0,
     is_paused: false,
     is_same_zone: true,
@@ -220,7 +220,7 @@
         } else {
             (number + 1) * keys - 1
         };
-        assignment.put(Holding {
+        assignment.put(AssignedRange {
             range: KeyRange {
                 first: (number * keys) as u16,
                 last: last as u16,
@@ -257,7 +257,7 @@
         }
         for planned in moves {
             let fence = assignment.next_fence(1);
-            assignment.put(Holding {
+            assignment.put(AssignedRange {
                 range: planned.range,
                 server: planned.to,
                 fence,
@@ -266,8 +266,8 @@
         }
     }
     let mut used: HashMap<Arc<str>, f64> = HashMap::new();
-    for holding in &assignment.holdings {
-        *used.entry(holding.server.clone()).or_default() += loads.of(holding.range);
+    for assigned_range in &assignment.assigned_ranges {
+        *used.entry(assigned_range.server.clone()).or_default() += loads.of(assigned_range.range);
     }
     used
 }
@@ -288,8 +288,8 @@
     let hot = 1_000;
     loads.add(hot, 250.0);
     let used = settle(&servers, &mut assignment, &loads, &[hot]);
-    let hot_holding = assignment.holding(hot).expect("a holding");
-    assert_eq!(&*hot_holding.server, "s7");
+    let hot_range = assignment.assigned_range(hot).expect("an assigned range");
+    assert_eq!(&*hot_range.server, "s7");
     let other_load = used["s7"] - loads.key(hot);
     assert!(
         other_load < 3.0,
@@ -404,7 +404,13 @@
     let mut loads = KeyLoads::default();
     loads.add(1_000, 250.0);
     settle(&servers, &mut assignment, &loads, &[1_000]);
-    assert_eq!(&*assignment.holding(1_000).expect("a holding").server, "s0");
+    assert_eq!(
+        &*assignment
+            .assigned_range(1_000)
+            .expect("an assigned range")
+            .server,
+        "s0"
+    );
 }
 
 /// Results for hosts that learn of each other's requests with a delay.
@@ -524,7 +530,7 @@
 #[derive(Debug, Default)]
 struct NoisyServer {
     speed: f64,
-    pace: f64,
+    slowdown: f64,
     running: Vec<(u64, Waiting)>,
     queue: VecDeque<Waiting>,
 }
@@ -542,7 +548,7 @@
             let Some(next) = self.queue.pop_front() else {
                 return;
             };
-            let run_ms = next.work_ms * self.speed * self.pace;
+            let run_ms = next.work_ms * self.speed * self.slowdown;
             self.running.push((now_ms + run_ms as u64, next));
         }
     }
@@ -550,8 +556,8 @@
 
 /// Simulates 20 s of requests to 11 servers of one zone, at 1.25 times their capacity. Each server
 /// has three slots. 25 hosts report to each other every 100 ms how many requests they have at each
-/// server and which pace the servers reported. Returns the earned share of the possible value: a
-/// response within the objective counts 1, a late one 0.5.
+/// server and which slowdown the servers reported. Returns the earned share of the possible value:
+/// a response within the objective counts 1, a late one 0.5.
 fn simulate_noisy_servers(policy: &Policy) -> f64 {
     const HOSTS: usize = 25;
     const SERVERS: usize = 11;
@@ -566,19 +572,19 @@
     let mut servers: Vec<NoisyServer> = (0..SERVERS)
         .map(|number| NoisyServer {
             speed: SPEEDS[number % SPEEDS.len()],
-            pace: 1.0,
+            slowdown: 1.0,
             ..NoisyServer::default()
         })
         .collect();
     let mut own = vec![[0u32; SERVERS]; HOSTS];
     let mut reported = own.clone();
-    let mut paces = vec![[Pace::default(); SERVERS]; HOSTS];
+    let mut slowdowns = vec![[Slowdown::default(); SERVERS]; HOSTS];
     let mut reports: Vec<(usize, usize, f64, u64)> = Vec::new();
     let (mut requests, mut worth, mut due_ms) = (0.0, 0.0, 0.0);
     for now_ms in 1u64..20_000 {
         for (number, server) in servers.iter_mut().enumerate() {
             if (now_ms + 37 * number as u64).is_multiple_of(NOISE_EVERY_MS) {
-                server.pace = if rng.random_bool(0.2) { 3.0 } else { 1.0 };
+                server.slowdown = if rng.random_bool(0.2) { 3.0 } else { 1.0 };
             }
             let (ended, running) = server.running.iter().partition(|(end, _)| *end <= now_ms);
             server.running = running;
@@ -589,18 +595,19 @@
                     after_ms if after_ms <= DEADLINE_MS => 0.5,
                     _ => 0.0,
                 };
-                paces[request.host][number].note(server.pace, now_ms);
-                reports.push((request.host, number, server.pace, now_ms));
+                slowdowns[request.host][number].note(server.slowdown, now_ms);
+                reports.push((request.host, number, server.slowdown, now_ms));
             }
             server.start_waiting(now_ms);
         }
         for host in 0..HOSTS {
             if (now_ms + 4 * host as u64).is_multiple_of(REPORT_EVERY_MS) {
                 reported[host] = own[host];
-                for (_, server, pace, at_ms) in reports.extract_if(.., |reports| reports.0 == host)
+                for (_, server, slowdown, at_ms) in
+                    reports.extract_if(.., |reports| reports.0 == host)
                 {
-                    for paces in &mut paces {
-                        paces[server].note(pace, at_ms);
+                    for slowdowns in &mut slowdowns {
+                        slowdowns[server].note(slowdown, at_ms);
                     }
                 }
             }
@@ -617,7 +624,8 @@
                         slots: NoisyServer::SLOTS as u32,
                         load: own[host][server] + others,
                         run_ms: MEAN_WORK_MS * servers[server].speed * 1.4,
-                        pace: paces[host][server].relative(now_ms, policy.pace_memory_ms),
+                        slowdown: slowdowns[host][server]
+                            .relative(now_ms, policy.slowdown_memory_ms),
                         ..SERVER
                     }
                 })
@@ -664,7 +672,7 @@
     let default = Policy::default();
     let known = simulate_noisy_servers(&default);
     let unknown = simulate_noisy_servers(&Policy {
-        pace_memory_ms: 0,
+        slowdown_memory_ms: 0,
         ..default
     });
     // The value is 0.87 if a host compares ten servers instead of three, because all hosts then
--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -1,4 +1,4 @@
-//! Servers that announce in their responses that they leave, or that ask for a rest.
+//! Servers that announce in their responses that they leave, or that ask for a backoff.
 //!
 //! Guards against two failures:
 //!
@@ -8,10 +8,10 @@
 //! the notices and the requests sent to the server until the store responded again.
 //!
 //! A third of the map reads were refused for nine seconds. Three of nine servers rejected every
-//! request and asked for 3 s of rest. Hosts used only the status of such responses, so neither the
-//! choice of a server nor the planner knew of the rest. Hosts kept sending all requests for the
-//! keys there, half of them twice, and the planner gave the servers more keys. All 26 requests that
-//! one host logged to one server during its rest reached that server.
+//! request and asked for a backoff of 3 s. Hosts used only the status of such responses, so neither
+//! the choice of a server nor the planner knew of the backoff. Hosts kept sending all requests for
+//! the keys there, half of them twice, and the planner gave the servers more keys. All 26 requests
+//! that one host logged to one server during its backoff reached that server.
 
 mod platform_standin;
 
@@ -28,12 +28,12 @@
     traffic::{RequestOutcome, Traffic, Workload},
 };
 
-/// Time after a server has asked for a rest in which requests in transit may still arrive.
-const REST_SLACK: Duration = Duration::from_millis(500);
-/// Maximum number of requests that may reach a server later in its rest.
-const REST_REQUESTS_MAX: usize = 2;
-/// Duration of the rest that servers ask for.
-const REST_MS: u64 = 2_000;
+/// Time after a server has asked for a backoff in which requests in transit may still arrive.
+const BACKOFF_SLACK: Duration = Duration::from_millis(500);
+/// Maximum number of requests that may reach a server later in its backoff.
+const BACKOFF_REQUESTS_MAX: usize = 2;
+/// Duration of the backoff that servers ask for.
+const BACKOFF_MS: u64 = 2_000;
 /// Time for which servers reject requests in a test.
 const REJECTION_TIME: Duration = Duration::from_millis(8_000);
 /// Time within which a host refuses requests that no server can serve, as its own log states it.
@@ -59,24 +59,28 @@
     late
 }
 
-/// Returns the maximum number of requests that reached a server from one host during a rest that
+/// Returns the maximum number of requests that reached a server from one host during a backoff that
 /// the server had asked this host for.
-fn most_in_a_rest(server: &Server, traffic: &Traffic) -> usize {
-    let in_a_rest = |received_requests: &Vec<(ReceivedRequest, RequestOutcome)>| {
-        let rests = received_requests
+fn most_in_a_backoff(server: &Server, traffic: &Traffic) -> usize {
+    let in_a_backoff = |received_requests: &Vec<(ReceivedRequest, RequestOutcome)>| {
+        let backoffs = received_requests
             .iter()
-            .filter_map(|(visit, _)| Some((visit.at, visit.rest?)));
-        let within = |(began, rest): (Instant, Duration)| {
-            let span = began + REST_SLACK..began + rest;
+            .filter_map(|(visit, _)| Some((visit.at, visit.backoff?)));
+        let within = |(began, backoff): (Instant, Duration)| {
+            let span = began + BACKOFF_SLACK..began + backoff;
             received_requests
                 .iter()
                 .filter(|(v, _)| span.contains(&v.at))
                 .count()
         };
-        rests.map(within).max().unwrap_or(0)
+        backoffs.map(within).max().unwrap_or(0)
     };
     let received_requests = received_by_host(server, traffic);
-    received_requests.values().map(in_a_rest).max().unwrap_or(0)
+    received_requests
+        .values()
+        .map(in_a_backoff)
+        .max()
+        .unwrap_or(0)
 }
 
 async fn leave(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
@@ -106,16 +110,16 @@
     violations(&deployment)
 }
 
-async fn rest(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
+async fn backoff(disturbance: Disturbance, workload: Workload) -> Result<(), String> {
     let mut deployment = Deployment::start(workload).await;
-    deployment.server(workload).reject_with_rest(REST_MS);
+    deployment.server(workload).reject_with_backoff(BACKOFF_MS);
     let began = Instant::now();
     deployment
         .apply_disturbance(disturbance, workload, REJECTION_TIME)
         .await;
-    let most = most_in_a_rest(deployment.server(workload), &deployment.traffic);
-    if most > REST_REQUESTS_MAX {
-        return Err(format!("{most} requests in one rest"));
+    let most = most_in_a_backoff(deployment.server(workload), &deployment.traffic);
+    if most > BACKOFF_REQUESTS_MAX {
+        return Err(format!("{most} requests in one backoff"));
     }
     if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
@@ -123,7 +127,9 @@
     let due = began + disturbance.recovery_limit(SERVED_AGAIN);
     let served = deployment.traffic.served(due, began + REJECTION_TIME);
     if served < 0.85 {
-        return Err(format!("{served:.2} of the requests served while it rests"));
+        return Err(format!(
+            "{served:.2} of the requests served during the backoff"
+        ));
     }
     violations(&deployment)
 }
@@ -144,26 +150,34 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_wants_a_rest_gets_it_and_its_keys_go_to_others() {
-    run_cases(ALL.map(|disturbance| (disturbance, Workload::Keys)), rest).await;
+    run_cases(
+        ALL.map(|disturbance| (disturbance, Workload::Keys)),
+        backoff,
+    )
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_server_that_wants_a_rest_gets_no_orders() {
-    run_cases(ALL.map(|disturbance| (disturbance, Workload::Orders)), rest).await;
+    run_cases(
+        ALL.map(|disturbance| (disturbance, Workload::Orders)),
+        backoff,
+    )
+    .await;
 }
 
-/// Checks that callers are refused at once while all servers of a service ask for a rest.
-async fn rest_of_all(workload: Workload) -> Result<(), String> {
+/// Checks that callers are refused at once while all servers of a service ask for a backoff.
+async fn backoff_of_all(workload: Workload) -> Result<(), String> {
     let deployment = Deployment::start(workload).await;
     let servers = deployment.servers(workload);
     for server in servers {
-        server.reject_with_rest(REST_MS);
+        server.reject_with_backoff(BACKOFF_MS);
     }
     time::sleep(Duration::from_millis(5_000)).await;
     for server in servers {
-        let most = most_in_a_rest(server, &deployment.traffic);
-        if most > REST_REQUESTS_MAX {
-            return Err(format!("{most} requests in one rest"));
+        let most = most_in_a_backoff(server, &deployment.traffic);
+        if most > BACKOFF_REQUESTS_MAX {
+            return Err(format!("{most} requests in one backoff"));
         }
     }
     let hosts = deployment.site.hosts.iter();
@@ -186,5 +200,5 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn callers_are_refused_at_once_while_all_servers_rest() {
     let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
-    run_cases(cases, |_, workload| rest_of_all(workload)).await;
+    run_cases(cases, |_, workload| backoff_of_all(workload)).await;
 }
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -1,10 +1,11 @@
-//! Tests decisions about servers that ask hosts for a rest, in virtual time and without processes.
+//! Tests decisions about servers that ask hosts for a backoff, in virtual time and without
+//! processes.
 
 use std::net::SocketAddr;
 
 use ashroad::entry::decide::{
     Policy,
-    rests::{Rests, not_resting},
+    backoffs::{Backoffs, not_in_backoff},
     retry_after::Refused,
 };
 
@@ -19,7 +20,7 @@
     struct Case {
         name: &'static str,
         hosts: usize,
-        /// Refusals of hosts as `(host, time of the refusal, length of the rest)`.
+        /// Refusals of hosts as `(host, time of the refusal, length of the backoff)`.
         refusals: &'static [(u8, u64, u64)],
         at_ms: u64,
         wide: bool,
@@ -47,35 +48,35 @@
             wide: true,
         },
         Case {
-            name: "four of 295: the only ones that send requests within the rest",
+            name: "four of 295: the only ones that send requests within the backoff",
             hosts: 295,
             refusals: &[(1, 0, 3_000), (2, 0, 3_000), (3, 0, 3_000), (4, 0, 3_000)],
             at_ms: 100,
             wide: true,
         },
         Case {
-            name: "just before the end of the rest",
+            name: "just before the end of the backoff",
             hosts: 3,
             refusals: &[(1, 0, 3_000)],
             at_ms: 2_999,
             wide: true,
         },
         Case {
-            name: "after the rest",
+            name: "after the backoff",
             hosts: 3,
             refusals: &[(1, 0, 3_000)],
             at_ms: 3_000,
             wide: false,
         },
         Case {
-            name: "a rest that is shorter than two moves",
+            name: "a backoff that is shorter than two moves",
             hosts: 3,
             refusals: &[(1, 0, 200), (2, 0, 200), (3, 0, 200)],
             at_ms: 100,
             wide: false,
         },
         Case {
-            name: "a later report of the same rest, with less left",
+            name: "a later report of the same backoff, with less left",
             hosts: 3,
             refusals: &[(1, 0, 3_000), (1, 2_900, 100)],
             at_ms: 2_950,
@@ -83,13 +84,13 @@
         },
     ];
     for case in cases {
-        let rests = Rests::default();
-        for (number, now_ms, rest_ms) in case.refusals {
-            rests.note(SERVER, host(*number), *rest_ms, *now_ms);
+        let backoffs = Backoffs::default();
+        for (number, now_ms, backoff_ms) in case.refusals {
+            backoffs.note(SERVER, host(*number), *backoff_ms, *now_ms);
         }
-        let wide = rests.is_widespread(SERVER, case.hosts, case.at_ms);
+        let wide = backoffs.is_widespread(SERVER, case.hosts, case.at_ms);
         assert_eq!(wide, case.wide, "{}", case.name);
-        assert!(!rests.is_widespread(SERVER + 1, case.hosts, case.at_ms));
+        assert!(!backoffs.is_widespread(SERVER + 1, case.hosts, case.at_ms));
     }
 }
 
@@ -97,19 +98,19 @@
 fn keys_stay_where_they_are_when_most_servers_want_a_rest() {
     struct Case {
         servers: u32,
-        resting: u32,
-        not_resting: u32,
+        in_backoff: u32,
+        not_in_backoff: u32,
     }
-    let case = |servers, resting, not_resting| Case {
+    let case = |servers, in_backoff, not_in_backoff| Case {
         servers,
-        resting,
-        not_resting,
+        in_backoff,
+        not_in_backoff,
     };
     let cases = [
         case(9, 0, 9),
         case(9, 3, 6),
         case(9, 4, 5),
-        // All servers are overloaded: none is left out, and no key moves because of the rests.
+        // All servers are overloaded: none is left out, and no key moves because of the backoffs.
         case(9, 5, 9),
         case(9, 9, 9),
         case(2, 1, 1),
@@ -118,12 +119,12 @@
     ];
     for case in cases {
         let servers: Vec<u32> = (0..case.servers).collect();
-        let left = not_resting(servers, |server| *server < case.resting);
+        let left = not_in_backoff(servers, |server| *server < case.in_backoff);
         assert_eq!(
             left.len() as u32,
-            case.not_resting,
-            "{} servers rest",
-            case.resting
+            case.not_in_backoff,
+            "{} servers in a backoff",
+            case.in_backoff
         );
     }
 }
@@ -131,9 +132,9 @@
 #[test]
 fn callers_retry_when_the_keys_have_moved_or_the_rest_is_over() {
     let policy = Policy::default();
-    for (rest_ms, retry_after_ms) in [(3_000, 150), (150, 150), (120, 120), (5, 100)] {
+    for (backoff_ms, retry_after_ms) in [(3_000, 150), (150, 150), (120, 120), (5, 100)] {
         assert_eq!(
-            Refused::resting(rest_ms, &policy).retry_after_ms,
+            Refused::in_backoff(backoff_ms, &policy).retry_after_ms,
             retry_after_ms
         );
     }
--- a/tests/platform_standin/server.rs
+++ b/tests/platform_standin/server.rs
@@ -47,8 +47,8 @@
 pub struct RunRecord {
     /// Number of runs by request id.
     runs: Mutex<HashMap<String, u32>>,
-    /// Holdings of all servers, for the check of single ownership.
-    all_holdings: Mutex<Vec<Arc<Holdings>>>,
+    /// Keys that each server holds, for the check of single ownership.
+    held_keys_of_servers: Mutex<Vec<Arc<HeldKeys>>>,
     /// Descriptions of violated invariants.
     violations: Mutex<Vec<String>>,
     /// Paths of crashing requests, and the crashes that such requests caused.
@@ -136,12 +136,12 @@
 
     /// Records a run of a request at `server`, and a violation if another server of the same
     /// service holds the key of the request.
-    fn record_run(&self, id: &str, key: Option<u16>, server: &Holdings) {
+    fn record_run(&self, id: &str, key: Option<u16>, server: &HeldKeys) {
         *lock(&self.runs).entry(id.to_owned()).or_default() += 1;
         let Some(key) = key.filter(|_| !self.ownership_checks_paused()) else {
             return;
         };
-        let others = lock(&self.all_holdings).clone();
+        let others = lock(&self.held_keys_of_servers).clone();
         for other in others {
             let same_service = other.service == server.service;
             if same_service && other.id != server.id && other.holds(key) {
@@ -153,11 +153,11 @@
 
     /// Checks the grant of a key to `server`. The fence of the grant must be greater than the
     /// fences at which other servers of the same service were granted the key.
-    fn take(&self, key: u16, fence: u64, server: &Holdings) {
+    fn take(&self, key: u16, fence: u64, server: &HeldKeys) {
         if self.ownership_checks_paused() {
             return;
         }
-        let others = lock(&self.all_holdings).clone();
+        let others = lock(&self.held_keys_of_servers).clone();
         for other in others {
             if other.service != server.service || other.id == server.id {
                 continue;
@@ -189,7 +189,7 @@
 
 /// Keys that one server holds.
 #[derive(Debug)]
-pub struct Holdings {
+pub struct HeldKeys {
     id: String,
     /// Service that the server belongs to.
     service: String,
@@ -198,7 +198,7 @@
     keys: Mutex<Vec<KeyState>>,
 }
 
-impl Holdings {
+impl HeldKeys {
     /// Returns true if the server runs and its lease on a key has not expired.
     fn holds(&self, key: u16) -> bool {
         let until = lock(&self.keys)[usize::from(key)].until;
@@ -221,7 +221,7 @@
 /// State that the server's handlers share.
 #[derive(Debug)]
 struct State {
-    holdings: Arc<Holdings>,
+    held_keys: Arc<HeldKeys>,
     record: Arc<RunRecord>,
     zone: String,
     /// True if the server runs only requests for keys that it holds.
@@ -246,8 +246,8 @@
     arrivals: Mutex<Vec<Instant>>,
     /// True if all responses announce that the server leaves.
     leaving: AtomicBool,
-    /// Rest that the server asks for while it rejects all requests; 0 if it accepts them.
-    rest_ms: AtomicU64,
+    /// Backoff that the server asks for while it rejects all requests; 0 if it accepts them.
+    backoff_ms: AtomicU64,
     /// Rate limit in requests per second that all responses advertise; `None` for no limit.
     rate_limit: Mutex<Option<String>>,
     /// Callers' requests that arrived, whether accepted or rejected.
@@ -266,8 +266,8 @@
     pub id: String,
     /// Time at which the request arrived at the server.
     pub at: Instant,
-    /// Rest that the server asked for when it rejected the request; `None` if it was accepted.
-    pub rest: Option<Duration>,
+    /// Backoff that the server asked for when it rejected the request; `None` if it was accepted.
+    pub backoff: Option<Duration>,
 }
 
 /// Properties with which a test starts a server.
@@ -319,15 +319,15 @@
         };
         let address = listener.local_addr().expect("address");
         let id = format!("i-{:010x}", rand::random::<u32>());
-        let holdings = Arc::new(Holdings {
+        let held_keys = Arc::new(HeldKeys {
             id: id.clone(),
             service: kind.service.to_owned(),
             up: AtomicBool::new(true),
             keys: Mutex::new(vec![KeyState::default(); KEYS]),
         });
-        lock(&record.all_holdings).push(holdings.clone());
+        lock(&record.held_keys_of_servers).push(held_keys.clone());
         let state = Arc::new(State {
-            holdings,
+            held_keys,
             record: record.clone(),
             zone: kind.zone.to_owned(),
             sharded: kind.sharded,
@@ -340,7 +340,7 @@
             orders: AtomicU64::new(0),
             arrivals: Mutex::default(),
             leaving: AtomicBool::new(false),
-            rest_ms: AtomicU64::new(0),
+            backoff_ms: AtomicU64::new(0),
             rate_limit: Mutex::default(),
             received_requests: Mutex::default(),
             served: AtomicU64::new(0),
@@ -370,7 +370,7 @@
     pub fn write_entry(&self, store: &Store, state: &str) {
         let entry = json!({
             "addr": self.address.to_string(),
-            "info": {"service": self.state.holdings.service, "version": "v1",
+            "info": {"service": self.state.held_keys.service, "version": "v1",
                 "zone": self.state.zone, "slots": 4},
             "status": {"state": state, "seq": 1, "warmupLeft": "0ms"},
         });
@@ -383,7 +383,7 @@
         let entry = json!({
             "addr": self.address.to_string(),
             "born": 1_791_000_000_000u64,
-            "info": {"service": self.state.holdings.service, "version": "v1",
+            "info": {"service": self.state.held_keys.service, "version": "v1",
                 "zone": self.state.zone, "slots": 4},
             "status": {"state": "ready", "seq": 2, "warmupLeft": format!("{cold_ms}ms")},
         });
@@ -395,10 +395,10 @@
         self.state.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Makes the server reject every request and ask for a rest of this length; 0 accepts requests
-    /// again.
-    pub fn reject_with_rest(&self, rest_ms: u64) {
-        self.state.rest_ms.store(rest_ms, Ordering::Relaxed);
+    /// Makes the server reject every request and ask for a backoff of this length; 0 accepts
+    /// requests again.
+    pub fn reject_with_backoff(&self, backoff_ms: u64) {
+        self.state.backoff_ms.store(backoff_ms, Ordering::Relaxed);
     }
 
     /// Makes all further responses advertise a limit in requests per second; `None` for no limit.
@@ -448,7 +448,7 @@
 
     /// Makes the server stop serving and lose its keys, as a crash does, and removes its entry.
     pub fn crash(&self, store: &Store) {
-        self.state.holdings.up.store(false, Ordering::Relaxed);
+        self.state.held_keys.up.store(false, Ordering::Relaxed);
         self.state.silent.store(true, Ordering::Relaxed);
         self.task.abort();
         if self.stop.send(true).is_err() {
@@ -484,7 +484,7 @@
     /// Makes the server hold all keys, as if an earlier leader had granted them.
     pub fn hold_all(&self, fence: u64, lease_ms: u64) {
         let until = Some(Instant::now() + Duration::from_millis(lease_ms));
-        for state in lock(&self.state.holdings.keys).iter_mut() {
+        for state in lock(&self.state.held_keys.keys).iter_mut() {
             *state = KeyState {
                 fence,
                 granted_fence: fence,
@@ -495,7 +495,7 @@
 
     /// Returns true if the server was crashable and has crashed.
     pub fn has_crashed(&self) -> bool {
-        !self.state.holdings.up.load(Ordering::Relaxed)
+        !self.state.held_keys.up.load(Ordering::Relaxed)
     }
 
     /// Returns the number of completed requests.
@@ -506,7 +506,7 @@
     /// Returns the number of keys on which the server has a valid lease.
     pub fn keys_held(&self) -> usize {
         (0..=u16::MAX)
-            .filter(|key| self.state.holdings.holds(*key))
+            .filter(|key| self.state.held_keys.holds(*key))
             .count()
     }
 }
@@ -539,7 +539,7 @@
             return std::future::pending().await;
         }
         let expected = header_text(request.headers(), "expect-instance");
-        if expected.is_some_and(|id| id != self.holdings.id) {
+        if expected.is_some_and(|id| id != self.held_keys.id) {
             return self.not_run(StatusCode::MISDIRECTED_REQUEST, "");
         }
         match request.uri().path() {
@@ -578,7 +578,7 @@
         let until = arrived + Duration::from_millis(hold);
         let mut newly_granted = Vec::new();
         {
-            let mut keys = lock(&self.holdings.keys);
+            let mut keys = lock(&self.held_keys.keys);
             let seen = keys[first..=last].iter().map(|key| key.fence).max();
             if seen > Some(fence) {
                 return transport::json(StatusCode::CONFLICT, &json!({}));
@@ -596,8 +596,8 @@
         // Only the first and the last key of the range are checked; a check of each key would take
         // too long.
         if let (Some(first), Some(last)) = (newly_granted.first(), newly_granted.last()) {
-            self.record.take(*first, fence, &self.holdings);
-            self.record.take(*last, fence, &self.holdings);
+            self.record.take(*first, fence, &self.held_keys);
+            self.record.take(*last, fence, &self.held_keys);
         }
         transport::json(StatusCode::OK, &json!({}))
     }
@@ -605,7 +605,7 @@
     async fn release(&self, order: &Value) -> Response<ResponseBody> {
         let (first, last, fence) = parse_range(order);
         {
-            let mut keys = lock(&self.holdings.keys);
+            let mut keys = lock(&self.held_keys.keys);
             for state in &mut keys[first..=last] {
                 state.fence = state.fence.max(fence);
                 state.until = None;
@@ -625,21 +625,21 @@
         let id = header_text(request.headers(), "request-id").unwrap_or_default();
         let id = id.to_owned();
         lock(&self.arrivals).push(Instant::now());
-        let rest = self.record_received(&id);
-        if let Some(rest) = rest {
-            return self.rejection(&id, rest);
+        let backoff = self.record_received(&id);
+        if let Some(backoff) = backoff {
+            return self.rejection(&id, backoff);
         }
         let key = header_text(request.headers(), "shard-key").and_then(|key| key.parse().ok());
         let Ok(permit) = self.slots.acquire().await else {
             return std::future::pending().await;
         };
-        if self.sharded && !key.is_some_and(|key| self.holdings.holds(key)) {
+        if self.sharded && !key.is_some_and(|key| self.held_keys.holds(key)) {
             return self.not_run(StatusCode::MISDIRECTED_REQUEST, &id);
         }
         self.running.fetch_add(1, Ordering::Relaxed);
         let running = Running(&self.running);
         let checked_key = if self.sharded { key } else { None };
-        self.record.record_run(&id, checked_key, &self.holdings);
+        self.record.record_run(&id, checked_key, &self.held_keys);
         lock(&self.record.headers_by_request).insert(id.clone(), request.headers().clone());
         let path = request.uri().path().to_owned();
         if self.record.record_crashing_run(&path) {
@@ -676,28 +676,28 @@
         let Some(runtime) = lock(&self.runtime).take() else {
             return;
         };
-        self.holdings.up.store(false, Ordering::Relaxed);
+        self.held_keys.up.store(false, Ordering::Relaxed);
         lock(&self.record.crash_triggers)
             .crashes
             .push(Instant::now());
         runtime.shutdown_background();
     }
 
-    /// Records a request; returns the rest to ask for if the request is rejected.
+    /// Records a request; returns the backoff to ask for if the request is rejected.
     fn record_received(&self, id: &str) -> Option<Duration> {
-        let rest_ms = self.rest_ms.load(Ordering::Relaxed);
-        let rest = (rest_ms > 0).then(|| Duration::from_millis(rest_ms));
+        let backoff_ms = self.backoff_ms.load(Ordering::Relaxed);
+        let backoff = (backoff_ms > 0).then(|| Duration::from_millis(backoff_ms));
         lock(&self.received_requests).push(ReceivedRequest {
             id: id.to_owned(),
             at: Instant::now(),
-            rest,
+            backoff,
         });
-        rest
+        backoff
     }
 
-    fn rejection(&self, id: &str, rest: Duration) -> Response<ResponseBody> {
+    fn rejection(&self, id: &str, backoff: Duration) -> Response<ResponseBody> {
         let mut response = self.not_run(StatusCode::SERVICE_UNAVAILABLE, id);
-        let seconds = format!("{}", rest.as_secs_f64());
+        let seconds = format!("{}", backoff.as_secs_f64());
         let value = HeaderValue::from_str(&seconds).expect("a number");
         response.headers_mut().insert("retry-after", value);
         response
