--- a/src/entry/decide/crash_tally.rs
+++ b/src/entry/decide/crash_tally.rs
@@ -59,7 +59,7 @@
         now_ms: u64,
     ) -> Vec<RequestDigest> {
         self.make_room(digests.len(), now_ms);
-        let end = Evidence {
+        let crash = Evidence {
             server_tag,
             at_ms: now_ms,
             is_mass_crash: self.note_latest(server_tag, now_ms) >= MASS_CRASH_SERVERS,
@@ -68,12 +68,12 @@
         let mut reached = Vec::new();
         for digest in digests {
             let evidence = self.suspects.entry(*digest).or_default();
-            evidence.retain(|end| now_ms < end.at_ms + EVIDENCE_MS);
-            if evidence.iter().any(|end| end.server_tag == server_tag) {
+            evidence.retain(|crash| now_ms < crash.at_ms + EVIDENCE_MS);
+            if evidence.iter().any(|crash| crash.server_tag == server_tag) {
                 continue;
             }
-            evidence.push(end);
-            let has_one_cause = end.is_mass_crash && evidence.iter().all(is_at_once);
+            evidence.push(crash);
+            let has_one_cause = crash.is_mass_crash && evidence.iter().all(is_at_once);
             if evidence.len() >= SERVERS_NEEDED && !has_one_cause {
                 reached.push(*digest);
             }
@@ -95,7 +95,8 @@
     /// Returns true if a server crashed during a request, other than in a mass crash: the request
     /// may crash the next server too.
     pub fn is_suspect(&self, digest: RequestDigest, now_ms: u64) -> bool {
-        let is_fresh = |end: &Evidence| !end.is_mass_crash && now_ms < end.at_ms + EVIDENCE_MS;
+        let is_fresh =
+            |crash: &Evidence| !crash.is_mass_crash && now_ms < crash.at_ms + EVIDENCE_MS;
         let evidence = self.suspects.get(&digest);
         evidence.is_some_and(|evidence| evidence.iter().any(is_fresh))
     }
@@ -132,7 +133,7 @@
         if self.suspects.len() + added <= SUSPECTS_MAX {
             return;
         }
-        let is_fresh = |end: &Evidence| now_ms < end.at_ms + EVIDENCE_MS;
+        let is_fresh = |crash: &Evidence| now_ms < crash.at_ms + EVIDENCE_MS;
         self.suspects
             .retain(|_, evidence| evidence.iter().any(is_fresh));
         let excess = (self.suspects.len() + added).saturating_sub(SUSPECTS_KEPT);
@@ -146,6 +147,6 @@
 
 /// Returns the sort key by which suspects are dropped: fewest crashes first, then the oldest.
 fn rank((digest, evidence): (&RequestDigest, &Vec<Evidence>)) -> (usize, u64, RequestDigest) {
-    let latest_ms = evidence.iter().map(|end| end.at_ms).max();
+    let latest_ms = evidence.iter().map(|crash| crash.at_ms).max();
     (evidence.len(), latest_ms.unwrap_or(0), *digest)
 }
--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -89,9 +89,9 @@
         let mut reached = Vec::new();
         for suspect in counted {
             let evidence = self.0.entry(suspect.digest).or_default();
-            evidence.retain(|end| now_ms < end.at_ms + EVIDENCE_MS);
-            let is_same = |end: &&mut Evidence| {
-                end.server_tag == server_tag && end.caller_tag == suspect.caller_tag
+            evidence.retain(|crash| now_ms < crash.at_ms + EVIDENCE_MS);
+            let is_same = |crash: &&mut Evidence| {
+                crash.server_tag == server_tag && crash.caller_tag == suspect.caller_tag
             };
             if let Some(known) = evidence.iter_mut().find(is_same) {
                 known.is_trial |= suspect.is_trial;
@@ -115,7 +115,7 @@
     /// Returns true if unexpired evidence links a server crash to this digest.
     pub fn is_suspect(&self, digest: RequestDigest, now_ms: u64) -> bool {
         let evidence = self.0.get(&digest);
-        let is_fresh = |end: &Evidence| now_ms < end.at_ms + EVIDENCE_MS;
+        let is_fresh = |crash: &Evidence| now_ms < crash.at_ms + EVIDENCE_MS;
         evidence.is_some_and(|evidence| evidence.iter().any(is_fresh))
     }
 
@@ -127,7 +127,7 @@
             return false;
         };
         let known = evidence.len();
-        evidence.retain(|end| end.at_ms >= sent_ms);
+        evidence.retain(|crash| crash.at_ms >= sent_ms);
         let is_cleared = evidence.len() < known;
         if evidence.is_empty() {
             self.0.remove(&digest);
@@ -152,7 +152,7 @@
         if self.0.len() + added <= SUSPECTS_MAX {
             return;
         }
-        let latest_ms = |evidence: &[Evidence]| evidence.iter().map(|end| end.at_ms).max();
+        let latest_ms = |evidence: &[Evidence]| evidence.iter().map(|crash| crash.at_ms).max();
         self.0.retain(|_, evidence| {
             latest_ms(evidence).is_some_and(|at_ms| now_ms < at_ms + EVIDENCE_MS)
         });
@@ -178,16 +178,16 @@
         tags.dedup();
         tags.len()
     };
-    if distinct(|end| end.caller_tag) < CALLERS_NEEDED {
+    if distinct(|crash| crash.caller_tag) < CALLERS_NEEDED {
         return false;
     }
-    let servers = distinct(|end| end.server_tag);
+    let servers = distinct(|crash| crash.server_tag);
     match scope {
         DigestScope::Content => {
-            servers >= SERVERS_NEEDED && evidence.iter().any(|end| end.is_trial)
+            servers >= SERVERS_NEEDED && evidence.iter().any(|crash| crash.is_trial)
         }
         DigestScope::Path => {
-            let times = || evidence.iter().map(|end| end.at_ms);
+            let times = || evidence.iter().map(|crash| crash.at_ms);
             let span_ms = times()
                 .max()
                 .zip(times().min())
