--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -54,7 +54,11 @@
             revocation_ms: self.settings.bounds.revocation_ms,
             configuration_ms: self.settings.bounds.configuration_ms,
         };
-        match api_key_verdict::judge(workspace.is_some(), self.configuration_age_ms(), limits) {
+        match api_key_verdict::check_api_key(
+            workspace.is_some(),
+            self.configuration_age_ms(),
+            limits,
+        ) {
             ApiKeyVerdict::Accepted => Ok(workspace),
             ApiKeyVerdict::Unknown => Err(Denied::Unauthorized),
             ApiKeyVerdict::Unverified => Err(Denied::Unverified),
--- a/src/entry/decide/api_key_verdict.rs
+++ b/src/entry/decide/api_key_verdict.rs
@@ -34,7 +34,7 @@
 
 /// Checks a key. `is_known` is true if the configuration has the key. `confirmation_age_ms` is the
 /// time since the configuration was last confirmed as the latest one, `None` if it never was.
-pub fn judge(
+pub fn check_api_key(
     is_known: bool,
     confirmation_age_ms: Option<u64>,
     limits: ApiKeyLimits,
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -3,7 +3,7 @@
 //! from each other.
 
 use ashroad::entry::{
-    decide::api_key_verdict::{ApiKeyLimits, ApiKeyVerdict, judge},
+    decide::api_key_verdict::{ApiKeyLimits, ApiKeyVerdict, check_api_key},
     updates::confirmation::ConfigurationConfirmation,
 };
 use quickcheck::quickcheck;
@@ -205,7 +205,7 @@
     fn check(&mut self, index: usize, now_ms: u64) -> Result<(), String> {
         let host = &self.hosts[index];
         let is_known = host.version % 2 == 1;
-        let verdict = judge(is_known, host.confirmation.age_ms(now_ms), LIMITS);
+        let verdict = check_api_key(is_known, host.confirmation.age_ms(now_ms), LIMITS);
         let latest = self.operators.version(now_ms);
         // Time at which the version on the host was replaced by the next one.
         let outdated_ms = self.operators.written_ms(host.version + 1);
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ashroad::entry::decide::api_key_verdict::{ApiKeyLimits, ApiKeyVerdict, judge};
+use ashroad::entry::decide::api_key_verdict::{ApiKeyLimits, ApiKeyVerdict, check_api_key};
 use http::StatusCode;
 use serde_json::{Value, json};
 use tokio::time;
@@ -295,7 +295,7 @@
             revocation_ms: case.revocation_ms,
             configuration_ms: 2_500,
         };
-        let verdict = judge(case.known, case.age_ms, limits);
+        let verdict = check_api_key(case.known, case.age_ms, limits);
         assert_eq!(verdict, case.verdict, "{:?} {:?}", case.known, case.age_ms);
     }
 }
