--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -123,8 +123,8 @@
     /// covers only the time since the ledger was created.
     fn asked_per_s(&self) -> f64 {
         let age_ms = self.at_ms.saturating_sub(self.began_ms) as f64;
-        let heard = (1.0 - (-age_ms / DEMAND_MEMORY_MS).exp()).max(0.2);
-        self.demand_weight * 1_000.0 / DEMAND_MEMORY_MS / heard
+        let covered_share = (1.0 - (-age_ms / DEMAND_MEMORY_MS).exp()).max(0.2);
+        self.demand_weight * 1_000.0 / DEMAND_MEMORY_MS / covered_share
     }
 }
 
