--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -94,9 +94,9 @@
     pub fn admitted(&mut self, quota: Quota, now_ms: u64) -> AdmittedShare {
         self.accrue(quota, now_ms);
         let asked_per_s = self.asked_per_s();
-        let left_per_s = (quota.per_s * ACCRUED_SHARE + self.left / SPEND_S).max(0.0);
-        let share = if asked_per_s > left_per_s {
-            left_per_s / asked_per_s
+        let available_per_s = (quota.per_s * ACCRUED_SHARE + self.left / SPEND_S).max(0.0);
+        let share = if asked_per_s > available_per_s {
+            available_per_s / asked_per_s
         } else {
             1.0
         };
