--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -166,8 +166,8 @@
     /// Returns the rates of the callers of all hosts: the latest sum, or without one, as if each
     /// host's callers had the same rate as this host's.
     fn all(&self, own: DemandRates, hosts: usize, now_ms: u64) -> DemandRates {
-        let heard = self.sum.filter(|(_, at_ms)| now_ms < at_ms + SUM_KEPT_MS);
-        let Some((sum, _)) = heard else {
+        let valid_sum = self.sum.filter(|(_, at_ms)| now_ms < at_ms + SUM_KEPT_MS);
+        let Some((sum, _)) = valid_sum else {
             let hosts = hosts.max(1) as f64;
             return DemandRates {
                 all_per_s: own.all_per_s * hosts,
