--- a/src/entry/decide/hold.rs
+++ b/src/entry/decide/hold.rs
@@ -38,15 +38,15 @@
 }
 
 /// Decides on a request that has been held for `held_ms` and has its deadline in `left_ms`;
-/// `aim_ms` is the route's latency objective.
+/// `objective_ms` is the route's latency objective.
 pub fn decide(
     time_left: MoveTimeLeft,
     held_ms: u64,
     left_ms: u64,
-    aim_ms: u64,
+    objective_ms: u64,
     policy: &Policy,
 ) -> Hold {
-    let share_ms = (aim_ms as f64 * policy.hold_share) as u64;
+    let share_ms = (objective_ms as f64 * policy.hold_share) as u64;
     let most_ms = policy.hold_ms.max(share_ms);
     let room_ms = most_ms.saturating_sub(held_ms).min(left_ms);
     if room_ms < HOLD_MIN_MS {
