--- a/src/entry/decide/hold.rs
+++ b/src/entry/decide/hold.rs
@@ -47,8 +47,8 @@
     policy: &Policy,
 ) -> Hold {
     let share_ms = (objective_ms as f64 * policy.hold_share) as u64;
-    let most_ms = policy.hold_ms.max(share_ms);
-    let room_ms = most_ms.saturating_sub(held_ms).min(left_ms);
+    let hold_max_ms = policy.hold_ms.max(share_ms);
+    let room_ms = hold_max_ms.saturating_sub(held_ms).min(left_ms);
     if room_ms < HOLD_MIN_MS {
         return Hold::Refuse;
     }
