--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -292,11 +292,11 @@
         }
     }
 
-    /// Returns the server with the highest utilisation that is not in `but`; `None` if none is
+    /// Returns the server with the highest utilisation that is not in `excluded`; `None` if none is
     /// left.
-    fn most_used(&self, but: &[Arc<str>]) -> Option<Arc<str>> {
+    fn most_used(&self, excluded: &[Arc<str>]) -> Option<Arc<str>> {
         let servers = self.inputs.servers.iter();
-        let servers = servers.filter(|server| !but.contains(&server.id));
+        let servers = servers.filter(|server| !excluded.contains(&server.id));
         let most = servers.max_by(|a, b| self.utilisation(a).total_cmp(&self.utilisation(b)))?;
         Some(most.id.clone())
     }
