--- a/src/entry/decide/choice.rs
+++ b/src/entry/decide/choice.rs
@@ -42,8 +42,9 @@
     let mut order: Vec<usize> = (0..inputs.servers.len()).collect();
     order.shuffle(rng);
     let is_other_region = |place: &usize| inputs.servers[*place].is_other_region;
-    let (far, own): (Vec<usize>, Vec<usize>) = order.into_iter().partition(is_other_region);
-    pick_among(inputs, own, policy, rng).or_else(|| pick_among(inputs, far, policy, rng))
+    let (other_region, own): (Vec<usize>, Vec<usize>) =
+        order.into_iter().partition(is_other_region);
+    pick_among(inputs, own, policy, rng).or_else(|| pick_among(inputs, other_region, policy, rng))
 }
 
 fn pick_among(
