--- a/src/entry/decide/choice.rs
+++ b/src/entry/decide/choice.rs
@@ -67,15 +67,15 @@
         if server.is_paused || !admission::has_room(server, typical_ms, demand, policy) {
             continue;
         }
-        let room = if server.is_same_zone {
+        let compare_left = if server.is_same_zone {
             &mut same_zone
         } else {
             &mut distant
         };
-        if *room == 0 {
+        if *compare_left == 0 {
             continue;
         }
-        *room -= 1;
+        *compare_left -= 1;
         let expected_ms = admission::expected_ms(server, typical_ms, demand.run_share);
         let cost = expected_ms * cost_factor(server, policy, rng.random());
         if best.is_none_or(|(_, least)| cost < least) {
