--- a/src/entry/decide/trials.rs
+++ b/src/entry/decide/trials.rs
@@ -56,18 +56,18 @@
     /// blocks it.
     pub fn claim(
         &mut self,
-        claimed: impl Into<ClaimSubject>,
+        subject: impl Into<ClaimSubject>,
         own: SocketAddr,
         now_ms: u64,
     ) -> Result<(), u64> {
-        let claimed = claimed.into();
+        let subject = subject.into();
         self.0.retain(|_, claim| now_ms < claim.until_ms);
-        if let Some(claim) = self.0.get(&claimed) {
+        if let Some(claim) = self.0.get(&subject) {
             return Err(claim.until_ms - now_ms);
         }
         let until_ms = now_ms + CLAIM_MS;
         self.0.insert(
-            claimed,
+            subject,
             Claim {
                 host: own,
                 until_ms,
@@ -78,11 +78,11 @@
 
     /// Records the claim of another host. If two hosts claim the same request or server, the one
     /// with the lower address gets the claim.
-    pub fn note(&mut self, claimed: impl Into<ClaimSubject>, host: SocketAddr, now_ms: u64) {
+    pub fn note(&mut self, subject: impl Into<ClaimSubject>, host: SocketAddr, now_ms: u64) {
         self.0.retain(|_, claim| now_ms < claim.until_ms);
         let until_ms = now_ms + CLAIM_MS;
         let claim = Claim { host, until_ms };
-        let known = self.0.entry(claimed.into()).or_insert(claim);
+        let known = self.0.entry(subject.into()).or_insert(claim);
         if host < known.host {
             *known = claim;
         }
@@ -90,13 +90,13 @@
 
     /// Returns true if the host `own` still has its claim: it has not expired, ended or been
     /// displaced by a host with a lower address.
-    pub fn has(&self, claimed: impl Into<ClaimSubject>, own: SocketAddr, now_ms: u64) -> bool {
-        let claim = self.0.get(&claimed.into());
+    pub fn has(&self, subject: impl Into<ClaimSubject>, own: SocketAddr, now_ms: u64) -> bool {
+        let claim = self.0.get(&subject.into());
         claim.is_some_and(|claim| claim.host == own && now_ms < claim.until_ms)
     }
 
     /// Ends the claim of a trial whose outcome is known, whichever host made it.
-    pub fn end(&mut self, claimed: impl Into<ClaimSubject>) {
-        self.0.remove(&claimed.into());
+    pub fn end(&mut self, subject: impl Into<ClaimSubject>) {
+        self.0.remove(&subject.into());
     }
 }
