--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -33,7 +33,7 @@
         limits.paths(&bounds).iter().all(|path| path.is_met())
     }
 
-    fn the_duty_holder_is_heard_three_times_within_the_trust_period(drain: u16) -> bool {
+    fn the_leader_is_heard_three_times_within_the_trust_period(drain: u16) -> bool {
         let limits = TimeLimits::new(&drawn(drain, 0));
         let confirm_every_ms = limits.confirm_every_ms(700);
         let two_heartbeats_ms = confirm_every_ms + 2 * limits.leader_heartbeat_ms;
