--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn crash_reports_go_to_all_hosts_and_again_to_a_new_duty_holder() {
+fn crash_reports_go_to_all_hosts_and_again_to_a_new_leader() {
     let mut reports = Reports::default();
     reports.add(7, vec![CRASHING, HARMLESS], true);
     for _ in 0..3 {
