--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -563,7 +563,7 @@
 }
 
 #[test]
-fn a_hot_key_expires_without_announcements_of_the_duty_holder() {
+fn a_hot_key_expires_without_announcements_of_the_leader() {
     let known = HotKeys::default();
     let hot = HotKey {
         service_tag: 9,
