--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -63,7 +63,7 @@
 /// leader may just have handed out the whole quota.
 #[derive(Clone, Copy, Debug)]
 pub struct Ledger {
-    left: f64,
+    balance: f64,
     demand_weight: f64,
     began_ms: u64,
     at_ms: u64,
@@ -73,7 +73,7 @@
     /// Creates a ledger with a balance of 0; the quota is credited to it from `now_ms` on.
     pub fn new(now_ms: u64) -> Self {
         Self {
-            left: 0.0,
+            balance: 0.0,
             demand_weight: 0.0,
             began_ms: now_ms,
             at_ms: now_ms,
@@ -86,7 +86,7 @@
         self.accrue(quota, now_ms);
         self.demand_weight += f64::from(reported.asked);
         let least = -OVERDRAWN_MAX_S * quota.per_s;
-        self.left = (self.left - f64::from(reported.sent)).max(least);
+        self.balance = (self.balance - f64::from(reported.sent)).max(least);
     }
 
     /// Returns the share of the workspace's requests that each host may admit until the next
@@ -94,7 +94,7 @@
     pub fn admitted(&mut self, quota: Quota, now_ms: u64) -> AdmittedShare {
         self.accrue(quota, now_ms);
         let asked_per_s = self.asked_per_s();
-        let available_per_s = (quota.per_s * ACCRUED_SHARE + self.left / SPEND_S).max(0.0);
+        let available_per_s = (quota.per_s * ACCRUED_SHARE + self.balance / SPEND_S).max(0.0);
         let share = if asked_per_s > available_per_s {
             available_per_s / asked_per_s
         } else {
@@ -114,7 +114,7 @@
     fn accrue(&mut self, quota: Quota, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.at_ms) as f64;
         let accrued = quota.per_s * ACCRUED_SHARE * elapsed_ms / 1_000.0;
-        self.left = (self.left + accrued).min(quota.burst);
+        self.balance = (self.balance + accrued).min(quota.burst);
         self.demand_weight *= (-elapsed_ms / DEMAND_MEMORY_MS).exp();
         self.at_ms = now_ms;
     }
