--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -46,11 +46,11 @@
     /// full.
     pub fn has_token(&mut self, per_s: f64, now_ms: u64) -> bool {
         let most = BURST_TOKENS + BURST_S * per_s;
-        let came_in = match self.at_ms.replace(now_ms) {
+        let refilled = match self.at_ms.replace(now_ms) {
             Some(at_ms) => per_s * now_ms.saturating_sub(at_ms) as f64 / 1_000.0,
             None => most,
         };
-        self.tokens = (self.tokens + came_in).min(most);
+        self.tokens = (self.tokens + refilled).min(most);
         self.tokens >= 1.0
     }
 
