--- a/src/entry/decide/budget.rs
+++ b/src/entry/decide/budget.rs
@@ -44,19 +44,19 @@
     /// Credits a service's bucket with the fraction of a retry that each request allows, up to the
     /// bucket's capacity. `hosts` is the number of hosts that share the allowance.
     pub fn request(&self, service: &Arc<str>, hosts: usize, now_ms: u64) {
-        let most = self.burst(hosts);
+        let capacity = self.burst(hosts);
         let mut buckets = self.buckets();
         let bucket = buckets.entry(service.clone()).or_insert_with(|| Bucket {
-            tokens: most / 2.0,
+            tokens: capacity / 2.0,
             at_ms: now_ms,
         });
-        bucket.tokens = (bucket.tokens + self.per_request).min(most);
+        bucket.tokens = (bucket.tokens + self.per_request).min(capacity);
     }
 
     /// Takes a token for a retry. Returns false if the service's bucket has none, or if the service
     /// has had no request yet.
     pub fn retry(&self, service: &Arc<str>, hosts: usize, now_ms: u64) -> bool {
-        let most = self.burst(hosts);
+        let capacity = self.burst(hosts);
         let mut buckets = self.buckets();
         let Some(bucket) = buckets.get_mut(service) else {
             return false;
@@ -64,7 +64,7 @@
         // A host may use half of its part of the allowance at once; the other half is refilled over
         // the window.
         let elapsed = now_ms.saturating_sub(bucket.at_ms) as f64;
-        bucket.tokens = (bucket.tokens + most * elapsed / self.window_ms).min(most);
+        bucket.tokens = (bucket.tokens + capacity * elapsed / self.window_ms).min(capacity);
         bucket.at_ms = now_ms;
         if bucket.tokens < 1.0 {
             return false;
--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -45,12 +45,12 @@
     /// Refills the bucket and returns true if it has a token for [`Bucket::take`]. A new bucket is
     /// full.
     pub fn has_token(&mut self, per_s: f64, now_ms: u64) -> bool {
-        let most = BURST_TOKENS + BURST_S * per_s;
+        let capacity = BURST_TOKENS + BURST_S * per_s;
         let refilled = match self.at_ms.replace(now_ms) {
             Some(at_ms) => per_s * now_ms.saturating_sub(at_ms) as f64 / 1_000.0,
-            None => most,
+            None => capacity,
         };
-        self.tokens = (self.tokens + refilled).min(most);
+        self.tokens = (self.tokens + refilled).min(capacity);
         self.tokens >= 1.0
     }
 
