--- a/src/entry/decide/budget.rs
+++ b/src/entry/decide/budget.rs
@@ -44,7 +44,7 @@
     /// Credits a service's bucket with the fraction of a retry that each request allows, up to the
     /// bucket's capacity. `hosts` is the number of hosts that share the allowance.
     pub fn request(&self, service: &Arc<str>, hosts: usize, now_ms: u64) {
-        let capacity = self.burst(hosts);
+        let capacity = self.capacity_for(hosts);
         let mut buckets = self.buckets();
         let bucket = buckets.entry(service.clone()).or_insert_with(|| Bucket {
             tokens: capacity / 2.0,
@@ -56,7 +56,7 @@
     /// Takes a token for a retry. Returns false if the service's bucket has none, or if the service
     /// has had no request yet.
     pub fn retry(&self, service: &Arc<str>, hosts: usize, now_ms: u64) -> bool {
-        let capacity = self.burst(hosts);
+        let capacity = self.capacity_for(hosts);
         let mut buckets = self.buckets();
         let Some(bucket) = buckets.get_mut(service) else {
             return false;
@@ -73,7 +73,7 @@
         true
     }
 
-    fn burst(&self, hosts: usize) -> f64 {
+    fn capacity_for(&self, hosts: usize) -> f64 {
         (self.allowance / 2.0 / hosts.max(1) as f64).max(1.0)
     }
 
