--- a/src/entry/decide/admission.rs
+++ b/src/entry/decide/admission.rs
@@ -35,9 +35,9 @@
 /// Returns the expected time until the response to one more request that takes `run_share` of the
 /// server's average run time, including the time in its queue.
 pub fn expected_ms(server: &Candidate, typical_ms: f64, run_share: f64) -> f64 {
-    let ahead = f64::from(server.load + 1);
+    let requests = f64::from(server.load + 1);
     let slots = f64::from(server.slots);
-    let waiting = (ahead - slots).max(0.0) / slots;
+    let waiting = (requests - slots).max(0.0) / slots;
     run_ms(server, typical_ms) * server.slowdown * (run_share + waiting)
 }
 
