--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -8,7 +8,7 @@
 
 use super::{
     Entry,
-    decide::api_key_verdict::{self, ApiKeyLimits, ApiKeyVerdict},
+    decide::api_key_verdict::{self, ApiKeyLimits, ApiKeyStatus},
     model::{Configuration, Route},
     peers::message::Message,
     updates::followed::FollowedTable,
@@ -59,9 +59,9 @@
             self.configuration_age_ms(),
             limits,
         ) {
-            ApiKeyVerdict::Accepted => Ok(workspace),
-            ApiKeyVerdict::Unknown => Err(Denied::Unauthorized),
-            ApiKeyVerdict::Unverified => Err(Denied::Unverified),
+            ApiKeyStatus::Accepted => Ok(workspace),
+            ApiKeyStatus::Unknown => Err(Denied::Unauthorized),
+            ApiKeyStatus::Unverified => Err(Denied::Unverified),
         }
     }
 
--- a/src/entry/decide/api_key_verdict.rs
+++ b/src/entry/decide/api_key_verdict.rs
@@ -21,7 +21,7 @@
 
 /// Result of the check of an API key against the host's configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ApiKeyVerdict {
+pub enum ApiKeyStatus {
     /// The configuration has the key. If revocations have a bound of their own, the configuration
     /// was also confirmed within it.
     Accepted,
@@ -38,20 +38,20 @@
     is_known: bool,
     confirmation_age_ms: Option<u64>,
     limits: ApiKeyLimits,
-) -> ApiKeyVerdict {
+) -> ApiKeyStatus {
     let is_confirmed_within =
         |bound_ms| confirmation_age_ms.is_some_and(|age_ms| age_ms <= bound_ms);
     if !is_known {
         return if is_confirmed_within(limits.configuration_ms) {
-            ApiKeyVerdict::Unknown
+            ApiKeyStatus::Unknown
         } else {
-            ApiKeyVerdict::Unverified
+            ApiKeyStatus::Unverified
         };
     }
     match limits.revocation_ms {
         Some(bound_ms) if !is_confirmed_within(bound_ms.saturating_sub(REVOCATION_MARGIN_MS)) => {
-            ApiKeyVerdict::Unverified
+            ApiKeyStatus::Unverified
         }
-        _ => ApiKeyVerdict::Accepted,
+        _ => ApiKeyStatus::Accepted,
     }
 }
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -3,7 +3,7 @@
 //! from each other.
 
 use ashroad::entry::{
-    decide::api_key_verdict::{ApiKeyLimits, ApiKeyVerdict, check_api_key},
+    decide::api_key_verdict::{ApiKeyLimits, ApiKeyStatus, check_api_key},
     updates::confirmation::ConfigurationConfirmation,
 };
 use quickcheck::quickcheck;
@@ -211,7 +211,7 @@
         let outdated_ms = self.operators.written_ms(host.version + 1);
         let is_outdated = latest > host.version;
         match verdict {
-            ApiKeyVerdict::Accepted => {
+            ApiKeyStatus::Accepted => {
                 self.accepted += 1;
                 if is_outdated && now_ms > outdated_ms + REVOCATION_MS {
                     return Err(format!(
@@ -219,14 +219,14 @@
                     ));
                 }
             }
-            ApiKeyVerdict::Unknown => {
+            ApiKeyStatus::Unknown => {
                 if is_outdated && now_ms > outdated_ms + CONFIGURATION_MS {
                     return Err(format!(
                         "a key added at {outdated_ms} is unknown at {now_ms}"
                     ));
                 }
             }
-            ApiKeyVerdict::Unverified => {}
+            ApiKeyStatus::Unverified => {}
         }
         Ok(())
     }
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ashroad::entry::decide::api_key_verdict::{ApiKeyLimits, ApiKeyVerdict, check_api_key};
+use ashroad::entry::decide::api_key_verdict::{ApiKeyLimits, ApiKeyStatus, check_api_key};
 use http::StatusCode;
 use serde_json::{Value, json};
 use tokio::time;
@@ -270,7 +270,7 @@
         known: bool,
         age_ms: Option<u64>,
         revocation_ms: Option<u64>,
-        verdict: ApiKeyVerdict,
+        verdict: ApiKeyStatus,
     }
     let strict = Some(5_000);
     let case = |known, age_ms, revocation_ms, verdict| Case {
@@ -280,15 +280,15 @@
         verdict,
     };
     let cases = [
-        case(true, Some(0), strict, ApiKeyVerdict::Accepted),
-        case(true, Some(4_800), strict, ApiKeyVerdict::Accepted),
-        case(true, Some(5_000), strict, ApiKeyVerdict::Unverified),
-        case(true, None, strict, ApiKeyVerdict::Unverified),
-        case(true, None, None, ApiKeyVerdict::Accepted),
-        case(false, Some(1_000), strict, ApiKeyVerdict::Unknown),
-        case(false, Some(1_000), None, ApiKeyVerdict::Unknown),
-        case(false, Some(3_000), strict, ApiKeyVerdict::Unverified),
-        case(false, None, None, ApiKeyVerdict::Unverified),
+        case(true, Some(0), strict, ApiKeyStatus::Accepted),
+        case(true, Some(4_800), strict, ApiKeyStatus::Accepted),
+        case(true, Some(5_000), strict, ApiKeyStatus::Unverified),
+        case(true, None, strict, ApiKeyStatus::Unverified),
+        case(true, None, None, ApiKeyStatus::Accepted),
+        case(false, Some(1_000), strict, ApiKeyStatus::Unknown),
+        case(false, Some(1_000), None, ApiKeyStatus::Unknown),
+        case(false, Some(3_000), strict, ApiKeyStatus::Unverified),
+        case(false, None, None, ApiKeyStatus::Unverified),
     ];
     for case in cases {
         let limits = ApiKeyLimits {
