--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -8,7 +8,7 @@
 
 use super::{
     Entry,
-    decide::api_key_verdict::{self, ApiKeyLimits, ApiKeyStatus},
+    decide::api_key_status::{self, ApiKeyLimits, ApiKeyStatus},
     model::{Configuration, Route},
     peers::message::Message,
     updates::followed::FollowedTable,
@@ -54,7 +54,7 @@
             revocation_ms: self.settings.bounds.revocation_ms,
             configuration_ms: self.settings.bounds.configuration_ms,
         };
-        match api_key_verdict::check_api_key(
+        match api_key_status::check_api_key(
             workspace.is_some(),
             self.configuration_age_ms(),
             limits,
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -13,7 +13,7 @@
 //! | [`notices`] | servers that announce in their responses that they leave, or ask for a backoff |
 //! | [`rate_limit`], [`rate_meter`], [`rate_shares`] | rate limits that all hosts share |
 //! | [`quota`] | workspaces that send more requests than their quota |
-//! | [`api_key_verdict`] | API keys that are added and revoked while hosts are disconnected |
+//! | [`api_key_status`] | API keys that are added and revoked while hosts are disconnected |
 //! | [`run_shares`] | services that serve short and long requests |
 //! | [`admission`] | more requests for a server than it can answer in time |
 //! | [`choice`] | requests that any server of a service may run |
@@ -30,7 +30,7 @@
 //! The thresholds are defined in [`Policy`], each with its unit and reason.
 
 pub mod admission;
-pub mod api_key_verdict;
+pub mod api_key_status;
 pub mod attempt_stats;
 pub mod backoffs;
 pub mod budget;
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -3,7 +3,7 @@
 //! from each other.
 
 use ashroad::entry::{
-    decide::api_key_verdict::{ApiKeyLimits, ApiKeyStatus, check_api_key},
+    decide::api_key_status::{ApiKeyLimits, ApiKeyStatus, check_api_key},
     updates::confirmation::ConfigurationConfirmation,
 };
 use quickcheck::quickcheck;
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ashroad::entry::decide::api_key_verdict::{ApiKeyLimits, ApiKeyStatus, check_api_key};
+use ashroad::entry::decide::api_key_status::{ApiKeyLimits, ApiKeyStatus, check_api_key};
 use http::StatusCode;
 use serde_json::{Value, json};
 use tokio::time;
