--- a/src/entry/decide/attempt_stats.rs
+++ b/src/entry/decide/attempt_stats.rs
@@ -1,36 +1,41 @@
-//! Statistics of a server from the attempts of one host: run time, failures and failed connections.
-//! Old samples lose weight, so that a server that was avoided gets requests again.
+//! Statistics that a host keeps about each server from its own attempts (requests that it sent, or
+//! tried to send, to the server): run time, failures and failed connections. Old samples lose
+//! weight, so that a server that was avoided gets requests again.
 
 /// Weight of a new sample in the moving average of run times, from 0 to 1.
 const RUN_SAMPLE_WEIGHT: f64 = 0.2;
 /// Weight of a new outcome, 1 for a failure and 0 for a response, in the moving share of failures.
 const FAILURE_SAMPLE_WEIGHT: f64 = 0.15;
-/// Half-life of a server's samples. Because old failures fade, a server that was avoided gets
-/// requests again.
+/// Half-life of the weight of a server's samples, in milliseconds. Because old failures lose
+/// weight, a server that was avoided gets requests again.
 const FORGET_HALF_MS: f64 = 3_000.0;
-/// Pause after the first failed connect; it doubles with each further one in a row.
+/// Time, in milliseconds, for which a host makes no attempts at a server after a failed connect.
+/// The time doubles with each further consecutive failed connect.
 const PAUSE_FIRST_MS: u64 = 200;
-/// Longest pause after failed connects, at which the doubling stops.
+/// Longest time, in milliseconds, for which a host makes no attempts at a server after consecutive
+/// failed connects.
 const PAUSE_MAX_MS: u64 = 2_000;
 
 /// Run time, failure rate and connection failures of one server, as seen by one host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptStats {
-    /// Moving average of the run times of requests that found a free slot; 0 before the first.
+    /// Moving average of the run times, in milliseconds, of requests that found a free slot at the
+    /// server; 0 before the first such request.
     run_ms: f64,
     /// Moving share of attempts that failed or were shed, from 0 to 1, as of `at_ms`.
     failures: f64,
     /// Time of the last outcome, from which the weight of the samples decays.
     at_ms: u64,
-    /// Consecutive failed connects; reset by a response. Determines the length of the next pause.
+    /// Number of consecutive failed connects, which determines the length of the next pause; reset
+    /// by a response.
     connect_failures: u32,
     /// Time until which no attempts are made after failed connects; 0 if there is no pause.
     paused_until_ms: u64,
 }
 
 impl AttemptStats {
-    /// Returns the average run time; 0 if unknown, or if the last outcome is older than twice the
-    /// half-life of the samples.
+    /// Returns the average run time in milliseconds. The result is 0 if the run time is unknown, or
+    /// if the last outcome is older than twice the half-life of the samples.
     pub fn run_ms(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         if age_ms > 2.0 * FORGET_HALF_MS {
@@ -44,19 +49,20 @@
         now_ms.saturating_sub(self.at_ms)
     }
 
-    /// Returns the share of recent attempts that failed, from 0 to 1; it decays to 0 without
-    /// attempts.
+    /// Returns the share of recent attempts that failed, from 0 to 1. The share decays to 0 while
+    /// no attempts are made.
     pub fn failures(&self, now_ms: u64) -> f64 {
         self.failures * self.sample_weight(now_ms)
     }
 
-    /// Returns true while no attempt should be made because connections fail.
+    /// Returns true while the host should make no attempts at the server because its last connects
+    /// failed.
     pub fn is_paused(&self, now_ms: u64) -> bool {
         now_ms < self.paused_until_ms
     }
 
-    /// Records a response. `found_free_slot` is true if the request did not have to queue: only
-    /// then is its run time a sample.
+    /// Records a response from the server. `found_free_slot` is true if the request did not have to
+    /// queue; only then is `run_ms` a sample of the run time.
     pub fn answered(&mut self, run_ms: f64, found_free_slot: bool, now_ms: u64) {
         self.note_outcome(0.0, now_ms);
         self.connect_failures = 0;
@@ -71,14 +77,14 @@
         };
     }
 
-    /// Records an attempt that was shed, lost its connection or timed out, as a failure without a
-    /// pause of attempts.
+    /// Records an attempt that was shed, lost its connection or timed out. The attempt counts as a
+    /// failure, but does not pause further attempts.
     pub fn failed(&mut self, now_ms: u64) {
         self.note_outcome(1.0, now_ms);
     }
 
-    /// Records a failed connect as a failure, and pauses attempts for a time that doubles with each
-    /// consecutive one, up to [`PAUSE_MAX_MS`].
+    /// Records a failed connect. The failed connect counts as a failure and pauses attempts for a
+    /// time that doubles with each consecutive failed connect, up to [`PAUSE_MAX_MS`].
     pub fn not_connected(&mut self, now_ms: u64) {
         self.note_outcome(1.0, now_ms);
         let pause_ms = PAUSE_FIRST_MS << self.connect_failures.min(8);
--- a/src/entry/decide/budget.rs
+++ b/src/entry/decide/budget.rs
@@ -1,5 +1,7 @@
-//! Retry budget by service. All hosts share one allowance without coordination: each uses a fixed
-//! part of it, with headroom for an uneven load balancer.
+//! Retry budget of each service: the limit on the retries that hosts make on behalf of callers, so
+//! that retries do not amplify an overload. The users' bounds allow a share of the requests plus a
+//! fixed allowance. Hosts do not coordinate: each uses an equal part of the allowance, with
+//! headroom for load balancers that distribute requests unequally among the hosts.
 
 use std::{
     collections::HashMap,
@@ -8,10 +10,10 @@
 
 use crate::entry::bounds::Bounds;
 
-/// Share of the permitted ratio of retries that hosts use; the remainder is a margin.
+/// Share of the permitted ratio of retries to requests that hosts use; the remainder is a margin.
 const RATIO_USED: f64 = 0.9;
-/// Share of the fixed allowance that all hosts together use; the remainder is headroom for an
-/// uneven load balancer.
+/// Share of the fixed retry allowance that all hosts together use; the remainder is headroom for a
+/// load balancer that distributes requests unequally among the hosts.
 const ALLOWANCE_USED: f64 = 0.6;
 
 #[derive(Clone, Copy, Debug)]
@@ -30,8 +32,8 @@
 }
 
 impl RetryBudget {
-    /// Creates a budget without buckets. A service gets its bucket, half full, at its first
-    /// request.
+    /// Creates a retry budget from the users' bounds. A service gets its token bucket, half full,
+    /// at its first request.
     pub fn new(bounds: &Bounds) -> Self {
         Self {
             window_ms: bounds.retry_window_ms as f64,
@@ -41,8 +43,8 @@
         }
     }
 
-    /// Credits a service's bucket with the fraction of a retry that each request allows, up to the
-    /// bucket's capacity. `hosts` is the number of hosts that share the allowance.
+    /// Adds the fraction of a retry that each request allows to the service's token bucket, up to
+    /// the bucket's capacity. `hosts` is the number of hosts that share the allowance.
     pub fn request(&self, service: &Arc<str>, hosts: usize, now_ms: u64) {
         let capacity = self.capacity_for(hosts);
         let mut buckets = self.buckets();
@@ -53,7 +55,8 @@
         bucket.tokens = (bucket.tokens + self.per_request).min(capacity);
     }
 
-    /// Takes a token for a retry. Returns false if the service's bucket has none, or if the service
+    /// Takes a token for a retry from the service's token bucket and returns true, so that the
+    /// retry may be made. Returns false if the bucket has less than one token, or if the service
     /// has had no request yet.
     pub fn retry(&self, service: &Arc<str>, hosts: usize, now_ms: u64) -> bool {
         let capacity = self.capacity_for(hosts);
@@ -61,8 +64,8 @@
         let Some(bucket) = buckets.get_mut(service) else {
             return false;
         };
-        // A host may use half of its part of the allowance at once; the other half is refilled over
-        // the window.
+        // A host may use half of its part of the allowance at once, since that is the capacity of
+        // the bucket; the other half is refilled over the window.
         let elapsed = now_ms.saturating_sub(bucket.at_ms) as f64;
         bucket.tokens = (bucket.tokens + capacity * elapsed / self.window_ms).min(capacity);
         bucket.at_ms = now_ms;
--- a/src/entry/decide/choice.rs
+++ b/src/entry/decide/choice.rs
@@ -1,24 +1,27 @@
-//! Choice of a server for a request that any server of a service may run.
+//! Chooses the server for a request that any server of a service may run.
 
 use rand::{Rng, seq::SliceRandom};
 
 use super::{Candidate, Demand, Policy, admission};
 
-/// Maximum number of servers with room that are compared for one request, used while at most
-/// [`FEW_HOSTS`] hosts choose among the same servers. With more hosts, each host's data on the load
-/// by other hosts is older, and all hosts would choose the same few servers; so the number falls,
-/// down to a few servers drawn at random. In a simulation at 1.25 times the capacity of 11 servers,
-/// 25 hosts achieved 0.87 of the possible value with ten servers compared and 0.92 with three.
+/// Bounds of the number of servers with room that a host compares for one request. The maximum
+/// applies while at most [`FEW_HOSTS`] hosts choose among the same servers. With more hosts, each
+/// host's data on the requests of the other hosts is older, and all hosts would choose the same few
+/// servers. So the number of compared servers falls with the number of hosts, down to
+/// [`CANDIDATES_MIN`] servers drawn at random. In a simulation at 1.25 times the capacity of 11
+/// servers, 25 hosts achieved 0.87 of the possible value with ten servers compared and 0.92 with
+/// three.
 const CANDIDATES_MAX: usize = 24;
 const CANDIDATES_MIN: usize = 3;
 const FEW_HOSTS: usize = 3;
 
-/// Numbers of hosts that choose among the same servers, including this one.
+/// Numbers of hosts that choose among the same servers, including the host that makes the choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostCount {
-    /// Hosts in this host's availability zone, which prefer the same servers.
+    /// Number of hosts in the availability zone of the choosing host. Hosts of a zone prefer the
+    /// same servers.
     pub same_zone: usize,
-    /// Hosts in all availability zones.
+    /// Number of hosts in all availability zones.
     pub all: usize,
 }
 
@@ -29,15 +32,16 @@
     pub servers: &'a [Candidate],
     /// Average run time over the servers of the service, assumed for servers without samples.
     pub typical_ms: f64,
-    /// Time limits, urgency and expected run time of the request.
+    /// Latency objective, deadline, urgency and expected run time of the request.
     pub demand: Demand,
-    /// Hosts that choose among the same servers.
+    /// Numbers of hosts that choose among the same servers; more hosts compare fewer servers each.
     pub hosts: HostCount,
 }
 
-/// Returns the index of the server with room that is expected to answer first, weighted by cost;
-/// `None` if none has room. Servers of another region get only requests for which this region
-/// has no room: the network latency is high and the traffic is expensive.
+/// Returns the index of the server with room for the request that is expected to answer first,
+/// after weighting the expected times by cost; `None` if no server has room. A server of another
+/// region gets the request only if no server of the host's own region has room, because the network
+/// latency between regions is high and the traffic is expensive.
 pub fn pick(inputs: Inputs<'_>, policy: &Policy, rng: &mut impl Rng) -> Option<usize> {
     let mut order: Vec<usize> = (0..inputs.servers.len()).collect();
     order.shuffle(rng);
@@ -90,8 +94,9 @@
     (CANDIDATES_MAX * FEW_HOSTS / hosts.max(1)).clamp(CANDIDATES_MIN, CANDIDATES_MAX)
 }
 
-/// Returns the factor that weights a server's expected time. Another zone, a new connection,
-/// failures and a random part increase it; a lack of samples reduces it.
+/// Returns the factor by which a server's expected time is multiplied to compare servers. Another
+/// availability zone, a new connection, failures and a random part increase the factor; a lack of
+/// samples reduces the factor, so that the server gets requests that provide samples.
 fn cost_factor(server: &Candidate, policy: &Policy, random: f64) -> f64 {
     let added = |applies: bool, cost: f64| if applies { cost } else { 0.0 };
     let zone = added(!server.is_same_zone, policy.zone_cost);
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -1,10 +1,11 @@
-//! Decisions under load: which server gets a request, whether it is refused and when its caller
-//! should retry, whether a request is retried, and which keys move.
+//! Decisions of a host under load: which server gets a request, whether a request is refused and
+//! when its caller should retry, whether a request is retried by the host, and which keys are moved
+//! to other servers.
 //!
-//! All functions here are pure: the host's state, the time and random numbers are arguments, and
-//! the result is a decision. Nothing reads a clock, opens a socket or waits. `forward` and `leases`
-//! call these functions and carry out their decisions; `tests/entry_load.rs` runs the same code
-//! under simulated load in virtual time.
+//! All decisions here are pure computations: the state of the host, the time and the random numbers
+//! are arguments or fields of the types in this module. No code here reads a clock, opens a socket
+//! or waits. `forward` and `leases` call these functions and carry out the decisions;
+//! `tests/entry_load.rs` runs the same code under simulated load in virtual time.
 //!
 //! | module | problem that it handles |
 //! |---|---|
@@ -57,44 +58,49 @@
 
 pub use self::policy::Policy;
 
-/// State of a server on which a decision is based, as one host knows it.
+/// State of a server, as one host knows it, on which the choice and the admission of a server for a
+/// request are based.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// Number of requests that the server can run at the same time.
     pub slots: u32,
-    /// Requests of all hosts that are running or queued at the server, as far as this host knows.
+    /// Number of requests of all hosts that are running or queued at the server, as far as the
+    /// deciding host knows.
     pub load: u32,
     /// Average run time of a request at the server, in milliseconds; 0 without recent samples.
     pub run_ms: f64,
-    /// Time since the last outcome of an attempt that this host made at the server.
+    /// Time, in milliseconds, since the last outcome (a response, failure or failed connect) of an
+    /// attempt that the deciding host made at the server.
     pub since_outcome_ms: u64,
-    /// Slowdown of the server: the current run time as a multiple of the server's average; 1 is
-    /// usual.
+    /// Slowdown of the server: its current run time as a multiple of its average run time; 1 is the
+    /// usual speed.
     pub slowdown: f64,
-    /// Share of recent attempts that failed, from 0 to 1.
+    /// Share of the deciding host's recent attempts at the server that failed, from 0 to 1.
     pub failures: f64,
-    /// True while connections to the server fail, or while it is cold and outside this host's
-    /// warm-up window.
+    /// True while the host makes no attempts at the server: after failed connects, or while the
+    /// server is cold and the host's warm-up window is not open.
     pub is_paused: bool,
-    /// True if the server is in this host's availability zone; others cost [`Policy::zone_cost`].
+    /// True if the server is in the availability zone of the deciding host; servers of other zones
+    /// cost [`Policy::zone_cost`].
     pub is_same_zone: bool,
-    /// True if the server is in another region than this host; it is then chosen only if no server
-    /// of this region has room.
+    /// True if the server is in another region than the deciding host. Such a server is chosen only
+    /// if no server of the host's own region has room.
     pub is_other_region: bool,
-    /// True if this host has an idle connection to the server; others cost
+    /// True if the deciding host has an idle connection to the server; a server without one costs
     /// [`Policy::connect_cost`].
     pub has_idle_connection: bool,
 }
 
-/// Time limits, urgency and expected run time of a request, on which the choice of a server is
-/// based.
+/// Latency objective, deadline, urgency and expected run time of a request, on which the choice of
+/// a server is based.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// Time until the latency objective; 0 once it has passed.
+    /// Time until the latency objective of the request, in milliseconds; 0 once it has passed.
     pub objective_ms: u64,
-    /// Time until the deadline, after which the caller no longer waits for the response.
+    /// Time until the deadline of the request, in milliseconds. After the deadline, the caller no
+    /// longer waits for the response.
     pub deadline_ms: u64,
-    /// Expected run time of the request, as a share of the server's average.
+    /// Expected run time of the request, as a multiple of the server's average run time.
     pub run_share: f64,
     /// True if the request is more urgent than other requests of the service, so that a late
     /// response to it is worth more than a timely response to those.
