--- a/src/entry/decide/api_key_status.rs
+++ b/src/entry/decide/api_key_status.rs
@@ -1,39 +1,44 @@
-//! Decides whether a caller's API key is accepted, depending on how recently the host's
-//! configuration was confirmed.
+//! Decides whether a host accepts the API key of a caller. The decision depends on the host's copy
+//! of the configuration, and on how recently that copy was confirmed as the latest one.
 //!
-//! Operators add and revoke keys while hosts are disconnected, stalled or starting. A revoked key
-//! must not be accepted for longer than a bound. A valid key must never be rejected as unknown by a
-//! host that has not yet received it: callers do not retry after that.
+//! Operators add and revoke API keys while hosts are disconnected, stalled or starting. A revoked
+//! key must not be accepted for longer than a bound. A host that has not yet received a new key
+//! must never reject that key as unknown, because callers do not retry after such a response.
 
-/// Margin subtracted from the revocation bound, for clock drift between hosts.
+/// Margin that is subtracted from [`ApiKeyLimits::revocation_ms`] to allow for clock drift between
+/// hosts.
 const REVOCATION_MARGIN_MS: u64 = 100;
 
-/// Maximum ages of the last confirmation of the configuration up to which it decides about keys.
+/// Maximum ages of the configuration's last confirmation at which a host may still decide about API
+/// keys by that configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct ApiKeyLimits {
-    /// Time after which a revoked key must not be accepted; `None` if only the bound of
-    /// configurations applies.
+    /// Time after which no host may accept a revoked key, in milliseconds. `None` if revocations
+    /// have no bound of their own; then a known key is accepted whatever the age of the
+    /// confirmation.
     pub revocation_ms: Option<u64>,
-    /// Age of the confirmation up to which a key that the configuration lacks counts as unknown: a
-    /// new configuration must be in force within this time.
+    /// Maximum age of the last confirmation, in milliseconds, at which a key that the configuration
+    /// lacks is rejected as unknown. Hosts must apply a new configuration within this time.
     pub configuration_ms: u64,
 }
 
-/// Result of the check of an API key against the host's configuration.
+/// Status of a caller's API key, as determined by [`check_api_key`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApiKeyStatus {
-    /// The configuration has the key. If revocations have a bound of their own, the configuration
-    /// was also confirmed within it.
+    /// The configuration contains the key. If revocations have a bound of their own, the
+    /// configuration was also confirmed within that bound.
     Accepted,
-    /// The configuration lacks the key, and was confirmed recently enough to have any key that
-    /// should be in force.
+    /// The configuration does not contain the key, and was confirmed so recently that it contains
+    /// every key that should be in force.
     Unknown,
-    /// The configuration was confirmed too long ago, or never, so this host cannot decide.
+    /// The configuration was confirmed too long ago, or never, so that the host cannot decide about
+    /// the key.
     Unverified,
 }
 
-/// Checks a key. `is_known` is true if the configuration has the key. `confirmation_age_ms` is the
-/// time since the configuration was last confirmed as the latest one, `None` if it never was.
+/// Checks an API key against the host's configuration. `is_known` is true if the configuration
+/// contains the key. `confirmation_age_ms` is the time since the configuration was last confirmed
+/// as the latest one, `None` if it was never confirmed.
 pub fn check_api_key(
     is_known: bool,
     confirmation_age_ms: Option<u64>,
--- a/src/entry/decide/backoffs.rs
+++ b/src/entry/decide/backoffs.rs
@@ -1,6 +1,6 @@
-//! Backoffs that servers ask of many hosts. A backoff is a period in which a server asks a host to
-//! send it no requests. During a backoff, the host must not send requests to the server that asked
-//! for it. If a server asks many hosts for a backoff, its keys are moved to others. When three of
+//! Detects servers that ask many hosts for a backoff, so that the leader moves their keys to other
+//! servers. A backoff is a period in which a server asks a host to send it no requests; the host
+//! must comply. Without the moves, the callers of those keys would not be served: when three of
 //! nine servers refused all requests for nine seconds, a third of the keys' callers were not
 //! served, and the planner, which took these servers for idle, gave them more keys.
 
@@ -10,25 +10,28 @@
     sync::{Mutex, MutexGuard, PoisonError},
 };
 
-/// Divisor of the number of hosts: one host in three must have been asked for a backoff before the
-/// server's keys move. If only one host was asked, that host's requests may be the cause.
+/// Divisor of the number of hosts: a server must have asked one host in three for a backoff before
+/// the server's keys are moved. If it asked only one of many hosts, that host's requests may be the
+/// cause.
 const HOSTS_SHARE: usize = 3;
-/// Maximum number of hosts that must have been asked for a backoff: among hundreds of hosts, few
-/// reach a given server within a backoff.
+/// Maximum number of hosts that a server must have asked for a backoff before its keys are moved.
+/// Among hundreds of hosts, only a few send a request to a given server during a backoff.
 const HOSTS_NEEDED_MAX: usize = 4;
-/// Shortest backoff that is worth two moves, away and back.
+/// Shortest backoff, in milliseconds, for which keys are moved: each key is moved twice, away from
+/// the server and back.
 const BACKOFF_MIN_MS: u64 = 300;
-/// Minimum share of a service's servers that must accept requests. With fewer, the whole service is
-/// overloaded, and moved keys would be no better off.
+/// Minimum share of a service's servers that must not be in a backoff for keys to be moved. With
+/// fewer such servers, the whole service is overloaded, and moved keys would be served no better.
 const NOT_IN_BACKOFF_SHARE_MIN: f64 = 0.5;
 
-/// Ends of the backoffs that servers asked hosts for, by server tag and host; kept by the leader.
+/// Ends of the backoffs that servers asked hosts for, by server tag and by host address, in
+/// milliseconds. The leader keeps this state from the reports of all hosts.
 #[derive(Debug, Default)]
 pub struct Backoffs(Mutex<HashMap<u32, HashMap<SocketAddr, u64>>>);
 
 impl Backoffs {
-    /// Records that a server, given by its tag, asked a host to send it no requests for
-    /// `backoff_ms`; ignored if shorter than [`BACKOFF_MIN_MS`].
+    /// Records that the server with this tag asked a host to send it no requests for `backoff_ms`.
+    /// A backoff shorter than [`BACKOFF_MIN_MS`] is ignored.
     pub fn note(&self, server_tag: u32, host: SocketAddr, backoff_ms: u64, now_ms: u64) {
         if backoff_ms < BACKOFF_MIN_MS {
             return;
@@ -44,15 +47,15 @@
         *known = (*known).max(until_ms);
     }
 
-    /// Returns true if the server has asked enough hosts for a backoff that its keys should move to
-    /// other servers.
+    /// Returns true if the server has asked so many of the `hosts` hosts for a backoff that its
+    /// keys should be moved to other servers.
     pub fn is_widespread(&self, server_tag: u32, hosts: usize, now_ms: u64) -> bool {
         let backoffs = self.backoffs();
         let Some(in_backoff) = backoffs.get(&server_tag) else {
             return false;
         };
-        // A backoff counts until its end: if keys returned earlier, the hosts would still send them
-        // no requests.
+        // A backoff counts until its end: if keys were moved back to the server before that, the
+        // hosts in backoff would still send it no requests.
         let lasts = |until_ms: &&u64| now_ms < **until_ms;
         let needed = hosts.div_ceil(HOSTS_SHARE).clamp(1, HOSTS_NEEDED_MAX);
         in_backoff.values().filter(lasts).count() >= needed
--- a/src/entry/decide/first.rs
+++ b/src/entry/decide/first.rs
@@ -1,19 +1,22 @@
-//! First distribution of a service's keys over its servers, and the wait before it.
+//! Distributes the keys of a service among its servers for the first time, after a wait until the
+//! servers have started.
 
 use std::sync::Arc;
 
 use super::{key_loads::KEYS, plan::PlanServer};
 use crate::entry::keys::KeyRange;
 
-/// Time for which the servers of a service must stay the same before its keys are distributed for
-/// the first time. Longer than the interval at which hosts read the server entries on a large site.
+/// Time, in milliseconds, for which the number of servers of a service must stay the same before
+/// the service's keys are distributed for the first time. The time is longer than the interval at
+/// which hosts read the server entries on a large site.
 const FIRST_QUIET_MS: u64 = 1_800;
-/// Longest wait for a stable set of servers. On the known sites callers connect 8 s after the
-/// hosts.
+/// Longest time, in milliseconds, for which the first distribution of a service's keys waits until
+/// the number of servers stays the same. On the known sites, callers connect 8 s after the hosts.
 const FIRST_WAIT_MAX_MS: u64 = 5_000;
 
-/// Delay of the first assignment until the servers of a service have started: keys given to a few
-/// early servers would have to be moved again.
+/// Wait before the first assignment of a service's keys, until the servers of the service have
+/// started. Keys that were assigned to the few servers that start first would have to be moved
+/// again.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstAssignmentWait {
     servers: usize,
@@ -22,7 +25,7 @@
 }
 
 impl FirstAssignmentWait {
-    /// Starts the wait at `now_ms`, from which the longest wait is counted.
+    /// Starts the wait at `now_ms`; [`FIRST_WAIT_MAX_MS`] is counted from this time.
     pub fn new(now_ms: u64) -> Self {
         Self {
             servers: 0,
@@ -31,8 +34,9 @@
         }
     }
 
-    /// Returns true if the keys should be distributed over the current servers. Requests that have
-    /// already arrived end the wait.
+    /// Returns true if the keys should be distributed among the current servers, of which there are
+    /// `servers`. The wait ends when the service has got a request (`requested`), when the number
+    /// of servers has not changed for [`FIRST_QUIET_MS`], or after [`FIRST_WAIT_MAX_MS`].
     pub fn is_over(&mut self, servers: usize, requested: bool, now_ms: u64) -> bool {
         if self.servers != servers {
             self.servers = servers;
--- a/src/entry/decide/hold.rs
+++ b/src/entry/decide/hold.rs
@@ -1,44 +1,47 @@
-//! Decides whether a request is held (made to wait) in the host while its key is being moved
-//! between servers, or refused at once.
+//! Decides whether a host holds a request whose key is being moved between servers, or refuses the
+//! request at once. A held request waits in the host until the move completes.
 
 use serde::{Deserialize, Serialize};
 
 use super::Policy;
 
-/// Shortest time for which a request is held; with less time left it is refused.
+/// Shortest time for which a request is held, in milliseconds. A request that could be held only
+/// for a shorter time is refused.
 const HOLD_MIN_MS: u64 = 10;
 
 /// Condition that a move waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MoveWait {
-    /// Completion of the requests that the former server runs for the keys: usually some hundred
-    /// milliseconds, at most the announced time.
+    /// The former server completes the requests that it runs for the keys: usually within some
+    /// hundred milliseconds, at most [`MoveTimeLeft::remaining_ms`].
     Work,
-    /// Expiry of the last lease of a server that does not answer: exactly the announced time.
+    /// The last lease of the former server expires, since that server does not answer: after
+    /// exactly [`MoveTimeLeft::remaining_ms`].
     Lease,
 }
 
-/// Expected time until a move completes, as announced by the leader of the hosts.
+/// Expected time until a move of keys completes, as announced by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveTimeLeft {
     /// Condition that the move waits for, which decides how exact `remaining_ms` is.
     pub wait: MoveWait,
-    /// Time left until the move completes: an upper bound or the exact time, depending on `wait`.
+    /// Time left until the move completes, in milliseconds: an upper bound for [`MoveWait::Work`],
+    /// the exact time for [`MoveWait::Lease`].
     pub remaining_ms: u64,
 }
 
 /// Decision to hold or refuse a request for a key that is being moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hold {
-    /// The request is held for at most this time, in milliseconds.
+    /// The host holds the request for at most this time, in milliseconds.
     For(u64),
-    /// The request is refused at once: the move is not expected to complete within the time for
-    /// which the request may still be held.
+    /// The host refuses the request at once, because the move is not expected to complete within
+    /// the time for which the request may still be held.
     Refuse,
 }
 
-/// Decides on a request that has been held for `held_ms` and has its deadline in `left_ms`;
-/// `objective_ms` is the route's latency objective.
+/// Decides whether to hold or refuse a request that has already been held for `held_ms` and whose
+/// deadline is in `left_ms`; `objective_ms` is the latency objective of the request's route.
 pub fn decide(
     time_left: MoveTimeLeft,
     held_ms: u64,
