--- a/src/entry/decide/crash_tally.rs
+++ b/src/entry/decide/crash_tally.rs
@@ -1,57 +1,68 @@
-//! Tally of the requests that were in flight when servers crashed. A request may crash each server
-//! that begins to run it: its caller sends it again, it is forwarded to the next server, and a
-//! service loses one server after the other. Each crash leaves a dozen suspect requests, and only
-//! the one that causes the crashes is among them each time.
+//! Finds the request of a caller that crashes servers. Such a request may crash each server that
+//! begins to run it: its caller sends it again, a host forwards it to the next server, and a
+//! service loses one server after the other. Each crash leaves about a dozen suspects, which are
+//! the requests that were in flight at the server; only the request that causes the crashes is
+//! among the suspects each time. The tally therefore counts, for each suspect, the servers that
+//! crashed while the suspect was in flight.
 //!
-//! Without the tally, one request that was sent every 0.3 s crashed 14 of the 14 servers that it
-//! could reach, each with all its requests in flight (simulated with three hosts,
+//! Without the tally, a request that its caller sent every 0.3 s crashed all 14 servers that it
+//! could reach, each with all requests in flight there (simulated with three hosts,
 //! tests/entry_crashes.rs).
 
 use std::collections::HashMap;
 
 use crate::entry::digest::RequestDigest;
 
-/// Number of servers that must have crashed during a request before it counts as the cause. The
-/// users' requirements allow three runs, and one crash may end several of them: with three servers,
-/// a request that was sent eight times per second had eight runs. With two servers, 18 days with
-/// outages on five sites led to only five harmless requests being taken for the cause, all after
-/// the loss of a zone, which [`MASS_CRASH_SERVERS`] excludes.
+/// Number of servers that must have crashed during a request before the request counts as the cause
+/// of the crashes. The users' requirements allow three runs of such a request, and several runs may
+/// be in progress at one crash: with three servers needed, a request that was sent eight times per
+/// second had eight runs. With two servers needed, 18 days with outages on five sites led to only
+/// five harmless requests that were taken for the cause, all after the loss of a zone, which
+/// [`MASS_CRASH_SERVERS`] excludes.
 pub const SERVERS_NEEDED: usize = 2;
-/// Number of crashed servers within [`MASS_CRASH_WINDOW_MS`] that counts as a mass crash: one
-/// common cause, such as the loss of a zone, is then more likely than a request. A single request
-/// reaches [`SERVERS_NEEDED`] first.
+/// Number of servers that must crash within [`MASS_CRASH_WINDOW_MS`] for a mass crash. A common
+/// cause, such as the loss of a zone, is then more likely than a request. A single request that
+/// crashes servers reaches [`SERVERS_NEEDED`] first.
 const MASS_CRASH_SERVERS: usize = 3;
-/// Window in which crashes count as simultaneous: hosts detect and report a crash in 30 to 100 ms.
+/// Time in which crashes count as simultaneous, in milliseconds. Hosts detect and report a crash in
+/// 30 to 100 ms.
 const MASS_CRASH_WINDOW_MS: u64 = 1_000;
-/// Time for which a crash counts as evidence. A request that causes crashes is sent again after
-/// seconds to minutes; a longer time gathers more coincidences.
+/// Time for which a crash counts as evidence against a request, in milliseconds. The caller of a
+/// request that causes crashes sends it again after seconds to minutes; with a longer time, more
+/// harmless requests would be in flight at two crashes by coincidence.
 const EVIDENCE_MS: u64 = 15 * 60 * 1_000;
-/// Maximum number of suspects, 200 KB. The loss of a zone of 216 servers leaves about 2,600.
+/// Maximum number of suspects, which take about 200 KB of memory. The loss of a zone of 216 servers
+/// leaves about 2,600 suspects.
 const SUSPECTS_MAX: usize = 4_096;
-/// Number of suspects kept when there are too many, so that not every crash sorts all of them.
+/// Number of suspects that are kept when [`SUSPECTS_MAX`] is exceeded. It is lower than the maximum
+/// so that not every crash has to sort all suspects.
 const SUSPECTS_KEPT: usize = 3_072;
 
-/// Evidence against a request that was in flight when a server crashed.
+/// One crash of a server, as evidence against a request that was in flight there.
 #[derive(Clone, Copy, Debug)]
 struct Evidence {
     server_tag: u32,
     at_ms: u64,
-    /// True if at least [`MASS_CRASH_SERVERS`] had crashed within the window, this one included.
+    /// True if at least [`MASS_CRASH_SERVERS`] servers, including this one, had crashed within
+    /// [`MASS_CRASH_WINDOW_MS`].
     is_mass_crash: bool,
 }
 
-/// Evidence against suspects (requests in flight at a server when it crashed), by the digest that
-/// includes the caller.
+/// Evidence against suspects (requests in flight at a server when the server crashed). Suspects are
+/// identified by a digest that includes the caller, so that each caller's request is a suspect of
+/// its own.
 #[derive(Debug, Default)]
 pub struct CrashTally {
     suspects: HashMap<RequestDigest, Vec<Evidence>>,
-    /// Tags of the servers that crashed within the window, with the times.
+    /// Tags of the servers that crashed within the last [`MASS_CRASH_WINDOW_MS`], with the times of
+    /// the crashes.
     latest: Vec<(u32, u64)>,
 }
 
 impl CrashTally {
-    /// Records the crash of a server with requests in flight. Returns the requests for which enough
-    /// servers have crashed now. The same crash may be reported more than once.
+    /// Records the crash of a server during the requests with these digests. Returns the digests of
+    /// the requests that count as the cause because enough servers have crashed during them. A
+    /// repeated report of the same crash adds no evidence.
     pub fn note(
         &mut self,
         server_tag: u32,
@@ -81,8 +92,8 @@
         reached
     }
 
-    /// Records the crash of a server and returns the number of servers that crashed within the
-    /// window.
+    /// Records the crash of a server and returns the number of servers that crashed within the last
+    /// [`MASS_CRASH_WINDOW_MS`].
     fn note_latest(&mut self, server_tag: u32, now_ms: u64) -> usize {
         self.latest
             .retain(|(_, at_ms)| now_ms < at_ms + MASS_CRASH_WINDOW_MS);
@@ -92,8 +103,8 @@
         self.latest.len()
     }
 
-    /// Returns true if a server crashed during a request, other than in a mass crash: the request
-    /// may crash the next server too.
+    /// Returns true if a server crashed during a request within the last [`EVIDENCE_MS`], other
+    /// than in a mass crash. The request may crash the next server too.
     pub fn is_suspect(&self, digest: RequestDigest, now_ms: u64) -> bool {
         let is_fresh =
             |crash: &Evidence| !crash.is_mass_crash && now_ms < crash.at_ms + EVIDENCE_MS;
@@ -101,7 +112,7 @@
         evidence.is_some_and(|evidence| evidence.iter().any(is_fresh))
     }
 
-    /// Returns true if a mass crash has happened within the last second.
+    /// Returns true if at least [`MASS_CRASH_SERVERS`] servers crashed within the last second.
     pub fn has_recent_mass_crash(&self, now_ms: u64) -> bool {
         let latest = self.latest.iter();
         latest
@@ -110,14 +121,14 @@
             >= MASS_CRASH_SERVERS
     }
 
-    /// Drops the evidence against a request, since a server has run it successfully. Returns true
-    /// if there was any.
+    /// Drops the evidence against a request that a server has run successfully. Returns true if
+    /// there was any evidence.
     pub fn clear(&mut self, digest: RequestDigest) -> bool {
         self.suspects.remove(&digest).is_some()
     }
 
-    /// Returns the number of requests with evidence against them, including evidence that has
-    /// expired and is not yet dropped.
+    /// Returns the number of requests with evidence against them, including expired evidence that
+    /// is not dropped yet.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
@@ -127,8 +138,9 @@
         self.suspects.is_empty()
     }
 
-    /// Makes room for `added` more suspects if there would be too many: drops those whose evidence
-    /// has all expired, and then those with the least and oldest evidence.
+    /// Drops suspects if `added` more would exceed [`SUSPECTS_MAX`]: first the suspects whose
+    /// evidence has expired, then those with the least and oldest evidence, until [`SUSPECTS_KEPT`]
+    /// suspects remain including the added ones.
     fn make_room(&mut self, added: usize, now_ms: u64) {
         if self.suspects.len() + added <= SUSPECTS_MAX {
             return;
@@ -145,7 +157,8 @@
     }
 }
 
-/// Returns the sort key by which suspects are dropped: fewest crashes first, then the oldest.
+/// Returns the sort key of a suspect. Suspects are dropped in ascending order: those with the
+/// fewest crashes first, and among them those whose latest crash is the oldest.
 fn rank((digest, evidence): (&RequestDigest, &Vec<Evidence>)) -> (usize, u64, RequestDigest) {
     let latest_ms = evidence.iter().map(|crash| crash.at_ms).max();
     (evidence.len(), latest_ms.unwrap_or(0), *digest)
--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -1,17 +1,20 @@
-//! Tally of the requests of many callers that were in flight when servers crashed. A path or
-//! content may crash servers regardless of the caller. Then each caller's request is a new suspect,
-//! and a service loses one server for every caller.
+//! Finds paths or contents of requests that crash servers whichever caller sends them.
+//! [`CrashTally`](super::crash_tally::CrashTally) treats the request of each caller as a new
+//! suspect, so such a path would cost a service one server or more for every caller. The tally here
+//! counts the servers that crashed during requests with the same path or content, regardless of the
+//! caller.
 //!
-//! Refusing a path for all callers is costly if it is harmless, so it takes more evidence than
-//! refusing one caller's request: crashes during the requests of two callers, and no later request
-//! that succeeded in between. A path that is merely requested often succeeds all the time, and each
-//! success drops its evidence.
+//! Refusing a path for all callers is costly if the path is harmless. So more evidence is needed
+//! than for refusing the request of one caller: crashes during the requests of two callers, and no
+//! success in between. A success is a request with the same path or content that was sent after a
+//! crash and that a server completed; it drops the earlier evidence. A harmless path that is
+//! requested often thus loses its evidence again and again.
 //!
-//! Requests that are identical including query and body are run as trials once a server has crashed
-//! during one: by one host at a time, at a server that runs no other suspect. A crash during a
-//! trial thus has a single cause, and two crashes are enough. A path whose queries or bodies differ
-//! is not held back for trials, since most of its requests may be harmless; it takes three crashes
-//! that are not simultaneous.
+//! Once a server has crashed during a request, requests that are identical to it, including query
+//! and body, are run only as trials. A trial is run by one host at a time, at a server that runs no
+//! other suspect, so a crash during a trial has a single cause, and two crashes are enough.
+//! Requests for a path whose queries or bodies differ are not held back for trials, since most of
+//! them may be harmless; for such a path, three crashes that are not simultaneous are needed.
 
 use std::collections::HashMap;
 
@@ -19,46 +22,52 @@
 
 use crate::entry::digest::RequestDigest;
 
-/// Number of different callers whose requests must have been in flight at the crashes.
+/// Number of different callers whose requests must have been in flight at crashes before a path or
+/// content counts as the cause.
 const CALLERS_NEEDED: usize = 2;
-/// Number of servers that must have crashed during identical requests, at least one of them during
-/// a trial.
+/// Number of servers that must have crashed during requests with the same content, at least one of
+/// them during a trial, before the content counts as the cause.
 const SERVERS_NEEDED: usize = 2;
-/// Number of servers that must have crashed during different requests for a path.
+/// Number of servers that must have crashed during requests for the same path before the path
+/// counts as the cause.
 const SERVERS_NEEDED_BY_PATH: usize = 3;
-/// Minimum time from the first to the last of the crashes during requests for a path: a harmless
-/// request succeeds in between.
+/// Minimum time, in milliseconds, from the first to the last of the crashes during requests for a
+/// path, before the path counts as the cause. Within this time, a request for a harmless path would
+/// have succeeded and dropped the evidence.
 const SPAN_MIN_MS: u64 = 1_000;
-/// Time for which a crash counts as evidence against a request.
+/// Time for which a crash counts as evidence against a path or content, in milliseconds.
 const EVIDENCE_MS: u64 = 15 * 60 * 1_000;
-/// Maximum number of suspects, 400 KB; those with the least and oldest evidence are dropped first.
+/// Maximum number of suspects, which take about 400 KB of memory. Beyond it, the suspects with the
+/// least and oldest evidence are dropped first.
 const SUSPECTS_MAX: usize = 4_096;
 
 /// Part of a request that a digest without the caller covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DigestScope {
-    /// Method, host, path, query and body, so that only identical requests share a digest.
+    /// Method, host, path, query and body: only identical requests have the same digest.
     Content,
-    /// Method, host and path; queries and bodies may differ.
+    /// Method, host and path: requests with different queries and bodies have the same digest.
     Path,
 }
 
-/// A request that was in flight when a server crashed, identified independently of its caller.
+/// A request that was in flight when a server crashed, identified by a digest that is independent
+/// of the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SharedSuspect {
-    /// Digest of the request's content or path, without the caller, as `scope` says.
+    /// Digest of the request's content or path, as `scope` says; it does not cover the caller.
     pub digest: RequestDigest,
-    /// Part of the request that the digest covers; it decides how much evidence is needed.
+    /// Part of the request that the digest covers, on which depends how much evidence is needed.
     pub scope: DigestScope,
-    /// Tag (short identifier) of the caller. Evidence needs crashes during the requests of several
-    /// callers.
+    /// Tag (short identifier) of the caller. A path or content counts as the cause only after
+    /// crashes during the requests of [`CALLERS_NEEDED`] callers.
     pub caller_tag: u32,
-    /// True if the request ran as a trial (single supervised attempt), with no other suspect at the
-    /// server.
+    /// True if the request ran as a trial (single supervised attempt) at a server that ran no other
+    /// suspect.
     pub is_trial: bool,
 }
 
-/// One server crash as evidence against a digest.
+/// One crash of a server, as evidence against the path or content of a request that was in flight
+/// there.
 #[derive(Clone, Copy, Debug)]
 struct Evidence {
     server_tag: u32,
@@ -67,16 +76,16 @@
     at_ms: u64,
 }
 
-/// Evidence against suspects (requests in flight at a server when it crashed), by a digest that
-/// leaves out the caller.
+/// Evidence against suspects (requests in flight at a server when the server crashed), by a digest
+/// that does not cover the caller.
 #[derive(Debug, Default)]
 pub struct PathTally(HashMap<RequestDigest, Vec<Evidence>>);
 
 impl PathTally {
-    /// Records the crash of a server with requests in flight. Returns the digests that now count as
-    /// the cause. The same crash may be reported more than once. `is_mass_crash` is true if many
-    /// servers have crashed at once, so that a request is unlikely to be the cause: then only
-    /// trials count.
+    /// Records the crash of a server while `suspects` were in flight there. Returns the digests
+    /// that count as the cause because there is enough evidence against them. A repeated report of
+    /// the same crash adds no evidence. `is_mass_crash` is true if many servers have crashed at
+    /// once, so that a request is unlikely to be the cause; then only trials count.
     pub fn note(
         &mut self,
         server_tag: u32,
@@ -112,16 +121,18 @@
         reached
     }
 
-    /// Returns true if unexpired evidence links a server crash to this digest.
+    /// Returns true if a server crashed during a request with this digest within the last
+    /// [`EVIDENCE_MS`], and no success has dropped that evidence.
     pub fn is_suspect(&self, digest: RequestDigest, now_ms: u64) -> bool {
         let evidence = self.0.get(&digest);
         let is_fresh = |crash: &Evidence| now_ms < crash.at_ms + EVIDENCE_MS;
         evidence.is_some_and(|evidence| evidence.iter().any(is_fresh))
     }
 
-    /// Drops the evidence from before `sent_ms`, when a request was sent that a server has run
-    /// successfully. Returns true if there was any. A request that was already in flight at a crash
-    /// proves nothing about it: the content may have become harmful since.
+    /// Drops the evidence that is older than `sent_ms`, the time at which a request was sent that a
+    /// server has completed. Returns true if any evidence was dropped. The success of a request
+    /// that was already in flight at a crash does not drop the evidence of that crash: the content
+    /// may have become harmful after that request was sent.
     pub fn clear(&mut self, digest: RequestDigest, sent_ms: u64) -> bool {
         let Some(evidence) = self.0.get_mut(&digest) else {
             return false;
@@ -135,8 +146,8 @@
         is_cleared
     }
 
-    /// Returns the number of digests with evidence, including expired evidence that is not yet
-    /// dropped.
+    /// Returns the number of digests with evidence, including expired evidence that is not dropped
+    /// yet.
     pub fn len(&self) -> usize {
         self.0.len()
     }
@@ -146,8 +157,8 @@
         self.0.is_empty()
     }
 
-    /// Makes room if `added` more suspects would exceed [`SUSPECTS_MAX`]: drops those with expired
-    /// evidence, and then those with the least and oldest evidence.
+    /// Drops suspects if `added` more would exceed [`SUSPECTS_MAX`]: first the suspects whose
+    /// evidence has expired, then those with the least and oldest evidence.
     fn make_room(&mut self, added: usize, now_ms: u64) {
         if self.0.len() + added <= SUSPECTS_MAX {
             return;
@@ -156,7 +167,7 @@
         self.0.retain(|_, evidence| {
             latest_ms(evidence).is_some_and(|at_ms| now_ms < at_ms + EVIDENCE_MS)
         });
-        // Drops a quarter more than needed, so that not every crash sorts all suspects.
+        // Keeps three quarters of the maximum, so that not every crash has to sort all suspects.
         let kept = (SUSPECTS_MAX * 3 / 4).saturating_sub(added);
         let mut ranked: Vec<_> = self
             .0
