--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -1,7 +1,8 @@
-//! Keys that get more requests than any one server can serve. A key cannot be split among servers,
-//! so the leader, which sees the load of all hosts, announces the share of its requests that each
-//! host may admit. Hosts refuse the others before they reach the server, where they would only
-//! lengthen the queue.
+//! Detects hot keys, which are keys that get more requests than their server can serve, and
+//! distributes them to the hosts. A key cannot be split among servers. So the leader, which knows
+//! the load of all hosts, announces the hot keys, and each host admits only the share of their
+//! requests that can be served. Hosts refuse the other requests, which would only lengthen the
+//! server's queue.
 
 use std::{
     collections::HashMap,
@@ -13,12 +14,15 @@
 use super::{Policy, key_loads::KeyLoads, plan::PlanServer};
 use crate::entry::keys::Assignment;
 
-/// Maximum number of hot keys in one announcement; those with the largest excess are named.
+/// Maximum number of hot keys in one announcement of the leader. If there are more, those with the
+/// largest excess are announced.
 const HOT_MAX: usize = 40;
-/// Time for which an announcement of the leader is valid; one is sent every 0.3 s.
+/// Time for which an announcement of hot keys is valid, in milliseconds. The leader sends an
+/// announcement every 0.3 s.
 const ANNOUNCED_KEPT_MS: u64 = 1_000;
 
-/// A key that gets more requests than its server can serve.
+/// A key that gets more requests than its server can serve, with the measured load and the capacity
+/// of the server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HotKey {
     /// Tag (short identifier) of the service.
@@ -32,12 +36,12 @@
 }
 
 impl HotKey {
-    /// Returns the number of requests received for each one that can be served.
+    /// Returns the load of the key as a multiple of its server's capacity.
     pub fn excess(&self) -> f64 {
         f64::from(self.load_per_s) / f64::from(self.capacity_per_s).max(0.1)
     }
 
-    /// Returns the share of the key's requests that hosts admit.
+    /// Returns the share of the key's requests that hosts admit, from 0 to 1.
     pub fn admitted(&self, policy: &Policy) -> f64 {
         (policy.hot_admitted / self.excess()).min(1.0)
     }
@@ -79,10 +83,11 @@
     found
 }
 
-/// Hot keys that this host has found as the leader, and those that a leader announced to it.
+/// Hot keys that this host has found as the leader, and hot keys that it has learned from
+/// announcements of the leader.
 #[derive(Debug, Default)]
 pub struct HotKeys {
-    /// Hot keys by service tag that this host found as the leader.
+    /// Hot keys that this host found as the leader, by service tag.
     found: Mutex<HashMap<u32, Vec<HotKey>>>,
     announced: Mutex<Announced>,
 }
@@ -101,8 +106,9 @@
         self.found().insert(service_tag, keys);
     }
 
-    /// Returns the hot keys that this host has found, for the other hosts, and applies them to this
-    /// host too. If there are more than [`HOT_MAX`], those with the largest excess are returned.
+    /// Returns the hot keys that this host, as the leader, announces to the other hosts, and
+    /// applies them to this host too. If there are more than [`HOT_MAX`], those with the largest
+    /// excess are returned.
     pub fn announce(&self, now_ms: u64) -> Vec<HotKey> {
         let mut keys: Vec<HotKey> = self.found().values().flatten().copied().collect();
         keys.sort_unstable_by(|a, b| b.excess().total_cmp(&a.excess()));
@@ -111,14 +117,15 @@
         keys
     }
 
-    /// Replaces the known hot keys by those of an announcement, which expires after
-    /// [`ANNOUNCED_KEPT_MS`].
+    /// Replaces the hot keys of the last announcement by those of a new announcement, which expires
+    /// after [`ANNOUNCED_KEPT_MS`].
     pub fn note_announced(&self, keys: Vec<HotKey>, now_ms: u64) {
         let until_ms = now_ms + ANNOUNCED_KEPT_MS;
         *self.announced() = Announced { keys, until_ms };
     }
 
-    /// Returns a hot key from the leader's latest announcement, unless that has expired.
+    /// Returns the hot key for a key of a service if the leader's latest announcement contains it
+    /// and has not expired.
     pub fn get(&self, service_tag: u32, key: u16, now_ms: u64) -> Option<HotKey> {
         let announced = self.announced();
         if now_ms >= announced.until_ms {
--- a/src/entry/decide/key_loads.rs
+++ b/src/entry/decide/key_loads.rs
@@ -1,16 +1,17 @@
-//! Measures the requests per second for each key, averaged over a long and a short time.
+//! Measures the load of each key, which is its number of requests per second, as moving averages
+//! over a long and a short time.
 
 use crate::entry::keys::{AssignedRange, KeyRange};
 
 /// Number of keys of every sharded service: a key is a 16-bit number.
 pub const KEYS: usize = 1 << 16;
 
-/// Requests per second for each key of a service, averaged over time.
+/// Loads of the keys of a service, in requests per second, averaged over time.
 #[derive(Clone, Debug)]
 pub struct KeyLoads {
     per_s: Vec<f32>,
-    /// Averaging time of the loads, from which their random variation follows; infinite if the
-    /// loads are exact.
+    /// Effective averaging time of the loads, in seconds, from which their random variation is
+    /// computed; infinite if the loads are exact.
     window_s: f64,
 }
 
@@ -23,8 +24,8 @@
     }
 }
 
-/// Long-term and short-term averages of the requests for each key. The short-term one detects
-/// surges; the long-term one is steadier.
+/// Long-term and short-term averages of the requests for each key. The short-term averages detect
+/// surges; the long-term averages vary less at random.
 #[derive(Clone, Debug, Default)]
 pub struct KeyCounts {
     slow: KeyLoads,
@@ -32,16 +33,17 @@
 }
 
 impl KeyCounts {
-    /// Share of the long-term average that is kept from one interval to the next: a half-life of
-    /// 2.7 s at ten intervals per second.
+    /// Share of the long-term average that is kept from one interval to the next. At ten intervals
+    /// per second, the half-life is 2.7 s.
     const SLOW_KEPT: f32 = 0.975;
-    /// Share of the short-term average that is kept: a half-life of 0.3 s.
+    /// Share of the short-term average that is kept from one interval to the next. At ten intervals
+    /// per second, the half-life is 0.3 s.
     const FAST_KEPT: f32 = 0.8;
     /// Number of standard deviations by which an assigned range's short-term load must exceed its
     /// long-term load to count as a surge.
     const SURGE_DEVIATIONS: f64 = 4.0;
 
-    /// Begins a new interval: reduces the weight of all earlier requests.
+    /// Begins a new interval: reduces the weight of all requests of earlier intervals.
     pub fn decay(&mut self) {
         self.slow.decay(Self::SLOW_KEPT);
         self.fast.decay(Self::FAST_KEPT);
@@ -50,14 +52,16 @@
     /// Adds the requests for a key that arrived in one interval; `per_s` is the number of intervals
     /// per second.
     pub fn add(&mut self, key: u16, requests: u16, per_s: f32) {
-        // Summed over the decaying series, a request counted once contributes this rate.
+        // A request adds the share `1 - KEPT` of this rate in its own interval, and `KEPT` times
+        // the previous share in each later interval. All these shares add up to 1.
         let rate = f32::from(requests) * per_s;
         self.slow.add(key, rate * (1.0 - Self::SLOW_KEPT));
         self.fast.add(key, rate * (1.0 - Self::FAST_KEPT));
     }
 
-    /// Returns the loads for a plan: the long-term ones, except for assigned ranges whose load has
-    /// risen by more than random variation explains.
+    /// Returns the loads on which a plan is based. These are the long-term averages, except for the
+    /// keys of assigned ranges whose load has risen by more than random variation explains: for
+    /// them, the short-term averages are returned. `per_s` is the number of intervals per second.
     pub fn loads(&self, assigned_ranges: &[AssignedRange], per_s: f64) -> KeyLoads {
         let window_s = window_s(Self::FAST_KEPT, per_s);
         let mut loads = self.slow.clone();
@@ -78,20 +82,22 @@
     }
 }
 
-/// Returns the effective averaging time of a decaying count: the variance of a load is the load
-/// divided by this time.
+/// Returns the effective averaging time, in seconds, of a moving average of which the share `kept`
+/// remains after each of `per_s` intervals per second. The variance of a load is the load divided
+/// by this time.
 fn window_s(kept: f32, per_s: f64) -> f64 {
     2.0 / f64::from(1.0 - kept) / per_s
 }
 
 impl KeyLoads {
-    /// Returns the relative standard deviation that random arrivals alone cause in a load of this
-    /// size.
+    /// Returns the standard deviation that random arrivals alone cause in a measured load of
+    /// `load_per_s`, as a share of that load.
     pub fn relative_deviation(&self, load_per_s: f64) -> f64 {
         (1.0 / (load_per_s.max(0.1) * self.window_s)).sqrt()
     }
 
-    /// Reduces the weight of earlier requests; `kept` is the share that remains.
+    /// Reduces the weight of earlier requests in all loads; `kept` is the share of each load that
+    /// remains.
     fn decay(&mut self, kept: f32) {
         for load in &mut self.per_s {
             *load = if *load < 0.001 { 0.0 } else { *load * kept };
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -1,5 +1,5 @@
-//! Plans which keys move to which servers, as a pure function of assigned ranges, servers and
-//! loads.
+//! Plans which keys of a service are moved to which servers, as a pure function of the assigned
+//! ranges, the servers and the loads of the keys.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -9,16 +9,18 @@
 };
 use crate::entry::keys::{AssignedRange, Assignment, KeyRange};
 
-/// Minimum load, in requests per second, for which a move is worth its cost.
+/// Minimum load of a moved range, in requests per second, for which a move that balances the load
+/// is worth its cost.
 const LOAD_MOVED_MIN: f64 = 0.3;
-/// Weight of the number of moved keys against the error in the moved load, since moves are billed
-/// by key: the cost of moving all keys, in multiples of the load to be moved.
+/// Weight of the number of keys in a move, which is billed by key, against the difference between
+/// the load that is moved and the load that should be moved. A move of all keys costs this multiple
+/// of the load that should be moved.
 const KEY_SHARE_COST: f64 = 4.0;
 
-/// A server that may hold keys, with its capacity as the planner assumes it.
+/// A server to which keys may be assigned, with its capacity as the planner assumes it.
 #[derive(Clone, Debug)]
 pub struct PlanServer {
-    /// Incarnation of the server, as named in assigned ranges.
+    /// Incarnation of the server, by the name that assigned ranges have for it.
     pub id: Arc<str>,
     /// Requests per second that the server can run within its advertised rate limit.
     pub capacity_per_s: f64,
@@ -26,27 +28,30 @@
     pub unlimited_per_s: f64,
 }
 
-/// A planned move of a key range. The caller records it in the store and carries it out.
+/// A planned move of a key range to another server. The caller of [`plan`] records the move in the
+/// store and carries it out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
-    /// Keys that get the new server; both ends of the range are included.
+    /// Keys that are moved; both ends of the range are included.
     pub range: KeyRange,
-    /// Incarnation of the server that gets the keys.
+    /// Incarnation of the server to which the keys are moved.
     pub to: Arc<str>,
-    /// Reason for the move, for the log: no server, hot key, joined or balance.
+    /// Reason for the move, for the log: "no server" (the keys had no usable server), "hot key",
+    /// "joined" (the new server had no keys) or "balance".
     pub cause: &'static str,
 }
 
 /// Inputs of the planner for one service.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs<'a> {
-    /// Assigned ranges on which the plan is based: the servers that hold the service's keys now.
+    /// Current assignment of the service's keys to servers.
     pub assignment: &'a Assignment,
-    /// Servers that may hold keys; assigned ranges of others are reassigned.
+    /// Servers to which keys may be assigned. The assigned ranges of all other servers are
+    /// reassigned to these.
     pub servers: &'a [PlanServer],
     /// Measured requests per second by key.
     pub loads: &'a KeyLoads,
-    /// Ranges that are already being moved; no new move is planned for their keys.
+    /// Ranges of keys that are already being moved; no other move is planned for these keys.
     pub moving: &'a [KeyRange],
     /// Maximum number of moves for balance in one plan.
     pub balance_moves_max: usize,
@@ -56,19 +61,22 @@
     pub policy: &'a Policy,
 }
 
+/// Plan for one service while it is being made.
 struct Plan<'a> {
     inputs: Inputs<'a>,
-    /// Hot keys, each with the server that holds it.
+    /// Hot keys, each with the server to which the key is assigned after the planned moves.
     hot: Vec<(u16, Arc<str>)>,
-    /// Load by server, in requests per second, after the planned moves and without the excess of
-    /// hot keys.
+    /// Load of each server in [`Inputs::servers`], in requests per second, after the planned moves.
+    /// The load of hot keys beyond the capacity of their servers is left out.
     used: HashMap<Arc<str>, f64>,
+    /// Assigned ranges, without the keys of planned moves between servers.
     assigned_ranges: Vec<AssignedRange>,
     moves: Vec<Move>,
 }
 
-/// Plans moves: keys without a usable server first, then hot keys, keys for servers that have none,
-/// and moves that balance the load. Returns no moves if there are no servers.
+/// Plans the moves for one service: first those of keys without a usable server, then those of hot
+/// keys, those to servers without keys, and those that balance the load. Returns no moves if there
+/// are no servers.
 pub fn plan(inputs: Inputs<'_>) -> Vec<Move> {
     if inputs.servers.is_empty() {
         return Vec::new();
@@ -103,8 +111,9 @@
         plan
     }
 
-    /// Counts hot keys only with the load that their servers can serve: the excess requests are
-    /// refused wherever the keys are.
+    /// Finds the servers of the hot keys, and removes the load of each hot key that its server
+    /// cannot serve from the load of that server: hosts refuse these requests whichever server the
+    /// key is assigned to.
     fn add_hot_keys(&mut self) {
         if !self.inputs.policy.hot_alone {
             return;
@@ -123,19 +132,21 @@
         }
     }
 
-    /// Returns the load of a hot key beyond the capacity of its server.
+    /// Returns the load of a hot key beyond the capacity of its server, in requests per second.
     fn hot_excess(&self, (key, server): &(u16, Arc<str>)) -> f64 {
         (self.inputs.loads.key(*key) - self.capacity(server)).max(0.0)
     }
 
-    /// Returns the load of a server's hot keys, at most the server's capacity.
+    /// Returns the load of a server's hot keys, in requests per second, at most the server's
+    /// capacity.
     fn hot_load(&self, server: &str) -> f64 {
         let keys = self.hot.iter().filter(|(_, holder)| **holder == *server);
         let load: f64 = keys.map(|(key, _)| self.inputs.loads.key(*key)).sum();
         load.min(self.capacity(server))
     }
 
-    /// Moves each hot key to the fastest server, if that is much faster than its current one.
+    /// Moves each hot key to the fastest server without a hot key, if the capacity of that server
+    /// is at least [`Policy::hot_faster`] times that of the key's current server.
     fn move_hot_keys(&mut self) {
         for (key, from) in self.hot.clone() {
             let range = KeyRange {
@@ -163,7 +174,7 @@
         }
     }
 
-    /// Returns the server with the largest capacity that holds no hot key.
+    /// Returns the server with the largest capacity among the servers without a hot key.
     fn fastest(&self) -> Option<Arc<str>> {
         let is_free =
             |server: &&PlanServer| !self.hot.iter().any(|(_, holder)| *holder == server.id);
@@ -172,7 +183,7 @@
         Some(fastest.id.clone())
     }
 
-    /// Splits a range into the parts between hot keys.
+    /// Returns the parts of a range that remain without its hot keys.
     fn without_hot(&self, range: KeyRange) -> Vec<KeyRange> {
         let mut parts = vec![range];
         for (key, _) in &self.hot {
@@ -184,19 +195,23 @@
         parts
     }
 
+    /// Returns the capacity of a server in requests per second, at least 0.1 so that it can be a
+    /// divisor; 1 for an unknown server.
     fn capacity(&self, id: &str) -> f64 {
         let servers = self.inputs.servers.iter();
         let found = servers.into_iter().find(|server| *server.id == *id);
         found.map_or(1.0, |server| server.capacity_per_s.max(0.1))
     }
 
+    /// Returns the load of a server after the planned moves, as a share of its capacity.
     fn utilisation(&self, server: &PlanServer) -> f64 {
         self.used[&server.id] / server.capacity_per_s.max(0.1)
     }
 
     fn mean_utilisation(&self) -> f64 {
         let capacity: f64 = self.inputs.servers.iter().map(|s| s.capacity_per_s).sum();
-        // Excludes the load that no server can serve.
+        // Hosts refuse the requests for hot keys that no server can serve, so these are not
+        // counted.
         let excess: f64 = self.hot.iter().map(|hot| self.hot_excess(hot)).sum();
         let load = self.inputs.loads.of(KeyRange::ALL) - excess;
         load / capacity.max(0.1)
@@ -215,14 +230,15 @@
     fn push(&mut self, range: KeyRange, to: Arc<str>, cause: &'static str) {
         let load = self.inputs.loads.of(range);
         if let Some(used) = self.used.get_mut(&to) {
-            // A range without load counts a little, so that idle ranges are spread too.
+            // A small load is added for each key, so that ranges without requests are spread among
+            // the servers too.
             *used += load + 0.01 * f64::from(range.len()) / KEYS as f64;
         }
         self.moves.push(Move { range, to, cause });
     }
 
-    /// Assigns each range without a usable server to the least used servers, in pieces of at most
-    /// half the mean load of a server.
+    /// Plans the assignment of each range without a usable server to the least used servers, in
+    /// pieces whose load is at most half the mean load of a server.
     fn assign_unowned_keys(&mut self) {
         let mut unowned: Vec<KeyRange> = self.inputs.assignment.gaps();
         for assigned_range in &self.assigned_ranges {
@@ -243,7 +259,8 @@
         }
     }
 
-    /// Splits a range into pieces whose load is at most `load_max`; a single key is never split.
+    /// Splits a range into contiguous pieces whose load is at most `load_max`, except for single
+    /// keys with a larger load, which cannot be split.
     fn pieces(&self, range: KeyRange, load_max: f64) -> Vec<KeyRange> {
         let mut pieces = Vec::new();
         let mut first = range.first;
@@ -267,8 +284,8 @@
         pieces
     }
 
-    /// Gives each server without keys half the load of the most used server, even if no server is
-    /// busy: a server that joins should serve requests before the others are full.
+    /// Moves half the load of the most used server to each server without keys, even if no server
+    /// is busy: a server that joins should serve requests before the other servers are full.
     fn fill_idle_servers(&mut self) {
         let holds = |id: &Arc<str>| {
             self.assigned_ranges
@@ -292,8 +309,8 @@
         }
     }
 
-    /// Returns the server with the highest utilisation that is not in `excluded`; `None` if none is
-    /// left.
+    /// Returns the server with the highest utilisation that is not in `excluded`; `None` if all
+    /// servers are excluded.
     fn most_used(&self, excluded: &[Arc<str>]) -> Option<Arc<str>> {
         let servers = self.inputs.servers.iter();
         let servers = servers.filter(|server| !excluded.contains(&server.id));
@@ -301,9 +318,10 @@
         Some(most.id.clone())
     }
 
-    /// Moves keys from the most used servers to the least used ones, until no server is busy: none
-    /// is above both the utilisation below which servers keep their keys and the mean with the
-    /// allowance for random variation. The number of moves is limited.
+    /// Moves keys from the most used servers to the least used ones until no server is busy or the
+    /// maximum number of moves is reached. A server is busy if its utilisation is at least
+    /// [`Policy::balance_busy_share`] and exceeds the mean by more than [`Policy::balance_excess`]
+    /// and random variation explain.
     fn balance(&mut self) {
         let mean = self.mean_utilisation();
         let servers = self.inputs.servers.len() as f64;
@@ -339,13 +357,15 @@
                 self.select_range(&from, wanted)
             };
             let Some(range) = selected else {
-                // The server has only a hot key left, or a limit below its smallest range. The
-                // other servers are still balanced.
+                // No suitable range was found: the server has only a hot key left, or too little
+                // load above its target to move its smallest range. The other servers are still
+                // balanced.
                 exhausted.push(from);
                 continue;
             };
             let load = self.inputs.loads.of(range);
-            // A move that only swaps the loads of the two servers gains nothing.
+            // A move gains nothing if the receiving server would then be at least as busy as the
+            // other server was before.
             let after = (self.used[&to] + load) / self.capacity(&to);
             if after >= share {
                 return;
@@ -354,7 +374,8 @@
         }
     }
 
-    /// Plans the move of a range away from the server that holds it.
+    /// Plans the move of a range from the server `from`, to which it is assigned, to the server
+    /// `to`.
     fn move_range(&mut self, range: KeyRange, from: &Arc<str>, to: Arc<str>, cause: &'static str) {
         let load = self.inputs.loads.of(range);
         if let Some(used) = self.used.get_mut(from) {
@@ -364,6 +385,7 @@
         self.push(range, to, cause);
     }
 
+    /// Removes a range from the assigned ranges, so that no further move is planned for its keys.
     fn clear(&mut self, range: KeyRange) {
         let mut rest = Assignment {
             fence: 0,
@@ -373,8 +395,9 @@
         self.assigned_ranges = rest.assigned_ranges;
     }
 
-    /// Selects a range at either end of one of the server's assigned ranges, with a load close to
-    /// `wanted` and at most half above it, and with few keys, since moves are billed by key.
+    /// Selects a range of keys to move away from a server: one of its assigned ranges, or a part at
+    /// either end of one, without hot keys. The load of the selected range is close to `wanted` and
+    /// at most half above it. Ranges with fewer keys are preferred, since moves are billed by key.
     fn select_range(&self, from: &str, wanted: f64) -> Option<KeyRange> {
         let mut best: Option<(KeyRange, f64)> = None;
         for assigned_range in &self.assigned_ranges {
@@ -397,8 +420,8 @@
         best.map(|(range, _)| range)
     }
 
-    /// Returns the whole range and the largest ranges at its two ends that stay within the wanted
-    /// load.
+    /// Returns the candidates for a move from a range: the whole range, and the largest parts at
+    /// its two ends whose load is at most `wanted`.
     fn ends(&self, range: KeyRange, wanted: f64) -> Vec<KeyRange> {
         let mut found = vec![range];
         let mut sum = 0.0;
--- a/src/entry/decide/policy.rs
+++ b/src/entry/decide/policy.rs
@@ -1,5 +1,5 @@
-//! Thresholds of the decisions. They are settings, so that each can be tuned and disabled
-//! separately; docs/DECISIONS.md describes the measured effect of each.
+//! Thresholds of the decisions. The thresholds are settings, so that operators can tune or disable
+//! each separately; docs/DECISIONS.md describes the measured effect of each.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,75 +7,85 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// Cost of choosing a server in another availability zone, as a share of the run time: traffic
-    /// between zones is billed.
+    /// Cost of choosing a server in another availability zone, as a share of the expected time
+    /// until its response: traffic between zones is billed.
     pub zone_cost: f64,
-    /// Cost of opening a connection, as a share of the run time: new connections are billed.
+    /// Cost of opening a connection to a server, as a share of the expected time until its
+    /// response: new connections are billed.
     pub connect_cost: f64,
-    /// Cost of a server whose attempts all fail, as a multiple of the run time.
+    /// Cost of a server at which all attempts fail, as a multiple of the expected time until its
+    /// response; in proportion for a smaller share of failures.
     pub failure_cost: f64,
-    /// Half-life of the slowdown that a server reported in a response; 0 ignores the slowdown. Slow
-    /// periods last some hundred milliseconds.
+    /// Half-life, in milliseconds, of the slowdown that a server reported in a response; with 0,
+    /// hosts ignore slowdowns. Slow periods of servers last some hundred milliseconds.
     #[serde(rename = "pace_memory_ms")]
     pub slowdown_memory_ms: u64,
-    /// Bonus for a server without recent samples, as a share of the run time, so that servers that
-    /// joined or were avoided get requests again.
+    /// Bonus for a server without recent samples of its run time, as a share of the expected time
+    /// until its response, so that servers that joined or were avoided get requests again.
     pub unknown_bonus: f64,
-    /// Random part of a server's cost, so that hosts with the same data do not all choose the same
-    /// server.
+    /// Largest random part of a server's cost, as a share of the expected time until its response,
+    /// so that hosts with the same data do not all choose the same server.
     pub jitter: f64,
-    /// Maximum number of requests at a server, as a multiple of its slots; at this load it gets no
-    /// more. Servers queue about four times their slots, and reset or shed requests beyond that.
+    /// Maximum number of requests that run or queue at a server, as a multiple of its slots; at
+    /// this load the server gets no more requests. Servers queue about four times as many requests
+    /// as they have slots, and reset or shed requests beyond that.
     pub load_max_factor: u32,
-    /// Share of the time until the latency objective within which the response to a new request
-    /// must be expected.
+    /// Share of the time until the latency objective of a request within which the response must be
+    /// expected for the request to be admitted at a server.
     pub queue_share: f64,
-    /// True if requests that have missed their objective may queue at a server until their
-    /// deadline.
+    /// True if a request that has missed its latency objective may queue at a server as long as its
+    /// response is expected before the deadline.
     pub late_may_queue: bool,
-    /// True if requests that are more urgent than others of their service may queue until their
-    /// deadline: a late response to them is worth more than a timely response to the others.
+    /// True if a request that is more urgent than others of its service may queue as long as its
+    /// response is expected before the deadline: a late response to an urgent request is worth more
+    /// than a timely response to the others.
     pub urgent_may_be_late: bool,
-    /// True if run times are tracked by route. With one average per service, a service with
-    /// invoices of 60 ms and reads of 360 ms refused a quarter of the invoices, because it expected
-    /// each to run for 300 ms.
+    /// True if hosts track run times by route. With only one average per service, a service with
+    /// invoices of 60 ms and reads of 360 ms refused a quarter of the invoices, because each
+    /// invoice was expected to run for 300 ms.
     pub runs_by_route: bool,
-    /// True if a server with a free slot gets a request even if it is expected to miss the
-    /// objective, as long as it is expected to end before the deadline.
+    /// True if a server with a free slot gets a request that is expected to miss the latency
+    /// objective, as long as the response is expected before the deadline.
     pub free_slot_admits: bool,
-    /// Longest time for which a request is held while its key is being moved. Most moves between
-    /// servers whose requests run for 100 ms complete within it.
+    /// Time, in milliseconds, for which a request is held at most while its key is being moved.
+    /// Most moves between servers whose requests run for 100 ms complete within this time.
     pub hold_ms: u64,
-    /// Share of the latency objective for which a request is held if that is longer than `hold_ms`.
-    /// A request that has waited for longer is better refused, so that its caller retries.
+    /// Share of the latency objective for which a request is held at most, if that is longer than
+    /// `hold_ms`. After a longer wait it is better to refuse the request, so that its caller
+    /// retries.
     pub hold_share: f64,
-    /// Load of a key, as a multiple of its server's capacity, from which the key counts as hot.
+    /// Load of a key from which the key counts as hot, as a multiple of the capacity of the key's
+    /// server.
     pub hot_factor: f64,
-    /// Rate of requests admitted for a hot key, as a multiple of the capacity: random arrivals
-    /// leave gaps, which a short queue fills.
+    /// Rate of requests that hosts admit for a hot key, as a multiple of the capacity of the key's
+    /// server. With a value above 1, a short queue fills the gaps that random arrivals leave.
     pub hot_admitted: f64,
-    /// True if a hot key gets the fastest server to itself.
+    /// True if the planner moves a hot key to the fastest server, and other keys of that server
+    /// elsewhere if it is busy.
     pub hot_alone: bool,
-    /// Minimum ratio of the fastest server's capacity to that of a hot key's server for which the
-    /// key moves: a move costs some requests, and capacities are estimates.
+    /// Minimum ratio of the fastest server's capacity to the capacity of a hot key's server for
+    /// which the planner moves the hot key: some requests are held or refused during each move, and
+    /// capacities are estimates.
     pub hot_faster: f64,
-    /// Shortest time after which a refused caller should retry. An earlier retry would find nothing
-    /// changed.
+    /// Shortest time, in milliseconds, after which a refused caller is told to retry. An earlier
+    /// retry would be refused as well, since the load would not have changed yet.
     pub return_min_ms: u64,
-    /// Time after which a caller should retry whose request was shed by a server with free slots:
-    /// that server has no queue to drain.
+    /// Time, in milliseconds, after which a caller is told to retry if a server with free slots
+    /// shed its request: such a server has no queue that must drain first.
     pub return_shed_ms: u64,
-    /// Load of a server, as a multiple of the mean, above which keys are moved away from it, after
-    /// allowing for random variation.
+    /// Utilisation of a server, as a multiple of the mean utilisation, above which keys are moved
+    /// away from the server. Random variation is allowed for in addition, by `balance_chance`.
     pub balance_excess: f64,
-    /// Number of standard deviations of a server's load that are attributed to random variation.
-    /// Among a hundred servers, one or two still exceed it.
+    /// Number of standard deviations of a server's load that are attributed to random variation, so
+    /// that the planner does not react to them. Among a hundred servers, one or two still exceed
+    /// this allowance by chance.
     pub balance_chance: f64,
-    /// Utilisation below which a server keeps its keys, even if other servers have less load: a
-    /// move makes the requests for its keys wait for those that still run, and a server with free
-    /// slots is no slower.
+    /// Utilisation below which a server keeps its keys, even if other servers have less load. A
+    /// move makes the requests for the moved keys wait until the running requests have completed,
+    /// and a server with free slots is no slower than a less used one.
     pub balance_busy_share: f64,
-    /// Target utilisation of both servers after a move for balance.
+    /// Target utilisation of the two servers of a move for balance. If the mean utilisation is
+    /// higher, the mean is the target.
     pub balance_goal_share: f64,
 }
 
