--- a/src/entry/decide/quarantine.rs
+++ b/src/entry/decide/quarantine.rs
@@ -1,31 +1,33 @@
-//! Requests that are no longer forwarded to any server, since several servers have crashed during
-//! them.
+//! Quarantine of requests: hosts refuse these requests instead of forwarding them to servers,
+//! because several servers have crashed during them.
 
 use std::collections::HashMap;
 
 use crate::entry::digest::RequestDigest;
 
-/// Time for which a request is not forwarded. After it, a later version of the service may run the
-/// request, and a caller whose request was suspected by coincidence is served again.
+/// Time for which one caller's request is in quarantine, in milliseconds. After it, a later version
+/// of the service may run the request, and a caller whose request was suspected by coincidence is
+/// served again.
 pub const QUARANTINE_MS: u64 = 60 * 60 * 1_000;
-/// Quarantine time of content or paths that are refused for all callers. It is shorter than
-/// [`QUARANTINE_MS`] because refusing a harmless path costs more. The evidence lasts longer than
-/// this quarantine, so afterwards one host runs a trial: success clears the suspect, and another
-/// crash returns it to quarantine.
+/// Time for which a content or path is in quarantine for all callers, in milliseconds. The time is
+/// shorter than [`QUARANTINE_MS`] because refusing a harmless path for all callers costs more. The
+/// evidence against the content or path lasts longer than this quarantine, so one host runs a trial
+/// afterwards: a success drops the evidence, and another crash starts a new quarantine.
 pub const ANY_CALLER_QUARANTINE_MS: u64 = 10 * 60 * 1_000;
 /// Maximum number of requests in quarantine, which keeps their row in the store under 5 KB. Beyond
-/// it the oldest ones are released.
+/// this number, the oldest requests are released.
 const QUARANTINED_MAX: usize = 256;
 
-/// Requests in quarantine, with the time at which this host learned of each.
+/// Requests in quarantine, with the time at which this host learned of the quarantine of each.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     since_ms: HashMap<RequestDigest, u64>,
 }
 
 impl Quarantine {
-    /// Starts the quarantine of a request and releases the oldest ones beyond [`QUARANTINED_MAX`].
-    /// Returns false if the request is in quarantine already; its time then stays the same.
+    /// Starts the quarantine of a request, and releases the oldest requests beyond
+    /// [`QUARANTINED_MAX`]. Returns false if the request is in quarantine already; the quarantine
+    /// then ends at the same time as before.
     pub fn add(&mut self, digest: RequestDigest, now_ms: u64) -> bool {
         if self.remaining_ms(digest, now_ms).is_some() {
             return false;
@@ -37,14 +39,15 @@
         true
     }
 
-    /// Returns the time left in quarantine; `None` if the request is not in quarantine.
+    /// Returns the time, in milliseconds, until the quarantine of a request ends; `None` if the
+    /// request is not in quarantine.
     pub fn remaining_ms(&self, digest: RequestDigest, now_ms: u64) -> Option<u64> {
         let until_ms = self.since_ms.get(&digest)? + quarantine_ms(digest);
         (now_ms < until_ms).then(|| until_ms - now_ms)
     }
 
-    /// Returns all requests in quarantine, the latest first, after dropping those whose time has
-    /// passed.
+    /// Returns all requests in quarantine, the latest first, after dropping those whose quarantine
+    /// has ended.
     pub fn latest(&mut self, now_ms: u64) -> Vec<RequestDigest> {
         self.since_ms
             .retain(|digest, since_ms| now_ms < *since_ms + quarantine_ms(*digest));
@@ -56,8 +59,8 @@
         ranked.into_iter().map(|(_, digest)| digest).collect()
     }
 
-    /// Returns the number of requests in quarantine, including those that have expired and are not
-    /// yet dropped.
+    /// Returns the number of requests in quarantine, including those whose quarantine has ended and
+    /// that are not dropped yet.
     pub fn len(&self) -> usize {
         self.since_ms.len()
     }
@@ -69,7 +72,8 @@
     }
 }
 
-/// Returns the quarantine time for a digest, which depends on its scope: one caller or all of them.
+/// Returns the duration of the quarantine of a digest, in milliseconds. The duration depends on
+/// whether the digest covers one caller or all callers.
 fn quarantine_ms(digest: RequestDigest) -> u64 {
     if digest.is_of_any_caller() {
         ANY_CALLER_QUARANTINE_MS
--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -1,11 +1,13 @@
-//! Quotas of workspaces, which are enforced by all hosts together.
+//! Quotas of workspaces, which all hosts enforce together. A quota is the request rate that a
+//! workspace is entitled to.
 //!
-//! A workspace's callers may send more requests than its quota, through any hosts. Hundreds of
-//! hosts receive less than one request per second each from most workspaces, so a fixed part of the
-//! quota for each host would refuse requests that are within the quota. Instead every host reports
-//! the requests that it received and sent on; the leader keeps one [`Ledger`] for each workspace
-//! and announces the share of its requests that hosts may admit. A host that receives no
-//! announcements continues to use the last one ([`HostShare`]).
+//! The callers of a workspace may send more requests than its quota, to any of the hosts. Hundreds
+//! of hosts receive less than one request per second each from most workspaces, so a fixed part of
+//! the quota for each host would refuse requests that are within the quota. Instead, each host
+//! reports to the leader the requests that it received and sent to servers. The leader keeps one
+//! [`Ledger`] for each workspace, and announces the share of the workspace's requests that hosts
+//! may admit. A host that receives no announcements continues to use the last announced share for
+//! some time ([`HostShare`]).
 
 use serde::{Deserialize, Serialize};
 
@@ -16,18 +18,19 @@
 pub struct Quota {
     /// Sustained rate, in requests per second.
     pub per_s: f64,
-    /// Number of requests above that rate that may be sent at once.
+    /// Number of requests in excess of the sustained rate that may be sent at once.
     pub burst: f64,
 }
 
-/// Usage of a workspace's quota: requests that hosts received from its callers and sent to servers.
+/// Usage of a workspace's quota at one host: the requests that the host received from the
+/// workspace's callers, and those that it sent to servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaUsage {
-    /// Requests received from the workspace's callers since the host's last report, admitted or
-    /// not.
+    /// Number of requests that the host received from the workspace's callers since its last
+    /// report, whether admitted or not.
     pub asked: u32,
-    /// Requests that were sent to a server since the host's last report; only these use up the
-    /// quota.
+    /// Number of requests that the host sent to a server since its last report. Only these requests
+    /// use up the quota.
     pub sent: u32,
 }
 
@@ -47,30 +50,35 @@
     }
 }
 
-/// Time constant of the measured request rate. A surge must be detected before it has spent more
-/// than the burst.
+/// Time constant, in milliseconds, of the request rate that the leader measures for a workspace. A
+/// surge must be detected before its requests exceed the burst.
 const DEMAND_MEMORY_MS: f64 = 400.0;
-/// Time over which the balance of a ledger is handed out, or an overdraft is recovered.
+/// Time, in seconds, over which the leader hands out the balance of a ledger to hosts, or recovers
+/// an overdraft.
 const SPEND_S: f64 = 1.0;
-/// Share of a quota that is credited to ledgers: some reports are lost, and the usage in them is
-/// never counted.
+/// Share of a quota that is credited to its ledger. The remainder allows for lost reports, whose
+/// usage the ledger never counts.
 const ACCRUED_SHARE: f64 = 0.98;
-/// Largest overdraft of a ledger, in seconds of the quota. A larger one would refuse requests
-/// within the quota for too long.
+/// Largest overdraft of a ledger, as the number of requests that the quota allows in this many
+/// seconds. With a larger overdraft, requests within the quota would be refused for too long.
 const OVERDRAWN_MAX_S: f64 = 2.0;
 
-/// Balance of a workspace's quota, kept by the leader. A new ledger is empty, since a previous
-/// leader may just have handed out the whole quota.
+/// Account of a workspace's quota, kept by the leader. The quota is credited to the ledger over
+/// time, and the requests that hosts sent are debited. A new ledger has a balance of 0, since a
+/// previous leader may just have handed out the whole quota.
 #[derive(Clone, Copy, Debug)]
 pub struct Ledger {
+    /// Number of requests that may be sent in addition to the sustained rate; negative for an
+    /// overdraft.
     balance: f64,
+    /// Number of requests that hosts reported as received, each weighted by its age at `at_ms`.
     demand_weight: f64,
     began_ms: u64,
     at_ms: u64,
 }
 
 impl Ledger {
-    /// Creates a ledger with a balance of 0; the quota is credited to it from `now_ms` on.
+    /// Creates a ledger with a balance of 0, to which the quota is credited from `now_ms` on.
     pub fn new(now_ms: u64) -> Self {
         Self {
             balance: 0.0,
@@ -80,8 +88,8 @@
         }
     }
 
-    /// Debits the requests that a host reported as sent, down to an overdraft of
-    /// [`OVERDRAWN_MAX_S`], and counts all received ones in the request rate.
+    /// Records the usage that a host reported: debits the sent requests, down to an overdraft of
+    /// [`OVERDRAWN_MAX_S`], and counts all received requests in the request rate.
     pub fn note(&mut self, quota: Quota, reported: QuotaUsage, now_ms: u64) {
         self.accrue(quota, now_ms);
         self.demand_weight += f64::from(reported.asked);
@@ -89,8 +97,8 @@
         self.balance = (self.balance - f64::from(reported.sent)).max(least);
     }
 
-    /// Returns the share of the workspace's requests that each host may admit until the next
-    /// announcement.
+    /// Returns the share of the workspace's requests that each host may admit until the leader's
+    /// next announcement.
     pub fn admitted(&mut self, quota: Quota, now_ms: u64) -> AdmittedShare {
         self.accrue(quota, now_ms);
         let asked_per_s = self.asked_per_s();
@@ -106,7 +114,8 @@
         }
     }
 
-    /// Returns true if the reported request rate has decayed to nearly 0.
+    /// Returns true if the request rate that hosts reported has decayed to nearly 0, so that the
+    /// ledger is no longer needed.
     pub fn is_idle(&self) -> bool {
         self.demand_weight < 1e-6
     }
@@ -119,8 +128,8 @@
         self.at_ms = now_ms;
     }
 
-    /// Returns the reported requests per second. The average of a new ledger is scaled up, since it
-    /// covers only the time since the ledger was created.
+    /// Returns the request rate that hosts reported, in requests per second. The average of a new
+    /// ledger is scaled up, since it covers only the time since the ledger was created.
     fn asked_per_s(&self) -> f64 {
         let age_ms = self.at_ms.saturating_sub(self.began_ms) as f64;
         let covered_share = (1.0 - (-age_ms / DEMAND_MEMORY_MS).exp()).max(0.2);
@@ -128,35 +137,38 @@
     }
 }
 
-/// State of a workspace's quota at one host, which decides which requests that host admits.
+/// State of a workspace's quota at one host, by which the host decides which requests to admit.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HostShare {
     /// Last announcement of the leader, and its arrival time.
     announced: Option<(AdmittedShare, u64)>,
-    /// This host's share of the requests of all hosts, as of the last announcement.
+    /// Share of the workspace's requests to all hosts that this host received, from 0 to 1, as of
+    /// the last announcement; `None` before the first.
     demand_share: Option<f64>,
-    /// Limit on what this host sends while the leader does not confirm its share.
+    /// Token bucket that limits the requests that this host admits while it receives no
+    /// announcements of the leader.
     fallback_bucket: Bucket,
     since_report: QuotaUsage,
-    /// Rate of requests that this host has recently received from the workspace's callers.
+    /// Rate at which this host has recently received requests from the workspace's callers.
     own: RateMeter,
 }
 
-/// Time for which a share stays valid without confirmation by the leader.
+/// Time for which a host applies the last announced share while it receives no new announcement, in
+/// milliseconds.
 const SHARE_KEPT_MS: u64 = 5_000;
 
-/// Inputs of the admission decision besides the announced share.
+/// Inputs of [`HostShare::admits`] that are the same for all workspaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaContext {
-    /// Number of hosts that share quotas, including this one.
+    /// Number of hosts that share the quotas, including the deciding host.
     pub hosts: usize,
-    /// True if this host has recently received an announcement of the leader.
+    /// True if the deciding host has recently received an announcement of the leader.
     pub is_confirmed: bool,
 }
 
 impl HostShare {
-    /// Counts a request and returns true if it is within the quota; `point` is its random draw from
-    /// 0 to 1.
+    /// Counts a request as received, and returns true if the host may admit the request. `point` is
+    /// the random draw for the request, from 0 to 1.
     pub fn admits(&mut self, quota: Quota, context: QuotaContext, point: f64, now_ms: u64) -> bool {
         self.since_report.asked += 1;
         self.own.note(now_ms);
@@ -167,8 +179,8 @@
         if context.is_confirmed {
             return point < share;
         }
-        // A share close to 0 is not reliable, since the host may have received few requests at that
-        // time; so the share is at least that of an average host.
+        // A `demand_share` close to 0 is not reliable, since the host may have received few
+        // requests when it was computed. So the host uses at least the share of an average host.
         let demand_share = self
             .demand_share
             .unwrap_or(0.0)
@@ -189,7 +201,8 @@
         self.since_report.sent += 1;
     }
 
-    /// Replaces the announced share and updates this host's part of the total request rate.
+    /// Stores a new announcement of the leader, and updates this host's share of the requests to
+    /// all hosts.
     pub fn note_announced(&mut self, announced: AdmittedShare, now_ms: u64) {
         let own_per_s = self.own.per_s(now_ms);
         if announced.asked_per_s > 0.0 {
@@ -198,17 +211,18 @@
         self.announced = Some((announced, now_ms));
     }
 
-    /// Returns the last announcement of the leader, however old; `None` before the first.
+    /// Returns the last announcement of the leader, whatever its age; `None` before the first.
     pub fn announced(&self) -> Option<AdmittedShare> {
         self.announced.map(|(announced, _)| announced)
     }
 
-    /// Returns true if the last announcement requires some requests to be refused.
+    /// Returns true if the last announcement, whatever its age, requires hosts to refuse some
+    /// requests.
     pub fn is_limited(&self) -> bool {
         self.announced().is_some_and(AdmittedShare::is_limiting)
     }
 
-    /// Returns the usage since the last report, and resets it.
+    /// Returns this host's usage of the quota since its last report to the leader, and resets it.
     pub fn take_report(&mut self) -> QuotaUsage {
         std::mem::take(&mut self.since_report)
     }
--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -1,55 +1,61 @@
-//! Rate limits that servers advertise in their responses: the requests per second that a server
-//! accepts from all hosts together, for as long as it advertises the limit.
+//! Rate limits that servers advertise in their responses. A rate limit is the number of requests
+//! per second that a server accepts from all hosts together, for as long as the server advertises
+//! it.
 
-/// Minimum rate at which a limited server gets probe requests, so that the end of a limit of 0 is
-/// noticed. The probe rate doubles after each [`PROBE_AFTER_MS`] without a new advertisement, up to
-/// the maximum, which stays within the users' requirements for any limit.
+/// Bounds of the rate of probe requests, in requests per second. All hosts together send a limited
+/// server at least probe requests, so that they notice the end of a limit of 0. The probe rate
+/// doubles after each [`PROBE_AFTER_MS`] without a new advertisement, from the minimum up to the
+/// maximum, which stays within the users' requirements for any limit.
 const PROBE_MIN_PER_S: f64 = 0.25;
 const PROBE_MAX_PER_S: f64 = 1.0;
-/// Time for which hosts continue to announce that a limit has ended, so that the others learn of
-/// it.
+/// Time, in milliseconds, for which hosts announce to each other that the limit of a server has
+/// ended.
 const END_ANNOUNCED_MS: u64 = 5_000;
-/// Time without an advertisement after which a request that may go to the server is sent there,
-/// even if another server suits it better: otherwise a server that is never chosen would keep its
-/// limit forever.
+/// Time, in milliseconds, without an advertisement of a server's limit after which hosts send the
+/// server a request that it can run, even if another server suits the request better. Otherwise a
+/// server that is never chosen would keep its limit forever.
 const PROBE_AFTER_MS: u64 = 2_000;
-/// Time without an advertisement after which the planner assumes a higher limit.
+/// Time, in milliseconds, without an advertisement of a server's limit after which the planner
+/// assumes a higher limit.
 const PLAN_PROBE_AFTER_MS: u64 = 10_000;
-/// Minimum relative change of a limit that is logged, so that small variations do not fill the
-/// log.
+/// Minimum change of a limit that is logged, as a share of the limit that was last logged. Smaller
+/// variations would fill the log.
 const CHANGE_LOGGED: f64 = 0.1;
 
-/// Rate limit that a server advertised in a response, with the time of the response.
+/// Rate limit, or absence of a rate limit, that a server advertised in a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdvertisedLimit {
-    /// Requests per second from all hosts together; `None` if there is no limit.
+    /// Requests per second that the server accepts from all hosts together; `None` if it has no
+    /// limit.
     pub per_s: Option<f64>,
-    /// Arrival time of the response, by this host's clock.
+    /// Arrival time of the response, by the clock of the host that stores this value.
     pub at_ms: u64,
 }
 
 /// Rate limit of a server for all hosts together, as last advertised.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RateLimit {
-    /// Latest advertisement to any host.
+    /// Latest advertisement to any host; `None` before the first.
     latest: Option<AdvertisedLimit>,
-    /// Latest advertisement to this host.
+    /// Latest advertisement to this host; `None` before the first.
     own: Option<AdvertisedLimit>,
-    /// Time at which the server first advertised the end of its limit. A server that gets few
-    /// requests may do so long after it last advertised the limit.
+    /// Time at which the server first advertised that its limit has ended. For a server that gets
+    /// few requests, this may be long after the last advertisement of the limit.
     ended_ms: Option<u64>,
-    /// Limit that was last logged, with which [`CHANGE_LOGGED`] is compared.
+    /// Limit that was last logged; `None` if there was none. Later limits are compared with it by
+    /// [`CHANGE_LOGGED`].
     logged_per_s: Option<f64>,
 }
 
 impl RateLimit {
-    /// Records an advertisement to this host, which this host reports to the others.
+    /// Records an advertisement to this host. This host reports such advertisements to the other
+    /// hosts.
     pub fn note_own(&mut self, advertised: AdvertisedLimit) {
         self.own = Some(advertised);
         self.note(advertised);
     }
 
-    /// Records an advertisement to any host; ignored if a later one is known.
+    /// Records an advertisement to any host; the advertisement is ignored if a later one is known.
     pub fn note(&mut self, advertised: AdvertisedLimit) {
         if self
             .latest
@@ -63,7 +69,8 @@
         self.latest = Some(advertised);
     }
 
-    /// Returns the last advertised limit, in requests per second; `None` if there is none.
+    /// Returns the last advertised limit, in requests per second; `None` if the server has no
+    /// limit.
     pub fn per_s(&self) -> Option<f64> {
         self.latest?.per_s
     }
@@ -74,8 +81,8 @@
         latest.is_some_and(|advertised| now_ms >= advertised.at_ms + PROBE_AFTER_MS)
     }
 
-    /// Returns the rate that hosts share, in requests per second, including probes; `None` if there
-    /// is no limit.
+    /// Returns the rate, in requests per second, that all hosts together may send to the server:
+    /// the limit, or the rate of probe requests if that is higher. `None` if there is no limit.
     pub fn shared_per_s(&self, now_ms: u64) -> Option<f64> {
         let latest = self.latest?;
         let silent_ms = now_ms.saturating_sub(latest.at_ms);
@@ -84,8 +91,9 @@
         Some(latest.per_s?.max(probe_per_s))
     }
 
-    /// Returns the limit that the planner assumes, in requests per second. A server without a
-    /// recent advertisement may hold no keys whose requests would bring one, so the assumed limit
+    /// Returns the limit that the planner assumes for the server, in requests per second; `None` if
+    /// there is no limit. A server without a recent advertisement may be assigned no keys, so that
+    /// it gets no requests whose responses could advertise a new limit. Therefore the assumed limit
     /// doubles after each [`PLAN_PROBE_AFTER_MS`].
     pub fn planned_per_s(&self, now_ms: u64) -> Option<f64> {
         let latest = self.latest?;
@@ -95,8 +103,8 @@
         Some(probe_per_s * (1u64 << doubled) as f64)
     }
 
-    /// Returns true if other hosts should be informed: the server has a limit, or its limit ended
-    /// recently.
+    /// Returns true if this host should announce the latest advertisement to other hosts: the
+    /// server has a limit, or its limit ended less than [`END_ANNOUNCED_MS`] ago.
     pub fn should_announce(&self, now_ms: u64) -> bool {
         let is_fresh = |ended_ms| now_ms < ended_ms + END_ANNOUNCED_MS;
         self.per_s().is_some() || self.ended_ms.is_some_and(is_fresh)
@@ -107,15 +115,16 @@
         self.latest
     }
 
-    /// Returns the latest advertisement to this host, the only one that it reports to others.
-    /// Reports of other hosts' advertisements would circulate among the hosts, each time with a
-    /// slightly later time, and outlive the limit.
+    /// Returns the latest advertisement to this host. A host reports only these advertisements to
+    /// others: if hosts passed on reports of other hosts, the reports would circulate among the
+    /// hosts, each time with a slightly later time, and outlive the limit.
     pub fn own(&self) -> Option<AdvertisedLimit> {
         self.own
     }
 
-    /// Returns true once for each change that is logged: the limit began, ended or changed by more
-    /// than the share [`CHANGE_LOGGED`].
+    /// Returns true if the limit has begun, ended or changed by more than the share
+    /// [`CHANGE_LOGGED`] since the last call that returned true, so that the caller logs each
+    /// change once.
     pub fn take_change(&mut self) -> bool {
         let per_s = self.per_s();
         let is_new = match (self.logged_per_s, per_s) {
--- a/src/entry/decide/rate_meter.rs
+++ b/src/entry/decide/rate_meter.rs
@@ -1,13 +1,14 @@
-//! Measures the rate of requests, as an average over about the last second.
+//! Measures the rate of requests as an exponentially weighted average over about the last second.
 
-/// Time constant of the average. A host with ten requests per second measures its rate to within a
-/// third; a longer time would detect surges, and keys that have moved to another server, too late.
+/// Time constant of the average, in milliseconds. A host that receives ten requests per second
+/// measures this rate to within a third. With a longer time constant, hosts would detect surges,
+/// and moves of keys to other servers, too late.
 const MEMORY_MS: f64 = 1_000.0;
 
 /// Exponentially weighted rate of events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RateMeter {
-    /// Sum of the events, each weighted by its age at the last update.
+    /// Number of events, each weighted by its age at `at_ms`, the time of the last event.
     weight: f64,
     at_ms: u64,
 }
@@ -19,8 +20,9 @@
         self.at_ms = now_ms;
     }
 
-    /// Returns the events per second. The rate is too low in the first two seconds: a correction
-    /// would give too much weight to the first event of a host that has few.
+    /// Returns the average number of events per second. The result is too low in the first two
+    /// seconds: a correction would give too much weight to the first event of a host that has few
+    /// events.
     pub fn per_s(&self, now_ms: u64) -> f64 {
         self.decayed_weight(now_ms) * 1_000.0 / MEMORY_MS
     }
