--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -1,15 +1,17 @@
-//! Shares of hosts in the rate limit that a server advertises to all of them together.
+//! Divides the rate limit that a server advertises to all hosts among these hosts.
 //!
-//! A host's share of the limit follows the request rate of its callers, relative to that of all
-//! hosts' callers, which the leader sums up. Equal shares would waste what a quiet host does not
-//! use; shares lent by the leader would have to be reclaimed when it fails. While no sum is
-//! received, shares are equal.
+//! A host's share of the limit is the request rate of its callers, as a share of the sum for all
+//! hosts' callers. The leader computes that sum from the hosts' reports and announces it. Equal
+//! shares would waste the part that a host with few requests does not use. Shares lent by the
+//! leader would have to be reclaimed when the leader fails. While a host receives no sum, it
+//! assumes equal request rates at all hosts, so that shares are equal.
 //!
-//! A request must pass two checks, since neither bounds the total rate by itself. A random draw
-//! with an admission probability bounds the sum over all hosts relative to the request rate, for
-//! any number of hosts, but follows a surge only as fast as the sum does, a second later. A token
-//! of a [`Bucket`] limits a surge at each host; but buckets are full after a quiet time, and the
-//! buckets of hundreds of hosts hold more tokens than the limit.
+//! A request must pass two checks, since neither check alone bounds the total rate. The first is a
+//! random draw with an admission probability. It bounds the total rate of all hosts relative to the
+//! request rate, for any number of hosts, but follows a surge only as fast as the sum does, a
+//! second later. The second check is a token of a [`Bucket`], which limits a surge at each host.
+//! Tokens alone are not enough: buckets are full after a time with few requests, and the buckets of
+//! hundreds of hosts then hold more tokens than the limit allows.
 
 use std::{collections::HashMap, net::SocketAddr};
 
@@ -17,23 +19,25 @@
 
 use super::rate_meter::RateMeter;
 
-/// Share of the limit at which buckets are refilled: higher than that of the draws, so that random
-/// variation does not empty them.
+/// Refill rate of all hosts' buckets together, as a share of the limit. It is higher than
+/// [`ADMIT_SHARE`], so that random variation does not empty the buckets.
 const BUCKET_SHARE: f64 = 1.1;
 /// Share of the limit on which admission probabilities are based. The remainder is headroom for
-/// random variation: a sum that is too low admits too many.
+/// random variation: if the announced sum is too low, hosts admit too many requests.
 const ADMIT_SHARE: f64 = 0.88;
-/// Capacity of a bucket: a fixed number of tokens, and the refill of [`BURST_S`] seconds.
+/// Capacity of a bucket: [`BURST_TOKENS`] tokens and the refill of [`BURST_S`] seconds.
 const BURST_TOKENS: f64 = 2.0;
 const BURST_S: f64 = 0.4;
-/// Time for which a sum of all hosts' request rates is valid.
+/// Time for which a host uses an announced sum of all hosts' request rates, in milliseconds.
 const SUM_KEPT_MS: u64 = 2_000;
-/// Time for which a host's report counts in a sum.
+/// Time for which the leader includes a host's last report in the sum, in milliseconds.
 const REPORT_KEPT_MS: u64 = 2_000;
-/// Minimum share of a limit that is reserved for requests that are not urgent.
+/// Minimum share of a limit that is reserved for requests that are not urgent, so that urgent
+/// requests do not exclude all others.
 const NON_URGENT_SHARE_MIN: f64 = 0.25;
 
-/// Token bucket that limits how many requests a host sends to a server at once.
+/// Token bucket that limits how many requests a host sends to a server at once. Each sent request
+/// takes a token, and tokens are refilled at a given rate.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Bucket {
     tokens: f64,
@@ -42,8 +46,8 @@
 }
 
 impl Bucket {
-    /// Refills the bucket and returns true if it has a token for [`Bucket::take`]. A new bucket is
-    /// full.
+    /// Refills the bucket at `per_s` tokens per second, and returns true if it has a token for
+    /// [`Bucket::take`]. A new bucket is full.
     pub fn has_token(&mut self, per_s: f64, now_ms: u64) -> bool {
         let capacity = BURST_TOKENS + BURST_S * per_s;
         let refilled = match self.at_ms.replace(now_ms) {
@@ -54,30 +58,31 @@
         self.tokens >= 1.0
     }
 
-    /// Removes a token for a request that is about to be sent; [`Bucket::has_token`] is called
-    /// before.
+    /// Removes a token for a request that is about to be sent. The caller must have checked with
+    /// [`Bucket::has_token`] that the bucket has a token.
     pub fn take(&mut self) {
         self.tokens -= 1.0;
     }
 }
 
-/// One host's share of a rate limit that a server advertises to all hosts together.
+/// Share of one host in a rate limit that a server advertises to all hosts together, as the
+/// parameters of the two checks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateShare {
-    /// Refill rate of the host's bucket, in tokens per second.
+    /// Refill rate of the host's [`Bucket`], in tokens per second.
     pub bucket_per_s: f64,
-    /// Probability with which a request is admitted. It exceeds 1 if the limit is above the request
-    /// rate of callers; then the random draw excludes no request.
+    /// Probability with which a request is admitted by the random draw. A value of 1 or more, which
+    /// results if the limit is above the request rate of callers, admits every request.
     pub admit_probability: f64,
 }
 
-/// Demand of callers for a server, as request rates: requests that only this server may run, or
-/// that are for a service it belongs to.
+/// Demand of callers for a server, as request rates. Counted are the requests that only this server
+/// may run, and the requests for a service of which it is one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandRates {
     /// All requests per second, including the urgent ones.
     pub all_per_s: f64,
-    /// Requests per second that are more urgent than others of the service.
+    /// Requests per second that are more urgent than other requests of their service.
     pub urgent_per_s: f64,
 }
 
@@ -87,14 +92,15 @@
         self.urgent_per_s += other.urgent_per_s;
     }
 
-    /// Returns the probability with which requests of one urgency are admitted at a rate; urgent
-    /// ones come first.
+    /// Returns the probability with which requests of the given urgency are admitted if the server
+    /// accepts `rate_per_s`. Urgent requests come first, except for the share
+    /// [`NON_URGENT_SHARE_MIN`]. The result may exceed 1.
     fn admit_probability(self, rate_per_s: f64, is_urgent: bool) -> f64 {
         let for_urgent_per_s = self
             .urgent_per_s
             .min(rate_per_s * (1.0 - NON_URGENT_SHARE_MIN));
         if is_urgent {
-            // Urgent requests also use what the others leave of the rate.
+            // Urgent requests also use the part of the rate that the other requests leave unused.
             let non_urgent_per_s = self.all_per_s - self.urgent_per_s;
             let unused_per_s = (rate_per_s - for_urgent_per_s - non_urgent_per_s).max(0.0);
             return (for_urgent_per_s + unused_per_s) / self.urgent_per_s.max(f64::MIN_POSITIVE);
@@ -104,22 +110,24 @@
     }
 }
 
-/// Request rates that callers direct at a server: of this host and, as announced by the leader, of
-/// all hosts.
+/// Demand for one server, as request rates: that of this host's callers, and that of all hosts'
+/// callers as announced by the leader.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerDemand {
-    /// Meters of this host's callers: all requests, and the urgent ones.
+    /// Measured rate of all requests of this host's callers. `own_urgent` measures the urgent
+    /// requests among them.
     own: RateMeter,
     own_urgent: RateMeter,
-    /// Rates of this host's callers in its last report.
+    /// Request rates of this host's callers in its last report to the leader.
     reported: DemandRates,
-    /// Rates of the callers of all hosts, as summed by the leader, and the arrival time.
+    /// Request rates of all hosts' callers, as summed by the leader, and the arrival time of the
+    /// announcement; `None` before the first.
     sum: Option<(DemandRates, u64)>,
 }
 
 impl ServerDemand {
-    /// Counts a request that a caller of this host directs at the server, whether it is admitted or
-    /// not.
+    /// Counts a request of a caller of this host that the server may run, whether the request is
+    /// admitted or not.
     pub fn note(&mut self, is_urgent: bool, now_ms: u64) {
         self.own.note(now_ms);
         if is_urgent {
@@ -127,19 +135,22 @@
         }
     }
 
-    /// Returns the rates of this host's callers and stores them as reported.
+    /// Returns the request rates of this host's callers for a report to the leader, and stores them
+    /// as the last reported ones.
     pub fn report(&mut self, now_ms: u64) -> DemandRates {
         self.reported = self.own(now_ms);
         self.reported
     }
 
-    /// Stores the rates of all hosts' callers as summed by the leader, valid for [`SUM_KEPT_MS`].
+    /// Stores the request rates of all hosts' callers as summed by the leader. The sum is valid for
+    /// [`SUM_KEPT_MS`].
     pub fn note_sum(&mut self, sum: DemandRates, now_ms: u64) {
         self.sum = Some((sum, now_ms));
     }
 
-    /// Returns the share of a host in the limit `shared_per_s`, for a request of the given urgency;
-    /// `hosts` includes this host.
+    /// Returns this host's share of the rate `shared_per_s`, which the server accepts from all
+    /// hosts together, for a request of the given urgency. `hosts` is the number of hosts,
+    /// including this one.
     pub fn rate_share(
         &self,
         shared_per_s: f64,
@@ -163,8 +174,8 @@
         }
     }
 
-    /// Returns the rates of the callers of all hosts: the latest sum, or without one, as if each
-    /// host's callers had the same rate as this host's.
+    /// Returns the request rates of all hosts' callers. This is the leader's latest sum while it is
+    /// valid; otherwise the rates of this host's callers are multiplied by the number of hosts.
     fn all(&self, own: DemandRates, hosts: usize, now_ms: u64) -> DemandRates {
         let valid_sum = self.sum.filter(|(_, at_ms)| now_ms < at_ms + SUM_KEPT_MS);
         let Some((sum, _)) = valid_sum else {
@@ -174,7 +185,8 @@
                 urgent_per_s: own.urgent_per_s * hosts,
             };
         };
-        // A rise in this host's own rate since its report is not included in the sum yet.
+        // The leader's sum does not include the rise in this host's request rate since its last
+        // report.
         let with_rise =
             |sum: f64, own: f64, reported: f64| (sum + (own - reported).max(0.0)).max(own);
         DemandRates {
@@ -188,26 +200,29 @@
     }
 }
 
-/// Returns true if a request with the random draw `point` from 0 to 1 is admitted at a server.
-/// `before` is the sum of the probabilities of the servers that precede it: where all servers are
-/// limited, a request is admitted at one server, as far as the limits suffice.
+/// Returns true if a request with the random draw `point`, from 0 to 1, is admitted at a server.
+/// `before` is the sum of the admission probabilities of the servers that were checked before for
+/// the same request. If all servers of a service are limited, each request is thus admitted at one
+/// of them, as far as the limits suffice.
 pub fn is_admitted(point: f64, before: f64, admit_probability: f64) -> bool {
     (point - before).rem_euclid(1.0) < admit_probability
 }
 
-/// Request rates for servers as reported by hosts, kept by the leader.
+/// Demand for servers as reported by the hosts, by server tag and host address, with the arrival
+/// time of each report; kept by the leader.
 #[derive(Debug, Default)]
 pub struct DemandByHost(HashMap<u32, HashMap<SocketAddr, (DemandRates, u64)>>);
 
 impl DemandByHost {
-    /// Records the rates for a server, given by its tag, that a host reported.
+    /// Records the demand for the server with this tag that a host reported; replaces the host's
+    /// earlier report.
     pub fn note(&mut self, server_tag: u32, host: SocketAddr, demand: DemandRates, now_ms: u64) {
         let hosts = self.0.entry(server_tag).or_default();
         hosts.insert(host, (demand, now_ms));
     }
 
-    /// Returns the sum of all hosts' rates for a server. A host that stopped reporting counts for
-    /// [`REPORT_KEPT_MS`].
+    /// Returns the sum of the demand that all hosts reported for a server. The last report of a
+    /// host that stopped reporting is included for [`REPORT_KEPT_MS`].
     pub fn sum(&mut self, server_tag: u32, now_ms: u64) -> DemandRates {
         let mut sum = DemandRates::default();
         if let Some(hosts) = self.0.get_mut(&server_tag) {
@@ -217,7 +232,8 @@
         sum
     }
 
-    /// Drops the rates for servers that no longer advertise a limit, by their tags.
+    /// Drops the reports for servers that no longer advertise a limit. `is_limited` is called with
+    /// the tag of each server.
     pub fn retain(&mut self, is_limited: impl Fn(u32) -> bool) {
         self.0.retain(|server_tag, _| is_limited(*server_tag));
     }
--- a/src/entry/decide/trials.rs
+++ b/src/entry/decide/trials.rs
@@ -1,16 +1,18 @@
-//! Claims that let only one host at a time run a suspect, a request during which a server has
-//! crashed. Attempts of a suspect tend to coincide: while its key has no server they are held or
-//! asked to retry, and then would all reach the next server within the 40 ms before it crashes.
+//! Claims by which only one host at a time runs a suspect, which is a request that was in flight
+//! when a server crashed. Such a supervised run is a trial. Without claims, attempts of a suspect
+//! tend to coincide: while the suspect's key has no server, hosts hold the attempts or ask callers
+//! to retry, and then all attempts would reach the next server within the 40 ms before it crashes.
 //! With two attempts at each of three hosts every 0.2 s, four of eight runs came later than the
 //! contact grace period after the third run; with claims it was one of five
 //! (tests/entry_crashes.rs).
 //!
-//! Claims also cover the server. If two suspects ran at one server, its crash would be evidence
-//! against both, and the harmless one would be quarantined too.
+//! A host also claims the server on which it runs a trial. If two suspects ran at one server, a
+//! crash of the server would be evidence against both, and the harmless suspect would be
+//! quarantined too.
 //!
-//! A host claims a trial and informs the others; after [`CLAIM_WAIT_MS`] it proceeds unless a host
-//! with a lower address has claimed it too. This is best effort: a lost datagram costs one more
-//! run.
+//! A host that wants to run a trial claims the request and the server, and informs the other hosts.
+//! After [`CLAIM_WAIT_MS`], the host runs the trial unless a host with a lower address has made the
+//! same claim. Claims are best effort: if a datagram is lost, a suspect may be run once more.
 
 use std::{collections::HashMap, net::SocketAddr};
 
@@ -18,19 +20,20 @@
 
 use crate::entry::digest::RequestDigest;
 
-/// Wait for competing claims of other hosts. The users specify one-way latencies of 0.5 to 1.4 ms
-/// between zones and 12 ms between regions; the remainder allows for a busy host.
+/// Time, in milliseconds, for which a host waits for competing claims of other hosts before it runs
+/// a trial. The users specify one-way latencies of 0.5 to 1.4 ms between zones and 12 ms between
+/// regions; the remainder allows for a busy host.
 pub const CLAIM_WAIT_MS: u64 = 25;
-/// Lifetime of a claim whose outcome is not reported: long enough for a run and for the check
-/// whether the server has crashed.
+/// Time, in milliseconds, after which a claim expires if the outcome of the trial is not reported:
+/// long enough for a run and for the check whether the server has crashed.
 pub const CLAIM_MS: u64 = 1_000;
 
-/// Request or server that a claim reserves for the trial of one host.
+/// The request or server that a host claims for a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClaimSubject {
-    /// Request with this digest: only one host runs its trial.
+    /// The request with this digest: only the host that has the claim runs the request.
     Request(RequestDigest),
-    /// Server with this tag: it runs no other suspect during the trial.
+    /// The server with this tag: the server runs no other suspect during the trial.
     Server(u32),
 }
 
@@ -41,6 +44,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
+/// Claim of a request or server by a host, valid until `until_ms`.
 struct Claim {
     host: SocketAddr,
     until_ms: u64,
@@ -52,8 +56,9 @@
 pub struct TrialClaims(HashMap<ClaimSubject, Claim>);
 
 impl TrialClaims {
-    /// Claims a trial for a host. `Err` holds the time left, in milliseconds, of the claim that
-    /// blocks it.
+    /// Claims a request or server for a trial by the host `own`. Fails if any host has a valid
+    /// claim on the request or server; the error is the time, in milliseconds, until that claim
+    /// expires.
     pub fn claim(
         &mut self,
         subject: impl Into<ClaimSubject>,
@@ -76,8 +81,8 @@
         Ok(())
     }
 
-    /// Records the claim of another host. If two hosts claim the same request or server, the one
-    /// with the lower address gets the claim.
+    /// Records a claim that another host made. If two hosts claim the same request or server, the
+    /// host with the lower address gets the claim.
     pub fn note(&mut self, subject: impl Into<ClaimSubject>, host: SocketAddr, now_ms: u64) {
         self.0.retain(|_, claim| now_ms < claim.until_ms);
         let until_ms = now_ms + CLAIM_MS;
@@ -88,14 +93,15 @@
         }
     }
 
-    /// Returns true if the host `own` still has its claim: it has not expired, ended or been
-    /// displaced by a host with a lower address.
+    /// Returns true if the host `own` still has its claim: the claim has not expired or ended, and
+    /// no host with a lower address has made the same claim.
     pub fn has(&self, subject: impl Into<ClaimSubject>, own: SocketAddr, now_ms: u64) -> bool {
         let claim = self.0.get(&subject.into());
         claim.is_some_and(|claim| claim.host == own && now_ms < claim.until_ms)
     }
 
-    /// Ends the claim of a trial whose outcome is known, whichever host made it.
+    /// Ends the claim on a request or server, whichever host made the claim, because the outcome of
+    /// the trial is known.
     pub fn end(&mut self, subject: impl Into<ClaimSubject>) {
         self.0.remove(&subject.into());
     }
