--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -1,22 +1,27 @@
-//! Time after which a refused caller should retry. Callers wait for at most a third of the time
-//! that they have left; each retry that is refused again costs them more than the first refusal.
+//! Computes the time after which a refused caller should retry. Callers wait for at most a third of
+//! the time until their deadline, and each retry that is refused again costs them more than the
+//! first refusal.
 
 use super::{Candidate, Policy, hot_keys::HotKey};
 
-/// Longest retry time that a caller is given, except for requests in quarantine.
+/// Longest retry time that a refused caller is given, in milliseconds, except for requests in
+/// quarantine.
 const RETRY_AFTER_MAX_MS: u64 = 5_000;
-/// Retry time while a host loads its configuration after its start.
+/// Retry time, in milliseconds, for requests to a host that has started and has not loaded its
+/// configuration yet.
 const START_RETRY_MS: u64 = 500;
 
-/// Time after which the keys of a server that asks many hosts for a backoff have moved to another
-/// one: 33 to 112 ms after the first response in 36 of 40 moves, with three hosts on one machine.
+/// Time, in milliseconds, after which the keys of a server that asks many hosts for a backoff have
+/// usually been moved to other servers. With three hosts on one machine, 36 of 40 such moves took
+/// 33 to 112 ms from the first response that asked for the backoff.
 const BACKOFF_MOVE_MS: u64 = 150;
 
-/// Time after which excess keys of a rate-limited server have moved to others: two rounds of the
-/// planner, and a move.
+/// Time, in milliseconds, after which the keys whose load exceeds the rate limit of their server
+/// have been moved to other servers: two rounds of the planner, and a move.
 const LIMIT_MOVE_MS: u64 = 300;
 
-/// Retry time for a workspace that is over its quota, which is counted by the second.
+/// Retry time, in milliseconds, for callers of a workspace that has used up its quota: quotas are
+/// rates per second.
 const QUOTA_RETRY_MS: u64 = 1_000;
 
 /// Refusal of a request that has not run, so that the caller can safely retry it.
@@ -29,14 +34,14 @@
 }
 
 impl Refused {
-    /// Refuses a request that another host may serve now, or this host a short time later; the
-    /// caller should retry after the shortest retry time.
+    /// Refuses a request that another host may serve at once, or this host a short time later. The
+    /// caller is told to retry after the shortest retry time.
     pub fn soon(reason: &'static str, policy: &Policy) -> Self {
         Self::after(reason, 0, policy)
     }
 
-    /// Refuses a request that can be served after `after_ms`; the retry time is limited to the
-    /// range from `policy.return_min_ms` to [`RETRY_AFTER_MAX_MS`].
+    /// Refuses a request that is expected to be served after `after_ms`. The retry time is clamped
+    /// to the range from `policy.return_min_ms` to [`RETRY_AFTER_MAX_MS`].
     pub fn after(reason: &'static str, after_ms: u64, policy: &Policy) -> Self {
         Self {
             reason,
@@ -44,8 +49,9 @@
         }
     }
 
-    /// Refuses a request during which several servers have crashed. The time is not capped: an
-    /// earlier retry would be refused as well.
+    /// Refuses a request that is in quarantine because several servers have crashed during it. The
+    /// retry time is the rest of the quarantine, without a maximum, because an earlier retry would
+    /// be refused as well.
     pub fn quarantined(remaining_ms: u64) -> Self {
         Self {
             reason: "several servers have ended under the request",
@@ -53,21 +59,22 @@
         }
     }
 
-    /// Refuses a request since the key's server has asked this host for a backoff. Before the end
-    /// of the backoff the keys may have moved to another server, or another host may be served.
+    /// Refuses a request because the server of its key has asked this host for a backoff. The retry
+    /// time is at most [`BACKOFF_MOVE_MS`]: by then, the key may have been moved to another server,
+    /// or the retry may reach another host that the server accepts requests from.
     pub fn in_backoff(backoff_ms: u64, policy: &Policy) -> Self {
         let reason = "the key's server wants a rest";
         Self::after(reason, backoff_ms.min(BACKOFF_MOVE_MS), policy)
     }
 
-    /// Refuses a request since the key's server has reached its rate limit for all hosts. The
-    /// excess keys move to other servers.
+    /// Refuses a request because the server of its key has reached its rate limit for all hosts.
+    /// The retry time allows for the move of the excess keys to other servers.
     pub fn limited(policy: &Policy) -> Self {
         let reason = "the key's server gets as much as it takes";
         Self::after(reason, LIMIT_MOVE_MS, policy)
     }
 
-    /// Refuses a request of a workspace that has used up its quota, which is counted by the second.
+    /// Refuses a request of a workspace that has used up its quota, a rate per second.
     pub fn over_quota() -> Self {
         Self {
             reason: "the workspace is over its quota",
@@ -75,7 +82,8 @@
         }
     }
 
-    /// Refuses a request since the host has just started and has not loaded its configuration yet.
+    /// Refuses a request because this host has just started and has not loaded its configuration
+    /// yet.
     pub fn starting(reason: &'static str) -> Self {
         Self {
             reason,
@@ -83,17 +91,19 @@
         }
     }
 
-    /// Refuses a request for a key that gets more requests than its server can serve. The retry
-    /// time is about the typical run time, multiplied by the number of requests received for each
-    /// one that can be served.
+    /// Refuses a request for a hot key, which gets more requests than its server can serve. The
+    /// retry time is the typical run time of the service, multiplied by the ratio of the key's load
+    /// to the server's capacity.
     pub fn hot_key(hot: HotKey, typical_ms: f64, policy: &Policy) -> Self {
         let turn_ms = (typical_ms * hot.excess()) as u64;
         let reason = "the key gets more requests than its server can serve";
         Self::after(reason, turn_ms, policy)
     }
 
-    /// Refuses a request that the server reported as not run. A server with free slots sheds at
-    /// random and has no queue to drain; otherwise some request must end first.
+    /// Refuses a request that a server did not run. A server with free slots sheds requests at
+    /// random and has no queue that must drain first, so the retry time is
+    /// [`Policy::return_shed_ms`]. Otherwise another request must end first, so the retry time is
+    /// the typical run time.
     pub fn not_run(server: &Candidate, typical_ms: f64, policy: &Policy) -> Self {
         let reason = "the server did not run the request";
         if server.load < server.slots {
--- a/src/entry/decide/run_shares.rs
+++ b/src/entry/decide/run_shares.rs
@@ -1,29 +1,34 @@
-//! Run times by route. A service may serve several routes, whose requests take from a fifth to
-//! three times its average; servers differ in speed as well. So each route has a share of the
-//! average run time, learned over all servers, in addition to the average of each server.
+//! Estimates run times by route. A service may serve several routes, whose requests take from a
+//! fifth to three times the average run time of the service; servers differ in speed as well. So
+//! hosts learn two values: the average run time of each server, and for each route the ratio of its
+//! run times to these averages, over all servers.
 
 use std::{
     collections::HashMap,
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-/// Minimum weight of a new sample, so that the share follows changes; the first samples have equal
-/// weights.
+/// Minimum weight of a new sample in a route's average, so that the average follows changes. The
+/// first samples have equal weights.
 const SAMPLE_WEIGHT_MIN: f64 = 0.03;
-/// Number of samples from which a route's share is used; with fewer, the share is taken as 1.
+/// Number of samples from which the average of a route is used. With fewer samples, the route's
+/// requests are assumed to run for the average time.
 const SAMPLES_MIN: u32 = 5;
-/// Bounds of a sample, so that a single slow run does not outweigh many others.
+/// Bounds of a sample, which is the run time of a request divided by the average run time at its
+/// server. Without them, a single slow run would outweigh many others.
 const SAMPLE_MIN: f64 = 0.05;
 const SAMPLE_MAX: f64 = 8.0;
 
-/// Share of a route's requests in the average run time of a service, and its number of samples.
+/// Average run time of a route's requests, as a multiple of the average run time at the same
+/// server, and the number of samples.
 #[derive(Clone, Copy, Debug, Default)]
 struct RouteRunShare {
     run_share: f64,
     samples: u32,
 }
 
-/// Service and route, by name: a route may direct requests to several services.
+/// Names of the service and the route. The service is needed because a route may direct requests to
+/// several services.
 type RouteKey = (Arc<str>, Arc<str>);
 
 /// Run times of routes relative to the average of their service, learned from all servers.
@@ -33,8 +38,9 @@
 }
 
 impl RunShares {
-    /// Records the run time of a route's request at a server with an average of `average_ms`; 0
-    /// means that the average is unknown, and the sample is ignored.
+    /// Records the run time of a route's request at a server whose average run time is
+    /// `average_ms`. The sample is ignored if `average_ms` is 0, which stands for an unknown
+    /// average.
     pub fn note(&self, service: &Arc<str>, route: &Arc<str>, run_ms: f64, average_ms: f64) {
         if average_ms <= 0.0 {
             return;
@@ -47,8 +53,8 @@
         route_share.run_share += weight * (sample - route_share.run_share);
     }
 
-    /// Returns the run time of a route's requests as a share of the average at the same server; 1
-    /// if there are too few samples.
+    /// Returns the expected run time of a route's requests, as a multiple of the average run time
+    /// at the same server; 1 if there are fewer than [`SAMPLES_MIN`] samples.
     pub fn run_share(&self, service: &Arc<str>, route: &Arc<str>) -> f64 {
         let shares = self.shares();
         let known = shares.get(&(service.clone(), route.clone()));
