--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -818,14 +818,14 @@
             run_ms: 120.0,
             ..SERVER
         };
-        let far = Candidate {
+        let other_region = Candidate {
             load: 0,
             run_ms: 60.0,
             is_same_zone: false,
             is_other_region: true,
             ..SERVER
         };
-        let servers = [own, far, own, far, far];
+        let servers = [own, other_region, own, other_region, other_region];
         for _ in 0..100 {
             let inputs = choice::Inputs {
                 servers: &servers,
