--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn records_of_many_holdings_fit_a_row() {
+fn records_of_many_assigned_ranges_fit_a_row() {
     let mut many = Assignment::default();
     for number in 0..2_000u16 {
         let fence = many.next_fence(1);
