--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -1,4 +1,5 @@
-//! Tests that the time limits keep the bounds in the settings from which they are derived.
+//! Tests that the timeouts and intervals of [`TimeLimits`] keep the bounds in the settings, from
+//! which they are derived.
 
 use ashroad::entry::{bounds::Bounds, limits::TimeLimits, settings::Settings};
 use quickcheck::quickcheck;
@@ -18,7 +19,8 @@
     }
 }
 
-/// Returns bounds of at least 800 ms, which are the tightest that can be kept.
+/// Returns bounds with drawn values for drain and configuration. Both are at least 800 ms, the
+/// tightest values that hosts can keep.
 fn drawn(drain: u16, configuration: u16) -> Bounds {
     bounds(
         800 + u64::from(drain) / 4,
--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -1,4 +1,4 @@
-//! Simulates load in virtual time with the real decision code, without sockets.
+//! Simulates load in virtual time, without sockets, with the decision code that hosts run.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -20,7 +20,7 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// A warm server with free slots and without samples.
+/// A warm server whose slots are all free, without samples of its run time.
 const SERVER: Candidate = Candidate {
     slots: 6,
     load: 0,
@@ -34,7 +34,8 @@
     has_idle_connection: true,
 };
 
-/// A request with the average run time of its service, all of whose requests are equally urgent.
+/// A request with the average run time of its service. All requests of the service are equally
+/// urgent.
 const DEMAND: Demand = Demand {
     objective_ms: 400,
     deadline_ms: 1_500,
@@ -44,8 +45,8 @@
 
 #[test]
 fn a_server_that_was_slow_for_a_moment_is_not_left_idle() {
-    // The only server of some keys took 900 ms per request for a short time, and now takes 120 ms.
-    // Only requests that reach it can correct this host's statistics.
+    // The only server of some keys took 900 ms per request for a short time, and takes 120 ms
+    // again. Only requests that reach the server can correct the host's average of its run time.
     let policy = Policy::default();
     let mut attempt_stats = AttemptStats::default();
     let mut now_ms = 1_000_000;
@@ -90,9 +91,9 @@
     assert!(!admission::has_room(&slow, 120.0, demand, &policy));
 }
 
-/// Guards against a host that avoids a server after a single slow response. The response took
-/// longer than the deadline because the machine was paused; the server is idle and fast, and a
-/// request arrives every 50 ms.
+/// Guards against a host that avoids an idle server after a single slow response. The response took
+/// longer than the deadline because the server's machine was paused. The server is fast again, and
+/// a request arrives every 50 ms.
 #[test]
 fn one_slow_response_does_not_keep_requests_from_an_idle_server() {
     let policy = Policy::default();
@@ -119,7 +120,7 @@
             refused += 1;
         }
     }
-    // Without a probe request, 120 of 200 were refused until the sample expired.
+    // Without probe requests, the host refused 120 of 200 requests, until the sample expired.
     assert!(refused <= 17, "{refused} of 200 are refused");
 }
 
@@ -134,7 +135,8 @@
         result: Hold,
     }
     let cases = [
-        // The previous server still runs requests; most such moves complete soon.
+        // The former server still runs requests for the key. Most such moves complete well before
+        // the announced time, so the request is held although that time is longer.
         Case {
             wait: MoveWait::Work,
             remaining_ms: 2_500,
@@ -151,7 +153,8 @@
             aim_ms: 400,
             result: Hold::Refuse,
         },
-        // Requests with a long objective may wait longer.
+        // A request with a long latency objective is held for a share of that objective, which is
+        // longer than the default.
         Case {
             wait: MoveWait::Work,
             remaining_ms: 2_500,
@@ -160,7 +163,8 @@
             aim_ms: 2_000,
             result: Hold::For(500),
         },
-        // A lease expires exactly at its end, so waiting for only a part of that time is useless.
+        // A lease expires exactly at its end. A request that can be held only for a part of that
+        // time would be held in vain, and is refused.
         Case {
             wait: MoveWait::Lease,
             remaining_ms: 2_500,
@@ -201,7 +205,8 @@
     }
 }
 
-/// Creates servers with the given capacities, and an assignment with equal parts of the keys.
+/// Creates servers with the given capacities, in requests per second, and an assignment of an equal
+/// number of keys to each.
 fn uneven_servers(capacities_per_s: &[f64]) -> (Vec<PlanServer>, Assignment) {
     let servers: Vec<PlanServer> = capacities_per_s
         .iter()
@@ -233,7 +238,8 @@
     (servers, assignment)
 }
 
-/// Applies plans until they contain no more moves, and returns the load by server.
+/// Applies plans to the assignment until a plan contains no moves. Returns the load of each server,
+/// in requests per second.
 fn settle(
     servers: &[PlanServer],
     assignment: &mut Assignment,
@@ -274,8 +280,8 @@
 
 #[test]
 fn a_hot_key_has_the_fastest_server_and_the_others_stay_balanced() {
-    // Eight servers, of which the last is the fastest. One key of the first server gets five times
-    // the load that any server can serve, and a range of another server is busy.
+    // The last of eight servers is the fastest. One key of the first server gets about five times
+    // the load that a server can serve, and a range of another server has a high load.
     let (servers, mut assignment) =
         uneven_servers(&[50.0, 50.0, 45.0, 50.0, 55.0, 50.0, 50.0, 70.0]);
     let mut loads = KeyLoads::default();
@@ -306,7 +312,7 @@
     struct Case {
         name: &'static str,
         limits_per_s: &'static [f64],
-        /// Requests a second for one key of the first server.
+        /// Requests per second for one key of the first server.
         key_per_s: f32,
     }
     let cases = [
@@ -340,7 +346,7 @@
         for key in (0..=u16::MAX).step_by(64) {
             loads.add(key, 0.2);
         }
-        // In addition, one of the other servers has more than its share.
+        // In addition, one of the servers without a limit has more load than its share.
         for key in 60_000..60_100 {
             loads.add(key, 0.5);
         }
@@ -413,20 +419,20 @@
     );
 }
 
-/// Results for hosts that learn of each other's requests with a delay.
+/// Counts of requests in a simulation of hosts that learn of each other's requests with a delay.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
     requests: u32,
-    /// Requests answered within the objective.
+    /// Requests that were answered within the latency objective.
     in_time: u32,
-    /// Requests sent to a server with a full queue, which resets the connection. An unrepeatable
-    /// request is then lost.
+    /// Requests that were sent to a server with a full queue, which resets the connection. A
+    /// request that cannot be repeated is then lost.
     reset: u32,
     refused: u32,
 }
 
-/// Simulates 12 s of requests of 59 hosts to the 46 servers of their zone, at 92% of the servers'
-/// capacity. A host's data on the requests of other hosts is up to `load_age_ms` old.
+/// Simulates 12 s in which 59 hosts send requests to the 46 servers of their zone, at 92% of the
+/// servers' capacity. A host's data on the requests of the other hosts is up to `load_age_ms` old.
 fn simulate_load_age(load_age_ms: u64) -> Outcome {
     const HOSTS: usize = 59;
     const SERVERS: usize = 46;
@@ -436,7 +442,7 @@
     const OBJECTIVE_MS: u64 = 1_200;
     let mut rng = StdRng::seed_from_u64(7);
     let policy = Policy::default();
-    // For each server, the end times of its running and queued requests, with their hosts.
+    // For each server, the end time and the host of each running or queued request.
     let mut in_flight: Vec<Vec<(u64, usize)>> = vec![Vec::new(); SERVERS];
     let mut reports = vec![vec![0u32; SERVERS]; HOSTS];
     let mut outcome = Outcome::default();
@@ -508,7 +514,8 @@
 
 #[test]
 fn fresh_loads_serve_more_in_time_than_stale_ones() {
-    // Sums within a zone are up to 0.25 s old; reports between zones were up to 4 s old.
+    // Sums that hosts exchange within a zone are up to 0.25 s old. With reports between zones
+    // instead, the data was up to 4 s old.
     let fresh = simulate_load_age(250);
     let old = simulate_load_age(4_000);
     let share = |outcome: Outcome| f64::from(outcome.in_time) / f64::from(outcome.requests);
@@ -525,8 +532,8 @@
     work_ms: f64,
 }
 
-/// A server that shares its machine with others. For a fifth of the time it runs three times
-/// slower.
+/// A server that shares its machine with others, and therefore runs three times slower than usual
+/// for a fifth of the time.
 #[derive(Debug, Default)]
 struct NoisyServer {
     speed: f64,
@@ -554,10 +561,11 @@
     }
 }
 
-/// Simulates 20 s of requests to 11 servers of one zone, at 1.25 times their capacity. Each server
-/// has three slots. 25 hosts report to each other every 100 ms how many requests they have at each
-/// server and which slowdown the servers reported. Returns the earned share of the possible value:
-/// a response within the objective counts 1, a late one 0.5.
+/// Simulates 20 s in which 25 hosts send requests to 11 servers of one zone, at 1.25 times the
+/// servers' capacity. Each server has three slots. Every 100 ms, the hosts report to each other how
+/// many requests they have at each server, and which slowdowns the servers reported. Returns the
+/// earned share of the possible value: a response within the latency objective earns 1, a late
+/// response 0.5.
 fn simulate_noisy_servers(policy: &Policy) -> f64 {
     const HOSTS: usize = 25;
     const SERVERS: usize = 11;
@@ -675,23 +683,24 @@
         slowdown_memory_ms: 0,
         ..default
     });
-    // The value is 0.87 if a host compares ten servers instead of three, because all hosts then
-    // choose the same few servers.
+    // Hosts compare three servers for a request. If they compared ten, the value would be 0.87,
+    // because all hosts would choose the same few servers.
     assert!(known > 0.92, "{known}");
     assert!(unknown < known - 0.01, "{unknown}, {known}");
 }
 
-/// Value earned by short and long requests at one server, as shares of the possible value.
+/// Value that the responses to short and long requests at one server have earned, as shares of the
+/// possible value.
 #[derive(Clone, Copy, Debug, Default)]
 struct Earned {
     short: f64,
     long: f64,
 }
 
-/// Simulates 60 s at the only server of some keys, which has three slots. Long requests of 500 ms
-/// use 85% of the slots and have a value of 1 if answered within a second. A few short requests of
-/// 90 ms are urgent, and have a value of 3 if answered within 250 ms; their deadline is 600 ms.
-/// Late responses earn half of the value.
+/// Simulates 60 s of requests to the only server of some keys, which has three slots. Long requests
+/// run for 500 ms and use 85% of the slots; a response within a second has a value of 1. A few
+/// short requests run for 90 ms and are urgent; a response within 250 ms has a value of 3, and
+/// their deadline is 600 ms. Late responses earn half of the value.
 fn simulate_short_and_long(policy: &Policy) -> Earned {
     const SLOTS: usize = 3;
     const SHORT_EVERY_MS: f64 = 700.0;
@@ -779,7 +788,8 @@
         urgent_may_be_late: false,
         ..default
     });
-    // Short requests earned half of their value when they were refused unless a slot was free.
+    // With neither setting, a short request is refused unless a slot is free, and short requests
+    // earned half of their possible value.
     assert!(neither.short < 0.65, "{neither:?}");
     assert!(both.short > neither.short + 0.1, "{both:?}, {neither:?}");
     assert!(both.long > neither.long - 0.02, "{both:?}, {neither:?}");
@@ -789,7 +799,7 @@
 fn servers_of_another_region_get_requests_beyond_the_capacity_of_the_own_region() {
     struct Case {
         name: &'static str,
-        /// Requests at each server of the host's own region.
+        /// Number of requests that run or queue at each server of the host's own region.
         own_load: u32,
         is_other_region_chosen: bool,
     }
--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -1,5 +1,5 @@
-//! Tests the evidence, trials, reports and quarantine of requests that crash servers, without
-//! processes and sockets.
+//! Tests how hosts find and quarantine requests that crash servers, without processes and sockets:
+//! the evidence against suspects, trials of suspects, crash reports and the quarantine.
 
 use std::net::SocketAddr;
 
@@ -25,7 +25,7 @@
 fn a_request_is_the_cause_once_enough_servers_have_crashed_under_it() {
     struct Case {
         what: &'static str,
-        /// Crashes as `(server, time in ms)`.
+        /// Crashes as `(server tag, time in ms)`.
         crashes: &'static [(u32, u64)],
         reached: bool,
     }
@@ -72,8 +72,8 @@
 }
 
 /// Guards against quarantining a harmless request when a zone is lost. Twelve servers crash at
-/// once; the request is at three of them, since its host and its caller retry it at once, and none
-/// of its hosts has received a response.
+/// once. The request is in flight at three of them, since its host and its caller retry it at once,
+/// and no host has received a response to it.
 #[test]
 fn the_loss_of_a_zone_is_no_evidence_against_a_request() {
     let mut tally = CrashTally::default();
@@ -93,7 +93,7 @@
         !tally.is_suspect(HARMLESS, 100),
         "the request became a suspect"
     );
-    // It is the cause if a server crashes under it later.
+    // The request counts as the cause if another server crashes during it later.
     assert_eq!(tally.note(20, &[HARMLESS], 4_000), [HARMLESS]);
 }
 
@@ -110,9 +110,9 @@
     }
 }
 
-/// Guards against quarantining repeated harmless requests while servers crash by chance. One of 60
-/// servers crashes every 3 s for ten minutes; 2,000 callers send the same request once a second,
-/// each taking 90 ms at a random server.
+/// Guards against quarantining harmless requests that are sent again and again while servers crash
+/// by chance. One of 60 servers crashes every 3 s for ten minutes. Each of 2,000 callers sends the
+/// same request once a second; the request runs for 90 ms at a random server.
 #[test]
 fn repeated_requests_of_many_callers_are_served_while_servers_crash_by_chance() {
     const SERVERS: u32 = 60;
@@ -128,7 +128,7 @@
             .map(RequestDigest)
             .collect();
         reached += tally.note(end as u32, &in_flight, now_ms).len();
-        // Callers retry a second later, and other servers answer.
+        // The callers retry a second later, and other servers answer these requests.
         for digest in in_flight {
             tally.clear(digest);
         }
@@ -196,7 +196,7 @@
     assert_eq!(reports.due(3).len(), 64);
 }
 
-/// Returns the digests of a request without a query.
+/// Returns the digests of a request without a query, which are all equal here.
 fn without_query(digest: u64) -> RequestDigests {
     let digest = RequestDigest(digest);
     RequestDigests {
@@ -254,7 +254,7 @@
 #[test]
 fn one_host_at_a_time_tries_a_suspect() {
     let [first, second] = [1, 2].map(|last| SocketAddr::from(([10, 0, 0, last], 7_620)));
-    // Both hosts claim before they receive each other's claim.
+    // Both hosts claim the trial of the request before they receive each other's claim.
     let (mut of_first, mut of_second) = (TrialClaims::default(), TrialClaims::default());
     assert_eq!(of_first.claim(CRASHING, first, 0), Ok(()));
     assert_eq!(of_second.claim(CRASHING, second, 1), Ok(()));
@@ -262,7 +262,8 @@
     of_second.note(CRASHING, first, 3);
     assert!(of_first.has(CRASHING, first, 25));
     assert!(!of_second.has(CRASHING, second, 26));
-    // Neither host may try it again until the outcome is known or the claim expires.
+    // Neither host may run another trial of the request until the outcome of the first trial is
+    // known or the claim expires.
     assert_eq!(of_second.claim(CRASHING, second, 103), Err(CLAIM_MS - 100));
     assert_eq!(of_first.claim(CRASHING, first, 100), Err(CLAIM_MS - 100));
     of_second.end(CRASHING);
@@ -275,7 +276,7 @@
     );
 }
 
-/// Returns a suspect that is independent of the caller, from a request of one caller.
+/// Returns a suspect whose digest does not cover the caller, from a request of the given caller.
 fn shared(caller_tag: u32, scope: DigestScope, is_trial: bool) -> SharedSuspect {
     SharedSuspect {
         digest: CRASHING,
@@ -290,7 +291,7 @@
     struct Case {
         what: &'static str,
         scope: DigestScope,
-        /// Crashes as `(server, caller, whether it was a trial, time in ms)`.
+        /// Crashes as `(server tag, caller tag, whether the request was a trial, time in ms)`.
         crashes: &'static [(u32, u32, bool, u64)],
         reached: bool,
     }
@@ -421,8 +422,8 @@
             .remaining_ms(CRASHING, ANY_CALLER_QUARANTINE_MS)
             .is_some()
     );
-    // The evidence outlasts the quarantine, so that only one host at a time runs a trial of the
-    // request.
+    // The evidence against the content lasts longer than its quarantine, so that only one host at a
+    // time runs a trial of the request afterwards.
     let mut tally = PathTally::default();
     tally.note(1, &[shared(7, DigestScope::Content, false)], false, 0);
     assert!(tally.is_suspect(CRASHING, ANY_CALLER_QUARANTINE_MS));
@@ -442,7 +443,7 @@
         [3, 4].map(|digest| is_trial(&running_requests, digest)),
         [Some(false), Some(true)]
     );
-    // The connection breaks when the server crashes.
+    // The host abandons the request because its connection breaks when the server crashes.
     running_requests.abandoned(without_query(4), 990);
     assert_eq!(is_trial(&running_requests, 4), Some(true));
     running_requests.begin_trial(without_query(5));
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -1,5 +1,5 @@
-//! Tests rules of entry hosts without processes: assigned ranges, plans, routes, choice of servers,
-//! retries.
+//! Tests the rules of entry hosts in one process and without sockets: assigned ranges, plans of
+//! moves, routes, choice of servers, retries.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -106,7 +106,8 @@
     }
 }
 
-/// Expands assigned ranges into a table with the server and fence of each key.
+/// Returns the server and the fence of each key, by the index of the key; `None` for a key without
+/// an assigned range.
 fn by_key(assignment: &Assignment) -> Vec<Option<(Arc<str>, u64)>> {
     let mut keys = vec![None; 1 << 16];
     for assigned_range in &assignment.assigned_ranges {
@@ -190,8 +191,8 @@
 
 #[test]
 fn rows_read_at_different_times_form_one_assignment() {
-    // The first row holds all keys, as an earlier version of ashroad wrote it; a later move is in
-    // the row of its keys.
+    // The first row contains the assigned ranges of all keys, as an earlier version of ashroad
+    // wrote it. A later move of keys is recorded only in the row of these keys.
     let mut whole = Assignment::default();
     whole.put(assigned_range(0, 39_999, "a", 1));
     whole.put(assigned_range(40_000, 65_535, "b", 2));
@@ -334,7 +335,7 @@
     assert!(most <= mean * 1.25, "a load of {most} at a mean of {mean}");
 }
 
-/// Distributes the keys equally among the servers.
+/// Distributes the keys among the servers in proportion to their capacities, which are equal here.
 fn equal_parts(servers: &[PlanServer]) -> Assignment {
     let mut assignment = Assignment::default();
     for (range, server) in first::first_assignment(servers) {
@@ -376,8 +377,8 @@
     }
 }
 
-/// Counts `per_interval` requests in each interval, for keys drawn from a fixed pseudo-random
-/// sequence.
+/// Counts `per_interval` requests in each of `intervals` intervals, for keys that are drawn from
+/// `keys` by a fixed pseudo-random sequence.
 fn count_drawn(counts: &mut KeyCounts, intervals: u32, per_interval: u32, keys: KeyRange) {
     let mut state = 88_172_645_463_325_252u64;
     for _ in 0..intervals {
@@ -397,7 +398,7 @@
     struct Case {
         name: &'static str,
         servers: usize,
-        /// Requests per interval, of which one server can run 1.5.
+        /// Requests in each interval for all keys; one server can run 1.5 requests in an interval.
         requests: u32,
         moves_max: usize,
     }
@@ -447,10 +448,11 @@
 #[test]
 fn the_first_keys_wait_for_servers_that_are_starting() {
     struct Case {
-        /// Start times of the servers.
+        /// Times at which the servers start, in milliseconds.
         starts_ms: Vec<u64>,
         requested_ms: u64,
-        /// Time at which the keys are distributed, and the number of servers.
+        /// Time, in milliseconds, at which the keys are distributed, and the number of servers that
+        /// have started by then.
         result: (u64, usize),
     }
     let cases = [
@@ -537,8 +539,8 @@
             hot: &[],
         },
         Case {
-            // Together these keys exceed the capacity of a server, but each fits one, so they can
-            // be moved.
+            // Together, the loads of these keys exceed the capacity of a server. Each load alone is
+            // below the capacity of a server, so the keys can be moved to different servers.
             loads: &[(5, 50.0), (6, 50.0)],
             hot: &[],
         },
@@ -785,7 +787,7 @@
     assert_eq!(first.len(), 4, "30 and 10 of each");
     assert!(is_move(&first[0]) && is_move(&first[1]) && !is_move(&first[2]));
     assert_eq!(outbox.take_due(later_ms).len(), 0);
-    // Announcements of grants are repeated twice.
+    // The leader repeats each announcement of a grant twice.
     assert_eq!(outbox.take_due(now_ms + 5_000).len(), 3);
     assert_eq!(outbox.take_due(now_ms + 9_000).len(), 0);
     for message in first {
@@ -861,7 +863,7 @@
     for id in ["a", "b", "c"] {
         registry.put(server(id, "z", false).entry.clone());
     }
-    // Version 10 is known; since then "b" was removed, "c" changed and "d" was added.
+    // The reader knows version 10. After it, "b" was removed, "c" was changed and "d" was added.
     let whole = Rows {
         rows: vec![row("a", 4), row("c", 12), row("d", 11)],
         version: 15,
@@ -887,7 +889,8 @@
         address: ([127, 0, 0, 1], port).into(),
         ..server(id, "z", false).entry.clone()
     };
-    // Either entry may be a late heartbeat of an earlier incarnation.
+    // The registry cannot tell which of the two entries is the later one: either may be a late
+    // heartbeat of an earlier incarnation.
     for puts in [
         [("a", 1), ("b", 1)],
         [("b", 1), ("a", 1)],
@@ -904,7 +907,7 @@
     }
 }
 
-/// A warm server with four free slots and a run time of 50 ms.
+/// A warm server with four slots, all free, and a run time of 50 ms.
 const GOOD: Candidate = Candidate {
     slots: 4,
     load: 0,
@@ -918,7 +921,7 @@
     has_idle_connection: false,
 };
 
-/// Picks a server for a request whose deadline is in one second.
+/// Picks a server for a request whose latency objective and deadline are in one second.
 fn pick(servers: &[Candidate]) -> Option<usize> {
     let inputs = choice::Inputs {
         servers,
@@ -934,7 +937,7 @@
     choice::pick(inputs, &Policy::default(), &mut rand::rng())
 }
 
-/// Returns a candidate with the failure rate and the pause that result from the attempts.
+/// Returns [`GOOD`] with the share of failures and the pause that result from the attempts.
 fn after(attempts: fn(&mut AttemptStats)) -> Candidate {
     let mut attempt_stats = AttemptStats::default();
     attempts(&mut attempt_stats);
@@ -1106,7 +1109,7 @@
                 let budget = RetryBudget::new(&bounds);
                 for _ in 0..requests {
                     budget.request(&service, hosts, 0);
-                    // Each request asks for more retries than any route allows.
+                    // Each request asks for three retries, more than any route allows.
                     retries += (0..3).filter(|_| budget.retry(&service, hosts, 0)).count();
                 }
             }
--- a/tests/rate_shares.rs
+++ b/tests/rate_shares.rs
@@ -1,6 +1,6 @@
-//! Simulates hosts that share the rate limit of a server, in virtual time with the real decision
-//! code. Checks the requests that the server gets in every window, and the share of the limit that
-//! is used.
+//! Simulates hosts that share the rate limit of a server, in virtual time, with the decision code
+//! that hosts run. The tests check how many requests the server gets in each window of time, and
+//! which share of the limit the hosts use.
 
 use std::{
     collections::VecDeque,
@@ -14,25 +14,30 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// Interval at which hosts report and the leader announces the sum.
+/// Interval at which hosts report their demand and the leader announces the sum, in milliseconds.
 const ANNOUNCE_EVERY_MS: u64 = 150;
-/// Time from a report until it is part of the sums that all hosts know.
+/// Time, in milliseconds, from a report of a host until all hosts know the sum that includes the
+/// report.
 const ANNOUNCE_DELAY_MS: u64 = 100;
-/// Contact grace period: the bound applies from this time after the first advertisement of a limit.
+/// Contact grace period, in milliseconds: the bound on requests applies from this time after the
+/// first advertisement of a limit.
 const CONTACT_MS: u64 = 3_000;
-/// Length of the windows in which requests are counted.
+/// Length of the windows in which requests are counted, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
-/// The users' bound on the requests in a window: this multiple of the limit, plus [`SLACK`].
+/// Factor in the users' bound on the requests in a window. The bound is this multiple of the limit,
+/// plus [`SLACK`] requests.
 const EXCESS: f64 = 1.5;
 const SLACK: f64 = 5.0;
-/// Simulated time of each case.
+/// Simulated time of each case, in milliseconds.
 const SIMULATED_MS: u64 = 24_000;
-/// Least share of the limit that must be used while callers send twice as much.
+/// Minimum share of the limit that hosts must use while callers send at least twice as many
+/// requests as the limit allows.
 const USED_MIN: f64 = 0.8;
 /// Number of seeds for each case.
 const SEEDS: u64 = 40;
 
-/// A simulated host.
+/// A simulated host, with its demand and its token bucket for the server. An isolated host neither
+/// reports its demand nor receives sums.
 #[derive(Default)]
 struct Host {
     demand: ServerDemand,
@@ -45,15 +50,16 @@
     name: &'static str,
     hosts: usize,
     limit_per_s: f64,
-    /// Requests a second of all callers in the first and in the second half of the simulation.
+    /// Requests per second of all callers, in the first and in the second half of the simulation.
     demand_per_s: (f64, f64),
-    /// Share of the callers that use the first host.
+    /// Share of the requests that callers send to one preferred host; they send the others to
+    /// random hosts. The preferred host is the first one.
     first_share: f64,
-    /// True if these callers use the second host in the second half of the simulation.
+    /// True if the preferred host is the second one in the second half of the simulation.
     moves: bool,
-    /// Number of hosts that neither receive sums nor have their reports received.
+    /// Number of isolated hosts: they receive no sums, and their reports are lost.
     isolated: usize,
-    /// Share of the hosts that each host knows.
+    /// Number of hosts that each host assumes, as a share of the actual number.
     counted: f64,
     /// Share of the requests that are urgent.
     urgent: f64,
@@ -71,7 +77,8 @@
     urgent: 0.0,
 };
 
-/// Returns the times at which the server got requests.
+/// Simulates a case. Returns the times, in milliseconds, at which hosts sent requests to the
+/// server.
 fn simulate(case: Case, seed: u64) -> Vec<u64> {
     let mut rng = StdRng::seed_from_u64(seed);
     let host = |index| Host {
@@ -125,7 +132,8 @@
     sent
 }
 
-/// Returns true if the host sends a request of one of its callers.
+/// Counts a request of a caller at a host, and returns true if the host sends the request to the
+/// server.
 fn is_sent_by(host: &mut Host, case: Case, now_ms: u64, rng: &mut StdRng) -> bool {
     let is_urgent = rng.random::<f64>() < case.urgent;
     host.demand.note(is_urgent, now_ms);
@@ -141,7 +149,8 @@
     is_sent
 }
 
-/// Returns the largest number of requests in a window after the contact grace period.
+/// Returns the largest number of requests that the server got in any window after the contact grace
+/// period.
 fn most_in_a_window(sent: &[u64]) -> usize {
     let counted: Vec<u64> = sent
         .iter()
@@ -296,7 +305,8 @@
         }
         let used = all as f64 / SEEDS as f64 / (SIMULATED_MS as f64 / 1_000.0) / case.limit_per_s;
         println!("{}: {used:.2} used", case.name);
-        // An isolated host gets an equal share, whatever the rate of its callers.
+        // An isolated host uses an equal share of the limit, whatever the request rate of its
+        // callers, so hosts may use less of the limit in these cases.
         if case.isolated == 0 && used < USED_MIN {
             failed.push(format!("{}: {used:.2} used", case.name));
         }
@@ -323,8 +333,9 @@
 
 #[test]
 fn a_surge_from_below_the_limit_stays_within_the_bound() {
-    // The token buckets are full when the surge begins. Among hundreds of hosts the admission
-    // probability must limit the surge.
+    // The token buckets of all hosts are full when the surge begins. Among hundreds of hosts, the
+    // buckets together hold more tokens than the bound allows, so the admission probability must
+    // limit the surge.
     for (hosts, surge_per_s) in [(3, 200.0), (8, 100.0), (12, 60.0), (300, 30.0)] {
         for seed in 0..SEEDS {
             let case = Case {
@@ -378,8 +389,9 @@
     assert_eq!(limit.own(), limit.latest());
 }
 
-/// Guards against other hosts that keep to a limit forever. A server that gets few requests seldom
-/// advertises its limit, so the withdrawal may come long after the last advertisement.
+/// Guards against hosts that apply a limit forever after the server has withdrawn it. A server that
+/// gets few requests seldom advertises its limit, so the withdrawal may come long after the last
+/// advertisement of the limit, and must still be announced to the other hosts.
 #[test]
 fn the_withdrawal_of_a_limit_is_announced_however_long_ago_it_was_advertised() {
     const ENDED_MS: u64 = 20_000;
@@ -424,7 +436,8 @@
         urgent_per_s: f64,
         non_urgent_per_s: f64,
     }
-    // Urgent and other requests a second that are sent to a server with a limit of ten.
+    // Returns the requests per second, urgent and not urgent, that hosts send to a server with a
+    // limit of ten requests per second.
     let served = |urgent_per_s: f64, non_urgent_per_s: f64| {
         let mut demand = ServerDemand::default();
         let sum = DemandRates {
