--- a/tests/entry_load.rs
+++ b/tests/entry_load.rs
@@ -131,7 +131,7 @@
         remaining_ms: u64,
         held_ms: u64,
         left_ms: u64,
-        aim_ms: u64,
+        objective_ms: u64,
         result: Hold,
     }
     let cases = [
@@ -142,7 +142,7 @@
             remaining_ms: 2_500,
             held_ms: 0,
             left_ms: 800,
-            aim_ms: 400,
+            objective_ms: 400,
             result: Hold::For(400),
         },
         Case {
@@ -150,7 +150,7 @@
             remaining_ms: 2_500,
             held_ms: 395,
             left_ms: 405,
-            aim_ms: 400,
+            objective_ms: 400,
             result: Hold::Refuse,
         },
         // A request with a long latency objective is held for a share of that objective, which is
@@ -160,7 +160,7 @@
             remaining_ms: 2_500,
             held_ms: 0,
             left_ms: 9_000,
-            aim_ms: 2_000,
+            objective_ms: 2_000,
             result: Hold::For(500),
         },
         // A lease expires exactly at its end. A request that can be held only for a part of that
@@ -170,7 +170,7 @@
             remaining_ms: 2_500,
             held_ms: 0,
             left_ms: 800,
-            aim_ms: 400,
+            objective_ms: 400,
             result: Hold::Refuse,
         },
         Case {
@@ -178,7 +178,7 @@
             remaining_ms: 120,
             held_ms: 0,
             left_ms: 800,
-            aim_ms: 400,
+            objective_ms: 400,
             result: Hold::For(120),
         },
         Case {
@@ -186,7 +186,7 @@
             remaining_ms: 120,
             held_ms: 0,
             left_ms: 100,
-            aim_ms: 400,
+            objective_ms: 400,
             result: Hold::Refuse,
         },
     ];
@@ -196,7 +196,13 @@
             remaining_ms: case.remaining_ms,
         };
         let policy = Policy::default();
-        let result = hold::decide(time_left, case.held_ms, case.left_ms, case.aim_ms, &policy);
+        let result = hold::decide(
+            time_left,
+            case.held_ms,
+            case.left_ms,
+            case.objective_ms,
+            &policy,
+        );
         assert_eq!(
             result, case.result,
             "{time_left:?} held for {}",
