--- a/tests/entry_quarantine.rs
+++ b/tests/entry_quarantine.rs
@@ -186,7 +186,10 @@
         assert_eq!((due[0].server_tag, due[0].digests.len()), (7, 2));
         assert!(due[0].to_all);
     }
-    assert!(reports.due(1).is_empty(), "sent often enough");
+    assert!(
+        reports.due(1).is_empty(),
+        "the reports have been sent often enough"
+    );
     reports.clear(HARMLESS);
     let due = reports.due(2);
     assert_eq!((&*due[0].digests, due[0].to_all), (&[CRASHING][..], false));
@@ -272,7 +275,7 @@
     assert_eq!(
         of_first.claim(HARMLESS, first, CLAIM_MS),
         Ok(()),
-        "another one"
+        "a claim on another request"
     );
 }
 
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -112,7 +112,10 @@
     let mut keys = vec![None; 1 << 16];
     for assigned_range in &assignment.assigned_ranges {
         for key in assigned_range.range.first..=assigned_range.range.last {
-            assert!(keys[usize::from(key)].is_none(), "key {key} is held twice");
+            assert!(
+                keys[usize::from(key)].is_none(),
+                "key {key} has two assigned ranges"
+            );
             keys[usize::from(key)] = Some((assigned_range.server.clone(), assigned_range.fence));
         }
     }
