--- a/src/entry/decide/attempt_stats.rs
+++ b/src/entry/decide/attempt_stats.rs
@@ -92,6 +92,7 @@
         self.paused_until_ms = now_ms + pause_ms.min(PAUSE_MAX_MS);
     }
 
+    /// Adds an outcome, 1 for a failure and 0 for a response, to the share of failures.
     fn note_outcome(&mut self, outcome: f64, now_ms: u64) {
         let before = self.failures * self.sample_weight(now_ms);
         self.failures = before + FAILURE_SAMPLE_WEIGHT * (outcome - before);
--- a/src/entry/decide/budget.rs
+++ b/src/entry/decide/budget.rs
@@ -18,15 +18,22 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
+    /// Number of retries that the host may make at once.
     tokens: f64,
+    /// Time of the last refill from the allowance.
     at_ms: u64,
 }
 
 /// Token buckets that limit this host's retries, one for each service.
 #[derive(Debug)]
 pub struct RetryBudget {
+    /// Time in which an empty bucket is refilled, in milliseconds: the window of the users' bound
+    /// on retries.
     window_ms: f64,
+    /// Fraction of a retry that each request adds to the bucket of its service.
     per_request: f64,
+    /// Number of retries of a service in a window that all hosts together may make in addition to
+    /// the share of the requests.
     allowance: f64,
     buckets: Mutex<HashMap<Arc<str>, Bucket>>,
 }
@@ -76,6 +83,8 @@
         true
     }
 
+    /// Returns the capacity of a service's token bucket at one host, in tokens: half of the host's
+    /// part of the allowance, but at least one token, so that a host among many can retry at all.
     fn capacity_for(&self, hosts: usize) -> f64 {
         (self.allowance / 2.0 / hosts.max(1) as f64).max(1.0)
     }
--- a/src/entry/decide/choice.rs
+++ b/src/entry/decide/choice.rs
@@ -4,13 +4,13 @@
 
 use super::{Candidate, Demand, Policy, admission};
 
-/// Bounds of the number of servers with room that a host compares for one request. The maximum
-/// applies while at most [`FEW_HOSTS`] hosts choose among the same servers. With more hosts, each
-/// host's data on the requests of the other hosts is older, and all hosts would choose the same few
-/// servers. So the number of compared servers falls with the number of hosts, down to
-/// [`CANDIDATES_MIN`] servers drawn at random. In a simulation at 1.25 times the capacity of 11
-/// servers, 25 hosts achieved 0.87 of the possible value with ten servers compared and 0.92 with
-/// three.
+/// Bounds of the number of servers with room that a host compares for one request. The host
+/// compares up to [`CANDIDATES_MAX`] servers while at most [`FEW_HOSTS`] hosts choose among the
+/// same servers. With more hosts, each host's data on the requests of the other hosts is older, and
+/// all hosts would choose the same few servers. So the number of compared servers falls with the
+/// number of hosts, down to [`CANDIDATES_MIN`] servers drawn at random. In a simulation at 1.25
+/// times the capacity of 11 servers, 25 hosts achieved 0.87 of the possible value with ten servers
+/// compared and 0.92 with three.
 const CANDIDATES_MAX: usize = 24;
 const CANDIDATES_MIN: usize = 3;
 const FEW_HOSTS: usize = 3;
@@ -34,7 +34,8 @@
     pub typical_ms: f64,
     /// Latency objective, deadline, urgency and expected run time of the request.
     pub demand: Demand,
-    /// Numbers of hosts that choose among the same servers; more hosts compare fewer servers each.
+    /// Numbers of hosts that choose among the same servers. The more hosts, the fewer servers each
+    /// compares.
     pub hosts: HostCount,
 }
 
@@ -51,6 +52,9 @@
     pick_among(inputs, own, policy, rng).or_else(|| pick_among(inputs, other_region, policy, rng))
 }
 
+/// Returns the index of the server with the lowest cost among the servers of `order` that have
+/// room. Servers are compared in this order, up to a maximum number of servers of the host's
+/// availability zone and half as many of other zones.
 fn pick_among(
     inputs: Inputs<'_>,
     order: Vec<usize>,
--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -1,8 +1,7 @@
-//! Detects hot keys, which are keys that get more requests than their server can serve, and
-//! distributes them to the hosts. A key cannot be split among servers. So the leader, which knows
-//! the load of all hosts, announces the hot keys, and each host admits only the share of their
-//! requests that can be served. Hosts refuse the other requests, which would only lengthen the
-//! server's queue.
+//! Detects and announces hot keys, which are keys that get more requests than their server can
+//! serve. A key cannot be split among servers. So the leader, which knows the load of all hosts,
+//! announces the hot keys, and each host admits only the share of their requests that can be
+//! served. Hosts refuse the other requests, which would only lengthen the server's queue.
 
 use std::{
     collections::HashMap,
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -18,14 +18,14 @@
 //! | [`run_shares`] | services that serve short and long requests |
 //! | [`admission`] | more requests for a server than it can answer in time |
 //! | [`choice`] | requests that any server of a service may run |
-//! | [`hot_keys`] | a key with more requests than any server can run |
+//! | [`hot_keys`] | a key with more requests than its server can run |
 //! | [`hold`] | requests for keys that are being moved between servers |
-//! | [`retry_after`] | when refused callers should retry |
+//! | [`retry_after`] | refused callers, which must learn when to retry |
 //! | [`budget`] | retries that would amplify an overload |
 //! | [`crash_tally`], [`path_tally`], [`quarantine`], [`trials`] | a request that crashes servers |
 //! | [`warmup`] | servers that have just started and can run few requests |
-//! | [`first`] | keys that no server holds yet, while servers start one after the other |
-//! | [`backoffs`] | servers that refuse the requests of many hosts for a time |
+//! | [`first`] | keys that are not assigned yet, while servers start one after the other |
+//! | [`backoffs`] | servers that ask many hosts for a backoff at the same time |
 //! | [`key_loads`], [`plan`] | uneven load by key, servers that join and leave |
 //!
 //! The thresholds are defined in [`Policy`], each with its unit and reason.
--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -1,7 +1,7 @@
 //! Finds paths or contents of requests that crash servers whichever caller sends them.
 //! [`CrashTally`](super::crash_tally::CrashTally) treats the request of each caller as a new
-//! suspect, so such a path would cost a service one server or more for every caller. The tally here
-//! counts the servers that crashed during requests with the same path or content, regardless of the
+//! suspect, so such a path would cost a service one server for every caller. The tally here counts
+//! the servers that crashed during requests with the same path or content, regardless of the
 //! caller.
 //!
 //! Refusing a path for all callers is costly if the path is harmless. So more evidence is needed
@@ -182,6 +182,8 @@
     }
 }
 
+/// Returns true if the evidence against a digest is enough to count it as the cause of the crashes.
+/// How many crashes are needed depends on `scope`.
 fn is_enough(scope: DigestScope, evidence: &[Evidence]) -> bool {
     let distinct = |of: fn(&Evidence) -> u32| {
         let mut tags: Vec<u32> = evidence.iter().map(of).collect();
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -208,6 +208,7 @@
         self.used[&server.id] / server.capacity_per_s.max(0.1)
     }
 
+    /// Returns the load of all servers as a share of their total capacity.
     fn mean_utilisation(&self) -> f64 {
         let capacity: f64 = self.inputs.servers.iter().map(|s| s.capacity_per_s).sum();
         // Hosts refuse the requests for hot keys that no server can serve, so these are not
@@ -217,16 +218,19 @@
         load / capacity.max(0.1)
     }
 
+    /// Returns the server with the lowest utilisation after the planned moves.
     fn least_used(&self) -> Arc<str> {
         let servers = self.inputs.servers.iter();
         let least = servers.min_by(|a, b| self.utilisation(a).total_cmp(&self.utilisation(b)));
         least.map_or_else(|| "".into(), |server| server.id.clone())
     }
 
+    /// Returns true if any key of the range is already being moved.
     fn is_moving(&self, range: KeyRange) -> bool {
         self.inputs.moving.iter().any(|m| m.overlaps(&range))
     }
 
+    /// Adds a move to the plan, and the load of the range to the load of its new server.
     fn push(&mut self, range: KeyRange, to: Arc<str>, cause: &'static str) {
         let load = self.inputs.loads.of(range);
         if let Some(used) = self.used.get_mut(&to) {
--- a/src/entry/decide/policy.rs
+++ b/src/entry/decide/policy.rs
@@ -60,8 +60,8 @@
     /// Rate of requests that hosts admit for a hot key, as a multiple of the capacity of the key's
     /// server. With a value above 1, a short queue fills the gaps that random arrivals leave.
     pub hot_admitted: f64,
-    /// True if the planner moves a hot key to the fastest server, and other keys of that server
-    /// elsewhere if it is busy.
+    /// True if the planner moves a hot key to the fastest server, and moves other keys of that
+    /// server to other servers if the server is busy.
     pub hot_alone: bool,
     /// Minimum ratio of the fastest server's capacity to the capacity of a hot key's server for
     /// which the planner moves the hot key: some requests are held or refused during each move, and
--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -120,6 +120,8 @@
         self.demand_weight < 1e-6
     }
 
+    /// Credits the quota for the time since the last update, up to a balance of `quota.burst`, and
+    /// reduces the weight of the earlier requests in the request rate.
     fn accrue(&mut self, quota: Quota, now_ms: u64) {
         let elapsed_ms = now_ms.saturating_sub(self.at_ms) as f64;
         let accrued = quota.per_s * ACCRUED_SHARE * elapsed_ms / 1_000.0;
--- a/src/entry/decide/rate_meter.rs
+++ b/src/entry/decide/rate_meter.rs
@@ -27,6 +27,7 @@
         self.decayed_weight(now_ms) * 1_000.0 / MEMORY_MS
     }
 
+    /// Returns the sum of the events, each weighted by its age at `now_ms`.
     fn decayed_weight(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         self.weight * (-age_ms / MEMORY_MS).exp()
--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -71,13 +71,13 @@
 pub struct RateShare {
     /// Refill rate of the host's [`Bucket`], in tokens per second.
     pub bucket_per_s: f64,
-    /// Probability with which a request is admitted by the random draw. A value of 1 or more, which
-    /// results if the limit is above the request rate of callers, admits every request.
+    /// Probability with which a request is admitted by the random draw. If the limit is above the
+    /// request rate of callers, the value exceeds 1 and the draw admits every request.
     pub admit_probability: f64,
 }
 
-/// Demand of callers for a server, as request rates. Counted are the requests that only this server
-/// may run, and the requests for a service of which it is one server.
+/// Demand of callers for a server, as request rates. It includes the requests that only this server
+/// may run, and the requests for a service to which the server belongs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandRates {
     /// All requests per second, including the urgent ones.
