--- a/src/entry/leadership/change.rs
+++ b/src/entry/leadership/change.rs
@@ -1,44 +1,51 @@
-//! Changes of assigned ranges that the leader records in the store.
+//! Changes of assigned ranges (key ranges, each assigned to one server under one fence) that the
+//! leader records in the store.
 
 use std::sync::Arc;
 
 use crate::entry::keys::{AssignedRange, Assignment, KeyRange};
 
-/// Change of one service's assigned ranges, which the leader records under the condition that it is
-/// still the leader.
+/// Change of one service's assigned ranges. The store accepts the change only from the host that
+/// the leadership row names as the leader.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// Assigns all keys of the service for the first time: key ranges and their servers.
+    /// Assigns all keys of a service that has no assigned ranges yet: each key range to the server
+    /// next to it.
     Distribute(Vec<(KeyRange, Arc<str>)>),
-    /// Assigns key ranges to other servers, each under a new fence.
+    /// Moves key ranges to other servers. Each range gets a new fence, above all fences that the
+    /// service has used.
     Assign(Vec<Reassignment>),
-    /// Gives an assigned range a fence that is `step` above the service's highest one; the server
-    /// stays.
+    /// Raises the fence of an assigned range above the service's highest fence. The server that
+    /// holds the range stays the same.
     RaiseFence {
-        /// Assigned range as it is recorded now; if it has changed, nothing happens.
+        /// Assigned range whose fence is raised, as the leader knows it. If the recorded assigned
+        /// range differs, the fence is not raised.
         assigned_range: AssignedRange,
-        /// Increment above the service's highest fence.
+        /// Number of fences that are skipped above the service's highest fence, because an earlier
+        /// leader may have used them without recording them.
         step: u64,
     },
-    /// Marks moves as completed: clears the former server of the assigned ranges that have these
-    /// fences.
+    /// Marks moves of keys as completed: clears the former server of the assigned ranges that have
+    /// these fences.
     CompleteMoves(Vec<u64>),
 }
 
 /// Assignment of a key range to another server.
 #[derive(Clone, Debug)]
 pub struct Reassignment {
-    /// Keys that change their server; both ends are included.
+    /// Keys that are assigned to another server; both ends of the range are included.
     pub range: KeyRange,
-    /// New server. It is granted the keys only once `from` no longer holds them.
+    /// Incarnation id of the new server. The leader grants the keys to the new server only once
+    /// `from` no longer holds them.
     pub server: Arc<str>,
-    /// Server that holds the keys now; `None` if no server does.
+    /// Incarnation id of the server that holds the keys before the move; `None` if no server does.
     pub from: Option<Arc<str>>,
 }
 
 impl Change {
-    /// Applies the change and returns the assigned ranges that it created or replaced. Returns none
-    /// of them for `Distribute` and `CompleteMoves`.
+    /// Applies the change to `assignment`. Returns the assigned ranges that `Assign` or
+    /// `RaiseFence` put into the assignment, and an empty list for `Distribute` and
+    /// `CompleteMoves`.
     pub(super) fn apply(&self, assignment: &mut Assignment) -> Vec<AssignedRange> {
         match self {
             Self::Distribute(ranges) => {
--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -1,12 +1,13 @@
-//! Leadership: the role of the one entry host, the leader, that grants leases to servers, moves
-//! keys between servers and records which server holds which keys. The outer names of the
-//! leadership (events, the metric and the table in the store) call it the "duty".
+//! Leadership of the entry hosts. One entry host, the leader, grants leases of keys to servers,
+//! moves keys between servers and records which server holds which keys. Log events, a metric and
+//! the table in the store call the leadership the "duty".
 //!
 //! One row of the store, the leadership row, names the leader. The leader confirms the leadership
 //! at short intervals by a conditional write of that row. Another host takes over the leadership if
-//! the row stays unchanged for the takeover time although the store answers. All writes of assigned
-//! ranges are conditional on the version of the leadership row, so a host that is no longer the
-//! leader cannot record anything.
+//! the row stays unchanged for the takeover time while the store answers. A term is the time from a
+//! takeover of the leadership to the next takeover; terms are numbered. Writes of assigned ranges
+//! are conditional on the version of the leadership row, so the store rejects such a write from a
+//! host that is no longer the leader.
 
 mod change;
 mod record;
@@ -31,53 +32,57 @@
     platform::store::{Expect, Put, Transaction, TransactionOutcome},
 };
 
-/// Table of the leadership row. The row has a table of its own because it changes often and no host
-/// follows it by a change feed.
+/// Table of the store that contains only the leadership row. The row changes often, and no host
+/// follows it by a change feed, so the table is separate from the tables that hosts follow.
 const LEADERSHIP_TABLE: &str = "ashroad_duty";
 const LEADERSHIP_KEY: &str = "leases";
-/// Age of the last confirmation up to which the leader tells other hosts that it is the leader. Two
-/// confirmations in a row may fail before this age is reached. A leader that has lost its own
-/// connection to the store can record no move. With 3 s, another host took over the leadership only
-/// 5.7 s after the leader had lost the store, and the keys of a lost zone waited for that long.
+/// Maximum age of the last successful confirmation at which the leader still sends heartbeats to
+/// the other hosts. Two confirmations in a row may fail before this age is reached. A leader that
+/// has lost its own connection to the store cannot record moves of keys, so another host must take
+/// over the leadership soon. With 3 s, another host took over the leadership only 5.7 s after the
+/// leader had lost the store, and the keys of a lost zone waited for that long.
 const CONFIRMED_MS: u64 = 1_900;
-/// Timeout of a write of the leadership row. When the store returns from an outage, the leader must
-/// have written the row before other hosts have seen it unchanged for the takeover time, 1.6 s. At
-/// its slowest, the store takes 0.5 s for a write.
+/// Timeout of a write of the leadership row. After an outage of the store, the leader must write
+/// the row before other hosts have seen the row unchanged for the takeover time, 1.6 s. At its
+/// slowest, the store takes 0.5 s for a write.
 const CONFIRM_TIMEOUT_MS: u64 = 1_000;
-/// Time after the loss of the leadership in which a host reports to the new leader that it has
-/// stopped granting leases.
+/// Time for which a host that has lost the leadership answers heartbeats of a later leader with the
+/// report that it has stopped granting leases.
 const STOPPED_REPORT_MS: u64 = 3_000;
 
-/// Content of the leadership row, stored as JSON in a table that operators see as `ashroad_duty`.
+/// Content of the leadership row, which names the leader. It is stored as JSON in the table
+/// `ashroad_duty`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct LeadershipRow {
     /// Incarnation of the host process that is the leader; 0 after the leader has given up the
     /// leadership.
     #[serde(rename = "holder")]
     leader_incarnation: u64,
-    /// Number of the leader's term. Each takeover of the leadership adds 1, so a higher number is
-    /// later.
+    /// Number of the leader's term. Each takeover of the leadership adds 1, so a later term has a
+    /// higher number.
     term: u64,
     /// Number of the confirmation within the term. This number makes the content of the row differ
     /// from one confirmation to the next.
     confirmation: u64,
-    /// Peer address of the leader; `None` in rows of versions without this field.
+    /// Address at which the leader receives datagrams and queries of other hosts; `None` in rows
+    /// that were written by a version of ashroad without this field.
     #[serde(default)]
     address: Option<SocketAddr>,
-    /// Time after this write in which leaders of earlier terms may still grant leases.
+    /// Time after the write of this row, in milliseconds, in which leaders of earlier terms may
+    /// still grant leases.
     #[serde(default)]
     earlier_ms: u64,
 }
 
-/// Previous leader. The current leader must wait for the leases that the previous leader may still
-/// grant, until the previous leader's process is known to have ended or to have stopped granting
-/// leases.
+/// Previous leader. The current leader waits for the expiry of the leases that the previous leader
+/// may still grant. The wait becomes shorter once the previous leader's process is known to have
+/// ended or to have stopped granting leases.
 #[derive(Clone, Copy, Debug)]
 struct Predecessor {
     incarnation: u64,
     term: u64,
     address: SocketAddr,
-    /// Time up to which leaders before this predecessor may have granted leases.
+    /// Time up to which the leaders of terms before the predecessor's term may grant leases.
     before_predecessor_until_ms: u64,
 }
 
@@ -87,23 +92,26 @@
 pub struct Leadership {
     /// Number of this host's term while it is the leader, else 0.
     term: AtomicU64,
-    /// Time at which the last successful confirmation was sent, taken before the call.
+    /// Time at which this host sent its last successful confirmation of the leadership, taken
+    /// before the call to the store.
     confirmed_ms: AtomicU64,
     /// Time up to which leaders of earlier terms may have granted leases.
     earlier_leases_until_ms: AtomicU64,
     predecessor: StdMutex<Option<Predecessor>>,
-    /// Number of the last term in which this host lost the leadership; 0 if there was none.
+    /// Number of the term in which this host last lost the leadership; 0 if this host has never
+    /// been the leader.
     lost_term: AtomicU64,
-    /// Time at which this host lost the leadership in the term `lost_term`.
+    /// Time at which this host lost the leadership of the term `lost_term`.
     lost_ms: AtomicU64,
-    /// True once this host gives up the leadership in a planned stop. The next write of the
-    /// leadership row then names no leader.
+    /// True once this host gives up the leadership in a planned stop. From then on, this host
+    /// writes the leadership row without a leader.
     giving_up: AtomicBool,
     writer: Mutex<Writer>,
 }
 
-/// Version and confirmation number of the last write of the leadership row. The lock is held during
-/// each write that depends on the row.
+/// Version of the leadership row and confirmation number of its last write. A task holds the lock
+/// on this value during each write to the store that depends on the leadership row, so these writes
+/// follow one another.
 #[derive(Debug, Default)]
 struct Writer {
     row_version: u64,
@@ -116,15 +124,16 @@
         self.term.load(Ordering::Relaxed)
     }
 
-    /// Returns true if this host may grant leases: it is the leader, and confirmed the leadership
-    /// in the store less than `outage_ms` ago.
+    /// Returns true if this host may grant leases: this host is the leader, and it sent its last
+    /// successful confirmation of the leadership to the store less than `outage_ms` ago.
     pub fn may_lease(&self, outage_ms: u64) -> bool {
         let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
         self.term() > 0 && clock::now_ms() < confirmed_ms + outage_ms
     }
 
-    /// Returns true if this host is the leader and its last confirmation is recent enough to tell
-    /// other hosts so.
+    /// Returns true if this host is the leader and its last successful confirmation is recent
+    /// enough (`CONFIRMED_MS`) for this host to send heartbeats and to write the other rows of the
+    /// leader.
     pub fn is_confirmed(&self) -> bool {
         self.may_lease(CONFIRMED_MS)
     }
@@ -134,7 +143,8 @@
         self.earlier_leases_until_ms.load(Ordering::Relaxed)
     }
 
-    /// Returns the remaining time in which leaders of earlier terms may still grant leases.
+    /// Returns the remaining time, in milliseconds, in which leaders of earlier terms may still
+    /// grant leases.
     fn earlier_ms(&self) -> u64 {
         self.earlier_leases_until_ms()
             .saturating_sub(clock::now_ms())
@@ -147,8 +157,9 @@
     }
 
     /// Shortens the wait for the leases of the previous leader if `is_over` returns true for the
-    /// previous leader: its host runs another process, or the previous leader has reported that it
-    /// has stopped granting leases.
+    /// previous leader. The caller knows that the host of the previous leader runs another process,
+    /// or that the previous leader has reported that it grants no more leases. The leases of still
+    /// earlier leaders must expire nevertheless.
     fn predecessor_ended(&self, is_over: impl FnOnce(&Predecessor) -> bool) {
         let mut predecessor = self.predecessor();
         let Some(over) = predecessor.filter(|p| is_over(p)) else {
@@ -163,22 +174,24 @@
     }
 
     /// Records the incarnation of the process that runs on the host at `address`. If the previous
-    /// leader ran on that host under another incarnation, its process has ended.
+    /// leader ran on that host under another incarnation, the process of the previous leader has
+    /// ended, and its leases are not waited for any longer.
     pub fn note_process(&self, address: SocketAddr, incarnation: u64) {
         self.predecessor_ended(|p| p.address == address && p.incarnation != incarnation);
     }
 
-    /// Records the report of the host at `address` that it has stopped granting leases of `term`.
+    /// Records the report of the host at `address` that it grants no more leases as the leader of
+    /// `term`.
     pub fn note_stopped(&self, address: SocketAddr, term: u64) {
         self.predecessor_ended(|p| p.address == address && p.term == term);
     }
 
-    /// Records that another host is the leader in `term`. If `term` is later than this host's own
-    /// term, this host gives up the leadership.
+    /// Records that another host is the leader in `term`. If this host is the leader of an earlier
+    /// term, it gives up the leadership.
     ///
-    /// Returns the term in which this host lost the leadership, if that was within the last
-    /// `STOPPED_REPORT_MS`. The new leader waits for the leases of that term until it knows that
-    /// this host grants them no longer.
+    /// Returns the earlier term whose leadership this host lost within the last
+    /// `STOPPED_REPORT_MS`, so that the caller reports to the new leader that this host grants no
+    /// more leases of that term. Until it gets that report, the new leader waits for these leases.
     pub fn note_other_term(&self, term: u64) -> Option<u64> {
         let own = self.term();
         if own >= term {
@@ -224,8 +237,8 @@
         }
     }
 
-    /// Writes the leadership row if it still has `version`. Returns the new version, or `None` if
-    /// the write failed or its outcome is unknown.
+    /// Writes the leadership row if the stored row still has `version`. Returns the new version, or
+    /// `None` if the write failed or its outcome is unknown.
     async fn write_leadership_row(&self, row: &LeadershipRow, version: u64) -> Option<u64> {
         let value = serde_json::to_vec(row).ok()?;
         let transaction = Transaction {
@@ -245,7 +258,8 @@
         match written.await {
             Ok(TransactionOutcome::Done { version }) => Some(version),
             Ok(TransactionOutcome::Conflict { rows }) => {
-                // An earlier attempt may have taken effect although its response was lost.
+                // An earlier attempt of this write may have taken effect although its response was
+                // lost.
                 let found = rows.into_iter().find(|r| r.key == LEADERSHIP_KEY)?;
                 (found.value == value).then_some(found.version)
             }
@@ -256,9 +270,9 @@
         }
     }
 
-    /// Confirms the leadership. If the store stops answering during the call and then returns, the
-    /// call is abandoned and repeated at once, so that the confirmation arrives before other hosts
-    /// take over the leadership.
+    /// Confirms the leadership in the store. If the store stops answering during the call, this
+    /// host abandons the call and repeats it as soon as the store answers again, so that the
+    /// confirmation arrives before another host takes over the leadership.
     async fn confirm_leadership_through_outages(&self) {
         loop {
             tokio::select! {
@@ -292,8 +306,8 @@
             self.note_store_response(clock::now_ms());
             return;
         }
-        // The write may have failed, taken effect without a response, or met a row that another
-        // host has written.
+        // The write may have failed, or have taken effect without a response, or another host may
+        // have written the row. Reading the row shows whether this host is still the leader.
         let Some((Some(row), version)) = self.read_leadership_row().await else {
             return;
         };
@@ -305,8 +319,8 @@
         writer.confirmation = writer.confirmation.max(row.confirmation);
     }
 
-    /// Gives up the leadership during a planned stop of this host by clearing the leader in the
-    /// leadership row, so that another host takes over the leadership at once.
+    /// Gives up the leadership during a planned stop of this host. The leadership row then names no
+    /// leader, so another host takes over the leadership without waiting for the takeover time.
     pub(super) async fn give_up_leadership(&self) {
         if self.leadership.term() == 0 {
             return;
--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -1,5 +1,5 @@
-//! Records changes of assigned ranges in the store, on the condition that this host is still the
-//! leader.
+//! Records changes of assigned ranges in the store. Each write is conditional on the version of the
+//! leadership row, so it takes effect only while this host is the leader.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -19,30 +19,34 @@
     platform::store::{Expect, Put, Row, Transaction, TransactionOutcome},
 };
 
-/// Reason why a change of assigned ranges was not recorded, which no retry can mend.
+/// Reason why a change of assigned ranges could not be recorded. Retrying the same change cannot
+/// succeed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFailure {
-    /// Another host is the leader, or this host can no longer be sure that it is the leader itself.
+    /// This host is not the leader, or the store has not confirmed the leadership of this host for
+    /// too long (`outage_ms`).
     LeadershipLost,
     /// The store rejects the transaction with an error that no retry can mend.
     Refused,
-    /// The recorded assigned ranges differ from the ones that this host knows, or cannot be
-    /// encoded.
+    /// The assigned ranges in the store differ from the assigned ranges that this host knows, or
+    /// the changed assigned ranges cannot be encoded.
     AssignmentChanged,
 }
 
-/// Maximum number of rows in one transaction. The store accepts up to 100 conditions and writes in
-/// one transaction.
+/// Maximum number of rows with assigned ranges in one transaction. Each row needs a condition and a
+/// write, and the leadership row needs a condition; the store accepts up to 100 conditions and
+/// writes in one transaction.
 const ROWS_MAX: usize = 32;
 
-/// Row with one key partition of a service's assigned ranges, to be written on the condition that
-/// the stored row still has the expected version.
+/// Row with the assigned ranges of one key partition of a service. The row is written on the
+/// condition that the stored row still has the expected version.
 struct PendingRow {
     part: KeyPartition,
     key: String,
     assignment: Assignment,
     value: Vec<u8>,
-    /// Version that the stored row must have; 0 if the row must not exist.
+    /// Version that the stored row must have for the write to take effect; 0 if the row must not
+    /// exist.
     expected_version: u64,
 }
 
@@ -80,7 +84,8 @@
     }
 }
 
-/// Outcome of a transaction once it is known whether it took effect.
+/// Outcome of a transaction that writes rows with assigned ranges. A transaction whose effect is
+/// unknown is retried and has no outcome yet.
 enum WriteOutcome {
     Done(u64),
     Conflict(Vec<Row>),
@@ -89,24 +94,27 @@
     LeadershipLost,
 }
 
-/// Reason why the conditions of a transaction were not met.
+/// Reason why the store reported a conflict: the conditions of a transaction were not met.
 enum Conflict {
-    /// An earlier attempt took effect, but its response was lost. Contains the version of the rows.
+    /// An earlier attempt of the same transaction took effect, but its response was lost. Contains
+    /// the version of the written rows.
     TookEffect(u64),
-    /// A confirmation of the leadership took effect, but its response was lost. Contains the
-    /// version of the leadership row.
+    /// This host's last confirmation of the leadership took effect, but its response was lost.
+    /// Contains the current version of the leadership row.
     Confirmed(u64),
-    /// The recorded assigned ranges differ from the ones that this host knows.
+    /// The versions of the stored rows with assigned ranges differ from the versions that this host
+    /// knows.
     AssignmentChanged,
-    /// The leadership row does not name this host and term, or is missing or undecodable.
+    /// The leadership row does not name this process and its term, or the row is missing or
+    /// undecodable.
     LeadershipTaken,
 }
 
 impl Entry {
     /// Records a change of a service's assigned ranges and returns the assigned ranges that it
-    /// created or replaced. The write is conditional on the leadership row and on the unchanged
-    /// versions of the rows that it replaces. Retries for as long as this host may be the leader,
-    /// and returns only once the outcome is certain.
+    /// created or replaced (none for `Distribute` and `CompleteMoves`). Each write is conditional
+    /// on the version of the leadership row and on the versions of the rows that it replaces. A
+    /// write whose effect is unknown is retried for as long as this host may grant leases.
     pub(in crate::entry) async fn record(
         &self,
         service: &Arc<str>,
@@ -122,9 +130,9 @@
         if assignment == *held.assignment {
             return Ok(changed);
         }
-        // The row of the first key partition is written last. It may come from an earlier version
-        // of ashroad, which kept all assigned ranges in it, and must not lose them before the other
-        // rows have them.
+        // The row of the first key partition is written last. An earlier version of ashroad kept
+        // all assigned ranges of a service in this row. Such a row must keep them until the rows of
+        // the other key partitions are written.
         let mut parts = held.changed_partitions(&assignment);
         parts.reverse();
         for parts in parts.chunks(ROWS_MAX) {
@@ -140,7 +148,8 @@
         Ok(changed)
     }
 
-    /// Writes rows in one transaction and retries for as long as this host may be the leader.
+    /// Writes rows with assigned ranges in one transaction, and retries for as long as this host
+    /// may grant leases. Then applies the written rows to this host's view.
     async fn record_rows(
         &self,
         service: &Arc<str>,
@@ -174,7 +183,8 @@
         }
     }
 
-    /// Determines from the rows that the store returned why a transaction met a conflict.
+    /// Determines why the store reported a conflict, from `found`, the current rows that the store
+    /// returned with it.
     fn classify_conflict(&self, found: &[Row], rows: &[PendingRow], writer: &Writer) -> Conflict {
         let find = |key: &str| found.iter().find(|row| row.key == key);
         let is_written = |row: &PendingRow| find(&row.key).is_some_and(|f| f.value == row.value);
@@ -230,8 +240,8 @@
             let sent_ms = clock::now_ms();
             match self.store.transact(&transaction).await {
                 Ok(TransactionOutcome::Done { version }) => {
-                    // The transaction is conditional on the leadership row, so its success also
-                    // confirms the leadership.
+                    // The transaction is conditional on the leadership row, so its success shows
+                    // that this host was still the leader when the transaction was sent.
                     self.leadership
                         .confirmed_ms
                         .store(sent_ms, Ordering::Relaxed);
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -1,6 +1,6 @@
 //! Takeover of the leadership. A restarted host whose previous process was the leader takes over
-//! the leadership again at once. Other hosts take over the leadership when the leadership row has
-//! stayed unchanged for the takeover time.
+//! the leadership again at once. Any other host takes over the leadership when the leadership row
+//! names no leader, or has stayed unchanged for the takeover time.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -21,35 +21,37 @@
     },
 };
 
-/// Interval at which a host that is not the leader checks whether the leader has become silent.
+/// Interval at which a host that is not the leader checks whether it has stopped receiving
+/// heartbeats of the leader.
 const CHECK_EVERY_MS: u64 = 100;
-/// Time after its start in which a host does not watch the leadership row, as it may not have
-/// received a heartbeat of the leader yet.
+/// Time after its start in which a host does not watch the leadership row, because the first
+/// heartbeat of the leader may not have arrived yet.
 const START_GRACE_MS: u64 = 600;
-/// Time after the first start of a deployment in which a host does not watch the leadership row,
-/// unless it is an early host, see [`SLOW_HOST_DELAY_MS`]. A first start is recognised by the lack
-/// of a shared secret for datagrams. Hosts that start together must know each other, or all of them
-/// would watch the row. They read the rows of each other 2.5 s after their start.
+/// Time after its start in which a host does not watch the leadership row if the deployment starts
+/// for the first time. Early hosts use a shorter time, see [`SLOW_HOST_DELAY_MS`]. A host
+/// recognises the first start of a deployment by the lack of a shared secret for datagrams. Hosts
+/// that start together must know each other before they watch the row, or all of them would watch
+/// it. They read each other's rows 2.5 s after their start.
 const FIRST_START_GRACE_MS: u64 = 3_200;
-/// Maximum delay, in addition to [`START_GRACE_MS`], before an early host watches the leadership
-/// row at the first start of a deployment. A larger processor share shortens the delay, so that
-/// hosts with a larger processor share watch the row before the others.
+/// Maximum delay, in addition to [`START_GRACE_MS`], after which an early host watches the
+/// leadership row at the first start of a deployment. The delay shrinks to 0 as the processor share
+/// of the host grows to 1, so that the host with the largest share watches the row first.
 const SLOW_HOST_DELAY_MS: f32 = 800.0;
-/// Interval of reads of the leadership row while the leader is silent.
+/// Interval at which a host that watches the leadership row reads it.
 const READ_EVERY_MS: u64 = 300;
-/// Longest random delay before a host takes over the leadership, so that not all hosts try to take
-/// it over at once.
+/// Maximum random delay before a host takes over the leadership, so that hosts that watch the
+/// leadership row do not all write it at the same moment.
 const TAKEOVER_JITTER_MS: u64 = 120;
-/// Number of hosts that begin at the same time to watch the leadership row once the leader is
-/// silent. Reads are billed, so not all hosts watch the row.
+/// Number of hosts that begin to watch the leadership row at the same time when the heartbeats of
+/// the leader stop. Each read of the store is billed, so not all hosts watch the row at once.
 const WATCHERS: u64 = 2;
-/// Delay after which the next `WATCHERS` hosts in the takeover order also begin to watch the
-/// leadership row.
+/// Delay after which the next [`WATCHERS`] hosts in the takeover order also begin to watch the
+/// leadership row, if no heartbeat has arrived by then.
 const WATCHERS_STEP_MS: u64 = 500;
 
 impl Entry {
-    /// Confirms the leadership while this host is the leader. Otherwise takes over the leadership
-    /// once no host confirms it.
+    /// Confirms the leadership while this host is the leader. While it is not, takes over the
+    /// leadership once no other host confirms it.
     pub(in crate::entry) async fn maintain_leadership(self: Arc<Self>) {
         let leases = self.settings.leases;
         if !self.view.hosts_known().await {
@@ -72,16 +74,16 @@
             let may_take =
                 self.is_registered() && self.view.are_servers_known() && !self.stopping();
             if may_take && self.is_leader_silent(started_ms) {
-                // Calls are billed, so none is made before the feed of the servers' table shows
-                // that the store answers.
+                // Each call to the store is billed, so this host does not read the leadership row
+                // before the feed of the servers' table shows that the store answers.
                 self.view.wait_for_store().await;
                 self.await_takeover().await;
             }
         }
     }
 
-    /// Takes over the leadership at once if the previous process of this host was the leader. The
-    /// previous process has certainly ended, since this process listens on its address.
+    /// Takes over the leadership at once if the previous process of this host was the leader. That
+    /// process has certainly ended, since this process listens on the same address.
     async fn resume_leadership(&self) {
         while !self.view.are_servers_known() || !self.is_registered() {
             time::sleep(Duration::from_millis(CHECK_EVERY_MS)).await;
@@ -96,8 +98,8 @@
         }
     }
 
-    /// Returns true if the leader has been silent for so long that this host should watch the
-    /// leadership row. If this host has never received a heartbeat, the time counts from
+    /// Returns true if this host has received no heartbeat of the leader for so long that it should
+    /// watch the leadership row. If this host has never received a heartbeat, the time counts from
     /// `started_ms`.
     fn is_leader_silent(&self, started_ms: u64) -> bool {
         let heard_ms = self.peers.leader_heard_ms();
@@ -112,8 +114,8 @@
         clock::now_ms() > silent_after_ms + self.watch_delay_ms()
     }
 
-    /// Returns the time after the first start of a deployment in which this host does not watch the
-    /// leadership row.
+    /// Returns the time after its start, in milliseconds, in which this host does not watch the
+    /// leadership row at the first start of a deployment.
     fn first_start_grace_ms(&self) -> u64 {
         let share = self.settings.processor_share.clamp(0.0, 1.0);
         if self.is_early() {
@@ -123,8 +125,9 @@
         }
     }
 
-    /// Returns the time for which hosts with a lower rank watch the leadership row before this host
-    /// does, once the leader is silent.
+    /// Returns the delay, in milliseconds, after which this host begins to watch the leadership row
+    /// once the heartbeats of the leader have stopped. The delay grows with the rank of this host
+    /// in the takeover order.
     fn watch_delay_ms(&self) -> u64 {
         let rank = {
             let settings = &self.settings;
@@ -134,16 +137,17 @@
         rank as u64 / WATCHERS * WATCHERS_STEP_MS
     }
 
-    /// Reads the leadership row until the row changes, or this host may take over the leadership
-    /// because the row names no leader or has stayed unchanged for the takeover time.
+    /// Reads the leadership row repeatedly. Takes over the leadership if the row names no leader or
+    /// stays unchanged for the takeover time. Returns without a takeover if another host writes the
+    /// row, or if a read still fails after ten times the takeover time.
     async fn await_takeover(&self) {
         let takeover_ms = self.settings.leases.takeover_ms;
         let mut seen: Option<(u64, u64)> = None;
         let started_ms = clock::now_ms();
         loop {
             let Some((row, version)) = self.read_leadership_row().await else {
-                // Time in which the store did not answer does not count towards the takeover time,
-                // since the leader could not confirm the leadership in that time either.
+                // The takeover time starts again after a failed read, since the leader could not
+                // confirm the leadership either while the store did not answer.
                 seen = None;
                 pause().await;
                 self.view.wait_for_store().await;
@@ -170,9 +174,11 @@
         }
     }
 
-    /// Takes over the leadership. The row was first read with this content at `seen_ms`, so the
-    /// previous leader sent its last confirmation before that. `handed_over` is true if the
-    /// previous leader had given up the leadership.
+    /// Takes over the leadership by writing the leadership row, unless another host has written it
+    /// since. `row` and `version` are the content and version that this host has read. This host
+    /// first read them at `seen_ms`, so the previous leader sent its last confirmation before that
+    /// time. `handed_over` is true if the row names no leader, because the previous leader gave up
+    /// the leadership or there was none.
     async fn take_leadership(
         &self,
         row: Option<LeadershipRow>,
@@ -206,8 +212,8 @@
         writer.row_version = version;
         writer.confirmation = 1;
         drop(writer);
-        // Assigned ranges are read after the leadership is taken over, as no other host can change
-        // them from then on.
+        // The assigned ranges are read only after the leadership row is written, because no other
+        // host can change assigned ranges from then on.
         if !self.read_assignments().await {
             return;
         }
@@ -230,10 +236,11 @@
         self.check_predecessor_process().await;
     }
 
-    /// Checks if the host of the predecessor (previous leader) already runs another process. The
-    /// predecessor may have been an earlier process of this host. This host's data on the processes
-    /// of other hosts may be older than the predecessor, but the predecessor's own row is not,
-    /// since a process registers before it takes over the leadership.
+    /// Checks whether the host of the predecessor (the previous leader) already runs another
+    /// process. The predecessor may have been an earlier process of this host. Otherwise the host
+    /// row of the predecessor is read from the store: the host rows that this host knows may have
+    /// been written before the predecessor's process started, whereas the stored row names that
+    /// process or a later one, since a process registers before it takes over the leadership.
     async fn check_predecessor_process(&self) {
         self.leadership
             .note_process(self.settings.listen.peers, self.incarnation);
@@ -243,8 +250,8 @@
         let key = format!("{HOST_PREFIX}{address}");
         match self.store.range(TABLE, HOSTS_PARTITION, &key, &key).await {
             Ok(rows) => self.apply_own(&rows.rows),
-            // Without the row, this host waits for the leases that the predecessor may have
-            // granted.
+            // If the row cannot be read, this host waits for the expiry of all leases that the
+            // predecessor may have granted.
             Err(error) => log::debug!("cannot read the row of the predecessor's host: {error}"),
         }
     }
