--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -1,11 +1,13 @@
-//! Work of the leader: grants and renews the leases of servers, moves keys to balance load, and
+//! Work of the leader on leases. A lease permits one server to serve a range of keys for a limited
+//! time. The leader grants and renews leases, moves keys between servers to balance load, and
 //! reassigns the keys of servers that leave or stop answering.
 //!
-//! A move is recorded in the store first, together with the server that may still hold the keys.
-//! That server is then asked to release them under the new fence. If it does not answer, the keys
-//! are granted to the new server only after the last lease that any leader may have granted to the
-//! old one has expired. A later leader finds the move among the recorded assigned ranges and
-//! completes it in the same way.
+//! The leader first records a move of keys in the store, together with the former server, which may
+//! still hold the keys. The leader then orders the former server to release the keys under the new
+//! fence. If the former server does not answer, the leader grants the keys to the new server only
+//! after the last lease that any leader may have granted to the former server has expired. If the
+//! leader changes during the move, the next leader finds the move among the recorded assigned
+//! ranges and completes it in the same way.
 
 mod moves;
 mod renewal;
@@ -34,59 +36,68 @@
 };
 use crate::clock;
 
-/// Interval of the leader's rounds of renewals and planning.
+/// Interval of the leader's rounds. In each round the leader starts the due renewals of leases and
+/// plans moves of keys.
 const ROUND_MS: u64 = 100;
-/// Number of rounds between plans that move keys to balance load. Hosts report their request counts
-/// about as often.
+/// Number of rounds after which the leader plans moves of keys that balance load. Hosts report
+/// their request counts by key to the leader about as often.
 const BALANCE_EVERY_ROUNDS: u64 = 2;
-/// Timeout of a grant. A server usually answers within a few ms, and a lost packet is retransmitted
-/// within the timeout. Nine grants fit into the time from the renewal of a lease to its expiry: if
-/// half of the responses are lost, two leases in a thousand expire.
+/// Timeout of a grant order to a server. A server usually answers within a few milliseconds, and a
+/// lost packet is retransmitted within the timeout. Nine grants fit into the time from the renewal
+/// of a lease to its expiry: if half of the responses are lost, two leases in a thousand expire.
 const GRANT_TIMEOUT_MS: u64 = 300;
-/// Number of consecutive failed grants after which the server is probed.
+/// Number of consecutive failed grant orders after which the leader probes whether the server is
+/// alive.
 const FAILURES_BEFORE_PROBE: u32 = 2;
-/// Maximum number of concurrent moves of a service with few servers.
+/// Maximum number of moves of keys that are in progress at the same time in a service with few
+/// servers.
 const CONCURRENT_MOVES_MIN: usize = 8;
-/// Number of servers of a service per concurrent move. It sets the maximum number of moves in
-/// progress where it allows more than `CONCURRENT_MOVES_MIN`.
+/// Number of servers of a service for each move of keys that may be in progress at the same time. A
+/// service with many servers may thus have more moves in progress than [`CONCURRENT_MOVES_MIN`].
 const SERVERS_PER_MOVE: usize = 4;
-/// Factor by which the wait for the end of a lease is longer than the lease. A server whose clock
-/// runs slow, by up to 2%, still counts on its lease for that much longer. `LEASE_MARGIN_MS` is
-/// added, since a grant may arrive until its timeout.
+/// Factor by which the leader's wait for the expiry of a lease is longer than the lease. The clock
+/// of a server may run up to 2% slow, so the server may serve the keys that much longer than the
+/// lease on the leader's clock. [`LEASE_MARGIN_MS`] is added to the wait, since a grant may arrive
+/// at the server until its timeout.
 const LEASE_CLOCK_FACTOR: f64 = 1.03;
 const LEASE_MARGIN_MS: u64 = GRANT_TIMEOUT_MS + 250;
-/// Rounds per second. Reported request counts are added up once per round.
+/// Number of rounds per second. The leader adds up the reported request counts once per round, so
+/// this number converts a count per round into a rate.
 const ROUNDS_PER_S: f32 = 1_000.0 / ROUND_MS as f32;
-/// Age of the store's last response above which no planned move begins, since the move could not be
-/// recorded.
+/// Age of the store's last response above which the leader plans no moves of keys, since it could
+/// not record them.
 const STORE_AGE_MAX_MS: u64 = 3_600;
 
-/// State of the leases of one server in this term.
+/// Grants of leases to one server that the leader sent in its current term, and whether the server
+/// answers them.
 #[derive(Clone, Copy, Debug, Default)]
 struct ServerLeaseState {
-    /// Time at which the last grant was sent that may have arrived; 0 if none was.
+    /// Time at which the leader sent the last grant that may have arrived at the server; 0 if there
+    /// was no such grant.
     granted_ms: u64,
-    /// Number of grants in flight; while there are any, the server's lease may still be extended.
+    /// Number of grants to the server that the leader has sent and that have neither been answered
+    /// nor timed out. Each of them may still extend the lease of the server.
     grants_in_flight: u32,
-    /// Number of consecutive failed grants; [`FAILURES_BEFORE_PROBE`] of them start a probe.
+    /// Number of consecutive failed grants to the server. From [`FAILURES_BEFORE_PROBE`] on, the
+    /// leader probes whether the server is alive.
     failures: u32,
-    /// True if the server answered neither grants nor a probe. While this is set, it gets no grants
-    /// and no keys.
+    /// True if the server has answered neither the last grants nor a probe. A silent server gets no
+    /// grants and no further keys.
     is_silent: bool,
 }
 
-/// Renewals of one assigned range, which is renewed independently of the server's other assigned
-/// ranges.
+/// Renewals of the lease of one assigned range. The leases of a server's assigned ranges are
+/// renewed independently of one another.
 #[derive(Clone, Copy, Debug, Default)]
 struct Renewal {
-    /// Time at which the last successful renewal was sent; 0 if none was.
+    /// Time at which the leader sent the last successful renewal; 0 if there was none.
     renewed_ms: u64,
     is_in_flight: bool,
 }
 
 impl ServerLeaseState {
-    /// Returns the latest time at which the server may have received a grant: now, while one is in
-    /// flight.
+    /// Returns the time of the last grant that may have extended the lease of the server: `now_ms`
+    /// while a grant is in flight, else the time at which the last grant was sent.
     fn last_grant_ms(&self, now_ms: u64) -> u64 {
         if self.grants_in_flight > 0 {
             now_ms
@@ -96,29 +107,32 @@
     }
 }
 
-/// A move of keys that is being carried out.
+/// Move of keys to another server that the leader is carrying out. No other move of the same keys
+/// begins meanwhile.
 #[derive(Clone, Debug)]
 struct Moving {
     service: Arc<str>,
     range: KeyRange,
-    /// True while the move waits for the last lease of a silent server to expire. A waiting move
-    /// does not count towards the maximum of concurrent moves.
+    /// True if the former server has not released the keys, so that the move waits for the expiry
+    /// of its last lease. A waiting move does not count towards the maximum number of moves in
+    /// progress.
     waits_for_lease: bool,
 }
 
-/// State of one term of the leader, discarded when the term ends.
+/// Leases, moves of keys and request counts that the leader keeps in memory during one term. They
+/// are discarded when the term ends.
 #[derive(Debug, Default)]
 struct TermState {
     servers: HashMap<Arc<str>, ServerLeaseState>,
-    /// State of the renewals, by service and by the fence of the assigned range.
+    /// Renewals of leases, by the name of the service and the fence of the assigned range.
     renewals: HashMap<(Arc<str>, u64), Renewal>,
     moving: Vec<Moving>,
     counts: HashMap<Arc<str>, KeyCounts>,
     first_assignment_waits: HashMap<Arc<str>, FirstAssignmentWait>,
-    /// Fences of completed moves whose recorded assigned range still names the former server, by
-    /// service.
+    /// Fences of completed moves by service. The assigned ranges of these moves still name the
+    /// former server in the store, until the leader records the completion.
     completed_fences: HashMap<Arc<str>, Vec<u64>>,
-    /// Time at which completed moves were last recorded.
+    /// Time at which the leader last began to record completed moves in the store.
     completed_recorded_ms: u64,
 }
 
@@ -128,7 +142,8 @@
         moving.any(|m| *m.service == *service && m.range.overlaps(&range))
     }
 
-    /// Returns true if the former server of an assigned range may still hold its keys.
+    /// Returns true if the move of an assigned range from its former server is not completed, so
+    /// that the former server may still hold the keys.
     fn is_unfinished(&self, service: &str, assigned_range: &AssignedRange) -> bool {
         let completed_fences = self.completed_fences.get(service);
         let done = completed_fences.is_some_and(|fences| fences.contains(&assigned_range.fence));
@@ -136,7 +151,7 @@
     }
 }
 
-/// One term in which this host is the leader; its work stops when the term ends.
+/// One term in which this host is the leader. The leader's work on leases stops when the term ends.
 #[derive(Debug)]
 struct Term {
     entry: Arc<Entry>,
@@ -145,7 +160,8 @@
 }
 
 impl Entry {
-    /// Grants leases and plans moves, in one run for each term in which this host is the leader.
+    /// Waits until this host is the leader, and then grants leases and plans moves of keys until
+    /// the term ends. Repeats this for each term of this host.
     pub(super) async fn manage_leases(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(ROUND_MS)).await;
@@ -173,8 +189,8 @@
             if self.entry.leadership.term() != self.number {
                 return;
             }
-            // The state of the leases is kept while the store is unavailable for too long to grant
-            // any.
+            // If the store is unavailable for so long that this host may not grant leases, the term
+            // continues without orders to servers and keeps its state.
             if !self.may_send_orders() {
                 continue;
             }
@@ -187,8 +203,8 @@
         }
     }
 
-    /// Returns true while this host is the leader in this term and may grant leases, so that it may
-    /// send orders to servers.
+    /// Returns true while this host may send orders to servers: it is still the leader in this
+    /// term, and its last confirmation of the leadership is recent enough to grant leases.
     fn may_send_orders(&self) -> bool {
         let leadership = &self.entry.leadership;
         leadership.term() == self.number
@@ -227,7 +243,8 @@
         }
     }
 
-    /// Marks keys as moving. Returns false if a move of some of them is in progress.
+    /// Marks the keys of a range as moving. Returns false and marks nothing if a move of some of
+    /// these keys is in progress.
     fn mark_moving(&self, service: &Arc<str>, range: KeyRange) -> bool {
         let mut state = self.state();
         if state.is_moving(service, range) {
@@ -241,9 +258,9 @@
         true
     }
 
-    /// Returns the servers that may hold keys of a service, sorted by incarnation. Cold servers are
-    /// left out as long as there are warm ones, if their service limits their requests during
-    /// warm-up.
+    /// Returns the servers to which keys of a service may be assigned, sorted by incarnation id. If
+    /// the service limits the requests of cold servers during their warm-up, cold servers are left
+    /// out as long as there is a warm server.
     fn usable(&self, service: &str) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
         let state = self.state();
@@ -278,8 +295,9 @@
         servers
     }
 
-    /// Removes the servers that have asked many hosts for a backoff (a period without requests), so
-    /// that other servers hold their keys. Returns all servers if too few would remain.
+    /// Removes the servers that have asked many hosts for a backoff, so that the planner assigns
+    /// their keys to other servers. Returns all servers if too few would remain. A backoff is a
+    /// period in which a server asks a host to send it no requests.
     fn not_in_backoff(&self, servers: Vec<PlanServer>) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
         let hosts = self.entry.peers.hosts();
@@ -313,7 +331,8 @@
         if store_age_ms(&self.entry) > STORE_AGE_MAX_MS {
             return;
         }
-        // Moves of an earlier leader are resumed first, so that no plan touches their keys.
+        // Unfinished moves of an earlier leader are resumed before new moves are planned, so that
+        // no new move includes their keys.
         self.resume_unfinished_moves(service, &held.assignment, tasks);
         let moves = {
             let mut state = self.state();
@@ -349,8 +368,8 @@
         self.record_completed_moves(service, tasks);
     }
 
-    /// Announces the first assigned ranges to all hosts, so that they do not all read them from the
-    /// store.
+    /// Announces the first assigned ranges of a service to all hosts, so that not every host reads
+    /// them from the store.
     fn announce_grants(&self, service: &Arc<str>) {
         let Some(held) = self.entry.view.held(service) else {
             return;
@@ -361,8 +380,8 @@
         }
     }
 
-    /// Lets silent servers hold keys again once twice the lease time has passed since their last
-    /// grant. If they still do not answer, they are marked as silent again.
+    /// Permits grants to silent servers again once twice the lease time has passed since the last
+    /// grant. A server that still does not answer is marked as silent again.
     fn retry_silent_servers(&self, service: &str) {
         let registry = self.entry.view.registry();
         let now_ms = clock::now_ms();
@@ -372,7 +391,8 @@
             let Some(record) = state.servers.get_mut(&server.entry.id) else {
                 continue;
             };
-            // By then the last lease of the server has expired and its keys have moved to others.
+            // After twice the lease time, the last lease of the server has expired and its keys
+            // have moved to other servers.
             if record.is_silent && now_ms > record.last_grant_ms(now_ms) + 2 * lease_ms {
                 record.failures = 0;
                 record.is_silent = false;
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -1,5 +1,5 @@
-//! Moves of keys. Records a move, has the former server release the keys, grants them to the new
-//! server, and records the completion.
+//! Moves of keys between servers. The leader records a move in the store, orders the former server
+//! to release the keys, grants the keys to the new server, and records the completion of the move.
 
 use std::{sync::Arc, time::Duration};
 
@@ -25,19 +25,22 @@
     },
 };
 
-/// Interval at which the completion of moves is recorded.
+/// Minimum interval between two writes by which the leader records the completion of moves. One
+/// write covers all moves of a service that were completed since the last write.
 const RECORD_COMPLETED_EVERY_MS: u64 = 1_000;
-/// Minimum timeout of a release order, used when the lease of the server is about to expire or has
-/// expired.
+/// Minimum timeout of a release order. It applies when the lease of the server is about to expire
+/// or has expired; otherwise the timeout is the remaining time of the lease, at most
+/// [`RELEASE_TIMEOUT_MS`].
 const RELEASE_TIMEOUT_MIN_MS: u64 = 300;
-/// Maximum timeout of a release order. It is long because a server responds only when its work on
-/// the keys has ended.
+/// Maximum timeout of a release order. It is long because a server responds only after its running
+/// requests for the keys have ended.
 const RELEASE_TIMEOUT_MS: u64 = 2_500;
-/// Delay until an unanswered release order is sent again in parallel. Its response may be lost, and
-/// the keys have no server until one arrives. Most work on keys ends within this time.
+/// Delay after which the leader sends an unanswered release order again, while it goes on waiting
+/// for the response to the first one. The response may be lost, and no server holds the keys until
+/// a response arrives. Most requests for keys end within this time.
 const RELEASE_RETRY_MS: u64 = 600;
-/// Maximum number of times that one release order is sent, including the first. If servers lose
-/// half of their responses, four attempts get a response from 94% of them.
+/// Maximum number of times that the leader sends one release order, including the first. If servers
+/// lose half of their responses, four attempts get a response from 94% of them.
 const RELEASES_MAX: usize = 4;
 
 impl Term {
@@ -74,7 +77,8 @@
         }
     }
 
-    /// Records which moves are completed, at most once per `RECORD_COMPLETED_EVERY_MS`.
+    /// Records in the store which moves are completed, at most once per
+    /// [`RECORD_COMPLETED_EVERY_MS`].
     pub(super) fn record_completed_moves(
         self: &Arc<Self>,
         service: &Arc<str>,
@@ -108,7 +112,8 @@
         });
     }
 
-    /// Starts planned moves: records them in one write, then carries out each independently.
+    /// Starts planned moves of a service: records all of them as one change, then carries out each
+    /// move independently of the others.
     pub(super) fn begin_moves(
         self: &Arc<Self>,
         service: &Arc<str>,
@@ -177,7 +182,9 @@
         finishing.join_all().await;
     }
 
-    /// Announces to all hosts that keys are being moved, and how long that may take.
+    /// Announces to all hosts that the keys of an assigned range are being moved to the server of
+    /// that range, and how long the move may take. A grant of the keys with a fence above
+    /// `above_fence` completes the move.
     fn announce(&self, service: &Arc<str>, assigned_range: &AssignedRange, above_fence: u64) {
         let Some(from) = &assigned_range.from else {
             return;
@@ -220,15 +227,17 @@
         outbox.announce_move(tag_of(service), move_ahead);
     }
 
-    /// Marks a move as waiting for a lease to expire. Returns false if it was marked already.
+    /// Marks the move of a range as waiting for a lease to expire. Returns false if the move was
+    /// marked already.
     fn mark_waiting_for_lease(&self, range: KeyRange) -> bool {
         let mut state = self.state();
         let mut concerned = state.moving.iter_mut().filter(|m| m.range == range);
         concerned.any(|moving| !std::mem::replace(&mut moving.waits_for_lease, true))
     }
 
-    /// Carries out a recorded move: has the keys released, then grants them. If the grant fails,
-    /// the renewals of the new server repeat it, or the planner chooses another server.
+    /// Carries out a recorded move: the former server releases the keys, then the leader grants
+    /// them to the new server. If the grant fails, the renewals of the new server's leases repeat
+    /// the grant, or the planner chooses another server.
     async fn complete_move(
         &self,
         service: &Arc<str>,
@@ -265,8 +274,9 @@
             outbox.announce_grant(tag_of(service), assigned_range);
         }
         if assigned_range.from.is_some() {
-            // The move counts as completed only after the grant. Otherwise a renewal, which has no
-            // handover token, could arrive before the grant that has it.
+            // The move counts as completed only after the grant, because renewals begin with the
+            // completion. A renewal contains no handover token and must not arrive at the new
+            // server before the grant that contains the token.
             let mut state = self.state();
             let completed_fences = state.completed_fences.entry(service.clone()).or_default();
             completed_fences.push(assigned_range.fence);
@@ -285,11 +295,12 @@
         .log();
     }
 
-    /// Ensures that the server `id` no longer holds a range: the server confirms the release, or
-    /// its last lease has expired.
+    /// Ensures that the server `id` no longer holds a range: waits until the server confirms the
+    /// release, or its last lease has expired, or another server uses its address.
     ///
-    /// Returns the handover token for the next server if the old one gave one, or the outer `None`
-    /// if the term has ended meanwhile.
+    /// Returns the handover token for the new server, or `Some(None)` if the former server returned
+    /// no token. Returns `None` if this host may send no orders, for example because its term has
+    /// ended.
     async fn release_keys(
         &self,
         service: &Arc<str>,
@@ -299,9 +310,9 @@
         let AssignedRange { range, fence, .. } = *assigned_range;
         let registry = self.entry.view.registry();
         let server = registry.server(id).cloned();
-        // A server whose entry is gone may still serve, so the release order goes there on a new
-        // connection. If a later incarnation of the server answers at the same address, the earlier
-        // one has ended.
+        // A server whose entry is gone may still serve requests, so the leader sends the release
+        // order to its last known address on a new connection. If another server responds at this
+        // address, the process of the former server has ended.
         let former = registry.former(id).cloned();
         let former_link = former.as_ref().map(|former| Link::new(former.address));
         let link = match (&server, &former, &former_link) {
@@ -316,8 +327,8 @@
             }
             let free_ms = self.lease_end_ms(id);
             let now_ms = clock::now_ms();
-            // A known server is asked at least once, even if its leases have expired: its handover
-            // token warms up the next server.
+            // A server with an entry gets the release order at least once, even if its leases have
+            // expired, since its handover token warms up the new server.
             if now_ms >= free_ms && std::mem::replace(&mut asked, true) {
                 return Some(None);
             }
@@ -356,8 +367,8 @@
         }
     }
 
-    /// Returns the time at which the last lease that any leader may have granted to a server has
-    /// expired.
+    /// Returns the time after which the server `id` holds no lease: the last lease that this leader
+    /// or an earlier leader may have granted to the server has expired.
     fn lease_end_ms(&self, id: &Arc<str>) -> u64 {
         let now_ms = clock::now_ms();
         let own_ms = self
@@ -371,8 +382,8 @@
     }
 }
 
-/// Sends a release order, and resends it in parallel while no response arrives. The first response
-/// counts; the order is idempotent.
+/// Sends a release order, and sends it again every [`RELEASE_RETRY_MS`] while no response arrives.
+/// Returns the first response. The order is idempotent, so the server may receive it several times.
 async fn release(
     link: &Link,
     order: Release<'_>,
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -1,5 +1,6 @@
-//! Renewal of leases. If a server has seen a higher fence than the recorded one, its keys are
-//! granted again under a fence that is higher still.
+//! Renewal of leases. The leader grants each assigned range to its server again before the lease
+//! expires. If the server refuses a renewal because it has seen a fence above the recorded fence,
+//! the leader raises the recorded fence and grants the keys again.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -24,35 +25,37 @@
     },
 };
 
-/// Increment of a raised fence. It skips fences that an earlier leader may have used without
-/// recording them.
+/// Number of fences that are skipped when a fence is raised, because an earlier leader may have
+/// used them without recording them.
 const FENCE_STEP: u64 = 16;
 
-/// Order that grants or renews the lease of a key range at a server.
+/// Order to a server that grants it the lease of a key range, or renews the lease.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseOrder<'a> {
     pub service: &'a Arc<str>,
     pub range: KeyRange,
     pub fence: u64,
-    /// Handover token that the previous server of the keys returned; `None` for renewals.
+    /// Handover token that the former server of the keys returned and that lets the new server
+    /// start warm; `None` for renewals, and if there is no token.
     pub handover: Option<&'a str>,
 }
 
-/// Timeout of a probe of a server. The probe may have to wait for a free slot there.
+/// Timeout of a probe of whether a server is alive. The probe may have to wait for a free request
+/// slot at the server.
 const PROBE_TIMEOUT_MS: u64 = 400;
-/// Age of a server's last response to a request up to which the server counts as alive without a
-/// probe.
+/// Maximum age of a server's last response to a request at which the server counts as alive without
+/// a probe.
 const RECENT_RESPONSE_MS: u64 = 1_000;
 
 impl Term {
-    /// Starts the due renewals of a service's leases.
+    /// Starts the renewals of a service's leases that are due, with one task for each server.
     pub(super) fn renew(self: &Arc<Self>, service: &Arc<str>, tasks: &mut JoinSet<()>) {
         let Some(held) = self.entry.view.held(service) else {
             return;
         };
         let registry = self.entry.view.registry();
         for (id, assigned_ranges) in self.due_renewals(service, &held.assignment) {
-            // A server without an entry gets no renewal, so its leases expire.
+            // A server whose entry is gone gets no renewals, so its leases expire.
             let server = registry.server(&id).cloned();
             let term = self.clone();
             let service = service.clone();
@@ -65,9 +68,10 @@
         }
     }
 
-    /// Returns the assigned ranges whose renewal is due, by server, and marks their renewals as in
-    /// flight. Each assigned range has a renewal time of its own: if a server with five ranges
-    /// loses half of its responses, five renewals in a row succeed only once in 32 attempts.
+    /// Returns the assigned ranges of a service whose renewal is due, by server, and marks their
+    /// renewals as in flight. Each assigned range has a renewal time of its own, so that a failed
+    /// renewal does not repeat the others. If half of the responses of a server with five ranges
+    /// are lost, five renewals in a row succeed only once in 32 attempts.
     fn due_renewals(
         &self,
         service: &Arc<str>,
@@ -132,15 +136,16 @@
                     self.raise_fence(service, server, assigned_range).await
                 }
                 Some(GrantOutcome::OtherServer) => return,
-                // This renewal is due again in the next round. The remaining assigned ranges are
-                // renewed now.
+                // A renewal without a response is due again in the next round. The remaining
+                // assigned ranges are renewed nevertheless.
                 None => {}
             }
         }
     }
 
-    /// Grants or renews one lease. Returns `None` if the server did not answer or may not be sent
-    /// an order.
+    /// Sends one order that grants or renews a lease, and returns the response of the server.
+    /// Returns `None` if the server did not answer, or if no order was sent because the server is
+    /// silent or this host may send no orders.
     pub(super) async fn grant(
         &self,
         server: &Arc<Server>,
@@ -184,8 +189,8 @@
         None
     }
 
-    /// Records the outcome of a grant. Returns true if the server should be probed, as it may have
-    /// crashed.
+    /// Records the outcome of a grant that was sent at `sent_ms`. Returns true if the caller should
+    /// probe the server because so many grants have failed that the server may have crashed.
     fn note_grant(
         &self,
         id: &Arc<str>,
@@ -196,7 +201,8 @@
         let mut state = self.state();
         let record = state.servers.entry(id.clone()).or_default();
         record.grants_in_flight -= 1;
-        // A grant that was never sent extends no lease, so the keys become free earlier.
+        // A grant that certainly did not reach the server extends no lease, so its time is not
+        // recorded and the keys become free earlier.
         let sent = answer.as_ref().err().is_none_or(Error::may_have_run);
         if sent {
             record.granted_ms = record.granted_ms.max(sent_ms);
@@ -214,10 +220,11 @@
         false
     }
 
-    /// Probes a server that does not answer grants, to tell a crashed server from a live one whose
-    /// responses are lost. The keys of a live server stay there. Without the probe, when half of
-    /// the orders went unanswered, live servers were considered lost, and all keys of a service
-    /// changed their server three to five times a minute.
+    /// Probes a server that does not answer grants, to distinguish a crashed server from a live
+    /// server whose responses are lost. A live server keeps its keys; a crashed server is marked as
+    /// silent. Without the probe, when half of the orders went unanswered, live servers were
+    /// considered lost, and all keys of a service changed their server three to five times a
+    /// minute.
     async fn probe_server(&self, service: &str, server: &Server) {
         let lives = self.is_alive(service, server).await;
         let mut state = self.state();
@@ -260,10 +267,10 @@
         .log();
     }
 
-    /// Grants an assigned range to the same server again under a higher fence. This is needed when
-    /// the server has seen a higher fence than the recorded one, because an earlier leader released
-    /// the keys but recorded nothing more. Counts as a move, so that no other move of these keys
-    /// begins before the new lease is certain.
+    /// Raises the recorded fence of an assigned range and grants the range to the same server
+    /// again. This is needed when the server has seen a higher fence than the recorded fence. An
+    /// earlier leader released the keys under that fence but recorded nothing more. The range is
+    /// marked as moving, so that no move of these keys begins before the grant has ended.
     async fn raise_fence(
         &self,
         service: &Arc<str>,
