--- a/src/entry/seal.rs
+++ b/src/entry/seal.rs
@@ -1,7 +1,8 @@
-//! Authentication of the datagrams between hosts. A seal is a truncated HMAC tag in front of a
-//! message. All hosts share its secret, which the leader generates and keeps in the store, so that
-//! a sender without access to the store can neither forge nor alter a datagram. Messages are not
-//! encrypted. A datagram can be replayed, so every message must be harmless when it arrives twice.
+//! Authentication of the datagrams and queries between hosts. A seal is a truncated HMAC tag in
+//! front of a message. All hosts share the secret of the HMAC. The leader generates the secret and
+//! keeps it in the store, so a sender without access to the store can neither forge nor alter a
+//! message. Messages are not encrypted. A datagram can be replayed, so every message must be
+//! harmless when it arrives twice.
 
 use std::{fmt, sync::Arc};
 
@@ -14,46 +15,49 @@
 
 use crate::clock;
 
-/// Length of the secret: the output length of the hash function of the HMAC.
+/// Length of the secret in bytes, equal to the output length of SHA-256, the hash function of the
+/// HMAC.
 const SECRET_BYTES: usize = 32;
-/// Length to which the tag is truncated. A forger gets only one guess per datagram.
+/// Length in bytes to which the HMAC tag is truncated. A short tag is sufficient because an
+/// attacker can test only one guess per datagram.
 const TAG_BYTES: usize = 8;
-/// Age at which the leader replaces the secret.
+/// Age of the secret, 24 hours, at which the leader replaces it.
 const ROTATION_AGE_MS: u64 = 24 * 3_600 * 1_000;
 
-/// Time after a new secret was read in which this host still signs with the previous one. By its
-/// end all hosts have read the new secret.
+/// Time after reading a new secret in which this host still signs with the previous secret. At the
+/// end of this time all hosts have read the new secret.
 const OVERLAP_MS: u64 = 20_000;
 
 /// Reason why a stored secret is invalid.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The row is not the JSON that hosts write.
+    /// The stored row is not valid JSON or lacks a field of [`SecretRow`].
     #[snafu(display("{source}"))]
     Json {
         /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// The secret is not valid base64.
+    /// The secret in the stored row is not valid base64.
     #[snafu(display("{source}"))]
     Base64 {
         /// Error of the base64 decoder.
         source: base64::DecodeError,
     },
-    /// The secret is too short or too long.
+    /// The decoded secret is shorter or longer than 32 bytes.
     #[snafu(display("the secret has {length} bytes; expected 32"))]
     Length {
-        /// Number of bytes that the decoded secret has.
+        /// Length of the decoded secret in bytes.
         length: usize,
     },
 }
 
-/// Shared secret as it is stored.
+/// Shared secret of the hosts as the leader stores it, as JSON in one row of the store.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SecretRow {
-    /// Secret in base64; kept out of the `Debug` output.
+    /// Secret in base64. The `Debug` output omits it, so that it does not get into logs.
     secret: String,
-    /// Time of its creation, by the wall clock of the host that generated it.
+    /// Time at which the secret was generated, in milliseconds since 1970 by the wall clock of the
+    /// leader that generated it.
     made_unix_ms: u64,
 }
 
@@ -66,7 +70,8 @@
 }
 
 impl SecretRow {
-    /// Generates a new random secret, created at the given wall time in milliseconds since 1970.
+    /// Generates a new random secret. `now_unix_ms` is the current wall time in milliseconds since
+    /// 1970, from which the age of the secret counts.
     pub fn generate(now_unix_ms: u64) -> Self {
         let secret: [u8; SECRET_BYTES] = rand::rng().random();
         Self {
@@ -75,21 +80,23 @@
         }
     }
 
-    /// Returns true if the secret is old enough to be replaced.
+    /// Returns true if the secret is older than 24 hours at `now_unix_ms`, so that the leader
+    /// replaces it.
     pub fn is_due_for_rotation(&self, now_unix_ms: u64) -> bool {
         now_unix_ms > self.made_unix_ms.saturating_add(ROTATION_AGE_MS)
     }
 }
 
-/// Keys of the current and the previous secret. The two overlap, as hosts read a new secret at
-/// different times.
+/// HMAC keys of the current and the previous secret. Both are in use at the same time, since hosts
+/// read a new secret at different times.
 #[derive(Debug)]
 struct Keys {
     row: SecretRow,
     version: u64,
     read_ms: u64,
     current: hmac::Key,
-    /// Previous key. Hosts still sign with it for [`OVERLAP_MS`], so it is accepted as well.
+    /// Key of the previous secret. Hosts still sign with this key for [`OVERLAP_MS`] after reading
+    /// a new secret, so datagrams with its tag are accepted as well.
     previous: Option<hmac::Key>,
 }
 
@@ -110,7 +117,8 @@
 }
 
 impl Seal {
-    /// Uses a stored secret from now on, unless a newer version is known.
+    /// Replaces the secret in use by the stored row `value`, unless the row in use has the same or
+    /// a later version. Fails and keeps the secret in use if the row is invalid.
     pub fn set(&self, value: &[u8], version: u64) -> Result<(), Error> {
         let row: SecretRow = serde_json::from_slice(value).context(JsonSnafu)?;
         let secret = BASE64_STANDARD.decode(&row.secret).context(Base64Snafu)?;
@@ -130,7 +138,8 @@
         Ok(())
     }
 
-    /// Returns true once a secret was read; before that, no datagram can be sent or accepted.
+    /// Returns true once this host knows a secret. Before that, this host can neither send nor
+    /// accept datagrams.
     pub fn is_known(&self) -> bool {
         self.keys.load().is_some()
     }
@@ -141,7 +150,8 @@
         keys.as_ref().map(|keys| (keys.row.clone(), keys.version))
     }
 
-    /// Returns the message with a tag in front of it; `None` until a secret is known.
+    /// Returns the datagram of a message, which is the tag followed by the message; `None` until a
+    /// secret is known.
     pub fn seal(&self, message: &[u8]) -> Option<Vec<u8>> {
         let keys = self.keys.load();
         let tag = hmac::sign(keys.as_ref()?.for_sending(), message);
@@ -151,7 +161,8 @@
         Some(datagram)
     }
 
-    /// Returns the message of a datagram if its tag was made with the current or the previous key.
+    /// Returns the message of a datagram if its tag was made with the key of the current or the
+    /// previous secret. Otherwise returns `None`, also until a secret is known.
     pub fn open<'a>(&self, datagram: &'a [u8]) -> Option<&'a [u8]> {
         let (tag, message) = datagram.split_at_checked(TAG_BYTES)?;
         let keys = self.keys.load();
--- a/src/entry/secret.rs
+++ b/src/entry/secret.rs
@@ -1,5 +1,5 @@
-//! Distribution of the secret that authenticates datagrams between hosts. The leader generates and
-//! replaces it; all hosts read it from the store.
+//! Distribution of the shared secret that authenticates datagrams between hosts. The leader
+//! generates the secret, replaces it at intervals, and stores it; all hosts read it from the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,11 +18,12 @@
     platform::store::{Expect, Put, Row, Transaction, TransactionOutcome},
 };
 
-/// Interval at which the leader checks whether the secret is missing or due for rotation.
+/// Interval at which the leader checks whether the shared secret is missing or due for rotation.
 const SECRET_CHECK_MS: u64 = 300;
 
 impl Entry {
-    /// Seals datagrams with a secret that was read from the store. Logs an error if it is invalid.
+    /// Makes this host seal and open datagrams with the secret in a row that was read from the
+    /// store. Logs an error and keeps the known secret if the row is invalid.
     pub(super) fn apply_secret(&self, row: &Row) {
         if row.removed {
             return;
@@ -32,8 +33,8 @@
         }
     }
 
-    /// Generates the shared secret if there is none or it is due for rotation, while this host is
-    /// the leader.
+    /// While this host is the leader, generates and stores a shared secret whenever there is none
+    /// or the known one is due for rotation.
     pub(super) async fn maintain_secret(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(SECRET_CHECK_MS)).await;
