--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -1,5 +1,6 @@
-//! Fetches missed changes from other hosts. When thousands of servers start together, reading their
-//! changes from the store would take hundreds of hosts thousands of calls of 150 KB each.
+//! Fetches changes of the followed tables that this host has missed from other hosts instead of the
+//! store. When thousands of servers start together, hundreds of hosts would otherwise read their
+//! changes from the store in thousands of calls of 150 KB each.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,16 +21,17 @@
     },
 };
 
-/// Minimum pause between two queries to other hosts for missed changes; a random time of up to the
-/// same length is added.
+/// Minimum pause between two queries to other hosts for missed changes. A random time of up to the
+/// same length is added to each pause.
 const RETRY_AFTER_MS: u64 = 150;
-/// Number of missed changes above which other hosts are queried instead of the store. One response
-/// of the store contains at most this number.
+/// Number of missed changes of server entries above which other hosts are queried before the store.
+/// One response of the store contains at most this number of changes.
 const MISSED_MAX: u64 = 500;
 
 impl Entry {
-    /// Fetches the missed changes of a table from other hosts. Returns true if this host has all
-    /// changes that other hosts have reported, and false if it must query the store.
+    /// Fetches the missed changes of a table from other hosts. Returns true if this host then has
+    /// all changes that other hosts have reported. Returns false if this host must query the store,
+    /// because other hosts are not queried for the table or did not send the changes in time.
     pub(in crate::entry) async fn catch_up_from_peers(&self, followed: FollowedTable) -> bool {
         if self.sync_role() != SyncRole::Follower || !self.queries_peers_first(followed) {
             return false;
@@ -39,12 +41,13 @@
         caught_up.unwrap_or(false)
     }
 
-    /// Returns true if other hosts are queried before the store, because there are many hosts,
-    /// servers or missed changes.
+    /// Returns true if other hosts are queried for the changes of a table before the store, because
+    /// there are many hosts, servers or missed changes.
     fn queries_peers_first(&self, followed: FollowedTable) -> bool {
         match followed {
-            // While the store is unavailable, only the feed of servers' entries detects its return,
-            // on behalf of the other feeds.
+            // While the store is unavailable, this host detects its return only by the feed of
+            // server entries, on behalf of its other feeds. That feed must therefore query the
+            // store.
             FollowedTable::Servers if *self.view.store_lost().borrow() => false,
             FollowedTable::Servers => self.has_many_servers() || self.missed(followed) > MISSED_MAX,
             FollowedTable::Configuration => self.peers.use_relays(),
@@ -56,15 +59,17 @@
         }
     }
 
-    /// Returns an upper bound of the number of changes that this host has missed.
+    /// Returns an upper bound of the number of changes of a table that this host has missed: the
+    /// difference between the last version that other hosts have reported and the last version that
+    /// this host has applied.
     fn missed(&self, followed: FollowedTable) -> u64 {
         let changed = self.freshness.reported_change(followed);
         changed.saturating_sub(self.freshness.applied(followed))
     }
 
-    /// Returns the timeout for fetching missed changes from other hosts. A new server may become
-    /// known late, but a leaving server and a new configuration must become known within their time
-    /// limits.
+    /// Returns the timeout for fetching missed changes of a table from other hosts. A new server
+    /// may become known late, but a leaving server and a new configuration must become known within
+    /// their bounds.
     fn catch_up_timeout_ms(&self, followed: FollowedTable) -> u64 {
         let applied = self.freshness.applied(followed);
         let has_time_limit = match followed {
@@ -79,7 +84,9 @@
         }
     }
 
-    /// Queries other hosts until no change is missing. Returns false if there is no host to query.
+    /// Queries other hosts until this host has all changes of a table that other hosts have
+    /// reported. The hosts' own rows are queried at least once. Returns false if there is no host
+    /// to query.
     async fn fetch_missed(&self, followed: FollowedTable) -> bool {
         let mut is_first = followed == FollowedTable::Own;
         while is_first || self.is_missing(followed) {
@@ -131,14 +138,15 @@
         Ok(())
     }
 
-    /// Fetches and applies a snapshot of another host. Returns false if the snapshot is no newer
-    /// than this host's version of the table.
+    /// Fetches a snapshot from `peer` and applies it if it contains a later version of the table
+    /// than this host has applied. Returns false if it does not.
     pub(super) async fn fetch_snapshot(
         &self,
         followed: FollowedTable,
         peer: SocketAddr,
     ) -> Result<bool, Error> {
-        // A snapshot made earlier lacks the changes that the leader broadcasts in the meantime.
+        // The snapshot may have been made before changes that the leader broadcasts while this host
+        // fetches the snapshot.
         self.broadcast.begin_reading(followed);
         let snapshot = self.query::<Snapshot>(peer, SNAPSHOT).await;
         let snapshot = match snapshot {
--- a/src/entry/join/joining_hosts.rs
+++ b/src/entry/join/joining_hosts.rs
@@ -1,7 +1,8 @@
-//! Batched registration of joining hosts, which are hosts that start and are not registered yet, by
-//! the host that they query. The store accepts some hundred writes a second. If a thousand hosts
-//! that start together registered themselves, each would be rejected several times, and every call
-//! is billed.
+//! Batched registration of joining hosts. A joining host, one that starts and is not registered
+//! yet, requests its registration from another host. That host writes the host rows of several
+//! joining hosts in one transaction. The store accepts some hundred writes a second: if a thousand
+//! hosts that start together registered themselves, each would be rejected several times, and every
+//! call is billed.
 
 use std::{
     net::SocketAddr,
@@ -26,22 +27,24 @@
     platform::store::{Expect, Put, Transaction, TransactionOutcome},
 };
 
-/// Interval at which waiting joining hosts are registered in one transaction.
+/// Interval at which a host registers the joining hosts that have requested it, in one transaction.
 const REGISTER_EVERY_MS: u64 = 200;
-/// Maximum number of rows in one transaction. The store accepts 100 conditions and writes in total;
-/// each row needs one of each.
+/// Maximum number of host rows in one transaction. The store accepts 100 conditions and writes in
+/// total; each row needs one condition and one write.
 const ROWS_MAX: usize = 45;
-/// Number of registration requests to another host before a host registers itself.
+/// Number of registration requests that a joining host sends to another host before it registers
+/// itself.
 const ATTEMPTS_MAX: usize = 4;
-/// Maximum size of the body of a registration request.
+/// Maximum size in bytes of the body of a registration request.
 const REQUEST_BYTES_MAX: usize = 1_024;
 
-/// Joining host: a host that starts and is not registered yet.
+/// Joining host: a host that starts and is not registered yet. Sent to another host as the content
+/// of a registration request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct JoiningHost {
-    /// Address at which the host receives datagrams (UDP) and queries (TCP) of other hosts.
+    /// Address at which the joining host receives datagrams (UDP) and queries (TCP) of other hosts.
     pub address: SocketAddr,
-    /// Row to store for the host, as the host would write it itself.
+    /// Host row of the joining host, as the joining host would write it itself.
     pub row: HostRow,
 }
 
@@ -51,19 +54,21 @@
     }
 }
 
-/// Returns the key under which a host's row is stored: the prefix of host rows and the address.
+/// Returns the key of the host row of the host at `address`: the prefix of host rows and the
+/// address.
 pub(in crate::entry) fn host_key(address: SocketAddr) -> String {
     format!("{HOST_PREFIX}{address}")
 }
 
-/// Joining host with the channel over which its request learns whether it was registered.
+/// Joining host that waits for its registration, with the channel over which the task that serves
+/// its request learns whether the host was registered.
 #[derive(Debug)]
 struct Waiting {
     joining_host: JoiningHost,
     done: oneshot::Sender<bool>,
 }
 
-/// Queue of joining hosts that wait to be registered.
+/// Queue of joining hosts that have requested their registration from this host.
 #[derive(Debug, Default)]
 pub(super) struct JoiningHosts(Mutex<Vec<Waiting>>);
 
@@ -72,8 +77,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes the joining hosts for the next transaction from the queue. Joining hosts that no
-    /// longer wait are dropped.
+    /// Takes the joining hosts for the next transaction, at most [`ROWS_MAX`], from the head of the
+    /// queue. Joining hosts whose request was cancelled are dropped.
     fn take(&self) -> Vec<Waiting> {
         let mut waiting = self.waiting();
         waiting.retain(|one| !one.done.is_closed());
@@ -82,16 +87,17 @@
     }
 
     /// Puts joining hosts back at the head of the queue after a failed transaction, so that the
-    /// next one registers them first.
+    /// next transaction registers them first.
     fn put_back(&self, again: Vec<Waiting>) {
         self.waiting().splice(0..0, again);
     }
 }
 
 impl Entry {
-    /// Waits until this host knows which host to query, and requests its registration from that
-    /// host. Returns true if that host has registered it. Returns false if this host must register
-    /// itself, for example because an earlier process of it was registered.
+    /// Waits for the end of this host's initial sync and then requests the registration of this
+    /// host from another host. Returns true if the other host has registered this host. Returns
+    /// false if this host must register itself, for example because an earlier process of this host
+    /// was registered.
     pub(in crate::entry) async fn register_through_peer(&self, row: &HostRow) -> bool {
         self.join.sync_outcome().await;
         if self.view.had_former_process() {
@@ -114,8 +120,9 @@
         false
     }
 
-    /// Queues the joining host of a request for the next transaction. Returns the sealed response,
-    /// which states whether the joining host was registered.
+    /// Queues the joining host of a registration request for the next transaction and waits for it.
+    /// Returns the sealed response, which states whether the joining host was registered; `None` if
+    /// the request is invalid.
     pub(super) async fn register_joining_host(&self, request: Request<Incoming>) -> Option<Bytes> {
         let body = Limited::new(request.into_body(), REQUEST_BYTES_MAX);
         let body = body.collect().await.ok()?.to_bytes();
@@ -130,8 +137,8 @@
         self.sealed(&registered)
     }
 
-    /// Registers the waiting joining hosts at an interval of [`REGISTER_EVERY_MS`], several in one
-    /// transaction.
+    /// Registers the queued joining hosts at an interval of [`REGISTER_EVERY_MS`], several in one
+    /// transaction, and reports the outcome to the tasks that wait for it.
     pub(in crate::entry) async fn keep_registering_joining_hosts(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(REGISTER_EVERY_MS)).await;
@@ -156,10 +163,10 @@
         }
     }
 
-    /// Writes the rows of joining hosts if none of them exists. An existing row may belong to a
-    /// later process on the same host and must not be overwritten; in that case `Some(false)` is
-    /// returned and all joining hosts register themselves. Returns `None` if the store has not
-    /// accepted the rows yet.
+    /// Writes the host rows of joining hosts in one transaction if none of the rows exists. An
+    /// existing row may belong to a later process on the same host and must not be overwritten. If
+    /// a row exists, returns `Some(false)`, and all these joining hosts register themselves.
+    /// Returns `None` if the transaction failed and should be repeated.
     async fn register_all(&self, joining_hosts: &[&JoiningHost]) -> Option<bool> {
         let encoded = joining_hosts.iter().map(|joining_host| {
             let value = serde_json::to_vec(&joining_host.row);
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -1,7 +1,9 @@
-//! Loads servers, assigned ranges and hosts when a host starts: from another host that knows them,
-//! if there is one, otherwise from the store's tables. The leader stores the addresses of a few
-//! seed hosts of each zone next to the hosts' secret, so that one call returns both. Seed hosts
-//! also register starting hosts, and later serve changes that other hosts have missed.
+//! Initial sync of a starting host. The host loads servers, assigned ranges and hosts as a snapshot
+//! from another host that knows them. If there is no such host, it reads the store's tables. A seed
+//! host is a host from which starting hosts fetch the snapshot. The leader stores the addresses of
+//! a few seed hosts of each zone next to the hosts' secret, so that one call returns both. Hosts
+//! that serve snapshots also register joining hosts, and later serve changes that other hosts have
+//! missed.
 
 mod catch_up;
 mod joining_hosts;
@@ -36,54 +38,60 @@
 };
 use crate::{clock, platform::store::DEFAULT_PARTITION};
 
-/// Pause of a starting host between two queries for a snapshot.
+/// Pause of a starting host between two queries to seed hosts for a snapshot.
 const SYNC_RETRY_MS: u64 = 250;
-/// Time for which a host queries seed hosts before it reads the store's tables.
+/// Maximum time for which a starting host queries seed hosts before it reads the store's tables
+/// instead.
 const SYNC_TIMEOUT_MS: u64 = 4_000;
-/// Time for which an early host queries seed hosts. It is shorter than [`SYNC_TIMEOUT_MS`] because
-/// other hosts will query the early one.
+/// Maximum time for which an early host queries seed hosts. It is shorter than [`SYNC_TIMEOUT_MS`]
+/// because other starting hosts will query the early host.
 const EARLY_SYNC_TIMEOUT_MS: u64 = 600;
-/// Time after which a host that found no seed hosts reads their list again. At the first start of a
-/// deployment the first leader has stored the list by then.
+/// Time after which a starting host that found no seed hosts in the store reads the list of seed
+/// hosts again. At the first start of a deployment, the first leader has stored the list by then.
 const LOOKUP_RETRY_MS: u64 = 2_200;
-/// Maximum random time that is added to [`LOOKUP_RETRY_MS`], so that hosts do not call the store at
-/// the same moment.
+/// Maximum random time that is added to [`LOOKUP_RETRY_MS`], so that hosts that start together do
+/// not call the store at the same moment.
 const LOOKUP_JITTER_MS: u64 = 700;
-/// Divisor that selects early hosts: one in 32 of the hosts with a small processor share reads the
-/// tables early.
+/// One in this many hosts with a processor share below [`EARLY_PROCESSOR_SHARE`] is an early host,
+/// selected by the tag of its address. Early hosts read the store's tables before other hosts do.
 const EARLY_ONE_IN: u32 = 32;
-/// Processor share from which every host reads the tables early.
+/// Processor share from which every host is an early host, which reads the store's tables before
+/// other hosts do.
 const EARLY_PROCESSOR_SHARE: f32 = 0.5;
 
 /// Result of reading the list of seed hosts from the store.
 enum SeedHostLookup {
-    /// No other seed hosts are stored yet, or the hosts' secret is unknown.
+    /// The store lists no seed hosts other than this host, or this host does not know the hosts'
+    /// secret, which queries require.
     NoneStored,
-    /// Seed hosts to query, and whether there are more servers than each host should read by
-    /// itself.
+    /// Addresses of the seed hosts to query. `has_many_servers` is true if there are more servers
+    /// than every host should read from the store by itself.
     SeedHosts {
         addresses: Vec<SocketAddr>,
         has_many_servers: bool,
     },
 }
 
-/// Source from which this host obtains its initial state of servers, assigned ranges and hosts.
+/// Outcome of the initial sync: whether this host got servers, assigned ranges and hosts from
+/// another host or must read the store's tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SyncOutcome {
     Pending,
     Synced,
-    /// This host reads the store's tables.
+    /// No host sent a snapshot in time, so this host reads the store's tables.
     ReadsTables,
 }
 
-/// State of this host's initial sync, and of the snapshots that it serves to other hosts.
+/// State of this host's initial sync, and of the snapshots and registrations by which this host
+/// serves other starting hosts.
 #[derive(Debug)]
 pub struct Join {
     outcome: watch::Sender<SyncOutcome>,
-    /// Last snapshot that was served, sealed, with the time at which it was made.
+    /// Sealed bytes of the last snapshot that this host served, with the time at which the snapshot
+    /// was made.
     encoded: Mutex<Option<(Bytes, u64)>>,
-    /// True if a known host sent a datagram that is not sealed with the secret that this host
-    /// knows.
+    /// True if a datagram from a known host was not sealed with a secret that this host knows, so
+    /// that the hosts' secret may have been replaced.
     secret_may_be_stale: AtomicBool,
     joining_hosts: JoiningHosts,
 }
@@ -101,7 +109,8 @@
 
 impl Join {
     /// Waits for the end of the initial sync. Returns true if this host got the table from another
-    /// host.
+    /// host, so that it need not read it from the store. Always returns false for the
+    /// configuration, which is not part of a snapshot.
     pub(super) async fn was_synced_from_peer(&self, followed: FollowedTable) -> bool {
         if followed == FollowedTable::Configuration {
             return false;
@@ -115,12 +124,13 @@
         self.secret_may_be_stale.store(true, Ordering::Relaxed);
     }
 
-    /// Returns true if the secret was flagged as possibly stale since the last call.
+    /// Returns true if [`Self::flag_stale_secret`] was called since the last call of this function,
+    /// and clears the flag.
     fn take_stale_secret_flag(&self) -> bool {
         self.secret_may_be_stale.swap(false, Ordering::Relaxed)
     }
 
-    /// Waits for the end of the initial sync and returns its outcome.
+    /// Waits for the end of the initial sync of this host and returns its outcome.
     pub(super) async fn sync_outcome(&self) -> SyncOutcome {
         let mut outcome = self.outcome.subscribe();
         let known = outcome
@@ -131,7 +141,8 @@
 }
 
 impl Entry {
-    /// Fetches a snapshot from a seed host, or determines that this host must read the tables.
+    /// Runs the initial sync of this host: fetches a snapshot from a seed host, or determines that
+    /// this host must read the store's tables. Then wakes the tasks that wait for the outcome.
     pub(super) async fn join(self: Arc<Self>) {
         let began_ms = clock::now_ms();
         let outcome = if self.query_seed_hosts().await {
@@ -151,8 +162,10 @@
         let mut lookups = 0;
         let seed_hosts = loop {
             match self.find_seed_hosts().await {
-                // At the first start of a deployment the number of servers is still unknown, and
-                // hosts can wait for the second lookup.
+                // The first lookup is sufficient if there are many servers. Otherwise this host
+                // reads the tables itself, unless no seed hosts were listed at first: at the first
+                // start of a deployment, this host uses the seed hosts that the second lookup
+                // finds, since the number of servers is still unknown.
                 Some(SeedHostLookup::SeedHosts {
                     addresses,
                     has_many_servers,
@@ -191,8 +204,9 @@
         false
     }
 
-    /// Reads the seed hosts of the own zone from the store, or all of them if the zone has none.
-    /// Returns `None` if the store does not respond.
+    /// Reads the hosts' secret and the list of seed hosts from the store. The result contains the
+    /// seed hosts of this host's availability zone, or all seed hosts if the zone has none. Returns
+    /// `None` if the store does not respond.
     async fn find_seed_hosts(&self) -> Option<SeedHostLookup> {
         let rows = match self
             .store
@@ -240,9 +254,10 @@
         })
     }
 
-    /// Returns true for early hosts, which read the tables and check at once whether there is a
-    /// leader, so that the other hosts can query them and the first leader's secret is stored by
-    /// then.
+    /// Returns true if this host is an early host. Early hosts read the store's tables and check
+    /// whether there is a leader before other hosts do. When the other hosts need a snapshot and
+    /// the hosts' secret, the early hosts can thus serve the snapshot, and the first leader has
+    /// stored the secret.
     pub(super) fn is_early(&self) -> bool {
         let tag = tag_of(&self.settings.listen.peers.to_string());
         self.settings.processor_share >= EARLY_PROCESSOR_SHARE || tag.is_multiple_of(EARLY_ONE_IN)
--- a/src/entry/join/paths.rs
+++ b/src/entry/join/paths.rs
@@ -1,14 +1,17 @@
-//! HTTP paths of the queries between hosts.
+//! HTTP paths of the queries that hosts send to each other.
 
-/// Path of the snapshot with servers, assigned ranges and hosts.
+/// Path of the snapshot with servers, assigned ranges and hosts. Starting hosts fetch it, and so do
+/// hosts that have missed changes which are no longer available one by one.
 pub const SNAPSHOT: &str = "/snapshot";
-/// Path of the snapshot with assigned ranges and hosts, without servers.
+/// Path of the snapshot with assigned ranges and hosts, without servers. Hosts that have missed
+/// changes of these fetch it.
 pub const OWN: &str = "/own";
 /// Path of the configuration and the evacuated zones as the queried host knows them.
 pub const CONFIGURATION: &str = "/configuration";
-/// Path by which the querying host requests its registration in the store.
+/// Path by which a joining host requests that the queried host registers it in the store.
 pub const REGISTER: &str = "/register";
 /// Path of the list of hosts that the queried host knows, itself included.
 pub const HOSTS: &str = "/hosts";
-/// Prefix of the path of the changes of server entries after a version; the version follows.
+/// Prefix of the path of the changes of server entries after a version of the servers' table; the
+/// version follows the prefix.
 pub const CHANGES: &str = "/changes/";
--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -1,4 +1,5 @@
-//! Queries to other hosts over HTTP, and the application of their responses.
+//! Queries of this host to other hosts over HTTP, and the application of the responses to this
+//! host's view. The content of requests and responses is sealed with the hosts' secret.
 
 use std::{collections::HashSet, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -26,12 +27,12 @@
     platform::{self, Link},
 };
 
-/// Timeout until the head (status and headers) of a response arrives.
+/// Timeout of a query until the head (status and headers) of the response arrives.
 const QUERY_TIMEOUT_MS: u64 = 1_500;
-/// Pauses before the first three queries for hosts that have joined. They are short because hosts
-/// that start together do not know each other yet.
+/// Pauses before the first three queries for the list of known hosts. The pauses are short because
+/// hosts that start together do not know each other yet.
 const QUERY_HOSTS_AFTER_MS: [u64; 3] = [2_500, 3_500, 6_000];
-/// Interval of the queries for hosts that have joined, after the first three.
+/// Interval of the queries for the list of known hosts after the first three queries.
 const QUERY_HOSTS_EVERY_MS: u64 = 30_000;
 
 /// Reason why a query to another host failed.
@@ -50,7 +51,7 @@
 }
 
 impl Entry {
-    /// Sends a GET request to a host and decodes its response.
+    /// Sends a GET request for `path` to the host at `peer`, and opens and decodes the response.
     pub(super) async fn query<T: DeserializeOwned>(
         &self,
         peer: SocketAddr,
@@ -60,7 +61,8 @@
         self.call(peer, request, Bytes::new()).await
     }
 
-    /// Posts sealed content to a host and decodes its response.
+    /// Seals `content`, posts it to `path` of the host at `peer`, and opens and decodes the
+    /// response.
     pub(super) async fn send_to<T: DeserializeOwned>(
         &self,
         peer: SocketAddr,
@@ -94,8 +96,9 @@
     }
 
     /// Fetches a snapshot from another host when the store no longer has the changes that this host
-    /// has missed. After an outage, hundreds of hosts would otherwise read the whole tables.
-    /// Returns false if this host knows no host that certainly has later changes.
+    /// has missed. After an outage of the store, hundreds of hosts would otherwise read the whole
+    /// tables. Returns false if this host must read the table from the store, for example because
+    /// no other host is known to have later changes.
     pub(in crate::entry) async fn resync_from_peer(&self, followed: FollowedTable) -> bool {
         if followed == FollowedTable::Configuration || !self.has_many_servers() {
             return false;
@@ -123,9 +126,10 @@
         self.peers.sync_peer(self.as_relay_candidate())
     }
 
-    /// Waits until the leader reports a response of the store from after the start of the wait,
-    /// which takes a moment after an outage. Returns false after a time limit, or if this host is
-    /// the leader, which receives no such reports.
+    /// Waits until the leader, or a relay in its place, reports a response that the store gave
+    /// after the start of the wait. After an outage of the store this takes a moment. Returns false
+    /// if no such report arrives within `start_wait_ms`, or if this host is the leader, which
+    /// receives no such reports.
     async fn is_store_confirmed_soon(&self) -> bool {
         let since_ms = clock::now_ms();
         let until_ms = since_ms + self.limits.start_wait_ms;
@@ -138,8 +142,8 @@
         false
     }
 
-    /// Fetches the list of known hosts from another host periodically, to learn of hosts that have
-    /// joined.
+    /// Periodically fetches the list of known hosts from another host, so that this host learns of
+    /// hosts that have registered since the last query.
     pub(in crate::entry) async fn keep_querying_hosts(self: Arc<Self>) {
         let first = QUERY_HOSTS_AFTER_MS.into_iter();
         for after_ms in first.chain(std::iter::repeat(QUERY_HOSTS_EVERY_MS)) {
--- a/src/entry/join/seed_hosts.rs
+++ b/src/entry/join/seed_hosts.rs
@@ -1,4 +1,5 @@
-//! Seed hosts, from which starting hosts fetch a snapshot. The leader stores the list.
+//! Seed hosts, from which starting hosts fetch a snapshot of servers, assigned ranges and hosts.
+//! The leader stores the list of seed hosts.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,13 +16,14 @@
     platform::store::{Put, Row, Transaction},
 };
 
-/// Interval at which the leader checks whether the stored list of seed hosts is out of date.
+/// Interval at which the leader compares the current seed hosts with the list that it has stored.
 const SEED_HOSTS_EVERY_MS: u64 = 300;
-/// Number of servers up to which a host reads the tables from the store: reading a few pages is
-/// faster than a query to another host, which may itself still be starting.
+/// Number of servers up to which every host reads the tables from the store by itself. Reading a
+/// few pages is faster than a query to another host, which may itself still be starting.
 const READ_SERVERS_MAX: usize = 1_000;
 
-/// Row in which the leader stores the seed hosts; starting hosts read it together with the secret.
+/// Content of the row in which the leader stores the list of seed hosts, as JSON. Starting hosts
+/// read the row together with the hosts' secret.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct SeedHosts {
     /// Seed hosts of all zones; empty if the row cannot be decoded.
@@ -31,7 +33,8 @@
 }
 
 impl SeedHosts {
-    /// Decodes the row. Returns an empty list if it cannot be decoded.
+    /// Decodes the row of the seed hosts. Logs a warning and returns an empty list if the row
+    /// cannot be decoded.
     pub fn decode(row: &Row) -> Self {
         serde_json::from_slice(&row.value).unwrap_or_else(|error| {
             log::warn!("the stored list of seed hosts cannot be decoded: {error}");
@@ -46,7 +49,8 @@
         self.view.registry().servers().count() > READ_SERVERS_MAX
     }
 
-    /// Stores the list of seed hosts whenever it has changed, while this host is the leader.
+    /// While this host is the leader, stores the list of seed hosts whenever the list differs from
+    /// the one that it stored last.
     pub(in crate::entry) async fn maintain_seed_hosts(self: Arc<Self>) {
         let mut named = None;
         loop {
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -1,5 +1,4 @@
-//! HTTP server that sends snapshots and missed changes to other hosts, and registers starting
-//! hosts.
+//! HTTP server that sends snapshots and missed changes to other hosts, and registers joining hosts.
 
 use std::sync::{Arc, PoisonError};
 
@@ -23,13 +22,13 @@
     transport::{self, ListenerLimits, ResponseBody},
 };
 
-/// Content type of sealed responses.
+/// Content type of responses to other hosts, whose body is a sealed binary message.
 const SEALED_TYPE: &str = "application/octet-stream";
-/// Maximum number of connections of other hosts that are served at a time. Further connections wait
-/// to be accepted.
+/// Maximum number of connections of other hosts that this host serves at a time. Further
+/// connections wait to be accepted.
 const CONNECTIONS_MAX: usize = 16;
-/// Time for which an encoded snapshot is reused. Hosts that start together request it at the same
-/// time, so one encoding serves many of them.
+/// Time for which this host reuses an encoded snapshot. Hosts that start together request the
+/// snapshot at the same time, so one encoding serves many of them.
 const ENCODED_KEPT_MS: u64 = 500;
 
 impl Entry {
@@ -44,8 +43,8 @@
         hosts
     }
 
-    /// Returns servers, assigned ranges and hosts; `None` until this host knows them all, and while
-    /// it stops.
+    /// Returns a snapshot of the servers, assigned ranges and hosts that this host knows; `None`
+    /// until this host knows servers and hosts, and while it is stopping.
     fn snapshot(&self) -> Option<Snapshot> {
         let is_known = self.view.are_servers_known() && self.view.are_hosts_known();
         if !is_known || self.stopping() {
@@ -59,7 +58,7 @@
         Some(snapshot)
     }
 
-    /// Returns the hosts and assigned ranges that this host knows.
+    /// Returns a snapshot of the hosts and assigned ranges that this host knows, without servers.
     fn own_snapshot(&self) -> Snapshot {
         let mut snapshot = Snapshot::default();
         snapshot.own_versions = self.freshness.known(FollowedTable::Own);
@@ -72,7 +71,8 @@
         snapshot
     }
 
-    /// Returns the sealed snapshot, which is encoded again after [`ENCODED_KEPT_MS`].
+    /// Returns the encoded and sealed snapshot, at most [`ENCODED_KEPT_MS`] old; `None` if this
+    /// host can make no snapshot or knows no secret.
     fn encoded_snapshot(&self) -> Option<Bytes> {
         let now_ms = clock::now_ms();
         let mut encoded = self
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Returns the sealed response to a query for `path`; `None` if this host cannot serve it now.
+    /// Returns the sealed response to a query for `path`; `None` if this host cannot serve the
+    /// query, because it does not know the requested data or the path is unknown.
     fn answer_to(&self, path: &str) -> Option<Bytes> {
         match path {
             SNAPSHOT => self.encoded_snapshot(),
@@ -111,8 +112,9 @@
         }
     }
 
-    /// Returns the status for a query that this host cannot serve: 410 if it no longer has the
-    /// requested changes, 503 otherwise.
+    /// Returns the HTTP status for a query that this host cannot serve: 410 (Gone) if this host no
+    /// longer has the requested changes, 503 (Service Unavailable) otherwise. After a 410, the
+    /// querying host fetches a snapshot.
     fn refusal_status(&self, path: &str) -> StatusCode {
         let is_discarded = |after| !self.broadcast.reaches_back_to(after);
         if changes_after(path).is_some_and(is_discarded) {
@@ -151,14 +153,16 @@
             None => (self.refusal_status(&path), Bytes::new()),
         };
         let mut response = transport::buffered(status, SEALED_TYPE, body);
-        // Closes the connection, so that waiting connections are accepted.
+        // The connection is closed after each response, so that waiting connections can be
+        // accepted.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
         response
     }
 }
 
-/// Parses the version after which a path requests changes.
+/// Returns the version after which the query for `path` requests changes of server entries; `None`
+/// if the path is not a query for changes.
 fn changes_after(path: &str) -> Option<u64> {
     path.strip_prefix(CHANGES)?.parse().ok()
 }
