--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -1,5 +1,6 @@
-//! Tests of the leadership when the leader, the store or both fail: real entry hosts against
-//! stand-ins of the platform.
+//! Tests of the leadership when the leader, the store or both fail. The tests run real entry host
+//! processes against stand-ins of the platform. Names of tests and log events call the leadership
+//! the "duty".
 
 mod platform_standin;
 
@@ -19,7 +20,7 @@
     store::Faults,
 };
 
-/// Returns the number of times that a host has taken over the leadership.
+/// Returns the number of times that a host has logged a takeover of the leadership.
 fn times_taken(host: &Host) -> usize {
     host.events("duty_taken").len()
 }
@@ -47,8 +48,9 @@
     for host in &mut site.hosts {
         host.restart();
     }
-    // The limit is well below the takeover time, for which the leadership row must stay unchanged
-    // before another host may take over the leadership.
+    // If the previous leader did not resume, no host could be the leader within this time: hosts do
+    // not watch the leadership row directly after their start, and the row must then stay unchanged
+    // for the takeover time.
     eventually(
         "the previous leader is the leader again",
         1_600,
@@ -60,7 +62,8 @@
 
 #[tokio::test]
 async fn the_holder_keeps_the_duty_over_an_outage() {
-    // The outages end at different phases of the leader's calls to the store.
+    // The outages have different lengths, so that they end at different phases of the leader's
+    // calls to the store.
     let outages = (0..8).map(|phase| 4_200 + phase * 450);
     let mut sites = JoinSet::new();
     let local = LocalSet::new();
@@ -76,9 +79,9 @@
     }
 }
 
-/// Runs an outage of the store. Returns its length, and one line for each time that a host took
-/// over the leadership until 3.5 s after the outage. The first line is from the start of the hosts.
-/// Each line ends with the events of that host about the store.
+/// Runs an outage of the store. Returns the length of the outage, and one line for each time that a
+/// host took over the leadership until 3.5 s after the outage. One takeover is always at the start
+/// of the hosts. Each line ends with the events about the store that the same host logged.
 async fn leadership_takeovers_over_outage(outage_ms: u64) -> (u64, Vec<String>) {
     let site = Site::start(3, 2).await;
     site.store.set_faults(Faults {
@@ -98,7 +101,7 @@
 
 #[tokio::test]
 async fn a_paused_duty_holder_reports_to_its_successor_that_it_has_stopped() {
-    // Resumes the paused host at different phases of the new leader's calls.
+    // The paused leader is resumed at different phases of the new leader's calls.
     for extra_ms in [0, 130, 260] {
         let site = Site::start(3, 3).await;
         let paused = &site.hosts[leader(&site)];
@@ -116,7 +119,8 @@
         paused.signal("CONT");
         site.record.pause_ownership_checks(300);
         let resumed = Instant::now();
-        // If the paused host does not report that it has stopped, this takes the 9 s for which it
+        // If the paused host did not report that it has stopped granting leases, the new leader
+        // would grant the keys of the crashed server only after 9 s, for which the paused host
         // might grant leases, plus the duration of a lease.
         eventually("all keys are held", 6_500, async || {
             all_keys_held(&site.keyed[1..])
@@ -141,9 +145,10 @@
     let leaving = &joined_servers[0];
     leaving.write_entry(&site.store, "draining");
     time::sleep(Duration::from_millis(1_000)).await;
-    // The leader confirms the leadership 12 times in 7 s, and reads the servers for each of the six
-    // changes, and again when a feed call ends. Without its messages, each of the other five hosts
-    // would read them for each change as well.
+    // The bound allows for 12 confirmations of the leadership in 7 s, and for the leader's feed
+    // calls, which return at each of the six changes and after their maximum wait. Without the
+    // leader's messages, each of the other five hosts would read each change from the store as
+    // well.
     let calls = site.store.calls() - before;
     let kinds = site.store.calls_by_kind();
     assert!(
@@ -174,12 +179,12 @@
 #[tokio::test]
 async fn a_server_that_leaves_as_the_duty_holder_is_lost_gets_no_work_past_the_bound() {
     struct Case {
-        /// True if the leader is restarted and resumes the leadership before the server leaves.
+        /// True if the leader is restarted and has resumed the leadership before the server leaves.
         restarted: bool,
-        /// Time until the server leaves, from the resumption of the leadership or from the start of
-        /// the test.
+        /// Time from the resumption of the leadership, or from the start of the hosts, until the
+        /// server announces that it leaves.
         phase_ms: u64,
-        /// Time from the announcement that the server leaves until the leader fails.
+        /// Time from the announcement that the server leaves until the leader gets `signal`.
         lost_after_ms: u64,
         signal: &'static str,
     }
@@ -226,8 +231,9 @@
     }
 }
 
-/// Returns the number of requests that reach a server after the bound. The bound counts from the
-/// announcement that the server leaves.
+/// Runs a case in which a server leaves and the leader fails. Returns the number of requests that
+/// reach the leaving server after the bound `DRAIN_MS`, counted from the announcement that the
+/// server leaves.
 async fn served_after_the_bound(
     restarted: bool,
     phase_ms: u64,
@@ -290,8 +296,8 @@
         time::sleep(Duration::from_millis(1_000)).await;
     }
     let calls = site.store.calls() - before;
-    // Calls of the leader alone. Without relays, 23 hosts would make a call for each of the three
-    // changes.
+    // The bound allows for the calls of the leader alone. Without relays, each of the other 23
+    // hosts would call the store for each of the three changes.
     assert!(calls <= 20, "{calls} calls");
     for host in &site.hosts {
         let seen = host.events("server");
@@ -299,7 +305,8 @@
             assert!(seen.iter().any(|line| line.contains(&server.id)));
         }
     }
-    // With a probability of 96%, the relays are among the stopped hosts.
+    // 18 of the 23 other hosts are stopped. With a probability of 96%, the relays are among the
+    // stopped hosts.
     let others = || (0..HOSTS).filter(|number| *number != leader);
     let stopped: Vec<usize> = others().take(18).collect();
     for number in &stopped {
@@ -326,7 +333,7 @@
 
 #[tokio::test]
 async fn another_host_takes_the_duty_soon_when_only_the_duty_holder_is_without_the_store() {
-    // The disconnections begin at different phases of the leader's calls to the store.
+    // The leader loses its connection to the store at different phases of its calls.
     let mut sites = JoinSet::new();
     let local = LocalSet::new();
     for phase_ms in [0, 170, 340, 510] {
@@ -334,13 +341,13 @@
     }
     let taken_ms = local.run_until(sites.join_all()).await;
     let mean_ms = taken_ms.iter().sum::<u64>() / taken_ms.len() as u64;
-    // The mean was 5,260 ms when the leader went on sending heartbeats for 3 s after the store had
-    // last confirmed the leadership.
+    // If the leader goes on sending heartbeats for 3 s after the store last confirmed the
+    // leadership, the mean is 5,260 ms.
     assert!(mean_ms < 4_900, "{taken_ms:?}");
 }
 
-/// Returns the time until another host takes over the leadership after the store has stopped
-/// responding to the leader.
+/// Disconnects the leader, and no other host, from the store. Returns the time in milliseconds
+/// until another host takes over the leadership.
 async fn taken_after_ms(phase_ms: u64) -> u64 {
     let mut site = Site::start_servers(2).await;
     let proxy = Proxy::start(site.store.address).await;
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -1,5 +1,5 @@
-//! Starting hosts fetch servers, assigned ranges and hosts from other hosts, and read the store's
-//! tables only if no other host has them.
+//! Tests of starting hosts, which fetch servers, assigned ranges and hosts from other hosts and
+//! read the store's tables only if no other host has them, and of hosts that have missed changes.
 
 mod platform_standin;
 
@@ -22,9 +22,10 @@
 };
 
 const SERVERS_READ: &str = "/rows-get servers";
-/// More servers than a host reads from the store by itself if it can fetch them from another host.
+/// Number of servers in tests with many servers: more than the 1,000 up to which a host reads the
+/// servers from the store by itself.
 const MANY_SERVERS: usize = 1_200;
-/// Number of pages of 500 rows that reading these servers takes.
+/// Number of pages of 500 rows that a host reads to get [`MANY_SERVERS`] servers from the store.
 const PAGES: u64 = 3;
 
 async fn all_serve(site: &Site, limit_ms: u64) {
@@ -41,7 +42,8 @@
     }
 }
 
-/// Adds servers of a service that no route uses, so that the tables are large.
+/// Adds [`MANY_SERVERS`] servers of a service that no route uses, so that the table of servers is
+/// large.
 fn add_many_servers(site: &Site) {
     for number in 0..MANY_SERVERS {
         let name = format!("idle-{number:06}");
@@ -57,7 +59,8 @@
     })
 }
 
-/// More hosts than the leader addresses directly.
+/// Number of hosts in tests with many hosts: so many that the leader sends messages to all hosts
+/// through relays.
 const MANY_HOSTS: usize = 24;
 
 fn feeds(site: &Site) -> u64 {
@@ -67,15 +70,15 @@
 
 #[tokio::test]
 async fn many_hosts_learn_of_many_new_servers_with_few_calls() {
-    /// Allows for calls of the leader, of relays, and of hosts that got no response from other
-    /// hosts in time.
+    /// Maximum number of feed calls of all hosts together. It allows for calls of the leader, of
+    /// relays, and of hosts that got no response from other hosts in time.
     const CALLS_MAX: u64 = MANY_HOSTS as u64;
     let site = Site::start(MANY_HOSTS, 2).await;
     time::sleep(Duration::from_millis(4_000)).await;
     let before = feeds(&site);
     add_many_servers(&site);
     time::sleep(Duration::from_millis(3_000)).await;
-    // Changes are applied in order, so a host that knows the last one knows all of them.
+    // Hosts apply changes in order, so a host that knows the last server knows all servers.
     let last = "idle-last";
     site.store.put("servers", last, &idle_server(MANY_SERVERS));
     let knows_all = |host: &Host| host.events("server").iter().any(|line| line.contains(last));
@@ -88,12 +91,14 @@
 }
 
 /// Guards against hosts that keep using an outdated configuration after the store has rejected
-/// calls; among 985 hosts some did so for up to 17.7 s. A host's feed of servers was rejected, and
-/// its other feeds waited until that feed got a response. When the leader confirmed the store
-/// again, that feed had nothing to request and paused, so the other feeds kept waiting.
+/// calls. Among 985 hosts, some did so for up to 17.7 s: the store rejected the servers' feed of a
+/// host, and the other feeds of the host waited until the servers' feed got a response. When the
+/// leader confirmed the store again, the servers' feed had nothing to request and paused, so the
+/// other feeds kept waiting.
 #[tokio::test]
 async fn a_configuration_reaches_many_hosts_after_the_store_was_away() {
-    /// More than the leader broadcasts in datagrams.
+    /// Number of routes of a configuration that is too large for the leader to broadcast in
+    /// datagrams.
     const ROUTES: usize = 200;
     const IN_FORCE_MS: u64 = 2_500;
     let site = Site::start(MANY_HOSTS, 2).await;
@@ -125,7 +130,8 @@
 /// a later one. A configuration that cannot be read may revoke API keys.
 #[tokio::test]
 async fn all_hosts_know_that_a_configuration_cannot_be_read() {
-    /// More than the leader broadcasts in datagrams.
+    /// Size in bytes of a configuration that is too large for the leader to broadcast in
+    /// datagrams.
     const BYTES: usize = 20_000;
     let site = Site::start(MANY_HOSTS, 2).await;
     time::sleep(Duration::from_secs(4)).await;
@@ -144,9 +150,10 @@
 
 #[tokio::test]
 async fn hosts_that_join_are_registered_together() {
-    /// Number of joining hosts, while the store accepts one write a second.
+    /// Number of joining hosts. The store accepts only one write of a host row per second.
     const JOINING: usize = 12;
-    /// Time limit for all registrations. One by one, each host would take a second.
+    /// Timeout for all registrations together. If each host registered itself, each registration
+    /// would take a second, and the last would end after the timeout.
     const LIMIT_MS: u64 = 7_000;
     let mut site = Site::start(MANY_HOSTS, 2).await;
     time::sleep(Duration::from_millis(4_000)).await;
@@ -179,7 +186,7 @@
 async fn hosts_that_join_read_no_table_of_servers() {
     let mut site = Site::start(3, 3).await;
     add_many_servers(&site);
-    // The leader updates the list of seed hosts once it knows that there are many servers.
+    // The leader stores the list of seed hosts again once it knows that there are many servers.
     eventually("seed hosts are stored", 8_000, async || {
         let seed_hosts = site.store.row("ashroad", "secret-guides");
         seed_hosts.is_some_and(|seed_hosts| seed_hosts["has_many_servers"] == true)
@@ -192,7 +199,8 @@
     }
     all_serve(&site, 8_000).await;
     assert_eq!(reads_of_servers(&site), before);
-    // State fetched from another host is kept up to date like state read from the store.
+    // Hosts that fetched servers from another host learn of later changes like hosts that read the
+    // store.
     site.keyed[0].write_entry(&site.store, "draining");
     eventually("the keys have moved", 8_000, async || {
         site.keyed[0].keys_held() == 0
@@ -213,12 +221,12 @@
         ..Faults::default()
     });
     time::sleep(Duration::from_millis(4_000)).await;
-    // A change that the store drops from its history before any host has read it.
+    // The store drops this change from its history before any host has read it.
     site.orders[0].write_entry(&site.store, "ready");
     site.store.compact_history();
     site.store.set_faults(Faults::default());
-    // A server leaves when the store responds again. All hosts must learn of it, also those that
-    // fetched the tables from other hosts.
+    // A server leaves when the store responds again. All hosts must learn that it leaves, including
+    // hosts that fetched the tables from other hosts.
     site.keyed[0].write_entry(&site.store, "draining");
     eventually("the keys have moved", 10_000, async || {
         site.keyed[0].keys_held() == 0
@@ -232,8 +240,9 @@
 
 #[tokio::test]
 async fn hosts_serve_again_after_all_were_killed() {
-    /// Time limits within which hosts know servers and keys again, with few servers and with many.
-    /// They read the store, since no other host can provide them.
+    /// Bounds of the time until all hosts serve keys again, with few servers and with many servers.
+    /// The hosts read servers and assigned ranges from the store, since no other host can provide
+    /// them.
     const AGAIN_MS: [u64; 2] = [2_000, 4_000];
     let mut site = Site::start(3, 3).await;
     for again_ms in AGAIN_MS {
@@ -295,7 +304,8 @@
         snapshot.add_assignment_row(&"service-0".into(), part, &row);
     }
     let bytes = postcard::to_stdvec(&snapshot).expect("encoded");
-    // Transfer takes about 0.1 s on a link of 40 Mbit/s. The tables are seven times as large.
+    // A snapshot of this size is transferred in about 0.1 s on a link of 40 Mbit/s. The tables of
+    // the store are seven times as large.
     assert!(bytes.len() < 700_000, "{} bytes", bytes.len());
     let received: Snapshot = postcard::from_bytes(&bytes).expect("decoded");
     assert!(received.servers().eq(entries));
--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -1,5 +1,6 @@
-//! Tests of a host's view of servers: incarnations, undecodable rows of other writers, evacuated
-//! zones, cold servers, and notices of leaving or overloaded servers. The tests start no processes.
+//! Tests of a host's view of servers: incarnations, undecodable entries that other software wrote,
+//! evacuated zones, cold servers, and notices by which servers announce that they leave or ask for
+//! a backoff. The tests start no processes.
 
 use std::{collections::HashSet, sync::Arc};
 
@@ -85,7 +86,7 @@
         assert_ne!(text, ENTRY, "{from}");
         assert!(servers::decode("i-1", text.as_bytes()).is_err(), "{text}");
     }
-    // Unknown fields are ignored, and the start time may be missing.
+    // Entries with unknown fields or without a start time are decoded.
     for (from, to) in [
         (r#""seq":4"#, r#""seq":4,"mood":"good""#),
         (r#""born":1791000000123,"#, ""),
@@ -97,8 +98,8 @@
 
 quickcheck! {
     fn any_bytes_are_decoded_or_refused(bytes: Vec<u8>, index: usize, byte: u8) -> bool {
-        // No input may panic: random bytes, and an entry with one byte changed or cut off at any
-        // place.
+        // Decoding must not panic for any input. The inputs are random bytes, and an entry that is
+        // cut off at any place or has one byte changed.
         let mut changed = ENTRY.as_bytes().to_vec();
         let index = index % changed.len();
         let cut_off = servers::decode("i-1", &changed[..index]);
@@ -128,8 +129,8 @@
     let in_flight = first.begin_request(digests);
     registry.put(entry("a", 2_000));
     let second = registry.server("a@7d0").expect("the second").clone();
-    // The second server starts without the state of the first, and no further requests go to the
-    // first.
+    // The second incarnation starts without the load and run times of the first, and no further
+    // requests go to the first incarnation.
     assert!(registry.server("a@3e8").is_none());
     assert!(first.leaving());
     assert_eq!((second.own_load(), second.run_ms()), (0, 0.0));
@@ -144,7 +145,7 @@
     });
     assert!(!registry.server("a@7d0").expect("the second").leaving());
     assert_eq!(registry.of_service("s").len(), 1);
-    // The removal of the row applies to the latest incarnation.
+    // The removal of the entry removes the latest incarnation.
     registry.remove("a", 0);
     assert!(registry.server("a@7d0").is_none());
     drop(in_flight);
@@ -203,8 +204,8 @@
     let mut registry = Registry::default();
     registry.put(entry("a", 1));
     registry.put(entry("b", 1));
-    // The server is dropped even while lapsed entries may be added again after an outage of the
-    // store.
+    // The server is removed at once, even in the grace period in which lapsed entries may return
+    // after an outage of the store.
     registry.drop_server("a");
     assert!(registry.server("a@1").is_none());
     assert_eq!(registry.usable("s", &[]).len(), 1);
@@ -246,7 +247,8 @@
             evacuations: evacuations(5, &["z"]),
             usable: &["b"],
         },
-        // A later leader that does not know of the evacuation yet.
+        // A new leader that does not know of the evacuation yet announces no zones, under an
+        // earlier version.
         Case {
             evacuations: evacuations(0, &[]),
             usable: &["b"],
@@ -259,7 +261,7 @@
             evacuations: evacuations(7, &["y"]),
             usable: &["a"],
         },
-        // A list that arrives late, after a newer one.
+        // A list with an earlier version arrives after a list with a later version.
         Case {
             evacuations: evacuations(6, &["y", "z"]),
             usable: &["a"],
@@ -274,11 +276,12 @@
         view.evacuate(case.evacuations);
         assert_eq!(usable(), case.usable, "{context}");
     }
-    // The evacuation also applies to a server that joins later.
+    // The evacuation also applies to a server whose entry is added later.
     view.evacuate(evacuations(10, &["z"]));
     view.update_registry(|registry| registry.put(entry("c", 1)));
     assert_eq!(usable(), ["b"]);
-    // An evacuated server still serves requests for keys that it holds, for the hold time.
+    // An evacuated server still serves requests for keys that it holds until the hold time has
+    // passed.
     let registry = view.registry();
     let evacuated = registry.server("a@1").expect("a server");
     assert!(evacuated.serves_held_keys(60_000));
@@ -297,7 +300,8 @@
         .expect("a server")
         .cold_remaining_ms();
     assert!((2_900..=3_000).contains(&backoff_ms), "{backoff_ms}");
-    // Reading the same row again does not change the cold time; a row with another cold time does.
+    // Adding the same entry again does not change the remaining cold time. An entry with another
+    // cold time replaces it.
     registry.put(entry("a", 1));
     assert!(
         registry
@@ -343,7 +347,7 @@
 }
 
 /// Returns the largest number of requests that a cold server gets in one second of a run of ten
-/// seconds. The hosts know only roughly how many hosts there are.
+/// seconds. Each host assumes a number of hosts that is between about 20% too low and 10% too high.
 fn most_in_a_second(hosts: usize, per_s: f64, demand_per_s: f64, rng: &mut StdRng) -> usize {
     const LENGTH_MS: f64 = 10_000.0;
     let mut warmup_windows: Vec<(WarmupWindows, u64)> = (0..hosts)
@@ -356,12 +360,12 @@
         warmup_windows.is_open(*every_ms, rng.random(), 0);
     }
     let mut sent_ms = Vec::new();
-    // Requests begin at a random time, before which warm-up windows may have gone unused.
+    // Requests begin at a random time. Hosts may have left warm-up windows unused before that time.
     let mut at_ms = rng.random_range(0.0..4_000.0);
     while at_ms < LENGTH_MS {
         at_ms += 2.0 * rng.random::<f64>() * 1_000.0 / demand_per_s;
         let now_ms = at_ms as u64;
-        // Half of the requests arrive at one host.
+        // Half of the requests arrive at the first host, the others at a random host.
         let host = if rng.random() {
             0
         } else {
@@ -397,7 +401,8 @@
             "{most} requests from {hosts} hosts at a demand of {demand_per_s}"
         );
     }
-    // Under high load the capacity of the cold server is used.
+    // Under high load the capacity of the cold server is used: it gets at least 4 requests in some
+    // second, at a limit of 5.8 per second.
     let sent = most_in_a_second(74, per_s, 2_000.0, &mut rng);
     assert!(sent >= 4, "{sent}");
 }
@@ -417,7 +422,7 @@
     let limited =
         (0..1_000).filter(|_| server.is_limited_by_warmup(Some(WarmupLimit::new(warmup, 10_000))));
     assert_eq!(limited.count(), 1_000);
-    // Without a limit a cold server is treated like any other.
+    // A cold server whose service sets no limit for the warm-up is treated like any other server.
     assert!(!server.is_limited_by_warmup(None));
 }
 
@@ -430,19 +435,20 @@
 fn a_server_that_announces_its_leaving_gets_no_requests_after_the_hold_time() {
     let hold_ms = 1_850;
     let mut notices = Notices::default();
-    // Other hosts report the leaving first: the server gets no new work, but still gets requests
-    // for keys that it holds.
+    // Other hosts report first that the server leaves. The server then gets no new work, but still
+    // gets requests for keys that it holds.
     assert!(notices.note_leaving_elsewhere(1_000));
     assert!(!notices.note_leaving_elsewhere(1_100));
     assert!(notices.leaves() && !notices.has_announced_leaving());
     assert!(!notices.is_closed_to(900_000, hold_ms));
-    // Then its own responses announce the leaving repeatedly; the hold time starts with the first
-    // of them.
+    // Then responses of the server to this host announce the leaving repeatedly. The hold time
+    // starts with the first of these responses.
     assert!(notices.note(LEAVES, 5_000).leaves);
     assert!(!notices.note(LEAVES, 6_000).leaves);
     assert!(!notices.is_closed_to(5_000 + hold_ms - 1, hold_ms));
     assert!(notices.is_closed_to(5_000 + hold_ms, hold_ms));
-    // A response without the announcement, for instance one sent earlier, does not revoke it.
+    // A response without the announcement, for instance a response that was sent earlier, does not
+    // revoke the announcement.
     notices.note(Notice::default(), 7_000);
     assert!(notices.is_closed_to(7_000, hold_ms));
 }
@@ -459,7 +465,8 @@
         at_ms,
         backoff_ms,
     };
-    // Each pair is the time at which a server asks for a backoff and the duration of the backoff.
+    // Each pair is the time at which a server asks for a backoff and the duration of the backoff,
+    // in milliseconds.
     let cases = [
         case(&[], 0, 0),
         case(&[(100, 3_000)], 100, 3_000),
@@ -467,7 +474,8 @@
         case(&[(100, 3_000)], 3_100, 0),
         case(&[(100, 3_000), (200, 3_000)], 3_100, 100),
         case(&[(100, 3_000), (200, 500)], 1_000, 2_100),
-        // A corrupt value does not keep the server idle forever.
+        // A backoff is limited to ten minutes, so that a corrupt duration does not keep requests
+        // from the server forever.
         case(&[(100, u64::MAX)], 100, 600_000),
     ];
     for Case {
@@ -504,7 +512,8 @@
     let server = |registry: &Registry, id: &str| registry.server(id).expect("a server").clone();
     server(&registry, "a@1").note_notice(LEAVES);
     server(&registry, "b@1").note_notice(backoff_notice);
-    // The row is rewritten, or lapses and is added again, with the state of a ready server.
+    // The entry is written again, or lapses and is added again, and does not show that the server
+    // leaves or has asked for a backoff.
     for _ in 0..3 {
         registry.put(entry("a", 1));
         registry.put(entry("b", 1));
@@ -515,7 +524,8 @@
         registry.remove("b", 0);
         assert!(registry.server("a@1").is_none());
     }
-    // A response with a notice may arrive while the server has no entry.
+    // A response with a notice may arrive while the server has no entry. The notice counts when the
+    // entry returns.
     registry.put(entry("c", 1));
     let gone = server(&registry, "c@1");
     registry.remove("c", 0);
@@ -542,8 +552,8 @@
     assert_eq!(names(registry.usable("s", &[])), ["b"]);
     leave("b@1");
     assert!(registry.usable("s", &[]).is_empty());
-    // No other server can run the request: a leaving server within its hold time is used, unless it
-    // was tried before.
+    // If no other server can run the request, a leaving server gets it within the server's hold
+    // time, unless the request has tried that server before.
     let now_ms = ashroad::clock::now_ms();
     let at_last = |tried: &[Arc<str>], arrived_ms| {
         names(registry.usable_while_leaving("s", tried, arrived_ms, 1_850))
