--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -36,8 +36,8 @@
         if self.sync_role() != SyncRole::Follower || !self.queries_peers_first(followed) {
             return false;
         }
-        let time_limit = Duration::from_millis(self.catch_up_timeout_ms(followed));
-        let caught_up = time::timeout(time_limit, self.fetch_missed(followed)).await;
+        let catch_up_timeout = Duration::from_millis(self.catch_up_timeout_ms(followed));
+        let caught_up = time::timeout(catch_up_timeout, self.fetch_missed(followed)).await;
         caught_up.unwrap_or(false)
     }
 
