--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -72,12 +72,12 @@
     /// their bounds.
     fn catch_up_timeout_ms(&self, followed: FollowedTable) -> u64 {
         let applied = self.freshness.applied(followed);
-        let has_time_limit = match followed {
+        let has_bound = match followed {
             FollowedTable::Servers => self.freshness.has_leave_since(applied),
             FollowedTable::Configuration => self.view.configuration().is_some(),
             FollowedTable::Own => true,
         };
-        if has_time_limit {
+        if has_bound {
             self.limits.catch_up_ms
         } else {
             self.limits.start_wait_ms
