--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -217,14 +217,14 @@
         above_fence: u64,
         time_left: MoveTimeLeft,
     ) {
-        let move_ahead = MoveAnnouncement {
+        let move_announcement = MoveAnnouncement {
             range: assigned_range.range,
             above_fence,
             time_left,
         };
-        self.entry.view.announce_move(service, move_ahead);
+        self.entry.view.announce_move(service, move_announcement);
         let outbox = &self.entry.peers.outbox;
-        outbox.announce_move(tag_of(service), move_ahead);
+        outbox.announce_move(tag_of(service), move_announcement);
     }
 
     /// Marks the move of a range as waiting for a lease to expire. Returns false if the move was
