--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -93,7 +93,7 @@
         };
         let own = row.address == Some(self.settings.listen.peers);
         if own && row.leader_incarnation != 0 && row.leader_incarnation != self.incarnation {
-            self.take_leadership(Some(row), version, clock::now_ms(), false)
+            self.take_over_leadership(Some(row), version, clock::now_ms(), false)
                 .await;
         }
     }
@@ -167,7 +167,8 @@
             if free || now_ms >= since_ms + takeover_ms {
                 let spread_ms = rand::random_range(0..TAKEOVER_JITTER_MS);
                 time::sleep(Duration::from_millis(spread_ms)).await;
-                self.take_leadership(row, version, since_ms, free).await;
+                self.take_over_leadership(row, version, since_ms, free)
+                    .await;
                 return;
             }
             time::sleep(Duration::from_millis(READ_EVERY_MS)).await;
@@ -179,7 +180,7 @@
     /// first read them at `seen_ms`, so the previous leader sent its last confirmation before that
     /// time. `handed_over` is true if the row names no leader, because the previous leader gave up
     /// the leadership or there was none.
-    async fn take_leadership(
+    async fn take_over_leadership(
         &self,
         row: Option<LeadershipRow>,
         version: u64,
