--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -71,9 +71,9 @@
                 continue;
             }
             time::sleep(Duration::from_millis(CHECK_EVERY_MS)).await;
-            let may_take =
+            let may_take_over =
                 self.is_registered() && self.view.are_servers_known() && !self.stopping();
-            if may_take && self.is_leader_silent(started_ms) {
+            if may_take_over && self.is_leader_silent(started_ms) {
                 // Each call to the store is billed, so this host does not read the leadership row
                 // before the feed of the servers' table shows that the store answers.
                 self.view.wait_for_store().await;
