--- a/src/entry/secret.rs
+++ b/src/entry/secret.rs
@@ -44,13 +44,13 @@
             let known = self.peers.seal.row();
             let fresh = |(row, _): &(SecretRow, u64)| !row.is_due_for_rotation(clock::unix_ms());
             if !known.as_ref().is_some_and(fresh) {
-                self.make_secret(known.map_or(0, |(_, version)| version))
+                self.store_new_secret(known.map_or(0, |(_, version)| version))
                     .await;
             }
         }
     }
 
-    async fn make_secret(&self, version: u64) {
+    async fn store_new_secret(&self, version: u64) {
         let row = SecretRow::generate(clock::unix_ms());
         let Ok(value) = serde_json::to_vec(&row) else {
             return;
