--- a/src/entry/join/seed_hosts.rs
+++ b/src/entry/join/seed_hosts.rs
@@ -52,19 +52,20 @@
     /// While this host is the leader, stores the list of seed hosts whenever the list differs from
     /// the one that it stored last.
     pub(in crate::entry) async fn maintain_seed_hosts(self: Arc<Self>) {
-        let mut named = None;
+        let mut last_stored = None;
         loop {
             time::sleep(Duration::from_millis(SEED_HOSTS_EVERY_MS)).await;
             if !self.leadership.is_confirmed() || !self.peers.seal.is_known() {
-                named = None;
+                last_stored = None;
                 continue;
             }
             let seed_hosts = SeedHosts {
                 hosts: self.seed_hosts(),
                 has_many_servers: self.has_many_servers(),
             };
-            if named.as_ref() != Some(&seed_hosts) && self.store_seed_hosts(&seed_hosts).await {
-                named = Some(seed_hosts);
+            if last_stored.as_ref() != Some(&seed_hosts) && self.store_seed_hosts(&seed_hosts).await
+            {
+                last_stored = Some(seed_hosts);
             }
         }
     }
