--- a/tests/entry_duty.rs
+++ b/tests/entry_duty.rs
@@ -163,14 +163,14 @@
         let served = leaving.served();
         for number in 0..30 {
             let id = format!("{}-{number}", host.callers);
-            let ask = TestRequest {
+            let request = TestRequest {
                 method: "POST",
                 path: "/orders/new",
                 id: &id,
                 key: None,
                 deadline_ms: 800,
             };
-            send_once(host.callers, ask).await;
+            send_once(host.callers, request).await;
         }
         assert_eq!(leaving.served(), served, "{}", host.callers);
     }
@@ -269,14 +269,14 @@
             }
             number += 1;
             let id = format!("late-{phase_ms}-{number}");
-            let ask = TestRequest {
+            let request = TestRequest {
                 method: "POST",
                 path: "/orders/new",
                 id: &id,
                 key: None,
                 deadline_ms: 300,
             };
-            send_once(host.callers, ask).await;
+            send_once(host.callers, request).await;
         }
         time::sleep(Duration::from_millis(10)).await;
     }
