--- a/tests/entry_servers.rs
+++ b/tests/entry_servers.rs
@@ -295,11 +295,11 @@
     registry.put(entry("a", 1));
     registry.set_evacuations(&evacuations(1, &["z"]), warmup_ms);
     registry.set_evacuations(&evacuations(2, &[]), warmup_ms);
-    let backoff_ms = registry
+    let remaining_ms = registry
         .server("a@1")
         .expect("a server")
         .cold_remaining_ms();
-    assert!((2_900..=3_000).contains(&backoff_ms), "{backoff_ms}");
+    assert!((2_900..=3_000).contains(&remaining_ms), "{remaining_ms}");
     // Adding the same entry again does not change the remaining cold time. An entry with another
     // cold time replaces it.
     registry.put(entry("a", 1));
@@ -315,13 +315,13 @@
             cold_ms,
             ..entry("a", 1)
         });
-        let backoff_ms = registry
+        let remaining_ms = registry
             .server("a@1")
             .expect("a server")
             .cold_remaining_ms();
         assert!(
-            backoff_ms <= cold_ms && backoff_ms + 100 > cold_ms,
-            "{backoff_ms}"
+            remaining_ms <= cold_ms && remaining_ms + 100 > cold_ms,
+            "{remaining_ms}"
         );
     }
 }
