--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -137,7 +137,7 @@
     /// ignored.
     pub fn put(&mut self, entry: ServerEntry) {
         let event = Event::server(&entry);
-        if self.take(entry) {
+        if self.insert_or_renew(entry) {
             event.log();
         }
     }
@@ -146,13 +146,13 @@
     /// instead of one event per server.
     pub fn put_all(&mut self, entries: impl Iterator<Item = ServerEntry>) {
         let new = entries
-            .filter_map(|entry| self.take(entry).then_some(()))
+            .filter_map(|entry| self.insert_or_renew(entry).then_some(()))
             .count();
         Event::Servers { new }.log();
     }
 
     /// Adds the server of an entry, or renews the known server. Returns true if a server was added.
-    fn take(&mut self, entry: ServerEntry) -> bool {
+    fn insert_or_renew(&mut self, entry: ServerEntry) -> bool {
         if let Some(known) = self.latest_incarnation(&entry.name) {
             if entry.started_ms < known.entry.started_ms {
                 return false;
