--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -1,6 +1,6 @@
-//! Fetches changes of the followed tables that this host has missed from other hosts instead of the
-//! store. When thousands of servers start together, hundreds of hosts would otherwise read their
-//! changes from the store in thousands of calls of 150 KB each.
+//! Queries of a host that has missed changes of the followed tables: it fetches the changes from
+//! other hosts instead of the store. When thousands of servers start together, hundreds of hosts
+//! would otherwise read their changes from the store in thousands of calls of 150 KB each.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -145,8 +145,8 @@
         followed: FollowedTable,
         peer: SocketAddr,
     ) -> Result<bool, Error> {
-        // The snapshot may have been made before changes that the leader broadcasts while this host
-        // fetches the snapshot.
+        // Broadcast changes of servers are suspended until the snapshot is applied, because the
+        // snapshot may have been made before changes that the leader broadcasts in the meantime.
         self.broadcast.begin_reading(followed);
         let snapshot = self.query::<Snapshot>(peer, SNAPSHOT).await;
         let snapshot = match snapshot {
--- a/src/entry/join/joining_hosts.rs
+++ b/src/entry/join/joining_hosts.rs
@@ -1,8 +1,8 @@
-//! Batched registration of joining hosts. A joining host, one that starts and is not registered
-//! yet, requests its registration from another host. That host writes the host rows of several
-//! joining hosts in one transaction. The store accepts some hundred writes a second: if a thousand
-//! hosts that start together registered themselves, each would be rejected several times, and every
-//! call is billed.
+//! Batched registration of joining hosts. A joining host is a host that starts and is not
+//! registered yet. It requests its registration from another host. That host writes the host rows
+//! of several joining hosts in one transaction. The store accepts some hundred writes a second: if
+//! a thousand hosts that start together registered themselves, the store would reject the
+//! registration of each host several times, and every call is billed.
 
 use std::{
     net::SocketAddr,
@@ -27,7 +27,8 @@
     platform::store::{Expect, Put, Transaction, TransactionOutcome},
 };
 
-/// Interval at which a host registers the joining hosts that have requested it, in one transaction.
+/// Interval at which a host registers, in one transaction, the joining hosts that have requested
+/// their registration.
 const REGISTER_EVERY_MS: u64 = 200;
 /// Maximum number of host rows in one transaction. The store accepts 100 conditions and writes in
 /// total; each row needs one condition and one write.
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -1,9 +1,9 @@
 //! Initial sync of a starting host. The host loads servers, assigned ranges and hosts as a snapshot
-//! from another host that knows them. If there is no such host, it reads the store's tables. A seed
-//! host is a host from which starting hosts fetch the snapshot. The leader stores the addresses of
-//! a few seed hosts of each zone next to the hosts' secret, so that one call returns both. Hosts
-//! that serve snapshots also register joining hosts, and later serve changes that other hosts have
-//! missed.
+//! from another host that knows them. If there is no such host, the starting host reads the store's
+//! tables. A seed host is a host from which starting hosts fetch the snapshot. The leader stores
+//! the addresses of a few seed hosts of each zone next to the hosts' secret, so that one call
+//! returns both. Hosts that serve snapshots also register joining hosts, and later serve changes
+//! that other hosts have missed.
 
 mod catch_up;
 mod joining_hosts;
@@ -76,7 +76,9 @@
 /// another host or must read the store's tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SyncOutcome {
+    /// The initial sync of this host has not ended yet.
     Pending,
+    /// Another host sent a snapshot, and this host has applied it.
     Synced,
     /// No host sent a snapshot in time, so this host reads the store's tables.
     ReadsTables,
@@ -255,9 +257,8 @@
     }
 
     /// Returns true if this host is an early host. Early hosts read the store's tables and check
-    /// whether there is a leader before other hosts do. When the other hosts need a snapshot and
-    /// the hosts' secret, the early hosts can thus serve the snapshot, and the first leader has
-    /// stored the secret.
+    /// whether there is a leader before other hosts do. By the time the other hosts need them, the
+    /// early hosts can serve snapshots, and the first leader has stored the hosts' secret.
     pub(super) fn is_early(&self) -> bool {
         let tag = tag_of(&self.settings.listen.peers.to_string());
         self.settings.processor_share >= EARLY_PROCESSOR_SHARE || tag.is_multiple_of(EARLY_ONE_IN)
--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -108,7 +108,8 @@
         }
         let applied = self.freshness.applied(followed);
         if !self.freshness.is_behind(followed, applied) {
-            // The missed changes were broadcast in the meantime, or there were none.
+            // This host got the missed changes by a broadcast in the meantime, or it has missed no
+            // changes.
             return true;
         }
         let Some(peer) = self.peer() else {
--- a/src/entry/leadership/change.rs
+++ b/src/entry/leadership/change.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub enum Change {
     /// Assigns all keys of a service that has no assigned ranges yet: each key range to the server
-    /// next to it.
+    /// that follows it in the list.
     Distribute(Vec<(KeyRange, Arc<str>)>),
     /// Moves key ranges to other servers. Each range gets a new fence, above all fences that the
     /// service has used.
--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -206,6 +206,7 @@
         (lost_term > 0 && lost_term < term && lately).then_some(lost_term)
     }
 
+    /// Ends the leadership of this host, if it is the leader, and logs the `reason`.
     fn lose(&self, reason: &'static str) {
         let term = self.term.swap(0, Ordering::Relaxed);
         if term > 0 {
@@ -217,6 +218,8 @@
 }
 
 impl Entry {
+    /// Reads the leadership row and its version from the store; no row and version 0 if the row
+    /// does not exist yet. Returns `None` if the store did not answer or the row cannot be decoded.
     async fn read_leadership_row(&self) -> Option<(Option<LeadershipRow>, u64)> {
         let rows = match self.store.table(LEADERSHIP_TABLE).await {
             Ok(rows) => rows.rows,
@@ -282,6 +285,8 @@
         }
     }
 
+    /// Confirms the leadership by a write of the leadership row. If the write fails, reads the row,
+    /// and gives up the leadership if the row names another process or term.
     async fn confirm_leadership(&self) {
         let sent_ms = clock::now_ms();
         let mut writer = self.leadership.writer.lock().await;
--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -87,10 +87,15 @@
 /// Outcome of a transaction that writes rows with assigned ranges. A transaction whose effect is
 /// unknown is retried and has no outcome yet.
 enum WriteOutcome {
+    /// The transaction took effect. Contains the version of the written rows.
     Done(u64),
+    /// A condition of the transaction was not met. Contains the current rows to which the
+    /// conditions refer.
     Conflict(Vec<Row>),
     /// The store rejects the transaction with an error that no retry can mend.
     Refused,
+    /// The effect of the transaction is unknown, and this host may no longer grant leases, so it
+    /// has stopped retrying.
     LeadershipLost,
 }
 
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -35,7 +35,7 @@
 const FIRST_START_GRACE_MS: u64 = 3_200;
 /// Maximum delay, in addition to [`START_GRACE_MS`], after which an early host watches the
 /// leadership row at the first start of a deployment. The delay shrinks to 0 as the processor share
-/// of the host grows to 1, so that the host with the largest share watches the row first.
+/// of the host grows to 1, so that hosts with a larger share watch the row first.
 const SLOW_HOST_DELAY_MS: f32 = 800.0;
 /// Interval at which a host that watches the leadership row reads it.
 const READ_EVERY_MS: u64 = 300;
@@ -50,8 +50,8 @@
 const WATCHERS_STEP_MS: u64 = 500;
 
 impl Entry {
-    /// Confirms the leadership while this host is the leader. While it is not, takes over the
-    /// leadership once no other host confirms it.
+    /// Confirms the leadership while this host is the leader. Otherwise watches the heartbeats of
+    /// the leader, and takes over the leadership once no other host confirms it.
     pub(in crate::entry) async fn maintain_leadership(self: Arc<Self>) {
         let leases = self.settings.leases;
         if !self.view.hosts_known().await {
@@ -257,6 +257,8 @@
         }
     }
 
+    /// Reads all rows with assigned ranges from the store into this host's view. Returns false if
+    /// the store did not answer or a row cannot be decoded.
     async fn read_assignments(&self) -> bool {
         let rows = match self.store.table(TABLE).await {
             Ok(rows) => rows.rows,
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -60,6 +60,7 @@
 /// lease on the leader's clock. [`LEASE_MARGIN_MS`] is added to the wait, since a grant may arrive
 /// at the server until its timeout.
 const LEASE_CLOCK_FACTOR: f64 = 1.03;
+/// Time that is added to the wait for the expiry of a lease, see [`LEASE_CLOCK_FACTOR`].
 const LEASE_MARGIN_MS: u64 = GRANT_TIMEOUT_MS + 250;
 /// Number of rounds per second. The leader adds up the reported request counts once per round, so
 /// this number converts a count per round into a rate.
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -311,8 +311,8 @@
         let registry = self.entry.view.registry();
         let server = registry.server(id).cloned();
         // A server whose entry is gone may still serve requests, so the leader sends the release
-        // order to its last known address on a new connection. If another server responds at this
-        // address, the process of the former server has ended.
+        // order to the last known address of the server on a new connection. If another server
+        // responds at this address, the process of the former server has ended.
         let former = registry.former(id).cloned();
         let former_link = former.as_ref().map(|former| Link::new(former.address));
         let link = match (&server, &former, &former_link) {
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -29,7 +29,7 @@
 /// used them without recording them.
 const FENCE_STEP: u64 = 16;
 
-/// Order to a server that grants it the lease of a key range, or renews the lease.
+/// Order by which the leader grants a server the lease of a key range, or renews the lease.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseOrder<'a> {
     pub service: &'a Arc<str>,
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -21,8 +21,8 @@
 /// It is the longest time until all leases have expired after a server and the leader have failed
 /// together.
 const MOVE_HOLD_MAX_MS: u64 = 20_000;
-/// Time in which this host sends no requests for the keys of an assigned range to its server after
-/// the server has refused such a request because it does not hold the key.
+/// Time after a server has refused a request because it does not hold the key. In this time this
+/// host sends the server no requests for the keys of the same assigned range.
 const NOT_HELD_MS: u64 = 250;
 /// Time after which this host forgets an announced grant. By then this host has read the recorded
 /// assigned ranges.
@@ -99,6 +99,7 @@
     /// completes the move.
     above_fence: u64,
     wait: MoveWait,
+    /// Time from which requests no longer wait for the move, even if no grant was announced.
     until_ms: u64,
 }
 
--- a/src/entry/register.rs
+++ b/src/entry/register.rs
@@ -22,6 +22,7 @@
 /// Pause after the first failed attempt to register. The pause doubles with each further failed
 /// attempt, up to [`RETRY_PAUSE_MAX_MS`].
 const RETRY_PAUSE_MS: u64 = 300;
+/// Maximum pause between two attempts to register.
 const RETRY_PAUSE_MAX_MS: u64 = 2_400;
 
 impl Entry {
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -23,8 +23,8 @@
 /// Grace period after this host has noticed the return of the store, in which entries that lapsed
 /// during the outage may return. The platform promises that they return within about two seconds of
 /// the return of the store. Possibly only this host was disconnected from the store. In that case
-/// it must know the servers that left during the disconnection within 3 s of its end, and up to
-/// 0.75 s pass until this host notices the end.
+/// this host must know the servers that left during the disconnection within 3 s of the end of the
+/// disconnection, and up to 0.75 s pass until this host notices the end.
 const RETURN_GRACE_MS: u64 = 1_800;
 /// Maximum number of servers without an entry whose names and addresses are remembered. The server
 /// whose entry has been gone for the longest time is forgotten first.
@@ -191,7 +191,7 @@
     }
 
     /// Sets the evacuated zones. Servers of a restored zone may have become cold during the
-    /// evacuation, so they count as cold for the warm-up time of their service, `warmup_ms`.
+    /// evacuation, so they count as cold for the time that `warmup_ms` returns for their service.
     pub fn set_evacuations(&mut self, zones: &Evacuations, warmup_ms: impl Fn(&str) -> u64) {
         let now_ms = clock::now_ms();
         let known = std::mem::take(&mut self.evacuated);
--- a/src/entry/seal.rs
+++ b/src/entry/seal.rs
@@ -101,6 +101,8 @@
 }
 
 impl Keys {
+    /// Returns the key with which this host signs: the key of the previous secret for
+    /// [`OVERLAP_MS`] after reading a new secret, then the key of the new secret.
     fn for_sending(&self) -> &hmac::Key {
         let overlap = clock::now_ms() < self.read_ms + OVERLAP_MS;
         match &self.previous {
--- a/src/entry/secret.rs
+++ b/src/entry/secret.rs
@@ -50,6 +50,8 @@
         }
     }
 
+    /// Generates a secret and stores it if the stored row still has `version`, so that two hosts do
+    /// not replace the same secret.
     async fn store_new_secret(&self, version: u64) {
         let row = SecretRow::generate(clock::unix_ms());
         let Ok(value) = serde_json::to_vec(&row) else {
--- a/tests/entry_join.rs
+++ b/tests/entry_join.rs
@@ -150,7 +150,8 @@
 
 #[tokio::test]
 async fn hosts_that_join_are_registered_together() {
-    /// Number of joining hosts. The store accepts only one write of a host row per second.
+    /// Number of joining hosts. The store accepts only one transaction with host rows per second,
+    /// whatever their number.
     const JOINING: usize = 12;
     /// Timeout for all registrations together. If each host registered itself, each registration
     /// would take a second, and the last would end after the timeout.
