--- a/src/entry/bounds.rs
+++ b/src/entry/bounds.rs
@@ -15,29 +15,31 @@
     /// Longest lease duration that a server accepts.
     #[serde(rename = "lease_max", deserialize_with = "duration")]
     pub lease_max_ms: u64,
-    /// Time after which a server that has announced its leaving gets no more work.
+    /// Longest time for which a server may still get requests after it has announced its leaving.
     #[serde(
         rename = "drain",
         default = "default_bound_ms",
         deserialize_with = "duration"
     )]
     pub drain_ms: u64,
-    /// Time within which a new configuration takes effect on all hosts.
+    /// Longest time from the write of a new configuration until the configuration takes effect on
+    /// all hosts.
     #[serde(
         rename = "configuration",
         default = "default_bound_ms",
         deserialize_with = "duration"
     )]
     pub configuration_ms: u64,
-    /// Time after which the servers of an evacuated zone get no more work.
+    /// Longest time for which the servers of an availability zone may still get requests after the
+    /// evacuation of the zone has begun.
     #[serde(
         rename = "evacuation",
         default = "default_evacuation_ms",
         deserialize_with = "duration"
     )]
     pub evacuation_ms: u64,
-    /// Time after which a revoked API key must not be accepted; `None` if only the bound of
-    /// configurations applies.
+    /// Longest time for which an API key may still be accepted after its revocation; `None` if only
+    /// the bound of configurations applies.
     #[serde(rename = "revocation", default, deserialize_with = "optional_duration")]
     pub revocation_ms: Option<u64>,
     /// Contact grace period: time after a disturbance, such as an outage of the store, in which the
@@ -48,12 +50,13 @@
         deserialize_with = "duration"
     )]
     pub contact_ms: u64,
-    /// Window in which repeated requests are counted.
+    /// Length of the window in which retries are counted for `retry_ratio` and `retry_allowance`.
     #[serde(rename = "retry_window", deserialize_with = "duration")]
     pub retry_window_ms: u64,
-    /// Maximum number of repeated requests in a window, as a share of its requests.
+    /// Maximum number of retries in a window, as a share of the requests in the window.
     pub retry_ratio: f64,
-    /// Repeated requests that all hosts together may send in a window in addition to that share.
+    /// Number of retries that all hosts together may send in a window in addition to the share that
+    /// `retry_ratio` allows.
     pub retry_allowance: f64,
 }
 
@@ -62,12 +65,13 @@
     1.0
 }
 
-/// Returns the default bound of drains and configurations: the tightest of the known sites.
+/// Returns the default of the bounds on drains and on configurations: the tightest bound of the
+/// known sites.
 fn default_bound_ms() -> u64 {
     2_000
 }
 
-/// Returns the default bound of evacuations: that of the only known site with evacuations.
+/// Returns the default bound on evacuations: the bound of the only known site that evacuates zones.
 fn default_evacuation_ms() -> u64 {
     5_000
 }
@@ -77,8 +81,8 @@
     3_000
 }
 
-/// Deserialises a duration such as `2s` to `Some` milliseconds. It is not called for a missing
-/// setting, whose default is `None`.
+/// Deserialises a duration such as `2s` to `Some` milliseconds. Serde does not call this function
+/// for a missing setting, whose default is `None`.
 fn optional_duration<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<u64>, D::Error> {
     duration(deserializer).map(Some)
 }
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -31,10 +31,11 @@
     },
     /// The settings were read again after SIGHUP.
     Reloaded {
-        /// Error in the settings; the previous ones stay in effect then.
+        /// Error in the settings file, which leaves the previous settings in effect; `None` if the
+        /// file is valid.
         problem: Option<String>,
     },
-    /// Another configuration took effect.
+    /// Another version of the configuration took effect at this host.
     Configuration {
         /// Version in effect from this event on.
         version: u64,
@@ -90,10 +91,11 @@
         /// Time for which the store did not respond.
         away_ms: u64,
     },
-    /// The host has its initial data on servers, assigned ranges and hosts, or began to read it
-    /// from the store itself.
+    /// The host's initial sync ended. The host has got the data on servers, assigned ranges and
+    /// hosts from another host, or begins to read this data from the store.
     Joined {
-        /// True if the data is a snapshot from another host.
+        /// True if the data is a snapshot from another host; false if the host reads the data from
+        /// the store.
         told: bool,
         /// Time since the start of the process.
         after_ms: u64,
@@ -105,7 +107,7 @@
     },
     /// A server's entry was added or changed.
     Server {
-        /// Identifier of the server's incarnation; a restarted server gets a new one.
+        /// Identifier of the server's incarnation; a restarted server gets a new identifier.
         server: Arc<str>,
         /// Name of the service, as in the server's entry.
         service: Arc<str>,
@@ -119,7 +121,7 @@
     /// A server announced in a response that it leaves, or asked this host for a backoff (a period
     /// without requests). Logged once per server for leaving, and at the beginning of each backoff.
     ServerNotice {
-        /// Identifier of the server's incarnation; a restarted server gets a new one.
+        /// Identifier of the server's incarnation; a restarted server gets a new identifier.
         server: Arc<str>,
         /// Name of the service, as in the server's entry.
         service: Arc<str>,
@@ -135,7 +137,7 @@
     },
     /// A server changed or withdrew the rate limit that it advertises for all hosts together.
     ServerRateLimit {
-        /// Identifier of the server's incarnation; a restarted server gets a new one.
+        /// Identifier of the server's incarnation; a restarted server gets a new identifier.
         server: Arc<str>,
         /// Name of the service, as in the server's entry.
         service: Arc<str>,
@@ -148,14 +150,14 @@
     },
     /// A server's entry was removed.
     ServerGone {
-        /// Identifier of the server's incarnation; a restarted server gets a new one.
+        /// Identifier of the server's incarnation; a restarted server gets a new identifier.
         server: Arc<str>,
         /// Service that the server belonged to.
         service: Arc<str>,
     },
     /// A server crashed with requests of this host in flight.
     ServerEnded {
-        /// Identifier of the server's incarnation; a restarted server gets a new one.
+        /// Identifier of the server's incarnation; a restarted server gets a new identifier.
         server: Arc<str>,
         /// Service that the server belonged to.
         service: Arc<str>,
@@ -171,21 +173,19 @@
         /// Origin of the information: this host's own attempts, or another host.
         source: &'static str,
     },
-    /// This host took over the leadership, which operators see as the `duty` in the name of the
-    /// event.
+    /// This host took over the leadership, which the name of the event calls `duty`.
     DutyTaken {
         /// Number of the term that begins.
         term: u64,
         /// True if the previous leader had given up the leadership.
         handed_over: bool,
     },
-    /// The previous leader is known to grant no more leases.
+    /// This host has learned that the previous leader grants no more leases.
     PredecessorEnded {
         /// Number of the previous leader's term.
         term: u64,
     },
-    /// This host is no longer the leader. Operators see the leadership as the `duty` in the name of
-    /// the event.
+    /// This host is no longer the leader. The name of the event calls the leadership `duty`.
     DutyLost {
         /// Number of the term that ended.
         term: u64,
@@ -208,31 +208,31 @@
         cause: &'static str,
         /// True if the previous owner gave a handover token, with which the new owner starts warm.
         handover: bool,
-        /// Time from the decision to the grant.
+        /// Time from the decision to move the keys until the order that grants them has ended.
         took_ms: u64,
     },
     /// A grant or release order to a server failed.
     OrderFailed {
-        /// Identifier of the server's incarnation; a restarted server gets a new one.
+        /// Identifier of the server's incarnation; a restarted server gets a new identifier.
         server: Arc<str>,
         /// Kind of order: grant or release.
         order: &'static str,
         /// Error of the call, or the server's refusal.
         problem: String,
     },
-    /// A request was refused, failed or was retried, or it was answered and is among the logged
-    /// sample.
+    /// A request was refused, failed or was retried, or was answered and belongs to the sample of
+    /// answered requests that are logged.
     Request {
         /// Identifier that the caller gave.
         request_id: String,
         /// Digest of the parts that stay the same when the same caller repeats the request, in
         /// hexadecimal digits.
         digest: String,
-        /// The same digest without the query.
+        /// Digest of the same parts as `digest`, without the query.
         path_digest: String,
         /// Digest of the parts that stay the same when another caller sends the request.
         content_digest: String,
-        /// The caller-independent digest without query and body.
+        /// Digest of the same parts as `content_digest`, without query and body.
         any_path_digest: String,
         /// Name of the route that matched the request.
         route: Arc<str>,
@@ -242,9 +242,10 @@
         reason: String,
         /// Server of the last attempt; `None` if there was no attempt.
         server: Option<Arc<str>>,
-        /// Load of that server as known to this host.
+        /// Load of the server of the last attempt, as known to this host.
         load: u32,
-        /// Remaining time in which that server wants no requests from this host; 0 for none.
+        /// Remaining backoff of the server of the last attempt, in which this host must send that
+        /// server no requests; 0 for none.
         #[serde(rename = "rest_ms")]
         backoff_ms: u64,
         /// Number of attempts so far.
--- a/src/entry/explain.rs
+++ b/src/entry/explain.rs
@@ -3,7 +3,8 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// Time before a decision on the request in which events of its server and its host are included.
+/// Length of the period before each decision on the request for which the timeline also includes
+/// the events of the server and the host of the decision.
 const CONTEXT_MS: u64 = 5_000;
 /// Names of the events that may affect every request of a host.
 const HOST_EVENTS: [&str; 8] = [
@@ -36,14 +37,15 @@
 /// Log of one host, as input for timelines and for the counts of lost requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Source<'a> {
-    /// Name of the log, by which the timeline says where an event comes from.
+    /// Name of the log, which the timeline states as the source of each event.
     pub name: &'a str,
     /// Whole text of the log; lines that are no events are skipped.
     pub text: &'a str,
 }
 
-/// Returns true for an event that concerns all attempts of a request, regardless of its age: a
-/// server crashed while running it, or it was quarantined.
+/// Returns true if the event names the digest of a request: a server crashed while running the
+/// request, or the request was quarantined. Such an event concerns all attempts of the request,
+/// however long ago the event was logged.
 fn names_digest(event: &Value, digest: &Value) -> bool {
     let digests = event["digests"].as_array();
     match event["event"].as_str() {
@@ -76,7 +78,7 @@
     timeline
 }
 
-/// Parses the events of a log, in its order.
+/// Parses the events of a log, in the order of its lines. Lines that are no events are skipped.
 pub(super) fn read<'a>(source: &'a Source<'a>) -> impl Iterator<Item = TimelineEntry> + 'a {
     source.text.lines().filter_map(move |line| {
         // A log collector may put a prefix of its own before the event.
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -1,29 +1,31 @@
 //! Timeouts and pauses derived from the bounds in the settings.
 //!
-//! Every delay that contributes to a bound (the pause of a feed, a heartbeat interval of the
-//! leader, a call of this host to the store) gets a share of it, and the delays on each path must
-//! add up to no more than the bound.
+//! A bound covers a chain of delays, such as the pause of a feed, a heartbeat interval of the
+//! leader and a call of this host to the store. Each delay gets a share of the bound, and the
+//! delays of each chain must add up to no more than the bound.
 
 use std::fmt;
 
 use super::{bounds::Bounds, watch::RETRY_PAUSE_LONGEST_MS};
 use crate::platform::store::FEED_SLACK_MS;
 
-/// Time for a call to the store after a feed call has waited for changes: connecting, one lost
-/// packet, and the response.
+/// Time for a call to the store, not counting the wait of a feed call for changes: connecting, the
+/// retransmission of one lost packet, and the response.
 const CALL_MS: u64 = 350;
-/// Allowance for timers that fire late and for the delivery of a request that was sent just before.
+/// Allowance for timers that fire late, and for the delivery of a request that a host sent to a
+/// server right before the host learned of a change.
 const LATE_MS: u64 = 150;
-/// Interval at which a feed (a task that reads the changes of a table) checks, while it pauses or
-/// waits, for reasons to call the store now.
+/// Interval at which a feed (a task that reads the changes of a table) checks during a pause or a
+/// wait whether it must call the store at once.
 pub const POLL_EVERY_MS: u64 = 100;
-/// Shortest trust period for reports of the leader. With less, every heartbeat would be too old on
-/// arrival.
+/// Shortest trust period, which is the age up to which a host trusts the leader's reports of the
+/// store. With a shorter period, every heartbeat of the leader would be too old on arrival.
 const TRUST_MIN_MS: u64 = 200;
-/// Longest trust period for reports of the leader. A longer one would save no calls: the leader
-/// confirms its leadership and sends several heartbeats within it.
+/// Longest trust period, which is the age up to which a host trusts the leader's reports of the
+/// store. A longer period would save no calls to the store, because the leader confirms its
+/// leadership and sends several heartbeats within this one.
 const TRUST_MAX_MS: u64 = 2_000;
-/// Longest heartbeat interval of the leader.
+/// Longest heartbeat interval of the leader; it applies if a quarter of the trust period is longer.
 const LEADER_HEARTBEAT_MAX_MS: u64 = 300;
 /// Longest time for which a host may lag behind the versions reported by the leader before it
 /// queries the store itself.
@@ -39,16 +41,17 @@
 /// Longest pause of the configuration's feed on hosts other than the leader and relays.
 const CONFIGURATION_PAUSE_MAX_MS: u64 = 500;
 
-/// Longest time for which keys are served in an evacuated zone. Moves of keys complete within a few
-/// run times of requests.
+/// Longest time for which the servers of an evacuated zone still serve their keys. Moves of keys to
+/// other servers complete within a few run times of requests.
 const EVACUATION_HOLD_MAX_MS: u64 = 2_500;
 
 /// Timeouts and pauses of one host, all derived from the bounds in its settings. A feed reads the
 /// changes of a table of the store; its pause is the time between two of its calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeLimits {
-    /// Trust period: age up to which the leader's report of the store counts. A leader may fail
-    /// right after a heartbeat, before it broadcasts that a server leaves.
+    /// Trust period: age up to which a host trusts the leader's report of the store, and so rarely
+    /// calls the store itself. The period is limited because a leader may fail right after a
+    /// heartbeat, before it broadcasts that a server leaves.
     pub trust_ms: u64,
     /// Heartbeat interval of the leader; several heartbeats fit into the trust period.
     pub leader_heartbeat_ms: u64,
@@ -63,24 +66,27 @@
     /// Interval at which a host queries the relays of its zone once the leader's last report is
     /// old. Several queries fit into the time until that report is no longer trusted.
     pub relay_query_every_ms: u64,
-    /// Pause between the calls of one host, among many, to the store, while neither the leader nor
-    /// a relay reports that the store responds. Two pauses fit into the contact grace period.
+    /// Pause between two calls of a host to the store while neither the leader nor a relay reports
+    /// that the store responds. It applies only while the hosts use relays, so that a large number
+    /// of hosts does not overload the store. Two pauses fit into the contact grace period.
     pub alone_pause_ms: u64,
-    /// Time for other hosts to send a host the changes that it missed, before it queries the
-    /// store.
+    /// Timeout for fetching missed changes from other hosts. A host that still misses changes after
+    /// the timeout reads them from the store.
     pub catch_up_ms: u64,
     /// Longest pause of the feed of servers' entries while no heartbeats of a leader arrive.
     pub servers_pause_ms: u64,
     /// Longest pause of the configuration's feed on hosts other than the leader and relays.
     pub configuration_pause_ms: u64,
-    /// Time for which a host may lag behind the reported versions before it queries the store: a
-    /// response or a broadcast may be on its way.
+    /// Time for which a host may lag behind the versions reported by the leader before the host
+    /// calls the store. A response of the store or a broadcast of the leader may still be on its
+    /// way.
     pub lag_grace_ms: u64,
-    /// Time for which a host waits for the first heartbeat of a leader after its start, or after
-    /// the store no longer has the history that the host needs.
+    /// Time for which a host waits for a heartbeat of the leader after the host has started, or has
+    /// read a whole table because the store no longer has the changes that the host missed.
     pub start_wait_ms: u64,
-    /// Time for which keys of an evacuated zone are still served there, after a host has learned of
-    /// the evacuation, while they are moved to other servers.
+    /// Time for which a host, after it has learned of an evacuation, still sends requests for keys
+    /// to the servers of the evacuated zone that hold the keys. The keys are moved to other servers
+    /// meanwhile.
     pub evacuation_hold_ms: u64,
     /// Time for which a server still gets requests for its keys after it announced to this host, in
     /// a response, that it leaves. The keys are moved to other servers meanwhile, unless the store
@@ -88,14 +94,15 @@
     pub notice_hold_ms: u64,
 }
 
-/// One chain of events with the delay that it causes and the bound that it must keep.
+/// Chain of events by which hosts learn of a change, with the longest delay of the chain and the
+/// bound that applies to the delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimingPath {
     /// Description of the chain of events, used in error messages.
     pub name: &'static str,
     /// Name of the bound that applies, as in the settings.
     pub bound: &'static str,
-    /// Longest time that the events on this path take together.
+    /// Longest time that the events of the chain take together.
     pub worst_ms: u64,
     /// Bound from the settings, plus the contact grace period on paths to which that applies.
     pub bound_ms: u64,
@@ -124,7 +131,8 @@
 }
 
 impl TimeLimits {
-    /// Derives the limits from the bounds; [`Self::paths`] shows whether they keep them.
+    /// Derives the timeouts and pauses from the bounds. [`Self::paths`] shows whether the bounds
+    /// are kept.
     pub fn new(bounds: &Bounds) -> Self {
         let after_wait_ms = POLL_EVERY_MS + CALL_MS + LATE_MS;
         let room = |bound_ms: u64| bound_ms.saturating_sub(after_wait_ms).max(TRUST_MIN_MS);
@@ -159,8 +167,8 @@
     }
 
     /// Returns the interval at which the leader confirms at the store that it is still the leader.
-    /// It is at most half of the trust period, so that the store's last response is still within
-    /// that period two heartbeats later.
+    /// The interval is `wanted_ms`, but at most half of the trust period, so that the store's last
+    /// response is still trusted two heartbeats later.
     pub fn confirm_every_ms(&self, wanted_ms: u64) -> u64 {
         wanted_ms.min(self.trust_ms / 2)
     }
--- a/src/entry/log_writer.rs
+++ b/src/entry/log_writer.rs
@@ -16,11 +16,12 @@
 
 use crate::clock;
 
-/// Capacity of the writer thread's queue. One chunk is queued every [`FLUSH_MS`].
+/// Capacity of the writer thread's queue, in chunks. A chunk contains the lines that were logged in
+/// one interval of [`FLUSH_MS`].
 const QUEUE_CHUNKS: usize = 16;
 /// Size of a chunk above which further lines are dropped. It limits the log to 640 KB per second.
 const CHUNK_BYTES_MAX: usize = 128 * 1024;
-/// Interval of writes; all lines of an interval are written by one system call.
+/// Interval at which [`flush`] is called; all lines of an interval are written by one system call.
 pub const FLUSH_MS: u64 = 200;
 
 static WRITER: LazyLock<LogWriter> = LazyLock::new(LogWriter::start);
@@ -58,11 +59,11 @@
 }
 
 struct LogWriter {
-    /// Lines that are not handed to the writer thread yet.
+    /// Lines that have not been handed to the writer thread yet, each ended by a line feed.
     pending: Mutex<Vec<u8>>,
     /// Lines dropped since the last `dropped` event.
     dropped: AtomicU64,
-    /// Lines dropped since the start.
+    /// Lines dropped since the start of the process.
     dropped_in_total: AtomicU64,
     /// Queue of the writer thread.
     chunks: SyncSender<Vec<u8>>,
@@ -95,7 +96,8 @@
     event: &'a E,
 }
 
-/// Queues one event as a JSON line. The line is dropped and counted if too many wait already.
+/// Queues one event as a JSON line. The line is dropped and counted if too many lines are already
+/// waiting.
 pub fn write(event: &impl Serialize) {
     WRITER.write(event);
 }
@@ -105,7 +107,7 @@
     WRITER.flush();
 }
 
-/// Returns the number of lines dropped since the start.
+/// Returns the number of lines dropped since the start of the process.
 pub fn dropped_in_total() -> u64 {
     WRITER.dropped_in_total.load(Ordering::Relaxed)
 }
--- a/src/entry/losses.rs
+++ b/src/entry/losses.rs
@@ -1,6 +1,7 @@
-//! Counts lost requests by second, route and reason from the logs of several hosts: requests that
-//! were refused, failed or retried, with the load that the hosts saw at their servers and the time
-//! that the requests had waited.
+//! Counts lost requests by time step, route, decision and reason from the logs of several hosts.
+//! Lost requests are requests that were refused, failed or were retried. Each count comes with the
+//! mean load of the servers as the hosts knew it, and with the mean time from the arrival of the
+//! requests to the decision.
 
 use std::collections::BTreeMap;
 
@@ -21,8 +22,8 @@
     pub reason: String,
     /// Number of lost requests that agree in time step, route, decision and reason.
     pub requests: u64,
-    /// Number of distinct servers of the last attempts; all requests without an attempt count as
-    /// one more.
+    /// Number of distinct servers that got the last attempts of the requests. All requests without
+    /// an attempt together count as one more server.
     pub servers: u64,
     /// Mean load of these servers as the hosts knew it.
     pub load_mean: f64,
@@ -30,7 +31,8 @@
     pub after_mean_ms: f64,
 }
 
-/// Losses found in a set of logs, and the number of lines that may hide more.
+/// Losses found in a set of logs, and the number of dropped log lines that may have reported more
+/// losses.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Losses {
     /// Losses in order of time.
@@ -49,7 +51,7 @@
     after_ms: f64,
 }
 
-/// Sums up losses in steps of `step_s` seconds. Lines that are no events are skipped.
+/// Sums up losses in time steps of `step_s` seconds. Lines that are no events are skipped.
 pub fn losses(sources: &[Source<'_>], step_s: u64) -> Losses {
     let step_s = step_s.max(1);
     let mut sums: BTreeMap<GroupKey, Totals> = BTreeMap::new();
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -1,5 +1,6 @@
-//! Counters and latency histograms of an entry host, scraped as text. The rest of the product uses
-//! `cadence`, which can only push.
+//! Counters, gauges and latency histograms of an entry host, which a monitoring system scrapes as
+//! text. They use `prometheus_client`, because `cadence`, which the rest of the product uses, can
+//! only push metrics.
 
 use std::sync::{
     Arc,
@@ -17,12 +18,14 @@
     registry::Registry,
 };
 
-/// Lowest bucket bound of the latency histograms in seconds, and the number of bounds. Each bound
-/// is twice the one below it, from 2 ms to 16 s.
+/// Lowest bucket bound of the latency histograms, in seconds. Each further bound is twice the bound
+/// below it, from 2 ms to 16 s.
 const LATENCY_FIRST_S: f64 = 0.002;
+/// Number of bucket bounds of the latency histograms.
 const LATENCY_BOUNDS: u16 = 14;
 
-/// Labels of the request metrics. They have few values, since services come from the configuration.
+/// Labels of the request metrics. The labels have few values, because all services come from the
+/// configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
     /// Service that the request was sent to; empty if it was sent to none.
@@ -64,19 +67,21 @@
     pub in_flight: Gauge,
     /// Time since the store's last response, in seconds.
     pub store_age_s: Gauge<f64, AtomicU64>,
-    /// Term of this host while it is the leader; 0 otherwise. Operators see the leadership as the
-    /// `duty` in the name of the metric, `duty_term`.
+    /// Term of this host while it is the leader; 0 otherwise. The name of the metric, `duty_term`,
+    /// calls the leadership `duty`.
     pub leadership_term: Gauge,
     /// Version of the configuration in effect; 0 for none.
     pub configuration_version: Gauge,
     /// Number of availability zones that are evacuated.
     pub evacuated_zones: Gauge,
-    /// Number of requests that no server gets because several servers crashed while running them.
+    /// Number of quarantined requests, which no server gets because several servers crashed while
+    /// running them.
     pub quarantined_requests: Gauge,
-    /// Number of servers that are still in their cold time (warm-up), for which rate limits may
-    /// apply.
+    /// Number of servers that are cold (still warm up), to which the rate limits of cold servers
+    /// may apply.
     pub cold_servers: Gauge,
-    /// Log lines that were dropped since the start because too many waited to be written.
+    /// Log lines that were dropped since the start of the process because too many lines waited to
+    /// be written.
     pub log_lines_dropped: Gauge,
 }
 
@@ -179,12 +184,12 @@
             .inc();
     }
 
-    /// Counts a move of keys from one server to another.
+    /// Counts a completed move of keys to a server.
     pub fn moved(&self) {
         self.moves.inc();
     }
 
-    /// Sets the number of calls of one kind to one table since the start.
+    /// Sets the number of calls of one kind to one table since the start of the process.
     pub fn store_calls(&self, call: &'static str, table: String, calls: u64) {
         let labels = StoreCallLabels { call, table };
         let counter = self.store_calls.get_or_create(&labels);
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,5 +1,6 @@
-//! An entry host on the users' platform. It forwards requests to backend servers; one host at a
-//! time is the leader, which assigns keys to servers and grants their leases.
+//! Entry host on the users' platform: a router process that forwards callers' requests to backend
+//! servers. One of the hosts at a time is the leader, which assigns keys to servers and grants the
+//! servers leases of the keys.
 
 pub mod bounds;
 pub mod broadcast;
@@ -75,7 +76,7 @@
 };
 use crate::platform::store::Store;
 
-/// State that is shared by all tasks of one host.
+/// State of one entry host, shared by all tasks of its process.
 #[derive(Debug)]
 pub struct Entry {
     /// Settings as they were read at the start of the process.
@@ -88,7 +89,8 @@
     pub view: View,
     /// Timeouts and intervals that are derived from the users' bounds.
     pub limits: TimeLimits,
-    /// Age of this host's data from the store, by its own calls and by other hosts' reports.
+    /// Age of this host's copy of the store's tables, known from the host's own calls to the store
+    /// and from reports of other hosts.
     pub freshness: Freshness,
     /// Time up to which the configuration in use is confirmed as the latest one.
     pub confirmation: ConfigurationConfirmation,
@@ -100,18 +102,21 @@
     pub hot_keys: HotKeys,
     /// Other hosts, and the messages exchanged with them.
     pub peers: Peers,
-    /// State of the leadership, at this host and as seen at others.
+    /// Term of this host while it is the leader, and what this host knows of leaders on other
+    /// hosts.
     pub leadership: Leadership,
-    /// Budget that limits retries to a share of all requests.
+    /// Budget that limits the retries of each service to a share of the service's requests, plus a
+    /// fixed allowance.
     pub retries: RetryBudget,
     /// Memory that request and response bodies may take in this host.
     body_memory: BodyMemory,
-    /// Quotas of workspaces, and the share of each that this host admits.
+    /// Usage of the workspaces' quotas, and the share of each workspace's requests that this host
+    /// admits.
     pub quotas: Quotas,
     /// Server crashes, and the suspects: requests that may have caused them.
     pub crashes: Crashes,
-    /// Wakes the task that reports a server's notice to the leader: the server leaves, or asks for
-    /// a backoff (a period without requests).
+    /// Wakes the task that reports a server's notice to the leader. A notice states in a response
+    /// that the server leaves, or asks for a backoff (a period without requests).
     notice_received: Notify,
     /// Backoffs (periods without requests) that servers asked of hosts; collected while this host
     /// is the leader.
@@ -128,7 +133,7 @@
     /// True once a planned stop has begun.
     stopping: AtomicBool,
     /// Latest time at which the process exits in a planned stop, on the clock of this process;
-    /// `u64::MAX` before a stop. It exits earlier once no request is in flight.
+    /// `u64::MAX` before a stop. The process exits earlier if no request is in flight any longer.
     stop_deadline_ms: AtomicU64,
     /// Callers' requests that this host has not answered yet.
     in_flight: AtomicU64,
@@ -136,9 +141,9 @@
     answered: AtomicU64,
 }
 
-/// Number of hosts assumed until the other hosts are known. It is twice the largest supported
-/// deployment, so that a starting host claims too small a share of a server's limit rather than too
-/// large a one.
+/// Number of hosts that a starting host assumes until it knows the other hosts. The number is twice
+/// the largest supported deployment, so that a starting host claims too small a share of a server's
+/// limit rather than too large a one.
 const ASSUMED_HOSTS: usize = 10_000;
 /// Sampling interval of the log: one in 100 answered requests is logged; the others are only
 /// counted.
@@ -147,7 +152,8 @@
 impl Entry {
     /// Creates a host's state. No task runs and no connection is opened yet.
     pub fn new(settings: Settings) -> Self {
-        // JSON readers may hold numbers as doubles, so only 53 bits are used.
+        // Uses only 53 bits, because JSON readers may store numbers as doubles, which hold integers
+        // of at most 53 bits exactly.
         let incarnation = (rand::rng().random::<u64>() >> 11).max(1);
         let limits = TimeLimits::new(&settings.bounds);
         Self {
@@ -180,8 +186,9 @@
         }
     }
 
-    /// Returns the rate limit of a service's cold servers. It is divided among the hosts, whose
-    /// number is assumed to be [`ASSUMED_HOSTS`] until it is read from the store.
+    /// Returns this host's part of the rate limit of a service's cold servers. The limit is divided
+    /// by the number of hosts, which is assumed to be [`ASSUMED_HOSTS`] until the other hosts are
+    /// known.
     fn warmup_limit(&self, warmup: Warmup) -> WarmupLimit {
         WarmupLimit::new(warmup, self.sharing_hosts())
     }
@@ -201,7 +208,8 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns true if the load balancer should send callers to this host.
+    /// Returns true if the load balancer should send callers to this host: the configuration and
+    /// the servers are known, and no planned stop has begun.
     pub fn ready(&self) -> bool {
         !self.stopping() && self.view.configuration().is_some() && self.view.are_servers_known()
     }
@@ -230,7 +238,7 @@
     }
 }
 
-/// Guard of a caller's request in this host, which counts as in flight until the drop.
+/// Guard of a caller's request, which this host counts as in flight until the guard is dropped.
 struct InFlightGuard(Arc<Entry>);
 
 impl Drop for InFlightGuard {
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -14,14 +14,14 @@
     pub head_bytes: u64,
     /// Maximum size of a request's body.
     pub body_bytes: u64,
-    /// Longest time in which a caller sends a request's line and headers.
+    /// Timeout for receiving a request's line and headers from a caller.
     pub head_timeout_ms: u64,
     /// Time after which an idle connection of a caller is closed.
     pub idle_timeout_ms: u64,
 }
 
-/// A group of backend servers that serve the same routes. They are interchangeable, or each holds
-/// its own keys if the service is sharded.
+/// A group of backend servers that serve the same routes. In a sharded service, each key is
+/// assigned to one of the servers; in any other service, the servers are interchangeable.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Name by which routes and servers' entries refer to the service.
@@ -32,11 +32,13 @@
     pub connections_max: u32,
     /// True if each key is served only by the server that holds it.
     pub sharded: bool,
-    /// Rate limit of its servers while they are cold; `None` if there is no limit.
+    /// Rate limit of a server of this service while the server is cold; `None` if there is no
+    /// limit.
     pub warmup: Option<Warmup>,
 }
 
-/// Rate limit of a server while it is cold.
+/// Rate limit of a cold server: a server that has just started, or whose availability zone was
+/// evacuated until recently.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Warmup {
     /// Time for which servers are treated as cold after the evacuation of their zone has ended. A
@@ -64,17 +66,20 @@
     pub path_prefix: String,
     /// True if requests are idempotent, so that an attempt may be repeated on another server.
     pub repeatable: bool,
-    /// Longest time until a request is answered, which sets its deadline.
+    /// Longest time until a request of the route is answered, which sets the deadline of the
+    /// request.
     pub timeout_ms: u64,
-    /// Latency objective; operators set it under the name `aim`.
+    /// Latency objective: time within which requests of the route should be answered. Operators set
+    /// it under the name `aim`.
     pub aim_ms: u64,
-    /// Priority of its requests; 0 is the highest. A workspace's priority comes first.
+    /// Priority of the route's requests; 0 is the highest. The priorities of the workspaces are
+    /// compared first.
     pub priority: u32,
-    /// True if its requests need no API key even where workspaces are configured.
+    /// True if requests of the route need no API key even if workspaces are configured.
     pub is_public: bool,
-    /// Regions in which its requests may be served; empty for all.
+    /// Regions in which requests of the route may be served; empty for all regions.
     pub regions: Vec<Arc<str>>,
-    /// Services that share its requests by weight.
+    /// Services that share the route's requests by weight.
     pub parts: Vec<RouteTarget>,
     /// Maximum number of servers that one request may be sent to, one after the other.
     pub attempts_max: u32,
@@ -83,7 +88,8 @@
 /// One version of the operators' configuration.
 #[derive(Clone, Debug)]
 pub struct Configuration {
-    /// Version of the stored row; it only increases.
+    /// Version that the configuration document states. A host ignores a document whose version is
+    /// not higher than the version in effect.
     pub version: u64,
     /// Limits that apply to the requests and connections of all callers.
     pub limits: CallerLimits,
@@ -91,7 +97,7 @@
     routes: HashMap<String, Vec<Arc<Route>>>,
     /// Workspaces by API key; `None` if callers need no API key.
     workspaces: Option<Workspaces>,
-    /// Lowest priority among the routes of each service, as the largest number.
+    /// Lowest priority among the routes of each service, which is the largest number.
     lowest_priority: HashMap<Arc<str>, u32>,
 }
 
@@ -173,7 +179,7 @@
         }
     }
 
-    /// Returns true if requests of a lower priority than this one may use the service.
+    /// Returns true if requests of a lower priority than `priority` may use the service.
     pub fn has_lower_priority_requests(&self, service: &str, priority: Priority) -> bool {
         let Some(lowest) = self.lowest_priority.get(service) else {
             return false;
@@ -192,27 +198,28 @@
     }
 }
 
-/// Entry by which a backend server registers: its own description of itself.
+/// Entry in the platform's store by which a backend server registers and describes itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "PackedEntry", into = "PackedEntry")]
 pub struct ServerEntry {
-    /// Identifier of the incarnation. A restarted server gets a new one, even under the same name.
+    /// Identifier of the server's incarnation. A restarted server gets a new identifier, even if it
+    /// keeps its name.
     pub id: Arc<str>,
-    /// Name of the server in the platform. A restarted server may keep it.
+    /// Name of the server in the platform. A restarted server may keep its name.
     pub name: Arc<str>,
     /// Start time by the server's clock; 0 if the entry does not state it.
     pub started_ms: u64,
-    /// Name of the service whose requests it serves, as in [`Service::name`].
+    /// Name of the service whose requests the server runs, as in [`Service::name`].
     pub service: Arc<str>,
-    /// Address at which it accepts connections from hosts.
+    /// Address at which the server accepts connections from hosts.
     pub address: SocketAddr,
-    /// Availability zone in which it runs.
+    /// Availability zone in which the server runs.
     pub availability_zone: Arc<str>,
-    /// Number of requests that it runs at the same time.
+    /// Number of requests that the server runs at the same time.
     pub slots: u32,
-    /// True if it is about to stop and must get no new work.
+    /// True if the server is about to stop and must get no new work.
     pub leaving: bool,
-    /// Remaining time for which it is cold (warms up after its start); 0 for a warm server.
+    /// Remaining time for which the server is cold (warms up after its start); 0 for a warm server.
     pub cold_ms: u64,
 }
 
@@ -223,7 +230,7 @@
     pub running: u32,
     /// Number of requests in the server's queue.
     pub waiting: u32,
-    /// Slowdown of the server: current run time of requests as a multiple of the usual one.
+    /// Slowdown of the server: current run time of requests as a multiple of the usual run time.
     pub slowdown: f64,
 }
 
@@ -244,8 +251,8 @@
     Unlimited,
     /// Limit in requests per second.
     PerS(f64),
-    /// The response states a limit that cannot be parsed, or it states none and may not come from
-    /// the server.
+    /// The limit is unknown: the response states a limit that cannot be parsed, or states no limit
+    /// and may not come from the server.
     Unknown,
 }
 
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -19,16 +19,18 @@
     transport::{self, ListenerLimits, ResponseBody},
 };
 
-/// Length of the accept queue. A full queue drops connection attempts, which delays a caller by
-/// seconds.
+/// Length of the accept queue of each listener. A full queue drops connection attempts, which
+/// delays the affected callers by seconds.
 const BACKLOG: u32 = 4_096;
 /// Time after SIGTERM in which new connections are still accepted. The balancer probes readiness
 /// every second and removes a host after two failed probes.
 const READINESS_NOTICE_MS: u64 = 2_300;
-/// Margin that is kept free before the end of the stop grace period.
+/// Time before the end of the stop grace period at which a stopping host aborts the remaining
+/// requests, so that the process exits before the platform sends SIGKILL.
 const GRACE_MARGIN_MS: u64 = 250;
-/// Time for a caller to send a request head, which also limits a connection's idle time. It is
-/// above the callers' own limit, so that callers close idle connections first.
+/// Timeout for receiving the head of a request, which is also the idle timeout of a caller's
+/// connection. It is longer than the callers' own idle timeout, so that callers close idle
+/// connections first.
 const HEAD_TIMEOUT_MS: u64 = 16_000;
 /// Content type of the metrics' text exposition format.
 const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
@@ -110,7 +112,8 @@
         log::debug!("the readiness listener has already stopped");
     }
     log_writer::flush();
-    // Leaves the writer thread time to write the last lines; nothing else waits for it.
+    // Leaves the writer thread of the log time to write the last lines, because nothing else waits
+    // for that thread before the process exits.
     time::sleep(Duration::from_millis(20)).await;
     Ok(())
 }
@@ -244,8 +247,9 @@
     Event::Reloaded { problem }.log();
 }
 
-/// Carries out a planned stop: fails readiness first and gives up the leadership, closes the
-/// callers' listener once the balancer has noticed, and returns when no request is in flight or the
+/// Carries out a planned stop. The host first answers readiness probes with a failure and gives up
+/// the leadership. It closes the callers' listener after the load balancer has had time to notice
+/// the failed probes. The function returns when no request is in flight, or shortly before the stop
 /// grace period ends.
 async fn stop(
     entry: &Arc<Entry>,
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -1,5 +1,5 @@
-//! State of a backend server as one host sees it: its entry, whether it takes work, its load, and
-//! the host's statistics of its attempts there.
+//! State of a backend server as one host sees it: the server's entry, whether the server takes
+//! work, its load, and statistics of the host's attempts at the server.
 
 use std::sync::{
     Arc, Mutex, MutexGuard, PoisonError,
@@ -29,27 +29,35 @@
 /// A backend server, from the first reading of its entry until the entry is removed or replaced.
 #[derive(Debug)]
 pub struct Server {
-    /// Entry as it was first read; [`Self::current_entry`] includes later changes.
+    /// Entry of the server as it was first read; [`Self::current_entry`] includes later changes.
     pub entry: ServerEntry,
-    /// Tag of the incarnation in messages between hosts, see [`tag_of`].
+    /// Tag that identifies the server's incarnation in messages between hosts, see [`tag_of`].
     pub tag: u32,
-    /// Idle connections, reused for callers' requests.
+    /// Idle connections to the server, reused for callers' requests.
     pub pool: Pool,
-    /// Connection for orders, which grant or release keys, and for probes.
+    /// Connection to the server for orders, which grant or release keys, and for health checks.
     pub orders: Link,
+    /// True if the latest entry says that the server is leaving and must get no new work.
     leaving: AtomicBool,
-    /// Time at which this host learned that the zone was evacuated; 0 if it is not.
+    /// Time at which this host learned that the server's zone was evacuated; 0 if the zone is not
+    /// evacuated.
     evacuated_ms: AtomicU64,
+    /// Time until which the server is treated as cold; 0 if it is marked as warm.
     cold_until_ms: AtomicU64,
-    /// Cold time stated by the latest entry. An entry that repeats it does not restart the cold
-    /// time.
+    /// Cold time that the server's latest entry states. An entry that repeats the same value does
+    /// not restart the cold time.
     entry_cold_ms: AtomicU64,
-    /// Notices of the server, shared with the copy that outlives a removal of its entry.
+    /// Notices that the server sent in its responses. The registry keeps a reference to the notices
+    /// while the server's entry is removed.
     notices: Arc<Mutex<Notices>>,
     warmup_windows: Mutex<WarmupWindows>,
+    /// Number of this host's requests in flight at the server.
     own: AtomicU32,
+    /// Number of other hosts' requests in flight at the server, by their latest reports.
     others: AtomicU32,
+    /// Average run time of other hosts' requests at the server, in microseconds; 0 if unknown.
     shared_run_us: AtomicU64,
+    /// Time at which the server last answered a request of this host; 0 if it never did.
     answered_ms: AtomicU64,
     slowdowns: Mutex<SlowdownReports>,
     attempt_stats: Mutex<AttemptStats>,
@@ -63,21 +71,22 @@
 /// Slowdowns that the server has reported (factors by which it currently runs slower than usual).
 #[derive(Debug, Default)]
 struct SlowdownReports {
-    /// Slowdown from reports to any host.
+    /// Slowdown that the server has reported to this host or to any other host.
     known: Slowdown,
-    /// Latest slowdown reported to this host, and its time.
+    /// Latest slowdown that the server reported to this host, and the time of the report.
     own: Option<(f64, u64)>,
 }
 
-/// Rate limit of the cold servers of a service, divided among the hosts.
+/// Part of the rate limit of a service's cold servers that one host may use.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmupLimit {
+    /// Interval between the starts of a host's warm-up windows at one cold server.
     window_every_ms: u64,
 }
 
 impl WarmupLimit {
-    /// Returns the limit for each host if `hosts` hosts, including this one, share the rate of the
-    /// service's cold servers.
+    /// Returns the part of each host if `hosts` hosts, including this one, share the rate limit of
+    /// the service's cold servers.
     pub fn new(warmup: Warmup, hosts: usize) -> Self {
         Self {
             window_every_ms: warmup::window_every_ms(warmup.per_s, hosts),
@@ -97,8 +106,8 @@
         Self::with_notices(entry, Arc::default())
     }
 
-    /// Creates a server from an entry, with the notices that were kept if an earlier entry of it
-    /// was removed.
+    /// Creates a server from an entry, with the notices that the registry kept if an earlier entry
+    /// of the server was removed.
     pub fn with_notices(entry: ServerEntry, notices: Arc<Mutex<Notices>>) -> Self {
         let server = Self {
             tag: tag_of(&entry.id),
@@ -134,8 +143,9 @@
         }
     }
 
-    /// Returns true if an entry belongs to this incarnation and agrees in all fields that are fixed
-    /// for its lifetime. A row of another writer may give a known name another service or address.
+    /// Returns true if `entry` belongs to this incarnation of the server and agrees in all fields
+    /// that are fixed for the lifetime of the incarnation. Another program may have written a row
+    /// that gives the server's name another service or address.
     pub fn matches_entry(&self, entry: &ServerEntry) -> bool {
         let known = &self.entry;
         let same = |entry: &ServerEntry| {
@@ -162,13 +172,15 @@
         }
     }
 
-    /// Returns true if the server may get keys and work that any server of its service could do.
+    /// Returns true if the server may be assigned keys and may get requests that any server of its
+    /// service can run.
     pub fn takes_new_work(&self) -> bool {
         !self.leaving() && !self.notices().leaves() && !self.is_evacuated()
     }
 
-    /// Returns true if a request may go to this server if no server takes new work: the server has
-    /// announced its leaving, but recently enough that it still serves requests.
+    /// Returns true if a request that arrived at `arrived_ms` may go to this server when no server
+    /// takes new work. The server must not be leaving by its entry or be in an evacuated zone, and
+    /// must not have announced its leaving to this host `hold_ms` or longer before the arrival.
     pub fn takes_work_while_leaving(&self, arrived_ms: u64, hold_ms: u64) -> bool {
         !self.leaving() && !self.is_evacuated() && !self.is_closed_to(arrived_ms, hold_ms)
     }
@@ -183,22 +195,23 @@
         self.evacuated_ms.load(Ordering::Relaxed) != 0
     }
 
-    /// Sets the time since which the server's zone is evacuated; `None` if it is not.
+    /// Sets the time at which this host learned of the evacuation of the server's zone; `None` if
+    /// the zone is not evacuated.
     pub fn set_evacuated(&self, since_ms: Option<u64>) {
         let since_ms = since_ms.unwrap_or(0);
         self.evacuated_ms.store(since_ms, Ordering::Relaxed);
     }
 
-    /// Returns true if the server still gets requests for keys that it holds. After the evacuation
-    /// of its zone it gets them for `evacuation_hold_ms`, while the keys are moved to other
-    /// servers.
+    /// Returns true if the server still gets requests for the keys that it holds. After this host
+    /// has learned of the evacuation of the server's zone, the server gets such requests for
+    /// `evacuation_hold_ms`, while the keys are moved to other servers.
     pub fn serves_held_keys(&self, evacuation_hold_ms: u64) -> bool {
         let since_ms = self.evacuated_ms.load(Ordering::Relaxed);
         let held = since_ms == 0 || clock::now_ms() < since_ms + evacuation_hold_ms;
         held && !self.leaving()
     }
 
-    /// Marks the server as cold for a time from now on; 0 marks it as warm.
+    /// Marks the server as cold for `cold_ms`, counted from this call; 0 marks the server as warm.
     pub fn set_cold_for(&self, cold_ms: u64) {
         let until_ms = if cold_ms > 0 {
             clock::now_ms() + cold_ms
@@ -208,13 +221,14 @@
         self.cold_until_ms.store(until_ms, Ordering::Relaxed);
     }
 
-    /// Returns the remaining time for which the server is cold.
+    /// Returns the remaining time for which the server is cold; 0 for a warm server.
     pub fn cold_remaining_ms(&self) -> u64 {
         let until_ms = self.cold_until_ms.load(Ordering::Relaxed);
         until_ms.saturating_sub(clock::now_ms())
     }
 
-    /// Returns true if the server is cold and this host has no open warm-up window for it now.
+    /// Returns true if the server is cold and this host may not send it a request at present,
+    /// because no warm-up window of this host is open.
     pub fn is_limited_by_warmup(&self, rule: Option<WarmupLimit>) -> bool {
         let Some(rule) = rule.filter(|_| self.cold_remaining_ms() > 0) else {
             return false;
@@ -223,8 +237,8 @@
         !warmup_windows.is_open(rule.window_every_ms, rand::random(), clock::now_ms())
     }
 
-    /// Records that a request is about to be sent, which uses up the current warm-up window if the
-    /// server is cold.
+    /// Records that this host is about to send the server a request, which uses up the current
+    /// warm-up window if the server is cold.
     pub fn take_warmup_window(&self, rule: Option<WarmupLimit>) {
         if let Some(rule) = rule.filter(|_| self.cold_remaining_ms() > 0) {
             self.warmup_windows().take(rule.window_every_ms);
@@ -241,8 +255,8 @@
         self.leaving.store(leaving, Ordering::Relaxed);
     }
 
-    /// Records the notice in a response: that the server leaves, or asks for a backoff, which is a
-    /// time without requests.
+    /// Records the notice in a response of the server to this host. A notice states that the server
+    /// leaves, or asks for a backoff, which is a period without requests.
     pub fn note_notice(&self, notice: Notice) -> NoticeEffect {
         self.notices().note(notice, clock::now_ms())
     }
@@ -260,12 +274,13 @@
     }
 
     /// Returns the time since this host first learned from notices that the server leaves; `None`
-    /// if it does not.
+    /// if no notice says so.
     pub fn leaves_for_ms(&self) -> Option<u64> {
         self.notices().leaves_for_ms(clock::now_ms())
     }
 
-    /// Returns the notices, which the registry keeps while the entry is gone.
+    /// Returns a shared reference to the notices, which the registry keeps while the server's entry
+    /// is removed.
     pub fn kept_notices(&self) -> Arc<Mutex<Notices>> {
         self.notices.clone()
     }
@@ -287,22 +302,22 @@
         self.own_load() + self.others.load(Ordering::Relaxed)
     }
 
-    /// Records the load reported by the other hosts: their requests in flight and average run time,
-    /// 0 if unknown.
+    /// Records the load that the other hosts report for the server: the number of their requests in
+    /// flight, and the average run time of their requests in milliseconds, 0 if unknown.
     pub fn set_others(&self, load: u32, run_ms: f64) {
         self.others.store(load, Ordering::Relaxed);
         let run_us = (run_ms * 1000.0) as u64;
         self.shared_run_us.store(run_us, Ordering::Relaxed);
     }
 
-    /// Counts a request as in flight until the result is dropped.
+    /// Counts a request as in flight at the server until the returned guard is dropped.
     pub fn begin_request(self: &Arc<Self>, digests: RequestDigests) -> InFlight {
         self.running_requests().begin(digests);
         self.in_flight(digests)
     }
 
-    /// Counts a suspect (a request that may crash servers) as in flight until the result is
-    /// dropped. No other suspect may run on the server at the same time.
+    /// Counts a suspect (a request that may crash servers) as in flight at the server until the
+    /// returned guard is dropped. No other suspect may run on the server at the same time.
     pub fn begin_trial_request(self: &Arc<Self>, digests: RequestDigests) -> InFlight {
         self.running_requests().begin_trial(digests);
         self.in_flight(digests)
@@ -333,7 +348,8 @@
         self.answered_ms() > self.broken_connections.latest_ms()
     }
 
-    /// Returns the average run time measured by this host and the others; 0 if unknown.
+    /// Returns the average run time of requests at the server, in milliseconds, from the
+    /// measurements of this host and of the other hosts; 0 if unknown.
     pub fn run_ms(&self) -> f64 {
         let own = self.own_run_ms();
         let shared = self.shared_run_us.load(Ordering::Relaxed) as f64 / 1000.0;
@@ -344,7 +360,8 @@
         }
     }
 
-    /// Returns the average run time measured by this host; 0 if unknown.
+    /// Returns the average run time of this host's requests at the server, in milliseconds; 0 if
+    /// unknown.
     pub fn own_run_ms(&self) -> f64 {
         self.attempt_stats().run_ms(clock::now_ms())
     }
@@ -376,8 +393,9 @@
         }
     }
 
-    /// Records a response with its run time; `found_free_slot` is true if the request did not have
-    /// to queue.
+    /// Records a response of the server. `run_ms` is the run time of the request, and
+    /// `found_free_slot` is true if the request did not have to queue, which makes the run time a
+    /// valid sample.
     pub fn answered(&self, run_ms: f64, found_free_slot: bool) {
         let now_ms = clock::now_ms();
         self.answered_ms.store(now_ms, Ordering::Relaxed);
@@ -398,7 +416,8 @@
         slowdowns.own = Some((slowdown, now_ms));
     }
 
-    /// Returns the latest slowdown that the server reported to this host, and its time.
+    /// Returns the latest slowdown that the server reported to this host, and the time of the
+    /// report.
     pub fn own_slowdown(&self) -> Option<(f64, u64)> {
         self.slowdowns().own
     }
@@ -409,7 +428,8 @@
         self.answered_ms.load(Ordering::Relaxed)
     }
 
-    /// Records an attempt that the server shed, that lost its connection or that timed out.
+    /// Records an attempt that failed because the server shed it, its connection broke or it timed
+    /// out.
     pub fn failed(&self) {
         self.attempt_stats().failed(clock::now_ms());
     }
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -28,14 +28,14 @@
     /// regions.
     #[serde(default)]
     pub regions: HashMap<String, String>,
-    /// Share of a processor that the host may use; 1.0 is a whole one. Hosts with a larger share
-    /// take on more work for other hosts.
+    /// Share of a processor that the host may use; 1.0 is a whole processor. Hosts with a larger
+    /// share are preferred as relays, which forward messages to other hosts of their zone.
     #[serde(default = "default_processor_share")]
     pub processor_share: f32,
     /// Memory that the host has, in megabytes of a million bytes.
     #[serde(default = "default_memory_mb")]
     pub memory_mb: u64,
-    /// Addresses that the host listens on, each for another kind of client.
+    /// Addresses that the host listens on, one for each kind of client.
     pub listen: Listen,
     /// Address of the platform's store, and the heartbeat interval of the servers' entries there.
     pub store: StoreSettings,
@@ -52,7 +52,7 @@
     pub log_level: LevelFilter,
 }
 
-/// Addresses that a host listens on, each for another kind of client.
+/// Addresses that a host listens on, one for each kind of client.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
@@ -60,8 +60,8 @@
     pub callers: SocketAddr,
     /// TCP address for the balancer's readiness probes.
     pub readiness: SocketAddr,
-    /// UDP address for messages of other hosts; starting hosts fetch snapshots over TCP at the same
-    /// one.
+    /// UDP address for messages of other hosts. Joining hosts fetch snapshots over TCP at the same
+    /// address and port.
     pub peers: SocketAddr,
     /// TCP address at which a monitoring system scrapes the metrics.
     pub metrics: SocketAddr,
@@ -74,7 +74,7 @@
     /// TCP address of the store's HTTP interface.
     pub address: SocketAddr,
     /// Interval at which servers refresh their entries; the store removes an entry after three
-    /// missed ones.
+    /// missed refreshes.
     #[serde(rename = "server_heartbeat", deserialize_with = "duration")]
     pub server_heartbeat_ms: u64,
 }
@@ -83,10 +83,11 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Leases {
-    /// Length of a server's lease. It must outlast a change of the leader, and be short enough that
-    /// the keys of an unresponsive server are soon released.
+    /// Length of a server's lease. A lease must outlast a change of the leader, and be short enough
+    /// that the keys of an unresponsive server can soon be granted to another server.
     pub lease_ms: u64,
-    /// Interval of lease renewals. Two consecutive renewals may be lost before a lease expires.
+    /// Interval at which the leader renews leases. Two consecutive renewals may be lost before a
+    /// lease expires.
     pub renew_every_ms: u64,
     /// Interval at which the leader confirms the leadership by a write of the leadership row in the
     /// store.
@@ -94,9 +95,10 @@
     /// Time without a change of the leadership row after which another host takes over the
     /// leadership.
     pub takeover_ms: u64,
-    /// Time after its last confirmation of the leadership up to which a leader renews leases.
-    /// Together with a lease it outlasts the store's usual outages of about 9 s. In exchange, the
-    /// keys of servers that are lost together with the leader stay unassigned for as long.
+    /// Time for which a leader still renews leases after it has last confirmed the leadership in
+    /// the store. This time and the length of a lease together outlast the store's usual outages of
+    /// about 9 s. The drawback is that the keys of servers that are lost together with the leader
+    /// stay unassigned for the same time.
     pub outage_ms: u64,
 }
 
--- a/src/platform/link.rs
+++ b/src/platform/link.rs
@@ -50,7 +50,7 @@
     idle: Mutex<Option<IdleConnection>>,
 }
 
-/// Idle connection, kept for the next call.
+/// Connection without a call in progress, kept open for the next call.
 #[derive(Debug)]
 struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
--- a/src/platform/servers.rs
+++ b/src/platform/servers.rs
@@ -9,7 +9,8 @@
 /// Store table of the server entries; the row key is the server's name.
 pub const TABLE: &str = "servers";
 
-/// Decodes the entry of the server `name`; fails if a required field is missing or invalid.
+/// Decodes the entry of the server `name`. Fails if a required field is missing or invalid; a
+/// missing start time becomes 0 and a missing cold time means that the server is warm.
 pub fn decode(name: &str, value: &[u8]) -> Result<ServerEntry> {
     let wire: WireServer = serde_json::from_slice(value).map_err(|error| Error::Document {
         what: format!("entry of server {name}"),
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -24,7 +24,7 @@
 const CALL_TIMEOUT_MS: u64 = 2_000;
 /// Timeout for reading one page of rows. A read takes half as long as a transaction.
 const READ_TIMEOUT_MS: u64 = 1_000;
-/// Time that the timeout of a feed call adds to the wait for which the store may hold the call.
+/// Time that is added to the requested wait of a feed call to get the timeout of the call.
 pub const FEED_SLACK_MS: u64 = 1_000;
 /// Timeout of a feed call whose wait is 0, to which the store responds at once. Hosts use such
 /// calls to probe whether the store is reachable again, and a probe must not hang on a connection
@@ -248,8 +248,8 @@
         })
     }
 
-    /// Waits up to `wait_ms` for changes of a table after version `after`. Sets `head_received` to
-    /// true when the head of the response has arrived.
+    /// Makes a feed call: waits up to `wait_ms` for changes of a table after version `after`. Sets
+    /// `head_received` to true when the head of the response has arrived.
     pub async fn feed(
         &self,
         table: &str,
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -5,8 +5,8 @@
 use ashroad::clock::{self, CLOCK_ID};
 use nix::time::ClockId;
 
-/// Checks the clock source, since a test cannot suspend its machine. It is the only monotonic clock
-/// of Linux that includes the time of a suspension.
+/// Checks which clock is used, because a test cannot suspend its machine. `CLOCK_BOOTTIME` is the
+/// only monotonic clock of Linux that includes the time of a suspension.
 #[test]
 fn suspended_time_counts() {
     assert_eq!(CLOCK_ID, ClockId::CLOCK_BOOTTIME);
--- a/tests/entry_host.rs
+++ b/tests/entry_host.rs
@@ -18,7 +18,7 @@
     store::Faults,
 };
 
-/// Returns a read of key 7 with the given request id.
+/// Returns a GET request for key 7 with the given request id.
 fn read<'a>(id: &'a str, path: &'a str) -> TestRequest<'a> {
     TestRequest {
         method: "GET",
@@ -29,7 +29,7 @@
     }
 }
 
-/// Returns an unrepeatable request with the given id.
+/// Returns a POST request without a key, which hosts must not repeat, with the given request id.
 fn order<'a>(id: &'a str) -> TestRequest<'a> {
     TestRequest {
         method: "POST",
@@ -124,7 +124,8 @@
         })
         .await;
     }
-    // An older version, as a stale read would return it, followed by a compaction of the history.
+    // Writes an older version of the configuration, as a stale read would return it, and compacts
+    // the store's history, so that the feeds must read the whole table again.
     site.store.put("op", "config", &configuration(0x0f, &[]));
     site.store.compact_history();
     time::sleep(Duration::from_millis(600)).await;
@@ -139,7 +140,8 @@
 #[tokio::test]
 async fn a_configuration_is_in_force_soon_after_a_silent_store_is_back() {
     let site = Site::start(1, 1).await;
-    // The lengths end the outage at different phases of the feeds' retry interval.
+    // The outages differ in length, so that they end at different phases of the feeds' retry
+    // interval.
     for (version, outage_ms) in [(0x10, 5_000), (0x20, 6_300), (0x30, 7_700)] {
         site.store.set_faults(Faults {
             silent: true,
@@ -162,8 +164,8 @@
 async fn hosts_that_hear_the_duty_holder_rarely_call_the_store() {
     let site = Site::start(5, 2).await;
     time::sleep(Duration::from_millis(4_000)).await;
-    // Uses the lowest count of three periods: a leader that gets no processor time for 2 s is
-    // considered unresponsive, and the other hosts then call the store themselves.
+    // Uses the lowest count of up to three periods. If the leader gets no processor time for 2 s,
+    // the other hosts consider it unresponsive and call the store themselves.
     let mut least = u64::MAX;
     for _ in 0..3 {
         let before = site.store.calls();
@@ -173,7 +175,8 @@
             break;
         }
     }
-    // Allows for the leader's renewals every 0.7 s, its feeds every 3 s, and a few calls more.
+    // Allows for the leader's renewals of the leadership every 0.7 s, its feed calls every 3 s, and
+    // a few more calls.
     assert!(least <= 22, "{least} calls");
 }
 
@@ -222,8 +225,8 @@
     let site = Site::start(2, 1).await;
     let unauthenticated = tokio::net::UdpSocket::bind("127.0.0.1:0").await;
     let unauthenticated = unauthenticated.expect("a socket");
-    // The message claims the leadership for term 99. It is sent without a seal and with a guessed
-    // one.
+    // The message claims the leadership for term 99. Each host gets the message once without a seal
+    // and once with a guessed seal.
     let claim = [5, 0, 99, 0, 0, 0, 0, 0, 0];
     let guessed = [&[7; 8], &claim[..]].concat();
     for host in &site.hosts {
@@ -250,7 +253,8 @@
     let before = site.store.calls();
     time::sleep(Duration::from_millis(4_000)).await;
     let calls = site.store.calls() - before;
-    // Allows for a call of each host every 0.4 to 0.6 s, and for the leader's renewals and reads.
+    // Allows for one call of each host every 0.4 to 0.6 s, and for the leader's renewals of the
+    // leadership and its reads.
     assert!(calls <= 5 * 10 + 14, "{calls} calls");
 }
 
@@ -261,7 +265,8 @@
     site.hosts.push(Host::start_at(proxy.address));
     site.await_ready().await;
     time::sleep(Duration::from_millis(4_000)).await;
-    // The feeds are in a long poll now. Changes that the store sends during the fault never arrive.
+    // The feed calls of the second host wait at the store at this time. Changes that the store
+    // sends to this host while the proxy is silent never arrive.
     proxy.set(Mode::Silent);
     time::sleep(Duration::from_millis(300)).await;
     let added = configuration(0x10, &["/added/"]);
@@ -286,8 +291,8 @@
     let prefixes: Vec<String> = (0..600).map(|number| format!("/added-{number}/")).collect();
     let prefixes: Vec<&str> = prefixes.iter().map(String::as_str).collect();
     let large = configuration(0x10, &prefixes);
-    // The transfer to the host behind the slow link takes over a second; the leader has the
-    // configuration at once.
+    // The configuration is so large that its transfer to the host behind the slow link takes over a
+    // second, while the leader gets the configuration at once.
     assert!(large.to_string().len() > 80_000);
     site.store.put("op", "config", &large);
     eventually("the new route is served", 2_500, async || {
@@ -343,8 +348,8 @@
     let response = persistent.ask(order("during")).await.expect("a response");
     assert_eq!(response.status, StatusCode::OK);
     assert_eq!(response.headers["connection"], "close");
-    // A connection that was opened before the stop and never used stays open after the listener
-    // closed.
+    // A connection that a caller opened before the stop and never used stays open after the host
+    // has closed its listener.
     time::sleep(Duration::from_millis(5_150).saturating_sub(began.elapsed())).await;
     if let Some(response) = unused.ask(order("late")).await {
         assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -402,8 +407,8 @@
     site.keyed[0].crash(&site.store);
     time::sleep(Duration::from_millis(1_000)).await;
     site.hosts[leader].restart();
-    // If the previous leader does not report that its term has ended, the next one waits 13 s, and
-    // then the duration of a lease.
+    // If the next leader does not learn that the previous leader's term has ended, it waits 13 s,
+    // and then the duration of a lease.
     eventually("all keys are held", 12_000, async || {
         site.keyed[1..].iter().map(Server::keys_held).sum::<usize>() == 1 << 16
     })
@@ -417,7 +422,7 @@
     let live_server = &site.keyed[0];
     let held = live_server.keys_held();
     assert!(held > 0);
-    // The store accepts a late entry of an earlier incarnation at the same address.
+    // The store accepts a late entry of an earlier incarnation of the server at the same address.
     live_server.register_another(&site.store, "i-earlier");
     time::sleep(Duration::from_millis(2_000)).await;
     site.store.remove("servers", "i-earlier");
@@ -443,8 +448,8 @@
     for host in &mut site.hosts {
         host.restart();
     }
-    // The limit is well below the time without a change of the row after which any host may take
-    // over the leadership.
+    // The 1.2 s are well below the time without a change of the leadership row after which any host
+    // may take over the leadership.
     eventually(
         "the previous leader is the leader again",
         1_200,
@@ -565,7 +570,8 @@
             time::sleep(Duration::from_millis(100)).await;
         }
         site.store.set_faults(Faults::default());
-        // Changes are possible again soon after the store responds.
+        // Soon after the store responds again, hosts learn of a server that registers and send it
+        // requests.
         let joined = Server::start(&site.store, &site.record, ORDERS).await;
         eventually("a server that joined is used", 6_000, async || {
             for _ in 0..8 {
@@ -581,8 +587,9 @@
 
 #[tokio::test]
 async fn the_duty_holder_remembers_its_leases_over_a_long_outage() {
-    // The outage lasts longer than a leader may grant leases without a confirmation. A server that
-    // drains after it still holds its keys when the store responds again.
+    // The outage lasts longer than the time for which a leader may grant leases without confirming
+    // its leadership in the store. A server that begins to drain after the outage still holds its
+    // keys when the store responds again.
     let site = Site::start(1, 3).await;
     site.store.set_faults(Faults {
         refusing: true,
@@ -604,8 +611,8 @@
 
 #[tokio::test]
 async fn an_unfinished_move_is_finished_before_its_keys_move_again() {
-    // The stored record of an earlier leader moves all keys from the first server to the second,
-    // which drains in the meantime. The first server still holds them.
+    // By the stored record of an earlier leader, all keys move from the first server to the second,
+    // which begins to drain in the meantime. The first server still holds all keys.
     let mut site = Site::start_servers(3).await;
     site.keyed[0].hold_all(4, 20_000);
     let assignment = Assignment {
@@ -649,7 +656,8 @@
     .await;
     let status = get(&hosts[0], 9).await;
     if status != Some(StatusCode::OK) {
-        // The host's log has the reason of the failure; it is written every 0.2 s.
+        // Waits until the host has written its log, which states the reason for the failure. The
+        // log is written every 0.2 s.
         time::sleep(Duration::from_millis(500)).await;
         panic!("{status:?}: {:#?}", hosts[0].events("request"));
     }
--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -1,5 +1,5 @@
-//! Tests of evacuated zones, cold servers and unanswered orders: real entry hosts against stand-ins
-//! of the platform.
+//! Tests of evacuated zones, cold servers and unanswered orders, with real entry hosts and
+//! stand-ins of the platform.
 
 mod platform_standin;
 
@@ -19,7 +19,8 @@
     site::{KEYED, ORDERS, Site, configuration, eventually, get},
 };
 
-/// Bound after which no more requests reach the servers of an evacuated zone.
+/// Time after the beginning of an evacuation from which the servers of the zone must get no more
+/// requests.
 const EVACUATION_MS: u64 = 5_000;
 
 async fn send_order(host: &Host, number: usize) {
@@ -107,7 +108,7 @@
                 server.id
             );
         }
-        // The other zone serves all keys.
+        // The servers of the other zone serve all keys after the evacuation.
         let (requests, served) = served_late;
         assert!(
             served * 100 >= requests * 95,
@@ -141,7 +142,7 @@
     time::sleep(Duration::from_millis(1_500)).await;
     let joining = Server::start(&site.store, &site.record, ORDERS).await;
     joining.write_cold_entry(&site.store, COLD_MS);
-    // Time in which hosts may not know yet that the server is cold.
+    // Leaves all hosts time to learn that the server is cold.
     time::sleep(Duration::from_millis(600)).await;
     let since = Instant::now();
     let mut number = 0;
@@ -159,8 +160,8 @@
     );
     assert!(most > 0, "the cold server gets requests");
     joining.write_cold_entry(&site.store, 0);
-    // Sends more concurrent requests than the other server has slots. A quarter of them is more
-    // than a cold server may get in a second.
+    // Sends more concurrent requests than the other server has slots. A quarter of these requests
+    // is more than a cold server may get in a second.
     let mut burst = 0;
     eventually("the warm server is used", 3_000, async || {
         burst += 1;
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -16,8 +16,8 @@
 use common::{Caller, Cluster, NO_FLAGS};
 use tokio::{task::JoinHandle, time};
 
-/// Length of the outage in which requests must still be served, and of the period before it that it
-/// is compared with.
+/// Length of the outage in which requests must still be served, and of the period before the outage
+/// with which the outage is compared.
 const OUTAGE: Duration = Duration::from_secs(6);
 /// Lowest ratio of the requests answered during the outage to those answered before it. Callers
 /// send the next request only after a response, so hosts that become slower by half fail the test.
@@ -122,7 +122,8 @@
 async fn a_host_and_a_server_lost_together_leave_keys_served_within_3_s() {
     let mut cluster = Cluster::start(3, 3, NO_FLAGS);
     cluster.declare("").await;
-    // The leader is the worst host to lose, because another one must take over before keys move.
+    // The leader is the worst host to lose, because another host must take over the leadership
+    // before keys move.
     let mut leader = 0;
     for host in 0..3 {
         if cluster.status(host).await.leading {
@@ -181,7 +182,8 @@
     cluster.declare("").await;
     let before = cluster.status(0).await;
     let load = Load::start(&addresses(&cluster)[..2]);
-    // The requests answered without a fault are the reference for the outage.
+    // The number of requests answered before the outage is the reference for the number answered
+    // during the outage.
     time::sleep(OUTAGE).await;
     let usual = load.answered.load(Ordering::Relaxed);
     cluster
--- a/tests/once_only.rs
+++ b/tests/once_only.rs
@@ -20,7 +20,7 @@
     let first = caller.post(one, "/w/s/parcel-7", "order-1").await;
     let first = first.expect("a response");
     assert_eq!(first.status, 200);
-    // The response is recorded shortly after it was sent to the caller.
+    // The host records the response shortly after it has sent the response to the caller.
     time::sleep(Duration::from_millis(300)).await;
     let second = caller.post(other, "/w/s/parcel-7", "order-1").await;
     let second = second.expect("a response");
--- a/tests/platform_link.rs
+++ b/tests/platform_link.rs
@@ -1,10 +1,10 @@
 //! Tests of calls to the store over an idle connection that was silently broken.
 //!
-//! Guards against a configuration that comes into force too late: at one host it did so 4.2 s after
-//! its acknowledgement, where 4 s are allowed. The store had stopped responding to some hosts, and
-//! their connections of that time no longer carried data. Later it rejected the calls of the
-//! leader, so the hosts followed the store by their own feeds. On a broken connection, a feed call
-//! that waits 3 s fails only after 4 s.
+//! Guards against a configuration that takes effect too late: at one host, a configuration took
+//! effect 4.2 s after its write was acknowledged, where 4 s are allowed. The store had stopped
+//! responding to some hosts, and the connections that these hosts had open at that time no longer
+//! carried data. Later the store rejected the calls of the leader, so the other hosts read changes
+//! by their own feeds. On a broken connection, a feed call with a wait of 3 s fails only after 4 s.
 
 use std::{
     io::{Read, Write},
@@ -19,9 +19,9 @@
 use http_body_util::Full;
 use tokio::time;
 
-/// Timeout of a call; a call on a broken connection takes as long.
+/// Timeout of a call. A call on a broken connection fails only after this time.
 const TIMEOUT_MS: u64 = 4_000;
-/// Longest time of a call that does not use the broken connection.
+/// Longest time that a call takes if it does not use the broken connection.
 const PROMPT_MAX: Duration = Duration::from_millis(1_000);
 
 /// Responds to `calls` requests on a connection and then keeps it open without responding.
@@ -41,7 +41,8 @@
     thread::sleep(Duration::from_secs(20));
 }
 
-/// Starts a peer whose n-th connection stops responding after `calls[n]` requests.
+/// Starts a stand-in of the store whose n-th connection stops responding after `calls[n]` requests,
+/// and returns a client of the stand-in.
 fn peer(calls: &'static [usize]) -> Link {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let address = listener.local_addr().expect("an address");
--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -1,4 +1,4 @@
-//! Tests that messages of the platform are decoded, and that invalid ones are refused.
+//! Tests that messages of the platform are decoded, and that invalid messages are refused.
 
 use ashroad::{
     entry::model::ReportedLimit,
@@ -120,7 +120,7 @@
         let configuration = config::decode(text.as_bytes()).expect(case.kind);
         let route = configuration.route("a.example", "/x/1").expect(case.kind);
         assert_eq!(route.repeatable, case.repeatable, "{}", case.kind);
-        // The other route is not affected.
+        // The other route of the configuration is not affected.
         assert!(configuration.route("a.example", "/x/y/1").is_some());
     }
 }
@@ -239,7 +239,8 @@
             true,
             Some(2_000),
         ),
-        // The request was not rejected, or the header has no valid number of seconds.
+        // No backoff: the request was not rejected with 503 or 429, or `retry-after` has no valid
+        // positive number of seconds.
         case(500, &[("retry-after", "3")], false, None),
         case(200, &[("retry-after", "3")], false, None),
         case(503, &[], false, None),
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -40,7 +40,7 @@
 /// ms.
 const RESUME_ALLOWANCE_MS: u64 = 300;
 
-/// Seeds that once failed, each with the cause.
+/// Seeds with which this test once failed, each with the cause of the failure.
 const REGRESSIONS: [(u64, &str); 0] = [];
 
 /// Counts of requests by outcome, and of faults by kind.
@@ -57,7 +57,7 @@
 struct Soak {
     site: Site,
     proxies: Vec<Proxy>,
-    /// Time since which each host is paused; `None` if it runs.
+    /// Time at which each host was paused by SIGSTOP; `None` if the host is not paused.
     stopped: Vec<Option<Instant>>,
     rng: StdRng,
     tally: Arc<Tally>,
@@ -114,8 +114,8 @@
     soak.clear_faults().await;
     done.store(true, Ordering::Relaxed);
     callers.join_all().await;
-    // The limit covers the time of previous leaders, a lease and a takeover. It is far below the
-    // platform's bound.
+    // The 26 s cover the time for which previous leaders may still grant leases, the duration of a
+    // lease and a takeover of the leadership. They are far below the platform's bound.
     let hosts = &soak.site.hosts;
     eventually("all keys are served again", 26_000, async || {
         for key in (0..=u16::MAX).step_by(5_003) {
@@ -153,7 +153,8 @@
         *faults.entry(fault).or_default() += 1;
     }
 
-    /// Injects another random fault or ends one; faults overlap.
+    /// Injects a random fault or ends a fault that is in effect. Several faults may be in effect at
+    /// once.
     async fn inject_fault(&mut self) {
         let host = self.rng.random_range(0..HOSTS);
         match self.rng.random_range(0..10) {
