--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -48,7 +48,7 @@
 /// Timeouts and pauses of one host, all derived from the bounds in its settings. A feed reads the
 /// changes of a table of the store; its pause is the time between two of its calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TimeLimits {
+pub struct Timings {
     /// Trust period: age up to which a host trusts the leader's report of the store, and so rarely
     /// calls the store itself. The period is limited because a leader may fail right after a
     /// heartbeat, before it broadcasts that a server leaves.
@@ -130,7 +130,7 @@
     }
 }
 
-impl TimeLimits {
+impl Timings {
     /// Derives the timeouts and pauses from the bounds. [`Self::paths`] shows whether the bounds
     /// are kept.
     pub fn new(bounds: &Bounds) -> Self {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -65,7 +65,7 @@
     forward::body::BodyMemory,
     join::Join,
     leadership::Leadership,
-    limits::TimeLimits,
+    limits::Timings,
     metrics::Metrics,
     model::Warmup,
     peers::Peers,
@@ -88,7 +88,7 @@
     /// This host's copy of the configuration, the servers and the owners of keys.
     pub view: View,
     /// Timeouts and intervals that are derived from the users' bounds.
-    pub limits: TimeLimits,
+    pub limits: Timings,
     /// Age of this host's copy of the store's tables, known from the host's own calls to the store
     /// and from reports of other hosts.
     pub freshness: Freshness,
@@ -155,7 +155,7 @@
         // Uses only 53 bits, because JSON readers may store numbers as doubles, which hold integers
         // of at most 53 bits exactly.
         let incarnation = (rand::rng().random::<u64>() >> 11).max(1);
-        let limits = TimeLimits::new(&settings.bounds);
+        let limits = Timings::new(&settings.bounds);
         Self {
             incarnation,
             store: Store::new(settings.store.address),
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -9,7 +9,7 @@
 use super::{
     bounds::{Bounds, default_processor_share, duration},
     decide::Policy,
-    limits::TimeLimits,
+    limits::Timings,
 };
 use crate::{
     configuration::template::read_document,
@@ -180,7 +180,7 @@
         ];
         let failed = checks.iter().filter(|(good, _)| !good);
         let failed = failed.map(|(_, message)| (*message).to_owned());
-        let paths = TimeLimits::new(&self.bounds).paths(&self.bounds);
+        let paths = Timings::new(&self.bounds).paths(&self.bounds);
         let broken = paths.into_iter().filter(|path| !path.is_met());
         failed.chain(broken.map(|path| path.to_string())).collect()
     }
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -3,7 +3,7 @@
 
 use super::own_rows::TABLE;
 use crate::{
-    entry::limits::TimeLimits,
+    entry::limits::Timings,
     platform::{config, servers},
 };
 
@@ -81,7 +81,7 @@
     /// Returns the maximum wait of a feed call at the store. The leader and hosts that hear no
     /// leader use short waits, since no other host reports changes to them if their connection has
     /// failed silently.
-    pub fn wait_ms(self, sync_role: SyncRole, limits: &TimeLimits) -> u64 {
+    pub fn wait_ms(self, sync_role: SyncRole, limits: &Timings) -> u64 {
         match (self, sync_role) {
             (Self::Own, _) | (_, SyncRole::Follower) => FOLLOWER_WAIT_MS,
             (_, SyncRole::Leader) => limits.leader_wait_ms,
@@ -94,7 +94,7 @@
     /// leader before it requests changes. Hosts that start together would otherwise all fetch each
     /// other's rows; the rows are written after 2 s, and by then there is a leader as well. The
     /// wait lies within the contact grace period, in which the bounds do not apply.
-    pub fn start_wait_ms(self, limits: &TimeLimits) -> u64 {
+    pub fn start_wait_ms(self, limits: &Timings) -> u64 {
         match self {
             Self::Own => OWN_START_WAIT_MS,
             Self::Configuration | Self::Servers => limits.start_wait_ms,
@@ -104,7 +104,7 @@
     /// Returns the pause between two feed calls. Each change wakes the feeds of all hosts, so the
     /// pause grows with the number of hosts, up to the limit at which changes still take effect in
     /// time.
-    pub fn feed_pause(self, hosts: usize, sync_role: SyncRole, limits: &TimeLimits) -> FeedPause {
+    pub fn feed_pause(self, hosts: usize, sync_role: SyncRole, limits: &Timings) -> FeedPause {
         let scaled = |few_hosts_ms: u64, many_hosts_ms: u64| {
             let scaled_ms = few_hosts_ms * hosts as u64 / FEW_HOSTS;
             scaled_ms.clamp(few_hosts_ms.min(many_hosts_ms), many_hosts_ms)
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -17,7 +17,7 @@
 use super::{followed::FollowedTable, query::PendingQuery, snapshot::TableVersions};
 use crate::{
     clock,
-    entry::limits::{POLL_EVERY_MS, TimeLimits},
+    entry::limits::{POLL_EVERY_MS, Timings},
 };
 
 const TABLES: usize = FollowedTable::ALL.len();
@@ -116,7 +116,7 @@
 
 impl Freshness {
     /// Returns the state of a host that has neither read a table nor received a report.
-    pub fn new(limits: &TimeLimits) -> Self {
+    pub fn new(limits: &Timings) -> Self {
         Self {
             trust_ms: limits.trust_ms,
             lag_grace_ms: limits.lag_grace_ms,
--- a/tests/entry_limits.rs
+++ b/tests/entry_limits.rs
@@ -1,6 +1,6 @@
 //! Tests that the time limits keep the bounds in the settings from which they are derived.
 
-use ashroad::entry::{bounds::Bounds, limits::TimeLimits, settings::Settings};
+use ashroad::entry::{bounds::Bounds, limits::Timings, settings::Settings};
 use quickcheck::quickcheck;
 
 fn bounds(drain_ms: u64, configuration_ms: u64) -> Bounds {
@@ -29,12 +29,12 @@
 quickcheck! {
     fn every_path_keeps_its_bound(drain: u16, configuration: u16) -> bool {
         let bounds = drawn(drain, configuration);
-        let limits = TimeLimits::new(&bounds);
+        let limits = Timings::new(&bounds);
         limits.paths(&bounds).iter().all(|path| path.is_met())
     }
 
     fn the_duty_holder_is_heard_three_times_within_the_trust_period(drain: u16) -> bool {
-        let limits = TimeLimits::new(&drawn(drain, 0));
+        let limits = Timings::new(&drawn(drain, 0));
         let confirm_every_ms = limits.confirm_every_ms(700);
         let two_heartbeats_ms = confirm_every_ms + 2 * limits.leader_heartbeat_ms;
         two_heartbeats_ms <= limits.trust_ms
@@ -44,10 +44,10 @@
 #[test]
 fn a_limit_raised_past_its_bound_breaks_a_path() {
     let bounds = bounds(1_900, 900);
-    let limits = TimeLimits::new(&bounds);
+    let limits = Timings::new(&bounds);
     struct Case {
         name: &'static str,
-        raise: fn(&mut TimeLimits),
+        raise: fn(&mut Timings),
     }
     let case = |name, raise| Case { name, raise };
     let cases = [
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -13,7 +13,7 @@
 
 use ashroad::entry::{
     bounds::Bounds,
-    limits::TimeLimits,
+    limits::Timings,
     updates::{
         followed::FollowedTable,
         freshness::{Freshness, StoreStateReport},
@@ -32,11 +32,11 @@
 /// leadership row, and the leaders.
 const CALLERS_MAX: usize = 8;
 
-fn limits() -> TimeLimits {
+fn limits() -> Timings {
     let text = "{stop_grace: 10s, lease_max: 4s, drain: 3s, configuration: 3s, contact: 3s, \
                 retry_window: 10s, retry_ratio: 0.2, retry_allowance: 60}";
     let bounds: Bounds = serde_saphyr::from_str(text).expect("bounds");
-    TimeLimits::new(&bounds)
+    Timings::new(&bounds)
 }
 
 fn updates(age_ms: u32, changed: u64) -> StoreStateReport {
