--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -198,7 +198,7 @@
         workspace,
         times,
     } = caller_request;
-    let Some(part) = choose_target(&route.parts) else {
+    let Some(part) = choose_target(&route.targets) else {
         let policy = &entry.settings.policy;
         return refusal(&Refused::soon("the route has no service", policy));
     };
@@ -244,17 +244,17 @@
 }
 
 /// Picks one of a route's services at random, in proportion to the weights.
-fn choose_target(parts: &[RouteTarget]) -> Option<&RouteTarget> {
-    if parts.len() == 1 {
-        return parts.first();
+fn choose_target(targets: &[RouteTarget]) -> Option<&RouteTarget> {
+    if targets.len() == 1 {
+        return targets.first();
     }
-    let total: f64 = parts.iter().map(|part| part.weight).sum();
+    let total: f64 = targets.iter().map(|part| part.weight).sum();
     let mut point = rand::random::<f64>() * total;
-    for part in parts {
+    for part in targets {
         if point < part.weight {
             return Some(part);
         }
         point -= part.weight;
     }
-    parts.iter().rfind(|part| part.weight > 0.0)
+    targets.iter().rfind(|part| part.weight > 0.0)
 }
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -80,7 +80,7 @@
     /// Regions in which requests of the route may be served; empty for all regions.
     pub regions: Vec<Arc<str>>,
     /// Services that share the route's requests by weight.
-    pub parts: Vec<RouteTarget>,
+    pub targets: Vec<RouteTarget>,
     /// Maximum number of servers that one request may be sent to, one after the other.
     pub attempts_max: u32,
 }
@@ -127,7 +127,7 @@
 
     /// Adds a route for requests whose `Host` header names `host`, in upper or lower case.
     pub fn add_route(&mut self, host: &str, route: Route) {
-        for part in route.parts.iter().filter(|part| part.weight > 0.0) {
+        for part in route.targets.iter().filter(|part| part.weight > 0.0) {
             let lowest = self
                 .lowest_priority
                 .entry(part.service.clone())
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -91,7 +91,7 @@
 const REPEATABLE_KINDS: [&str; 2] = ["safe", "download"];
 
 fn decode_route(wire: WireRoute) -> Route {
-    let mut parts: Vec<RouteTarget> = wire
+    let mut targets: Vec<RouteTarget> = wire
         .split
         .into_iter()
         .map(|share| RouteTarget {
@@ -100,7 +100,7 @@
         })
         .collect();
     if let Some(service) = wire.service {
-        parts = vec![RouteTarget {
+        targets = vec![RouteTarget {
             service: service.into(),
             weight: 1.0,
         }];
@@ -118,7 +118,7 @@
             .iter()
             .map(|r| r.as_str().into())
             .collect(),
-        parts,
+        targets,
         attempts_max: wire.max_attempts.unwrap_or(1).max(1),
     }
 }
--- a/tests/entry_rules.rs
+++ b/tests/entry_rules.rs
@@ -682,7 +682,7 @@
             priority: 0,
             is_public: false,
             regions: Vec::new(),
-            parts: vec![RouteTarget {
+            targets: vec![RouteTarget {
                 service: "s".into(),
                 weight: 1.0,
             }],
