--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -198,11 +198,11 @@
         workspace,
         times,
     } = caller_request;
-    let Some(part) = choose_target(&route.targets) else {
+    let Some(target) = choose_target(&route.targets) else {
         let policy = &entry.settings.policy;
         return refusal(&Refused::soon("the route has no service", policy));
     };
-    let service = part.service.clone();
+    let service = target.service.clone();
     let declared = configuration.service(&service);
     let divided = declared.is_some_and(|service| service.sharded);
     let warmup = declared.and_then(|service| service.warmup);
@@ -248,13 +248,13 @@
     if targets.len() == 1 {
         return targets.first();
     }
-    let total: f64 = targets.iter().map(|part| part.weight).sum();
+    let total: f64 = targets.iter().map(|target| target.weight).sum();
     let mut point = rand::random::<f64>() * total;
-    for part in targets {
-        if point < part.weight {
-            return Some(part);
+    for target in targets {
+        if point < target.weight {
+            return Some(target);
         }
-        point -= part.weight;
+        point -= target.weight;
     }
-    targets.iter().rfind(|part| part.weight > 0.0)
+    targets.iter().rfind(|target| target.weight > 0.0)
 }
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -127,10 +127,10 @@
 
     /// Adds a route for requests whose `Host` header names `host`, in upper or lower case.
     pub fn add_route(&mut self, host: &str, route: Route) {
-        for part in route.targets.iter().filter(|part| part.weight > 0.0) {
+        for target in route.targets.iter().filter(|target| target.weight > 0.0) {
             let lowest = self
                 .lowest_priority
-                .entry(part.service.clone())
+                .entry(target.service.clone())
                 .or_default();
             *lowest = route.priority.max(*lowest);
         }
--- a/tests/platform_messages.rs
+++ b/tests/platform_messages.rs
@@ -42,7 +42,7 @@
         (split.timeout_ms, split.aim_ms, split.attempts_max),
         (1_500, 1_500, 1)
     );
-    let weights: Vec<f64> = split.targets.iter().map(|part| part.weight).collect();
+    let weights: Vec<f64> = split.targets.iter().map(|target| target.weight).collect();
     assert_eq!(weights, [90.0, 10.0]);
 }
 
