--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -96,7 +96,8 @@
     Joined {
         /// True if the data is a snapshot from another host; false if the host reads the data from
         /// the store.
-        told: bool,
+        #[serde(rename = "told")]
+        synced_from_peer: bool,
         /// Time since the start of the process.
         after_ms: u64,
     },
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -140,7 +140,7 @@
             SyncOutcome::ReadsTables
         };
         Event::Joined {
-            told: outcome == SyncOutcome::Synced,
+            synced_from_peer: outcome == SyncOutcome::Synced,
             after_ms: clock::now_ms() - began_ms,
         }
         .log();
