--- a/src/entry/losses.rs
+++ b/src/entry/losses.rs
@@ -68,14 +68,16 @@
         }
         let at_s = line.at_unix_ms / 1_000 / step_s * step_s;
         let reason = without_numbers(&text("reason"));
-        let place = (at_s, text("route"), text("decision"), reason);
-        let sum = sums.entry(place).or_default();
+        let group_key = (at_s, text("route"), text("decision"), reason);
+        let sum = sums.entry(group_key).or_default();
         sum.requests += 1;
         *sum.servers.entry(text("server")).or_default() += 1;
         sum.load += event["load"].as_f64().unwrap_or(0.0);
         sum.after_ms += event["after_ms"].as_f64().unwrap_or(0.0);
     }
-    let losses = sums.into_iter().map(|(place, sum)| loss(place, &sum));
+    let losses = sums
+        .into_iter()
+        .map(|(group_key, sum)| loss(group_key, &sum));
     Losses {
         losses: losses.collect(),
         dropped_lines,
