--- a/src/entry/bounds.rs
+++ b/src/entry/bounds.rs
@@ -1,5 +1,5 @@
-//! Bounds that operators set for a site, such as the drain time and the longest lease, and their
-//! defaults.
+//! Bounds that operators set for a site, such as the drain time and the longest lease, and the
+//! defaults of the bounds. A bound is a time or a number of retries that hosts must not exceed.
 
 use serde::{Deserialize, Deserializer, de::Error as _};
 
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -12,21 +12,21 @@
 pub enum Event {
     /// The process has started.
     Started {
-        /// Name that operators gave the host in its settings.
+        /// Name of the host, from its settings.
         host: String,
         /// Availability zone from the host's settings.
         availability_zone: String,
-        /// Random number that distinguishes this process from earlier ones on the host.
+        /// Random number that distinguishes this process from earlier processes on the same host.
         incarnation: u64,
     },
     /// A planned stop has begun.
     Stopping {
-        /// Requests in flight at the beginning.
+        /// Callers' requests in flight when the stop began.
         in_flight: u64,
     },
     /// The process is about to exit.
     Stopped {
-        /// Requests in flight that are aborted by the exit; 0 if all were answered.
+        /// Callers' requests in flight that the exit of the process aborts; 0 if all were answered.
         in_flight: u64,
     },
     /// The settings were read again after SIGHUP.
@@ -37,9 +37,10 @@
     },
     /// Another version of the configuration took effect at this host.
     Configuration {
-        /// Version in effect from this event on.
+        /// Version of the configuration in effect from this event on.
         version: u64,
-        /// Version in effect until this event; 0 for none.
+        /// Version of the configuration in effect until this event; 0 if there was no
+        /// configuration.
         before: u64,
     },
     /// The evacuation of an availability zone began or ended.
@@ -61,7 +62,7 @@
     /// A request was denied before it was routed: its API key is unknown, its workspace exceeds its
     /// quota, or the host has no memory for its body. The API key itself is never logged.
     Denied {
-        /// Identifier that the caller gave.
+        /// Identifier that the caller gave the request.
         request_id: String,
         /// Name of the route that matched the request.
         route: Arc<str>,
@@ -81,7 +82,7 @@
     },
     /// The store stopped responding.
     StoreLost {
-        /// Table whose change feed (the calls that read its changes) failed.
+        /// Table whose change feed (the calls that read the changes of the table) failed.
         table: &'static str,
         /// Error of the feed call that failed.
         problem: String,
@@ -101,7 +102,8 @@
         /// Time since the start of the process.
         after_ms: u64,
     },
-    /// Many server entries were read at once. Logged instead of one `server` event per entry.
+    /// Many server entries were read at once. The event replaces the `server` events of the single
+    /// entries.
     Servers {
         /// Number of servers that were unknown before.
         new: usize,
@@ -114,7 +116,7 @@
         service: Arc<str>,
         /// Address at which the server accepts requests.
         address: String,
-        /// True if the server drains and gets no new work.
+        /// True if the server is leaving and gets no new work.
         leaving: bool,
         /// Remaining warm-up time; 0 for a warm server.
         cold_ms: u64,
@@ -131,7 +133,7 @@
         /// Duration of the backoff, in which this host sends the server no requests; 0 for none.
         #[serde(rename = "rest_ms")]
         backoff_ms: u64,
-        /// True if the server's entry in the store also says that it leaves.
+        /// True if the server's entry in the store also says that the server leaves.
         leaves_by_entry: bool,
         /// Origin of the information: a response to this host, or another host.
         source: &'static str,
@@ -162,12 +164,12 @@
         server: Arc<str>,
         /// Service that the server belonged to.
         service: Arc<str>,
-        /// Digests of these requests. Each is now a suspect: a request that may have caused the
-        /// crash.
+        /// Digests of the requests in flight. From this event on, each of these requests is a
+        /// suspect: a request that may have caused the crash.
         digests: Vec<String>,
     },
-    /// A request was quarantined because several servers crashed while running it; no server gets
-    /// it any more.
+    /// A request was quarantined because several servers crashed while running the request. Hosts
+    /// send a quarantined request to no server.
     Quarantined {
         /// Digest of the request, in hexadecimal digits.
         digest: String,
@@ -224,7 +226,7 @@
     /// A request was refused, failed or was retried, or was answered and belongs to the sample of
     /// answered requests that are logged.
     Request {
-        /// Identifier that the caller gave.
+        /// Identifier that the caller gave the request.
         request_id: String,
         /// Digest of the parts that stay the same when the same caller repeats the request, in
         /// hexadecimal digits.
@@ -253,7 +255,7 @@
         attempts: u32,
         /// Time since the request's arrival.
         after_ms: u64,
-        /// Time left until the request's deadline.
+        /// Time left until the request's deadline at this event.
         left_ms: u64,
         /// Version of the configuration that the decision was based on.
         configuration: u64,
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -45,8 +45,10 @@
 /// other servers complete within a few run times of requests.
 const EVACUATION_HOLD_MAX_MS: u64 = 2_500;
 
-/// Timeouts and pauses of one host, all derived from the bounds in its settings. A feed reads the
-/// changes of a table of the store; its pause is the time between two of its calls.
+/// Timeouts and pauses of one host, all derived from the bounds in its settings. A feed is a task
+/// that reads the changes of a table of the store by repeated calls. The store holds each call for
+/// the wait of the feed or until there are changes, and the pause of the feed is the time between
+/// two calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timings {
     /// Trust period: age up to which a host trusts the leader's report of the store, and so rarely
@@ -57,11 +59,11 @@
     pub leader_heartbeat_ms: u64,
     /// Pause of the feeds of servers' entries and the configuration on the leader and on relays.
     pub leader_pause_ms: u64,
-    /// Longest wait of the leader's feed calls at the store. It is short because no other host can
-    /// tell the leader that its connection has failed silently.
+    /// Longest wait of the leader's feed calls at the store. The wait is short because no other
+    /// host can tell the leader that its connection has failed silently.
     pub leader_wait_ms: u64,
-    /// Wait of a relay's feed calls while it reports in place of the leader. It is short because
-    /// the other hosts of the zone query the relay often.
+    /// Wait of a relay's feed calls while the relay reports the state of the store in place of the
+    /// leader. The wait is short because the other hosts of the zone query the relay often.
     pub relay_wait_ms: u64,
     /// Interval at which a host queries the relays of its zone once the leader's last report is
     /// old. Several queries fit into the time until that report is no longer trusted.
@@ -88,9 +90,9 @@
     /// to the servers of the evacuated zone that hold the keys. The keys are moved to other servers
     /// meanwhile.
     pub evacuation_hold_ms: u64,
-    /// Time for which a server still gets requests for its keys after it announced to this host, in
-    /// a response, that it leaves. The keys are moved to other servers meanwhile, unless the store
-    /// is unavailable.
+    /// Time for which a host still sends a server requests for the server's keys after the server
+    /// has announced to this host, in a response, that it leaves. The keys are moved to other
+    /// servers meanwhile, unless the store is unavailable.
     pub notice_hold_ms: u64,
 }
 
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -177,7 +177,7 @@
         self.servers_ended.inc();
     }
 
-    /// Counts an order to a server when its outcome is known.
+    /// Counts an order to a server when the outcome of the order is known.
     pub fn order(&self, order: &'static str, outcome: &'static str) {
         self.orders
             .get_or_create(&OrderLabels { order, outcome })
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -30,7 +30,7 @@
     pub health_path: String,
     /// Number of connections that one server accepts from all hosts together.
     pub connections_max: u32,
-    /// True if each key is served only by the server that holds it.
+    /// True if each key is served only by the server that the key is assigned to.
     pub sharded: bool,
     /// Rate limit of a server of this service while the server is cold; `None` if there is no
     /// limit.
@@ -57,7 +57,8 @@
     pub weight: f64,
 }
 
-/// Rule for the requests of one host name and path prefix.
+/// Rule for the requests whose `Host` header and path prefix match: which services get the
+/// requests, and under which timeout, priority and restrictions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name that stays the same over versions of the configuration.
@@ -101,13 +102,14 @@
     lowest_priority: HashMap<Arc<str>, u32>,
 }
 
-/// Priority of a request: that of its workspace is compared before that of its route. Smaller
-/// values are served first.
+/// Priority of a request. The priorities of the workspaces are compared first, then the priorities
+/// of the routes; requests with smaller values are served first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Priority {
     /// Priority of the workspace; 0 if the request has none.
     pub workspace: u32,
-    /// Priority of the route. It counts only between requests of equal workspace priority.
+    /// Priority of the route. It decides only between requests whose workspaces have the same
+    /// priority.
     pub route: u32,
 }
 
@@ -154,7 +156,7 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Returns a service by its name; `None` if the configuration has none of that name.
+    /// Returns a service by its name; `None` if the configuration has no service of that name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
@@ -207,7 +209,8 @@
     pub id: Arc<str>,
     /// Name of the server in the platform. A restarted server may keep its name.
     pub name: Arc<str>,
-    /// Start time by the server's clock; 0 if the entry does not state it.
+    /// Start time of the server by its own clock, in milliseconds since 1970; 0 if the entry states
+    /// no start time.
     pub started_ms: u64,
     /// Name of the service whose requests the server runs, as in [`Service::name`].
     pub service: Arc<str>,
@@ -234,13 +237,13 @@
     pub slowdown: f64,
 }
 
-/// Notice in a server's response about further requests of the host that received it.
+/// Notice in a server's response about further requests of the host that received the response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Notice {
     /// True if the server is about to stop.
     pub leaves: bool,
-    /// Backoff that the server asked for: time in which the host must send it no requests. Set only
-    /// if the server refused the request because of the backoff.
+    /// Backoff that the server asked for: time in which the host must send the server no requests.
+    /// Set only if the server refused the request because of the backoff.
     pub backoff_ms: Option<u64>,
 }
 
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -64,7 +64,7 @@
     running_requests: Mutex<RunningRequests>,
     /// Rate limit that the server advertises for all hosts together, and this host's share of it.
     pub rate: SharedRate,
-    /// Record of this host's connections to the server that broke.
+    /// Record of broken connections between this host and the server.
     pub broken_connections: BrokenConnections,
 }
 
@@ -261,8 +261,8 @@
         self.notices().note(notice, clock::now_ms())
     }
 
-    /// Records that the server announced its leaving to another host. Returns true if this host did
-    /// not know that the server leaves.
+    /// Records that the server announced its leaving to another host. Returns true if no notice had
+    /// told this host before that the server leaves.
     pub fn note_leaving_elsewhere(&self) -> bool {
         self.notices().note_leaving_elsewhere(clock::now_ms())
     }
@@ -296,8 +296,8 @@
         self.own.load(Ordering::Relaxed)
     }
 
-    /// Returns the number of requests of all hosts in flight at the server, by the latest reports
-    /// of the others.
+    /// Returns the number of requests of all hosts in flight at the server: this host's own number
+    /// plus the latest numbers that the other hosts reported.
     pub fn load(&self) -> u32 {
         self.own_load() + self.others.load(Ordering::Relaxed)
     }
@@ -333,7 +333,7 @@
         }
     }
 
-    /// Returns this host's requests that the server may have been running when it crashed.
+    /// Returns this host's requests that the server may have been running when the server crashed.
     pub fn suspects(&self) -> Suspects {
         let now_ms = clock::now_ms();
         let running_requests = self.running_requests();
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -41,7 +41,7 @@
     pub store: StoreSettings,
     /// Bounds that the users set, such as those on stops, leases, configurations and retries.
     pub bounds: Bounds,
-    /// Durations of the servers' leases, and of the leadership of the host that grants them.
+    /// Durations of the servers' leases, and of the leadership of the host that grants the leases.
     #[serde(default)]
     pub leases: Leases,
     /// Thresholds of routing, queueing and load shedding.
@@ -79,7 +79,7 @@
     pub server_heartbeat_ms: u64,
 }
 
-/// Durations of the servers' leases, and of the leadership of the host that grants them.
+/// Durations of the servers' leases, and of the leadership of the host that grants the leases.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Leases {
--- a/src/platform/orders.rs
+++ b/src/platform/orders.rs
@@ -30,7 +30,8 @@
     OtherServer,
 }
 
-/// Order that makes one server hold a range of keys.
+/// Order that makes one server hold a range of keys: the server serves the keys until the lease
+/// ends.
 #[derive(Clone, Copy, Debug)]
 pub struct Grant<'a> {
     /// Name of the server that the order is for; another server process at the address refuses the
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -219,10 +219,12 @@
     /// most once.
     #[serde(default)]
     pub kind: String,
-    /// Longest time in milliseconds until a request is answered, which sets its deadline.
+    /// Longest time in milliseconds until a request is answered, which sets the deadline of the
+    /// request.
     #[serde(deserialize_with = "deserialize_ms")]
     pub timeout: u64,
-    /// Latency objective in milliseconds; if it is missing, `timeout` is used instead.
+    /// Latency objective in milliseconds: time within which requests should be answered. If the
+    /// field is missing, `timeout` is used instead.
     #[serde(default, deserialize_with = "deserialize_optional_ms")]
     pub aim: Option<u64>,
     /// Priority of the route's requests; 0 is the highest.
@@ -234,7 +236,7 @@
     /// Services that share the requests of the route by weight.
     #[serde(default)]
     pub split: Vec<WireShare>,
-    /// Maximum number of servers that one request may be sent to; 1 if it is missing.
+    /// Maximum number of servers that one request may be sent to; 1 if the field is missing.
     #[serde(default)]
     pub max_attempts: Option<u32>,
     /// True if requests of the route need no API key even if workspaces are configured.
--- a/tests/entry_zones.rs
+++ b/tests/entry_zones.rs
@@ -35,7 +35,7 @@
     send_once(host.callers, ask).await;
 }
 
-/// Awaits several futures concurrently.
+/// Runs several futures concurrently and waits until all are complete.
 async fn join_all(futures: impl Iterator<Item = impl Future<Output = ()>>) {
     let mut waiting: Vec<_> = futures.map(Box::pin).collect();
     future::poll_fn(|context| {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Losses and freezes of processes and outages of the store, tested with real processes. Most tests
+//! Tests with real processes that are killed or frozen, and with outages of the store. Most tests
 //! also check the records of the stand-in servers for slots that two servers owned at once.
 
 mod common;
@@ -77,7 +77,7 @@
     cluster.hosts.iter().map(|host| host.callers).collect()
 }
 
-/// Checks that no slot was owned by two servers at once, by the servers' own records.
+/// Checks by the records of the servers that no slot was owned by two servers at once.
 async fn assert_single_owners(cluster: &Cluster, servers: &[usize]) {
     let records = cluster.records(servers).await;
     let double = invariants::double_owned(&records);
--- a/tests/once_only.rs
+++ b/tests/once_only.rs
@@ -1,5 +1,5 @@
-//! Unrepeatable requests with real processes: duplicates, killed processes and lost responses of
-//! the store.
+//! Tests of unrepeatable requests with real processes: duplicates of a request, killed processes
+//! and lost responses of the store.
 
 mod common;
 
@@ -130,7 +130,7 @@
     assert!(invariants::double_runs(&records).is_empty());
 }
 
-/// Outcomes that callers of one order received, over all its duplicates.
+/// Outcomes that callers received for one order and for all duplicates of the order.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportedOutcomes {
     answered: bool,
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -36,14 +36,14 @@
 const CALLERS: usize = 12;
 /// Number of servers of each service that get no faults.
 const HEALTHY_SERVERS: usize = 2;
-/// Time in which grants that a paused process had sent may still arrive; the platform allows 300
-/// ms.
+/// Time after a paused host resumes in which grants that the host had sent before the pause may
+/// still arrive at servers; the platform allows 300 ms.
 const RESUME_ALLOWANCE_MS: u64 = 300;
 
 /// Seeds with which this test once failed, each with the cause of the failure.
 const REGRESSIONS: [(u64, &str); 0] = [];
 
-/// Counts of requests by outcome, and of faults by kind.
+/// Numbers of requests by outcome, and of injected faults by kind.
 #[derive(Default)]
 struct Tally {
     asked: AtomicU64,
@@ -53,7 +53,7 @@
     faults: Mutex<HashMap<&'static str, u64>>,
 }
 
-/// Deployment under test with its sources of faults.
+/// Deployment under test, with the proxies and the random numbers by which faults are injected.
 struct Soak {
     site: Site,
     proxies: Vec<Proxy>,
@@ -267,7 +267,8 @@
             server.set_silent(false);
             server.lose_responses(0);
         }
-        // Waits for hosts that got SIGTERM shortly before the end, and restarts them.
+        // Waits until hosts that got SIGTERM shortly before the end of the run have exited, and
+        // restarts these hosts.
         time::sleep(Duration::from_millis(6_200)).await;
         for host in &mut self.site.hosts {
             if host.has_exited() {
