--- a/src/entry/losses.rs
+++ b/src/entry/losses.rs
@@ -1,6 +1,7 @@
-//! Counts lost requests by second, route and reason from the logs of several hosts: requests that
-//! were refused, failed or retried, with the load that the hosts saw at their servers and the time
-//! that the requests had waited.
+//! Counts lost requests by time step, route, decision and reason from the logs of several hosts.
+//! Lost requests are requests that were refused, failed or were retried. Each count comes with the
+//! mean load of the servers as the hosts knew it, and with the mean time from the arrival of the
+//! requests to the decision.
 
 use std::collections::BTreeMap;
 
@@ -21,8 +22,8 @@
     pub reason: String,
     /// Number of lost requests that agree in time step, route, decision and reason.
     pub requests: u64,
-    /// Number of distinct servers of the last attempts; all requests without an attempt count as
-    /// one more.
+    /// Number of distinct servers that got the last attempts of the requests. All requests without
+    /// an attempt together count as one more server.
     pub servers: u64,
     /// Mean load of these servers as the hosts knew it.
     pub load_mean: f64,
@@ -30,7 +31,8 @@
     pub after_mean_ms: f64,
 }
 
-/// Losses found in a set of logs, and the number of lines that may hide more.
+/// Losses found in a set of logs, and the number of dropped log lines that may have reported more
+/// losses.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Losses {
     /// Losses in order of time.
@@ -49,7 +51,7 @@
     after_ms: f64,
 }
 
-/// Sums up losses in steps of `step_s` seconds. Lines that are no events are skipped.
+/// Sums up losses in time steps of `step_s` seconds. Lines that are no events are skipped.
 pub fn losses(sources: &[Source<'_>], step_s: u64) -> Losses {
     let step_s = step_s.max(1);
     let mut sums: BTreeMap<GroupKey, Totals> = BTreeMap::new();
@@ -66,14 +68,16 @@
         }
         let at_s = line.at_unix_ms / 1_000 / step_s * step_s;
         let reason = without_numbers(&text("reason"));
-        let place = (at_s, text("route"), text("decision"), reason);
-        let sum = sums.entry(place).or_default();
+        let group_key = (at_s, text("route"), text("decision"), reason);
+        let sum = sums.entry(group_key).or_default();
         sum.requests += 1;
         *sum.servers.entry(text("server")).or_default() += 1;
         sum.load += event["load"].as_f64().unwrap_or(0.0);
         sum.after_ms += event["after_ms"].as_f64().unwrap_or(0.0);
     }
-    let losses = sums.into_iter().map(|(place, sum)| loss(place, &sum));
+    let losses = sums
+        .into_iter()
+        .map(|(group_key, sum)| loss(group_key, &sum));
     Losses {
         losses: losses.collect(),
         dropped_lines,
--- a/tests/once_only.rs
+++ b/tests/once_only.rs
@@ -1,5 +1,5 @@
-//! Unrepeatable requests with real processes: duplicates, killed processes and lost responses of
-//! the store.
+//! Tests of unrepeatable requests with real processes: duplicates of a request, killed processes
+//! and lost responses of the store.
 
 mod common;
 
@@ -20,7 +20,7 @@
     let first = caller.post(one, "/w/s/parcel-7", "order-1").await;
     let first = first.expect("a response");
     assert_eq!(first.status, 200);
-    // The response is recorded shortly after it was sent to the caller.
+    // The host records the response shortly after it has sent the response to the caller.
     time::sleep(Duration::from_millis(300)).await;
     let second = caller.post(other, "/w/s/parcel-7", "order-1").await;
     let second = second.expect("a response");
@@ -130,7 +130,7 @@
     assert!(invariants::double_runs(&records).is_empty());
 }
 
-/// Outcomes that callers of one order received, over all its duplicates.
+/// Outcomes that callers received for one order and for all duplicates of the order.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportedOutcomes {
     answered: bool,
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -36,14 +36,14 @@
 const CALLERS: usize = 12;
 /// Number of servers of each service that get no faults.
 const HEALTHY_SERVERS: usize = 2;
-/// Time in which grants that a paused process had sent may still arrive; the platform allows 300
-/// ms.
+/// Time after a paused host resumes in which grants that the host had sent before the pause may
+/// still arrive at servers; the platform allows 300 ms.
 const RESUME_ALLOWANCE_MS: u64 = 300;
 
-/// Seeds that once failed, each with the cause.
+/// Seeds with which this test once failed, each with the cause of the failure.
 const REGRESSIONS: [(u64, &str); 0] = [];
 
-/// Counts of requests by outcome, and of faults by kind.
+/// Numbers of requests by outcome, and of injected faults by kind.
 #[derive(Default)]
 struct Tally {
     asked: AtomicU64,
@@ -53,11 +53,11 @@
     faults: Mutex<HashMap<&'static str, u64>>,
 }
 
-/// Deployment under test with its sources of faults.
+/// Deployment under test, with the proxies and the random numbers by which faults are injected.
 struct Soak {
     site: Site,
     proxies: Vec<Proxy>,
-    /// Time since which each host is paused; `None` if it runs.
+    /// Time at which each host was paused by SIGSTOP; `None` if the host is not paused.
     stopped: Vec<Option<Instant>>,
     rng: StdRng,
     tally: Arc<Tally>,
@@ -114,8 +114,8 @@
     soak.clear_faults().await;
     done.store(true, Ordering::Relaxed);
     callers.join_all().await;
-    // The limit covers the time of previous leaders, a lease and a takeover. It is far below the
-    // platform's bound.
+    // The 26 s cover the time for which previous leaders may still grant leases, the duration of a
+    // lease and a takeover of the leadership. They are far below the platform's bound.
     let hosts = &soak.site.hosts;
     eventually("all keys are served again", 26_000, async || {
         for key in (0..=u16::MAX).step_by(5_003) {
@@ -153,7 +153,8 @@
         *faults.entry(fault).or_default() += 1;
     }
 
-    /// Injects another random fault or ends one; faults overlap.
+    /// Injects a random fault or ends a fault that is in effect. Several faults may be in effect at
+    /// once.
     async fn inject_fault(&mut self) {
         let host = self.rng.random_range(0..HOSTS);
         match self.rng.random_range(0..10) {
@@ -266,7 +267,8 @@
             server.set_silent(false);
             server.lose_responses(0);
         }
-        // Waits for hosts that got SIGTERM shortly before the end, and restarts them.
+        // Waits until hosts that got SIGTERM shortly before the end of the run have exited, and
+        // restarts these hosts.
         time::sleep(Duration::from_millis(6_200)).await;
         for host in &mut self.site.hosts {
             if host.has_exited() {
