--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -33,7 +33,7 @@
 /// Result of one attempt, which decides whether the request may be sent again.
 pub(super) enum AttemptOutcome {
     Answered(Response<ResponseBody>),
-    /// No connection could be opened, so nothing was sent.
+    /// The request was not sent: no connection could be opened, or the request could not be built.
     NotSent(String),
     /// The server has asked this host for a backoff (a period without requests), so the request was
     /// not sent.
@@ -109,17 +109,19 @@
         AttemptOutcome::Answered(build_response(head, body))
     }
 
-    /// Ends the trial of a suspect request that the server has answered, so that the next suspect
-    /// may run there.
+    /// Ends the trial (single supervised attempt) of a suspect request after the server has
+    /// answered it, so that the server may run the next suspect request. Does nothing if this
+    /// attempt is not a trial.
     fn end_trial(&self, entry: &Entry, server: &Server) {
         if self.is_trial {
             entry.end_trial(self.digests, server.tag);
         }
     }
 
-    /// Returns an idle connection to the server, or opens one. Checks for a backoff before and
-    /// after connecting: the server may have asked for one while the request waited for other
-    /// hosts' trial claims, or while the connection was being opened.
+    /// Returns an idle connection to the server, or opens a connection. Returns
+    /// [`AttemptOutcome::InBackoff`] if the server has asked this host for a backoff. The backoff
+    /// is checked before and after connecting, because the server may ask for a backoff while the
+    /// request waits for the trial claims of other hosts, or while the connection is being opened.
     async fn connection(
         &self,
         entry: &Arc<Entry>,
@@ -139,7 +141,8 @@
         Ok(connection)
     }
 
-    /// Opens a connection to the server, and starts a liveness probe if it is refused.
+    /// Opens a connection to the server, and starts a liveness probe of the server if the
+    /// connection is refused.
     async fn connect(
         &self,
         entry: &Arc<Entry>,
@@ -148,15 +151,19 @@
         let connected = server.pool.connect(self.left_ms()).await;
         connected.map_err(|error| {
             if matches!(error, ConnectError::Refused { .. }) {
-                // A refused connection starts the liveness probe too: when a server crashes while
-                // all its callers have disconnected, no request fails on a broken connection.
+                // A refused connection may be the only sign of a crash: if the callers of all
+                // requests at the server had disconnected before the crash, no request fails on a
+                // broken connection.
                 entry.probe_liveness(server);
             }
             AttemptOutcome::NotSent(error.to_string())
         })
     }
 
-    /// Updates the statistics of the server and of the route from a response.
+    /// Records a response in the statistics of the server and of the route: the slowdown that the
+    /// server reports, and either a failure (status 5xx) or the run time. `found_free_slot` is true
+    /// if the server had a free slot when the request was sent, so that the run time includes no
+    /// queueing.
     fn record_response(
         &self,
         entry: &Entry,
@@ -180,8 +187,8 @@
         server.answered(run_ms, found_free_slot);
     }
 
-    /// Sends the request, checks the response and reads its body up to the limit for bodies in
-    /// memory.
+    /// Sends the request, checks that the response is usable, and reads the body of the response as
+    /// far as [`receive`] buffers it.
     async fn exchange(
         &self,
         entry: &Entry,
@@ -193,8 +200,8 @@
             |error: hyper::Error| AttemptOutcome::ConnectionLost(error.to_string());
         let response = connection.send(request).await.map_err(connection_lost)?;
         let (head, body) = response.into_parts();
-        // A notice is about the server, so it counts even if the response belongs to another
-        // request.
+        // A notice (the server leaves, or asks for a backoff) concerns the server as a whole, so
+        // this host applies the notice even if the response belongs to another request.
         entry.note_notice(server, headers::notice(head.status, &head.headers));
         let id = header_text(&head.headers, headers::REQUEST_ID.as_str()).unwrap_or_default();
         if id != self.request_id {
@@ -202,7 +209,8 @@
                 "the response has the id of another request".to_owned(),
             ));
         }
-        // A rate limit counts only if the response belongs to this request: another one may be old.
+        // The advertised rate limit is recorded only from a response to this request, because a
+        // response to another request may be old.
         entry.note_advertised_limit(server, headers::reported_limit(head.status, &head.headers));
         if headers::says_not_run(head.status, &head.headers) {
             return Err(AttemptOutcome::NotRun(head.status));
--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -53,7 +53,8 @@
     }
 }
 
-/// Part of the memory budget that is reserved for one body; returned to the budget when dropped.
+/// Part of the memory budget that is reserved for one body. Dropping the reservation returns the
+/// memory to the budget.
 #[derive(Debug, Default)]
 pub struct MemoryReservation(Option<OwnedSemaphorePermit>);
 
@@ -95,8 +96,8 @@
 /// Body of a request, which is kept for further attempts unless it is streamed.
 pub enum Payload {
     Whole(BufferedBody),
-    /// The buffered beginning and the unread remainder. `None` after it was sent: a streamed body
-    /// can be sent only once.
+    /// The buffered beginning and the unread remainder. `None` once an attempt has taken them,
+    /// since a streamed body can be sent only once.
     Stream(Option<(BufferedBody, Incoming)>),
 }
 
@@ -134,7 +135,8 @@
     Ok(Received::Whole(BufferedBody { bytes, reservation }))
 }
 
-/// Reads the body of a caller's request, beginning with the memory reserved for it.
+/// Reads the body of a caller's request into memory, and streams it if it is too large. `reserved`
+/// is the memory that was reserved for the body by its announced size.
 pub async fn read_payload(
     body: Incoming,
     reserved: MemoryReservation,
@@ -160,8 +162,8 @@
         matches!(self, Self::Whole(buffered) if buffered.bytes.is_empty())
     }
 
-    /// Returns the buffered part: the whole body, the beginning of a streamed one, or nothing once
-    /// that was sent.
+    /// Returns the bytes of the body that are in memory: the whole body, the beginning of a
+    /// streamed body, or nothing once an attempt has taken the streamed body.
     pub fn buffered_bytes(&self) -> &[u8] {
         match self {
             Self::Whole(buffered) | Self::Stream(Some((buffered, _))) => &buffered.bytes,
@@ -169,7 +171,7 @@
         }
     }
 
-    /// Returns the body for one attempt; `None` if it was streamed in an earlier one.
+    /// Returns the body for one attempt; `None` if an earlier attempt has streamed the body.
     pub fn body(&mut self) -> Option<ResponseBody> {
         match self {
             Self::Whole(buffered) => {
@@ -190,8 +192,9 @@
 }
 
 impl BufferedBody {
-    /// Returns the next piece and releases its memory: the reader asks for another piece only after
-    /// it has sent this one.
+    /// Returns the next piece of the body, at most [`UNIT_BYTES`], and releases the memory reserved
+    /// for the piece: the sender of the body asks for another piece only after it has sent this
+    /// piece. `None` once all buffered bytes were returned.
     fn next(&mut self) -> Option<Bytes> {
         if self.bytes.is_empty() {
             return None;
@@ -223,13 +226,15 @@
     }
 }
 
-/// A body that is streamed: its beginning is buffered, the remainder is read while it is sent.
+/// Body whose beginning is buffered, and whose remainder is read from the network while the body is
+/// sent.
 pub struct StreamedBody {
     /// Beginning of the body, which is sent before `rest`.
     pub first: BufferedBody,
     /// Remainder, which is read only as fast as the receiver takes it.
     pub rest: Incoming,
-    /// Connection that the remainder is read from; kept open until the body is dropped.
+    /// Connection to the server from which `rest` is read, kept open until the body is dropped.
+    /// `None` for the body of a caller's request.
     #[allow(dead_code, reason = "closed when the body is dropped")]
     pub connection: Option<Connection>,
 }
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -34,9 +34,9 @@
 /// Interval at which a waiting request checks if the blocking trial has ended.
 const TRIAL_POLL_MS: u64 = 10;
 
-/// Returns the servers that are not in a backoff, a period in which this host must send them
-/// nothing. If all are, returns the shortest remaining backoff as the error; `None` if there are no
-/// servers.
+/// Returns the servers that are not in a backoff, a period in which this host must send them no
+/// requests. If all servers are in a backoff, the error holds the shortest remaining backoff in
+/// milliseconds; if `servers` is empty, the error holds `None`.
 fn not_in_backoff(servers: Vec<&Arc<Server>>) -> Result<Vec<&Arc<Server>>, Option<u64>> {
     let shortest_backoff_ms = servers.iter().map(|server| server.backoff_ms()).min();
     let not_in_backoff: Vec<_> = servers
@@ -49,9 +49,9 @@
     Ok(not_in_backoff)
 }
 
-/// Returns the servers that may get the request under their rate limits. Each request is admitted
-/// to at most one of the rate-limited servers at random, unless their limits exceed the request
-/// rate of callers.
+/// Returns the servers that may get the request under their rate limits. One random draw for all
+/// servers admits the request to at most one of the rate-limited servers, unless the limits of
+/// these servers together exceed the request rate of callers.
 fn under_rate_limits(
     servers: Vec<&Arc<Server>>,
     hosts: usize,
@@ -71,13 +71,14 @@
     servers.into_iter().filter(may_go).collect()
 }
 
-/// Returns true if a rate-limited server has not restated its limit for a while, so that a request
-/// should be sent there to refresh it.
+/// Returns true if the server has a rate limit but has not advertised the limit for a while, so
+/// that a request should be sent to the server: its response shows whether the limit still holds.
 fn should_refresh_limit(server: &Server) -> bool {
     server.rate.limit_per_s().is_some() && server.rate.is_stale()
 }
 
-/// Returns true if the rate limit of the only server that can run the request admits it.
+/// Returns true if the rate limit of `server`, the only server that can run the request, admits the
+/// request.
 fn is_under_rate_limit(server: &Server, hosts: usize, is_urgent: bool) -> bool {
     let Some(rate_share) = server.rate.rate_share(hosts, is_urgent) else {
         return true;
@@ -87,8 +88,9 @@
 }
 
 impl ForwardedRequest<'_> {
-    /// Chooses the server for the next attempt, or returns the reason to refuse the request. Checks
-    /// the quarantine, and claims the trial of a suspect request.
+    /// Chooses the server for the next attempt, or returns the reason to refuse the request.
+    /// Refuses a quarantined request. For a suspect request (a server has crashed during the
+    /// request), claims the trial: a single supervised attempt.
     pub(super) async fn choose(&mut self, entry: &Entry) -> Result<Arc<Server>, Refused> {
         if self.left_ms() < ATTEMPT_MS_MIN {
             let policy = &entry.settings.policy;
@@ -100,12 +102,14 @@
             None => self.any_server(entry),
         }?;
         self.claim_trial(entry, &server).await?;
-        // The request may have been quarantined while it waited.
+        // The request may have been quarantined while it waited for the move of its key or for its
+        // trial.
         self.check_quarantine(entry)?;
         Ok(server)
     }
 
-    /// Refuses a request that is in quarantine, with the remaining time as the retry time.
+    /// Refuses a request that is in quarantine, with the remaining quarantine time as the retry
+    /// time.
     fn check_quarantine(&self, entry: &Entry) -> Result<(), Refused> {
         match entry.crashes.remaining_ms(self.digests) {
             Some(remaining_ms) => Err(Refused::quarantined(remaining_ms)),
@@ -113,8 +117,10 @@
         }
     }
 
-    /// Claims the trial of a suspect request, which only one host at a time may run. Others wait up
-    /// to [`TRIAL_WAIT_MS`] for the trial to end, which clears a harmless request.
+    /// Claims the trial of a suspect request, because only one host at a time may run such a
+    /// request. If the claim of another trial blocks this claim, the request waits up to
+    /// [`TRIAL_WAIT_MS`] for the other trial to end. A successful trial shows that the request is
+    /// harmless; the request then needs no trial.
     async fn claim_trial(&mut self, entry: &Entry, server: &Server) -> Result<(), Refused> {
         let wait_until_ms = clock::now_ms() + TRIAL_WAIT_MS;
         while !self.is_trial && entry.crashes.is_suspect(self.digests) {
@@ -132,7 +138,7 @@
         Ok(())
     }
 
-    /// Chooses a server of a service whose servers can all run the request.
+    /// Chooses a server for a request without a key, which any server of the service can run.
     fn any_server(&self, entry: &Entry) -> Result<Arc<Server>, Refused> {
         let registry = entry.view.registry();
         let mut usable = self.available_servers(entry, &registry)?;
@@ -158,8 +164,8 @@
         }
     }
 
-    /// Returns the server with the earliest expected response that has capacity; `None` if all are
-    /// overloaded.
+    /// Returns the server with the earliest expected response among those of `servers` that have
+    /// capacity; `None` if all of them are overloaded.
     fn pick<'r>(
         &self,
         entry: &Entry,
@@ -177,8 +183,8 @@
         Some(servers[place])
     }
 
-    /// Returns the servers that may get the request; servers that are leaving only if there are no
-    /// others.
+    /// Returns the servers of the service that are not in a backoff, except those that this request
+    /// has already tried. Servers that are leaving are returned only if there are no others.
     fn available_servers<'r>(
         &self,
         entry: &Entry,
@@ -204,7 +210,8 @@
         )
     }
 
-    /// Returns the server that holds the key; waits a limited time while the key is being moved.
+    /// Returns the server that holds the key, and records the fence under which it does. While the
+    /// key is being moved, waits as long as [`Self::hold`] allows.
     async fn owner(&mut self, entry: &Entry, key: u16) -> Result<Arc<Server>, Refused> {
         let policy = &entry.settings.policy;
         let mut changes = entry.view.changes();
@@ -219,7 +226,8 @@
                 Owner::Moving(time_left) => {
                     let room_ms = self.hold(entry, time_left)?;
                     let wait = Duration::from_millis(KEY_RETRY_PAUSE_MS.min(room_ms));
-                    // The owner is read again after a change and after the timeout.
+                    // The loop reads the owner again both after a change of the view and after the
+                    // timeout.
                     if let Ok(Err(closed)) = time::timeout(wait, changes.changed()).await {
                         log::debug!("the view no longer sends changes: {closed}");
                     }
@@ -228,7 +236,8 @@
         }
     }
 
-    /// Returns how long the request may wait for the move of its key, or the reason to refuse it.
+    /// Returns how long the request may wait for the move of its key, in milliseconds, or the
+    /// reason to refuse the request.
     fn hold(&self, entry: &Entry, time_left: MoveTimeLeft) -> Result<u64, Refused> {
         let policy = &entry.settings.policy;
         let aim_ms = self.route.aim_ms;
@@ -245,7 +254,8 @@
         }
     }
 
-    /// Returns the server with this id if it may get the request, or the reason to refuse it.
+    /// Returns the server with the incarnation id `id`, which holds the request's key, if this host
+    /// may send it the request; otherwise returns the reason to refuse the request.
     fn owning_server(&mut self, entry: &Entry, id: &str) -> Result<Arc<Server>, Refused> {
         let policy = &entry.settings.policy;
         let registry = entry.view.registry();
@@ -287,8 +297,9 @@
         Ok(server.clone())
     }
 
-    /// Refuses a random share of the requests for a hot key: those beyond the capacity of its
-    /// server.
+    /// Refuses the request at random if its key is hot (gets more requests than its server can
+    /// run): the share of refused requests is the share beyond the capacity of the server. Returns
+    /// `None` if the request may be forwarded.
     pub(super) fn refuse_hot_key(&self, entry: &Entry) -> Option<Response<ResponseBody>> {
         let policy = &entry.settings.policy;
         let tag = tag_of(&self.service);
@@ -313,8 +324,8 @@
         }
     }
 
-    /// Asks the leader of the hosts which server holds the key. Requests a read from the store
-    /// instead if the query cannot be sent, or if no report confirms that the store has responded
+    /// Asks the leader which server holds the key. Requests a read from the store instead if the
+    /// query cannot be sent to the leader, or if no report confirms that the store has responded
     /// lately.
     fn query_key_owner(&self, entry: &Entry) {
         let Some(key) = self.key else { return };
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -26,18 +26,21 @@
 
 /// Minimum time until the deadline for which an attempt is made.
 pub(super) const ATTEMPT_MS_MIN: u64 = 10;
-/// Failed connection attempts, over all servers, after which a request is refused.
+/// Number of failed connection attempts, over all servers, after which a request is refused.
 const CONNECTS_MAX: u32 = 3;
-/// Failed connection attempts after which a request that any server can run is refused, while
-/// servers refuse connections at once. It exceeds [`CONNECTS_MAX`] because most of the servers that
-/// a host prefers refuse connections when a zone is lost.
+/// Number of failed connection attempts after which a request that any server can run is refused,
+/// if the attempts failed at once. The number exceeds [`CONNECTS_MAX`] because most of the servers
+/// that a host prefers refuse connections after the loss of a zone.
 const REFUSED_CONNECTS_MAX: u32 = 10;
-/// Average time per connection attempt up to which refused connections count as immediate.
+/// Average time per failed connection attempt, counted from the arrival of the request, below which
+/// the attempts count as failed at once.
 const FAST_REFUSAL_MS: u64 = 20;
-/// Pause before a request with a key is sent again to a server that did not hold the key yet.
+/// Pause before this host looks up the owner of a key again, while the key is being moved or after
+/// the key's server did not run the request or could not be reached. A change of the view ends the
+/// pause early, except after a failed connection attempt.
 pub(super) const KEY_RETRY_PAUSE_MS: u64 = 25;
 
-/// Time limits of a request, by the clock of the host.
+/// Arrival time, latency objective and deadline of a request, by the clock of this host.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
     /// Time at which the request arrived at this host.
@@ -63,20 +66,23 @@
     pub(super) request_id: &'a str,
     pub(super) digests: RequestDigests,
     pub(super) times: Times,
-    /// Number of times that the request was sent without a usable response; failed connects are not
-    /// included.
+    /// Number of times that the request was sent without a usable response. Failed connection
+    /// attempts are counted in `connects` instead.
     pub(super) attempts: u32,
     /// Number of connection attempts that failed, over all servers; limited by [`CONNECTS_MAX`] or
     /// [`REFUSED_CONNECTS_MAX`].
     pub(super) connects: u32,
-    /// Incarnations of servers that are not chosen again for this request.
+    /// Incarnation ids of servers at which an attempt failed. A request without a key is not sent
+    /// to these servers again; a request with a key leaves the list empty.
     pub(super) tried: Vec<Arc<str>>,
     /// Fences (fencing tokens) under which the last two chosen servers held the key, the latest
-    /// first; 0 if no server was chosen.
+    /// first. A fence is 0 while no such server was chosen.
     pub(super) fences: (u64, u64),
-    /// Server chosen last, for the log.
+    /// Server that was chosen last, or that holds the key of the request; named in log events.
     pub(super) last: Option<Arc<Server>>,
-    /// True if this is the trial of a suspect request, which no other host may run meanwhile.
+    /// True once this host has claimed the trial (single supervised attempt) of the request, which
+    /// is suspect: a server has crashed during it. No other host may run the request during the
+    /// trial.
     pub(super) is_trial: bool,
 }
 
@@ -86,8 +92,10 @@
         self.times.deadline_ms.saturating_sub(clock::now_ms())
     }
 
-    /// Returns the time limits of the request for the choice of a server: a response has its full
-    /// value until the objective, and less until the deadline.
+    /// Returns the remaining time until the objective and the deadline, the expected run time and
+    /// the urgency of the request, as input for the choice of a server. A response has its full
+    /// value until the objective and a lower value until the deadline. An objective that is closer
+    /// than [`ATTEMPT_MS_MIN`] counts as passed.
     pub(super) fn demand(&self, entry: &Entry) -> Demand {
         let objective_ms = self.times.objective_ms.saturating_sub(clock::now_ms());
         let run_share = if entry.settings.policy.runs_by_route {
@@ -133,12 +141,13 @@
             .has_lower_priority_requests(&self.service, priority)
     }
 
-    /// Returns the time since the request arrived at this host.
+    /// Returns the time since the request arrived at this host, in milliseconds.
     pub(super) fn elapsed_ms(&self) -> u64 {
         clock::now_ms().saturating_sub(self.times.arrived_ms)
     }
 
-    /// Makes attempts until one succeeds or the request is refused or fails.
+    /// Makes attempts until a server answers the request, or until the request is refused or fails;
+    /// returns the response for the caller.
     pub(super) async fn run(
         &mut self,
         entry: &Arc<Entry>,
@@ -198,7 +207,7 @@
         refusal(refused)
     }
 
-    /// Returns a refusal with a retry time of one typical run of the service.
+    /// Returns a refusal whose retry time is the typical run time of a request of the service.
     pub(super) fn refused_for_one_run(&self, entry: &Entry, reason: &'static str) -> Refused {
         let run_ms = entry.view.registry().typical_run_ms(&self.service) as u64;
         Refused::after(reason, run_ms, &entry.settings.policy)
@@ -217,8 +226,9 @@
         }
     }
 
-    /// Handles a failed connection attempt: the next attempt goes to another server, or to the same
-    /// one if it holds the key. Returns a response if no further attempt is made.
+    /// Handles a failed connection attempt. The next attempt goes to another server, or to the
+    /// current owner of the key if the request has a key. Returns a response if no further attempt
+    /// is made.
     async fn not_sent(
         &mut self,
         entry: &Entry,
@@ -261,8 +271,9 @@
         if status != StatusCode::MISDIRECTED_REQUEST {
             server.failed();
         } else if self.key.is_some() && self.fences.0 == self.fences.1 {
-            // A server that was just granted the key may need some milliseconds to hold it. Two
-            // such responses in a row under the same fence show that it does not hold the key.
+            // A server that was granted the key a moment ago may need some milliseconds before it
+            // serves the key. Two 421 responses in a row under the same fence show that the server
+            // does not hold the key.
             entry.view.note_not_held(&self.service, self.fences.0);
         }
         let logged = format!("the server answered {status}, not run");
@@ -342,7 +353,8 @@
         entry.metrics.request(&self.service, outcome, after_ms);
     }
 
-    /// Writes a log event for a decision about the request.
+    /// Writes a log event for a decision about the request, with the current state of the server
+    /// chosen last.
     fn log(&self, decision: &'static str, reason: String) {
         Event::Request {
             request_id: self.request_id.to_owned(),
--- a/src/entry/forward/head.rs
+++ b/src/entry/forward/head.rs
@@ -1,4 +1,5 @@
-//! Headers of forwarded requests and responses, and the responses that the host makes itself.
+//! Headers of forwarded requests and responses, and the responses that this host generates itself,
+//! such as refusals.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode, Uri, header, response};
@@ -21,8 +22,10 @@
     header::EXPECT,
 ];
 
-/// Returns true for the statuses with which a server states that it did not run the request, so
-/// that even an unrepeatable request may be sent again.
+/// Returns true for the statuses that usually mean that a server did not run the request, so that a
+/// caller may send even an unrepeatable request again. The status alone is no proof: unless the
+/// server also states that it did not run the request (`headers::says_not_run`), the request may
+/// have run.
 pub fn promises_not_run(status: StatusCode) -> bool {
     matches!(
         status,
@@ -61,7 +64,7 @@
     Response::from_parts(head, body)
 }
 
-/// Returns a response that the host itself makes, with the message as `text/plain` body.
+/// Returns a response that this host generates itself, with the message as `text/plain` body.
 pub fn plain_text(status: StatusCode, message: &str) -> Response<ResponseBody> {
     buffered(
         status,
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -36,8 +36,8 @@
 /// Time until the deadline of requests without a deadline header; the route's timeout also limits
 /// it.
 const DEADLINE_DEFAULT_MS: u64 = 30_000;
-/// Minimum time between a request's deadline and the stop of the process; with less, the request is
-/// refused.
+/// Minimum time between a request's deadline and the stop of this process. A request whose deadline
+/// is closer to the stop, or later, is refused.
 const STOP_MARGIN_MS: u64 = 100;
 
 /// Handles one request of a caller and returns the response. While the host is stopping, the
@@ -132,7 +132,7 @@
     }
 }
 
-/// Route, workspace and time limits of a caller's request.
+/// Route and workspace of a caller's request, with its arrival time, objective and deadline.
 struct CallerRequest {
     route: Arc<Route>,
     workspace: Option<WorkspaceKey>,
@@ -171,7 +171,8 @@
     .log();
 }
 
-/// Returns true if the workspace's quota admits the request; always true without a workspace.
+/// Returns true if the workspace's quota admits the request; always true for a request without a
+/// workspace.
 fn is_within_quota(
     entry: &Entry,
     configuration: &Configuration,
@@ -243,7 +244,8 @@
     forwarded_request.run(entry, &mut payload).await
 }
 
-/// Picks one of a route's services at random, in proportion to the weights.
+/// Picks one of a route's services at random, in proportion to their weights. `None` if the route
+/// has no service, or several services whose weights are all 0.
 fn choose_target(parts: &[RouteTarget]) -> Option<&RouteTarget> {
     if parts.len() == 1 {
         return parts.first();
