--- a/src/entry/crashes/broken_connections.rs
+++ b/src/entry/crashes/broken_connections.rs
@@ -14,7 +14,7 @@
     count: u32,
     /// Time of the latest broken connection; 0 if there was none.
     latest_ms: u64,
-    /// Time at which a probe found that the server had crashed; 0 if none did.
+    /// Time at which a probe found that the server had crashed; 0 if no probe did.
     crashed_ms: u64,
     /// True while a liveness probe of the server runs.
     is_probed: bool,
@@ -34,8 +34,8 @@
         !std::mem::replace(&mut state.is_probed, true)
     }
 
-    /// Records the result of a liveness probe, so that a later broken connection can start another
-    /// one.
+    /// Records the result of a liveness probe. After this call a later broken connection can start
+    /// another probe.
     pub fn end_probe(&self, has_crashed: bool) {
         let mut state = self.state();
         state.is_probed = false;
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Returns the number of broken connections so far; wraps around.
+    /// Returns the number of broken connections so far, which wraps around. A change of the number
+    /// during a probe shows that connections continue to break.
     pub fn count(&self) -> u32 {
         self.state().count
     }
--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -1,12 +1,12 @@
 //! Detects server crashes, and quarantines (no longer forwards) requests that crash servers.
 //!
-//! A host whose connections to a server break probes whether the server has crashed. It then
-//! reports to the other hosts which of its requests were in flight there: the suspects. All hosts
-//! count this evidence, both for each caller and over all callers. While one server has crashed
-//! during a request, only one host at a time may run it, as a trial. With enough crashes the
-//! request is quarantined: the leader names it in each heartbeat and keeps it in the store. So a
-//! request that is retried at any host, even after the loss of all hosts, reaches no further
-//! server.
+//! A host whose connections to a server break probes whether the server has crashed. If so, the
+//! host reports to the other hosts which of its requests were in flight at the server: the
+//! suspects. All hosts count these crashes as evidence against the suspects, both for each caller
+//! and over all callers. Once a server has crashed during a request, only one host at a time may
+//! run the request, in a single supervised attempt: a trial. After enough crashes the request is
+//! quarantined: the leader lists it in each heartbeat and in the store. A quarantined request that
+//! is retried at any host, even after the loss of all hosts, reaches no further server.
 
 pub mod broken_connections;
 mod probe;
@@ -41,8 +41,8 @@
 
 /// Interval at which crash reports are sent again, since datagrams may be lost.
 const RESEND_INTERVAL_MS: u64 = 500;
-/// Maximum number of quarantined requests in a heartbeat, which names the latest ones: 320 bytes.
-/// The store has all of them.
+/// Maximum number of quarantined requests in a heartbeat, which lists the most recent ones in 320
+/// bytes. The row in the store lists all of them.
 const HEARTBEAT_DIGESTS_MAX: usize = 32;
 
 /// State of one host's defence against requests that crash servers: reports, evidence, trials and
@@ -61,14 +61,17 @@
     reports: Mutex<Reports>,
     /// Quarantined requests as last read from or written to the store.
     stored: Mutex<StoredQuarantine>,
-    /// Notified when this host has detected a server crash.
+    /// Notified when this host has detected a server crash, to wake the task that sends crash
+    /// reports.
     crashed: Notify,
-    /// Notified when a request was quarantined.
+    /// Notified when a request was quarantined, to wake the task that writes the quarantine to the
+    /// store.
     quarantined: Notify,
 }
 
 impl Crashes {
-    /// Returns the remaining time of a request's quarantine; `None` if it is not quarantined.
+    /// Returns the remaining time of a request's quarantine, in milliseconds; `None` if the request
+    /// is not quarantined.
     pub fn remaining_ms(&self, digests: RequestDigests) -> Option<u64> {
         let quarantine = lock(&self.quarantine);
         let rests = digests.all();
@@ -77,7 +80,8 @@
             .max()
     }
 
-    /// Returns true if a server has crashed during a request, which may crash the next one too.
+    /// Returns true if there is evidence that a server has crashed during this caller's request or
+    /// during a request with the same content, so that the request may crash further servers.
     pub fn is_suspect(&self, digests: RequestDigests) -> bool {
         let now_ms = clock::now_ms();
         let tally = lock(&self.tally);
@@ -87,13 +91,14 @@
     }
 
     /// Returns true if a server has crashed during a request for the same path, and no server has
-    /// run one successfully since.
+    /// successfully run a request for this path since.
     pub fn is_path_suspect(&self, digests: RequestDigests) -> bool {
         lock(&self.path_tally).is_suspect(digests.any_path, clock::now_ms())
     }
 
-    /// Returns the digest whose trial is claimed: the content digest, which leaves out the caller,
-    /// if that is suspect; otherwise the digest of this caller's request without its query.
+    /// Returns the digest for which a trial of the request is claimed: the content digest, which
+    /// leaves out the caller, if the content is suspect; otherwise the digest of this caller's
+    /// request without its query.
     fn trial_digest(&self, digests: RequestDigests) -> RequestDigest {
         if lock(&self.path_tally).is_suspect(digests.content, clock::now_ms()) {
             digests.content
@@ -117,8 +122,8 @@
 }
 
 impl Entry {
-    /// Counts a crash of a server as evidence against its suspects, whether this host or another
-    /// one detected it.
+    /// Counts a crash of a server, detected by this host or another host, as evidence against the
+    /// requests in flight there, and quarantines those with enough evidence.
     pub(in crate::entry) fn note_suspects(
         &self,
         server_tag: u32,
@@ -136,8 +141,9 @@
         self.put_in_quarantine(&crossed_threshold, "servers ended under it");
     }
 
-    /// Records that a server has answered a request sent at `sent_ms` with success, so that the
-    /// request did not cause earlier crashes; announces it to all hosts if the request was suspect.
+    /// Records that a server has successfully answered a request sent at `sent_ms`, which shows
+    /// that the request did not cause earlier crashes. If the request was suspect, announces to all
+    /// hosts that it no longer is.
     pub(in crate::entry) fn note_success(&self, digests: RequestDigests, sent_ms: u64) {
         let sent_ago_ms = clock::now_ms().saturating_sub(sent_ms) as u32;
         for digest in digests.all() {
@@ -150,9 +156,9 @@
         }
     }
 
-    /// Clears the evidence against a request that succeeded; returns true if there was any. Crash
-    /// reports are sent three times: unless the reports are cleared too, a harmless request would
-    /// be suspect again half a second later.
+    /// Clears the evidence against a request that succeeded; returns true if there was evidence.
+    /// Crash reports are sent three times: unless the reports are cleared too, a harmless request
+    /// would be suspect again half a second later.
     pub(in crate::entry) fn clear_suspect(&self, digest: RequestDigest, sent_ms: u64) -> bool {
         let is_cleared = if digest.is_of_any_caller() {
             lock(&self.crashes.path_tally).clear(digest, sent_ms)
@@ -167,8 +173,9 @@
     }
 
     /// Claims the trial of a suspect request at a server, so that no other host runs the request
-    /// and no other suspect runs there: waits until the other hosts have had time to claim one of
-    /// them too. `Err` holds the time after which a blocking claim expires.
+    /// and no other suspect runs at the server. Sends the claims to the other hosts, and waits
+    /// [`CLAIM_WAIT_MS`] for their competing claims. `Err` holds the time in milliseconds after
+    /// which the claim that blocks this trial expires.
     pub(in crate::entry) async fn claim_trial(
         &self,
         digests: RequestDigests,
@@ -194,8 +201,8 @@
         if has_all {
             return Ok(());
         }
-        // The suspect was cleared meanwhile, or a host with a lower address has claimed the request
-        // or the server.
+        // While this host waited, the evidence against the request was cleared, which ends its
+        // claim, or a host with a lower address has claimed the request or the server.
         self.release_own_claims(claims);
         self.claim(claims)
     }
@@ -213,7 +220,8 @@
         claimed
     }
 
-    /// Releases the given claims, except those that have expired or that another host has got.
+    /// Releases the given claims, except those that have expired or were displaced by the claim of
+    /// another host.
     fn release_own_claims(&self, claims: [ClaimSubject; 2]) {
         let own = self.settings.listen.peers;
         let now_ms = clock::now_ms();
@@ -230,19 +238,20 @@
         self.peers.send_to_all(Message::TrialEnded(claimed));
     }
 
-    /// Records another host's claim. It displaces a claim of this host if the other host has the
-    /// lower address.
+    /// Records another host's claim, which displaces this host's claim of the same request or
+    /// server if the other host has the lower address.
     pub(in crate::entry) fn note_trial(&self, claimed: ClaimSubject, host: SocketAddr) {
         lock(&self.crashes.trials).note(claimed, host, clock::now_ms());
     }
 
-    /// Ends a claim at this host, so that the next suspect may run: the server answered the trial,
-    /// or the host that made the claim released it without a trial.
+    /// Ends a claim at this host, so that the next suspect may run. A claim ends when the server
+    /// has answered the trial, or when the claiming host releases the claim without a trial.
     pub(in crate::entry) fn note_trial_end(&self, claimed: ClaimSubject) {
         lock(&self.crashes.trials).end(claimed);
     }
 
-    /// Ends the trial of a suspect that a server has answered, at all hosts.
+    /// Ends the trial of a suspect request after the server has answered it: releases the claims of
+    /// the request and the server at all hosts.
     pub(in crate::entry) fn end_trial(&self, digests: RequestDigests, server_tag: u32) {
         let claims = [
             ClaimSubject::Request(self.crashes.trial_digest(digests)),
@@ -253,8 +262,8 @@
         }
     }
 
-    /// Quarantines requests, so that this host no longer forwards them. `source`
-    /// names the origin in the log.
+    /// Quarantines requests, so that this host no longer forwards them. `source` says in the log
+    /// event why, or from where this host learned of the quarantine.
     pub(in crate::entry) fn put_in_quarantine(
         &self,
         digests: &[RequestDigest],
@@ -287,7 +296,7 @@
                 self.send_crash_report(report);
             }
             let pause = Duration::from_millis(RESEND_INTERVAL_MS);
-            // Reports that are due are sent after a crash and after the timeout.
+            // The loop sends the due reports both after a crash and after the timeout.
             if time::timeout(pause, self.crashes.crashed.notified())
                 .await
                 .is_ok()
--- a/src/entry/crashes/probe.rs
+++ b/src/entry/crashes/probe.rs
@@ -10,19 +10,21 @@
     entry::{Entry, digest::RequestDigest, events::Event, pool::ConnectError, server::Server},
 };
 
-/// Delay between a broken connection and the first probe: a crashing process closes its sockets one
-/// by one.
+/// Delay between a broken connection and the first probe. A crashing process closes its sockets one
+/// by one, so its listening socket may still accept connections for a moment.
 const PROBE_AFTER_MS: u64 = 30;
-/// Delay before further probes while connections continue to break, as those to an overloaded
-/// server may. Each probe may cost the server a connection.
+/// Delay before each further probe while connections to the server continue to break. Connections
+/// to an overloaded server may break without a crash, and each probe may open another connection to
+/// that server.
 const PROBE_AGAIN_MS: u64 = 300;
-/// Timeout of a probe's connection attempt. A timeout does not count as a crash; only a refused
-/// connection does.
+/// Timeout of a probe's connection attempt. Only a refused connection counts as a crash; a timeout
+/// does not.
 const PROBE_CONNECT_MS: u64 = 400;
 
 impl Entry {
-    /// Starts a liveness probe after a connection to a server broke, unless one runs already or the
-    /// server is known to have crashed. The probe is repeated while connections continue to break.
+    /// Starts a liveness probe after a connection to a server broke, unless a probe of the server
+    /// is running or the server is known to have crashed. The probe is repeated while connections
+    /// continue to break.
     pub(in crate::entry) fn probe_liveness(self: &Arc<Self>, server: &Arc<Server>) {
         if !server.broken_connections.note(server.answered_ms()) {
             return;
@@ -47,7 +49,7 @@
     }
 
     /// Records that a server has crashed, and reports the requests of this host that were in flight
-    /// there; does nothing if there were none.
+    /// at the server; does nothing if no request was in flight.
     fn note_crash(&self, server: &Server) {
         let suspects = server.suspects();
         let Suspects { digests, shared } = &suspects;
@@ -62,8 +64,8 @@
         }
         .log();
         self.note_suspects(server.tag, digests, shared);
-        // In a mass crash only the leader gets the reports: a lost zone of 216 servers would mean
-        // 2,600 reports for each of 295 hosts.
+        // In a mass crash (many servers crash at once) the reports go only to the leader: after the
+        // loss of a zone with 216 servers, each of 295 hosts would otherwise get 2,600 reports.
         let to_all = !lock(&self.crashes.tally).has_recent_mass_crash(clock::now_ms());
         lock(&self.crashes.reports).add(server.tag, suspects, to_all);
         self.crashes.crashed.notify_one();
--- a/src/entry/crashes/reports.rs
+++ b/src/entry/crashes/reports.rs
@@ -7,7 +7,7 @@
 /// Maximum number of reports that are kept for later leaders; the oldest are dropped.
 const REPORTS_MAX: usize = 64;
 
-/// Requests in flight at a server when it crashed.
+/// Suspects: requests of this host that a server may have been running when it crashed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Suspects {
     /// Digests of the requests that include the caller.
@@ -30,13 +30,13 @@
 pub struct Report {
     /// Tag of the server: a hash that names it in messages.
     pub server_tag: u32,
-    /// Digests, including the caller, of this host's requests that were in flight there.
+    /// Digests, including the caller, of this host's requests that were in flight at the server.
     pub digests: Vec<RequestDigest>,
     /// Digests of the same requests that leave out the caller.
     pub shared: Vec<SharedSuspect>,
     /// True if the report goes to all hosts, not only to the leader.
     pub to_all: bool,
-    /// Term of the leader that the report was last sent to; 0 before the first.
+    /// Term of the leader when the report was last sent; 0 before it is first sent.
     sent_term: u64,
     /// Number of times that the report was sent in that term, at most [`SEND_TIMES`].
     sent_count: u32,
@@ -64,8 +64,8 @@
     }
 
     /// Returns the reports to send now, given the term of the current leader. Each new leader gets
-    /// all reports again, since it may have started after the crash. The other hosts received them
-    /// in an earlier term.
+    /// all reports again, because the leader may have started after the crashes. In a later term
+    /// the reports go only to the leader, because the other hosts received them in an earlier term.
     pub fn due(&mut self, term: u64) -> Vec<Report> {
         let mut due = Vec::new();
         for report in &mut self.0 {
--- a/src/entry/crashes/stored.rs
+++ b/src/entry/crashes/stored.rs
@@ -37,8 +37,8 @@
 }
 
 impl Entry {
-    /// Quarantines the requests of a row that was read from the store, unless the row is older than
-    /// the known one.
+    /// Quarantines the requests of a row that was read from the store, unless this host already
+    /// knows this or a later version of the row.
     pub(in crate::entry) fn apply_quarantine(&self, row: &Row) {
         let digests = if row.removed {
             Vec::new()
@@ -64,11 +64,11 @@
         self.put_in_quarantine(&digests, "the store has it");
     }
 
-    /// Keeps the row in the store up to date while this host is the leader.
+    /// Keeps the row of quarantined requests in the store up to date while this host is the leader.
     pub(in crate::entry) async fn keep_quarantine_stored(self: Arc<Self>) {
         loop {
             let pause = Duration::from_millis(STORE_CHECK_INTERVAL_MS);
-            // The row is compared after a request was quarantined and after the timeout.
+            // The loop compares the row both after a request was quarantined and after the timeout.
             if time::timeout(pause, self.crashes.quarantined.notified())
                 .await
                 .is_ok()
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Writes the quarantined requests to the store if they differ from the known row. If the row
-    /// was changed meanwhile, applies that change instead.
+    /// Writes the quarantined requests to the store if they differ from the known row. If another
+    /// host has changed the row meanwhile, applies the changed row instead.
     async fn store_quarantine(&self) {
         let digests = {
             let mut digests = lock(&self.crashes.quarantine).latest(clock::now_ms());
