--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -20,11 +20,12 @@
     platform::{headers, store::Feed},
 };
 
-/// Number of queries to the leader within the bound on revocations. Each refreshes the confirmation
-/// before it is too old.
+/// Number of queries that a host sends to the leader within the bound on revocations, which is the
+/// time after which a revoked API key must no longer be accepted. Each response refreshes the
+/// confirmation of the configuration before the confirmation exceeds the bound.
 const CONFIRMATIONS_PER_BOUND: u64 = 8;
-/// Age of the confirmation, in percent of the bound on revocations, from which a host queries the
-/// store itself.
+/// Age of the confirmation of the configuration, in percent of the bound on revocations, from which
+/// a host that is not the leader queries the store itself.
 const STORE_QUERY_PERCENT: u64 = 40;
 
 /// Reason why a caller is refused.
@@ -37,8 +38,8 @@
 }
 
 impl Entry {
-    /// Returns the workspace of a request, by its API key; `None` if the route or the configuration
-    /// needs none.
+    /// Returns the workspace of a request, by its API key; `None` if the route is public or the
+    /// configuration has no workspaces.
     pub(super) fn workspace_of(
         &self,
         configuration: &Configuration,
@@ -61,9 +62,10 @@
         }
     }
 
-    /// Returns the time since the configuration in force was confirmed to be the latest one; `None`
-    /// if it never was, or the latest one cannot be decoded. Without a bound on revocations, a
-    /// recent report of the leader or a relay that shows no later change counts as confirmation.
+    /// Returns the time since the configuration in force was confirmed to be the latest one, in
+    /// milliseconds. `None` if it was never confirmed, or if the latest configuration cannot be
+    /// decoded. Without a bound on revocations, a recent report of the leader or a relay that shows
+    /// no later change counts as confirmation.
     fn configuration_age_ms(&self) -> Option<u64> {
         let followed = FollowedTable::Configuration;
         let is_confirmed_by_leader = self.freshness.is_store_confirmed()
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Queries the leader for the age of its confirmed configuration. The nonce matches the
-    /// response to the time of this query.
+    /// Queries the leader for the age of the leader's own confirmation of the configuration. The
+    /// response repeats the nonce, by which this host finds the time of the query.
     fn query_confirmation(&self) {
         let nonce = rand::random();
         self.confirmation.start_query(nonce, clock::now_ms());
@@ -127,7 +129,8 @@
                 self.confirmation.note(sent_ms);
                 true
             }
-            // The store no longer has the changes: the feed of the table will read the whole table.
+            // The store no longer has the changes since `after`. The task that follows the feed of
+            // the table reads the whole table instead.
             Ok(Feed::HistoryGone) => true,
             Err(error) => {
                 log::debug!("configuration not confirmed by the store: {error}");
@@ -137,8 +140,8 @@
     }
 
     /// Returns the age of this host's latest confirmation of its configuration, as the response to
-    /// another host's query. `None` if it was never confirmed, or the latest configuration cannot
-    /// be decoded.
+    /// another host's query. `None` if the configuration was never confirmed, or the latest one
+    /// cannot be decoded.
     pub(super) fn confirmation_for(&self, nonce: u64) -> Option<Message> {
         let age_ms = self.confirmation.age_ms(clock::now_ms())?;
         Some(Message::ConfigurationAge {
@@ -148,8 +151,8 @@
         })
     }
 
-    /// Records another host's response. It counts only if this host has a configuration at least as
-    /// recent as that host's.
+    /// Records another host's response to a query of this host. The response is ignored if the
+    /// other host knows a later change of the configuration than this host.
     pub(super) fn note_confirmation(&self, nonce: u64, age_ms: u32, changed: u64) {
         if self.freshness.changed(FollowedTable::Configuration) >= changed {
             self.confirmation.note_response(nonce, u64::from(age_ms));
--- a/src/entry/digest.rs
+++ b/src/entry/digest.rs
@@ -1,5 +1,5 @@
 //! Digests that identify a request across retries. A caller gives each retry a new request id, so
-//! the id cannot be used for this.
+//! the id does not identify the request.
 
 use std::fmt;
 
@@ -12,8 +12,9 @@
     transport::{CallerAddress, header_text},
 };
 
-/// Bytes of a body that a digest covers. Only the beginning of a long body is buffered, and its
-/// length depends on the network.
+/// Number of bytes at the beginning of a body that a digest covers. Of a long body only the
+/// beginning is buffered, with a length that depends on the network; without this maximum, the
+/// digests of two retries could differ.
 const BODY_BYTES_MAX: usize = 64 * 1024;
 
 /// Hash of the parts of a request that its retries have in common.
@@ -38,7 +39,8 @@
     /// Covers method, host, path, caller, body and query: a single query among many may crash
     /// servers.
     pub whole: RequestDigest,
-    /// The same without the query, which may differ at each retry.
+    /// Covers method, host, path, caller and body, but not the query, which may differ at each
+    /// retry.
     pub path: RequestDigest,
     /// Covers method, host, path, body and query, but not the caller: many callers may send the
     /// same request.
@@ -50,8 +52,9 @@
 }
 
 impl RequestDigests {
-    /// Computes the digests of a request with its body, or with the beginning of a long one. The
-    /// caller is identified by its address: two callers may read the same path at the same time.
+    /// Computes the digests of a request from its head and its body, or the beginning of a long
+    /// body. The caller is identified by its address, because two callers may read the same path at
+    /// the same time.
     pub fn of(head: &request::Parts, body: &[u8]) -> Self {
         let host = header_text(&head.headers, "host").unwrap_or_default();
         let caller = head.extensions.get::<CallerAddress>();
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -70,9 +70,10 @@
     }
 }
 
-/// Number of keys in a partition, whose assigned ranges share one row of the store. A row has a
-/// bounded size: with this limit the assigned ranges fit it with any number of servers, and a move
-/// writes only the rows that it concerns.
+/// Number of keys in a partition. The assigned ranges of a partition share one row of the store,
+/// and the size of a row is bounded: the at most 1,024 assigned ranges of a partition fit into a
+/// row with any number of servers. A move of keys writes only the rows of the partitions that it
+/// changes.
 const PARTITION_KEYS: u16 = 1_024;
 
 /// Partition of the keys: consecutive keys whose assigned ranges share one row of the store. An
@@ -141,12 +142,13 @@
 pub struct AssignedRange {
     /// Keys that are assigned. No other assigned range of the service contains any of them.
     pub range: KeyRange,
-    /// Incarnation id of the server. A restarted server gets a new one, even under the same name.
+    /// Incarnation id of the server. A restarted server gets a new id, even under the same name.
     pub server: Arc<str>,
-    /// Fence that the grant of the keys carries. A later owner of any of them has a higher one.
+    /// Fence that the grant of the keys carries. A later owner of any of these keys gets them under
+    /// a higher fence.
     pub fence: u64,
-    /// Former server that may still hold the keys: they may be granted only after it has released
-    /// them or its lease has expired.
+    /// Former server that may still hold the keys; `None` once it no longer does. The keys may be
+    /// granted to `server` only after the former server has released them or its lease has expired.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub from: Option<Arc<str>>,
 }
@@ -230,7 +232,7 @@
 
     /// Merges the rows of all partitions. Rows may have been read at different times, or written by
     /// a version that had one row for all keys: where assigned ranges overlap, the one with the
-    /// higher fence wins.
+    /// higher fence gets the keys.
     pub fn join<'a>(rows: impl Iterator<Item = &'a Self>) -> Self {
         let mut whole = Self::default();
         for row in rows {
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -22,11 +22,11 @@
 /// Idle time after which a connection is not reused if the server names no keep-alive timeout.
 /// Servers on the known sites close idle connections after 10 s.
 const IDLE_DEFAULT_MS: u64 = 4_000;
-/// Share of the server's keep-alive timeout up to which an idle connection is reused, so that it is
-/// not closed while a request is being sent.
+/// Share of the server's keep-alive timeout up to which an idle connection is reused, so that the
+/// server does not close the connection while a request is being sent.
 const IDLE_SHARE: f64 = 0.8;
-/// Timeout of a connection attempt. A lost SYN packet is sent again after a second, which is later
-/// than most requests can wait.
+/// Timeout of a connection attempt. The operating system resends a lost SYN packet only after a
+/// second, which is longer than most requests can wait.
 const CONNECT_TIMEOUT_MS: u64 = 400;
 
 /// Reason why a connection could not be opened.
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Takes the connection that was used last and can be reused, if there is one.
+    /// Takes the most recently used connection that can be reused; `None` if there is none. Closes
+    /// the connections that were used later but cannot be reused.
     pub fn take(&self) -> Option<Connection> {
         let now_ms = clock::now_ms();
         let mut idle = self.idle();
@@ -111,19 +112,22 @@
         None
     }
 
-    /// Returns true if there is an idle connection; it may turn out to be too old for reuse.
+    /// Returns true if the pool has an idle connection, even if [`Self::take`] would find the
+    /// connection closed or too old for reuse.
     pub fn has_idle(&self) -> bool {
         !self.idle().is_empty()
     }
 
-    /// Opens a connection, within the remaining time of the request.
+    /// Opens a connection. The attempt times out after `left_ms`, the remaining time of the
+    /// request, or after [`CONNECT_TIMEOUT_MS`] if that is shorter.
     pub async fn connect(&self, left_ms: u64) -> Result<Connection, ConnectError> {
         let limit = Duration::from_millis(left_ms.min(CONNECT_TIMEOUT_MS));
         let opened = time::timeout(limit, open(self.address)).await;
         opened.unwrap_or(Err(ConnectError::TimedOut))
     }
 
-    /// Adds a new connection on which nothing was sent yet.
+    /// Adds a new connection on which no request was sent, such as one that a liveness probe
+    /// opened.
     pub fn keep(&self, mut connection: Connection) {
         connection.idle_since_ms = clock::now_ms();
         self.idle().push(connection);
@@ -148,7 +152,8 @@
         self.idle().push(connection);
     }
 
-    /// Closes idle connections that are too old for reuse.
+    /// Closes the idle connections that are too old for reuse, and drops those that the server has
+    /// closed.
     pub fn sweep(&self) {
         let now_ms = clock::now_ms();
         let fresh = |c: &Connection| now_ms < c.idle_since_ms + c.idle_limit_ms;
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -18,13 +18,16 @@
 };
 use crate::clock;
 
-/// Interval of reports and announcements among few hosts. The excess over a quota, while a surge is
-/// not known yet, grows with it.
+/// Interval of reports and announcements among few hosts. Until the leader has announced a lower
+/// share after a surge of requests, hosts admit more than the quota; this excess grows with the
+/// interval.
 const REPORT_INTERVAL_MS: u64 = 150;
-/// Interval of reports per host: among many hosts the interval grows with their number, which
-/// bounds the number of messages that the leader receives.
+/// Interval of reports divided by the number of hosts, where many hosts share the quotas: the
+/// interval grows with their number, which bounds the number of messages that the leader receives.
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 1;
-/// Number of intervals without an announcement after which a host no longer relies on the last one.
+/// Number of intervals without an announcement after which a host no longer relies on the last
+/// announcement alone: it then also limits the requests that it admits by a token bucket of its
+/// own.
 const MISSED_ANNOUNCEMENTS: u64 = 4;
 /// Number of intervals after which an announcement also includes the workspaces below their quota.
 const FULL_ANNOUNCEMENT_EVERY: u64 = 6;
@@ -79,7 +82,8 @@
         }
     }
 
-    /// Returns the requests of each workspace since the last report, received and sent.
+    /// Returns the number of requests of each workspace that this host received and sent since its
+    /// last report, and starts the next count. Workspaces without requests are left out.
     fn take_report(&self) -> Vec<WorkspaceUse> {
         let mut state = self.state();
         let reports = state.shares.iter_mut().map(|(tag, share)| WorkspaceUse {
@@ -106,8 +110,9 @@
         }
     }
 
-    /// Returns the shares that hosts may admit, by the ledgers of the leader: those of all
-    /// workspaces if `is_for_all`, else only those that limit a workspace or have just ceased to.
+    /// Returns the shares of workspaces' requests that hosts may admit, computed by the leader from
+    /// its ledgers. If `is_for_all` is false, leaves out the workspaces within their quota whose
+    /// latest announced share did not limit them either.
     fn admitted(&self, workspaces: &Workspaces, is_for_all: bool) -> Vec<WorkspaceAdmitted> {
         let now_ms = clock::now_ms();
         let mut state = self.state();
@@ -146,12 +151,13 @@
         }
     }
 
-    /// Returns the share that the latest announcement lets hosts admit of a workspace's requests.
+    /// Returns the share of a workspace's requests that hosts may admit by the latest announcement;
+    /// `None` if no share was announced.
     pub fn announced(&self, workspace_tag: u32) -> Option<AdmittedShare> {
         self.state().shares.get(&workspace_tag)?.announced()
     }
 
-    /// Discards the ledgers of a host that is not the leader.
+    /// Discards the ledgers, which only the leader keeps.
     fn forget_ledgers(&self) {
         self.state().ledgers.clear();
     }
@@ -161,12 +167,14 @@
     }
 }
 
-/// Returns the quota of a workspace; `None` if it has none or is not known.
+/// Returns the quota of a workspace; `None` if the workspace has no quota or the configuration has
+/// no such workspace.
 fn quota_of(workspaces: &Workspaces, tag: u32) -> Option<Quota> {
     workspaces.by_tag(tag)?.quota
 }
 
-/// Logs that a workspace has reached its quota, or is below it again.
+/// Logs that a workspace has exceeded its quota, so that hosts refuse some of its requests, or that
+/// it is within the quota again.
 fn log_change(workspaces: &Workspaces, tag: u32, quota: Quota, admitted: AdmittedShare) {
     let Some(workspace) = workspaces.by_tag(tag) else {
         return;
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -18,8 +18,8 @@
 
 /// Interval of reports and announcements among few hosts.
 const REPORT_INTERVAL_MS: u64 = 150;
-/// Interval of reports per host: among many hosts the interval grows with their number, which
-/// bounds the number of messages that the leader receives.
+/// Interval of reports divided by the number of hosts, where there are many hosts: the interval
+/// grows with their number, which bounds the number of messages that the leader receives.
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 2;
 
 impl Entry {
@@ -72,7 +72,8 @@
         rates.collect()
     }
 
-    /// Sends limits and request rates as known to this host to the leader.
+    /// Sends the limits that servers advertised to this host, and the request rates of its callers,
+    /// to the leader.
     fn report_rates(&self, rates: Vec<ServerRate>) {
         for rates in rates.chunks(RATES_MAX) {
             if !self
@@ -132,7 +133,8 @@
         }
     }
 
-    /// Records the limits that another host reported or announced.
+    /// Records the limits that a host reported to the leader or that the leader announced, dated by
+    /// the age in the message.
     fn note_limits(&self, rates: &[ServerRate], now_ms: u64) {
         let registry = self.view.registry();
         for rate in rates {
@@ -159,7 +161,8 @@
     })
 }
 
-/// Logs a change of a server's limit; `source` names where it was learned from.
+/// Logs the rate limit of a server if `is_change` is true; `source` says in the log event from
+/// where this host learned the limit.
 fn log_change(server: &Server, is_change: bool, source: &'static str) {
     if !is_change {
         return;
--- a/src/entry/running_requests.rs
+++ b/src/entry/running_requests.rs
@@ -10,11 +10,12 @@
 /// to work on it after its caller disconnected or its deadline passed.
 const ABANDONED_MS: u64 = 2_000;
 
-/// A request that was abandoned without a response.
+/// Request that this host abandoned without a response, because its caller disconnected, its
+/// deadline passed or its connection broke.
 #[derive(Clone, Copy, Debug)]
 struct AbandonedRequest {
     digests: RequestDigests,
-    /// Time at which it was abandoned.
+    /// Time at which this host abandoned the request, by its clock.
     at_ms: u64,
 }
 
@@ -47,7 +48,7 @@
         self.end(digests);
     }
 
-    /// Removes a request from those in flight.
+    /// Removes a request from those in flight; identical requests in flight stay.
     fn end(&mut self, digests: RequestDigests) {
         let mut running = self.running.iter();
         if let Some(place) = running.position(|running| *running == digests) {
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Records that a request was abandoned without a response. Its trial is kept as long as the
-    /// request counts as running.
+    /// Records that a request was abandoned without a response. If the request is a trial, it stays
+    /// a trial as long as it counts as running.
     pub fn abandoned(&mut self, digests: RequestDigests, now_ms: u64) {
         self.end(digests);
         self.abandoned
@@ -71,7 +72,8 @@
         });
     }
 
-    /// Returns the distinct digests of the requests that the server may be running, by caller.
+    /// Returns the distinct digests, including the caller, of the requests that the server may be
+    /// running.
     pub fn suspects(&self, now_ms: u64) -> Vec<RequestDigest> {
         let running = self.latest(now_ms);
         let mut digests: Vec<RequestDigest> = running.flat_map(RequestDigests::iter).collect();
@@ -80,7 +82,8 @@
         digests
     }
 
-    /// Returns the caller-independent digests of the requests that the server may be running.
+    /// Returns the distinct digests, without the caller, of the requests that the server may be
+    /// running.
     pub fn shared_suspects(&self, now_ms: u64) -> Vec<SharedSuspect> {
         let suspects = self.latest(now_ms).flat_map(|digests| {
             let is_trial = self.trials.contains(&digests);
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -13,8 +13,8 @@
 /// Rate limit of one server as this host knows it, with the rate at which this host sends.
 #[derive(Debug, Default)]
 pub struct SharedRate {
-    /// Advertised limit and other notices; shared with the record that is kept while the server's
-    /// entry is gone.
+    /// Advertised limit and other notices of the server, shared with the registry, which keeps them
+    /// if the entry of the server is removed.
     notices: Arc<Mutex<Notices>>,
     share: Mutex<Share>,
     /// Rate of the requests that this host sends to the server.
@@ -45,8 +45,8 @@
         notices.rate_limit.take_change()
     }
 
-    /// Records the limit that a response to another host advertised; returns true if the change
-    /// should be logged.
+    /// Records the limit that a response to any host advertised, as another host reported or
+    /// announced it; returns true if the change should be logged.
     pub fn note_limit(&self, limit: AdvertisedLimit) -> bool {
         let mut notices = self.notices();
         notices.rate_limit.note(limit);
@@ -81,7 +81,7 @@
         self.notices().rate_limit.latest()
     }
 
-    /// Returns the latest limit that the server advertised to this host.
+    /// Returns the latest limit that the server advertised to this host; `None` before the first.
     pub fn own(&self) -> Option<AdvertisedLimit> {
         self.notices().rate_limit.own()
     }
@@ -91,18 +91,19 @@
         self.share().demand.note(is_urgent, clock::now_ms());
     }
 
-    /// Returns the request rates of this host's callers, for a report that is sent now.
+    /// Returns the request rates of this host's callers for a report to the leader, and remembers
+    /// them as the last reported rates.
     pub fn report_demand(&self, now_ms: u64) -> DemandRates {
         self.share().demand.report(now_ms)
     }
 
-    /// Records the request rates of the callers of all hosts.
+    /// Records the request rates of the callers of all hosts, as summed by the leader.
     pub fn note_demand_sum(&self, sum: DemandRates, now_ms: u64) {
         self.share().demand.note_sum(sum, now_ms);
     }
 
-    /// Returns this host's share of the limit for a request, if `hosts` hosts share the limit;
-    /// `None` if the server is unlimited.
+    /// Returns this host's share of the limit for an urgent or another request, if `hosts` hosts
+    /// share the limit; `None` if the server is unlimited.
     pub fn rate_share(&self, hosts: usize, is_urgent: bool) -> Option<RateShare> {
         let now_ms = clock::now_ms();
         let shared_per_s = self.notices().rate_limit.shared_per_s(now_ms)?;
@@ -114,7 +115,8 @@
         )
     }
 
-    /// Returns true if the token bucket of this host's share has a token for a request now.
+    /// Returns true if the token bucket of this host's share has a token for a request. The token
+    /// is not removed; see [`Self::take_token`].
     pub fn has_token(&self, rate_share: RateShare) -> bool {
         let bucket = &mut self.share().bucket;
         bucket.has_token(rate_share.bucket_per_s, clock::now_ms())
--- a/src/entry/workspaces.rs
+++ b/src/entry/workspaces.rs
@@ -16,14 +16,15 @@
 pub struct Workspace {
     /// Name from the configuration, by which operators and servers know the workspace.
     pub name: Arc<str>,
-    /// Tag that names it in messages between hosts: a hash of its name.
+    /// Tag that identifies the workspace in messages between hosts: a hash of its name.
     pub tag: u32,
-    /// Priority of its requests, which takes precedence over that of their routes; 0 is the
-    /// highest.
+    /// Priority of the workspace's requests, which takes precedence over the priorities of their
+    /// routes; 0 is the highest.
     pub priority: u32,
-    /// Rate limit of its requests at all hosts together; `None` if unlimited.
+    /// Rate limit of the workspace's requests at all hosts together; `None` if the workspace is
+    /// unlimited.
     pub quota: Option<Quota>,
-    /// Regions where its requests may be served; empty for all.
+    /// Regions where the workspace's requests may be served; empty if all regions may serve them.
     pub regions: Vec<Arc<str>>,
 }
 
@@ -40,8 +41,8 @@
     }
 }
 
-/// Keyed digest under which an API key is kept; it reveals nothing of the key outside of this
-/// process.
+/// Keyed digest (HMAC) of an API key, which this process keeps instead of the API key. The digest
+/// reveals nothing about the API key without the HMAC key, which only this process has.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ApiKeyDigest([u8; 32]);
 
@@ -89,8 +90,8 @@
         self.api_keys.get(&ApiKeyDigest::of(api_key)).copied()
     }
 
-    /// Returns the workspace at an index, which must be of this configuration; panics if it is too
-    /// large.
+    /// Returns the workspace at an index, which must belong to this configuration; panics if the
+    /// index is too large.
     pub fn get(&self, key: WorkspaceKey) -> &Workspace {
         &self.workspaces[key.0]
     }
