--- a/tests/entry_bodies.rs
+++ b/tests/entry_bodies.rs
@@ -1,4 +1,5 @@
-//! Pipelined requests, slow uploads and slow downloads.
+//! Tests pipelined requests, and slow uploads and downloads by so many callers that a host cannot
+//! buffer all bodies.
 
 mod platform_standin;
 
@@ -23,8 +24,9 @@
 const PIPELINED: usize = 8;
 /// Number of callers that send their request bodies slowly.
 const SLOW_CALLERS: usize = 500;
-/// Number of bytes that each slow caller sends of its body before it stops. No host may buffer them
-/// for all callers.
+/// Number of bytes that each slow caller sends of its body before it stops. A host must not buffer
+/// these bytes for all slow callers: together they exceed the memory of the smallest host,
+/// [`MEMORY_MB`].
 const SENT_BYTES: usize = 250_000;
 /// Length of the body that each slow caller announces.
 const BODY_BYTES: usize = 400_000;
@@ -168,7 +170,7 @@
         memory_mb < MEMORY_MB,
         "{memory_mb} MB with {SLOW_READERS} slow downloads"
     );
-    // Responses that have begun are delivered completely.
+    // The slow readers still get complete responses.
     for mut stream in reading {
         let mut rest = Vec::new();
         let read = time::timeout(Duration::from_secs(10), stream.read_to_end(&mut rest)).await;
--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -38,17 +38,19 @@
 const OTHER_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2));
 /// Number of crashes under one request after which hosts must quarantine it.
 const CRASHES_NEEDED: usize = 3;
-/// Number of runs that the users allow after those crashes and the detection time.
+/// Number of runs of the crashing request that the users allow after [`CRASHES_NEEDED`] crashes and
+/// [`DETECTION_TIME`].
 const LATE_RUNS_MAX: usize = 3;
-/// Number of further crashes allowed, caused by attempts that were in flight.
+/// Number of further crashes that are allowed, because attempts may be in flight when the request
+/// is quarantined.
 const CRASHES_IN_FLIGHT: usize = 1;
 /// Time within which all hosts must know of a crash.
 const DETECTION_TIME: Duration = Duration::from_millis(3_000);
-/// Time within which a key has a server again after a crash: the lease, and the grant to the next
-/// server.
+/// Time within which a key has a server again after a crash: the remaining lease of the crashed
+/// server, and the grant to the next server.
 const KEY_FAILOVER_TIME: Duration = Duration::from_secs(6);
-/// Time at the end of a test for which the share of served harmless requests is checked: the keys
-/// must have servers again.
+/// Period at the end of a test in which the share of served harmless requests is checked, when the
+/// keys must have servers again.
 const STEADY_TIME: Duration = Duration::from_secs(3);
 
 async fn send(host: &Host, caller: IpAddr, method: &str, path: &str) -> Option<CallerResponse> {
@@ -121,8 +123,8 @@
         site.hosts.iter().any(has_taken_leadership)
     })
     .await;
-    // The bounds do not apply to hosts that have just started: they have not read the shared secret
-    // yet and receive no messages.
+    // The bounds do not apply to hosts that have just started: such hosts have not read the shared
+    // secret yet and cannot receive messages of other hosts.
     time::sleep(DETECTION_TIME).await;
     site.record.set_crash_path(Some(CRASH_PATH));
     (site, crashable)
@@ -174,8 +176,8 @@
     let is_late = |crash: &&Instant| known.is_some_and(|known| **crash > known + DETECTION_TIME);
     let late = crashes.iter().filter(is_late);
     assert_eq!(late.count(), 0, "servers crashed after the detection time");
-    // The caller gets a response at once that says that the request has not run. Requests of other
-    // callers are served.
+    // The caller of the quarantined request gets an immediate response which says that the request
+    // has not run. Requests of other callers are served.
     for host in &site.hosts {
         let sent_at = Instant::now();
         let response = read(host, CALLER, CRASH_PATH).await.expect("a response");
@@ -272,9 +274,9 @@
     );
 }
 
-/// Guards against a harmless request becoming suspect again: it was in flight at a server that
-/// crashed, and is answered at another host. The success must count even while the first host sends
-/// its crash report again.
+/// Guards against a harmless request becoming suspect again. The request was in flight at a server
+/// that crashed, and a retry at another host is answered. The success must clear the request even
+/// while the first host sends its crash report again.
 #[tokio::test]
 async fn a_success_at_any_host_clears_a_request_for_good() {
     const ORDER: &str = "/orders/deadly";
@@ -294,8 +296,9 @@
 
 /// Guards against concurrent attempts of a crashing request that crash several servers. The
 /// attempts wait while the key has no server, and then all reach the next server before it has
-/// crashed. The users count runs, so even two servers may be too many. When hosts waited for three
-/// crashes, there were two runs on each of the first two servers and four on the third.
+/// crashed. The users count runs of the request, so even two crashed servers may be too many. When
+/// hosts quarantined the request only after three crashes, there were two runs on each of the first
+/// two servers and four on the third.
 #[tokio::test]
 async fn concurrent_attempts_do_not_run_concurrently_after_a_server_has_crashed() {
     const CRASH_READ_PATH: &str = "/keyed/deadly";
@@ -409,7 +412,7 @@
     }
 }
 
-/// Attempts to read crash paths, each by another caller.
+/// Scenario in which many callers attempt to read crash paths, each attempt by another caller.
 #[derive(Clone, Copy, Debug)]
 struct ManyCallers {
     paths: &'static [&'static str],
@@ -485,8 +488,8 @@
     run_many_callers(scenario).await;
 }
 
-/// Checks two paths that many callers read under the same key at the same time: one crashes its
-/// servers, and the other one must be served.
+/// Checks two paths that many callers read under the same key at the same time: requests for one
+/// path crash their servers, and requests for the other path must be served.
 #[tokio::test]
 async fn a_key_is_served_while_one_of_its_paths_crashes_servers_for_many_callers() {
     const CRASH_READ_PATH: &str = "/keyed/deadly";
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -22,7 +22,7 @@
 /// Longest delay of a message, in the network or in the inbox of a suspended host.
 const DELAY_MAX_MS: u64 = 4_000;
 const HOSTS: usize = 4;
-/// Index of the leader, which queries the store; the other hosts query it.
+/// Index of the leader, which queries the store; the other hosts query the leader.
 const LEADER: usize = 0;
 
 /// API key with the times at which operators add and revoke it.
@@ -32,7 +32,7 @@
     revoked_ms: u64,
 }
 
-/// History of the configuration; every second version contains a key.
+/// Times at which operators change the configuration; every second version contains an API key.
 #[derive(Debug)]
 struct Operators {
     keys: Vec<Key>,
@@ -63,7 +63,7 @@
         changes.filter(|change_ms| *change_ms <= at_ms).count() as u64
     }
 
-    /// Returns when a version was written; 0 for the first.
+    /// Returns the time at which a version was written, in milliseconds; 0 for the first version.
     fn written_ms(&self, version: u64) -> u64 {
         let changes = self
             .keys
@@ -87,7 +87,8 @@
         age_ms: u64,
         version: u64,
     },
-    /// Configuration sent by another host, which proves nothing about its age.
+    /// Configuration sent by another host. The message does not prove how recent the configuration
+    /// is.
     Relayed { version: u64 },
 }
 
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -11,12 +11,12 @@
 const WINDOW_MS: u64 = 5_000;
 /// Excess over a quota that the users allow, as a share of the quota and the burst in a window.
 const OVERSHOOT: f64 = 0.1;
-/// Number of requests that the users allow in addition.
+/// Number of requests in a window that the users allow in addition to [`OVERSHOOT`].
 const SLACK: f64 = 20.0;
 /// Least share of the allowed requests that must be admitted.
 const SERVED_MIN: f64 = 0.9;
 const STEP_MS: u64 = 5;
-/// Most refused requests that are retried in one step.
+/// Maximum number of refused requests that callers retry in one step.
 const RETRIES_PER_STEP_MAX: usize = 15;
 const SIMULATED_MS: u64 = 30_000;
 /// Share of the datagrams that are lost.
@@ -38,7 +38,7 @@
     spread: Spread,
     /// True if callers retry refused requests at once.
     retries_at_once: bool,
-    /// Time span in ms without a leader.
+    /// Period in which there is no leader, in milliseconds since the beginning.
     without_leader: std::ops::Range<u64>,
 }
 
@@ -147,7 +147,8 @@
     }
 }
 
-/// Returns the largest number of requests in one window. `times` are those of the requests, in ms.
+/// Returns the largest number of requests in one window. `times` holds the time of each request, in
+/// milliseconds and in ascending order.
 fn most_in_window(times: &[u64]) -> usize {
     let mut first = 0;
     let mut most = 0;
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -24,8 +24,8 @@
     traffic::{Traffic, Workload},
 };
 
-/// Time after which a host must know a limit. Requests count from this time after the host has
-/// forwarded the response with the limit.
+/// Time after the arrival of a host's first response with a limit, from which the host must respect
+/// the limit. Requests that the server gets from the host earlier are not counted.
 const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 /// Time after a server first advertised a limit from which the bound holds. The users allow three
 /// seconds.
@@ -36,8 +36,8 @@
 /// times the limit.
 const EXCESS_MAX: f64 = 1.3;
 const SLACK: f64 = 5.0;
-/// Least share of the limits that must be used while demand is twice as high and no server has
-/// spare capacity.
+/// Least share of the limits that must be used while all servers advertise limits and demand is
+/// twice as high as the limits.
 const USED_MIN: f64 = 0.8;
 /// Least share of requests that must be served while other servers have capacity.
 const SERVED_MIN: f64 = 0.9;
@@ -129,7 +129,7 @@
         .apply_disturbance(disturbance, workload, LIMITED)
         .await;
     let named = AdvertisedLimits(vec![(began, 10.0)]);
-    // The bound does not apply to a host that was frozen.
+    // The bound does not apply to the first host, whose process was paused.
     let excused: &[usize] = if disturbance == Disturbance::FirstHostPaused {
         &[0]
     } else {
@@ -224,8 +224,9 @@
     time::sleep(Duration::from_secs(2)).await;
     server.advertise_limit(None);
     time::sleep(Duration::from_secs(7)).await;
-    // The number of requests that the server gets afterwards proves nothing: others have idle
-    // connections, and keys return only as far as the other servers are busy.
+    // The number of requests that the server gets after the withdrawal proves nothing: hosts prefer
+    // other servers to which they have idle connections, and keys return to the server only as far
+    // as the other servers are busy.
     let got_keys = server
         .received_requests()
         .iter()
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -1,5 +1,5 @@
-//! Callers with API keys: which requests run and for which workspace, the bound on revoked keys,
-//! and quotas.
+//! Tests callers with API keys: which requests run and for which workspace, the time within which
+//! revoked keys must be refused, and the quotas of workspaces.
 
 mod platform_standin;
 
@@ -17,7 +17,7 @@
     store::Faults,
 };
 
-/// Time after the revocation of a key from which it must not be accepted.
+/// Time after the revocation of an API key from which hosts must not accept the key.
 const REVOCATION_MS: u64 = 2_000;
 /// Time after the first start of a host in which it discovers the others.
 const DISCOVERY_MS: u64 = 4_000;
@@ -179,7 +179,8 @@
 async fn revoked_keys_are_not_accepted_past_the_bound() {
     let site = start(2, json!({})).await;
     let revoked = with_workspace(3, &["a later key"], json!({}));
-    // One host is stopped while the key is revoked, and continues after the bound.
+    // The process of one host is stopped while the key is revoked, and continues after
+    // [`REVOCATION_MS`].
     site.hosts[1].signal("STOP");
     site.store.put("op", "config", &revoked);
     time::sleep(Duration::from_millis(REVOCATION_MS + 200)).await;
