--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -13,7 +13,7 @@
 use super::{
     body::{MemoryReservation, Payload, Received, StreamedBody, receive},
     forwarded_request::ForwardedRequest,
-    head::{build_response, origin_form, promises_not_run, strip_hop_headers},
+    head::{build_response, origin_form, strip_hop_headers, suggests_not_run},
 };
 use crate::{
     clock,
@@ -225,7 +225,7 @@
                 "the response has a content encoding".to_owned(),
             ));
         }
-        if promises_not_run(head.status) {
+        if suggests_not_run(head.status) {
             let reason = format!(
                 "the server answered {} without stating that the request did not run",
                 head.status
--- a/src/entry/forward/head.rs
+++ b/src/entry/forward/head.rs
@@ -26,7 +26,7 @@
 /// caller may send even an unrepeatable request again. The status alone is no proof: unless the
 /// server also states that it did not run the request (`headers::says_not_run`), the request may
 /// have run.
-pub fn promises_not_run(status: StatusCode) -> bool {
+pub fn suggests_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE
