--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -74,8 +74,8 @@
     /// is not quarantined.
     pub fn remaining_ms(&self, digests: RequestDigests) -> Option<u64> {
         let quarantine = lock(&self.quarantine);
-        let rests = digests.all();
-        rests
+        let all_digests = digests.all();
+        all_digests
             .filter_map(|digest| quarantine.remaining_ms(digest, clock::now_ms()))
             .max()
     }
