--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -125,11 +125,11 @@
                 continue;
             };
             let admitted = ledger.admitted(quota, now_ms);
-            let bound = shares.get(tag).is_some_and(HostShare::is_limited);
-            if admitted.is_limiting() != bound {
+            let was_limited = shares.get(tag).is_some_and(HostShare::is_limited);
+            if admitted.is_limiting() != was_limited {
                 log_change(workspaces, *tag, quota, admitted);
             }
-            if admitted.is_limiting() || bound || is_for_all {
+            if admitted.is_limiting() || was_limited || is_for_all {
                 announced.push(WorkspaceAdmitted {
                     workspace_tag: *tag,
                     admitted,
