--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -121,8 +121,8 @@
     /// Opens a connection. The attempt times out after `left_ms`, the remaining time of the
     /// request, or after [`CONNECT_TIMEOUT_MS`] if that is shorter.
     pub async fn connect(&self, left_ms: u64) -> Result<Connection, ConnectError> {
-        let limit = Duration::from_millis(left_ms.min(CONNECT_TIMEOUT_MS));
-        let opened = time::timeout(limit, open(self.address)).await;
+        let timeout = Duration::from_millis(left_ms.min(CONNECT_TIMEOUT_MS));
+        let opened = time::timeout(timeout, open(self.address)).await;
         opened.unwrap_or(Err(ConnectError::TimedOut))
     }
 
