--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -52,7 +52,7 @@
     /// Ledgers of all hosts' requests, by workspace tag; kept while this host is the leader.
     ledgers: HashMap<u32, Ledger>,
     /// Time at which the last announcement was received; `None` before the first.
-    heard_ms: Option<u64>,
+    announced_ms: Option<u64>,
 }
 
 impl Quotas {
@@ -65,10 +65,10 @@
         let now_ms = clock::now_ms();
         let mut state = self.state();
         let kept_ms = MISSED_ANNOUNCEMENTS * report_interval_ms(hosts);
-        let heard_ms = state.heard_ms;
+        let announced_ms = state.announced_ms;
         let context = QuotaContext {
             hosts,
-            is_confirmed: heard_ms.is_some_and(|heard_ms| now_ms <= heard_ms + kept_ms),
+            is_confirmed: announced_ms.is_some_and(|announced_ms| now_ms <= announced_ms + kept_ms),
         };
         let share = state.shares.entry(workspace.tag).or_default();
         share.admits(quota, context, rand::random(), now_ms)
@@ -144,7 +144,7 @@
     pub(super) fn note_announced(&self, announced: &[WorkspaceAdmitted]) {
         let now_ms = clock::now_ms();
         let mut state = self.state();
-        state.heard_ms = Some(now_ms);
+        state.announced_ms = Some(now_ms);
         for announcement in announced {
             let share = state.shares.entry(announcement.workspace_tag).or_default();
             share.note_announced(announcement.admitted, now_ms);
