--- a/src/entry/running_requests.rs
+++ b/src/entry/running_requests.rs
@@ -87,11 +87,11 @@
     pub fn shared_suspects(&self, now_ms: u64) -> Vec<SharedSuspect> {
         let suspects = self.latest(now_ms).flat_map(|digests| {
             let is_trial = self.trials.contains(&digests);
-            let widths = [
+            let scopes = [
                 (digests.content, DigestScope::Content),
                 (digests.any_path, DigestScope::Path),
             ];
-            widths.map(|(digest, scope)| SharedSuspect {
+            scopes.map(|(digest, scope)| SharedSuspect {
                 digest,
                 scope,
                 caller_tag: digests.caller_tag,
