--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -205,9 +205,9 @@
     };
     let service = part.service.clone();
     let declared = configuration.service(&service);
-    let divided = declared.is_some_and(|service| service.sharded);
+    let is_sharded = declared.is_some_and(|service| service.sharded);
     let warmup = declared.and_then(|service| service.warmup);
-    let key = if divided {
+    let key = if is_sharded {
         let key = header_number(&head.headers, headers::KEY.as_str());
         match key.and_then(|key| u16::try_from(key).ok()) {
             Some(key) => Some(key),
