--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -74,9 +74,9 @@
         }
         let sent = Instant::now();
         let sent_ms = clock::now_ms();
-        let limit = Duration::from_millis(self.left_ms() + DEADLINE_SLACK_MS);
+        let timeout = Duration::from_millis(self.left_ms() + DEADLINE_SLACK_MS);
         let exchange = self.exchange(entry, server, &mut connection, request);
-        let (head, body) = match time::timeout(limit, exchange).await {
+        let (head, body) = match time::timeout(timeout, exchange).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(attempt)) => {
                 if matches!(attempt, AttemptOutcome::NotRun(_)) {
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -95,8 +95,8 @@
         return refusal(&Refused::soon(reason, &policy));
     };
     let reading = read_payload(body, reserved, &entry.body_memory);
-    let limit = Duration::from_millis(left_ms);
-    let payload = match time::timeout(limit, reading).await {
+    let timeout = Duration::from_millis(left_ms);
+    let payload = match time::timeout(timeout, reading).await {
         Ok(Ok(payload)) => payload,
         Ok(Err(error)) => return plain_text(StatusCode::BAD_REQUEST, &error.to_string()),
         Err(_) => {
