--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -67,11 +67,11 @@
     pub(super) digests: RequestDigests,
     pub(super) times: Times,
     /// Number of times that the request was sent without a usable response. Failed connection
-    /// attempts are counted in `connects` instead.
+    /// attempts are counted in `failed_connects` instead.
     pub(super) attempts: u32,
     /// Number of connection attempts that failed, over all servers; limited by [`CONNECTS_MAX`] or
     /// [`REFUSED_CONNECTS_MAX`].
-    pub(super) connects: u32,
+    pub(super) failed_connects: u32,
     /// Incarnation ids of servers at which an attempt failed. A request without a key is not sent
     /// to these servers again; a request with a key leaves the list empty.
     pub(super) tried: Vec<Arc<str>>,
@@ -237,14 +237,14 @@
         reason: &str,
     ) -> Option<Response<ResponseBody>> {
         server.not_connected();
-        self.connects += 1;
-        let quick = self.elapsed_ms() < u64::from(self.connects) * FAST_REFUSAL_MS;
+        self.failed_connects += 1;
+        let quick = self.elapsed_ms() < u64::from(self.failed_connects) * FAST_REFUSAL_MS;
         let connects_max = if quick && self.key.is_none() {
             REFUSED_CONNECTS_MAX
         } else {
             CONNECTS_MAX
         };
-        if self.connects >= connects_max || !payload.can_resend() {
+        if self.failed_connects >= connects_max || !payload.can_resend() {
             let logged = format!("no connection: {reason}");
             let refused = Refused::soon("no connection to the server", &entry.settings.policy);
             return Some(self.refuse(entry, logged, &refused));
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -235,7 +235,7 @@
         digests,
         times: *times,
         attempts: 0,
-        connects: 0,
+        failed_connects: 0,
         tried: Vec::new(),
         fences: (0, 0),
         last: None,
