--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -43,14 +43,14 @@
 /// Handles one request of a caller and returns the response. While the host is stopping, the
 /// response carries `Connection: close`.
 pub async fn answer(entry: Arc<Entry>, request: Request<Incoming>) -> Response<ResponseBody> {
-    let present = entry.track_request();
+    let request_guard = entry.track_request();
     let stopping_entry = entry.clone();
     let mut response = route(entry, request).await;
     if stopping_entry.stopping() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
-    drop(present);
+    drop(request_guard);
     response
 }
 
