--- a/src/entry/running_requests.rs
+++ b/src/entry/running_requests.rs
@@ -75,7 +75,7 @@
     /// Returns the distinct digests, including the caller, of the requests that the server may be
     /// running.
     pub fn suspects(&self, now_ms: u64) -> Vec<RequestDigest> {
-        let running = self.latest(now_ms);
+        let running = self.possibly_running(now_ms);
         let mut digests: Vec<RequestDigest> = running.flat_map(RequestDigests::iter).collect();
         digests.sort_unstable();
         digests.dedup();
@@ -85,7 +85,7 @@
     /// Returns the distinct digests, without the caller, of the requests that the server may be
     /// running.
     pub fn shared_suspects(&self, now_ms: u64) -> Vec<SharedSuspect> {
-        let suspects = self.latest(now_ms).flat_map(|digests| {
+        let suspects = self.possibly_running(now_ms).flat_map(|digests| {
             let is_trial = self.trials.contains(&digests);
             let scopes = [
                 (digests.content, DigestScope::Content),
@@ -105,7 +105,7 @@
     }
 
     /// Returns the requests in flight and those abandoned in the last [`ABANDONED_MS`].
-    fn latest(&self, now_ms: u64) -> impl Iterator<Item = RequestDigests> {
+    fn possibly_running(&self, now_ms: u64) -> impl Iterator<Item = RequestDigests> {
         let is_fresh = move |abandoned: &&AbandonedRequest| now_ms < abandoned.at_ms + ABANDONED_MS;
         let abandoned = self.abandoned.iter().filter(is_fresh);
         let abandoned = abandoned.map(|abandoned| abandoned.digests);
