--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -96,7 +96,7 @@
 struct Host {
     confirmation: ConfigurationConfirmation,
     version: u64,
-    cut_until_ms: u64,
+    partitioned_until_ms: u64,
     frozen_until_ms: u64,
     inbox: Vec<(u64, Delivery)>,
 }
@@ -161,7 +161,7 @@
         let kind = self.rng.random_range(0..160);
         let host = &mut self.hosts[index];
         match kind {
-            0 => host.cut_until_ms = until_ms,
+            0 => host.partitioned_until_ms = until_ms,
             1 => host.frozen_until_ms = until_ms,
             2 => *host = Host::default(),
             3..24 => host
@@ -173,7 +173,7 @@
 
     /// Sends a query of a host and schedules the response.
     fn start_query(&mut self, index: usize, now_ms: u64) {
-        if now_ms < self.hosts[index].cut_until_ms {
+        if now_ms < self.hosts[index].partitioned_until_ms {
             return;
         }
         let [to_ms, back_ms] = [self.delay_ms(), self.delay_ms()];
