--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -97,7 +97,7 @@
     confirmation: ConfigurationConfirmation,
     version: u64,
     partitioned_until_ms: u64,
-    frozen_until_ms: u64,
+    suspended_until_ms: u64,
     inbox: Vec<(u64, Delivery)>,
 }
 
@@ -162,7 +162,7 @@
         let host = &mut self.hosts[index];
         match kind {
             0 => host.partitioned_until_ms = until_ms,
-            1 => host.frozen_until_ms = until_ms,
+            1 => host.suspended_until_ms = until_ms,
             2 => *host = Host::default(),
             3..24 => host
                 .inbox
@@ -236,7 +236,7 @@
         for now_ms in (0..SIMULATION_MS).step_by(STEP_MS as usize) {
             self.inject_fault(now_ms);
             for index in 0..HOSTS {
-                if now_ms < self.hosts[index].frozen_until_ms {
+                if now_ms < self.hosts[index].suspended_until_ms {
                     continue;
                 }
                 // A host that resumes after a suspension may handle a request before it reads its
