--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -90,7 +90,7 @@
     fn simulate(&self, seed: u64) -> Simulated {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut shares = vec![HostShare::default(); self.hosts];
-        let mut heard_ms: Option<u64> = None;
+        let mut announced_ms: Option<u64> = None;
         let mut ledger = Ledger::new(0);
         let mut simulated = Simulated::default();
         let every_ms = self.report_interval_ms();
@@ -104,14 +104,14 @@
                 self.report(&mut shares, &mut ledger, now_ms, &mut rng);
                 let announced = ledger.admitted(self.quota, now_ms);
                 announce(&mut shares, announced, now_ms, &mut rng);
-                heard_ms = Some(now_ms);
+                announced_ms = Some(now_ms);
             }
             let expected = self.demand_per_s(now_ms) * STEP_MS as f64 / 1_000.0;
             let repeated = std::mem::take(&mut retries).min(RETRIES_PER_STEP_MAX);
             let arrivals =
                 repeated + expected as usize + usize::from(rng.random::<f64>() < expected.fract());
             for _ in 0..arrivals {
-                let kept = heard_ms.is_some_and(|at_ms| now_ms <= at_ms + 4 * every_ms);
+                let kept = announced_ms.is_some_and(|at_ms| now_ms <= at_ms + 4 * every_ms);
                 let context = QuotaContext {
                     hosts: self.hosts,
                     is_confirmed: kept,
