--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -225,7 +225,7 @@
 }
 
 #[tokio::test]
-async fn crash_reports_to_the_previous_duty_holder_still_count() {
+async fn crash_reports_to_the_previous_leader_still_count() {
     let (mut site, _servers) = start(4, 14).await;
     let leader = leader(&site);
     site.hosts.swap(0, leader);
