--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -28,7 +28,7 @@
 /// a host that is not the leader queries the store itself.
 const STORE_QUERY_PERCENT: u64 = 40;
 
-/// Reason why a caller is refused.
+/// Reason why a caller is refused at authentication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
     /// The request has no API key, or one that the configuration does not contain.
@@ -78,8 +78,9 @@
         self.confirmation.age_ms(clock::now_ms())
     }
 
-    /// Keeps confirming that the configuration in force is the latest one, if operators set a bound
-    /// on revocations.
+    /// Repeatedly confirms that the configuration in force is the latest one, if the operators have
+    /// set a bound on revocations. The leader queries the store; the other hosts query the leader,
+    /// and the store if the leader's responses do not come.
     pub(super) async fn keep_configuration_confirmed(self: Arc<Self>) {
         let Some(bound_ms) = self.settings.bounds.revocation_ms else {
             return;
--- a/src/entry/crashes/broken_connections.rs
+++ b/src/entry/crashes/broken_connections.rs
@@ -4,7 +4,8 @@
 
 use crate::clock;
 
-/// Broken connections to a server: closed without a complete response, or refused.
+/// Broken connections of this host to one server, and the state of its liveness probe. A connection
+/// counts as broken if it was refused, or closed before a complete response.
 #[derive(Debug, Default)]
 pub struct BrokenConnections(Mutex<ProbeState>);
 
@@ -16,7 +17,7 @@
     latest_ms: u64,
     /// Time at which a probe found that the server had crashed; 0 if no probe did.
     crashed_ms: u64,
-    /// True while a liveness probe of the server runs.
+    /// True while this host runs a liveness probe of the server; no second probe is started then.
     is_probed: bool,
 }
 
--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -53,13 +53,13 @@
     tally: Mutex<CrashTally>,
     /// Evidence against the content or path of requests, by digests that leave out the caller.
     path_tally: Mutex<PathTally>,
-    /// Requests that are refused because servers crashed during them.
+    /// Requests that this host refuses because servers crashed during them.
     quarantine: Mutex<Quarantine>,
     /// Claims of trials by all hosts, as far as this host knows; each expires.
     trials: Mutex<TrialClaims>,
-    /// Crash reports of this host, to be sent to the others.
+    /// Reports of the server crashes that this host detected, to be sent to the other hosts.
     reports: Mutex<Reports>,
-    /// Quarantined requests as last read from or written to the store.
+    /// Quarantined requests as this host last read them from the store or wrote them to the store.
     stored: Mutex<StoredQuarantine>,
     /// Notified when this host has detected a server crash, to wake the task that sends crash
     /// reports.
@@ -207,7 +207,8 @@
         self.claim(claims)
     }
 
-    /// Claims both the request and the server, or neither.
+    /// Claims both the request and the server for this host, or neither. `Err` holds the remaining
+    /// time, in milliseconds, of the claim that blocks the trial.
     fn claim(&self, [request, server]: [ClaimSubject; 2]) -> Result<(), u64> {
         let own = self.settings.listen.peers;
         let now_ms = clock::now_ms();
@@ -232,7 +233,7 @@
         }
     }
 
-    /// Ends a claim at this host and at the others.
+    /// Ends a claim at this host, and tells the other hosts to end it as well.
     fn release_claim(&self, claimed: ClaimSubject) {
         self.note_trial_end(claimed);
         self.peers.send_to_all(Message::TrialEnded(claimed));
@@ -306,7 +307,8 @@
         }
     }
 
-    /// Sends one crash report, in messages of bounded size.
+    /// Sends one crash report, split into messages of bounded size: at most [`ENTRIES_MAX`] digests
+    /// or [`SHARED_SUSPECTS_MAX`] suspects each.
     fn send_crash_report(&self, report: &Report) {
         for digests in report.digests.chunks(ENTRIES_MAX) {
             self.send_suspects(report, digests.to_vec(), Vec::new());
--- a/src/entry/crashes/reports.rs
+++ b/src/entry/crashes/reports.rs
@@ -25,7 +25,8 @@
     }
 }
 
-/// Report of a server crash that this host detected.
+/// Report of a server crash that this host detected, with the requests in flight at the server and
+/// the state of its sending.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
     /// Tag of the server: a hash that names it in messages.
@@ -34,7 +35,7 @@
     pub digests: Vec<RequestDigest>,
     /// Digests of the same requests that leave out the caller.
     pub shared: Vec<SharedSuspect>,
-    /// True if the report goes to all hosts, not only to the leader.
+    /// True if the report is sent to all hosts, false if it is sent only to the leader.
     pub to_all: bool,
     /// Term of the leader when the report was last sent; 0 before it is first sent.
     sent_term: u64,
--- a/src/entry/crashes/stored.rs
+++ b/src/entry/crashes/stored.rs
@@ -30,7 +30,8 @@
     version: u64,
 }
 
-/// Row of the store that lists the quarantined requests of all hosts.
+/// Row of the store that lists the quarantined requests, written by the leader and read by all
+/// hosts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct QuarantineRow {
     digests: Vec<RequestDigest>,
--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -135,8 +135,9 @@
     Ok(Received::Whole(BufferedBody { bytes, reservation }))
 }
 
-/// Reads the body of a caller's request into memory, and streams it if it is too large. `reserved`
-/// is the memory that was reserved for the body by its announced size.
+/// Reads the body of a caller's request into memory. A body that exceeds [`BUFFERED_BYTES_MAX`] or
+/// the memory budget is left partly unread, to be streamed to the server. `reserved` is the memory
+/// that was reserved for the body by its announced size.
 pub async fn read_payload(
     body: Incoming,
     reserved: MemoryReservation,
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -31,7 +31,7 @@
 /// attempt), while another trial of the same request or at the same server is in progress. Most
 /// runs end within this time.
 const TRIAL_WAIT_MS: u64 = 120;
-/// Interval at which a waiting request checks if the blocking trial has ended.
+/// Interval at which a waiting suspect request checks whether the trial that blocks it has ended.
 const TRIAL_POLL_MS: u64 = 10;
 
 /// Returns the servers that are not in a backoff, a period in which this host must send them no
@@ -313,8 +313,8 @@
         Some(self.refuse(entry, logged, &refused))
     }
 
-    /// Asks for the current owner of the key after a server did not run the request, and waits up
-    /// to [`KEY_RETRY_PAUSE_MS`] for a change of owners.
+    /// Queries the current owner of the key after a server did not run the request, and waits up to
+    /// [`KEY_RETRY_PAUSE_MS`] for the view to change.
     pub(super) async fn await_move(&self, entry: &Entry) {
         let mut changes = entry.view.changes();
         self.query_key_owner(entry);
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -307,7 +307,8 @@
     ) -> Option<Response<ResponseBody>> {
         self.attempts += 1;
         server.failed();
-        // A request that may crash servers is not sent again: it could crash the next server too.
+        // A request that may crash servers is not sent again, because it could crash the next
+        // server too.
         let is_suspect = self.is_trial || entry.crashes.is_path_suspect(self.digests);
         if !self.route.repeatable || is_suspect || !self.may_retry(entry, payload) {
             self.log("failed", reason);
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -33,8 +33,8 @@
     transport::{ResponseBody, header_number, header_text},
 };
 
-/// Time until the deadline of requests without a deadline header; the route's timeout also limits
-/// it.
+/// Time from the arrival of a request without a deadline header to its deadline, unless the timeout
+/// of the route is shorter.
 const DEADLINE_DEFAULT_MS: u64 = 30_000;
 /// Minimum time between a request's deadline and the stop of this process. A request whose deadline
 /// is closer to the stop, or later, is refused.
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
-/// Range of keys from `first` to `last`, both included.
+/// Range of consecutive keys of a sharded service, from `first` to `last`, both included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyRange {
     /// First key of the range; at most `last`.
@@ -101,7 +101,7 @@
 /// Version of the encoding of [`Assignment`] in the store, the first byte of a record.
 const ENCODING: u8 = 1;
 
-/// Reason why a record of assigned ranges cannot be encoded or decoded.
+/// Reason why the assigned ranges of a row cannot be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum DecodeError {
     /// The record has an unknown encoding version, or is empty.
@@ -124,8 +124,8 @@
     },
 }
 
-/// Encoded assigned ranges of one row. Each server's id is stored once, since a row has a bounded
-/// size.
+/// Encoded assigned ranges of one row. Each server's id is stored only once, because the size of a
+/// row is bounded.
 #[derive(Serialize, Deserialize)]
 struct Encoded {
     fence: u64,
@@ -254,7 +254,8 @@
         whole
     }
 
-    /// Returns the assigned range that contains a key; `None` if no server holds the key.
+    /// Returns the assigned range that contains a key; `None` if the key is not assigned to any
+    /// server.
     pub fn assigned_range(&self, key: u16) -> Option<&AssignedRange> {
         let position = self
             .assigned_ranges
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Returns the ranges that no server holds.
+    /// Returns the key ranges, in ascending order, that are not assigned to any server.
     pub fn gaps(&self) -> Vec<KeyRange> {
         let mut gaps = Vec::new();
         let mut next = 0u32;
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -82,7 +82,8 @@
     }
 }
 
-/// Idle connections to one server, the one used last at the end.
+/// Idle connections to one server, in the order in which they were last used; the most recent is at
+/// the end.
 #[derive(Debug)]
 pub struct Pool {
     address: SocketAddr,
@@ -166,7 +167,8 @@
 }
 
 impl Connection {
-    /// Sends a request and waits for the head of the response; the body is read by the caller.
+    /// Sends a request and waits for the head of the response. The body of the response is still to
+    /// be read.
     pub async fn send(
         &mut self,
         request: Request<ResponseBody>,
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -22,8 +22,9 @@
 /// share after a surge of requests, hosts admit more than the quota; this excess grows with the
 /// interval.
 const REPORT_INTERVAL_MS: u64 = 150;
-/// Interval of reports divided by the number of hosts, where many hosts share the quotas: the
-/// interval grows with their number, which bounds the number of messages that the leader receives.
+/// Part of the interval of reports for each host: the interval is this value multiplied by the
+/// number of hosts, but at least [`REPORT_INTERVAL_MS`]. The growth bounds the number of messages
+/// that the leader receives from many hosts.
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 1;
 /// Number of intervals without an announcement after which a host no longer relies on the last
 /// announcement alone: it then also limits the requests that it admits by a token bucket of its
@@ -51,7 +52,7 @@
     shares: HashMap<u32, HostShare>,
     /// Ledgers of all hosts' requests, by workspace tag; kept while this host is the leader.
     ledgers: HashMap<u32, Ledger>,
-    /// Time at which the last announcement was received; `None` before the first.
+    /// Time at which this host received or made the last announcement; `None` before the first.
     announced_ms: Option<u64>,
 }
 
@@ -74,7 +75,8 @@
         share.admits(quota, context, rand::random(), now_ms)
     }
 
-    /// Counts a request of a workspace that is sent to a server.
+    /// Counts a request of a workspace that is sent to a server, if the workspace has a quota. Only
+    /// sent requests use up the quota.
     pub fn note_sent(&self, workspace: &Workspace) {
         if workspace.quota.is_some() {
             let mut state = self.state();
@@ -140,7 +142,8 @@
         announced
     }
 
-    /// Applies the shares that the leader announced.
+    /// Applies the shares that the leader announced, and records the time of the announcement,
+    /// which may be empty.
     pub(super) fn note_announced(&self, announced: &[WorkspaceAdmitted]) {
         let now_ms = clock::now_ms();
         let mut state = self.state();
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -16,10 +16,11 @@
 };
 use crate::clock;
 
-/// Interval of reports and announcements among few hosts.
+/// Interval of reports and announcements of rate limits and request rates among few hosts.
 const REPORT_INTERVAL_MS: u64 = 150;
-/// Interval of reports divided by the number of hosts, where there are many hosts: the interval
-/// grows with their number, which bounds the number of messages that the leader receives.
+/// Part of the interval of reports for each host: the interval is this value multiplied by the
+/// number of hosts, but at least [`REPORT_INTERVAL_MS`]. The growth bounds the number of messages
+/// that the leader receives from many hosts.
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 2;
 
 impl Entry {
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -21,7 +21,8 @@
     sent: Mutex<RateMeter>,
 }
 
-/// State of this host's share: the request rates of callers, and the token bucket.
+/// State of this host's share of the limit: the request rates of callers, on which the share
+/// depends, and the token bucket, which enforces it.
 #[derive(Debug, Default)]
 struct Share {
     demand: ServerDemand,
@@ -59,7 +60,8 @@
         self.notices().rate_limit.per_s()
     }
 
-    /// Returns true if the latest advertisement is so old that a probe request is due.
+    /// Returns true if the latest advertisement of the limit is so old that a probe request is due:
+    /// a request that is sent to the server to learn whether the limit still holds.
     pub fn is_stale(&self) -> bool {
         self.notices().rate_limit.is_stale(clock::now_ms())
     }
@@ -86,7 +88,8 @@
         self.notices().rate_limit.own()
     }
 
-    /// Counts a request of a caller that could be sent to the server.
+    /// Counts a request of a caller that could be sent to the server, whether or not it is sent
+    /// there.
     pub fn note_demand(&self, is_urgent: bool) {
         self.share().demand.note(is_urgent, clock::now_ms());
     }
--- a/src/entry/workspaces.rs
+++ b/src/entry/workspaces.rs
@@ -77,7 +77,7 @@
 }
 
 impl Workspaces {
-    /// Adds a workspace with the API keys of its callers, under the next free index.
+    /// Adds a workspace with the digests of its callers' API keys, under the next free index.
     pub fn add(&mut self, workspace: Workspace, api_keys: impl Iterator<Item = ApiKeyDigest>) {
         let key = WorkspaceKey(self.workspaces.len());
         self.by_tag.insert(workspace.tag, key);
