--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -363,7 +363,8 @@
     Some(response.status)
 }
 
-/// Outcome of each read: the time of its sending and the status of the response.
+/// Outcome of each read: the time at which the request was sent and the status of the response,
+/// `None` without a response.
 type Outcomes = Arc<Mutex<Vec<(Instant, Option<StatusCode>)>>>;
 
 /// Callers that read a path repeatedly until they are stopped. Each has its own address.
--- a/tests/entry_digest.rs
+++ b/tests/entry_digest.rs
@@ -3,7 +3,7 @@
 use ashroad::{entry::digest::RequestDigests, transport::CallerAddress};
 use http::Request;
 
-/// Parts of a request that the digests cover.
+/// Parts of a request that the digests cover, with a description of the request for messages.
 struct TestRequest {
     what: &'static str,
     method: &'static str,
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -17,7 +17,7 @@
 };
 const SIMULATION_MS: u64 = 30_000;
 const STEP_MS: u64 = 50;
-/// Interval at which a host queries the leader or the store.
+/// Interval at which a host queries the leader, or the leader queries the store.
 const QUERY_EVERY_MS: u64 = REVOCATION_MS / 8;
 /// Longest delay of a message, in the network or in the inbox of a suspended host.
 const DELAY_MAX_MS: u64 = 4_000;
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -13,16 +13,18 @@
 const OVERSHOOT: f64 = 0.1;
 /// Number of requests in a window that the users allow in addition to [`OVERSHOOT`].
 const SLACK: f64 = 20.0;
-/// Least share of the allowed requests that must be admitted.
+/// Least share of the requests within the quota that must be admitted.
 const SERVED_MIN: f64 = 0.9;
+/// Step of the simulated time.
 const STEP_MS: u64 = 5;
 /// Maximum number of refused requests that callers retry in one step.
 const RETRIES_PER_STEP_MAX: usize = 15;
+/// Simulated time of each case.
 const SIMULATED_MS: u64 = 30_000;
-/// Share of the datagrams that are lost.
+/// Share of the reports and announcements whose datagrams are lost.
 const DATAGRAM_LOSS: f64 = 0.02;
 
-/// Distribution of requests over hosts.
+/// Distribution of a workspace's requests over the hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Spread {
     Even,
@@ -59,9 +61,12 @@
     }
 }
 
+/// Result of a simulation.
 #[derive(Default)]
 struct Simulated {
+    /// Time of each request of the workspace's callers, in milliseconds.
     demand: Vec<u64>,
+    /// Time of each admitted request, in milliseconds.
     admitted: Vec<u64>,
 }
 
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -1,4 +1,5 @@
-//! Servers advertise in their responses a limit on the requests a second from all hosts together.
+//! Tests the rate limits that servers advertise in their responses: the requests a second that a
+//! server accepts from all hosts together.
 //!
 //! The tests guard against hosts that exceed these limits. Two of nine servers of a service
 //! advertised limits of 7.6 and 9.7 requests a second, and three seconds later they still got 118
@@ -32,9 +33,10 @@
 const SETTLED_AFTER: Duration = Duration::from_secs(2);
 /// Length of the windows in which requests are counted; every window must be within the bound.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Allowed requests in a window: a multiple of the limit, plus a constant. The users allow 1.5
-/// times the limit.
+/// Requests that a server may get in a window, as a multiple of its limit; [`SLACK`] requests may
+/// be added. The users allow 1.5 times the limit.
 const EXCESS_MAX: f64 = 1.3;
+/// Number of requests in a window that are allowed in addition to [`EXCESS_MAX`] times the limit.
 const SLACK: f64 = 5.0;
 /// Least share of the limits that must be used while all servers advertise limits and demand is
 /// twice as high as the limits.
@@ -43,7 +45,7 @@
 const SERVED_MIN: f64 = 0.9;
 /// Time within which the keys that exceed a server's limit have moved to other servers.
 const MOVED_AFTER: Duration = Duration::from_secs(3);
-/// Time for which servers advertise limits in a test.
+/// Time for which servers advertise their limits in a test case.
 const LIMITED: Duration = Duration::from_secs(9);
 
 /// Limits that one server advertised, as `(time, requests a second)` in order of time.
--- a/tests/entry_workspaces.rs
+++ b/tests/entry_workspaces.rs
@@ -19,7 +19,7 @@
 
 /// Time after the revocation of an API key from which hosts must not accept the key.
 const REVOCATION_MS: u64 = 2_000;
-/// Time after the first start of a host in which it discovers the others.
+/// Time after the start of the hosts within which they discover each other.
 const DISCOVERY_MS: u64 = 4_000;
 const SECRET: &str = "ftimaj3nr26tta828m82";
 const OTHER_SECRET: &str = "thhkmgjqnirth5mgjy5r";
