--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -31,9 +31,9 @@
 /// Reason why a caller is refused at authentication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// The request has no API key, or one that the configuration does not contain.
+    /// The request has no API key, or an API key that the configuration does not contain.
     Unauthorized,
-    /// This host cannot verify the API key now, because its configuration may be out of date.
+    /// This host cannot verify the API key, because its configuration may be out of date.
     Unverified,
 }
 
--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Returns the quarantined requests that the next heartbeat names: the latest ones, at most
-    /// [`HEARTBEAT_DIGESTS_MAX`].
+    /// Returns the quarantined requests that the next heartbeat lists: the most recent ones, at
+    /// most [`HEARTBEAT_DIGESTS_MAX`].
     pub fn announced(&self) -> Vec<RequestDigest> {
         let mut latest = lock(&self.quarantine).latest(clock::now_ms());
         latest.truncate(HEARTBEAT_DIGESTS_MAX);
--- a/src/entry/crashes/probe.rs
+++ b/src/entry/crashes/probe.rs
@@ -85,9 +85,9 @@
     all
 }
 
-/// Returns true if a server whose connections broke has crashed: it has neither answered since nor
-/// kept a connection open, and its address refuses connections. A connection that the probe opens
-/// is kept for the next request.
+/// Returns true if a server whose connections broke has crashed: since then the server has not
+/// answered this host, no idle connection to it is open, and its address refuses connections. A
+/// connection that the probe opens is kept for the next request.
 async fn has_crashed(server: &Server) -> bool {
     if server.has_answered_since_broken_connection() || server.pool.has_open() {
         return false;
--- a/src/entry/crashes/reports.rs
+++ b/src/entry/crashes/reports.rs
@@ -48,7 +48,8 @@
 pub struct Reports(Vec<Report>);
 
 impl Reports {
-    /// Adds a report that is still to be sent; drops the oldest one beyond [`REPORTS_MAX`].
+    /// Adds a report that is still to be sent. Drops the oldest report if there would be more than
+    /// [`REPORTS_MAX`].
     pub fn add(&mut self, server_tag: u32, suspects: impl Into<Suspects>, to_all: bool) {
         let Suspects { digests, shared } = suspects.into();
         if self.0.len() >= REPORTS_MAX {
--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// A body, or the beginning of one, that is buffered in memory.
+/// A body, or the beginning of a body, that is buffered in memory, with the memory reserved for it.
 #[derive(Debug, Default)]
 pub struct BufferedBody {
     bytes: Bytes,
@@ -153,7 +153,8 @@
 }
 
 impl Payload {
-    /// Returns true if the body can be sent (again): it is buffered whole, or not streamed yet.
+    /// Returns true if another attempt can send the body: the body is buffered whole, or no attempt
+    /// has streamed it yet.
     pub fn can_resend(&self) -> bool {
         !matches!(self, Self::Stream(None))
     }
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -55,7 +55,8 @@
 pub struct ForwardedRequest<'a> {
     pub(super) configuration: &'a Configuration,
     pub(super) route: &'a Arc<Route>,
-    /// Workspace of the caller; `None` if the route needs none.
+    /// Workspace of the caller; `None` if the route is public or the configuration has no
+    /// workspaces.
     pub(super) workspace: Option<WorkspaceKey>,
     pub(super) service: Arc<str>,
     /// Key that the request is for; `None` if the service is not sharded.
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Returns the caller's workspace in the configuration; `None` if the route needs none.
+    /// Returns the caller's workspace in the configuration; `None` if the route is public or the
+    /// configuration has no workspaces.
     pub(super) fn workspace(&self) -> Option<&Workspace> {
         let workspaces = self.configuration.workspaces()?;
         Some(workspaces.get(self.workspace?))
@@ -134,7 +136,7 @@
         named.into_iter().all(allows)
     }
 
-    /// Returns true if the service also serves requests of lower priority than this one.
+    /// Returns true if the service also serves requests of lower priority than this request.
     pub(super) fn is_urgent(&self) -> bool {
         let priority = self.configuration.priority(self.workspace, self.route);
         self.configuration
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -204,7 +204,8 @@
         .any(|value| value.to_ascii_lowercase().contains("close"))
 }
 
-/// Returns the server's keep-alive timeout; `None` if it names none.
+/// Returns the keep-alive timeout in a response's headers, in milliseconds; `None` if the server
+/// names no timeout.
 fn keep_alive_ms(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value.split(',').find_map(|field| {
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -1,5 +1,6 @@
-//! Quotas of workspaces across hosts. Each host reports its requests to the leader, which adds them
-//! up in ledgers and announces which share of the requests all hosts may admit.
+//! Quotas of workspaces across hosts. Each host reports the number of its requests to the leader.
+//! The leader adds the numbers up in one ledger for each workspace, and announces which share of a
+//! workspace's requests the hosts may admit.
 
 use std::{
     collections::HashMap,
@@ -231,8 +232,8 @@
         }
     }
 
-    /// Announces to all hosts the shares that they may admit. An announcement without workspaces
-    /// shows that the leader is alive.
+    /// Announces to all hosts the shares that they may admit. If there are none, sends an empty
+    /// announcement, which shows that the leader is alive.
     fn announce_quotas(&self, announced: &[WorkspaceAdmitted]) {
         self.quotas.note_announced(announced);
         if announced.is_empty() {
