--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -6,7 +6,8 @@
 //! all requests in flight there. The keys moved to another server, and the caller retried at any
 //! host and crashed that server too. No host recognised the request, since each retry has an id of
 //! its own and hosts did not report crashes to each other. Each crashed server held the same small
-//! range of keys, granted to it just before; others with as many requests survived.
+//! range of keys, which had been granted to it shortly before; other servers with as many requests
+//! survived.
 //!
 //! Second, a path that many callers read was sent to seven to eleven more servers after three had
 //! crashed. Digests included the caller, which has no influence on crashes, so the request of each
@@ -36,7 +37,7 @@
 const HARMLESS: &str = "/reads/harmless";
 const CALLER: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 const OTHER_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2));
-/// Number of crashes under one request after which hosts must quarantine it.
+/// Number of servers that crash during one request before hosts must quarantine the request.
 const CRASHES_NEEDED: usize = 3;
 /// Number of runs of the crashing request that the users allow after [`CRASHES_NEEDED`] crashes and
 /// [`DETECTION_TIME`].
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -5,8 +5,8 @@
 //! advertised limits of 7.6 and 9.7 requests a second, and three seconds later they still got 118
 //! and 109 requests in 4 s from the hosts that had received the limits. No host read or logged the
 //! header, so neither the choice of a server nor the planner of key moves knew the limit, and hosts
-//! went on sending all requests for the servers' keys there, at the same rates as before. Hosts
-//! that read the header keep the bound in the same sequence of events.
+//! continued to send all requests for the keys of these two servers to them, at the same rates as
+//! before. Hosts that read the header keep the bound in the same sequence of events.
 
 mod platform_standin;
 
