--- a/src/entry/crashes/broken_connections.rs
+++ b/src/entry/crashes/broken_connections.rs
@@ -4,7 +4,8 @@
 
 use crate::clock;
 
-/// Broken connections to a server: closed without a complete response, or refused.
+/// Broken connections of this host to one server, and the state of its liveness probe. A connection
+/// counts as broken if it was refused, or closed before a complete response.
 #[derive(Debug, Default)]
 pub struct BrokenConnections(Mutex<ProbeState>);
 
@@ -14,9 +15,9 @@
     count: u32,
     /// Time of the latest broken connection; 0 if there was none.
     latest_ms: u64,
-    /// Time at which a probe found that the server had crashed; 0 if none did.
+    /// Time at which a probe found that the server had crashed; 0 if no probe did.
     crashed_ms: u64,
-    /// True while a liveness probe of the server runs.
+    /// True while this host runs a liveness probe of the server; no second probe is started then.
     is_probed: bool,
 }
 
@@ -34,8 +35,8 @@
         !std::mem::replace(&mut state.is_probed, true)
     }
 
-    /// Records the result of a liveness probe, so that a later broken connection can start another
-    /// one.
+    /// Records the result of a liveness probe. After this call a later broken connection can start
+    /// another probe.
     pub fn end_probe(&self, has_crashed: bool) {
         let mut state = self.state();
         state.is_probed = false;
@@ -44,7 +45,8 @@
         }
     }
 
-    /// Returns the number of broken connections so far; wraps around.
+    /// Returns the number of broken connections so far, which wraps around. A change of the number
+    /// during a probe shows that connections continue to break.
     pub fn count(&self) -> u32 {
         self.state().count
     }
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -33,24 +33,24 @@
     transport::{ResponseBody, header_number, header_text},
 };
 
-/// Time until the deadline of requests without a deadline header; the route's timeout also limits
-/// it.
+/// Time from the arrival of a request without a deadline header to its deadline, unless the timeout
+/// of the route is shorter.
 const DEADLINE_DEFAULT_MS: u64 = 30_000;
-/// Minimum time between a request's deadline and the stop of the process; with less, the request is
-/// refused.
+/// Minimum time between a request's deadline and the stop of this process. A request whose deadline
+/// is closer to the stop, or later, is refused.
 const STOP_MARGIN_MS: u64 = 100;
 
 /// Handles one request of a caller and returns the response. While the host is stopping, the
 /// response carries `Connection: close`.
 pub async fn answer(entry: Arc<Entry>, request: Request<Incoming>) -> Response<ResponseBody> {
-    let present = entry.track_request();
+    let request_guard = entry.track_request();
     let stopping_entry = entry.clone();
     let mut response = route(entry, request).await;
     if stopping_entry.stopping() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
-    drop(present);
+    drop(request_guard);
     response
 }
 
@@ -95,8 +95,8 @@
         return refusal(&Refused::soon(reason, &policy));
     };
     let reading = read_payload(body, reserved, &entry.body_memory);
-    let limit = Duration::from_millis(left_ms);
-    let payload = match time::timeout(limit, reading).await {
+    let timeout = Duration::from_millis(left_ms);
+    let payload = match time::timeout(timeout, reading).await {
         Ok(Ok(payload)) => payload,
         Ok(Err(error)) => return plain_text(StatusCode::BAD_REQUEST, &error.to_string()),
         Err(_) => {
@@ -132,7 +132,7 @@
     }
 }
 
-/// Route, workspace and time limits of a caller's request.
+/// Route and workspace of a caller's request, with its arrival time, objective and deadline.
 struct CallerRequest {
     route: Arc<Route>,
     workspace: Option<WorkspaceKey>,
@@ -171,7 +171,8 @@
     .log();
 }
 
-/// Returns true if the workspace's quota admits the request; always true without a workspace.
+/// Returns true if the workspace's quota admits the request; always true for a request without a
+/// workspace.
 fn is_within_quota(
     entry: &Entry,
     configuration: &Configuration,
@@ -204,9 +205,9 @@
     };
     let service = target.service.clone();
     let declared = configuration.service(&service);
-    let divided = declared.is_some_and(|service| service.sharded);
+    let is_sharded = declared.is_some_and(|service| service.sharded);
     let warmup = declared.and_then(|service| service.warmup);
-    let key = if divided {
+    let key = if is_sharded {
         let key = header_number(&head.headers, headers::KEY.as_str());
         match key.and_then(|key| u16::try_from(key).ok()) {
             Some(key) => Some(key),
@@ -234,7 +235,7 @@
         digests,
         times: *times,
         attempts: 0,
-        connects: 0,
+        failed_connects: 0,
         tried: Vec::new(),
         fences: (0, 0),
         last: None,
@@ -243,7 +244,8 @@
     forwarded_request.run(entry, &mut payload).await
 }
 
-/// Picks one of a route's services at random, in proportion to the weights.
+/// Picks one of a route's services at random, in proportion to their weights. `None` if the route
+/// has no service, or several services whose weights are all 0.
 fn choose_target(targets: &[RouteTarget]) -> Option<&RouteTarget> {
     if targets.len() == 1 {
         return targets.first();
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
-/// Range of keys from `first` to `last`, both included.
+/// Range of consecutive keys of a sharded service, from `first` to `last`, both included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyRange {
     /// First key of the range; at most `last`.
@@ -70,9 +70,10 @@
     }
 }
 
-/// Number of keys in a partition, whose assigned ranges share one row of the store. A row has a
-/// bounded size: with this limit the assigned ranges fit it with any number of servers, and a move
-/// writes only the rows that it concerns.
+/// Number of keys in a partition. The assigned ranges of a partition share one row of the store,
+/// and the size of a row is bounded: the at most 1,024 assigned ranges of a partition fit into a
+/// row with any number of servers. A move of keys writes only the rows of the partitions that it
+/// changes.
 const PARTITION_KEYS: u16 = 1_024;
 
 /// Partition of the keys: consecutive keys whose assigned ranges share one row of the store. An
@@ -100,7 +101,7 @@
 /// Version of the encoding of [`Assignment`] in the store, the first byte of a record.
 const ENCODING: u8 = 1;
 
-/// Reason why a record of assigned ranges cannot be encoded or decoded.
+/// Reason why the assigned ranges of a row cannot be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum DecodeError {
     /// The record has an unknown encoding version, or is empty.
@@ -123,8 +124,8 @@
     },
 }
 
-/// Encoded assigned ranges of one row. Each server's id is stored once, since a row has a bounded
-/// size.
+/// Encoded assigned ranges of one row. Each server's id is stored only once, because the size of a
+/// row is bounded.
 #[derive(Serialize, Deserialize)]
 struct Encoded {
     fence: u64,
@@ -141,12 +142,13 @@
 pub struct AssignedRange {
     /// Keys that are assigned. No other assigned range of the service contains any of them.
     pub range: KeyRange,
-    /// Incarnation id of the server. A restarted server gets a new one, even under the same name.
+    /// Incarnation id of the server. A restarted server gets a new id, even under the same name.
     pub server: Arc<str>,
-    /// Fence that the grant of the keys carries. A later owner of any of them has a higher one.
+    /// Fence that the grant of the keys carries. A later owner of any of these keys gets them under
+    /// a higher fence.
     pub fence: u64,
-    /// Former server that may still hold the keys: they may be granted only after it has released
-    /// them or its lease has expired.
+    /// Former server that may still hold the keys; `None` once it no longer does. The keys may be
+    /// granted to `server` only after the former server has released them or its lease has expired.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub from: Option<Arc<str>>,
 }
@@ -230,7 +232,7 @@
 
     /// Merges the rows of all partitions. Rows may have been read at different times, or written by
     /// a version that had one row for all keys: where assigned ranges overlap, the one with the
-    /// higher fence wins.
+    /// higher fence gets the keys.
     pub fn join<'a>(rows: impl Iterator<Item = &'a Self>) -> Self {
         let mut whole = Self::default();
         for row in rows {
@@ -252,7 +254,8 @@
         whole
     }
 
-    /// Returns the assigned range that contains a key; `None` if no server holds the key.
+    /// Returns the assigned range that contains a key; `None` if the key is not assigned to any
+    /// server.
     pub fn assigned_range(&self, key: u16) -> Option<&AssignedRange> {
         let position = self
             .assigned_ranges
@@ -310,7 +313,7 @@
         }
     }
 
-    /// Returns the ranges that no server holds.
+    /// Returns the key ranges, in ascending order, that are not assigned to any server.
     pub fn gaps(&self) -> Vec<KeyRange> {
         let mut gaps = Vec::new();
         let mut next = 0u32;
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -1,5 +1,6 @@
-//! Quotas of workspaces across hosts. Each host reports its requests to the leader, which adds them
-//! up in ledgers and announces which share of the requests all hosts may admit.
+//! Quotas of workspaces across hosts. Each host reports the number of its requests to the leader.
+//! The leader adds the numbers up in one ledger for each workspace, and announces which share of a
+//! workspace's requests the hosts may admit.
 
 use std::{
     collections::HashMap,
@@ -18,13 +19,17 @@
 };
 use crate::clock;
 
-/// Interval of reports and announcements among few hosts. The excess over a quota, while a surge is
-/// not known yet, grows with it.
+/// Interval of reports and announcements among few hosts. Until the leader has announced a lower
+/// share after a surge of requests, hosts admit more than the quota; this excess grows with the
+/// interval.
 const REPORT_INTERVAL_MS: u64 = 150;
-/// Interval of reports per host: among many hosts the interval grows with their number, which
-/// bounds the number of messages that the leader receives.
+/// Part of the interval of reports for each host: the interval is this value multiplied by the
+/// number of hosts, but at least [`REPORT_INTERVAL_MS`]. The growth bounds the number of messages
+/// that the leader receives from many hosts.
 const REPORT_INTERVAL_MS_PER_HOST: u64 = 1;
-/// Number of intervals without an announcement after which a host no longer relies on the last one.
+/// Number of intervals without an announcement after which a host no longer relies on the last
+/// announcement alone: it then also limits the requests that it admits by a token bucket of its
+/// own.
 const MISSED_ANNOUNCEMENTS: u64 = 4;
 /// Number of intervals after which an announcement also includes the workspaces below their quota.
 const FULL_ANNOUNCEMENT_EVERY: u64 = 6;
@@ -48,8 +53,8 @@
     shares: HashMap<u32, HostShare>,
     /// Ledgers of all hosts' requests, by workspace tag; kept while this host is the leader.
     ledgers: HashMap<u32, Ledger>,
-    /// Time at which the last announcement was received; `None` before the first.
-    heard_ms: Option<u64>,
+    /// Time at which this host received or made the last announcement; `None` before the first.
+    announced_ms: Option<u64>,
 }
 
 impl Quotas {
@@ -62,16 +67,17 @@
         let now_ms = clock::now_ms();
         let mut state = self.state();
         let kept_ms = MISSED_ANNOUNCEMENTS * report_interval_ms(hosts);
-        let heard_ms = state.heard_ms;
+        let announced_ms = state.announced_ms;
         let context = QuotaContext {
             hosts,
-            is_confirmed: heard_ms.is_some_and(|heard_ms| now_ms <= heard_ms + kept_ms),
+            is_confirmed: announced_ms.is_some_and(|announced_ms| now_ms <= announced_ms + kept_ms),
         };
         let share = state.shares.entry(workspace.tag).or_default();
         share.admits(quota, context, rand::random(), now_ms)
     }
 
-    /// Counts a request of a workspace that is sent to a server.
+    /// Counts a request of a workspace that is sent to a server, if the workspace has a quota. Only
+    /// sent requests use up the quota.
     pub fn note_sent(&self, workspace: &Workspace) {
         if workspace.quota.is_some() {
             let mut state = self.state();
@@ -79,7 +85,8 @@
         }
     }
 
-    /// Returns the requests of each workspace since the last report, received and sent.
+    /// Returns the number of requests of each workspace that this host received and sent since its
+    /// last report, and starts the next count. Workspaces without requests are left out.
     fn take_report(&self) -> Vec<WorkspaceUse> {
         let mut state = self.state();
         let reports = state.shares.iter_mut().map(|(tag, share)| WorkspaceUse {
@@ -106,8 +113,9 @@
         }
     }
 
-    /// Returns the shares that hosts may admit, by the ledgers of the leader: those of all
-    /// workspaces if `is_for_all`, else only those that limit a workspace or have just ceased to.
+    /// Returns the shares of workspaces' requests that hosts may admit, computed by the leader from
+    /// its ledgers. If `is_for_all` is false, leaves out the workspaces within their quota whose
+    /// latest announced share did not limit them either.
     fn admitted(&self, workspaces: &Workspaces, is_for_all: bool) -> Vec<WorkspaceAdmitted> {
         let now_ms = clock::now_ms();
         let mut state = self.state();
@@ -120,11 +128,11 @@
                 continue;
             };
             let admitted = ledger.admitted(quota, now_ms);
-            let bound = shares.get(tag).is_some_and(HostShare::is_limited);
-            if admitted.is_limiting() != bound {
+            let was_limited = shares.get(tag).is_some_and(HostShare::is_limited);
+            if admitted.is_limiting() != was_limited {
                 log_change(workspaces, *tag, quota, admitted);
             }
-            if admitted.is_limiting() || bound || is_for_all {
+            if admitted.is_limiting() || was_limited || is_for_all {
                 announced.push(WorkspaceAdmitted {
                     workspace_tag: *tag,
                     admitted,
@@ -135,23 +143,25 @@
         announced
     }
 
-    /// Applies the shares that the leader announced.
+    /// Applies the shares that the leader announced, and records the time of the announcement,
+    /// which may be empty.
     pub(super) fn note_announced(&self, announced: &[WorkspaceAdmitted]) {
         let now_ms = clock::now_ms();
         let mut state = self.state();
-        state.heard_ms = Some(now_ms);
+        state.announced_ms = Some(now_ms);
         for announcement in announced {
             let share = state.shares.entry(announcement.workspace_tag).or_default();
             share.note_announced(announcement.admitted, now_ms);
         }
     }
 
-    /// Returns the share that the latest announcement lets hosts admit of a workspace's requests.
+    /// Returns the share of a workspace's requests that hosts may admit by the latest announcement;
+    /// `None` if no share was announced.
     pub fn announced(&self, workspace_tag: u32) -> Option<AdmittedShare> {
         self.state().shares.get(&workspace_tag)?.announced()
     }
 
-    /// Discards the ledgers of a host that is not the leader.
+    /// Discards the ledgers, which only the leader keeps.
     fn forget_ledgers(&self) {
         self.state().ledgers.clear();
     }
@@ -161,12 +171,14 @@
     }
 }
 
-/// Returns the quota of a workspace; `None` if it has none or is not known.
+/// Returns the quota of a workspace; `None` if the workspace has no quota or the configuration has
+/// no such workspace.
 fn quota_of(workspaces: &Workspaces, tag: u32) -> Option<Quota> {
     workspaces.by_tag(tag)?.quota
 }
 
-/// Logs that a workspace has reached its quota, or is below it again.
+/// Logs that a workspace has exceeded its quota, so that hosts refuse some of its requests, or that
+/// it is within the quota again.
 fn log_change(workspaces: &Workspaces, tag: u32, quota: Quota, admitted: AdmittedShare) {
     let Some(workspace) = workspaces.by_tag(tag) else {
         return;
@@ -220,8 +232,8 @@
         }
     }
 
-    /// Announces to all hosts the shares that they may admit. An announcement without workspaces
-    /// shows that the leader is alive.
+    /// Announces to all hosts the shares that they may admit. If there are none, sends an empty
+    /// announcement, which shows that the leader is alive.
     fn announce_quotas(&self, announced: &[WorkspaceAdmitted]) {
         self.quotas.note_announced(announced);
         if announced.is_empty() {
--- a/tests/entry_crashes.rs
+++ b/tests/entry_crashes.rs
@@ -6,7 +6,8 @@
 //! all requests in flight there. The keys moved to another server, and the caller retried at any
 //! host and crashed that server too. No host recognised the request, since each retry has an id of
 //! its own and hosts did not report crashes to each other. Each crashed server held the same small
-//! range of keys, granted to it just before; others with as many requests survived.
+//! range of keys, which had been granted to it shortly before; other servers with as many requests
+//! survived.
 //!
 //! Second, a path that many callers read was sent to seven to eleven more servers after three had
 //! crashed. Digests included the caller, which has no influence on crashes, so the request of each
@@ -36,19 +37,21 @@
 const HARMLESS: &str = "/reads/harmless";
 const CALLER: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 const OTHER_CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2));
-/// Number of crashes under one request after which hosts must quarantine it.
+/// Number of servers that crash during one request before hosts must quarantine the request.
 const CRASHES_NEEDED: usize = 3;
-/// Number of runs that the users allow after those crashes and the detection time.
+/// Number of runs of the crashing request that the users allow after [`CRASHES_NEEDED`] crashes and
+/// [`DETECTION_TIME`].
 const LATE_RUNS_MAX: usize = 3;
-/// Number of further crashes allowed, caused by attempts that were in flight.
+/// Number of further crashes that are allowed, because attempts may be in flight when the request
+/// is quarantined.
 const CRASHES_IN_FLIGHT: usize = 1;
 /// Time within which all hosts must know of a crash.
 const DETECTION_TIME: Duration = Duration::from_millis(3_000);
-/// Time within which a key has a server again after a crash: the lease, and the grant to the next
-/// server.
+/// Time within which a key has a server again after a crash: the remaining lease of the crashed
+/// server, and the grant to the next server.
 const KEY_FAILOVER_TIME: Duration = Duration::from_secs(6);
-/// Time at the end of a test for which the share of served harmless requests is checked: the keys
-/// must have servers again.
+/// Period at the end of a test in which the share of served harmless requests is checked, when the
+/// keys must have servers again.
 const STEADY_TIME: Duration = Duration::from_secs(3);
 
 async fn send(host: &Host, caller: IpAddr, method: &str, path: &str) -> Option<CallerResponse> {
@@ -121,8 +124,8 @@
         site.hosts.iter().any(has_taken_leadership)
     })
     .await;
-    // The bounds do not apply to hosts that have just started: they have not read the shared secret
-    // yet and receive no messages.
+    // The bounds do not apply to hosts that have just started: such hosts have not read the shared
+    // secret yet and cannot receive messages of other hosts.
     time::sleep(DETECTION_TIME).await;
     site.record.set_crash_path(Some(CRASH_PATH));
     (site, crashable)
@@ -174,8 +177,8 @@
     let is_late = |crash: &&Instant| known.is_some_and(|known| **crash > known + DETECTION_TIME);
     let late = crashes.iter().filter(is_late);
     assert_eq!(late.count(), 0, "servers crashed after the detection time");
-    // The caller gets a response at once that says that the request has not run. Requests of other
-    // callers are served.
+    // The caller of the quarantined request gets an immediate response which says that the request
+    // has not run. Requests of other callers are served.
     for host in &site.hosts {
         let sent_at = Instant::now();
         let response = read(host, CALLER, CRASH_PATH).await.expect("a response");
@@ -223,7 +226,7 @@
 }
 
 #[tokio::test]
-async fn crash_reports_to_the_previous_duty_holder_still_count() {
+async fn crash_reports_to_the_previous_leader_still_count() {
     let (mut site, _servers) = start(4, 14).await;
     let leader = leader(&site);
     site.hosts.swap(0, leader);
@@ -272,9 +275,9 @@
     );
 }
 
-/// Guards against a harmless request becoming suspect again: it was in flight at a server that
-/// crashed, and is answered at another host. The success must count even while the first host sends
-/// its crash report again.
+/// Guards against a harmless request becoming suspect again. The request was in flight at a server
+/// that crashed, and a retry at another host is answered. The success must clear the request even
+/// while the first host sends its crash report again.
 #[tokio::test]
 async fn a_success_at_any_host_clears_a_request_for_good() {
     const ORDER: &str = "/orders/deadly";
@@ -294,8 +297,9 @@
 
 /// Guards against concurrent attempts of a crashing request that crash several servers. The
 /// attempts wait while the key has no server, and then all reach the next server before it has
-/// crashed. The users count runs, so even two servers may be too many. When hosts waited for three
-/// crashes, there were two runs on each of the first two servers and four on the third.
+/// crashed. The users count runs of the request, so even two crashed servers may be too many. When
+/// hosts quarantined the request only after three crashes, there were two runs on each of the first
+/// two servers and four on the third.
 #[tokio::test]
 async fn concurrent_attempts_do_not_run_concurrently_after_a_server_has_crashed() {
     const CRASH_READ_PATH: &str = "/keyed/deadly";
@@ -360,7 +364,8 @@
     Some(response.status)
 }
 
-/// Outcome of each read: the time of its sending and the status of the response.
+/// Outcome of each read: the time at which the request was sent and the status of the response,
+/// `None` without a response.
 type Outcomes = Arc<Mutex<Vec<(Instant, Option<StatusCode>)>>>;
 
 /// Callers that read a path repeatedly until they are stopped. Each has its own address.
@@ -409,7 +414,7 @@
     }
 }
 
-/// Attempts to read crash paths, each by another caller.
+/// Scenario in which many callers attempt to read crash paths, each attempt by another caller.
 #[derive(Clone, Copy, Debug)]
 struct ManyCallers {
     paths: &'static [&'static str],
@@ -485,8 +490,8 @@
     run_many_callers(scenario).await;
 }
 
-/// Checks two paths that many callers read under the same key at the same time: one crashes its
-/// servers, and the other one must be served.
+/// Checks two paths that many callers read under the same key at the same time: requests for one
+/// path crash their servers, and requests for the other path must be served.
 #[tokio::test]
 async fn a_key_is_served_while_one_of_its_paths_crashes_servers_for_many_callers() {
     const CRASH_READ_PATH: &str = "/keyed/deadly";
--- a/tests/entry_key_trust.rs
+++ b/tests/entry_key_trust.rs
@@ -17,12 +17,12 @@
 };
 const SIMULATION_MS: u64 = 30_000;
 const STEP_MS: u64 = 50;
-/// Interval at which a host queries the leader or the store.
+/// Interval at which a host queries the leader, or the leader queries the store.
 const QUERY_EVERY_MS: u64 = REVOCATION_MS / 8;
 /// Longest delay of a message, in the network or in the inbox of a suspended host.
 const DELAY_MAX_MS: u64 = 4_000;
 const HOSTS: usize = 4;
-/// Index of the leader, which queries the store; the other hosts query it.
+/// Index of the leader, which queries the store; the other hosts query the leader.
 const LEADER: usize = 0;
 
 /// API key with the times at which operators add and revoke it.
@@ -32,7 +32,7 @@
     revoked_ms: u64,
 }
 
-/// History of the configuration; every second version contains a key.
+/// Times at which operators change the configuration; every second version contains an API key.
 #[derive(Debug)]
 struct Operators {
     keys: Vec<Key>,
@@ -63,7 +63,7 @@
         changes.filter(|change_ms| *change_ms <= at_ms).count() as u64
     }
 
-    /// Returns when a version was written; 0 for the first.
+    /// Returns the time at which a version was written, in milliseconds; 0 for the first version.
     fn written_ms(&self, version: u64) -> u64 {
         let changes = self
             .keys
@@ -87,7 +87,8 @@
         age_ms: u64,
         version: u64,
     },
-    /// Configuration sent by another host, which proves nothing about its age.
+    /// Configuration sent by another host. The message does not prove how recent the configuration
+    /// is.
     Relayed { version: u64 },
 }
 
@@ -95,8 +96,8 @@
 struct Host {
     confirmation: ConfigurationConfirmation,
     version: u64,
-    cut_until_ms: u64,
-    frozen_until_ms: u64,
+    partitioned_until_ms: u64,
+    suspended_until_ms: u64,
     inbox: Vec<(u64, Delivery)>,
 }
 
@@ -160,8 +161,8 @@
         let kind = self.rng.random_range(0..160);
         let host = &mut self.hosts[index];
         match kind {
-            0 => host.cut_until_ms = until_ms,
-            1 => host.frozen_until_ms = until_ms,
+            0 => host.partitioned_until_ms = until_ms,
+            1 => host.suspended_until_ms = until_ms,
             2 => *host = Host::default(),
             3..24 => host
                 .inbox
@@ -172,7 +173,7 @@
 
     /// Sends a query of a host and schedules the response.
     fn start_query(&mut self, index: usize, now_ms: u64) {
-        if now_ms < self.hosts[index].cut_until_ms {
+        if now_ms < self.hosts[index].partitioned_until_ms {
             return;
         }
         let [to_ms, back_ms] = [self.delay_ms(), self.delay_ms()];
@@ -235,7 +236,7 @@
         for now_ms in (0..SIMULATION_MS).step_by(STEP_MS as usize) {
             self.inject_fault(now_ms);
             for index in 0..HOSTS {
-                if now_ms < self.hosts[index].frozen_until_ms {
+                if now_ms < self.hosts[index].suspended_until_ms {
                     continue;
                 }
                 // A host that resumes after a suspension may handle a request before it reads its
--- a/tests/entry_quotas.rs
+++ b/tests/entry_quotas.rs
@@ -11,18 +11,20 @@
 const WINDOW_MS: u64 = 5_000;
 /// Excess over a quota that the users allow, as a share of the quota and the burst in a window.
 const OVERSHOOT: f64 = 0.1;
-/// Number of requests that the users allow in addition.
+/// Number of requests in a window that the users allow in addition to [`OVERSHOOT`].
 const SLACK: f64 = 20.0;
-/// Least share of the allowed requests that must be admitted.
+/// Least share of the requests within the quota that must be admitted.
 const SERVED_MIN: f64 = 0.9;
+/// Step of the simulated time.
 const STEP_MS: u64 = 5;
-/// Most refused requests that are retried in one step.
+/// Maximum number of refused requests that callers retry in one step.
 const RETRIES_PER_STEP_MAX: usize = 15;
+/// Simulated time of each case.
 const SIMULATED_MS: u64 = 30_000;
-/// Share of the datagrams that are lost.
+/// Share of the reports and announcements whose datagrams are lost.
 const DATAGRAM_LOSS: f64 = 0.02;
 
-/// Distribution of requests over hosts.
+/// Distribution of a workspace's requests over the hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Spread {
     Even,
@@ -38,7 +40,7 @@
     spread: Spread,
     /// True if callers retry refused requests at once.
     retries_at_once: bool,
-    /// Time span in ms without a leader.
+    /// Period in which there is no leader, in milliseconds since the beginning.
     without_leader: std::ops::Range<u64>,
 }
 
@@ -59,9 +61,12 @@
     }
 }
 
+/// Result of a simulation.
 #[derive(Default)]
 struct Simulated {
+    /// Time of each request of the workspace's callers, in milliseconds.
     demand: Vec<u64>,
+    /// Time of each admitted request, in milliseconds.
     admitted: Vec<u64>,
 }
 
@@ -90,7 +95,7 @@
     fn simulate(&self, seed: u64) -> Simulated {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut shares = vec![HostShare::default(); self.hosts];
-        let mut heard_ms: Option<u64> = None;
+        let mut announced_ms: Option<u64> = None;
         let mut ledger = Ledger::new(0);
         let mut simulated = Simulated::default();
         let every_ms = self.report_interval_ms();
@@ -104,14 +109,14 @@
                 self.report(&mut shares, &mut ledger, now_ms, &mut rng);
                 let announced = ledger.admitted(self.quota, now_ms);
                 announce(&mut shares, announced, now_ms, &mut rng);
-                heard_ms = Some(now_ms);
+                announced_ms = Some(now_ms);
             }
             let expected = self.demand_per_s(now_ms) * STEP_MS as f64 / 1_000.0;
             let repeated = std::mem::take(&mut retries).min(RETRIES_PER_STEP_MAX);
             let arrivals =
                 repeated + expected as usize + usize::from(rng.random::<f64>() < expected.fract());
             for _ in 0..arrivals {
-                let kept = heard_ms.is_some_and(|at_ms| now_ms <= at_ms + 4 * every_ms);
+                let kept = announced_ms.is_some_and(|at_ms| now_ms <= at_ms + 4 * every_ms);
                 let context = QuotaContext {
                     hosts: self.hosts,
                     is_confirmed: kept,
@@ -147,7 +152,8 @@
     }
 }
 
-/// Returns the largest number of requests in one window. `times` are those of the requests, in ms.
+/// Returns the largest number of requests in one window. `times` holds the time of each request, in
+/// milliseconds and in ascending order.
 fn most_in_window(times: &[u64]) -> usize {
     let mut first = 0;
     let mut most = 0;
--- a/tests/entry_rate_limits.rs
+++ b/tests/entry_rate_limits.rs
@@ -1,11 +1,12 @@
-//! Servers advertise in their responses a limit on the requests a second from all hosts together.
+//! Tests the rate limits that servers advertise in their responses: the requests a second that a
+//! server accepts from all hosts together.
 //!
 //! The tests guard against hosts that exceed these limits. Two of nine servers of a service
 //! advertised limits of 7.6 and 9.7 requests a second, and three seconds later they still got 118
 //! and 109 requests in 4 s from the hosts that had received the limits. No host read or logged the
 //! header, so neither the choice of a server nor the planner of key moves knew the limit, and hosts
-//! went on sending all requests for the servers' keys there, at the same rates as before. Hosts
-//! that read the header keep the bound in the same sequence of events.
+//! continued to send all requests for the keys of these two servers to them, at the same rates as
+//! before. Hosts that read the header keep the bound in the same sequence of events.
 
 mod platform_standin;
 
@@ -24,26 +25,27 @@
     traffic::{Traffic, Workload},
 };
 
-/// Time after which a host must know a limit. Requests count from this time after the host has
-/// forwarded the response with the limit.
+/// Time after the arrival of a host's first response with a limit, from which the host must respect
+/// the limit. Requests that the server gets from the host earlier are not counted.
 const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 /// Time after a server first advertised a limit from which the bound holds. The users allow three
 /// seconds.
 const SETTLED_AFTER: Duration = Duration::from_secs(2);
 /// Length of the windows in which requests are counted; every window must be within the bound.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Allowed requests in a window: a multiple of the limit, plus a constant. The users allow 1.5
-/// times the limit.
+/// Requests that a server may get in a window, as a multiple of its limit; [`SLACK`] requests may
+/// be added. The users allow 1.5 times the limit.
 const EXCESS_MAX: f64 = 1.3;
+/// Number of requests in a window that are allowed in addition to [`EXCESS_MAX`] times the limit.
 const SLACK: f64 = 5.0;
-/// Least share of the limits that must be used while demand is twice as high and no server has
-/// spare capacity.
+/// Least share of the limits that must be used while all servers advertise limits and demand is
+/// twice as high as the limits.
 const USED_MIN: f64 = 0.8;
 /// Least share of requests that must be served while other servers have capacity.
 const SERVED_MIN: f64 = 0.9;
 /// Time within which the keys that exceed a server's limit have moved to other servers.
 const MOVED_AFTER: Duration = Duration::from_secs(3);
-/// Time for which servers advertise limits in a test.
+/// Time for which servers advertise their limits in a test case.
 const LIMITED: Duration = Duration::from_secs(9);
 
 /// Limits that one server advertised, as `(time, requests a second)` in order of time.
@@ -129,7 +131,7 @@
         .apply_disturbance(disturbance, workload, LIMITED)
         .await;
     let named = AdvertisedLimits(vec![(began, 10.0)]);
-    // The bound does not apply to a host that was frozen.
+    // The bound does not apply to the first host, whose process was paused.
     let excused: &[usize] = if disturbance == Disturbance::FirstHostPaused {
         &[0]
     } else {
@@ -224,8 +226,9 @@
     time::sleep(Duration::from_secs(2)).await;
     server.advertise_limit(None);
     time::sleep(Duration::from_secs(7)).await;
-    // The number of requests that the server gets afterwards proves nothing: others have idle
-    // connections, and keys return only as far as the other servers are busy.
+    // The number of requests that the server gets after the withdrawal proves nothing: hosts prefer
+    // other servers to which they have idle connections, and keys return to the server only as far
+    // as the other servers are busy.
     let got_keys = server
         .received_requests()
         .iter()
