--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -80,7 +80,7 @@
 
 #[derive(Debug)]
 struct Peer {
-    facts: HostProperties,
+    properties: HostProperties,
     /// Time of the first message to relay that the host has not acknowledged; 0 if there is none.
     relay_since_ms: u64,
     heard_ms: u64,
@@ -92,8 +92,8 @@
     fn relay_candidate(&self, address: SocketAddr, now_ms: u64) -> RelayCandidate {
         RelayCandidate {
             address,
-            zone_tag: self.facts.zone_tag,
-            processor_share: self.facts.processor_share,
+            zone_tag: self.properties.zone_tag,
+            processor_share: self.properties.processor_share,
             is_silent: self.relay_since_ms > 0 && now_ms > self.relay_since_ms + RELAY_SILENT_MS,
         }
     }
@@ -141,16 +141,16 @@
 
 impl Peers {
     /// Adds a host. If the host is already known, replaces its properties and keeps its reports.
-    pub fn add(&self, address: SocketAddr, facts: HostProperties) {
+    pub fn add(&self, address: SocketAddr, properties: HostProperties) {
         let mut peers = self.peers();
         let peer = peers.entry(address).or_insert_with(|| Peer {
-            facts,
+            properties,
             relay_since_ms: 0,
             heard_ms: 0,
             loads: Vec::new(),
             run_times: Vec::new(),
         });
-        peer.facts = facts;
+        peer.properties = properties;
     }
 
     /// Records that a host has sent a datagram, which counts as an acknowledgement of messages to
@@ -166,9 +166,9 @@
         let peers = self.peers();
         let hosts = peers.iter().map(|(address, peer)| SnapshotHost {
             address: *address,
-            incarnation: peer.facts.incarnation,
-            zone_tag: peer.facts.zone_tag,
-            processor_share: peer.facts.processor_share,
+            incarnation: peer.properties.incarnation,
+            zone_tag: peer.properties.zone_tag,
+            processor_share: peer.properties.processor_share,
         });
         hosts.collect()
     }
@@ -178,7 +178,8 @@
     pub fn seed_hosts(&self, own: SeedHost) -> Vec<SeedHost> {
         let Fanout { direct, relays } = self.current_fanout();
         let peers = self.peers();
-        let zone_tag = |address: &SocketAddr| peers.get(address).map(|peer| peer.facts.zone_tag);
+        let zone_tag =
+            |address: &SocketAddr| peers.get(address).map(|peer| peer.properties.zone_tag);
         let others = direct.iter().chain(&relays);
         let others = others.filter_map(|address| {
             Some(SeedHost {
@@ -196,7 +197,9 @@
         let now_ms = clock::now_ms();
         let same_zone: Vec<RelayCandidate> = {
             let peers = self.peers();
-            let same_zone = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
+            let same_zone = peers
+                .iter()
+                .filter(|(_, peer)| peer.properties.is_same_zone);
             same_zone
                 .map(|(address, peer)| peer.relay_candidate(*address, now_ms))
                 .collect()
@@ -254,7 +257,7 @@
         HostCount {
             same_zone: peers
                 .values()
-                .filter(|peer| peer.facts.is_same_zone)
+                .filter(|peer| peer.properties.is_same_zone)
                 .count()
                 + 1,
             all: peers.len() + 1,
@@ -275,7 +278,7 @@
         let peers = self.peers();
         let others = peers.iter();
         others
-            .filter(|(address, peer)| is_before(address, peer.facts.processor_share))
+            .filter(|(address, peer)| is_before(address, peer.properties.processor_share))
             .count()
     }
 
@@ -339,7 +342,9 @@
 
     fn same_zone_addresses(&self) -> Vec<SocketAddr> {
         let peers = self.peers();
-        let same_zone = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
+        let same_zone = peers
+            .iter()
+            .filter(|(_, peer)| peer.properties.is_same_zone);
         same_zone.map(|(address, _)| *address).collect()
     }
 
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -95,14 +95,14 @@
             self.view.request_read(FollowedTable::Own);
             return;
         };
-        let facts = HostProperties {
+        let properties = HostProperties {
             // Only the host's row shows for certain which process runs there.
             incarnation: None,
             zone_tag: sender.zone_tag,
             is_same_zone: sender.zone_tag == tag_of(&self.settings.availability_zone),
             processor_share: sender.processor_share,
         };
-        self.peers.add(from, facts);
+        self.peers.add(from, properties);
     }
 
     /// Handles a message of the host at `from`, received from it directly or through a relay.
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -90,7 +90,9 @@
         {
             let peers = self.peers();
             let is_heard = |peer: &Peer| now_ms <= peer.heard_ms + age_max_ms;
-            let same_zone = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
+            let same_zone = peers
+                .iter()
+                .filter(|(_, peer)| peer.properties.is_same_zone);
             let heard = same_zone.filter(|(_, peer)| is_heard(peer));
             let heard: Vec<_> = heard.collect();
             let others = heard
@@ -103,7 +105,7 @@
             heard.iter().for_each(|(_, peer)| peer.add_to(&mut sums));
             let mut others: Vec<RelayCandidate> = peers
                 .iter()
-                .filter(|(_, peer)| !peer.facts.is_same_zone)
+                .filter(|(_, peer)| !peer.properties.is_same_zone)
                 .map(|(address, peer)| peer.relay_candidate(*address, now_ms))
                 .collect();
             relays.extend(fanout::one_relay_per_zone(&mut others));
