--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -83,14 +83,14 @@
         // Items that were queued in the meantime come after the remaining ones.
         self.items().splice(0..0, later);
         let mut moving: BTreeMap<u32, Vec<MoveAnnouncement>> = BTreeMap::new();
-        let mut held: BTreeMap<u32, Vec<AssignedRange>> = BTreeMap::new();
+        let mut granted: BTreeMap<u32, Vec<AssignedRange>> = BTreeMap::new();
         for item in due {
             match item.update {
                 Announcement::Moving(update) => {
                     moving.entry(item.service_tag).or_default().push(update)
                 }
                 Announcement::Granted(update) => {
-                    held.entry(item.service_tag).or_default().push(update)
+                    granted.entry(item.service_tag).or_default().push(update)
                 }
             }
         }
@@ -104,7 +104,7 @@
                 .map(message)
                 .collect::<Vec<_>>()
         });
-        let held = held.into_iter().flat_map(|(service_tag, updates)| {
+        let granted = granted.into_iter().flat_map(|(service_tag, updates)| {
             let message = |updates: &[AssignedRange]| Message::Granted {
                 service_tag,
                 assigned_ranges: updates.to_vec(),
@@ -114,7 +114,7 @@
                 .map(message)
                 .collect::<Vec<_>>()
         });
-        moving.chain(held).collect()
+        moving.chain(granted).collect()
     }
 
     fn items(&self) -> MutexGuard<'_, Vec<QueuedAnnouncement>> {
