--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -145,8 +145,8 @@
         if followed != FollowedTable::Servers {
             // The wait is limited because other hosts may have the changes that this one misses.
             let returned = store_lost.wait_for(|lost| !lost);
-            let patience = Duration::from_millis(self.limits.lag_grace_ms);
-            if !matches!(time::timeout(patience, returned).await, Ok(Ok(_))) {
+            let wait_max = Duration::from_millis(self.limits.lag_grace_ms);
+            if !matches!(time::timeout(wait_max, returned).await, Ok(Ok(_))) {
                 return Err(RecallReason::StoreLost);
             }
         }
