--- a/src/entry/updates/confirmation.rs
+++ b/src/entry/updates/confirmation.rs
@@ -39,8 +39,8 @@
     /// configuration cannot be decoded.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
         let confirmed_ms = self.confirmed_ms.load(Ordering::Relaxed);
-        let proves = confirmed_ms > 0 && !self.unreadable.load(Ordering::Relaxed);
-        proves.then(|| now_ms.saturating_sub(confirmed_ms))
+        let is_confirmed = confirmed_ms > 0 && !self.unreadable.load(Ordering::Relaxed);
+        is_confirmed.then(|| now_ms.saturating_sub(confirmed_ms))
     }
 
     /// Records a query to the leader.
