--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -78,8 +78,8 @@
     /// whether this host is a relay.
     pub(super) async fn keep_querying_relays(self: Arc<Self>) {
         loop {
-            let is_asking = self.query_relays();
-            let every_ms = if is_asking {
+            let has_queried = self.query_relays();
+            let every_ms = if has_queried {
                 self.limits.relay_query_every_ms
             } else {
                 self.limits.leader_heartbeat_ms
