--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -337,9 +337,12 @@
         },
     ];
     /// Overhead of version, seal and relaying, in bytes.
-    const AROUND_BYTES: usize = 100;
+    const OVERHEAD_BYTES: usize = 100;
     for message in messages {
         let bytes = postcard::to_stdvec(&message).expect("encoded").len();
-        assert!(bytes + AROUND_BYTES <= DATAGRAM_BYTES_MAX, "{bytes} bytes");
+        assert!(
+            bytes + OVERHEAD_BYTES <= DATAGRAM_BYTES_MAX,
+            "{bytes} bytes"
+        );
     }
 }
