--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_rest_is_widespread_when_a_third_of_the_hosts_are_refused() {
+fn a_backoff_is_widespread_when_a_third_of_the_hosts_are_refused() {
     struct Case {
         name: &'static str,
         hosts: usize,
