--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn keys_stay_where_they_are_when_most_servers_want_a_rest() {
+fn keys_stay_where_they_are_when_most_servers_ask_for_a_backoff() {
     struct Case {
         servers: u32,
         in_backoff: u32,
