--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn callers_retry_when_the_keys_have_moved_or_the_rest_is_over() {
+fn callers_retry_when_the_keys_have_moved_or_the_backoff_is_over() {
     let policy = Policy::default();
     for (backoff_ms, retry_after_ms) in [(3_000, 150), (150, 150), (120, 120), (5, 100)] {
         assert_eq!(
