--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -149,7 +149,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_wants_a_rest_gets_it_and_its_keys_go_to_others() {
+async fn a_server_that_asks_for_a_backoff_gets_it_and_its_keys_go_to_others() {
     run_cases(
         ALL.map(|disturbance| (disturbance, Workload::Keys)),
         backoff,
