--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -158,7 +158,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_wants_a_rest_gets_no_orders() {
+async fn a_server_that_asks_for_a_backoff_gets_no_orders() {
     run_cases(
         ALL.map(|disturbance| (disturbance, Workload::Orders)),
         backoff,
