--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -198,7 +198,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_are_refused_at_once_while_all_servers_rest() {
+async fn callers_are_refused_at_once_while_all_servers_ask_for_a_backoff() {
     let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
     run_cases(cases, |_, workload| backoff_of_all(workload)).await;
 }
