--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -133,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn few_hosts_call_the_store_while_it_rejects_the_duty_holder() {
+async fn few_hosts_call_the_store_while_it_rejects_the_leader() {
     let mut deployment = Deployment::start_sized(Workload::Orders, HOSTS, 2).await;
     let feeds = |deployment: &Deployment| -> Vec<u64> {
         let hosts = deployment.site.hosts.iter();
