--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -105,7 +105,7 @@
 
 /// Reason to abandon a waiting feed call and to repeat it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RecallReason {
+pub enum AbandonReason {
     /// Another host has reported a change that the feed did not deliver.
     Behind,
     /// No other host has reported a recent response of the store.
@@ -346,7 +346,7 @@
         requested_after: u64,
         relies_on_leader: bool,
         is_silent: impl Fn() -> bool,
-    ) -> RecallReason {
+    ) -> AbandonReason {
         let mut behind_ms = 0;
         loop {
             time::sleep(Duration::from_millis(POLL_EVERY_MS)).await;
@@ -354,7 +354,7 @@
                 continue;
             }
             if relies_on_leader && !self.is_store_confirmed() {
-                return RecallReason::Unconfirmed;
+                return AbandonReason::Unconfirmed;
             }
             if self.is_behind(followed, requested_after) {
                 behind_ms += POLL_EVERY_MS;
@@ -362,7 +362,7 @@
                 behind_ms = 0;
             }
             if behind_ms > self.lag_grace_ms {
-                return RecallReason::Behind;
+                return AbandonReason::Behind;
             }
         }
     }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -18,7 +18,7 @@
     rows::decode_servers,
     updates::{
         followed::{FollowedTable, HISTORY_MS, SyncRole},
-        freshness::RecallReason,
+        freshness::AbandonReason,
         own_rows::{HOSTS_PARTITION, TABLE},
         server_changes::ServerChanges,
     },
@@ -97,11 +97,11 @@
                 let after = self.freshness.applied(followed);
                 let feed = match self.next_changes(followed, after, health).await {
                     Ok(feed) => feed,
-                    Err(RecallReason::Behind) => {
+                    Err(AbandonReason::Behind) => {
                         health = FeedHealth::Stalled;
                         continue;
                     }
-                    Err(RecallReason::Unconfirmed | RecallReason::StoreLost) => continue,
+                    Err(AbandonReason::Unconfirmed | AbandonReason::StoreLost) => continue,
                 };
                 match feed {
                     Ok(Feed::Changes(changes)) => {
@@ -140,14 +140,14 @@
         followed: FollowedTable,
         after: u64,
         health: FeedHealth,
-    ) -> Result<platform::Result<Feed>, RecallReason> {
+    ) -> Result<platform::Result<Feed>, AbandonReason> {
         let mut store_lost = self.view.store_lost();
         if followed != FollowedTable::Servers {
             // The wait is limited because other hosts may have the changes that this one misses.
             let returned = store_lost.wait_for(|lost| !lost);
             let wait_max = Duration::from_millis(self.limits.lag_grace_ms);
             if !matches!(time::timeout(wait_max, returned).await, Ok(Ok(_))) {
-                return Err(RecallReason::StoreLost);
+                return Err(AbandonReason::StoreLost);
             }
         }
         let begun = AtomicBool::new(false);
@@ -169,7 +169,7 @@
                 relies_on_leader,
                 is_silent,
             ) => Err(recall_reason),
-            _ = store_lost.wait_for(|lost| *lost) => Err(RecallReason::Behind),
+            _ = store_lost.wait_for(|lost| *lost) => Err(AbandonReason::Behind),
         }
     }
 
