--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -340,7 +340,7 @@
     /// repeated, and returns the reason. `relies_on_leader` is true if the call waits long because
     /// the leader or a relay confirms the store; `is_silent` returns true while no response has
     /// begun.
-    pub async fn recall_reason(
+    pub async fn abandon_reason(
         &self,
         followed: FollowedTable,
         requested_after: u64,
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -163,12 +163,12 @@
         let is_silent = || !begun.load(Ordering::Relaxed);
         tokio::select! {
             feed = self.store.feed(table, after, wait_ms, &begun) => Ok(feed),
-            recall_reason = self.freshness.recall_reason(
+            abandon_reason = self.freshness.abandon_reason(
                 followed,
                 after,
                 relies_on_leader,
                 is_silent,
-            ) => Err(recall_reason),
+            ) => Err(abandon_reason),
             _ = store_lost.wait_for(|lost| *lost) => Err(AbandonReason::Behind),
         }
     }
