--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -1,7 +1,8 @@
-//! Broadcasts changes of server entries and configurations from the leader to the other hosts, so
-//! that not every host reads them from the store: calls are billed. The leader also reports the
-//! version up to which it has read each table, so that a host that missed a change notices and
-//! queries the store.
+//! Broadcasts changes of server entries and configurations from the leader to the other hosts.
+//! Calls of the store are billed, so the other hosts apply the broadcast changes and do not read
+//! them from the store themselves. The leader's heartbeat also states the version up to which the
+//! leader has read each table, so that a host that missed a change notices and queries another host
+//! or the store.
 
 use std::sync::{
     Arc, Mutex, MutexGuard, PoisonError,
@@ -23,18 +24,20 @@
     store::{Row, Rows},
 };
 
-/// Maximum number of changes that are broadcast at a time, 30 KB. More would fill the links of
-/// small hosts; the other hosts read a larger number themselves.
+/// Maximum number of changes of server entries in one broadcast, about 30 KB. More changes would
+/// fill the links of small hosts. They are not broadcast, and each of the other hosts fetches them
+/// itself.
 const BROADCAST_CHANGES_MAX: usize = 600;
 
-/// Latest broadcast changes, kept for hosts that have missed some, and the state for receiving
-/// them.
+/// State of a host for receiving broadcast changes, and the latest configuration and changes of
+/// server entries, kept for hosts that have missed them.
 #[derive(Debug, Default)]
 pub struct Broadcast {
-    /// False while the whole table is being read: its result would undo changes applied in the
-    /// meantime.
+    /// False until the table of server entries has been read as a whole, and while it is being read
+    /// again. Broadcast changes are ignored meanwhile, since the rows that are being read may be
+    /// older and would undo them.
     servers_read: AtomicBool,
-    /// Received pieces of the latest configuration.
+    /// Pieces received so far of the latest configuration that the leader has broadcast.
     configuration: Mutex<PieceAssembly>,
     /// Latest configuration as stored, for hosts that have missed it.
     latest: Mutex<Option<LatestConfiguration>>,
@@ -62,21 +65,23 @@
         self.latest.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Suspends broadcast changes of a table that is about to be read as a whole.
+    /// Starts to ignore broadcast changes of a table that is about to be read as a whole. This
+    /// affects only the table of server entries.
     pub fn begin_reading(&self, followed: FollowedTable) {
         if followed == FollowedTable::Servers {
             self.servers_read.store(false, Ordering::Relaxed);
         }
     }
 
-    /// Resumes broadcast changes of a table after it was read as a whole.
+    /// Accepts broadcast changes of a table again after the table was read as a whole.
     pub fn end_reading(&self, followed: FollowedTable) {
         if followed == FollowedTable::Servers {
             self.servers_read.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Records changes of server entries that this host has applied.
+    /// Records changes of server entries that this host has applied, for hosts that have missed
+    /// them.
     pub fn note_changes(&self, changes: &ServerChanges) {
         self.recent().note(changes);
     }
@@ -103,6 +108,7 @@
 
 impl Entry {
     /// Broadcasts changes of server entries that this host, the leader, received from the store.
+    /// More than [`BROADCAST_CHANGES_MAX`] changes are not broadcast.
     pub(super) fn broadcast_server_changes(&self, updates: &ServerChanges) {
         if updates.changes.is_empty() || updates.changes.len() > BROADCAST_CHANGES_MAX {
             return;
@@ -112,9 +118,10 @@
         }
     }
 
-    /// Broadcasts the difference between a table as this host, the leader, knew it and its rows,
-    /// which it has read as a whole because the store had dropped its history. Otherwise all the
-    /// other hosts, for example 295, would each read the whole table.
+    /// Broadcasts the changes between the table that this host, the leader, knew and `rows`, the
+    /// whole table. The leader has read the whole table because the store had dropped the history
+    /// of its changes. Without the broadcast, each of the other hosts, for example 295, would read
+    /// the whole table as well.
     pub(super) fn broadcast_difference(&self, followed: FollowedTable, rows: &Rows) {
         let after = self.freshness.applied(followed);
         if after == 0 {
@@ -169,16 +176,19 @@
             removed: false,
         };
         self.apply(FollowedTable::Configuration, vec![row]);
-        // An evacuation of an earlier version whose update has not arrived yet must not be skipped.
+        // The version is not marked as applied while this host lacks the latest evacuation that the
+        // leader knew. Otherwise an evacuation of an earlier version would be skipped.
         if self.view.evacuations().version >= evacuations {
             self.freshness
                 .note_applied(FollowedTable::Configuration, version);
         }
     }
 
-    /// Returns the configuration that this host knows, for other hosts; `None` before there is one.
+    /// Returns the configuration and the evacuated zones that this host knows, for the response to
+    /// another host; `None` before this host knows a configuration.
     pub(super) fn known_configuration(&self) -> Option<SnapshotConfiguration> {
-        // Read first: the other values may be newer than this version, but not older.
+        // The version is read first: the other values may be newer than this version, but not
+        // older.
         let up_to = self.freshness.applied(FollowedTable::Configuration);
         let evacuations = self.view.evacuations();
         let latest = self.broadcast.latest().clone()?;
@@ -190,7 +200,8 @@
         })
     }
 
-    /// Applies the configuration in another host's response.
+    /// Applies the configuration and the evacuated zones in another host's response, unless this
+    /// host knows later ones.
     pub(super) fn apply_known_configuration(&self, known: SnapshotConfiguration) {
         self.view.evacuate(known.evacuations);
         let applied = self.freshness.applied(FollowedTable::Configuration);
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -1,7 +1,7 @@
-//! Notices in servers' responses: that a server leaves, or that it asks for a backoff (a period
-//! without requests). The host that receives a notice reports it to the leader, which moves the
-//! server's keys and announces leaving servers to all hosts. A backoff applies only to the host
-//! that the server asked for it.
+//! Handles notices. A notice is a statement in a server's response that the server is leaving, or
+//! that it asks the host for a backoff (a period without requests). The host that receives a notice
+//! reports it to the leader, which moves the server's keys and announces leaving servers to all
+//! hosts. A backoff applies only to the host that the server asked for it.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,15 +16,16 @@
 };
 use crate::clock;
 
-/// Interval at which notices are sent again: datagrams may be lost, and a new leader knows of no
-/// notices.
+/// Interval at which hosts report notices again: datagrams may be lost, and a host that has just
+/// become the leader knows of no notices.
 const REPORT_EVERY_MS: u64 = 500;
 /// Time for which the leader announces a leaving server to all hosts, enough for four
 /// announcements.
 const ANNOUNCE_FOR_MS: u64 = 3 * REPORT_EVERY_MS + REPORT_EVERY_MS / 2;
 
 impl Entry {
-    /// Records the notice in a server's response.
+    /// Records the notice in a server's response. A notice that this host did not know yet is
+    /// logged and reported to the leader at once.
     pub(in crate::entry) fn note_notice(&self, server: &Server, notice: Notice) {
         if notice == Notice::default() {
             return;
@@ -37,12 +38,12 @@
         self.notice_received.notify_one();
     }
 
-    /// Reports notices to the leader periodically and after each new notice. As the leader,
-    /// announces leaving servers to all hosts.
+    /// Reports notices to the leader periodically and after each new notice. If this host is the
+    /// leader, announces leaving servers to all hosts instead.
     pub(in crate::entry) async fn keep_reporting_notices(self: Arc<Self>) {
         loop {
             let pause = Duration::from_millis(REPORT_EVERY_MS);
-            // Notices are sent after the timeout too.
+            // Notices are sent again after the timeout even if no new notice was received.
             if time::timeout(pause, self.notice_received.notified())
                 .await
                 .is_ok()
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Reports to the leader which servers asked this host for a backoff. As the leader, records
-    /// them.
+    /// Reports to the leader which servers asked this host for a backoff. If this host is the
+    /// leader, records them itself.
     fn report_backoffs(&self) {
         let registry = self.view.registry();
         let backoffs = registry.servers().filter_map(|server| {
@@ -96,6 +97,9 @@
         }
     }
 
+    /// Reports to the leader the servers that announced their leaving to this host while their
+    /// entries do not show it. If this host is the leader, announces to all hosts the servers that
+    /// it first learned to be leaving less than [`ANNOUNCE_FOR_MS`] ago.
     fn report_leaving(&self) {
         let registry = self.view.registry();
         if self.leadership.term() == 0 {
@@ -117,7 +121,8 @@
         }
     }
 
-    /// Records, as the leader, servers that announced to another host that they are leaving.
+    /// Records, as the leader, servers that announced to another host that they are leaving. If
+    /// this host did not know of one of them, announces it to all hosts at once.
     pub(in crate::entry) fn handle_leaving_report(&self, tags: &[u32]) {
         if self.leadership.term() > 0 && self.note_leaving_elsewhere(tags) {
             self.notice_received.notify_one();
@@ -125,7 +130,7 @@
     }
 
     /// Records servers that announced to other hosts that they are leaving. Returns true if this
-    /// was new to this host for any of them.
+    /// host did not know yet that at least one of them leaves.
     pub(in crate::entry) fn note_leaving_elsewhere(&self, tags: &[u32]) -> bool {
         let registry = self.view.registry();
         let named = registry.servers().filter(|s| tags.contains(&s.tag));
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -1,8 +1,9 @@
-//! Relays report to other hosts that the store responds, and its versions, in place of the leader.
-//! Hosts rely on the leader to learn that nothing has changed in the store. When the leader is
-//! lost, or the store rejects its calls, each of a thousand hosts would call the store until there
-//! is another leader. With many hosts, the relays of each zone therefore call the store a little
-//! earlier than the other hosts would, and the other hosts query the relays.
+//! Lets relays report to other hosts, in place of the leader, that the store responds and which
+//! versions its tables have. Relays are the hosts that forward messages to the other hosts of their
+//! zone. Hosts rely on the leader to learn that nothing has changed in the store. When the leader
+//! is lost, or the store rejects the leader's calls, each of a thousand hosts would call the store
+//! until there is another leader. With many hosts, the relays of each zone therefore call the store
+//! a little earlier than the other hosts would, and the other hosts query the relays.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,13 +21,14 @@
 };
 use crate::clock;
 
-/// Pause after a failed call while the leader reports that nothing has changed in the store. It is
-/// longer than others, since the store may reject only this host and the host misses nothing.
+/// Pause after a failed call of the store while another host confirms the store and this host has
+/// all reported changes. It is longer than other pauses: the store may reject only the calls of
+/// this host, and this host misses no changes.
 const CONFIRMED_PAUSE_MS: u64 = 1_500;
 
 impl Entry {
-    /// Returns this host's role, which decides whom it learns of changes from: the store, the
-    /// leader or relays.
+    /// Returns this host's role, which determines whether it learns of changes from the store, the
+    /// leader or a relay.
     pub(super) fn sync_role(&self) -> SyncRole {
         if self.leadership.term() > 0 {
             SyncRole::Leader
@@ -39,16 +41,17 @@
         }
     }
 
-    /// Extends the pause after a failed call while other hosts call the store on behalf of this
-    /// one. If each of hundreds of hosts checked whether the store is back, it would get thousands
-    /// of calls.
+    /// Extends the pause after a failed call of the store while other hosts call the store on
+    /// behalf of this host. If each of hundreds of hosts checked whether the store responds again,
+    /// the store would get thousands of calls.
     pub(super) async fn pause_while_others_call(&self) {
         self.pause_while_relays_call().await;
         self.pause_while_confirmed().await;
     }
 
-    /// Pauses while the relays of the zone check if the store has returned. This host still calls
-    /// the store from time to time, since all relays may be lost.
+    /// Pauses while the relays of the zone check whether the store responds again. The pause ends
+    /// after `alone_pause_ms`, and this host then calls the store itself, since all relays may be
+    /// lost.
     pub(super) async fn pause_while_relays_call(&self) {
         if !self.peers.use_relays() {
             return;
@@ -59,7 +62,8 @@
         }
     }
 
-    /// Extends the pause while this host has all changes that the leader has reported.
+    /// Extends the pause by up to [`CONFIRMED_PAUSE_MS`] while another host confirms the store and
+    /// this host has all changes that were reported.
     async fn pause_while_confirmed(&self) {
         let until_ms = clock::now_ms() + CONFIRMED_PAUSE_MS;
         let is_behind = |followed| {
@@ -74,8 +78,8 @@
         }
     }
 
-    /// Queries the relays of the own zone while the leader's report becomes stale, and determines
-    /// whether this host is a relay.
+    /// Queries the relays of this host's zone once the latest report on the store is nearly too old
+    /// to be trusted. Determines in each round whether this host is a relay itself.
     pub(super) async fn keep_querying_relays(self: Arc<Self>) {
         loop {
             let has_queried = self.query_relays();
@@ -110,8 +114,9 @@
         true
     }
 
-    /// Returns the state of the store as this host sees it, for a host that receives no heartbeats
-    /// of the leader.
+    /// Returns the response to a host that queries the state of the store because it receives no
+    /// heartbeats of the leader; `None` if this host's information on the store is too old to be
+    /// trusted.
     pub(super) fn store_state_for(&self, nonce: u64) -> Option<Message> {
         let updates = self.freshness.store_state(self.view.store_answered_ms())?;
         Some(Message::StoreState {
@@ -128,7 +133,8 @@
         updates: StoreStateReport,
         evacuations: Evacuations,
     ) {
-        // The later list of evacuated zones wins, whichever way it arrived.
+        // The list of evacuated zones with the later version is kept, whether it came from a relay,
+        // the leader or the store.
         self.view.evacuate(evacuations);
         if let Some(answered_ms) = self.freshness.note_relay_report(nonce, updates) {
             self.note_store_response(answered_ms);
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -1,5 +1,5 @@
-//! A host's current view: the configuration in force, the servers, and which server holds which
-//! keys.
+//! The view of a host: what the host currently knows of the configuration in force, the servers,
+//! and which server holds which keys.
 
 use std::sync::{
     Arc, Mutex, MutexGuard, PoisonError,
@@ -39,12 +39,20 @@
     are_servers_known: AtomicBool,
     evacuations: Mutex<Evacuations>,
     owners: Owners,
+    /// Number of changes of the configuration, the servers or the assigned ranges; its receivers
+    /// are notified of each change.
     changed: watch::Sender<u64>,
+    /// True while the store is known to be unavailable.
     store_lost: watch::Sender<bool>,
+    /// Requests to call the feed of a table soon, by the index of the table.
     read_requests: [Notify; FollowedTable::ALL.len()],
+    /// True once the rows of the other hosts have been read.
     hosts_known: watch::Sender<bool>,
+    /// True if an earlier process is known to have run on this host.
     former_process: AtomicBool,
+    /// Time of the store's latest response to this host or to a host that reported it.
     store_answered_ms: AtomicU64,
+    /// Time at which the store came back after its latest outage; 0 if there was none.
     store_returned_ms: AtomicU64,
 }
 
@@ -170,7 +178,8 @@
         }
     }
 
-    /// Records that a server was granted keys, before the stored row of the grant is read.
+    /// Records an announced grant of keys to a server. The grant is used before its stored row is
+    /// read.
     pub fn note_granted(&self, service: &Arc<str>, assigned_range: AssignedRange) {
         self.owners.note_granted(service, assigned_range);
         self.changed.send_modify(|count| *count += 1);
@@ -187,12 +196,14 @@
     }
 
     /// Records that a server does not, or not yet, hold the keys assigned to it under a fence.
+    /// Requests for these keys are not sent to the server for a short time.
     pub fn note_not_held(&self, service: &Arc<str>, fence: u64) {
         self.owners.note_not_held(service, fence);
     }
 
-    /// Requests that a table be read soon: a server did not hold the expected keys, or is not
-    /// known.
+    /// Requests that the feed of a table be called soon, because the rows that this host knows are
+    /// outdated: a server did not hold the expected keys, or a host, a server or the hosts' secret
+    /// is not known.
     pub fn request_read(&self, followed: FollowedTable) {
         self.read_requests[followed.index()].notify_one();
     }
@@ -249,7 +260,8 @@
         }
     }
 
-    /// Waits for the end of an outage of the store; if there is none now, for that of the next one.
+    /// Waits for the end of the current outage of the store or, if the store is available, for the
+    /// end of the next outage.
     pub async fn wait_for_outage_end(&self) {
         let mut lost = self.store_lost();
         if lost.wait_for(|lost| *lost).await.is_err() {
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -1,5 +1,5 @@
-//! Keeps the host's view up to date by the change feeds of the store: calls that wait for the next
-//! changes of a table.
+//! Keeps a host's view of the store up to date through change feeds. A change feed is a series of
+//! calls of the store, each of which waits for the next changes of a table.
 
 use std::{
     sync::{
@@ -31,10 +31,11 @@
     },
 };
 
-/// Wait of a feed call that probes whether the store answers. A failed store drops calls without a
-/// response, so the next one must follow soon after its return.
+/// Time that a feed call waits at the store for changes if the call probes whether the store
+/// responds. A failed store drops calls without a response, so the next call must be made soon
+/// after the store is available again.
 const PROBE_WAIT_MS: u64 = 0;
-/// Pause after a failed call; up to half of it is added at random.
+/// Pause after a failed call of the store; up to half of the pause is added at random.
 const RETRY_PAUSE_MS: u64 = 150;
 /// Longest pause of a feed whose calls keep failing. Calls are billed, including refused ones, but
 /// the store's return must be noticed within a second.
@@ -70,6 +71,9 @@
         self.follow(FollowedTable::Own).await;
     }
 
+    /// Reads a table as a whole, unless this host has it from another host, and then follows its
+    /// changes. Reads the table as a whole again when the store no longer keeps the changes that
+    /// this host has missed.
     async fn follow(&self, followed: FollowedTable) {
         let mut was_synced_from_peer = self.join.was_synced_from_peer(followed).await;
         loop {
@@ -132,9 +136,10 @@
         }
     }
 
-    /// Waits for the next changes of a table. The wait is short if the last call failed or missed a
-    /// change. While the store is known to be unavailable, only the feed of servers' entries probes
-    /// whether it is back.
+    /// Calls the store for the changes of a table after the version `after`. The call waits for the
+    /// next change, but returns at once if the last call failed or missed a change. While the store
+    /// is known to be unavailable, only the feed of servers' entries probes whether the store
+    /// responds again.
     async fn next_changes(
         &self,
         followed: FollowedTable,
@@ -143,7 +148,8 @@
     ) -> Result<platform::Result<Feed>, AbandonReason> {
         let mut store_lost = self.view.store_lost();
         if followed != FollowedTable::Servers {
-            // The wait is limited because other hosts may have the changes that this one misses.
+            // The wait for the store's return has a timeout because other hosts may have the
+            // changes that this host has missed.
             let returned = store_lost.wait_for(|lost| !lost);
             let wait_max = Duration::from_millis(self.limits.lag_grace_ms);
             if !matches!(time::timeout(wait_max, returned).await, Ok(Ok(_))) {
@@ -173,8 +179,9 @@
         }
     }
 
-    /// Waits until the leader or a relay confirms the state of the store, or the start period ends.
-    /// Then pauses the feed if the state is confirmed.
+    /// Waits until the leader or a relay confirms the state of the store, or the start period of
+    /// the table ends. Then pauses the feed if the state is confirmed. Returns at once if this host
+    /// is the leader.
     async fn wait_for_leader_at_start(&self, followed: FollowedTable) {
         // The relays that could confirm the store are known only after the join.
         self.join.sync_outcome().await;
@@ -202,7 +209,8 @@
             self.broadcast_configuration(&changes);
         }
         let evacuated = self.view.evacuations().version;
-        // Changes that arrived by broadcast meanwhile, and later ones, are applied already.
+        // Changes up to the version `applied` are skipped: this host has applied them already, for
+        // example from a broadcast that arrived while the feed call waited.
         changes.rows.retain(|row| row.version > applied);
         self.apply(followed, changes.rows);
         self.freshness.note_applied(followed, changes.version);
@@ -223,15 +231,18 @@
         self.apply_server_changes(updates);
     }
 
-    /// Records that the store has delivered all changes of a table up to the time of the call; for
-    /// the configuration, this confirms that it is the latest one.
+    /// Records that the store has delivered all changes of a table that were made before `sent_ms`,
+    /// the time of the call. For the configuration, this confirms that the one in force is the
+    /// current one; other tables need no confirmation.
     fn note_confirmation_by_store(&self, followed: FollowedTable, sent_ms: u64) {
         if followed == FollowedTable::Configuration {
             self.confirmation.note(sent_ms);
         }
     }
 
-    /// Pauses before the next call of a feed, and returns early if there is a reason to call now.
+    /// Pauses before the next call of a feed whose last call was made at `began_ms`. After the
+    /// minimum pause, returns as soon as there is a reason to call the store: a read request, a
+    /// change of this host's role, a missed change, or a reason of [`Self::should_call_now`].
     async fn feed_pause(&self, followed: FollowedTable, began_ms: u64) {
         let mut behind_ms = 0;
         let sync_role = self.sync_role();
@@ -253,7 +264,8 @@
             if role_changed || self.should_call_now(followed, after) {
                 return;
             }
-            // A change that was broadcast did not arrive within the grace period.
+            // The store is called if a change that another host reported has not arrived by
+            // broadcast within the grace period.
             let is_behind =
                 followed != FollowedTable::Own && self.freshness.is_behind(followed, after);
             behind_ms = if is_behind {
@@ -267,8 +279,9 @@
         }
     }
 
-    /// Returns true if a pausing feed should be called now: because a server leaves, because no
-    /// other host confirms the store, or to get the first assigned ranges of a service.
+    /// Returns true if a pausing feed should be called now: because a server leaves, the store is
+    /// unavailable, no other host confirms the store, or this host lacks the assigned ranges of a
+    /// service or the secret of the hosts.
     fn should_call_now(&self, followed: FollowedTable, after: u64) -> bool {
         match followed {
             FollowedTable::Configuration => !self.freshness.is_store_confirmed(),
@@ -286,6 +299,8 @@
         }
     }
 
+    /// Logs the first failed call in a series, and marks the store as unavailable if the failure is
+    /// not limited to one feed.
     fn store_failed(&self, followed: FollowedTable, error: &Error, health: FeedHealth) {
         if health != FeedHealth::Failed {
             Event::StoreLost {
@@ -294,14 +309,16 @@
             }
             .log();
         }
-        // If a call fails that was made to check a stalled feed, the store is unavailable, and not
-        // just one connection broken.
+        // The feed of servers' entries decides for all feeds whether the store is available. A
+        // failed call of another feed counts only if it was made to check a stalled feed: then the
+        // store is unavailable, and not just one connection broken.
         if followed == FollowedTable::Servers || health == FeedHealth::Stalled {
             self.view.set_store_lost(true);
         }
     }
 
-    /// Records that a feed call was answered.
+    /// Records that the store responded to a feed call. A response to the feed of servers' entries
+    /// ends a known outage of the store.
     fn answered(&self, followed: FollowedTable) {
         self.note_store_response(clock::now_ms());
         if followed == FollowedTable::Servers {
@@ -309,7 +326,8 @@
         }
     }
 
-    /// Records that the store answered this host or the leader.
+    /// Records that the store responded at `at_ms` to this host, the leader or a relay. Logs the
+    /// store's return if the time without a response was long enough for servers' entries to lapse.
     pub(super) fn note_store_response(&self, at_ms: u64) {
         let lapse_ms = MISSED_HEARTBEATS * self.settings.store.server_heartbeat_ms;
         let lapse_ms = lapse_ms.max(FollowedTable::OUTAGE_DETECTION_MS);
@@ -318,6 +336,8 @@
         }
     }
 
+    /// Reads a whole table from the store; for the entry hosts' own table, including the rows of
+    /// the hosts, which are in a partition of their own.
     async fn read_table(&self, followed: FollowedTable) -> platform::Result<Rows> {
         let mut rows = self.store.table(followed.table()).await?;
         if followed == FollowedTable::Own {
@@ -327,6 +347,8 @@
         Ok(rows)
     }
 
+    /// Reads a whole table from the store and applies it. Returns false if the store did not
+    /// respond.
     async fn read_whole(&self, followed: FollowedTable) -> bool {
         let sent_ms = clock::now_ms();
         match self.read_table(followed).await {
@@ -362,12 +384,13 @@
     pause_for(RETRY_PAUSE_MS).await;
 }
 
+/// Waits for `min_ms` plus a random time of up to half of that.
 pub(super) async fn pause_for(min_ms: u64) {
     let pause_ms = min_ms + rand::random_range(0..min_ms / 2);
     time::sleep(Duration::from_millis(pause_ms)).await;
 }
 
-/// Returns the time since the store's last response.
+/// Returns the time since the store's last response that is known to this host.
 pub(super) fn store_age_ms(entry: &Entry) -> u64 {
     clock::now_ms().saturating_sub(entry.view.store_answered_ms())
 }
