--- a/src/entry/peers/fanout.rs
+++ b/src/entry/peers/fanout.rs
@@ -6,15 +6,15 @@
 
 use crate::entry::server::tag_of;
 
-/// Number of hosts up to which the sender addresses each of them. Sending some 20 moves a second to
-/// hundreds of hosts fills a link of 20 Mbit/s; heartbeats of the leader are then lost, and with
-/// them the leadership.
+/// Number of hosts up to which a sender addresses each host itself, without relays. Sending some 20
+/// moves a second to each of hundreds of hosts fills a link of 20 Mbit/s. Heartbeats of the leader
+/// are then lost, and the leader loses the leadership.
 pub const DIRECT_HOSTS_MAX: usize = 20;
-/// Relays per zone. With two, the loss of one relay loses no messages.
+/// Number of relays in each zone. With two relays, no message is lost if one of them fails.
 const RELAYS: usize = 2;
 /// Time without an acknowledgement after which another host replaces a relay. Three heartbeats of
-/// the leader fit into this time. With time limits of 2 s, the relay is replaced before the hosts
-/// of its zone stop relying on the leader; with tighter limits they query the store in the
+/// the leader fit into this time. With bounds of 2 s, the relay is replaced before the hosts of its
+/// zone stop relying on the leader. With tighter bounds, these hosts query the store in the
 /// meantime.
 pub const RELAY_SILENT_MS: u64 = 900;
 
@@ -60,7 +60,8 @@
     fanout
 }
 
-/// Returns the relays of one zone.
+/// Returns the relays of one zone: responsive hosts are preferred, and among them those with a
+/// larger processor share. `term` varies the choice between hosts with equal shares.
 pub fn choose_zone_relays(zone: &[RelayCandidate], term: u64) -> Vec<SocketAddr> {
     let mut ranked: Vec<RelayCandidate> = zone.to_vec();
     ranked.sort_by_cached_key(|host| order(host, term));
@@ -77,7 +78,8 @@
 }
 
 /// Returns the aggregator of a zone, which sums the loads of the zone for other zones: the
-/// strongest responsive host. While hosts disagree for a moment, two hosts may act as aggregator.
+/// strongest responsive host. If hosts know different hosts of the zone for a moment, two of them
+/// may act as the aggregator.
 pub fn zone_aggregator(zone: &[RelayCandidate]) -> Option<SocketAddr> {
     let first = zone.iter().min_by_key(|host| order(host, 0));
     first.map(|host| host.address)
@@ -90,18 +92,22 @@
     zones.filter_map(zone_aggregator).collect()
 }
 
-/// Excess one-way delay of one host's messages over the shortest delay seen. The clocks of two
-/// hosts are not comparable, but a delay at a relay shows as an excess over the shortest delay, and
-/// the message then does not count as fresh.
+/// Baseline for the one-way delay of the leader's heartbeats: the shortest delay seen in a term.
+/// The clocks of two hosts are not comparable, so only the excess of a delay over the shortest
+/// delay is known. A heartbeat that a relay delayed has such an excess, and its content counts as
+/// that much older.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OneWayDelay {
     term: u64,
+    /// Smallest difference seen between the receiver's clock on arrival and the sender's clock on
+    /// sending.
     least_offset_ms: i64,
+    /// Time at which the smallest difference was seen, by the receiver's clock.
     at_ms: u64,
 }
 
 /// Time in which the clocks of two hosts may drift apart by 1 ms. The shortest delay seen is raised
-/// by this drift, so that it does not become unreachable.
+/// by this drift. Otherwise all later messages could seem delayed.
 const DRIFT_MS: u64 = 1_000;
 
 impl OneWayDelay {
@@ -110,8 +116,8 @@
     pub fn delay_ms(&mut self, term: u64, sent_ms: u64, now_ms: u64) -> u64 {
         let offset_ms = now_ms as i64 - sent_ms as i64;
         if term < self.term {
-            // Heartbeats of a previous leader are not trusted; the baseline of the current one is
-            // kept.
+            // Heartbeats of a previous leader count as too old to be trusted; the baseline of the
+            // current leader is kept.
             return u64::MAX;
         }
         if term > self.term {
--- a/src/entry/peers/intervals.rs
+++ b/src/entry/peers/intervals.rs
@@ -1,8 +1,8 @@
 //! Intervals of the load reports between hosts, and the age up to which a report is used.
 
 /// Interval of reports among up to [`REPORT_HOSTS`] hosts that report to each other. With more
-/// hosts it grows in proportion to their number, which keeps the number of datagrams per host
-/// constant. Longer intervals make hosts send requests to servers that have no free capacity.
+/// hosts the interval grows in proportion to their number, which keeps the number of datagrams per
+/// host constant. Longer intervals make hosts send requests to servers that have no free capacity.
 const REPORT_EVERY_MS: u64 = 100;
 const REPORT_HOSTS: u64 = 40;
 /// Upper bound of the report interval, for any number of hosts.
@@ -12,7 +12,8 @@
 pub const FULL_REPORT_EVERY: u64 = 8;
 /// Interval at which the aggregator of a zone sends the summed loads to other zones.
 pub const ZONE_LOADS_EVERY_MS: u64 = 250;
-/// Slack beyond the longest time between two reports before a report is ignored as stale.
+/// Time that is added to the interval of full reports to get the age from which a report is ignored
+/// as stale.
 const REPORT_AGE_SLACK_MS: u64 = 400;
 
 /// Returns the report interval among `hosts` hosts that receive each other's reports, this one
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -23,8 +23,8 @@
 
 /// Maximum number of servers or keys in one datagram, which keeps it below the usual packet size.
 pub const ENTRIES_MAX: usize = 120;
-/// Maximum number of server slowdowns, of up to 11 bytes each, in one datagram. They share it with
-/// up to [`ENTRIES_MAX`] loads.
+/// Maximum number of server slowdowns, of up to 11 bytes each, in one datagram. The same datagram
+/// contains up to [`ENTRIES_MAX`] loads as well.
 pub const SLOWDOWNS_MAX: usize = 80;
 /// Maximum number of server rates in one datagram, of up to 36 bytes each.
 pub const RATES_MAX: usize = 45;
@@ -68,7 +68,8 @@
     pub run_ms: u16,
 }
 
-/// Slowdown that a server announced to a host since that host's last report.
+/// Slowdown (factor by which a server currently runs slower than usual) that a server announced to
+/// a host since that host's last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerSlowdown {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
@@ -177,7 +178,8 @@
         /// Zones that operators have evacuated: their servers get no new work. The list is
         /// complete.
         evacuations: Evacuations,
-        /// Requests that were quarantined last; they are sent to no server.
+        /// Digests of the requests that were quarantined last. Hosts send quarantined requests to
+        /// no server.
         quarantined: Vec<RequestDigest>,
     },
     /// Report of the sender's load on servers.
@@ -245,16 +247,16 @@
     },
     /// Announces that the sender starts a trial (single supervised attempt) of a suspect request.
     TrialStarted(ClaimSubject),
-    /// Announces that a claim has ended, so that the next suspect may run: the trial of a request
-    /// has ended without a crash, as the server answered, or the sender released its claim without
-    /// a trial.
+    /// Announces that the sender's claim on a suspect request or a server has ended, so that the
+    /// next suspect may run. Either the trial has ended without a crash because the server
+    /// responded, or the sender released the claim without a trial.
     TrialEnded(ClaimSubject),
-    /// Servers that asked the sender for a backoff. For the leader.
+    /// Reports the servers that asked the sender for a backoff. Sent to the leader.
     ReportBackoffs(Vec<ServerBackoff>),
     /// Reports rate limits of servers with the demand of the sender's callers. Sent to the leader.
     ReportRates(Vec<ServerRate>),
-    /// Rate limits of servers as the leader knows them, with the demand of the callers of all
-    /// hosts.
+    /// Announces the rate limits of servers as the leader knows them, with the demand of the
+    /// callers of all hosts. Sent by the leader to all hosts.
     RateTotals(Vec<ServerRate>),
     /// Reports the tags of servers that announced to the sender that they are leaving, while their
     /// entries do not show it yet. Sent to the leader.
@@ -265,9 +267,11 @@
     /// Reports the numbers of requests by workspace at the sender. Sent to the leader, which adds
     /// up the reports of all hosts.
     ReportUsage(Vec<WorkspaceUse>),
-    /// Shares of the workspaces' requests that hosts may admit; sent by the leader.
+    /// Announces the share of each workspace's requests that a host may admit. Sent by the leader
+    /// to all hosts. A message without workspaces shows that the leader is alive.
     AdmittedShare(Vec<WorkspaceAdmitted>),
-    /// Queries a relay for the age of its view of the store.
+    /// Queries a relay for the state of the store as the relay knows it, and the age of that
+    /// knowledge.
     QueryStoreState {
         /// Identifies the query; returned in the response.
         nonce: u64,
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -1,7 +1,8 @@
-//! Datagrams between hosts: their load on each server, request counts by key for the planner, moves
-//! and grants of keys. All of them are best effort and only improve decisions, with one exception:
-//! the statement of a previous leader that it grants no more leases ends a wait that keeps
-//! ownership exclusive. All datagrams are sealed with a secret that the hosts share.
+//! Datagrams that hosts send each other: their load on each server, request counts by key for the
+//! planner, moves and grants of keys. Datagrams may be lost, and their content only improves
+//! decisions, with one exception: the statement of a previous leader that it grants no more leases
+//! ends a wait of the current leader that keeps the ownership of keys exclusive. All datagrams are
+//! sealed with a secret that the hosts share.
 
 pub mod fanout;
 mod intervals;
@@ -78,11 +79,13 @@
     pub processor_share: f32,
 }
 
+/// Another host that this host knows, with the latest reports of the other host.
 #[derive(Debug)]
 struct Peer {
     properties: HostProperties,
     /// Time of the first message to relay that the host has not acknowledged; 0 if there is none.
     relay_since_ms: u64,
+    /// Time of the host's latest load report; 0 before the first.
     heard_ms: u64,
     loads: Vec<ServerLoad>,
     run_times: Vec<RunTime>,
@@ -123,17 +126,23 @@
     pub outbox: Outbox,
     peers: Mutex<HashMap<SocketAddr, Peer>>,
     socket: std::sync::OnceLock<Arc<UdpSocket>>,
-    /// Requests by service tag and key since the last report.
+    /// Numbers of requests that this host received since its last report to the leader, by service
+    /// tag and key.
     counted: Mutex<HashMap<(u32, u16), u16>>,
     /// Request counts that other hosts reported to this host while it is the leader.
     reported: Mutex<Vec<KeyCount>>,
+    /// Address of the leader that sent the latest heartbeat.
     leader: Mutex<Option<SocketAddr>>,
     leader_term: AtomicU64,
+    /// Number of hosts that the leader knows, as stated in its latest heartbeat.
     hosts_known_to_leader: AtomicUsize,
     leader_heard_ms: AtomicU64,
     /// Slowdowns of servers that other hosts reported and that are not applied yet.
     slowdowns: Mutex<Vec<ReportedSlowdown>>,
+    /// Baseline for the delays of the leader's heartbeats, by which delayed heartbeats are
+    /// recognised.
     one_way_delay: Mutex<OneWayDelay>,
+    /// Loads that the aggregators of the other zones have sent.
     zone_loads: Mutex<ZoneLoads>,
     /// Loads that this host has sent to other zones as the aggregator of its zone.
     zone_load_changes: Mutex<ZoneLoadChanges>,
@@ -161,7 +170,8 @@
         }
     }
 
-    /// Returns the other hosts that this host knows, for the snapshot of a host that starts.
+    /// Returns the other hosts that this host knows, for a snapshot that is sent to a starting
+    /// host.
     pub fn known_hosts(&self) -> Vec<SnapshotHost> {
         let peers = self.peers();
         let hosts = peers.iter().map(|(address, peer)| SnapshotHost {
@@ -209,8 +219,8 @@
         fanout::choose_zone_relays(&zone, term)
     }
 
-    /// Returns the host to fetch missed changes from: with many hosts, a relay of the own zone;
-    /// with few hosts, or on a relay itself, the leader.
+    /// Returns the host from which this host fetches missed changes: with many hosts, a relay of
+    /// this host's zone; with few hosts, or if this host is a relay itself, the leader.
     pub fn sync_peer(&self, own: RelayCandidate) -> Option<SocketAddr> {
         if !self.use_relays() {
             return *self.leader();
@@ -233,8 +243,8 @@
     }
 
     /// Returns the number of hosts, this one included: the larger of the numbers that this host and
-    /// the leader know. Limits that all hosts share are divided by it, so an overestimate is safer
-    /// than an underestimate.
+    /// the leader know. Limits that apply to all hosts together are divided by this number, so an
+    /// overestimate is safer than an underestimate.
     pub fn hosts(&self) -> usize {
         self.known()
             .max(self.hosts_known_to_leader.load(Ordering::Relaxed))
@@ -356,7 +366,7 @@
         self.leader.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a message to the leader. Returns false if none is known.
+    /// Sends a message to the leader. Returns false if this host knows no leader.
     pub(in crate::entry) fn send_to_leader(&self, message: &Message) -> bool {
         let Some(leader) = *self.leader() else {
             return false;
@@ -365,6 +375,8 @@
         true
     }
 
+    /// Seals a message and sends it to the hosts at the addresses `to`. Failures are logged, and
+    /// the message is not sent again.
     pub(in crate::entry) fn send(&self, message: &Message, to: &[SocketAddr]) {
         let Some(socket) = self.socket.get() else {
             return;
@@ -423,7 +435,8 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a heartbeat of the leader. Returns false and ignores it if a later term is known.
+    /// Records a heartbeat of the leader. Returns false and ignores the heartbeat if this host
+    /// knows a leader of a later term.
     fn note_leader(&self, from: SocketAddr, term: u64) -> bool {
         if term < self.leader_term.load(Ordering::Relaxed) {
             return false;
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -16,13 +16,14 @@
     entry::{Entry, keys::AssignedRange, updates::announcement::MoveAnnouncement},
 };
 
-/// Interval at which the leader sends queued announcements. It is short because requests for moved
-/// keys wait for them.
+/// Interval at which the leader sends queued announcements. The interval is short because requests
+/// for moved keys wait for the announcements.
 const SEND_EVERY_MS: u64 = 20;
-/// Interval at which a host that is not the leader checks for announcements.
+/// Interval at which a host that is not the leader checks whether announcements are queued.
 const IDLE_EVERY_MS: u64 = 200;
-/// Delays after a grant at which it is announced. Datagrams may be lost, and a host that misses a
-/// grant holds the requests for the granted keys back.
+/// Delays after a grant at which the grant is announced to all hosts. The announcement is repeated
+/// because datagrams may be lost, and a host that misses it holds back the requests for the granted
+/// keys.
 const ANNOUNCE_GRANT_AFTER_MS: [u64; 3] = [0, 300, 1_000];
 /// Maximum number of moves or grants in one datagram, of up to 40 bytes each.
 const ANNOUNCEMENTS_MAX: usize = 30;
@@ -34,6 +35,7 @@
     Granted(AssignedRange),
 }
 
+/// Announcement for a service, with the time from which it may be sent.
 #[derive(Clone, Debug)]
 struct QueuedAnnouncement {
     due_ms: u64,
@@ -57,7 +59,8 @@
         });
     }
 
-    /// Queues the announcements, one for each delay, that a server was granted keys.
+    /// Queues announcements that a server was granted keys: one to be sent now, and repetitions
+    /// after the other delays of `ANNOUNCE_GRANT_AFTER_MS`.
     pub fn announce_grant(&self, service_tag: u32, assigned_range: &AssignedRange) {
         let now_ms = clock::now_ms();
         let mut items = self.items();
@@ -80,7 +83,7 @@
                 .into_iter()
                 .partition(|item| item.due_ms <= now_ms)
         };
-        // Items that were queued in the meantime come after the remaining ones.
+        // Items that are not due are put back in front of items that were queued in the meantime.
         self.items().splice(0..0, later);
         let mut moving: BTreeMap<u32, Vec<MoveAnnouncement>> = BTreeMap::new();
         let mut granted: BTreeMap<u32, Vec<AssignedRange>> = BTreeMap::new();
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -49,7 +49,8 @@
 
     fn handle_datagram(&self, datagram: &[u8], from: SocketAddr) {
         let Some(message) = self.peers.seal.open(datagram) else {
-            // If the sender is a host, the hosts may use a new secret by now.
+            // If the sender is a known host, the hosts may have replaced the secret that this host
+            // knows.
             log::debug!("datagram of {from} is not sealed with the known secret");
             if self.peers.knows(from) {
                 self.join.flag_stale_secret();
@@ -86,8 +87,9 @@
         }
     }
 
-    /// Adds the sending host if its row was not read yet. Hosts describe themselves in their
-    /// reports and queries, so that not every host must read the rows for each new host.
+    /// Adds the host at `from` if its row was not read yet. Hosts describe themselves in their
+    /// reports and queries, so that not every host must read the rows for each new host. After any
+    /// other message, requests that the rows be read.
     fn learn_sender(&self, from: SocketAddr, message: Option<&Message>) {
         let Some(Message::Report { sender, .. } | Message::QueryStoreState { sender, .. }) =
             message
@@ -118,7 +120,8 @@
                 quarantined,
             } => {
                 self.peers.note_hosts_known_to_leader(hosts);
-                // The state with the latest version is kept, also if an older one arrives later.
+                // The list of evacuated zones with the latest version is kept, even if an earlier
+                // list arrives later.
                 self.view.evacuate(evacuations);
                 self.put_in_quarantine(&quarantined, "the leader announced it");
                 let updates = updates.aged_by(self.peers.excess_delay_ms(term, sent_ms));
@@ -238,8 +241,8 @@
         }
     }
 
-    /// Sends the assigned range of a key, if this host is the leader, to a host whose request
-    /// reached a server that does not hold the key.
+    /// If this host is the leader, sends the assigned range that contains `key` to the host at
+    /// `to`, whose request reached a server that does not hold the key.
     fn send_key_owner(&self, to: SocketAddr, service_tag: u32, key: u16) {
         if self.leadership.term() == 0 {
             return;
@@ -267,6 +270,8 @@
         self.peers.send(&message, &[to]);
     }
 
+    /// Returns the name of the service with a tag; `None` if the configuration in force has no such
+    /// service.
     fn service_of(&self, tag: u32) -> Option<Arc<str>> {
         let configuration = self.view.configuration()?;
         let mut services = configuration.services();
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -21,8 +21,8 @@
 /// Interval at which request counts by key are sent to the leader.
 const KEYS_EVERY_MS: u64 = 150;
 /// Interval at which reports of the other hosts are applied to the loads of up to [`APPLY_SERVERS`]
-/// servers. With more servers it grows in proportion to their number, which keeps the processor
-/// time constant.
+/// servers. With more servers the interval grows in proportion to their number, which keeps the
+/// processor time constant.
 const APPLY_EVERY_MS: u64 = 25;
 const APPLY_SERVERS: u64 = 220;
 /// Upper bound of the interval at which reports are applied.
@@ -67,8 +67,8 @@
 }
 
 impl Entry {
-    /// Reports the load on servers to the other hosts; with many hosts, to those of the own zone
-    /// only.
+    /// Reports this host's load on servers to the other hosts; with many hosts, only to those of
+    /// this host's zone.
     pub(in crate::entry) async fn keep_reporting(self: Arc<Self>) {
         let mut reporter = Reporter::default();
         loop {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Returns this host as a candidate for a relay.
+    /// Returns the properties by which this host may be chosen as a relay of its zone.
     pub(in crate::entry) fn as_relay_candidate(&self) -> RelayCandidate {
         RelayCandidate {
             address: self.settings.listen.peers,
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Sends heartbeats while this host's leadership is confirmed. Without them the other hosts
-    /// must check whether to take over the leadership.
+    /// Sends heartbeats while this host's leadership is confirmed. Without heartbeats, the other
+    /// hosts must check whether to take over the leadership.
     pub(in crate::entry) async fn keep_sending_heartbeats(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(self.limits.leader_heartbeat_ms)).await;
@@ -163,6 +163,8 @@
         self.peers.send_to_all(message);
     }
 
+    /// Returns this host's requests in flight by server, for the servers with the most requests if
+    /// there are more than [`ENTRIES_MAX`].
     fn own_loads(&self) -> Vec<ServerLoad> {
         let registry = self.view.registry();
         let mut loads: Vec<ServerLoad> = registry
@@ -193,6 +195,8 @@
         announced.take(SLOWDOWNS_MAX).collect()
     }
 
+    /// Returns the average run times that this host has measured, for at most [`ENTRIES_MAX`]
+    /// servers.
     fn own_run_times(&self) -> Vec<RunTime> {
         let registry = self.view.registry();
         let known = registry.servers().filter_map(|server| {
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -28,15 +28,16 @@
         }
     }
 
-    /// Chooses the recipients of a message to all hosts and expects acknowledgements of the relays.
+    /// Chooses the recipients of a message to all hosts, and records that the relays among them
+    /// have a message to acknowledge.
     fn fanout(&self) -> Fanout {
         let fanout = self.current_fanout();
         self.expect_relay_acks(&fanout.relays);
         fanout
     }
 
-    /// Returns the current recipients of a message to all hosts, without expecting
-    /// acknowledgements.
+    /// Returns the current recipients of a message to all hosts, without recording that the relays
+    /// have a message to acknowledge.
     pub(super) fn current_fanout(&self) -> Fanout {
         let now_ms = clock::now_ms();
         let term = self.leader_term.load(Ordering::Relaxed);
@@ -46,7 +47,8 @@
         fanout::fanout(&candidates.collect::<Vec<_>>(), term)
     }
 
-    /// Records that relays have a message to acknowledge.
+    /// Records that relays have a message to acknowledge. The time of an earlier message that a
+    /// relay has not acknowledged is kept.
     pub(super) fn expect_relay_acks(&self, relays: &[SocketAddr]) {
         let now_ms = clock::now_ms();
         let mut peers = self.peers();
@@ -68,7 +70,8 @@
         self.send(&Message::Relayed { origin, message }, &to);
     }
 
-    /// Returns the excess delay of a heartbeat of the leader over the shortest one seen.
+    /// Returns the excess delay of a heartbeat of the leader over the shortest delay seen in its
+    /// term.
     pub(super) fn excess_delay_ms(&self, term: u64, sent_ms: u64) -> u64 {
         let mut one_way_delay = self
             .one_way_delay
--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -1,7 +1,7 @@
 //! Loads of servers by availability zone. With many hosts, one aggregator in each zone sums the
-//! reports of the hosts there and sends the sums to the other zones. The messages that a host
-//! receives then grow with the number of zones, not of hosts, and are half a second old instead of
-//! four seconds.
+//! reports of the hosts there and sends the sums to the other zones. The number of messages that a
+//! host receives then grows with the number of zones instead of hosts, and the loads in them are
+//! half a second old instead of four seconds.
 
 use std::collections::HashMap;
 
@@ -22,7 +22,7 @@
 /// Relative change of a run time above which a summary is sent at once.
 const RUN_CHANGE: f64 = 0.25;
 
-/// Latest sums received from the other zones.
+/// Latest sums received from the aggregators of the other zones, by zone tag and server tag.
 #[derive(Debug, Default)]
 pub struct ZoneLoads {
     zones: HashMap<u32, HashMap<u32, ReceivedSummary>>,
@@ -75,7 +75,8 @@
 }
 
 impl ZoneLoadChanges {
-    /// Returns the sums that have changed or must be sent again.
+    /// Returns the sums that have changed or must be sent again. A server that had requests in
+    /// flight and is no longer in `sums` is included with 0 requests in flight.
     pub fn updates(&mut self, sums: Vec<ServerSummary>, now_ms: u64) -> Vec<ServerSummary> {
         let mut updates: Vec<ServerSummary> = sums
             .iter()
