--- a/src/entry/updates/announcement.rs
+++ b/src/entry/updates/announcement.rs
@@ -11,6 +11,7 @@
     pub range: KeyRange,
     /// Fence above which a grant of the range completes the move.
     pub above_fence: u64,
-    /// Remaining time after which the announcement expires, even if no grant was announced.
+    /// Remaining time after which the announcement expires, even if no grant of the keys was
+    /// announced.
     pub time_left: MoveTimeLeft,
 }
--- a/src/entry/updates/configuration_pieces.rs
+++ b/src/entry/updates/configuration_pieces.rs
@@ -1,5 +1,5 @@
-//! Splits the operators' configuration into datagrams and reassembles it, so that not every host
-//! has to read it from the store.
+//! Splits the operators' configuration into pieces that each fit a datagram, and reassembles the
+//! pieces, so that not every host has to read the configuration from the store.
 
 use std::sync::Arc;
 
@@ -10,8 +10,9 @@
 /// Maximum number of content bytes in one piece, chosen to keep the datagram below the usual packet
 /// size.
 const PIECE_BYTES: usize = 1_200;
-/// Maximum number of pieces of a configuration that is broadcast. A larger one would occupy the
-/// links of small hosts for longer than each of them takes to read it from the store.
+/// Maximum number of pieces of a configuration that is broadcast. A larger configuration would
+/// occupy the links of small hosts for longer than each of these hosts takes to read it from the
+/// store.
 const PIECES_MAX: usize = 12;
 
 /// One piece of a configuration row, byte for byte as stored.
@@ -44,7 +45,8 @@
     pub value: Arc<[u8]>,
 }
 
-/// Splits a configuration into pieces. Returns no pieces if it is too large to be broadcast.
+/// Splits a configuration into pieces. Returns no pieces if the configuration is too large to be
+/// broadcast.
 pub fn split_into_pieces(version: u64, evacuations: u64, content: &[u8]) -> Vec<Piece> {
     let pieces = content.chunks(PIECE_BYTES);
     let count = pieces.len();
--- a/src/entry/updates/confirmation.rs
+++ b/src/entry/updates/confirmation.rs
@@ -1,24 +1,26 @@
-//! Tracks the time for which a host's configuration is confirmed to be the current one. If
-//! operators set a bound for the revocation of API keys, a key is accepted only while the last
-//! confirmation of the configuration that contains it is no older than that bound. A host that was
-//! partitioned, was suspended, or got its configuration from another host must not trust it for
-//! longer than that.
+//! Tracks the latest point in time at which a host's configuration is known to have been the
+//! current one. That knowledge is called a confirmation. If operators set a bound for the
+//! revocation of API keys, a key is accepted only while the last confirmation of the configuration
+//! that contains it is no older than that bound. A host that was partitioned, was suspended, or got
+//! its configuration from another host must not trust the configuration for longer than the bound.
 //!
-//! A confirmation counts from the time at which the query was sent. A response of the store
-//! confirms the configuration as of that time. A response of the leader confirms it as of that time
-//! minus the age of the leader's own confirmation.
+//! A confirmation counts from the time at which the query was sent, not from the arrival of the
+//! response. A response of the store confirms the configuration as of the time of the query. A
+//! response of the leader confirms it as of the time of the query minus the age of the leader's own
+//! confirmation.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 use super::query::PendingQuery;
 
-/// Latest time for which this host's configuration is confirmed to be the current one.
+/// Latest time at which this host's configuration is known to have been the current one, and the
+/// state needed to determine it.
 #[derive(Debug, Default)]
 pub struct ConfigurationConfirmation {
     /// Time of the latest confirmation; 0 before the first.
     confirmed_ms: AtomicU64,
-    /// True while the latest configuration cannot be decoded: the one in force is then outdated and
-    /// must not count as confirmed.
+    /// True while the latest configuration cannot be decoded: the configuration in force is then
+    /// outdated and must not count as confirmed.
     unreadable: AtomicBool,
     /// Query to the leader, while it waits for the response.
     query: PendingQuery,
@@ -43,7 +45,7 @@
         is_confirmed.then(|| now_ms.saturating_sub(confirmed_ms))
     }
 
-    /// Records a query to the leader.
+    /// Records a query to the leader for the age of its confirmation, sent at `at_ms`.
     pub fn start_query(&self, nonce: u64, at_ms: u64) {
         self.query.start_query(nonce, at_ms);
     }
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -8,16 +8,16 @@
 };
 
 /// Maximum wait of a feed call at the store while no other host confirms the store. A store that
-/// stopped responding is detected within a second after that, early enough to apply the
+/// stopped responding is detected within a second after the wait, early enough to apply the
 /// configuration within its bound once a network partition has healed.
 const ALONE_WAIT_MS: u64 = 3_000;
-/// Maximum wait of a feed call that is abandoned and repeated as soon as another host reports a
-/// change that the feed did not deliver. Calls are billed, so the wait is long; the store allows up
-/// to 30 s.
+/// Maximum wait at the store of a feed call that does not need a short wait: if another host
+/// reports a change that the feed did not deliver, the call is abandoned and repeated. Calls are
+/// billed, so the wait is long; the store allows up to 30 s.
 const FOLLOWER_WAIT_MS: u64 = 25_000;
 /// Maximum pause of a feed while the leader broadcasts all changes. A host that has missed a change
-/// notices it by the versions in the leader's heartbeat, or when it encounters an unknown host or
-/// secret, or a server that no longer holds a key.
+/// notices this by the versions in the leader's heartbeat, by a message of an unknown host or with
+/// an unknown secret, or by the response of a server that no longer holds a key.
 pub const FOLLOWER_PAUSE_MAX_MS: u64 = 120_000;
 /// Time after its start that a host waits for a heartbeat of the leader before it reads the entry
 /// hosts' own rows again.
@@ -92,8 +92,8 @@
 
     /// Returns the time for which a host that has just read the table waits for a heartbeat of the
     /// leader before it requests changes. Hosts that start together would otherwise all fetch each
-    /// other's rows; the rows are written after 2 s, and by then there is a leader as well. The
-    /// wait lies within the contact grace period, in which the bounds do not apply.
+    /// other's rows. Hosts write their rows 2 s after their start, and by then there is a leader as
+    /// well. The wait lies within the contact grace period, in which the bounds do not apply.
     pub fn start_wait_ms(self, limits: &TimeLimits) -> u64 {
         match self {
             Self::Own => OWN_START_WAIT_MS,
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Returns the pause between two feed calls. Each change wakes the feeds of all hosts, so the
-    /// pause grows with the number of hosts, up to the limit at which changes still take effect in
-    /// time.
+    /// Returns the pause between two feed calls. Each change ends the waiting feed calls of all
+    /// hosts, so the pause grows with the number of hosts, up to the value with which changes still
+    /// take effect within their bound.
     pub fn feed_pause(self, hosts: usize, sync_role: SyncRole, limits: &TimeLimits) -> FeedPause {
         let scaled = |few_hosts_ms: u64, many_hosts_ms: u64| {
             let scaled_ms = few_hosts_ms * hosts as u64 / FEW_HOSTS;
@@ -151,7 +151,7 @@
     /// Minimum pause, kept even if there is a reason to call early, such as a read request or a
     /// missed change.
     pub min_ms: u64,
-    /// Maximum pause, if no such reason arises.
+    /// Maximum pause, after which the call is made without such a reason.
     pub max_ms: u64,
 }
 
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -1,7 +1,7 @@
 //! Tracks how recent a host's view of the store is. The leader writes to the store continuously. It
 //! reports to the other hosts the time since the store last responded to it, and the version up to
-//! which it has seen each table. The feeds of the others can therefore wait for long: a feed that
-//! lags behind the reported version has failed silently and is called again.
+//! which it has seen each table. The feed calls of the other hosts can therefore wait at the store
+//! for long: a feed that lags behind a reported version has failed silently and is called again.
 
 use std::{
     sync::{
@@ -21,14 +21,16 @@
 };
 
 const TABLES: usize = FollowedTable::ALL.len();
-/// Age given to a report whose real age does not fit the field; it is too old to be trusted.
+/// Age stated in a report whose real age does not fit the field; such a report is too old to be
+/// trusted.
 const TOO_OLD_MS: u32 = u32::MAX;
 
 /// Report of the leader, or of a relay, on its view of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStateReport {
     /// Time since the store's last response, or since the servers' entries or the configuration
-    /// were last followed if that is longer ago. All changes up to then are known to the sender.
+    /// were last followed if that is longer ago. The sender knows all changes that were made before
+    /// that time.
     pub age_ms: u32,
     /// Version of the latest change seen, by table.
     pub changed: [u64; TABLES],
@@ -48,8 +50,8 @@
         }
     }
 
-    /// Merges the changes known from an earlier report: a later report may come from another host
-    /// that has not seen all of them.
+    /// Returns this report with the later one of each version in the two reports: this report may
+    /// come from another host, which has not seen all changes of the earlier report.
     fn with_changes_of(self, earlier: Self) -> Self {
         Self {
             changed: std::array::from_fn(|table| self.changed[table].max(earlier.changed[table])),
@@ -72,10 +74,13 @@
     followed_ms: [AtomicU64; TABLES],
     /// Version up to which this host has applied each table.
     applied: [AtomicU64; TABLES],
+    /// Version of the latest change that this host has seen, by table.
     changed: [AtomicU64; TABLES],
+    /// Version of the latest change after which some server takes no new work.
     leave_version: AtomicU64,
+    /// Latest report of the leader or a relay; `None` before the first.
     received: Mutex<Option<ReceivedReport>>,
-    /// Query to a relay, while it waits for the response.
+    /// Query to the relays of the zone, while it waits for the first response.
     query: PendingQuery,
     /// True while this host reports the store's state to its zone in place of the leader.
     is_relay: AtomicBool,
@@ -140,7 +145,7 @@
         self.is_relay.load(Ordering::Relaxed)
     }
 
-    /// Records a query to a relay.
+    /// Records a query to the relays of the zone for the state of the store, sent at `at_ms`.
     pub fn start_query(&self, nonce: u64, at_ms: u64) {
         self.query.start_query(nonce, at_ms);
     }
@@ -194,8 +199,8 @@
         self.leave_version.fetch_max(version, Ordering::Relaxed);
     }
 
-    /// Returns this host's own report for the others, sent while it is the leader. `heard_ms` is
-    /// the time of the store's last response.
+    /// Returns this host's own report on the store, which the leader sends in its heartbeats and a
+    /// relay in its responses. `heard_ms` is the time of the store's last response.
     pub fn updates(&self, heard_ms: u64) -> StoreStateReport {
         let followed_ms = |followed: FollowedTable| {
             let followed_ms = &self.followed_ms[followed.index()];
@@ -213,8 +218,9 @@
         }
     }
 
-    /// Returns the report that this host can give as a relay: its own or the one it received,
-    /// whichever is more recent. Returns `None` if that is too old to be trusted.
+    /// Returns the report with which this host responds to a query as a relay: its own report or
+    /// the one that it received, whichever is more recent. Returns `None` if that report is too old
+    /// to be trusted.
     pub fn store_state(&self, heard_ms: u64) -> Option<StoreStateReport> {
         let received = *self.received();
         let own = self.updates(heard_ms);
@@ -238,7 +244,8 @@
     }
 
     /// Records a relay's response. Returns the time at which the store last responded to the relay;
-    /// `None` if that is not later than the known time.
+    /// `None` if that time is not later than the known time, or if the response does not belong to
+    /// the latest query or is not the first one.
     pub fn note_relay_report(&self, nonce: u64, updates: StoreStateReport) -> Option<u64> {
         let sent_ms = self.query.answered(nonce)?;
         let answered_ms = sent_ms.saturating_sub(u64::from(updates.age_ms));
@@ -252,7 +259,8 @@
         is_new.then_some(answered_ms)
     }
 
-    /// Records a report of the leader. Returns the time at which the store last responded to it.
+    /// Records a report of the leader. Returns the time of the store's latest response that is
+    /// known from reports of other hosts.
     pub fn note_announced(&self, updates: StoreStateReport) -> u64 {
         let answered_ms = clock::now_ms().saturating_sub(u64::from(updates.age_ms));
         let received = ReceivedReport {
@@ -271,16 +279,16 @@
         for followed in [FollowedTable::Servers, FollowedTable::Configuration] {
             let applied = self.applied(followed);
             if applied > 0 && applied >= updates.changed[followed.index()] {
-                // Nothing has changed since the applied version, so the feed can continue from the
-                // reported one and does not depend on the store's older history.
+                // The table has not changed since the applied version, so the feed can continue
+                // from the reported version and does not depend on the store's older history.
                 self.note_applied(followed, updates.up_to[followed.index()]);
             }
         }
     }
 
     /// Returns true if the leader, or a relay in its place, has reported a recent response of the
-    /// store. A relay stops trusting the leader earlier than other hosts do, so that it has a state
-    /// of its own by the time they query it.
+    /// store. A relay stops trusting the leader earlier than other hosts do, so that the relay has
+    /// followed the store itself by the time other hosts query it.
     pub fn is_store_confirmed(&self) -> bool {
         let trust_ms = if self.is_relay() {
             self.relay_query_age_ms()
@@ -303,9 +311,9 @@
         })
     }
 
-    /// Returns the age of the last report from which relays are queried. It lies above the usual
-    /// age of the leader's reports, which is at most half of the trust period plus a quarter of it
-    /// for one heartbeat.
+    /// Returns the age of the last report from which relays are queried. The leader's reports are
+    /// usually not older: their age is at most half of the trust period plus a quarter of it for
+    /// one heartbeat.
     fn relay_query_age_ms(&self) -> u64 {
         self.trust_ms * 3 / 4
     }
@@ -329,8 +337,8 @@
         self.reported_change(followed) > requested_after
     }
 
-    /// Returns true if another host has reported a change after a version by which a server takes
-    /// no new work.
+    /// Returns true if another host has reported a change, later than `version`, after which some
+    /// server takes no new work.
     pub fn has_leave_since(&self, version: u64) -> bool {
         let received = *self.received();
         received.is_some_and(|received| received.updates.leave_version > version)
@@ -372,7 +380,8 @@
     }
 }
 
-/// Guard of a feed call that waits at the store; stores the end of the call when dropped.
+/// Guard of a feed call that waits at the store. When the guard is dropped, it records the time at
+/// which the call ended.
 #[derive(Debug)]
 pub struct FollowGuard<'a>(&'a AtomicU64);
 
--- a/src/entry/updates/query.rs
+++ b/src/entry/updates/query.rs
@@ -1,6 +1,6 @@
-//! Query to another host. The response counts from the sending of the query: a response that was
-//! delayed in the network, or that a suspended host reads late, confirms nothing more recent than
-//! that.
+//! Tracks a query to another host until its response arrives. The response counts from the sending
+//! of the query: a response that was delayed in the network, or that a suspended host reads late,
+//! confirms nothing that is more recent than the query.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -19,7 +19,8 @@
 }
 
 impl PendingQuery {
-    /// Records a query; responses to earlier ones are ignored from then on.
+    /// Records a query that is sent at `at_ms`. Responses to earlier queries are ignored from then
+    /// on.
     pub fn start_query(&self, nonce: u64, at_ms: u64) {
         *self.pending.lock().unwrap_or_else(PoisonError::into_inner) =
             Some(SentQuery { nonce, at_ms });
--- a/src/entry/updates/server_changes.rs
+++ b/src/entry/updates/server_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of servers' entries that hosts send each other.
+//! Changes of servers' entries that hosts send each other in place of reads from the store.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -71,8 +71,9 @@
         parts
     }
 
-    /// Returns the changes that are new to a host with the table up to `applied`. Returns `None` if
-    /// changes are missing between `applied` and the beginning of the range.
+    /// Returns the changes that are new to a host that has applied the table up to the version
+    /// `applied`. Returns `None` if changes are missing between `applied` and the beginning of the
+    /// range.
     pub fn new_after(self, applied: u64) -> Option<Vec<ServerChange>> {
         if applied < self.after {
             return None;
@@ -96,7 +97,8 @@
 }
 
 impl RecentChanges {
-    /// Appends changes. If there is a gap before them, the earlier changes are discarded.
+    /// Appends changes. If there is a gap between the kept changes and these, the kept changes are
+    /// discarded.
     pub fn note(&mut self, updates: &ServerChanges) {
         if updates.after > self.up_to {
             self.changes.clear();
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -1,7 +1,7 @@
-//! Snapshot of a host's view of servers, assigned ranges and hosts, sent to a host that starts.
-//! Reading the tables from the store takes each host one call for some hundred rows: with a
-//! thousand hosts and ten thousand servers that would be 20,000 calls and 2.5 GB whenever all hosts
-//! start.
+//! Snapshot of a host's view of servers, assigned ranges and hosts, sent to a host that starts. A
+//! host that reads the tables from the store instead makes one call for every few hundred rows.
+//! With a thousand hosts and ten thousand servers, that would be 20,000 calls and 2.5 GB whenever
+//! all hosts start.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
@@ -87,7 +87,8 @@
     pub changed: u64,
 }
 
-/// A host's view of servers, assigned ranges and hosts. Without servers, their versions are 0.
+/// A host's view of servers, assigned ranges and hosts. If the servers are left out,
+/// `servers_versions` is 0.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Progress of the sender in following the table of servers' entries; 0 if servers are left
@@ -186,7 +187,8 @@
         rows
     }
 
-    /// Returns the versions of a table; 0 for the configuration, which snapshots do not contain.
+    /// Returns the sender's progress in following a table; 0 for the configuration, which snapshots
+    /// do not contain.
     pub fn known(&self, followed: FollowedTable) -> TableVersions {
         match followed {
             FollowedTable::Servers => self.servers_versions,
