--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -1,4 +1,5 @@
-//! Servers that announce in their responses that they leave, or that ask for a backoff.
+//! Tests how hosts treat servers that announce in their responses that they leave, or that ask for
+//! a backoff.
 //!
 //! Guards against two failures:
 //!
@@ -30,14 +31,15 @@
 
 /// Time after a server has asked for a backoff in which requests in transit may still arrive.
 const BACKOFF_SLACK: Duration = Duration::from_millis(500);
-/// Maximum number of requests that may reach a server later in its backoff.
+/// Maximum number of requests from one host that may reach a server in its backoff after
+/// [`BACKOFF_SLACK`].
 const BACKOFF_REQUESTS_MAX: usize = 2;
 /// Duration of the backoff that servers ask for.
 const BACKOFF_MS: u64 = 2_000;
 /// Time for which servers reject requests in a test.
 const REJECTION_TIME: Duration = Duration::from_millis(8_000);
-/// Time within which a host refuses requests that no server can serve, as its own log states it.
-/// tests/entry_crashes.rs has the same limit.
+/// Maximum time until a host refuses a request that no server can serve, as stated in the host's
+/// own log. tests/entry_crashes.rs has the same bound.
 const AT_ONCE_MS: u64 = 400;
 
 /// Returns the delays of the requests that reached a server too late: a caller sent them to a host
@@ -96,7 +98,8 @@
         let latest = late.iter().max();
         return Err(format!("{} requests, up to {latest:?} after", late.len()));
     }
-    // Without the store no key can get another server. In all other cases callers are served.
+    // Without the store no key can be moved to another server. In all other cases callers must be
+    // served.
     if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
     }
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -110,7 +110,8 @@
         case(9, 0, 9),
         case(9, 3, 6),
         case(9, 4, 5),
-        // All servers are overloaded: none is left out, and no key moves because of the backoffs.
+        // If most servers ask for a backoff, all of them count as overloaded: no server is left
+        // out, and no key moves because of the backoffs.
         case(9, 5, 9),
         case(9, 9, 9),
         case(2, 1, 1),
--- a/tests/entry_vouching.rs
+++ b/tests/entry_vouching.rs
@@ -1,8 +1,8 @@
 //! Hosts use the relays of their zone when the leader does not confirm the store.
 //!
-//! Guards against each host calling the store by itself: with 985 hosts, each made 34 calls to the
-//! store in a day. The store rejected the leader's calls, its reports became stale, and each host
-//! followed the store by itself until there was another leader.
+//! Guards against each host calling the store itself. With 985 hosts, each host made 34 calls to
+//! the store in a day: the store rejected the leader's calls, the leader's reports became stale,
+//! and each host followed the store itself until there was another leader.
 
 mod platform_standin;
 
@@ -26,7 +26,7 @@
     traffic::Workload,
 };
 
-/// More hosts than the leader addresses directly.
+/// Number of hosts: more than the leader addresses directly, so that it uses relays.
 const HOSTS: usize = 24;
 /// Maximum number of hosts that follow the store: the relays of the zone, the hosts that watch the
 /// leadership row, and the leaders.
@@ -86,7 +86,7 @@
         None,
         "already answered"
     );
-    // A response that was delayed while the host was frozen.
+    // A response that the host reads late because it was suspended after it had sent the query.
     let frozen = Freshness::new(&limits);
     frozen.start_query(1, now_ms - limits.trust_ms);
     frozen.note_relay_report(1, updates(0, 9));
@@ -159,7 +159,7 @@
         "{callers} of {HOSTS} hosts called: {:?}",
         calls.collect::<Vec<_>>()
     );
-    // Hosts still learn of changes that happen in the meantime.
+    // Hosts still learn of a server's leaving while the leader cannot reach the store.
     let leaving = &deployment.site.orders[0];
     leaving.write_entry(&deployment.site.store, "draining");
     time::sleep(Duration::from_secs(3)).await;
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -130,15 +130,17 @@
     // The clocks of the two hosts are unrelated.
     assert_eq!(one_way_delay.delay_ms(4, 9_000_000, 1_000_003), 0);
     assert_eq!(one_way_delay.delay_ms(4, 9_000_300, 1_000_301), 0);
-    // A relay that was frozen for 6 s forwards an old message after a newer one of the other relay.
+    // A relay that was suspended for 6 s forwards an old message after the other relay has
+    // forwarded a newer message.
     assert_eq!(one_way_delay.delay_ms(4, 9_006_300, 1_006_301), 0);
     assert_eq!(one_way_delay.delay_ms(4, 9_000_600, 1_006_600), 5_999);
     // Clocks may drift apart by 1 ms per second.
     assert_eq!(one_way_delay.delay_ms(4, 9_600_300, 1_600_600), 0);
-    // The leader of a later term has another clock.
+    // The leader of a later term has another clock, so the shortest delay is determined anew.
     assert_eq!(one_way_delay.delay_ms(5, 100, 1_600_900), 0);
     assert_eq!(one_way_delay.delay_ms(5, 400, 1_601_250), 50);
-    // A late message of the previous leader changes nothing.
+    // A late message of the previous leader does not change the shortest delay of the current
+    // leader.
     assert_eq!(one_way_delay.delay_ms(4, 9_600_400, 1_601_300), u64::MAX);
     assert_eq!(one_way_delay.delay_ms(5, 700, 1_601_550), 50);
 }
