--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -67,7 +67,7 @@
     let in_a_backoff = |received_requests: &Vec<(ReceivedRequest, RequestOutcome)>| {
         let backoffs = received_requests
             .iter()
-            .filter_map(|(visit, _)| Some((visit.at, visit.backoff?)));
+            .filter_map(|(received, _)| Some((received.at, received.backoff?)));
         let within = |(began, backoff): (Instant, Duration)| {
             let span = began + BACKOFF_SLACK..began + backoff;
             received_requests
