--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -36,8 +36,8 @@
     }
 }
 
-fn hosts(zones: u32, of_each: usize) -> Vec<RelayCandidate> {
-    let zone = |zone_tag| (0..of_each).map(move |number| host(zone_tag, number));
+fn hosts(zones: u32, hosts_per_zone: usize) -> Vec<RelayCandidate> {
+    let zone = |zone_tag| (0..hosts_per_zone).map(move |number| host(zone_tag, number));
     (0..zones).flat_map(zone).collect()
 }
 
@@ -50,39 +50,39 @@
 fn many_hosts_get_messages_through_two_relays_per_zone() {
     struct Case {
         zones: u32,
-        of_each: usize,
+        hosts_per_zone: usize,
         direct: usize,
         relays: usize,
     }
     let cases = [
         Case {
             zones: 3,
-            of_each: 4,
+            hosts_per_zone: 4,
             direct: 12,
             relays: 0,
         },
         Case {
             zones: 5,
-            of_each: 59,
+            hosts_per_zone: 59,
             direct: 0,
             relays: 10,
         },
         // The number of messages per sender does not grow with the number of hosts.
         Case {
             zones: 5,
-            of_each: 880,
+            hosts_per_zone: 880,
             direct: 0,
             relays: 10,
         },
         Case {
             zones: 1,
-            of_each: DIRECT_HOSTS_MAX,
+            hosts_per_zone: DIRECT_HOSTS_MAX,
             direct: 0,
             relays: 2,
         },
     ];
     for case in cases {
-        let hosts = hosts(case.zones, case.of_each);
+        let hosts = hosts(case.zones, case.hosts_per_zone);
         let fanout = fanout(&hosts, 1);
         assert_eq!(fanout.direct.len(), case.direct);
         assert_eq!(fanout.relays.len(), case.relays);
