--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -21,7 +21,8 @@
     },
 };
 
-/// Maximum number of servers or keys in one datagram, which keeps it below the usual packet size.
+/// Maximum number of servers or keys in one datagram, which keeps the datagram below the usual
+/// packet size.
 pub const ENTRIES_MAX: usize = 120;
 /// Maximum number of server slowdowns, of up to 11 bytes each, in one datagram. The same datagram
 /// contains up to [`ENTRIES_MAX`] loads as well.
@@ -288,7 +289,8 @@
         /// complete.
         evacuations: Evacuations,
     },
-    /// Queries the receiver for the time since its configuration was known to be current.
+    /// Queries the receiver for the age of its latest confirmation, which is the time since the
+    /// receiver's configuration was known to be the current one.
     QueryConfigurationAge {
         /// Identifies the query; returned in the response.
         nonce: u64,
@@ -298,7 +300,7 @@
     ConfigurationAge {
         /// Nonce of the query. A response with another nonce is ignored.
         nonce: u64,
-        /// Age of the sender's confirmation when it responds.
+        /// Age of the sender's latest confirmation when the response is sent.
         age_ms: u32,
         /// Version of the latest change of the operators' table that the sender knows.
         changed: u64,
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -92,8 +92,9 @@
 
     /// Returns the time for which a host that has just read the table waits for a heartbeat of the
     /// leader before it requests changes. Hosts that start together would otherwise all fetch each
-    /// other's rows. Hosts write their rows 2 s after their start, and by then there is a leader as
-    /// well. The wait lies within the contact grace period, in which the bounds do not apply.
+    /// other's rows. Hosts usually write their rows within 2 s after their start, and by then there
+    /// is a leader as well. The wait lies within the contact grace period, in which the bounds do
+    /// not apply.
     pub fn start_wait_ms(self, limits: &TimeLimits) -> u64 {
         match self {
             Self::Own => OWN_START_WAIT_MS,
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -45,7 +45,7 @@
 /// Number of missed heartbeats after which the platform removes a server's entry.
 const MISSED_HEARTBEATS: u64 = 3;
 
-/// State of a feed, which decides how long its next call may wait.
+/// State of a feed, which determines how long the next call of the feed may wait at the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FeedHealth {
     Healthy,
@@ -347,8 +347,8 @@
         Ok(rows)
     }
 
-    /// Reads a whole table from the store and applies it. Returns false if the store did not
-    /// respond.
+    /// Reads a whole table from the store and applies it. Returns false if a call of the store
+    /// failed.
     async fn read_whole(&self, followed: FollowedTable) -> bool {
         let sent_ms = clock::now_ms();
         match self.read_table(followed).await {
