--- a/src/entry/peers/fanout.rs
+++ b/src/entry/peers/fanout.rs
@@ -25,8 +25,8 @@
     pub address: SocketAddr,
     /// Tag of the host's availability zone: a hash of its name, the same for all hosts of the zone.
     pub zone_tag: u32,
-    /// Share of a processor that the host may use; 1.0 is a whole one. Strong hosts are preferred
-    /// because a relay sends to its whole zone.
+    /// Share of a processor that the host may use; 1.0 is a whole processor. Strong hosts are
+    /// preferred because a relay sends to its whole zone.
     pub processor_share: f32,
     /// True if the host was sent messages to relay and has not acknowledged them within
     /// [`RELAY_SILENT_MS`].
--- a/src/entry/updates/confirmation.rs
+++ b/src/entry/updates/confirmation.rs
@@ -50,8 +50,9 @@
         self.query.start_query(nonce, at_ms);
     }
 
-    /// Records the leader's response: its configuration, which this host has as well, was the
-    /// current one `age_ms` before the response. Responses to earlier queries are ignored.
+    /// Records the leader's response: the leader's configuration, which this host has as well, was
+    /// the current one `age_ms` before the leader responded. Responses to earlier queries are
+    /// ignored.
     pub fn note_response(&self, nonce: u64, age_ms: u64) {
         if let Some(sent_ms) = self.query.answered(nonce) {
             self.note(sent_ms.saturating_sub(age_ms));
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -1,5 +1,6 @@
 //! Tables of the store that a host follows by change feeds, and the wait and pause times of these
-//! feeds.
+//! feeds. A wait is the time for which a feed call waits at the store for changes; a pause is the
+//! time between two feed calls.
 
 use super::own_rows::TABLE;
 use crate::{
@@ -24,14 +25,16 @@
 const OWN_START_WAIT_MS: u64 = 2_500;
 /// Minimum pause of the change feed of the entry hosts' own rows (assigned ranges and hosts).
 const OWN_PAUSE_MIN_MS: u64 = 300;
-/// Time without a feed call after which the whole table is read. The store keeps 20 s of history,
-/// and a feed call that comes too late costs an extra call.
+/// Time without a feed call after which the table of the entry hosts' own rows is read as a whole.
+/// The store keeps the changes of the last 20 s, and a feed call for older changes only returns
+/// that they are gone, which costs an extra call.
 pub const HISTORY_MS: u64 = 15_000;
 /// Number of hosts up to which change feeds use their minimum pause. With more hosts the pause
-/// grows.
+/// grows in proportion to their number, up to a maximum.
 const FEW_HOSTS: u64 = 11;
 
-/// Source from which a host learns that the store has changed.
+/// Role of a host in following the store, by the source from which the host learns that the store
+/// has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncRole {
     /// This host is the leader; the other hosts depend on its change feeds of the store.
@@ -61,7 +64,7 @@
     pub const ALL: [Self; 3] = [Self::Configuration, Self::Servers, Self::Own];
 
     /// Maximum time until a store that stopped responding is detected while no other host confirms
-    /// it.
+    /// the store.
     pub const OUTAGE_DETECTION_MS: u64 = ALONE_WAIT_MS + 500;
 
     /// Returns the index of the table in per-table arrays.
@@ -143,7 +146,7 @@
     }
 }
 
-/// Pause of the feed of servers' entries while there are few hosts.
+/// Pause of the feed of servers' entries with up to [`FEW_HOSTS`] hosts.
 const SERVERS_PAUSE_MS: u64 = 250;
 
 /// Pause between two feed calls, which lets changes in quick succession share one call.
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -1,7 +1,8 @@
-//! Tracks how recent a host's view of the store is. The leader writes to the store continuously. It
-//! reports to the other hosts the time since the store last responded to it, and the version up to
-//! which it has seen each table. The feed calls of the other hosts can therefore wait at the store
-//! for long: a feed that lags behind a reported version has failed silently and is called again.
+//! Tracks how recent a host's view of the store is. The leader writes to the store continuously.
+//! The leader reports to the other hosts the time since the store last responded to the leader, and
+//! the version up to which the leader has read each table. The feed calls of the other hosts can
+//! therefore wait at the store for long: a feed that lags behind a reported version has failed
+//! silently and is called again.
 
 use std::{
     sync::{
@@ -28,13 +29,14 @@
 /// Report of the leader, or of a relay, on its view of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStateReport {
-    /// Time since the store's last response, or since the servers' entries or the configuration
-    /// were last followed if that is longer ago. The sender knows all changes that were made before
-    /// that time.
+    /// Time since the store's last response, or since the sender's feed last waited for changes of
+    /// the servers' entries or the configuration if that is longer ago. The sender knows all
+    /// changes that were made before that time.
     pub age_ms: u32,
     /// Version of the latest change seen, by table.
     pub changed: [u64; TABLES],
-    /// Version of the latest change after which some server takes no new work.
+    /// Version of the latest change of a server's entry that ends new work for the server: the
+    /// server leaves, or its entry was removed or cannot be decoded.
     pub leave_version: u64,
     /// Version up to which the sender has read each table, whether or not anything changed.
     pub up_to: [u64; TABLES],
@@ -65,12 +67,13 @@
 /// host on the store's state.
 #[derive(Debug)]
 pub struct Freshness {
-    /// Age up to which a report of another host is trusted.
+    /// Trust period: age up to which a report of another host is trusted.
     trust_ms: u64,
-    /// Time for which a feed may lag behind a reported version.
+    /// Time for which a feed may lag behind a reported version before the feed call is abandoned
+    /// and repeated.
     lag_grace_ms: u64,
-    /// Time until which this host has followed each table; `u64::MAX` while a call waits at the
-    /// store, 0 before the first call.
+    /// Time at which this host's last feed call for each table ended; `u64::MAX` while a feed call
+    /// waits at the store, 0 before the first feed call.
     followed_ms: [AtomicU64; TABLES],
     /// Version up to which this host has applied each table.
     applied: [AtomicU64; TABLES],
@@ -169,8 +172,8 @@
         self.applied[followed.index()].load(Ordering::Relaxed)
     }
 
-    /// Records the version of a change that this host has seen. A version earlier than the latest
-    /// known one is ignored.
+    /// Records the version of a change that this host has seen, for this host's reports to others.
+    /// A version earlier than the latest recorded one is ignored.
     pub fn note_change(&self, followed: FollowedTable, version: u64) {
         self.changed[followed.index()].fetch_max(version, Ordering::Relaxed);
     }
@@ -311,9 +314,9 @@
         })
     }
 
-    /// Returns the age of the last report from which relays are queried. The leader's reports are
-    /// usually not older: their age is at most half of the trust period plus a quarter of it for
-    /// one heartbeat.
+    /// Returns the age of the last report from which on this host queries the relays of its zone.
+    /// The leader's reports are usually not older: their age is at most half of the trust period
+    /// plus a quarter of it for one heartbeat.
     fn relay_query_age_ms(&self) -> u64 {
         self.trust_ms * 3 / 4
     }
@@ -331,8 +334,8 @@
         received.map_or(0, |received| received.updates.changed[followed.index()])
     }
 
-    /// Returns true if another host has reported a change of a table after `requested_after`, the
-    /// version that a feed call requested changes after.
+    /// Returns true if another host has reported a change of a table that is later than
+    /// `requested_after`, the version after which a feed call requests changes.
     pub fn is_behind(&self, followed: FollowedTable, requested_after: u64) -> bool {
         self.reported_change(followed) > requested_after
     }
--- a/src/entry/updates/server_changes.rs
+++ b/src/entry/updates/server_changes.rs
@@ -20,7 +20,8 @@
     Unreadable(Arc<str>),
 }
 
-/// One change of a server's entry, with its place in the order of changes.
+/// One change of a server's entry, with the version that determines its place in the order of
+/// changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerChange {
     /// Version that the row has in the store after the change.
@@ -92,6 +93,7 @@
 pub struct RecentChanges {
     /// Version after which the range begins, exclusive.
     after: u64,
+    /// Last version of the range, inclusive.
     up_to: u64,
     changes: VecDeque<ServerChange>,
 }
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -65,7 +65,7 @@
     pub incarnation: Option<u64>,
     /// Tag of the host's availability zone: a hash of its name, the same for all hosts of the zone.
     pub zone_tag: u32,
-    /// Share of a processor that the host may use; 1.0 is a whole one.
+    /// Share of a processor that the host may use; 1.0 is a whole processor.
     pub processor_share: f32,
 }
 
--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -43,7 +43,7 @@
 const AT_ONCE_MS: u64 = 400;
 
 /// Returns the delays of the requests that reached a server too late: a caller sent them to a host
-/// later than the bound after this host had forwarded the server's notice of leaving.
+/// later than `DRAIN` after that host had forwarded the server's notice of leaving.
 fn late_for_leaving(server: &Server, traffic: &Traffic) -> Vec<Duration> {
     let mut late = Vec::new();
     for received_requests in received_by_host(server, traffic).values() {
