--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -53,7 +53,7 @@
 }
 
 impl Broadcast {
-    /// Records the row of the latest configuration.
+    /// Records the row of the latest configuration, for hosts that have missed the configuration.
     pub fn note_configuration(&self, row: &Row) {
         *self.latest() = Some(LatestConfiguration {
             version: row.version,
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -40,11 +40,13 @@
 };
 use crate::clock;
 
-/// Requests in flight at one server and its run times, summed over the reports of the other hosts.
+/// Load of one server, summed over the reports of the other hosts: their requests in flight at the
+/// server and the run times that they measured there.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportedLoad {
     in_flight: u32,
     run_ms_sum: f64,
+    /// Number of reports that contain a run time; the sum divided by it is the average run time.
     reporters: f64,
 }
 
@@ -57,7 +59,7 @@
     at_ms: u64,
 }
 
-/// Seed host: a host listed in the store that starting hosts fetch a snapshot from.
+/// Seed host: a host that is listed in the store and from which starting hosts fetch a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SeedHost {
     /// Address at which the host receives datagrams (UDP) and queries (TCP) of other hosts.
@@ -162,8 +164,8 @@
         peer.properties = properties;
     }
 
-    /// Records that a host has sent a datagram, which counts as an acknowledgement of messages to
-    /// relay.
+    /// Records that a host has sent a datagram, which counts as an acknowledgement of all messages
+    /// that this host has sent to that host to relay.
     fn note_heard(&self, address: SocketAddr) {
         if let Some(peer) = self.peers().get_mut(&address) {
             peer.relay_since_ms = 0;
@@ -237,7 +239,8 @@
         self.peers().contains_key(&address)
     }
 
-    /// Removes a host: it gets no more messages, and its reported loads no longer count.
+    /// Removes a host: this host sends no more messages to the removed host and ignores the loads
+    /// that the removed host reported.
     pub fn remove(&self, address: SocketAddr) {
         self.peers().remove(&address);
     }
@@ -394,7 +397,7 @@
             return;
         };
         for address in to {
-            // Best effort: the next report replaces a lost one.
+            // A failure is only logged: the next report replaces a lost one.
             if let Err(error) = socket.try_send_to(&datagram, *address) {
                 log::debug!("sending a datagram to {address} failed: {error}");
             }
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -22,8 +22,8 @@
 use crate::clock;
 
 /// Pause after a failed call of the store while another host confirms the store and this host has
-/// all reported changes. It is longer than other pauses: the store may reject only the calls of
-/// this host, and this host misses no changes.
+/// all reported changes. The pause is longer than other pauses: the store may reject only the calls
+/// of this host, and this host misses no changes.
 const CONFIRMED_PAUSE_MS: u64 = 1_500;
 
 impl Entry {
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -103,7 +103,8 @@
         self.are_servers_known.load(Ordering::Relaxed)
     }
 
-    /// Returns the evacuated zones with the version of the operators' table that they belong to.
+    /// Returns the evacuated zones with the version of the operators' table to which the list
+    /// belongs.
     pub fn evacuations(&self) -> Evacuations {
         self.evacuations_lock().clone()
     }
@@ -208,8 +209,8 @@
         self.read_requests[followed.index()].notify_one();
     }
 
-    /// Waits for the next call of [`Self::request_read`] for the table. Returns at once if one was
-    /// made before the wait.
+    /// Waits for the next call of [`Self::request_read`] for the table. Returns at once if such a
+    /// call was made before the wait.
     pub async fn wait_for_read_request(&self, followed: FollowedTable) {
         self.read_requests[followed.index()].notified().await;
     }
@@ -234,8 +235,8 @@
         self.former_process.load(Ordering::Relaxed)
     }
 
-    /// Completes when the rows of the other hosts have been read. Returns false if they never will
-    /// be.
+    /// Waits until the rows of the other hosts have been read. Returns false if the view stops
+    /// sending changes before.
     pub async fn hosts_known(&self) -> bool {
         let mut known = self.hosts_known.subscribe();
         known.wait_for(|known| *known).await.is_ok()
@@ -290,7 +291,7 @@
     }
 
     /// Returns the time of the latest response of the store that is known to this host, whether the
-    /// store gave it to this host or to one that reported it.
+    /// store responded to this host or to a host that reported the response.
     pub fn store_answered_ms(&self) -> u64 {
         self.store_answered_ms.load(Ordering::Relaxed)
     }
