--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -48,7 +48,7 @@
                 .await
                 .is_ok()
             {
-                log::debug!("reporting notices: a server has sent a new one");
+                log::debug!("reporting notices early: a new notice was received");
             }
             self.report_leaving();
             self.report_backoffs();
