--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -1,7 +1,8 @@
-//! Datagrams between hosts: their load on each server, request counts by key for the planner, moves
-//! and grants of keys. All of them are best effort and only improve decisions, with one exception:
-//! the statement of a previous leader that it grants no more leases ends a wait that keeps
-//! ownership exclusive. All datagrams are sealed with a secret that the hosts share.
+//! Datagrams that hosts send each other: their load on each server, request counts by key for the
+//! planner, moves and grants of keys. Datagrams may be lost, and their content only improves
+//! decisions, with one exception: the statement of a previous leader that it grants no more leases
+//! ends a wait of the current leader that keeps the ownership of keys exclusive. All datagrams are
+//! sealed with a secret that the hosts share.
 
 pub mod fanout;
 mod intervals;
@@ -39,11 +40,13 @@
 };
 use crate::clock;
 
-/// Requests in flight at one server and its run times, summed over the reports of the other hosts.
+/// Load of one server, summed over the reports of the other hosts: their requests in flight at the
+/// server and the run times that they measured there.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportedLoad {
     in_flight: u32,
     run_ms_sum: f64,
+    /// Number of reports that contain a run time; the sum divided by it is the average run time.
     reporters: f64,
 }
 
@@ -56,7 +59,7 @@
     at_ms: u64,
 }
 
-/// Seed host: a host listed in the store that starting hosts fetch a snapshot from.
+/// Seed host: a host that is listed in the store and from which starting hosts fetch a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SeedHost {
     /// Address at which the host receives datagrams (UDP) and queries (TCP) of other hosts.
@@ -78,11 +81,13 @@
     pub processor_share: f32,
 }
 
+/// Another host that this host knows, with the latest reports of the other host.
 #[derive(Debug)]
 struct Peer {
-    facts: HostProperties,
+    properties: HostProperties,
     /// Time of the first message to relay that the host has not acknowledged; 0 if there is none.
     relay_since_ms: u64,
+    /// Time of the host's latest load report; 0 before the first.
     heard_ms: u64,
     loads: Vec<ServerLoad>,
     run_times: Vec<RunTime>,
@@ -92,8 +97,8 @@
     fn relay_candidate(&self, address: SocketAddr, now_ms: u64) -> RelayCandidate {
         RelayCandidate {
             address,
-            zone_tag: self.facts.zone_tag,
-            processor_share: self.facts.processor_share,
+            zone_tag: self.properties.zone_tag,
+            processor_share: self.properties.processor_share,
             is_silent: self.relay_since_ms > 0 && now_ms > self.relay_since_ms + RELAY_SILENT_MS,
         }
     }
@@ -123,17 +128,23 @@
     pub outbox: Outbox,
     peers: Mutex<HashMap<SocketAddr, Peer>>,
     socket: std::sync::OnceLock<Arc<UdpSocket>>,
-    /// Requests by service tag and key since the last report.
+    /// Numbers of requests that this host received since its last report to the leader, by service
+    /// tag and key.
     counted: Mutex<HashMap<(u32, u16), u16>>,
     /// Request counts that other hosts reported to this host while it is the leader.
     reported: Mutex<Vec<KeyCount>>,
+    /// Address of the leader that sent the latest heartbeat.
     leader: Mutex<Option<SocketAddr>>,
     leader_term: AtomicU64,
+    /// Number of hosts that the leader knows, as stated in its latest heartbeat.
     hosts_known_to_leader: AtomicUsize,
     leader_heard_ms: AtomicU64,
     /// Slowdowns of servers that other hosts reported and that are not applied yet.
     slowdowns: Mutex<Vec<ReportedSlowdown>>,
+    /// Baseline for the delays of the leader's heartbeats, by which delayed heartbeats are
+    /// recognised.
     one_way_delay: Mutex<OneWayDelay>,
+    /// Loads that the aggregators of the other zones have sent.
     zone_loads: Mutex<ZoneLoads>,
     /// Loads that this host has sent to other zones as the aggregator of its zone.
     zone_load_changes: Mutex<ZoneLoadChanges>,
@@ -141,34 +152,35 @@
 
 impl Peers {
     /// Adds a host. If the host is already known, replaces its properties and keeps its reports.
-    pub fn add(&self, address: SocketAddr, facts: HostProperties) {
+    pub fn add(&self, address: SocketAddr, properties: HostProperties) {
         let mut peers = self.peers();
         let peer = peers.entry(address).or_insert_with(|| Peer {
-            facts,
+            properties,
             relay_since_ms: 0,
             heard_ms: 0,
             loads: Vec::new(),
             run_times: Vec::new(),
         });
-        peer.facts = facts;
+        peer.properties = properties;
     }
 
-    /// Records that a host has sent a datagram, which counts as an acknowledgement of messages to
-    /// relay.
+    /// Records that a host has sent a datagram, which counts as an acknowledgement of all messages
+    /// that this host has sent to that host to relay.
     fn note_heard(&self, address: SocketAddr) {
         if let Some(peer) = self.peers().get_mut(&address) {
             peer.relay_since_ms = 0;
         }
     }
 
-    /// Returns the other hosts that this host knows, for the snapshot of a host that starts.
+    /// Returns the other hosts that this host knows, for a snapshot that is sent to a starting
+    /// host.
     pub fn known_hosts(&self) -> Vec<SnapshotHost> {
         let peers = self.peers();
         let hosts = peers.iter().map(|(address, peer)| SnapshotHost {
             address: *address,
-            incarnation: peer.facts.incarnation,
-            zone_tag: peer.facts.zone_tag,
-            processor_share: peer.facts.processor_share,
+            incarnation: peer.properties.incarnation,
+            zone_tag: peer.properties.zone_tag,
+            processor_share: peer.properties.processor_share,
         });
         hosts.collect()
     }
@@ -178,7 +190,8 @@
     pub fn seed_hosts(&self, own: SeedHost) -> Vec<SeedHost> {
         let Fanout { direct, relays } = self.current_fanout();
         let peers = self.peers();
-        let zone_tag = |address: &SocketAddr| peers.get(address).map(|peer| peer.facts.zone_tag);
+        let zone_tag =
+            |address: &SocketAddr| peers.get(address).map(|peer| peer.properties.zone_tag);
         let others = direct.iter().chain(&relays);
         let others = others.filter_map(|address| {
             Some(SeedHost {
@@ -196,7 +209,9 @@
         let now_ms = clock::now_ms();
         let same_zone: Vec<RelayCandidate> = {
             let peers = self.peers();
-            let same_zone = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
+            let same_zone = peers
+                .iter()
+                .filter(|(_, peer)| peer.properties.is_same_zone);
             same_zone
                 .map(|(address, peer)| peer.relay_candidate(*address, now_ms))
                 .collect()
@@ -206,8 +221,8 @@
         fanout::choose_zone_relays(&zone, term)
     }
 
-    /// Returns the host to fetch missed changes from: with many hosts, a relay of the own zone;
-    /// with few hosts, or on a relay itself, the leader.
+    /// Returns the host from which this host fetches missed changes: with many hosts, a relay of
+    /// this host's zone; with few hosts, or if this host is a relay itself, the leader.
     pub fn sync_peer(&self, own: RelayCandidate) -> Option<SocketAddr> {
         if !self.use_relays() {
             return *self.leader();
@@ -224,14 +239,15 @@
         self.peers().contains_key(&address)
     }
 
-    /// Removes a host: it gets no more messages, and its reported loads no longer count.
+    /// Removes a host: this host sends no more messages to the removed host and ignores the loads
+    /// that the removed host reported.
     pub fn remove(&self, address: SocketAddr) {
         self.peers().remove(&address);
     }
 
     /// Returns the number of hosts, this one included: the larger of the numbers that this host and
-    /// the leader know. Limits that all hosts share are divided by it, so an overestimate is safer
-    /// than an underestimate.
+    /// the leader know. Limits that apply to all hosts together are divided by this number, so an
+    /// overestimate is safer than an underestimate.
     pub fn hosts(&self) -> usize {
         self.known()
             .max(self.hosts_known_to_leader.load(Ordering::Relaxed))
@@ -254,7 +270,7 @@
         HostCount {
             same_zone: peers
                 .values()
-                .filter(|peer| peer.facts.is_same_zone)
+                .filter(|peer| peer.properties.is_same_zone)
                 .count()
                 + 1,
             all: peers.len() + 1,
@@ -275,7 +291,7 @@
         let peers = self.peers();
         let others = peers.iter();
         others
-            .filter(|(address, peer)| is_before(address, peer.facts.processor_share))
+            .filter(|(address, peer)| is_before(address, peer.properties.processor_share))
             .count()
     }
 
@@ -339,7 +355,9 @@
 
     fn same_zone_addresses(&self) -> Vec<SocketAddr> {
         let peers = self.peers();
-        let same_zone = peers.iter().filter(|(_, peer)| peer.facts.is_same_zone);
+        let same_zone = peers
+            .iter()
+            .filter(|(_, peer)| peer.properties.is_same_zone);
         same_zone.map(|(address, _)| *address).collect()
     }
 
@@ -351,7 +369,7 @@
         self.leader.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a message to the leader. Returns false if none is known.
+    /// Sends a message to the leader. Returns false if this host knows no leader.
     pub(in crate::entry) fn send_to_leader(&self, message: &Message) -> bool {
         let Some(leader) = *self.leader() else {
             return false;
@@ -360,6 +378,8 @@
         true
     }
 
+    /// Seals a message and sends it to the hosts at the addresses `to`. Failures are logged, and
+    /// the message is not sent again.
     pub(in crate::entry) fn send(&self, message: &Message, to: &[SocketAddr]) {
         let Some(socket) = self.socket.get() else {
             return;
@@ -377,7 +397,7 @@
             return;
         };
         for address in to {
-            // Best effort: the next report replaces a lost one.
+            // A failure is only logged: the next report replaces a lost one.
             if let Err(error) = socket.try_send_to(&datagram, *address) {
                 log::debug!("sending a datagram to {address} failed: {error}");
             }
@@ -418,7 +438,8 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a heartbeat of the leader. Returns false and ignores it if a later term is known.
+    /// Records a heartbeat of the leader. Returns false and ignores the heartbeat if this host
+    /// knows a leader of a later term.
     fn note_leader(&self, from: SocketAddr, term: u64) -> bool {
         if term < self.leader_term.load(Ordering::Relaxed) {
             return false;
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -1,5 +1,6 @@
 //! Tables of the store that a host follows by change feeds, and the wait and pause times of these
-//! feeds.
+//! feeds. A wait is the time for which a feed call waits at the store for changes; a pause is the
+//! time between two feed calls.
 
 use super::own_rows::TABLE;
 use crate::{
@@ -8,30 +9,32 @@
 };
 
 /// Maximum wait of a feed call at the store while no other host confirms the store. A store that
-/// stopped responding is detected within a second after that, early enough to apply the
+/// stopped responding is detected within a second after the wait, early enough to apply the
 /// configuration within its bound once a network partition has healed.
 const ALONE_WAIT_MS: u64 = 3_000;
-/// Maximum wait of a feed call that is abandoned and repeated as soon as another host reports a
-/// change that the feed did not deliver. Calls are billed, so the wait is long; the store allows up
-/// to 30 s.
+/// Maximum wait at the store of a feed call that does not need a short wait: if another host
+/// reports a change that the feed did not deliver, the call is abandoned and repeated. Calls are
+/// billed, so the wait is long; the store allows up to 30 s.
 const FOLLOWER_WAIT_MS: u64 = 25_000;
 /// Maximum pause of a feed while the leader broadcasts all changes. A host that has missed a change
-/// notices it by the versions in the leader's heartbeat, or when it encounters an unknown host or
-/// secret, or a server that no longer holds a key.
+/// notices this by the versions in the leader's heartbeat, by a message of an unknown host or with
+/// an unknown secret, or by the response of a server that no longer holds a key.
 pub const FOLLOWER_PAUSE_MAX_MS: u64 = 120_000;
 /// Time after its start that a host waits for a heartbeat of the leader before it reads the entry
 /// hosts' own rows again.
 const OWN_START_WAIT_MS: u64 = 2_500;
 /// Minimum pause of the change feed of the entry hosts' own rows (assigned ranges and hosts).
 const OWN_PAUSE_MIN_MS: u64 = 300;
-/// Time without a feed call after which the whole table is read. The store keeps 20 s of history,
-/// and a feed call that comes too late costs an extra call.
+/// Time without a feed call after which the table of the entry hosts' own rows is read as a whole.
+/// The store keeps the changes of the last 20 s, and a feed call for older changes only returns
+/// that they are gone, which costs an extra call.
 pub const HISTORY_MS: u64 = 15_000;
 /// Number of hosts up to which change feeds use their minimum pause. With more hosts the pause
-/// grows.
+/// grows in proportion to their number, up to a maximum.
 const FEW_HOSTS: u64 = 11;
 
-/// Source from which a host learns that the store has changed.
+/// Role of a host in following the store, by the source from which the host learns that the store
+/// has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncRole {
     /// This host is the leader; the other hosts depend on its change feeds of the store.
@@ -61,7 +64,7 @@
     pub const ALL: [Self; 3] = [Self::Configuration, Self::Servers, Self::Own];
 
     /// Maximum time until a store that stopped responding is detected while no other host confirms
-    /// it.
+    /// the store.
     pub const OUTAGE_DETECTION_MS: u64 = ALONE_WAIT_MS + 500;
 
     /// Returns the index of the table in per-table arrays.
@@ -92,8 +95,9 @@
 
     /// Returns the time for which a host that has just read the table waits for a heartbeat of the
     /// leader before it requests changes. Hosts that start together would otherwise all fetch each
-    /// other's rows; the rows are written after 2 s, and by then there is a leader as well. The
-    /// wait lies within the contact grace period, in which the bounds do not apply.
+    /// other's rows. Hosts usually write their rows within 2 s after their start, and by then there
+    /// is a leader as well. The wait lies within the contact grace period, in which the bounds do
+    /// not apply.
     pub fn start_wait_ms(self, limits: &Timings) -> u64 {
         match self {
             Self::Own => OWN_START_WAIT_MS,
@@ -101,9 +105,9 @@
         }
     }
 
-    /// Returns the pause between two feed calls. Each change wakes the feeds of all hosts, so the
-    /// pause grows with the number of hosts, up to the limit at which changes still take effect in
-    /// time.
+    /// Returns the pause between two feed calls. Each change ends the waiting feed calls of all
+    /// hosts, so the pause grows with the number of hosts, up to the value with which changes still
+    /// take effect within their bound.
     pub fn feed_pause(self, hosts: usize, sync_role: SyncRole, limits: &Timings) -> FeedPause {
         let scaled = |few_hosts_ms: u64, many_hosts_ms: u64| {
             let scaled_ms = few_hosts_ms * hosts as u64 / FEW_HOSTS;
@@ -142,7 +146,7 @@
     }
 }
 
-/// Pause of the feed of servers' entries while there are few hosts.
+/// Pause of the feed of servers' entries with up to [`FEW_HOSTS`] hosts.
 const SERVERS_PAUSE_MS: u64 = 250;
 
 /// Pause between two feed calls, which lets changes in quick succession share one call.
@@ -151,7 +155,7 @@
     /// Minimum pause, kept even if there is a reason to call early, such as a read request or a
     /// missed change.
     pub min_ms: u64,
-    /// Maximum pause, if no such reason arises.
+    /// Maximum pause, after which the call is made without such a reason.
     pub max_ms: u64,
 }
 
--- a/src/entry/updates/server_changes.rs
+++ b/src/entry/updates/server_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of servers' entries that hosts send each other.
+//! Changes of servers' entries that hosts send each other in place of reads from the store.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -20,7 +20,8 @@
     Unreadable(Arc<str>),
 }
 
-/// One change of a server's entry, with its place in the order of changes.
+/// One change of a server's entry, with the version that determines its place in the order of
+/// changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerChange {
     /// Version that the row has in the store after the change.
@@ -71,8 +72,9 @@
         parts
     }
 
-    /// Returns the changes that are new to a host with the table up to `applied`. Returns `None` if
-    /// changes are missing between `applied` and the beginning of the range.
+    /// Returns the changes that are new to a host that has applied the table up to the version
+    /// `applied`. Returns `None` if changes are missing between `applied` and the beginning of the
+    /// range.
     pub fn new_after(self, applied: u64) -> Option<Vec<ServerChange>> {
         if applied < self.after {
             return None;
@@ -91,12 +93,14 @@
 pub struct RecentChanges {
     /// Version after which the range begins, exclusive.
     after: u64,
+    /// Last version of the range, inclusive.
     up_to: u64,
     changes: VecDeque<ServerChange>,
 }
 
 impl RecentChanges {
-    /// Appends changes. If there is a gap before them, the earlier changes are discarded.
+    /// Appends changes. If there is a gap between the kept changes and these, the kept changes are
+    /// discarded.
     pub fn note(&mut self, updates: &ServerChanges) {
         if updates.after > self.up_to {
             self.changes.clear();
--- a/tests/entry_notices.rs
+++ b/tests/entry_notices.rs
@@ -1,4 +1,5 @@
-//! Servers that announce in their responses that they leave, or that ask for a backoff.
+//! Tests how hosts treat servers that announce in their responses that they leave, or that ask for
+//! a backoff.
 //!
 //! Guards against two failures:
 //!
@@ -30,18 +31,19 @@
 
 /// Time after a server has asked for a backoff in which requests in transit may still arrive.
 const BACKOFF_SLACK: Duration = Duration::from_millis(500);
-/// Maximum number of requests that may reach a server later in its backoff.
+/// Maximum number of requests from one host that may reach a server in its backoff after
+/// [`BACKOFF_SLACK`].
 const BACKOFF_REQUESTS_MAX: usize = 2;
 /// Duration of the backoff that servers ask for.
 const BACKOFF_MS: u64 = 2_000;
 /// Time for which servers reject requests in a test.
 const REJECTION_TIME: Duration = Duration::from_millis(8_000);
-/// Time within which a host refuses requests that no server can serve, as its own log states it.
-/// tests/entry_crashes.rs has the same limit.
+/// Maximum time until a host refuses a request that no server can serve, as stated in the host's
+/// own log. tests/entry_crashes.rs has the same bound.
 const AT_ONCE_MS: u64 = 400;
 
 /// Returns the delays of the requests that reached a server too late: a caller sent them to a host
-/// later than the bound after this host had forwarded the server's notice of leaving.
+/// later than `DRAIN` after that host had forwarded the server's notice of leaving.
 fn late_for_leaving(server: &Server, traffic: &Traffic) -> Vec<Duration> {
     let mut late = Vec::new();
     for received_requests in received_by_host(server, traffic).values() {
@@ -65,7 +67,7 @@
     let in_a_backoff = |received_requests: &Vec<(ReceivedRequest, RequestOutcome)>| {
         let backoffs = received_requests
             .iter()
-            .filter_map(|(visit, _)| Some((visit.at, visit.backoff?)));
+            .filter_map(|(received, _)| Some((received.at, received.backoff?)));
         let within = |(began, backoff): (Instant, Duration)| {
             let span = began + BACKOFF_SLACK..began + backoff;
             received_requests
@@ -96,7 +98,8 @@
         let latest = late.iter().max();
         return Err(format!("{} requests, up to {latest:?} after", late.len()));
     }
-    // Without the store no key can get another server. In all other cases callers are served.
+    // Without the store no key can be moved to another server. In all other cases callers must be
+    // served.
     if disturbance == Disturbance::StoreUnavailable && workload == Workload::Keys {
         return Ok(());
     }
@@ -149,7 +152,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_wants_a_rest_gets_it_and_its_keys_go_to_others() {
+async fn a_server_that_asks_for_a_backoff_gets_it_and_its_keys_go_to_others() {
     run_cases(
         ALL.map(|disturbance| (disturbance, Workload::Keys)),
         backoff,
@@ -158,7 +161,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_wants_a_rest_gets_no_orders() {
+async fn a_server_that_asks_for_a_backoff_gets_no_orders() {
     run_cases(
         ALL.map(|disturbance| (disturbance, Workload::Orders)),
         backoff,
@@ -198,7 +201,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_are_refused_at_once_while_all_servers_rest() {
+async fn callers_are_refused_at_once_while_all_servers_ask_for_a_backoff() {
     let cases = [Workload::Keys, Workload::Orders].map(|workload| (Disturbance::Nothing, workload));
     run_cases(cases, |_, workload| backoff_of_all(workload)).await;
 }
--- a/tests/entry_rests.rs
+++ b/tests/entry_rests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_rest_is_widespread_when_a_third_of_the_hosts_are_refused() {
+fn a_backoff_is_widespread_when_a_third_of_the_hosts_are_refused() {
     struct Case {
         name: &'static str,
         hosts: usize,
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn keys_stay_where_they_are_when_most_servers_want_a_rest() {
+fn keys_stay_where_they_are_when_most_servers_ask_for_a_backoff() {
     struct Case {
         servers: u32,
         in_backoff: u32,
@@ -110,7 +110,8 @@
         case(9, 0, 9),
         case(9, 3, 6),
         case(9, 4, 5),
-        // All servers are overloaded: none is left out, and no key moves because of the backoffs.
+        // If most servers ask for a backoff, all of them count as overloaded: no server is left
+        // out, and no key moves because of the backoffs.
         case(9, 5, 9),
         case(9, 9, 9),
         case(2, 1, 1),
@@ -130,7 +131,7 @@
 }
 
 #[test]
-fn callers_retry_when_the_keys_have_moved_or_the_rest_is_over() {
+fn callers_retry_when_the_keys_have_moved_or_the_backoff_is_over() {
     let policy = Policy::default();
     for (backoff_ms, retry_after_ms) in [(3_000, 150), (150, 150), (120, 120), (5, 100)] {
         assert_eq!(
--- a/tests/entry_word.rs
+++ b/tests/entry_word.rs
@@ -36,8 +36,8 @@
     }
 }
 
-fn hosts(zones: u32, of_each: usize) -> Vec<RelayCandidate> {
-    let zone = |zone_tag| (0..of_each).map(move |number| host(zone_tag, number));
+fn hosts(zones: u32, hosts_per_zone: usize) -> Vec<RelayCandidate> {
+    let zone = |zone_tag| (0..hosts_per_zone).map(move |number| host(zone_tag, number));
     (0..zones).flat_map(zone).collect()
 }
 
@@ -50,39 +50,39 @@
 fn many_hosts_get_messages_through_two_relays_per_zone() {
     struct Case {
         zones: u32,
-        of_each: usize,
+        hosts_per_zone: usize,
         direct: usize,
         relays: usize,
     }
     let cases = [
         Case {
             zones: 3,
-            of_each: 4,
+            hosts_per_zone: 4,
             direct: 12,
             relays: 0,
         },
         Case {
             zones: 5,
-            of_each: 59,
+            hosts_per_zone: 59,
             direct: 0,
             relays: 10,
         },
         // The number of messages per sender does not grow with the number of hosts.
         Case {
             zones: 5,
-            of_each: 880,
+            hosts_per_zone: 880,
             direct: 0,
             relays: 10,
         },
         Case {
             zones: 1,
-            of_each: DIRECT_HOSTS_MAX,
+            hosts_per_zone: DIRECT_HOSTS_MAX,
             direct: 0,
             relays: 2,
         },
     ];
     for case in cases {
-        let hosts = hosts(case.zones, case.of_each);
+        let hosts = hosts(case.zones, case.hosts_per_zone);
         let fanout = fanout(&hosts, 1);
         assert_eq!(fanout.direct.len(), case.direct);
         assert_eq!(fanout.relays.len(), case.relays);
@@ -130,15 +130,17 @@
     // The clocks of the two hosts are unrelated.
     assert_eq!(one_way_delay.delay_ms(4, 9_000_000, 1_000_003), 0);
     assert_eq!(one_way_delay.delay_ms(4, 9_000_300, 1_000_301), 0);
-    // A relay that was frozen for 6 s forwards an old message after a newer one of the other relay.
+    // A relay that was suspended for 6 s forwards an old message after the other relay has
+    // forwarded a newer message.
     assert_eq!(one_way_delay.delay_ms(4, 9_006_300, 1_006_301), 0);
     assert_eq!(one_way_delay.delay_ms(4, 9_000_600, 1_006_600), 5_999);
     // Clocks may drift apart by 1 ms per second.
     assert_eq!(one_way_delay.delay_ms(4, 9_600_300, 1_600_600), 0);
-    // The leader of a later term has another clock.
+    // The leader of a later term has another clock, so the shortest delay is determined anew.
     assert_eq!(one_way_delay.delay_ms(5, 100, 1_600_900), 0);
     assert_eq!(one_way_delay.delay_ms(5, 400, 1_601_250), 50);
-    // A late message of the previous leader changes nothing.
+    // A late message of the previous leader does not change the shortest delay of the current
+    // leader.
     assert_eq!(one_way_delay.delay_ms(4, 9_600_400, 1_601_300), u64::MAX);
     assert_eq!(one_way_delay.delay_ms(5, 700, 1_601_550), 50);
 }
@@ -337,9 +339,12 @@
         },
     ];
     /// Overhead of version, seal and relaying, in bytes.
-    const AROUND_BYTES: usize = 100;
+    const OVERHEAD_BYTES: usize = 100;
     for message in messages {
         let bytes = postcard::to_stdvec(&message).expect("encoded").len();
-        assert!(bytes + AROUND_BYTES <= DATAGRAM_BYTES_MAX, "{bytes} bytes");
+        assert!(
+            bytes + OVERHEAD_BYTES <= DATAGRAM_BYTES_MAX,
+            "{bytes} bytes"
+        );
     }
 }
