--- a/src/entry/decide/api_key_status.rs
+++ b/src/entry/decide/api_key_status.rs
@@ -13,8 +13,8 @@
 /// keys by that configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct ApiKeyLimits {
-    /// Time after which no host may accept a revoked key, in milliseconds. `None` if revocations
-    /// have no bound of their own; then a known key is accepted whatever the age of the
+    /// Time after which no host may accept a revoked key, in milliseconds. `None` if the settings
+    /// have no separate bound for revocations; then a known key is accepted whatever the age of the
     /// confirmation.
     pub revocation_ms: Option<u64>,
     /// Maximum age of the last confirmation, in milliseconds, at which a key that the configuration
@@ -25,11 +25,11 @@
 /// Status of a caller's API key, as determined by [`check_api_key`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApiKeyStatus {
-    /// The configuration contains the key. If revocations have a bound of their own, the
+    /// The configuration contains the key. If [`ApiKeyLimits::revocation_ms`] is set, the
     /// configuration was also confirmed within that bound.
     Accepted,
-    /// The configuration does not contain the key, and was confirmed so recently that it contains
-    /// every key that should be in force.
+    /// The configuration does not contain the key, and was confirmed so recently that the
+    /// configuration contains every key that should be in force.
     Unknown,
     /// The configuration was confirmed too long ago, or never, so that the host cannot decide about
     /// the key.
--- a/src/entry/decide/attempt_stats.rs
+++ b/src/entry/decide/attempt_stats.rs
@@ -4,7 +4,8 @@
 
 /// Weight of a new sample in the moving average of run times, from 0 to 1.
 const RUN_SAMPLE_WEIGHT: f64 = 0.2;
-/// Weight of a new outcome, 1 for a failure and 0 for a response, in the moving share of failures.
+/// Weight of a new sample in the moving share of failed attempts, from 0 to 1. The sample is 1 for
+/// a failure and 0 for a response.
 const FAILURE_SAMPLE_WEIGHT: f64 = 0.15;
 /// Half-life of the weight of a server's samples, in milliseconds. Because old failures lose
 /// weight, a server that was avoided gets requests again.
@@ -29,7 +30,8 @@
     /// Number of consecutive failed connects, which determines the length of the next pause; reset
     /// by a response.
     connect_failures: u32,
-    /// Time until which no attempts are made after failed connects; 0 if there is no pause.
+    /// Time until which the host makes no attempts at the server because connects failed; 0 if
+    /// attempts are not paused.
     paused_until_ms: u64,
 }
 
@@ -77,8 +79,9 @@
         };
     }
 
-    /// Records an attempt that was shed, lost its connection or timed out. The attempt counts as a
-    /// failure, but does not pause further attempts.
+    /// Records a failed attempt other than a failed connect, for example a request that the server
+    /// shed, a lost connection or a timeout. The attempt counts as a failure, but does not pause
+    /// further attempts.
     pub fn failed(&mut self, now_ms: u64) {
         self.note_outcome(1.0, now_ms);
     }
@@ -99,7 +102,8 @@
         self.at_ms = now_ms;
     }
 
-    /// Returns the weight that the earlier samples still have, from 0 to 1.
+    /// Returns the weight that the samples up to the last outcome still have at `now_ms`, from 0 to
+    /// 1.
     fn sample_weight(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         0.5_f64.powf(age_ms / FORGET_HALF_MS)
--- a/src/entry/decide/budget.rs
+++ b/src/entry/decide/budget.rs
@@ -1,7 +1,8 @@
 //! Retry budget of each service: the limit on the retries that hosts make on behalf of callers, so
-//! that retries do not amplify an overload. The users' bounds allow a share of the requests plus a
-//! fixed allowance. Hosts do not coordinate: each uses an equal part of the allowance, with
-//! headroom for load balancers that distribute requests unequally among the hosts.
+//! that retries do not amplify an overload. The users' bounds allow a number of retries in
+//! proportion to the requests, plus a fixed number of retries: the allowance. Hosts do not
+//! coordinate: each host uses an equal part of the allowance, with headroom for load balancers that
+//! distribute requests unequally among the hosts.
 
 use std::{
     collections::HashMap,
@@ -32,8 +33,8 @@
     window_ms: f64,
     /// Fraction of a retry that each request adds to the bucket of its service.
     per_request: f64,
-    /// Number of retries of a service in a window that all hosts together may make in addition to
-    /// the share of the requests.
+    /// Number of retries that all hosts together may make for a service within `window_ms`, in
+    /// addition to the retries in proportion to its requests.
     allowance: f64,
     buckets: Mutex<HashMap<Arc<str>, Bucket>>,
 }
@@ -50,8 +51,9 @@
         }
     }
 
-    /// Adds the fraction of a retry that each request allows to the service's token bucket, up to
-    /// the bucket's capacity. `hosts` is the number of hosts that share the allowance.
+    /// Counts a request for the service: adds the fraction of a retry that the request permits to
+    /// the token bucket of the service, up to the bucket's capacity. `hosts` is the number of hosts
+    /// that share the allowance.
     pub fn request(&self, service: &Arc<str>, hosts: usize, now_ms: u64) {
         let capacity = self.capacity_for(hosts);
         let mut buckets = self.buckets();
--- a/src/entry/decide/crash_tally.rs
+++ b/src/entry/decide/crash_tally.rs
@@ -103,8 +103,8 @@
         self.latest.len()
     }
 
-    /// Returns true if a server crashed during a request within the last [`EVIDENCE_MS`], other
-    /// than in a mass crash. The request may crash the next server too.
+    /// Returns true if a server crashed during the request with this digest within the last
+    /// [`EVIDENCE_MS`], other than in a mass crash. The request may crash the next server too.
     pub fn is_suspect(&self, digest: RequestDigest, now_ms: u64) -> bool {
         let is_fresh =
             |crash: &Evidence| !crash.is_mass_crash && now_ms < crash.at_ms + EVIDENCE_MS;
@@ -112,7 +112,8 @@
         evidence.is_some_and(|evidence| evidence.iter().any(is_fresh))
     }
 
-    /// Returns true if at least [`MASS_CRASH_SERVERS`] servers crashed within the last second.
+    /// Returns true if at least [`MASS_CRASH_SERVERS`] servers crashed within the last
+    /// [`MASS_CRASH_WINDOW_MS`].
     pub fn has_recent_mass_crash(&self, now_ms: u64) -> bool {
         let latest = self.latest.iter();
         latest
@@ -127,8 +128,8 @@
         self.suspects.remove(&digest).is_some()
     }
 
-    /// Returns the number of requests with evidence against them, including expired evidence that
-    /// is not dropped yet.
+    /// Returns the number of requests against which there is evidence. Requests whose evidence has
+    /// expired but is not dropped yet are included.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -99,8 +99,8 @@
 }
 
 impl HotKeys {
-    /// Stores the hot keys that this host, as the leader, has found for a service; replaces the
-    /// earlier ones.
+    /// Stores the hot keys that this host, as the leader, has found for a service; replaces the hot
+    /// keys found for the service before.
     pub fn note_found(&self, service_tag: u32, keys: Vec<HotKey>) {
         self.found().insert(service_tag, keys);
     }
--- a/src/entry/decide/key_loads.rs
+++ b/src/entry/decide/key_loads.rs
@@ -25,7 +25,8 @@
 }
 
 /// Long-term and short-term averages of the requests for each key. The short-term averages detect
-/// surges; the long-term averages vary less at random.
+/// surges; the long-term averages vary less at random. Requests are counted in intervals, one for
+/// each round of the planner.
 #[derive(Clone, Debug, Default)]
 pub struct KeyCounts {
     slow: KeyLoads,
@@ -82,9 +83,9 @@
     }
 }
 
-/// Returns the effective averaging time, in seconds, of a moving average of which the share `kept`
-/// remains after each of `per_s` intervals per second. The variance of a load is the load divided
-/// by this time.
+/// Returns the effective averaging time, in seconds, of a moving average that keeps the share
+/// `kept` from one interval to the next; `per_s` is the number of intervals per second. The
+/// variance of a load is the load divided by this time.
 fn window_s(kept: f32, per_s: f64) -> f64 {
     2.0 / f64::from(1.0 - kept) / per_s
 }
@@ -115,7 +116,7 @@
         keys.iter().map(|load| f64::from(*load)).sum()
     }
 
-    /// Returns the load of a key, in requests per second; 0 if it has had no requests.
+    /// Returns the load of a key, in requests per second; 0 if the key has had no requests.
     pub fn key(&self, key: u16) -> f64 {
         f64::from(self.per_s[usize::from(key)])
     }
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -86,8 +86,8 @@
     /// True if the server is in another region than the deciding host. Such a server is chosen only
     /// if no server of the host's own region has room.
     pub is_other_region: bool,
-    /// True if the deciding host has an idle connection to the server; a server without one costs
-    /// [`Policy::connect_cost`].
+    /// True if the deciding host has an idle connection to the server; a server without an idle
+    /// connection costs [`Policy::connect_cost`].
     pub has_idle_connection: bool,
 }
 
@@ -95,7 +95,8 @@
 /// a server is based.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// Time until the latency objective of the request, in milliseconds; 0 once it has passed.
+    /// Time until the latency objective of the request, in milliseconds; 0 once the objective has
+    /// passed.
     pub objective_ms: u64,
     /// Time until the deadline of the request, in milliseconds. After the deadline, the caller no
     /// longer waits for the response.
--- a/src/entry/decide/notices.rs
+++ b/src/entry/decide/notices.rs
@@ -7,7 +7,7 @@
 use crate::entry::model::Notice;
 
 /// Longest backoff that a host accepts, in milliseconds; a longer backoff is cut to this length. A
-/// server that needs a longer one should leave, and a corrupt value must not keep a server idle
+/// server that needs a longer backoff should leave, and a corrupt value must not keep a server idle
 /// forever.
 const BACKOFF_MAX_MS: u64 = 10 * 60 * 1_000;
 
--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -146,8 +146,8 @@
         is_cleared
     }
 
-    /// Returns the number of digests with evidence, including expired evidence that is not dropped
-    /// yet.
+    /// Returns the number of digests against which there is evidence. Digests whose evidence has
+    /// expired but is not dropped yet are included.
     pub fn len(&self) -> usize {
         self.0.len()
     }
--- a/src/entry/decide/quarantine.rs
+++ b/src/entry/decide/quarantine.rs
@@ -5,9 +5,9 @@
 
 use crate::entry::digest::RequestDigest;
 
-/// Time for which one caller's request is in quarantine, in milliseconds. After it, a later version
-/// of the service may run the request, and a caller whose request was suspected by coincidence is
-/// served again.
+/// Time for which one caller's request is in quarantine, in milliseconds. After this time, a later
+/// version of the service may run the request, and a caller whose request was suspected by
+/// coincidence is served again.
 pub const QUARANTINE_MS: u64 = 60 * 60 * 1_000;
 /// Time for which a content or path is in quarantine for all callers, in milliseconds. The time is
 /// shorter than [`QUARANTINE_MS`] because refusing a harmless path for all callers costs more. The
--- a/src/entry/decide/rate_meter.rs
+++ b/src/entry/decide/rate_meter.rs
@@ -14,7 +14,7 @@
 }
 
 impl RateMeter {
-    /// Counts one event at `now_ms`, after reducing the weight of the earlier ones.
+    /// Counts one event at `now_ms`, after reducing the weight of the earlier events.
     pub fn note(&mut self, now_ms: u64) {
         self.weight = self.decayed_weight(now_ms) + 1.0;
         self.at_ms = now_ms;
--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -3,7 +3,7 @@
 //! A host's share of the limit is the request rate of its callers, as a share of the sum for all
 //! hosts' callers. The leader computes that sum from the hosts' reports and announces it. Equal
 //! shares would waste the part that a host with few requests does not use. Shares lent by the
-//! leader would have to be reclaimed when the leader fails. While a host receives no sum, it
+//! leader would have to be reclaimed when the leader fails. While a host receives no sum, the host
 //! assumes equal request rates at all hosts, so that shares are equal.
 //!
 //! A request must pass two checks, since neither check alone bounds the total rate. The first is a
@@ -185,8 +185,8 @@
                 urgent_per_s: own.urgent_per_s * hosts,
             };
         };
-        // The leader's sum does not include the rise in this host's request rate since its last
-        // report.
+        // The leader's sum does not include the rise in this host's request rate since this host's
+        // last report.
         let with_rise =
             |sum: f64, own: f64, reported: f64| (sum + (own - reported).max(0.0)).max(own);
         DemandRates {
--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -20,8 +20,8 @@
 /// have been moved to other servers: two rounds of the planner, and a move.
 const LIMIT_MOVE_MS: u64 = 300;
 
-/// Retry time, in milliseconds, for callers of a workspace that has used up its quota: quotas are
-/// rates per second.
+/// Retry time, in milliseconds, for callers of a workspace that has used up its quota. The time is
+/// one second because quotas are rates per second.
 const QUOTA_RETRY_MS: u64 = 1_000;
 
 /// Refusal of a request that has not run, so that the caller can safely retry it.
@@ -74,7 +74,8 @@
         Self::after(reason, LIMIT_MOVE_MS, policy)
     }
 
-    /// Refuses a request of a workspace that has used up its quota, a rate per second.
+    /// Refuses a request of a workspace that has used up its quota. The retry time is
+    /// [`QUOTA_RETRY_MS`], because quotas are rates per second.
     pub fn over_quota() -> Self {
         Self {
             reason: "the workspace is over its quota",
@@ -102,8 +103,8 @@
 
     /// Refuses a request that a server did not run. A server with free slots sheds requests at
     /// random and has no queue that must drain first, so the retry time is
-    /// [`Policy::return_shed_ms`]. Otherwise another request must end first, so the retry time is
-    /// the typical run time.
+    /// [`Policy::return_shed_ms`]. Otherwise a request that runs at the server must end first, so
+    /// the retry time is the typical run time of the service.
     pub fn not_run(server: &Candidate, typical_ms: f64, policy: &Policy) -> Self {
         let reason = "the server did not run the request";
         if server.load < server.slots {
--- a/src/entry/decide/run_shares.rs
+++ b/src/entry/decide/run_shares.rs
@@ -31,7 +31,8 @@
 /// several services.
 type RouteKey = (Arc<str>, Arc<str>);
 
-/// Run times of routes relative to the average of their service, learned from all servers.
+/// Run times of the requests of each route, as multiples of the average run time at the same
+/// server; learned from all servers.
 #[derive(Debug, Default)]
 pub struct RunShares {
     shares: Mutex<HashMap<RouteKey, RouteRunShare>>,
--- a/src/entry/decide/trials.rs
+++ b/src/entry/decide/trials.rs
@@ -2,8 +2,8 @@
 //! when a server crashed. Such a supervised run is a trial. Without claims, attempts of a suspect
 //! tend to coincide: while the suspect's key has no server, hosts hold the attempts or ask callers
 //! to retry, and then all attempts would reach the next server within the 40 ms before it crashes.
-//! With two attempts at each of three hosts every 0.2 s, four of eight runs came later than the
-//! contact grace period after the third run; with claims it was one of five
+//! With two attempts at each of three hosts every 0.2 s, four of the suspect's eight runs came
+//! after the contact grace period that follows the third run; with claims, one of five runs did
 //! (tests/entry_crashes.rs).
 //!
 //! A host also claims the server on which it runs a trial. If two suspects ran at one server, a
@@ -51,7 +51,7 @@
 }
 
 /// Claims of trials (single supervised attempts of suspects) by all hosts, as far as this host
-/// knows. Each expires after [`CLAIM_MS`].
+/// knows. Each claim expires after [`CLAIM_MS`].
 #[derive(Debug, Default)]
 pub struct TrialClaims(HashMap<ClaimSubject, Claim>);
 
--- a/src/entry/decide/warmup.rs
+++ b/src/entry/decide/warmup.rs
@@ -30,7 +30,7 @@
 /// window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WarmupWindows {
-    /// Start of the current or next window; `None` before the first window is drawn.
+    /// Start of the current or next window; `None` before the first call of [`Self::is_open`].
     next_ms: Option<u64>,
 }
 
