--- a/src/entry/crashes/broken_connections.rs
+++ b/src/entry/crashes/broken_connections.rs
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ProbeState {
-    /// Number of broken connections; wraps around.
+    /// Number of broken connections to the server so far; wraps around.
     count: u32,
     /// Time of the latest broken connection; 0 if there was none.
     latest_ms: u64,
--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -143,7 +143,7 @@
 
     /// Records that a server has successfully answered a request sent at `sent_ms`, which shows
     /// that the request did not cause earlier crashes. If the request was suspect, announces to all
-    /// hosts that it no longer is.
+    /// hosts that the request is no longer suspect.
     pub(in crate::entry) fn note_success(&self, digests: RequestDigests, sent_ms: u64) {
         let sent_ago_ms = clock::now_ms().saturating_sub(sent_ms) as u32;
         for digest in digests.all() {
--- a/src/entry/crashes/probe.rs
+++ b/src/entry/crashes/probe.rs
@@ -72,7 +72,8 @@
     }
 }
 
-/// Returns the digests of the suspects as text for the log, with and without the caller.
+/// Returns the digests of the suspects as text for the log: first the digests that include the
+/// caller, then those that leave out the caller.
 fn logged(suspects: &Suspects) -> Vec<String> {
     let shared = suspects.shared.iter().map(|suspect| &suspect.digest);
     let mut all: Vec<String> = suspects
--- a/src/entry/crashes/reports.rs
+++ b/src/entry/crashes/reports.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::{decide::path_tally::SharedSuspect, digest::RequestDigest};
 
-/// Number of times that a report is sent in each term, since datagrams may be lost.
+/// Number of times that a report is sent in each term of a leader, since datagrams may be lost.
 const SEND_TIMES: u32 = 3;
 /// Maximum number of reports that are kept for later leaders; the oldest are dropped.
 const REPORTS_MAX: usize = 64;
@@ -39,7 +39,7 @@
     pub to_all: bool,
     /// Term of the leader when the report was last sent; 0 before it is first sent.
     sent_term: u64,
-    /// Number of times that the report was sent in that term, at most [`SEND_TIMES`].
+    /// Number of times that the report was sent in the term `sent_term`, at most [`SEND_TIMES`].
     sent_count: u32,
 }
 
@@ -65,9 +65,10 @@
         });
     }
 
-    /// Returns the reports to send now, given the term of the current leader. Each new leader gets
-    /// all reports again, because the leader may have started after the crashes. In a later term
-    /// the reports go only to the leader, because the other hosts received them in an earlier term.
+    /// Returns the reports that are due to be sent, and counts them as sent; `term` is the term of
+    /// the current leader. Each new leader gets all reports again, because the leader may have
+    /// started after the crashes. In a later term the reports go only to the leader, because the
+    /// other hosts received them in an earlier term.
     pub fn due(&mut self, term: u64) -> Vec<Report> {
         let mut due = Vec::new();
         for report in &mut self.0 {
--- a/src/entry/decide/admission.rs
+++ b/src/entry/decide/admission.rs
@@ -37,8 +37,9 @@
     }
 }
 
-/// Returns the expected time, in milliseconds, until the response to one more request: its time in
-/// the server's queue and its run time, which is `run_share` times the server's average.
+/// Returns the expected time, in milliseconds, until the response to one more request: the waiting
+/// time of the request in the server's queue and its run time. The run time is `run_share` times
+/// the server's average; the slowdown of the server increases both times.
 pub fn expected_ms(server: &Candidate, typical_ms: f64, run_share: f64) -> f64 {
     let requests = f64::from(server.load + 1);
     let slots = f64::from(server.slots);
--- a/src/entry/decide/choice.rs
+++ b/src/entry/decide/choice.rs
@@ -9,8 +9,9 @@
 /// same servers. With more hosts, each host's data on the requests of the other hosts is older, and
 /// all hosts would choose the same few servers. So the number of compared servers falls with the
 /// number of hosts, down to [`CANDIDATES_MIN`] servers drawn at random. In a simulation at 1.25
-/// times the capacity of 11 servers, 25 hosts achieved 0.87 of the possible value with ten servers
-/// compared and 0.92 with three.
+/// times the capacity of 11 servers, 25 hosts achieved 0.87 of the possible value of responses with
+/// ten servers compared and 0.92 with three; a response within the latency objective has a value of
+/// 1, a late response 0.5.
 const CANDIDATES_MAX: usize = 24;
 const CANDIDATES_MIN: usize = 3;
 const FEW_HOSTS: usize = 3;
@@ -34,8 +35,8 @@
     pub typical_ms: f64,
     /// Latency objective, deadline, urgency and expected run time of the request.
     pub demand: Demand,
-    /// Numbers of hosts that choose among the same servers. The more hosts, the fewer servers each
-    /// compares.
+    /// Numbers of hosts that choose among the same servers. The more hosts there are, the fewer
+    /// servers each host compares.
     pub hosts: HostCount,
 }
 
--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -7,7 +7,7 @@
 //! Refusing a path for all callers is costly if the path is harmless. So more evidence is needed
 //! than for refusing the request of one caller: crashes during the requests of two callers, and no
 //! success in between. A success is a request with the same path or content that was sent after a
-//! crash and that a server completed; it drops the earlier evidence. A harmless path that is
+//! crash and that a server completed. A success drops the earlier evidence. A harmless path that is
 //! requested often thus loses its evidence again and again.
 //!
 //! Once a server has crashed during a request, requests that are identical to it, including query
@@ -85,7 +85,7 @@
     /// Records the crash of a server while `suspects` were in flight there. Returns the digests
     /// that count as the cause because there is enough evidence against them. A repeated report of
     /// the same crash adds no evidence. `is_mass_crash` is true if many servers have crashed at
-    /// once, so that a request is unlikely to be the cause; then only trials count.
+    /// once, so that a request is unlikely to be the cause; then only crashes during trials count.
     pub fn note(
         &mut self,
         server_tag: u32,
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -9,18 +9,19 @@
 };
 use crate::entry::keys::{AssignedRange, Assignment, KeyRange};
 
-/// Minimum load of a moved range, in requests per second, for which a move that balances the load
-/// is worth its cost.
+/// Minimum load, in requests per second, that should be moved away from a busy server for a move to
+/// be worth its cost.
 const LOAD_MOVED_MIN: f64 = 0.3;
-/// Weight of the number of keys in a move, which is billed by key, against the difference between
-/// the load that is moved and the load that should be moved. A move of all keys costs this multiple
-/// of the load that should be moved.
+/// Cost of a move of all keys, as a multiple of the load that should be moved; a move of fewer keys
+/// costs proportionally less, because moves are billed by key. The planner adds this cost to the
+/// difference between the load of a range and the load that should be moved, and selects the range
+/// with the smallest sum.
 const KEY_SHARE_COST: f64 = 4.0;
 
 /// A server to which keys may be assigned, with its capacity as the planner assumes it.
 #[derive(Clone, Debug)]
 pub struct PlanServer {
-    /// Incarnation of the server, by the name that assigned ranges have for it.
+    /// Incarnation id of the server, by which assigned ranges name the server.
     pub id: Arc<str>,
     /// Requests per second that the server can run within its advertised rate limit.
     pub capacity_per_s: f64,
@@ -34,7 +35,7 @@
 pub struct Move {
     /// Keys that are moved; both ends of the range are included.
     pub range: KeyRange,
-    /// Incarnation of the server to which the keys are moved.
+    /// Incarnation id of the server to which the keys are moved.
     pub to: Arc<str>,
     /// Reason for the move, for the log: "no server" (the keys had no usable server), "hot key",
     /// "joined" (the new server had no keys) or "balance".
@@ -111,9 +112,9 @@
         plan
     }
 
-    /// Finds the servers of the hot keys, and removes the load of each hot key that its server
-    /// cannot serve from the load of that server: hosts refuse these requests whichever server the
-    /// key is assigned to.
+    /// Finds the server of each hot key. Subtracts from the load of that server the part of the
+    /// key's load that exceeds the server's capacity, because hosts refuse these requests whichever
+    /// server the key is assigned to.
     fn add_hot_keys(&mut self) {
         if !self.inputs.policy.hot_alone {
             return;
@@ -211,8 +212,8 @@
     /// Returns the load of all servers as a share of their total capacity.
     fn mean_utilisation(&self) -> f64 {
         let capacity: f64 = self.inputs.servers.iter().map(|s| s.capacity_per_s).sum();
-        // Hosts refuse the requests for hot keys that no server can serve, so these are not
-        // counted.
+        // Hosts refuse the requests for hot keys that no server can serve, so these requests are
+        // not counted.
         let excess: f64 = self.hot.iter().map(|hot| self.hot_excess(hot)).sum();
         let load = self.inputs.loads.of(KeyRange::ALL) - excess;
         load / capacity.max(0.1)
@@ -324,8 +325,8 @@
 
     /// Moves keys from the most used servers to the least used ones until no server is busy or the
     /// maximum number of moves is reached. A server is busy if its utilisation is at least
-    /// [`Policy::balance_busy_share`] and exceeds the mean by more than [`Policy::balance_excess`]
-    /// and random variation explain.
+    /// [`Policy::balance_busy_share`], and at least the mean utilisation times the sum of
+    /// [`Policy::balance_excess`] and an allowance for random variation.
     fn balance(&mut self) {
         let mean = self.mean_utilisation();
         let servers = self.inputs.servers.len() as f64;
@@ -369,7 +370,7 @@
             };
             let load = self.inputs.loads.of(range);
             // A move gains nothing if the receiving server would then be at least as busy as the
-            // other server was before.
+            // sending server was before the move.
             let after = (self.used[&to] + load) / self.capacity(&to);
             if after >= share {
                 return;
@@ -400,8 +401,9 @@
     }
 
     /// Selects a range of keys to move away from a server: one of its assigned ranges, or a part at
-    /// either end of one, without hot keys. The load of the selected range is close to `wanted` and
-    /// at most half above it. Ranges with fewer keys are preferred, since moves are billed by key.
+    /// either end of an assigned range, without hot keys. The load of the selected range is close
+    /// to `wanted` and at most half above it. Ranges with fewer keys are preferred, since moves are
+    /// billed by key.
     fn select_range(&self, from: &str, wanted: f64) -> Option<KeyRange> {
         let mut best: Option<(KeyRange, f64)> = None;
         for assigned_range in &self.assigned_ranges {
@@ -425,7 +427,8 @@
     }
 
     /// Returns the candidates for a move from a range: the whole range, and the largest parts at
-    /// its two ends whose load is at most `wanted`.
+    /// its two ends whose load is at most `wanted`. Such a part has at least one key, even if the
+    /// load of that key exceeds `wanted`.
     fn ends(&self, range: KeyRange, wanted: f64) -> Vec<KeyRange> {
         let mut found = vec![range];
         let mut sum = 0.0;
--- a/src/entry/decide/policy.rs
+++ b/src/entry/decide/policy.rs
@@ -47,14 +47,15 @@
     /// True if a server with a free slot gets a request that is expected to miss the latency
     /// objective, as long as the response is expected before the deadline.
     pub free_slot_admits: bool,
-    /// Time, in milliseconds, for which a request is held at most while its key is being moved.
-    /// Most moves between servers whose requests run for 100 ms complete within this time.
+    /// Maximum time, in milliseconds, for which a request is held while its key is being moved,
+    /// unless `hold_share` allows a longer time. Most moves between servers whose requests run for
+    /// 100 ms complete within this time.
     pub hold_ms: u64,
     /// Share of the latency objective for which a request is held at most, if that is longer than
     /// `hold_ms`. After a longer wait it is better to refuse the request, so that its caller
     /// retries.
     pub hold_share: f64,
-    /// Load of a key from which the key counts as hot, as a multiple of the capacity of the key's
+    /// Minimum load at which a key counts as hot, as a multiple of the capacity of the key's
     /// server.
     pub hot_factor: f64,
     /// Rate of requests that hosts admit for a hot key, as a multiple of the capacity of the key's
--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -2,10 +2,11 @@
 //! per second that a server accepts from all hosts together, for as long as the server advertises
 //! it.
 
-/// Bounds of the rate of probe requests, in requests per second. All hosts together send a limited
-/// server at least probe requests, so that they notice the end of a limit of 0. The probe rate
-/// doubles after each [`PROBE_AFTER_MS`] without a new advertisement, from the minimum up to the
-/// maximum, which stays within the users' requirements for any limit.
+/// Bounds of the rate of probe requests, in requests per second, that all hosts together may send
+/// to a server with a rate limit. Probe requests are sent even if the limit is 0, so that hosts
+/// notice the end of the limit. The probe rate doubles after each [`PROBE_AFTER_MS`] without a new
+/// advertisement, from the minimum up to the maximum, which stays within the users' requirements
+/// for any limit.
 const PROBE_MIN_PER_S: f64 = 0.25;
 const PROBE_MAX_PER_S: f64 = 1.0;
 /// Time, in milliseconds, for which hosts announce to each other that the limit of a server has
@@ -42,14 +43,13 @@
     /// Time at which the server first advertised that its limit has ended. For a server that gets
     /// few requests, this may be long after the last advertisement of the limit.
     ended_ms: Option<u64>,
-    /// Limit that was last logged; `None` if there was none. Later limits are compared with it by
-    /// [`CHANGE_LOGGED`].
+    /// Limit that was last logged; `None` if there was none. A later limit is logged if it differs
+    /// from this limit by more than the share [`CHANGE_LOGGED`].
     logged_per_s: Option<f64>,
 }
 
 impl RateLimit {
-    /// Records an advertisement to this host. This host reports such advertisements to the other
-    /// hosts.
+    /// Records an advertisement to this host. This host reports such advertisements to the leader.
     pub fn note_own(&mut self, advertised: AdvertisedLimit) {
         self.own = Some(advertised);
         self.note(advertised);
@@ -103,8 +103,9 @@
         Some(probe_per_s * (1u64 << doubled) as f64)
     }
 
-    /// Returns true if this host should announce the latest advertisement to other hosts: the
-    /// server has a limit, or its limit ended less than [`END_ANNOUNCED_MS`] ago.
+    /// Returns true if this host should report the advertisements of the server to the leader or,
+    /// as the leader, announce the latest advertisement to all hosts: the server has a limit, or
+    /// its limit ended less than [`END_ANNOUNCED_MS`] ago.
     pub fn should_announce(&self, now_ms: u64) -> bool {
         let is_fresh = |ended_ms| now_ms < ended_ms + END_ANNOUNCED_MS;
         self.per_s().is_some() || self.ended_ms.is_some_and(is_fresh)
@@ -116,8 +117,9 @@
     }
 
     /// Returns the latest advertisement to this host. A host reports only these advertisements to
-    /// others: if hosts passed on reports of other hosts, the reports would circulate among the
-    /// hosts, each time with a slightly later time, and outlive the limit.
+    /// the leader: if hosts also reported advertisements that they learned from the leader, the
+    /// reports would circulate among the hosts, each time with a slightly later time, and outlive
+    /// the limit.
     pub fn own(&self) -> Option<AdvertisedLimit> {
         self.own
     }
--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -110,8 +110,8 @@
     }
 
     /// Ends the trial (single supervised attempt) of a suspect request after the server has
-    /// answered it, so that the server may run the next suspect request. Does nothing if this
-    /// attempt is not a trial.
+    /// answered the request, so that the server may run the next suspect request. Does nothing if
+    /// this attempt is not a trial.
     fn end_trial(&self, entry: &Entry, server: &Server) {
         if self.is_trial {
             entry.end_trial(self.digests, server.tag);
@@ -259,7 +259,9 @@
         Some(request)
     }
 
-    /// Replaces the caller's API key by the name of its workspace: servers must not see API keys.
+    /// Replaces the caller's API key by the name of its workspace, because servers must not see API
+    /// keys. Changes nothing if the configuration has no workspaces. `None` if the name is not a
+    /// valid header value.
     fn set_workspace_header(&self, headers: &mut HeaderMap) -> Option<()> {
         if self.configuration.workspaces().is_none() {
             return Some(());
--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -23,9 +23,9 @@
 /// Unit in which body memory is counted. Bodies below this size are not counted.
 const UNIT_BYTES: usize = 16 * 1024;
 
-/// Size above which memory is reserved for a body before it is read.
+/// Size above which memory is reserved for a body before the body is read.
 const LARGE_BODY_BYTES: u64 = 64 * 1024;
-/// Maximum memory that is reserved for a large body before it is read.
+/// Maximum memory that is reserved for a large body before the body is read.
 const LARGE_BODY_RESERVED_BYTES: u64 = 192 * 1024;
 
 /// Memory budget for bodies, shared by all requests of a host.
@@ -59,7 +59,8 @@
 pub struct MemoryReservation(Option<OwnedSemaphorePermit>);
 
 impl MemoryReservation {
-    /// Extends the reservation to this size; returns false if the budget is exhausted.
+    /// Extends the reservation to `bytes`, rounded down to whole units of [`UNIT_BYTES`]; returns
+    /// false if the budget is exhausted.
     fn grow(&mut self, bytes: usize, memory: &BodyMemory) -> bool {
         let held = self.0.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
         let missing = (bytes / UNIT_BYTES).saturating_sub(held);
@@ -76,7 +77,8 @@
         true
     }
 
-    /// Reduces the reservation to this size and returns the remainder to the budget.
+    /// Reduces the reservation to `bytes`, rounded up to whole units of [`UNIT_BYTES`], and returns
+    /// the remainder to the budget.
     fn shrink(&mut self, bytes: usize) {
         let Some(held) = &mut self.0 else { return };
         let surplus = held
@@ -233,7 +235,8 @@
 pub struct StreamedBody {
     /// Beginning of the body, which is sent before `rest`.
     pub first: BufferedBody,
-    /// Remainder, which is read only as fast as the receiver takes it.
+    /// Remainder of the body, which is read from the network only as fast as the receiver takes the
+    /// data.
     pub rest: Incoming,
     /// Connection to the server from which `rest` is read, kept open until the body is dropped.
     /// `None` for the body of a caller's request.
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -29,7 +29,7 @@
 
 /// Maximum time for which a suspect request waits until it may run its own trial (single supervised
 /// attempt), while another trial of the same request or at the same server is in progress. Most
-/// runs end within this time.
+/// trials end within this time.
 const TRIAL_WAIT_MS: u64 = 120;
 /// Interval at which a waiting suspect request checks whether the trial that blocks it has ended.
 const TRIAL_POLL_MS: u64 = 10;
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Returns the server with the earliest expected response among those of `servers` that have
-    /// capacity; `None` if all of them are overloaded.
+    /// Returns the server with the earliest expected response, after weighting by cost, among those
+    /// of `servers` that have room for the request; `None` if no server has room.
     fn pick<'r>(
         &self,
         entry: &Entry,
@@ -210,8 +210,8 @@
         )
     }
 
-    /// Returns the server that holds the key, and records the fence under which it does. While the
-    /// key is being moved, waits as long as [`Self::hold`] allows.
+    /// Returns the server that holds the key, and records the fence under which the server holds
+    /// the key. While the key is being moved, waits as long as [`Self::hold`] allows.
     async fn owner(&mut self, entry: &Entry, key: u16) -> Result<Arc<Server>, Refused> {
         let policy = &entry.settings.policy;
         let mut changes = entry.view.changes();
@@ -255,7 +255,7 @@
     }
 
     /// Returns the server with the incarnation id `id`, which holds the request's key, if this host
-    /// may send it the request; otherwise returns the reason to refuse the request.
+    /// may send the request to that server; otherwise returns the reason to refuse the request.
     fn owning_server(&mut self, entry: &Entry, id: &str) -> Result<Arc<Server>, Refused> {
         let policy = &entry.settings.policy;
         let registry = entry.view.registry();
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -24,16 +24,16 @@
     transport::ResponseBody,
 };
 
-/// Minimum time until the deadline for which an attempt is made.
+/// Minimum time that must be left until the deadline of a request for an attempt to be made.
 pub(super) const ATTEMPT_MS_MIN: u64 = 10;
 /// Number of failed connection attempts, over all servers, after which a request is refused.
 const CONNECTS_MAX: u32 = 3;
 /// Number of failed connection attempts after which a request that any server can run is refused,
-/// if the attempts failed at once. The number exceeds [`CONNECTS_MAX`] because most of the servers
-/// that a host prefers refuse connections after the loss of a zone.
+/// if the attempts failed quickly (see [`FAST_REFUSAL_MS`]). The number exceeds [`CONNECTS_MAX`]
+/// because most of the servers that a host prefers refuse connections after the loss of a zone.
 const REFUSED_CONNECTS_MAX: u32 = 10;
 /// Average time per failed connection attempt, counted from the arrival of the request, below which
-/// the attempts count as failed at once.
+/// the attempts count as failed quickly.
 const FAST_REFUSAL_MS: u64 = 20;
 /// Pause before this host looks up the owner of a key again, while the key is being moved or after
 /// the key's server did not run the request or could not be reached. A change of the view ends the
@@ -88,7 +88,7 @@
 }
 
 impl ForwardedRequest<'_> {
-    /// Returns the time until the deadline; 0 once it has passed.
+    /// Returns the time until the deadline, in milliseconds; 0 once the deadline has passed.
     pub(super) fn left_ms(&self) -> u64 {
         self.times.deadline_ms.saturating_sub(clock::now_ms())
     }
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Counts an answered request in the metrics and returns its response. Only a sample of these
-    /// responses is logged.
+    /// Counts an answered request in the metrics and returns its response. Only a sample of the
+    /// answered requests is logged.
     fn answered(&self, entry: &Entry, response: Response<ResponseBody>) -> Response<ResponseBody> {
         if entry.samples_response() {
             self.log("answered", format!("status {}", response.status()));
@@ -215,8 +215,8 @@
         Refused::after(reason, run_ms, &entry.settings.policy)
     }
 
-    /// Returns the state of a server as input for the choice, including whether it is in another
-    /// region than this host.
+    /// Returns the state of a server as input for the choice, including whether the server is in
+    /// another region than this host.
     pub(super) fn candidate(&self, entry: &Entry, server: &Server) -> Candidate {
         let settings = &entry.settings;
         let own_zone = &settings.availability_zone;
--- a/src/entry/forward/head.rs
+++ b/src/entry/forward/head.rs
@@ -36,7 +36,7 @@
     )
 }
 
-/// Returns the URI in origin form: path and query only. `None` if it has no path.
+/// Returns the URI in origin form: path and query only. `None` if the URI has no path.
 pub fn origin_form(uri: &Uri) -> Option<Uri> {
     let path = uri.path_and_query()?.as_str();
     path.parse().ok()
@@ -93,7 +93,8 @@
     response
 }
 
-/// Returns the refusal's reason as text, with the retry time in a `Retry-After` header in seconds.
+/// Returns a response with this status and the reason of the refusal as text. The `Retry-After`
+/// header contains the retry time in seconds.
 fn with_retry_after(status: StatusCode, refused: &Refused) -> Response<ResponseBody> {
     let mut response = plain_text(status, refused.reason);
     let seconds = refused.retry_after_ms as f64 / 1000.0;
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -54,8 +54,8 @@
     response
 }
 
-/// Finds the route of a request, checks API key, quota and body size, and reads the body before the
-/// request is forwarded.
+/// Finds the route of a request, checks the caller's API key, the quota of its workspace and the
+/// body size, and reads the body before the request is forwarded.
 async fn route(entry: Arc<Entry>, request: Request<Incoming>) -> Response<ResponseBody> {
     let arrived_ms = clock::now_ms();
     let policy = entry.settings.policy;
@@ -132,7 +132,8 @@
     }
 }
 
-/// Route and workspace of a caller's request, with its arrival time, objective and deadline.
+/// Route and workspace of a caller's request, with the arrival time, latency objective and deadline
+/// of the request.
 struct CallerRequest {
     route: Arc<Route>,
     workspace: Option<WorkspaceKey>,
@@ -244,8 +245,8 @@
     forwarded_request.run(entry, &mut payload).await
 }
 
-/// Picks one of a route's services at random, in proportion to their weights. `None` if the route
-/// has no service, or several services whose weights are all 0.
+/// Picks one of a route's services at random, each with a probability in proportion to its weight.
+/// `None` if the route has no service, or several services whose weights are all 0.
 fn choose_target(targets: &[RouteTarget]) -> Option<&RouteTarget> {
     if targets.len() == 1 {
         return targets.first();
