--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -55,7 +55,7 @@
     path_tally: Mutex<PathTally>,
     /// Requests that this host refuses because servers crashed during them.
     quarantine: Mutex<Quarantine>,
-    /// Claims of trials by all hosts, as far as this host knows; each expires.
+    /// Claims of trials by all hosts, as far as this host knows; each claim expires.
     trials: Mutex<TrialClaims>,
     /// Reports of the server crashes that this host detected, to be sent to the other hosts.
     reports: Mutex<Reports>,
--- a/src/entry/decide/admission.rs
+++ b/src/entry/decide/admission.rs
@@ -39,7 +39,7 @@
 
 /// Returns the expected time, in milliseconds, until the response to one more request: the waiting
 /// time of the request in the server's queue and its run time. The run time is `run_share` times
-/// the server's average; the slowdown of the server increases both times.
+/// the server's average; both times are multiplied by the slowdown of the server.
 pub fn expected_ms(server: &Candidate, typical_ms: f64, run_share: f64) -> f64 {
     let requests = f64::from(server.load + 1);
     let slots = f64::from(server.slots);
--- a/src/entry/decide/attempt_stats.rs
+++ b/src/entry/decide/attempt_stats.rs
@@ -1,6 +1,6 @@
 //! Statistics that a host keeps about each server from its own attempts (requests that it sent, or
-//! tried to send, to the server): run time, failures and failed connections. Old samples lose
-//! weight, so that a server that was avoided gets requests again.
+//! tried to send, to the server): run time, failures and failed connection attempts. Old samples
+//! lose weight, so that a server that was avoided gets requests again.
 
 /// Weight of a new sample in the moving average of run times, from 0 to 1.
 const RUN_SAMPLE_WEIGHT: f64 = 0.2;
@@ -10,11 +10,11 @@
 /// Half-life of the weight of a server's samples, in milliseconds. Because old failures lose
 /// weight, a server that was avoided gets requests again.
 const FORGET_HALF_MS: f64 = 3_000.0;
-/// Time, in milliseconds, for which a host makes no attempts at a server after a failed connect.
-/// The time doubles with each further consecutive failed connect.
+/// Time, in milliseconds, for which a host makes no attempts at a server after a failed connection
+/// attempt. The time doubles with each further consecutive failed connection attempt.
 const PAUSE_FIRST_MS: u64 = 200;
 /// Longest time, in milliseconds, for which a host makes no attempts at a server after consecutive
-/// failed connects.
+/// failed connection attempts.
 const PAUSE_MAX_MS: u64 = 2_000;
 
 /// Run time, failure rate and connection failures of one server, as seen by one host.
@@ -27,11 +27,11 @@
     failures: f64,
     /// Time of the last outcome, from which the weight of the samples decays.
     at_ms: u64,
-    /// Number of consecutive failed connects, which determines the length of the next pause; reset
-    /// by a response.
+    /// Number of consecutive failed connection attempts, which determines the length of the next
+    /// pause; reset by a response.
     connect_failures: u32,
-    /// Time until which the host makes no attempts at the server because connects failed; 0 if
-    /// attempts are not paused.
+    /// Time until which the host makes no attempts at the server because connection attempts
+    /// failed; 0 if attempts are not paused.
     paused_until_ms: u64,
 }
 
@@ -46,7 +46,7 @@
         self.run_ms
     }
 
-    /// Returns the milliseconds since the last response, failure or failed connect.
+    /// Returns the milliseconds since the last response, failure or failed connection attempt.
     pub fn since_outcome_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.at_ms)
     }
@@ -57,8 +57,8 @@
         self.failures * self.sample_weight(now_ms)
     }
 
-    /// Returns true while the host should make no attempts at the server because its last connects
-    /// failed.
+    /// Returns true while the host should make no attempts at the server because the last
+    /// connection attempts to the server failed.
     pub fn is_paused(&self, now_ms: u64) -> bool {
         now_ms < self.paused_until_ms
     }
@@ -79,15 +79,16 @@
         };
     }
 
-    /// Records a failed attempt other than a failed connect, for example a request that the server
-    /// shed, a lost connection or a timeout. The attempt counts as a failure, but does not pause
-    /// further attempts.
+    /// Records a failed attempt other than a failed connection attempt, for example a request that
+    /// the server shed, a lost connection or a timeout. The attempt counts as a failure, but does
+    /// not pause further attempts.
     pub fn failed(&mut self, now_ms: u64) {
         self.note_outcome(1.0, now_ms);
     }
 
-    /// Records a failed connect. The failed connect counts as a failure and pauses attempts for a
-    /// time that doubles with each consecutive failed connect, up to [`PAUSE_MAX_MS`].
+    /// Records a failed connection attempt. The failed connection attempt counts as a failure, and
+    /// pauses further attempts for a time that doubles with each consecutive failed connection
+    /// attempt, up to [`PAUSE_MAX_MS`].
     pub fn not_connected(&mut self, now_ms: u64) {
         self.note_outcome(1.0, now_ms);
         let pause_ms = PAUSE_FIRST_MS << self.connect_failures.min(8);
--- a/src/entry/decide/backoffs.rs
+++ b/src/entry/decide/backoffs.rs
@@ -25,7 +25,7 @@
 const NOT_IN_BACKOFF_SHARE_MIN: f64 = 0.5;
 
 /// Ends of the backoffs that servers asked hosts for, by server tag and by host address, in
-/// milliseconds. The leader keeps this state from the reports of all hosts.
+/// milliseconds. The leader collects these times from the reports of all hosts.
 #[derive(Debug, Default)]
 pub struct Backoffs(Mutex<HashMap<u32, HashMap<SocketAddr, u64>>>);
 
--- a/src/entry/decide/first.rs
+++ b/src/entry/decide/first.rs
@@ -35,8 +35,8 @@
     }
 
     /// Returns true if the keys should be distributed among the current servers, of which there are
-    /// `servers`. The wait ends when the service has got a request (`requested`), when the number
-    /// of servers has not changed for [`FIRST_QUIET_MS`], or after [`FIRST_WAIT_MAX_MS`].
+    /// `servers`. The wait ends when the service has received a request (`requested`), when the
+    /// number of servers has not changed for [`FIRST_QUIET_MS`], or after [`FIRST_WAIT_MAX_MS`].
     pub fn is_over(&mut self, servers: usize, requested: bool, now_ms: u64) -> bool {
         if self.servers != servers {
             self.servers = servers;
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -69,16 +69,16 @@
     pub load: u32,
     /// Average run time of a request at the server, in milliseconds; 0 without recent samples.
     pub run_ms: f64,
-    /// Time, in milliseconds, since the last outcome (a response, failure or failed connect) of an
-    /// attempt that the deciding host made at the server.
+    /// Time, in milliseconds, since the last outcome (a response, failure or failed connection
+    /// attempt) of an attempt that the deciding host made at the server.
     pub since_outcome_ms: u64,
     /// Slowdown of the server: its current run time as a multiple of its average run time; 1 is the
     /// usual speed.
     pub slowdown: f64,
     /// Share of the deciding host's recent attempts at the server that failed, from 0 to 1.
     pub failures: f64,
-    /// True while the host makes no attempts at the server: after failed connects, or while the
-    /// server is cold and the host's warm-up window is not open.
+    /// True while the host makes no attempts at the server: after failed connection attempts, or
+    /// while the server is cold and the host's warm-up window is not open.
     pub is_paused: bool,
     /// True if the server is in the availability zone of the deciding host; servers of other zones
     /// cost [`Policy::zone_cost`].
--- a/src/entry/decide/notices.rs
+++ b/src/entry/decide/notices.rs
@@ -40,8 +40,9 @@
 }
 
 impl Notices {
-    /// Applies a notice and returns what the notice changes. A backoff that ends later extends the
-    /// current one. Leaving is final.
+    /// Applies a notice and returns what the notice changes. A backoff that ends later than the
+    /// current backoff extends the current backoff. The announcement that the server leaves is
+    /// final.
     pub fn note(&mut self, notice: Notice, now_ms: u64) -> NoticeEffect {
         let learned = NoticeEffect {
             leaves: notice.leaves && self.leaves_since_ms.is_none(),
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -54,7 +54,8 @@
     pub loads: &'a KeyLoads,
     /// Ranges of keys that are already being moved; no other move is planned for these keys.
     pub moving: &'a [KeyRange],
-    /// Maximum number of moves for balance in one plan.
+    /// Maximum number of servers without keys to which one plan moves keys. Moves that balance the
+    /// load are planned only until the plan has this number of moves of any kind.
     pub balance_moves_max: usize,
     /// Hot keys: keys that get more requests than their server can serve.
     pub hot: &'a [u16],
@@ -75,9 +76,9 @@
     moves: Vec<Move>,
 }
 
-/// Plans the moves for one service: first those of keys without a usable server, then those of hot
-/// keys, those to servers without keys, and those that balance the load. Returns no moves if there
-/// are no servers.
+/// Plans the moves for one service: first the moves of keys without a usable server (a server of
+/// [`Inputs::servers`]), then the moves of hot keys, the moves to servers without keys, and the
+/// moves that balance the load. Returns no moves if there are no servers.
 pub fn plan(inputs: Inputs<'_>) -> Vec<Move> {
     if inputs.servers.is_empty() {
         return Vec::new();
@@ -242,8 +243,8 @@
         self.moves.push(Move { range, to, cause });
     }
 
-    /// Plans the assignment of each range without a usable server to the least used servers, in
-    /// pieces whose load is at most half the mean load of a server.
+    /// Plans the assignment of each range that is assigned to no server of [`Inputs::servers`] to
+    /// the least used servers, in pieces whose load is at most half the mean load of a server.
     fn assign_unowned_keys(&mut self) {
         let mut unowned: Vec<KeyRange> = self.inputs.assignment.gaps();
         for assigned_range in &self.assigned_ranges {
--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -224,7 +224,8 @@
         self.announced().is_some_and(AdmittedShare::is_limiting)
     }
 
-    /// Returns this host's usage of the quota since its last report to the leader, and resets it.
+    /// Returns this host's usage of the quota since its last report to the leader, and resets the
+    /// counts to 0.
     pub fn take_report(&mut self) -> QuotaUsage {
         std::mem::take(&mut self.since_report)
     }
--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -26,8 +26,8 @@
     transport::{ResponseBody, header_text},
 };
 
-/// Time after the request's deadline for which the host still waits, so that a response that the
-/// server itself sends at the deadline can arrive.
+/// Time after the request's deadline for which the host still waits for the response, so that a
+/// response that the server sends at the deadline can arrive.
 const DEADLINE_SLACK_MS: u64 = 40;
 
 /// Result of one attempt, which decides whether the request may be sent again.
@@ -121,7 +121,8 @@
     /// Returns an idle connection to the server, or opens a connection. Returns
     /// [`AttemptOutcome::InBackoff`] if the server has asked this host for a backoff. The backoff
     /// is checked before and after connecting, because the server may ask for a backoff while the
-    /// request waits for the trial claims of other hosts, or while the connection is being opened.
+    /// request waits for competing trial claims of other hosts, or while the connection is being
+    /// opened.
     async fn connection(
         &self,
         entry: &Arc<Entry>,
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -36,8 +36,9 @@
 /// the attempts count as failed quickly.
 const FAST_REFUSAL_MS: u64 = 20;
 /// Pause before this host looks up the owner of a key again, while the key is being moved or after
-/// the key's server did not run the request or could not be reached. A change of the view ends the
-/// pause early, except after a failed connection attempt.
+/// the key's server did not run the request or could not be reached. A change of the host's view
+/// (its registry, configuration and key owners) ends the pause early, except after a failed
+/// connection attempt.
 pub(super) const KEY_RETRY_PAUSE_MS: u64 = 25;
 
 /// Arrival time, latency objective and deadline of a request, by the clock of this host.
--- a/src/entry/forward/head.rs
+++ b/src/entry/forward/head.rs
@@ -73,12 +73,13 @@
     )
 }
 
-/// Returns a 503 response for a request that has not run, with the time after which to retry.
+/// Returns a 503 response, with a `Retry-After` header, for a request that has not run.
 pub fn refusal(refused: &Refused) -> Response<ResponseBody> {
     with_retry_after(StatusCode::SERVICE_UNAVAILABLE, refused)
 }
 
-/// Returns a 429 response for a request over its workspace's quota, which has not run.
+/// Returns a 429 response for a request that has not run because the workspace has used up its
+/// quota. The response has a `Retry-After` header.
 pub fn over_quota(refused: &Refused) -> Response<ResponseBody> {
     with_retry_after(StatusCode::TOO_MANY_REQUESTS, refused)
 }
