--- a/src/entry/leadership/change.rs
+++ b/src/entry/leadership/change.rs
@@ -9,8 +9,8 @@
 /// the leadership row names as the leader.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// Assigns all keys of a service that has no assigned ranges yet: each key range to the server
-    /// that follows it in the list.
+    /// Assigns all keys of a service that has no assigned ranges yet: each element is a key range
+    /// and the incarnation id of the server that gets the range.
     Distribute(Vec<(KeyRange, Arc<str>)>),
     /// Moves key ranges to other servers. Each range gets a new fence, above all fences that the
     /// service has used.
--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -39,8 +39,8 @@
 /// Maximum age of the last successful confirmation at which the leader still sends heartbeats to
 /// the other hosts. Two confirmations in a row may fail before this age is reached. A leader that
 /// has lost its own connection to the store cannot record moves of keys, so another host must take
-/// over the leadership soon. With 3 s, another host took over the leadership only 5.7 s after the
-/// leader had lost the store, and the keys of a lost zone waited for that long.
+/// over the leadership soon. With a maximum age of 3 s, another host took over the leadership only
+/// 5.7 s after the leader had lost the store, and the keys of a lost zone waited for that long.
 const CONFIRMED_MS: u64 = 1_900;
 /// Timeout of a write of the leadership row. After an outage of the store, the leader must write
 /// the row before other hosts have seen the row unchanged for the takeover time, 1.6 s. At its
@@ -50,8 +50,8 @@
 /// report that it has stopped granting leases.
 const STOPPED_REPORT_MS: u64 = 3_000;
 
-/// Content of the leadership row, which names the leader. It is stored as JSON in the table
-/// `ashroad_duty`.
+/// Content of the leadership row, which names the leader. The content is stored as JSON in the
+/// table `ashroad_duty`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct LeadershipRow {
     /// Incarnation of the host process that is the leader; 0 after the leader has given up the
@@ -175,7 +175,7 @@
 
     /// Records the incarnation of the process that runs on the host at `address`. If the previous
     /// leader ran on that host under another incarnation, the process of the previous leader has
-    /// ended, and its leases are not waited for any longer.
+    /// ended, and this host stops waiting for the leases of the previous leader to expire.
     pub fn note_process(&self, address: SocketAddr, incarnation: u64) {
         self.predecessor_ended(|p| p.address == address && p.incarnation != incarnation);
     }
@@ -191,7 +191,8 @@
     ///
     /// Returns the earlier term whose leadership this host lost within the last
     /// `STOPPED_REPORT_MS`, so that the caller reports to the new leader that this host grants no
-    /// more leases of that term. Until it gets that report, the new leader waits for these leases.
+    /// more leases of that term. Until the new leader gets that report, it waits for these leases
+    /// to expire.
     pub fn note_other_term(&self, term: u64) -> Option<u64> {
         let own = self.term();
         if own >= term {
@@ -218,8 +219,8 @@
 }
 
 impl Entry {
-    /// Reads the leadership row and its version from the store; no row and version 0 if the row
-    /// does not exist yet. Returns `None` if the store did not answer or the row cannot be decoded.
+    /// Reads the leadership row and its version from the store. Returns `Some((None, 0))` if the
+    /// row does not exist yet, and `None` if the store did not answer or the row cannot be decoded.
     async fn read_leadership_row(&self) -> Option<(Option<LeadershipRow>, u64)> {
         let rows = match self.store.table(LEADERSHIP_TABLE).await {
             Ok(rows) => rows.rows,
--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -94,8 +94,8 @@
     Conflict(Vec<Row>),
     /// The store rejects the transaction with an error that no retry can mend.
     Refused,
-    /// The effect of the transaction is unknown, and this host may no longer grant leases, so it
-    /// has stopped retrying.
+    /// The effect of the transaction is unknown, and the transaction is not retried because this
+    /// host may no longer grant leases.
     LeadershipLost,
 }
 
@@ -189,7 +189,7 @@
     }
 
     /// Determines why the store reported a conflict, from `found`, the current rows that the store
-    /// returned with it.
+    /// returned with the conflict.
     fn classify_conflict(&self, found: &[Row], rows: &[PendingRow], writer: &Writer) -> Conflict {
         let find = |key: &str| found.iter().find(|row| row.key == key);
         let is_written = |row: &PendingRow| find(&row.key).is_some_and(|f| f.value == row.value);
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -24,14 +24,15 @@
 /// Interval at which a host that is not the leader checks whether it has stopped receiving
 /// heartbeats of the leader.
 const CHECK_EVERY_MS: u64 = 100;
-/// Time after its start in which a host does not watch the leadership row, because the first
-/// heartbeat of the leader may not have arrived yet.
+/// Time after the start of a host in which the host does not watch the leadership row, because the
+/// first heartbeat of the leader may not have arrived yet.
 const START_GRACE_MS: u64 = 600;
-/// Time after its start in which a host does not watch the leadership row if the deployment starts
-/// for the first time. Early hosts use a shorter time, see [`SLOW_HOST_DELAY_MS`]. A host
-/// recognises the first start of a deployment by the lack of a shared secret for datagrams. Hosts
-/// that start together must know each other before they watch the row, or all of them would watch
-/// it. They read each other's rows 2.5 s after their start.
+/// Time after the start of a host in which the host does not watch the leadership row if the
+/// deployment starts for the first time. Early hosts use a shorter time, see
+/// [`SLOW_HOST_DELAY_MS`]. A host recognises the first start of a deployment by the lack of a
+/// shared secret for datagrams. Hosts that start together must know each other before they watch
+/// the leadership row, or all of them would watch the row at the same time. Hosts read each other's
+/// host rows 2.5 s after their start.
 const FIRST_START_GRACE_MS: u64 = 3_200;
 /// Maximum delay, in addition to [`START_GRACE_MS`], after which an early host watches the
 /// leadership row at the first start of a deployment. The delay shrinks to 0 as the processor share
@@ -114,8 +115,8 @@
         clock::now_ms() > silent_after_ms + self.watch_delay_ms()
     }
 
-    /// Returns the time after its start, in milliseconds, in which this host does not watch the
-    /// leadership row at the first start of a deployment.
+    /// Returns the time after the start of this host, in milliseconds, in which this host does not
+    /// watch the leadership row at the first start of a deployment.
     fn first_start_grace_ms(&self) -> u64 {
         let share = self.settings.processor_share.clamp(0.0, 1.0);
         if self.is_early() {
@@ -139,7 +140,8 @@
 
     /// Reads the leadership row repeatedly. Takes over the leadership if the row names no leader or
     /// stays unchanged for the takeover time. Returns without a takeover if another host writes the
-    /// row, or if a read still fails after ten times the takeover time.
+    /// row, or if a read of the row fails later than ten times the takeover time after the start of
+    /// this call.
     async fn await_takeover(&self) {
         let takeover_ms = self.settings.leases.takeover_ms;
         let mut seen: Option<(u64, u64)> = None;
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -57,8 +57,8 @@
 const SERVERS_PER_MOVE: usize = 4;
 /// Factor by which the leader's wait for the expiry of a lease is longer than the lease. The clock
 /// of a server may run up to 2% slow, so the server may serve the keys that much longer than the
-/// lease on the leader's clock. [`LEASE_MARGIN_MS`] is added to the wait, since a grant may arrive
-/// at the server until its timeout.
+/// lease on the leader's clock. [`LEASE_MARGIN_MS`] is added to the wait, since a grant order may
+/// arrive at the server until the timeout of the order, [`GRANT_TIMEOUT_MS`].
 const LEASE_CLOCK_FACTOR: f64 = 1.03;
 /// Time that is added to the wait for the expiry of a lease, see [`LEASE_CLOCK_FACTOR`].
 const LEASE_MARGIN_MS: u64 = GRANT_TIMEOUT_MS + 250;
@@ -259,9 +259,9 @@
         true
     }
 
-    /// Returns the servers to which keys of a service may be assigned, sorted by incarnation id. If
-    /// the service limits the requests of cold servers during their warm-up, cold servers are left
-    /// out as long as there is a warm server.
+    /// Returns the servers to which keys of a service may be assigned, sorted by incarnation id. A
+    /// cold server is a server in its warm-up. If the service limits the requests of servers during
+    /// their warm-up, cold servers are left out as long as there is a warm server.
     fn usable(&self, service: &str) -> Vec<PlanServer> {
         let registry = self.entry.view.registry();
         let state = self.state();
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -36,8 +36,9 @@
 /// requests for the keys have ended.
 const RELEASE_TIMEOUT_MS: u64 = 2_500;
 /// Delay after which the leader sends an unanswered release order again, while it goes on waiting
-/// for the response to the first one. The response may be lost, and no server holds the keys until
-/// a response arrives. Most requests for keys end within this time.
+/// for the response to the first order. That response may be lost, and no server holds the keys
+/// until a response arrives. A server responds once its running requests for the keys have ended,
+/// and most requests end within this delay.
 const RELEASE_RETRY_MS: u64 = 600;
 /// Maximum number of times that the leader sends one release order, including the first. If servers
 /// lose half of their responses, four attempts get a response from 94% of them.
@@ -310,9 +311,9 @@
         let AssignedRange { range, fence, .. } = *assigned_range;
         let registry = self.entry.view.registry();
         let server = registry.server(id).cloned();
-        // A server whose entry is gone may still serve requests, so the leader sends the release
-        // order to the last known address of the server on a new connection. If another server
-        // responds at this address, the process of the former server has ended.
+        // A server whose entry is gone from the registry may still serve requests, so the leader
+        // sends the release order to the last known address of the server on a new connection. If
+        // another server responds at this address, the process of the former server has ended.
         let former = registry.former(id).cloned();
         let former_link = former.as_ref().map(|former| Link::new(former.address));
         let link = match (&server, &former, &former_link) {
@@ -327,8 +328,9 @@
             }
             let free_ms = self.lease_end_ms(id);
             let now_ms = clock::now_ms();
-            // A server with an entry gets the release order at least once, even if its leases have
-            // expired, since its handover token warms up the new server.
+            // A server with an entry in the registry gets the release order at least once, even if
+            // its leases have expired, since the handover token in its response warms up the new
+            // server.
             if now_ms >= free_ms && std::mem::replace(&mut asked, true) {
                 return Some(None);
             }
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -69,9 +69,9 @@
     }
 
     /// Returns the assigned ranges of a service whose renewal is due, by server, and marks their
-    /// renewals as in flight. Each assigned range has a renewal time of its own, so that a failed
-    /// renewal does not repeat the others. If half of the responses of a server with five ranges
-    /// are lost, five renewals in a row succeed only once in 32 attempts.
+    /// renewals as in flight. Each assigned range has a renewal time of its own, so that the
+    /// failure of one renewal does not cause the others to be repeated. If half of the responses of
+    /// a server with five ranges are lost, five renewals in a row succeed only once in 32 attempts.
     fn due_renewals(
         &self,
         service: &Arc<str>,
@@ -222,9 +222,8 @@
 
     /// Probes a server that does not answer grants, to distinguish a crashed server from a live
     /// server whose responses are lost. A live server keeps its keys; a crashed server is marked as
-    /// silent. Without the probe, when half of the orders went unanswered, live servers were
-    /// considered lost, and all keys of a service changed their server three to five times a
-    /// minute.
+    /// silent. Without the probe, when half of the orders go unanswered, live servers count as
+    /// crashed, and all keys of a service change their server three to five times a minute.
     async fn probe_server(&self, service: &str, server: &Server) {
         let lives = self.is_alive(service, server).await;
         let mut state = self.state();
@@ -268,9 +267,10 @@
     }
 
     /// Raises the recorded fence of an assigned range and grants the range to the same server
-    /// again. This is needed when the server has seen a higher fence than the recorded fence. An
-    /// earlier leader released the keys under that fence but recorded nothing more. The range is
-    /// marked as moving, so that no move of these keys begins before the grant has ended.
+    /// again. The fence must be raised when the server has seen a higher fence than the recorded
+    /// fence: an earlier leader ordered the release of the keys under that fence but did not record
+    /// the fence in the store. The range is marked as moving, so that no move of these keys begins
+    /// before the grant has ended.
     async fn raise_fence(
         &self,
         service: &Arc<str>,
