--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -45,9 +45,9 @@
     /// there are many hosts, servers or missed changes.
     fn queries_peers_first(&self, followed: FollowedTable) -> bool {
         match followed {
-            // While the store is unavailable, this host detects its return only by the feed of
-            // server entries, on behalf of its other feeds. That feed must therefore query the
-            // store.
+            // While the store is unavailable, only the feed of server entries probes whether the
+            // store responds again; the other feeds of this host make no calls. The feed of server
+            // entries must therefore query the store.
             FollowedTable::Servers if *self.view.store_lost().borrow() => false,
             FollowedTable::Servers => self.has_many_servers() || self.missed(followed) > MISSED_MAX,
             FollowedTable::Configuration => self.peers.use_relays(),
@@ -85,8 +85,8 @@
     }
 
     /// Queries other hosts until this host has all changes of a table that other hosts have
-    /// reported. The hosts' own rows are queried at least once. Returns false if there is no host
-    /// to query.
+    /// reported. The hosts' own rows (assigned ranges and hosts) are fetched at least once. Returns
+    /// false if there is no host to query.
     async fn fetch_missed(&self, followed: FollowedTable) -> bool {
         let mut is_first = followed == FollowedTable::Own;
         while is_first || self.is_missing(followed) {
@@ -139,7 +139,7 @@
     }
 
     /// Fetches a snapshot from `peer` and applies it if it contains a later version of the table
-    /// than this host has applied. Returns false if it does not.
+    /// than this host has applied. Returns true if the snapshot was applied.
     pub(super) async fn fetch_snapshot(
         &self,
         followed: FollowedTable,
--- a/src/entry/join/joining_hosts.rs
+++ b/src/entry/join/joining_hosts.rs
@@ -33,8 +33,8 @@
 /// Maximum number of host rows in one transaction. The store accepts 100 conditions and writes in
 /// total; each row needs one condition and one write.
 const ROWS_MAX: usize = 45;
-/// Number of registration requests that a joining host sends to another host before it registers
-/// itself.
+/// Maximum number of registration requests that a joining host sends to another host. If all of
+/// them fail, the joining host writes its host row itself.
 const ATTEMPTS_MAX: usize = 4;
 /// Maximum size in bytes of the body of a registration request.
 const REQUEST_BYTES_MAX: usize = 1_024;
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -1,9 +1,9 @@
 //! Initial sync of a starting host. The host loads servers, assigned ranges and hosts as a snapshot
 //! from another host that knows them. If there is no such host, the starting host reads the store's
 //! tables. A seed host is a host from which starting hosts fetch the snapshot. The leader stores
-//! the addresses of a few seed hosts of each zone next to the hosts' secret, so that one call
-//! returns both. Hosts that serve snapshots also register joining hosts, and later serve changes
-//! that other hosts have missed.
+//! the addresses of a few seed hosts of each zone next to the hosts' secret, so that one call to
+//! the store returns both. Hosts that serve snapshots also register joining hosts, and later serve
+//! changes that other hosts have missed.
 
 mod catch_up;
 mod joining_hosts;
@@ -55,8 +55,8 @@
 /// One in this many hosts with a processor share below [`EARLY_PROCESSOR_SHARE`] is an early host,
 /// selected by the tag of its address. Early hosts read the store's tables before other hosts do.
 const EARLY_ONE_IN: u32 = 32;
-/// Processor share from which every host is an early host, which reads the store's tables before
-/// other hosts do.
+/// Minimum processor share at which a host is always an early host. Early hosts read the store's
+/// tables before other hosts do.
 const EARLY_PROCESSOR_SHARE: f32 = 0.5;
 
 /// Result of reading the list of seed hosts from the store.
@@ -111,7 +111,7 @@
 
 impl Join {
     /// Waits for the end of the initial sync. Returns true if this host got the table from another
-    /// host, so that it need not read it from the store. Always returns false for the
+    /// host, so that the table need not be read from the store. Always returns false for the
     /// configuration, which is not part of a snapshot.
     pub(super) async fn was_synced_from_peer(&self, followed: FollowedTable) -> bool {
         if followed == FollowedTable::Configuration {
@@ -121,7 +121,7 @@
     }
 
     /// Records that the hosts' secret may have been replaced. Only a read of the secret's row in
-    /// the store can show whether it was.
+    /// the store can show whether the secret was replaced.
     pub(super) fn flag_stale_secret(&self) {
         self.secret_may_be_stale.store(true, Ordering::Relaxed);
     }
@@ -257,8 +257,9 @@
     }
 
     /// Returns true if this host is an early host. Early hosts read the store's tables and check
-    /// whether there is a leader before other hosts do. By the time the other hosts need them, the
-    /// early hosts can serve snapshots, and the first leader has stored the hosts' secret.
+    /// whether there is a leader before other hosts do. When the other hosts need a snapshot and
+    /// the hosts' secret, the early hosts can then serve snapshots, and the first leader has stored
+    /// the secret.
     pub(super) fn is_early(&self) -> bool {
         let tag = tag_of(&self.settings.listen.peers.to_string());
         self.settings.processor_share >= EARLY_PROCESSOR_SHARE || tag.is_multiple_of(EARLY_ONE_IN)
--- a/src/entry/join/paths.rs
+++ b/src/entry/join/paths.rs
@@ -1,10 +1,11 @@
 //! HTTP paths of the queries that hosts send to each other.
 
-/// Path of the snapshot with servers, assigned ranges and hosts. Starting hosts fetch it, and so do
-/// hosts that have missed changes which are no longer available one by one.
+/// Path of the snapshot with servers, assigned ranges and hosts. Starting hosts fetch the snapshot,
+/// and so do hosts that have missed changes that the store or the queried host no longer keeps as
+/// single changes.
 pub const SNAPSHOT: &str = "/snapshot";
 /// Path of the snapshot with assigned ranges and hosts, without servers. Hosts that have missed
-/// changes of these fetch it.
+/// changes of assigned ranges or hosts fetch this snapshot.
 pub const OWN: &str = "/own";
 /// Path of the configuration and the evacuated zones as the queried host knows them.
 pub const CONFIGURATION: &str = "/configuration";
--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -128,9 +128,9 @@
     }
 
     /// Waits until the leader, or a relay in its place, reports a response that the store gave
-    /// after the start of the wait. After an outage of the store this takes a moment. Returns false
-    /// if no such report arrives within `start_wait_ms`, or if this host is the leader, which
-    /// receives no such reports.
+    /// after the start of the wait. After an outage of the store, the first such report arrives
+    /// with a delay. Returns false if no such report arrives within `start_wait_ms`, or if this
+    /// host is the leader, which receives no such reports.
     async fn is_store_confirmed_soon(&self) -> bool {
         let since_ms = clock::now_ms();
         let until_ms = since_ms + self.limits.start_wait_ms;
--- a/src/entry/join/seed_hosts.rs
+++ b/src/entry/join/seed_hosts.rs
@@ -19,7 +19,8 @@
 /// Interval at which the leader compares the current seed hosts with the list that it has stored.
 const SEED_HOSTS_EVERY_MS: u64 = 300;
 /// Number of servers up to which every host reads the tables from the store by itself. Reading a
-/// few pages is faster than a query to another host, which may itself still be starting.
+/// few pages from the store is faster than a query to another host, which may itself still be
+/// starting.
 const READ_SERVERS_MAX: usize = 1_000;
 
 /// Content of the row in which the leader stores the list of seed hosts, as JSON. Starting hosts
@@ -50,7 +51,7 @@
     }
 
     /// While this host is the leader, stores the list of seed hosts whenever the list differs from
-    /// the one that it stored last.
+    /// the list that this host stored last.
     pub(in crate::entry) async fn maintain_seed_hosts(self: Arc<Self>) {
         let mut last_stored = None;
         loop {
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns the encoded and sealed snapshot, at most [`ENCODED_KEPT_MS`] old; `None` if this
-    /// host can make no snapshot or knows no secret.
+    /// host can make no snapshot or does not know the hosts' secret.
     fn encoded_snapshot(&self) -> Option<Bytes> {
         let now_ms = clock::now_ms();
         let mut encoded = self
