--- a/src/entry/peers/fanout.rs
+++ b/src/entry/peers/fanout.rs
@@ -13,9 +13,9 @@
 /// Number of relays in each zone. With two relays, no message is lost if one of them fails.
 const RELAYS: usize = 2;
 /// Time without an acknowledgement after which another host replaces a relay. Three heartbeats of
-/// the leader fit into this time. With bounds of 2 s, the relay is replaced before the hosts of its
-/// zone stop relying on the leader. With tighter bounds, these hosts query the store in the
-/// meantime.
+/// the leader fit into this time. With bounds of 2 s in the settings, the relay is replaced before
+/// the hosts of its zone stop relying on the leader. With tighter bounds, these hosts query the
+/// store in the meantime.
 pub const RELAY_SILENT_MS: u64 = 900;
 
 /// Properties of a host that determine whether it is chosen as a relay.
@@ -25,15 +25,15 @@
     pub address: SocketAddr,
     /// Tag of the host's availability zone: a hash of its name, the same for all hosts of the zone.
     pub zone_tag: u32,
-    /// Share of a processor that the host may use; 1.0 is a whole processor. Strong hosts are
-    /// preferred because a relay sends to its whole zone.
+    /// Share of a processor that the host may use; 1.0 is a whole processor. Hosts with a large
+    /// share are preferred because a relay sends messages to its whole zone.
     pub processor_share: f32,
     /// True if the host was sent messages to relay and has not acknowledged them within
     /// [`RELAY_SILENT_MS`].
     pub is_silent: bool,
 }
 
-/// Recipients of a message to all hosts.
+/// Recipients to which a sender addresses a message for all hosts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fanout {
     /// Hosts that receive the message and do not forward it.
@@ -69,8 +69,8 @@
     chosen.map(|host| host.address).collect()
 }
 
-/// Returns the sort key for choosing relays in a zone: responsive hosts first, then those with a
-/// larger processor share.
+/// Returns the sort key for choosing relays in a zone: responsive hosts come first, and among them
+/// hosts with a larger processor share. `term` varies the order of hosts with equal shares.
 fn order(host: &RelayCandidate, term: u64) -> (bool, u32, u32) {
     let share_milli = (host.processor_share * 1_000.0) as u32;
     let place = tag_of(&format!("{} {term}", host.address));
@@ -78,8 +78,8 @@
 }
 
 /// Returns the aggregator of a zone, which sums the loads of the zone for other zones: the
-/// strongest responsive host. If hosts know different hosts of the zone for a moment, two of them
-/// may act as the aggregator.
+/// responsive host with the largest processor share. If hosts know different hosts of the zone for
+/// a moment, two of them may act as the aggregator.
 pub fn zone_aggregator(zone: &[RelayCandidate]) -> Option<SocketAddr> {
     let first = zone.iter().min_by_key(|host| order(host, 0));
     first.map(|host| host.address)
@@ -111,8 +111,9 @@
 const DRIFT_MS: u64 = 1_000;
 
 impl OneWayDelay {
-    /// Returns the excess delay over the shortest one of a message that was sent in `term` at
-    /// `sent_ms` by the sender's clock.
+    /// Returns by how many milliseconds the delay of a heartbeat exceeds the shortest delay seen in
+    /// `term`. The leader of `term` sent the heartbeat at `sent_ms` by the leader's clock; the
+    /// heartbeat arrived at `now_ms` by the receiver's clock.
     pub fn delay_ms(&mut self, term: u64, sent_ms: u64, now_ms: u64) -> u64 {
         let offset_ms = now_ms as i64 - sent_ms as i64;
         if term < self.term {
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -56,7 +56,8 @@
     pub server_tag: u32,
     /// Sum of the requests that the zone's hosts have in flight at the server.
     pub in_flight: u16,
-    /// Average run time measured by the zone's hosts; 0 if none has measured it.
+    /// Average run time in milliseconds that the zone's hosts have measured; 0 if no host of the
+    /// zone has measured a run time.
     pub run_ms: u16,
 }
 
@@ -65,7 +66,7 @@
 pub struct RunTime {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
-    /// Average run time of the reporting host's requests at the server.
+    /// Average run time in milliseconds of the reporting host's requests at the server.
     pub run_ms: u16,
 }
 
@@ -77,16 +78,17 @@
     pub server_tag: u32,
     /// Current run time of requests relative to the usual one, in percent: 200 is twice as slow.
     pub percent: u16,
-    /// Age of the announcement when the report is sent.
+    /// Time since the server announced the slowdown, in milliseconds, when the report is sent.
     pub age_ms: u16,
 }
 
-/// Backoff that a server asked a host for: a period without requests from that host.
+/// Backoff that a server asked a host for: a period in which that host sends the server no
+/// requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerBackoff {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
-    /// Time left of the backoff when the report is sent.
+    /// Remaining time of the backoff, in milliseconds, when the report is sent.
     #[serde(rename = "rest_ms")]
     pub backoff_ms: u32,
 }
@@ -106,7 +108,7 @@
 pub struct ServerRate {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
-    /// Limit that the server advertised last; `None` if the sender knows of none.
+    /// Limit that the server advertised last; `None` if the sender knows of no limit.
     pub reported: Option<AdvertisedRate>,
     /// Rates of the callers' requests that could be sent to the server.
     pub demand: DemandRates,
@@ -130,7 +132,7 @@
     pub admitted: AdmittedShare,
 }
 
-/// Number of requests for one key since the last report.
+/// Number of requests for one key that a host received since its last report of request counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyCount {
     /// Tag of the service: a hash of its name.
@@ -141,7 +143,7 @@
     pub requests: u16,
 }
 
-/// Properties of the sending host, for receivers that have not read its row yet.
+/// Properties of the sending host, for receivers that have not read the host row of the sender yet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sender {
     /// Tag of the host's availability zone: a hash of its name, the same for all hosts of the zone.
@@ -164,7 +166,7 @@
     },
     /// Acknowledges a message to relay, which shows that the relay is alive.
     RelayAck,
-    /// Heartbeat of the leader.
+    /// Heartbeat, which the leader sends to all hosts while its leadership is confirmed.
     Heartbeat {
         /// Term of the leader. A heartbeat is ignored if a later term is known.
         term: u64,
@@ -199,7 +201,8 @@
     ZoneLoads {
         /// Tag of the zone that is summarised: a hash of its name.
         zone_tag: u32,
-        /// Summaries by server; those that have not changed lately may be missing.
+        /// Summaries by server. A summary may be missing if its requests in flight are the same as
+        /// when it was last sent and its run time has changed little since.
         summaries: Vec<ServerSummary>,
     },
     /// Reports the sender's request counts by key to the leader, which plans moves by them.
@@ -208,7 +211,8 @@
     Moving {
         /// Tag of the service: a hash of its name.
         service_tag: u32,
-        /// Keys that are being moved, with their targets.
+        /// Key ranges that are being moved. Each has the fence above which a grant completes the
+        /// move, and the remaining time of the announcement.
         announcements: Vec<MoveAnnouncement>,
     },
     /// Changes of server entries that the sender, the leader, received from the store.
@@ -222,7 +226,7 @@
         /// Key whose server is unknown to the sender.
         key: u16,
     },
-    /// States that the sender, which was the leader in this term, grants no more leases.
+    /// States that the sender, which was the leader in `term`, grants no more leases.
     Stopped {
         /// Term in which the sender was the leader.
         term: u64,
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -46,11 +46,13 @@
 struct ReportedLoad {
     in_flight: u32,
     run_ms_sum: f64,
-    /// Number of reports that contain a run time; the sum divided by it is the average run time.
+    /// Number of reports that contain a run time of the server. The average run time is
+    /// `run_ms_sum` divided by this number.
     reporters: f64,
 }
 
-/// Slowdown that a server announced to another host, which reported it.
+/// Slowdown (factor by which a server currently runs slower than usual) that a server announced to
+/// another host and that the other host reported to this host.
 #[derive(Clone, Copy, Debug)]
 struct ReportedSlowdown {
     server_tag: u32,
@@ -71,11 +73,12 @@
 /// Properties of a host from its row in the store, or from its own messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostProperties {
-    /// Incarnation of the process on the host; `None` until its row was read.
+    /// Incarnation of the process on the described host. `None` while the described host is known
+    /// only from its own messages, which do not contain the incarnation.
     pub incarnation: Option<u64>,
     /// Tag of the host's availability zone: a hash of its name, the same for all hosts of the zone.
     pub zone_tag: u32,
-    /// True if the host is in the availability zone of this host.
+    /// True if the described host is in the same availability zone as this host.
     pub is_same_zone: bool,
     /// Share of a processor that the host may use; 1.0 is a whole processor.
     pub processor_share: f32,
@@ -85,9 +88,11 @@
 #[derive(Debug)]
 struct Peer {
     properties: HostProperties,
-    /// Time of the first message to relay that the host has not acknowledged; 0 if there is none.
+    /// Time at which this host sent the first message to relay that the other host has not
+    /// acknowledged; 0 if there is no such message.
     relay_since_ms: u64,
-    /// Time of the host's latest load report; 0 before the first.
+    /// Time at which this host received the latest load report of the other host; 0 before the
+    /// first report.
     heard_ms: u64,
     loads: Vec<ServerLoad>,
     run_times: Vec<RunTime>,
@@ -146,7 +151,8 @@
     one_way_delay: Mutex<OneWayDelay>,
     /// Loads that the aggregators of the other zones have sent.
     zone_loads: Mutex<ZoneLoads>,
-    /// Loads that this host has sent to other zones as the aggregator of its zone.
+    /// Loads that this host has sent to other zones as the aggregator of its zone, from which the
+    /// loads that have changed are determined.
     zone_load_changes: Mutex<ZoneLoadChanges>,
 }
 
@@ -185,8 +191,8 @@
         hosts.collect()
     }
 
-    /// Returns the seed hosts: the hosts that receive messages to all directly or as relays, and
-    /// this host.
+    /// Returns the seed hosts: this host, and the hosts to which this host sends messages for all
+    /// hosts. With many hosts, these are the relays of each zone; with few hosts, all other hosts.
     pub fn seed_hosts(&self, own: SeedHost) -> Vec<SeedHost> {
         let Fanout { direct, relays } = self.current_fanout();
         let peers = self.peers();
@@ -245,9 +251,9 @@
         self.peers().remove(&address);
     }
 
-    /// Returns the number of hosts, this one included: the larger of the numbers that this host and
-    /// the leader know. Limits that apply to all hosts together are divided by this number, so an
-    /// overestimate is safer than an underestimate.
+    /// Returns the number of hosts, this host included: the larger of the numbers that this host
+    /// and the leader know. Limits that apply to all hosts together are divided by this number, so
+    /// an overestimate is safer than an underestimate.
     pub fn hosts(&self) -> usize {
         self.known()
             .max(self.hosts_known_to_leader.load(Ordering::Relaxed))
@@ -279,8 +285,8 @@
 
     /// Returns the number of hosts that come before the host at `own` in the takeover order. Hosts
     /// with a larger share of a processor come first, since the leader sends messages to all hosts
-    /// and orders to all servers that hold keys. The order of equally strong hosts differs by term,
-    /// so that the same crashed hosts do not come first in every term.
+    /// and orders to all servers that hold keys. The order of hosts with equal shares differs by
+    /// term, so that the same crashed hosts do not come first in every term.
     pub fn takeover_rank(&self, own: SocketAddr, processor_share: f32) -> usize {
         let term = self.leader_term.load(Ordering::Relaxed);
         let place = |address: &SocketAddr| tag_of(&format!("{address} {term}"));
@@ -300,7 +306,8 @@
         self.hosts() > DIRECT_HOSTS_MAX
     }
 
-    /// Returns the number of hosts that receive each other's reports, this one included.
+    /// Returns the number of hosts that receive each other's load reports, this host included. With
+    /// relays, hosts report only to the hosts of their own zone.
     fn reporting_hosts(&self) -> usize {
         let hosts = self.host_count();
         if self.use_relays() {
@@ -315,12 +322,14 @@
         self.leader_term.load(Ordering::Relaxed)
     }
 
-    /// Returns the time of the last heartbeat received from the leader.
+    /// Returns the time at which this host received the last heartbeat of the leader; 0 if this
+    /// host has received none.
     pub fn leader_heard_ms(&self) -> u64 {
         self.leader_heard_ms.load(Ordering::Relaxed)
     }
 
-    /// Counts a request for a key, for the next report to the leader.
+    /// Counts a request that this host received for a key. The next report to the leader contains
+    /// the count.
     pub fn count(&self, service_tag: u32, key: u16) {
         let mut counted = self.counted.lock().unwrap_or_else(PoisonError::into_inner);
         *counted.entry((service_tag, key)).or_default() += 1;
@@ -397,7 +406,8 @@
             return;
         };
         for address in to {
-            // A failure is only logged: the next report replaces a lost one.
+            // A failure is only logged: the network may lose datagrams as well, and the next report
+            // replaces a lost report.
             if let Err(error) = socket.try_send_to(&datagram, *address) {
                 log::debug!("sending a datagram to {address} failed: {error}");
             }
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -35,7 +35,7 @@
     Granted(AssignedRange),
 }
 
-/// Announcement for a service, with the time from which it may be sent.
+/// Announcement about keys of a service, with the time from which the announcement may be sent.
 #[derive(Clone, Debug)]
 struct QueuedAnnouncement {
     due_ms: u64,
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -87,9 +87,10 @@
         }
     }
 
-    /// Adds the host at `from` if its row was not read yet. Hosts describe themselves in their
-    /// reports and queries, so that not every host must read the rows for each new host. After any
-    /// other message, requests that the rows be read.
+    /// Adds the unknown host at `from` to the known hosts if `message` describes the sender. Hosts
+    /// describe themselves in load reports and in queries for the state of the store, so that not
+    /// every host must read the host rows for each new host. After any other message, requests a
+    /// read of the host rows.
     fn learn_sender(&self, from: SocketAddr, message: Option<&Message>) {
         let Some(Message::Report { sender, .. } | Message::QueryStoreState { sender, .. }) =
             message
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -32,7 +32,8 @@
 #[derive(Debug, Default)]
 struct Reporter {
     round: u64,
-    /// Time of the last round, in which the report may have been skipped as unchanged.
+    /// Time of the last round. The report of that round may have been skipped because the loads had
+    /// not changed.
     at_ms: u64,
     last: Vec<ServerLoad>,
 }
@@ -124,7 +125,9 @@
         }
     }
 
-    /// Reports request counts by key to the leader.
+    /// Reports this host's request counts by key to the leader at the interval [`KEYS_EVERY_MS`].
+    /// While this host is the leader, its counts are added to the reported counts without a
+    /// message.
     pub(in crate::entry) async fn keep_reporting_keys(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(KEYS_EVERY_MS)).await;
--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -19,10 +19,12 @@
 const LOADS_RESEND_MS: u64 = 500;
 /// Time after which the unchanged summary of an idle server, with its run time, is sent again.
 const RUN_TIMES_RESEND_MS: u64 = 5_000;
-/// Relative change of a run time above which a summary is sent at once.
+/// Relative change of a server's run time above which the changed summary is sent without waiting
+/// for [`LOADS_RESEND_MS`] or [`RUN_TIMES_RESEND_MS`].
 const RUN_CHANGE: f64 = 0.25;
 
-/// Latest sums received from the aggregators of the other zones, by zone tag and server tag.
+/// Latest load sums of servers that the aggregators of the other zones have sent, by zone tag and
+/// server tag.
 #[derive(Debug, Default)]
 pub struct ZoneLoads {
     zones: HashMap<u32, HashMap<u32, ReceivedSummary>>,
@@ -35,8 +37,8 @@
 }
 
 impl ZoneLoads {
-    /// Records the sums that the aggregator of a zone has sent. Servers that are not in the message
-    /// keep their previous sums.
+    /// Records the load sums that the aggregator of a zone has sent in one message. Servers that
+    /// are not in the message keep their previous sums.
     pub fn note(&mut self, zone_tag: u32, summaries: Vec<ServerSummary>, now_ms: u64) {
         let zone = self.zones.entry(zone_tag).or_default();
         zone.retain(|_, heard| now_ms < heard.at_ms + RUN_TIMES_KEPT_MS);
@@ -49,7 +51,8 @@
         }
     }
 
-    /// Returns the latest sums of all zones; requests in flight are 0 where their sum is stale.
+    /// Returns the latest load sums of servers in all other zones. If a sum is older than
+    /// `LOADS_KEPT_MS`, the returned number of requests in flight is 0.
     pub fn latest(&self, now_ms: u64) -> impl Iterator<Item = ServerSummary> {
         let heard = self.zones.values().flat_map(HashMap::values);
         heard
@@ -66,17 +69,18 @@
     }
 }
 
-/// Sums that a zone aggregator has sent, from which it determines the changes to send. Sending the
-/// sums of thousands of idle servers each time would fill the links of small hosts with unchanged
-/// values.
+/// Load sums of servers that a zone aggregator has sent. By comparison with them, the aggregator
+/// determines which sums have changed and must be sent. Sending the sums of thousands of idle
+/// servers each time would fill the links of small hosts with unchanged values.
 #[derive(Debug, Default)]
 pub struct ZoneLoadChanges {
     sent: HashMap<u32, ReceivedSummary>,
 }
 
 impl ZoneLoadChanges {
-    /// Returns the sums that have changed or must be sent again. A server that had requests in
-    /// flight and is no longer in `sums` is included with 0 requests in flight.
+    /// Returns the load sums that have changed since they were sent or that must be sent again. A
+    /// server that had requests in flight and is no longer in `sums` is included with 0 requests in
+    /// flight.
     pub fn updates(&mut self, sums: Vec<ServerSummary>, now_ms: u64) -> Vec<ServerSummary> {
         let mut updates: Vec<ServerSummary> = sums
             .iter()
@@ -124,7 +128,7 @@
     change_ms > f64::from(sent_run_ms) * RUN_CHANGE
 }
 
-/// Splits sums into parts that each fit a datagram.
+/// Splits load sums into parts that each fit into one datagram.
 pub fn parts(summaries: &[ServerSummary]) -> impl Iterator<Item = Vec<ServerSummary>> {
     summaries.chunks(SUMMARIES_MAX).map(<[_]>::to_vec)
 }
