--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -1,6 +1,6 @@
-//! Queries of a host that has missed changes of the followed tables: it fetches the changes from
-//! other hosts instead of the store. When thousands of servers start together, hundreds of hosts
-//! would otherwise read their changes from the store in thousands of calls of 150 KB each.
+//! Queries of a host that has missed changes of the followed tables: the host fetches the changes
+//! from other hosts instead of the store. When thousands of servers start together, hundreds of
+//! hosts would otherwise read their changes from the store in thousands of calls of 150 KB each.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -69,7 +69,7 @@
 
     /// Returns the timeout for fetching missed changes of a table from other hosts. A new server
     /// may become known late, but a leaving server and a new configuration must become known within
-    /// their bounds.
+    /// their bounds in the settings.
     fn catch_up_timeout_ms(&self, followed: FollowedTable) -> u64 {
         let applied = self.freshness.applied(followed);
         let has_bound = match followed {
--- a/src/entry/join/joining_hosts.rs
+++ b/src/entry/join/joining_hosts.rs
@@ -1,8 +1,8 @@
 //! Batched registration of joining hosts. A joining host is a host that starts and is not
-//! registered yet. It requests its registration from another host. That host writes the host rows
-//! of several joining hosts in one transaction. The store accepts some hundred writes a second: if
-//! a thousand hosts that start together registered themselves, the store would reject the
-//! registration of each host several times, and every call is billed.
+//! registered yet. A joining host requests its registration from another host. That other host
+//! writes the host rows of several joining hosts in one transaction. The store accepts some hundred
+//! writes a second: if a thousand hosts that start together registered themselves, the store would
+//! reject the registration of each host several times, and every call is billed.
 
 use std::{
     net::SocketAddr,
@@ -31,7 +31,7 @@
 /// their registration.
 const REGISTER_EVERY_MS: u64 = 200;
 /// Maximum number of host rows in one transaction. The store accepts 100 conditions and writes in
-/// total; each row needs one condition and one write.
+/// total per transaction; each row needs one condition and one write.
 const ROWS_MAX: usize = 45;
 /// Maximum number of registration requests that a joining host sends to another host. If all of
 /// them fail, the joining host writes its host row itself.
@@ -121,9 +121,9 @@
         false
     }
 
-    /// Queues the joining host of a registration request for the next transaction and waits for it.
-    /// Returns the sealed response, which states whether the joining host was registered; `None` if
-    /// the request is invalid.
+    /// Queues the joining host of a registration request for the next transaction and waits for the
+    /// outcome of the transaction. Returns the sealed response, which states whether the joining
+    /// host was registered; `None` if the request is invalid.
     pub(super) async fn register_joining_host(&self, request: Request<Incoming>) -> Option<Bytes> {
         let body = Limited::new(request.into_body(), REQUEST_BYTES_MAX);
         let body = body.collect().await.ok()?.to_bytes();
--- a/src/entry/join/mod.rs
+++ b/src/entry/join/mod.rs
@@ -53,7 +53,8 @@
 /// not call the store at the same moment.
 const LOOKUP_JITTER_MS: u64 = 700;
 /// One in this many hosts with a processor share below [`EARLY_PROCESSOR_SHARE`] is an early host,
-/// selected by the tag of its address. Early hosts read the store's tables before other hosts do.
+/// selected by the tag (a hash) of the host's address. Early hosts read the store's tables before
+/// other hosts do.
 const EARLY_ONE_IN: u32 = 32;
 /// Minimum processor share at which a host is always an early host. Early hosts read the store's
 /// tables before other hosts do.
--- a/src/entry/join/paths.rs
+++ b/src/entry/join/paths.rs
@@ -9,7 +9,8 @@
 pub const OWN: &str = "/own";
 /// Path of the configuration and the evacuated zones as the queried host knows them.
 pub const CONFIGURATION: &str = "/configuration";
-/// Path by which a joining host requests that the queried host registers it in the store.
+/// Path by which a joining host requests that the queried host registers the joining host in the
+/// store.
 pub const REGISTER: &str = "/register";
 /// Path of the list of hosts that the queried host knows, itself included.
 pub const HOSTS: &str = "/hosts";
--- a/src/entry/leadership/change.rs
+++ b/src/entry/leadership/change.rs
@@ -38,7 +38,8 @@
     /// Incarnation id of the new server. The leader grants the keys to the new server only once
     /// `from` no longer holds them.
     pub server: Arc<str>,
-    /// Incarnation id of the server that holds the keys before the move; `None` if no server does.
+    /// Incarnation id of the server that holds the keys before the move; `None` if no server holds
+    /// them.
     pub from: Option<Arc<str>>,
 }
 
--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -40,7 +40,8 @@
 /// the other hosts. Two confirmations in a row may fail before this age is reached. A leader that
 /// has lost its own connection to the store cannot record moves of keys, so another host must take
 /// over the leadership soon. With a maximum age of 3 s, another host took over the leadership only
-/// 5.7 s after the leader had lost the store, and the keys of a lost zone waited for that long.
+/// 5.7 s after the leader had lost the store, and the keys of a lost zone were not moved to other
+/// servers for that long.
 const CONFIRMED_MS: u64 = 1_900;
 /// Timeout of a write of the leadership row. After an outage of the store, the leader must write
 /// the row before other hosts have seen the row unchanged for the takeover time, 1.6 s. At its
@@ -109,9 +110,9 @@
     writer: Mutex<Writer>,
 }
 
-/// Version of the leadership row and confirmation number of its last write. A task holds the lock
-/// on this value during each write to the store that depends on the leadership row, so these writes
-/// follow one another.
+/// Version of the leadership row, and number of the last confirmation that was written to the row.
+/// A task holds the lock on this value during each write to the store that depends on the
+/// leadership row, so these writes follow one another.
 #[derive(Debug, Default)]
 struct Writer {
     row_version: u64,
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -52,7 +52,7 @@
 
 impl Entry {
     /// Confirms the leadership while this host is the leader. Otherwise watches the heartbeats of
-    /// the leader, and takes over the leadership once no other host confirms it.
+    /// the leader, and takes over the leadership once no other host confirms the leadership.
     pub(in crate::entry) async fn maintain_leadership(self: Arc<Self>) {
         let leases = self.settings.leases;
         if !self.view.hosts_known().await {
@@ -99,9 +99,9 @@
         }
     }
 
-    /// Returns true if this host has received no heartbeat of the leader for so long that it should
-    /// watch the leadership row. If this host has never received a heartbeat, the time counts from
-    /// `started_ms`.
+    /// Returns true if this host has received no heartbeat of the leader for so long that this host
+    /// should watch the leadership row. If this host has never received a heartbeat, the time
+    /// counts from `started_ms`.
     fn is_leader_silent(&self, started_ms: u64) -> bool {
         let heard_ms = self.peers.leader_heard_ms();
         if heard_ms == 0 && !self.peers.seal.is_known() {
--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -40,7 +40,7 @@
 /// plans moves of keys.
 const ROUND_MS: u64 = 100;
 /// Number of rounds after which the leader plans moves of keys that balance load. Hosts report
-/// their request counts by key to the leader about as often.
+/// their request counts by key to the leader at a similar interval.
 const BALANCE_EVERY_ROUNDS: u64 = 2;
 /// Timeout of a grant order to a server. A server usually answers within a few milliseconds, and a
 /// lost packet is retransmitted within the timeout. Nine grants fit into the time from the renewal
@@ -79,8 +79,8 @@
     /// Number of grants to the server that the leader has sent and that have neither been answered
     /// nor timed out. Each of them may still extend the lease of the server.
     grants_in_flight: u32,
-    /// Number of consecutive failed grants to the server. From [`FAILURES_BEFORE_PROBE`] on, the
-    /// leader probes whether the server is alive.
+    /// Number of consecutive failed grants to the server. From [`FAILURES_BEFORE_PROBE`] failures
+    /// on, the leader probes whether the server is alive.
     failures: u32,
     /// True if the server has answered neither the last grants nor a probe. A silent server gets no
     /// grants and no further keys.
@@ -115,13 +115,13 @@
     service: Arc<str>,
     range: KeyRange,
     /// True if the former server has not released the keys, so that the move waits for the expiry
-    /// of its last lease. A waiting move does not count towards the maximum number of moves in
-    /// progress.
+    /// of the last lease of that server. A waiting move does not count towards the maximum number
+    /// of moves in progress.
     waits_for_lease: bool,
 }
 
-/// Leases, moves of keys and request counts that the leader keeps in memory during one term. They
-/// are discarded when the term ends.
+/// Leases, moves of keys and request counts that the leader keeps in memory during one term. This
+/// state is discarded when the term ends.
 #[derive(Debug, Default)]
 struct TermState {
     servers: HashMap<Arc<str>, ServerLeaseState>,
@@ -162,7 +162,7 @@
 
 impl Entry {
     /// Waits until this host is the leader, and then grants leases and plans moves of keys until
-    /// the term ends. Repeats this for each term of this host.
+    /// the term ends. Starts again for each further term of this host.
     pub(super) async fn manage_leases(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(ROUND_MS)).await;
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -28,12 +28,12 @@
 /// Minimum interval between two writes by which the leader records the completion of moves. One
 /// write covers all moves of a service that were completed since the last write.
 const RECORD_COMPLETED_EVERY_MS: u64 = 1_000;
-/// Minimum timeout of a release order. It applies when the lease of the server is about to expire
-/// or has expired; otherwise the timeout is the remaining time of the lease, at most
+/// Minimum timeout of a release order. This timeout applies when the lease of the server is about
+/// to expire or has expired; otherwise the timeout is the remaining time of the lease, at most
 /// [`RELEASE_TIMEOUT_MS`].
 const RELEASE_TIMEOUT_MIN_MS: u64 = 300;
-/// Maximum timeout of a release order. It is long because a server responds only after its running
-/// requests for the keys have ended.
+/// Maximum timeout of a release order. The timeout is long because a server responds only after its
+/// running requests for the keys have ended.
 const RELEASE_TIMEOUT_MS: u64 = 2_500;
 /// Delay after which the leader sends an unanswered release order again, while it goes on waiting
 /// for the response to the first order. That response may be lost, and no server holds the keys
@@ -229,7 +229,7 @@
     }
 
     /// Marks the move of a range as waiting for a lease to expire. Returns false if the move was
-    /// marked already.
+    /// marked already or no move of the range is in progress.
     fn mark_waiting_for_lease(&self, range: KeyRange) -> bool {
         let mut state = self.state();
         let mut concerned = state.moving.iter_mut().filter(|m| m.range == range);
