--- a/src/entry/peers/fanout.rs
+++ b/src/entry/peers/fanout.rs
@@ -1,6 +1,7 @@
-//! Fan-out of messages to all hosts. With few hosts the sender addresses each of them. With many,
-//! two relays in each availability zone forward messages to the other hosts there, so that the
-//! traffic of one sender and the traffic between zones do not grow with the number of hosts.
+//! Fan-out of messages to all hosts. With few hosts, the sender addresses each host itself. With
+//! many hosts, two relays in each availability zone forward messages to the other hosts there, so
+//! that the traffic of one sender and the traffic between zones do not grow with the number of
+//! hosts.
 
 use std::net::SocketAddr;
 
@@ -79,13 +80,14 @@
 
 /// Returns the aggregator of a zone, which sums the loads of the zone for other zones: the
 /// responsive host with the largest processor share. If hosts know different hosts of the zone for
-/// a moment, two of them may act as the aggregator.
+/// a moment, two hosts of the zone may act as the aggregator.
 pub fn zone_aggregator(zone: &[RelayCandidate]) -> Option<SocketAddr> {
     let first = zone.iter().min_by_key(|host| order(host, 0));
     first.map(|host| host.address)
 }
 
-/// Returns one relay of each zone, for messages whose loss is acceptable.
+/// Returns one host of each zone as the relay of messages whose loss is acceptable: the responsive
+/// host with the largest processor share.
 pub fn one_relay_per_zone(hosts: &mut [RelayCandidate]) -> Vec<SocketAddr> {
     hosts.sort_unstable_by_key(|host| host.zone_tag);
     let zones = hosts.chunk_by(|one, other| one.zone_tag == other.zone_tag);
@@ -102,7 +104,7 @@
     /// Smallest difference seen between the receiver's clock on arrival and the sender's clock on
     /// sending.
     least_offset_ms: i64,
-    /// Time at which the smallest difference was seen, by the receiver's clock.
+    /// Time at which the smallest difference was last seen, by the receiver's clock.
     at_ms: u64,
 }
 
@@ -113,7 +115,8 @@
 impl OneWayDelay {
     /// Returns by how many milliseconds the delay of a heartbeat exceeds the shortest delay seen in
     /// `term`. The leader of `term` sent the heartbeat at `sent_ms` by the leader's clock; the
-    /// heartbeat arrived at `now_ms` by the receiver's clock.
+    /// heartbeat arrived at `now_ms` by the receiver's clock. Returns `u64::MAX` if `term` is
+    /// earlier than the latest known term.
     pub fn delay_ms(&mut self, term: u64, sent_ms: u64, now_ms: u64) -> u64 {
         let offset_ms = now_ms as i64 - sent_ms as i64;
         if term < self.term {
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -76,7 +76,8 @@
 pub struct ServerSlowdown {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
-    /// Current run time of requests relative to the usual one, in percent: 200 is twice as slow.
+    /// Current run time of requests relative to the usual run time of the server, in percent: 200
+    /// is twice as slow.
     pub percent: u16,
     /// Time since the server announced the slowdown, in milliseconds, when the report is sent.
     pub age_ms: u16,
@@ -98,7 +99,8 @@
 pub struct AdvertisedRate {
     /// Requests a second; `None` if the server has lifted the limit.
     pub limit_per_s: Option<f64>,
-    /// Age of the server's response that stated the limit, when the message is sent.
+    /// Time since the server's response that stated the limit, in milliseconds, when the message is
+    /// sent.
     pub age_ms: u32,
 }
 
@@ -157,7 +159,7 @@
 pub enum Message {
     /// Wraps a message that the receiver handles and forwards to the other hosts of its zone.
     Relay(Box<Message>),
-    /// Wraps a message on its way from a relay to the other hosts of its zone.
+    /// Wraps a message that a relay forwards to the other hosts of its zone.
     Relayed {
         /// Host that sent the message to the relay.
         origin: SocketAddr,
@@ -168,9 +170,10 @@
     RelayAck,
     /// Heartbeat, which the leader sends to all hosts while its leadership is confirmed.
     Heartbeat {
-        /// Term of the leader. A heartbeat is ignored if a later term is known.
+        /// Term of the leader. A receiver that knows a later term ignores `updates` and `hot`.
         term: u64,
-        /// Time of sending, by the sender's clock.
+        /// Time of sending, by the sender's clock, from which the receiver estimates the delay of
+        /// the heartbeat.
         sent_ms: u64,
         /// Latest state of the store that the leader has seen.
         updates: StoreStateReport,
@@ -181,14 +184,14 @@
         /// Zones that operators have evacuated: their servers get no new work. The list is
         /// complete.
         evacuations: Evacuations,
-        /// Digests of the requests that were quarantined last. Hosts send quarantined requests to
-        /// no server.
+        /// Digests of the requests that were quarantined most recently. Hosts send quarantined
+        /// requests to no server.
         quarantined: Vec<RequestDigest>,
     },
     /// Report of the sender's load on servers.
     Report {
-        /// Zone and processor share of the sending host, for receivers that have not read its row
-        /// yet.
+        /// Zone and processor share of the sending host, for receivers that have not read the row
+        /// of that host yet.
         sender: Sender,
         /// Requests of the sender in flight, by server.
         servers: Vec<ServerLoad>,
@@ -205,7 +208,8 @@
         /// when it was last sent and its run time has changed little since.
         summaries: Vec<ServerSummary>,
     },
-    /// Reports the sender's request counts by key to the leader, which plans moves by them.
+    /// Reports the sender's request counts by key to the leader, which plans moves of keys from
+    /// these counts.
     Keys(Vec<KeyCount>),
     /// Announces moves of keys to other servers.
     Moving {
@@ -247,7 +251,7 @@
     SuspectCleared {
         /// Digest of the request that is no longer suspect.
         digest: RequestDigest,
-        /// Time since the request was sent to the server.
+        /// Time since the request was sent to the server, in milliseconds.
         sent_ago_ms: u32,
     },
     /// Announces that the sender starts a trial (single supervised attempt) of a suspect request.
@@ -263,8 +267,8 @@
     /// Announces the rate limits of servers as the leader knows them, with the demand of the
     /// callers of all hosts. Sent by the leader to all hosts.
     RateTotals(Vec<ServerRate>),
-    /// Reports the tags of servers that announced to the sender that they are leaving, while their
-    /// entries do not show it yet. Sent to the leader.
+    /// Reports the tags of servers that announced to the sender that they are leaving, while the
+    /// entries of these servers do not show the leave yet. Sent to the leader.
     ReportLeaving(Vec<u32>),
     /// Announces the tags of servers that told any host that they are leaving. Sent by the leader
     /// to all hosts.
@@ -280,7 +284,8 @@
     QueryStoreState {
         /// Identifies the query; returned in the response.
         nonce: u64,
-        /// Zone and processor share of the sending host, for relays that have not read its row yet.
+        /// Zone and processor share of the sending host, for relays that have not read the row of
+        /// that host yet.
         sender: Sender,
     },
     /// Responds to [`Message::QueryStoreState`] with the sender's view of the store.
@@ -304,7 +309,7 @@
     ConfigurationAge {
         /// Nonce of the query. A response with another nonce is ignored.
         nonce: u64,
-        /// Age of the sender's latest confirmation when the response is sent.
+        /// Age of the sender's latest confirmation, in milliseconds, when the response is sent.
         age_ms: u32,
         /// Version of the latest change of the operators' table that the sender knows.
         changed: u64,
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -1,8 +1,8 @@
-//! Datagrams that hosts send each other: their load on each server, request counts by key for the
-//! planner, moves and grants of keys. Datagrams may be lost, and their content only improves
-//! decisions, with one exception: the statement of a previous leader that it grants no more leases
-//! ends a wait of the current leader that keeps the ownership of keys exclusive. All datagrams are
-//! sealed with a secret that the hosts share.
+//! Datagrams that hosts send each other: the load of a host on each server, request counts by key
+//! for the planner of moves, and announcements of moves and grants of keys. Datagrams may be lost,
+//! and their content only improves decisions, with one exception: the statement of a previous
+//! leader that it grants no more leases ends a wait of the current leader that keeps the ownership
+//! of keys exclusive. All datagrams are sealed with a secret that the hosts share.
 
 pub mod fanout;
 mod intervals;
@@ -136,7 +136,8 @@
     /// Numbers of requests that this host received since its last report to the leader, by service
     /// tag and key.
     counted: Mutex<HashMap<(u32, u16), u16>>,
-    /// Request counts that other hosts reported to this host while it is the leader.
+    /// Request counts by key of all hosts, this host included, that were reported to this host
+    /// while it is the leader and that are not yet added up.
     reported: Mutex<Vec<KeyCount>>,
     /// Address of the leader that sent the latest heartbeat.
     leader: Mutex<Option<SocketAddr>>,
--- a/src/entry/peers/outbox.rs
+++ b/src/entry/peers/outbox.rs
@@ -22,8 +22,8 @@
 /// Interval at which a host that is not the leader checks whether announcements are queued.
 const IDLE_EVERY_MS: u64 = 200;
 /// Delays after a grant at which the grant is announced to all hosts. The announcement is repeated
-/// because datagrams may be lost, and a host that misses it holds back the requests for the granted
-/// keys.
+/// because datagrams may be lost, and a host that misses the announcement holds back the requests
+/// for the granted keys.
 const ANNOUNCE_GRANT_AFTER_MS: [u64; 3] = [0, 300, 1_000];
 /// Maximum number of moves or grants in one datagram, of up to 40 bytes each.
 const ANNOUNCEMENTS_MAX: usize = 30;
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -108,7 +108,8 @@
         self.peers.add(from, properties);
     }
 
-    /// Handles a message of the host at `from`, received from it directly or through a relay.
+    /// Handles a message of the host at `from`, received directly from that host or through a
+    /// relay.
     fn handle_message(&self, message: Message, from: SocketAddr) {
         match message {
             Message::Heartbeat {
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -1,5 +1,5 @@
-//! Periodic reports of a host: its load on servers, its request counts by key for the leader, and
-//! the heartbeat of the leader itself.
+//! Periodic reports of a host: its load on servers, its request counts by key for the leader, and,
+//! if the host is the leader, its heartbeats.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Applies the reports of the other hosts to the loads of servers.
+    /// Periodically applies the requests in flight, run times and slowdowns that other hosts have
+    /// reported to the servers in the registry.
     pub(in crate::entry) async fn keep_applying_reports(self: Arc<Self>) {
         loop {
             let servers = self.view.registry().servers().count() as u64;
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Returns the zone and processor share of this host, for hosts that have not read its row yet.
+    /// Returns the zone and processor share of this host, for hosts that have not read the row of
+    /// this host yet.
     pub(in crate::entry) fn as_sender(&self) -> Sender {
         Sender {
             zone_tag: tag_of(&self.settings.availability_zone),
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -17,7 +17,7 @@
 use crate::clock;
 
 impl Peers {
-    /// Sends a message to all other hosts, through relays if there are many.
+    /// Sends a message to all other hosts, through relays if there are many hosts.
     pub(in crate::entry) fn send_to_all(&self, message: Message) {
         let Fanout { direct, relays } = self.fanout();
         if !direct.is_empty() {
--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -1,7 +1,7 @@
 //! Loads of servers by availability zone. With many hosts, one aggregator in each zone sums the
 //! reports of the hosts there and sends the sums to the other zones. The number of messages that a
-//! host receives then grows with the number of zones instead of hosts, and the loads in them are
-//! half a second old instead of four seconds.
+//! host receives then grows with the number of zones instead of hosts, and the loads in these
+//! messages are half a second old instead of four seconds.
 
 use std::collections::HashMap;
 
@@ -10,7 +10,8 @@
 /// Age after which a zone's sums of requests in flight are ignored, since updates may have been
 /// lost.
 const LOADS_KEPT_MS: u64 = 1_600;
-/// Age after which run times are ignored. It is longer than [`LOADS_KEPT_MS`] because run times
+/// Age after which the run times received from a zone are ignored, and after which an aggregator
+/// forgets the sums that it has sent. This age is longer than [`LOADS_KEPT_MS`] because run times
 /// change little.
 const RUN_TIMES_KEPT_MS: u64 = 12_000;
 /// Maximum number of server summaries in one datagram, of up to 11 bytes each.
