--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -56,7 +56,8 @@
     pub server_tag: u32,
     /// Sum of the requests that the zone's hosts have in flight at the server.
     pub in_flight: u16,
-    /// Average run time measured by the zone's hosts; 0 if none has measured it.
+    /// Average run time in milliseconds that the zone's hosts have measured; 0 if no host of the
+    /// zone has measured a run time.
     pub run_ms: u16,
 }
 
@@ -65,7 +66,7 @@
 pub struct RunTime {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
-    /// Average run time of the reporting host's requests at the server.
+    /// Average run time in milliseconds of the reporting host's requests at the server.
     pub run_ms: u16,
 }
 
@@ -75,18 +76,20 @@
 pub struct ServerSlowdown {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
-    /// Current run time of requests relative to the usual one, in percent: 200 is twice as slow.
+    /// Current run time of requests relative to the usual run time of the server, in percent: 200
+    /// is twice as slow.
     pub percent: u16,
-    /// Age of the announcement when the report is sent.
+    /// Time since the server announced the slowdown, in milliseconds, when the report is sent.
     pub age_ms: u16,
 }
 
-/// Backoff that a server asked a host for: a period without requests from that host.
+/// Backoff that a server asked a host for: a period in which that host sends the server no
+/// requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerBackoff {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
-    /// Time left of the backoff when the report is sent.
+    /// Remaining time of the backoff, in milliseconds, when the report is sent.
     #[serde(rename = "rest_ms")]
     pub backoff_ms: u32,
 }
@@ -96,7 +99,8 @@
 pub struct AdvertisedRate {
     /// Requests a second; `None` if the server has lifted the limit.
     pub limit_per_s: Option<f64>,
-    /// Age of the server's response that stated the limit, when the message is sent.
+    /// Time since the server's response that stated the limit, in milliseconds, when the message is
+    /// sent.
     pub age_ms: u32,
 }
 
@@ -106,7 +110,7 @@
 pub struct ServerRate {
     /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
     pub server_tag: u32,
-    /// Limit that the server advertised last; `None` if the sender knows of none.
+    /// Limit that the server advertised last; `None` if the sender knows of no limit.
     pub reported: Option<AdvertisedRate>,
     /// Rates of the callers' requests that could be sent to the server.
     pub demand: DemandRates,
@@ -130,7 +134,7 @@
     pub admitted: AdmittedShare,
 }
 
-/// Number of requests for one key since the last report.
+/// Number of requests for one key that a host received since its last report of request counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyCount {
     /// Tag of the service: a hash of its name.
@@ -141,7 +145,7 @@
     pub requests: u16,
 }
 
-/// Properties of the sending host, for receivers that have not read its row yet.
+/// Properties of the sending host, for receivers that have not read the host row of the sender yet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sender {
     /// Tag of the host's availability zone: a hash of its name, the same for all hosts of the zone.
@@ -155,7 +159,7 @@
 pub enum Message {
     /// Wraps a message that the receiver handles and forwards to the other hosts of its zone.
     Relay(Box<Message>),
-    /// Wraps a message on its way from a relay to the other hosts of its zone.
+    /// Wraps a message that a relay forwards to the other hosts of its zone.
     Relayed {
         /// Host that sent the message to the relay.
         origin: SocketAddr,
@@ -164,11 +168,12 @@
     },
     /// Acknowledges a message to relay, which shows that the relay is alive.
     RelayAck,
-    /// Heartbeat of the leader.
+    /// Heartbeat, which the leader sends to all hosts while its leadership is confirmed.
     Heartbeat {
-        /// Term of the leader. A heartbeat is ignored if a later term is known.
+        /// Term of the leader. A receiver that knows a later term ignores `updates` and `hot`.
         term: u64,
-        /// Time of sending, by the sender's clock.
+        /// Time of sending, by the sender's clock, from which the receiver estimates the delay of
+        /// the heartbeat.
         sent_ms: u64,
         /// Latest state of the store that the leader has seen.
         updates: StoreStateReport,
@@ -179,14 +184,14 @@
         /// Zones that operators have evacuated: their servers get no new work. The list is
         /// complete.
         evacuations: Evacuations,
-        /// Digests of the requests that were quarantined last. Hosts send quarantined requests to
-        /// no server.
+        /// Digests of the requests that were quarantined most recently. Hosts send quarantined
+        /// requests to no server.
         quarantined: Vec<RequestDigest>,
     },
     /// Report of the sender's load on servers.
     Report {
-        /// Zone and processor share of the sending host, for receivers that have not read its row
-        /// yet.
+        /// Zone and processor share of the sending host, for receivers that have not read the row
+        /// of that host yet.
         sender: Sender,
         /// Requests of the sender in flight, by server.
         servers: Vec<ServerLoad>,
@@ -199,16 +204,19 @@
     ZoneLoads {
         /// Tag of the zone that is summarised: a hash of its name.
         zone_tag: u32,
-        /// Summaries by server; those that have not changed lately may be missing.
+        /// Summaries by server. A summary may be missing if its requests in flight are the same as
+        /// when it was last sent and its run time has changed little since.
         summaries: Vec<ServerSummary>,
     },
-    /// Reports the sender's request counts by key to the leader, which plans moves by them.
+    /// Reports the sender's request counts by key to the leader, which plans moves of keys from
+    /// these counts.
     Keys(Vec<KeyCount>),
     /// Announces moves of keys to other servers.
     Moving {
         /// Tag of the service: a hash of its name.
         service_tag: u32,
-        /// Keys that are being moved, with their targets.
+        /// Key ranges that are being moved. Each has the fence above which a grant completes the
+        /// move, and the remaining time of the announcement.
         announcements: Vec<MoveAnnouncement>,
     },
     /// Changes of server entries that the sender, the leader, received from the store.
@@ -222,7 +230,7 @@
         /// Key whose server is unknown to the sender.
         key: u16,
     },
-    /// States that the sender, which was the leader in this term, grants no more leases.
+    /// States that the sender, which was the leader in `term`, grants no more leases.
     Stopped {
         /// Term in which the sender was the leader.
         term: u64,
@@ -243,7 +251,7 @@
     SuspectCleared {
         /// Digest of the request that is no longer suspect.
         digest: RequestDigest,
-        /// Time since the request was sent to the server.
+        /// Time since the request was sent to the server, in milliseconds.
         sent_ago_ms: u32,
     },
     /// Announces that the sender starts a trial (single supervised attempt) of a suspect request.
@@ -259,8 +267,8 @@
     /// Announces the rate limits of servers as the leader knows them, with the demand of the
     /// callers of all hosts. Sent by the leader to all hosts.
     RateTotals(Vec<ServerRate>),
-    /// Reports the tags of servers that announced to the sender that they are leaving, while their
-    /// entries do not show it yet. Sent to the leader.
+    /// Reports the tags of servers that announced to the sender that they are leaving, while the
+    /// entries of these servers do not show the leave yet. Sent to the leader.
     ReportLeaving(Vec<u32>),
     /// Announces the tags of servers that told any host that they are leaving. Sent by the leader
     /// to all hosts.
@@ -276,7 +284,8 @@
     QueryStoreState {
         /// Identifies the query; returned in the response.
         nonce: u64,
-        /// Zone and processor share of the sending host, for relays that have not read its row yet.
+        /// Zone and processor share of the sending host, for relays that have not read the row of
+        /// that host yet.
         sender: Sender,
     },
     /// Responds to [`Message::QueryStoreState`] with the sender's view of the store.
@@ -300,7 +309,7 @@
     ConfigurationAge {
         /// Nonce of the query. A response with another nonce is ignored.
         nonce: u64,
-        /// Age of the sender's latest confirmation when the response is sent.
+        /// Age of the sender's latest confirmation, in milliseconds, when the response is sent.
         age_ms: u32,
         /// Version of the latest change of the operators' table that the sender knows.
         changed: u64,
