--- a/src/entry/bounds.rs
+++ b/src/entry/bounds.rs
@@ -60,7 +60,7 @@
     pub retry_allowance: f64,
 }
 
-/// Returns the processor share of a host whose settings state none.
+/// Returns the processor share of a host whose settings or host row state none: a whole processor.
 pub fn default_processor_share() -> f32 {
     1.0
 }
--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -119,9 +119,9 @@
     }
 
     /// Broadcasts the changes between the table that this host, the leader, knew and `rows`, the
-    /// whole table. The leader has read the whole table because the store had dropped the history
-    /// of its changes. Without the broadcast, each of the other hosts, for example 295, would read
-    /// the whole table as well.
+    /// whole table. The leader has read the whole table because the store no longer had the changes
+    /// that the leader had missed. Without the broadcast, each of the other hosts, for example 295,
+    /// would read the whole table as well.
     pub(super) fn broadcast_difference(&self, followed: FollowedTable, rows: &Rows) {
         let after = self.freshness.applied(followed);
         if after == 0 {
@@ -200,8 +200,9 @@
         })
     }
 
-    /// Applies the configuration and the evacuated zones in another host's response, unless this
-    /// host knows later ones.
+    /// Applies the configuration and the evacuated zones in another host's response. A
+    /// configuration or a list of zones is ignored if this host already knows the same or a later
+    /// version of it.
     pub(super) fn apply_known_configuration(&self, known: SnapshotConfiguration) {
         self.view.evacuate(known.evacuations);
         let applied = self.freshness.applied(FollowedTable::Configuration);
@@ -226,7 +227,8 @@
         }
     }
 
-    /// Applies changes of server entries, unless this host has missed changes before them.
+    /// Applies changes of server entries. Ignores all of them if this host lacks changes that were
+    /// made earlier.
     pub(super) fn apply_server_changes(&self, updates: ServerChanges) {
         let up_to = updates.up_to;
         let applied = self.freshness.applied(FollowedTable::Servers);
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -38,8 +38,8 @@
 }
 
 impl Entry {
-    /// Returns the workspace of a request, by its API key; `None` if the route is public or the
-    /// configuration has no workspaces.
+    /// Finds the workspace of a request by the API key in the request's headers. Returns `None` if
+    /// the route is public or the configuration has no workspaces.
     pub(super) fn workspace_of(
         &self,
         configuration: &Configuration,
@@ -67,9 +67,9 @@
     }
 
     /// Returns the time since the configuration in force was confirmed to be the latest one, in
-    /// milliseconds. `None` if it was never confirmed, or if the latest configuration cannot be
-    /// decoded. Without a bound on revocations, a recent report of the leader or a relay that shows
-    /// no later change counts as confirmation.
+    /// milliseconds. Returns `None` if no configuration was ever confirmed, or if the latest
+    /// configuration cannot be decoded. Without a bound on revocations, a recent report of the
+    /// leader or a relay that shows no later change counts as confirmation.
     fn configuration_age_ms(&self) -> Option<u64> {
         let followed = FollowedTable::Configuration;
         let is_confirmed_by_leader = self.freshness.is_store_confirmed()
@@ -145,8 +145,8 @@
     }
 
     /// Returns the age of this host's latest confirmation of its configuration, as the response to
-    /// another host's query. `None` if the configuration was never confirmed, or the latest one
-    /// cannot be decoded.
+    /// another host's query. Returns `None` if the configuration was never confirmed, or the latest
+    /// one cannot be decoded.
     pub(super) fn confirmation_for(&self, nonce: u64) -> Option<Message> {
         let age_ms = self.confirmation.age_ms(clock::now_ms())?;
         Some(Message::ConfigurationAge {
--- a/src/entry/digest.rs
+++ b/src/entry/digest.rs
@@ -33,19 +33,20 @@
     }
 }
 
-/// Digests that identify a request when it is sent again. Each covers other parts of the request.
+/// Digests that identify a request when it is sent again. Each digest covers a different set of the
+/// request's parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestDigests {
-    /// Covers method, host, path, caller, body and query: a single query among many may crash
+    /// Digest of method, host, path, caller, body and query: a single query among many may crash
     /// servers.
     pub whole: RequestDigest,
-    /// Covers method, host, path, caller and body, but not the query, which may differ at each
+    /// Digest of method, host, path, caller and body, but not the query, which may differ at each
     /// retry.
     pub path: RequestDigest,
-    /// Covers method, host, path, body and query, but not the caller: many callers may send the
+    /// Digest of method, host, path, body and query, but not the caller: many callers may send the
     /// same request.
     pub content: RequestDigest,
-    /// Covers method, host and path only, so it is the same for all callers, queries and bodies.
+    /// Digest of method, host and path only, which is the same for all callers, queries and bodies.
     pub any_path: RequestDigest,
     /// Tag of the caller: a hash of its address.
     pub caller_tag: u32,
@@ -105,8 +106,8 @@
     RequestDigest(hasher.digest() | ANY_CALLER_BIT)
 }
 
-/// Hashes a part with its length, so that moving bytes from one part to the next changes the
-/// digest.
+/// Adds a part of a request to the hash, together with the length of the part, so that moving bytes
+/// from one part to the next changes the digest.
 fn add(hasher: &mut Xxh3, part: &[u8]) {
     hasher.update(&(part.len() as u64).to_le_bytes());
     hasher.update(part);
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -77,7 +77,7 @@
         per_s: f64,
         /// Rate of the workspace's requests at all hosts, per second.
         asked_per_s: f32,
-        /// Share of these requests that hosts admit, from 0 to 1.
+        /// Share of the workspace's requests that hosts admit, from 0 to 1.
         admitted: f32,
     },
     /// The store stopped responding.
@@ -201,9 +201,9 @@
         service: Arc<str>,
         /// First and last key that moved.
         range: KeyRange,
-        /// Previous owner; `None` if no server held the keys.
+        /// Server that owned the keys before the move; `None` if no server held them.
         from: Option<Arc<str>>,
-        /// New owner.
+        /// Server that owns the keys after the move.
         to: Arc<str>,
         /// Fencing token of the new assigned range.
         fence: u64,
@@ -251,7 +251,7 @@
         /// server no requests; 0 for none.
         #[serde(rename = "rest_ms")]
         backoff_ms: u64,
-        /// Number of attempts so far.
+        /// Number of attempts to send the request to a server, up to this event.
         attempts: u32,
         /// Time since the request's arrival.
         after_ms: u64,
@@ -282,7 +282,8 @@
         }
     }
 
-    /// Queues the event as one line of the log.
+    /// Queues the event as one line of the log. The line is dropped if too many lines are already
+    /// waiting to be written.
     pub fn log(&self) {
         log_writer::write(self);
     }
--- a/src/entry/explain.rs
+++ b/src/entry/explain.rs
@@ -25,7 +25,8 @@
     pub source: String,
     /// Wall time in milliseconds since 1970, by the clock of the host that logged the event.
     pub at_unix_ms: u64,
-    /// True for decisions on the request itself, false for events of its server or host.
+    /// True for a decision on the request itself; false for an event that may have led to a
+    /// decision.
     pub about_request: bool,
     /// Event with all of its fields, as it was logged.
     pub event: Value,
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -82,7 +82,8 @@
 pub struct KeyPartition(u8);
 
 impl KeyPartition {
-    /// Returns the partition with a number; `None` above the number of the last key's partition.
+    /// Returns the key partition with the given number; `None` if the number is higher than that of
+    /// the last key's partition.
     pub fn new(number: u8) -> Option<Self> {
         (u16::from(number) <= u16::MAX / PARTITION_KEYS).then_some(Self(number))
     }
@@ -107,7 +108,8 @@
     /// The record has an unknown encoding version, or is empty.
     #[snafu(display("encoding {found:?} is unknown"))]
     Encoding {
-        /// First byte of the record; `None` if it is empty.
+        /// First byte of the record, which states the encoding version; `None` if the record is
+        /// empty.
         found: Option<u8>,
     },
     /// The record is malformed.
@@ -119,7 +121,7 @@
     /// An assigned range refers to a server that is missing from the record's list.
     #[snafu(display("server {index} is not listed"))]
     Server {
-        /// Index that the list of servers does not reach.
+        /// Index of the server, which is too large for the record's list of servers.
         index: u16,
     },
 }
@@ -131,7 +133,8 @@
     fence: u64,
     /// Ids of the servers that the assigned ranges refer to by index.
     servers: Vec<Arc<str>>,
-    /// Key range, index of the server, fence, and index of the former server.
+    /// Key range, index of the server in `servers`, fence, and index of the former server, of each
+    /// assigned range.
     #[serde(rename = "holdings")]
     assigned_ranges: Vec<(KeyRange, u16, u64, Option<u16>)>,
 }
@@ -147,8 +150,9 @@
     /// Fence that the grant of the keys carries. A later owner of any of these keys gets them under
     /// a higher fence.
     pub fence: u64,
-    /// Former server that may still hold the keys; `None` once it no longer does. The keys may be
-    /// granted to `server` only after the former server has released them or its lease has expired.
+    /// Former server that may still hold the keys; `None` once the former server no longer holds
+    /// the keys. The keys may be granted to `server` only after the former server has released them
+    /// or its lease has expired.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub from: Option<Arc<str>>,
 }
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -23,7 +23,7 @@
 const TRUST_MIN_MS: u64 = 200;
 /// Longest trust period, which is the age up to which a host trusts the leader's reports of the
 /// store. A longer period would save no calls to the store, because the leader confirms its
-/// leadership and sends several heartbeats within this one.
+/// leadership and sends several heartbeats within 2 s.
 const TRUST_MAX_MS: u64 = 2_000;
 /// Longest heartbeat interval of the leader; it applies if a quarter of the trust period is longer.
 const LEADER_HEARTBEAT_MAX_MS: u64 = 300;
@@ -33,8 +33,8 @@
 /// Longest pause of the feeds of servers' entries and the configuration on the leader and on
 /// relays, which lets changes in quick succession share one call.
 const LEADER_PAUSE_MAX_MS: u64 = 250;
-/// Longest wait of the leader's feed calls. Calls are billed, and the leader makes them
-/// continuously.
+/// Longest wait of the leader's feed calls at the store. Calls are billed, and the leader makes
+/// them continuously.
 const LEADER_WAIT_MAX_MS: u64 = 3_000;
 /// Longest pause of the feed of servers' entries on a host that receives no heartbeats of a leader.
 const SERVERS_PAUSE_MAX_MS: u64 = 1_500;
@@ -51,8 +51,8 @@
 /// two calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timings {
-    /// Trust period: age up to which a host trusts the leader's report of the store, and so rarely
-    /// calls the store itself. The period is limited because a leader may fail right after a
+    /// Trust period: age up to which a host trusts the leader's report of the store and need not
+    /// call the store itself. The period is limited because a leader may fail right after a
     /// heartbeat, before it broadcasts that a server leaves.
     pub trust_ms: u64,
     /// Heartbeat interval of the leader; several heartbeats fit into the trust period.
@@ -65,8 +65,9 @@
     /// Wait of a relay's feed calls while the relay reports the state of the store in place of the
     /// leader. The wait is short because the other hosts of the zone query the relay often.
     pub relay_wait_ms: u64,
-    /// Interval at which a host queries the relays of its zone once the leader's last report is
-    /// old. Several queries fit into the time until that report is no longer trusted.
+    /// Interval at which a host queries the relays of its zone once the latest report on the store
+    /// is nearly too old to be trusted. Several queries fit into the rest of the report's trust
+    /// period.
     pub relay_query_every_ms: u64,
     /// Pause between two calls of a host to the store while neither the leader nor a relay reports
     /// that the store responds. It applies only while the hosts use relays, so that a large number
@@ -106,7 +107,8 @@
     pub bound: &'static str,
     /// Longest time that the events of the chain take together.
     pub worst_ms: u64,
-    /// Bound from the settings, plus the contact grace period on paths to which that applies.
+    /// Bound from the settings, plus the contact grace period on paths to which the grace period
+    /// applies.
     pub bound_ms: u64,
 }
 
--- a/src/entry/log_writer.rs
+++ b/src/entry/log_writer.rs
@@ -19,7 +19,8 @@
 /// Capacity of the writer thread's queue, in chunks. A chunk contains the lines that were logged in
 /// one interval of [`FLUSH_MS`].
 const QUEUE_CHUNKS: usize = 16;
-/// Size of a chunk above which further lines are dropped. It limits the log to 640 KB per second.
+/// Size of a chunk above which further lines are dropped. This size limits the log to 640 KB per
+/// second.
 const CHUNK_BYTES_MAX: usize = 128 * 1024;
 /// Interval at which [`flush`] is called; all lines of an interval are written by one system call.
 pub const FLUSH_MS: u64 = 200;
@@ -61,11 +62,11 @@
 struct LogWriter {
     /// Lines that have not been handed to the writer thread yet, each ended by a line feed.
     pending: Mutex<Vec<u8>>,
-    /// Lines dropped since the last `dropped` event.
+    /// Number of lines dropped since the last `dropped` event.
     dropped: AtomicU64,
-    /// Lines dropped since the start of the process.
+    /// Number of lines dropped since the start of the process.
     dropped_in_total: AtomicU64,
-    /// Queue of the writer thread.
+    /// Sending end of the writer thread's queue of chunks.
     chunks: SyncSender<Vec<u8>>,
 }
 
@@ -102,7 +103,8 @@
     WRITER.write(event);
 }
 
-/// Hands the queued lines to the writer thread.
+/// Hands the queued lines to the writer thread as one chunk. Drops and counts the lines if the
+/// queue of the writer thread is full.
 pub fn flush() {
     WRITER.flush();
 }
--- a/src/entry/losses.rs
+++ b/src/entry/losses.rs
@@ -12,7 +12,7 @@
 /// Requests of one time step that have the same route, decision and reason.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Loss {
-    /// Start of the time step in seconds since 1970, a multiple of the step.
+    /// Start of the time step in seconds since 1970, a multiple of the step's length.
     pub at_unix_s: u64,
     /// Name of the route; empty if the event names none.
     pub route: String,
@@ -51,7 +51,7 @@
     after_ms: f64,
 }
 
-/// Sums up losses in time steps of `step_s` seconds. Lines that are no events are skipped.
+/// Counts lost requests in time steps of `step_s` seconds. Lines that are no events are skipped.
 pub fn losses(sources: &[Source<'_>], step_s: u64) -> Losses {
     let step_s = step_s.max(1);
     let mut sums: BTreeMap<GroupKey, Totals> = BTreeMap::new();
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters, gauges and latency histograms of an entry host, which a monitoring system scrapes as
-//! text. They use `prometheus_client`, because `cadence`, which the rest of the product uses, can
-//! only push metrics.
+//! text. The metrics use `prometheus_client`, because `cadence`, which the rest of the product
+//! uses, can only push metrics.
 
 use std::sync::{
     Arc,
@@ -28,7 +28,7 @@
 /// configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
-    /// Service that the request was sent to; empty if it was sent to none.
+    /// Service that the request was sent to; empty if the request was sent to no service.
     pub service: String,
     /// Outcome with which the request ended, such as `answered` or `failed`.
     pub outcome: &'static str,
@@ -63,7 +63,7 @@
     orders: Family<OrderLabels, Counter>,
     moves: Counter,
     store_calls: Family<StoreCallLabels, Counter>,
-    /// Callers' requests that this host has accepted and not answered yet.
+    /// Number of callers' requests that this host has accepted and not answered yet.
     pub in_flight: Gauge,
     /// Time since the store's last response, in seconds.
     pub store_age_s: Gauge<f64, AtomicU64>,
@@ -80,8 +80,8 @@
     /// Number of servers that are cold (still warm up), to which the rate limits of cold servers
     /// may apply.
     pub cold_servers: Gauge,
-    /// Log lines that were dropped since the start of the process because too many lines waited to
-    /// be written.
+    /// Number of log lines that were dropped since the start of the process because too many lines
+    /// waited to be written.
     pub log_lines_dropped: Gauge,
 }
 
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -128,16 +128,17 @@
     pub run_shares: RunShares,
     /// Counters, gauges and histograms that the metrics address serves.
     pub metrics: Metrics,
-    /// True once the store's row of this host names this process.
+    /// True once the host row of this host in the store states the incarnation of this process.
     registered: AtomicBool,
     /// True once a planned stop has begun.
     stopping: AtomicBool,
     /// Latest time at which the process exits in a planned stop, on the clock of this process;
     /// `u64::MAX` before a stop. The process exits earlier if no request is in flight any longer.
     stop_deadline_ms: AtomicU64,
-    /// Callers' requests that this host has not answered yet.
+    /// Number of callers' requests that this host has not answered yet.
     in_flight: AtomicU64,
-    /// Requests answered since the start; selects those that are logged.
+    /// Number of requests answered since the start, by which the answered requests to be logged are
+    /// selected (one in [`RESPONSE_SAMPLE`]).
     answered: AtomicU64,
 }
 
@@ -193,7 +194,7 @@
         WarmupLimit::new(warmup, self.sharing_hosts())
     }
 
-    /// Returns the number of hosts that share a server's capacity, this one included.
+    /// Returns the number of hosts that share a server's capacity, including this host.
     fn sharing_hosts(&self) -> usize {
         if self.view.are_hosts_known() {
             self.peers.hosts()
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -20,8 +20,8 @@
     pub idle_timeout_ms: u64,
 }
 
-/// A group of backend servers that serve the same routes. In a sharded service, each key is
-/// assigned to one of the servers; in any other service, the servers are interchangeable.
+/// Group of backend servers that serve the same routes. In a sharded service, each key is assigned
+/// to one of the servers; in any other service, the servers are interchangeable.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Name by which routes and servers' entries refer to the service.
@@ -106,7 +106,7 @@
 /// of the routes; requests with smaller values are served first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Priority {
-    /// Priority of the workspace; 0 if the request has none.
+    /// Priority of the workspace; 0 if the request has no workspace.
     pub workspace: u32,
     /// Priority of the route. It decides only between requests whose workspaces have the same
     /// priority.
@@ -237,13 +237,14 @@
     pub slowdown: f64,
 }
 
-/// Notice in a server's response about further requests of the host that received the response.
+/// Notice in a server's response: the server is about to stop, or asks the host that received the
+/// response for a backoff.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Notice {
     /// True if the server is about to stop.
     pub leaves: bool,
     /// Backoff that the server asked for: time in which the host must send the server no requests.
-    /// Set only if the server refused the request because of the backoff.
+    /// The backoff is set only if the server refused the request because of the backoff.
     pub backoff_ms: Option<u64>,
 }
 
