--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -1,7 +1,7 @@
-//! Handles notices. A notice is a statement in a server's response that the server is leaving, or
-//! that it asks the host for a backoff (a period without requests). The host that receives a notice
-//! reports it to the leader, which moves the server's keys and announces leaving servers to all
-//! hosts. A backoff applies only to the host that the server asked for it.
+//! Handles notices. By a notice in a response, a server states that the server is leaving, or asks
+//! the host for a backoff (a period without requests). The host that receives a notice reports it
+//! to the leader, which moves the server's keys and announces leaving servers to all hosts. A
+//! backoff applies only to the host that received the notice.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -56,7 +56,7 @@
     }
 
     /// Reports to the leader which servers asked this host for a backoff. If this host is the
-    /// leader, records them itself.
+    /// leader, records the backoffs itself.
     fn report_backoffs(&self) {
         let registry = self.view.registry();
         let backoffs = registry.servers().filter_map(|server| {
@@ -98,8 +98,9 @@
     }
 
     /// Reports to the leader the servers that announced their leaving to this host while their
-    /// entries do not show it. If this host is the leader, announces to all hosts the servers that
-    /// it first learned to be leaving less than [`ANNOUNCE_FOR_MS`] ago.
+    /// entries in the store do not say that they leave. If this host is the leader, announces to
+    /// all hosts the servers of whose leaving this host first learned less than [`ANNOUNCE_FOR_MS`]
+    /// ago.
     fn report_leaving(&self) {
         let registry = self.view.registry();
         if self.leadership.term() == 0 {
@@ -122,7 +123,8 @@
     }
 
     /// Records, as the leader, servers that announced to another host that they are leaving. If
-    /// this host did not know of one of them, announces it to all hosts at once.
+    /// this host did not know yet that at least one of the servers leaves, wakes the task that
+    /// announces leaving servers to all hosts.
     pub(in crate::entry) fn handle_leaving_report(&self, tags: &[u32]) {
         if self.leadership.term() > 0 && self.note_leaving_elsewhere(tags) {
             self.notice_received.notify_one();
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -18,11 +18,11 @@
 use crate::clock;
 
 /// Maximum time for which an announced move of keys counts as in progress if no grant is announced.
-/// It is the longest time until all leases have expired after a server and the leader have failed
+/// This is the longest time until all leases have expired after a server and the leader have failed
 /// together.
 const MOVE_HOLD_MAX_MS: u64 = 20_000;
-/// Time after a server has refused a request because it does not hold the key. In this time this
-/// host sends the server no requests for the keys of the same assigned range.
+/// Time for which this host sends a server no requests for the keys of an assigned range, after the
+/// server has refused a request because the server does not hold the key.
 const NOT_HELD_MS: u64 = 250;
 /// Time after which this host forgets an announced grant. By then this host has read the recorded
 /// assigned ranges.
@@ -103,8 +103,8 @@
     until_ms: u64,
 }
 
-/// Assigned range, identified by its fence, whose server has refused a request because it does not
-/// hold the key.
+/// Assigned range, identified by its fence, whose server has refused a request because the server
+/// does not hold the key.
 #[derive(Clone, Debug)]
 struct NotHeld {
     service: Arc<str>,
@@ -113,7 +113,7 @@
 }
 
 /// Grant of keys to a server that the leader has announced. The recorded assigned ranges that this
-/// host knows may not include it yet.
+/// host knows may not include the grant yet.
 #[derive(Clone, Debug)]
 struct AnnouncedGrant {
     service: Arc<str>,
@@ -124,7 +124,8 @@
 /// Result of looking up which server gets the requests for a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Owner {
-    /// Incarnation id of the server that holds the key, and the fence of its assigned range.
+    /// Incarnation id of the server that holds the key, and the fence of the assigned range that
+    /// contains the key.
     Server(Arc<str>, u64),
     /// The key is being moved between servers; contains the expected time until the move completes.
     /// The caller looks the owner up again when this host's view changes, or after a timeout.
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Takes the most recently used connection that can be reused; `None` if there is none. Closes
-    /// the connections that were used later but cannot be reused.
+    /// Takes the most recently used connection that can be reused; `None` if no idle connection can
+    /// be reused. Closes the more recently used connections, which cannot be reused.
     pub fn take(&self) -> Option<Connection> {
         let now_ms = clock::now_ms();
         let mut idle = self.idle();
@@ -134,8 +134,8 @@
         self.idle().push(connection);
     }
 
-    /// Returns true if an idle connection is still open, so that the server's process probably
-    /// lives.
+    /// Returns true if at least one idle connection is still open, so that the server's process
+    /// probably lives.
     pub fn has_open(&self) -> bool {
         self.idle().iter().any(|c| !c.sender.is_closed())
     }
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -31,7 +31,8 @@
 /// announcement alone: it then also limits the requests that it admits by a token bucket of its
 /// own.
 const MISSED_ANNOUNCEMENTS: u64 = 4;
-/// Number of intervals after which an announcement also includes the workspaces below their quota.
+/// Number of announcement intervals after which an announcement again includes all workspaces with
+/// requests, even those whose requests are within their quota.
 const FULL_ANNOUNCEMENT_EVERY: u64 = 6;
 
 /// Returns the interval of reports and announcements in milliseconds; it grows with the number of
@@ -40,8 +41,8 @@
     REPORT_INTERVAL_MS.max(REPORT_INTERVAL_MS_PER_HOST * hosts as u64)
 }
 
-/// State of the workspaces' quotas at one host: its own shares, and the ledgers while it is the
-/// leader.
+/// State of the workspaces' quotas at one host: the host's own shares, and the ledgers while the
+/// host is the leader.
 #[derive(Debug, Default)]
 pub struct Quotas {
     state: Mutex<QuotaState>,
@@ -86,7 +87,7 @@
     }
 
     /// Returns the number of requests of each workspace that this host received and sent since its
-    /// last report, and starts the next count. Workspaces without requests are left out.
+    /// last report, and sets these numbers to 0. Workspaces without requests are left out.
     fn take_report(&self) -> Vec<WorkspaceUse> {
         let mut state = self.state();
         let reports = state.shares.iter_mut().map(|(tag, share)| WorkspaceUse {
@@ -143,8 +144,8 @@
         announced
     }
 
-    /// Applies the shares that the leader announced, and records the time of the announcement,
-    /// which may be empty.
+    /// Applies the shares that the leader announced, and records the time at which this host
+    /// received the announcement. The list of shares may be empty.
     pub(super) fn note_announced(&self, announced: &[WorkspaceAdmitted]) {
         let now_ms = clock::now_ms();
         let mut state = self.state();
@@ -194,7 +195,7 @@
 
 impl Entry {
     /// Reports the usage of workspaces to the leader; as the leader, announces to all hosts the
-    /// shares that they may admit.
+    /// shares of workspaces' requests that the hosts may admit.
     pub(in crate::entry) async fn exchange_quota_usage(self: Arc<Self>) {
         let mut round: u64 = 0;
         loop {
@@ -232,8 +233,9 @@
         }
     }
 
-    /// Announces to all hosts the shares that they may admit. If there are none, sends an empty
-    /// announcement, which shows that the leader is alive.
+    /// Announces to all hosts the shares of workspaces' requests that the hosts may admit. If there
+    /// are no shares to announce, sends an empty announcement, which shows that the leader is
+    /// alive.
     fn announce_quotas(&self, announced: &[WorkspaceAdmitted]) {
         self.quotas.note_announced(announced);
         if announced.is_empty() {
@@ -245,7 +247,8 @@
         }
     }
 
-    /// Handles a host's usage report, if this host is the leader.
+    /// Adds the usage report of a host to the ledgers if this host is the leader; otherwise ignores
+    /// the report.
     pub(in crate::entry) fn handle_usage_report(&self, reports: &[WorkspaceUse]) {
         if self.leadership.term() == 0 {
             return;
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Returns the limits that servers have advertised to this host, with the request rates of its
-    /// own callers.
+    /// Returns the limits that servers have advertised to this host, with the request rates of this
+    /// host's callers.
     fn own_rates(&self) -> Vec<ServerRate> {
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
@@ -73,8 +73,8 @@
         rates.collect()
     }
 
-    /// Sends the limits that servers advertised to this host, and the request rates of its callers,
-    /// to the leader.
+    /// Sends the limits that servers advertised to this host, and the request rates of this host's
+    /// callers, to the leader.
     fn report_rates(&self, rates: Vec<ServerRate>) {
         for rates in rates.chunks(RATES_MAX) {
             if !self
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Handles a host's report of limits and request rates, if this host is the leader.
+    /// Records the limits and request rates that a host reported if this host is the leader;
+    /// otherwise ignores the report.
     pub(in crate::entry) fn handle_rate_report(&self, host: SocketAddr, rates: &[ServerRate]) {
         if self.leadership.term() == 0 {
             return;
@@ -153,7 +154,8 @@
     }
 }
 
-/// Converts an advertised limit into its form in messages, with its age.
+/// Converts an advertised limit into the form in which messages contain the limit, with the age of
+/// the advertisement.
 fn advertised_rate(limit: Option<AdvertisedLimit>, now_ms: u64) -> Option<AdvertisedRate> {
     let limit = limit?;
     Some(AdvertisedRate {
--- a/src/entry/register.rs
+++ b/src/entry/register.rs
@@ -27,8 +27,8 @@
 
 impl Entry {
     /// Writes the host row of this host, and retries until the row is stored. The write is
-    /// conditional, so the store returns the row of a previous process before it is replaced. Such
-    /// a row shows that this process may resume the leadership of the previous process.
+    /// conditional, so the store returns the row of a previous process before the row is replaced.
+    /// Such a row shows that this process may resume the leadership of the previous process.
     pub(super) async fn register(self: Arc<Self>) {
         let key = host_key(self.settings.listen.peers);
         let row = HostRow {
@@ -90,8 +90,9 @@
     }
 
     /// Waits a random time, which spreads the registrations of hosts that start together. Early
-    /// hosts and restarted hosts register at once. The row of a restarted host shows that its
-    /// previous process has ended, and the leader may be waiting for that.
+    /// hosts, which read the store before the other hosts do, and restarted hosts register at once.
+    /// The row of a restarted host shows that its previous process has ended, and the leader may be
+    /// waiting for that.
     async fn wait_to_register(&self) {
         if self.is_early() {
             return;
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -113,7 +113,7 @@
     }
 
     /// Returns the average run time of requests over the servers of a service, in milliseconds; a
-    /// default if no server has a sample.
+    /// default if no run time was measured at any of the servers.
     pub fn typical_run_ms(&self, service: &str) -> f64 {
         let servers = self.of_service(service).iter();
         admission::typical_run_ms(servers.map(|server| server.run_ms()))
@@ -178,9 +178,9 @@
         true
     }
 
-    /// Removes the server with a name, since its entry is missing. If the store returned recently,
-    /// the server stays until the end of the grace period, in which live servers write their
-    /// entries again.
+    /// Removes the server with a name, whose entry is missing in the store. If the store returned
+    /// recently, the server stays until the end of the grace period, in which live servers write
+    /// their entries again.
     pub fn remove(&mut self, name: &str, store_returned_ms: u64) {
         let until_ms = store_returned_ms + RETURN_GRACE_MS;
         if clock::now_ms() < until_ms && self.incarnations.contains_key(name) {
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -22,8 +22,8 @@
 /// Length of the accept queue of each listener. A full queue drops connection attempts, which
 /// delays the affected callers by seconds.
 const BACKLOG: u32 = 4_096;
-/// Time after SIGTERM in which new connections are still accepted. The balancer probes readiness
-/// every second and removes a host after two failed probes.
+/// Time after SIGTERM in which new connections are still accepted. The load balancer probes
+/// readiness every second and removes a host after two failed probes.
 const READINESS_NOTICE_MS: u64 = 2_300;
 /// Time before the end of the stop grace period at which a stopping host aborts the remaining
 /// requests, so that the process exits before the platform sends SIGKILL.
--- a/src/entry/running_requests.rs
+++ b/src/entry/running_requests.rs
@@ -7,7 +7,7 @@
 };
 
 /// Time after which an abandoned request no longer counts as running. The server may have continued
-/// to work on it after its caller disconnected or its deadline passed.
+/// to run the request after the caller disconnected or the deadline passed.
 const ABANDONED_MS: u64 = 2_000;
 
 /// Request that this host abandoned without a response, because its caller disconnected, its
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug)]
 struct AbandonedRequest {
     digests: RequestDigests,
-    /// Time at which this host abandoned the request, by its clock.
+    /// Time at which this host abandoned the request, by the clock of this process.
     at_ms: u64,
 }
 
@@ -42,7 +42,7 @@
         self.begin(digests);
     }
 
-    /// Records that the server has answered a request, which ends its trial.
+    /// Records that the server has answered a request. If the request was a trial, the trial ends.
     pub fn answered(&mut self, digests: RequestDigests) {
         self.trials.retain(|trial| *trial != digests);
         self.end(digests);
--- a/src/entry/secret.rs
+++ b/src/entry/secret.rs
@@ -33,8 +33,8 @@
         }
     }
 
-    /// While this host is the leader, generates and stores a shared secret whenever there is none
-    /// or the known one is due for rotation.
+    /// While this host is the leader, generates and stores a shared secret whenever no secret is
+    /// known or the known secret is due for rotation.
     pub(super) async fn maintain_secret(self: Arc<Self>) {
         loop {
             time::sleep(Duration::from_millis(SECRET_CHECK_MS)).await;
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -428,8 +428,8 @@
         self.answered_ms.load(Ordering::Relaxed)
     }
 
-    /// Records an attempt that failed because the server shed it, its connection broke or it timed
-    /// out.
+    /// Records an attempt that failed because the server shed the request, the connection broke or
+    /// the attempt timed out.
     pub fn failed(&self) {
         self.attempt_stats().failed(clock::now_ms());
     }
@@ -468,7 +468,8 @@
     }
 }
 
-/// Guard of a request in flight at a server; the request is counted until the guard is dropped.
+/// Guard of a request in flight at a server; the request counts as in flight until the guard is
+/// dropped.
 #[derive(Debug)]
 pub struct InFlight {
     server: Arc<Server>,
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -58,7 +58,7 @@
 pub struct Listen {
     /// TCP address for callers' requests.
     pub callers: SocketAddr,
-    /// TCP address for the balancer's readiness probes.
+    /// TCP address for the load balancer's readiness probes.
     pub readiness: SocketAddr,
     /// UDP address for messages of other hosts. Joining hosts fetch snapshots over TCP at the same
     /// address and port.
@@ -129,12 +129,14 @@
         self.memory_mb * 1_000_000
     }
 
-    /// Returns the region of an availability zone; `None` if the settings name none.
+    /// Returns the region of an availability zone; `None` if the settings name no region for the
+    /// zone.
     pub fn region_of(&self, availability_zone: &str) -> Option<&str> {
         self.regions.get(availability_zone).map(String::as_str)
     }
 
-    /// Returns a message for each value that is invalid or contradicts another one.
+    /// Returns a message for each setting whose value is invalid or contradicts another setting;
+    /// empty if the settings are valid.
     pub fn problems(&self) -> Vec<String> {
         let leases = &self.leases;
         let checks = [
@@ -186,8 +188,8 @@
     }
 }
 
-/// Returns the memory of a host whose settings state none: that of the smallest known host, in
-/// megabytes.
+/// Returns the memory, in megabytes, of a host whose settings state none: the memory of the
+/// smallest known host.
 fn default_memory_mb() -> u64 {
     120
 }
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -54,8 +54,8 @@
         notices.rate_limit.take_change()
     }
 
-    /// Returns the limit for all hosts together, in requests per second; `None` if the server is
-    /// unlimited.
+    /// Returns the advertised rate limit for all hosts together, in requests per second; `None` if
+    /// the server is unlimited.
     pub fn limit_per_s(&self) -> Option<f64> {
         self.notices().rate_limit.per_s()
     }
@@ -66,14 +66,15 @@
         self.notices().rate_limit.is_stale(clock::now_ms())
     }
 
-    /// Returns the limit that the planner of key moves assumes, in requests per second. It rises
-    /// while the server does not restate its limit; `None` if the server is unlimited.
+    /// Returns the limit that the planner of key moves assumes, in requests per second; `None` if
+    /// the server is unlimited. The assumed limit rises while the server does not state its limit
+    /// again.
     pub fn planned_per_s(&self, now_ms: u64) -> Option<f64> {
         self.notices().rate_limit.planned_per_s(now_ms)
     }
 
-    /// Returns true if other hosts must be informed: the server has a limit, or its limit ended
-    /// recently.
+    /// Returns true if this host must inform other hosts of the limit: the server has a limit, or
+    /// its limit ended recently.
     pub fn should_announce(&self, now_ms: u64) -> bool {
         self.notices().rate_limit.should_announce(now_ms)
     }
@@ -88,8 +89,8 @@
         self.notices().rate_limit.own()
     }
 
-    /// Counts a request of a caller that could be sent to the server, whether or not it is sent
-    /// there.
+    /// Counts a request of a caller that could be sent to the server, whether or not the request is
+    /// then sent there.
     pub fn note_demand(&self, is_urgent: bool) {
         self.share().demand.note(is_urgent, clock::now_ms());
     }
@@ -105,8 +106,8 @@
         self.share().demand.note_sum(sum, now_ms);
     }
 
-    /// Returns this host's share of the limit for an urgent or another request, if `hosts` hosts
-    /// share the limit; `None` if the server is unlimited.
+    /// Returns this host's share of the limit for an urgent request, or for any other request if
+    /// `is_urgent` is false, when `hosts` hosts share the limit; `None` if the server is unlimited.
     pub fn rate_share(&self, hosts: usize, is_urgent: bool) -> Option<RateShare> {
         let now_ms = clock::now_ms();
         let shared_per_s = self.notices().rate_limit.shared_per_s(now_ms)?;
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -1,9 +1,10 @@
 //! Lets relays report to other hosts, in place of the leader, that the store responds and which
-//! versions its tables have. Relays are the hosts that forward messages to the other hosts of their
-//! zone. Hosts rely on the leader to learn that nothing has changed in the store. When the leader
-//! is lost, or the store rejects the leader's calls, each of a thousand hosts would call the store
-//! until there is another leader. With many hosts, the relays of each zone therefore call the store
-//! a little earlier than the other hosts would, and the other hosts query the relays.
+//! versions its tables have. The host that makes such a report confirms the store for the other
+//! hosts. Relays are the hosts that forward messages to the other hosts of their zone. Hosts rely
+//! on the leader to learn that nothing has changed in the store. When the leader is lost, or the
+//! store rejects the leader's calls, each of a thousand hosts would call the store until there is
+//! another leader. With many hosts, the relays of each zone therefore call the store a little
+//! earlier than the other hosts would, and the other hosts query the relays.
 
 use std::{sync::Arc, time::Duration};
 
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -39,12 +39,12 @@
     are_servers_known: AtomicBool,
     evacuations: Mutex<Evacuations>,
     owners: Owners,
-    /// Number of changes of the configuration, the servers or the assigned ranges; its receivers
-    /// are notified of each change.
+    /// Number of changes of the configuration, the servers or the assigned ranges; receivers of
+    /// this channel are notified of each change.
     changed: watch::Sender<u64>,
     /// True while the store is known to be unavailable.
     store_lost: watch::Sender<bool>,
-    /// Requests to call the feed of a table soon, by the index of the table.
+    /// Requests to call the store soon for the changes of a table, by [`FollowedTable::index`].
     read_requests: [Notify; FollowedTable::ALL.len()],
     /// True once the rows of the other hosts have been read.
     hosts_known: watch::Sender<bool>,
@@ -76,7 +76,7 @@
 }
 
 impl View {
-    /// Returns the configuration in force; `None` before the first was read.
+    /// Returns the configuration in force; `None` before the first configuration was read.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.configuration.load_full()
     }
@@ -93,7 +93,8 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Returns the current registry of servers. Later updates do not change the returned copy.
+    /// Returns the current registry of servers. Later updates of the registry do not change the
+    /// returned copy.
     pub fn registry(&self) -> Arc<Registry> {
         self.registry.load_full()
     }
@@ -132,8 +133,9 @@
         });
     }
 
-    /// Replaces the registry by a changed copy. There is no await point between load and store, so
-    /// updates on a host's single thread do not overwrite each other.
+    /// Replaces the registry by a changed copy. There is no await point between loading the old
+    /// registry and storing the new one, so updates on a host's single thread do not overwrite each
+    /// other.
     pub fn update_registry(&self, change: impl FnOnce(&mut Registry)) {
         let mut registry = Registry::clone(&self.registry.load());
         change(&mut registry);
@@ -146,7 +148,8 @@
         self.are_servers_known.store(true, Ordering::Relaxed);
     }
 
-    /// Returns the assigned ranges of a service; `None` if they are not known.
+    /// Returns the recorded assigned ranges of a service; `None` if this host knows no row with
+    /// assigned ranges of the service.
     pub fn held(&self, service: &str) -> Option<RecordedAssignment> {
         self.owners.held(service)
     }
@@ -157,7 +160,8 @@
         self.owners.all_held()
     }
 
-    /// Returns true if the assigned ranges of some sharded service are unknown.
+    /// Returns true if, for some sharded service, this host knows neither recorded assigned ranges
+    /// nor announced grants of all keys.
     pub fn lacks_assignments(&self) -> bool {
         let Some(configuration) = self.configuration() else {
             return false;
@@ -168,7 +172,8 @@
         })
     }
 
-    /// Applies rows of assigned ranges of a service, unless newer ones are known.
+    /// Applies rows with assigned ranges of a service. A row is ignored if this host already knows
+    /// a later version of the row.
     pub fn put_assignment_rows(
         &self,
         service: &Arc<str>,
@@ -186,12 +191,13 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Records that keys are being moved to another server.
+    /// Records an announcement of the leader that keys are being moved to another server.
     pub fn announce_move(&self, service: &Arc<str>, announcement: MoveAnnouncement) {
         self.owners.announce_move(service, announcement);
     }
 
-    /// Returns the server that a request for `key` should go to, or why there is none.
+    /// Returns the server that a request for `key` should go to, or the reason why no server gets
+    /// the request.
     pub fn owner(&self, service: &Arc<str>, key: u16) -> Owner {
         self.owners.owner(service, key)
     }
@@ -236,7 +242,7 @@
     }
 
     /// Waits until the rows of the other hosts have been read. Returns false if the view stops
-    /// sending changes before.
+    /// sending notifications before that.
     pub async fn hosts_known(&self) -> bool {
         let mut known = self.hosts_known.subscribe();
         known.wait_for(|known| *known).await.is_ok()
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -71,9 +71,9 @@
         self.follow(FollowedTable::Own).await;
     }
 
-    /// Reads a table as a whole, unless this host has it from another host, and then follows its
-    /// changes. Reads the table as a whole again when the store no longer keeps the changes that
-    /// this host has missed.
+    /// Reads a table as a whole, unless this host has got the table from another host, and then
+    /// follows its changes. Reads the table as a whole again when the store no longer keeps the
+    /// changes that this host has missed.
     async fn follow(&self, followed: FollowedTable) {
         let mut was_synced_from_peer = self.join.was_synced_from_peer(followed).await;
         loop {
@@ -179,11 +179,12 @@
         }
     }
 
-    /// Waits until the leader or a relay confirms the state of the store, or the start period of
-    /// the table ends. Then pauses the feed if the state is confirmed. Returns at once if this host
-    /// is the leader.
+    /// Waits until the leader or a relay confirms the state of the store, but no longer than
+    /// [`FollowedTable::start_wait_ms`]. Then pauses the feed if the state is confirmed. Returns at
+    /// once if this host is the leader.
     async fn wait_for_leader_at_start(&self, followed: FollowedTable) {
-        // The relays that could confirm the store are known only after the join.
+        // The relays that could confirm the store are known only after the initial sync with
+        // another host has ended.
         self.join.sync_outcome().await;
         let began_ms = clock::now_ms();
         let until_ms = began_ms + followed.start_wait_ms(&self.limits);
@@ -232,8 +233,8 @@
     }
 
     /// Records that the store has delivered all changes of a table that were made before `sent_ms`,
-    /// the time of the call. For the configuration, this confirms that the one in force is the
-    /// current one; other tables need no confirmation.
+    /// the time of the call. For the configuration, this confirms that the configuration in force
+    /// is the latest one; other tables need no confirmation.
     fn note_confirmation_by_store(&self, followed: FollowedTable, sent_ms: u64) {
         if followed == FollowedTable::Configuration {
             self.confirmation.note(sent_ms);
@@ -279,9 +280,10 @@
         }
     }
 
-    /// Returns true if a pausing feed should be called now: because a server leaves, the store is
-    /// unavailable, no other host confirms the store, or this host lacks the assigned ranges of a
-    /// service or the secret of the hosts.
+    /// Returns true if a pausing feed should be called now: because a server takes no new work
+    /// after a change that the feed did not deliver yet, the store is unavailable, no other host
+    /// confirms the store, or this host lacks the assigned ranges of a service or the secret of the
+    /// hosts.
     fn should_call_now(&self, followed: FollowedTable, after: u64) -> bool {
         match followed {
             FollowedTable::Configuration => !self.freshness.is_store_confirmed(),
@@ -336,8 +338,8 @@
         }
     }
 
-    /// Reads a whole table from the store; for the entry hosts' own table, including the rows of
-    /// the hosts, which are in a partition of their own.
+    /// Reads a whole table from the store. The entry hosts' own table includes the rows of the
+    /// hosts, which are read from a separate partition of the table.
     async fn read_table(&self, followed: FollowedTable) -> platform::Result<Rows> {
         let mut rows = self.store.table(followed.table()).await?;
         if followed == FollowedTable::Own {
@@ -384,7 +386,7 @@
     pause_for(RETRY_PAUSE_MS).await;
 }
 
-/// Waits for `min_ms` plus a random time of up to half of that.
+/// Waits for `min_ms` plus a random time of up to half of `min_ms`.
 pub(super) async fn pause_for(min_ms: u64) {
     let pause_ms = min_ms + rand::random_range(0..min_ms / 2);
     time::sleep(Duration::from_millis(pause_ms)).await;
