--- a/src/entry/updates/announcement.rs
+++ b/src/entry/updates/announcement.rs
@@ -7,7 +7,8 @@
 /// Message of the leader that a range of keys is being moved to another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveAnnouncement {
-    /// Keys being moved. Requests for them wait for the grant or the expiry.
+    /// Keys being moved. Requests for these keys wait until a grant of the keys is announced or
+    /// this announcement expires.
     pub range: KeyRange,
     /// Fence above which a grant of the range completes the move.
     pub above_fence: u64,
--- a/src/entry/updates/configuration_pieces.rs
+++ b/src/entry/updates/configuration_pieces.rs
@@ -11,8 +11,8 @@
 /// size.
 const PIECE_BYTES: usize = 1_200;
 /// Maximum number of pieces of a configuration that is broadcast. A larger configuration would
-/// occupy the links of small hosts for longer than each of these hosts takes to read it from the
-/// store.
+/// occupy the links of small hosts for longer than each of these hosts takes to read the
+/// configuration from the store.
 const PIECES_MAX: usize = 12;
 
 /// One piece of a configuration row, byte for byte as stored.
@@ -21,9 +21,9 @@
     /// Version of the configuration row in the store.
     pub version: u64,
     /// Version of the latest evacuation known to the sender. The receiver marks the configuration's
-    /// version as applied only if it knows that evacuation too.
+    /// version as applied only if the receiver knows that evacuation too.
     pub evacuations: u64,
-    /// Index of this piece, from 0.
+    /// Index of this piece among the pieces of the configuration, counted from 0.
     pub index: u16,
     /// Number of pieces that the configuration was split into.
     pub count: u16,
@@ -39,7 +39,8 @@
     pub version: u64,
     /// Version up to which all changes of the operators' table are included.
     pub up_to: u64,
-    /// Evacuated zones that the responding host knows, with a version of their own.
+    /// Evacuated zones that the responding host knows, with the version of the operators' table to
+    /// which the list of zones belongs.
     pub evacuations: Evacuations,
     /// Content of the configuration row, byte for byte as stored.
     pub value: Arc<[u8]>,
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -17,11 +17,11 @@
 /// billed, so the wait is long; the store allows up to 30 s.
 const FOLLOWER_WAIT_MS: u64 = 25_000;
 /// Maximum pause of a feed while the leader broadcasts all changes. A host that has missed a change
-/// notices this by the versions in the leader's heartbeat, by a message of an unknown host or with
-/// an unknown secret, or by the response of a server that no longer holds a key.
+/// notices this by the versions in the leader's heartbeat, by a message from an unknown host or
+/// under an unknown secret, or by the response of a server that no longer holds a key.
 pub const FOLLOWER_PAUSE_MAX_MS: u64 = 120_000;
-/// Time after its start that a host waits for a heartbeat of the leader before it reads the entry
-/// hosts' own rows again.
+/// Time for which a host that has just read the entry hosts' own rows waits for a heartbeat of the
+/// leader before the host requests changes of these rows.
 const OWN_START_WAIT_MS: u64 = 2_500;
 /// Minimum pause of the change feed of the entry hosts' own rows (assigned ranges and hosts).
 const OWN_PAUSE_MIN_MS: u64 = 300;
@@ -82,8 +82,8 @@
     }
 
     /// Returns the maximum wait of a feed call at the store. The leader and hosts that hear no
-    /// leader use short waits, since no other host reports changes to them if their connection has
-    /// failed silently.
+    /// leader use short waits: if their connection to the store has failed silently, no other host
+    /// reports the missed changes to them.
     pub fn wait_ms(self, sync_role: SyncRole, limits: &Timings) -> u64 {
         match (self, sync_role) {
             (Self::Own, _) | (_, SyncRole::Follower) => FOLLOWER_WAIT_MS,
@@ -94,10 +94,10 @@
     }
 
     /// Returns the time for which a host that has just read the table waits for a heartbeat of the
-    /// leader before it requests changes. Hosts that start together would otherwise all fetch each
-    /// other's rows. Hosts usually write their rows within 2 s after their start, and by then there
-    /// is a leader as well. The wait lies within the contact grace period, in which the bounds do
-    /// not apply.
+    /// leader before it requests changes. Without this wait, hosts that start together would all
+    /// fetch each other's rows. Hosts usually write their rows within 2 s after their start, and by
+    /// then there is a leader as well. The wait lies within the contact grace period, in which the
+    /// bounds do not apply.
     pub fn start_wait_ms(self, limits: &Timings) -> u64 {
         match self {
             Self::Own => OWN_START_WAIT_MS,
@@ -106,8 +106,8 @@
     }
 
     /// Returns the pause between two feed calls. Each change ends the waiting feed calls of all
-    /// hosts, so the pause grows with the number of hosts, up to the value with which changes still
-    /// take effect within their bound.
+    /// hosts, so the pause grows with the number of hosts, up to the longest pause with which
+    /// changes still take effect within their bound.
     pub fn feed_pause(self, hosts: usize, sync_role: SyncRole, limits: &Timings) -> FeedPause {
         let scaled = |few_hosts_ms: u64, many_hosts_ms: u64| {
             let scaled_ms = few_hosts_ms * hosts as u64 / FEW_HOSTS;
@@ -152,10 +152,10 @@
 /// Pause between two feed calls, which lets changes in quick succession share one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FeedPause {
-    /// Minimum pause, kept even if there is a reason to call early, such as a read request or a
-    /// missed change.
+    /// Minimum pause, kept even if there is a reason to call the store early, such as a read
+    /// request or a missed change.
     pub min_ms: u64,
-    /// Maximum pause, after which the call is made without such a reason.
+    /// Maximum pause, after which the store is called even if there is no reason for an early call.
     pub max_ms: u64,
 }
 
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -33,7 +33,7 @@
     /// the servers' entries or the configuration if that is longer ago. The sender knows all
     /// changes that were made before that time.
     pub age_ms: u32,
-    /// Version of the latest change seen, by table.
+    /// Version of the latest change that the sender has seen, by table.
     pub changed: [u64; TABLES],
     /// Version of the latest change of a server's entry that ends new work for the server: the
     /// server leaves, or its entry was removed or cannot be decoded.
@@ -43,7 +43,8 @@
 }
 
 impl StoreStateReport {
-    /// Returns the report with the age increased by a delay in the network.
+    /// Returns the report with the age increased by `excess_delay_ms`, the delay of the report in
+    /// the network beyond the usual delay.
     pub fn aged_by(self, excess_delay_ms: u64) -> Self {
         let excess_delay_ms = u32::try_from(excess_delay_ms).unwrap_or(TOO_OLD_MS);
         Self {
@@ -52,8 +53,9 @@
         }
     }
 
-    /// Returns this report with the later one of each version in the two reports: this report may
-    /// come from another host, which has not seen all changes of the earlier report.
+    /// Returns this report with each version of a change replaced by the version in `earlier` if
+    /// that version is later. The two reports may come from different hosts, and the sender of this
+    /// report may not have seen all changes that `earlier` states.
     fn with_changes_of(self, earlier: Self) -> Self {
         Self {
             changed: std::array::from_fn(|table| self.changed[table].max(earlier.changed[table])),
@@ -79,11 +81,11 @@
     applied: [AtomicU64; TABLES],
     /// Version of the latest change that this host has seen, by table.
     changed: [AtomicU64; TABLES],
-    /// Version of the latest change after which some server takes no new work.
+    /// Version of the latest change of a server's entry that ends new work for the server.
     leave_version: AtomicU64,
     /// Latest report of the leader or a relay; `None` before the first.
     received: Mutex<Option<ReceivedReport>>,
-    /// Query to the relays of the zone, while it waits for the first response.
+    /// Latest query to the relays of the zone, until the first response to the query arrives.
     query: PendingQuery,
     /// True while this host reports the store's state to its zone in place of the leader.
     is_relay: AtomicBool,
@@ -97,7 +99,8 @@
 }
 
 impl ReceivedReport {
-    /// Returns the later one of two reports, with all changes that either contains.
+    /// Returns the later one of two reports, with the latest versions of changes that either report
+    /// states.
     fn or_later(self, other: Self) -> Self {
         let (later, earlier) = if self.answered_ms >= other.answered_ms {
             (self, other)
@@ -192,12 +195,14 @@
         }
     }
 
-    /// Returns the version of the latest change after which some server takes no new work.
+    /// Returns the version of the latest change of a server's entry that ends new work for the
+    /// server; 0 before the first such change.
     pub fn leave_version(&self) -> u64 {
         self.leave_version.load(Ordering::Relaxed)
     }
 
-    /// Records the version of a change after which some server takes no new work.
+    /// Records the version of a change of a server's entry that ends new work for the server. A
+    /// version earlier than the latest recorded one is ignored.
     pub fn note_leave(&self, version: u64) {
         self.leave_version.fetch_max(version, Ordering::Relaxed);
     }
@@ -222,8 +227,8 @@
     }
 
     /// Returns the report with which this host responds to a query as a relay: its own report or
-    /// the one that it received, whichever is more recent. Returns `None` if that report is too old
-    /// to be trusted.
+    /// the report that this host received, whichever is more recent. Returns `None` if that report
+    /// is too old to be trusted.
     pub fn store_state(&self, heard_ms: u64) -> Option<StoreStateReport> {
         let received = *self.received();
         let own = self.updates(heard_ms);
@@ -247,8 +252,9 @@
     }
 
     /// Records a relay's response. Returns the time at which the store last responded to the relay;
-    /// `None` if that time is not later than the known time, or if the response does not belong to
-    /// the latest query or is not the first one.
+    /// `None` if another host has already reported a response of the store at that time or later,
+    /// or if the relay's response does not belong to the latest query or is not the first response
+    /// to that query.
     pub fn note_relay_report(&self, nonce: u64, updates: StoreStateReport) -> Option<u64> {
         let sent_ms = self.query.answered(nonce)?;
         let answered_ms = sent_ms.saturating_sub(u64::from(updates.age_ms));
@@ -315,13 +321,14 @@
     }
 
     /// Returns the age of the last report from which on this host queries the relays of its zone.
-    /// The leader's reports are usually not older: their age is at most half of the trust period
-    /// plus a quarter of it for one heartbeat.
+    /// The leader's reports are usually not older: their age is at most half of the trust period,
+    /// plus a quarter of the trust period for one heartbeat.
     fn relay_query_age_ms(&self) -> u64 {
         self.trust_ms * 3 / 4
     }
 
-    /// Returns true if the store is confirmed by a response that it gave at `at_ms` or later.
+    /// Returns true if the store is confirmed, and other hosts have reported a response that the
+    /// store gave at `at_ms` or later.
     pub fn is_store_confirmed_since(&self, at_ms: u64) -> bool {
         let received = *self.received();
         self.is_store_confirmed() && received.is_some_and(|received| received.answered_ms >= at_ms)
@@ -340,8 +347,8 @@
         self.reported_change(followed) > requested_after
     }
 
-    /// Returns true if another host has reported a change, later than `version`, after which some
-    /// server takes no new work.
+    /// Returns true if another host has reported a change of a server's entry that is later than
+    /// `version` and ends new work for the server.
     pub fn has_leave_since(&self, version: u64) -> bool {
         let received = *self.received();
         received.is_some_and(|received| received.updates.leave_version > version)
--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -12,15 +12,15 @@
 const ASSIGNMENT_PREFIX: &str = "keys/";
 /// Separator between the name of the service and the number of the key partition.
 const PARTITION_SEPARATOR: char = '#';
-/// Partition of the table with the rows of hosts. It is separate so that hundreds of hosts that
-/// register at once do not delay the leader's writes.
+/// Partition of the table with the rows of hosts. This partition is separate so that hundreds of
+/// hosts that register at once do not delay the leader's writes.
 pub const HOSTS_PARTITION: &str = "hosts";
 /// Prefix of the keys of host rows; the host's address follows.
 pub const HOST_PREFIX: &str = "host/";
 /// Key of the row with the secret that the hosts share.
 pub const SECRET_KEY: &str = "secret";
-/// Key of the row with the seed hosts, from which starting hosts fetch a snapshot. It sorts right
-/// after [`SECRET_KEY`], so that one call reads both rows.
+/// Key of the row with the seed hosts, from which starting hosts fetch a snapshot. The key sorts
+/// right after [`SECRET_KEY`], so that one call reads both rows.
 pub const SEED_HOSTS_KEY: &str = "secret-guides";
 /// Key of the row with the quarantined requests: they are sent to no server, since several servers
 /// have crashed while running them.
@@ -34,8 +34,8 @@
     }
 }
 
-/// Parses the key of an assignment row into service and key partition. Returns `None` if it is no
-/// such key.
+/// Parses the key of an assignment row into service and key partition. Returns `None` if `key` is
+/// not the key of an assignment row.
 pub fn parse_assignment_key(key: &str) -> Option<(&str, KeyPartition)> {
     let name = key.strip_prefix(ASSIGNMENT_PREFIX)?;
     let Some((service, number)) = name.rsplit_once(PARTITION_SEPARATOR) else {
--- a/src/entry/updates/query.rs
+++ b/src/entry/updates/query.rs
@@ -1,6 +1,6 @@
-//! Tracks a query to another host until its response arrives. The response counts from the sending
-//! of the query: a response that was delayed in the network, or that a suspended host reads late,
-//! confirms nothing that is more recent than the query.
+//! Tracks a query to another host until its response arrives. A response counts as information from
+//! the time at which the query was sent: a response that was delayed in the network, or that a
+//! suspended host reads late, confirms nothing that is more recent than the query.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -12,7 +12,7 @@
     at_ms: u64,
 }
 
-/// Latest query of one kind, until its response arrives. A new query replaces it.
+/// Latest query of one kind, until its response arrives. A new query replaces the previous one.
 #[derive(Debug, Default)]
 pub struct PendingQuery {
     pending: Mutex<Option<SentQuery>>,
@@ -26,8 +26,9 @@
             Some(SentQuery { nonce, at_ms });
     }
 
-    /// Completes the query with this nonce and returns the time at which it was sent. Returns
-    /// `None` if the nonce is not that of the latest query, or the query has completed before.
+    /// Completes the query with this nonce and returns the time at which the query was sent.
+    /// Returns `None` if the nonce is not that of the latest query, or the query has completed
+    /// before.
     pub fn answered(&self, nonce: u64) -> Option<u64> {
         let mut pending = self.pending.lock().unwrap_or_else(PoisonError::into_inner);
         let query = pending.take_if(|pending| pending.nonce == nonce);
--- a/src/entry/updates/server_changes.rs
+++ b/src/entry/updates/server_changes.rs
@@ -72,9 +72,9 @@
         parts
     }
 
-    /// Returns the changes that are new to a host that has applied the table up to the version
-    /// `applied`. Returns `None` if changes are missing between `applied` and the beginning of the
-    /// range.
+    /// Returns the changes in this range that are new to a host that has applied the table up to
+    /// the version `applied`. Returns `None` if changes are missing between `applied` and the
+    /// beginning of the range.
     pub fn new_after(self, applied: u64) -> Option<Vec<ServerChange>> {
         if applied < self.after {
             return None;
@@ -85,7 +85,8 @@
     }
 }
 
-/// Maximum number of changes kept for hosts that have missed some; each takes about 100 bytes.
+/// Maximum number of changes that a host keeps for hosts that have missed some changes; each kept
+/// change takes about 100 bytes.
 const KEPT_MAX: usize = 4_000;
 
 /// Latest changes of servers' entries, as a range without gaps.
@@ -99,8 +100,8 @@
 }
 
 impl RecentChanges {
-    /// Appends changes. If there is a gap between the kept changes and these, the kept changes are
-    /// discarded.
+    /// Appends changes. If `updates` does not continue the kept range of versions without a gap,
+    /// the kept changes are discarded.
     pub fn note(&mut self, updates: &ServerChanges) {
         if updates.after > self.up_to {
             self.changes.clear();
@@ -117,13 +118,14 @@
         }
     }
 
-    /// Returns true if all changes since a version are kept.
+    /// Returns true if the kept range of versions begins at or before the given version, so that no
+    /// change between that version and the end of the range is missing.
     pub fn reaches_back_to(&self, version: u64) -> bool {
         version >= self.after
     }
 
-    /// Returns all changes after a version. Returns `None` if some of them are no longer kept, or
-    /// if there are none.
+    /// Returns all changes after a version. Returns `None` if some of these changes are no longer
+    /// kept, or if the kept range ends at or before the version.
     pub fn after(&self, version: u64) -> Option<ServerChanges> {
         if !self.reaches_back_to(version) || version >= self.up_to {
             return None;
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -1,7 +1,7 @@
-//! Snapshot of a host's view of servers, assigned ranges and hosts, sent to a host that starts. A
-//! host that reads the tables from the store instead makes one call for every few hundred rows.
-//! With a thousand hosts and ten thousand servers, that would be 20,000 calls and 2.5 GB whenever
-//! all hosts start.
+//! Snapshot of a host's view of servers, assigned ranges and hosts, sent to a joining host (a host
+//! that starts and is not registered yet). A host that reads the tables from the store instead
+//! makes one call for every few hundred rows. With a thousand hosts and ten thousand servers, that
+//! would be 20,000 calls and 2.5 GB whenever all hosts start.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Entry of a server in a snapshot; service and zone are in the string table.
+/// Entry of a server in a snapshot; service and zone are indices into the string table.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SnapshotServer {
     name: Arc<str>,
@@ -81,9 +81,9 @@
 /// Progress of a host in following one table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableVersions {
-    /// Version up to which all changes are applied.
+    /// Version up to which the host has applied all changes of the table.
     pub up_to: u64,
-    /// Version of the latest change that the host has seen; 0 before the first.
+    /// Version of the latest change of the table that the host has seen; 0 before the first change.
     pub changed: u64,
 }
 
@@ -94,7 +94,7 @@
     /// Progress of the sender in following the table of servers' entries; 0 if servers are left
     /// out.
     pub servers_versions: TableVersions,
-    /// Version of the latest change after which some server takes no new work.
+    /// Version of the latest change of a server's entry that ends new work for the server.
     pub leave_version: u64,
     /// Progress of the sender in following the entry hosts' own rows (assigned ranges and hosts).
     pub own_versions: TableVersions,
--- a/src/entry/workspaces.rs
+++ b/src/entry/workspaces.rs
@@ -85,13 +85,14 @@
         self.api_keys.extend(api_keys.map(|api_key| (api_key, key)));
     }
 
-    /// Returns the workspace that an API key belongs to; `None` for an unknown key.
+    /// Returns the index of the workspace that an API key belongs to; `None` for an unknown API
+    /// key.
     pub fn by_api_key(&self, api_key: &str) -> Option<WorkspaceKey> {
         self.api_keys.get(&ApiKeyDigest::of(api_key)).copied()
     }
 
-    /// Returns the workspace at an index, which must belong to this configuration; panics if the
-    /// index is too large.
+    /// Returns the workspace with an index. The index must come from the same configuration as
+    /// these workspaces; panics if the index is too large.
     pub fn get(&self, key: WorkspaceKey) -> &Workspace {
         &self.workspaces[key.0]
     }
