--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -35,13 +35,13 @@
 pub struct Broadcast {
     /// False until the table of server entries has been read as a whole, and while it is being read
     /// again. Broadcast changes are ignored meanwhile, since the rows that are being read may be
-    /// older and would undo them.
+    /// older and would undo the broadcast changes.
     servers_read: AtomicBool,
     /// Pieces received so far of the latest configuration that the leader has broadcast.
     configuration: Mutex<PieceAssembly>,
-    /// Latest configuration as stored, for hosts that have missed it.
+    /// Latest configuration as stored, kept for hosts that have missed the configuration.
     latest: Mutex<Option<LatestConfiguration>>,
-    /// Latest changes of server entries, for hosts that have missed some.
+    /// Latest changes of server entries, kept for hosts that have missed some of the changes.
     recent: Mutex<RecentChanges>,
 }
 
@@ -91,8 +91,8 @@
         self.recent().reaches_back_to(version)
     }
 
-    /// Returns all changes of server entries after a version; `None` if this host does not know
-    /// them all.
+    /// Returns all changes of server entries after a version; `None` if this host does not know all
+    /// of them, or knows no later version.
     pub fn changes_after(&self, after: u64) -> Option<ServerChanges> {
         self.recent().after(after)
     }
--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -21,12 +21,13 @@
     },
     /// A planned stop has begun.
     Stopping {
-        /// Callers' requests in flight when the stop began.
+        /// Number of callers' requests in flight when the stop began.
         in_flight: u64,
     },
     /// The process is about to exit.
     Stopped {
-        /// Callers' requests in flight that the exit of the process aborts; 0 if all were answered.
+        /// Number of callers' requests in flight that the exit of the process aborts; 0 if all
+        /// requests were answered.
         in_flight: u64,
     },
     /// The settings were read again after SIGHUP.
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -268,7 +268,8 @@
         assigned_range.range.contains(key).then_some(assigned_range)
     }
 
-    /// Removes a range from all assigned ranges; what remains of an assigned range keeps its fence.
+    /// Removes the keys of a range from all assigned ranges; what remains of an assigned range
+    /// keeps its fence.
     pub fn clear(&mut self, range: KeyRange) {
         let mut kept = Vec::with_capacity(self.assigned_ranges.len() + 1);
         for assigned_range in self.assigned_ranges.drain(..) {
@@ -290,7 +291,8 @@
         self.assigned_ranges = kept;
     }
 
-    /// Returns a fence above all that were used for the service, and not below `least`.
+    /// Returns a fence that is higher than all fences used for the service, and not lower than
+    /// `least`.
     pub fn next_fence(&self, least: u64) -> u64 {
         (self.fence + 1).max(least)
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -87,7 +87,7 @@
     pub store: Store,
     /// This host's copy of the configuration, the servers and the owners of keys.
     pub view: View,
-    /// Timeouts and intervals that are derived from the users' bounds.
+    /// Timeouts and intervals that are derived from the operators' bounds in the settings.
     pub limits: Timings,
     /// Age of this host's copy of the store's tables, known from the host's own calls to the store
     /// and from reports of other hosts.
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -124,7 +124,7 @@
     }
 
     /// Periodically removes the servers whose entries lapsed during an outage of the store and have
-    /// not returned within the grace period after it.
+    /// not returned within the grace period after the outage.
     pub(super) async fn drop_overdue_servers(self: Arc<Self>) {
         loop {
             let missing = self.view.registry().has_missing();
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -19,8 +19,8 @@
     transport::{self, ListenerLimits, ResponseBody},
 };
 
-/// Length of the accept queue of each listener. A full queue drops connection attempts, which
-/// delays the affected callers by seconds.
+/// Length of the accept queue of each listener, in connections. A full queue drops connection
+/// attempts, which delays the affected callers by seconds.
 const BACKLOG: u32 = 4_096;
 /// Time after SIGTERM in which new connections are still accepted. The load balancer probes
 /// readiness every second and removes a host after two failed probes.
--- a/src/entry/running_requests.rs
+++ b/src/entry/running_requests.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Records that a request was abandoned without a response. If the request is a trial, it stays
-    /// a trial as long as it counts as running.
+    /// Records that a request was abandoned without a response. If the request is a trial, the
+    /// trial lasts as long as the request counts as running.
     pub fn abandoned(&mut self, digests: RequestDigests, now_ms: u64) {
         self.end(digests);
         self.abandoned
@@ -72,7 +72,7 @@
         });
     }
 
-    /// Returns the distinct digests, including the caller, of the requests that the server may be
+    /// Returns the distinct digests, which cover the caller, of the requests that the server may be
     /// running.
     pub fn suspects(&self, now_ms: u64) -> Vec<RequestDigest> {
         let running = self.possibly_running(now_ms);
@@ -82,8 +82,8 @@
         digests
     }
 
-    /// Returns the distinct digests, without the caller, of the requests that the server may be
-    /// running.
+    /// Returns the distinct digests, which do not cover the caller, of the requests that the server
+    /// may be running.
     pub fn shared_suspects(&self, now_ms: u64) -> Vec<SharedSuspect> {
         let suspects = self.possibly_running(now_ms).flat_map(|digests| {
             let is_trial = self.trials.contains(&digests);
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -80,7 +80,8 @@
 /// Part of the rate limit of a service's cold servers that one host may use.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmupLimit {
-    /// Interval between the starts of a host's warm-up windows at one cold server.
+    /// Interval between the starts of a host's warm-up windows at one cold server. In each window
+    /// the host may send the server one request.
     window_every_ms: u64,
 }
 
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -35,11 +35,12 @@
     /// Memory that the host has, in megabytes of a million bytes.
     #[serde(default = "default_memory_mb")]
     pub memory_mb: u64,
-    /// Addresses that the host listens on, one for each kind of client.
+    /// Addresses that the host listens on for callers, readiness probes, other hosts and the
+    /// monitoring system.
     pub listen: Listen,
     /// Address of the platform's store, and the heartbeat interval of the servers' entries there.
     pub store: StoreSettings,
-    /// Bounds that the users set, such as those on stops, leases, configurations and retries.
+    /// Bounds that the operators set, such as those on stops, leases, configurations and retries.
     pub bounds: Bounds,
     /// Durations of the servers' leases, and of the leadership of the host that grants the leases.
     #[serde(default)]
@@ -52,7 +53,8 @@
     pub log_level: LevelFilter,
 }
 
-/// Addresses that a host listens on, one for each kind of client.
+/// Addresses that a host listens on for callers, readiness probes, other hosts and the monitoring
+/// system.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
--- a/src/entry/shared_rate.rs
+++ b/src/entry/shared_rate.rs
@@ -79,12 +79,14 @@
         self.notices().rate_limit.should_announce(now_ms)
     }
 
-    /// Returns the latest limit that the server advertised to any host; `None` before the first.
+    /// Returns the latest limit that the server advertised to any host; `None` if the server has
+    /// advertised no limit yet.
     pub fn latest(&self) -> Option<AdvertisedLimit> {
         self.notices().rate_limit.latest()
     }
 
-    /// Returns the latest limit that the server advertised to this host; `None` before the first.
+    /// Returns the latest limit that the server advertised to this host; `None` if the server has
+    /// advertised no limit to this host yet.
     pub fn own(&self) -> Option<AdvertisedLimit> {
         self.notices().rate_limit.own()
     }
--- a/src/entry/updates/evacuation.rs
+++ b/src/entry/updates/evacuation.rs
@@ -16,7 +16,8 @@
 }
 
 impl Evacuations {
-    /// Records that a zone was evacuated or restored, unless an equal or later version is known.
+    /// Records that a zone was evacuated or restored, unless the list already has the same or a
+    /// later version.
     pub fn change(&mut self, version: u64, zone: &str, evacuated: bool) {
         if version <= self.version {
             return;
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -1,6 +1,7 @@
 //! Tables of the store that a host follows by change feeds, and the wait and pause times of these
 //! feeds. A wait is the time for which a feed call waits at the store for changes; a pause is the
-//! time between two feed calls.
+//! time between two feed calls. Another host confirms the store by reporting that the store
+//! responds and which versions the tables have.
 
 use super::own_rows::TABLE;
 use crate::{
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -43,8 +43,8 @@
 }
 
 impl StoreStateReport {
-    /// Returns the report with the age increased by `excess_delay_ms`, the delay of the report in
-    /// the network beyond the usual delay.
+    /// Returns the report with the age increased by `excess_delay_ms`, the delay of the report
+    /// beyond the shortest delay of the leader's reports in the same term.
     pub fn aged_by(self, excess_delay_ms: u64) -> Self {
         let excess_delay_ms = u32::try_from(excess_delay_ms).unwrap_or(TOO_OLD_MS);
         Self {
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -51,7 +51,7 @@
     Healthy,
     /// Another host has reported a change that the feed did not deliver.
     Stalled,
-    /// The last call failed.
+    /// The last call of the feed failed.
     Failed,
 }
 
