--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -35,13 +35,13 @@
 pub struct Broadcast {
     /// False until the table of server entries has been read as a whole, and while it is being read
     /// again. Broadcast changes are ignored meanwhile, since the rows that are being read may be
-    /// older and would undo them.
+    /// older and would undo the broadcast changes.
     servers_read: AtomicBool,
     /// Pieces received so far of the latest configuration that the leader has broadcast.
     configuration: Mutex<PieceAssembly>,
-    /// Latest configuration as stored, for hosts that have missed it.
+    /// Latest configuration as stored, kept for hosts that have missed the configuration.
     latest: Mutex<Option<LatestConfiguration>>,
-    /// Latest changes of server entries, for hosts that have missed some.
+    /// Latest changes of server entries, kept for hosts that have missed some of the changes.
     recent: Mutex<RecentChanges>,
 }
 
@@ -91,8 +91,8 @@
         self.recent().reaches_back_to(version)
     }
 
-    /// Returns all changes of server entries after a version; `None` if this host does not know
-    /// them all.
+    /// Returns all changes of server entries after a version; `None` if this host does not know all
+    /// of them, or knows no later version.
     pub fn changes_after(&self, after: u64) -> Option<ServerChanges> {
         self.recent().after(after)
     }
@@ -119,9 +119,9 @@
     }
 
     /// Broadcasts the changes between the table that this host, the leader, knew and `rows`, the
-    /// whole table. The leader has read the whole table because the store had dropped the history
-    /// of its changes. Without the broadcast, each of the other hosts, for example 295, would read
-    /// the whole table as well.
+    /// whole table. The leader has read the whole table because the store no longer had the changes
+    /// that the leader had missed. Without the broadcast, each of the other hosts, for example 295,
+    /// would read the whole table as well.
     pub(super) fn broadcast_difference(&self, followed: FollowedTable, rows: &Rows) {
         let after = self.freshness.applied(followed);
         if after == 0 {
@@ -200,8 +200,9 @@
         })
     }
 
-    /// Applies the configuration and the evacuated zones in another host's response, unless this
-    /// host knows later ones.
+    /// Applies the configuration and the evacuated zones in another host's response. A
+    /// configuration or a list of zones is ignored if this host already knows the same or a later
+    /// version of it.
     pub(super) fn apply_known_configuration(&self, known: SnapshotConfiguration) {
         self.view.evacuate(known.evacuations);
         let applied = self.freshness.applied(FollowedTable::Configuration);
@@ -226,7 +227,8 @@
         }
     }
 
-    /// Applies changes of server entries, unless this host has missed changes before them.
+    /// Applies changes of server entries. Ignores all of them if this host lacks changes that were
+    /// made earlier.
     pub(super) fn apply_server_changes(&self, updates: ServerChanges) {
         let up_to = updates.up_to;
         let applied = self.freshness.applied(FollowedTable::Servers);
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -87,7 +87,7 @@
     pub store: Store,
     /// This host's copy of the configuration, the servers and the owners of keys.
     pub view: View,
-    /// Timeouts and intervals that are derived from the users' bounds.
+    /// Timeouts and intervals that are derived from the operators' bounds in the settings.
     pub limits: Timings,
     /// Age of this host's copy of the store's tables, known from the host's own calls to the store
     /// and from reports of other hosts.
@@ -128,16 +128,17 @@
     pub run_shares: RunShares,
     /// Counters, gauges and histograms that the metrics address serves.
     pub metrics: Metrics,
-    /// True once the store's row of this host names this process.
+    /// True once the host row of this host in the store states the incarnation of this process.
     registered: AtomicBool,
     /// True once a planned stop has begun.
     stopping: AtomicBool,
     /// Latest time at which the process exits in a planned stop, on the clock of this process;
     /// `u64::MAX` before a stop. The process exits earlier if no request is in flight any longer.
     stop_deadline_ms: AtomicU64,
-    /// Callers' requests that this host has not answered yet.
+    /// Number of callers' requests that this host has not answered yet.
     in_flight: AtomicU64,
-    /// Requests answered since the start; selects those that are logged.
+    /// Number of requests answered since the start, by which the answered requests to be logged are
+    /// selected (one in [`RESPONSE_SAMPLE`]).
     answered: AtomicU64,
 }
 
@@ -193,7 +194,7 @@
         WarmupLimit::new(warmup, self.sharing_hosts())
     }
 
-    /// Returns the number of hosts that share a server's capacity, this one included.
+    /// Returns the number of hosts that share a server's capacity, including this host.
     fn sharing_hosts(&self) -> usize {
         if self.view.are_hosts_known() {
             self.peers.hosts()
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -80,7 +80,8 @@
 /// Part of the rate limit of a service's cold servers that one host may use.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmupLimit {
-    /// Interval between the starts of a host's warm-up windows at one cold server.
+    /// Interval between the starts of a host's warm-up windows at one cold server. In each window
+    /// the host may send the server one request.
     window_every_ms: u64,
 }
 
@@ -428,8 +429,8 @@
         self.answered_ms.load(Ordering::Relaxed)
     }
 
-    /// Records an attempt that failed because the server shed it, its connection broke or it timed
-    /// out.
+    /// Records an attempt that failed because the server shed the request, the connection broke or
+    /// the attempt timed out.
     pub fn failed(&self) {
         self.attempt_stats().failed(clock::now_ms());
     }
@@ -468,7 +469,8 @@
     }
 }
 
-/// Guard of a request in flight at a server; the request is counted until the guard is dropped.
+/// Guard of a request in flight at a server; the request counts as in flight until the guard is
+/// dropped.
 #[derive(Debug)]
 pub struct InFlight {
     server: Arc<Server>,
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -35,11 +35,12 @@
     /// Memory that the host has, in megabytes of a million bytes.
     #[serde(default = "default_memory_mb")]
     pub memory_mb: u64,
-    /// Addresses that the host listens on, one for each kind of client.
+    /// Addresses that the host listens on for callers, readiness probes, other hosts and the
+    /// monitoring system.
     pub listen: Listen,
     /// Address of the platform's store, and the heartbeat interval of the servers' entries there.
     pub store: StoreSettings,
-    /// Bounds that the users set, such as those on stops, leases, configurations and retries.
+    /// Bounds that the operators set, such as those on stops, leases, configurations and retries.
     pub bounds: Bounds,
     /// Durations of the servers' leases, and of the leadership of the host that grants the leases.
     #[serde(default)]
@@ -52,13 +53,14 @@
     pub log_level: LevelFilter,
 }
 
-/// Addresses that a host listens on, one for each kind of client.
+/// Addresses that a host listens on for callers, readiness probes, other hosts and the monitoring
+/// system.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
     /// TCP address for callers' requests.
     pub callers: SocketAddr,
-    /// TCP address for the balancer's readiness probes.
+    /// TCP address for the load balancer's readiness probes.
     pub readiness: SocketAddr,
     /// UDP address for messages of other hosts. Joining hosts fetch snapshots over TCP at the same
     /// address and port.
@@ -129,12 +131,14 @@
         self.memory_mb * 1_000_000
     }
 
-    /// Returns the region of an availability zone; `None` if the settings name none.
+    /// Returns the region of an availability zone; `None` if the settings name no region for the
+    /// zone.
     pub fn region_of(&self, availability_zone: &str) -> Option<&str> {
         self.regions.get(availability_zone).map(String::as_str)
     }
 
-    /// Returns a message for each value that is invalid or contradicts another one.
+    /// Returns a message for each setting whose value is invalid or contradicts another setting;
+    /// empty if the settings are valid.
     pub fn problems(&self) -> Vec<String> {
         let leases = &self.leases;
         let checks = [
@@ -186,8 +190,8 @@
     }
 }
 
-/// Returns the memory of a host whose settings state none: that of the smallest known host, in
-/// megabytes.
+/// Returns the memory, in megabytes, of a host whose settings state none: the memory of the
+/// smallest known host.
 fn default_memory_mb() -> u64 {
     120
 }
