--- a/src/clock.rs
+++ b/src/clock.rs
@@ -17,8 +17,8 @@
 
 static START: LazyLock<Duration> = LazyLock::new(read_clock);
 
-/// Offset of all readings. The offset keeps results positive when a staleness or the length of a
-/// lease is subtracted from an early reading.
+/// Offset in milliseconds that is added to each reading of [`now_ms`]. The offset keeps results
+/// positive when a staleness or the length of a lease is subtracted from an early reading.
 const ORIGIN_MS: u64 = 1_000_000;
 
 /// Returns the monotonic time in milliseconds, counted from the first reading in this process plus
@@ -40,8 +40,9 @@
     unix_time().as_millis() as u64
 }
 
-/// Returns the wall time in microseconds since 1970. Load samples and the records of backend
-/// servers use this time, so that records of several processes on one machine can be compared.
+/// Returns the wall time in microseconds since 1970. The samples of the load generator and the
+/// records of backend servers use this time, so that records of several processes on one machine
+/// can be compared.
 pub fn unix_us() -> u64 {
     unix_time().as_micros() as u64
 }
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,4 +1,5 @@
-//! Typed identifiers: small `Copy` keys into the tables of [`crate::state::State`], and counters.
+//! Typed identifiers: indices into the tables of [`crate::state::State`], counters such as
+//! revisions and epochs, and random identifiers of processes and changes.
 
 use std::fmt;
 
@@ -85,8 +86,8 @@
 }
 
 impl Incarnation {
-    /// Returns a new random number of 53 bits, which makes equal numbers of two processes
-    /// improbable.
+    /// Returns a new random number of 53 bits, so that two processes are unlikely to have the same
+    /// number.
     pub fn random() -> Self {
         // Readers of JSON may represent numbers as doubles, which are exact up to 53 bits.
         Self(rand::rng().random::<u64>() >> 11)
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Exports metrics to a statsd receiver over UDP, so that some of the datagrams may be lost.
+//! Exports metrics to a statsd receiver. The metrics are sent as UDP datagrams, some of which may
+//! be lost.
 
 use std::net::{SocketAddr, UdpSocket};
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -10,8 +10,9 @@
 
 use crate::configuration::{self, template::read_document};
 
-/// Upper limit of [`Ownership::expiry_bound_ms`]: the time from a loss until keys must be served again,
-/// less the time for detection and for the new grant.
+/// Upper limit in milliseconds of [`Ownership::expiry_bound_ms`]. The limit is the time within
+/// which keys must be served again after the loss of their server, less the time for detecting the
+/// loss and for the new grant.
 const EXPIRY_BOUND_MS_MAX: u64 = 2_600;
 
 /// Reason why a settings file is unusable.
@@ -64,8 +65,8 @@
     /// Times of leases, heartbeats and failover, in milliseconds.
     #[serde(default)]
     pub ownership: Ownership,
-    /// Claims: records that keep unrepeatable requests (those that may run at most once) from
-    /// running twice.
+    /// Settings of claims. A claim is a record that keeps an unrepeatable request (a request that
+    /// may run at most once) from running twice.
     #[serde(default)]
     pub claims: ClaimSettings,
     /// Settings of the log that the process writes to standard error.
@@ -127,11 +128,12 @@
     pub private_key_file: PathBuf,
 }
 
-/// Connection to the platform's table service, object store and list of hosts.
+/// Connection to the platform, which supplies the table service, the object store and the list of
+/// hosts.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Address of the HTTP interface that all services of the platform share.
+    /// IP address and port of the HTTP interface that all services of the platform share.
     pub address: SocketAddr,
     /// Timeout of one call to the platform, in milliseconds.
     #[serde(default = "default_call_ms")]
@@ -197,7 +199,8 @@
         self.max_staleness_ms + self.lease_ttl_ms + self.margin_ms
     }
 
-    /// Returns a message for each value that is invalid or contradicts another value.
+    /// Returns a message for each setting of leases, heartbeats and failover that is invalid or
+    /// contradicts another setting.
     pub fn problems(&self) -> Vec<String> {
         let mut problems = Vec::new();
         let mut check = |is_valid: bool, message: &str| {
@@ -220,12 +223,12 @@
     }
 }
 
-/// Claims: records that keep unrepeatable requests (those that may run at most once) from running
-/// twice.
+/// Settings of claims. A claim is a record that keeps an unrepeatable request (a request that may
+/// run at most once) from running twice.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClaimSettings {
-    /// Age in milliseconds after which the record of a request may be removed. Once the record is
+    /// Age in milliseconds after which the claim row of a request may be removed. Once the row is
     /// removed, a duplicate of the request is no longer recognised.
     pub retention_ms: u64,
 }
@@ -283,8 +286,8 @@
 }
 
 impl Settings {
-    /// Reads a settings file and checks its values. The error lists all invalid values that were
-    /// found.
+    /// Reads a settings file and checks its values. If values are invalid, the error lists all
+    /// problems that were found.
     pub fn read(path: &Path) -> Result<Self, Error> {
         let bytes = std::fs::read(path).context(ReadSnafu { path })?;
         let settings: Self = read_document(&bytes).context(DocumentSnafu { path })?;
@@ -293,7 +296,8 @@
         Ok(settings)
     }
 
-    /// Returns a message for each value that is invalid or contradicts another value.
+    /// Returns a message for each value of the settings that is invalid or contradicts another
+    /// value.
     pub fn problems(&self) -> Vec<String> {
         let mut problems = self.ownership.problems();
         if self.name.is_empty() {
--- a/src/transport.rs
+++ b/src/transport.rs
@@ -24,7 +24,7 @@
 /// Body of a response, either complete in memory or streamed as it arrives.
 pub type ResponseBody = BoxBody<Bytes, hyper::Error>;
 
-/// Limits of one listener. They bound the memory and the time that clients can take up.
+/// Limits of one listener. The limits bound the memory and the time that clients can take up.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenerLimits {
     /// Maximum number of open connections. Further connections wait in the accept queue of the
@@ -54,13 +54,13 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum CallError {
-    /// The connection failed, so the request was never sent.
+    /// The connection could not be established, so the request was never sent.
     #[snafu(display("no connection to {address}"))]
     Connect {
         /// Host and port that were called.
         address: String,
     },
-    /// The connection failed after the request may have been sent.
+    /// The call failed after the request may have been sent.
     #[snafu(display(
         "the request to {address} may have been sent, but the call failed: {message}"
     ))]
@@ -135,8 +135,8 @@
             _ = stop.wait_for(|stopped| *stopped) => break,
         };
         let Ok((stream, caller)) = accepted else {
-            // `accept` usually fails because of a lack of file descriptors. The pause gives open
-            // connections time to close.
+            // `accept` usually fails because of a lack of file descriptors. The pause before the
+            // next attempt gives open connections time to close.
             time::sleep(Duration::from_millis(10)).await;
             continue;
         };
@@ -163,12 +163,12 @@
     let _ = time::timeout(drain, graceful.shutdown()).await;
 }
 
-/// Returns a header's value if the header is present and valid text.
+/// Returns the value of the header `name`, or `None` if the header is absent or not valid text.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Returns a header's value if the header is present and a number.
+/// Returns the value of the header `name`, or `None` if the header is absent or not a number.
 pub fn header_number(headers: &HeaderMap, name: &str) -> Option<u64> {
     header_text(headers, name)?.parse().ok()
 }
@@ -198,7 +198,8 @@
     }
 }
 
-/// Parses a request's JSON body of at most `body_bytes`; the error is a response with status 400.
+/// Parses the JSON body of a request. Returns a response with status 400 as the error if the body
+/// has more than `body_bytes` bytes, cannot be received or is not the expected JSON.
 pub async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
     body_bytes: usize,
@@ -221,7 +222,8 @@
 }
 
 impl JsonClient {
-    /// Creates a client whose calls end after at most `timeout_ms` milliseconds.
+    /// Creates a client whose calls fail with [`CallError::Timeout`] after `timeout_ms`
+    /// milliseconds.
     pub fn new(timeout_ms: u64) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
