--- a/src/bin/ashroad/check.rs
+++ b/src/bin/ashroad/check.rs
@@ -26,8 +26,8 @@
     problem: String,
 }
 
-/// Document that a file contains. Settings are checked while they are read, so that their values
-/// are not kept.
+/// Kind of document that a file contains. Settings are checked while the file is read, so the
+/// values of the settings are not kept.
 enum Document {
     Template(Template),
     Workspace(Workspace),
--- a/src/bin/ashroad/declaration.rs
+++ b/src/bin/ashroad/declaration.rs
@@ -1,4 +1,5 @@
 //! Subcommands `ashroad template` and `ashroad workspace`: submit, withdraw and show declarations.
+//! A declaration is the YAML document of a template or of a workspace.
 
 use std::{fs, path::Path, time::Duration};
 
@@ -135,9 +136,9 @@
     Ok(())
 }
 
-/// Waits until the status shows the revision, or a later one, for every registered host. Fails
-/// after `wait_ms` milliseconds. A host whose revision the responding host does not know counts as
-/// behind.
+/// Waits until the status that the called host returns shows the revision, or a later one, for
+/// every registered host. Fails after `wait_ms` milliseconds. A host whose revision the called host
+/// does not know counts as behind.
 async fn wait(client: &OperatorClient, revision: u64, wait_ms: u64) -> Result<()> {
     let deadline_ms = clock::now_ms() + wait_ms;
     while clock::now_ms() < deadline_ms {
--- a/src/bin/ashroad/error.rs
+++ b/src/bin/ashroad/error.rs
@@ -17,7 +17,8 @@
 /// Exit code if the demonstration violated an invariant.
 const INVARIANT_VIOLATED: u8 = 6;
 
-/// Reason why a command failed. It is printed to standard error and determines the exit code.
+/// Reason why a command failed. The reason is printed to standard error and determines the exit
+/// code.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
@@ -35,7 +36,7 @@
         /// Cause, as reported by the operating system.
         source: std::io::Error,
     },
-    /// The settings of a host cannot be read or are invalid.
+    /// The settings of an entry host cannot be read or are invalid.
     #[snafu(display("{source}"))]
     Settings {
         /// Cause: the file cannot be read, or its values are invalid.
@@ -46,7 +47,7 @@
     Problems {
         /// Number of problems in all files.
         count: usize,
-        /// Number of files checked, valid ones included.
+        /// Number of files that were checked, including files without problems.
         files: usize,
     },
     /// The size or encoding of a declaration is invalid.
@@ -64,22 +65,22 @@
         /// generator.
         source: peer::Error,
     },
-    /// The entry host cannot start or failed.
+    /// An entry host on the users' platform (`ashroad entry`) cannot start or has failed.
     #[snafu(display("{source}"))]
     Entry {
         /// Reason why the entry host failed.
         source: entry::Error,
     },
-    /// An entry host cannot start.
+    /// An entry host of `ashroad serve` cannot start.
     #[snafu(display("{source}"))]
     Host {
         /// Reason why the host cannot start.
         source: host::Error,
     },
-    /// A task of the entry host panicked.
+    /// A task of the entry host of `ashroad serve` panicked.
     #[snafu(display("the host stopped after an internal failure; see its log"))]
     HostFailed,
-    /// A stand-in cannot start.
+    /// A stand-in (test double) of the platform or of a backend server cannot start.
     #[snafu(display("the stand-in cannot listen: {source}"))]
     Standin {
         /// Cause, as reported by the operating system.
@@ -91,7 +92,7 @@
         /// Failure of the HTTP call.
         source: CallError,
     },
-    /// The demonstration could not run.
+    /// The demonstration could not run to its end.
     #[snafu(display("{source}"))]
     Demo {
         /// Failure that ended the demonstration.
@@ -108,17 +109,18 @@
         /// Name given on the command line.
         name: String,
     },
-    /// A change was accepted but was not in force on every host in time.
+    /// A change was accepted but was not in force on every registered host within the time that the
+    /// command waited.
     #[snafu(display("revision {revision} is not in force on every host within {wait_ms} ms"))]
     NotInForce {
         /// Revision at which the change was committed.
         revision: u64,
-        /// Time in milliseconds that the command waited.
+        /// Time in milliseconds that the command waited for the revision to be in force.
         wait_ms: u64,
     },
 }
 
-/// Result of a command. In case of an error, the error determines the exit code of the process.
+/// Result of a command. An error determines the exit code of the process.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
--- a/src/bin/ashroad/explain.rs
+++ b/src/bin/ashroad/explain.rs
@@ -9,8 +9,8 @@
     output,
 };
 
-/// Prints the timeline of one request. An empty timeline is not an error: hosts log only a sample
-/// of the requests that they serve without incident.
+/// Prints the timeline of one request. An empty timeline is not an error, because hosts log only a
+/// sample of the requests that are served without incident.
 pub fn run(args: &ExplainArgs, json: bool) -> Result<()> {
     let logs = logs::read(&args.logs)?;
     let sources: Vec<Source<'_>> = logs.iter().map(Log::source).collect();
--- a/src/bin/ashroad/load.rs
+++ b/src/bin/ashroad/load.rs
@@ -15,8 +15,8 @@
     ratio_p99: Option<f64>,
 }
 
-/// Runs the load through the entry hosts, preceded by a run directly against the servers if their
-/// addresses are given.
+/// Runs the load through the entry hosts. If addresses of servers are given, first runs the same
+/// load directly against the servers.
 pub async fn run(args: LoadArgs, json: bool) -> Result<()> {
     let through = LoadConfig {
         addresses: args.to,
--- a/src/bin/ashroad/logs.rs
+++ b/src/bin/ashroad/logs.rs
@@ -7,7 +7,7 @@
 
 use crate::error::{ReadSnafu, Result};
 
-/// Content of a log file. Its name is the path of the file.
+/// Content of one log file, with the path of the file as the name of the log.
 #[derive(Debug)]
 pub struct Log {
     name: String,
--- a/src/bin/ashroad/standin.rs
+++ b/src/bin/ashroad/standin.rs
@@ -1,4 +1,5 @@
-//! Subcommand `ashroad standin`: runs a stand-in of the platform or of a backend server.
+//! Subcommand `ashroad standin`: runs a stand-in (a test double) of the platform or of a backend
+//! server.
 
 use std::net::SocketAddr;
 
