--- a/src/configuration/error.rs
+++ b/src/configuration/error.rs
@@ -1,5 +1,5 @@
 //! Errors in templates and workspaces. Each message contains all that the operator who wrote the
-//! file needs to correct it.
+//! document needs to correct the error.
 
 use snafu::Snafu;
 
--- a/src/configuration/expand.rs
+++ b/src/configuration/expand.rs
@@ -31,8 +31,9 @@
     pub queue_requests: u64,
     /// Time in milliseconds that a request may take if its caller sets no deadline.
     pub deadline_ms: u64,
-    /// True if the servers check the sender of orders. Always true, because a template with
-    /// `checks_orders: false` is rejected.
+    /// True if the servers check the sender and the age of orders, i.e. of requests by which a host
+    /// makes a server renew its lease, hold keys or release keys. Always true, because a template
+    /// with `checks_orders: false` is rejected.
     pub checks_orders: bool,
     /// Rules for requests that must run at most once.
     pub unrepeatable: Vec<UnrepeatableRule>,
@@ -40,7 +41,7 @@
     pub weights: Weights,
 }
 
-/// Expands every service of a workspace, or returns all errors found.
+/// Expands every service of a workspace. Fails with all errors that were found.
 pub fn expand(
     template: &Template,
     workspace: &Workspace,
--- a/src/configuration/template.rs
+++ b/src/configuration/template.rs
@@ -121,8 +121,9 @@
     /// Time in milliseconds that a request may take if its caller sets no deadline.
     #[serde(default = "default_deadline")]
     pub deadline_ms: Number,
-    /// False if the servers accept orders of any sender and any age. A template with the value
-    /// false is rejected, because such servers are not supported.
+    /// False if the servers accept orders (requests by which a host makes a server renew its lease,
+    /// hold keys or release keys) of any sender and any age. A template with the value false is
+    /// rejected, because such servers are not supported.
     #[serde(default = "yes")]
     pub checks_orders: bool,
     /// Rules for requests that must run at most once.
@@ -214,7 +215,7 @@
 }
 
 impl Template {
-    /// Parses and checks a template. Returns the first error.
+    /// Parses and checks a template. If there are several errors, returns only the first.
     pub fn read(bytes: &[u8]) -> Result<Self> {
         let template: Self = read_document(bytes)?;
         match template.problems().into_iter().next() {
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -27,7 +27,8 @@
     state::{self, Change, Document, LogEntry, ServerEntry, State},
 };
 
-/// Number of bytes that a request body may have for the JSON fields around the document.
+/// Number of bytes by which a request body may exceed twice the maximum size of a document, for the
+/// JSON fields around the document.
 const BODY_EXTRA_BYTES: usize = 512 * 1024;
 
 /// Context that dropshot passes to every endpoint: the host that serves the API, and the operators'
@@ -208,7 +209,7 @@
     statuses
 }
 
-/// Returns the name of an enum variant in lower case, as the API shows it.
+/// Returns the name of an enum variant in lower case, as the responses of the API contain the name.
 fn lowercase_name(state: &impl std::fmt::Debug) -> String {
     format!("{state:?}").to_lowercase()
 }
@@ -458,8 +459,8 @@
         self.log.tail(after).await
     }
 
-    /// Describes the change that was committed at `revision`, for an operator whose own change
-    /// conflicts with that change.
+    /// Describes the change that was committed at `revision`, for the error message to an operator
+    /// whose own change conflicts with the committed change.
     async fn other_change(&self, revision: Revision) -> String {
         let before = Revision(revision.0.saturating_sub(1));
         let entries = self.log.tail(before).await.unwrap_or_default();
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -9,8 +9,8 @@
 };
 use crate::transport::{CallError, JsonClient};
 
-/// Timeout of one call in milliseconds. The timeout exceeds the time that the host spends on
-/// finding out whether a change took effect, so that the operator gets the result.
+/// Timeout of one call to a host in milliseconds. The timeout exceeds the time that the host spends
+/// on finding out whether a change took effect, so that the operator gets the result.
 const TIMEOUT_MS: u64 = 15_000;
 
 /// Kind of a declaration; each kind has its own paths in the API.
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -1,4 +1,4 @@
-//! Request and response bodies of the operators' API.
+//! Request and response bodies of the operators' API, and the parameters of its queries.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -99,14 +99,15 @@
     pub revision: u64,
     /// Revision of the last change of any template or workspace.
     pub configuration: u64,
-    /// True if the staleness of the host's view is within the maximum, so that the host may act on
-    /// the view.
+    /// True if the staleness of the responding host's view is within the maximum, so that the
+    /// responding host may act on its view.
     pub fresh: bool,
-    /// Staleness of the host's view in milliseconds: the time since the latest time for which the
-    /// host knows that it had applied every change; `None` while there is no such time.
+    /// Staleness of the responding host's view in milliseconds: the time since the latest time for
+    /// which the responding host knows that it had applied every change; `None` while there is no
+    /// such time.
     #[serde(rename = "basis_age_ms")]
     pub staleness_ms: Option<u64>,
-    /// True if the host believes that it is the leader.
+    /// True if the responding host believes that it is the leader.
     pub leading: bool,
     /// Term of the leader row as the responding host last read or wrote it; 0 before the first
     /// read.
@@ -131,15 +132,16 @@
     pub availability_zone: String,
     /// Stage of the life cycle of the host: `joining`, `live` or `leaving`.
     pub state: String,
-    /// Revision that the host of this entry last reported. `None` if the responding host has
-    /// received no report from this host.
+    /// Revision that the host of this entry last reported to the responding host. `None` if the
+    /// responding host has received no report from the host of this entry.
     pub revision: Option<u64>,
     /// Time in milliseconds since the responding host sent the first heartbeat to which the host of
     /// this entry replied with `revision`. If the entry is about the responding host, the time
-    /// since the responding host applied `revision`.
+    /// since the responding host applied `revision`. `None` if there is no such time.
     pub since_ms: Option<u64>,
     /// Time in milliseconds since the responding host sent the last heartbeat to which the host of
-    /// this entry replied. 0 if the entry is about the responding host.
+    /// this entry replied; `None` if the host of this entry has never replied. 0 if the entry is
+    /// about the responding host.
     pub heard_ms: Option<u64>,
 }
 
