--- a/src/bench/control.rs
+++ b/src/bench/control.rs
@@ -1,5 +1,6 @@
-//! Measures the cost per host of the coordination between hosts, by the number of hosts. Entry
-//! hosts, a platform stand-in and backend servers run in this process, without callers.
+//! Measures the cost per host of the coordination between hosts, for different numbers of hosts.
+//! Entry hosts and stand-ins (test doubles) of the platform and of backend servers run in this
+//! process. No caller sends requests.
 
 use std::time::Duration;
 
@@ -12,8 +13,8 @@
     standin::platform::Counters,
 };
 
-/// Time in milliseconds per host that is added to [`SETTLE_MS`], so that all hosts have registered
-/// before the measurement.
+/// Additional time in milliseconds per host for which the hosts run before the measurement, so that
+/// all hosts have registered. The time is added to [`SETTLE_MS`].
 const SETTLE_MS_PER_HOST: u64 = 60;
 /// Time in milliseconds for which the hosts run before the measurement, so that their registration
 /// is complete. [`SETTLE_MS_PER_HOST`] is added for each host.
@@ -28,16 +29,18 @@
     pub hosts: usize,
     /// Number of hosts that were quorum members (counted in majorities) during the measurement.
     pub counted: usize,
-    /// Bytes that one host sends per second, including its share of the stand-ins' traffic.
+    /// Bytes that one host sends per second over the loopback interface, including its share of the
+    /// traffic of the stand-ins.
     pub sent_bytes_per_s: f64,
-    /// Share of one processor core that one host uses, including its share of the stand-ins' work.
+    /// Share of one processor core that one host uses, including its share of the work of the
+    /// stand-ins.
     pub core_share: f64,
     /// Increase of the resident memory of the process in bytes, divided by the number of hosts. The
     /// memory of the stand-ins is included.
     pub resident_bytes: f64,
-    /// Reads of the platform's table service per second, over all hosts.
+    /// Number of reads of the platform's table service per second, by all hosts together.
     pub reads_per_s: f64,
-    /// Transactions of the platform's table service per second, over all hosts.
+    /// Number of transactions of the platform's table service per second, by all hosts together.
     pub transactions_per_s: f64,
 }
 
@@ -72,7 +75,7 @@
 }
 
 /// Values of the measured counters at one time. The difference between two snapshots is the
-/// increase during the measurement.
+/// increase of the counters during the measurement.
 struct CounterSnapshot {
     cpu_ms: u64,
     sent_bytes: u64,
--- a/src/bench/planner.rs
+++ b/src/bench/planner.rs
@@ -21,7 +21,7 @@
     (1_000_000, 4_000),
 ];
 const SEED: u64 = 3;
-/// Maximum number of servers that the generated template allows in a workspace.
+/// Maximum number of servers that a workspace of the generated template may list.
 const TARGETS_PER_DOCUMENT: u32 = 4_000;
 
 /// Times and memory of the planner and the state, measured with one pair of a number of slots and a
@@ -32,17 +32,19 @@
     pub slots: u32,
     /// Number of servers over which the slots are placed.
     pub servers: u32,
-    /// Time in milliseconds to place all slots for the first time.
+    /// Time in milliseconds that the planner takes to place all slots for the first time.
     pub place_ms: f64,
-    /// Time in milliseconds to plan the moves after the loss of one server that owned slots.
+    /// Time in milliseconds that the planner takes to plan the moves after the loss of one server
+    /// that owned slots.
     pub loss_ms: f64,
-    /// Time in milliseconds to plan when every slot has an owner and no server was lost.
+    /// Time in milliseconds that the planner takes when every slot has an owner and no server was
+    /// lost.
     pub idle_ms: f64,
     /// Memory in bytes of the state, divided by the number of slots.
     pub state_bytes_per_slot: f64,
     /// Size in bytes of the encoded snapshot, divided by the number of slots.
     pub snapshot_bytes_per_slot: f64,
-    /// Time in milliseconds to apply the completion of one slot's move to the state.
+    /// Time in milliseconds that the state takes to apply the completion of one slot's move.
     pub apply_ms: f64,
 }
 
@@ -84,8 +86,8 @@
     }
 }
 
-/// Plans the moves of the slots and applies them to the owners in `slots`. Returns the time that the
-/// planner took, in milliseconds.
+/// Plans the moves of the slots and applies them to the owners in `slots`. Returns the time in
+/// milliseconds that the planner took.
 fn timed_plan(servers: &[PlannerServer], slots: &mut [PlannerSlot]) -> f64 {
     let input = PlannerInput {
         servers,
--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -1,4 +1,4 @@
-//! Compares the planner with other placement policies on the same generated days.
+//! Compares the planner with other policies for the placement of slots on the same generated days.
 
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -66,13 +66,13 @@
     /// Mean over the day of the imbalance, which is the highest load of a server divided by the
     /// mean load.
     pub imbalance_mean: f64,
-    /// Share of the minutes of the day in which the highest load was more than 1.25 times the mean
-    /// load.
+    /// Share of the minutes of the day in which the highest load of a server was more than 1.25
+    /// times the mean load.
     pub imbalanced_share: f64,
-    /// Share of all keys that the policy moved per hour, on average over the day.
+    /// Share of all slots that the policy moved per hour, on average over the day.
     pub churn_per_h: f64,
-    /// Number of keys moved, divided by the number of keys whose owner became unavailable and which
-    /// had to move. `None` if no key had to move.
+    /// Number of moves of slots, divided by the number of slots that had to move because their
+    /// owner became unavailable. `None` if no slot had to move.
     pub churn_ratio: Option<f64>,
     /// Seconds in which a key could not be served, summed over the day, per 1,000 keys.
     pub unavailable_s: f64,
@@ -93,7 +93,7 @@
     let mut owners: Vec<Option<u32>> = vec![None; SLOTS];
     let (mut moved, mut forced_moves, mut lost) = (0_usize, 0_usize, 0_usize);
     let (mut sum, mut imbalanced_minutes) = (0.0, 0_usize);
-    // Uses the same smoothing as hosts do for their load readings.
+    // The benchmark smooths observed loads as hosts smooth their load readings.
     let mut smoothed_loads: Vec<f64> = (0..SLOTS).map(|slot| day.observed(0, slot)).collect();
     for minute in 0..MINUTES {
         let servers = servers(day, minute);
@@ -188,9 +188,9 @@
     }
 }
 
-/// Places slots by consistent hashing with bounded loads. Each slot goes to the first server in the
-/// hash order of the slot whose load stays within the bound, or to the first server of the order if
-/// no server has room.
+/// Places slots by consistent hashing with bounded loads. Each slot has its own hash order of the
+/// servers. The slot goes to the first server of this order whose load stays within the bound, or
+/// to the first server of the order if no server has room.
 fn place_bounded(smoothed_loads: &[f64], up: &[u32], owners: &mut [Option<u32>]) {
     let total: f64 = smoothed_loads.iter().sum();
     let load_max = total / up.len() as f64 * LOAD_BOUND;
--- a/src/bench/process.rs
+++ b/src/bench/process.rs
@@ -4,7 +4,8 @@
 
 /// Number of clock ticks per second, in which Linux reports processor times.
 const TICKS_PER_S: u64 = 100;
-/// Number of fields of `/proc/self/stat` between the process name and the user time, to be skipped.
+/// Number of fields of `/proc/self/stat` between the process name and the user time. These fields
+/// are skipped.
 const FIELDS_BEFORE_USER_TIME: usize = 11;
 /// Name of the loopback interface in `/proc/net/dev`.
 const LOOPBACK: &str = "lo:";
@@ -13,7 +14,7 @@
 /// in milliseconds.
 pub fn cpu_ms() -> u64 {
     let text = fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    // The process name in parentheses may contain spaces, so fields are counted after it.
+    // The process name in parentheses may contain spaces, so the fields after the name are counted.
     let fields = text.rsplit(')').next().unwrap_or_default();
     let mut fields = fields.split_whitespace().skip(FIELDS_BEFORE_USER_TIME);
     let mut ticks = || {
@@ -39,7 +40,8 @@
     let line = text
         .lines()
         .find(|line| line.trim_start().starts_with(LOOPBACK));
-    // Every byte sent over loopback is also received, so the first column counts the sent bytes.
+    // Every byte sent over loopback is also received over loopback, so the first column (received
+    // bytes) equals the number of sent bytes.
     let received = line.and_then(|line| line.split_whitespace().nth(1));
     received.and_then(|bytes| bytes.parse().ok()).unwrap_or(0)
 }
--- a/src/demo/error.rs
+++ b/src/demo/error.rs
@@ -16,7 +16,7 @@
         /// Cause, as reported by the operating system.
         source: std::io::Error,
     },
-    /// A stand-in of the platform or of a server cannot start.
+    /// A stand-in (test double) of the platform or of a backend server cannot start.
     #[snafu(display("a stand-in cannot start: {source}"))]
     Standin {
         /// Cause, as reported by the operating system.
@@ -45,7 +45,8 @@
     Timeout {
         /// Condition that did not become true, worded for the user.
         what: &'static str,
-        /// Timeout of the wait in milliseconds.
+        /// Time in milliseconds for which the demonstration waited for the condition before it gave
+        /// up.
         timeout_ms: u64,
     },
 }
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -1,6 +1,7 @@
-//! Demonstration in one process: a platform stand-in, backend servers, three entry hosts and both
-//! example templates under a mixed load. During the load a server is lost, a range of keys is moved
-//! and a host makes a planned stop.
+//! Demonstration in one process. Stand-ins (test doubles) of the platform and of backend servers
+//! run together with three entry hosts and both example templates under a mixed load. During the
+//! load one server is lost, another server is withdrawn so that its keys move, and a host makes a
+//! planned stop.
 
 mod error;
 mod system;
@@ -21,7 +22,8 @@
 
 /// Number of entry hosts of the demonstration.
 const HOSTS: usize = 3;
-/// Duration in milliseconds of each of the two baseline measurements.
+/// Duration in milliseconds of each of the two baseline measurements, one directly at the servers
+/// and one through the hosts.
 const BASELINE_MS: u64 = 2_000;
 /// Time in milliseconds after the start of the mixed load at which a server freezes.
 const LOSS_AT_MS: u64 = 4_000;
@@ -34,7 +36,7 @@
 const RUN_MS: u64 = 18_000;
 /// Requests per second of every load of the demonstration.
 const RATE_PER_S: u64 = 900;
-/// Number of distinct keys per service.
+/// Number of distinct keys per service that the load generator requests.
 const KEYS: u64 = 2_000;
 /// Seed of the random choices of the load generator.
 const SEED: u64 = 11;
@@ -67,8 +69,8 @@
     ))
 }
 
-/// Measures the latency of the same load twice, first sent directly to the servers and then through
-/// the hosts.
+/// Measures the latencies of the same load twice: first with requests sent directly to the servers,
+/// and then with requests sent through the hosts.
 async fn measure_baseline(system: &System, report_event: &impl Fn(&str)) -> Baseline {
     let through = LoadConfig {
         unrepeatable_share: 0.0,
@@ -131,9 +133,9 @@
     })
 }
 
-/// Returns true if no disturbance can have affected the request of a sample. A request is disturbed
-/// if the lost server owned its key, or if the request was sent to the stopped host and had not
-/// ended when the planned stop of this host began.
+/// Returns true if no disturbance can have affected the request of a sample. A request may have
+/// been affected if the lost server owned the requested key, or if the request was sent to the
+/// stopped host and had not ended when the planned stop of that host began.
 pub(crate) fn undisturbed(sample: &Sample, disturbances: &Disturbances) -> bool {
     let after_stop = disturbances.stopped.address == sample.address
         && sample.intended_us + sample.latency_us >= disturbances.stopped.at_us;
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -38,7 +38,8 @@
 const SERVERS: usize = 12;
 /// Availability zones, to which hosts and servers are assigned in turn.
 const ZONES: [&str; 3] = ["bern-ost", "solothurn", "aarau"];
-/// Timeout in milliseconds within which all slots must get an owner.
+/// Timeout in milliseconds within which every slot must get an owner after the declarations have
+/// been submitted.
 const SETTLE_TIMEOUT_MS: u64 = 15_000;
 /// Timeout in milliseconds of a submission with its retries, and of each call to a stand-in.
 const SUBMIT_TIMEOUT_MS: u64 = 10_000;
@@ -228,8 +229,8 @@
         }
     }
 
-    /// Returns the keys that the server that will be lost owns, among the keys with numbers from 0
-    /// to `keys` of each service.
+    /// Returns the keys that the server that will be lost owns. Of each service, only the keys with
+    /// the numbers from 0 to `keys` are considered, both ends included.
     pub(crate) fn keys_of_lost_server(&self, keys: u64) -> Vec<LostKey> {
         let state = self.hosts[0].host.view.state();
         let lost = state.server_key(self.servers[LOST_SERVER].address);
@@ -273,26 +274,26 @@
         Ok(())
     }
 
-    /// Submits a workspace again without one of its servers. The slots of this server then move to
-    /// the other servers.
+    /// Submits a workspace again without one of its servers. The slots of the omitted server then
+    /// move to the other servers.
     pub(crate) async fn withdraw_target(&self) -> Result<(), Error> {
         let document = self.workspace("mittelland", Some(LEAVING_SERVER));
         self.submit(DeclarationKind::Workspace, document).await
     }
 
-    /// Carries out a planned stop of one host. Returns the address of the host and the time at
-    /// which the stop began.
+    /// Carries out the planned stop of one host. Returns the address of the stopped host and the
+    /// time at which its planned stop began.
     pub(crate) async fn stop_host(&mut self) -> Stopped {
         let host = self.hosts.remove(STOPPED_HOST);
         let address = host.callers;
-        // From this time on the host reports to the load balancer that it is not ready, and may
+        // From `at_us` on the host reports to the load balancer that it is not ready, and may
         // refuse requests that arrive.
         let at_us = clock::unix_us();
         host.stop().await;
         Stopped { address, at_us }
     }
 
-    /// Returns the number of hosts that are quorum members, that is, that count in majorities.
+    /// Returns the number of quorum members, i.e. of the hosts of which a majority must agree.
     pub(crate) fn quorum_size(&self) -> usize {
         let state = self.hosts[0].host.view.state();
         let quorum_members = state
@@ -301,15 +302,15 @@
         quorum_members.count()
     }
 
-    /// Returns the number of calls by type that the platform has received.
+    /// Returns the number of calls that the platform stand-in has received, by type of call.
     pub(crate) async fn platform_counters(&self) -> platform::Counters {
         let client = JsonClient::new(SUBMIT_TIMEOUT_MS);
         let counters = client.get(self.platform.address, platform::COUNTERS_PATH);
         counters.await.unwrap_or_default()
     }
 
-    /// Returns the records that the servers keep of their grants and runs. Servers that cannot be
-    /// reached are left out.
+    /// Returns the records of grants and runs that the servers keep. The records of servers that
+    /// cannot be reached are left out.
     pub(crate) async fn records(&self) -> Vec<Record> {
         let client = JsonClient::new(SUBMIT_TIMEOUT_MS);
         let mut records = Vec::new();
--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -47,7 +47,7 @@
 pub struct Summary {
     /// Number of requests sent during the run, duplicates included.
     pub requests: u64,
-    /// Number of requests that got a complete response which belonged to the request.
+    /// Number of requests that got a complete response to the request itself.
     pub answered: u64,
     /// Number of requests that did not run: the response said so, or no connection could be
     /// established.
@@ -58,7 +58,7 @@
     /// Number of requests that got the response to another request, or an error without a stated
     /// outcome.
     pub wrong_answers: u64,
-    /// Pairs of time spans in which two servers owned the same slot.
+    /// Number of pairs of overlapping time spans in which two servers owned the same slot.
     pub double_owned: u64,
     /// Number of unrepeatable requests that ran more than once.
     pub double_run: u64,
@@ -71,16 +71,17 @@
     /// 99th percentile, in milliseconds, of the time until the keys of the lost server were served
     /// again.
     pub unavailable_ms_p99: u64,
-    /// Median latency through the hosts minus the median latency directly at the servers, in
-    /// microseconds.
+    /// Median latency of the requests sent through the hosts minus the median latency of the
+    /// requests sent directly to the servers, in microseconds.
     pub added_latency_us_p50: i64,
-    /// 99th percentile of the latency through the hosts minus the 99th percentile directly at the
-    /// servers, in microseconds.
+    /// 99th percentile of the latency of the requests sent through the hosts minus the 99th
+    /// percentile of the latency of the requests sent directly to the servers, in microseconds.
     pub added_latency_us_p99: i64,
 }
 
 impl Summary {
-    /// Returns true if no invariant was violated.
+    /// Returns true if the run violated no invariant: no wrong response, no slot with two owners,
+    /// no request that ran twice, and no request that ran although every response denied the run.
     pub fn invariants_hold(&self) -> bool {
         let broken = self.wrong_answers + self.double_owned + self.double_run + self.false_not_run;
         broken == 0
@@ -148,8 +149,8 @@
     answered as f64 / counted_samples().count().max(1) as f64
 }
 
-/// Returns the percentiles of the time for which the keys of the lost server were unavailable: for
-/// each key, the latency of the first request after the loss of the server.
+/// Returns the percentiles of the time for which the keys of the lost server were unavailable. The
+/// time for each key is the latency of the first request for the key after the loss of the server.
 fn unavailability(samples: &[Sample], disturbances: &Disturbances) -> LatencyReport {
     let first_latencies_us = disturbances.lost_keys.iter().filter_map(|lost| {
         let of_key = samples.iter().filter(|sample| {
--- a/src/load/caller.rs
+++ b/src/load/caller.rs
@@ -19,8 +19,8 @@
     transport::header_text,
 };
 
-/// Time in milliseconds after the deadline of a request for which the caller still waits for the
-/// response.
+/// Time in milliseconds for which the caller still waits for a response after the deadline of the
+/// request has passed.
 const RESPONSE_GRACE_MS: u64 = 1_000;
 
 /// Outcome of a request as its caller saw it.
@@ -36,8 +36,8 @@
     Wrong,
 }
 
-/// HTTP client with pooled connections that sends all requests of a load run and classifies the
-/// responses.
+/// HTTP client with pooled connections. The caller sends all requests of a load run and classifies
+/// the responses.
 #[derive(Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -29,14 +29,15 @@
     pub services: Vec<String>,
     /// Requests per second, over all addresses.
     pub rate_per_s: u64,
-    /// Time in milliseconds during which requests are sent; the last responses may arrive later.
+    /// Time in milliseconds during which the generator sends requests; the last responses may
+    /// arrive later.
     pub duration_ms: u64,
     /// Number of distinct keys per service.
     pub keys: u64,
     /// Exponent of the Zipf distribution of the keys; 0 for a uniform distribution.
     pub zipf_exponent: f64,
-    /// Share of unrepeatable requests, which run at most once (POST with an idempotency key); from 0
-    /// to 1.
+    /// Share of unrepeatable requests, which run at most once (POST with an idempotency key); from
+    /// 0 to 1.
     pub unrepeatable_share: f64,
     /// Share of the unrepeatable requests that are sent twice, to two addresses; from 0 to 1.
     pub duplicate_share: f64,
@@ -58,8 +59,8 @@
     pub(crate) intended_us: u64,
 }
 
-/// Generator of the requests of a load run. Services, keys and kinds of requests come from a seeded
-/// random number generator; the idempotency keys differ in each run.
+/// Generator of the requests of a load run. The generator picks services, keys and kinds of
+/// requests with a seeded random number generator; the idempotency keys differ in each run.
 struct RequestGenerator {
     config: LoadConfig,
     run: String,
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Returns the next request, followed by its duplicate to the next address if the request is
-    /// sent twice.
+    /// Returns the next request. If the request is to be sent twice, its duplicate, which goes to
+    /// the next address, follows.
     fn next(&mut self, intended_us: u64) -> Vec<PlannedRequest> {
         self.number += 1;
         let number = self.number;
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -8,7 +8,7 @@
 use super::RequestOutcome;
 
 /// Maximum latency in microseconds that the histogram records. A longer latency is recorded as this
-/// value.
+/// maximum.
 const LATENCY_US_MAX: u64 = 600_000_000;
 /// Precision of the recorded latencies, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
@@ -46,7 +46,8 @@
     pub max_us: u64,
 }
 
-/// Numbers of requests of a load run by outcome, and the latency of the answered ones.
+/// Numbers of requests of a load run by outcome, and the latency percentiles of the answered
+/// requests.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct LoadReport {
     /// Number of requests sent, duplicates included.
