--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -1,6 +1,6 @@
 //! Writes claims (records of requests that must run at most once) in batches. One transaction
-//! covers all operations that arrived while earlier ones were in flight, because the table service
-//! accepts only several hundred writes a second.
+//! covers all operations on claims that arrived while earlier transactions were in flight, because
+//! the table service accepts only several hundred writes a second.
 
 use std::{
     collections::HashSet,
@@ -31,15 +31,16 @@
 
 /// Maximum number of operations in one transaction, which bounds the size of the transaction.
 const BATCH_OPERATIONS_MAX: usize = 256;
-/// Maximum number of transactions in flight; operations that arrive meanwhile form the next batch.
+/// Maximum number of transactions in flight. Operations that arrive while this number is reached
+/// form the next batch.
 const TRANSACTIONS_IN_FLIGHT_MAX: usize = 2;
-/// Minimum time for which the writer collects further operations before it writes a batch that is
-/// not full.
+/// Minimum time in milliseconds for which the writer collects further operations before it writes a
+/// batch that is not full.
 const BATCH_DELAY_MS: u64 = 2;
-/// Delay before a failed read or transaction of the table service is retried.
+/// Delay in milliseconds before a failed read or transaction of the table service is retried.
 const RETRY_MS: u64 = 25;
-/// Time after the deadline of a request during which the writer still tries to record how the claim
-/// of the request ended; the operation is dropped afterwards.
+/// Time in milliseconds after the deadline of a request during which the writer still tries to
+/// record how the claim of the request ended; the operation is dropped afterwards.
 const END_TIMEOUT_MS: u64 = 10_000;
 
 /// Operation on the row of one claim, queued for the writer.
@@ -53,7 +54,7 @@
         claim_deadline_ms: u64,
         reply: oneshot::Sender<ClaimResult>,
     },
-    /// Records how a claim ended, in the row that the claim wrote.
+    /// Records how a claim ended, in the row that was created or taken over for the claim.
     End {
         key: String,
         version: u64,
@@ -61,8 +62,8 @@
     },
 }
 
-/// Collects operations from the queue into batches and writes each batch in a task of its own,
-/// until the queue closes.
+/// Collects operations from the queue into batches until the queue is closed. Each batch is written
+/// in a task of its own.
 pub(super) async fn run(
     platform: Platform,
     mut queue: mpsc::Receiver<Operation>,
@@ -79,8 +80,8 @@
         if queue.recv_many(&mut batch, BATCH_OPERATIONS_MAX).await == 0 {
             return;
         }
-        // A single claim is written almost at once; under load, batches grow until the interval
-        // between transactions has passed.
+        // If the interval since the last batch has already passed, a claim is written after
+        // [`BATCH_DELAY_MS`]. Under load, batches grow until the interval has passed.
         let due_ms = last_ms + transaction_interval_ms.load(Ordering::Relaxed);
         let wait_ms = due_ms.saturating_sub(clock::now_ms()).max(BATCH_DELAY_MS);
         if batch.len() < BATCH_OPERATIONS_MAX {
@@ -113,8 +114,8 @@
     /// whose condition failed are resolved one by one, and the others are written again.
     async fn write(&self, mut batch: Vec<Operation>) {
         while !batch.is_empty() {
-            // A transaction must not contain two operations on one key, so all operations but the
-            // first on each key wait for the next transaction.
+            // A transaction must not contain two operations on one key, so only the first operation
+            // on each key is in this transaction. The others wait for the next transaction.
             let (first, mut repeated) = split_repeated(batch);
             batch = first;
             let transaction = transaction(&batch);
@@ -131,8 +132,8 @@
                         self.resolve_conflict(operation).await;
                     }
                 }
-                // The transaction may have taken effect in spite of the error. If it has, the
-                // repeated transaction reports a conflict.
+                // The transaction may have taken effect in spite of the error. If the transaction
+                // has taken effect, its repetition reports a conflict.
                 Err(error) => {
                     log::debug!("a transaction of claims failed: {error}");
                     batch = refuse_expired(batch);
@@ -164,8 +165,8 @@
     }
 
     /// Finds out why a claim could not be recorded. Grants the claim if this request created the
-    /// row after all or if it can take over a released row, and otherwise returns the result for a
-    /// duplicate. Gives up at `claim_deadline_ms`.
+    /// row after all or if the request can take over a released row, and otherwise returns the
+    /// result for a duplicate. Gives up at `claim_deadline_ms`.
     async fn resolve_insert_conflict(
         &self,
         key: String,
@@ -194,7 +195,8 @@
                 return duplicate(existing_claim, &row);
             }
             // Takes over a released row. The next iteration reads the row again and thereby finds
-            // out whether the transaction took effect, so its result is not needed.
+            // out whether the transaction took effect, so the result of the transaction is not
+            // needed.
             let transaction = put(&key, Expect::Version(found.version), &row);
             self.counters.transactions.fetch_add(1, Ordering::Relaxed);
             let _ = self.platform.transact(&transaction).await;
@@ -298,7 +300,7 @@
 }
 
 /// Removes the operations that have waited too long, and refuses the claims among them. A failed
-/// transaction may have recorded a refused claim all the same. The row of such a claim stays
+/// transaction may have recorded a claim that is then refused. The row of such a claim stays
 /// pending and its request never runs, which matches the response to the caller.
 fn refuse_expired(batch: Vec<Operation>) -> Vec<Operation> {
     let (expired, rest): (Vec<_>, Vec<_>) = batch.into_iter().partition(Operation::expired);
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -24,9 +24,10 @@
 use crate::{clock, id::OperationId, routing::outcome::Reason, store::Platform};
 
 /// Maximum length in bytes of a response body that is stored for duplicates of the request. If the
-/// body is longer, duplicates are refused.
+/// response body is longer, duplicates are refused.
 pub const STORED_BODY_BYTES_MAX: usize = 64 * 1024;
-/// Timeout for recording a claim; after the timeout the request is refused and does not run.
+/// Timeout in milliseconds for recording a claim. If the claim is not recorded in time, the request
+/// is refused and does not run.
 const CLAIM_TIMEOUT_MS: u64 = 1_000;
 /// Maximum number of operations that wait for the writer. While the queue is full, new claims are
 /// refused and the ends of claims are not recorded.
@@ -42,8 +43,8 @@
     pub transactions: AtomicU64,
 }
 
-/// Transactions per second that all hosts together may make for claims; the table service accepts
-/// several hundred writes a second in total.
+/// Number of transactions per second that all hosts together may make for claims. The table service
+/// accepts several hundred writes a second in total.
 const TRANSACTIONS_PER_S: u64 = 200;
 
 /// Claims that one host makes, and the queue of operations for the task that writes them.
@@ -68,11 +69,13 @@
 pub enum ClaimResult {
     /// The request may run, once.
     Granted(Claim),
-    /// A server already answered an earlier attempt at the same request, with this stored response.
+    /// A server already answered an earlier attempt at the same request, and the claim row holds
+    /// the stored response.
     Answered(StoredResponse),
     /// The request must not run, for the given reason; the caller gets a failure.
     Refused(Reason),
-    /// The store cannot be reached, so the request does not run.
+    /// The claim could not be recorded, for example because the table service cannot be reached or
+    /// the queue of operations is full. The request does not run.
     Unavailable,
 }
 
@@ -109,7 +112,8 @@
         &self.counters
     }
 
-    /// Claims the right to run the request `idempotency_key` of `service` until `deadline_ms`.
+    /// Claims the right to run the request `idempotency_key` of `service`, whose deadline is
+    /// `deadline_ms`.
     pub async fn claim(
         &self,
         service: &str,
@@ -143,8 +147,8 @@
         claimed
     }
 
-    /// Ends a claim whose request a server answered. `response` is stored for duplicates of the
-    /// request; pass `None` if the response is too long to be stored.
+    /// Ends a claim whose request was answered by a server. `response` is stored for duplicates of
+    /// the request; pass `None` if the response is too long to be stored.
     pub fn answered(&self, claim: Claim, response: Option<StoredResponse>) {
         let state = match response {
             Some(response) => ClaimState::Answered(response),
@@ -153,12 +157,13 @@
         self.end(claim, state);
     }
 
-    /// Ends a claim whose request provably did not run; the request may be claimed again.
+    /// Ends a claim whose request provably did not run. A duplicate of the request may claim the
+    /// request again.
     pub fn released(&self, claim: Claim) {
         self.end(claim, ClaimState::Released);
     }
 
-    /// Ends a claim whose request may or may not have run; the request never runs again.
+    /// Ends a claim whose request may or may not have run. The request never runs again.
     pub fn unknown(&self, claim: Claim) {
         self.end(claim, ClaimState::Unknown);
     }
--- a/src/claims/row.rs
+++ b/src/claims/row.rs
@@ -21,7 +21,7 @@
         hasher.update(path.as_bytes());
         hasher.update(b"\n");
         hasher.update(body);
-        // JSON readers may hold numbers as doubles, so only 53 bits are used.
+        // Readers of JSON may represent numbers as doubles, which are exact up to 53 bits.
         Self(hasher.digest() >> 11)
     }
 }
@@ -41,13 +41,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// The request may be running; the claim has not been ended.
+    /// The claim has not been ended, so the request may be running.
     Pending,
     /// The request was answered, and this is the response.
     Answered(StoredResponse),
     /// The request was answered, but the response was too long to be stored.
     AnswerNotKept,
-    /// The request provably did not run, so it may be claimed again.
+    /// The request provably did not run, so a duplicate may claim the request again.
     Released,
     /// The request may have run, but its result is not known; duplicates are refused.
     Unknown,
--- a/src/claims/sweep.rs
+++ b/src/claims/sweep.rs
@@ -9,11 +9,12 @@
     },
 };
 
-/// Maximum number of rows that one call of [`Sweep::step`] reads, which bounds the load that a
-/// sweep puts on the store.
+/// Maximum number of rows that one call of [`Sweep::step`] reads. The maximum bounds the load that
+/// a sweep puts on the table service.
 pub const PAGE_ROWS: usize = 200;
 
-/// Position of a sweep, i.e. of the repeated pass over all claim rows that removes old ones.
+/// Position of a sweep. A sweep is the repeated pass over all claim rows that removes the claims
+/// whose retention has passed.
 #[derive(Clone, Debug, Default)]
 pub struct Sweep {
     after: String,
@@ -21,7 +22,8 @@
 
 impl Sweep {
     /// Reads the next page of claims and removes the claims older than `retention_ms`. After the
-    /// last page, the next step starts again with the first. Returns the number of rows removed.
+    /// last page, one step finds no rows, and the following step starts again with the first page.
+    /// Returns the number of rows removed.
     pub async fn step(&mut self, platform: &Platform, retention_ms: u64) -> store::Result<usize> {
         let rows = platform.range(CLAIM_PREFIX, &self.after, PAGE_ROWS).await?;
         let Some(last) = rows.last() else {
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,5 +1,5 @@
-//! HTTP client of the platform's services. It does not retry; callers decide whether a failed call
-//! may be sent again.
+//! HTTP client of the platform's services. The client does not retry calls; the calling code
+//! decides whether a failed call may be sent again.
 
 use std::net::SocketAddr;
 
@@ -25,7 +25,7 @@
 }
 
 impl Platform {
-    /// Creates a client whose calls time out after `timeout_ms`.
+    /// Creates a client whose calls time out after `timeout_ms` milliseconds.
     pub fn new(address: SocketAddr, timeout_ms: u64) -> Self {
         Self {
             address,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Runs a conditional transaction. After an error, the caller cannot know whether the
+    /// Runs a conditional transaction. After an error, the calling code cannot know whether the
     /// transaction took effect.
     pub async fn transact(&self, transaction: &Transaction) -> Result<TransactionOutcome> {
         self.client
@@ -57,7 +57,7 @@
         Ok(rows.rows)
     }
 
-    /// Reads the row `key`; `None` if the row does not exist.
+    /// Reads the row `key`. Returns `None` if the row does not exist.
     pub async fn row(&self, key: &str) -> Result<Option<Row>> {
         let rows = self.range(key, "", 1).await?;
         Ok(rows.into_iter().find(|row| row.key == key))
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The call failed; a write may have taken effect all the same.
+    /// The call to the platform failed. A write may have taken effect all the same.
     #[snafu(display("the platform cannot be reached: {source}"))]
     Call {
         /// Failure of the HTTP call, such as a timeout, an error status or an unreadable body.
@@ -16,5 +16,5 @@
     },
 }
 
-/// Result of a call to the platform; a write that failed may have taken effect all the same.
+/// Result of a call to the platform. A write that failed may have taken effect all the same.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/src/store/message.rs
+++ b/src/store/message.rs
@@ -4,13 +4,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Path of a conditional transaction (POST).
+/// Path for running a conditional transaction (POST).
 pub const TRANSACT_PATH: &str = "/v1/transact";
-/// Path of a range read (POST).
+/// Path for reading a range of rows (POST).
 pub const RANGE_PATH: &str = "/v1/range";
-/// Prefix of an object's path (PUT and GET).
+/// Prefix of the path for storing (PUT) or reading (GET) an object. The name of the object follows
+/// the prefix.
 pub const OBJECT_PATH: &str = "/v1/objects/";
-/// Path of the list of hosts (GET).
+/// Path for reading the platform's list of hosts (GET).
 pub const HOSTS_PATH: &str = "/v1/hosts";
 
 /// State that a row must have for a transaction to take effect.
@@ -41,7 +42,8 @@
     pub value: Option<String>,
 }
 
-/// Writes that take effect together, if all conditions hold.
+/// Writes that take effect together if all conditions hold. If a condition fails, no write takes
+/// effect.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Transaction {
     /// Conditions that are checked before the writes. Without conditions, the writes always take
@@ -93,7 +95,7 @@
     pub rows: Vec<Row>,
 }
 
-/// State of a host in the platform's list.
+/// State of an entry host in the platform's list of hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
@@ -103,12 +105,12 @@
     Leaving,
 }
 
-/// Entry of the platform's list of hosts, which lags behind the real state.
+/// Entry of the platform's list of hosts. The list lags behind the real state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListedHost {
-    /// Address of the process on the host.
+    /// IP address and port of the process on the entry host.
     pub address: SocketAddr,
-    /// State of the host when the list was made.
+    /// State of the entry host when the list was made.
     pub state: ListedState,
 }
 
