--- a/src/bench/day.rs
+++ b/src/bench/day.rs
@@ -3,7 +3,7 @@
 
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::SliceRandom};
 
-/// Number of minutes in a day, and so of steps in which a generated day is simulated.
+/// Number of minutes in a day. A generated day is simulated in one step per minute.
 pub const MINUTES: usize = 24 * 60;
 /// Number of slots of the generated service.
 pub const SLOTS: usize = 256;
--- a/src/bench/process.rs
+++ b/src/bench/process.rs
@@ -2,7 +2,7 @@
 
 use std::fs;
 
-/// Number of clock ticks per second, in which Linux reports processor times.
+/// Number of clock ticks per second. Linux reports processor times in clock ticks.
 const TICKS_PER_S: u64 = 100;
 /// Number of fields of `/proc/self/stat` between the process name and the user time. These fields
 /// are skipped.
--- a/src/claims/row.rs
+++ b/src/claims/row.rs
@@ -43,7 +43,7 @@
 pub enum ClaimState {
     /// The claim has not been ended, so the request may be running.
     Pending,
-    /// The request was answered, and this is the response.
+    /// A server answered the request with this response, which duplicates of the request get.
     Answered(StoredResponse),
     /// The request was answered, but the response was too long to be stored.
     AnswerNotKept,
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -103,8 +103,8 @@
     }
 }
 
-/// Injects the disturbances at their fixed times: the loss of a server, the withdrawal of another
-/// server, and the planned stop of a host.
+/// Injects the disturbances at fixed times after the start of the mixed load. The disturbances are
+/// the loss of a server, the withdrawal of another server, and the planned stop of a host.
 async fn inject_disturbances(
     system: &mut System,
     report_event: &impl Fn(&str),
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -91,7 +91,8 @@
         self.client.get(self.address, &path).await
     }
 
-    /// Reads a page of the audit trail, from the entry after a revision.
+    /// Reads a page of the audit trail, which begins with the entry that follows the revision
+    /// `after`.
     pub async fn audit(&self, after: u64) -> Result<AuditPage, CallError> {
         let path = format!("/v1/audit?after={after}");
         self.client.get(self.address, &path).await
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -81,7 +81,8 @@
     pub document: String,
 }
 
-/// All templates or all workspaces in force, with the revision that a later change can expect.
+/// All templates or all workspaces in force, with the configuration revision that a later change
+/// can name as its `expect_revision`.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct DocumentList {
     /// Revision of the last change of any template or workspace.
@@ -160,8 +161,8 @@
     pub slots: u64,
 }
 
-/// Progress of one service: the number of its slots that have an owner, and the number of slots
-/// that are moving.
+/// Progress of the placement of one service: the number of its slots that have an owner and do not
+/// move, and the number of slots that are moving.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct ServiceStatus {
     /// Full name of the service, `workspace/service`.
