--- a/src/membership/heartbeat_tree.rs
+++ b/src/membership/heartbeat_tree.rs
@@ -3,7 +3,8 @@
 //!
 //! The first 15 hosts, taken from the availability zones in turn, are the *top-level hosts*. They
 //! ping each other and become quorum members. Every other host pings two parents that stand above
-//! it in the tree. The staleness of the views adds up on the way down from the top-level hosts.
+//! it in the tree. A host below the top level derives the staleness of its view from the replies of
+//! its parents, so each level of the tree adds to the staleness.
 
 use std::collections::HashMap;
 
@@ -11,9 +12,11 @@
 
 /// Number of top-level hosts, which all ping each other.
 pub const TOP_LEVEL_HOSTS: usize = 15;
-/// Number of hosts that have the same first parent (host that they ping first).
+/// Number of hosts below the top level that share the same first parent (the first of the
+/// [`PARENTS`] hosts that a host pings).
 const FANOUT: usize = 8;
-/// Number of parents that a host below the top level pings, so that the host can lose one of them.
+/// Number of parents that each host below the top level pings, so that the host still has a parent
+/// if one of them is lost.
 const PARENTS: usize = 2;
 
 /// Returns the registered hosts in the order of the tree: the first host of each availability zone,
@@ -40,7 +43,7 @@
 }
 
 /// Returns the hosts that `own` pings. `hosts` are the registered hosts in the order of the tree. A
-/// host that is not among them pings all top-level hosts.
+/// host that is not registered pings all top-level hosts.
 pub fn heartbeat_targets(hosts: &[HostKey], own: HostKey) -> Vec<HostKey> {
     let Some(position) = hosts.iter().position(|host| *host == own) else {
         return hosts.iter().copied().take(TOP_LEVEL_HOSTS).collect();
--- a/src/membership/registry.rs
+++ b/src/membership/registry.rs
@@ -39,9 +39,9 @@
     }
 }
 
-/// Progress of a leader towards completing the last change of the registry, that is, until no host
-/// acts on an earlier version. The progress is kept in memory only, so a new leader begins with
-/// none.
+/// Progress of a leader towards the completion of the last change of the registry. The change is
+/// complete when no host acts on an earlier version of the registry. The progress is kept in memory
+/// only, so a new leader starts without any.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ChangeTracker {
     changed: Revision,
@@ -49,7 +49,7 @@
 }
 
 impl ChangeTracker {
-    /// Returns true while the leader must still query the hosts whether they have applied the last
+    /// Returns true while the leader must still ask the hosts whether they have applied the last
     /// change of the registry.
     pub fn pending(&mut self, state: &State) -> bool {
         if self.changed != state.registry.changed {
@@ -62,10 +62,11 @@
     }
 
     /// Records that the hosts in `applied` have reported before `now_ms` that they have applied the
-    /// last change of the registry. Once they are a majority of the quorum members before and after
-    /// the change, the change is complete at `now_ms` if they are all registered hosts and the
-    /// change removed or replaced no host. Otherwise the change is complete `expiry_bound_ms`
-    /// later, when the views of hosts that missed the change are too stale to act on.
+    /// last change of the registry. Does nothing until `applied` contains a majority of the quorum
+    /// members before the change and of those after the change. The change is then complete at
+    /// `now_ms` if `applied` contains all registered hosts and the change removed or replaced no
+    /// host. Otherwise the change is complete `expiry_bound_ms` later, when the views of hosts that
+    /// missed the change are too stale to act on.
     pub fn record_applied(
         &mut self,
         state: &State,
@@ -116,7 +117,7 @@
     /// deciding host pings it in the heartbeat tree.
     pub expected: bool,
     /// Time in milliseconds since the deciding host applied the registry entry of the silent host.
-    /// It stands in for `silent_ms` if that is `None`.
+    /// This age counts as the silence if `silent_ms` is `None`.
     pub entry_age_ms: u64,
 }
 
@@ -124,15 +125,16 @@
 /// limit is removed from the registry.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryLimits {
-    /// Limit for a host that has not announced its stop, in milliseconds.
+    /// Limit in milliseconds for the silence of a host that has not announced its stop and was not
+    /// replaced by a later process of the same name.
     pub removal_ms: u64,
-    /// Limit for a host that has announced its stop or was replaced by a later process of the same
-    /// name, in milliseconds.
+    /// Limit in milliseconds for the silence of a host that has announced its stop or was replaced
+    /// by a later process of the same name.
     pub leaving_ms: u64,
 }
 
 /// Returns the next change of the registry: the promotion of a joining top-level host that is
-/// heard, or the removal of a silent host. `None` if neither is due.
+/// heard, or the removal of a silent host. Returns `None` if no host is to be promoted or removed.
 pub fn next_change(
     state: &State,
     own: Option<HostKey>,
@@ -188,7 +190,8 @@
     heard.count() * 2 > quorum_members().count()
 }
 
-/// Returns true if a later process of a host with the same name is registered.
+/// Returns true if a registered host has the same name as `entry` and its entry was changed later,
+/// that is, if a later process has replaced the process of `entry`.
 fn is_replaced(state: &State, entry: &HostEntry) -> bool {
     let mut hosts = state.registered_hosts();
     hosts.any(|(_, other)| other.name == entry.name && other.changed > entry.changed)
--- a/src/membership/ring.rs
+++ b/src/membership/ring.rs
@@ -8,8 +8,9 @@
 
 /// Seed of the hashes of hosts. All hosts must use the same seed, so that they agree on the ring.
 const HOST_SEED: u64 = 1;
-/// Seed of the hashes of work. It differs from the seed for hosts, so that a host and a work item
-/// with the same number have unrelated positions in the ring.
+/// Seed of the hashes of work items (the servers whose leases are to be renewed, and the
+/// leadership). The seed differs from the seed for hosts, so that a host and a work item with the
+/// same number have unrelated positions in the ring.
 const WORK_SEED: u64 = 2;
 
 /// Hash ring: hosts in the order of their hashes.
@@ -27,8 +28,8 @@
         Self { points }
     }
 
-    /// Iterates over all hosts in the order of the ring, beginning at the position of `work`. The
-    /// caller takes as many hosts as the work needs.
+    /// Iterates over all hosts in the order of the ring, beginning at the position of the work item
+    /// with the number `work`. The caller takes as many hosts as the work item needs.
     pub fn successors(&self, work: u32) -> impl Iterator<Item = HostKey> {
         let position = hash(work, WORK_SEED);
         let start = self.points.partition_point(|point| point.0 < position);
--- a/src/membership/staleness.rs
+++ b/src/membership/staleness.rs
@@ -23,8 +23,8 @@
 
 use crate::id::{HostKey, Incarnation, Revision};
 
-/// Latest reply of one peer to a heartbeat, with the time since which the peer has reported the
-/// same revision.
+/// Latest reply of one peer to a heartbeat, and the time since which the peer has reported the same
+/// revision in its replies.
 #[derive(Clone, Copy, Debug)]
 struct LastReply {
     host: HostKey,
@@ -57,8 +57,8 @@
     pub sent_ms: u64,
     /// Revision that the peer had applied when it replied.
     pub revision: Revision,
-    /// Staleness of the peer's view when it replied, in milliseconds; `None` if the peer has not
-    /// been up to date yet.
+    /// Staleness of the peer's view when it replied, in milliseconds; `None` if that view was never
+    /// known to be complete.
     pub staleness_ms: Option<u64>,
 }
 
@@ -69,7 +69,7 @@
 pub struct HostProcess {
     /// Key of the host in the registry; a restarted host may get the same key.
     pub host: HostKey,
-    /// Random identifier of the process; a restarted host has another one and so is another
+    /// Random identifier of the process; a restarted host has another incarnation and so is another
     /// process.
     pub incarnation: Incarnation,
 }
@@ -88,8 +88,9 @@
         self.advance_up_to_date_ms(sent_ms);
     }
 
-    /// Records the reply of a peer. `applied` is the revision that this host has applied, and
-    /// `quorum_members` are the quorum members of the state at that revision.
+    /// Records the reply of a peer to a heartbeat. A reply with a revision above `applied` is
+    /// ignored. `applied` is the revision that this host has applied, and `quorum_members` are the
+    /// quorum members of the state at that revision.
     pub fn record_heartbeat_reply(
         &mut self,
         reply: HeartbeatReply,
@@ -122,7 +123,8 @@
         }
     }
 
-    /// Keeps the reply if its ping was sent later than the ping of the last reply of the same peer.
+    /// Stores the reply as the last reply of its peer if its ping was sent later than the ping of
+    /// the last reply of the same peer.
     fn store_reply(&mut self, reply: HeartbeatReply) {
         let mut heard = LastReply {
             host: reply.host,
@@ -174,17 +176,20 @@
     }
 
     /// Returns the up-to-date time: the latest time for which the view is known to be complete.
-    /// `None` until the first log read or sufficient heartbeat reply.
+    /// `None` until a read of the log or replies to heartbeats have first shown that the view is
+    /// complete.
     pub fn up_to_date_ms(&self) -> Option<u64> {
         self.up_to_date_ms
     }
 
-    /// Returns the time at which the last ping that `host` replied to was sent.
+    /// Returns the time at which the last ping that `host` replied to was sent; `None` if `host`
+    /// has not replied to a ping yet.
     pub fn heard_ms(&self, host: HostKey) -> Option<u64> {
         self.peer_revision(host).map(|heard| heard.heard_ms)
     }
 
-    /// Returns the revision that `host` reported last; `None` if it has not replied yet.
+    /// Returns the revision that `host` reported in its last reply to a heartbeat; `None` if `host`
+    /// has not replied yet.
     pub fn peer_revision(&self, host: HostKey) -> Option<PeerRevision> {
         let heard = self.last_replies.iter().find(|heard| heard.host == host)?;
         Some(PeerRevision {
--- a/src/ownership/expiry.rs
+++ b/src/ownership/expiry.rs
@@ -19,7 +19,7 @@
 pub struct HorizonReport {
     /// Host whose renewals the report is about.
     pub host: HostKey,
-    /// Process of that host.
+    /// Incarnation of the process of `host` that sent the renewals.
     pub incarnation: Incarnation,
     /// Latest possible time at which the reporting host applied the change that marks the server as
     /// lost.
@@ -29,7 +29,7 @@
     pub horizon_ms: u64,
 }
 
-/// Hosts whose renewals may keep the lease valid.
+/// Hosts whose renewals may keep the lease of a lost server valid.
 #[derive(Clone, Copy, Debug)]
 pub struct RenewingHosts<'a> {
     /// Processes of all registered hosts, whether or not they are quorum members.
@@ -40,8 +40,8 @@
     /// complete.
     pub previous: &'a [HostProcess],
     /// Time by which the revision [`crate::state::Registry::majority_since`] was certainly in
-    /// force. A majority counts only from this time on; a value that is too late only lengthens the
-    /// wait.
+    /// force. A majority counts only from this time on; a value that is too late only delays the
+    /// time at which the lease counts as expired.
     pub majority_since_ms: u64,
     /// True if the last change of the registry is complete, so that only registered hosts act.
     pub change_complete: bool,
--- a/src/ownership/message.rs
+++ b/src/ownership/message.rs
@@ -24,13 +24,15 @@
 pub const EPOCH_HEADER: &str = "ashroad-epoch";
 /// Header with the incarnation of the server that the request is for.
 pub const INCARNATION_HEADER: &str = "ashroad-incarnation";
-/// Header with the identifier of the request; all attempts of one request carry the same.
+/// Header with the identifier of the request; all attempts of one request carry the same
+/// identifier.
 pub const REQUEST_HEADER: &str = "ashroad-request-id";
 /// Header with the time left until the deadline of the request, in milliseconds.
 pub const DEADLINE_HEADER: &str = "ashroad-deadline-ms";
-/// Header of a response that is not a regular one: the outcome of the request.
+/// Response header with the outcome of a request that got no regular response: the request provably
+/// did not run, or it may have run.
 pub const OUTCOME_HEADER: &str = "ashroad-outcome";
-/// Header with the reason of the outcome, next to [`OUTCOME_HEADER`].
+/// Response header with the reason of the outcome that [`OUTCOME_HEADER`] gives.
 pub const REASON_HEADER: &str = "ashroad-reason";
 /// Header with the caller's key for an unrepeatable request, which runs at most once per key.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
@@ -56,7 +58,8 @@
     pub lease_epoch: LeaseEpoch,
     /// End of the ordered lease, in milliseconds on the server's monotonic clock.
     pub not_after_ms: u64,
-    /// Grants to hold in addition to those held already; may be empty.
+    /// Grants that the server holds from this order on, in addition to its earlier grants; may be
+    /// empty.
     pub grants: Vec<SlotGrant>,
 }
 
@@ -85,8 +88,8 @@
 pub struct RevokeRequest {
     /// Process that the order is for; any other process refuses the order.
     pub incarnation: Incarnation,
-    /// Slots to release, each with the epoch of its next grant. From then on the server refuses
-    /// every lower epoch of the slot.
+    /// Slots to release, each with the epoch of its next grant. From the release on, the server
+    /// refuses every lower epoch of the slot.
     pub slots: Vec<SlotGrant>,
     /// Maximum time in milliseconds for which the server waits for requests in flight on the slots.
     pub drain_ms: u64,
--- a/src/ownership/moves.rs
+++ b/src/ownership/moves.rs
@@ -21,9 +21,9 @@
     pub to: ServerKey,
 }
 
-/// Returns the groups of moving slots whose next step can be taken now. Slots of a lost owner wait
-/// until the owner's lease has certainly expired; the state then no longer names that server as
-/// their owner.
+/// Returns the groups of moving slots whose next step can be taken: the next owner is live, and the
+/// current owner is live or the slots have no owner. Slots of a lost owner wait until the owner's
+/// lease has certainly expired; the state then no longer names that server as their owner.
 pub fn ready_groups(state: &State) -> HashMap<MoveGroup, Vec<CompletedMove>> {
     let mut groups: HashMap<MoveGroup, Vec<CompletedMove>> = HashMap::new();
     let services = (0..).map(ServiceKey).zip(&state.services);
--- a/src/ownership/planner.rs
+++ b/src/ownership/planner.rs
@@ -2,9 +2,9 @@
 //! depends only on the loads, servers and weights.
 //!
 //! Let `x` be the load per capacity of a server divided by the mean, minus one. The cost of a plan
-//! is `imbalance * sum(x * x) + churn * keys moved + unavailable * load held up`, where the last
-//! factor is the load that waits while its slots move. A move is made only if it lowers this cost.
-//! Slots without an eligible owner are placed at any cost.
+//! is `imbalance * sum(x * x) + churn * keys moved + unavailable * load held up`, where `load held
+//! up` is the load of the requests that wait while their slots move. A move is made only if it
+//! lowers this cost. Slots without an eligible owner are placed at any cost.
 
 use std::{cmp::Ordering, collections::BinaryHeap};
 
@@ -28,7 +28,7 @@
 pub struct PlannerSlot {
     /// Index of the owner in [`PlannerInput::servers`]; `None` if no server owns the slot.
     pub owner: Option<u32>,
-    /// Smoothed load; only the proportion to other slots matters.
+    /// Smoothed load of the slot; only its proportion to the loads of the other slots matters.
     pub load: f64,
     /// True while the slot is being moved. `owner` is then the next owner, for which the load of
     /// the slot counts.
@@ -114,7 +114,8 @@
     plan.moves
 }
 
-/// Returns the highest load per capacity among the eligible servers, divided by the mean.
+/// Returns the highest load per capacity among the eligible servers, divided by their mean load per
+/// capacity. Returns 1 if these servers have no capacity or no load.
 pub fn imbalance(servers: &[PlannerServer], slots: &[PlannerSlot]) -> f64 {
     let mut loads = vec![0.0; servers.len()];
     for slot in slots {
@@ -180,7 +181,8 @@
         self.input.servers[server as usize].eligible
     }
 
-    /// Returns the load per capacity divided by the mean, minus one, with `extra` load added.
+    /// Returns the load per capacity of `server` with `extra` load added, divided by the mean load
+    /// per capacity, minus one.
     fn excess(&self, server: u32, extra: f64) -> f64 {
         let capacity = self.input.servers[server as usize].capacity;
         (self.loads[server as usize] + extra) / capacity / self.mean - 1.0
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -9,7 +9,8 @@
 /// Delay in milliseconds before a failed renewal is retried.
 const RETRY_MS: u64 = 75;
 
-/// Reading of the server's clock, with the time of its receipt on this host's clock.
+/// Reading of the server's clock, with the time on the renewing host's clock at which the reading
+/// was received.
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     incarnation: Incarnation,
@@ -65,8 +66,8 @@
         now_ms >= self.due_ms
     }
 
-    /// Records that a renewal was sent, and postpones the next one until the timeout of the sent
-    /// renewal has passed.
+    /// Records that a renewal was sent, and postpones the next renewal until the timeout of the
+    /// sent renewal and the delay [`RETRY_MS`] have passed.
     pub fn record_sent(&mut self, now_ms: u64, timeout_ms: u64) {
         self.due_ms = now_ms + timeout_ms + RETRY_MS;
     }
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -390,8 +390,8 @@
         Ok(())
     }
 
-    /// Removes a server whose lease has expired from every slot. A move to that server is turned
-    /// into a move back to the old owner.
+    /// Removes a server whose lease has expired as the owner and next owner of every slot. A move
+    /// to that server is turned into a move back to the old owner.
     fn remove_server_from_slots(&mut self, server: ServerKey) {
         let concerns = |slot: &SlotEntry| slot.owner == Some(server) || slot.next == Some(server);
         for service in &mut self.services {
--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -8,11 +8,12 @@
     Epoch, HostKey, Incarnation, LeaseEpoch, OperationId, Revision, ServerKey, ServiceKey, Slot,
 };
 
-/// One accepted change, as stored in the platform's table service. It is also the entry of the
+/// One accepted change, as stored in the platform's table service. The log entries also form the
 /// audit trail.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Position in the log; the first entry has 1, and there are no gaps.
+    /// Position of the entry in the log; the first entry has revision 1, and no revision is left
+    /// out.
     pub revision: Revision,
     /// Identifier chosen by the writer, by which retries are recognised.
     pub operation_id: OperationId,
@@ -35,7 +36,8 @@
     },
     /// A template that no workspace uses was withdrawn.
     TemplateWithdrawn {
-        /// Name from the `template` field of the document; no workspace may use it any more.
+        /// Name from the `template` field of the document; the change is refused while a workspace
+        /// uses this template.
         name: String,
     },
     /// A workspace was submitted or amended.
@@ -46,7 +48,8 @@
     },
     /// A workspace was withdrawn, which withdraws its services.
     WorkspaceWithdrawn {
-        /// Name from the `workspace` field of the document; its services are withdrawn too.
+        /// Name from the `workspace` field of the document; the services of this workspace are
+        /// withdrawn too.
         name: String,
     },
     /// A host process has started and registers.
@@ -94,8 +97,8 @@
     ServerJoined {
         /// Server that joins; it must have no lease.
         server: ServerKey,
-        /// Process that responded; the lease is granted to it and to no other process at this
-        /// address.
+        /// Process that responded; the lease is granted to this process and to no other process at
+        /// the server's address.
         incarnation: Incarnation,
     },
     /// A server has begun or ended draining (its slots are moved away).
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -115,8 +115,9 @@
     }
 
     /// Returns the revision before which majorities of the quorum members do not count towards the
-    /// expiry of a lease (see [`crate::ownership::expiry`]). This is the last promotion or removal
-    /// until that is complete, and the completion of the last change afterwards.
+    /// expiry of a lease (see [`crate::ownership::expiry`]). While the last promotion or removal of
+    /// a host is not complete, this is the revision of that promotion or removal. Afterwards, this
+    /// is the revision at which the last change of the registry was recorded as complete.
     pub fn majority_since(&self) -> Revision {
         if self.previous_quorum_members.is_empty() {
             self.completed
@@ -208,7 +209,7 @@
 /// The replicated state at one revision. All hosts at that revision have the same state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// Revision of the last change applied; 0 before the first.
+    /// Revision of the last change applied; 0 before the first change.
     pub revision: Revision,
     /// Revision of the last change of a template or workspace.
     pub configuration: Revision,
@@ -263,7 +264,8 @@
         Some(ServerKey(index as u32))
     }
 
-    /// Returns the key of the service with the full name `workspace/service`.
+    /// Returns the key of the service with the full name `workspace/service`, also if the service
+    /// was withdrawn; `None` if no such service was ever declared.
     pub fn service_key(&self, name: &str) -> Option<ServiceKey> {
         let index = self.services.iter().position(|s| s.spec.name == name)?;
         Some(ServiceKey(index as u32))
@@ -289,7 +291,7 @@
     }
 
     /// Returns the revision of the recent change with identifier `id`; `None` if no such change was
-    /// made or it is no longer kept.
+    /// made or if its identifier is no longer kept.
     pub fn operation(&self, id: &OperationId) -> Option<Revision> {
         let hash = id.hash();
         let found = self
@@ -302,7 +304,7 @@
 }
 
 impl ServiceEntry {
-    /// Iterates over the slots and their numbers, in ascending order.
+    /// Iterates over the slots of the service and their numbers, in ascending order of the numbers.
     pub fn slot_entries(&self) -> impl Iterator<Item = (Slot, &SlotEntry)> {
         (0..).map(Slot).zip(&self.slots)
     }
--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -46,8 +46,8 @@
         /// Error of the HTTP call; a write may have taken effect all the same.
         source: store::Error,
     },
-    /// The resolve timeout passed, or reading the conflicting entry failed, before it was known
-    /// whether the change took effect.
+    /// It is unknown whether the change took effect, because the resolve timeout (the bound on
+    /// resending a transaction without a response) passed or reading the conflicting entry failed.
     #[snafu(display("it is unknown whether the change took effect: {source}"))]
     OutcomeUnknown {
         /// Error of the last call to the store.
@@ -58,10 +58,11 @@
     Row {
         /// Key of the row in the table service.
         key: String,
-        /// Position and cause, as reported by the JSON library.
+        /// Error of the JSON library, with the position in the content of the row.
         source: serde_json::Error,
     },
-    /// The log no longer holds the next entry, so a snapshot is needed.
+    /// The log no longer holds the entry after the requested revision, so the reader needs a
+    /// snapshot.
     #[snafu(display("the log no longer holds the entry after revision {after}"))]
     Truncated {
         /// Revision after which entries were requested.
@@ -70,7 +71,7 @@
     /// A snapshot cannot be encoded or decoded.
     #[snafu(display("{source}"))]
     State {
-        /// Cause, such as a wrong hash.
+        /// Cause, such as a snapshot whose hash is wrong.
         source: super::Error,
     },
 }
--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -10,7 +10,8 @@
 };
 use crate::id::Revision;
 
-/// Pointer to the latest snapshot in the object store, kept as JSON in a row of the table service.
+/// Pointer to a snapshot: the name and hash of its object in the object store. The pointer to the
+/// latest snapshot is kept as JSON in a row of the table service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotPointer {
     /// Revision of the state in the snapshot.
@@ -22,7 +23,7 @@
     pub sha256: String,
 }
 
-/// Encoded state, with the pointer by which readers find and verify it.
+/// Encoded state, with the pointer by which readers find and verify the encoded state.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     /// Name, revision and hash of the body, by which readers find and verify the body.
