--- a/src/host/controller.rs
+++ b/src/host/controller.rs
@@ -14,18 +14,19 @@
     ownership::{moves::MoveGroup, planner::PlannedMove},
 };
 
-/// Pause between two rounds of the control loop, in milliseconds.
+/// Minimum time in milliseconds between the starts of two rounds of the control loop.
 const TICK_MS: u64 = 25;
 /// Number of rounds of the control loop between two checks for silent hosts, on a host that is not
 /// the leader.
 const WATCH_EVERY_ROUNDS: u64 = 80;
-/// Pause between two pages of the sweep that deletes old claims, in milliseconds.
+/// Pause in milliseconds between two pages of the sweep, which deletes claims (records of
+/// unrepeatable requests) whose retention time has passed.
 const SWEEP_MS: u64 = 1_000;
 /// Number of log entries after which the leader stores the next snapshot of the state.
 const SNAPSHOT_EVERY: u64 = 500;
 
-/// State of the control loop between rounds. The state is kept in memory only, so a new leader
-/// starts with the default.
+/// State of the control loop between rounds. The state is kept in memory only. A host that is not
+/// the leader resets the state, except for the tasks that may still be running.
 #[derive(Debug, Default)]
 pub(super) struct Controller {
     /// Groups of moves that a task of this process is carrying out.
@@ -35,9 +36,10 @@
     pub(super) expiring: HashSet<ServerKey>,
     /// Time at which the servers without a lease were last queried.
     pub(super) joins_checked_ms: u64,
-    /// Time at which the loads were last read from the hosts.
+    /// Time at which the loads (numbers of requests by slot) were last read from the hosts.
     pub(super) loads_ms: u64,
-    /// Exponentially smoothed requests per reading, by service and slot.
+    /// Exponentially smoothed number of requests between two readings of the loads, by service and
+    /// slot.
     pub(super) loads: Vec<Vec<f64>>,
     /// Revision of the state and time of the loads from which the last plan was made.
     pub(super) planned: Option<(Revision, u64)>,
@@ -49,8 +51,7 @@
     swept_ms: u64,
 }
 
-/// Message by which a task tells the controller (the leader's control loop) that the task has
-/// ended.
+/// Message by which a task of the leader tells the control loop that the task has ended.
 #[derive(Debug)]
 pub(super) enum FinishedTask {
     /// The task of a group of moves has ended, with success or failure.
--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Heartbeats between hosts: a ping and its reply. A ping carries the revision of its sender. The
 //! reply carries the revision of the replying host and the staleness of its view (the time since
-//! that view was known to be complete). So a host notices a missed push, and its view stays up to
-//! date through its peers while its own reads of the log fail.
+//! that view was known to be complete). So a host notices that it has missed a push of log entries.
+//! The replies also keep the host's view up to date while the host cannot read the log itself.
 
 use std::{sync::Arc, time::Duration};
 
--- a/src/host/leader.rs
+++ b/src/host/leader.rs
@@ -16,9 +16,10 @@
 
 /// Key of the row that holds the leader's lease and term.
 const LEADER_ROW: &str = "leader";
-/// Number of times that the leader renews its row within one lease.
+/// Number of times that the leader renews the leader row within the length of one lease.
 const RENEWALS_PER_LEASE: u64 = 4;
-/// Key in the hash ring that selects the candidates for the leader.
+/// Number of the work item that stands for the leadership in the hash ring. The hosts that follow
+/// this work item in the ring are the candidates for the leader.
 const LEADER_RING_KEY: u32 = 0;
 /// Number of hosts that watch the leader row, to take over when the lease of the leader expires.
 const CANDIDATES: usize = 3;
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Returns true if this host reads the leader row: it leads, or it is a top-level host and one
-    /// of the first [`CANDIDATES`] hosts in the ring that were heard within the last lease.
+    /// Returns true if this host must read the leader row: this host leads, or is a top-level host
+    /// and one of the first [`CANDIDATES`] hosts in the ring that were heard within the last lease.
     fn is_candidate(&self) -> bool {
         let Some(own) = self.key() else { return false };
         if self.leading() {
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -21,8 +21,8 @@
     state::{Change, HostEntry, ServerState, State},
 };
 
-/// Interval in milliseconds at which the leader queries the servers without a lease. Those that
-/// respond can join.
+/// Interval in milliseconds at which the leader queries the servers without a lease. Servers that
+/// respond and are not draining join.
 const QUERY_SERVERS_MS: u64 = 300;
 /// Timeout in milliseconds of a query to another host for its lease horizon or its applied
 /// revision.
@@ -59,12 +59,12 @@
 
     /// Queries all hosts once for their lease horizons (the latest time at which their renewals may
     /// still keep the lease valid), waits at most [`HORIZON_PAUSE_MS`], and records the expiry of
-    /// the lease if it is then certain.
+    /// the lease if the expiry is then certain.
     async fn wait_for_expiry(self: &Arc<Self>, lost: LostServer) {
         let reports = self.horizon_reports(lost).await;
         let state = self.view.state();
         // If this host does not know when it applied the revision, the age counts as zero, which
-        // only lengthens the wait.
+        // only delays the time at which the lease counts as expired.
         let since_age_ms = self.view.applied_age_ms(state.registry.majority_since());
         let renewing_hosts = RenewingHosts {
             registered: &registered(&state),
@@ -206,8 +206,9 @@
         applied
     }
 
-    /// Removes hosts that have stopped pinging this host. Hosts that do not lead do this for the
-    /// hosts below them in the heartbeat tree, whose heartbeats the leader may not receive.
+    /// Removes hosts that have stopped pinging this host. Hosts that are not the leader call this
+    /// method for the hosts below them in the heartbeat tree, whose heartbeats the leader may not
+    /// receive.
     pub(super) async fn remove_silent_hosts(self: &Arc<Self>) {
         let state = self.view.state();
         if self.leading() || !self.view.is_up_to_date() || !state.registry.is_change_complete() {
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -1,5 +1,5 @@
 //! The entry host (a process of the router): its view of the replicated state, the tasks that keep
-//! the view up to date, and those that act on it.
+//! the view up to date, and the tasks that act on the view.
 
 mod commit;
 mod controller;
--- a/src/host/moves.rs
+++ b/src/host/moves.rs
@@ -96,8 +96,8 @@
         committed.map_err(|source| MoveError::Commit { source })
     }
 
-    /// Orders the old owner to release the slots. Its requests in flight on them may run on for the
-    /// drain time of the settings.
+    /// Orders the old owner to release the slots. Requests in flight on these slots may continue
+    /// for the drain time of the settings.
     async fn revoke(&self, from: &ServerEntry, grants: &[SlotGrant]) -> Result<(), MoveError> {
         let drain_ms = self.settings.ownership.drain_ms;
         let order = RevokeRequest {
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -127,8 +127,8 @@
             .collect()
     }
 
-    /// Returns true if a renewal is due. In that case also postpones the next renewal while the one
-    /// that is due is in flight.
+    /// Returns true if a renewal of the server's lease is due. In that case also records that the
+    /// renewal was sent, which postpones the next renewal while the due renewal is in flight.
     fn start_if_due(&self, leased: LeasedServer) -> bool {
         let now_ms = clock::now_ms();
         let mut renewal_states = self.renewal_states();
@@ -313,7 +313,8 @@
 }
 
 /// Returns all grants that a server should hold, if the digest that the server reported does not
-/// match them. Returns an empty list if the digest matches, or before the server has reported one.
+/// match them. Returns an empty list if the digest matches, or before the server has reported a
+/// digest.
 fn missing_grants(state: &State, server: ServerKey, digest: Option<u64>) -> Vec<SlotGrant> {
     let Some(digest) = digest else {
         return Vec::new();
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -32,8 +32,8 @@
 const PEER_TIMEOUT_MS: u64 = 500;
 
 impl Host {
-    /// Reads the log whenever the view is too stale or a read is requested. Runs until the process
-    /// ends.
+    /// Reads the log whenever the staleness of the view reaches the threshold for a read, or a read
+    /// is requested. Runs until the process ends.
     pub(super) async fn keep_synced(self: Arc<Self>) {
         let percent_ms = |percent| self.settings.ownership.max_staleness_ms * percent / 100;
         loop {
@@ -64,7 +64,8 @@
         heartbeat_tree::is_top_level(&hosts, own)
     }
 
-    /// Reads the log to its end and applies its entries; returns false on failure.
+    /// Reads the log to its end and applies the entries that the view lacks. Returns false if the
+    /// log could not be read to its end.
     pub(super) async fn read_log(&self) -> bool {
         loop {
             let sent_ms = clock::now_ms();
@@ -116,7 +117,8 @@
         }
     }
 
-    /// Fetches the whole state of a peer, and replaces the view with it if its revision is higher.
+    /// Fetches the whole state of the peer at `address`, and replaces the state of the view if the
+    /// fetched state has a higher revision.
     pub(super) async fn fetch_snapshot(&self, address: std::net::SocketAddr) {
         let request = PeerRequest::Snapshot;
         let reply = self.peers.call(address, &request, PEER_TIMEOUT_MS).await;
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -39,7 +39,8 @@
     last_pings: HashMap<HostProcess, u64>,
     recent: VecDeque<Applied>,
     staleness: StalenessTracker,
-    /// Revision and time at which a snapshot last replaced the state.
+    /// Revision of the snapshot that last replaced the state, and time of the replacement; `None`
+    /// if no snapshot has replaced the state.
     replaced: Option<(Revision, u64)>,
 }
 
@@ -72,7 +73,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the state for use across awaits or for a long time.
+    /// Returns the state as a reference that the caller may keep across awaits or for a long time.
     pub fn state(&self) -> Arc<State> {
         self.state.load_full()
     }
@@ -157,8 +158,8 @@
     }
 
     /// Returns the time in milliseconds since this host applied `revision`; `None` if it has not
-    /// applied that revision. For an entry that is no longer kept, returns the time since a
-    /// snapshot last replaced the state, or 0 if no snapshot has.
+    /// applied that revision. For a revision whose log entry is no longer kept, returns the time
+    /// since a snapshot last replaced the state, or 0 if no snapshot has.
     pub fn applied_age_ms(&self, revision: Revision) -> Option<u64> {
         let inner = self.lock();
         if self.state.load().revision < revision {
@@ -206,8 +207,8 @@
         self.store_up_to_date_ms(&inner);
     }
 
-    /// Advances the up-to-date time to now if this host is the only quorum member. Called at each
-    /// heartbeat.
+    /// Advances the up-to-date time to the current time if this host is the only quorum member.
+    /// Called at each heartbeat.
     pub fn on_heartbeat(&self, own: HostProcess) {
         let mut inner = self.lock();
         let quorum_members = quorum_members(&self.state.load());
--- a/src/routing/outcome.rs
+++ b/src/routing/outcome.rs
@@ -58,13 +58,13 @@
     NoAnswer,
     /// The claim of an unrepeatable request cannot be recorded because the store is unreachable.
     ClaimsUnavailable,
-    /// An unrepeatable request with the same idempotency key is pending and its deadline has not
-    /// passed.
+    /// An earlier unrepeatable request with the same idempotency key is pending, and the deadline
+    /// of the earlier request has not passed.
     InProgress,
     /// An unrepeatable request with the same idempotency key was sent before, and its outcome is
     /// unknown.
     Unsettled,
-    /// An unrepeatable request with the same idempotency key was answered before, but the response
+    /// An earlier unrepeatable request with the same idempotency key was answered, but its response
     /// was too long to be stored.
     AnswerNotKept,
     /// The idempotency key was used for a different request.
@@ -163,7 +163,8 @@
 }
 
 impl Outcome {
-    /// Returns the name that callers get in a response header.
+    /// Returns the name of the outcome, which callers get in the response header
+    /// [`crate::ownership::message::OUTCOME_HEADER`].
     pub fn name(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -173,7 +174,8 @@
 }
 
 impl Reason {
-    /// Returns the name that callers get in a response header.
+    /// Returns the name of the reason, which callers get in the response header
+    /// [`crate::ownership::message::REASON_HEADER`].
     pub fn name(self) -> String {
         match serde_json::to_value(self) {
             Ok(serde_json::Value::String(name)) => name,
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -2,10 +2,10 @@
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
-/// Number of units that a retry takes from the budget. Every request adds one unit, so every 20
-/// requests allow one retry.
+/// Number of units that one retry takes from the retry budget. Every request adds one unit to the
+/// budget, so every 20 requests allow one retry.
 const RETRY_COST: i64 = 20;
-/// Maximum number of units that the budget accumulates, enough for ten retries in a row.
+/// Maximum number of units that the retry budget accumulates, enough for ten retries in a row.
 const BUDGET_UNITS_MAX: i64 = 10 * RETRY_COST;
 
 /// Retry budget of one service on one host. The budget allows one retry per 20 requests, and starts
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Takes the cost of one retry out of the budget. Returns false, without a charge, if the
-    /// budget is exhausted and the request must not be retried.
+    /// Takes the units of one retry out of the budget and returns true. If the budget has too few
+    /// units, takes none and returns false; the request must then not be retried.
     pub fn retry(&self) -> bool {
         let taken = self.units.fetch_sub(RETRY_COST, Ordering::Relaxed);
         if taken < RETRY_COST {
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -41,7 +41,7 @@
 /// draining.
 const STALE_OWNER_DELAY_MS: u64 = 3;
 /// Delay in milliseconds before a retry that counts against the retry budget, and between two
-/// checks whether this host's view is fresh again.
+/// checks whether this host's view is up to date again.
 const RETRY_DELAY_MS: u64 = 10;
 /// Delay in milliseconds before a new attempt after a connection to the server could not be
 /// established.
@@ -242,7 +242,7 @@
         ClaimResult::Refused(Reason::KeyReused) => return Err(Failure::not_run(Reason::KeyReused)),
         ClaimResult::Refused(reason) => return Err(Failure::unknown(reason)),
     };
-    // The guard ends the claim even if the caller disconnects.
+    // The guard ends the claim even if the caller disconnects, which cancels this function.
     let claim_guard = ClaimGuard::new(host.clone(), claim);
     match run(host, routed).await {
         Ok(answer) => claim_guard.answered(answer).await,
@@ -451,8 +451,8 @@
     }
 }
 
-/// Looks up the live server that owns the slot of a request; `None` if the slot has no settled
-/// owner or if the owner is not live.
+/// Looks up the live server that owns the slot of a request; `None` if the slot is moving or has no
+/// owner, or if the owner is not live.
 fn find_owner(state: &State, routed: &RoutedRequest) -> Option<Owner> {
     let service = state.service(routed.service)?;
     let slot = service.slots.get(routed.slot.0 as usize)?;
@@ -472,7 +472,7 @@
 }
 
 /// Returns true if the owner still has the slot at the same epoch with the same process, and this
-/// host's view is fresh.
+/// host's view is up to date.
 fn is_still_owner(host: &Host, routed: &RoutedRequest, owner: Owner) -> bool {
     let found = find_owner(&host.view.peek(), routed);
     let same = found.is_some_and(|f| f.epoch == owner.epoch && f.incarnation == owner.incarnation);
--- a/src/routing/traffic.rs
+++ b/src/routing/traffic.rs
@@ -46,8 +46,9 @@
 }
 
 impl Traffic {
-    /// Returns the counters and limits of `service`, which has `slots` slots, creating them if
-    /// needed.
+    /// Returns the request counts, admission limit and retry budget of `service`, which has `slots`
+    /// slots, and creates them at the first call for the service or if its number of slots differs
+    /// from that of earlier calls.
     pub fn of(&self, service: ServiceKey, slots: usize) -> Arc<ServiceTraffic> {
         let index = service.0 as usize;
         if let Ok(services) = self.services.read()
