--- a/src/membership/ring.rs
+++ b/src/membership/ring.rs
@@ -1,6 +1,6 @@
-//! Consistent hashing, which divides work among hosts. It selects the hosts that renew a server's
-//! lease, and the candidates for the leader. A host that joins or leaves changes only the shares of
-//! its neighbours in the ring.
+//! Consistent hashing, which divides work among hosts. The hash ring selects the hosts that renew a
+//! server's lease, and the candidates for the leader. A host that joins or leaves changes only the
+//! shares of its neighbours in the ring.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/src/membership/staleness.rs
+++ b/src/membership/staleness.rs
@@ -63,8 +63,7 @@
 }
 
 /// One process of a registered host, identified by the key of the host and the incarnation of the
-/// process. A *quorum member* is such a process that counts in majorities (see
-/// [`super::registry`]).
+/// process. A *quorum member* is a process that counts in majorities (see [`super::registry`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HostProcess {
     /// Key of the host in the registry; a restarted host may get the same key.
--- a/src/ownership/expiry.rs
+++ b/src/ownership/expiry.rs
@@ -19,7 +19,7 @@
 pub struct HorizonReport {
     /// Host whose renewals the report is about.
     pub host: HostKey,
-    /// Incarnation of the process of `host` that sent the renewals.
+    /// Incarnation of the process of `host` that sent the report and the renewals.
     pub incarnation: Incarnation,
     /// Latest possible time at which the reporting host applied the change that marks the server as
     /// lost.
--- a/src/peer/endpoint.rs
+++ b/src/peer/endpoint.rs
@@ -84,7 +84,8 @@
         sent.map_err(|error| self.unreachable(address, &error))
     }
 
-    /// Sends a request and waits for its reply; fails after `timeout_ms`.
+    /// Sends a request, after connecting to the peer if needed, and waits for the reply. Fails if
+    /// the reply has not arrived within `timeout_ms`.
     pub async fn call(
         &self,
         address: SocketAddr,
--- a/src/peer/keys.rs
+++ b/src/peer/keys.rs
@@ -28,9 +28,10 @@
 pub const CA_KEY_FILE: &str = "ca-key.pem";
 /// ALPN identifier of the peer protocol.
 const PROTOCOL: &[u8] = b"ashroad/1";
-/// Time without a packet after which a connection is closed.
+/// Time in milliseconds without a packet from the peer after which a connection is closed.
 const IDLE_TIMEOUT_MS: u32 = 1_000;
-/// Interval of keep-alive packets; below the idle timeout, so that idle connections stay open.
+/// Interval of keep-alive packets in milliseconds; shorter than [`IDLE_TIMEOUT_MS`], so that idle
+/// connections stay open.
 const KEEP_ALIVE_MS: u64 = 300;
 /// Maximum number of concurrent requests on one connection; further requests wait at the sender.
 const STREAMS_MAX: u32 = 256;
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -44,7 +44,7 @@
         /// Revision that the replying host has applied.
         revision: Revision,
         /// Staleness of the replying host's view (see [`crate::membership::staleness`]); `None` if
-        /// the host has not been up to date yet.
+        /// that view was never known to be complete.
         #[serde(rename = "basis_age_ms")]
         staleness_ms: Option<u64>,
     },
@@ -96,14 +96,16 @@
         /// Latest revision that the replying host has applied, after the push was handled.
         revision: Revision,
     },
-    /// Log entries after the requested revision.
+    /// Reply to [`PeerRequest::Entries`]: log entries after the requested revision.
     Entries {
         /// Entries with consecutive revisions, oldest first.
         entries: Vec<LogEntry>,
     },
-    /// The host no longer holds the requested entries.
+    /// Reply to [`PeerRequest::Entries`] if the replying host no longer holds the requested
+    /// entries.
     Truncated,
-    /// Snapshot of the whole state, for a host that is far behind.
+    /// Reply to [`PeerRequest::Snapshot`]: snapshot of the whole state, for a host that is far
+    /// behind.
     Snapshot {
         /// Revision and hash of the snapshot.
         pointer: SnapshotPointer,
@@ -113,10 +115,11 @@
     /// Reply to [`PeerRequest::LeaseHorizon`], from which [`crate::ownership::expiry`] computes
     /// when the lost server's lease has ended.
     Horizon {
-        /// Time since the replying host applied the change that records the loss of the server;
-        /// `None` if the replying host has not applied that change.
+        /// Time in milliseconds since the replying host applied the change that records the loss of
+        /// the server; `None` if the replying host has not applied that change.
         applied_age_ms: Option<u64>,
-        /// Time for which renewals sent by the replying host may still keep the lease valid.
+        /// Time in milliseconds for which renewals sent by the replying host may still keep the
+        /// lease valid.
         remaining_ms: u64,
     },
     /// Result of a probe, in reply to [`PeerRequest::Probe`].
@@ -124,8 +127,8 @@
         /// True if the process that holds the lease responded.
         alive: bool,
     },
-    /// Numbers of requests by slot, which the replying host has counted since it last reported
-    /// them.
+    /// Reply to [`PeerRequest::Loads`]: numbers of requests by slot that the replying host has
+    /// counted since it last reported them.
     Loads {
         /// Loads of the slots that got at least one request.
         loads: Vec<SlotLoad>,
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -21,7 +21,8 @@
 /// Signature of the server over its response.
 pub const SIGNATURE: HeaderName = HeaderName::from_static("server-signature");
 /// Load of the responding server: running requests, queued requests, slots and, where servers share
-/// machines, the current slowdown in percent.
+/// machines, the current slowdown (the factor by which the server runs slower than usual) in
+/// percent.
 const LOAD: HeaderName = HeaderName::from_static("server-load");
 /// Header that a leaving server sets in every response; `0` means that the server is not leaving.
 const LEAVING: HeaderName = HeaderName::from_static("server-leaving");
@@ -66,8 +67,8 @@
     headers.contains_key(NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST
 }
 
-/// Parses the notice in a server's response: whether the server is leaving, and the backoff that it
-/// asks for (a period without requests from this host).
+/// Parses the notice in a server's response: whether the server is leaving, and the backoff (a
+/// period without requests from this host) that the server asks for.
 pub fn notice(status: StatusCode, headers: &HeaderMap) -> Notice {
     Notice {
         leaves: headers.get(LEAVING).is_some_and(|value| value != "0"),
@@ -75,10 +76,10 @@
     }
 }
 
-/// Parses the rate limit that a server reports in a response. A response without the header means
-/// that the server has no limit if the response certainly comes from the server, which is the case
-/// if it is signed or states that the request was not run. In any other response without the
-/// header, the limit is unknown.
+/// Parses the rate limit that a server reports in a response. If the header is missing and the
+/// response certainly comes from the server, the server has no limit. A response certainly comes
+/// from the server if the response is signed or states that the request was not run. If the header
+/// is missing in any other response, the limit is unknown.
 pub fn reported_limit(status: StatusCode, headers: &HeaderMap) -> ReportedLimit {
     let Some(value) = headers.get(LIMIT) else {
         let is_from_server = headers.contains_key(SIGNATURE) || says_not_run(status, headers);
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -24,7 +24,8 @@
 const CALL_TIMEOUT_MS: u64 = 2_000;
 /// Timeout for reading one page of rows. A read takes half as long as a transaction.
 const READ_TIMEOUT_MS: u64 = 1_000;
-/// Time that is added to the requested wait of a feed call to get the timeout of the call.
+/// Time in milliseconds that is added to the requested wait of a feed call to get the timeout of
+/// the call.
 pub const FEED_SLACK_MS: u64 = 1_000;
 /// Timeout of a feed call whose wait is 0, to which the store responds at once. Hosts use such
 /// calls to probe whether the store is reachable again, and a probe must not hang on a connection
@@ -205,7 +206,8 @@
     }
 
     /// Reads all rows of a partition of a table, page by page. The returned version is that of the
-    /// first page; the feed after it returns all changes made while the later pages were read.
+    /// first page. A feed call after that version returns all changes that were made while the
+    /// later pages were read.
     pub async fn table_partition(&self, table: &str, part: &str) -> Result<Rows> {
         let mut all = Rows {
             rows: Vec::new(),
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -39,14 +39,16 @@
     transport::{self, ListenerLimits, ResponseBody, header_number, header_text},
 };
 
-/// Maximum size of a request body on the stand-in's own endpoints.
+/// Maximum size in bytes of the body of a lease order, a revocation or a request that sets faults.
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
-/// Interval at which the handling of a revocation checks whether the requests for the revoked slots
-/// have ended.
+/// Interval in milliseconds at which the handling of a revocation checks whether the requests for
+/// the revoked slots have ended.
 const DRAIN_POLL_MS: u64 = 1;
-/// Pause between the first half of a truncated response and the close of its connection.
+/// Pause in milliseconds between the first half of a truncated response and the close of its
+/// connection.
 const TRUNCATION_PAUSE_MS: u64 = 30;
-/// Additional run time of a request while the server is cold, i.e. shortly after its start.
+/// Additional run time in milliseconds of a request while the server is cold, i.e. shortly after
+/// the start of the server.
 const COLD_EXTRA_MS: u64 = 20;
 
 /// Behaviour of one stand-in server, fixed at its start; faults can be set later.
@@ -54,11 +56,12 @@
 pub struct Config {
     /// Address to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// Maximum number of requests that run at the same time.
+    /// Maximum number of requests that run at the same time: the number of execution slots. An
+    /// execution slot is unrelated to the slots of keys.
     pub slots: usize,
-    /// Maximum number of requests that wait for a slot; further requests are shed.
+    /// Maximum number of requests that wait for an execution slot; further requests are shed.
     pub queue: usize,
-    /// Time in milliseconds for which a request occupies its slot.
+    /// Time in milliseconds for which a request occupies its execution slot.
     pub work_ms: u64,
     /// Time in milliseconds after the start for which the server is cold, so that each request
     /// takes 20 ms longer.
@@ -162,7 +165,7 @@
     }
 }
 
-/// Guard that counts a request as waiting for a slot until dropped.
+/// Guard that counts a request as waiting for an execution slot until dropped.
 struct WaitingGuard(Backend);
 
 impl Drop for WaitingGuard {
@@ -384,8 +387,8 @@
         }))
     }
 
-    /// Waits for a free slot until the deadline of the request. Fails with the reason `shed` if too
-    /// many requests wait already, and with the reason `deadline` at the deadline.
+    /// Waits for a free execution slot until the deadline of the request. Fails with the reason
+    /// `shed` if too many requests wait already, and with the reason `deadline` at the deadline.
     async fn acquire_slot(&self, headers: &HeaderMap) -> Result<SlotGuard, &'static str> {
         let waiting = {
             let mut inner = self.lock();
@@ -412,7 +415,7 @@
     }
 }
 
-/// Guard of the slot of a running request; releases the slot when dropped.
+/// Guard of the execution slot of a running request; releases the execution slot when dropped.
 struct SlotGuard {
     _occupied: RunningGuard,
     _permit: OwnedSemaphorePermit,
--- a/src/standin/backend_message.rs
+++ b/src/standin/backend_message.rs
@@ -37,9 +37,9 @@
 /// Response of the load endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadResponse {
-    /// Number of requests that occupy a slot.
+    /// Number of running requests, each of which occupies an execution slot.
     pub running: usize,
-    /// Number of requests that wait for a slot.
+    /// Number of requests that wait for a free execution slot.
     pub waiting: usize,
 }
 
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -39,8 +39,8 @@
         let _ = self.task.await;
     }
 
-    /// Waits for the end of the stand-in, which without a call of [`Running::stop`] comes only with
-    /// the end of the process.
+    /// Waits for the end of the stand-in. Since this method takes the handle, [`Running::stop`]
+    /// cannot be called afterwards, and the stand-in runs until the process ends.
     pub async fn wait(self) {
         let _ = self.task.await;
     }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,4 +1,5 @@
-//! Stand-in of the platform: table service, object store and a list of hosts that can lag.
+//! Stand-in of the platform: table service, object store and a list of hosts that can lag behind
+//! the actual hosts.
 
 use std::{
     collections::BTreeMap,
--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -72,7 +72,7 @@
         /// Process of the host; the change is refused if another process has replaced it.
         incarnation: Incarnation,
     },
-    /// A host was asked to stop and has announced it.
+    /// A host was asked to stop and has announced its stop.
     HostLeaving {
         /// Host that stops; it remains a quorum member until its removal.
         host: HostKey,
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -146,7 +146,7 @@
     pub changed: Revision,
 }
 
-/// Ownership of one slot: its owner, the next owner while it moves, and the last epoch.
+/// Ownership of one slot: its owner, the next owner while the slot moves, and the last epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotEntry {
     /// Current owner; `None` before the first grant and after the owner's lease has expired.
