--- a/src/host/planning.rs
+++ b/src/host/planning.rs
@@ -17,8 +17,8 @@
     state::{Change, ServerState, ServiceEntry, SlotMove, State},
 };
 
-/// Maximum number of slots of one service that may be moving at a time for the leader to add moves
-/// for balance.
+/// Number of moving slots of one service up to which the leader adds moves for balance. Moves of
+/// slots without an eligible owner are not limited by this number.
 const BALANCE_IN_FLIGHT_MAX: usize = 8;
 /// Maximum number of slots in one change, which bounds the size of a row of the log.
 const SLOTS_PER_CHANGE: usize = 2_000;
@@ -122,8 +122,9 @@
     plans
 }
 
-/// Plans the moves of one service. If the service has fewer than [`LOAD_REQUESTS_MIN`] requests,
-/// the load of all its slots is passed as 0, and the planner then counts every slot the same.
+/// Plans the moves of one service. If the service has fewer than [`LOAD_REQUESTS_MIN`] smoothed
+/// requests, the load of all its slots is passed as 0, and the planner then counts every slot the
+/// same.
 fn plan_service(state: &State, service: &ServiceEntry, loads: Option<&[f64]>) -> Vec<PlannedMove> {
     let capacity = service.spec.server_slots as f64;
     let servers: Vec<PlannerServer> = state
--- a/src/host/run.rs
+++ b/src/host/run.rs
@@ -163,7 +163,7 @@
         log::info!(host = self.settings.name.as_str(); "registered");
     }
 
-    /// Commits that this host leaves, so that the leader removes the host soon after it has
+    /// Commits that this host leaves, so that the leader removes the host soon after the host has
     /// stopped.
     async fn announce_leaving(self: &Arc<Self>) {
         let Some(host) = self.key() else { return };
@@ -180,9 +180,10 @@
 }
 
 impl RunningHost {
-    /// Carries out a planned stop: withdraws readiness, announces the stop and waits for the notice
-    /// time. Then lets the requests in flight finish within the drain time of the settings, and
-    /// ends all tasks.
+    /// Carries out a planned stop: withdraws readiness, announces the stop, and waits until the
+    /// notice time of the settings (`notice_ms`) has passed since the readiness was withdrawn. Then
+    /// lets the requests in flight finish within the drain time of the settings, and ends all
+    /// tasks.
     pub async fn stop(mut self) {
         let host = &self.host;
         host.ready.store(false, Ordering::Relaxed);
--- a/src/ownership/message.rs
+++ b/src/ownership/message.rs
@@ -1,11 +1,11 @@
 //! Messages of the control protocol of backend servers, and the headers of a routed request.
 //!
-//! A server holds one lease for itself and one grant for each slot. It serves a slot while its
-//! lease is valid and the request carries the epoch of the grant. The end of the lease is given on
-//! the server's own monotonic clock, so that a delayed renewal cannot extend the lease past the
-//! time that its sender intended. The *lease epoch* rises each time the server joins. A lease of a
-//! higher lease epoch ends all grants that were made before: the server had been declared lost, and
-//! its slots may have moved to other servers.
+//! A server holds one lease for itself and one grant for each slot that it owns. The server serves
+//! a slot while its lease is valid and the request carries the epoch of the grant. The end of the
+//! lease is given on the server's own monotonic clock, so that a delayed renewal cannot extend the
+//! lease past the time that its sender intended. The *lease epoch* rises each time the server
+//! joins. A lease of a higher lease epoch ends all grants that were made before: the server had
+//! been declared lost, and its slots may have moved to other servers.
 
 use serde::{Deserialize, Serialize};
 
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -42,8 +42,8 @@
     /// Latest end of the lease that any renewal sent so far has ordered, on the clock of the
     /// renewing host.
     horizon_ms: u64,
-    /// Digest over all grants of the server, from its last response; `None` before the first
-    /// response.
+    /// Digest of all grants that the server holds (the combination of their hashes by exclusive
+    /// or), from the last response of the server; `None` before the first response.
     pub digest: Option<u64>,
 }
 
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -16,8 +16,8 @@
 /// Row key of the configuration document, which holds all services, routes and workspaces.
 pub const KEY: &str = "config";
 
-/// Prefix of the row keys that mark evacuated availability zones; the zone's name follows it. A
-/// zone is evacuated while its row exists, whatever the row contains.
+/// Prefix of the row keys that mark evacuated availability zones; the name of the zone follows the
+/// prefix. A zone is evacuated while its row exists, whatever the row contains.
 const EVACUATION_PREFIX: &str = "evacuate/";
 
 /// Returns the availability zone that the row with this key evacuates; `None` for other rows.
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -115,7 +115,7 @@
     pub warmup_left: Option<u64>,
 }
 
-/// Readiness of a server. An entry with any other readiness is refused.
+/// Readiness of a server. An entry whose readiness is not one of the variants is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WireServerState {
--- a/src/routing/target.rs
+++ b/src/routing/target.rs
@@ -80,7 +80,8 @@
     }
 
     /// Waits until `deadline_ms` for one of the `permits` of the server at `address`; `None` if no
-    /// permit became free. The first call for an address sets the number of its permits.
+    /// permit became free. The first call for an address sets the number of permits of that server,
+    /// and later calls ignore `permits`.
     pub async fn permit(
         &self,
         address: SocketAddr,
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -59,7 +59,8 @@
     /// Maximum number of requests that run at the same time: the number of execution slots. An
     /// execution slot is unrelated to the slots of keys.
     pub slots: usize,
-    /// Maximum number of requests that wait for an execution slot; further requests are shed.
+    /// Maximum number of requests that wait for an execution slot; further requests are rejected
+    /// with the reason `shed`.
     pub queue: usize,
     /// Time in milliseconds for which a request occupies its execution slot.
     pub work_ms: u64,
--- a/src/standin/grants.rs
+++ b/src/standin/grants.rs
@@ -61,8 +61,9 @@
         self.lease_epoch
     }
 
-    /// Returns the digest of the grants that the server holds. Hosts compare it with the digest of
-    /// the grants that their own state contains for the server.
+    /// Returns the digest of the grants that the server holds (the combination of their hashes by
+    /// exclusive or). Hosts compare this digest with the digest of the grants that their own state
+    /// contains for the server.
     pub fn digest(&self) -> u64 {
         self.digest
     }
