--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -15,7 +15,7 @@
 };
 
 impl Host {
-    /// Sends heartbeats at a fixed interval until the process ends.
+    /// Sends heartbeats at the interval `heartbeat_ms` of the settings until the process ends.
     pub(super) async fn keep_sending_heartbeats(self: Arc<Self>) {
         let pause = Duration::from_millis(self.settings.ownership.heartbeat_ms);
         let mut ticks = time::interval(pause);
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -24,10 +24,11 @@
 /// Interval in milliseconds at which the leader queries the servers without a lease. Servers that
 /// respond and are not draining join.
 const QUERY_SERVERS_MS: u64 = 300;
-/// Timeout in milliseconds of a query to another host for its lease horizon or its applied
-/// revision.
+/// Timeout in milliseconds of a query to another host for its lease horizon (see
+/// [`crate::ownership::expiry`]) or for the revision that it has applied.
 const HORIZON_TIMEOUT_MS: u64 = 200;
-/// Maximum pause in milliseconds between two rounds of horizon queries for one lost server.
+/// Maximum pause in milliseconds between two rounds of queries for the lease horizons that concern
+/// one lost server.
 const HORIZON_PAUSE_MS: u64 = 50;
 
 impl Host {
@@ -57,9 +58,9 @@
         }
     }
 
-    /// Queries all hosts once for their lease horizons (the latest time at which their renewals may
-    /// still keep the lease valid), waits at most [`HORIZON_PAUSE_MS`], and records the expiry of
-    /// the lease if the expiry is then certain.
+    /// Queries all hosts once for their lease horizons (the times until which their renewals may
+    /// keep the lease of the lost server valid), waits at most [`HORIZON_PAUSE_MS`], and records
+    /// the expiry of the lease if the expiry is then certain.
     async fn wait_for_expiry(self: &Arc<Self>, lost: LostServer) {
         let reports = self.horizon_reports(lost).await;
         let state = self.view.state();
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -144,8 +144,9 @@
     }
 
     /// Returns the time for which this host's renewals may still keep the lease of a lost server
-    /// valid. Renewals are checked under the same lock, so this host sends no renewal after a reply
-    /// which states that it has applied the loss of the server.
+    /// valid. Renewals are checked under the same lock. Hence the reply covers all renewals ordered
+    /// before, and this host orders no renewal after a reply which states that this host has
+    /// applied the loss of the server.
     pub(super) fn horizon(
         &self,
         server: ServerKey,
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -111,7 +111,7 @@
 
     /// Returns this host and the hosts that replied to a heartbeat of this host within the last
     /// [`SILENT_HEARTBEATS`] heartbeat intervals. Hosts that have never replied to a heartbeat of
-    /// this host, such as those that this host does not ping, are included.
+    /// this host, such as hosts that this host does not ping, are returned as well.
     fn heard_hosts(&self, state: &State, own: HostKey) -> Vec<HostKey> {
         let heartbeat_ms = self.settings.ownership.heartbeat_ms;
         let silent_ms = heartbeat_ms * SILENT_HEARTBEATS;
@@ -158,8 +158,9 @@
     }
 
     /// Returns the order to send; `None` if this host must not renew the lease. The state and its
-    /// staleness are checked under the lock that [`Host::horizon`] also takes, so that no renewal
-    /// follows the reply of that method.
+    /// staleness are checked under the lock that [`Host::horizon`] also takes. Hence a reply of
+    /// [`Host::horizon`] covers all orders returned before, and no order is returned after a reply
+    /// which states that this host has applied the loss of the server.
     fn order(&self, leased: LeasedServer) -> Option<LeaseRequest> {
         let mut renewal_states = self.renewal_states();
         let state = self.view.state();
--- a/src/ownership/planner.rs
+++ b/src/ownership/planner.rs
@@ -17,7 +17,8 @@
 /// Server in the input of the planner: its capacity, and whether it may own slots.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannerServer {
-    /// Number of requests that the server runs at a time, reduced during a cold start.
+    /// Number of requests that the server can run at a time. The planner aims at the same load per
+    /// capacity on all servers.
     pub capacity: f64,
     /// False if the server must not own slots; its slots are then moved away.
     pub eligible: bool,
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -67,7 +67,7 @@
     }
 
     /// Records that a renewal was sent, and postpones the next renewal until the timeout of the
-    /// sent renewal and the delay [`RETRY_MS`] have passed.
+    /// sent renewal and the retry delay have both passed.
     pub fn record_sent(&mut self, now_ms: u64, timeout_ms: u64) {
         self.due_ms = now_ms + timeout_ms + RETRY_MS;
     }
--- a/src/peer/endpoint.rs
+++ b/src/peer/endpoint.rs
@@ -68,7 +68,8 @@
         Ok((peer, received))
     }
 
-    /// Returns the address that the endpoint listens on.
+    /// Returns the UDP address that the endpoint is bound to; its port is the actual port if port 0
+    /// was requested.
     pub fn address(&self) -> Result<SocketAddr> {
         self.endpoint.local_addr().map_err(|error| Error::Tls {
             message: error.to_string(),
--- a/src/standin/backend_message.rs
+++ b/src/standin/backend_message.rs
@@ -5,13 +5,15 @@
 use super::grants::OwnershipSpan;
 use crate::id::Incarnation;
 
-/// Path of the endpoint that sets faults (POST).
+/// Path of the endpoint that sets the [`Faults`] of the server (POST).
 pub const FAULTS_PATH: &str = "/_server/faults";
-/// Path of the endpoint that returns the record of ownership and runs (GET).
+/// Path of the endpoint that returns the [`Record`] of the slots that the server owned and the
+/// requests that it ran (GET).
 pub const RECORD_PATH: &str = "/_server/record";
-/// Path of the load endpoint (GET).
+/// Path of the load endpoint, which returns the [`LoadResponse`] of the server (GET).
 pub const LOAD_PATH: &str = "/_server/load";
-/// Path of the health endpoint (GET).
+/// Path of the health endpoint, which responds with status 200 if the server is healthy and with
+/// status 503 if the server drains, unless the fault `health_lies` is set (GET).
 pub const HEALTH_PATH: &str = "/_server/health";
 
 /// Faults that the stand-in injects until other faults are set.
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -26,9 +26,9 @@
     transport::{self, ListenerLimits, ResponseBody},
 };
 
-/// Path of the endpoint that sets faults (POST).
+/// Path of the endpoint that sets the [`Faults`] of the stand-in (POST).
 pub const FAULTS_PATH: &str = "/faults";
-/// Path of the endpoint that returns the counters (GET).
+/// Path of the endpoint that returns the [`Counters`] of calls to the stand-in (GET).
 pub const COUNTERS_PATH: &str = "/counters";
 
 /// Maximum size of a request body in bytes, large enough for a snapshot of the state.
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -299,8 +299,8 @@
         let is_predecessor =
             |host: &&mut HostEntry| host.registered() && host.peer_address == address;
         // Two processes cannot bind one address, so the earlier process has ended. The new process
-        // replaces it as a quorum member, because the new process has applied everything that the
-        // earlier one had confirmed.
+        // replaces it as a quorum member, because the new process has applied every change that the
+        // earlier process had confirmed.
         if let Some(predecessor) = self.hosts.iter_mut().find(is_predecessor) {
             if predecessor.is_quorum_member() {
                 entry.state = HostState::Live;
@@ -316,8 +316,8 @@
             *predecessor = entry;
             return;
         }
-        // An earlier process of the same name at another address remains a quorum member until it
-        // is removed and that change is complete.
+        // An earlier process of the same name at another address remains a quorum member until the
+        // earlier process is removed and its removal is complete.
         match self.hosts.iter_mut().find(|host| !host.registered()) {
             Some(free) => *free = entry,
             None => self.hosts.push(entry),
