--- a/src/host/heartbeat.rs
+++ b/src/host/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Heartbeats between hosts: a ping and its reply. A ping carries the revision of its sender. The
 //! reply carries the revision of the replying host and the staleness of its view (the time since
-//! that view was known to be complete). So a host notices a missed push, and its view stays up to
-//! date through its peers while its own reads of the log fail.
+//! that view was known to be complete). So a host notices that it has missed a push of log entries.
+//! The replies also keep the host's view up to date while the host cannot read the log itself.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,7 +15,7 @@
 };
 
 impl Host {
-    /// Sends heartbeats at a fixed interval until the process ends.
+    /// Sends heartbeats at the interval `heartbeat_ms` of the settings until the process ends.
     pub(super) async fn keep_sending_heartbeats(self: Arc<Self>) {
         let pause = Duration::from_millis(self.settings.ownership.heartbeat_ms);
         let mut ticks = time::interval(pause);
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -111,7 +111,7 @@
 
     /// Returns this host and the hosts that replied to a heartbeat of this host within the last
     /// [`SILENT_HEARTBEATS`] heartbeat intervals. Hosts that have never replied to a heartbeat of
-    /// this host, such as those that this host does not ping, are included.
+    /// this host, such as hosts that this host does not ping, are returned as well.
     fn heard_hosts(&self, state: &State, own: HostKey) -> Vec<HostKey> {
         let heartbeat_ms = self.settings.ownership.heartbeat_ms;
         let silent_ms = heartbeat_ms * SILENT_HEARTBEATS;
@@ -127,8 +127,8 @@
             .collect()
     }
 
-    /// Returns true if a renewal is due. In that case also postpones the next renewal while the one
-    /// that is due is in flight.
+    /// Returns true if a renewal of the server's lease is due. In that case also records that the
+    /// renewal was sent, which postpones the next renewal while the due renewal is in flight.
     fn start_if_due(&self, leased: LeasedServer) -> bool {
         let now_ms = clock::now_ms();
         let mut renewal_states = self.renewal_states();
@@ -158,8 +158,9 @@
     }
 
     /// Returns the order to send; `None` if this host must not renew the lease. The state and its
-    /// staleness are checked under the lock that [`Host::horizon`] also takes, so that no renewal
-    /// follows the reply of that method.
+    /// staleness are checked under the lock that [`Host::horizon`] also takes. Hence a reply of
+    /// [`Host::horizon`] covers all orders returned before, and no order is returned after a reply
+    /// which states that this host has applied the loss of the server.
     fn order(&self, leased: LeasedServer) -> Option<LeaseRequest> {
         let mut renewal_states = self.renewal_states();
         let state = self.view.state();
@@ -313,7 +314,8 @@
 }
 
 /// Returns all grants that a server should hold, if the digest that the server reported does not
-/// match them. Returns an empty list if the digest matches, or before the server has reported one.
+/// match them. Returns an empty list if the digest matches, or before the server has reported a
+/// digest.
 fn missing_grants(state: &State, server: ServerKey, digest: Option<u64>) -> Vec<SlotGrant> {
     let Some(digest) = digest else {
         return Vec::new();
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -9,7 +9,8 @@
 /// Delay in milliseconds before a failed renewal is retried.
 const RETRY_MS: u64 = 75;
 
-/// Reading of the server's clock, with the time of its receipt on this host's clock.
+/// Reading of the server's clock, with the time on the renewing host's clock at which the reading
+/// was received.
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     incarnation: Incarnation,
@@ -41,8 +42,8 @@
     /// Latest end of the lease that any renewal sent so far has ordered, on the clock of the
     /// renewing host.
     horizon_ms: u64,
-    /// Digest over all grants of the server, from its last response; `None` before the first
-    /// response.
+    /// Digest of all grants that the server holds (the combination of their hashes by exclusive
+    /// or), from the last response of the server; `None` before the first response.
     pub digest: Option<u64>,
 }
 
@@ -65,8 +66,8 @@
         now_ms >= self.due_ms
     }
 
-    /// Records that a renewal was sent, and postpones the next one until the timeout of the sent
-    /// renewal has passed.
+    /// Records that a renewal was sent, and postpones the next renewal until the timeout of the
+    /// sent renewal and the retry delay have both passed.
     pub fn record_sent(&mut self, now_ms: u64, timeout_ms: u64) {
         self.due_ms = now_ms + timeout_ms + RETRY_MS;
     }
--- a/src/peer/endpoint.rs
+++ b/src/peer/endpoint.rs
@@ -68,7 +68,8 @@
         Ok((peer, received))
     }
 
-    /// Returns the address that the endpoint listens on.
+    /// Returns the UDP address that the endpoint is bound to; its port is the actual port if port 0
+    /// was requested.
     pub fn address(&self) -> Result<SocketAddr> {
         self.endpoint.local_addr().map_err(|error| Error::Tls {
             message: error.to_string(),
@@ -84,7 +85,8 @@
         sent.map_err(|error| self.unreachable(address, &error))
     }
 
-    /// Sends a request and waits for its reply; fails after `timeout_ms`.
+    /// Sends a request, after connecting to the peer if needed, and waits for the reply. Fails if
+    /// the reply has not arrived within `timeout_ms`.
     pub async fn call(
         &self,
         address: SocketAddr,
