--- a/src/entry/crashes/broken_connections.rs
+++ b/src/entry/crashes/broken_connections.rs
@@ -23,8 +23,8 @@
 
 impl BrokenConnections {
     /// Records a broken or refused connection; returns true if the caller must probe the server. A
-    /// server known to have crashed is not probed until it has answered again; `answered_ms` is the
-    /// time of its latest answer.
+    /// server known to have crashed is not probed until that server has answered this host again;
+    /// `answered_ms` is the time of its latest answer.
     pub fn note(&self, answered_ms: u64) -> bool {
         let mut state = self.state();
         if state.crashed_ms > answered_ms {
--- a/src/entry/crashes/mod.rs
+++ b/src/entry/crashes/mod.rs
@@ -39,14 +39,14 @@
 };
 use crate::clock;
 
-/// Interval at which crash reports are sent again, since datagrams may be lost.
+/// Interval at which crash reports are sent again, because datagrams may be lost.
 const RESEND_INTERVAL_MS: u64 = 500;
 /// Maximum number of quarantined requests in a heartbeat, which lists the most recent ones in 320
 /// bytes. The row in the store lists all of them.
 const HEARTBEAT_DIGESTS_MAX: usize = 32;
 
-/// State of one host's defence against requests that crash servers: reports, evidence, trials and
-/// quarantine.
+/// State by which one host detects and refuses requests that crash servers: crash reports, evidence
+/// against requests, trials (single supervised attempts) and quarantine.
 #[derive(Debug, Default)]
 pub struct Crashes {
     /// Evidence against requests, by digests that include the caller.
@@ -55,7 +55,8 @@
     path_tally: Mutex<PathTally>,
     /// Requests that this host refuses because servers crashed during them.
     quarantine: Mutex<Quarantine>,
-    /// Claims of trials by all hosts, as far as this host knows; each claim expires.
+    /// Claims with which hosts reserve a request or a server for a trial (single supervised
+    /// attempt), as far as this host knows them. Each claim expires.
     trials: Mutex<TrialClaims>,
     /// Reports of the server crashes that this host detected, to be sent to the other hosts.
     reports: Mutex<Reports>,
@@ -172,10 +173,10 @@
         is_cleared
     }
 
-    /// Claims the trial of a suspect request at a server, so that no other host runs the request
-    /// and no other suspect runs at the server. Sends the claims to the other hosts, and waits
-    /// [`CLAIM_WAIT_MS`] for their competing claims. `Err` holds the time in milliseconds after
-    /// which the claim that blocks this trial expires.
+    /// Claims the trial (single supervised attempt) of a suspect request at a server, so that no
+    /// other host runs the request and no other suspect runs at the server. Sends the claims to the
+    /// other hosts, and waits [`CLAIM_WAIT_MS`] for competing claims from those hosts. `Err` holds
+    /// the time in milliseconds after which the claim that blocks this trial expires.
     pub(in crate::entry) async fn claim_trial(
         &self,
         digests: RequestDigests,
@@ -201,8 +202,9 @@
         if has_all {
             return Ok(());
         }
-        // While this host waited, the evidence against the request was cleared, which ends its
-        // claim, or a host with a lower address has claimed the request or the server.
+        // While this host waited, the evidence against the request was cleared, which ends the
+        // claim on the request, or a host with a lower address has claimed the request or the
+        // server.
         self.release_own_claims(claims);
         self.claim(claims)
     }
@@ -245,8 +247,9 @@
         lock(&self.crashes.trials).note(claimed, host, clock::now_ms());
     }
 
-    /// Ends a claim at this host, so that the next suspect may run. A claim ends when the server
-    /// has answered the trial, or when the claiming host releases the claim without a trial.
+    /// Ends a claim at this host, so that the next suspect (a request that was in flight when a
+    /// server crashed) may run. A claim ends when the server has answered the trial, or when the
+    /// claiming host releases the claim without a trial.
     pub(in crate::entry) fn note_trial_end(&self, claimed: ClaimSubject) {
         lock(&self.crashes.trials).end(claimed);
     }
--- a/src/entry/crashes/reports.rs
+++ b/src/entry/crashes/reports.rs
@@ -1,8 +1,9 @@
-//! Crash reports that a host sends to the other hosts, repeatedly since datagrams may be lost.
+//! Crash reports that a host sends to the other hosts. Each report is sent several times, because
+//! datagrams may be lost.
 
 use crate::entry::{decide::path_tally::SharedSuspect, digest::RequestDigest};
 
-/// Number of times that a report is sent in each term of a leader, since datagrams may be lost.
+/// Number of times that a report is sent in each term of a leader, because datagrams may be lost.
 const SEND_TIMES: u32 = 3;
 /// Maximum number of reports that are kept for later leaders; the oldest are dropped.
 const REPORTS_MAX: usize = 64;
@@ -25,8 +26,8 @@
     }
 }
 
-/// Report of a server crash that this host detected, with the requests in flight at the server and
-/// the state of its sending.
+/// Report of a server crash that this host detected, with the digests of the requests that were in
+/// flight at the server, and a count of how often the report was sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
     /// Tag of the server: a hash that names it in messages.
--- a/src/entry/crashes/stored.rs
+++ b/src/entry/crashes/stored.rs
@@ -20,7 +20,8 @@
     platform::store::{Expect, Put, Row, Transaction, TransactionOutcome},
 };
 
-/// Interval at which the leader compares its quarantine with the row in the store.
+/// Interval at which the leader compares the requests that it quarantines with the row in the
+/// store.
 const STORE_CHECK_INTERVAL_MS: u64 = 1_000;
 
 /// Quarantined requests as last read from or written to the store, and the version of their row.
--- a/src/entry/decide/attempt_stats.rs
+++ b/src/entry/decide/attempt_stats.rs
@@ -4,8 +4,8 @@
 
 /// Weight of a new sample in the moving average of run times, from 0 to 1.
 const RUN_SAMPLE_WEIGHT: f64 = 0.2;
-/// Weight of a new sample in the moving share of failed attempts, from 0 to 1. The sample is 1 for
-/// a failure and 0 for a response.
+/// Weight of a new sample in the moving fraction of failed attempts, from 0 to 1. The sample is 1
+/// for a failure and 0 for a response.
 const FAILURE_SAMPLE_WEIGHT: f64 = 0.15;
 /// Half-life of the weight of a server's samples, in milliseconds. Because old failures lose
 /// weight, a server that was avoided gets requests again.
@@ -23,12 +23,13 @@
     /// Moving average of the run times, in milliseconds, of requests that found a free slot at the
     /// server; 0 before the first such request.
     run_ms: f64,
-    /// Moving share of attempts that failed or were shed, from 0 to 1, as of `at_ms`.
+    /// Moving fraction of attempts that failed or were shed (refused by the server because of
+    /// overload), from 0 to 1, as of `at_ms`.
     failures: f64,
     /// Time of the last outcome, from which the weight of the samples decays.
     at_ms: u64,
     /// Number of consecutive failed connection attempts, which determines the length of the next
-    /// pause; reset by a response.
+    /// pause in attempts; a response resets the number to 0.
     connect_failures: u32,
     /// Time until which the host makes no attempts at the server because connection attempts
     /// failed; 0 if attempts are not paused.
@@ -51,8 +52,8 @@
         now_ms.saturating_sub(self.at_ms)
     }
 
-    /// Returns the share of recent attempts that failed, from 0 to 1. The share decays to 0 while
-    /// no attempts are made.
+    /// Returns the fraction of recent attempts that failed, from 0 to 1. The fraction decays to 0
+    /// while no attempts are made.
     pub fn failures(&self, now_ms: u64) -> f64 {
         self.failures * self.sample_weight(now_ms)
     }
@@ -96,7 +97,8 @@
         self.paused_until_ms = now_ms + pause_ms.min(PAUSE_MAX_MS);
     }
 
-    /// Adds an outcome, 1 for a failure and 0 for a response, to the share of failures.
+    /// Adds an outcome, 1 for a failure and 0 for a response, to the moving fraction of failed
+    /// attempts.
     fn note_outcome(&mut self, outcome: f64, now_ms: u64) {
         let before = self.failures * self.sample_weight(now_ms);
         self.failures = before + FAILURE_SAMPLE_WEIGHT * (outcome - before);
--- a/src/entry/decide/backoffs.rs
+++ b/src/entry/decide/backoffs.rs
@@ -11,8 +11,8 @@
 };
 
 /// Divisor of the number of hosts: a server must have asked one host in three for a backoff before
-/// the server's keys are moved. If it asked only one of many hosts, that host's requests may be the
-/// cause.
+/// the server's keys are moved. If the server asked only one of many hosts, the requests from that
+/// one host may be the cause.
 const HOSTS_SHARE: usize = 3;
 /// Maximum number of hosts that a server must have asked for a backoff before its keys are moved.
 /// Among hundreds of hosts, only a few send a request to a given server during a backoff.
@@ -20,12 +20,13 @@
 /// Shortest backoff, in milliseconds, for which keys are moved: each key is moved twice, away from
 /// the server and back.
 const BACKOFF_MIN_MS: u64 = 300;
-/// Minimum share of a service's servers that must not be in a backoff for keys to be moved. With
+/// Minimum fraction of a service's servers that must not be in a backoff for keys to be moved. With
 /// fewer such servers, the whole service is overloaded, and moved keys would be served no better.
 const NOT_IN_BACKOFF_SHARE_MIN: f64 = 0.5;
 
-/// Ends of the backoffs that servers asked hosts for, by server tag and by host address, in
-/// milliseconds. The leader collects these times from the reports of all hosts.
+/// Ends of the backoffs that servers asked hosts for, by server tag (a hash that names the server
+/// in messages) and by host address, in milliseconds. The leader collects these times from the
+/// reports that all hosts send.
 #[derive(Debug, Default)]
 pub struct Backoffs(Mutex<HashMap<u32, HashMap<SocketAddr, u64>>>);
 
--- a/src/entry/decide/notices.rs
+++ b/src/entry/decide/notices.rs
@@ -11,15 +11,15 @@
 /// forever.
 const BACKOFF_MAX_MS: u64 = 10 * 60 * 1_000;
 
-/// Changes that one notice makes to the host's state of a server. Servers repeat their notices, and
-/// the host acts on each change only once.
+/// Changes that one notice makes to the state that the host keeps about a server. Servers repeat
+/// their notices, and the host acts on each change only once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoticeEffect {
     /// True if the notice is in the server's first response to this host that announces that the
     /// server leaves.
     pub leaves: bool,
     /// True if the notice begins a backoff. False if the notice extends the current backoff or asks
-    /// for none.
+    /// for no backoff.
     pub starts_backoff: bool,
 }
 
@@ -31,7 +31,7 @@
     /// that. A server never withdraws this announcement.
     leaves_since_ms: Option<u64>,
     /// Time at which this host first learned that the server leaves, from a response of the server
-    /// or from another host; `None` before that.
+    /// or from another host; `None` while this host does not know that.
     known_since_ms: Option<u64>,
     /// Latest end of the backoffs that the server asked this host for; 0 if there was none.
     backoff_until_ms: u64,
@@ -80,7 +80,7 @@
     }
 
     /// Returns true if the server has announced in a response to this host that it leaves; reports
-    /// of other hosts do not count.
+    /// from other hosts do not count.
     pub fn has_announced_leaving(&self) -> bool {
         self.leaves_since_ms.is_some()
     }
--- a/src/entry/decide/quota.rs
+++ b/src/entry/decide/quota.rs
@@ -26,11 +26,11 @@
 /// workspace's callers, and those that it sent to servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaUsage {
-    /// Number of requests that the host received from the workspace's callers since its last
-    /// report, whether admitted or not.
+    /// Number of requests that the host received from the workspace's callers since the host last
+    /// reported to the leader, whether the host admitted the requests or not.
     pub asked: u32,
-    /// Number of requests that the host sent to a server since its last report. Only these requests
-    /// use up the quota.
+    /// Number of requests that the host sent to a server since the host last reported to the
+    /// leader. Only these requests use up the quota.
     pub sent: u32,
 }
 
@@ -53,11 +53,11 @@
 /// Time constant, in milliseconds, of the request rate that the leader measures for a workspace. A
 /// surge must be detected before its requests exceed the burst.
 const DEMAND_MEMORY_MS: f64 = 400.0;
-/// Time, in seconds, over which the leader hands out the balance of a ledger to hosts, or recovers
-/// an overdraft.
+/// Time, in seconds, over which the leader lets hosts use up the balance of a ledger (the account
+/// of a workspace's quota), or recovers an overdraft.
 const SPEND_S: f64 = 1.0;
-/// Share of a quota that is credited to its ledger. The remainder allows for lost reports, whose
-/// usage the ledger never counts.
+/// Fraction of a quota that is credited to the ledger of the workspace. The remainder allows for
+/// lost reports, whose usage the ledger never counts.
 const ACCRUED_SHARE: f64 = 0.98;
 /// Largest overdraft of a ledger, as the number of requests that the quota allows in this many
 /// seconds. With a larger overdraft, requests within the quota would be refused for too long.
@@ -142,13 +142,13 @@
 /// State of a workspace's quota at one host, by which the host decides which requests to admit.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HostShare {
-    /// Last announcement of the leader, and its arrival time.
+    /// Last announcement from the leader, and the time at which the announcement arrived.
     announced: Option<(AdmittedShare, u64)>,
     /// Share of the workspace's requests to all hosts that this host received, from 0 to 1, as of
     /// the last announcement; `None` before the first.
     demand_share: Option<f64>,
     /// Token bucket that limits the requests that this host admits while it receives no
-    /// announcements of the leader.
+    /// announcements from the leader.
     fallback_bucket: Bucket,
     since_report: QuotaUsage,
     /// Rate at which this host has recently received requests from the workspace's callers.
@@ -164,7 +164,7 @@
 pub struct QuotaContext {
     /// Number of hosts that share the quotas, including the deciding host.
     pub hosts: usize,
-    /// True if the deciding host has recently received an announcement of the leader.
+    /// True if the deciding host has recently received an announcement from the leader.
     pub is_confirmed: bool,
 }
 
@@ -181,8 +181,9 @@
         if context.is_confirmed {
             return point < share;
         }
-        // A `demand_share` close to 0 is not reliable, since the host may have received few
-        // requests when it was computed. So the host uses at least the share of an average host.
+        // A `demand_share` close to 0 is not reliable, because the host may have received few
+        // requests when `demand_share` was computed. So the host uses at least the share of an
+        // average host.
         let demand_share = self
             .demand_share
             .unwrap_or(0.0)
@@ -203,7 +204,7 @@
         self.since_report.sent += 1;
     }
 
-    /// Stores a new announcement of the leader, and updates this host's share of the requests to
+    /// Stores a new announcement from the leader, and updates this host's share of the requests to
     /// all hosts.
     pub fn note_announced(&mut self, announced: AdmittedShare, now_ms: u64) {
         let own_per_s = self.own.per_s(now_ms);
@@ -213,7 +214,7 @@
         self.announced = Some((announced, now_ms));
     }
 
-    /// Returns the last announcement of the leader, whatever its age; `None` before the first.
+    /// Returns the last announcement from the leader, whatever its age; `None` before the first.
     pub fn announced(&self) -> Option<AdmittedShare> {
         self.announced.map(|(announced, _)| announced)
     }
--- a/src/entry/decide/trials.rs
+++ b/src/entry/decide/trials.rs
@@ -20,9 +20,9 @@
 
 use crate::entry::digest::RequestDigest;
 
-/// Time, in milliseconds, for which a host waits for competing claims of other hosts before it runs
-/// a trial. The users specify one-way latencies of 0.5 to 1.4 ms between zones and 12 ms between
-/// regions; the remainder allows for a busy host.
+/// Time, in milliseconds, for which a host waits for competing claims from other hosts before it
+/// runs a trial. The users specify one-way latencies of 0.5 to 1.4 ms between zones and 12 ms
+/// between regions; the remainder allows for a busy host.
 pub const CLAIM_WAIT_MS: u64 = 25;
 /// Time, in milliseconds, after which a claim expires if the outcome of the trial is not reported:
 /// long enough for a run and for the check whether the server has crashed.
--- a/src/entry/decide/warmup.rs
+++ b/src/entry/decide/warmup.rs
@@ -10,7 +10,7 @@
 //! alternative, that a single host sends requests to each cold server, fails while hosts disagree
 //! about which hosts are alive: two hosts would send.
 
-/// Share of a cold server's rate limit that the windows of all hosts use together. The users'
+/// Fraction of a cold server's rate limit that the windows of all hosts use together. The users'
 /// requirements allow 1.5 times the limit and a few requests more; the remainder is headroom for
 /// random variation and for hosts that are not known yet.
 const SHARE_USED: f64 = 0.7;
