--- a/src/entry/crashes/broken_connections.rs
+++ b/src/entry/crashes/broken_connections.rs
@@ -24,7 +24,7 @@
 impl BrokenConnections {
     /// Records a broken or refused connection; returns true if the caller must probe the server. A
     /// server known to have crashed is not probed until that server has answered this host again;
-    /// `answered_ms` is the time of its latest answer.
+    /// `answered_ms` is the time of the latest answer from that server to this host.
     pub fn note(&self, answered_ms: u64) -> bool {
         let mut state = self.state();
         if state.crashed_ms > answered_ms {
--- a/src/entry/crashes/probe.rs
+++ b/src/entry/crashes/probe.rs
@@ -1,4 +1,4 @@
-//! Probes whether a server has crashed when its connections break.
+//! Probes whether a server has crashed when connections from this host to the server break.
 
 use std::{sync::Arc, time::Duration};
 
@@ -86,9 +86,10 @@
     all
 }
 
-/// Returns true if a server whose connections broke has crashed: since then the server has not
-/// answered this host, no idle connection to it is open, and its address refuses connections. A
-/// connection that the probe opens is kept for the next request.
+/// Returns true if a server whose connections broke has crashed: since the latest broken connection
+/// the server has not answered this host, this host has no idle open connection to the server, and
+/// the address of the server refuses connections. A connection that the probe opens is kept for the
+/// next request.
 async fn has_crashed(server: &Server) -> bool {
     if server.has_answered_since_broken_connection() || server.pool.has_open() {
         return false;
--- a/src/entry/decide/admission.rs
+++ b/src/entry/decide/admission.rs
@@ -8,13 +8,13 @@
 /// sample.
 const RUN_DEFAULT_MS: f64 = 60.0;
 /// Bounds of the run time from which [`capacity_per_s`] computes the capacity of a server for the
-/// planner, as multiples of the typical run time. Servers of a service differ in speed by a factor
-/// of 2 to 3.
+/// planner, as multiples of the typical run time of the service. Servers of a service differ in
+/// speed by a factor of 2 to 3.
 const RUN_SHARE_MIN: f64 = 0.6;
 const RUN_SHARE_MAX: f64 = 4.0;
 
 /// Returns the typical run time of a service: the average of the known run times of its servers, or
-/// [`RUN_DEFAULT_MS`] if none is known. A run time of 0 stands for an unknown one.
+/// [`RUN_DEFAULT_MS`] if no run time is known. A run time of 0 stands for an unknown run time.
 pub fn typical_run_ms(runs_ms: impl Iterator<Item = f64>) -> f64 {
     let (sum, known) = runs_ms
         .filter(|run_ms| *run_ms > 0.0)
--- a/src/entry/decide/api_key_status.rs
+++ b/src/entry/decide/api_key_status.rs
@@ -2,8 +2,9 @@
 //! of the configuration, and on how recently that copy was confirmed as the latest one.
 //!
 //! Operators add and revoke API keys while hosts are disconnected, stalled or starting. A revoked
-//! key must not be accepted for longer than a bound. A host that has not yet received a new key
-//! must never reject that key as unknown, because callers do not retry after such a response.
+//! key must not be accepted for longer than the bound [`ApiKeyLimits::revocation_ms`]. A host that
+//! has not yet received a new key must never reject that key as unknown, because callers do not
+//! retry after such a response.
 
 /// Margin that is subtracted from [`ApiKeyLimits::revocation_ms`] to allow for clock drift between
 /// hosts.
@@ -28,17 +29,17 @@
     /// The configuration contains the key. If [`ApiKeyLimits::revocation_ms`] is set, the
     /// configuration was also confirmed within that bound.
     Accepted,
-    /// The configuration does not contain the key, and was confirmed so recently that the
-    /// configuration contains every key that should be in force.
+    /// The configuration does not contain the key, and was confirmed so recently as the latest one
+    /// that it contains every key that should be in force.
     Unknown,
-    /// The configuration was confirmed too long ago, or never, so that the host cannot decide about
-    /// the key.
+    /// The configuration was confirmed as the latest one too long ago, or never, so that the host
+    /// cannot decide about the key.
     Unverified,
 }
 
 /// Checks an API key against the host's configuration. `is_known` is true if the configuration
 /// contains the key. `confirmation_age_ms` is the time since the configuration was last confirmed
-/// as the latest one, `None` if it was never confirmed.
+/// as the latest one, and `None` if the configuration was never confirmed.
 pub fn check_api_key(
     is_known: bool,
     confirmation_age_ms: Option<u64>,
--- a/src/entry/decide/budget.rs
+++ b/src/entry/decide/budget.rs
@@ -11,17 +11,18 @@
 
 use crate::entry::bounds::Bounds;
 
-/// Share of the permitted ratio of retries to requests that hosts use; the remainder is a margin.
+/// Fraction of the permitted ratio of retries to requests that hosts use; the remainder is a
+/// margin.
 const RATIO_USED: f64 = 0.9;
-/// Share of the fixed retry allowance that all hosts together use; the remainder is headroom for a
-/// load balancer that distributes requests unequally among the hosts.
+/// Fraction of the fixed retry allowance that all hosts together use; the remainder is headroom for
+/// a load balancer that distributes requests unequally among the hosts.
 const ALLOWANCE_USED: f64 = 0.6;
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     /// Number of retries that the host may make at once.
     tokens: f64,
-    /// Time of the last refill from the allowance.
+    /// Time of the last refill, up to which the bucket was credited with its part of the allowance.
     at_ms: u64,
 }
 
@@ -73,8 +74,8 @@
         let Some(bucket) = buckets.get_mut(service) else {
             return false;
         };
-        // A host may use half of its part of the allowance at once, since that is the capacity of
-        // the bucket; the other half is refilled over the window.
+        // A host may use half of its part of the allowance at once, because the capacity of the
+        // bucket is that half; the other half is refilled over the window.
         let elapsed = now_ms.saturating_sub(bucket.at_ms) as f64;
         bucket.tokens = (bucket.tokens + capacity * elapsed / self.window_ms).min(capacity);
         bucket.at_ms = now_ms;
--- a/src/entry/decide/choice.rs
+++ b/src/entry/decide/choice.rs
@@ -94,7 +94,7 @@
     best.map(|(place, _)| place)
 }
 
-/// Returns the number of servers to compare when `hosts` hosts choose among them.
+/// Returns the number of servers to compare when `hosts` hosts choose among the same servers.
 fn compared(hosts: usize) -> usize {
     (CANDIDATES_MAX * FEW_HOSTS / hosts.max(1)).clamp(CANDIDATES_MIN, CANDIDATES_MAX)
 }
--- a/src/entry/decide/crash_tally.rs
+++ b/src/entry/decide/crash_tally.rs
@@ -20,9 +20,9 @@
 /// five harmless requests that were taken for the cause, all after the loss of a zone, which
 /// [`MASS_CRASH_SERVERS`] excludes.
 pub const SERVERS_NEEDED: usize = 2;
-/// Number of servers that must crash within [`MASS_CRASH_WINDOW_MS`] for a mass crash. A common
-/// cause, such as the loss of a zone, is then more likely than a request. A single request that
-/// crashes servers reaches [`SERVERS_NEEDED`] first.
+/// Number of servers that must crash within [`MASS_CRASH_WINDOW_MS`] for the crashes to count as a
+/// mass crash. In a mass crash, a common cause, such as the loss of a zone, is more likely than a
+/// request. A single request that crashes servers reaches [`SERVERS_NEEDED`] first.
 const MASS_CRASH_SERVERS: usize = 3;
 /// Time in which crashes count as simultaneous, in milliseconds. Hosts detect and report a crash in
 /// 30 to 100 ms.
@@ -31,11 +31,12 @@
 /// request that causes crashes sends it again after seconds to minutes; with a longer time, more
 /// harmless requests would be in flight at two crashes by coincidence.
 const EVIDENCE_MS: u64 = 15 * 60 * 1_000;
-/// Maximum number of suspects, which take about 200 KB of memory. The loss of a zone of 216 servers
-/// leaves about 2,600 suspects.
+/// Maximum number of suspects (requests that were in flight at a server when the server crashed).
+/// That many suspects take about 200 KB of memory. The loss of a zone of 216 servers leaves about
+/// 2,600 suspects.
 const SUSPECTS_MAX: usize = 4_096;
-/// Number of suspects that are kept when [`SUSPECTS_MAX`] is exceeded. It is lower than the maximum
-/// so that not every crash has to sort all suspects.
+/// Number of suspects that are kept when [`SUSPECTS_MAX`] is exceeded. This number is lower than
+/// the maximum, so that not every crash has to sort all suspects.
 const SUSPECTS_KEPT: usize = 3_072;
 
 /// One crash of a server, as evidence against a request that was in flight there.
@@ -49,13 +50,13 @@
 }
 
 /// Evidence against suspects (requests in flight at a server when the server crashed). Suspects are
-/// identified by a digest that includes the caller, so that each caller's request is a suspect of
-/// its own.
+/// identified by a digest that includes the caller, so that the same request from two callers
+/// counts as two suspects.
 #[derive(Debug, Default)]
 pub struct CrashTally {
     suspects: HashMap<RequestDigest, Vec<Evidence>>,
-    /// Tags of the servers that crashed within the last [`MASS_CRASH_WINDOW_MS`], with the times of
-    /// the crashes.
+    /// Tags (hashes that name servers in messages) of the servers that crashed within the last
+    /// [`MASS_CRASH_WINDOW_MS`], with the times of the crashes.
     latest: Vec<(u32, u64)>,
 }
 
--- a/src/entry/decide/hot_keys.rs
+++ b/src/entry/decide/hot_keys.rs
@@ -1,7 +1,8 @@
 //! Detects and announces hot keys, which are keys that get more requests than their server can
-//! serve. A key cannot be split among servers. So the leader, which knows the load of all hosts,
-//! announces the hot keys, and each host admits only the share of their requests that can be
-//! served. Hosts refuse the other requests, which would only lengthen the server's queue.
+//! serve. A key cannot be split among servers. So the leader, which knows the number of requests
+//! for each key at all hosts, announces the hot keys. Each host then admits only the fraction of
+//! the requests for a hot key that the key's server can run. Hosts refuse the other requests, which
+//! would only lengthen the server's queue.
 
 use std::{
     collections::HashMap,
@@ -13,8 +14,8 @@
 use super::{Policy, key_loads::KeyLoads, plan::PlanServer};
 use crate::entry::keys::Assignment;
 
-/// Maximum number of hot keys in one announcement of the leader. If there are more, those with the
-/// largest excess are announced.
+/// Maximum number of hot keys in one announcement from the leader. If there are more hot keys,
+/// those with the largest excess are announced.
 const HOT_MAX: usize = 40;
 /// Time for which an announcement of hot keys is valid, in milliseconds. The leader sends an
 /// announcement every 0.3 s.
@@ -40,7 +41,7 @@
         f64::from(self.load_per_s) / f64::from(self.capacity_per_s).max(0.1)
     }
 
-    /// Returns the share of the key's requests that hosts admit, from 0 to 1.
+    /// Returns the fraction of the requests for the key that hosts admit, from 0 to 1.
     pub fn admitted(&self, policy: &Policy) -> f64 {
         (policy.hot_admitted / self.excess()).min(1.0)
     }
@@ -82,8 +83,8 @@
     found
 }
 
-/// Hot keys that this host has found as the leader, and hot keys that it has learned from
-/// announcements of the leader.
+/// Hot keys that this host has found as the leader, and hot keys that this host has learned from
+/// announcements by the leader.
 #[derive(Debug, Default)]
 pub struct HotKeys {
     /// Hot keys that this host found as the leader, by service tag.
@@ -91,7 +92,7 @@
     announced: Mutex<Announced>,
 }
 
-/// Hot keys in the leader's latest announcement, with the time at which it expires.
+/// Hot keys in the leader's latest announcement, with the time at which the announcement expires.
 #[derive(Debug, Default)]
 struct Announced {
     keys: Vec<HotKey>,
@@ -123,8 +124,8 @@
         *self.announced() = Announced { keys, until_ms };
     }
 
-    /// Returns the hot key for a key of a service if the leader's latest announcement contains it
-    /// and has not expired.
+    /// Returns the announced load of a key and the capacity of the key's server if the leader's
+    /// latest announcement contains the key as a hot key and has not expired.
     pub fn get(&self, service_tag: u32, key: u16, now_ms: u64) -> Option<HotKey> {
         let announced = self.announced();
         if now_ms >= announced.until_ms {
--- a/src/entry/decide/key_loads.rs
+++ b/src/entry/decide/key_loads.rs
@@ -34,11 +34,11 @@
 }
 
 impl KeyCounts {
-    /// Share of the long-term average that is kept from one interval to the next. At ten intervals
-    /// per second, the half-life is 2.7 s.
+    /// Fraction of the long-term average that is kept from one interval to the next. At ten
+    /// intervals per second, the half-life is 2.7 s.
     const SLOW_KEPT: f32 = 0.975;
-    /// Share of the short-term average that is kept from one interval to the next. At ten intervals
-    /// per second, the half-life is 0.3 s.
+    /// Fraction of the short-term average that is kept from one interval to the next. At ten
+    /// intervals per second, the half-life is 0.3 s.
     const FAST_KEPT: f32 = 0.8;
     /// Number of standard deviations by which an assigned range's short-term load must exceed its
     /// long-term load to count as a surge.
@@ -53,8 +53,9 @@
     /// Adds the requests for a key that arrived in one interval; `per_s` is the number of intervals
     /// per second.
     pub fn add(&mut self, key: u16, requests: u16, per_s: f32) {
-        // A request adds the share `1 - KEPT` of this rate in its own interval, and `KEPT` times
-        // the previous share in each later interval. All these shares add up to 1.
+        // A request adds the fraction `1 - KEPT` of this rate in the interval of its arrival, and
+        // `KEPT` times the previous fraction in each later interval. All these fractions add up to
+        // 1.
         let rate = f32::from(requests) * per_s;
         self.slow.add(key, rate * (1.0 - Self::SLOW_KEPT));
         self.fast.add(key, rate * (1.0 - Self::FAST_KEPT));
@@ -62,7 +63,8 @@
 
     /// Returns the loads on which a plan is based. These are the long-term averages, except for the
     /// keys of assigned ranges whose load has risen by more than random variation explains: for
-    /// them, the short-term averages are returned. `per_s` is the number of intervals per second.
+    /// these keys, the short-term averages are returned. `per_s` is the number of intervals per
+    /// second.
     pub fn loads(&self, assigned_ranges: &[AssignedRange], per_s: f64) -> KeyLoads {
         let window_s = window_s(Self::FAST_KEPT, per_s);
         let mut loads = self.slow.clone();
@@ -83,7 +85,7 @@
     }
 }
 
-/// Returns the effective averaging time, in seconds, of a moving average that keeps the share
+/// Returns the effective averaging time, in seconds, of a moving average that keeps the fraction
 /// `kept` from one interval to the next; `per_s` is the number of intervals per second. The
 /// variance of a load is the load divided by this time.
 fn window_s(kept: f32, per_s: f64) -> f64 {
@@ -92,13 +94,13 @@
 
 impl KeyLoads {
     /// Returns the standard deviation that random arrivals alone cause in a measured load of
-    /// `load_per_s`, as a share of that load.
+    /// `load_per_s`, as a fraction of that load.
     pub fn relative_deviation(&self, load_per_s: f64) -> f64 {
         (1.0 / (load_per_s.max(0.1) * self.window_s)).sqrt()
     }
 
-    /// Reduces the weight of earlier requests in all loads; `kept` is the share of each load that
-    /// remains.
+    /// Reduces the weight of earlier requests in all loads; `kept` is the fraction of each load
+    /// that remains.
     fn decay(&mut self, kept: f32) {
         for load in &mut self.per_s {
             *load = if *load < 0.001 { 0.0 } else { *load * kept };
--- a/src/entry/decide/mod.rs
+++ b/src/entry/decide/mod.rs
@@ -64,7 +64,7 @@
 pub struct Candidate {
     /// Number of requests that the server can run at the same time.
     pub slots: u32,
-    /// Number of requests of all hosts that are running or queued at the server, as far as the
+    /// Number of requests from all hosts that are running or queued at the server, as far as the
     /// deciding host knows.
     pub load: u32,
     /// Average run time of a request at the server, in milliseconds; 0 without recent samples.
@@ -75,7 +75,7 @@
     /// Slowdown of the server: its current run time as a multiple of its average run time; 1 is the
     /// usual speed.
     pub slowdown: f64,
-    /// Share of the deciding host's recent attempts at the server that failed, from 0 to 1.
+    /// Fraction of the deciding host's recent attempts at the server that failed, from 0 to 1.
     pub failures: f64,
     /// True while the host makes no attempts at the server: after failed connection attempts, or
     /// while the server is cold and the host's warm-up window is not open.
@@ -84,7 +84,8 @@
     /// cost [`Policy::zone_cost`].
     pub is_same_zone: bool,
     /// True if the server is in another region than the deciding host. Such a server is chosen only
-    /// if no server of the host's own region has room.
+    /// if no server of the host's own region has room (may get one more request by the rules of
+    /// [`admission`]).
     pub is_other_region: bool,
     /// True if the deciding host has an idle connection to the server; a server without an idle
     /// connection costs [`Policy::connect_cost`].
@@ -104,6 +105,6 @@
     /// Expected run time of the request, as a multiple of the server's average run time.
     pub run_share: f64,
     /// True if the request is more urgent than other requests of the service, so that a late
-    /// response to it is worth more than a timely response to those.
+    /// response to this request is worth more than a timely response to the other requests.
     pub is_urgent: bool,
 }
--- a/src/entry/decide/path_tally.rs
+++ b/src/entry/decide/path_tally.rs
@@ -11,8 +11,9 @@
 //! requested often thus loses its evidence again and again.
 //!
 //! Once a server has crashed during a request, requests that are identical to it, including query
-//! and body, are run only as trials. A trial is run by one host at a time, at a server that runs no
-//! other suspect, so a crash during a trial has a single cause, and two crashes are enough.
+//! and body, are run only as trials. A trial is a single supervised attempt: one host at a time
+//! sends the request, to a server that runs no other suspect (request that was in flight when a
+//! server crashed). So a crash during a trial has a single cause, and two crashes are enough.
 //! Requests for a path whose queries or bodies differ are not held back for trials, since most of
 //! them may be harmless; for such a path, three crashes that are not simultaneous are needed.
 
@@ -26,7 +27,7 @@
 /// content counts as the cause.
 const CALLERS_NEEDED: usize = 2;
 /// Number of servers that must have crashed during requests with the same content, at least one of
-/// them during a trial, before the content counts as the cause.
+/// them during a trial (single supervised attempt), before the content counts as the cause.
 const SERVERS_NEEDED: usize = 2;
 /// Number of servers that must have crashed during requests for the same path before the path
 /// counts as the cause.
@@ -37,8 +38,9 @@
 const SPAN_MIN_MS: u64 = 1_000;
 /// Time for which a crash counts as evidence against a path or content, in milliseconds.
 const EVIDENCE_MS: u64 = 15 * 60 * 1_000;
-/// Maximum number of suspects, which take about 400 KB of memory. Beyond it, the suspects with the
-/// least and oldest evidence are dropped first.
+/// Maximum number of suspects (requests that were in flight at a server when the server crashed).
+/// That many suspects take about 400 KB of memory. Beyond this number, the suspects with the least
+/// and oldest evidence are dropped first.
 const SUSPECTS_MAX: usize = 4_096;
 
 /// Part of a request that a digest without the caller covers.
--- a/src/entry/decide/plan.rs
+++ b/src/entry/decide/plan.rs
@@ -197,20 +197,21 @@
         parts
     }
 
-    /// Returns the capacity of a server in requests per second, at least 0.1 so that it can be a
-    /// divisor; 1 for an unknown server.
+    /// Returns the capacity of a server in requests per second, at least 0.1 so that the result can
+    /// be a divisor; 1 for an unknown server.
     fn capacity(&self, id: &str) -> f64 {
         let servers = self.inputs.servers.iter();
         let found = servers.into_iter().find(|server| *server.id == *id);
         found.map_or(1.0, |server| server.capacity_per_s.max(0.1))
     }
 
-    /// Returns the load of a server after the planned moves, as a share of its capacity.
+    /// Returns the load of a server after the planned moves, as a fraction of the server's
+    /// capacity.
     fn utilisation(&self, server: &PlanServer) -> f64 {
         self.used[&server.id] / server.capacity_per_s.max(0.1)
     }
 
-    /// Returns the load of all servers as a share of their total capacity.
+    /// Returns the load of all servers as a fraction of the total capacity of the servers.
     fn mean_utilisation(&self) -> f64 {
         let capacity: f64 = self.inputs.servers.iter().map(|s| s.capacity_per_s).sum();
         // Hosts refuse the requests for hot keys that no server can serve, so these requests are
@@ -364,8 +365,8 @@
             };
             let Some(range) = selected else {
                 // No suitable range was found: the server has only a hot key left, or too little
-                // load above its target to move its smallest range. The other servers are still
-                // balanced.
+                // load above its target to move its smallest range. The loop goes on to move keys
+                // away from the other servers.
                 exhausted.push(from);
                 continue;
             };
@@ -403,8 +404,8 @@
 
     /// Selects a range of keys to move away from a server: one of its assigned ranges, or a part at
     /// either end of an assigned range, without hot keys. The load of the selected range is close
-    /// to `wanted` and at most half above it. Ranges with fewer keys are preferred, since moves are
-    /// billed by key.
+    /// to `wanted` and at most half above it. Ranges with fewer keys are preferred, because moves
+    /// are billed by key.
     fn select_range(&self, from: &str, wanted: f64) -> Option<KeyRange> {
         let mut best: Option<(KeyRange, f64)> = None;
         for assigned_range in &self.assigned_ranges {
--- a/src/entry/decide/policy.rs
+++ b/src/entry/decide/policy.rs
@@ -7,31 +7,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// Cost of choosing a server in another availability zone, as a share of the expected time
+    /// Cost of choosing a server in another availability zone, as a fraction of the expected time
     /// until its response: traffic between zones is billed.
     pub zone_cost: f64,
-    /// Cost of opening a connection to a server, as a share of the expected time until its
+    /// Cost of opening a connection to a server, as a fraction of the expected time until its
     /// response: new connections are billed.
     pub connect_cost: f64,
     /// Cost of a server at which all attempts fail, as a multiple of the expected time until its
-    /// response; in proportion for a smaller share of failures.
+    /// response; if only a fraction of the attempts fail, the cost is reduced in proportion.
     pub failure_cost: f64,
     /// Half-life, in milliseconds, of the slowdown that a server reported in a response; with 0,
     /// hosts ignore slowdowns. Slow periods of servers last some hundred milliseconds.
     #[serde(rename = "pace_memory_ms")]
     pub slowdown_memory_ms: u64,
-    /// Bonus for a server without recent samples of its run time, as a share of the expected time
-    /// until its response, so that servers that joined or were avoided get requests again.
+    /// Bonus for a server without recent samples of its run time, as a fraction of the expected
+    /// time until its response, so that servers that joined or were avoided get requests again.
     pub unknown_bonus: f64,
-    /// Largest random part of a server's cost, as a share of the expected time until its response,
-    /// so that hosts with the same data do not all choose the same server.
+    /// Largest random part of a server's cost, as a fraction of the expected time until its
+    /// response, so that hosts with the same data do not all choose the same server.
     pub jitter: f64,
     /// Maximum number of requests that run or queue at a server, as a multiple of its slots; at
     /// this load the server gets no more requests. Servers queue about four times as many requests
     /// as they have slots, and reset or shed requests beyond that.
     pub load_max_factor: u32,
-    /// Share of the time until the latency objective of a request within which the response must be
-    /// expected for the request to be admitted at a server.
+    /// Fraction of the time until the latency objective of a request within which the response must
+    /// be expected for the request to be admitted at a server.
     pub queue_share: f64,
     /// True if a request that has missed its latency objective may queue at a server as long as its
     /// response is expected before the deadline.
@@ -51,9 +51,9 @@
     /// unless `hold_share` allows a longer time. Most moves between servers whose requests run for
     /// 100 ms complete within this time.
     pub hold_ms: u64,
-    /// Share of the latency objective for which a request is held at most, if that is longer than
-    /// `hold_ms`. After a longer wait it is better to refuse the request, so that its caller
-    /// retries.
+    /// Maximum time for which a request is held, as a fraction of the latency objective; applies if
+    /// this time is longer than `hold_ms`. After a longer wait it is better to refuse the request,
+    /// so that its caller retries.
     pub hold_share: f64,
     /// Minimum load at which a key counts as hot, as a multiple of the capacity of the key's
     /// server.
@@ -69,10 +69,11 @@
     /// capacities are estimates.
     pub hot_faster: f64,
     /// Shortest time, in milliseconds, after which a refused caller is told to retry. An earlier
-    /// retry would be refused as well, since the load would not have changed yet.
+    /// retry would be refused as well, because the load would not have changed yet.
     pub return_min_ms: u64,
     /// Time, in milliseconds, after which a caller is told to retry if a server with free slots
-    /// shed its request: such a server has no queue that must drain first.
+    /// shed the caller's request (refused the request because of overload): such a server has no
+    /// queue that must drain first.
     pub return_shed_ms: u64,
     /// Utilisation of a server, as a multiple of the mean utilisation, above which keys are moved
     /// away from the server. Random variation is allowed for in addition, by `balance_chance`.
--- a/src/entry/decide/quarantine.rs
+++ b/src/entry/decide/quarantine.rs
@@ -12,13 +12,15 @@
 /// Time for which a content or path is in quarantine for all callers, in milliseconds. The time is
 /// shorter than [`QUARANTINE_MS`] because refusing a harmless path for all callers costs more. The
 /// evidence against the content or path lasts longer than this quarantine, so one host runs a trial
-/// afterwards: a success drops the evidence, and another crash starts a new quarantine.
+/// (a single supervised attempt) afterwards: a success drops the evidence, and another crash starts
+/// a new quarantine.
 pub const ANY_CALLER_QUARANTINE_MS: u64 = 10 * 60 * 1_000;
 /// Maximum number of requests in quarantine, which keeps their row in the store under 5 KB. Beyond
 /// this number, the oldest requests are released.
 const QUARANTINED_MAX: usize = 256;
 
-/// Requests in quarantine, with the time at which this host learned of the quarantine of each.
+/// Requests in quarantine. Each request is stored with the time at which this host learned of the
+/// quarantine of that request.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     since_ms: HashMap<RequestDigest, u64>,
--- a/src/entry/decide/rate_limit.rs
+++ b/src/entry/decide/rate_limit.rs
@@ -19,15 +19,15 @@
 /// Time, in milliseconds, without an advertisement of a server's limit after which the planner
 /// assumes a higher limit.
 const PLAN_PROBE_AFTER_MS: u64 = 10_000;
-/// Minimum change of a limit that is logged, as a share of the limit that was last logged. Smaller
-/// variations would fill the log.
+/// Minimum change of a limit that is logged, as a fraction of the limit that was last logged.
+/// Smaller variations would fill the log.
 const CHANGE_LOGGED: f64 = 0.1;
 
 /// Rate limit, or absence of a rate limit, that a server advertised in a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdvertisedLimit {
-    /// Requests per second that the server accepts from all hosts together; `None` if it has no
-    /// limit.
+    /// Requests per second that the server accepts from all hosts together; `None` if the server
+    /// has no limit.
     pub per_s: Option<f64>,
     /// Arrival time of the response, by the clock of the host that stores this value.
     pub at_ms: u64,
@@ -44,7 +44,7 @@
     /// few requests, this may be long after the last advertisement of the limit.
     ended_ms: Option<u64>,
     /// Limit that was last logged; `None` if there was none. A later limit is logged if it differs
-    /// from this limit by more than the share [`CHANGE_LOGGED`].
+    /// from this limit by more than the fraction [`CHANGE_LOGGED`].
     logged_per_s: Option<f64>,
 }
 
@@ -82,7 +82,8 @@
     }
 
     /// Returns the rate, in requests per second, that all hosts together may send to the server:
-    /// the limit, or the rate of probe requests if that is higher. `None` if there is no limit.
+    /// the limit, or the rate of probe requests if that rate is higher than the limit. `None` if
+    /// the server has no limit.
     pub fn shared_per_s(&self, now_ms: u64) -> Option<f64> {
         let latest = self.latest?;
         let silent_ms = now_ms.saturating_sub(latest.at_ms);
@@ -124,7 +125,7 @@
         self.own
     }
 
-    /// Returns true if the limit has begun, ended or changed by more than the share
+    /// Returns true if the limit has begun, ended or changed by more than the fraction
     /// [`CHANGE_LOGGED`] since the last call that returned true, so that the caller logs each
     /// change once.
     pub fn take_change(&mut self) -> bool {
--- a/src/entry/decide/rate_shares.rs
+++ b/src/entry/decide/rate_shares.rs
@@ -1,17 +1,18 @@
 //! Divides the rate limit that a server advertises to all hosts among these hosts.
 //!
-//! A host's share of the limit is the request rate of its callers, as a share of the sum for all
-//! hosts' callers. The leader computes that sum from the hosts' reports and announces it. Equal
-//! shares would waste the part that a host with few requests does not use. Shares lent by the
-//! leader would have to be reclaimed when the leader fails. While a host receives no sum, the host
-//! assumes equal request rates at all hosts, so that shares are equal.
+//! A host's share of the limit is a fraction: the request rate of the host's callers, divided by
+//! the sum of the request rates of all hosts' callers. The leader computes that sum from the hosts'
+//! reports and announces the sum. Equal shares would waste the part that a host with few requests
+//! does not use. Shares lent by the leader would have to be reclaimed when the leader fails. While
+//! a host receives no sum, the host assumes equal request rates at all hosts, so that shares are
+//! equal.
 //!
-//! A request must pass two checks, since neither check alone bounds the total rate. The first is a
-//! random draw with an admission probability. It bounds the total rate of all hosts relative to the
-//! request rate, for any number of hosts, but follows a surge only as fast as the sum does, a
-//! second later. The second check is a token of a [`Bucket`], which limits a surge at each host.
-//! Tokens alone are not enough: buckets are full after a time with few requests, and the buckets of
-//! hundreds of hosts then hold more tokens than the limit allows.
+//! A request must pass two checks, because neither check alone bounds the total rate. The first
+//! check is a random draw with an admission probability. The draw bounds the total rate of all
+//! hosts relative to the request rate, for any number of hosts, but follows a surge only as fast as
+//! the announced sum does, a second later. The second check is a token of a [`Bucket`], which
+//! limits a surge at each host. Tokens alone are not enough: buckets are full after a time with few
+//! requests, and the buckets of hundreds of hosts then hold more tokens than the limit allows.
 
 use std::{collections::HashMap, net::SocketAddr};
 
@@ -19,10 +20,10 @@
 
 use super::rate_meter::RateMeter;
 
-/// Refill rate of all hosts' buckets together, as a share of the limit. It is higher than
+/// Refill rate of all hosts' buckets together, as a fraction of the limit. The rate is higher than
 /// [`ADMIT_SHARE`], so that random variation does not empty the buckets.
 const BUCKET_SHARE: f64 = 1.1;
-/// Share of the limit on which admission probabilities are based. The remainder is headroom for
+/// Fraction of the limit on which admission probabilities are based. The remainder is headroom for
 /// random variation: if the announced sum is too low, hosts admit too many requests.
 const ADMIT_SHARE: f64 = 0.88;
 /// Capacity of a bucket: [`BURST_TOKENS`] tokens and the refill of [`BURST_S`] seconds.
@@ -32,7 +33,7 @@
 const SUM_KEPT_MS: u64 = 2_000;
 /// Time for which the leader includes a host's last report in the sum, in milliseconds.
 const REPORT_KEPT_MS: u64 = 2_000;
-/// Minimum share of a limit that is reserved for requests that are not urgent, so that urgent
+/// Minimum fraction of a limit that is reserved for requests that are not urgent, so that urgent
 /// requests do not exclude all others.
 const NON_URGENT_SHARE_MIN: f64 = 0.25;
 
@@ -46,8 +47,8 @@
 }
 
 impl Bucket {
-    /// Refills the bucket at `per_s` tokens per second, and returns true if it has a token for
-    /// [`Bucket::take`]. A new bucket is full.
+    /// Refills the bucket at `per_s` tokens per second, and returns true if the bucket has a token
+    /// for [`Bucket::take`]. A new bucket is full.
     pub fn has_token(&mut self, per_s: f64, now_ms: u64) -> bool {
         let capacity = BURST_TOKENS + BURST_S * per_s;
         let refilled = match self.at_ms.replace(now_ms) {
@@ -93,8 +94,9 @@
     }
 
     /// Returns the probability with which requests of the given urgency are admitted if the server
-    /// accepts `rate_per_s`. Urgent requests come first, except for the share
-    /// [`NON_URGENT_SHARE_MIN`]. The result may exceed 1.
+    /// accepts `rate_per_s`. Urgent requests come first, but the fraction [`NON_URGENT_SHARE_MIN`]
+    /// of the rate is reserved for the other requests as far as those need it. The result may
+    /// exceed 1.
     fn admit_probability(self, rate_per_s: f64, is_urgent: bool) -> f64 {
         let for_urgent_per_s = self
             .urgent_per_s
@@ -110,8 +112,8 @@
     }
 }
 
-/// Demand for one server, as request rates: that of this host's callers, and that of all hosts'
-/// callers as announced by the leader.
+/// Demand for one server, as request rates: the request rates of this host's callers, and the
+/// request rates of all hosts' callers as announced by the leader.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerDemand {
     /// Measured rate of all requests of this host's callers. `own_urgent` measures the urgent
@@ -135,8 +137,8 @@
         }
     }
 
-    /// Returns the request rates of this host's callers for a report to the leader, and stores them
-    /// as the last reported ones.
+    /// Returns the request rates of this host's callers for a report to the leader, and stores
+    /// these rates as the last reported rates.
     pub fn report(&mut self, now_ms: u64) -> DemandRates {
         self.reported = self.own(now_ms);
         self.reported
@@ -174,8 +176,9 @@
         }
     }
 
-    /// Returns the request rates of all hosts' callers. This is the leader's latest sum while it is
-    /// valid; otherwise the rates of this host's callers are multiplied by the number of hosts.
+    /// Returns the request rates of all hosts' callers. The result is the leader's latest sum while
+    /// that sum is valid; otherwise the rates of this host's callers are multiplied by the number
+    /// of hosts.
     fn all(&self, own: DemandRates, hosts: usize, now_ms: u64) -> DemandRates {
         let valid_sum = self.sum.filter(|(_, at_ms)| now_ms < at_ms + SUM_KEPT_MS);
         let Some((sum, _)) = valid_sum else {
@@ -208,8 +211,8 @@
     (point - before).rem_euclid(1.0) < admit_probability
 }
 
-/// Demand for servers as reported by the hosts, by server tag and host address, with the arrival
-/// time of each report; kept by the leader.
+/// Demand for servers as reported by the hosts, by server tag (a hash that names the server in
+/// messages) and host address, with the arrival time of each report; kept by the leader.
 #[derive(Debug, Default)]
 pub struct DemandByHost(HashMap<u32, HashMap<SocketAddr, (DemandRates, u64)>>);
 
--- a/src/entry/decide/retry_after.rs
+++ b/src/entry/decide/retry_after.rs
@@ -4,8 +4,8 @@
 
 use super::{Candidate, Policy, hot_keys::HotKey};
 
-/// Longest retry time that a refused caller is given, in milliseconds, except for requests in
-/// quarantine.
+/// Longest retry time, in milliseconds, that a refused caller is given. Requests in quarantine are
+/// excepted: their callers may be given a longer retry time.
 const RETRY_AFTER_MAX_MS: u64 = 5_000;
 /// Retry time, in milliseconds, for requests to a host that has started and has not loaded its
 /// configuration yet.
@@ -17,14 +17,14 @@
 const BACKOFF_MOVE_MS: u64 = 150;
 
 /// Time, in milliseconds, after which the keys whose load exceeds the rate limit of their server
-/// have been moved to other servers: two rounds of the planner, and a move.
+/// have been moved to other servers: two rounds of the planner and one move of keys.
 const LIMIT_MOVE_MS: u64 = 300;
 
 /// Retry time, in milliseconds, for callers of a workspace that has used up its quota. The time is
 /// one second because quotas are rates per second.
 const QUOTA_RETRY_MS: u64 = 1_000;
 
-/// Refusal of a request that has not run, so that the caller can safely retry it.
+/// Refusal of a request that has not run, so that the caller can safely send the request again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refused {
     /// Reason that is sent to the caller and logged.
@@ -34,8 +34,8 @@
 }
 
 impl Refused {
-    /// Refuses a request that another host may serve at once, or this host a short time later. The
-    /// caller is told to retry after the shortest retry time.
+    /// Refuses a request that another host may serve at once, or that this host may serve a short
+    /// time later. The caller is told to retry after the shortest retry time.
     pub fn soon(reason: &'static str, policy: &Policy) -> Self {
         Self::after(reason, 0, policy)
     }
@@ -49,9 +49,9 @@
         }
     }
 
-    /// Refuses a request that is in quarantine because several servers have crashed during it. The
-    /// retry time is the rest of the quarantine, without a maximum, because an earlier retry would
-    /// be refused as well.
+    /// Refuses a request that is in quarantine because several servers have crashed during that
+    /// request. The retry time is the rest of the quarantine, without a maximum, because an earlier
+    /// retry would be refused as well.
     pub fn quarantined(remaining_ms: u64) -> Self {
         Self {
             reason: "several servers have ended under the request",
@@ -67,14 +67,15 @@
         Self::after(reason, backoff_ms.min(BACKOFF_MOVE_MS), policy)
     }
 
-    /// Refuses a request because the server of its key has reached its rate limit for all hosts.
-    /// The retry time allows for the move of the excess keys to other servers.
+    /// Refuses a request because the server that holds the request's key has reached the rate limit
+    /// that it advertises to all hosts together. The retry time allows for the move of the excess
+    /// keys to other servers.
     pub fn limited(policy: &Policy) -> Self {
         let reason = "the key's server gets as much as it takes";
         Self::after(reason, LIMIT_MOVE_MS, policy)
     }
 
-    /// Refuses a request of a workspace that has used up its quota. The retry time is
+    /// Refuses a request from a workspace that has used up its quota. The retry time is
     /// [`QUOTA_RETRY_MS`], because quotas are rates per second.
     pub fn over_quota() -> Self {
         Self {
--- a/src/entry/decide/run_shares.rs
+++ b/src/entry/decide/run_shares.rs
@@ -15,7 +15,7 @@
 /// requests are assumed to run for the average time.
 const SAMPLES_MIN: u32 = 5;
 /// Bounds of a sample, which is the run time of a request divided by the average run time at its
-/// server. Without them, a single slow run would outweigh many others.
+/// server. Without these bounds, the sample of a single slow run would outweigh many other samples.
 const SAMPLE_MIN: f64 = 0.05;
 const SAMPLE_MAX: f64 = 8.0;
 
--- a/src/entry/decide/slowdown.rs
+++ b/src/entry/decide/slowdown.rs
@@ -32,8 +32,8 @@
 }
 
 impl Slowdown {
-    /// Records the slowdown that the server reported at `at_ms`. The report is ignored if a later
-    /// one is known, or if the slowdown is not a positive finite number.
+    /// Records the slowdown that the server reported at `at_ms`. The report is ignored if a report
+    /// with a later time is known, or if the slowdown is not a positive finite number.
     pub fn note(&mut self, slowdown: f64, at_ms: u64) {
         if at_ms < self.at_ms || !slowdown.is_finite() || slowdown <= 0.0 {
             return;
