--- a/src/entry/forward/attempt.rs
+++ b/src/entry/forward/attempt.rs
@@ -110,8 +110,8 @@
     }
 
     /// Ends the trial (single supervised attempt) of a suspect request after the server has
-    /// answered the request, so that the server may run the next suspect request. Does nothing if
-    /// this attempt is not a trial.
+    /// answered the request, so that the server may run the next suspect request (request that was
+    /// in flight when a server crashed). Does nothing if this attempt is not a trial.
     fn end_trial(&self, entry: &Entry, server: &Server) {
         if self.is_trial {
             entry.end_trial(self.digests, server.tag);
@@ -121,7 +121,7 @@
     /// Returns an idle connection to the server, or opens a connection. Returns
     /// [`AttemptOutcome::InBackoff`] if the server has asked this host for a backoff. The backoff
     /// is checked before and after connecting, because the server may ask for a backoff while the
-    /// request waits for competing trial claims of other hosts, or while the connection is being
+    /// request waits for competing trial claims from other hosts, or while the connection is being
     /// opened.
     async fn connection(
         &self,
--- a/src/entry/forward/body.rs
+++ b/src/entry/forward/body.rs
@@ -15,10 +15,10 @@
 
 use crate::{entry::pool::Connection, transport::ResponseBody};
 
-/// Size up to which a body is buffered whole, so that a request can be retried, and a truncated
-/// response is detected before any of it is sent to the caller.
+/// Size up to which a body is buffered whole, so that a request can be retried, and so that a
+/// truncated response is detected before any part of that response is sent to the caller.
 const BUFFERED_BYTES_MAX: usize = 256 * 1024;
-/// Share of a host's memory that all bodies together may use.
+/// Fraction of a host's memory that all bodies together may use.
 const MEMORY_SHARE: f64 = 0.25;
 /// Unit in which body memory is counted. Bodies below this size are not counted.
 const UNIT_BYTES: usize = 16 * 1024;
@@ -33,7 +33,8 @@
 pub struct BodyMemory(Arc<Semaphore>);
 
 impl BodyMemory {
-    /// Returns the budget of a host: the share [`MEMORY_SHARE`] of its memory of `memory_bytes`.
+    /// Returns the budget of a host: the fraction [`MEMORY_SHARE`] of the host's memory, which is
+    /// `memory_bytes`.
     pub fn of_host(memory_bytes: u64) -> Self {
         let units = memory_bytes as f64 * MEMORY_SHARE / UNIT_BYTES as f64;
         Self(Arc::new(Semaphore::new(units as usize)))
@@ -98,8 +99,8 @@
 /// Body of a request, which is kept for further attempts unless it is streamed.
 pub enum Payload {
     Whole(BufferedBody),
-    /// The buffered beginning and the unread remainder. `None` once an attempt has taken them,
-    /// since a streamed body can be sent only once.
+    /// The buffered beginning and the unread remainder. `None` once an attempt has taken both
+    /// parts, because a streamed body can be sent only once.
     Stream(Option<(BufferedBody, Incoming)>),
 }
 
@@ -139,7 +140,7 @@
 
 /// Reads the body of a caller's request into memory. A body that exceeds [`BUFFERED_BYTES_MAX`] or
 /// the memory budget is left partly unread, to be streamed to the server. `reserved` is the memory
-/// that was reserved for the body by its announced size.
+/// that was reserved for the body according to the size that the request announced.
 pub async fn read_payload(
     body: Incoming,
     reserved: MemoryReservation,
--- a/src/entry/forward/choose.rs
+++ b/src/entry/forward/choose.rs
@@ -27,9 +27,9 @@
     transport::ResponseBody,
 };
 
-/// Maximum time for which a suspect request waits until it may run its own trial (single supervised
-/// attempt), while another trial of the same request or at the same server is in progress. Most
-/// trials end within this time.
+/// Maximum time for which a suspect request (a server has crashed during the request) waits until
+/// it may run its own trial (single supervised attempt), while another trial of the same request or
+/// at the same server is in progress. Most trials end within this time.
 const TRIAL_WAIT_MS: u64 = 120;
 /// Interval at which a waiting suspect request checks whether the trial that blocks it has ended.
 const TRIAL_POLL_MS: u64 = 10;
@@ -72,7 +72,8 @@
 }
 
 /// Returns true if the server has a rate limit but has not advertised the limit for a while, so
-/// that a request should be sent to the server: its response shows whether the limit still holds.
+/// that a request should be sent to the server: the server's response shows whether the limit still
+/// applies.
 fn should_refresh_limit(server: &Server) -> bool {
     server.rate.limit_per_s().is_some() && server.rate.is_stale()
 }
@@ -119,8 +120,8 @@
 
     /// Claims the trial of a suspect request, because only one host at a time may run such a
     /// request. If the claim of another trial blocks this claim, the request waits up to
-    /// [`TRIAL_WAIT_MS`] for the other trial to end. A successful trial shows that the request is
-    /// harmless; the request then needs no trial.
+    /// [`TRIAL_WAIT_MS`] for the other trial to end. A successful trial of the same request shows
+    /// that the request is harmless, so that the request needs no further trial.
     async fn claim_trial(&mut self, entry: &Entry, server: &Server) -> Result<(), Refused> {
         let wait_until_ms = clock::now_ms() + TRIAL_WAIT_MS;
         while !self.is_trial && entry.crashes.is_suspect(self.digests) {
@@ -165,7 +166,8 @@
     }
 
     /// Returns the server with the earliest expected response, after weighting by cost, among those
-    /// of `servers` that have room for the request; `None` if no server has room.
+    /// of `servers` that have room for the request (may get one more request); `None` if no server
+    /// has room.
     fn pick<'r>(
         &self,
         entry: &Entry,
@@ -210,8 +212,8 @@
         )
     }
 
-    /// Returns the server that holds the key, and records the fence under which the server holds
-    /// the key. While the key is being moved, waits as long as [`Self::hold`] allows.
+    /// Returns the server that holds the key, and records the fence (fencing token) under which the
+    /// server holds the key. While the key is being moved, waits as long as [`Self::hold`] allows.
     async fn owner(&mut self, entry: &Entry, key: u16) -> Result<Arc<Server>, Refused> {
         let policy = &entry.settings.policy;
         let mut changes = entry.view.changes();
@@ -298,8 +300,8 @@
     }
 
     /// Refuses the request at random if its key is hot (gets more requests than its server can
-    /// run): the share of refused requests is the share beyond the capacity of the server. Returns
-    /// `None` if the request may be forwarded.
+    /// run): the fraction of refused requests is the fraction that exceeds the capacity of the
+    /// server. Returns `None` if the request may be forwarded.
     pub(super) fn refuse_hot_key(&self, entry: &Entry) -> Option<Response<ResponseBody>> {
         let policy = &entry.settings.policy;
         let tag = tag_of(&self.service);
@@ -313,8 +315,8 @@
         Some(self.refuse(entry, logged, &refused))
     }
 
-    /// Queries the current owner of the key after a server did not run the request, and waits up to
-    /// [`KEY_RETRY_PAUSE_MS`] for the view to change.
+    /// Asks which server currently holds the key after a server did not run the request, and waits
+    /// up to [`KEY_RETRY_PAUSE_MS`] for the view to change.
     pub(super) async fn await_move(&self, entry: &Entry) {
         let mut changes = entry.view.changes();
         self.query_key_owner(entry);
@@ -325,8 +327,8 @@
     }
 
     /// Asks the leader which server holds the key. Requests a read from the store instead if the
-    /// query cannot be sent to the leader, or if no report confirms that the store has responded
-    /// lately.
+    /// query cannot be sent to the leader, or if this host has received no recent report that the
+    /// store responds.
     fn query_key_owner(&self, entry: &Entry) {
         let Some(key) = self.key else { return };
         let query = Message::QueryKeyOwner {
--- a/src/entry/forward/forwarded_request.rs
+++ b/src/entry/forward/forwarded_request.rs
@@ -30,7 +30,7 @@
 const CONNECTS_MAX: u32 = 3;
 /// Number of failed connection attempts after which a request that any server can run is refused,
 /// if the attempts failed quickly (see [`FAST_REFUSAL_MS`]). The number exceeds [`CONNECTS_MAX`]
-/// because most of the servers that a host prefers refuse connections after the loss of a zone.
+/// because after the loss of a zone, most of the servers that a host prefers refuse connections.
 const REFUSED_CONNECTS_MAX: u32 = 10;
 /// Average time per failed connection attempt, counted from the arrival of the request, below which
 /// the attempts count as failed quickly.
@@ -46,7 +46,7 @@
 pub struct Times {
     /// Time at which the request arrived at this host.
     pub arrived_ms: u64,
-    /// Time up to which a response meets the latency objective.
+    /// Time up to which a response meets the latency objective of the request's route.
     pub objective_ms: u64,
     /// Time after which the caller no longer waits for a response.
     pub deadline_ms: u64,
@@ -82,9 +82,9 @@
     pub(super) fences: (u64, u64),
     /// Server that was chosen last, or that holds the key of the request; named in log events.
     pub(super) last: Option<Arc<Server>>,
-    /// True once this host has claimed the trial (single supervised attempt) of the request, which
-    /// is suspect: a server has crashed during it. No other host may run the request during the
-    /// trial.
+    /// True once this host has claimed the trial (single supervised attempt) of the request. The
+    /// request is suspect: a server has crashed during that request. No other host may run the
+    /// request during the trial.
     pub(super) is_trial: bool,
 }
 
@@ -124,8 +124,8 @@
         Some(workspaces.get(self.workspace?))
     }
 
-    /// Returns true if the request may be served in an availability zone. Its route and its
-    /// workspace can each restrict the regions.
+    /// Returns true if the request may be served in an availability zone. The route of the request
+    /// and the workspace of the caller can each restrict the regions.
     pub(super) fn may_be_served_in(&self, entry: &Entry, availability_zone: &str) -> bool {
         let workspace = self.workspace().map_or(&[][..], |w| &w.regions);
         let named = [&self.route.regions[..], workspace];
--- a/src/entry/forward/head.rs
+++ b/src/entry/forward/head.rs
@@ -10,7 +10,8 @@
     transport::{ResponseBody, buffered},
 };
 
-/// Hop-by-hop headers, and others that concern one connection only; never forwarded.
+/// Headers that this host never forwards: hop-by-hop headers, and other headers that concern only
+/// one connection.
 const HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -42,7 +43,8 @@
     path.parse().ok()
 }
 
-/// Removes the hop-by-hop headers, including those named by `Connection`.
+/// Removes the headers that concern only one connection, including those named by the `Connection`
+/// header.
 pub fn strip_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -78,8 +80,8 @@
     with_retry_after(StatusCode::SERVICE_UNAVAILABLE, refused)
 }
 
-/// Returns a 429 response for a request that has not run because the workspace has used up its
-/// quota. The response has a `Retry-After` header.
+/// Returns a 429 response for a request that has not run because the caller's workspace has used up
+/// its quota. The response has a `Retry-After` header.
 pub fn over_quota(refused: &Refused) -> Response<ResponseBody> {
     with_retry_after(StatusCode::TOO_MANY_REQUESTS, refused)
 }
--- a/src/entry/forward/mod.rs
+++ b/src/entry/forward/mod.rs
@@ -36,8 +36,8 @@
 /// Time from the arrival of a request without a deadline header to its deadline, unless the timeout
 /// of the route is shorter.
 const DEADLINE_DEFAULT_MS: u64 = 30_000;
-/// Minimum time between a request's deadline and the stop of this process. A request whose deadline
-/// is closer to the stop, or later, is refused.
+/// Minimum time from a request's deadline to the planned stop of this process. A request is refused
+/// if its deadline is closer to the stop than this time, or after the stop.
 const STOP_MARGIN_MS: u64 = 100;
 
 /// Handles one request of a caller and returns the response. While the host is stopping, the
@@ -118,7 +118,8 @@
     let forwarding =
         async move { forward(&entry, &configuration, &caller_request, &head, payload).await };
     if repeatable {
-        // Forwarding is cancelled, and its connections are closed, when the caller disconnects.
+        // Forwarding is cancelled, and the connections that the request uses are closed, when the
+        // caller disconnects.
         return forwarding.await;
     }
     // An unrepeatable request must not be cut off at its server when the caller disconnects, so it
@@ -140,7 +141,8 @@
     times: Times,
 }
 
-/// Refuses a caller: with 401 if its API key is not valid, with 503 if this host cannot verify it.
+/// Refuses a caller: with 401 if the caller's API key is not valid, with 503 if this host cannot
+/// verify the API key.
 fn deny(
     head: &request::Parts,
     route: &Route,
