--- a/src/entry/broadcast.rs
+++ b/src/entry/broadcast.rs
@@ -1,5 +1,5 @@
 //! Broadcasts changes of server entries and configurations from the leader to the other hosts.
-//! Calls of the store are billed, so the other hosts apply the broadcast changes and do not read
+//! Calls to the store are billed, so the other hosts apply the broadcast changes and do not read
 //! them from the store themselves. The leader's heartbeat also states the version up to which the
 //! leader has read each table, so that a host that missed a change notices and queries another host
 //! or the store.
@@ -118,10 +118,10 @@
         }
     }
 
-    /// Broadcasts the changes between the table that this host, the leader, knew and `rows`, the
-    /// whole table. The leader has read the whole table because the store no longer had the changes
-    /// that the leader had missed. Without the broadcast, each of the other hosts, for example 295,
-    /// would read the whole table as well.
+    /// Broadcasts the differences between the table as this host, the leader, knew it and `rows`,
+    /// the whole table as read from the store. The leader has read the whole table because the
+    /// store no longer had the changes that the leader had missed. Without the broadcast, each of
+    /// the other hosts, for example 295, would read the whole table as well.
     pub(super) fn broadcast_difference(&self, followed: FollowedTable, rows: &Rows) {
         let after = self.freshness.applied(followed);
         if after == 0 {
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -68,7 +68,7 @@
 
     /// Returns the time since the configuration in force was confirmed to be the latest one, in
     /// milliseconds. Returns `None` if no configuration was ever confirmed, or if the latest
-    /// configuration cannot be decoded. Without a bound on revocations, a recent report of the
+    /// configuration cannot be decoded. Without a bound on revocations, a recent report from the
     /// leader or a relay that shows no later change counts as confirmation.
     fn configuration_age_ms(&self) -> Option<u64> {
         let followed = FollowedTable::Configuration;
@@ -84,7 +84,7 @@
 
     /// Repeatedly confirms that the configuration in force is the latest one, if the operators have
     /// set a bound on revocations. The leader queries the store; the other hosts query the leader,
-    /// and the store if the leader's responses do not come.
+    /// and query the store if the leader does not respond.
     pub(super) async fn keep_configuration_confirmed(self: Arc<Self>) {
         let Some(bound_ms) = self.settings.bounds.revocation_ms else {
             return;
@@ -156,8 +156,8 @@
         })
     }
 
-    /// Records another host's response to a query of this host. The response is ignored if the
-    /// other host knows a later change of the configuration than this host.
+    /// Records another host's response to a query that this host sent. The response is ignored if
+    /// the other host knows a later change of the configuration than this host.
     pub(super) fn note_confirmation(&self, nonce: u64, age_ms: u32, changed: u64) {
         if self.freshness.changed(FollowedTable::Configuration) >= changed {
             self.confirmation.note_response(nonce, u64::from(age_ms));
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -1,7 +1,7 @@
 //! Timeouts and pauses derived from the bounds in the settings.
 //!
 //! A bound covers a chain of delays, such as the pause of a feed, a heartbeat interval of the
-//! leader and a call of this host to the store. Each delay gets a share of the bound, and the
+//! leader and a call from this host to the store. Each delay gets a part of the bound, and the
 //! delays of each chain must add up to no more than the bound.
 
 use std::fmt;
@@ -18,10 +18,10 @@
 /// Interval at which a feed (a task that reads the changes of a table) checks during a pause or a
 /// wait whether it must call the store at once.
 pub const POLL_EVERY_MS: u64 = 100;
-/// Shortest trust period, which is the age up to which a host trusts the leader's reports of the
-/// store. With a shorter period, every heartbeat of the leader would be too old on arrival.
+/// Shortest trust period, which is the age up to which a host trusts the leader's reports on the
+/// store. With a shorter period, every heartbeat from the leader would be too old on arrival.
 const TRUST_MIN_MS: u64 = 200;
-/// Longest trust period, which is the age up to which a host trusts the leader's reports of the
+/// Longest trust period, which is the age up to which a host trusts the leader's reports on the
 /// store. A longer period would save no calls to the store, because the leader confirms its
 /// leadership and sends several heartbeats within 2 s.
 const TRUST_MAX_MS: u64 = 2_000;
@@ -36,7 +36,8 @@
 /// Longest wait of the leader's feed calls at the store. Calls are billed, and the leader makes
 /// them continuously.
 const LEADER_WAIT_MAX_MS: u64 = 3_000;
-/// Longest pause of the feed of servers' entries on a host that receives no heartbeats of a leader.
+/// Longest pause of the feed of servers' entries on a host that receives no heartbeats from a
+/// leader.
 const SERVERS_PAUSE_MAX_MS: u64 = 1_500;
 /// Longest pause of the configuration's feed on hosts other than the leader and relays.
 const CONFIGURATION_PAUSE_MAX_MS: u64 = 500;
@@ -51,7 +52,7 @@
 /// two calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timings {
-    /// Trust period: age up to which a host trusts the leader's report of the store and need not
+    /// Trust period: age up to which a host trusts the leader's report on the store and need not
     /// call the store itself. The period is limited because a leader may fail right after a
     /// heartbeat, before it broadcasts that a server leaves.
     pub trust_ms: u64,
@@ -76,16 +77,16 @@
     /// Timeout for fetching missed changes from other hosts. A host that still misses changes after
     /// the timeout reads them from the store.
     pub catch_up_ms: u64,
-    /// Longest pause of the feed of servers' entries while no heartbeats of a leader arrive.
+    /// Longest pause of the feed of servers' entries while no heartbeats from a leader arrive.
     pub servers_pause_ms: u64,
     /// Longest pause of the configuration's feed on hosts other than the leader and relays.
     pub configuration_pause_ms: u64,
     /// Time for which a host may lag behind the versions reported by the leader before the host
-    /// calls the store. A response of the store or a broadcast of the leader may still be on its
+    /// calls the store. A response from the store or a broadcast by the leader may still be on its
     /// way.
     pub lag_grace_ms: u64,
-    /// Time for which a host waits for a heartbeat of the leader after the host has started, or has
-    /// read a whole table because the store no longer has the changes that the host missed.
+    /// Time for which a host waits for a heartbeat from the leader after the host has started, or
+    /// has read a whole table because the store no longer has the changes that the host missed.
     pub start_wait_ms: u64,
     /// Time for which a host, after it has learned of an evacuation, still sends requests for keys
     /// to the servers of the evacuated zone that hold the keys. The keys are moved to other servers
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -22,7 +22,7 @@
 };
 use crate::clock;
 
-/// Pause after a failed call of the store while another host confirms the store and this host has
+/// Pause after a failed call to the store while another host confirms the store and this host has
 /// all reported changes. The pause is longer than other pauses: the store may reject only the calls
 /// of this host, and this host misses no changes.
 const CONFIRMED_PAUSE_MS: u64 = 1_500;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Extends the pause after a failed call of the store while other hosts call the store on
+    /// Extends the pause after a failed call to the store while other hosts call the store on
     /// behalf of this host. If each of hundreds of hosts checked whether the store responds again,
     /// the store would get thousands of calls.
     pub(super) async fn pause_while_others_call(&self) {
@@ -116,7 +116,7 @@
     }
 
     /// Returns the response to a host that queries the state of the store because it receives no
-    /// heartbeats of the leader; `None` if this host's information on the store is too old to be
+    /// heartbeats from the leader; `None` if this host's information on the store is too old to be
     /// trusted.
     pub(super) fn store_state_for(&self, nonce: u64) -> Option<Message> {
         let updates = self.freshness.store_state(self.view.store_answered_ms())?;
--- a/src/entry/updates/announcement.rs
+++ b/src/entry/updates/announcement.rs
@@ -4,7 +4,7 @@
 
 use crate::entry::{decide::hold::MoveTimeLeft, keys::KeyRange};
 
-/// Message of the leader that a range of keys is being moved to another server.
+/// Message from the leader that a range of keys is being moved to another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveAnnouncement {
     /// Keys being moved. Requests for these keys wait until a grant of the keys is announced or
--- a/src/entry/updates/confirmation.rs
+++ b/src/entry/updates/confirmation.rs
@@ -5,8 +5,8 @@
 //! configuration from another host must not trust the configuration for longer than the bound.
 //!
 //! A confirmation counts from the time at which the query was sent, not from the arrival of the
-//! response. A response of the store confirms the configuration as of the time of the query. A
-//! response of the leader confirms the configuration as of the time of the query minus the age of
+//! response. A response from the store confirms the configuration as of the time of the query. A
+//! response from the leader confirms the configuration as of the time of the query minus the age of
 //! the leader's own confirmation.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/src/entry/updates/evacuation.rs
+++ b/src/entry/updates/evacuation.rs
@@ -1,6 +1,6 @@
 //! Availability zones evacuated by operators: their servers get no new work until the zone is
-//! restored. Each heartbeat of the leader contains the complete list of evacuated zones, so a lost
-//! datagram delays a change by one heartbeat interval only.
+//! restored. Each heartbeat from the leader contains the complete list of evacuated zones, so a
+//! lost datagram delays a change by one heartbeat interval only.
 
 use std::sync::Arc;
 
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -9,20 +9,22 @@
     platform::{config, servers},
 };
 
-/// Maximum wait of a feed call at the store while no other host confirms the store. A store that
-/// stopped responding is detected within a second after the wait, early enough to apply the
-/// configuration within its bound once a network partition has healed.
+/// Maximum wait of a feed call at the store while no other host confirms the store, that is,
+/// reports that the store responds. A store that stopped responding is detected within a second
+/// after the wait, early enough to apply the configuration within its bound once a network
+/// partition has healed.
 const ALONE_WAIT_MS: u64 = 3_000;
 /// Maximum wait at the store of a feed call that does not need a short wait: if another host
 /// reports a change that the feed did not deliver, the call is abandoned and repeated. Calls are
 /// billed, so the wait is long; the store allows up to 30 s.
 const FOLLOWER_WAIT_MS: u64 = 25_000;
-/// Maximum pause of a feed while the leader broadcasts all changes. A host that has missed a change
-/// notices this by the versions in the leader's heartbeat, by a message from an unknown host or
-/// under an unknown secret, or by the response of a server that no longer holds a key.
+/// Maximum pause between two polls of a feed while the leader broadcasts all changes. A host that
+/// has missed a change notices this by the versions in the leader's heartbeat, by a message from an
+/// unknown host or under an unknown secret, or by the response from a server that no longer holds a
+/// key.
 pub const FOLLOWER_PAUSE_MAX_MS: u64 = 120_000;
-/// Time for which a host that has just read the entry hosts' own rows waits for a heartbeat of the
-/// leader before the host requests changes of these rows.
+/// Time for which a host that has just read the entry hosts' own rows waits for a heartbeat from
+/// the leader before the host requests changes of these rows.
 const OWN_START_WAIT_MS: u64 = 2_500;
 /// Minimum pause of the change feed of the entry hosts' own rows (assigned ranges and hosts).
 const OWN_PAUSE_MIN_MS: u64 = 300;
@@ -43,9 +45,11 @@
     /// This host is a relay without confirmation of the store by the leader; the hosts of its zone
     /// depend on its feeds.
     Relay,
-    /// This host depends on the leader or a relay, which confirms the store.
+    /// This host depends on the leader or a relay, which reports to this host that the store
+    /// responds.
     Follower,
-    /// No other host confirms the store; this host depends on its own feeds alone.
+    /// No other host reports to this host that the store responds; this host depends on its own
+    /// feeds alone.
     Alone,
 }
 
@@ -94,11 +98,11 @@
         }
     }
 
-    /// Returns the time for which a host that has just read the table waits for a heartbeat of the
-    /// leader before it requests changes. Without this wait, hosts that start together would all
-    /// fetch each other's rows. Hosts usually write their rows within 2 s after their start, and by
-    /// then there is a leader as well. The wait lies within the contact grace period, in which the
-    /// bounds do not apply.
+    /// Returns the time for which a host that has just read the table waits for a heartbeat from
+    /// the leader before the host requests changes. Without this wait, hosts that start together
+    /// would all fetch each other's rows. Hosts usually write their rows within 2 s after their
+    /// start, and by then there is a leader as well. The wait lies within the contact grace period,
+    /// in which the bounds do not apply.
     pub fn start_wait_ms(self, limits: &Timings) -> u64 {
         match self {
             Self::Own => OWN_START_WAIT_MS,
--- a/src/entry/updates/freshness.rs
+++ b/src/entry/updates/freshness.rs
@@ -26,7 +26,7 @@
 /// trusted.
 const TOO_OLD_MS: u32 = u32::MAX;
 
-/// Report of the leader, or of a relay, on its view of the store.
+/// Report from the leader, or from a relay, on the sender's view of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStateReport {
     /// Time since the store's last response, or since the sender's feed last waited for changes of
@@ -65,11 +65,11 @@
     }
 }
 
-/// Versions and times of a host's own change feeds of the store, and the latest report of another
+/// Versions and times of a host's own change feeds of the store, and the latest report from another
 /// host on the store's state.
 #[derive(Debug)]
 pub struct Freshness {
-    /// Trust period: age up to which a report of another host is trusted.
+    /// Trust period: age up to which a report from another host is trusted.
     trust_ms: u64,
     /// Time for which a feed may lag behind a reported version before the feed call is abandoned
     /// and repeated.
@@ -83,7 +83,7 @@
     changed: [AtomicU64; TABLES],
     /// Version of the latest change of a server's entry that ends new work for the server.
     leave_version: AtomicU64,
-    /// Latest report of the leader or a relay; `None` before the first.
+    /// Latest report from the leader or a relay; `None` before the first.
     received: Mutex<Option<ReceivedReport>>,
     /// Latest query to the relays of the zone, until the first response to the query arrives.
     query: PendingQuery,
@@ -91,7 +91,7 @@
     is_relay: AtomicBool,
 }
 
-/// Report of another host, with the time of the store's last response by this host's clock.
+/// Report from another host, with the time of the store's last response by this host's clock.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
     answered_ms: u64,
@@ -119,7 +119,7 @@
 pub enum AbandonReason {
     /// Another host has reported a change that the feed did not deliver.
     Behind,
-    /// No other host has reported a recent response of the store.
+    /// No other host has reported a recent response from the store.
     Unconfirmed,
     /// Another feed has found the store unavailable, and the store has not responded since.
     StoreLost,
@@ -226,9 +226,9 @@
         }
     }
 
-    /// Returns the report with which this host responds to a query as a relay: its own report or
-    /// the report that this host received, whichever is more recent. Returns `None` if that report
-    /// is too old to be trusted.
+    /// Returns the report with which this host, as a relay, responds to a query: this host's own
+    /// report or the latest report that this host received, whichever is more recent. Returns
+    /// `None` if the more recent report is too old to be trusted.
     pub fn store_state(&self, heard_ms: u64) -> Option<StoreStateReport> {
         let received = *self.received();
         let own = self.updates(heard_ms);
@@ -252,7 +252,7 @@
     }
 
     /// Records a relay's response. Returns the time at which the store last responded to the relay;
-    /// `None` if another host has already reported a response of the store at that time or later,
+    /// `None` if another host has already reported a response from the store at that time or later,
     /// or if the relay's response does not belong to the latest query or is not the first response
     /// to that query.
     pub fn note_relay_report(&self, nonce: u64, updates: StoreStateReport) -> Option<u64> {
@@ -268,8 +268,8 @@
         is_new.then_some(answered_ms)
     }
 
-    /// Records a report of the leader. Returns the time of the store's latest response that is
-    /// known from reports of other hosts.
+    /// Records a report from the leader. Returns the time of the store's latest response that is
+    /// known from reports from other hosts.
     pub fn note_announced(&self, updates: StoreStateReport) -> u64 {
         let answered_ms = clock::now_ms().saturating_sub(u64::from(updates.age_ms));
         let received = ReceivedReport {
@@ -295,7 +295,7 @@
         }
     }
 
-    /// Returns true if the leader, or a relay in its place, has reported a recent response of the
+    /// Returns true if the leader, or a relay in its place, has reported a recent response from the
     /// store. A relay stops trusting the leader earlier than other hosts do, so that the relay has
     /// followed the store itself by the time other hosts query it.
     pub fn is_store_confirmed(&self) -> bool {
@@ -307,8 +307,8 @@
         self.received_age_ms() < trust_ms
     }
 
-    /// Returns true if a relay should be queried because the last report will soon be too old to be
-    /// trusted.
+    /// Returns true if a relay should be queried because the latest report from the leader or a
+    /// relay will soon be too old to be trusted.
     pub fn needs_relay(&self) -> bool {
         self.received_age_ms() >= self.relay_query_age_ms()
     }
@@ -320,15 +320,15 @@
         })
     }
 
-    /// Returns the age of the last report from which on this host queries the relays of its zone.
-    /// The leader's reports are usually not older: their age is at most half of the trust period,
-    /// plus a quarter of the trust period for one heartbeat.
+    /// Returns the age at which the latest report from the leader or a relay makes this host query
+    /// the relays of its zone. The leader's reports are usually not older: their age is at most
+    /// half of the trust period, plus a quarter of the trust period for one heartbeat.
     fn relay_query_age_ms(&self) -> u64 {
         self.trust_ms * 3 / 4
     }
 
-    /// Returns true if the store is confirmed, and other hosts have reported a response that the
-    /// store gave at `at_ms` or later.
+    /// Returns true if a recent report from the leader or a relay confirms that the store responds,
+    /// and other hosts have reported a response that the store gave at `at_ms` or later.
     pub fn is_store_confirmed_since(&self, at_ms: u64) -> bool {
         let received = *self.received();
         self.is_store_confirmed() && received.is_some_and(|received| received.answered_ms >= at_ms)
--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -52,7 +52,7 @@
     /// Availability zone of the host; empty in rows that lack the field.
     #[serde(default)]
     pub availability_zone: String,
-    /// Share of a processor that the host may use; 1.0 is a whole processor.
+    /// Fraction of a processor that the host may use; 1.0 is a whole processor.
     #[serde(default = "default_processor_share")]
     pub processor_share: f32,
 }
--- a/src/entry/updates/snapshot.rs
+++ b/src/entry/updates/snapshot.rs
@@ -59,13 +59,13 @@
 /// Host in a snapshot, with the properties that the sender of the snapshot knows.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotHost {
-    /// Address at which the host receives datagrams (UDP) and queries (TCP) of other hosts.
+    /// Address at which the host receives datagrams (UDP) and queries (TCP) from other hosts.
     pub address: SocketAddr,
     /// Incarnation of the process on the host; `None` if it is not known.
     pub incarnation: Option<u64>,
     /// Tag of the host's availability zone: a hash of its name, the same for all hosts of the zone.
     pub zone_tag: u32,
-    /// Share of a processor that the host may use; 1.0 is a whole processor.
+    /// Fraction of a processor that the host may use; 1.0 is a whole processor.
     pub processor_share: f32,
 }
 
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -191,7 +191,7 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Records an announcement of the leader that keys are being moved to another server.
+    /// Records an announcement by the leader that keys are being moved to another server.
     pub fn announce_move(&self, service: &Arc<str>, announcement: MoveAnnouncement) {
         self.owners.announce_move(service, announcement);
     }
@@ -208,9 +208,9 @@
         self.owners.note_not_held(service, fence);
     }
 
-    /// Requests that the feed of a table be called soon, because the rows that this host knows are
-    /// outdated: a server did not hold the expected keys, or a host, a server or the hosts' secret
-    /// is not known.
+    /// Requests that the change feed of a table be polled soon, because the rows that this host
+    /// knows are outdated: a server did not hold the expected keys, or a host, a server or the
+    /// hosts' secret is not known.
     pub fn request_read(&self, followed: FollowedTable) {
         self.read_requests[followed.index()].notify_one();
     }
@@ -283,8 +283,8 @@
         self.changed.subscribe()
     }
 
-    /// Records a response of the store at `at_ms`. Returns the time since the previous response if
-    /// that is at least `lapse_ms`, after which servers' entries may have lapsed.
+    /// Records a response from the store at `at_ms`. Returns the time since the previous response
+    /// if that is at least `lapse_ms`, after which servers' entries may have lapsed.
     pub fn note_store_response(&self, at_ms: u64, lapse_ms: u64) -> Option<u64> {
         let now_ms = clock::now_ms();
         let before_ms = self.store_answered_ms.fetch_max(at_ms, Ordering::Relaxed);
@@ -296,8 +296,8 @@
         Some(away_ms)
     }
 
-    /// Returns the time of the latest response of the store that is known to this host, whether the
-    /// store responded to this host or to a host that reported the response.
+    /// Returns the time of the latest response from the store that is known to this host, whether
+    /// the store responded to this host or to a host that reported the response.
     pub fn store_answered_ms(&self) -> u64 {
         self.store_answered_ms.load(Ordering::Relaxed)
     }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -1,5 +1,5 @@
 //! Keeps a host's view of the store up to date through change feeds. A change feed is a series of
-//! calls of the store, each of which waits for the next changes of a table.
+//! calls to the store, each of which waits for the next changes of a table.
 
 use std::{
     sync::{
@@ -35,10 +35,11 @@
 /// responds. A failed store drops calls without a response, so the next call must be made soon
 /// after the store is available again.
 const PROBE_WAIT_MS: u64 = 0;
-/// Pause after a failed call of the store; up to half of the pause is added at random.
+/// Pause after a failed call to the store; up to half of the pause is added at random.
 const RETRY_PAUSE_MS: u64 = 150;
-/// Longest pause of a feed whose calls keep failing. Calls are billed, including refused ones, but
-/// the store's return must be noticed within a second.
+/// Longest pause after a failed call of a feed whose calls keep failing, without the random
+/// addition. Calls are billed, including refused ones, but the store's return must be noticed
+/// within a second.
 const RETRY_PAUSE_MAX_MS: u64 = 400;
 /// Longest pause after a failed call, including the random addition.
 pub(super) const RETRY_PAUSE_LONGEST_MS: u64 = RETRY_PAUSE_MAX_MS + RETRY_PAUSE_MAX_MS / 2;
@@ -280,10 +281,13 @@
         }
     }
 
-    /// Returns true if a pausing feed should be called now: because a server takes no new work
-    /// after a change that the feed did not deliver yet, the store is unavailable, no other host
-    /// confirms the store, or this host lacks the assigned ranges of a service or the secret of the
-    /// hosts.
+    /// Returns true if the change feed of a table should be polled before its pause has ended. The
+    /// feed of servers' entries is polled early if another host has reported a change later than
+    /// `after` that ends new work for a server, or if the store is known to be unavailable. The
+    /// feeds of servers' entries and of the configuration are polled early while no other host
+    /// reports that the store responds. The feed of the entry hosts' own rows is polled early if
+    /// this host lacks the assigned ranges of a service and another host has reported a change
+    /// later than `after`, or if this host does not know the hosts' secret.
     fn should_call_now(&self, followed: FollowedTable, after: u64) -> bool {
         match followed {
             FollowedTable::Configuration => !self.freshness.is_store_confirmed(),
@@ -349,7 +353,7 @@
         Ok(rows)
     }
 
-    /// Reads a whole table from the store and applies it. Returns false if a call of the store
+    /// Reads a whole table from the store and applies it. Returns false if a call to the store
     /// failed.
     async fn read_whole(&self, followed: FollowedTable) -> bool {
         let sent_ms = clock::now_ms();
@@ -392,7 +396,8 @@
     time::sleep(Duration::from_millis(pause_ms)).await;
 }
 
-/// Returns the time since the store's last response that is known to this host.
+/// Returns the time since the latest response of the store that is known to this host, in
+/// milliseconds.
 pub(super) fn store_age_ms(entry: &Entry) -> u64 {
     clock::now_ms().saturating_sub(entry.view.store_answered_ms())
 }
