--- a/src/entry/bounds.rs
+++ b/src/entry/bounds.rs
@@ -42,8 +42,8 @@
     /// the bound of configurations applies.
     #[serde(rename = "revocation", default, deserialize_with = "optional_duration")]
     pub revocation_ms: Option<u64>,
-    /// Contact grace period: time after a disturbance, such as an outage of the store, in which the
-    /// other bounds do not apply to a host.
+    /// Contact grace period: time after a fault, such as an outage of the store, in which the other
+    /// bounds do not apply to a host.
     #[serde(
         rename = "contact",
         default = "default_contact_ms",
@@ -53,14 +53,15 @@
     /// Length of the window in which retries are counted for `retry_ratio` and `retry_allowance`.
     #[serde(rename = "retry_window", deserialize_with = "duration")]
     pub retry_window_ms: u64,
-    /// Maximum number of retries in a window, as a share of the requests in the window.
+    /// Maximum number of retries in a window, as a fraction of the requests in the window.
     pub retry_ratio: f64,
-    /// Number of retries that all hosts together may send in a window in addition to the share that
-    /// `retry_ratio` allows.
+    /// Number of retries that all hosts together may send in a window in addition to the retries
+    /// that `retry_ratio` allows.
     pub retry_allowance: f64,
 }
 
-/// Returns the processor share of a host whose settings or host row state none: a whole processor.
+/// Returns the fraction of a processor that a host may use if its settings or its host row state no
+/// value: 1.0, a whole processor.
 pub fn default_processor_share() -> f32 {
     1.0
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -89,8 +89,8 @@
     pub view: View,
     /// Timeouts and intervals that are derived from the operators' bounds in the settings.
     pub limits: Timings,
-    /// Age of this host's copy of the store's tables, known from the host's own calls to the store
-    /// and from reports of other hosts.
+    /// Age of this host's copy of the store's tables, known from this host's own calls to the store
+    /// and from reports from other hosts.
     pub freshness: Freshness,
     /// Time up to which the configuration in use is confirmed as the latest one.
     pub confirmation: ConfigurationConfirmation,
@@ -105,13 +105,13 @@
     /// Term of this host while it is the leader, and what this host knows of leaders on other
     /// hosts.
     pub leadership: Leadership,
-    /// Budget that limits the retries of each service to a share of the service's requests, plus a
-    /// fixed allowance.
+    /// Budget that limits the retries of each service to a fraction of the service's requests, plus
+    /// a fixed allowance.
     pub retries: RetryBudget,
     /// Memory that request and response bodies may take in this host.
     body_memory: BodyMemory,
-    /// Usage of the workspaces' quotas, and the share of each workspace's requests that this host
-    /// admits.
+    /// Usage of the workspaces' quotas, and the fraction of each workspace's requests that this
+    /// host admits.
     pub quotas: Quotas,
     /// Server crashes, and the suspects: requests that may have caused them.
     pub crashes: Crashes,
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -48,12 +48,13 @@
     pub per_s: f64,
 }
 
-/// Service that gets a share of a route's requests.
+/// Service that gets a fraction of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteTarget {
     /// Name of the service, as in [`Service::name`].
     pub service: Arc<str>,
-    /// Share of the requests, relative to the weights of the route's other services.
+    /// Weight of the service: the service gets this weight, divided by the sum of the weights of
+    /// the route's services, as its fraction of the requests.
     pub weight: f64,
 }
 
--- a/src/entry/quotas.rs
+++ b/src/entry/quotas.rs
@@ -1,6 +1,6 @@
 //! Quotas of workspaces across hosts. Each host reports the number of its requests to the leader.
-//! The leader adds the numbers up in one ledger for each workspace, and announces which share of a
-//! workspace's requests the hosts may admit.
+//! The leader adds the numbers up in one ledger (account of the remaining quota) for each
+//! workspace, and announces which fraction of a workspace's requests the hosts may admit.
 
 use std::{
     collections::HashMap,
@@ -41,8 +41,8 @@
     REPORT_INTERVAL_MS.max(REPORT_INTERVAL_MS_PER_HOST * hosts as u64)
 }
 
-/// State of the workspaces' quotas at one host: the host's own shares, and the ledgers while the
-/// host is the leader.
+/// State of the workspaces' quotas at one host: the fraction of each workspace's requests that the
+/// host admits and, while the host is the leader, the ledgers of all hosts' requests.
 #[derive(Debug, Default)]
 pub struct Quotas {
     state: Mutex<QuotaState>,
@@ -50,7 +50,7 @@
 
 #[derive(Debug, Default)]
 struct QuotaState {
-    /// This host's shares of the quotas, by workspace tag.
+    /// State by which this host decides which requests of a workspace to admit, by workspace tag.
     shares: HashMap<u32, HostShare>,
     /// Ledgers of all hosts' requests, by workspace tag; kept while this host is the leader.
     ledgers: HashMap<u32, Ledger>,
@@ -99,7 +99,7 @@
             .collect()
     }
 
-    /// Adds a host's report to the ledgers of the leader.
+    /// Adds a host's report to the ledgers, which only the leader keeps.
     fn note_report(&self, workspaces: &Workspaces, reports: &[WorkspaceUse]) {
         let now_ms = clock::now_ms();
         let mut state = self.state();
@@ -114,9 +114,9 @@
         }
     }
 
-    /// Returns the shares of workspaces' requests that hosts may admit, computed by the leader from
-    /// its ledgers. If `is_for_all` is false, leaves out the workspaces within their quota whose
-    /// latest announced share did not limit them either.
+    /// Returns the fraction of each workspace's requests that hosts may admit, computed by the
+    /// leader from its ledgers. If `is_for_all` is false, leaves out the workspaces within their
+    /// quota for which the latest announcement did not limit the requests either.
     fn admitted(&self, workspaces: &Workspaces, is_for_all: bool) -> Vec<WorkspaceAdmitted> {
         let now_ms = clock::now_ms();
         let mut state = self.state();
@@ -144,8 +144,9 @@
         announced
     }
 
-    /// Applies the shares that the leader announced, and records the time at which this host
-    /// received the announcement. The list of shares may be empty.
+    /// Applies the admitted shares (fractions of requests that hosts may admit) that the leader
+    /// announced, and records the time at which this host received the announcement. The list of
+    /// shares may be empty.
     pub(super) fn note_announced(&self, announced: &[WorkspaceAdmitted]) {
         let now_ms = clock::now_ms();
         let mut state = self.state();
@@ -156,8 +157,8 @@
         }
     }
 
-    /// Returns the share of a workspace's requests that hosts may admit by the latest announcement;
-    /// `None` if no share was announced.
+    /// Returns the fraction of a workspace's requests that hosts may admit by the latest
+    /// announcement; `None` if no such fraction was announced.
     pub fn announced(&self, workspace_tag: u32) -> Option<AdmittedShare> {
         self.state().shares.get(&workspace_tag)?.announced()
     }
@@ -195,7 +196,7 @@
 
 impl Entry {
     /// Reports the usage of workspaces to the leader; as the leader, announces to all hosts the
-    /// shares of workspaces' requests that the hosts may admit.
+    /// fractions of workspaces' requests that the hosts may admit.
     pub(in crate::entry) async fn exchange_quota_usage(self: Arc<Self>) {
         let mut round: u64 = 0;
         loop {
@@ -233,9 +234,9 @@
         }
     }
 
-    /// Announces to all hosts the shares of workspaces' requests that the hosts may admit. If there
-    /// are no shares to announce, sends an empty announcement, which shows that the leader is
-    /// alive.
+    /// Announces to all hosts the fractions of workspaces' requests that the hosts may admit. If
+    /// there are no fractions to announce, sends an empty announcement, which shows that the leader
+    /// is alive.
     fn announce_quotas(&self, announced: &[WorkspaceAdmitted]) {
         self.quotas.note_announced(announced);
         if announced.is_empty() {
@@ -247,8 +248,8 @@
         }
     }
 
-    /// Adds the usage report of a host to the ledgers if this host is the leader; otherwise ignores
-    /// the report.
+    /// Adds the usage report from a host to the ledgers if this host is the leader; otherwise
+    /// ignores the report.
     pub(in crate::entry) fn handle_usage_report(&self, reports: &[WorkspaceUse]) {
         if self.leadership.term() == 0 {
             return;
--- a/src/entry/rate_limits.rs
+++ b/src/entry/rate_limits.rs
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Applies an announcement of the leader: the latest limits and the total request rates.
+    /// Applies an announcement by the leader: the latest limits and the total request rates.
     pub(in crate::entry) fn apply_rate_totals(&self, rates: &[ServerRate]) {
         let now_ms = clock::now_ms();
         self.note_limits(rates, now_ms);
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -28,8 +28,8 @@
     /// regions.
     #[serde(default)]
     pub regions: HashMap<String, String>,
-    /// Share of a processor that the host may use; 1.0 is a whole processor. Hosts with a larger
-    /// share are preferred as relays, which forward messages to other hosts of their zone.
+    /// Fraction of a processor that the host may use; 1.0 is a whole processor. Hosts with a larger
+    /// fraction are preferred as relays, which forward messages to other hosts of their zone.
     #[serde(default = "default_processor_share")]
     pub processor_share: f32,
     /// Memory that the host has, in megabytes of a million bytes.
@@ -62,8 +62,8 @@
     pub callers: SocketAddr,
     /// TCP address for the load balancer's readiness probes.
     pub readiness: SocketAddr,
-    /// UDP address for messages of other hosts. Joining hosts fetch snapshots over TCP at the same
-    /// address and port.
+    /// UDP address for messages from other hosts. Joining hosts fetch snapshots over TCP at the
+    /// same address and port.
     pub peers: SocketAddr,
     /// TCP address at which a monitoring system scrapes the metrics.
     pub metrics: SocketAddr,
