--- a/src/entry/events.rs
+++ b/src/entry/events.rs
@@ -212,14 +212,16 @@
         cause: &'static str,
         /// True if the previous owner gave a handover token, with which the new owner starts warm.
         handover: bool,
-        /// Time from the decision to move the keys until the order that grants them has ended.
+        /// Time from the decision to move the keys until the call that grants the keys to the new
+        /// owner has ended.
         took_ms: u64,
     },
-    /// A grant or release order to a server failed.
+    /// A command to a server failed. The command grants keys to the server or tells the server to
+    /// release keys.
     OrderFailed {
         /// Identifier of the server's incarnation; a restarted server gets a new identifier.
         server: Arc<str>,
-        /// Kind of order: grant or release.
+        /// Kind of command: grant or release.
         order: &'static str,
         /// Error of the call, or the server's refusal.
         problem: String,
--- a/src/entry/explain.rs
+++ b/src/entry/explain.rs
@@ -40,7 +40,7 @@
 pub struct Source<'a> {
     /// Name of the log, which the timeline states as the source of each event.
     pub name: &'a str,
-    /// Whole text of the log; lines that are no events are skipped.
+    /// Whole text of the log; lines that are not events are skipped.
     pub text: &'a str,
 }
 
@@ -56,8 +56,8 @@
     }
 }
 
-/// Returns the decisions on a request and the events that led to them, in order of time. Lines that
-/// are no events are skipped.
+/// Returns the decisions on a request and the events that may have led to these decisions, in order
+/// of time. Lines that are not events are skipped.
 pub fn explain(request_id: &str, sources: &[Source<'_>]) -> Vec<TimelineEntry> {
     let lines: Vec<TimelineEntry> = sources.iter().flat_map(read).collect();
     let own: Vec<&TimelineEntry> = lines
@@ -79,7 +79,7 @@
     timeline
 }
 
-/// Parses the events of a log, in the order of its lines. Lines that are no events are skipped.
+/// Parses the events of a log, in the order of its lines. Lines that are not events are skipped.
 pub(super) fn read<'a>(source: &'a Source<'a>) -> impl Iterator<Item = TimelineEntry> + 'a {
     source.text.lines().filter_map(move |line| {
         // A log collector may put a prefix of its own before the event.
--- a/src/entry/losses.rs
+++ b/src/entry/losses.rs
@@ -51,7 +51,7 @@
     after_ms: f64,
 }
 
-/// Counts lost requests in time steps of `step_s` seconds. Lines that are no events are skipped.
+/// Counts lost requests in time steps of `step_s` seconds. Lines that are not events are skipped.
 pub fn losses(sources: &[Source<'_>], step_s: u64) -> Losses {
     let step_s = step_s.max(1);
     let mut sums: BTreeMap<GroupKey, Totals> = BTreeMap::new();
--- a/src/entry/metrics.rs
+++ b/src/entry/metrics.rs
@@ -34,12 +34,13 @@
     pub outcome: &'static str,
 }
 
-/// Labels of the counter of orders, which grant keys to servers or release them.
+/// Labels of the counter of commands to servers. A command grants keys to a server or tells the
+/// server to release keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OrderLabels {
-    /// Kind of order: grant or release.
+    /// Kind of command: grant or release.
     pub order: &'static str,
-    /// Outcome of the order, such as `failed`.
+    /// Outcome of the command, such as `failed`.
     pub outcome: &'static str,
 }
 
@@ -177,7 +178,8 @@
         self.servers_ended.inc();
     }
 
-    /// Counts an order to a server when the outcome of the order is known.
+    /// Counts a command (grant or release of keys) to a server when the outcome of the command is
+    /// known.
     pub fn order(&self, order: &'static str, outcome: &'static str) {
         self.orders
             .get_or_create(&OrderLabels { order, outcome })
--- a/src/entry/owners.rs
+++ b/src/entry/owners.rs
@@ -147,7 +147,7 @@
 }
 
 /// Owners of the keys of all services, as this host knows them from the store and from
-/// announcements of the leader.
+/// announcements by the leader.
 #[derive(Debug, Default)]
 pub struct Owners {
     held: Mutex<HashMap<Arc<str>, RecordedAssignment>>,
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -41,13 +41,13 @@
     /// The operating system reported another network error.
     #[snafu(display("{source}"))]
     Network {
-        /// Error of the operating system.
+        /// Error from connecting or configuring the socket, other than `ConnectionRefused`.
         source: io::Error,
     },
     /// The HTTP/1.1 handshake failed.
     #[snafu(display("{source}"))]
     Protocol {
-        /// Error of the HTTP library.
+        /// Error that the HTTP library returned for the handshake.
         source: hyper::Error,
     },
     /// The connection attempt timed out.
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -44,7 +44,7 @@
 }
 
 /// Server whose entry is gone from the store. The server may still run and hold keys, so its
-/// address is remembered for release orders.
+/// address is remembered for commands that tell the server to release keys.
 #[derive(Clone, Debug)]
 pub struct FormerServer {
     /// Incarnation id of the server, which identifies one start of the server's process.
@@ -132,7 +132,7 @@
 
     /// Adds the server of an entry, or renews a known server, and logs a new server. A new entry
     /// with the address of a known server does not remove the known server, because the store may
-    /// accept a late heartbeat of an earlier incarnation after the first heartbeat of a later
+    /// accept a late heartbeat from an earlier incarnation after the first heartbeat from a later
     /// incarnation. For the same reason, an entry of an earlier start under the same name is
     /// ignored.
     pub fn put(&mut self, entry: ServerEntry) {
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -51,13 +51,13 @@
     Listen {
         /// Address of the listener, from the settings.
         address: SocketAddr,
-        /// Error of the operating system.
+        /// Error that the operating system returned for opening the socket.
         source: std::io::Error,
     },
     /// A signal handler cannot be installed.
     #[snafu(display("cannot install a signal handler: {source}"))]
     Signal {
-        /// Error of the operating system.
+        /// Error that the operating system returned for installing the handler.
         source: std::io::Error,
     },
 }
--- a/src/entry/server.rs
+++ b/src/entry/server.rs
@@ -35,7 +35,7 @@
     pub tag: u32,
     /// Idle connections to the server, reused for callers' requests.
     pub pool: Pool,
-    /// Connection to the server for orders, which grant or release keys, and for health checks.
+    /// Connection to the server for commands that grant or release keys, and for health checks.
     pub orders: Link,
     /// True if the latest entry says that the server is leaving and must get no new work.
     leaving: AtomicBool,
@@ -47,13 +47,14 @@
     /// Cold time that the server's latest entry states. An entry that repeats the same value does
     /// not restart the cold time.
     entry_cold_ms: AtomicU64,
-    /// Notices that the server sent in its responses. The registry keeps a reference to the notices
-    /// while the server's entry is removed.
+    /// Notices that the server sent in its responses. The registry also refers to the notices, so
+    /// that they outlast the removal of the server's entry.
     notices: Arc<Mutex<Notices>>,
     warmup_windows: Mutex<WarmupWindows>,
     /// Number of this host's requests in flight at the server.
     own: AtomicU32,
-    /// Number of other hosts' requests in flight at the server, by their latest reports.
+    /// Number of other hosts' requests in flight at the server, by the latest reports from these
+    /// hosts.
     others: AtomicU32,
     /// Average run time of other hosts' requests at the server, in microseconds; 0 if unknown.
     shared_run_us: AtomicU64,
@@ -256,8 +257,8 @@
         self.leaving.store(leaving, Ordering::Relaxed);
     }
 
-    /// Records the notice in a response of the server to this host. A notice states that the server
-    /// leaves, or asks for a backoff, which is a period without requests.
+    /// Records the notice in a response from the server to this host. A notice states that the
+    /// server leaves, or asks for a backoff, which is a period without requests.
     pub fn note_notice(&self, notice: Notice) -> NoticeEffect {
         self.notices().note(notice, clock::now_ms())
     }
@@ -280,8 +281,8 @@
         self.notices().leaves_for_ms(clock::now_ms())
     }
 
-    /// Returns a shared reference to the notices, which the registry keeps while the server's entry
-    /// is removed.
+    /// Returns a shared reference to the notices, which the registry keeps after the server's entry
+    /// was removed.
     pub fn kept_notices(&self) -> Arc<Mutex<Notices>> {
         self.notices.clone()
     }
@@ -394,7 +395,7 @@
         }
     }
 
-    /// Records a response of the server. `run_ms` is the run time of the request, and
+    /// Records a response from the server. `run_ms` is the run time of the request, and
     /// `found_free_slot` is true if the request did not have to queue, which makes the run time a
     /// valid sample.
     pub fn answered(&self, run_ms: f64, found_free_slot: bool) {
