--- a/src/entry/losses.rs
+++ b/src/entry/losses.rs
@@ -14,18 +14,18 @@
 pub struct Loss {
     /// Start of the time step in seconds since 1970, a multiple of the step's length.
     pub at_unix_s: u64,
-    /// Name of the route; empty if the event names none.
+    /// Name of the route; empty if the `request` event names no route.
     pub route: String,
     /// Decision on the requests, as in the `request` event.
     pub decision: String,
-    /// Reason of the decision, with each number replaced by `N`.
+    /// Reason for the decision, with each number replaced by `N`.
     pub reason: String,
     /// Number of lost requests that agree in time step, route, decision and reason.
     pub requests: u64,
     /// Number of distinct servers that got the last attempts of the requests. All requests without
     /// an attempt together count as one more server.
     pub servers: u64,
-    /// Mean load of these servers as the hosts knew it.
+    /// Mean load of the servers that got the last attempts, as the hosts knew the load.
     pub load_mean: f64,
     /// Mean time from a request's arrival to the decision.
     pub after_mean_ms: f64,
--- a/src/entry/notices.rs
+++ b/src/entry/notices.rs
@@ -98,9 +98,9 @@
     }
 
     /// Reports to the leader the servers that announced their leaving to this host while their
-    /// entries in the store do not say that they leave. If this host is the leader, announces to
-    /// all hosts the servers of whose leaving this host first learned less than [`ANNOUNCE_FOR_MS`]
-    /// ago.
+    /// entries in the store do not say that they leave. If this host is the leader, announces each
+    /// leaving server to all hosts until [`ANNOUNCE_FOR_MS`] after this host first learned that the
+    /// server leaves.
     fn report_leaving(&self) {
         let registry = self.view.registry();
         if self.leadership.term() == 0 {
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -22,8 +22,8 @@
 /// Idle time after which a connection is not reused if the server names no keep-alive timeout.
 /// Servers on the known sites close idle connections after 10 s.
 const IDLE_DEFAULT_MS: u64 = 4_000;
-/// Share of the server's keep-alive timeout up to which an idle connection is reused, so that the
-/// server does not close the connection while a request is being sent.
+/// Fraction of the server's keep-alive timeout up to which an idle connection is reused, so that
+/// the server does not close the connection while a request is being sent.
 const IDLE_SHARE: f64 = 0.8;
 /// Timeout of a connection attempt. The operating system resends a lost SYN packet only after a
 /// second, which is longer than most requests can wait.
@@ -35,7 +35,7 @@
     /// No process listens at the address.
     #[snafu(display("{source}"))]
     Refused {
-        /// Error of the connect call, which is always `ConnectionRefused`.
+        /// Error from the connect call, which is always `ConnectionRefused`.
         source: io::Error,
     },
     /// The operating system reported another network error.
--- a/src/entry/register.rs
+++ b/src/entry/register.rs
@@ -92,7 +92,7 @@
     /// Waits a random time, which spreads the registrations of hosts that start together. Early
     /// hosts, which read the store before the other hosts do, and restarted hosts register at once.
     /// The row of a restarted host shows that its previous process has ended, and the leader may be
-    /// waiting for that.
+    /// waiting for this row.
     async fn wait_to_register(&self) {
         if self.is_early() {
             return;
@@ -105,7 +105,7 @@
     }
 
     /// Waits until the host rows show that a previous process has run on this host. Never completes
-    /// if they show no such process.
+    /// if the host rows show no such process.
     async fn wait_for_former_process(&self) {
         if !self.view.hosts_known().await || !self.view.had_former_process() {
             std::future::pending().await
--- a/src/entry/running_requests.rs
+++ b/src/entry/running_requests.rs
@@ -24,8 +24,8 @@
 pub struct RunningRequests {
     running: Vec<RequestDigests>,
     abandoned: Vec<AbandonedRequest>,
-    /// Requests that run here as trials. A trial is the single supervised attempt of a suspect, a
-    /// request that may crash servers.
+    /// Requests that run on the server as trials. A trial is the single supervised attempt of a
+    /// suspect, a request that may crash servers.
     trials: Vec<RequestDigests>,
 }
 
--- a/src/entry/store_confirmation.rs
+++ b/src/entry/store_confirmation.rs
@@ -22,9 +22,9 @@
 };
 use crate::clock;
 
-/// Pause after a failed call to the store while another host confirms the store and this host has
-/// all reported changes. The pause is longer than other pauses: the store may reject only the calls
-/// of this host, and this host misses no changes.
+/// Pause after a failed call to the store while another host reports that the store responds and
+/// this host has all reported changes. The pause is longer than other pauses: the store may reject
+/// only the calls of this host, and this host misses no changes.
 const CONFIRMED_PAUSE_MS: u64 = 1_500;
 
 impl Entry {
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Extends the pause by up to [`CONFIRMED_PAUSE_MS`] while another host confirms the store and
-    /// this host has all changes that were reported.
+    /// Extends the pause by up to [`CONFIRMED_PAUSE_MS`] while another host reports that the store
+    /// responds and this host has all changes that were reported.
     async fn pause_while_confirmed(&self) {
         let until_ms = clock::now_ms() + CONFIRMED_PAUSE_MS;
         let is_behind = |followed| {
--- a/src/entry/updates/evacuation.rs
+++ b/src/entry/updates/evacuation.rs
@@ -1,6 +1,6 @@
-//! Availability zones evacuated by operators: their servers get no new work until the zone is
-//! restored. Each heartbeat from the leader contains the complete list of evacuated zones, so a
-//! lost datagram delays a change by one heartbeat interval only.
+//! Availability zones evacuated by operators. The servers of an evacuated zone get no new work
+//! until the zone is restored. Each heartbeat from the leader contains the complete list of
+//! evacuated zones, so a lost datagram delays a change by one heartbeat interval only.
 
 use std::sync::Arc;
 
--- a/src/entry/updates/followed.rs
+++ b/src/entry/updates/followed.rs
@@ -42,8 +42,8 @@
 pub enum SyncRole {
     /// This host is the leader; the other hosts depend on its change feeds of the store.
     Leader,
-    /// This host is a relay without confirmation of the store by the leader; the hosts of its zone
-    /// depend on its feeds.
+    /// This host is a relay, and no other host reports to this host that the store responds; the
+    /// hosts of its zone depend on its feeds.
     Relay,
     /// This host depends on the leader or a relay, which reports to this host that the store
     /// responds.
--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -22,8 +22,8 @@
 /// Key of the row with the seed hosts, from which starting hosts fetch a snapshot. The key sorts
 /// right after [`SECRET_KEY`], so that one call reads both rows.
 pub const SEED_HOSTS_KEY: &str = "secret-guides";
-/// Key of the row with the quarantined requests: they are sent to no server, since several servers
-/// have crashed while running them.
+/// Key of the row with the quarantined requests. Hosts send a quarantined request to no server,
+/// since several servers have crashed while running the request.
 pub const QUARANTINE_KEY: &str = "quarantine";
 
 /// Returns the key of the row with one key partition of a service's assigned ranges.
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -52,7 +52,7 @@
     former_process: AtomicBool,
     /// Time of the store's latest response to this host or to a host that reported it.
     store_answered_ms: AtomicU64,
-    /// Time at which the store came back after its latest outage; 0 if there was none.
+    /// Time at which the store responded again after its latest outage; 0 if there was none.
     store_returned_ms: AtomicU64,
 }
 
@@ -302,7 +302,8 @@
         self.store_answered_ms.load(Ordering::Relaxed)
     }
 
-    /// Returns the time at which the store came back after its latest outage; 0 if there was none.
+    /// Returns the time at which the store responded again after its latest outage; 0 if there was
+    /// none.
     pub fn store_returned_ms(&self) -> u64 {
         self.store_returned_ms.load(Ordering::Relaxed)
     }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -137,9 +137,9 @@
         }
     }
 
-    /// Calls the store for the changes of a table after the version `after`. The call waits for the
-    /// next change, but returns at once if the last call failed or missed a change. While the store
-    /// is known to be unavailable, only the feed of servers' entries probes whether the store
+    /// Requests the changes of a table after the version `after` from the store. The call waits for
+    /// the next change, but returns at once if the last call failed or missed a change. While the
+    /// store is known to be unavailable, only the feed of servers' entries probes whether the store
     /// responds again.
     async fn next_changes(
         &self,
