--- a/src/entry/updates/own_rows.rs
+++ b/src/entry/updates/own_rows.rs
@@ -22,8 +22,8 @@
 /// Key of the row with the seed hosts, from which starting hosts fetch a snapshot. The key sorts
 /// right after [`SECRET_KEY`], so that one call reads both rows.
 pub const SEED_HOSTS_KEY: &str = "secret-guides";
-/// Key of the row with the quarantined requests: they are sent to no server, since several servers
-/// have crashed while running them.
+/// Key of the row with the quarantined requests. Hosts send a quarantined request to no server,
+/// since several servers have crashed while running the request.
 pub const QUARANTINE_KEY: &str = "quarantine";
 
 /// Returns the key of the row with one key partition of a service's assigned ranges.
@@ -52,7 +52,7 @@
     /// Availability zone of the host; empty in rows that lack the field.
     #[serde(default)]
     pub availability_zone: String,
-    /// Share of a processor that the host may use; 1.0 is a whole processor.
+    /// Fraction of a processor that the host may use; 1.0 is a whole processor.
     #[serde(default = "default_processor_share")]
     pub processor_share: f32,
 }
