--- a/src/bench/control.rs
+++ b/src/bench/control.rs
@@ -29,11 +29,11 @@
     pub hosts: usize,
     /// Number of hosts that were quorum members (counted in majorities) during the measurement.
     pub counted: usize,
-    /// Bytes that one host sends per second over the loopback interface, including its share of the
-    /// traffic of the stand-ins.
+    /// Bytes sent per second over the loopback interface, divided by the number of hosts. The
+    /// traffic of the stand-ins is included.
     pub sent_bytes_per_s: f64,
-    /// Share of one processor core that one host uses, including its share of the work of the
-    /// stand-ins.
+    /// Processor time that the process uses, as a fraction of one core, divided by the number of
+    /// hosts. The work of the stand-ins is included.
     pub core_share: f64,
     /// Increase of the resident memory of the process in bytes, divided by the number of hosts. The
     /// memory of the stand-ins is included.
--- a/src/bench/policy.rs
+++ b/src/bench/policy.rs
@@ -66,10 +66,11 @@
     /// Mean over the day of the imbalance, which is the highest load of a server divided by the
     /// mean load.
     pub imbalance_mean: f64,
-    /// Share of the minutes of the day in which the highest load of a server was more than 1.25
+    /// Fraction of the minutes of the day in which the highest load of a server was more than 1.25
     /// times the mean load.
     pub imbalanced_share: f64,
-    /// Share of all slots that the policy moved per hour, on average over the day.
+    /// Number of slots that the policy moved per hour, on average over the day, divided by the
+    /// number of all slots.
     pub churn_per_h: f64,
     /// Number of moves of slots, divided by the number of slots that had to move because their
     /// owner became unavailable. `None` if no slot had to move.
@@ -188,9 +189,10 @@
     }
 }
 
-/// Places slots by consistent hashing with bounded loads. Each slot has its own hash order of the
-/// servers. The slot goes to the first server of this order whose load stays within the bound, or
-/// to the first server of the order if no server has room.
+/// Places slots by consistent hashing with bounded loads. For each slot, the servers are sorted by
+/// a hash of the server and the slot. The slot goes to the first sorted server whose load stays
+/// within the bound ([`LOAD_BOUND`]), or to the first sorted server if the slot would take every
+/// server above the bound.
 fn place_bounded(smoothed_loads: &[f64], up: &[u32], owners: &mut [Option<u32>]) {
     let total: f64 = smoothed_loads.iter().sum();
     let load_max = total / up.len() as f64 * LOAD_BOUND;
--- a/src/bin/ashroad/load.rs
+++ b/src/bin/ashroad/load.rs
@@ -5,8 +5,9 @@
 
 use crate::{app::LoadArgs, error::Result, output};
 
-/// Results of the load through entry hosts, and of the same load sent to the servers directly. The
-/// ratios are latencies through the hosts divided by direct latencies.
+/// Reports on the load sent through entry hosts (`through`) and on the same load sent directly to
+/// the servers (`direct`, if addresses of servers are given). The ratios are latencies through the
+/// hosts divided by direct latencies.
 #[derive(Debug, Serialize)]
 struct LoadComparison {
     direct: Option<LoadReport>,
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -42,7 +42,7 @@
 const SEED: u64 = 11;
 
 /// Runs the demonstration and returns its figures. Calls `report_event` with one line of text for
-/// each event, such as the start of a phase or a disturbance.
+/// each event, such as the start of a phase or the loss of a server.
 pub async fn run(report_event: impl Fn(&str)) -> Result<Summary, Error> {
     report_event("starting a platform, 12 backend servers and 3 entry hosts");
     let mut system = System::start(HOSTS).await?;
@@ -57,7 +57,7 @@
     let disturbances = inject_disturbances(&mut system, &report_event).await?;
     let samples = load_task.await.unwrap_or_default();
     // A server updates its record shortly after it has sent the response, so the records are read
-    // after a pause.
+    // after a delay.
     time::sleep(Duration::from_millis(300)).await;
     let records = system.records().await;
     system.stop().await;
@@ -103,8 +103,9 @@
     }
 }
 
-/// Injects the disturbances at fixed times after the start of the mixed load. The disturbances are
-/// the loss of a server, the withdrawal of another server, and the planned stop of a host.
+/// Injects three disturbances (events that may fail requests or move keys) at fixed times after the
+/// start of the mixed load: the loss of a server, the withdrawal of another server, and the planned
+/// stop of a host.
 async fn inject_disturbances(
     system: &mut System,
     report_event: &impl Fn(&str),
@@ -133,9 +134,10 @@
     })
 }
 
-/// Returns true if no disturbance can have affected the request of a sample. A request may have
-/// been affected if the lost server owned the requested key, or if the request was sent to the
-/// stopped host and had not ended when the planned stop of that host began.
+/// Returns true if neither the loss of the server nor the planned stop of the host can have
+/// affected the request of a sample. A request may have been affected if the lost server owned the
+/// requested key, or if the request was sent to the stopped host and had not ended when the planned
+/// stop of that host began.
 pub(crate) fn undisturbed(sample: &Sample, disturbances: &Disturbances) -> bool {
     let after_stop = disturbances.stopped.address == sample.address
         && sample.intended_us + sample.latency_us >= disturbances.stopped.at_us;
--- a/src/demo/verdict.rs
+++ b/src/demo/verdict.rs
@@ -26,8 +26,9 @@
     pub(crate) at_us: u64,
 }
 
-/// Disturbances during the run (the lost server and the planned stop of a host), used to exclude
-/// the requests that the disturbances may have affected.
+/// Disturbances, i.e. events injected during the run that may fail requests: the loss of a server
+/// and the planned stop of a host. The requests that a disturbance may have affected are left out
+/// of [`Summary::undisturbed_answered`].
 #[derive(Clone, Debug)]
 pub(crate) struct Disturbances {
     pub(crate) lost_us: u64,
@@ -35,7 +36,8 @@
     pub(crate) stopped: Stopped,
 }
 
-/// Reports of the same load, once sent directly to the servers and once through the hosts.
+/// Reports on two runs of the same load: `direct` on the requests sent directly to the servers, and
+/// `through` on the requests sent through the hosts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Baseline {
     pub(crate) direct: LoadReport,
@@ -62,11 +64,13 @@
     pub double_owned: u64,
     /// Number of unrepeatable requests that ran more than once.
     pub double_run: u64,
-    /// Number of unrepeatable requests that ran, although every response to the request and its
-    /// duplicate stated that the request did not run.
+    /// Number of runs of unrepeatable requests (requests that must run at most once) for which the
+    /// callers learned the opposite: the request, and its duplicate if one was sent, ended with the
+    /// outcome [`RequestOutcome::NotRun`].
     pub false_not_run: u64,
-    /// Share of answered requests among the requests without a duplicate that no disturbance can
-    /// have affected, from 0 to 1.
+    /// Fraction of requests that were answered, from 0 to 1. Only requests that were sent without a
+    /// duplicate and that no disturbance (the loss of a server or the planned stop of a host) can
+    /// have affected are counted.
     pub undisturbed_answered: f64,
     /// 99th percentile, in milliseconds, of the time until the keys of the lost server were served
     /// again.
@@ -113,8 +117,9 @@
     }
 }
 
-/// Counts the unrepeatable requests that ran, although every response to the request and its
-/// duplicate stated that the request did not run.
+/// Counts the runs, in the records of the servers, of unrepeatable requests whose callers were told
+/// the opposite: the request, and its duplicate if one was sent, ended with the outcome
+/// [`RequestOutcome::NotRun`].
 fn false_not_run(samples: &[Sample], records: &[Record]) -> u64 {
     let mut all_not_run: HashMap<&str, bool> = HashMap::new();
     for sample in samples {
@@ -128,8 +133,9 @@
     violations.count() as u64
 }
 
-/// Returns the share of answered requests among the requests that no disturbance can have affected.
-/// Requests with duplicates are left out, because a host may correctly refuse a duplicate.
+/// Returns the fraction of requests that were answered, among the requests that neither the loss of
+/// the server nor the planned stop of the host can have affected. Requests with duplicates are left
+/// out, because a host may correctly refuse a duplicate.
 fn undisturbed_answered(samples: &[Sample], disturbances: &Disturbances) -> f64 {
     let mut arrivals: HashMap<&str, u64> = HashMap::new();
     for key in samples.iter().filter_map(|s| s.idempotency_key.as_deref()) {
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -36,10 +36,10 @@
     pub keys: u64,
     /// Exponent of the Zipf distribution of the keys; 0 for a uniform distribution.
     pub zipf_exponent: f64,
-    /// Share of unrepeatable requests, which run at most once (POST with an idempotency key); from
-    /// 0 to 1.
+    /// Fraction of the requests that are unrepeatable, from 0 to 1. An unrepeatable request is a
+    /// POST with an idempotency key and must run at most once.
     pub unrepeatable_share: f64,
-    /// Share of the unrepeatable requests that are sent twice, to two addresses; from 0 to 1.
+    /// Fraction of the unrepeatable requests that are sent twice, to two addresses; from 0 to 1.
     pub duplicate_share: f64,
     /// Deadline of each request in milliseconds, sent in a header of the request.
     pub deadline_ms: u64,
