--- a/src/claims/batch.rs
+++ b/src/claims/batch.rs
@@ -144,7 +144,9 @@
         }
     }
 
-    /// Finds out why the condition of an operation failed, and reports the result.
+    /// Handles an operation whose condition failed. For a new claim, finds out why the row could
+    /// not be created, and sends the result to the task that waits for the claim. The end of a
+    /// claim needs no further action.
     async fn resolve_conflict(&self, operation: Operation) {
         match operation {
             Operation::Insert {
@@ -158,15 +160,15 @@
                     .await;
                 let _ = reply.send(claimed);
             }
-            // Either an earlier transaction has already recorded the end of the claim although its
-            // call failed, or the sweep has removed the row.
+            // Either an earlier transaction has already recorded the end of the claim although the
+            // call of that transaction failed, or the sweep has removed the row.
             Operation::End { .. } => {}
         }
     }
 
-    /// Finds out why a claim could not be recorded. Grants the claim if this request created the
-    /// row after all or if the request can take over a released row, and otherwise returns the
-    /// result for a duplicate. Gives up at `claim_deadline_ms`.
+    /// Finds out why a claim could not be recorded. Grants the claim if the row was created for
+    /// this request after all, or if the request can take over a released row. Otherwise returns
+    /// the result for a duplicate. Gives up at `claim_deadline_ms`.
     async fn resolve_insert_conflict(
         &self,
         key: String,
@@ -252,7 +254,7 @@
     }
 }
 
-/// Builds one transaction of all operations of a batch.
+/// Builds one transaction that carries out all operations of a batch.
 fn transaction(batch: &[Operation]) -> Transaction {
     let mut whole = Transaction {
         conditions: Vec::with_capacity(batch.len()),
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -23,8 +23,8 @@
 };
 use crate::{clock, id::OperationId, routing::outcome::Reason, store::Platform};
 
-/// Maximum length in bytes of a response body that is stored for duplicates of the request. If the
-/// response body is longer, duplicates are refused.
+/// Maximum length in bytes of a response body that a claim row stores, so that duplicates of the
+/// request get the same response. If the response body is longer, duplicates are refused.
 pub const STORED_BODY_BYTES_MAX: usize = 64 * 1024;
 /// Timeout in milliseconds for recording a claim. If the claim is not recorded in time, the request
 /// is refused and does not run.
@@ -107,7 +107,8 @@
             .store(transaction_interval_ms, Ordering::Relaxed);
     }
 
-    /// Returns the counters of this host's claims, which start at zero with the process.
+    /// Returns the counters of the claims that were made through this value, i.e. by one host. The
+    /// counters start at zero when [`Claims::start`] creates the value.
     pub fn counters(&self) -> &ClaimCounters {
         &self.counters
     }
--- a/src/store/message.rs
+++ b/src/store/message.rs
@@ -66,7 +66,8 @@
     },
 }
 
-/// Request for the rows after `after` whose key starts with `prefix`, in key order.
+/// Request for one page of rows, in ascending order of their keys: the rows whose key starts with
+/// `prefix` and is greater than `after`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RangeRead {
     /// Prefix that the keys of the returned rows share; empty for all rows.
@@ -110,7 +111,7 @@
 pub struct ListedHost {
     /// IP address and port of the process on the entry host.
     pub address: SocketAddr,
-    /// State of the entry host when the list was made.
+    /// State of the entry host when the platform made the list.
     pub state: ListedState,
 }
 
--- a/src/transport.rs
+++ b/src/transport.rs
@@ -32,7 +32,8 @@
     pub connections: usize,
     /// Timeout in milliseconds within which a client must send the complete head of a request.
     pub head_timeout_ms: u64,
-    /// Size of the read buffer of a connection in bytes, which limits the size of a request head.
+    /// Size in bytes of the read buffer of a connection. The head of a request must fit into the
+    /// buffer.
     pub head_bytes: usize,
     /// Time in milliseconds that requests in flight get to complete after the listener was stopped.
     pub drain_ms: u64,
@@ -135,7 +136,7 @@
             _ = stop.wait_for(|stopped| *stopped) => break,
         };
         let Ok((stream, caller)) = accepted else {
-            // `accept` usually fails because of a lack of file descriptors. The pause before the
+            // `accept` usually fails because of a lack of file descriptors. The delay before the
             // next attempt gives open connections time to close.
             time::sleep(Duration::from_millis(10)).await;
             continue;
