--- a/src/configuration/expand.rs
+++ b/src/configuration/expand.rs
@@ -31,9 +31,9 @@
     pub queue_requests: u64,
     /// Time in milliseconds that a request may take if its caller sets no deadline.
     pub deadline_ms: u64,
-    /// True if the servers check the sender and the age of orders, i.e. of requests by which a host
-    /// makes a server renew its lease, hold keys or release keys. Always true, because a template
-    /// with `checks_orders: false` is rejected.
+    /// True if the servers check the sender and the age of orders. An order is a command by which a
+    /// host makes a server renew its lease, hold keys or release keys. Always true, because a
+    /// template with `checks_orders: false` is rejected.
     pub checks_orders: bool,
     /// Rules for requests that must run at most once.
     pub unrepeatable: Vec<UnrepeatableRule>,
--- a/src/configuration/template.rs
+++ b/src/configuration/template.rs
@@ -121,9 +121,9 @@
     /// Time in milliseconds that a request may take if its caller sets no deadline.
     #[serde(default = "default_deadline")]
     pub deadline_ms: Number,
-    /// False if the servers accept orders (requests by which a host makes a server renew its lease,
-    /// hold keys or release keys) of any sender and any age. A template with the value false is
-    /// rejected, because such servers are not supported.
+    /// False if the servers accept orders (commands by which a host makes a server renew its lease,
+    /// hold keys or release keys) from any sender, however old the orders are. A template with the
+    /// value false is rejected, because such servers are not supported.
     #[serde(default = "yes")]
     pub checks_orders: bool,
     /// Rules for requests that must run at most once.
--- a/src/configuration/workspace.rs
+++ b/src/configuration/workspace.rs
@@ -47,8 +47,8 @@
 }
 
 impl Workspace {
-    /// Parses a workspace and checks its name. [`super::expand`] checks its parameters against the
-    /// template.
+    /// Parses a workspace and checks its name. [`super::expand`] checks the values of the workspace
+    /// against the parameters of the template.
     pub fn read(bytes: &[u8]) -> Result<Self> {
         let workspace: Self = read_document(bytes)?;
         check_name("workspace", &workspace.workspace)?;
--- a/src/id.rs
+++ b/src/id.rs
@@ -31,8 +31,8 @@
 );
 numeric_id!(
     /// Epoch of a slot, which is the fencing token of its grants. Each grant of the slot to a
-    /// server has a higher epoch than the grant before, and a server refuses requests that carry an
-    /// outdated epoch.
+    /// server has a higher epoch than the previous grant, and a server refuses requests that carry
+    /// an outdated epoch.
     Epoch,
     u64
 );
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -65,12 +65,12 @@
         self.post(&kind.path("/withdraw"), body).await
     }
 
-    /// Returns the declarations of one kind in force, in the order of their names.
+    /// Returns the declarations in force of one kind, sorted by name.
     pub async fn list(&self, kind: DeclarationKind) -> Result<DocumentList, CallError> {
         self.client.get(self.address, &kind.path("")).await
     }
 
-    /// Begins the planned stop of the host that this client calls.
+    /// Begins the planned stop of the host whose operators' API this client calls.
     pub async fn drain_host(&self) -> Result<Draining, CallError> {
         self.client.post(self.address, "/v1/host/drain", &()).await
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the host, unique among all hosts. It stays the same when the process restarts.
+    /// Name of the host, unique among all hosts. The name stays the same when the process restarts.
     pub name: String,
     /// Availability zone in which the host runs.
     pub availability_zone: String,
@@ -146,11 +146,12 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Ownership {
-    /// Maximum staleness (see [`crate::membership::staleness`]), in milliseconds, with which a host
-    /// may act on its view.
+    /// Maximum staleness (see [`crate::membership::staleness`]) in milliseconds. A host whose view
+    /// of the state is staler must not act on the view.
     #[serde(rename = "freshness_ms")]
     pub max_staleness_ms: u64,
-    /// Length of a server's lease, counted from the sending of a renewal.
+    /// Length of a server's lease in milliseconds, counted from the time at which a host sends a
+    /// renewal of the lease to the server.
     pub lease_ttl_ms: u64,
     /// Allowance in milliseconds for the drift between the clocks of hosts and servers. A lease
     /// counts as lapsed only after this additional time.
