--- a/src/bin/ashroad/error.rs
+++ b/src/bin/ashroad/error.rs
@@ -25,7 +25,7 @@
     /// The async runtime or a signal handler cannot be set up.
     #[snafu(display("cannot start: {source}"))]
     Runtime {
-        /// Cause, as reported by the operating system.
+        /// Error from creating the async runtime or from installing the signal handler.
         source: std::io::Error,
     },
     /// A file cannot be read.
@@ -33,7 +33,7 @@
     Read {
         /// Path of the file, as given on the command line.
         path: PathBuf,
-        /// Cause, as reported by the operating system.
+        /// Error from reading the file, for example because the file does not exist.
         source: std::io::Error,
     },
     /// The settings of an entry host cannot be read or are invalid.
@@ -83,7 +83,7 @@
     /// A stand-in (test double) of the platform or of a backend server cannot start.
     #[snafu(display("the stand-in cannot listen: {source}"))]
     Standin {
-        /// Cause, as reported by the operating system.
+        /// Error from starting the stand-in, for example because its address cannot be bound.
         source: std::io::Error,
     },
     /// A host refused the call or cannot be reached.
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,4 +1,5 @@
-//! Reads templates and workspaces (the YAML documents of operators), checks them and expands them.
+//! Reads, checks and expands templates and workspaces, which are YAML documents written by
+//! operators.
 
 mod error;
 pub mod expand;
--- a/src/configuration/template.rs
+++ b/src/configuration/template.rs
@@ -64,8 +64,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Weights {
-    /// Weight of imbalance: the squared difference between the load per capacity of a server and
-    /// the mean, relative to the mean, summed over the servers.
+    /// Weight of imbalance. To compute the imbalance, the planner divides the load per capacity of
+    /// each server by the mean, subtracts one and squares the difference. The imbalance is the sum
+    /// of the squares over the servers.
     pub imbalance: f64,
     /// Weight of moves of keys. The unit is a move of as many keys as one server owns on average.
     pub churn: f64,
--- a/src/demo/error.rs
+++ b/src/demo/error.rs
@@ -13,13 +13,13 @@
     /// The directory for certificates cannot be created or written.
     #[snafu(display("the directory for certificates cannot be used: {source}"))]
     Directory {
-        /// Cause, as reported by the operating system.
+        /// Error from creating the directory or from writing a file in the directory.
         source: std::io::Error,
     },
     /// A stand-in (test double) of the platform or of a backend server cannot start.
     #[snafu(display("a stand-in cannot start: {source}"))]
     Standin {
-        /// Cause, as reported by the operating system.
+        /// Error from starting the stand-in, for example because its address cannot be bound.
         source: std::io::Error,
     },
     /// The certificates cannot be generated.
--- a/src/demo/system.rs
+++ b/src/demo/system.rs
@@ -229,8 +229,8 @@
         }
     }
 
-    /// Returns the keys that the server that will be lost owns. Of each service, only the keys with
-    /// the numbers from 0 to `keys` are considered, both ends included.
+    /// Returns the keys owned by the server [`LOST_SERVER`], which will be lost. Of each service,
+    /// only the keys with the numbers from 0 to `keys` are considered, both ends included.
     pub(crate) fn keys_of_lost_server(&self, keys: u64) -> Vec<LostKey> {
         let state = self.hosts[0].host.view.state();
         let lost = state.server_key(self.servers[LOST_SERVER].address);
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -29,8 +29,8 @@
     }
 }
 
-/// Returns a logger for libraries that log through `slog`. The logger forwards their records to the
-/// `log` crate.
+/// Returns a logger for libraries that log through `slog`. The logger forwards the records of the
+/// libraries to the `log` crate.
 pub fn slog_bridge() -> slog::Logger {
     use slog::Drain;
     slog::Logger::root(slog_stdlog::StdLog.fuse(), slog::o!())
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -24,7 +24,7 @@
     Read {
         /// Path of the settings file, as given on the command line.
         path: PathBuf,
-        /// Cause, as reported by the operating system.
+        /// Error from reading the file, for example because the file does not exist.
         source: std::io::Error,
     },
     /// The file is not a valid settings document.
@@ -92,8 +92,8 @@
     /// status 413.
     #[serde(default = "default_body_bytes")]
     pub body_bytes: usize,
-    /// Time in milliseconds that requests in flight get to complete in a planned stop, after the
-    /// listener has been closed.
+    /// Maximum time in milliseconds for which a stopping host waits, after the host has closed the
+    /// listener, for requests in flight to complete.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
     /// Time in milliseconds from failing the readiness probe to closing the listener in a planned
@@ -171,8 +171,9 @@
     /// Time in milliseconds without a heartbeat after which a host that has not announced its stop
     /// is removed from the registry.
     pub host_removal_ms: u64,
-    /// Time in milliseconds that requests in flight to a slot get to complete at the old owner when
-    /// the slot moves.
+    /// Maximum time in milliseconds for which the old owner of a moving slot waits for its requests
+    /// in flight on the slot to complete, before the old owner responds to the request to release
+    /// the slot.
     pub drain_ms: u64,
 }
 
--- a/src/store/message.rs
+++ b/src/store/message.rs
@@ -20,7 +20,8 @@
 pub enum Expect {
     /// The row does not exist.
     Absent,
-    /// The row exists and has been written this many times since it was created.
+    /// The row exists and has the given version. The version of a row counts the writes since the
+    /// row was created.
     Version(u64),
 }
 
--- a/src/transport.rs
+++ b/src/transport.rs
@@ -35,7 +35,8 @@
     /// Size in bytes of the read buffer of a connection. The head of a request must fit into the
     /// buffer.
     pub head_bytes: usize,
-    /// Time in milliseconds that requests in flight get to complete after the listener was stopped.
+    /// Maximum time in milliseconds for which [`serve`] waits for requests in flight to complete
+    /// after the listener was closed.
     pub drain_ms: u64,
 }
 
