--- a/src/configuration/template.rs
+++ b/src/configuration/template.rs
@@ -64,8 +64,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Weights {
-    /// Weight of imbalance: the squared difference between the load per capacity of a server and
-    /// the mean, relative to the mean, summed over the servers.
+    /// Weight of imbalance. To compute the imbalance, the planner divides the load per capacity of
+    /// each server by the mean, subtracts one and squares the difference. The imbalance is the sum
+    /// of the squares over the servers.
     pub imbalance: f64,
     /// Weight of moves of keys. The unit is a move of as many keys as one server owns on average.
     pub churn: f64,
@@ -121,9 +122,9 @@
     /// Time in milliseconds that a request may take if its caller sets no deadline.
     #[serde(default = "default_deadline")]
     pub deadline_ms: Number,
-    /// False if the servers accept orders (requests by which a host makes a server renew its lease,
-    /// hold keys or release keys) of any sender and any age. A template with the value false is
-    /// rejected, because such servers are not supported.
+    /// False if the servers accept orders (commands by which a host makes a server renew its lease,
+    /// hold keys or release keys) from any sender, however old the orders are. A template with the
+    /// value false is rejected, because such servers are not supported.
     #[serde(default = "yes")]
     pub checks_orders: bool,
     /// Rules for requests that must run at most once.
