--- a/src/ownership/expiry.rs
+++ b/src/ownership/expiry.rs
@@ -2,18 +2,18 @@
 //! may move.
 //!
 //! A host that has applied the loss of the server never renews the lease again, and it reports its
-//! *lease horizon*: how long its earlier renewals may keep the lease valid. A host that has not
-//! applied the loss is bounded by the maximum staleness of its view: its up-to-date time (see
-//! [`crate::membership::staleness`]) is earlier than the moment at which more than half of the
-//! quorum members had applied the loss. The last renewal of such a host therefore ends at most
-//! maximum staleness + TTL after that moment.
+//! *lease horizon*: how long its earlier renewals may keep the lease valid. The renewals of a host
+//! that has not applied the loss are bounded by the maximum staleness of its view: its up-to-date
+//! time (see [`crate::membership::staleness`]) is earlier than the moment at which more than half
+//! of the quorum members had applied the loss. The last renewal of such a host therefore ends at
+//! most maximum staleness + TTL after that moment.
 
 use crate::{
     id::{HostKey, Incarnation},
     membership::staleness::HostProcess,
 };
 
-/// Report of one host on its renewals of a lost server's lease. The times are on the clock of the
+/// Report from one host on its renewals of a lost server's lease. The times are on the clock of the
 /// leader that requested the report.
 #[derive(Clone, Copy, Debug)]
 pub struct HorizonReport {
--- a/src/ownership/message.rs
+++ b/src/ownership/message.rs
@@ -11,9 +11,9 @@
 
 use crate::id::{Epoch, Incarnation, LeaseEpoch, Slot};
 
-/// Path at which a server takes orders to renew its lease and to add grants (POST).
+/// Path at which a server receives commands to renew its lease and to add grants (POST).
 pub const LEASE_PATH: &str = "/_server/lease";
-/// Path at which a server takes orders to release slots (POST).
+/// Path at which a server receives commands to release slots (POST).
 pub const REVOKE_PATH: &str = "/_server/revoke";
 
 /// Header with the full name of the service, `workspace/service`.
@@ -48,33 +48,35 @@
     pub epoch: Epoch,
 }
 
-/// Order to extend the lease of a server and to add grants to those that the server holds.
+/// Command to extend the lease of a server and to add grants to those that the server holds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Process that the order is for; any other process refuses the order. With `None`, the request
-    /// orders nothing and only queries the state of the server.
+    /// Server process that the command is for; any other process refuses the command. A request
+    /// with `None` is not a command and only queries the state of the server.
     pub incarnation: Option<Incarnation>,
-    /// Lease epoch of the order. The server refuses the order if it has seen a higher lease epoch.
+    /// Lease epoch of the command. The server refuses the command if the server has seen a higher
+    /// lease epoch.
     pub lease_epoch: LeaseEpoch,
-    /// End of the ordered lease, in milliseconds on the server's monotonic clock.
+    /// End of the lease that the command requests, in milliseconds on the server's monotonic clock.
     pub not_after_ms: u64,
-    /// Grants that the server holds from this order on, in addition to its earlier grants; may be
-    /// empty.
+    /// Grants that the server holds from this command on, in addition to its earlier grants; may
+    /// be empty.
     pub grants: Vec<SlotGrant>,
 }
 
 /// State of a server and its lease, in response to a [`LeaseRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// Process that responds; it differs from the process that the order is for if the server has
-    /// restarted.
+    /// Server process that responds. This process differs from the process that the command is for
+    /// if the server has restarted.
     pub incarnation: Incarnation,
     /// Monotonic clock of the process when it responded; the end of the lease is given on this
     /// clock.
     pub clock_ms: u64,
     /// Highest lease epoch that the process has seen.
     pub lease_epoch: LeaseEpoch,
-    /// True if the order was for the responding process and its lease epoch was not outdated.
+    /// True if the command was for the responding process and the lease epoch of the command was
+    /// not outdated.
     pub accepted: bool,
     /// True if the server is about to stop and should get no new work.
     pub draining: bool,
@@ -82,11 +84,11 @@
     pub grants_digest: u64,
 }
 
-/// Order to release slots. The server responds after the requests in flight have finished, or when
-/// `drain_ms` has passed.
+/// Command to release slots. The server responds after the requests in flight have finished, or
+/// when `drain_ms` has passed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RevokeRequest {
-    /// Process that the order is for; any other process refuses the order.
+    /// Server process that the command is for; any other process refuses the command.
     pub incarnation: Incarnation,
     /// Slots to release, each with the epoch of its next grant. From the release on, the server
     /// refuses every lower epoch of the slot.
@@ -98,8 +100,8 @@
 /// Response to a [`RevokeRequest`], which states whether the slots are free for the next owner.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct RevokeResponse {
-    /// Process that responds; it differs from the process that the order is for if the server has
-    /// restarted.
+    /// Server process that responds. This process differs from the process that the command is for
+    /// if the server has restarted.
     pub incarnation: Incarnation,
     /// True if the slots are released and no request on them is still running.
     pub released: bool,
--- a/src/ownership/renewal.rs
+++ b/src/ownership/renewal.rs
@@ -27,8 +27,8 @@
     /// Another process responds at the server's address, so the process that held the lease has
     /// ended.
     Replaced,
-    /// The server refused the order as outdated: the view of the host that sent the order is
-    /// behind.
+    /// The server refused the renewal, because the server has seen a higher lease epoch. Hence the
+    /// view of the host that sent the renewal is behind.
     Outdated,
 }
 
@@ -39,11 +39,11 @@
     reading: Option<ClockReading>,
     last_response_ms: u64,
     due_ms: u64,
-    /// Latest end of the lease that any renewal sent so far has ordered, on the clock of the
+    /// Latest end of the lease that any renewal sent so far has requested, on the clock of the
     /// renewing host.
     horizon_ms: u64,
     /// Digest of all grants that the server holds (the combination of their hashes by exclusive
-    /// or), from the last response of the server; `None` before the first response.
+    /// or), taken from the server's last response; `None` before the first response.
     pub digest: Option<u64>,
 }
 
@@ -73,8 +73,8 @@
     }
 
     /// Returns the end of the lease to request, on the server's clock. This end corresponds to `now
-    /// + ttl` on the clock of the renewing host, and a delay of the order in the network does not
-    /// move it. `None` before the first reading of the server's clock.
+    /// + ttl` on the clock of the renewing host, and a delay of the renewal in the network does
+    /// not move this end. `None` before the first reading of the server's clock.
     pub fn order(&mut self, incarnation: Incarnation, now_ms: u64, ttl_ms: u64) -> Option<u64> {
         let reading = self.reading.filter(|r| r.incarnation == incarnation)?;
         let end_ms = now_ms + ttl_ms;
@@ -82,7 +82,7 @@
         Some(reading.clock_ms + (end_ms - reading.received_ms))
     }
 
-    /// Applies a response of the server. `intended` is the process that the order was for.
+    /// Applies a response from the server. `intended` is the process that the renewal was for.
     /// `ordered` is false for a request that only queried the server's clock.
     pub fn record_response(
         &mut self,
@@ -106,7 +106,7 @@
             self.due_ms = now_ms + RETRY_MS;
             return RenewalOutcome::Outdated;
         }
-        // The response to a query only supplies the reading of the clock, so the order that renews
+        // The response to a query only supplies the reading of the clock, so the renewal of
         // the lease is due at once.
         self.due_ms = if ordered {
             now_ms + renew_every_ms
--- a/src/platform/error.rs
+++ b/src/platform/error.rs
@@ -20,7 +20,7 @@
         message: String,
     },
     /// The call was sent but no complete response arrived. The call may have taken effect, or may
-    /// still take effect.
+    /// still take effect later.
     #[snafu(display("{address} sent no complete response: {message}"))]
     Unanswered {
         /// Address of the store or server that was called.
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,5 +1,5 @@
 //! Adapter to the users' platform. The module contains the client of the platform's store, the
-//! decoding of configuration documents and server entries, the orders to backend servers, and the
+//! decoding of configuration documents and server entries, the commands to backend servers, and the
 //! names of headers. The adapter only translates and takes no decisions; names of the platform's
 //! protocol are used only in this module.
 
--- a/src/platform/orders.rs
+++ b/src/platform/orders.rs
@@ -1,5 +1,6 @@
-//! Orders to backend servers. An order is a request by which an entry host makes a server hold a
-//! range of keys (grant) or release a range of keys (release). The module also sends health checks.
+//! Commands to backend servers. With a grant command, an entry host makes a server hold a range of
+//! keys. With a release command, an entry host makes a server release a range of keys. The module
+//! also sends health checks.
 
 use bytes::Bytes;
 use http::{Method, Request, StatusCode, header};
@@ -30,12 +31,12 @@
     OtherServer,
 }
 
-/// Order that makes one server hold a range of keys: the server serves the keys until the lease
+/// Command that makes one server hold a range of keys: the server serves the keys until the lease
 /// ends.
 #[derive(Clone, Copy, Debug)]
 pub struct Grant<'a> {
-    /// Name of the server that the order is for; another server process at the address refuses the
-    /// order.
+    /// Name of the server that the command is for; another server process at the address refuses
+    /// the command.
     pub server: &'a str,
     /// Range of keys, both ends included.
     pub range: KeyRange,
@@ -50,11 +51,11 @@
     pub handover: Option<&'a str>,
 }
 
-/// Order that makes one server release a range of keys.
+/// Command that makes one server release a range of keys.
 #[derive(Clone, Copy, Debug)]
 pub struct Release<'a> {
-    /// Name of the server that the order is for; another server process at the address refuses the
-    /// order.
+    /// Name of the server that the command is for; another server process at the address refuses
+    /// the command.
     pub server: &'a str,
     /// Range of keys, both ends included.
     pub range: KeyRange,
@@ -127,7 +128,7 @@
 
 /// Sends a health check and returns true if the expected server responded. The status of the
 /// response does not matter, because an overloaded server is alive as well. A response without a
-/// server name counts as a response of the expected server.
+/// server name counts as a response from the expected server.
 pub async fn is_alive(
     link: &Link,
     health_path: &str,
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -254,7 +254,7 @@
     pub weight: f64,
 }
 
-/// Body of the order that makes a server hold a range of keys.
+/// Body of the command that makes a server hold a range of keys.
 #[derive(Clone, Debug, Serialize)]
 pub struct WireGrant<'a> {
     /// First key of the range, included.
@@ -264,8 +264,8 @@
     #[serde(rename = "toVersion")]
     pub to: u16,
     pub fence: u64,
-    /// Length of the lease, counted from the arrival of the order at the server, as a duration with
-    /// its unit such as `1500ms`.
+    /// Length of the lease, counted from the arrival of the command at the server, as a duration
+    /// with its unit such as `1500ms`.
     pub hold_time: String,
     /// Token that the previous owner of the keys returned at their release and that lets the server
     /// start warm.
@@ -273,7 +273,7 @@
     pub handover: Option<&'a str>,
 }
 
-/// Body of the order that makes a server release a range of keys.
+/// Body of the command that makes a server release a range of keys.
 #[derive(Clone, Debug, Serialize)]
 pub struct WireRelease {
     /// First key of the range, included.
--- a/src/standin/backend.rs
+++ b/src/standin/backend.rs
@@ -39,7 +39,8 @@
     transport::{self, ListenerLimits, ResponseBody, header_number, header_text},
 };
 
-/// Maximum size in bytes of the body of a lease order, a revocation or a request that sets faults.
+/// Maximum size in bytes of the body of a lease command, a revocation or a request that sets
+/// faults.
 const BODY_BYTES_MAX: usize = 64 * 1024 * 1024;
 /// Interval in milliseconds at which the handling of a revocation checks whether the requests for
 /// the revoked slots have ended.
@@ -291,7 +292,7 @@
     }
 
     /// Revokes slots and waits until the requests for them have ended. Returns false if requests
-    /// are still in flight when the drain time of the order has passed.
+    /// are still in flight when the drain time of the command has passed.
     async fn release(&self, order: &RevokeRequest) -> bool {
         let now = read_clocks();
         for next in &order.slots {
