--- a/src/host/commit.rs
+++ b/src/host/commit.rs
@@ -13,10 +13,11 @@
     state::{self, AppendOutcome, Change, LogEntry, LogError, Proposal, State},
 };
 
-/// Maximum number of attempts to append one change while other writers append theirs first.
+/// Maximum number of attempts to append one change to the log. An attempt fails if another writer
+/// appends its change first.
 const ATTEMPTS_MAX: usize = 50;
 /// Maximum number of hosts that one host pushes entries to directly. Each of these hosts relays the
-/// entries to its share of the remaining hosts.
+/// entries to a part of the remaining hosts.
 const PUSH_FANOUT: usize = 16;
 /// Timeout of one push in milliseconds. A host that misses a push learns of the new revision from
 /// the next heartbeat.
@@ -54,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct CommitRequest {
     /// Identifier chosen by the writer. A change whose identifier was accepted before is not
-    /// applied again, so that a writer may retry it.
+    /// applied again, so that a writer may retry the change.
     pub operation_id: OperationId,
     /// Operator or host that requests the change, for the audit trail.
     pub actor: String,
@@ -131,7 +132,7 @@
     }
 
     /// Pushes entries to `hosts` along a tree: up to [`PUSH_FANOUT`] hosts get the entries
-    /// directly, and each of them relays the entries to its share of the remaining hosts.
+    /// directly, and each of them relays the entries to a part of the remaining hosts.
     pub(super) fn push(self: &Arc<Self>, entries: &[LogEntry], hosts: &[HostKey]) {
         if hosts.is_empty() {
             return;
--- a/src/host/error.rs
+++ b/src/host/error.rs
@@ -21,7 +21,7 @@
     Listen {
         /// Address from the settings that could not be bound.
         address: SocketAddr,
-        /// Cause, as reported by the operating system.
+        /// Reason why the listener could not be opened, as reported by the operating system.
         source: std::io::Error,
     },
     /// The operators' API cannot be started.
@@ -35,13 +35,13 @@
     Token {
         /// Path of the token file, from the settings.
         path: PathBuf,
-        /// Cause, as reported by the operating system.
+        /// Reason why the token file could not be read, as reported by the operating system.
         source: std::io::Error,
     },
     /// The socket for metrics cannot be opened.
     #[snafu(display("metrics cannot be sent: {source}"))]
     Metrics {
-        /// Cause, as reported by the operating system.
+        /// Reason why the socket could not be opened, as reported by the operating system.
         source: std::io::Error,
     },
 }
--- a/src/host/leader_tasks.rs
+++ b/src/host/leader_tasks.rs
@@ -27,7 +27,7 @@
 /// Timeout in milliseconds of a query to another host for its lease horizon (see
 /// [`crate::ownership::expiry`]) or for the revision that it has applied.
 const HORIZON_TIMEOUT_MS: u64 = 200;
-/// Maximum pause in milliseconds between two rounds of queries for the lease horizons that concern
+/// Maximum wait in milliseconds between two rounds of queries for the lease horizons that concern
 /// one lost server.
 const HORIZON_PAUSE_MS: u64 = 50;
 
@@ -81,8 +81,8 @@
             time::sleep(Duration::from_millis(HORIZON_PAUSE_MS)).await;
             return;
         };
-        // If the wait is longer than the pause, this round ends without recording the expiry,
-        // because hosts that reply in a later round can shorten the wait.
+        // If the lease expires after the maximum wait, this round ends without recording the
+        // expiry, because replies in a later round can show an earlier expiry.
         if at_ms > now_ms {
             let wait_ms = (at_ms - now_ms).min(HORIZON_PAUSE_MS);
             time::sleep(Duration::from_millis(wait_ms)).await;
@@ -220,7 +220,8 @@
         }
     }
 
-    /// Returns the next promotion or removal that follows from the heartbeats of this host.
+    /// Returns the next promotion or removal that follows from the heartbeats that this host has
+    /// received and the replies to its own pings.
     fn registry_change(&self, state: &State) -> Option<Change> {
         let ownership = &self.settings.ownership;
         let limits = RegistryLimits {
--- a/src/host/mod.rs
+++ b/src/host/mod.rs
@@ -47,14 +47,14 @@
 pub struct Host {
     /// Settings, read once at the start of the process.
     pub settings: Settings,
-    /// Random identifier of this process; a restarted host has another one.
+    /// Random identifier of this process; a restarted host has another identifier.
     pub incarnation: Incarnation,
     /// Replicated state as this host has applied it, with its staleness (the time since the state
     /// was known to be complete).
     pub view: View,
     /// Counters of the requests routed to each slot since the leader last read them.
     pub traffic: Traffic,
-    /// Connections to backend servers, and the limits on requests in flight to each.
+    /// Connections to backend servers, and the limits on requests in flight to each server.
     pub backend_connections: BackendConnections,
     /// Claims: records that keep unrepeatable requests from running twice.
     pub claims: Claims,
--- a/src/host/moves.rs
+++ b/src/host/moves.rs
@@ -96,7 +96,7 @@
         committed.map_err(|source| MoveError::Commit { source })
     }
 
-    /// Orders the old owner to release the slots. Requests in flight on these slots may continue
+    /// Tells the old owner to release the slots. Requests in flight on these slots may continue
     /// for the drain time of the settings.
     async fn revoke(&self, from: &ServerEntry, grants: &[SlotGrant]) -> Result<(), MoveError> {
         let drain_ms = self.settings.ownership.drain_ms;
@@ -116,8 +116,8 @@
         Ok(())
     }
 
-    /// Sends the grants to the new owner. The order does not extend the server's lease: the epochs
-    /// fence the grants, and only renewals keep the lease valid.
+    /// Sends the grants to the new owner. The command does not extend the server's lease: the
+    /// epochs fence the grants, and only renewals keep the lease valid.
     async fn grant(
         &self,
         key: ServerKey,
@@ -130,7 +130,7 @@
             not_after_ms: 0,
             grants,
         };
-        // A host with a stale view must not send orders.
+        // A host with a stale view must not send commands.
         let state = self.view.state();
         if !self.view.is_up_to_date() || !is_live(&state, key) {
             return Err(MoveError::Changed);
--- a/src/host/peers.rs
+++ b/src/host/peers.rs
@@ -18,8 +18,8 @@
 };
 
 impl Host {
-    /// Handles messages of other hosts until the endpoint closes. Each request is handled in a task
-    /// of its own, so that a slow request delays no heartbeat.
+    /// Handles messages from other hosts until the endpoint closes. Each request is handled in a
+    /// task of its own, so that a slow request delays no heartbeat.
     pub(super) async fn serve_peers(self: Arc<Self>, mut inbox: mpsc::Receiver<Inbound>) {
         while let Some(inbound) = inbox.recv().await {
             match inbound {
@@ -144,9 +144,9 @@
     }
 
     /// Returns the time for which this host's renewals may still keep the lease of a lost server
-    /// valid. Renewals are checked under the same lock. Hence the reply covers all renewals ordered
-    /// before, and this host orders no renewal after a reply which states that this host has
-    /// applied the loss of the server.
+    /// valid. [`Host::order`] checks under the same lock whether this host may renew. Hence the
+    /// reply covers all renewals that passed this check before, and no renewal passes the check
+    /// after a reply which states that this host has applied the loss of the server.
     pub(super) fn horizon(
         &self,
         server: ServerKey,
--- a/src/host/planning.rs
+++ b/src/host/planning.rs
@@ -24,7 +24,7 @@
 const SLOTS_PER_CHANGE: usize = 2_000;
 /// Interval in milliseconds at which the leader reads the loads of all hosts.
 const READ_LOADS_MS: u64 = 2_000;
-/// Timeout in milliseconds of the request for the loads of one host.
+/// Timeout in milliseconds of the request to one host for its loads (numbers of requests by slot).
 const LOADS_TIMEOUT_MS: u64 = 500;
 /// Weight of the latest reading in the exponentially smoothed load.
 const LOAD_SMOOTHING: f64 = 0.2;
--- a/src/host/renew.rs
+++ b/src/host/renew.rs
@@ -1,4 +1,5 @@
-//! Renews the leases of backend servers, and declares servers lost that do not respond.
+//! Renews the leases of backend servers. A server that responds neither to this host nor to other
+//! hosts is declared lost.
 
 use std::{sync::Arc, time::Duration};
 
@@ -27,7 +28,7 @@
 const SILENT_HEARTBEATS: u64 = 5;
 /// Number of other hosts that probe a server before it is declared lost.
 const INDIRECT_PROBES: usize = 2;
-/// Timeout in milliseconds of one order to a server.
+/// Timeout in milliseconds of one command to a server (a lease renewal, a grant or a release).
 pub(super) const ORDER_TIMEOUT_MS: u64 = 200;
 /// Timeout in milliseconds of a probe by another host. It is longer than [`ORDER_TIMEOUT_MS`],
 /// because the probing host itself waits up to that long for the server.
@@ -54,7 +55,7 @@
     }
 }
 
-/// Returns an HTTP client for orders to servers, with a timeout of [`ORDER_TIMEOUT_MS`].
+/// Returns an HTTP client for commands to servers, with a timeout of [`ORDER_TIMEOUT_MS`].
 pub(super) fn order_client() -> JsonClient {
     JsonClient::new(ORDER_TIMEOUT_MS)
 }
@@ -157,10 +158,10 @@
         }
     }
 
-    /// Returns the order to send; `None` if this host must not renew the lease. The state and its
+    /// Returns the renewal to send; `None` if this host must not renew the lease. The state and its
     /// staleness are checked under the lock that [`Host::horizon`] also takes. Hence a reply of
-    /// [`Host::horizon`] covers all orders returned before, and no order is returned after a reply
-    /// which states that this host has applied the loss of the server.
+    /// [`Host::horizon`] covers all renewals returned before, and no renewal is returned after a
+    /// reply which states that this host has applied the loss of the server.
     fn order(&self, leased: LeasedServer) -> Option<LeaseRequest> {
         let mut renewal_states = self.renewal_states();
         let state = self.view.state();
@@ -278,8 +279,8 @@
         }
     }
 
-    /// Queries a server for its process, clock, grants and draining state, by a request that orders
-    /// nothing.
+    /// Queries a server for its process, clock, grants and draining state, by a request that
+    /// leaves the lease unchanged.
     pub(super) async fn query_server(
         &self,
         address: std::net::SocketAddr,
--- a/src/host/sync.rs
+++ b/src/host/sync.rs
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Fetches the whole state of the peer at `address`, and replaces the state of the view if the
-    /// fetched state has a higher revision.
+    /// Fetches the whole state from the peer at `address`, and replaces the state of the view if
+    /// the fetched state has a higher revision.
     pub(super) async fn fetch_snapshot(&self, address: std::net::SocketAddr) {
         let request = PeerRequest::Snapshot;
         let reply = self.peers.call(address, &request, PEER_TIMEOUT_MS).await;
--- a/src/host/view.rs
+++ b/src/host/view.rs
@@ -157,9 +157,9 @@
         self.changed.send_replace(revision);
     }
 
-    /// Returns the time in milliseconds since this host applied `revision`; `None` if it has not
-    /// applied that revision. For a revision whose log entry is no longer kept, returns the time
-    /// since a snapshot last replaced the state, or 0 if no snapshot has.
+    /// Returns the time in milliseconds since this host applied `revision`; `None` if this host has
+    /// not applied that revision. For a revision whose log entry is no longer kept, returns the
+    /// time since a snapshot last replaced the state, or 0 if no snapshot has replaced the state.
     pub fn applied_age_ms(&self, revision: Revision) -> Option<u64> {
         let inner = self.lock();
         if self.state.load().revision < revision {
@@ -196,7 +196,8 @@
         self.store_up_to_date_ms(&inner);
     }
 
-    /// Records the reply of a peer to a heartbeat, which may advance the up-to-date time.
+    /// Records the reply from a peer to a heartbeat that this host sent. The reply may advance the
+    /// up-to-date time.
     pub fn record_heartbeat_reply(&self, reply: HeartbeatReply, own: HostProcess) {
         let mut inner = self.lock();
         let state = self.state.load();
@@ -245,7 +246,7 @@
     }
 
     /// Returns the revision that `host` last reported in a reply to a heartbeat; `None` if `host`
-    /// has not replied to one yet.
+    /// has not replied to a heartbeat yet.
     pub fn peer_revision(&self, host: HostKey) -> Option<PeerRevision> {
         self.lock().staleness.peer_revision(host)
     }
