--- a/src/membership/staleness.rs
+++ b/src/membership/staleness.rs
@@ -8,23 +8,23 @@
 //!
 //! - a read of the change log that found no further entries: the time at which the host sent the
 //!   read;
-//! - the reply of one peer to a heartbeat, if that peer has an up-to-date time itself: the time at
-//!   which the ping was sent, less the staleness that the peer reports;
+//! - the reply from one peer to a heartbeat, if that peer has an up-to-date time itself: the time
+//!   at which the ping was sent, less the staleness that the peer reports;
 //! - replies to heartbeats by more than half of the quorum members, the host itself included: the
 //!   time at which the oldest of these pings was sent.
 //!
 //! The last source also works while the platform's store is down: the lease of a lost server is
 //! recorded as expired only after more than half of the quorum members have applied the loss, and
-//! any two majorities share a host. Every source counts from the sending of the read or the ping,
-//! so that a delayed reply does not make the view look more recent than it is. A reply counts only
-//! if the host that receives it has applied the revision that the reply carries.
+//! any two majorities share a host. Every source uses the time at which the read or the ping was
+//! sent, so that a delayed reply does not make the view look more recent than the view is. A reply
+//! counts only if the host that receives it has applied the revision that the reply carries.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{HostKey, Incarnation, Revision};
 
-/// Latest reply of one peer to a heartbeat, and the time since which the peer has reported the same
-/// revision in its replies.
+/// Latest reply from one peer to a heartbeat, and the time since which the peer has reported the
+/// same revision in its replies.
 #[derive(Clone, Copy, Debug)]
 struct LastReply {
     host: HostKey,
@@ -46,7 +46,8 @@
     pub heard_ms: u64,
 }
 
-/// Reply of a peer to a heartbeat of this host, with the time at which the heartbeat was sent.
+/// Reply from a peer to a heartbeat that this host sent, with the time at which the heartbeat was
+/// sent.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatReply {
     /// Host that replied, by its key in the registry.
@@ -87,7 +88,7 @@
         self.advance_up_to_date_ms(sent_ms);
     }
 
-    /// Records the reply of a peer to a heartbeat. A reply with a revision above `applied` is
+    /// Records the reply from a peer to a heartbeat. A reply with a revision above `applied` is
     /// ignored. `applied` is the revision that this host has applied, and `quorum_members` are the
     /// quorum members of the state at that revision.
     pub fn record_heartbeat_reply(
--- a/src/peer/endpoint.rs
+++ b/src/peer/endpoint.rs
@@ -168,7 +168,7 @@
     }
 }
 
-/// Accepts connections of peers until the endpoint is closed, and delivers their messages to the
+/// Accepts connections from peers until the endpoint is closed, and delivers their messages to the
 /// inbox.
 async fn accept(endpoint: Endpoint, inbox: mpsc::Sender<Inbound>) {
     while let Some(incoming) = endpoint.accept().await {
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -33,7 +33,7 @@
     Bind {
         /// UDP address that could not be bound.
         address: SocketAddr,
-        /// Cause, as reported by the operating system.
+        /// Reason why the endpoint could not be opened, as reported by the operating system.
         source: std::io::Error,
     },
     /// The peer cannot be reached, or the connection to it failed.
--- a/src/peer/keys.rs
+++ b/src/peer/keys.rs
@@ -36,8 +36,8 @@
 /// Maximum number of concurrent requests on one connection; further requests wait at the sender.
 const STREAMS_MAX: u32 = 256;
 
-/// TLS configurations of the QUIC endpoint. Both directions require a certificate of the same
-/// authority.
+/// TLS configurations of the QUIC endpoint. Both directions require a certificate that the
+/// same authority signed.
 #[derive(Clone, Debug)]
 pub struct TlsConfigs {
     /// Configuration for incoming connections, which verifies the certificate of the client.
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -11,8 +11,8 @@
     state::{LogEntry, SnapshotPointer},
 };
 
-/// Version of the peer protocol, which is the first byte of each message. Messages of other
-/// versions are rejected.
+/// Version of the peer protocol, which is the first byte of each message. Messages with
+/// another version are rejected.
 pub const VERSION: u8 = 1;
 /// Maximum size of an encoded message, which bounds the memory that one peer can occupy.
 pub const MESSAGE_BYTES_MAX: usize = 64 * 1024 * 1024;
--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -11,7 +11,7 @@
     in_flight: Arc<AtomicU64>,
 }
 
-/// Guard that counts one request as in flight until it is dropped.
+/// Guard that counts one request as in flight until the guard is dropped.
 #[derive(Debug)]
 pub struct AdmissionGuard(Arc<AtomicU64>);
 
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -1,4 +1,4 @@
-//! Retry budget: limits retries to a share of recent requests, which prevents retry storms.
+//! Retry budget: limits retries to a fraction of the recent requests, which prevents retry storms.
 
 use std::sync::atomic::{AtomicI64, Ordering};
 
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -254,7 +254,7 @@
 }
 
 /// Guard of the claim of a running request. If the guard is dropped before the claim has been
-/// ended, it ends the claim with an unknown outcome.
+/// ended, the guard ends the claim with an unknown outcome.
 struct ClaimGuard {
     host: Arc<Host>,
     claim: Option<Claim>,
--- a/src/state/apply.rs
+++ b/src/state/apply.rs
@@ -299,8 +299,8 @@
         let is_predecessor =
             |host: &&mut HostEntry| host.registered() && host.peer_address == address;
         // Two processes cannot bind one address, so the earlier process has ended. The new process
-        // replaces it as a quorum member, because the new process has applied every change that the
-        // earlier process had confirmed.
+        // replaces the earlier process as a quorum member, because the new process has applied
+        // every change that the earlier process had confirmed.
         if let Some(predecessor) = self.hosts.iter_mut().find(is_predecessor) {
             if predecessor.is_quorum_member() {
                 entry.state = HostState::Live;
--- a/src/state/change.rs
+++ b/src/state/change.rs
@@ -69,21 +69,21 @@
     HostPromoted {
         /// Registered host that becomes a quorum member.
         host: HostKey,
-        /// Process of the host; the change is refused if another process has replaced it.
+        /// Process of the host; the change is refused if another process has replaced this one.
         incarnation: Incarnation,
     },
     /// A host was asked to stop and has announced its stop.
     HostLeaving {
         /// Host that stops; it remains a quorum member until its removal.
         host: HostKey,
-        /// Process of the host; the change is refused if another process has replaced it.
+        /// Process of the host; the change is refused if another process has replaced this one.
         incarnation: Incarnation,
     },
     /// A host sent no heartbeats for too long and was removed from the registry.
     HostRemoved {
         /// Host whose entry is marked as removed; its key may be reused by a later host.
         host: HostKey,
-        /// Process of the host; the change is refused if another process has replaced it.
+        /// Process of the host; the change is refused if another process has replaced this one.
         incarnation: Incarnation,
     },
     /// The last change of the registry is complete: no host acts on an earlier version of the
--- a/src/state/entry.rs
+++ b/src/state/entry.rs
@@ -35,7 +35,7 @@
     Joining,
     /// Registered, and counted in majorities as a quorum member.
     Live,
-    /// The host has announced its stop. It remains a quorum member until it is removed.
+    /// The host has announced its stop. The host remains a quorum member until the host is removed.
     Leaving,
     /// The host is not registered. A later host may reuse its entry.
     Removed,
@@ -80,7 +80,8 @@
     Absent,
     /// The server has a lease that hosts renew.
     Live,
-    /// No host that has applied the loss renews the lease, but the lease may still be valid.
+    /// The server was declared lost. No host that has applied this change renews the lease, but the
+    /// lease may still be valid.
     Lost,
 }
 
