--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -18,7 +18,7 @@
 const NOT_RUN: HeaderName = HeaderName::from_static("not-run");
 /// Key of a request to a sharded service: a number from 0 to 65535.
 pub const KEY: HeaderName = HeaderName::from_static("shard-key");
-/// Signature of the server over its response.
+/// Signature that a server computes over its response.
 pub const SIGNATURE: HeaderName = HeaderName::from_static("server-signature");
 /// Load of the responding server: running requests, queued requests, slots and, where servers share
 /// machines, the current slowdown (the factor by which the server runs slower than usual) in
--- a/src/platform/link.rs
+++ b/src/platform/link.rs
@@ -37,7 +37,7 @@
     pub status: StatusCode,
     /// Response headers, as received.
     pub headers: HeaderMap,
-    /// Complete body; empty if the response has none.
+    /// Complete body; empty if the response has no body.
     pub body: Bytes,
 }
 
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -137,7 +137,8 @@
     HistoryGone,
 }
 
-/// Kind of a call to the store; calls are counted by kind, because the platform charges for each.
+/// Kind of a call to the store; calls are counted by kind, because the platform charges for each
+/// call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallKind {
     /// Read of one page of rows; reading a large table takes several such calls.
@@ -205,9 +206,9 @@
         self.table_partition(table, DEFAULT_PARTITION).await
     }
 
-    /// Reads all rows of a partition of a table, page by page. The returned version is that of the
-    /// first page. A feed call after that version returns all changes that were made while the
-    /// later pages were read.
+    /// Reads all rows of a partition of a table, page by page. The returned version is the store's
+    /// version at the first page. A feed call after that version returns all changes that were made
+    /// while the later pages were read.
     pub async fn table_partition(&self, table: &str, part: &str) -> Result<Rows> {
         let mut all = Rows {
             rows: Vec::new(),
@@ -282,8 +283,8 @@
     }
 
     /// Runs a transaction. After an error for which [`Error::may_have_run`] returns true, the
-    /// transaction may have taken effect. It may also take effect seconds later, if its conditions
-    /// still hold at that time.
+    /// transaction may have taken effect. The transaction may also take effect seconds later, if
+    /// its conditions hold at that time.
     pub async fn transact(&self, transaction: &Transaction<'_>) -> Result<TransactionOutcome> {
         self.transact_within(transaction, CALL_TIMEOUT_MS).await
     }
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -230,7 +230,7 @@
     /// Priority of the route's requests; 0 is the highest.
     #[serde(default)]
     pub priority: u32,
-    /// Service that gets all requests of the route; it overrides `split`.
+    /// Service that gets all requests of the route; this field overrides `split`.
     #[serde(default)]
     pub service: Option<String>,
     /// Services that share the requests of the route by weight.
@@ -246,11 +246,12 @@
     pub allowed_regions: Vec<String>,
 }
 
-/// Weighted share of one service in a route that is split among services.
+/// One of the services among which a route is split, with the weight of that service.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WireShare {
     pub service: String,
-    /// Share of the requests, relative to the weights of the route's other services.
+    /// Weight by which the service gets requests of the route, relative to the weights of the
+    /// route's other services.
     pub weight: f64,
 }
 
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -31,7 +31,8 @@
         /// One of the workspaces that use the template; there may be more.
         workspace: String,
     },
-    /// The number of slots differs from that of the existing service, which is fixed.
+    /// The declared number of slots differs from the number of slots of the existing service, which
+    /// is fixed.
     #[snafu(display("service {service} has {slots} slots, which cannot change"))]
     SlotsFixed {
         /// Full name of the existing service, `workspace/service`.
@@ -56,7 +57,7 @@
     /// A snapshot is damaged or cannot be decoded.
     #[snafu(display("the snapshot cannot be read: {message}"))]
     Snapshot {
-        /// Wrong hash or revision, or an error of the decoder.
+        /// Wrong hash or revision, or an error from the decoder.
         message: String,
     },
 }
--- a/src/state/log.rs
+++ b/src/state/log.rs
@@ -34,7 +34,7 @@
 const SNAPSHOT_ROW: &str = "snapshot";
 /// Maximum number of entries that one read returns; a host that is further behind reads again.
 const TAIL_ROWS: usize = 1_000;
-/// Pause in milliseconds before a transaction without a response is sent again.
+/// Delay in milliseconds before a transaction that got no response is sent again.
 const TRANSACT_RETRY_MS: u64 = 50;
 
 /// Failure to read or append entries of the change log, or to load or store a snapshot.
@@ -43,14 +43,15 @@
     /// A call to the platform failed, so the read or write has to be repeated.
     #[snafu(display("{source}"))]
     Platform {
-        /// Error of the HTTP call; a write may have taken effect all the same.
+        /// Error from the HTTP call; a write may have taken effect all the same.
         source: store::Error,
     },
-    /// It is unknown whether the change took effect, because the resolve timeout (the bound on
-    /// resending a transaction without a response) passed or reading the conflicting entry failed.
+    /// It is unknown whether the change took effect, because the resolve timeout (the time for
+    /// which a transaction that got no response is sent again) passed, or because reading the
+    /// conflicting entry failed.
     #[snafu(display("it is unknown whether the change took effect: {source}"))]
     OutcomeUnknown {
-        /// Error of the last call to the store.
+        /// Error from the last call to the store.
         source: store::Error,
     },
     /// The content of a row cannot be encoded or decoded.
@@ -58,7 +59,7 @@
     Row {
         /// Key of the row in the table service.
         key: String,
-        /// Error of the JSON library, with the position in the content of the row.
+        /// Error from the JSON library, with the position in the content of the row.
         source: serde_json::Error,
     },
     /// The log no longer holds the entry after the requested revision, so the reader needs a
@@ -106,7 +107,7 @@
 }
 
 impl ChangeLog {
-    /// Returns a client that retries a transaction without a response for at most
+    /// Returns a client that sends a transaction that got no response again, for at most
     /// `resolve_timeout_ms`.
     pub fn new(platform: Platform, resolve_timeout_ms: u64) -> Self {
         Self {
