--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -230,7 +230,7 @@
     /// Priority of the route's requests; 0 is the highest.
     #[serde(default)]
     pub priority: u32,
-    /// Service that gets all requests of the route; it overrides `split`.
+    /// Service that gets all requests of the route; this field overrides `split`.
     #[serde(default)]
     pub service: Option<String>,
     /// Services that share the requests of the route by weight.
@@ -246,15 +246,16 @@
     pub allowed_regions: Vec<String>,
 }
 
-/// Weighted share of one service in a route that is split among services.
+/// One of the services among which a route is split, with the weight of that service.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WireShare {
     pub service: String,
-    /// Share of the requests, relative to the weights of the route's other services.
+    /// Weight by which the service gets requests of the route, relative to the weights of the
+    /// route's other services.
     pub weight: f64,
 }
 
-/// Body of the order that makes a server hold a range of keys.
+/// Body of the command that makes a server hold a range of keys.
 #[derive(Clone, Debug, Serialize)]
 pub struct WireGrant<'a> {
     /// First key of the range, included.
@@ -264,8 +265,8 @@
     #[serde(rename = "toVersion")]
     pub to: u16,
     pub fence: u64,
-    /// Length of the lease, counted from the arrival of the order at the server, as a duration with
-    /// its unit such as `1500ms`.
+    /// Length of the lease, counted from the arrival of the command at the server, as a duration
+    /// with its unit such as `1500ms`.
     pub hold_time: String,
     /// Token that the previous owner of the keys returned at their release and that lets the server
     /// start warm.
@@ -273,7 +274,7 @@
     pub handover: Option<&'a str>,
 }
 
-/// Body of the order that makes a server release a range of keys.
+/// Body of the command that makes a server release a range of keys.
 #[derive(Clone, Debug, Serialize)]
 pub struct WireRelease {
     /// First key of the range, included.
