--- a/src/entry/join/catch_up.rs
+++ b/src/entry/join/catch_up.rs
@@ -25,7 +25,7 @@
 /// same length is added to each pause.
 const RETRY_AFTER_MS: u64 = 150;
 /// Number of missed changes of server entries above which other hosts are queried before the store.
-/// One response of the store contains at most this number of changes.
+/// One response from the store contains at most this number of changes.
 const MISSED_MAX: u64 = 500;
 
 impl Entry {
@@ -45,9 +45,9 @@
     /// there are many hosts, servers or missed changes.
     fn queries_peers_first(&self, followed: FollowedTable) -> bool {
         match followed {
-            // While the store is unavailable, only the feed of server entries probes whether the
-            // store responds again; the other feeds of this host make no calls. The feed of server
-            // entries must therefore query the store.
+            // While the store is unavailable, only the change feed of server entries probes whether
+            // the store responds again; the other change feeds of this host make no calls. The
+            // change feed of server entries must therefore query the store.
             FollowedTable::Servers if *self.view.store_lost().borrow() => false,
             FollowedTable::Servers => self.has_many_servers() || self.missed(followed) > MISSED_MAX,
             FollowedTable::Configuration => self.peers.use_relays(),
--- a/src/entry/join/joining_hosts.rs
+++ b/src/entry/join/joining_hosts.rs
@@ -43,7 +43,8 @@
 /// of a registration request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct JoiningHost {
-    /// Address at which the joining host receives datagrams (UDP) and queries (TCP) of other hosts.
+    /// Address at which the joining host receives datagrams (UDP) and queries (TCP) from other
+    /// hosts.
     pub address: SocketAddr,
     /// Host row of the joining host, as the joining host would write it itself.
     pub row: HostRow,
--- a/src/entry/join/query.rs
+++ b/src/entry/join/query.rs
@@ -1,4 +1,4 @@
-//! Queries of this host to other hosts over HTTP, and the application of the responses to this
+//! Queries from this host to other hosts over HTTP, and the application of the responses to this
 //! host's view. The content of requests and responses is sealed with the hosts' secret.
 
 use std::{collections::HashSet, net::SocketAddr, sync::Arc, time::Duration};
@@ -127,10 +127,10 @@
         self.peers.sync_peer(self.as_relay_candidate())
     }
 
-    /// Waits until the leader, or a relay in its place, reports a response that the store gave
-    /// after the start of the wait. After an outage of the store, the first such report arrives
-    /// with a delay. Returns false if no such report arrives within `start_wait_ms`, or if this
-    /// host is the leader, which receives no such reports.
+    /// Waits until the leader, or a relay in place of the leader, reports a response that the store
+    /// gave after the start of the wait. After an outage of the store, the first such report
+    /// arrives with a delay. Returns false if no such report arrives within `start_wait_ms`, or if
+    /// this host is the leader, which receives no such reports.
     async fn is_store_confirmed_soon(&self) -> bool {
         let since_ms = clock::now_ms();
         let until_ms = since_ms + self.limits.start_wait_ms;
--- a/src/entry/join/serve.rs
+++ b/src/entry/join/serve.rs
@@ -24,7 +24,7 @@
 
 /// Content type of responses to other hosts, whose body is a sealed binary message.
 const SEALED_TYPE: &str = "application/octet-stream";
-/// Maximum number of connections of other hosts that this host serves at a time. Further
+/// Maximum number of connections from other hosts that this host serves at a time. Further
 /// connections wait to be accepted.
 const CONNECTIONS_MAX: usize = 16;
 /// Time for which this host reuses an encoded snapshot. Hosts that start together request the
@@ -44,7 +44,7 @@
     }
 
     /// Returns a snapshot of the servers, assigned ranges and hosts that this host knows; `None`
-    /// until this host knows servers and hosts, and while it is stopping.
+    /// until this host knows servers and hosts, and while this host is stopping.
     fn snapshot(&self) -> Option<Snapshot> {
         let is_known = self.view.are_servers_known() && self.view.are_hosts_known();
         if !is_known || self.stopping() {
@@ -101,7 +101,7 @@
     }
 
     /// Returns the sealed response to a query for `path`; `None` if this host cannot serve the
-    /// query, because it does not know the requested data or the path is unknown.
+    /// query, because this host does not know the requested data or `path` is unknown.
     fn answer_to(&self, path: &str) -> Option<Bytes> {
         match path {
             SNAPSHOT => self.encoded_snapshot(),
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Accepts connections of other hosts and responds to their queries.
+    /// Accepts connections from other hosts and responds to their queries.
     pub(in crate::entry) async fn serve_snapshots(
         self: Arc<Self>,
         listener: TcpListener,
