--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -42,11 +42,12 @@
 /// Number of rounds after which the leader plans moves of keys that balance load. Hosts report
 /// their request counts by key to the leader at a similar interval.
 const BALANCE_EVERY_ROUNDS: u64 = 2;
-/// Timeout of a grant order to a server. A server usually answers within a few milliseconds, and a
-/// lost packet is retransmitted within the timeout. Nine grants fit into the time from the renewal
-/// of a lease to its expiry: if half of the responses are lost, two leases in a thousand expire.
+/// Timeout of a grant command to a server. A server usually answers within a few milliseconds, and
+/// a lost packet is retransmitted within the timeout. Nine grants fit into the time from the
+/// renewal of a lease to its expiry: if half of the responses are lost, two leases in a thousand
+/// expire.
 const GRANT_TIMEOUT_MS: u64 = 300;
-/// Number of consecutive failed grant orders after which the leader probes whether the server is
+/// Number of consecutive failed grant commands after which the leader probes whether the server is
 /// alive.
 const FAILURES_BEFORE_PROBE: u32 = 2;
 /// Maximum number of moves of keys that are in progress at the same time in a service with few
@@ -57,8 +58,8 @@
 const SERVERS_PER_MOVE: usize = 4;
 /// Factor by which the leader's wait for the expiry of a lease is longer than the lease. The clock
 /// of a server may run up to 2% slow, so the server may serve the keys that much longer than the
-/// lease on the leader's clock. [`LEASE_MARGIN_MS`] is added to the wait, since a grant order may
-/// arrive at the server until the timeout of the order, [`GRANT_TIMEOUT_MS`].
+/// lease on the leader's clock. [`LEASE_MARGIN_MS`] is added to the wait, since a grant command may
+/// arrive at the server until the timeout of the command, [`GRANT_TIMEOUT_MS`].
 const LEASE_CLOCK_FACTOR: f64 = 1.03;
 /// Time that is added to the wait for the expiry of a lease, see [`LEASE_CLOCK_FACTOR`].
 const LEASE_MARGIN_MS: u64 = GRANT_TIMEOUT_MS + 250;
@@ -191,7 +192,7 @@
                 return;
             }
             // If the store is unavailable for so long that this host may not grant leases, the term
-            // continues without orders to servers and keeps its state.
+            // continues without commands to servers and keeps its state.
             if !self.may_send_orders() {
                 continue;
             }
@@ -204,8 +205,9 @@
         }
     }
 
-    /// Returns true while this host may send orders to servers: it is still the leader in this
-    /// term, and its last confirmation of the leadership is recent enough to grant leases.
+    /// Returns true while this host may send commands (grants and releases of keys) to servers: it
+    /// is still the leader in this term, and its last confirmation of the leadership is recent
+    /// enough to grant leases.
     fn may_send_orders(&self) -> bool {
         let leadership = &self.entry.leadership;
         leadership.term() == self.number
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -28,20 +28,20 @@
 /// Minimum interval between two writes by which the leader records the completion of moves. One
 /// write covers all moves of a service that were completed since the last write.
 const RECORD_COMPLETED_EVERY_MS: u64 = 1_000;
-/// Minimum timeout of a release order. This timeout applies when the lease of the server is about
+/// Minimum timeout of a release command. This timeout applies when the lease of the server is about
 /// to expire or has expired; otherwise the timeout is the remaining time of the lease, at most
 /// [`RELEASE_TIMEOUT_MS`].
 const RELEASE_TIMEOUT_MIN_MS: u64 = 300;
-/// Maximum timeout of a release order. The timeout is long because a server responds only after its
-/// running requests for the keys have ended.
+/// Maximum timeout of a release command. The timeout is long because a server responds only after
+/// its running requests for the keys have ended.
 const RELEASE_TIMEOUT_MS: u64 = 2_500;
-/// Delay after which the leader sends an unanswered release order again, while it goes on waiting
-/// for the response to the first order. That response may be lost, and no server holds the keys
+/// Delay after which the leader sends an unanswered release command again, while it goes on waiting
+/// for the response to the first command. That response may be lost, and no server holds the keys
 /// until a response arrives. A server responds once its running requests for the keys have ended,
 /// and most requests end within this delay.
 const RELEASE_RETRY_MS: u64 = 600;
-/// Maximum number of times that the leader sends one release order, including the first. If servers
-/// lose half of their responses, four attempts get a response from 94% of them.
+/// Maximum number of times that the leader sends one release command, including the first. If
+/// servers lose half of their responses, four attempts get a response from 94% of them.
 const RELEASES_MAX: usize = 4;
 
 impl Term {
@@ -297,11 +297,12 @@
     }
 
     /// Ensures that the server `id` no longer holds a range: waits until the server confirms the
-    /// release, or its last lease has expired, or another server uses its address.
+    /// release, the last lease of the server has expired, or another server uses the address of the
+    /// server.
     ///
     /// Returns the handover token for the new server, or `Some(None)` if the former server returned
-    /// no token. Returns `None` if this host may send no orders, for example because its term has
-    /// ended.
+    /// no token. Returns `None` if this host may send no commands to servers, for example because
+    /// its term has ended.
     async fn release_keys(
         &self,
         service: &Arc<str>,
@@ -312,7 +313,7 @@
         let registry = self.entry.view.registry();
         let server = registry.server(id).cloned();
         // A server whose entry is gone from the registry may still serve requests, so the leader
-        // sends the release order to the last known address of the server on a new connection. If
+        // sends the release command to the last known address of the server on a new connection. If
         // another server responds at this address, the process of the former server has ended.
         let former = registry.former(id).cloned();
         let former_link = former.as_ref().map(|former| Link::new(former.address));
@@ -328,8 +329,8 @@
             }
             let free_ms = self.lease_end_ms(id);
             let now_ms = clock::now_ms();
-            // A server with an entry in the registry gets the release order at least once, even if
-            // its leases have expired, since the handover token in its response warms up the new
+            // A server with an entry in the registry gets the release command at least once, even
+            // if its leases have expired, since the handover token in its response warms up the new
             // server.
             if now_ms >= free_ms && std::mem::replace(&mut asked, true) {
                 return Some(None);
@@ -384,8 +385,9 @@
     }
 }
 
-/// Sends a release order, and sends it again every [`RELEASE_RETRY_MS`] while no response arrives.
-/// Returns the first response. The order is idempotent, so the server may receive it several times.
+/// Sends a release command, and sends it again every [`RELEASE_RETRY_MS`] while no response
+/// arrives. Returns the first response. The command is idempotent, so the server may receive it
+/// several times.
 async fn release(
     link: &Link,
     order: Release<'_>,
--- a/src/entry/leases/renewal.rs
+++ b/src/entry/leases/renewal.rs
@@ -29,7 +29,7 @@
 /// used them without recording them.
 const FENCE_STEP: u64 = 16;
 
-/// Order by which the leader grants a server the lease of a key range, or renews the lease.
+/// Command by which the leader grants a server the lease of a key range, or renews the lease.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseOrder<'a> {
     pub service: &'a Arc<str>,
@@ -143,9 +143,9 @@
         }
     }
 
-    /// Sends one order that grants or renews a lease, and returns the response of the server.
-    /// Returns `None` if the server did not answer, or if no order was sent because the server is
-    /// silent or this host may send no orders.
+    /// Sends one command that grants or renews a lease, and returns the response from the server.
+    /// Returns `None` if the server did not answer, or if no command was sent because the server is
+    /// silent or this host may send no commands to servers.
     pub(super) async fn grant(
         &self,
         server: &Arc<Server>,
@@ -222,7 +222,7 @@
 
     /// Probes a server that does not answer grants, to distinguish a crashed server from a live
     /// server whose responses are lost. A live server keeps its keys; a crashed server is marked as
-    /// silent. Without the probe, when half of the orders go unanswered, live servers count as
+    /// silent. Without the probe, when half of the commands go unanswered, live servers count as
     /// crashed, and all keys of a service change their server three to five times a minute.
     async fn probe_server(&self, service: &str, server: &Server) {
         let lives = self.is_alive(service, server).await;
