--- a/src/entry/leadership/mod.rs
+++ b/src/entry/leadership/mod.rs
@@ -47,8 +47,8 @@
 /// the row before other hosts have seen the row unchanged for the takeover time, 1.6 s. At its
 /// slowest, the store takes 0.5 s for a write.
 const CONFIRM_TIMEOUT_MS: u64 = 1_000;
-/// Time for which a host that has lost the leadership answers heartbeats of a later leader with the
-/// report that it has stopped granting leases.
+/// Time for which a host that has lost the leadership answers heartbeats from a later leader with
+/// the report that it has stopped granting leases.
 const STOPPED_REPORT_MS: u64 = 3_000;
 
 /// Content of the leadership row, which names the leader. The content is stored as JSON in the
@@ -65,7 +65,7 @@
     /// Number of the confirmation within the term. This number makes the content of the row differ
     /// from one confirmation to the next.
     confirmation: u64,
-    /// Address at which the leader receives datagrams and queries of other hosts; `None` in rows
+    /// Address at which the leader receives datagrams and queries from other hosts; `None` in rows
     /// that were written by a version of ashroad without this field.
     #[serde(default)]
     address: Option<SocketAddr>,
@@ -91,7 +91,7 @@
 /// the previous leader.
 #[derive(Debug, Default)]
 pub struct Leadership {
-    /// Number of this host's term while it is the leader, else 0.
+    /// Number of this host's term while this host is the leader, else 0.
     term: AtomicU64,
     /// Time at which this host sent its last successful confirmation of the leadership, taken
     /// before the call to the store.
@@ -120,7 +120,7 @@
 }
 
 impl Leadership {
-    /// Returns the number of this host's term while it is the leader, else 0.
+    /// Returns the number of this host's term while this host is the leader, else 0.
     pub fn term(&self) -> u64 {
         self.term.load(Ordering::Relaxed)
     }
@@ -188,12 +188,12 @@
     }
 
     /// Records that another host is the leader in `term`. If this host is the leader of an earlier
-    /// term, it gives up the leadership.
+    /// term, this host gives up the leadership.
     ///
     /// Returns the earlier term whose leadership this host lost within the last
     /// `STOPPED_REPORT_MS`, so that the caller reports to the new leader that this host grants no
-    /// more leases of that term. Until the new leader gets that report, it waits for these leases
-    /// to expire.
+    /// more leases of that term. Until the new leader gets that report, the new leader waits for
+    /// the leases of the earlier term to expire.
     pub fn note_other_term(&self, term: u64) -> Option<u64> {
         let own = self.term();
         if own >= term {
--- a/src/entry/leadership/record.rs
+++ b/src/entry/leadership/record.rs
@@ -23,10 +23,10 @@
 /// succeed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFailure {
-    /// This host is not the leader, or the store has not confirmed the leadership of this host for
-    /// too long (`outage_ms`).
+    /// This host is not the leader, or the last successful confirmation of its leadership in the
+    /// store is older than `outage_ms`.
     LeadershipLost,
-    /// The store rejects the transaction with an error that no retry can mend.
+    /// The store rejects the transaction with an error that would occur again on each retry.
     Refused,
     /// The assigned ranges in the store differ from the assigned ranges that this host knows, or
     /// the changed assigned ranges cannot be encoded.
@@ -85,14 +85,14 @@
 }
 
 /// Outcome of a transaction that writes rows with assigned ranges. A transaction whose effect is
-/// unknown is retried and has no outcome yet.
+/// unknown is retried, and this type describes only the outcome after the last attempt.
 enum WriteOutcome {
     /// The transaction took effect. Contains the version of the written rows.
     Done(u64),
     /// A condition of the transaction was not met. Contains the current rows to which the
     /// conditions refer.
     Conflict(Vec<Row>),
-    /// The store rejects the transaction with an error that no retry can mend.
+    /// The store rejects the transaction with an error that would occur again on each retry.
     Refused,
     /// The effect of the transaction is unknown, and the transaction is not retried because this
     /// host may no longer grant leases.
--- a/src/entry/leadership/takeover.rs
+++ b/src/entry/leadership/takeover.rs
@@ -1,6 +1,7 @@
-//! Takeover of the leadership. A restarted host whose previous process was the leader takes over
-//! the leadership again at once. Any other host takes over the leadership when the leadership row
-//! names no leader, or has stayed unchanged for the takeover time.
+//! Takeover of the leadership. If the previous process of a restarted host was the leader, the
+//! restarted host takes over the leadership again at once. Any other host takes over the leadership
+//! when the leadership row names no leader, or when the content of the row has stayed unchanged for
+//! the takeover time.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -22,10 +23,10 @@
 };
 
 /// Interval at which a host that is not the leader checks whether it has stopped receiving
-/// heartbeats of the leader.
+/// heartbeats from the leader.
 const CHECK_EVERY_MS: u64 = 100;
 /// Time after the start of a host in which the host does not watch the leadership row, because the
-/// first heartbeat of the leader may not have arrived yet.
+/// first heartbeat from the leader may not have arrived yet.
 const START_GRACE_MS: u64 = 600;
 /// Time after the start of a host in which the host does not watch the leadership row if the
 /// deployment starts for the first time. Early hosts use a shorter time, see
@@ -43,7 +44,7 @@
 /// Maximum random delay before a host takes over the leadership, so that hosts that watch the
 /// leadership row do not all write it at the same moment.
 const TAKEOVER_JITTER_MS: u64 = 120;
-/// Number of hosts that begin to watch the leadership row at the same time when the heartbeats of
+/// Number of hosts that begin to watch the leadership row at the same time when the heartbeats from
 /// the leader stop. Each read of the store is billed, so not all hosts watch the row at once.
 const WATCHERS: u64 = 2;
 /// Delay after which the next [`WATCHERS`] hosts in the takeover order also begin to watch the
@@ -51,7 +52,7 @@
 const WATCHERS_STEP_MS: u64 = 500;
 
 impl Entry {
-    /// Confirms the leadership while this host is the leader. Otherwise watches the heartbeats of
+    /// Confirms the leadership while this host is the leader. Otherwise watches the heartbeats from
     /// the leader, and takes over the leadership once no other host confirms the leadership.
     pub(in crate::entry) async fn maintain_leadership(self: Arc<Self>) {
         let leases = self.settings.leases;
@@ -76,7 +77,7 @@
                 self.is_registered() && self.view.are_servers_known() && !self.stopping();
             if may_take_over && self.is_leader_silent(started_ms) {
                 // Each call to the store is billed, so this host does not read the leadership row
-                // before the feed of the servers' table shows that the store answers.
+                // before the change feed of the servers' table shows that the store answers.
                 self.view.wait_for_store().await;
                 self.await_takeover().await;
             }
@@ -84,7 +85,8 @@
     }
 
     /// Takes over the leadership at once if the previous process of this host was the leader. That
-    /// process has certainly ended, since this process listens on the same address.
+    /// process has certainly ended, because the current process could not listen on the same
+    /// address otherwise.
     async fn resume_leadership(&self) {
         while !self.view.are_servers_known() || !self.is_registered() {
             time::sleep(Duration::from_millis(CHECK_EVERY_MS)).await;
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Returns true if this host has received no heartbeat of the leader for so long that this host
-    /// should watch the leadership row. If this host has never received a heartbeat, the time
+    /// Returns true if this host has received no heartbeat from the leader for so long that this
+    /// host should watch the leadership row. If this host has never received a heartbeat, the time
     /// counts from `started_ms`.
     fn is_leader_silent(&self, started_ms: u64) -> bool {
         let heard_ms = self.peers.leader_heard_ms();
@@ -127,7 +129,7 @@
     }
 
     /// Returns the delay, in milliseconds, after which this host begins to watch the leadership row
-    /// once the heartbeats of the leader have stopped. The delay grows with the rank of this host
+    /// once the heartbeats from the leader have stopped. The delay grows with the rank of this host
     /// in the takeover order.
     fn watch_delay_ms(&self) -> u64 {
         let rank = {
@@ -140,8 +142,8 @@
 
     /// Reads the leadership row repeatedly. Takes over the leadership if the row names no leader or
     /// stays unchanged for the takeover time. Returns without a takeover if another host writes the
-    /// row, or if a read of the row fails later than ten times the takeover time after the start of
-    /// this call.
+    /// row. Also returns without a takeover if a read of the row fails later than ten times the
+    /// takeover time after the start of this call.
     async fn await_takeover(&self) {
         let takeover_ms = self.settings.leases.takeover_ms;
         let mut seen: Option<(u64, u64)> = None;
