--- a/src/entry/peers/fanout.rs
+++ b/src/entry/peers/fanout.rs
@@ -8,12 +8,12 @@
 use crate::entry::server::tag_of;
 
 /// Number of hosts up to which a sender addresses each host itself, without relays. Sending some 20
-/// moves a second to each of hundreds of hosts fills a link of 20 Mbit/s. Heartbeats of the leader
-/// are then lost, and the leader loses the leadership.
+/// moves a second to each of hundreds of hosts fills a link of 20 Mbit/s. Heartbeats from the
+/// leader are then lost, and the leader loses the leadership.
 pub const DIRECT_HOSTS_MAX: usize = 20;
 /// Number of relays in each zone. With two relays, no message is lost if one of them fails.
 const RELAYS: usize = 2;
-/// Time without an acknowledgement after which another host replaces a relay. Three heartbeats of
+/// Time without an acknowledgement after which another host replaces a relay. Three heartbeats from
 /// the leader fit into this time. With bounds of 2 s in the settings, the relay is replaced before
 /// the hosts of its zone stop relying on the leader. With tighter bounds, these hosts query the
 /// store in the meantime.
@@ -26,7 +26,7 @@
     pub address: SocketAddr,
     /// Tag of the host's availability zone: a hash of its name, the same for all hosts of the zone.
     pub zone_tag: u32,
-    /// Share of a processor that the host may use; 1.0 is a whole processor. Hosts with a large
+    /// Fraction of a processor that the host may use; 1.0 is a whole processor. Hosts with a large
     /// share are preferred because a relay sends messages to its whole zone.
     pub processor_share: f32,
     /// True if the host was sent messages to relay and has not acknowledged them within
@@ -94,10 +94,10 @@
     zones.filter_map(zone_aggregator).collect()
 }
 
-/// Baseline for the one-way delay of the leader's heartbeats: the shortest delay seen in a term.
-/// The clocks of two hosts are not comparable, so only the excess of a delay over the shortest
-/// delay is known. A heartbeat that a relay delayed has such an excess, and its content counts as
-/// that much older.
+/// Baseline for the one-way delay of the heartbeats from the leader: the shortest delay seen in a
+/// term. The clocks of two hosts are not comparable, so only the excess of a delay over the
+/// shortest delay is known. A heartbeat that a relay delayed has such an excess, and its content
+/// counts as that much older.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OneWayDelay {
     term: u64,
@@ -120,7 +120,7 @@
     pub fn delay_ms(&mut self, term: u64, sent_ms: u64, now_ms: u64) -> u64 {
         let offset_ms = now_ms as i64 - sent_ms as i64;
         if term < self.term {
-            // Heartbeats of a previous leader count as too old to be trusted; the baseline of the
+            // Heartbeats from a previous leader count as too old to be trusted; the baseline of the
             // current leader is kept.
             return u64::MAX;
         }
--- a/src/entry/peers/intervals.rs
+++ b/src/entry/peers/intervals.rs
@@ -23,8 +23,8 @@
     every_ms.clamp(REPORT_EVERY_MS, REPORT_EVERY_MAX_MS)
 }
 
-/// Returns the age, in milliseconds, up to which a load report of another host is used when `hosts`
-/// hosts receive each other's reports.
+/// Returns the age, in milliseconds, up to which a load report from another host is used when
+/// `hosts` hosts receive each other's reports.
 pub fn report_age_max_ms(hosts: usize) -> u64 {
     report_every_ms(hosts) * FULL_REPORT_EVERY + REPORT_AGE_SLACK_MS
 }
--- a/src/entry/peers/message.rs
+++ b/src/entry/peers/message.rs
@@ -125,12 +125,13 @@
     pub used: QuotaUsage,
 }
 
-/// Share of a workspace's requests that each host may admit.
+/// Fraction of a workspace's requests that each host may admit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceAdmitted {
     /// Tag of the workspace: a hash of its name, since its index differs between configurations.
     pub workspace_tag: u32,
-    /// Share that hosts apply until a later announcement replaces it or announcements cease.
+    /// Fraction of the requests that hosts admit until a later announcement replaces the fraction
+    /// or announcements cease.
     pub admitted: AdmittedShare,
 }
 
@@ -150,7 +151,7 @@
 pub struct Sender {
     /// Tag of the host's availability zone: a hash of its name, the same for all hosts of the zone.
     pub zone_tag: u32,
-    /// Share of a processor that the host may use; 1.0 is a whole processor.
+    /// Fraction of a processor that the host may use; 1.0 is a whole processor.
     pub processor_share: f32,
 }
 
@@ -230,7 +231,8 @@
         /// Key whose server is unknown to the sender.
         key: u16,
     },
-    /// States that the sender, which was the leader in `term`, grants no more leases.
+    /// States that the sender, which was the leader in `term`, grants no more leases. If the
+    /// receiver is the next leader, the receiver stops waiting for the leases of `term` to expire.
     Stopped {
         /// Term in which the sender was the leader.
         term: u64,
@@ -239,11 +241,11 @@
     ServerEnded {
         /// Tag of the server: a hash of its incarnation id, which is shorter than the id.
         server_tag: u32,
-        /// Digests of the sender's requests in flight at the server. Equal requests of different
+        /// Digests of the sender's requests in flight at the server. Equal requests from different
         /// callers have different digests.
         digests: Vec<RequestDigest>,
-        /// Digests of the same requests that do not depend on the caller, so that equal requests of
-        /// different callers match.
+        /// Digests of the same requests that do not depend on the caller, so that equal requests
+        /// from different callers match.
         shared: Vec<SharedSuspect>,
     },
     /// Reports that a server successfully ran a suspect request (one that was in flight when a
@@ -254,7 +256,8 @@
         /// Time since the request was sent to the server, in milliseconds.
         sent_ago_ms: u32,
     },
-    /// Announces that the sender starts a trial (single supervised attempt) of a suspect request.
+    /// Announces that the sender starts a trial of a suspect request: a single attempt, alone at a
+    /// server, of a request that was in flight when a server crashed.
     TrialStarted(ClaimSubject),
     /// Announces that the sender's claim on a suspect request or a server has ended, so that the
     /// next suspect may run. Either the trial has ended without a crash because the server
@@ -267,17 +270,17 @@
     /// Announces the rate limits of servers as the leader knows them, with the demand of the
     /// callers of all hosts. Sent by the leader to all hosts.
     RateTotals(Vec<ServerRate>),
-    /// Reports the tags of servers that announced to the sender that they are leaving, while the
-    /// entries of these servers do not show the leave yet. Sent to the leader.
+    /// Reports the tags of servers that announced to the sender that they are leaving. A server is
+    /// reported until its entry in the store shows the leave. Sent to the leader.
     ReportLeaving(Vec<u32>),
     /// Announces the tags of servers that told any host that they are leaving. Sent by the leader
     /// to all hosts.
     AnnounceLeaving(Vec<u32>),
     /// Reports the numbers of requests by workspace at the sender. Sent to the leader, which adds
-    /// up the reports of all hosts.
+    /// up the reports from all hosts.
     ReportUsage(Vec<WorkspaceUse>),
-    /// Announces the share of each workspace's requests that a host may admit. Sent by the leader
-    /// to all hosts. A message without workspaces shows that the leader is alive.
+    /// Announces the fraction of each workspace's requests that a host may admit. Sent by the
+    /// leader to all hosts. A message without workspaces shows that the leader is alive.
     AdmittedShare(Vec<WorkspaceAdmitted>),
     /// Queries a relay for the state of the store as the relay knows it, and the age of that
     /// knowledge.
--- a/src/entry/peers/mod.rs
+++ b/src/entry/peers/mod.rs
@@ -40,8 +40,8 @@
 };
 use crate::clock;
 
-/// Load of one server, summed over the reports of the other hosts: their requests in flight at the
-/// server and the run times that they measured there.
+/// Load of one server, summed over the reports from the other hosts: their requests in flight at
+/// the server and the run times that they measured there.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportedLoad {
     in_flight: u32,
@@ -64,7 +64,7 @@
 /// Seed host: a host that is listed in the store and from which starting hosts fetch a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SeedHost {
-    /// Address at which the host receives datagrams (UDP) and queries (TCP) of other hosts.
+    /// Address at which the host receives datagrams (UDP) and queries (TCP) from other hosts.
     pub address: SocketAddr,
     /// Tag of the host's availability zone: a hash of its name, the same for all hosts of the zone.
     pub zone_tag: u32,
@@ -80,18 +80,18 @@
     pub zone_tag: u32,
     /// True if the described host is in the same availability zone as this host.
     pub is_same_zone: bool,
-    /// Share of a processor that the host may use; 1.0 is a whole processor.
+    /// Fraction of a processor that the host may use; 1.0 is a whole processor.
     pub processor_share: f32,
 }
 
-/// Another host that this host knows, with the latest reports of the other host.
+/// Another host that this host knows, with the latest reports from the other host.
 #[derive(Debug)]
 struct Peer {
     properties: HostProperties,
     /// Time at which this host sent the first message to relay that the other host has not
     /// acknowledged; 0 if there is no such message.
     relay_since_ms: u64,
-    /// Time at which this host received the latest load report of the other host; 0 before the
+    /// Time at which this host received the latest load report from the other host; 0 before the
     /// first report.
     heard_ms: u64,
     loads: Vec<ServerLoad>,
@@ -147,7 +147,7 @@
     leader_heard_ms: AtomicU64,
     /// Slowdowns of servers that other hosts reported and that are not applied yet.
     slowdowns: Mutex<Vec<ReportedSlowdown>>,
-    /// Baseline for the delays of the leader's heartbeats, by which delayed heartbeats are
+    /// Baseline for the delays of the heartbeats from the leader, by which delayed heartbeats are
     /// recognised.
     one_way_delay: Mutex<OneWayDelay>,
     /// Loads that the aggregators of the other zones have sent.
@@ -158,7 +158,8 @@
 }
 
 impl Peers {
-    /// Adds a host. If the host is already known, replaces its properties and keeps its reports.
+    /// Adds a host. If the host is already known, replaces the properties of the host and keeps the
+    /// reports that the host has sent.
     pub fn add(&self, address: SocketAddr, properties: HostProperties) {
         let mut peers = self.peers();
         let peer = peers.entry(address).or_insert_with(|| Peer {
@@ -285,9 +286,9 @@
     }
 
     /// Returns the number of hosts that come before the host at `own` in the takeover order. Hosts
-    /// with a larger share of a processor come first, since the leader sends messages to all hosts
-    /// and orders to all servers that hold keys. The order of hosts with equal shares differs by
-    /// term, so that the same crashed hosts do not come first in every term.
+    /// that may use a larger fraction of a processor come first, since the leader sends messages to
+    /// all hosts and commands to all servers that hold keys. The order of hosts with equal fractions
+    /// differs by term, so that the same crashed hosts do not come first in every term.
     pub fn takeover_rank(&self, own: SocketAddr, processor_share: f32) -> usize {
         let term = self.leader_term.load(Ordering::Relaxed);
         let place = |address: &SocketAddr| tag_of(&format!("{address} {term}"));
@@ -318,12 +319,12 @@
         }
     }
 
-    /// Returns the latest term for which a heartbeat of the leader was received.
+    /// Returns the latest term for which a heartbeat from the leader was received.
     pub fn leader_term(&self) -> u64 {
         self.leader_term.load(Ordering::Relaxed)
     }
 
-    /// Returns the time at which this host received the last heartbeat of the leader; 0 if this
+    /// Returns the time at which this host received the last heartbeat from the leader; 0 if this
     /// host has received none.
     pub fn leader_heard_ms(&self) -> u64 {
         self.leader_heard_ms.load(Ordering::Relaxed)
@@ -402,7 +403,8 @@
                 return;
             }
         }
-        // Nothing is sent before the secret of the hosts was read.
+        // The message is dropped if this host has not read the secret of the hosts yet, since the
+        // message cannot be sealed.
         let Some(datagram) = self.seal.seal(&bytes) else {
             return;
         };
@@ -449,7 +451,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a heartbeat of the leader. Returns false and ignores the heartbeat if this host
+    /// Records a heartbeat from the leader. Returns false and ignores the heartbeat if this host
     /// knows a leader of a later term.
     fn note_leader(&self, from: SocketAddr, term: u64) -> bool {
         if term < self.leader_term.load(Ordering::Relaxed) {
--- a/src/entry/peers/receive.rs
+++ b/src/entry/peers/receive.rs
@@ -1,4 +1,4 @@
-//! Receives datagrams of the other hosts and dispatches their messages.
+//! Receives datagrams from the other hosts and dispatches their messages.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -26,7 +26,7 @@
 const READ_PAUSE_MS: u64 = 100;
 
 impl Entry {
-    /// Receives datagrams of the other hosts, and handles those that are sealed with the hosts'
+    /// Receives datagrams from the other hosts, and handles those that are sealed with the hosts'
     /// secret.
     pub(in crate::entry) async fn keep_listening(self: Arc<Self>, socket: UdpSocket) {
         let socket = Arc::new(socket);
@@ -99,7 +99,8 @@
             return;
         };
         let properties = HostProperties {
-            // Only the host's row shows for certain which process runs there.
+            // Only the stored row of the sending host shows for certain which process runs on that
+            // host.
             incarnation: None,
             zone_tag: sender.zone_tag,
             is_same_zone: sender.zone_tag == tag_of(&self.settings.availability_zone),
@@ -108,8 +109,8 @@
         self.peers.add(from, properties);
     }
 
-    /// Handles a message of the host at `from`, received directly from that host or through a
-    /// relay.
+    /// Handles a message from the host at `from`. The message arrived directly from that host or
+    /// through a relay.
     fn handle_message(&self, message: Message, from: SocketAddr) {
         match message {
             Message::Heartbeat {
--- a/src/entry/peers/report.rs
+++ b/src/entry/peers/report.rs
@@ -1,5 +1,5 @@
 //! Periodic reports of a host: its load on servers, its request counts by key for the leader, and,
-//! if the host is the leader, its heartbeats.
+//! if the host is the leader, the heartbeats that the host sends.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,9 +20,9 @@
 
 /// Interval at which request counts by key are sent to the leader.
 const KEYS_EVERY_MS: u64 = 150;
-/// Interval at which reports of the other hosts are applied to the loads of up to [`APPLY_SERVERS`]
-/// servers. With more servers the interval grows in proportion to their number, which keeps the
-/// processor time constant.
+/// Interval at which reports from the other hosts are applied to the loads of up to
+/// [`APPLY_SERVERS`] servers. With more servers the interval grows in proportion to their number,
+/// which keeps the processor time constant.
 const APPLY_EVERY_MS: u64 = 25;
 const APPLY_SERVERS: u64 = 220;
 /// Upper bound of the interval at which reports are applied.
@@ -185,7 +185,7 @@
         loads
     }
 
-    /// Returns the slowdowns that servers announced to this host since `since_ms`.
+    /// Returns the slowdowns that servers announced to this host at `since_ms` or later.
     fn own_slowdowns(&self, since_ms: u64) -> Vec<ServerSlowdown> {
         let now_ms = clock::now_ms();
         let registry = self.view.registry();
--- a/src/entry/peers/send.rs
+++ b/src/entry/peers/send.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Forwards a message of another host to the hosts of this zone.
+    /// Forwards a message from the host at `origin` to the other hosts of this zone.
     pub(super) fn forward(&self, origin: SocketAddr, message: Message) {
         let mut to = self.same_zone_addresses();
         to.retain(|address| *address != origin);
@@ -70,7 +70,7 @@
         self.send(&Message::Relayed { origin, message }, &to);
     }
 
-    /// Returns the excess delay of a heartbeat of the leader over the shortest delay seen in its
+    /// Returns the excess delay of a heartbeat from the leader over the shortest delay seen in its
     /// term.
     pub(super) fn excess_delay_ms(&self, term: u64, sent_ms: u64) -> u64 {
         let mut one_way_delay = self
--- a/src/entry/peers/zone_loads.rs
+++ b/src/entry/peers/zone_loads.rs
@@ -1,7 +1,7 @@
 //! Loads of servers by availability zone. With many hosts, one aggregator in each zone sums the
-//! reports of the hosts there and sends the sums to the other zones. The number of messages that a
-//! host receives then grows with the number of zones instead of hosts, and the loads in these
-//! messages are half a second old instead of four seconds.
+//! reports from the hosts of its zone and sends the sums to the other zones. The number of messages
+//! that a host receives then grows with the number of zones instead of hosts, and the loads in
+//! these messages are half a second old instead of four seconds.
 
 use std::collections::HashMap;
 
@@ -70,18 +70,18 @@
     }
 }
 
-/// Load sums of servers that a zone aggregator has sent. By comparison with them, the aggregator
-/// determines which sums have changed and must be sent. Sending the sums of thousands of idle
-/// servers each time would fill the links of small hosts with unchanged values.
+/// Load sums of servers that a zone aggregator has sent. The aggregator compares the current sums
+/// with the sent sums to determine which sums have changed and must be sent. Sending the sums of
+/// thousands of idle servers each time would fill the links of small hosts with unchanged values.
 #[derive(Debug, Default)]
 pub struct ZoneLoadChanges {
     sent: HashMap<u32, ReceivedSummary>,
 }
 
 impl ZoneLoadChanges {
-    /// Returns the load sums that have changed since they were sent or that must be sent again. A
-    /// server that had requests in flight and is no longer in `sums` is included with 0 requests in
-    /// flight.
+    /// Returns the load sums that have changed since this aggregator last sent them, or that must
+    /// be sent again although they have not changed. A server that had requests in flight and is no
+    /// longer in `sums` is included with 0 requests in flight.
     pub fn updates(&mut self, sums: Vec<ServerSummary>, now_ms: u64) -> Vec<ServerSummary> {
         let mut updates: Vec<ServerSummary> = sums
             .iter()
