--- a/src/entry/leases/mod.rs
+++ b/src/entry/leases/mod.rs
@@ -205,9 +205,9 @@
         }
     }
 
-    /// Returns true while this host may send commands (grants and releases of keys) to servers: it
-    /// is still the leader in this term, and its last confirmation of the leadership is recent
-    /// enough to grant leases.
+    /// Returns true while this host may send commands (grants and releases of keys) to servers:
+    /// this host is still the leader in this term, and its last confirmation of the leadership is
+    /// recent enough to grant leases.
     fn may_send_orders(&self) -> bool {
         let leadership = &self.entry.leadership;
         leadership.term() == self.number
@@ -384,7 +384,7 @@
     }
 
     /// Permits grants to silent servers again once twice the lease time has passed since the last
-    /// grant. A server that still does not answer is marked as silent again.
+    /// grant. A server that does not answer the new grants either is marked as silent again.
     fn retry_silent_servers(&self, service: &str) {
         let registry = self.entry.view.registry();
         let now_ms = clock::now_ms();
--- a/src/entry/leases/moves.rs
+++ b/src/entry/leases/moves.rs
@@ -40,8 +40,8 @@
 /// until a response arrives. A server responds once its running requests for the keys have ended,
 /// and most requests end within this delay.
 const RELEASE_RETRY_MS: u64 = 600;
-/// Maximum number of times that the leader sends one release command, including the first. If
-/// servers lose half of their responses, four attempts get a response from 94% of them.
+/// Maximum number of times that the leader sends one release command, including the first. If half
+/// of the responses from servers are lost, four attempts get a response from 94% of the servers.
 const RELEASES_MAX: usize = 4;
 
 impl Term {
@@ -297,8 +297,8 @@
     }
 
     /// Ensures that the server `id` no longer holds a range: waits until the server confirms the
-    /// release, the last lease of the server has expired, or another server uses the address of the
-    /// server.
+    /// release, the last lease of the server has expired, or another server responds at the last
+    /// known address of the server.
     ///
     /// Returns the handover token for the new server, or `Some(None)` if the former server returned
     /// no token. Returns `None` if this host may send no commands to servers, for example because
